--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// update makes the tests write their golden files anew. It is meant for a form that is new: a file that stands was written
-// by a version whose data must stay readable.
+// update lets a test write the golden file of a new form. A file that exists was written by a version whose data must stay
+// readable, and is never overwritten.
 var update = flag.Bool("update-golden", false, "write the golden files that do not exist yet")
 
 // directory holds the golden files of a package, beside its tests.
