--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -215,9 +215,12 @@
 	}
 	_, err = nc.Write(calls)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return p.Core.Counters.Requests.Load() == 32 }, time.Minute, time.Millisecond)
+	// A request is counted before it is decided. Once each has an attempt or a refusal, the number of attempts is final.
+	counters := &p.Core.Counters
+	require.Eventually(t, func() bool { return counters.Requests.Load() == 32 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return counters.Attempts.Load()+counters.Refused.Load() == 32 }, time.Minute, time.Millisecond)
 	body := strings.Repeat("x", 240_000)
-	out := int(p.Core.Counters.Attempts.Load())
+	out := int(counters.Attempts.Load())
 	require.Greater(t, out, 8)
 	for range out - 2 {
 		scenario.Run(t, p.Clock, actors, `
