--- /dev/null
+++ b/internal/resp/golden_test.go
@@ -0,0 +1,38 @@
+package resp
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/golden"
+)
+
+// TestGoldenFrames: frames are written to the same bytes as before, and read back as the parts that they were made of.
+func TestGoldenFrames(t *testing.T) {
+	cases := [][]string{{"abort", "00000000000000a1"}, {"fetch", "id", "lane=tiles,name=ab", "body\r\n\x00\xff"}, {""}, {"a", "", ""}}
+	var frames []byte
+	for _, parts := range cases {
+		frames = Append(frames, parts...)
+	}
+	frames = AppendBody(frames, nil, "fetch", "id", "-")
+	golden.Equal(t, "frames.resp", frames)
+
+	buffer, source := Buffer{Most: MostAsked}, bytes.NewReader(golden.Read(t, "frames.resp"))
+	var again []byte
+	for _, want := range append(cases, []string{"fetch", "id", "-", ""}) {
+		parts, raw, err := buffer.Next(source)
+		require.NoError(t, err)
+		require.Len(t, parts, len(want))
+		for i, part := range parts {
+			require.Equal(t, want[i], string(part))
+		}
+		again = append(again, raw...)
+	}
+	golden.Equal(t, "frames.resp", again)
+
+	fields, ok := Fields([]byte("lane=tiles,name=ab=c,empty="))
+	require.True(t, ok)
+	require.Equal(t, map[string]string{"lane": "tiles", "name": "ab=c", "empty": ""}, fields)
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,161 @@
+package wire
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+
+	"ravenwheel/internal/golden"
+	"ravenwheel/policy"
+)
+
+// bootLine starts an instance with each setting set.
+const bootLine = `["Boot",1,18446744073709551615,{"NInstances":2,"Rank":1,"Zone":3,"Discovery":"ask","Weights":"nominal","TickUs":36000,` +
+	`"Bounds":{"Cancel":true,"RetryAfter":true,"MostTries":33,"MaxRetryAfterUs":34000000,"ConnectTimeoutUs":35000},` +
+	`"Rules":{"AnswerSlackUs":32000,"AskWithinUs":24000000,"DrainGraceUs":25000000,"FallUs":28000000,"WarmWithinUs":26000000,` +
+	`"ColdFrom":0.125,"FallMultiple":27.5},` +
+	`"Grades":[{"TargetUs":10000,"DeadlineUs":12000000,"WindowUs":14000000,"AimStretch":11.5,"LateValue":0.25,"Worth":13.5,` +
+	`"Effect":"deduplicated","Group":"cell","Stream":true},{"DeadlineUs":5000000,"Effect":"at_most_once"},` +
+	`{"DeadlineUs":6000000,"Effect":"deduplicated","Group":"zone"},{"DeadlineUs":7000000,"Effect":"idempotent","Group":"all"}],` +
+	`"FamilyInfo":{"ClassFreshUs":[15000000],"StaleForUs":[16000000],"ClassStaleWorth":[0.5],"InParts":[true],"Uncached":[true],` +
+	`"MayPassBy":true,"SharesFills":true,"FlowKbPerS":19.5,"OriginFallMultiple":22.5,"OriginBearsUs":23000000,` +
+	`"ParentWarmsInUs":29000000,"ParentColdFrom":0.375,"ParentBreaksAt":30.5,"RootKind":18,"SecondTierKind":17,` +
+	`"PurgeTakesUs":20000000,"NoticeTimeUs":21000000,"PeersFill":"any","NoteLevel":"all","ZoneBalancers":[4,5],"HomeHub":[6,7],` +
+	`"ZoneLinkKbPerS":[8.5,9.25]}}]`
+
+// wantSettings are the settings of bootLine.
+func wantSettings() policy.Settings {
+	return policy.Settings{
+		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
+		Classes: []policy.Class{
+			{
+				Target: 10 * time.Millisecond, AimStretch: 11.5, Deadline: 12 * time.Second, Worth: 13.5, LateValue: 0.25,
+				Effect: policy.Keyed, Group: policy.GroupCell, Window: 14 * time.Second, Stream: true, Uncached: true,
+				InParts: true, Fresh: 15 * time.Second, StaleFor: 16 * time.Second, StaleWorth: 0.5,
+			},
+			{Target: 5 * time.Second, Deadline: 5 * time.Second, Effect: policy.Unsafe},
+			{Target: 6 * time.Second, Deadline: 6 * time.Second, Effect: policy.Keyed, Group: policy.GroupZone},
+			{Target: 7 * time.Second, Deadline: 7 * time.Second, Effect: policy.Safe, Group: policy.GroupAll},
+		},
+		ParentKind: 17, OriginKind: 18, MayPassBy: true, Siblings: policy.ReachAny, SharesFills: true,
+		Details: policy.DetailAll, FlowKBPerS: 19.5, PurgeTakes: 20 * time.Second, PurgeNotice: 21 * time.Second,
+		OriginMultiple: 22.5, OriginBears: 23 * time.Second, AskDiscovery: true, AskWithin: 24 * time.Second,
+		DrainGrace:  25 * time.Second,
+		CacheFall:   policy.Fall{ColdFrom: 0.125, WarmWithin: 26 * time.Second, Multiple: 27.5, Within: 28 * time.Second},
+		ParentFall:  policy.Fall{ColdFrom: 0.375, WarmWithin: 29 * time.Second, Multiple: 30.5, Within: 28 * time.Second},
+		AnswerSlack: 32 * time.Millisecond, WeightsTold: true, MaxTries: 33, Cancel: true, RetryAfter: true,
+		MaxRetryAfter: 34 * time.Second, ConnectWithin: 35 * time.Millisecond, Tick: 36 * time.Millisecond,
+	}
+}
+
+// outcomeLine is an outcome with the given result and note, and wantOutcome what it is decoded to.
+func outcomeLine(result, note string) string {
+	return `["Done",1,"q",true,18500,2,77,` + note + `,"` + result + `",9400,` +
+		`{"busy_reqs":1.5,"pending":2.5,"cpu_share":0.25,"svc_ms":3.5,"served_ps":4.5,"failed_ps":5.5,"x0":0.5,"x1":6.5}]`
+}
+
+func wantOutcome(result policy.Result, note policy.Note) policy.Outcome {
+	return policy.Outcome{
+		ID: "q", Closed: true, Latency: 18500 * time.Microsecond, Attempt: 2, Cache: 77, Note: note, Result: result,
+		Waited: 9400 * time.Microsecond,
+		Load: policy.Load{
+			"inflight": 1.5, "queue": 2.5, "util": 0.25, "latency": 3.5, "served": 4.5, "errors": 5.5, "hits": 0.5, "link": 6.5,
+		},
+	}
+}
+
+// TestGoldenEvents: each event line of the wire is decoded to the same event as before, field by field.
+func TestGoldenEvents(t *testing.T) {
+	entry := []policy.Member{
+		{ID: 5, Zone: 1, Kind: 2, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 6100 * time.Millisecond},
+		{ID: 6, Zone: 1, Kind: 2, State: policy.Draining}, {ID: 7, Zone: 1, Kind: 2, State: policy.Gone},
+		{ID: 8, Zone: 1, Kind: 2, State: policy.Draining},
+	}
+	hosts := `[[5,1,2,3,"U",1.5,6100000],[6,1,2,null,"L",null,null],[7,1,2,0,"D"],[8,1,2,0,"later"]]`
+	cases := []struct {
+		line string
+		want any
+	}{
+		{bootLine, Boot{Seed: 18446744073709551615, Settings: wantSettings()}},
+		{`["Detach",1]`, Detach{}},
+		{`["Targets",1,"diff",41,` + hosts + `]`, policy.Members{Kind: policy.ListChanges, Version: 41, Entries: entry}},
+		{`["Targets",1,"snapshot",42,` + hosts + `]`, policy.Members{Kind: policy.ListWhole, Version: 42, Entries: entry}},
+		{`["Targets",1,"disk",43,` + hosts + `]`, policy.Members{Kind: policy.ListStored, Version: 43, Entries: entry}},
+		{`["Targets",1,"error",null,null]`, policy.Members{Kind: policy.ListFailed}},
+		{`["Req",1,"q",240000,6,3,4,640.5,11,"ab",2]`, policy.Request{
+			ID: "q", Left: 240 * time.Millisecond, Repeat: true, Write: true, Part: 3, Tenant: 4, SizeKB: 640.5, Group: 11,
+			Object: "ab", Class: 2,
+		}},
+		{`["Req",1,"q",240000,2,null,null,null,null,"ab",2]`, policy.Request{
+			ID: "q", Left: 240 * time.Millisecond, Repeat: true, Group: -1, Object: "ab", Class: 2,
+		}},
+		{`["UnderWay",1,"q",2,1500,77]`, policy.First{ID: "q", Attempt: 2, Latency: 1500 * time.Microsecond, Cache: 77}},
+		{outcomeLine("done", "1"), wantOutcome(policy.OK, policy.NoteHit)},
+		{outcomeLine("err", "2"), wantOutcome(policy.Failed, policy.NoteFilled)},
+		{outcomeLine("busy", "3"), wantOutcome(policy.Full, policy.NoteFilledOrigin)},
+		{outcomeLine("etimedout", "4"), wantOutcome(policy.TimedOut, policy.NoteJoined)},
+		{outcomeLine("econnrefused", "5"), wantOutcome(policy.ConnectFailed, policy.NoteStale)},
+		{outcomeLine("econnreset", "6"), wantOutcome(policy.Reset, policy.NoteSourceRefused)},
+		{outcomeLine("ecanceled", "7"), wantOutcome(policy.Cancelled, policy.NoteSourceLost)},
+		{outcomeLine("skipped", "8"), wantOutcome(policy.Moot, policy.NoteSourceLacks)},
+		{outcomeLine("enoent", "9"), wantOutcome(policy.Miss, policy.NoteNoPlace)},
+		{outcomeLine("later", "10"), wantOutcome(policy.Unknown, policy.NoteOriginFailed)},
+		{`["Done",1,"q",false,null,0,77,null,"done",null,null]`, policy.Outcome{ID: "q", Cache: 77, Result: policy.OK}},
+		{`["ClientLeft",1,"q"]`, policy.ClientLeft{ID: "q"}},
+		{`["TimeoutFired",1,77]`, policy.Timer{Token: 77}},
+		{`["Purged",1,11,"ab",85000]`, policy.Purged{Group: 11, Object: "ab", Age: 85 * time.Millisecond}},
+		{`["Purged",1,null,null,85000]`, policy.Purged{Group: -1, Age: 85 * time.Millisecond}},
+	}
+	var lines []byte
+	for _, c := range cases {
+		lines = append(lines, `{"AtTimeUs":5,"events":[`+c.line+"]}\n"...)
+	}
+	golden.Equal(t, "events.jsonl", lines)
+
+	read := bytes.Split(bytes.TrimSuffix(golden.Read(t, "events.jsonl"), []byte("\n")), []byte("\n"))
+	if len(read) != len(cases) {
+		t.Fatalf("%d lines, want %d", len(read), len(cases))
+	}
+	for i, line := range read {
+		batch, err := DecodeBatch(line)
+		if err != nil {
+			t.Errorf("%s: %v", line, err)
+			continue
+		}
+		want := Batch{At: 5 * time.Microsecond, Events: []Envelope{{Who: 1, Event: cases[i].want}}}
+		if !reflect.DeepEqual(batch, want) {
+			t.Errorf("%s:\n got %+v\nwant %+v", line, batch, want)
+		}
+	}
+}
+
+// TestGoldenActions: each action is encoded to the same bytes as before, with every field set and with the optional
+// ones empty.
+func TestGoldenActions(t *testing.T) {
+	reply, err := EncodeReply(nil, []Acted{
+		{Who: 3, Action: policy.Ask{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
+		{Who: 3, Action: policy.Ask{ID: "a", Cache: 7}},
+		{Who: 3, Action: policy.Get{
+			ID: "a", Cache: 7, Source: 9, Timeout: 900 * time.Millisecond, Age: time.Second, Keep: 2,
+			How: policy.Join | policy.HeldOnly | policy.ParentPasses | policy.Renew,
+		}},
+		{Who: 3, Action: policy.Get{ID: "a", Cache: 7, Source: 7, How: policy.Join}},
+		{Who: 3, Action: policy.Get{ID: "a", Cache: 7, Source: 7, How: policy.HeldOnly}},
+		{Who: 3, Action: policy.Get{ID: "a", Cache: 7, Source: 7, How: policy.ParentPasses}},
+		{Who: 3, Action: policy.Get{ID: "a", Cache: 7, Source: 7, How: policy.Renew}},
+		{Who: 3, Action: policy.Cancel{ID: "a", Attempt: 4}},
+		{Who: 3, Action: policy.Refuse{ID: "a", RetryAfter: 1500 * time.Millisecond}},
+		{Who: 3, Action: policy.Refuse{ID: "a"}},
+		{Who: 3, Action: policy.Fail{ID: "a"}},
+		{Who: 3, Action: policy.SetTimer{Token: 18446744073709551615, After: 500*time.Millisecond + 1}},
+		{Who: 3, Action: policy.Watch{On: true}},
+		{Who: 3, Action: policy.Watch{}},
+		{Who: 3, Action: policy.Log{Text: "7 up"}},
+		{Who: 3, Action: Fault{Text: "starting: \"x\""}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "reply.jsonl", reply)
+}
