--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -18,12 +18,12 @@
 const learnedRevision = 2
 
 type learned struct {
-	Revision int
-	Classes  []string
-	Settings [sha256.Size]byte // those that it was learned under
-	Learned  policy.Learned
-	Counted  []int64 // what the counters have risen to, in the order of rising
-	Epoch    float64 // of the clock that its times are on; 0: not told
+	Revision int               `cbor:"Revision"`
+	Classes  []string          `cbor:"Classes"`
+	Settings [sha256.Size]byte `cbor:"Settings"` // those that it was learned under
+	Learned  policy.Learned    `cbor:"Learned"`
+	Counted  []int64           `cbor:"Counted"` // what the counters have risen to, in the order of rising
+	Epoch    float64           `cbor:"Epoch"`   // of the clock that its times are on; 0: not told
 }
 
 // rising are the counters that only rise: they go on where the process before has left them.
--- a/policy/api.go
+++ b/policy/api.go
@@ -50,63 +50,64 @@
 
 // Class is one class of requests.
 type Class struct {
-	Target     time.Duration // the full worth is earned by answering within this
-	AimStretch float64       // the aim grows by this many times the request's own sending time
-	Deadline   time.Duration
-	Worth      float64
-	LateValue  float64 // share of the worth earned after the aim
-	Effect     Effect
-	Group      Group
-	Window     time.Duration // for Keyed: how long repeats are discarded
-	Stream     bool
-	Uncached   bool          // runs at the origin and is never kept
-	InParts    bool          // objects come in parts, asked for in turn
-	Fresh      time.Duration // 0: good until purged
-	StaleFor   time.Duration
-	StaleWorth float64
+	Target     time.Duration `cbor:"Target"`     // the full worth is earned by answering within this
+	AimStretch float64       `cbor:"AimStretch"` // the aim grows by this many times the request's own sending time
+	Deadline   time.Duration `cbor:"Deadline"`
+	Worth      float64       `cbor:"Worth"`
+	LateValue  float64       `cbor:"LateValue"` // share of the worth earned after the aim
+	Effect     Effect        `cbor:"Effect"`
+	Group      Group         `cbor:"Group"`
+	Window     time.Duration `cbor:"Window"` // for Keyed: how long repeats are discarded
+	Stream     bool          `cbor:"Stream"`
+	Uncached   bool          `cbor:"Uncached"` // runs at the origin and is never kept
+	InParts    bool          `cbor:"InParts"`  // objects come in parts, asked for in turn
+	Fresh      time.Duration `cbor:"Fresh"`    // 0: good until purged
+	StaleFor   time.Duration `cbor:"StaleFor"`
+	StaleWorth float64       `cbor:"StaleWorth"`
 }
 
 // Fall is the limit beyond which something newly started is pushed over.
 type Fall struct {
-	ColdFrom   float64 // share of its capacity at its start, or more
-	WarmWithin time.Duration
-	Multiple   float64 // of its present capacity
-	Within     time.Duration
+	ColdFrom   float64       `cbor:"ColdFrom"` // share of its capacity at its start, or more
+	WarmWithin time.Duration `cbor:"WarmWithin"`
+	Multiple   float64       `cbor:"Multiple"` // of its present capacity
+	Within     time.Duration `cbor:"Within"`
 }
 
 // Settings are the facts a router is started with.
 type Settings struct {
-	Rank, Routers  int
-	Zone           int
-	ZoneRouters    []int // routers in each zone; may be empty
-	HomeHub        []int
-	LinkKBPerS     []float64
-	Classes        []Class
-	ParentKind     int // -1: none
-	OriginKind     int // -1: none
-	MayPassBy      bool
-	Siblings       Reach
-	SharesFills    bool
-	Details        Detail
-	FlowKBPerS     float64 // pace of one transfer to a client; 0: not told
-	PurgeTakes     time.Duration
-	PurgeNotice    time.Duration
-	OriginMultiple float64 // the origin stops when asked for more than this; 0: never
-	OriginBears    time.Duration
-
-	AskDiscovery  bool
-	AskWithin     time.Duration
-	DrainGrace    time.Duration
-	CacheFall     Fall
-	ParentFall    Fall
-	AnswerSlack   time.Duration
-	WeightsTold   bool // weights are sizes in transfers, exact or rough
-	MaxTries      int  // 0: no limit
-	Cancel        bool
-	RetryAfter    bool
-	MaxRetryAfter time.Duration
-	ConnectWithin time.Duration
-	Tick          time.Duration
+	Rank           int           `cbor:"Rank"`
+	Routers        int           `cbor:"Routers"`
+	Zone           int           `cbor:"Zone"`
+	ZoneRouters    []int         `cbor:"ZoneRouters"` // routers in each zone; may be empty
+	HomeHub        []int         `cbor:"HomeHub"`
+	LinkKBPerS     []float64     `cbor:"LinkKBPerS"`
+	Classes        []Class       `cbor:"Classes"`
+	ParentKind     int           `cbor:"ParentKind"` // -1: none
+	OriginKind     int           `cbor:"OriginKind"` // -1: none
+	MayPassBy      bool          `cbor:"MayPassBy"`
+	Siblings       Reach         `cbor:"Siblings"`
+	SharesFills    bool          `cbor:"SharesFills"`
+	Details        Detail        `cbor:"Details"`
+	FlowKBPerS     float64       `cbor:"FlowKBPerS"` // pace of one transfer to a client; 0: not told
+	PurgeTakes     time.Duration `cbor:"PurgeTakes"`
+	PurgeNotice    time.Duration `cbor:"PurgeNotice"`
+	OriginMultiple float64       `cbor:"OriginMultiple"` // the origin stops when asked for more than this; 0: never
+	OriginBears    time.Duration `cbor:"OriginBears"`
+
+	AskDiscovery  bool          `cbor:"AskDiscovery"`
+	AskWithin     time.Duration `cbor:"AskWithin"`
+	DrainGrace    time.Duration `cbor:"DrainGrace"`
+	CacheFall     Fall          `cbor:"CacheFall"`
+	ParentFall    Fall          `cbor:"ParentFall"`
+	AnswerSlack   time.Duration `cbor:"AnswerSlack"`
+	WeightsTold   bool          `cbor:"WeightsTold"` // weights are sizes in transfers, exact or rough
+	MaxTries      int           `cbor:"MaxTries"`    // 0: no limit
+	Cancel        bool          `cbor:"Cancel"`
+	RetryAfter    bool          `cbor:"RetryAfter"`
+	MaxRetryAfter time.Duration `cbor:"MaxRetryAfter"`
+	ConnectWithin time.Duration `cbor:"ConnectWithin"`
+	Tick          time.Duration `cbor:"Tick"`
 }
 
 // State is what discovery says of a member.
@@ -325,30 +326,33 @@
 
 // Judged is what a router has learned of one cache, parent or the origin.
 type Judged struct {
-	Down                 bool
-	Lost                 bool  // could not be reached, or broke off, since it was last up
-	Unanswered           int   // attempts past their aim since the last answer
-	FailedAt             Time  // when it failed last
-	FailShare, LateShare share // of its last attempts: failed; timed out
-	LastAnswer           Time
-	TrialAt              Time
-	Limit                float64 // attempts (of a source: fills) this router lets itself have out
-	Heard                Time    // when an answer last spoke for the limit
-	Ramped               Time    // start of the rising share
-	Ramps                bool
-	Cold                 Time // start of the cold time, for the budget
-	Colds                bool
-	Credit               float64 // of the cold budget, in seconds of sending; below 0 it is overdrawn
-	CreditAt             Time
+	Down       bool    `cbor:"Down"`
+	Lost       bool    `cbor:"Lost"`       // could not be reached, or broke off, since it was last up
+	Unanswered int     `cbor:"Unanswered"` // attempts past their aim since the last answer
+	FailedAt   Time    `cbor:"FailedAt"`   // when it failed last
+	FailShare  share   `cbor:"FailShare"`  // of its last attempts: failed; timed out
+	LateShare  share   `cbor:"LateShare"`  // of its last attempts: failed; timed out
+	LastAnswer Time    `cbor:"LastAnswer"`
+	TrialAt    Time    `cbor:"TrialAt"`
+	Limit      float64 `cbor:"Limit"`  // attempts (of a source: fills) this router lets itself have out
+	Heard      Time    `cbor:"Heard"`  // when an answer last spoke for the limit
+	Ramped     Time    `cbor:"Ramped"` // start of the rising share
+	Ramps      bool    `cbor:"Ramps"`
+	Cold       Time    `cbor:"Cold"` // start of the cold time, for the budget
+	Colds      bool    `cbor:"Colds"`
+	Credit     float64 `cbor:"Credit"` // of the cold budget, in seconds of sending; below 0 it is overdrawn
+	CreditAt   Time    `cbor:"CreditAt"`
 }
 
 // Learned is what a router has learned of all, for the one that takes its place.
 type Learned struct {
-	Targets                map[CacheID]Judged
-	Link                   Judged
-	MeanSend, MeanTook     []float64
-	FillShare, OriginShare share
-	LinkSeen               [foreign + 1]float64
+	Targets     map[CacheID]Judged   `cbor:"Targets"`
+	Link        Judged               `cbor:"Link"`
+	MeanSend    []float64            `cbor:"MeanSend"`
+	MeanTook    []float64            `cbor:"MeanTook"`
+	FillShare   share                `cbor:"FillShare"`
+	OriginShare share                `cbor:"OriginShare"`
+	LinkSeen    [foreign + 1]float64 `cbor:"LinkSeen"`
 }
 
 // Learned is what a router that takes this one's place may start from.
