--- a/internal/decide/view/estimate.go
+++ b/internal/decide/view/estimate.go
@@ -9,18 +9,23 @@
 )
 
 // Figure is an estimate with the bounds between which the truth lies if no more than the share Liars of the reporters lie.
-type Figure struct{ Value, Low, High float64 }
+type Figure struct {
+	Value float64 `json:"Value"`
+	Low   float64 `json:"Low"`
+	High  float64 `json:"High"`
+}
 
 // Estimate is what the view says of one server.
 type Estimate struct {
-	Reporters int    // who spoke of it lately
-	Load      Figure // attempts a second of all of them
-	Failing   Figure // share of attempts
-	Overdue   Figure // share of attempts
-	P50, P90  float64
+	Reporters int     `json:"Reporters"` // who spoke of it lately
+	Load      Figure  `json:"Load"`      // attempts a second of all of them
+	Failing   Figure  `json:"Failing"`   // share of attempts
+	Overdue   Figure  `json:"Overdue"`   // share of attempts
+	P50       float64 `json:"P50"`
+	P90       float64 `json:"P90"`
 	// OwnPart is the part of Failing and Overdue that is this process's own word: at least half, once it has seen
 	// enough itself.
-	OwnPart float64
+	OwnPart float64 `json:"OwnPart"`
 }
 
 // ownEnough attempts within the last window, a second: fewer tell nothing, and what others say stands alone.
@@ -163,9 +168,9 @@
 
 // HeavyObject is an object that the fleet asks for often.
 type HeavyObject struct {
-	Object uint64
-	Rate   Figure // requests a second, of all processes
-	Of     int    // processes that name it
+	Object uint64 `json:"Object"`
+	Rate   Figure `json:"Rate"` // requests a second, of all processes
+	Of     int    `json:"Of"`   // processes that name it
 }
 
 // Heavy are the objects that processes name, heaviest first, n at most. A process that does not name one counts as none,
--- a/internal/decide/view/view.go
+++ b/internal/decide/view/view.go
@@ -179,11 +179,12 @@
 
 // Reporter is one process's word on a server, as operators see it.
 type Reporter struct {
-	Name, Zone string
-	Age        float64 // ms
-	Attempts   float64 // a second
-	Failing    float64 // share
-	Latency    Latency
+	Name     string  `json:"Name"`
+	Zone     string  `json:"Zone"`
+	Age      float64 `json:"Age"`      // ms
+	Attempts float64 `json:"Attempts"` // a second
+	Failing  float64 `json:"Failing"`  // share
+	Latency  Latency `json:"Latency"`
 }
 
 // Reporters are who speaks of a server, by name: who said what, and how long ago.
@@ -201,11 +202,12 @@
 
 // Peer is one process as the view has it.
 type Peer struct {
-	Name, Zone  string
-	Incarnation uint64
-	Age         float64 // ms since its newest digest
-	Arrivals    float64 // requests a second
-	Servers     int
+	Name        string  `json:"Name"`
+	Zone        string  `json:"Zone"`
+	Incarnation uint64  `json:"Incarnation"`
+	Age         float64 `json:"Age"`      // ms since its newest digest
+	Arrivals    float64 `json:"Arrivals"` // requests a second
+	Servers     int     `json:"Servers"`
 }
 
 // Peers are the processes heard of, by name.
