--- /dev/null
+++ b/internal/decide/view/golden_test.go
@@ -0,0 +1,67 @@
+package view
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/golden"
+)
+
+// goldenDigest has every field set.
+func goldenDigest() Digest {
+	return Digest{
+		From: "proxy-a", Incarnation: 1_780_000_000_123, Version: 42, Zone: "zone-1", Arrivals: LevelOf(765),
+		Servers: []Seen{
+			{Server: 7, Attempts: 60, Failures: 5, Refusals: 4, Overdue: 3, InFlight: 30, Latency: Latency{200, 40, 10, 5}},
+			{Server: 300, Attempts: 1},
+		},
+		Heavy: []Heavy{{Object: 1<<60 + 3, Rate: 40}, {Object: 5, Rate: 9}},
+		Age:   812.5, Part: true,
+	}
+}
+
+// Digests of other versions are decoded, and this version's are the same bytes.
+func TestGoldenDigest(t *testing.T) {
+	for name, digest := range map[string]Digest{"digest.cbor": goldenDigest(), "digest_empty.cbor": {}} {
+		raw, err := cbor.Marshal(digest)
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+		var back Digest
+		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &back))
+		require.Equal(t, digest, back)
+		again, err := cbor.Marshal(back)
+		require.NoError(t, err)
+		golden.Equal(t, name, again)
+	}
+}
+
+// equalJSON compares a value with a golden file both ways.
+func equalJSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	raw, err := json.MarshalIndent(value, "", "  ")
+	require.NoError(t, err)
+	golden.Equal(t, name, raw)
+	var back T
+	require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
+	require.Equal(t, value, back)
+}
+
+// What operators see keeps its JSON keys.
+func TestGoldenJSON(t *testing.T) {
+	figure := func(value float64) Figure { return Figure{Value: value, Low: value - 1, High: value + 1} }
+	equalJSON(t, "peer.json", Peer{Name: "proxy-a", Zone: "zone-1", Incarnation: 3, Age: 812.5, Arrivals: 765, Servers: 9})
+	equalJSON(t, "reporter.json", Reporter{Name: "proxy-a", Zone: "zone-1", Age: 812.5, Attempts: 20, Failing: 0.25, Latency: Latency{200, 40}})
+	equalJSON(t, "heavy_object.json", HeavyObject{Object: 5, Rate: figure(40), Of: 20})
+	equalJSON(t, "estimate.json", Estimate{
+		Reporters: 3, Load: figure(100), Failing: figure(2), Overdue: figure(3), P50: 12.5, P90: 90, OwnPart: 0.5,
+	})
+	equalJSON(t, "empty.json", struct {
+		Peer     Peer
+		Reporter Reporter
+		Heavy    HeavyObject
+		Estimate Estimate
+	}{})
+}
--- /dev/null
+++ b/internal/distribution/golden_test.go
@@ -0,0 +1,126 @@
+package distribution
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/distribution"
+	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/golden"
+)
+
+const goldenTime = 1_780_000_000_000 // Unix ms
+
+func goldenList() replica.List {
+	return replica.List{Generation: 77, Servers: []serverlist.Server{
+		{ID: 7, Host: "cache-7.example", Port: 8080, Addr: "cache-7.example:8080", Zone: "zone-1", Kind: "edge", Cell: 3, Draining: true,
+			Weight: 1.5, Started: goldenTime, Warm: true},
+		{ID: 8, Host: "cache-8.example"},
+	}}
+}
+
+func goldenRevision() replica.Revision {
+	return replica.Revision{Number: 12, At: goldenTime + 0.5, By: "operator", Text: `{"limits": {}}`, Of: 9}
+}
+
+// goldenChanges are of every kind that is passed on.
+func goldenChanges() []replica.Change {
+	list := goldenList()
+	return []replica.Change{
+		{ID: "1", Kind: replica.SetPurge, Until: goldenTime + 3_600_000, Purge: &replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}},
+		{ID: "2", Kind: replica.SetPurge, Purge: &replica.Purge{Group: 17, Made: goldenTime}},
+		{ID: "3", Kind: replica.SetDrain, Name: "cache-7", At: goldenTime + 0.25},
+		{ID: "4", Kind: replica.EndDrain, Name: "cache-7", At: goldenTime + 1},
+		{ID: "5", Kind: replica.SetList, Name: "source-1", List: &list},
+		{ID: "6", Kind: replica.SetConfig, Text: goldenRevision().Text},
+	}
+}
+
+// frame is entries as they are sent.
+func frame(entries []distribution.Entry) []byte {
+	return distribution.Encode(distribution.Batch{
+		Stream: distribution.Purges, Epoch: 1, Through: 1000, Mark: distribution.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
+	}).Bytes
+}
+
+// entriesIn decodes what another version has sent.
+func entriesIn(t *testing.T, name string) []distribution.Entry {
+	t.Helper()
+	message, err := distribution.Decode(golden.Read(t, name))
+	require.NoError(t, err)
+	return message.(distribution.Batch).Entries
+}
+
+// A change of the store becomes the same bytes in every version, and another version's come into force as the same change.
+func TestGoldenChanges(t *testing.T) {
+	var entries []distribution.Entry
+	for i, change := range goldenChanges() {
+		_, entry, err := entryOf(uint64(i)+100, change, goldenRevision())
+		require.NoError(t, err)
+		entries = append(entries, entry)
+	}
+	golden.Equal(t, "changes.bin", frame(entries))
+
+	var changes []replica.Change
+	var revisions []replica.Revision
+	s := newSink(&Options{
+		Take:    func(c replica.Change) { changes = append(changes, c) },
+		Revised: func(r replica.Revision) { revisions = append(revisions, r) },
+	})
+	for _, entry := range entriesIn(t, "changes.bin") {
+		require.NoError(t, s.put(entry))
+	}
+	require.Equal(t, []replica.Revision{goldenRevision()}, revisions)
+	list := goldenList()
+	require.Equal(t, []replica.Change{
+		{Kind: replica.SetPurge, At: goldenTime - 1, Until: goldenTime + 3_600_000,
+			Purge: &replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1, Until: goldenTime + 3_600_000}},
+		{Kind: replica.SetPurge, At: goldenTime, Until: 1, Purge: &replica.Purge{Group: 17, Made: goldenTime, Until: 1}},
+		{Kind: replica.SetDrain, Name: "cache-7", At: goldenTime + 1},
+		{Kind: replica.EndDrain, Name: "cache-7"},
+		{Kind: replica.SetList, Name: "source-1", List: &list},
+	}, changes)
+}
+
+// So it is with all that a state of the store holds.
+func TestGoldenState(t *testing.T) {
+	state := replica.New()
+	state.Applied = 500
+	state.Purges["/a/b.webp"] = replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}
+	state.Purges["group 17"] = replica.Purge{Group: 17, Made: goldenTime, Until: goldenTime + 1}
+	state.Config = []replica.Revision{{Number: 11, Text: "{}"}, goldenRevision()}
+	state.Lists["source-1"] = goldenList()
+	state.Drains["cache-7"] = goldenTime + 0.25
+	state.Indexes = map[string]uint64{
+		replica.Fact(replica.SetPurge, "/a/b.webp"): 5, replica.Fact(replica.SetPurge, "group 17"): 3, replica.Fact(replica.SetConfig, ""): 30,
+		replica.Fact(replica.SetList, "source-1"): 20, replica.Fact(replica.SetDrain, "cache-7"): 25,
+	}
+	all, err := whole(state)
+	require.NoError(t, err)
+	for name, entries := range map[string][]distribution.Entry{
+		"state_purges.bin": all[distribution.Purges], "state_configuration.bin": all[distribution.Configuration],
+	} {
+		golden.Equal(t, name, frame(entries))
+		require.Equal(t, entries, entriesIn(t, name))
+	}
+}
+
+// What operators see keeps its JSON keys.
+func TestGoldenStatus(t *testing.T) {
+	for name, status := range map[string]Status{
+		"status.json": {Stream: "purges", Epoch: 12, Sequence: 900, MarkMs: goldenTime, BehindMs: 751.5, At: "d1", Root: true, Held: true,
+			Subscribers: 75, Entries: 400, Backlog: 300, Waiting: 4096},
+		"status_empty.json": {},
+	} {
+		raw, err := json.MarshalIndent(status, "", "  ")
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+		var back Status
+		require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
+		require.Equal(t, status, back)
+	}
+	require.Equal(t, map[distribution.Stream]string{1: "purges", 2: "configuration"}, streamNames)
+}
