--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -54,17 +54,17 @@
 
 // Server is one entry, checked.
 type Server struct {
-	ID       policy.CacheID
-	Host     string // in small letters, without a dot at its end
-	Port     int
-	Addr     string // host and port as they are dialled; set by Settle
-	Zone     string
-	Kind     string
-	Cell     int
-	Draining bool
-	Weight   float64
-	Started  float64 // Unix ms; 0: not told
-	Warm     bool
+	ID       policy.CacheID `cbor:"ID" json:"ID"`
+	Host     string         `cbor:"Host" json:"Host"` // in small letters, without a dot at its end
+	Port     int            `cbor:"Port" json:"Port"`
+	Addr     string         `cbor:"Addr" json:"Addr"` // host and port as they are dialled; set by Settle
+	Zone     string         `cbor:"Zone" json:"Zone"`
+	Kind     string         `cbor:"Kind" json:"Kind"`
+	Cell     int            `cbor:"Cell" json:"Cell"`
+	Draining bool           `cbor:"Draining" json:"Draining"`
+	Weight   float64        `cbor:"Weight" json:"Weight"`
+	Started  float64        `cbor:"Started" json:"Started"` // Unix ms; 0: not told
+	Warm     bool           `cbor:"Warm" json:"Warm"`
 
 	place place
 }
--- a/internal/source/board/board.go
+++ b/internal/source/board/board.go
@@ -44,23 +44,27 @@
 type Names struct{ Zones, Kinds []string }
 
 type jsonMember struct {
-	InstanceID, HostPort, Zone, MachineType, Lifecycle string
-	Cell                                               int
-	Weight                                             float64
-	StartedAtMs                                        float64
+	InstanceID  string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Lifecycle   string  `json:"lifecycle"`
+	Cell        int     `json:"cell"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs float64 `json:"startedAtMs"`
 }
 
 type jsonNotice struct {
-	Rev  uint64
+	Rev  uint64 `json:"rev"`
 	Pool *struct {
-		Reset     bool
-		Instances []jsonMember
-	}
+		Reset     bool         `json:"reset"`
+		Instances []jsonMember `json:"instances"`
+	} `json:"pool"`
 	Flush *struct {
-		Asset      string
-		Collection *int
-		Ms         float64
-	}
+		Asset      string  `json:"asset"`
+		Collection *int    `json:"collection"`
+		Ms         float64 `json:"ms"`
+	} `json:"flush"`
 }
 
 var states = []policy.State{policy.Ready, policy.Draining, policy.Gone}
@@ -70,8 +74,8 @@
 // Known decodes the events of the start, and the number of the last one.
 func Known(raw []byte, names Names) (notices []Notice, last uint64, err error) {
 	var known struct {
-		Rev     uint64
-		Notices []jsonNotice
+		Rev     uint64       `json:"rev"`
+		Notices []jsonNotice `json:"notices"`
 	}
 	if err := json.Unmarshal(raw, &known); err != nil {
 		return nil, 0, fmt.Errorf("known: %w", err)
