--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,178 @@
+package admin
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/distribution"
+	"ravenwheel/internal/golden"
+	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/watch"
+	"ravenwheel/policy"
+)
+
+// goldenForm compares a form with its golden file, encoded as an answer is, and decodes that file to the same value.
+func goldenForm[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	w := httptest.NewRecorder()
+	reply(w, value)
+	golden.Equal(t, name, w.Body.Bytes())
+	var decoded T
+	require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+	require.Equal(t, value, decoded, name)
+	w = httptest.NewRecorder()
+	reply(w, decoded)
+	golden.Equal(t, name, w.Body.Bytes())
+}
+
+func TestGoldenForms(t *testing.T) {
+	goldenForm(t, "servers.json", Servers{
+		Version: 9, NowMs: 1000.5, Servers: []Server{{
+			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, Wanted: 8, Since: 900.25,
+			Why: "drained by hand", Source: "board",
+		}},
+		List: &watch.Status{Path: "servers.jsonc", Generation: 7, TakenMs: 1, Why: []string{"torn"}, RefusedMs: 2, Looks: 3, Taken: 4, Refusals: 5},
+	})
+	goldenForm(t, "servers-empty.json", Servers{Servers: []Server{{ID: "s-00000001"}}})
+	group, zero := 17, 0
+	goldenForm(t, "purge-object.json", Purge{Object: "7f3a9c21e0b4d655"})
+	goldenForm(t, "purge-group.json", Purge{Group: &group})
+	goldenForm(t, "purge-group-0.json", Purge{Group: &zero})
+	goldenForm(t, "status.json", Status{Ready: true, Phase: "serving"})
+	goldenForm(t, "pause.json", Pause{On: true})
+	goldenForm(t, "drain.json", Drain{ID: "s-00c41f7a", On: true})
+	goldenForm(t, "list.json", List{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
+	goldenForm(t, "config.json", Config{
+		InForce: 2, StaleMs: 3.5, Revisions: []replica.Revision{{Number: 1, At: 10.5, By: "ann", Text: "{}", Of: 4}, {Number: 2, At: 11, Text: "{}"}},
+	})
+	goldenForm(t, "configure.json", Configure{Base: 1, Text: "{}", By: "ann", Back: 2})
+	goldenForm(t, "peer-call.json", PeerCall{Do: "ping", Name: "proxy-1"})
+	figure := view.Figure{Value: 1.5, Low: 1, High: 2}
+	goldenForm(t, "view.json", View{
+		Peers: []view.Peer{{Name: "proxy-1", Zone: "east", Incarnation: 5, Age: 100.5, Arrivals: 20, Servers: 3}},
+		Servers: []ServerView{
+			{
+				ID:       "s-00c41f7a",
+				Estimate: view.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnPart: 0.5},
+				Said:     []view.Reporter{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: view.Latency{1, 2}}},
+			},
+			{ID: "s-00000001"},
+		},
+		Heavy: []view.HeavyObject{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Of: 2}},
+	})
+	goldenForm(t, "discovery.json", board.Status{
+		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Spoke: 3, Failed: 4, Broken: 5, Closed: 6, Moves: 7, Frames: 8, Late: 9,
+		Overdue: 10, SilentMs: 11.5, WorstGap: 12,
+	})
+}
+
+// What calls answer that have a form of their own.
+func TestGoldenResults(t *testing.T) {
+	for name, result := range map[string]any{
+		"peer-result.json":      map[string]float64{"took_ms": 1.5},
+		"configure-result.json": map[string]uint64{"revision": 3},
+	} {
+		w := httptest.NewRecorder()
+		reply(w, result)
+		golden.Equal(t, name, w.Body.Bytes())
+	}
+}
+
+// goldenOperations stand for what carries out calls. All of them fail with err, if it is set.
+type goldenOperations struct{ err error }
+
+func (g goldenOperations) Status() (string, bool)           { return "draining, 3 connections left", false }
+func (g goldenOperations) Pause(bool) error                 { return g.err }
+func (g goldenOperations) Out(policy.CacheID, bool) error   { return g.err }
+func (g goldenOperations) Purge(core.Purge) error           { return g.err }
+func (g goldenOperations) Drain(policy.CacheID, bool) error { return g.err }
+func (g goldenOperations) Push(string, []byte) (*serverlist.Set, error) {
+	return &serverlist.Set{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
+}
+
+func goldenAdmin(t *testing.T, err error) *Admin {
+	ready := membership.View{
+		Phase: membership.Ready, Since: 900.25, Why: "board 7", Source: "board", Wanted: 8,
+		Member: membership.Member{Addr: "10.1.0.9:4100", Member: policy.Member{ID: 0x00c41f7a, Zone: 1, Kind: 0, Weight: 4}},
+	}
+	unnamed := membership.View{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
+	proxy := &core.Core{}
+	for i, counter := range []interface{ Add(int64) int64 }{
+		&proxy.Counters.Requests, &proxy.Counters.Served, &proxy.Counters.Refused, &proxy.Counters.Failed, &proxy.Counters.Gone,
+		&proxy.Counters.Attempts, &proxy.Counters.Timeouts, &proxy.Counters.Stale, &proxy.Counters.Notices, &proxy.Counters.Open,
+		&proxy.Counters.Unsent, &proxy.Counters.Unanswered, &proxy.Counters.Misnamed,
+	} {
+		counter.Add(int64(i + 1))
+	}
+	a, listenErr := Listen(Options{
+		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: board.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
+		Core: proxy, Views: func() ([]membership.View, uint64) { return []membership.View{ready, unnamed}, 9 },
+		List:         func() watch.Status { return watch.Status{Path: "servers.jsonc", Generation: 7} },
+		Discovery:    func() board.Status { return board.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
+		Distribution: func() []distribution.Status { return nil },
+		Shared:       goldenOperations{err}, Desk: goldenOperations{err},
+	})
+	require.NoError(t, listenErr)
+	go a.Serve()
+	t.Cleanup(a.Close)
+	return a
+}
+
+// goldenCall makes one call and writes down what was answered.
+func goldenCall(t *testing.T, a *Admin, transcript *bytes.Buffer, method, path, body string) {
+	request, err := http.NewRequest(method, "http://"+a.Addr()+path, strings.NewReader(body))
+	require.NoError(t, err)
+	answer, err := http.DefaultClient.Do(request)
+	require.NoError(t, err)
+	defer answer.Body.Close()
+	text, err := io.ReadAll(answer.Body)
+	require.NoError(t, err)
+	if answer.StatusCode != http.StatusOK {
+		text = []byte("(a reason, for people)\n")
+	}
+	fmt.Fprintf(transcript, "> %s %s %s\n< %d %s\n%s\n", method, path, body, answer.StatusCode, answer.Header.Get("Content-Type"), text)
+}
+
+// Calls as operators make them, with their answers, and what is answered where a call can't be carried out.
+func TestGoldenCalls(t *testing.T) {
+	var transcript bytes.Buffer
+	a := goldenAdmin(t, nil)
+	for _, path := range []string{"servers", "counters", "state", "status", "discovery", "distribution", "config", "peers", "view", "none"} {
+		goldenCall(t, a, &transcript, http.MethodGet, "/v1/"+path, "")
+	}
+	for _, call := range [][2]string{
+		{"purge", `{"object":"7f3a9c21e0b4d655"}`}, {"purge", `{"group":17}`}, {"purge", `{"group":0}`}, {"purge", `{"group":256}`},
+		{"purge", `{"group":-1}`}, {"purge", `{"object":"7f3a9c21e0b4d655","group":17}`}, {"purge", `{"object":"7f3a"}`}, {"purge", `{}`}, {"purge", `{`},
+		{"drain", `{"id":"s-00c41f7a","on":true}`}, {"drain", `{"id":"s-00c41f7a","on":false}`}, {"drain", `{"id":"s-00000009","on":true}`},
+		{"drain", `{"id":"s-00000009","on":false}`}, {"drain", `{"id":"x","on":true}`}, {"drain", `{`},
+		{"pause", `{"on":true}`}, {"pause", `{"on":false}`}, {"pause", `{`},
+		{"list", `{"file":"servers.jsonc","text":"{}"}`}, {"list", `{`}, {"config", `{}`}, {"peers", `{}`}, {"servers", `{}`},
+	} {
+		goldenCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
+	}
+	failures := []error{errors.New("disk full"), ErrMember}
+	for _, failure := range failures {
+		a := goldenAdmin(t, failure)
+		for _, call := range [][2]string{
+			{"purge", `{"group":17}`}, {"drain", `{"id":"s-00c41f7a","on":true}`}, {"pause", `{"on":true}`}, {"list", `{"file":"servers.jsonc","text":"{}"}`},
+		} {
+			goldenCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
+		}
+	}
+	golden.Equal(t, "calls.txt", transcript.Bytes())
+}
--- /dev/null
+++ b/internal/decide/serverlist/golden_test.go
@@ -0,0 +1,73 @@
+package serverlist_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/golden"
+)
+
+// goldenServers are two servers: one with every field set, and one with as few as a list may have.
+func goldenServers() []serverlist.Server {
+	return []serverlist.Server{
+		{
+			ID: 1, Host: "cache1.example.org", Port: 4100, Addr: "127.0.1.1:4100", Zone: "east", Kind: "small", Cell: 3,
+			Draining: true, Weight: 4.5, Started: 1_764_576_000_000,
+		},
+		{ID: 0x00c41f7a, Host: "::1", Port: 4101, Addr: "[::1]:4101", Zone: "west", Kind: "parent", Weight: 1, Warm: true},
+	}
+}
+
+// The stored forms of a server, in the shared store and in a proxy's own state.
+func TestGoldenServerEncodings(t *testing.T) {
+	asJSON, err := json.MarshalIndent(goldenServers(), "", "  ")
+	require.NoError(t, err)
+	golden.Equal(t, "servers.json", asJSON)
+	var fromJSON []serverlist.Server
+	require.NoError(t, json.Unmarshal(golden.Read(t, "servers.json"), &fromJSON))
+	require.Equal(t, goldenServers(), fromJSON)
+
+	mode, err := cbor.CoreDetEncOptions().EncMode()
+	require.NoError(t, err)
+	asCBOR, err := mode.Marshal(goldenServers())
+	require.NoError(t, err)
+	golden.Equal(t, "servers.cbor", asCBOR)
+	var fromCBOR []serverlist.Server
+	require.NoError(t, cbor.Unmarshal(golden.Read(t, "servers.cbor"), &fromCBOR))
+	require.Equal(t, goldenServers(), fromCBOR)
+}
+
+// goldenAnswers resolve the hosts of the golden lists.
+var goldenAnswers = map[string]serverlist.Answer{
+	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "::1": {Addrs: []string{"::1"}}, "127.0.0.20": {Addrs: []string{"127.0.0.20"}},
+}
+
+// The list file: what Format writes is read to the same servers, and written again to the same bytes.
+func TestGoldenListFile(t *testing.T) {
+	golden.Equal(t, "list.json", serverlist.Format(&serverlist.Set{Generation: 7, Servers: goldenServers()}))
+	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Facts{})
+	require.NoError(t, defects.Err())
+	set, defects := draft.Settle(goldenAnswers, nil)
+	require.NoError(t, defects.Err())
+	require.EqualValues(t, 7, set.Generation)
+	require.Equal(t, goldenServers(), set.Servers)
+	golden.Equal(t, "list.json", serverlist.Format(set))
+}
+
+// A directory of parts with its manifest, as an operator writes it: comments, trailing commas, every optional field.
+func TestGoldenListParts(t *testing.T) {
+	var files []serverlist.File
+	for _, name := range []string{"manifest.jsonc", "hub.jsonc", "east.jsonc"} {
+		files = append(files, serverlist.File{Name: name, Data: golden.Read(t, name)})
+	}
+	draft, defects := serverlist.Parse(files, facts)
+	require.NoError(t, defects.Err())
+	require.True(t, draft.Force)
+	set, defects := draft.Settle(goldenAnswers, nil)
+	require.NoError(t, defects.Err())
+	golden.Equal(t, "parts-as-one.json", serverlist.Format(set))
+}
--- /dev/null
+++ b/internal/source/board/golden_test.go
@@ -0,0 +1,94 @@
+package board
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/golden"
+	"ravenwheel/policy"
+)
+
+// goldenMember is a server with every field set.
+func goldenMember(state policy.State) core.Member {
+	m := core.Member{Addr: "10.1.0.9:4100"}
+	m.ID, m.State, m.Zone, m.Kind, m.Cell = 0x00c41f7a, state, 1, 2, 0x0102
+	m.Weight, m.Started = 4.5, policy.Time(1_764_576_000_000)*1e6
+	return m
+}
+
+// goldenFrames are the bytes of one frame of each kind, an empty list and a kind of a later version among them, and what
+// each is decoded to.
+func goldenFrames() (encoded []byte, decoded []Notice, kinds []byte) {
+	record := func(state byte) []byte {
+		return []byte{
+			0x00, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x10, 0x04, state, 1, 2, 0x01, 0x02, 0, 0, 0x11, 0x94,
+			0, 0, 0x01, 0x9a, 0xd8, 0xec, 0xf8, 0,
+		}
+	}
+	add := func(n Notice, kind byte, payload ...byte) {
+		encoded = append(encoded, frame(n.Rev, kind, payload...)...)
+		decoded, kinds = append(decoded, n), append(kinds, kind)
+	}
+	members := []core.Member{goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)}
+	add(Notice{Rev: 40}, 0)
+	add(Notice{Rev: 41, Whole: true, Members: members[:1]}, 1, record(0)...)
+	add(Notice{Rev: 42, Members: members[1:]}, 2, append(record(1), record(2)...)...)
+	add(Notice{Rev: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 1001}}, 3,
+		0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0x03, 0xe8)
+	add(Notice{Rev: 44, Purge: &core.Purge{Group: 17, At: 1001}}, 4, 0, 17, 0, 0, 0, 0, 0, 0, 0x03, 0xe8)
+	add(Notice{Rev: 45, Whole: true}, 1)
+	add(Notice{Rev: 46}, 9, 1, 2, 3)
+	return encoded, decoded, kinds
+}
+
+// The frames of discovery's protocol, as bytes and as what the client makes of them.
+func TestGoldenFrames(t *testing.T) {
+	encoded, want, kinds := goldenFrames()
+	golden.Equal(t, "frames.bin", encoded)
+	in := bytes.NewReader(golden.Read(t, "frames.bin"))
+	for i := range want {
+		before, size := in.Len(), 0
+		got, kind, err := readFrame(in, func(n int) { size = n })
+		require.NoError(t, err)
+		require.Equal(t, want[i], got)
+		require.Equal(t, kinds[i], kind)
+		require.Equal(t, before-in.Len(), size, "the whole length is announced")
+	}
+	_, _, err := readFrame(in, func(int) {})
+	require.ErrorIs(t, err, io.EOF)
+}
+
+// The events of the configuration, in JSON with the protocol's themed names.
+func TestGoldenKnownEvents(t *testing.T) {
+	names := Names{Zones: []string{"hub", "east"}, Kinds: []string{"origin", "parent", "std"}}
+	notices, last, err := Known(golden.Read(t, "known.json"), names)
+	require.NoError(t, err)
+	require.EqualValues(t, 44, last)
+	ready, draining, gone := goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)
+	require.Equal(t, []Notice{
+		{Rev: 40, Whole: true, Members: []core.Member{ready}},
+		{Rev: 41, Members: []core.Member{draining}},
+		{Rev: 42, Whole: true, Members: []core.Member{ready, gone}},
+		{Rev: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}},
+		{Rev: 44, Purge: &core.Purge{Group: 17, At: 9.5}},
+	}, notices)
+}
+
+// The client's status, as operators are shown it.
+func TestGoldenStatus(t *testing.T) {
+	status := Status{
+		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Spoke: 3, Failed: 4, Broken: 5, Closed: 6, Moves: 7, Frames: 8, Late: 9,
+		Overdue: 10, SilentMs: 11.5, WorstGap: 12,
+	}
+	encoded, err := json.Marshal(status)
+	require.NoError(t, err)
+	golden.Equal(t, "status.json", encoded)
+	var decoded Status
+	require.NoError(t, json.Unmarshal(golden.Read(t, "status.json"), &decoded))
+	require.Equal(t, status, decoded)
+}
--- /dev/null
+++ b/internal/source/watch/golden_test.go
@@ -0,0 +1,33 @@
+package watch
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/golden"
+)
+
+// The status of a watched list, as operators are shown it.
+func TestGoldenStatus(t *testing.T) {
+	for name, status := range map[string]Status{
+		"status.json": {
+			Path: "/etc/ravenwheel/servers.jsonc", Generation: 7, TakenMs: 1000.5, Why: []string{"servers.jsonc:1:1: end is missing"},
+			RefusedMs: 2000.25, Looks: 11, Taken: 3, Refusals: 2,
+		},
+		"status-empty.json": {Path: "servers.jsonc"},
+	} {
+		encoded, err := json.Marshal(status)
+		require.NoError(t, err)
+		golden.Equal(t, name, encoded)
+		var decoded Status
+		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, status, decoded)
+	}
+	refused := Status{Refused: strict.Defects{{File: "servers.jsonc", Reason: "x"}}}
+	encoded, err := json.Marshal(refused)
+	require.NoError(t, err)
+	require.NotContains(t, string(encoded), "servers.jsonc", "defects are shown as their lines alone")
+}
