--- /dev/null
+++ b/internal/desk/golden_test.go
@@ -0,0 +1,58 @@
+package desk
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/drain"
+	"ravenwheel/internal/golden"
+	"ravenwheel/policy"
+)
+
+// goldenFront is a clients' front with so many connections.
+type goldenFront struct{ connections int }
+
+func (*goldenFront) Takes(bool)       {}
+func (*goldenFront) Empty(drain.Plan) {}
+func (*goldenFront) Accepting(bool)   {}
+func (*goldenFront) SetMost(int)      {}
+func (f *goldenFront) Held() int      { return f.connections }
+
+type goldenServers struct{}
+
+func (goldenServers) Knows(id policy.CacheID) bool     { return id == 1 }
+func (goldenServers) Drain(policy.CacheID, bool) error { return nil }
+
+// The texts that operators are answered, in each phase of a proxy's life.
+func TestGoldenStatus(t *testing.T) {
+	var transcript strings.Builder
+	front := &goldenFront{}
+	d := New(Options{Clock: clock.Manual(1000), AnswerWithin: 5000, Stop: func() {}})
+	show := func(done string) {
+		text, ready := d.Status()
+		fmt.Fprintf(&transcript, "%s: %v %q\n", done, ready, text)
+	}
+	call := func(done string, err error) { show(fmt.Sprintf("%s (%v)", done, err)) }
+	show("new")
+	call("server 1 drained before there are servers", d.Out(1, true))
+	d.Serve(front, goldenServers{}, nil)
+	show("with a front")
+	d.Owns(true)
+	show("owns its address")
+	call("server 1 drained", d.Out(1, true))
+	call("server 2 drained", d.Out(2, true))
+	front.connections = 3
+	call("paused", d.Pause(true))
+	front.connections = 0
+	show("no connection left")
+	call("resumed", d.Pause(false))
+	d.Owns(false)
+	show("another process owns its address")
+	call("paused", d.Pause(true))
+	d.Stop()
+	show("told to stop")
+	call("resumed", d.Pause(false))
+	golden.Equal(t, "status.txt", []byte(transcript.String()))
+}
