--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -33,10 +33,10 @@
 
 // Purge is one that was told.
 type Purge struct {
-	Object string  `cbor:"1,keyasint,omitempty"`
-	Group  int     `cbor:"2,keyasint,omitempty"` // with no object
-	Made   float64 `cbor:"3,keyasint"`           // Unix ms: copies made before are void
-	Told   float64 `cbor:"4,keyasint"`           // Unix ms
+	Object string  `cbor:"1,keyasint,omitempty" json:"Object"`
+	Group  int     `cbor:"2,keyasint,omitempty" json:"Group"` // with no object
+	Made   float64 `cbor:"3,keyasint" json:"Made"`            // Unix ms: copies made before are void
+	Told   float64 `cbor:"4,keyasint" json:"Told"`            // Unix ms
 }
 
 type purgeKey struct {
@@ -53,22 +53,22 @@
 
 // Member is a server as it was published last.
 type Member struct {
-	ID      uint64           `cbor:"1,keyasint"`
-	Addr    string           `cbor:"2,keyasint"`
-	Zone    int              `cbor:"3,keyasint,omitempty"`
-	Kind    int              `cbor:"4,keyasint,omitempty"`
-	Cell    int              `cbor:"5,keyasint,omitempty"`
-	Weight  float64          `cbor:"6,keyasint,omitempty"`
-	Started float64          `cbor:"7,keyasint,omitempty"` // Unix ms
-	Phase   membership.Phase `cbor:"8,keyasint"`
-	Since   float64          `cbor:"9,keyasint"` // Unix ms
+	ID      uint64           `cbor:"1,keyasint" json:"ID"`
+	Addr    string           `cbor:"2,keyasint" json:"Addr"`
+	Zone    int              `cbor:"3,keyasint,omitempty" json:"Zone"`
+	Kind    int              `cbor:"4,keyasint,omitempty" json:"Kind"`
+	Cell    int              `cbor:"5,keyasint,omitempty" json:"Cell"`
+	Weight  float64          `cbor:"6,keyasint,omitempty" json:"Weight"`
+	Started float64          `cbor:"7,keyasint,omitempty" json:"Started"` // Unix ms
+	Phase   membership.Phase `cbor:"8,keyasint" json:"Phase"`
+	Since   float64          `cbor:"9,keyasint" json:"Since"` // Unix ms
 }
 
 // List is one that was taken from a source.
 type List struct {
-	Source     string              `cbor:"1,keyasint"`
-	Generation uint64              `cbor:"2,keyasint"`
-	Servers    []serverlist.Server `cbor:"3,keyasint,omitempty"`
+	Source     string              `cbor:"1,keyasint" json:"Source"`
+	Generation uint64              `cbor:"2,keyasint" json:"Generation"`
+	Servers    []serverlist.Server `cbor:"3,keyasint,omitempty" json:"Servers"`
 }
 
 // Event is something that must survive. One field is set.
