--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,86 @@
+package state_test
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/recovery"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/golden"
+	"ravenwheel/internal/journal"
+	"ravenwheel/internal/state"
+	"ravenwheel/policy"
+)
+
+// writeState fills a directory with a snapshot and records behind it, of each kind of event on either side.
+func writeState(t *testing.T, dir string) {
+	clk := clock.Manual(1e12)
+	o := options(nil, clk)
+	o.Dir = dir
+	k, _, err := state.Open(o)
+	require.NoError(t, err)
+	list := &serverlist.Set{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100}}}
+	require.NoError(t, k.Took("file", list))
+	k.Published(published(1, policy.Ready))
+	k.Published(published(2, policy.Draining))
+	k.Revised(4)
+	require.NoError(t, k.Purged(recovery.Purge{Object: "before", Made: 1e12 - 5, Told: 1e12}))
+	require.NoError(t, k.Drained(9, true))
+	k.Compact()
+	clk.Advance(100)
+	k.Published(published(3, policy.Gone))
+	k.Revised(5)
+	list.Generation = 4
+	require.NoError(t, k.Took("file", list))
+	require.NoError(t, k.Drained(9, false))
+	require.NoError(t, k.Drained(8, true))
+	require.NoError(t, k.Purged(recovery.Purge{Group: 6, Made: clk.Now(), Told: clk.Now()}))
+	require.NoError(t, k.Close())
+}
+
+// A state directory that an earlier version wrote is opened, and all that it wrote is there.
+func TestGoldenDirectory(t *testing.T) {
+	dir := golden.Directory(t, "directory", func(dir string) { writeState(t, dir) })
+	for pattern, least := range map[string]int{"*.snap": 1, "*.log": 2} {
+		files, err := filepath.Glob(filepath.Join(dir, pattern))
+		require.NoError(t, err)
+		require.GreaterOrEqual(t, len(files), least, pattern)
+	}
+	read, stats, err := state.Read(dir, nil)
+	require.NoError(t, err)
+	require.NotZero(t, stats.Snapshot)
+	require.Greater(t, stats.Next-1, stats.Snapshot, "records behind the snapshot")
+	require.Equal(t, 1e12+100, read.High)
+	require.Equal(t, []recovery.Purge{{Object: "before", Made: 1e12 - 5, Told: 1e12}, {Group: 6, Made: 1e12 + 100, Told: 1e12 + 100}}, read.Purges())
+	require.Equal(t, []recovery.Member{
+		{ID: 1, Addr: "a1", Phase: membership.Ready, Since: 1e12}, {ID: 2, Addr: "a2", Phase: membership.Draining, Since: 1e12},
+		{ID: 3, Addr: "a3", Phase: membership.Gone, Since: 1e12 + 100},
+	}, read.Members())
+	o := options(nil, clock.Manual(1e12+200))
+	o.Dir = dir
+	k, plan, err := state.Open(o)
+	require.NoError(t, err)
+	require.Equal(t, 1, plan.Boots)
+	require.EqualValues(t, 5, plan.Revision)
+	require.Equal(t, []uint64{8}, plan.Hand)
+	require.Len(t, plan.Purges, 2)
+	require.Len(t, plan.Remembered, 3)
+	require.Equal(t, []recovery.List{{Source: "file", Generation: 4, Servers: []serverlist.Server{
+		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100},
+	}}}, plan.Lists)
+	require.NoError(t, k.Purged(recovery.Purge{Object: "after", Made: 1e12 + 200, Told: 1e12 + 200}))
+	require.NoError(t, k.Close())
+}
+
+func TestGoldenStatus(t *testing.T) {
+	raw, err := json.MarshalIndent(state.Status{
+		Purges: 1, Members: 2, Lists: 3, Boots: 4, Waiting: 5, Dropped: 6, Journal: journal.Stats{Next: 7, Segments: []uint64{1}},
+	}, "", "  ")
+	require.NoError(t, err)
+	golden.Equal(t, "status.json", raw)
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,248 @@
+package store
+
+import (
+	"bytes"
+	"crypto/ecdsa"
+	"crypto/sha256"
+	"crypto/x509"
+	"encoding/json"
+	"encoding/pem"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/golden"
+)
+
+func goldenStatus() Status {
+	return Status{
+		Name: "a", State: "Leader", Leader: "b", Term: 3, Applied: 40, Commit: 41, StaleMs: 12.5,
+		Members: []MemberState{{Name: "a", Addr: "127.0.73.1:4000", Votes: true}, {Name: "b", Addr: "127.0.73.2:4000"}}, Config: 6,
+	}
+}
+
+var goldenRequests = map[string]request{
+	"request-apply.bin":    {Call: callApply, Change: []byte{1, 0xa0}},
+	"request-index.bin":    {Call: callIndex},
+	"request-status.bin":   {Call: callStatus},
+	"request-join.bin":     {Call: callJoin, Name: "b", Addr: "127.0.73.2:4000"},
+	"request-remove.bin":   {Call: callRemove, Name: "b"},
+	"request-transfer.bin": {Call: callTransfer, Name: "b"},
+	"request-full.bin":     {Call: callApply, Change: []byte{1}, Name: "n", Addr: "a"},
+}
+
+func goldenReplies() map[string]reply {
+	status := goldenStatus()
+	return map[string]reply{
+		"reply-none.bin":       {},
+		"reply-result.bin":     {Result: []byte{0xa1, 1, 0}},
+		"reply-index.bin":      {Index: 77},
+		"reply-status.bin":     {Status: &status},
+		"reply-not-leader.bin": {Err: notLeader, Leader: "127.0.73.1:4000"},
+		"reply-maybe.bin":      {Err: "not applied", Maybe: true},
+		"reply-full.bin":       {Result: []byte{1}, Index: 2, Err: "e", Maybe: true, Leader: "l", Status: &Status{}},
+	}
+}
+
+// Each call and each answer as a frame on the connection.
+func TestGoldenFrames(t *testing.T) {
+	for name, q := range goldenRequests {
+		var frame bytes.Buffer
+		require.NoError(t, writeFrame(&frame, q))
+		golden.Equal(t, name, frame.Bytes())
+		var read request
+		require.NoError(t, readFrame(bytes.NewReader(golden.Read(t, name)), &read))
+		require.Equal(t, q, read, name)
+	}
+	for name, r := range goldenReplies() {
+		var frame bytes.Buffer
+		require.NoError(t, writeFrame(&frame, r))
+		golden.Equal(t, name, frame.Bytes())
+		var read reply
+		require.NoError(t, readFrame(bytes.NewReader(golden.Read(t, name)), &read))
+		require.Equal(t, r, read, name)
+	}
+	require.Equal(t, "RCD", string([]byte{forRaft, forCalls, forLinks}))
+}
+
+// A link's frame is its length and its bytes.
+func TestGoldenLink(t *testing.T) {
+	one, two := net.Pipe()
+	defer one.Close()
+	sent := make(chan error, 1)
+	go func() { sent <- (&Link{nc: one}).Send([]byte("frame"), patience); one.Close() }()
+	raw, err := io.ReadAll(two)
+	require.NoError(t, err)
+	require.NoError(t, <-sent)
+	golden.Equal(t, "link-frame.bin", raw)
+}
+
+func TestGoldenStatus(t *testing.T) {
+	for name, s := range map[string]Status{"status.json": goldenStatus(), "status-empty.json": {}} {
+		raw, err := json.MarshalIndent(s, "", "  ")
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+	}
+	raw, err := json.Marshal(Member{Name: "a", Addr: "127.0.73.1:4000"})
+	require.NoError(t, err)
+	golden.Equal(t, "member.json", raw)
+}
+
+// writeKeys issues identities of a cluster into a directory, and leaves out the authority's key.
+func writeKeys(t *testing.T, dir string) {
+	require.NoError(t, NewCluster(dir, "th"))
+	require.NoError(t, Issue(dir, "a"))
+	require.NoError(t, Issue(dir, "b"))
+	require.NoError(t, os.Remove(filepath.Join(dir, "ca.key")))
+}
+
+// goldenHolder is a member as its certificate names it. That the certificate is over by now does not matter here.
+func goldenHolder(t *testing.T, dir, name string) Holder {
+	raw, err := os.ReadFile(filepath.Join(dir, name+".crt"))
+	require.NoError(t, err)
+	block, _ := pem.Decode(raw)
+	leaf, err := x509.ParseCertificate(block.Bytes)
+	require.NoError(t, err)
+	return Holder{Name: name, Key: leaf.PublicKey.(*ecdsa.PublicKey), Issued: leaf.NotBefore}
+}
+
+// Identities that an earlier version issued are read, sign, and make the same secrets with one another; one that is issued
+// now says the same of its member.
+func TestGoldenIdentities(t *testing.T) {
+	dir := golden.Directory(t, "identities", func(dir string) { writeKeys(t, dir) })
+	now := t.TempDir()
+	writeKeys(t, now)
+	var ids []*Identity
+	for _, name := range []string{"a", "b"} {
+		id, err := LoadIdentity(dir, name)
+		require.NoError(t, err)
+		require.Equal(t, [2]string{"th", name}, [2]string{id.Cluster, id.Name})
+		hash := sha256.Sum256([]byte("x"))
+		signature, err := id.Sign(hash[:])
+		require.NoError(t, err)
+		require.True(t, ecdsa.VerifyASN1(goldenHolder(t, dir, name).Key, hash[:], signature))
+		ids = append(ids, id)
+		issued, err := LoadIdentity(now, name)
+		require.NoError(t, err)
+		was, is := id.cert.Leaf, issued.cert.Leaf
+		require.Equal(t, was.URIs, is.URIs)
+		require.Equal(t, was.Subject.String(), is.Subject.String())
+		require.Equal(t, was.KeyUsage, is.KeyUsage)
+		require.Equal(t, was.ExtKeyUsage, is.ExtKeyUsage)
+		require.Equal(t, was.NotAfter.Sub(was.NotBefore), is.NotAfter.Sub(is.NotBefore))
+	}
+	out, in, err := ids[0].Shared(goldenHolder(t, dir, "b"), "peers")
+	require.NoError(t, err)
+	golden.Equal(t, "shared-a-to-b.bin", out)
+	golden.Equal(t, "shared-b-to-a.bin", in)
+	out, in, err = ids[1].Shared(goldenHolder(t, dir, "a"), "peers")
+	require.NoError(t, err)
+	golden.Equal(t, "shared-a-to-b.bin", in)
+	golden.Equal(t, "shared-b-to-a.bin", out)
+}
+
+// openGolden opens a member alone in its cluster on a directory, with keys of its own. An entry more than eight makes a
+// snapshot.
+func openGolden(t *testing.T, dir string) *Store {
+	keys := t.TempDir()
+	require.NoError(t, NewCluster(keys, "th"))
+	require.NoError(t, Issue(keys, "a"))
+	id, err := LoadIdentity(keys, "a")
+	require.NoError(t, err)
+	self := Member{Name: "a", Addr: "127.0.73.1:0"}
+	s, err := Open(Options{
+		Self: self, Peers: []Member{self}, Dir: dir, Identity: id, Fast: true, Snapshot: 8, Trailing: 2, Clock: clock.Manual(1e12),
+	})
+	require.NoError(t, err)
+	eventually(t, s.Leader, "it leads")
+	return s
+}
+
+func writeStore(t *testing.T, dir string) {
+	s := openGolden(t, dir)
+	do := func(c replica.Change) {
+		_, err := s.Do(c)
+		require.NoError(t, err)
+	}
+	list := &replica.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true}}}
+	do(replica.Change{Kind: replica.Spend, Name: "spent-1", Until: 9e15})
+	do(replica.Change{Kind: replica.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
+	do(replica.Change{Kind: replica.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
+	do(replica.Change{Kind: replica.Revoke, Name: "revoked-1", Until: 9e15})
+	do(replica.Change{Kind: replica.SetConfig, Text: "{}", By: "ops"})
+	do(replica.Change{Kind: replica.SetList, Name: "list", List: list})
+	do(replica.Change{Kind: replica.SetDrain, Name: "s-00000001"})
+	do(replica.Change{Kind: replica.SetDrain, Name: "s-00000002"})
+	do(replica.Change{Kind: replica.SetPurge, Purge: &replica.Purge{Object: "o", Made: 1e12}, Until: 9e15})
+	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
+	do(replica.Change{Kind: replica.Spend, Name: "spent-2", Until: 9e15})
+	do(replica.Change{Kind: replica.DropKey, Name: "k2"})
+	do(replica.Change{Kind: replica.SetConfig, Base: 1, Text: "{ }"})
+	do(replica.Change{Kind: replica.EndDrain, Name: "s-00000002"})
+	do(replica.Change{Kind: replica.SetPurge, Purge: &replica.Purge{Group: 4, Made: 1e12}, Until: 9e15})
+	s.Kill()
+}
+
+// A store's directory that an earlier version wrote is opened, and all that it wrote is there: what its snapshot holds, and
+// the entries behind it.
+func TestGoldenDirectory(t *testing.T) {
+	dir := golden.Directory(t, "directory", func(dir string) { writeStore(t, dir) })
+	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
+	require.NoError(t, err)
+	require.NotEmpty(t, snapshots)
+	s := openGolden(t, dir)
+	defer s.Kill()
+	require.NotEqual(t, "0", s.raft.Stats()["last_snapshot_index"])
+	var raw []byte
+	require.NoError(t, s.Read(true, func(st *replica.State) {
+		raw, err = replica.Encode(st)
+		require.NoError(t, err)
+	}))
+	st, err := replica.DecodeState(raw)
+	require.NoError(t, err)
+	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.Spent)
+	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.Revoked)
+	require.Equal(t, map[string]Key{"k1": {Alg: "HS256", Data: []byte("x")}}, st.Keys)
+	require.Equal(t, []replica.Revision{{Number: 1, At: 1e12, By: "ops", Text: "{}"}, {Number: 2, At: 1e12, Text: "{ }"}}, st.Config)
+	require.Equal(t, map[string]replica.List{"list": {Generation: 3, Servers: []serverlist.Server{
+		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
+	}}}, st.Lists)
+	require.Equal(t, map[string]float64{"s-00000001": 1e12}, st.Drains)
+	require.Equal(t, map[string]replica.Purge{
+		"o": {Object: "o", Made: 1e12, Until: 9e15}, "group 4": {Group: 4, Made: 1e12, Until: 9e15},
+	}, st.Purges)
+	require.Len(t, st.Done, 14)
+	require.ErrorIs(t, s.Spend("spent-2", 9e15), ErrSpent)
+}
+
+// The snapshot in that directory is read by the state machine alone.
+func TestGoldenSnapshot(t *testing.T) {
+	snapshots, err := filepath.Glob(filepath.Join("testdata", "golden", "directory", "snapshots", "*", "state.bin"))
+	require.NoError(t, err)
+	require.NotEmpty(t, snapshots)
+	for _, path := range snapshots {
+		raw, err := os.ReadFile(path)
+		require.NoError(t, err)
+		f := &fsm{state: replica.New()}
+		require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(raw))))
+		require.Contains(t, f.state.Spent, "spent-1")
+		again, err := f.Snapshot()
+		require.NoError(t, err)
+		require.Equal(t, raw, []byte(again.(snapshot)))
+		require.Equal(t, replica.Result{}, f.Apply(&raft.Log{Index: 99, Data: mustEncode(t, replica.Change{Kind: replica.EndDrain, Name: "s-00000001"})}))
+	}
+}
+
+func mustEncode(t *testing.T, c replica.Change) []byte {
+	raw, err := replica.Encode(c)
+	require.NoError(t, err)
+	return raw
+}
