--- a/cmd/ravenwheel/state.go
+++ b/cmd/ravenwheel/state.go
@@ -66,12 +66,12 @@
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
 		return e.Encode(struct {
-			Journal  journal.Stats
-			Boots    int
-			Revision uint64
-			Purges   []recovery.Purge
-			Members  []recovery.Member
-			Lists    []recovery.List
+			Journal  journal.Stats     `json:"Journal"`
+			Boots    int               `json:"Boots"`
+			Revision uint64            `json:"Revision"`
+			Purges   []recovery.Purge  `json:"Purges"`
+			Members  []recovery.Member `json:"Members"`
+			Lists    []recovery.List   `json:"Lists"`
 		}{st, s.Boots, s.Revision, s.Purges(), s.Members(), s.Lists()})
 	}
 	at := func(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.DateTime) }
