--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,204 @@
+package config_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/config"
+	"ravenwheel/internal/golden"
+	"ravenwheel/policy"
+)
+
+// encode is the JSON of a decoded file, keys as in the file.
+func encode(t *testing.T, v any) []byte {
+	t.Helper()
+	out, err := json.MarshalIndent(v, "", " ")
+	require.NoError(t, err)
+	return append(out, '\n')
+}
+
+// noEnvironment is an environment without any variable.
+func noEnvironment(string) string { return "" }
+
+// The operator's file with every key decodes to what it decoded to before, and what is decoded has the same keys again.
+func TestGoldenOperatorFile(t *testing.T) {
+	file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
+	require.NoError(t, err)
+	encoded := encode(t, file)
+	golden.Equal(t, "operator-decoded.json", encoded)
+	golden.Equal(t, "operator-keys.txt", fmt.Appendf(nil, "path %s\nkeys %v\nlog %v\n", file.Path, file.Keys, file.LogOpt))
+
+	var again config.Operator
+	require.NoError(t, json.Unmarshal(encoded, &again))
+	require.Equal(t, encoded, encode(t, &again))
+}
+
+// The operator's files with few keys have the same default values as before.
+func TestGoldenOperatorDefaults(t *testing.T) {
+	for name, text := range map[string]string{
+		"empty": `{}`,
+		"standalone": `{
+			"proxy": {"name": "p", "listen": "127.0.0.1:4100", "zone": "z"}, "limits": {},
+			"site": {"zones": ["z"], "proxies": {"z": 1}, "kinds": ["small", "origin"], "origin_kind": "origin"},
+			"classes": [{"name": "asset", "deadline_ms": 4000}], "servers": {"path": "s"}, "state": {"dir": "d"},
+			"signed": {"audience": "a", "listen": "127.0.0.1:4200"}}`,
+		"subscriber": `{
+			"peers": {"listen": "127.0.0.1:4400", "identity": "keys"},
+			"distribution": {"identity": "keys", "upstream": [{"name": "m1", "addr": "127.0.0.1:4500", "rank": 1, "site": "s", "zone": "z", "region": "r"}]}}`,
+		"joining member": `{
+			"store": {"name": "m1", "listen": "127.0.0.1:4300", "join": "127.0.0.1:4301", "dir": "d", "identity": "keys"},
+			"distribution": {"epoch": 1, "listen": "127.0.0.1:4500"}}`,
+	} {
+		file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", []byte(text))
+		require.NoError(t, err, name)
+		golden.Equal(t, "defaults-"+strings.ReplaceAll(name, " ", "-")+".json", encode(t, file))
+	}
+}
+
+// A revision of the shared configuration decodes to what it decoded to before.
+func TestGoldenLive(t *testing.T) {
+	live, err := config.ParseLive("revision 3", string(golden.Read(t, "live.jsonc")))
+	require.NoError(t, err)
+	golden.Equal(t, "live-decoded.json", encode(t, live))
+	golden.Equal(t, "live-keys.txt", fmt.Appendf(nil, "keys %v\n", live.Ring))
+}
+
+// What the platform writes, and an operator's file that stands alone, configure the proxy as before.
+func TestGoldenConfig(t *testing.T) {
+	environment := map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:4107", "LB_CONSOLE": "127.0.0.1:9097", "TMPDIR": "/run/rw"}
+	fromPlatform, err := config.Parse(golden.Read(t, "config.json"), noEnvironment)
+	require.NoError(t, err)
+	golden.Equal(t, "config-decoded.txt", describe(fromPlatform))
+	overridden, err := config.Parse(golden.Read(t, "config.json"), func(name string) string { return environment[name] })
+	require.NoError(t, err)
+	golden.Equal(t, "config-environment.txt", describe(overridden))
+
+	file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
+	require.NoError(t, err)
+	standalone, err := config.Read(noEnvironment, file)
+	require.NoError(t, err)
+	golden.Equal(t, "config-standalone.txt", describe(standalone))
+}
+
+// describe writes all of a configuration, one value a line.
+func describe(c *config.Config) []byte {
+	var out bytes.Buffer
+	line := func(name string, value any) { fmt.Fprintf(&out, "%s: %v\n", name, value) }
+	line("name", c.Name)
+	line("listen", c.Listen)
+	line("board", c.Board)
+	line("console", c.Console)
+	line("shared", c.Shared)
+	line("seed", c.Seed)
+	line("cores", c.Cores)
+	line("memory_mb", c.MemoryMB)
+	line("sockets", c.Sockets)
+	line("classes", c.Classes)
+	line("zones", c.Names.Zones)
+	line("kinds", c.Names.Kinds)
+	line("known events", len(c.Known))
+	line("revision", c.Rev)
+	line("streams per connection", c.StreamsPerConn)
+	line("requests", c.MostHeld)
+	line("idle ms", c.ConnIdle)
+	line("connect ms", c.Connect)
+	describeSettings(line, c.Settings)
+	return out.Bytes()
+}
+
+func describeSettings(line func(name string, value any), s policy.Settings) {
+	line("rank", s.Rank)
+	line("routers", s.Routers)
+	line("zone", s.Zone)
+	line("zone routers", s.ZoneRouters)
+	line("home hub", s.HomeHub)
+	line("link", s.LinkKBPerS)
+	line("parent kind", s.ParentKind)
+	line("origin kind", s.OriginKind)
+	line("may pass by", s.MayPassBy)
+	line("siblings", int(s.Siblings))
+	line("shares fills", s.SharesFills)
+	line("details", int(s.Details))
+	line("flow", s.FlowKBPerS)
+	line("purge takes", s.PurgeTakes)
+	line("purge notice", s.PurgeNotice)
+	line("origin multiple", s.OriginMultiple)
+	line("origin bears", s.OriginBears)
+	line("ask discovery", s.AskDiscovery)
+	line("ask within", s.AskWithin)
+	line("drain grace", s.DrainGrace)
+	for name, fall := range []policy.Fall{s.CacheFall, s.ParentFall} {
+		line(fmt.Sprint("fall ", name), fmt.Sprint(fall.ColdFrom, fall.WarmWithin, fall.Multiple, fall.Within))
+	}
+	line("answer slack", s.AnswerSlack)
+	line("weights told", s.WeightsTold)
+	line("max tries", s.MaxTries)
+	line("cancel", s.Cancel)
+	line("retry after", s.RetryAfter)
+	line("max retry after", s.MaxRetryAfter)
+	line("connect within", s.ConnectWithin)
+	line("tick", s.Tick)
+	for i, class := range s.Classes {
+		line(fmt.Sprintf("class %d", i), fmt.Sprint(class.Target, class.AimStretch, class.Deadline, class.Worth, class.LateValue, int(class.Effect),
+			int(class.Group), class.Window, class.Uncached, class.InParts, class.Fresh, class.StaleFor, class.StaleWorth))
+	}
+}
+
+// Bad files are refused with the same lines, at the same places.
+func TestGoldenDefects(t *testing.T) {
+	good := string(golden.Read(t, "operator.jsonc"))
+	var out bytes.Buffer
+	for _, change := range []struct{ from, to string }{
+		{`"proxy": {`, `"proxie": {`},
+		{`"limits": {`, `"limits": 7, "limit": {`},
+		{`"zone": "bangkok", "seed"`, `"zone": "bangkock", "seed"`},
+		{`"cores": 1.5`, `"cores": 0`},
+		{`"zones": ["north-hub"`, `"zones": ["", "north-hub"`},
+		{`"zones": ["north-hub", "south-hub", "bangkok", "chiang-mai"]`, `"zones": []`},
+		{`"chiang-mai": 1}`, `"chiang-mai": -1}`},
+		{`"chiang-mai": 45000`, `"chiang-mai": -45000`},
+		{`"parent_kind": "parent"`, `"parent_kind": "origin"`},
+		{`"siblings": "any"`, `"siblings": "all"`},
+		{`"falls_at": 2.5`, `"falls_at": 0`},
+		{`"name": "reports"`, `"name": "replay"`},
+		{`"window_ms": 6003`, `"window_ms": 0`},
+		{`"effect": "at_most_once"`, `"effect": "once", "fresh_ms": 1`},
+		{`"quiet_ms": 201`, `"quiet_ms": 5`},
+		{`"most_wait_ms": 5001`, `"most_wait_ms": 200`},
+		{`"path": "servers.jsonc", `, ``},
+		{`"admin": {"listen": "127.0.20.100:4101"}`, `"admin": {"listen": "10.0.0.1:4101"}`},
+		{`"admin": {"listen": "127.0.20.100:4101"}`, `"admin": {"listen": "unix:"}`},
+		{`"dir": "state", `, ``},
+		{`"level": "warn", "format": "json"`, `"level": "loud", "format": "xml"`},
+		{`"key": "eA=="`, `"key": "?"`},
+		{`"alg": "HS256"`, `"alg": "none"`},
+		{`"name": "m1", "listen": "127.0.0.1:4300", "peers"`, `"name": "m3", "listen": "127.0.0.1:4300", "join": "x", "peers"`},
+		{`"name": "m1", "listen": "127.0.0.1:4300", "peers"`, `"listen": "127.0.0.1:4300", "peers"`},
+		{`"community": "public"`, `"community": ""`},
+		{`"seeds": ["127.0.0.1:4402"]`, `"seeds": ["there"]`},
+		{`"epoch": 2`, `"epoch": 0, "rank": 1, "name": "x"`},
+		{`"second_copies": true`, `"second_copies": "yes"`},
+		{`"rank": 3}`, `"rank": 3`},
+	} {
+		require.Contains(t, good, change.from)
+		_, err := config.ParseOperator("o", []byte(strings.Replace(good, change.from, change.to, 1)))
+		require.Error(t, err, change.to)
+		fmt.Fprintf(&out, "%s -> %s\n%v\n\n", change.from, change.to, err)
+	}
+	for _, text := range []string{`{"limits": {}}`, `{"proxy": {}}`, `{`, ``} {
+		_, err := config.ParseOperator("o", []byte(text))
+		require.Error(t, err, text)
+		fmt.Fprintf(&out, "%s\n%s\n\n", text, sorted(err))
+	}
+	for _, text := range []string{`{"site": {}}`, `{"log": {"level": "loud", "format": "json"}}`, `{"limits": {"requests": 0}}`, `{"keys": {"k": {"alg": "x", "key": ""}}}`} {
+		_, err := config.ParseLive("revision 4", text)
+		require.Error(t, err, text)
+		fmt.Fprintf(&out, "live %s\n%v\n\n", text, err)
+	}
+	golden.Equal(t, "defects.txt", out.Bytes())
+}
--- /dev/null
+++ b/internal/front/signed/golden_test.go
@@ -0,0 +1,124 @@
+package signed_test
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"encoding/base64"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/golang-jwt/jwt/v5"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/front/signed"
+	"ravenwheel/internal/golden"
+	"ravenwheel/internal/scenario"
+	"ravenwheel/internal/store"
+	"ravenwheel/policy"
+)
+
+// prepared is a core that gives one prepared answer after some time, and notes what it was asked.
+type prepared struct {
+	clock  *clock.Clock
+	answer core.Answer
+	after  float64 // ms
+	asked  string
+}
+
+func (p *prepared) Do(_ context.Context, q core.Request) core.Answer {
+	now := p.clock.Now()
+	p.asked = fmt.Sprintf("id of %d digits, class %d, object %s, part %d, group %d, holds %q, body %q, deadline in %v ms, last send in %v ms\n",
+		len(q.ID), q.Class, q.Object, q.Part, q.Group, q.Holds, q.Body, q.Deadline-now, max(0, q.SendBy-now))
+	p.clock.Advance(p.after)
+	return p.answer
+}
+
+func (p *prepared) ClassOf(name string) int {
+	return map[string]int{"replay": 0, "asset": 1, "seat-claim": 2, "": -1}[name]
+}
+
+func (p *prepared) Settings() policy.Settings { return scenario.Settings() }
+
+// Each kind of answer has the status, the headers and the body that it had before.
+func TestGoldenAnswers(t *testing.T) {
+	const (
+		read  = "/asset/" + object
+		write = "/seat-claim/" + object
+	)
+	secret := []byte("secret of the second key")
+	clk := clock.Manual(1_764_576_000_000)
+	st, err := store.Open(store.Options{Clock: clk, Timeout: time.Second})
+	require.NoError(t, err)
+	defer st.Close()
+	require.Eventually(t, st.Leader, time.Minute, time.Millisecond)
+	require.NoError(t, st.PutKey("k2", store.Key{Alg: "HS256", Data: secret}))
+	require.NoError(t, st.Revoke("revoked", clk.Now()+1e9))
+	doer := &prepared{clock: clk}
+	front := signed.New(signed.Options{Audience: "tabletop", Leeway: leeway, Clock: clk, Store: st, Core: doer})
+	token := func(path, id string, seconds float64) string {
+		sum := sha256.Sum256([]byte("http://proxy" + path))
+		claims := jwt.MapClaims{
+			"aud": "tabletop", "exp": clk.Wall()/1000 + seconds, "jti": id, "cdniv": 1,
+			"cdniuc": "hash:sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:]),
+		}
+		unsigned := jwt.NewWithClaims(jwt.SigningMethodHS256, claims)
+		unsigned.Header["kid"] = "k2"
+		raw, err := unsigned.SignedString(secret)
+		require.NoError(t, err)
+		return raw
+	}
+	var out bytes.Buffer
+	for i, c := range []struct {
+		name, method, path, id, header string
+		lasts                          float64 // s that the token is good
+		body                           string
+		answer                         core.Answer
+		after                          float64 // ms
+	}{
+		{"a read that is served", "GET", read, "r", "If-None-Match: \"v6\"", 10, "", core.Answer{Body: []byte("BYTES"), Tag: "v7"}, 5},
+		{"a read of a part", "GET", read + "?part=3", "r", "X-Budget-Ms: 700", 10, "", core.Answer{Body: []byte("PART")}, 5},
+		{"the client's copy holds", "GET", read, "r", "If-None-Match: \"v7\"", 10, "", core.Answer{Same: true, Tag: "v7"}, 5},
+		{"a read that is refused", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Refused, Backoff: 2500}, 5},
+		{"a read that is refused without advice", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Refused}, 5},
+		{"a read that failed", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Failed}, 5},
+		{"a read that timed out", "GET", read, "r", "X-Budget-Ms: 700", 10, "", core.Answer{Verdict: core.Failed}, 700},
+		{"a read whose link expired", "GET", read, "r", "", 1, "", core.Answer{Body: []byte("BYTES")}, 4000},
+		{"a link that is too old", "GET", read, "r", "", -60, "", core.Answer{}, 0},
+		{"a link of another object", "GET", read, "r", "wrong", 10, "", core.Answer{}, 0},
+		{"a link that is revoked", "GET", read, "revoked", "", 10, "", core.Answer{}, 0},
+		{"a bad request", "POST", read, "r", "", 10, "", core.Answer{}, 0},
+		{"a write that is served", "POST", write, "w1", "", 10, "seat9", core.Answer{Body: []byte("DONE")}, 5},
+		{"the write once more", "POST", write, "w1", "", 10, "seat9", core.Answer{}, 5},
+		{"a write that is refused", "POST", write, "w2", "", 10, "seat9", core.Answer{Verdict: core.Refused, Backoff: 100}, 5},
+		{"a write that failed", "POST", write, "w3", "", 10, "seat9", core.Answer{Verdict: core.Failed}, 5},
+		{"a write that timed out", "POST", write, "w4", "X-Budget-Ms: 900", 10, "seat9", core.Answer{Verdict: core.Failed}, 900},
+		{"a write whose token expired unsent", "POST", write, "w5", "", 1, "seat9", core.Answer{Verdict: core.Refused}, 4000},
+	} {
+		doer.answer, doer.after, doer.asked = c.answer, c.after, "not asked\n"
+		r := httptest.NewRequest(c.method, "http://proxy"+c.path, strings.NewReader(c.body))
+		if name, value, ok := strings.Cut(c.header, ": "); ok {
+			r.Header.Set(name, value)
+		}
+		if signedPath := c.path; c.method == http.MethodPost {
+			r.Header.Set("Authorization", "Bearer "+token(signedPath, c.id, c.lasts))
+		} else {
+			if c.header == "wrong" {
+				signedPath = "/asset/0000000000000001"
+			}
+			r.AddCookie(&http.Cookie{Name: "URISigningPackage", Value: token(signedPath, c.id, c.lasts)})
+		}
+		w := httptest.NewRecorder()
+		front.ServeHTTP(w, r)
+		fmt.Fprintf(&out, "%d %s\n%s%d\n", i, c.name, doer.asked, w.Code)
+		require.NoError(t, w.Header().Write(&out)) // sorted by name
+		fmt.Fprintf(&out, "%q\n\n", w.Body.String())
+	}
+	golden.Equal(t, "answers.txt", bytes.ReplaceAll(out.Bytes(), []byte("\r\n"), []byte("\n")))
+}
