--- a/internal/config/alone.go
+++ b/internal/config/alone.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/settle"
 	"ravenwheel/internal/source/board"
 	"ravenwheel/policy"
 )
@@ -101,6 +101,6 @@
 }
 
 // Settle are the figures of a watched list.
-func (s *Servers) Settle() settle.Settings {
-	return settle.Settings{Quiet: s.Quiet, Most: s.Most, Poll: s.Poll}
+func (s *Servers) Settle() debounce.Settings {
+	return debounce.Settings{Quiet: s.Quiet, Most: s.Most, Poll: s.Poll}
 }
--- a/internal/decide/settle/settle.go
+++ b/internal/decide/debounce/debounce.go
@@ -1,11 +1,11 @@
-// Package settle decides when a watched file has come to rest: when to look at it, and whether what was read may
+// Package debounce decides when a watched file has come to rest: when to look at it, and whether what was read may
 // count. It opens no file and reads no clock: whoever watches tells of touches and of what a look found, as a
 // fingerprint, and carries out what is returned. Its decisions are tested here.
 //
 // A text counts once two looks, Quiet apart and with no touch between them, found the same. So a writer that goes on
 // never gets half of its text taken, a storm of touches costs a look in every Most at the most, and a file that is
 // saved again as it was costs nothing.
-package settle
+package debounce
 
 import "math"
 
--- a/internal/decide/settle/settle_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -1,4 +1,4 @@
-package settle_test
+package debounce_test
 
 import (
 	"testing"
@@ -6,19 +6,19 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ravenwheel/internal/decide/settle"
+	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/scenario/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var set = settle.Settings{Quiet: 50, Most: 500, Poll: 2000}
+var set = debounce.Settings{Quiet: 50, Most: 500, Poll: 2000}
 
 // play lets a watch run to a time over a file whose print changes at the given times. It returns when which print
 // was taken, and how many looks it took.
 func play(until float64, touches bool, changes map[float64]uint64) (taken map[float64]uint64, looks int) {
 	taken = map[float64]uint64{}
-	w := settle.New(set, 0)
+	w := debounce.New(set, 0)
 	at, print := w.Due(0).At, uint64(0)
 	look := func(now float64) {
 		looks++
--- a/internal/source/watch/effect_test.go
+++ b/internal/source/watch/effect_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/settle"
 	"ravenwheel/internal/source/names"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
@@ -39,7 +39,7 @@
 			taken := make(chan uint64, 1)
 			src := watch.New(watch.Options{
 				Path: path, Clock: clk, Names: &names.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
-				Settle: settle.Settings{Quiet: c.quiet, Most: 5000, Poll: 5000}, Take: func(s *serverlist.Set) { taken <- s.Generation },
+				Settle: debounce.Settings{Quiet: c.quiet, Most: 5000, Poll: 5000}, Take: func(s *serverlist.Set) { taken <- s.Generation },
 			}, nil)
 			go src.Run()
 			defer src.Close()
--- a/internal/source/watch/watch.go
+++ b/internal/source/watch/watch.go
@@ -1,6 +1,6 @@
 // Package watch follows a server list on disk: one file, or a directory of parts bound by a manifest. It looks when
 // the file system tells of a touch (fsnotify) and, as such news can be missed, in a slow poll; when what was read
-// counts is said by decide/settle, and whether it can be used by decide/serverlist. What can't be used leaves the
+// counts is said by decide/debounce, and whether it can be used by decide/serverlist. What can't be used leaves the
 // list before it in force.
 package watch
 
@@ -20,8 +20,8 @@
 	"github.com/fsnotify/fsnotify"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/settle"
 	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/source/names"
@@ -31,7 +31,7 @@
 type Options struct {
 	Path   string
 	Facts  serverlist.Facts
-	Settle settle.Settings
+	Settle debounce.Settings
 	Names  *names.Cache
 	Clock  *clock.Clock
 	Log    *logs.Log
@@ -60,7 +60,7 @@
 	once   sync.Once
 
 	// Of the loop alone.
-	watch   *settle.Watch
+	watch   *debounce.Watch
 	fs      *fsnotify.Watcher
 	dirs    map[string]bool
 	looking bool
@@ -132,7 +132,7 @@
 		touched, broken = s.fs.Events, s.fs.Errors
 		defer s.fs.Close()
 	}
-	s.watch = settle.New(s.opt.Settle, s.opt.Clock.Now())
+	s.watch = debounce.New(s.opt.Settle, s.opt.Clock.Now())
 	s.follow()
 	s.act(s.watch.Due(s.opt.Clock.Now()))
 	for {
@@ -182,7 +182,7 @@
 }
 
 // act carries out what the decider wants.
-func (s *Source) act(a settle.Action) {
+func (s *Source) act(a debounce.Action) {
 	if a.Take {
 		s.take()
 	}
--- a/internal/source/watch/watch_test.go
+++ b/internal/source/watch/watch_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/settle"
 	"ravenwheel/internal/source/names"
 	"ravenwheel/internal/source/watch"
 )
@@ -43,7 +43,7 @@
 	r.path = path(r.dir)
 	r.src = watch.New(watch.Options{
 		Path: r.path, Facts: serverlist.Facts{OriginKind: "origin", Writes: true}, Clock: r.clk,
-		Settle: settle.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &names.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
+		Settle: debounce.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &names.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
 		Take: func(s *serverlist.Set) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
