--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -4,14 +4,14 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/discovery"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/decide/stamps"
+	"ravenwheel/internal/decide/timestamp"
 	"ravenwheel/internal/source/board"
 )
 
 // discovery takes in what was known of discovery at the start, and returns the client that follows it. rank is its rank among the
 // ledger's sources.
 func (s *sources) discovery(rank int) *board.Client {
-	reader := stamps.New(s.clk.Now())
+	reader := timestamp.New(s.clk.Now())
 	known := board.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeTakes))
 	for _, n := range known {
 		n.Tell(rank, s.roster.Tell, s.purged)
--- a/internal/decide/stamps/stamps.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -1,9 +1,9 @@
-// Package stamps reads the times that other machines stamp on what they tell: when an object was purged, when a server was
+// Package timestamp reads the times that other machines stamp on what they tell: when an object was purged, when a server was
 // started. A stamp is a reading of a wall clock, and wall clocks are stepped, this machine's as well as theirs. What is heard
 // on a watch that is followed all along is no newer than now, and not much older than the word before it: a stamp outside of
 // that tells of a step, and counts as now. Now is the safe side of both: a purge shuts out more copies than it has to, and a
 // server counts as cold for longer. Its decisions are tested here.
-package stamps
+package timestamp
 
 import "ravenwheel/policy"
 
--- a/internal/decide/stamps/stamps_test.go
+++ b/internal/decide/timestamp/timestamp_test.go
@@ -1,4 +1,4 @@
-package stamps
+package timestamp
 
 import (
 	"testing"
--- a/internal/source/board/board_test.go
+++ b/internal/source/board/board_test.go
@@ -13,7 +13,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/discovery"
-	"ravenwheel/internal/decide/stamps"
+	"ravenwheel/internal/decide/timestamp"
 	"ravenwheel/policy"
 )
 
@@ -210,7 +210,7 @@
 		m.ID, m.Started = id, policy.Time(started*1e6)
 		return m
 	}
-	r := stamps.New(now)
+	r := timestamp.New(now)
 	known := []Notice{
 		{Rev: 1, Whole: true, Members: []core.Member{server(1, 0), server(2, now-hour), server(3, now-2000)}},
 		{Rev: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
--- a/internal/source/board/stamps.go
+++ b/internal/source/board/stamps.go
@@ -2,7 +2,7 @@
 
 import (
 	"ravenwheel/internal/core"
-	"ravenwheel/internal/decide/stamps"
+	"ravenwheel/internal/decide/timestamp"
 	"ravenwheel/policy"
 )
 
@@ -10,7 +10,7 @@
 func ms(t policy.Time) float64 { return float64(t) / 1e6 }
 
 // Dated returns a notice that was heard now with its stamps read as times on this machine's clock.
-func (n Notice) Dated(r *stamps.Reader, now float64) Notice {
+func (n Notice) Dated(r *timestamp.Reader, now float64) Notice {
 	start := r.Start
 	if n.Whole {
 		start = r.KnownStart
@@ -26,7 +26,7 @@
 }
 
 // DatedKnown returns the notices of the start with their stamps read. The purges among them are of the last span of so many ms.
-func DatedKnown(known []Notice, r *stamps.Reader, now, span float64) []Notice {
+func DatedKnown(known []Notice, r *timestamp.Reader, now, span float64) []Notice {
 	newest := 0.0
 	for _, n := range known {
 		if n.Purge != nil {
