--- a/Makefile
+++ b/Makefile
@@ -44,7 +44,7 @@
 	SOAK=1 go test -count=1 ./internal/decide/membership ./internal/decide/debounce ./internal/decide/recovery -rapid.checks=20000 -run 'Model|Any|Kept'
 
 fuzz:
-	go test ./internal/decide/strict -run XXX -fuzz FuzzDecode -fuzztime 60s
+	go test ./internal/strictjson -run XXX -fuzz FuzzDecode -fuzztime 60s
 	go test ./internal/decide/serverlist -run XXX -fuzz FuzzParse -fuzztime 60s
 	go test ./internal/decide/recovery -run XXX -fuzz FuzzDecode -fuzztime 60s
 	go test ./internal/journal -run XXX -fuzz FuzzSegment -fuzztime 60s
--- a/cmd/ravenwheel/main.go
+++ b/cmd/ravenwheel/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 )
 
 var version = "0.2.0"
@@ -38,7 +38,7 @@
 
 // fail ends the program with one plain line, or with none where the defects were printed.
 func fail(err error) {
-	var bad strict.Defects
+	var bad strictjson.Defects
 	switch {
 	case errors.Is(err, errDefects):
 	case errors.As(err, &bad) && len(bad) > 1:
--- a/cmd/ravenwheel/servers.go
+++ b/cmd/ravenwheel/servers.go
@@ -15,9 +15,9 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/source/names"
 	"ravenwheel/internal/source/watch"
+	"ravenwheel/internal/strictjson"
 )
 
 // resolver asks the system for names, as the program that serves does.
@@ -74,7 +74,7 @@
 func readList(path string, old *serverlist.Set, facts serverlist.Facts) (*serverlist.Set, error) {
 	files, err := watch.Read(path)
 	if err != nil {
-		return nil, strict.Defects{{File: path, Reason: err.Error()}}
+		return nil, strictjson.Defects{{File: path, Reason: err.Error()}}
 	}
 	d, bad := serverlist.Parse(files, facts)
 	if bad != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,7 +25,6 @@
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
@@ -33,6 +32,7 @@
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/state"
 	"ravenwheel/internal/store"
+	"ravenwheel/internal/strictjson"
 	"ravenwheel/internal/transient"
 	"ravenwheel/policy"
 )
@@ -337,7 +337,7 @@
 
 func (a *Admin) push(w http.ResponseWriter, r *http.Request) {
 	var l List
-	err := json.NewDecoder(io.LimitReader(r.Body, 2*strict.MostBytes)).Decode(&l)
+	err := json.NewDecoder(io.LimitReader(r.Body, 2*strictjson.MostBytes)).Decode(&l)
 	var set *serverlist.Set
 	if err == nil {
 		set, err = a.opt.Shared.Push(l.File, []byte(l.Text))
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 )
 
 // Distribution sets up how what the store holds gets to processes that are not its members. A member of the store begins a
@@ -48,7 +48,7 @@
 // leastSilences is how many heartbeats may be lost before a distributor is left, at least.
 const leastSilences = 3
 
-func (o *Operator) checkDistribution(doc *strict.Doc) {
+func (o *Operator) checkDistribution(doc *strictjson.Doc) {
 	d := o.Distribution
 	if d == nil {
 		return
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/base64"
 
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/store"
+	"ravenwheel/internal/strictjson"
 )
 
 // Live is what a revision of the shared configuration may say: what changes without a restart. A part that is absent
@@ -36,12 +36,12 @@
 // ParseLive reads a revision, named for its defects.
 func ParseLive(name, text string) (*Live, error) {
 	l := &Live{}
-	doc := strict.Decode(name, []byte(text), l)
+	doc := strictjson.Decode(name, []byte(text), l)
 	if doc.Ok() {
 		l.check(doc)
 	} else {
 		var any struct{}
-		other := strict.Decode(name, []byte(text), &any)
+		other := strictjson.Decode(name, []byte(text), &any)
 		for _, part := range restart {
 			if other.Has(part) {
 				doc.Fail("", "%s is not changed in service: it takes a restart", part)
@@ -55,7 +55,7 @@
 	return l, nil
 }
 
-func (l *Live) check(doc *strict.Doc) {
+func (l *Live) check(doc *strictjson.Doc) {
 	if l.Log != nil {
 		checker{doc, "log"}.oneOf("level", l.Log.Level, "debug", "info", "warn", "error")
 		if l.Log.Format != "" {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,9 +14,9 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/replica"
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
+	"ravenwheel/internal/strictjson"
 )
 
 // Operator is the file that sets up what is off on the platform, as JSON with comments. A part that is absent stays
@@ -219,10 +219,10 @@
 	return ParseOperator(path, raw)
 }
 
-// ParseOperator reads the text of an operator's file. The error is strict.Defects: all that is wrong, by line.
+// ParseOperator reads the text of an operator's file. The error is strictjson.Defects: all that is wrong, by line.
 func ParseOperator(path string, raw []byte) (*Operator, error) {
 	o := &Operator{Path: path, Keys: KeyRing{}}
-	doc := strict.Decode(path, raw, o)
+	doc := strictjson.Decode(path, raw, o)
 	if doc.Ok() {
 		o.check(doc)
 	}
@@ -253,7 +253,7 @@
 
 // checker says what is wrong with the fields of one part.
 type checker struct {
-	doc  *strict.Doc
+	doc  *strictjson.Doc
 	part string
 }
 
@@ -306,7 +306,7 @@
 // Bounds of times: a day is more than any of them makes sense with.
 const day = 24 * 3600 * 1000
 
-func (o *Operator) check(doc *strict.Doc) {
+func (o *Operator) check(doc *strictjson.Doc) {
 	alone := o.Proxy != nil
 	for field, given := range map[string]bool{"limits": o.Limits != nil, "site": o.Site != nil, "classes": len(o.Classes) > 0} {
 		switch {
@@ -389,7 +389,7 @@
 	}
 }
 
-func (o *Operator) checkStore(doc *strict.Doc) {
+func (o *Operator) checkStore(doc *strictjson.Doc) {
 	s := &o.Store
 	c := checker{doc, "store"}
 	c.within("timeout_ms", &s.TimeoutMs, 2000, 10, 60_000)
@@ -429,7 +429,7 @@
 	return most
 }
 
-func (o *Operator) checkAlone(doc *strict.Doc) {
+func (o *Operator) checkAlone(doc *strictjson.Doc) {
 	p, l, s := o.Proxy, o.Limits, o.Site
 	c := checker{doc, "proxy"}
 	c.given("name", p.Name)
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -26,7 +26,7 @@
 	"strconv"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 	"ravenwheel/policy"
 )
 
@@ -71,7 +71,7 @@
 
 // place is where an entry stands.
 type place struct {
-	doc  *strict.Doc
+	doc  *strictjson.Doc
 	path string
 }
 
@@ -83,7 +83,7 @@
 	Servers    []Server // by id
 
 	facts Facts
-	docs  []*strict.Doc
+	docs  []*strictjson.Doc
 	head  place
 }
 
@@ -132,7 +132,7 @@
 }
 
 // Parse reads one list file, or a manifest and its parts (any file named manifest.jsonc makes it that).
-func Parse(files []File, facts Facts) (*Draft, strict.Defects) {
+func Parse(files []File, facts Facts) (*Draft, strictjson.Defects) {
 	d := &Draft{facts: facts}
 	d.read(files)
 	if d.defects() == nil {
@@ -145,8 +145,8 @@
 	return d, nil
 }
 
-func (d *Draft) defects() strict.Defects {
-	var all strict.Defects
+func (d *Draft) defects() strictjson.Defects {
+	var all strictjson.Defects
 	for _, doc := range d.docs {
 		all = append(all, doc.Defects...)
 	}
@@ -154,14 +154,14 @@
 	return all
 }
 
-func (d *Draft) decode(f File, into any) *strict.Doc {
-	doc := strict.Decode(f.Name, f.Data, into)
+func (d *Draft) decode(f File, into any) *strictjson.Doc {
+	doc := strictjson.Decode(f.Name, f.Data, into)
 	d.docs = append(d.docs, doc)
 	return doc
 }
 
 // whole notes a head, and whether its file is whole: its end must say what its beginning says.
-func (d *Draft) whole(doc *strict.Doc, generation, end *uint64, force bool) {
+func (d *Draft) whole(doc *strictjson.Doc, generation, end *uint64, force bool) {
 	d.head, d.Force = place{doc, "generation"}, force
 	if !doc.Ok() {
 		return
@@ -193,7 +193,7 @@
 	case len(files) == 0:
 		d.decode(File{Name: "the list"}, &listForm{})
 	default:
-		d.docs = append(d.docs, strict.Decode(path.Dir(files[0].Name), []byte("{}"), &listForm{}))
+		d.docs = append(d.docs, strictjson.Decode(path.Dir(files[0].Name), []byte("{}"), &listForm{}))
 		d.docs[0].Fail("?", "%d files and no %s to bind them", len(files), ManifestName)
 	}
 }
@@ -241,7 +241,7 @@
 }
 
 // add takes the entries of one file.
-func (d *Draft) add(doc *strict.Doc, entries []entryForm) {
+func (d *Draft) add(doc *strictjson.Doc, entries []entryForm) {
 	if !doc.Ok() {
 		return
 	}
--- a/internal/decide/serverlist/settle.go
+++ b/internal/decide/serverlist/settle.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 	"ravenwheel/policy"
 )
 
@@ -43,7 +43,7 @@
 
 // Settle puts addresses to hosts and holds the draft against the set in use (nil: none). It returns the set that is
 // to be used from now on, which is the old one if nothing has changed, or what stands against it.
-func (d *Draft) Settle(answers map[string]Answer, old *Set) (*Set, strict.Defects) {
+func (d *Draft) Settle(answers map[string]Answer, old *Set) (*Set, strictjson.Defects) {
 	kept := len(d.docs)
 	defer func() { d.docs = d.docs[:kept] }()
 	for _, doc := range d.docs {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -18,8 +18,8 @@
 
 	"github.com/tailscale/hujson"
 
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/lab/sim"
+	"ravenwheel/internal/strictjson"
 )
 
 // Experiment is a file's content.
@@ -44,12 +44,12 @@
 
 // Parse reads an experiment: a scenario, and beside its fields "seeds", "variants" (by name: pointers and values) and
 // "sweep" (a pointer and values).
-func Parse(file string, text []byte) (*Experiment, strict.Defects) {
-	fail := func(format string, args ...any) strict.Defects {
-		return strict.Defects{{File: file, Reason: fmt.Sprintf(format, args...)}}
+func Parse(file string, text []byte) (*Experiment, strictjson.Defects) {
+	fail := func(format string, args ...any) strictjson.Defects {
+		return strictjson.Defects{{File: file, Reason: fmt.Sprintf(format, args...)}}
 	}
 	var probe struct{}
-	if d := strict.Decode(file, text, &probe); len(d.Defects) > 0 && !strings.HasPrefix(d.Defects[0].Reason, "unknown field") {
+	if d := strictjson.Decode(file, text, &probe); len(d.Defects) > 0 && !strings.HasPrefix(d.Defects[0].Reason, "unknown field") {
 		return nil, d.Defects // no JSON at all
 	}
 	v, err := hujson.Parse(text)
@@ -81,7 +81,7 @@
 	}
 	base := hujson.Value{Value: &hujson.Object{Members: kept}}
 	if e.Variants, err = expand(file, base, variants, sweep); err != nil {
-		var bad strict.Defects
+		var bad strictjson.Defects
 		if errors.As(err, &bad) {
 			// Places are those of the file itself as long as nothing was taken out in front of them.
 			if _, own := sim.Parse(file, text); len(variants.Pack()) == 0 && len(sweep.Pack()) == 0 && e.Seeds == 1 {
--- a/internal/lab/field/scenario.go
+++ b/internal/lab/field/scenario.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 )
 
 // Scenario is a field and what befalls it, as a file has it: JSON with comments. Times in faults are seconds from when all
@@ -80,9 +80,9 @@
 )
 
 // ParseScenario reads the text of a file. Defects are all that is wrong, by line.
-func ParseScenario(file string, text []byte) (Scenario, strict.Defects) {
+func ParseScenario(file string, text []byte) (Scenario, strictjson.Defects) {
 	s := Usual()
-	doc := strict.Decode(file, text, &s)
+	doc := strictjson.Decode(file, text, &s)
 	if doc.Ok() {
 		s.check(doc)
 	}
@@ -90,7 +90,7 @@
 	return s, doc.Defects
 }
 
-func (s *Scenario) check(doc *strict.Doc) {
+func (s *Scenario) check(doc *strictjson.Doc) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
 			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
--- a/internal/lab/scale/spec.go
+++ b/internal/lab/scale/spec.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 )
 
 // Spec is one scenario, as a file has it: JSON with comments. Times of faults are seconds from when the fleet was whole.
@@ -91,10 +91,10 @@
 )
 
 // Parse reads the text of a file. Defects are all that is wrong, by line.
-func Parse(file string, text []byte) (Spec, strict.Defects) {
+func Parse(file string, text []byte) (Spec, strictjson.Defects) {
 	s := Usual()
 	s.Processes = nil // or a file's sizes would be written over the usual ones
-	doc := strict.Decode(file, text, &s)
+	doc := strictjson.Decode(file, text, &s)
 	if len(s.Processes) == 0 {
 		s.Processes = Usual().Processes
 	}
@@ -105,7 +105,7 @@
 	return s, doc.Defects
 }
 
-func (s *Spec) check(doc *strict.Doc) {
+func (s *Spec) check(doc *strictjson.Doc) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
 			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *Spec) checkFault(doc *strict.Doc, at string, f Fault, within func(string, float64, float64, float64)) {
+func (s *Spec) checkFault(doc *strictjson.Doc, at string, f Fault, within func(string, float64, float64, float64)) {
 	k, known := kinds[f.Kind]
 	if !known {
 		names := make([]string, 0, len(kinds))
--- a/internal/lab/sim/kinds.go
+++ b/internal/lab/sim/kinds.go
@@ -5,12 +5,12 @@
 	"slices"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 	"ravenwheel/policy"
 )
 
 // checkKinds holds what settings of operators differ in to its bounds.
-func (s *Spec) checkKinds(doc *strict.Doc, within func(path string, v, least, most float64)) {
+func (s *Spec) checkKinds(doc *strictjson.Doc, within func(path string, v, least, most float64)) {
 	f := s.Fleet
 	oneOf := func(path, value string, words []string) {
 		if !slices.Contains(words, value) {
--- a/internal/lab/sim/spec.go
+++ b/internal/lab/sim/spec.go
@@ -5,7 +5,7 @@
 	"math"
 	"strings"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 	"ravenwheel/policy"
 )
 
@@ -168,9 +168,9 @@
 }
 
 // Parse reads a scenario over the defaults, or says where it can't be used.
-func Parse(file string, text []byte) (Spec, strict.Defects) {
+func Parse(file string, text []byte) (Spec, strictjson.Defects) {
 	s := Default()
-	doc := strict.Decode(file, text, &s)
+	doc := strictjson.Decode(file, text, &s)
 	if doc.Ok() {
 		s.check(doc)
 	}
@@ -178,7 +178,7 @@
 	return s, doc.Defects
 }
 
-func (s *Spec) check(doc *strict.Doc) {
+func (s *Spec) check(doc *strictjson.Doc) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
 			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
--- a/internal/source/watch/golden_test.go
+++ b/internal/source/watch/golden_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/golden"
+	"ravenwheel/internal/strictjson"
 )
 
 // The status of a watched list, as operators are shown it.
@@ -26,7 +26,7 @@
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
 		require.Equal(t, status, decoded)
 	}
-	refused := Status{Refused: strict.Defects{{File: "servers.jsonc", Reason: "x"}}}
+	refused := Status{Refused: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
 	encoded, err := json.Marshal(refused)
 	require.NoError(t, err)
 	require.NotContains(t, string(encoded), "servers.jsonc", "defects are shown as their lines alone")
--- a/internal/source/watch/watch.go
+++ b/internal/source/watch/watch.go
@@ -22,9 +22,9 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/strict"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/strictjson"
 )
 
 // Options set up a watch.
@@ -41,15 +41,15 @@
 
 // Status is how the watched list stands.
 type Status struct {
-	Path       string         `json:"path"`
-	Generation uint64         `json:"generation"`         // in use; 0: none
-	TakenMs    float64        `json:"taken_ms,omitempty"` // Unix ms
-	Refused    strict.Defects `json:"-"`                  // why what is there now is not in use
-	Why        []string       `json:"refused,omitempty"`
-	RefusedMs  float64        `json:"refused_ms,omitempty"`
-	Looks      int64          `json:"looks"`
-	Taken      int64          `json:"taken"`
-	Refusals   int64          `json:"refusals"`
+	Path       string             `json:"path"`
+	Generation uint64             `json:"generation"`         // in use; 0: none
+	TakenMs    float64            `json:"taken_ms,omitempty"` // Unix ms
+	Refused    strictjson.Defects `json:"-"`                  // why what is there now is not in use
+	Why        []string           `json:"refused,omitempty"`
+	RefusedMs  float64            `json:"refused_ms,omitempty"`
+	Looks      int64              `json:"looks"`
+	Taken      int64              `json:"taken"`
+	Refusals   int64              `json:"refusals"`
 }
 
 // Source is one watched list.
@@ -79,7 +79,7 @@
 // Bounds of a look.
 const (
 	mostFiles = 1024
-	mostRead  = 2 * strict.MostBytes
+	mostRead  = 2 * strictjson.MostBytes
 )
 
 // Load reads, resolves and checks a list once, as it is now, against the one taken before (nil: none).
@@ -232,7 +232,7 @@
 		return
 	}
 	s.last = err.Error()
-	s.refuse(strict.Defects{{File: s.opt.Path, Reason: reason(err)}})
+	s.refuse(strictjson.Defects{{File: s.opt.Path, Reason: reason(err)}})
 }
 
 // reason is an error without the path that stands before it in the line anyway.
@@ -325,7 +325,7 @@
 	s.opt.Take(set)
 }
 
-func (s *Source) refuse(bad strict.Defects) {
+func (s *Source) refuse(bad strictjson.Defects) {
 	s.mu.Lock()
 	same := s.status.Refused.Error() == bad.Error()
 	s.status.Refused, s.status.RefusedMs = bad, s.opt.Clock.Now()
--- a/internal/decide/strict/strict.go
+++ b/internal/strictjson/strictjson.go
@@ -1,10 +1,10 @@
-// Package strict reads JSON with comments (JWCC: https://nigeltao.github.io/blog/2021/json-with-commas-comments.html)
+// Package strictjson reads JSON with comments (JWCC: https://nigeltao.github.io/blog/2021/json-with-commas-comments.html)
 // into Go values and says, for whatever can't be used, the file, line and column. It owns the places of values and
 // the form of defects; what a value means is for its callers to check. It reads no file: bytes come in.
 //
 // A field that the target lacks, a name that is given twice and a number that does not fit are defects, never
 // guesses. Decoding goes on behind a defect, so that one run shows all of them.
-package strict
+package strictjson
 
 import (
 	"bytes"
--- a/internal/decide/strict/strict_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -1,4 +1,4 @@
-package strict_test
+package strictjson_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/decide/strict"
+	"ravenwheel/internal/strictjson"
 )
 
 type form struct {
@@ -50,13 +50,13 @@
 
 func TestRefused(t *testing.T) {
 	for text, want := range refused {
-		require.EqualError(t, strict.Decode("f", []byte(text), &form{}).Defects, want, text)
+		require.EqualError(t, strictjson.Decode("f", []byte(text), &form{}).Defects, want, text)
 	}
 }
 
 func TestPlaces(t *testing.T) {
 	var f form
-	d := strict.Decode("f", []byte("{ // by hand\n  \"name\": \"a\", /* [[ */\n  \"parts\": [\n    {\"file\": \"x\"},\n  ],\n}"), &f)
+	d := strictjson.Decode("f", []byte("{ // by hand\n  \"name\": \"a\", /* [[ */\n  \"parts\": [\n    {\"file\": \"x\"},\n  ],\n}"), &f)
 	require.NoError(t, d.Defects.Err())
 	require.Equal(t, form{Name: "a", Parts: []part{{"x"}}}, f)
 	require.True(t, d.Has("parts[0].file") && !d.Has("size"))
@@ -72,7 +72,7 @@
 	text := `{"name":"a","size":12,"parts":[{"file":"x"}],"weights":{"a":1.5}}` + "\n\n"
 	for i := range text {
 		var f form
-		d := strict.Decode("f", []byte(text[:i]), &f)
+		d := strictjson.Decode("f", []byte(text[:i]), &f)
 		require.Equal(t, i > strings.LastIndex(text, "}"), d.Ok(), text[:i])
 	}
 }
@@ -81,7 +81,7 @@
 	var list struct {
 		Parts []part `json:"parts"`
 	}
-	d := strict.Decode("f", []byte(`{"parts":[`+strings.Repeat("1,", 5000)+"1]}"), &list)
+	d := strictjson.Decode("f", []byte(`{"parts":[`+strings.Repeat("1,", 5000)+"1]}"), &list)
 	require.Len(t, d.Defects, 100)
 	require.Contains(t, d.Defects.Error(), "4902 more defects")
 }
@@ -93,7 +93,7 @@
 	f.Add([]byte(`{"name":"a","parts":[{"file":"\ud800"}],} /*`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var v form
-		for _, x := range strict.Decode("f", text, &v).Defects {
+		for _, x := range strictjson.Decode("f", text, &v).Defects {
 			require.NotContains(t, x.Error(), "\n")
 		}
 	})
