--- a/internal/decide/replay/replay.go
+++ b/internal/decide/dedup/dedup.go
@@ -1,7 +1,7 @@
-// Package replay tells messages that are new from those that were taken before, for senders who number them. It holds a
+// Package dedup tells messages that are new from those that were taken before, for senders who number them. It holds a
 // window of the newest numbers (RFC 6479's sliding window) for each start of a sender, and needs no clock. Tested as a
 // model in replay_test.go.
-package replay
+package dedup
 
 const words, bits = 16, 64
 
--- a/internal/decide/replay/replay_test.go
+++ b/internal/decide/dedup/dedup_test.go
@@ -1,4 +1,4 @@
-package replay
+package dedup
 
 import (
 	"testing"
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -15,7 +15,7 @@
 	"golang.org/x/time/rate"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replay"
+	"ravenwheel/internal/decide/dedup"
 	"ravenwheel/internal/store"
 )
 
@@ -258,7 +258,7 @@
 		if len(p.windows) >= mostSenders {
 			return false
 		}
-		w = &starts{by: map[uint64]*replay.Window{}}
+		w = &starts{by: map[uint64]*dedup.Window{}}
 		p.windows[e.From] = w
 	}
 	if !w.take(e.Start, e.Seq) {
@@ -284,7 +284,7 @@
 // later start of the second would shut out the first, which the others know.
 type starts struct {
 	heard float64 // when the last datagram was taken
-	by    map[uint64]*replay.Window
+	by    map[uint64]*dedup.Window
 	floor uint64 // starts up to this are forgotten, and taken no more
 }
 
@@ -304,7 +304,7 @@
 			delete(s.by, oldest)
 			s.floor = oldest
 		}
-		w = &replay.Window{}
+		w = &dedup.Window{}
 		s.by[start] = w
 	}
 	return w.Take(start, seq)
