--- a/internal/decide/expiry/expiry.go
+++ b/internal/decide/expiryqueue/expiryqueue.go
@@ -1,7 +1,7 @@
-// Package expiry finds, of what is held until a time, that whose time has come, without a walk through all of it. It owns
+// Package expiryqueue finds, of what is held until a time, that whose time has come, without a walk through all of it. It owns
 // an order of times and none of what is held: its owner says when something ends, and drops it. An entry whose time was
 // moved stays where it is until it comes up, and is put back then. Its decisions are tested here against such a walk.
-package expiry
+package expiryqueue
 
 import (
 	"iter"
--- a/internal/decide/expiry/expiry_test.go
+++ b/internal/decide/expiryqueue/expiryqueue_test.go
@@ -1,4 +1,4 @@
-package expiry
+package expiryqueue
 
 import (
 	"maps"
--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -17,7 +17,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ravenwheel/internal/decide/expiry"
+	"ravenwheel/internal/decide/expiryqueue"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/policy"
@@ -122,8 +122,8 @@
 	lists    map[string]List
 	hand     map[uint64]bool
 	// told and gone order purges and the servers that are gone by what their ends are counted from.
-	told expiry.Queue[purgeKey]
-	gone expiry.Queue[uint64]
+	told expiryqueue.Queue[purgeKey]
+	gone expiryqueue.Queue[uint64]
 }
 
 // NewState returns one in which nothing happened.
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/replica/replica.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ravenwheel/internal/decide/expiry"
+	"ravenwheel/internal/decide/expiryqueue"
 	"ravenwheel/internal/decide/serverlist"
 )
 
@@ -128,7 +128,7 @@
 	Indexes map[string]uint64 `cbor:"11,keyasint,omitempty"`
 	index   map[string]Result
 	// The ends of what is held, in order; made anew from what a snapshot holds.
-	spentEnds, revokedEnds, purgeEnds expiry.Queue[string]
+	spentEnds, revokedEnds, purgeEnds expiryqueue.Queue[string]
 }
 
 // New returns the state before any change.
@@ -310,7 +310,7 @@
 }
 
 // hold books until when a token id is kept.
-func hold(ids map[string]float64, ends *expiry.Queue[string], id string, until float64) {
+func hold(ids map[string]float64, ends *expiryqueue.Queue[string], id string, until float64) {
 	old, held := ids[id]
 	ids[id] = until
 	if ends.Set(id, until, old, held); ends.Spare(len(ids)) {
@@ -319,7 +319,7 @@
 }
 
 // prune drops the token ids whose time is over.
-func prune(ids map[string]float64, ends *expiry.Queue[string], now float64) {
+func prune(ids map[string]float64, ends *expiryqueue.Queue[string], now float64) {
 	ends.Expire(
 		func(until float64) bool { return until < now },
 		func(id string) (float64, bool) { until, held := ids[id]; return until, held },
