--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -6,8 +6,8 @@
 	"io"
 	"net/http"
 
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/view"
 )
 
 // PeerCall asks for something to be done about a member: "ping" or "forget".
@@ -38,16 +38,16 @@
 
 // View is what "view show" shows.
 type View struct {
-	Peers   []view.Peer        `json:"peers"`
-	Servers []ServerView       `json:"servers"`
-	Heavy   []view.HeavyObject `json:"heavy"`
+	Peers   []fleetview.Peer        `json:"peers"`
+	Servers []ServerView            `json:"servers"`
+	Heavy   []fleetview.HeavyObject `json:"heavy"`
 }
 
 // ServerView is one server as the view has it; Said is who says what, where one server is asked for.
 type ServerView struct {
 	ID string `json:"id"`
-	view.Estimate
-	Said []view.Reporter `json:"said,omitempty"`
+	fleetview.Estimate
+	Said []fleetview.Reporter `json:"said,omitempty"`
 }
 
 // heavyShown objects are shown.
@@ -56,7 +56,7 @@
 func (a *Admin) view(w http.ResponseWriter, r *http.Request) {
 	only := r.URL.Query().Get("server")
 	out := View{Servers: []ServerView{}}
-	a.opt.Peers.View(func(now float64, v *view.View) {
+	a.opt.Peers.View(func(now float64, v *fleetview.View) {
 		out.Peers, out.Heavy = v.Peers(now), v.Heavy(now, heavyShown)
 		for _, id := range v.Servers() {
 			if name := serverlist.Name(id); only == "" || only == name {
--- a/internal/decide/view/view.go
+++ b/internal/decide/fleetview/fleetview.go
@@ -1,4 +1,4 @@
-// Package view is what all processes know together of the servers, put together from small digests that each publishes of
+// Package fleetview is what all processes know together of the servers, put together from small digests that each publishes of
 // what it saw itself. Digests are merged without coordination: a process alone writes its own entries, the newest by
 // incarnation and version stands, so that merging is idempotent, commutative and associative and any order of arrival ends
 // in the same view. Reading it goes through estimators that bound what liars can do (estimate.go).
@@ -6,7 +6,7 @@
 // It owns no clock and sends nothing: times come in as Unix ms, digests go out to the shell (internal/peers). It decides
 // nothing and names no server that a reader has not asked for: what is read here is advice to deciders, tested in
 // view_test.go as properties over drawn digests, orders and lies.
-package view
+package fleetview
 
 import (
 	"cmp"
--- a/internal/decide/view/golden_test.go
+++ b/internal/decide/fleetview/golden_test.go
@@ -1,4 +1,4 @@
-package view
+package fleetview
 
 import (
 	"encoding/json"
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -5,9 +5,9 @@
 	"fmt"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/view"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/source/board"
 )
@@ -60,9 +60,9 @@
 			Points: over(sizes, func(n int) float64 { return asJSON(ledgerOf(n).Views()) })},
 		{Name: "tools/members", Role: Tools, Driver: "members", Quantity: "the table of members that a tool asks one proxy for", Unit: "bytes",
 			Points: over(sizes, func(n int) float64 {
-				out := make([]view.Peer, n)
+				out := make([]fleetview.Peer, n)
 				for i := range out {
-					out[i] = view.Peer{Name: memberName(i), Zone: "zone-17", Incarnation: 1_800_000_000_000, Age: 812, Arrivals: 765, Servers: toldServers}
+					out[i] = fleetview.Peer{Name: memberName(i), Zone: "zone-17", Incarnation: 1_800_000_000_000, Age: 812, Arrivals: 765, Servers: toldServers}
 				}
 				return asJSON(out)
 			})},
--- a/internal/lab/capacity/record_view.go
+++ b/internal/lab/capacity/record_view.go
@@ -10,22 +10,22 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/policy"
 )
 
 // toldServers is how many servers a process speaks of: those of its site and its zone that it asks most.
 const toldServers = 20
 
-func digestOf(member, servers int, version uint64) view.Digest {
-	d := view.Digest{From: memberName(member), Incarnation: 1, Version: version, Zone: fmt.Sprintf("zone-%02d", member%73), Arrivals: view.LevelOf(765)}
+func digestOf(member, servers int, version uint64) fleetview.Digest {
+	d := fleetview.Digest{From: memberName(member), Incarnation: 1, Version: version, Zone: fmt.Sprintf("zone-%02d", member%73), Arrivals: fleetview.LevelOf(765)}
 	for n := range servers {
-		d.Servers = append(d.Servers, view.Seen{
-			Server: policy.CacheID(member%73*cachesAZone + n), Attempts: view.LevelOf(float64(20 + n)), Failures: 1, InFlight: 30, Latency: view.Latency{200, 40, 10},
+		d.Servers = append(d.Servers, fleetview.Seen{
+			Server: policy.CacheID(member%73*cachesAZone + n), Attempts: fleetview.LevelOf(float64(20 + n)), Failures: 1, InFlight: 30, Latency: fleetview.Latency{200, 40, 10},
 		})
 	}
 	for n := range 4 {
-		d.Heavy = append(d.Heavy, view.Heavy{Object: 1<<60 + uint64(n), Rate: 40})
+		d.Heavy = append(d.Heavy, fleetview.Heavy{Object: 1<<60 + uint64(n), Rate: 40})
 	}
 	return d
 }
@@ -33,10 +33,10 @@
 func memberName(n int) string { return fmt.Sprintf("proxy-%05d", n) }
 
 // viewOf has heard so many members, whatever the bound of today: the bound is a finding of its own.
-func viewOf(members int) *view.View {
-	o := view.Usual
+func viewOf(members int) *fleetview.View {
+	o := fleetview.Usual
 	o.Peers = 1 << 20
-	v := view.New("self", o)
+	v := fleetview.New("self", o)
 	for n := range members {
 		v.Merge(1, digestOf(n, toldServers, 1))
 	}
--- a/internal/lab/field/hard_test.go
+++ b/internal/lab/field/hard_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/view"
 	"ravenwheel/internal/lab/field"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/store"
@@ -18,7 +18,7 @@
 
 const asking = 50 * time.Millisecond
 
-type serverTotals = map[policy.CacheID]view.Totals
+type serverTotals = map[policy.CacheID]fleetview.Totals
 
 // What one zone sends to the other is lost, and what the other sends arrives: each gives the other up, as nobody's questions
 // are answered, all of a zone keep sight of each other, and they are one again afterwards.
--- a/internal/lab/field/peers_test.go
+++ b/internal/lab/field/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/decide/view"
 	"ravenwheel/internal/lab/field"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/store"
@@ -85,13 +85,13 @@
 }
 
 // stranger is a process of the field that the test plays itself, with its keys.
-func stranger(t *testing.T, f *field.Field, p *field.Process, listen string, seed string, totals func() map[policy.CacheID]view.Totals) *peers.Peers {
+func stranger(t *testing.T, f *field.Field, p *field.Process, listen string, seed string, totals func() map[policy.CacheID]fleetview.Totals) *peers.Peers {
 	t.Helper()
 	id, err := store.LoadIdentity(f.Keys(), p.Name)
 	require.NoError(t, err)
 	s, err := peers.Start(peers.Options{
 		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", Every: 200, Identity: id, Clock: f.Clock,
-		Totals:  func() (uint64, map[policy.CacheID]view.Totals) { return 0, totals() },
+		Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, totals() },
 		Objects: func() []uint64 { return nil },
 	})
 	require.NoError(t, err)
@@ -110,11 +110,11 @@
 	f.Kill(liar)
 	caches := f.Caches(0)
 	n := 0
-	s := stranger(t, f, liar, liar.PeerAddr, honest[0].PeerAddr, func() map[policy.CacheID]view.Totals {
+	s := stranger(t, f, liar, liar.PeerAddr, honest[0].PeerAddr, func() map[policy.CacheID]fleetview.Totals {
 		n++
-		out := map[policy.CacheID]view.Totals{}
+		out := map[policy.CacheID]fleetview.Totals{}
 		for _, id := range append(caches, 99) {
-			x := view.Totals{Attempts: uint64(n) * 200_000}
+			x := fleetview.Totals{Attempts: uint64(n) * 200_000}
 			if id != 99 {
 				x.Failures = x.Attempts
 			}
@@ -192,7 +192,7 @@
 	agree(t, f.Processes, f.Processes)
 
 	twice := f.Processes[1]
-	s := stranger(t, f, twice, "127.0.0.1:0", f.Processes[0].PeerAddr, func() map[policy.CacheID]view.Totals { return nil })
+	s := stranger(t, f, twice, "127.0.0.1:0", f.Processes[0].PeerAddr, func() map[policy.CacheID]fleetview.Totals { return nil })
 	require.Eventually(t, func() bool { return strings.Contains(twice.Log(), "two processes have one name") }, field.ReadyWithin, 20*time.Millisecond)
 	require.Contains(t, twice.Log(), twice.PeerAddr)
 	require.Contains(t, twice.Log(), s.Status().Addr)
--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/decide/fleetview"
 )
 
 // tick publishes what was counted since.
@@ -25,7 +25,7 @@
 		p.heavies.Add(o)
 	}
 	// A count that loses a quarter each tick stands for 1/(1-0.75) ticks.
-	heavy := slices.DeleteFunc(p.heavies.Most(heavyTold, (1-heavyFade)*1000/p.opt.Every), func(h view.Heavy) bool {
+	heavy := slices.DeleteFunc(p.heavies.Most(heavyTold, (1-heavyFade)*1000/p.opt.Every), func(h fleetview.Heavy) bool {
 		return h.Rate.Value() < heavyLeast
 	})
 	p.heavies.Fade(heavyFade)
@@ -33,7 +33,7 @@
 	p.view.Merge(now, news)
 	p.view.Age(now)
 	near, far := p.targets(nodes)
-	var whole []view.Digest
+	var whole []fleetview.Digest
 	if len(far) > 0 {
 		whole = p.view.Whole(now, p.opt.Name)
 		for i := range whole {
@@ -66,7 +66,7 @@
 	return draw(near, zoneMost), draw(far, farMost)
 }
 
-func (p *Peers) tell(to []*memberlist.Node, d view.Digest) {
+func (p *Peers) tell(to []*memberlist.Node, d fleetview.Digest) {
 	d.From, d.Incarnation = "", 0 // the envelope tells
 	p.mu.Lock()
 	set := p.set
@@ -88,7 +88,7 @@
 // heard takes in a digest of a sender that was checked, in one of its starts, and the mark of whom it takes for alive. Nobody
 // speaks for another.
 func (p *Peers) heard(from string, start uint64, body []byte) {
-	var d view.Digest
+	var d fleetview.Digest
 	end := max(0, len(body)-8)
 	if err := cbor.Unmarshal(body[:end], &d); err != nil || d.From != "" || d.Incarnation != 0 || d.Age != 0 {
 		p.Refused.Add(1)
@@ -102,7 +102,7 @@
 	} else {
 		p.others++
 	}
-	if p.view.Merge(p.opt.Clock.Now(), d) == view.TooMuch {
+	if p.view.Merge(p.opt.Clock.Now(), d) == fleetview.TooMuch {
 		p.Refused.Add(1)
 	}
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/golden"
 	"ravenwheel/internal/store"
 )
@@ -93,11 +93,11 @@
 }
 
 // goldenDigest has every field set that goes over the wire.
-func goldenDigest() view.Digest {
-	return view.Digest{
-		Version: 42, Zone: "zone-1", Arrivals: view.LevelOf(765),
-		Servers: []view.Seen{{Server: 7, Attempts: 60, Failures: 5, Refusals: 4, Overdue: 3, InFlight: 30, Latency: view.Latency{200, 40}}, {Server: 300}},
-		Heavy:   []view.Heavy{{Object: 1<<60 + 3, Rate: 40}}, Part: true,
+func goldenDigest() fleetview.Digest {
+	return fleetview.Digest{
+		Version: 42, Zone: "zone-1", Arrivals: fleetview.LevelOf(765),
+		Servers: []fleetview.Seen{{Server: 7, Attempts: 60, Failures: 5, Refusals: 4, Overdue: 3, InFlight: 30, Latency: fleetview.Latency{200, 40}}, {Server: 300}},
+		Heavy:   []fleetview.Heavy{{Object: 1<<60 + 3, Rate: 40}}, Part: true,
 	}
 }
 
@@ -124,14 +124,14 @@
 	require.NoError(t, err)
 	golden.Equal(t, "digest_body.bin", body)
 
-	receiver := &Peers{opt: Options{Clock: clock.Manual(goldenTime)}, view: view.New("b", view.Usual), set: 0x0123456789abcdef}
+	receiver := &Peers{opt: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.Usual), set: 0x0123456789abcdef}
 	receiver.heard("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
 	require.Zero(t, receiver.Refused.Load())
 	require.Equal(t, 1, receiver.same)
 	reporters := receiver.view.Reporters(goldenTime, 7)
 	require.Len(t, reporters, 1)
 	require.Equal(t, "a", reporters[0].Name)
-	require.Equal(t, view.Latency{200, 40}, reporters[0].Latency)
+	require.Equal(t, fleetview.Latency{200, 40}, reporters[0].Latency)
 }
 
 // What a member tells of itself by gossip.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
 // Package peers lets processes of the program find each other, notice who is gone and tell each other what they see:
 // membership by SWIM with Lifeguard's refinements (hashicorp/memberlist), every message bound to its sender by the
-// certificate that members of the store have too, and digests for the view in common (internal/decide/view). It is off
+// certificate that members of the store have too, and digests for the view in common (internal/decide/fleetview). It is off
 // unless the operator's file has "peers"; the platform allows no talk between processes. It decides nothing.
 package peers
 
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
 	"ravenwheel/policy"
@@ -36,7 +36,7 @@
 	Clock        *clock.Clock
 	Log          *logs.Log
 	// Totals are what this process counted so far; Objects those asked for since the last call.
-	Totals  func() (arrivals uint64, servers map[policy.CacheID]view.Totals)
+	Totals  func() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals)
 	Objects func() []uint64
 }
 
@@ -48,9 +48,9 @@
 	list *memberlist.Memberlist
 
 	mu        sync.Mutex
-	view      *view.View
-	collector *view.Collector
-	heavies   *view.Heavies
+	view      *fleetview.View
+	collector *fleetview.Collector
+	heavies   *fleetview.Heavies
 	rng       *rand.Rand
 	members   map[string]*Member
 	alive     int    // of these
@@ -128,8 +128,8 @@
 		return nil, err
 	}
 	p := &Peers{
-		opt: o, post: newPost(o.Identity, o.Clock, start), view: view.New(o.Name, view.Usual), heavies: view.NewHeavies(heavySize),
-		collector: &view.Collector{From: o.Name, Zone: o.Zone, Incarnation: start, Window: window},
+		opt: o, post: newPost(o.Identity, o.Clock, start), view: fleetview.New(o.Name, fleetview.Usual), heavies: fleetview.NewHeavies(heavySize),
+		collector: &fleetview.Collector{From: o.Name, Zone: o.Zone, Incarnation: start, Window: window},
 		rng:       rand.New(rand.NewPCG(start, uint64(len(o.Name)))), members: map[string]*Member{}, stop: func() {}, known: loadKnown(o.Dir),
 		twiceAt: map[string]float64{},
 	}
@@ -165,7 +165,7 @@
 }
 
 // View reads the view in common.
-func (p *Peers) View(read func(now float64, v *view.View)) {
+func (p *Peers) View(read func(now float64, v *fleetview.View)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	read(p.opt.Clock.Now(), p.view)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/view"
+	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/store"
 	"ravenwheel/policy"
 )
@@ -23,7 +23,7 @@
 		require.NoError(t, err)
 		p, err := Start(Options{
 			Name: name, Listen: listen, Seeds: seeds, Zone: "z", Every: 1000, Identity: id, Clock: clk,
-			Totals:  func() (uint64, map[policy.CacheID]view.Totals) { return 0, nil },
+			Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, nil },
 			Objects: func() []uint64 { return nil },
 		})
 		require.NoError(t, err)
