--- a/cmd/ravenwheel/distribution.go
+++ b/cmd/ravenwheel/distribution.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	pure "ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
@@ -22,11 +22,11 @@
 // shared is what this process has in common with others, as a member of the store or by distributors. The zero value is a
 // process that shares nothing.
 type shared struct {
-	store     *store.Store            // nil: none is set up
-	node      *distribution.Node      // nil: in no tree of distributors
-	heard     chan replica.Change     // facts, in order; nil: none come
-	revisions <-chan replica.Revision // of the configuration; nil: none come
-	over      chan struct{}           // closed when nobody takes in what distributors tell
+	store     *store.Store               // nil: none is set up
+	node      *distribution.Node         // nil: in no tree of distributors
+	heard     chan storestate.Change     // facts, in order; nil: none come
+	revisions <-chan storestate.Revision // of the configuration; nil: none come
+	over      chan struct{}              // closed when nobody takes in what distributors tell
 }
 
 // member tells whether the process is one of a store's, only whether it is not, and hears what the store holds.
@@ -40,11 +40,11 @@
 			s.close()
 		}
 	}()
-	var told func(replica.Change)
+	var told func(storestate.Change)
 	if o.Store.Name != "" || o.Distribution != nil {
 		// Made before the store opens: what it applies while this proxy starts is told, not passed over.
-		heard := make(chan replica.Change, mostHeard)
-		s.heard, told = heard, func(c replica.Change) { heard <- c }
+		heard := make(chan storestate.Change, mostHeard)
+		s.heard, told = heard, func(c storestate.Change) { heard <- c }
 	}
 	if o.Store.Name != "" || o.Signed != nil {
 		if s.store, err = o.OpenStore(clk, told); err != nil {
@@ -73,15 +73,15 @@
 // hear has what distributors tell go where a member's facts and revisions go. A start that fails leaves nobody who takes it
 // in: then it is dropped, so that the node can end.
 func (s *shared) hear(opt *distribution.Options) {
-	heard, over, revisions := s.heard, make(chan struct{}), make(chan replica.Revision, 1)
+	heard, over, revisions := s.heard, make(chan struct{}), make(chan storestate.Revision, 1)
 	s.over, s.revisions = over, revisions
-	opt.Take = func(c replica.Change) {
+	opt.Take = func(c storestate.Change) {
 		select {
 		case heard <- c:
 		case <-over:
 		}
 	}
-	opt.Revised = func(r replica.Revision) { // by one goroutine: after the older one is out, there is room
+	opt.Revised = func(r storestate.Revision) { // by one goroutine: after the older one is out, there is room
 		select {
 		case <-revisions:
 		default:
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/admin"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/state"
 )
@@ -268,17 +268,17 @@
 
 // A start that fails ends, however much distributors tell meanwhile; of revisions the newest is kept.
 func TestHear(t *testing.T) {
-	s := shared{heard: make(chan replica.Change, 1)}
+	s := shared{heard: make(chan storestate.Change, 1)}
 	var o distribution.Options
 	s.hear(&o)
-	o.Take(replica.Change{Name: "first"})
+	o.Take(storestate.Change{Name: "first"})
 	waits := make(chan struct{})
 	go func() {
-		o.Take(replica.Change{Name: "second"})
+		o.Take(storestate.Change{Name: "second"})
 		close(waits)
 	}()
-	o.Revised(replica.Revision{Number: 1})
-	o.Revised(replica.Revision{Number: 2})
+	o.Revised(storestate.Revision{Number: 1})
+	o.Revised(storestate.Revision{Number: 2})
 	require.Equal(t, uint64(2), (<-s.revisions).Number)
 	s.close()
 	<-waits
--- a/cmd/ravenwheel/live_test.go
+++ b/cmd/ravenwheel/live_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/core"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/scenario"
 	"ravenwheel/internal/store"
@@ -81,8 +81,8 @@
 		oper: &config.Operator{LogOpt: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
 	}
 	good := `{"log": {"level": "info"}, "keys": {"k1": {"alg": "HS256", "key": "eA=="}}}`
-	l.apply(replica.Revision{Number: 1, Text: good})
-	l.apply(replica.Revision{Number: 2, Text: "{"})
+	l.apply(storestate.Revision{Number: 1, Text: good})
+	l.apply(storestate.Revision{Number: 2, Text: "{"})
 	require.Equal(t, good, l.good)
 	require.Equal(t, []uint64{1}, used)
 	require.Contains(t, out.String(), "a revision can't be used")
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -11,8 +11,8 @@
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/recovery"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/facts"
 	"ravenwheel/internal/front/signed"
 	"ravenwheel/internal/logs"
@@ -37,7 +37,7 @@
 	if s.member {
 		set := s.core.Settings()
 		until := p.At + 2*clock.Ms(set.PurgeTakes) + clock.Ms(set.PurgeNotice)
-		_, serr := s.store.Do(replica.Change{Kind: replica.SetPurge, Until: until, Purge: &replica.Purge{Object: p.Object, Group: p.Group, Made: p.At}})
+		_, serr := s.store.Do(storestate.Change{Kind: storestate.SetPurge, Until: until, Purge: &storestate.Purge{Object: p.Object, Group: p.Group, Made: p.At}})
 		err = errors.Join(err, serr)
 	}
 	return err
@@ -54,11 +54,11 @@
 	case !s.member:
 		return s.drained(id, on)
 	}
-	kind := replica.EndDrain
+	kind := storestate.EndDrain
 	if on {
-		kind = replica.SetDrain
+		kind = storestate.SetDrain
 	}
-	_, err := s.store.Do(replica.Change{Kind: kind, Name: serverlist.Name(id)})
+	_, err := s.store.Do(storestate.Change{Kind: kind, Name: serverlist.Name(id)})
 	return err
 }
 
@@ -83,7 +83,7 @@
 		return nil, bad
 	}
 	var old *serverlist.Set
-	if err := s.store.Read(true, func(st *replica.State) {
+	if err := s.store.Read(true, func(st *storestate.State) {
 		if l, ok := st.Lists[storeList]; ok {
 			old = serverlist.Again(l.Generation, l.Servers)
 		}
@@ -94,7 +94,7 @@
 	if bad != nil {
 		return nil, bad
 	}
-	_, err := s.store.Do(replica.Change{Kind: replica.SetList, Name: storeList, List: &replica.List{Generation: set.Generation, Servers: set.Servers}})
+	_, err := s.store.Do(storestate.Change{Kind: storestate.SetList, Name: storeList, List: &storestate.List{Generation: set.Generation, Servers: set.Servers}})
 	return set, err
 }
 
@@ -115,7 +115,7 @@
 // live applies revisions of the shared configuration: all of one or nothing.
 type live struct {
 	store     *store.Store // nil: revisions come by distributors
-	revisions <-chan replica.Revision
+	revisions <-chan storestate.Revision
 	log       *logs.Log
 	core      *core.Core
 	up        *upstream.Pools
@@ -135,7 +135,7 @@
 
 // apply checks a revision whole and puts it in force. One that can't be used here was proposed past the check of another
 // version: the text in use is proposed again in its place, unless a newer one is there by then.
-func (l *live) apply(r replica.Revision) {
+func (l *live) apply(r storestate.Revision) {
 	x, err := config.ParseLive(fmt.Sprintf("revision %d", r.Number), r.Text)
 	if err != nil {
 		l.log.Error("config").Err(err).Uint64("revision", r.Number).Msg("a revision can't be used: the one before it stays, and a member of the store puts it back")
@@ -182,7 +182,7 @@
 // that fails is made again with the next revision.
 func (l *live) changeKeys(ring config.KeyRing) {
 	have := map[string]store.Key{}
-	_ = l.store.Read(false, func(s *replica.State) { maps.Copy(have, s.Keys) })
+	_ = l.store.Read(false, func(s *storestate.State) { maps.Copy(have, s.Keys) })
 	for kid, k := range ring {
 		if old, ok := have[kid]; !ok || old.Alg != k.Alg || string(old.Data) != string(k.Data) {
 			if err := l.store.PutKey(kid, k); err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,8 +23,8 @@
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
@@ -351,14 +351,14 @@
 
 // Config is what "config get" and "config history" show: the revisions that are kept, oldest first.
 type Config struct {
-	InForce   uint64             `json:"in_force"`
-	Revisions []replica.Revision `json:"revisions"`
-	StaleMs   float64            `json:"stale_ms"` // how long this member has heard of no leader
+	InForce   uint64                `json:"in_force"`
+	Revisions []storestate.Revision `json:"revisions"`
+	StaleMs   float64               `json:"stale_ms"` // how long this member has heard of no leader
 }
 
 func (a *Admin) config(w http.ResponseWriter, _ *http.Request) {
 	out := Config{StaleMs: a.opt.Store.Status().StaleMs}
-	_ = a.opt.Store.Read(false, func(s *replica.State) {
+	_ = a.opt.Store.Read(false, func(s *storestate.State) {
 		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Config)
 	})
 	reply(w, out)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -17,8 +17,8 @@
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/golden"
 	"ravenwheel/internal/source/board"
@@ -58,7 +58,7 @@
 	goldenForm(t, "drain.json", Drain{ID: "s-00c41f7a", On: true})
 	goldenForm(t, "list.json", List{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
 	goldenForm(t, "config.json", Config{
-		InForce: 2, StaleMs: 3.5, Revisions: []replica.Revision{{Number: 1, At: 10.5, By: "ann", Text: "{}", Of: 4}, {Number: 2, At: 11, Text: "{}"}},
+		InForce: 2, StaleMs: 3.5, Revisions: []storestate.Revision{{Number: 1, At: 10.5, By: "ann", Text: "{}", Of: 4}, {Number: 2, At: 11, Text: "{}"}},
 	})
 	goldenForm(t, "configure.json", Configure{Base: 1, Text: "{}", By: "ann", Back: 2})
 	goldenForm(t, "peer-call.json", PeerCall{Do: "ping", Name: "proxy-1"})
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
 	"ravenwheel/internal/strictjson"
@@ -44,7 +44,7 @@
 type KeyRing map[string]store.Key
 
 // OpenStore starts this member of the store; facts is as store.Options.Facts.
-func (o *Operator) OpenStore(clk *clock.Clock, facts func(replica.Change)) (*store.Store, error) {
+func (o *Operator) OpenStore(clk *clock.Clock, facts func(storestate.Change)) (*store.Store, error) {
 	s := o.Store
 	so := store.Options{Timeout: o.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, Facts: facts}
 	if s.Name != "" {
--- a/internal/decide/replica/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -1,4 +1,4 @@
-package replica_test
+package storestate_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // heldSizes are how many obligations a benchmark's state holds.
@@ -15,17 +15,17 @@
 
 // holding is a state with n purges, n spent and n revoked token ids, the i-th of which ends at i ms. It is read from a
 // snapshot, as applying so many changes is what is measured.
-func holding(b *testing.B, n int) *replica.State {
-	s := replica.New()
+func holding(b *testing.B, n int) *storestate.State {
+	s := storestate.New()
 	s.Now = 1
 	for i := 1; i <= n; i++ {
 		name := strconv.Itoa(i)
-		s.Purges[name] = replica.Purge{Object: name, Made: 1, Until: float64(i)}
+		s.Purges[name] = storestate.Purge{Object: name, Made: 1, Until: float64(i)}
 		s.Spent[name], s.Revoked[name] = float64(i), float64(i)
 	}
-	raw, err := replica.Encode(s)
+	raw, err := storestate.Encode(s)
 	require.NoError(b, err)
-	s, err = replica.DecodeState(raw)
+	s, err = storestate.DecodeState(raw)
 	require.NoError(b, err)
 	return s
 }
@@ -34,8 +34,8 @@
 func BenchmarkExpire(b *testing.B) {
 	for _, kind := range []struct {
 		name string
-		kind replica.Kind
-	}{{"purge", replica.SetPurge}, {"spend", replica.Spend}, {"revoke", replica.Revoke}} {
+		kind storestate.Kind
+	}{{"purge", storestate.SetPurge}, {"spend", storestate.Spend}, {"revoke", storestate.Revoke}} {
 		for _, n := range heldSizes {
 			b.Run(fmt.Sprintf("%s/held=%d", kind.name, n), func(b *testing.B) {
 				s := holding(b, n)
@@ -44,9 +44,9 @@
 				for b.Loop() {
 					at++
 					name := strconv.Itoa(n + at)
-					c := replica.Change{Kind: kind.kind, At: float64(at), Until: float64(n + at), Name: name}
-					if c.Kind == replica.SetPurge {
-						c.Purge = &replica.Purge{Object: name, Made: c.At}
+					c := storestate.Change{Kind: kind.kind, At: float64(at), Until: float64(n + at), Name: name}
+					if c.Kind == storestate.SetPurge {
+						c.Purge = &storestate.Purge{Object: name, Made: c.At}
 					}
 					s.Apply(c)
 				}
--- a/internal/decide/replica/expiry_test.go
+++ b/internal/decide/storestate/expiry_test.go
@@ -1,4 +1,4 @@
-package replica_test
+package storestate_test
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // walk is what the state holds until a time, as a walk through all of it at each change keeps it.
@@ -23,23 +23,23 @@
 	}
 }
 
-func (w walk) apply(now float64, c replica.Change) {
+func (w walk) apply(now float64, c storestate.Change) {
 	switch c.Kind {
-	case replica.Spend:
+	case storestate.Spend:
 		prune(w.spent, now)
 		if _, known := w.spent[c.Name]; !known {
 			w.spent[c.Name] = c.Until
 		}
-	case replica.Revoke:
+	case storestate.Revoke:
 		prune(w.revoked, now)
 		w.revoked[c.Name] = c.Until
-	case replica.SetPurge:
+	case storestate.SetPurge:
 		w.purges[c.Purge.Object] = max(c.Until, w.purges[c.Purge.Object])
 		prune(w.purges, now)
 	}
 }
 
-func (w walk) require(t *rapid.T, s *replica.State) {
+func (w walk) require(t *rapid.T, s *storestate.State) {
 	require.Equal(t, w.spent, s.Spent)
 	require.Equal(t, w.revoked, s.Revoked)
 	require.Len(t, s.Purges, len(w.purges))
@@ -52,24 +52,24 @@
 // times, with clocks that jump and snapshots in between.
 func TestExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := replica.New()
+		s := storestate.New()
 		w := walk{map[string]float64{}, map[string]float64{}, map[string]float64{}}
 		at := 1e6
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			at += rapid.OneOf(rapid.Float64Range(0, 50), rapid.Float64Range(-1e5, 1e5)).Draw(t, "step")
 			name := rapid.StringMatching(`[a-l]`).Draw(t, "name")
-			c := replica.Change{
+			c := storestate.Change{
 				At: at, Name: name, Until: at + rapid.OneOf(rapid.Just(30.0), rapid.Float64Range(-100, 500), rapid.Float64Range(-1e5, 1e5)).Draw(t, "for"),
-				Kind:  rapid.SampledFrom([]replica.Kind{replica.Spend, replica.Revoke, replica.SetPurge}).Draw(t, "kind"),
-				Purge: &replica.Purge{Object: name, Made: at},
+				Kind:  rapid.SampledFrom([]storestate.Kind{storestate.Spend, storestate.Revoke, storestate.SetPurge}).Draw(t, "kind"),
+				Purge: &storestate.Purge{Object: name, Made: at},
 			}
 			s.Apply(c)
 			w.apply(s.Now, c)
 			w.require(t, s)
 			if rapid.IntRange(0, 19).Draw(t, "snapshot") == 0 {
-				raw, err := replica.Encode(s)
+				raw, err := storestate.Encode(s)
 				require.NoError(t, err)
-				s, err = replica.DecodeState(raw)
+				s, err = storestate.DecodeState(raw)
 				require.NoError(t, err)
 			}
 		}
@@ -79,24 +79,24 @@
 // Members whose contents are equal have equal bytes, in whatever order it came to them.
 func TestOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		changes := []replica.Change{{Kind: replica.EndDrain, At: 1000}}
+		changes := []storestate.Change{{Kind: storestate.EndDrain, At: 1000}}
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
 			name := string(rune('A' + i))
 			until := float64(rapid.IntRange(500, 2000).Draw(t, "until"))
-			kind := rapid.SampledFrom([]replica.Kind{replica.Spend, replica.Revoke, replica.SetPurge}).Draw(t, "kind")
-			changes = append(changes, replica.Change{Kind: kind, At: 1000, Until: until, Name: name, Purge: &replica.Purge{Object: name, Made: 1000}})
+			kind := rapid.SampledFrom([]storestate.Kind{storestate.Spend, storestate.Revoke, storestate.SetPurge}).Draw(t, "kind")
+			changes = append(changes, storestate.Change{Kind: kind, At: 1000, Until: until, Name: name, Purge: &storestate.Purge{Object: name, Made: 1000}})
 		}
-		last := []replica.Change{ // each has those of its kind end whose time is over
-			{Kind: replica.Spend, At: 1500, Until: 9000, Name: "z"}, {Kind: replica.Revoke, At: 1500, Until: 9000, Name: "z"},
-			{Kind: replica.SetPurge, At: 1500, Until: 9000, Purge: &replica.Purge{Object: "z", Made: 1500}},
+		last := []storestate.Change{ // each has those of its kind end whose time is over
+			{Kind: storestate.Spend, At: 1500, Until: 9000, Name: "z"}, {Kind: storestate.Revoke, At: 1500, Until: 9000, Name: "z"},
+			{Kind: storestate.SetPurge, At: 1500, Until: 9000, Purge: &storestate.Purge{Object: "z", Made: 1500}},
 		}
 		var bytes [2][]byte
-		for i, order := range [][]replica.Change{changes, rapid.Permutation(changes).Draw(t, "order")} {
-			s := replica.New()
+		for i, order := range [][]storestate.Change{changes, rapid.Permutation(changes).Draw(t, "order")} {
+			s := storestate.New()
 			for _, c := range append(order, last...) {
 				s.Apply(c)
 			}
-			raw, err := replica.Encode(s)
+			raw, err := storestate.Encode(s)
 			require.NoError(t, err)
 			bytes[i] = raw
 		}
@@ -107,27 +107,27 @@
 // A snapshot that holds an end that is no time keeps what it is the end of, as it did before ends were ordered, and what
 // is beside it expires.
 func TestEndThatIsNone(t *testing.T) {
-	s := replica.New()
+	s := storestate.New()
 	s.Now = 1000
 	s.Revoked["a"], s.Revoked["b"] = math.NaN(), 1500
-	raw, err := replica.Encode(s)
+	raw, err := storestate.Encode(s)
 	require.NoError(t, err)
-	s, err = replica.DecodeState(raw)
+	s, err = storestate.DecodeState(raw)
 	require.NoError(t, err)
-	s.Apply(replica.Change{Kind: replica.Revoke, At: 2000, Until: 3000, Name: "c"})
+	s.Apply(storestate.Change{Kind: storestate.Revoke, At: 2000, Until: 3000, Name: "c"})
 	require.Contains(t, s.Revoked, "a")
 	require.NotContains(t, s.Revoked, "b")
-	s.Apply(replica.Change{Kind: replica.Revoke, At: 2000, Until: 2500, Name: "a"})
-	s.Apply(replica.Change{Kind: replica.Revoke, At: 2600, Until: 3000, Name: "d"})
+	s.Apply(storestate.Change{Kind: storestate.Revoke, At: 2000, Until: 2500, Name: "a"})
+	s.Apply(storestate.Change{Kind: storestate.Revoke, At: 2600, Until: 3000, Name: "d"})
 	require.NotContains(t, s.Revoked, "a", "it has an end since")
 }
 
 // Results that are kept for changes that come again take no more memory however many changes there were: what the slice
 // was cut from is let go of whenever it is made anew.
 func TestDoneBounded(t *testing.T) {
-	s := replica.New()
+	s := storestate.New()
 	for i := range 400_000 {
-		s.Apply(replica.Change{ID: string(rune(i)) + string(rune(i>>10)), Kind: replica.EndDrain, At: 1000})
+		s.Apply(storestate.Change{ID: string(rune(i)) + string(rune(i>>10)), Kind: storestate.EndDrain, At: 1000})
 	}
 	require.LessOrEqual(t, len(s.Done), 1<<16)
 	require.LessOrEqual(t, cap(s.Done), 1<<17)
--- /dev/null
+++ b/internal/decide/storestate/golden_test.go
@@ -0,0 +1,119 @@
+package storestate_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
+	"ravenwheel/internal/golden"
+)
+
+func goldenKey() *storestate.Key { return &storestate.Key{Alg: "HS256", Data: []byte("secret")} }
+
+func goldenList() *storestate.List {
+	return &storestate.List{Generation: 12, Servers: []serverlist.Server{{
+		ID: 1, Host: "cache1.example.org", Port: 4100, Addr: "127.0.0.1:4100", Zone: "east", Kind: "small", Cell: 2, Draining: true,
+		Weight: 4.5, Started: 1e12, Warm: true,
+	}, {ID: 2, Host: "127.0.0.2", Port: 4100}}}
+}
+
+type goldenEntry struct {
+	name   string
+	change storestate.Change
+}
+
+// goldenChanges are an entry of each kind, and one with each field set.
+func goldenChanges() []goldenEntry {
+	return []goldenEntry{
+		{"change-spend.cbor", storestate.Change{ID: "id-1", At: 1e12, Kind: storestate.Spend, Name: "jti", Until: 1e12 + 9000.5}},
+		{"change-put-key.cbor", storestate.Change{ID: "id-2", At: 1e12, Kind: storestate.PutKey, Name: "kid", Key: goldenKey()}},
+		{"change-drop-key.cbor", storestate.Change{ID: "id-3", At: 1e12, Kind: storestate.DropKey, Name: "other"}},
+		{"change-revoke.cbor", storestate.Change{ID: "id-4", At: 1e12, Kind: storestate.Revoke, Name: "jti", Until: 1e12 + 9000}},
+		{"change-set-config.cbor", storestate.Change{ID: "id-5", At: 1e12, Kind: storestate.SetConfig, Text: "{}", By: "ops"}},
+		{"change-set-config-next.cbor", storestate.Change{ID: "id-6", At: 1e12, Kind: storestate.SetConfig, Base: 1, Text: "{ }"}},
+		{"change-set-config-back.cbor", storestate.Change{ID: "id-7", At: 1e12, Kind: storestate.SetConfig, Base: 2, Text: "{}", By: "ops"}},
+		{"change-set-list.cbor", storestate.Change{ID: "id-8", At: 1e12, Kind: storestate.SetList, Name: "main", List: goldenList()}},
+		{"change-set-drain.cbor", storestate.Change{ID: "id-9", At: 1e12, Kind: storestate.SetDrain, Name: "s-00000001"}},
+		{"change-end-drain.cbor", storestate.Change{ID: "id-10", At: 1e12, Kind: storestate.EndDrain, Name: "s-00000002"}},
+		{"change-set-purge-object.cbor", storestate.Change{
+			ID: "id-11", At: 1e12, Kind: storestate.SetPurge, Until: 1e12 + 9000, Purge: &storestate.Purge{Object: "o", Made: 1e12 - 5, Until: 1e12},
+		}},
+		{"change-set-purge-group.cbor", storestate.Change{ID: "id-12", At: 1e12, Kind: storestate.SetPurge, Until: 1e12 + 9000, Purge: &storestate.Purge{Group: 3, Made: 1e12}}},
+		{"change-stale-list.cbor", storestate.Change{ID: "id-13", At: 1e12, Kind: storestate.SetList, Name: "main", List: &storestate.List{Generation: 1}}},
+		{"change-full.cbor", storestate.Change{
+			ID: "id-14", At: 1e12, Kind: storestate.SetDrain, Name: "s-00000003", Until: 1e12 + 1, Key: goldenKey(), Base: 4, Text: "t", By: "b",
+			List: goldenList(), Purge: &storestate.Purge{Object: "o", Group: 1, Made: 1e12, Until: 1e12 + 2},
+		}},
+		{"change-least.cbor", storestate.Change{}},
+	}
+}
+
+func TestGoldenChanges(t *testing.T) {
+	for _, e := range goldenChanges() {
+		raw, err := storestate.Encode(e.change)
+		require.NoError(t, err)
+		golden.Equal(t, e.name, raw)
+		read, err := storestate.DecodeChange(golden.Read(t, e.name))
+		require.NoError(t, err)
+		require.Equal(t, e.change, read, e.name)
+	}
+}
+
+// goldenState is what the entries add up to.
+func goldenState() *storestate.State {
+	s := storestate.New()
+	for i, e := range goldenChanges() {
+		s.Applied = uint64(i + 10)
+		s.Apply(e.change)
+	}
+	return s
+}
+
+func TestGoldenState(t *testing.T) {
+	for name, s := range map[string]*storestate.State{"state.cbor": goldenState(), "state-empty.cbor": storestate.New()} {
+		raw, err := storestate.Encode(s)
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+		read, err := storestate.DecodeState(golden.Read(t, name))
+		require.NoError(t, err)
+		for _, c := range []*storestate.State{s, read} { // an id that was used before has its first result again
+			for _, e := range goldenChanges() {
+				require.Equal(t, s.Did(e.change.ID), c.Did(e.change.ID))
+			}
+		}
+		again, err := storestate.Encode(read)
+		require.NoError(t, err)
+		golden.Equal(t, name, again)
+	}
+}
+
+// A result goes to the member that asked without its form in front.
+func TestGoldenResults(t *testing.T) {
+	for name, r := range map[string]storestate.Result{
+		"result-ok.cbor": {}, "result-conflict.cbor": {Verdict: storestate.Conflict, Revision: 7}, "result-invalid.cbor": {Verdict: storestate.Invalid},
+	} {
+		raw, err := storestate.Encode(r)
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+		var read storestate.Result
+		require.NoError(t, cbor.Unmarshal(golden.Read(t, name)[1:], &read))
+		require.Equal(t, r, read)
+	}
+}
+
+// What the admin interface shows of a state.
+func TestGoldenJSON(t *testing.T) {
+	s := goldenState()
+	for name, v := range map[string]any{
+		"keys.json": s.Keys, "lists.json": s.Lists, "purges.json": s.Purges, "config.json": s.Config, "revision-empty.json": storestate.Revision{},
+		"purge-empty.json": storestate.Purge{},
+	} {
+		raw, err := json.MarshalIndent(v, "", "  ")
+		require.NoError(t, err)
+		golden.Equal(t, name, raw)
+	}
+}
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/storestate/storestate.go
@@ -1,8 +1,8 @@
-// Package replica is the state that the members of a store share: signing keys, spent and revoked token ids, revisions of
+// Package storestate is the state that the members of a store share: signing keys, spent and revoked token ids, revisions of
 // the configuration, and facts of membership, drains and purges. It is what a replicated log adds up to: Apply is
 // deterministic, times are those of the proposer, and a change that comes twice under one id has one effect and one
 // result. It does no I/O. Its decisions are tested here, and through the store under faults.
-package replica
+package storestate
 
 import (
 	"encoding/json"
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -1,4 +1,4 @@
-package replica_test
+package storestate_test
 
 import (
 	"fmt"
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/scenario/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func change(t *rapid.T, n int) replica.Change {
-	c := replica.Change{
+func change(t *rapid.T, n int) storestate.Change {
+	c := storestate.Change{
 		ID: fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id")), At: float64(rapid.IntRange(0, 5000).Draw(t, "at")),
-		Kind: replica.Kind(rapid.IntRange(0, 10).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+		Kind: storestate.Kind(rapid.IntRange(0, 10).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 		Until: float64(rapid.IntRange(0, 9000).Draw(t, "until")), Base: uint64(rapid.IntRange(0, 4).Draw(t, "base")),
 		Text: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "text"),
 	}
 	if rapid.Bool().Draw(t, "full") {
-		c.Key = &replica.Key{Alg: "HS256", Data: []byte{1}}
-		c.List = &replica.List{Generation: uint64(rapid.IntRange(1, 3).Draw(t, "gen")), Servers: []serverlist.Server{{ID: 1, Host: "h"}}}
-		c.Purge = &replica.Purge{Group: rapid.IntRange(0, 2).Draw(t, "group"), Made: c.At}
+		c.Key = &storestate.Key{Alg: "HS256", Data: []byte{1}}
+		c.List = &storestate.List{Generation: uint64(rapid.IntRange(1, 3).Draw(t, "gen")), Servers: []serverlist.Server{{ID: 1, Host: "h"}}}
+		c.Purge = &storestate.Purge{Group: rapid.IntRange(0, 2).Draw(t, "group"), Made: c.At}
 	}
 	return c
 }
@@ -33,14 +33,14 @@
 // snapshot at any place; and a token id is spent once, whoever asks.
 func TestAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, two := replica.New(), replica.New()
+		one, two := storestate.New(), storestate.New()
 		spent := map[string]string{} // by name: the change that spent it
 		ids := map[string]bool{}
 		for n := range rapid.IntRange(0, 60).Draw(t, "n") {
 			c := change(t, n)
-			raw, err := replica.Encode(c)
+			raw, err := storestate.Encode(c)
 			require.NoError(t, err)
-			back, err := replica.DecodeChange(raw)
+			back, err := storestate.DecodeChange(raw)
 			require.NoError(t, err)
 			before := one.Revision().Number
 			r := one.Apply(c)
@@ -48,22 +48,22 @@
 			require.Equal(t, r, one.Apply(c), "the same id again has the same result, and no effect")
 			require.LessOrEqual(t, one.Revision().Number, before+1)
 			again := ids[c.ID]
-			if ids[c.ID] = true; !again && c.Kind == replica.Spend && r.Verdict == replica.OK && c.Until > 5000 {
+			if ids[c.ID] = true; !again && c.Kind == storestate.Spend && r.Verdict == storestate.OK && c.Until > 5000 {
 				if by, done := spent[c.Name]; done {
 					require.Equal(t, by, c.ID, "spent twice")
 				}
 				spent[c.Name] = c.ID
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				raw, err := replica.Encode(two)
+				raw, err := storestate.Encode(two)
 				require.NoError(t, err)
-				two, err = replica.DecodeState(raw)
+				two, err = storestate.DecodeState(raw)
 				require.NoError(t, err)
 			}
 		}
-		a, err := replica.Encode(one)
+		a, err := storestate.Encode(one)
 		require.NoError(t, err)
-		b, err := replica.Encode(two)
+		b, err := storestate.Encode(two)
 		require.NoError(t, err)
 		require.Equal(t, a, b)
 	})
@@ -71,34 +71,34 @@
 
 // What version 0 wrote, entries and snapshots, is read.
 func TestMigration(t *testing.T) {
-	s, err := replica.DecodeState([]byte(`{"Keys":{"k1":{"alg":"HS256","key":"eA=="}},"Config":{"site":"th"},"Spent":{"j1":9000},"Revoked":{"j2":9000}}`))
+	s, err := storestate.DecodeState([]byte(`{"Keys":{"k1":{"alg":"HS256","key":"eA=="}},"Config":{"site":"th"},"Spent":{"j1":9000},"Revoked":{"j2":9000}}`))
 	require.NoError(t, err)
-	require.Equal(t, replica.Key{Alg: "HS256", Data: []byte("x")}, s.Keys["k1"])
-	for raw, want := range map[string]replica.Verdict{
-		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            replica.Spent,
-		`{"Op":0,"Name":"j3","Until":9000,"Now":1000}`:            replica.OK,
-		`{"Op":1,"Name":"k2","Key":{"alg":"HS256","key":"eQ=="}}`: replica.OK,
-		`{"Op":2,"Name":"k1"}`:                                    replica.OK,
-		`{"Op":4,"Name":"site","Value":"x"}`:                      replica.Invalid,
+	require.Equal(t, storestate.Key{Alg: "HS256", Data: []byte("x")}, s.Keys["k1"])
+	for raw, want := range map[string]storestate.Verdict{
+		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            storestate.Spent,
+		`{"Op":0,"Name":"j3","Until":9000,"Now":1000}`:            storestate.OK,
+		`{"Op":1,"Name":"k2","Key":{"alg":"HS256","key":"eQ=="}}`: storestate.OK,
+		`{"Op":2,"Name":"k1"}`:                                    storestate.OK,
+		`{"Op":4,"Name":"site","Value":"x"}`:                      storestate.Invalid,
 	} {
-		c, err := replica.DecodeChange([]byte(raw))
+		c, err := storestate.DecodeChange([]byte(raw))
 		require.NoError(t, err)
 		require.Equal(t, want, s.Apply(c).Verdict, raw)
 	}
 	require.Contains(t, s.Keys, "k2")
 	require.NotContains(t, s.Keys, "k1")
 	for _, raw := range []string{"", "{", "\x02", "\x01\xff"} {
-		_, err := replica.DecodeState([]byte(raw))
+		_, err := storestate.DecodeState([]byte(raw))
 		require.Error(t, err, raw)
-		_, err = replica.DecodeChange([]byte(raw))
+		_, err = storestate.DecodeChange([]byte(raw))
 		require.Error(t, err, raw)
 	}
 }
 
 // A proposer whose clock is years ahead does not void everybody's tokens.
 func TestClockAhead(t *testing.T) {
-	s := replica.New()
-	require.Equal(t, replica.OK, s.Apply(replica.Change{Kind: replica.Spend, Name: "a", At: 1000, Until: 100_000}).Verdict)
-	s.Apply(replica.Change{Kind: replica.Spend, Name: "b", At: 9e15, Until: 9e15})
-	require.Equal(t, replica.Spent, s.Apply(replica.Change{Kind: replica.Spend, Name: "a", At: 1001, Until: 100_000}).Verdict)
+	s := storestate.New()
+	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.Spend, Name: "a", At: 1000, Until: 100_000}).Verdict)
+	s.Apply(storestate.Change{Kind: storestate.Spend, Name: "b", At: 9e15, Until: 9e15})
+	require.Equal(t, storestate.Spent, s.Apply(storestate.Change{Kind: storestate.Spend, Name: "a", At: 1001, Until: 100_000}).Verdict)
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -9,7 +9,7 @@
 
 	pure "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/distribution/check"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/store"
 )
@@ -20,31 +20,31 @@
 	a := tr.log.member()
 	tr.log.purge("before")
 	tr.start(peer("a", 0), a, true)
-	tr.log.commit(replica.Change{Kind: replica.SetDrain, Name: "s-1"})
+	tr.log.commit(storestate.Change{Kind: storestate.SetDrain, Name: "s-1"})
 	p := tr.start(peer("p", 9), nil, false, "a")
 	tr.caughtUp("p")
 	tr.log.purge("after")
-	tr.log.commit(replica.Change{Kind: replica.EndDrain, Name: "s-1"})
+	tr.log.commit(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	a.apply()
 	tr.caughtUp("p")
 	eventually(t, "the drain's end", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.facts[len(p.facts)-1].Kind == replica.EndDrain || len(p.facts) > 1 && p.facts[len(p.facts)-2].Kind == replica.EndDrain
+		return p.facts[len(p.facts)-1].Kind == storestate.EndDrain || len(p.facts) > 1 && p.facts[len(p.facts)-2].Kind == storestate.EndDrain
 	})
 	var purges, drains []string
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.facts {
 		switch c.Kind {
-		case replica.SetPurge:
+		case storestate.SetPurge:
 			purges = append(purges, c.Purge.Object)
 		default:
 			drains = append(drains, fmt.Sprint(c.Kind, c.Name))
 		}
 	}
 	require.Equal(t, []string{"before", "after"}, purges)
-	require.Equal(t, []string{fmt.Sprint(replica.SetDrain, "s-1"), fmt.Sprint(replica.EndDrain, "s-1")}, drains)
+	require.Equal(t, []string{fmt.Sprint(storestate.SetDrain, "s-1"), fmt.Sprint(storestate.EndDrain, "s-1")}, drains)
 }
 
 // levels starts two roots, two distributors and four proxies.
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -10,22 +10,22 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // entryOf is a change of the store as an entry of a stream; 0: it is of none.
-func entryOf(index uint64, c replica.Change, r replica.Revision) (distribution.Stream, distribution.Entry, error) {
+func entryOf(index uint64, c storestate.Change, r storestate.Revision) (distribution.Stream, distribution.Entry, error) {
 	e := distribution.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
-	case replica.SetPurge:
+	case storestate.SetPurge:
 		return distribution.Purges, purgeEntry(index, *c.Purge, c.Until), nil
-	case replica.SetDrain:
+	case storestate.SetDrain:
 		e.Kind, e.Made = distribution.Drain, ceil(c.At)
-	case replica.EndDrain:
+	case storestate.EndDrain:
 		e.Kind = distribution.DrainEnded
-	case replica.SetList:
+	case storestate.SetList:
 		return listEntry(e, *c.List)
-	case replica.SetConfig:
+	case storestate.SetConfig:
 		return revisionEntry(e, r)
 	default:
 		return 0, e, nil
@@ -33,7 +33,7 @@
 	return distribution.Configuration, e, nil
 }
 
-func purgeEntry(index uint64, p replica.Purge, until float64) distribution.Entry {
+func purgeEntry(index uint64, p storestate.Purge, until float64) distribution.Entry {
 	// An end of 0 would be none: such a purge ended long ago.
 	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, Made: ceil(p.Made), Until: max(1, ceil(until))}
 	if p.Object == "" {
@@ -42,13 +42,13 @@
 	return e
 }
 
-func listEntry(e distribution.Entry, l replica.List) (_ distribution.Stream, _ distribution.Entry, err error) {
+func listEntry(e distribution.Entry, l storestate.List) (_ distribution.Stream, _ distribution.Entry, err error) {
 	e.Kind, e.Number = distribution.List, l.Generation
 	e.Body, err = cbor.Marshal(l)
 	return distribution.Configuration, e, err
 }
 
-func revisionEntry(e distribution.Entry, r replica.Revision) (_ distribution.Stream, _ distribution.Entry, err error) {
+func revisionEntry(e distribution.Entry, r storestate.Revision) (_ distribution.Stream, _ distribution.Entry, err error) {
 	e.Kind, e.Number, e.Name = distribution.Revision, r.Number, ""
 	e.Body, err = cbor.Marshal(r)
 	return distribution.Configuration, e, err
@@ -59,23 +59,23 @@
 
 // whole are the entries of all that a state holds, by stream and in the order of the log. What came before the state kept
 // indexes comes first, under the lowest numbers: nobody has heard of a stream that long ago.
-func whole(s *replica.State) (map[distribution.Stream][]distribution.Entry, error) {
+func whole(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
 	out := map[distribution.Stream][]distribution.Entry{}
-	index := func(k replica.Kind, name string) uint64 { return s.Indexes[replica.Fact(k, name)] }
+	index := func(k storestate.Kind, name string) uint64 { return s.Indexes[storestate.Fact(k, name)] }
 	for _, name := range slices.Sorted(maps.Keys(s.Purges)) {
 		p := s.Purges[name]
-		out[distribution.Purges] = append(out[distribution.Purges], purgeEntry(index(replica.SetPurge, name), p, p.Until))
+		out[distribution.Purges] = append(out[distribution.Purges], purgeEntry(index(storestate.SetPurge, name), p, p.Until))
 	}
 	var all []distribution.Entry
 	if r := s.Revision(); r.Number > 0 {
-		_, e, err := revisionEntry(distribution.Entry{Sequence: index(replica.SetConfig, "")}, r)
+		_, e, err := revisionEntry(distribution.Entry{Sequence: index(storestate.SetConfig, "")}, r)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, e)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Lists)) {
-		_, e, err := listEntry(distribution.Entry{Sequence: index(replica.SetList, name), Name: name}, s.Lists[name])
+		_, e, err := listEntry(distribution.Entry{Sequence: index(storestate.SetList, name), Name: name}, s.Lists[name])
 		if err != nil {
 			return nil, err
 		}
@@ -83,7 +83,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Drains)) {
 		all = append(all, distribution.Entry{
-			Sequence: index(replica.SetDrain, name), Kind: distribution.Drain, Name: name, Made: ceil(s.Drains[name]),
+			Sequence: index(storestate.SetDrain, name), Kind: distribution.Drain, Name: name, Made: ceil(s.Drains[name]),
 		})
 	}
 	out[distribution.Configuration] = all
@@ -119,8 +119,8 @@
 
 // sink is where entries come into force: the same as the store's facts of a member go to.
 type sink struct {
-	take    func(replica.Change)
-	revised func(replica.Revision)
+	take    func(storestate.Change)
+	revised func(storestate.Revision)
 	held    held
 }
 
@@ -130,28 +130,28 @@
 
 // put has one entry come into force. What this version can't read is an error, and passed over as the store does it.
 func (s *sink) put(e distribution.Entry) error {
-	c := replica.Change{Name: e.Name, At: float64(e.Made), Until: float64(e.Until)}
+	c := storestate.Change{Name: e.Name, At: float64(e.Made), Until: float64(e.Until)}
 	switch e.Kind {
 	case distribution.PurgeObject, distribution.PurgeGroup:
-		c.Kind, c.Name = replica.SetPurge, ""
-		c.Purge = &replica.Purge{Made: float64(e.Made), Until: float64(e.Until)}
+		c.Kind, c.Name = storestate.SetPurge, ""
+		c.Purge = &storestate.Purge{Made: float64(e.Made), Until: float64(e.Until)}
 		if c.Purge.Object = e.Name; e.Kind == distribution.PurgeGroup {
 			c.Purge.Object, c.Purge.Group = "", int(e.Group)
 		}
 	case distribution.Drain:
-		c.Kind = replica.SetDrain
+		c.Kind = storestate.SetDrain
 		s.held.drains[e.Name] = true
 	case distribution.DrainEnded:
-		c.Kind = replica.EndDrain
+		c.Kind = storestate.EndDrain
 		delete(s.held.drains, e.Name)
 	case distribution.List:
-		c.Kind, c.List = replica.SetList, &replica.List{}
+		c.Kind, c.List = storestate.SetList, &storestate.List{}
 		if err := bodies.Unmarshal(e.Body, c.List); err != nil {
 			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
 		}
 		s.held.lists[e.Name] = e.Number
 	case distribution.Revision:
-		var r replica.Revision
+		var r storestate.Revision
 		if err := bodies.Unmarshal(e.Body, &r); err != nil {
 			return fmt.Errorf("distribution: revision %d: %w", e.Number, err)
 		}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -7,35 +7,35 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/golden"
 )
 
 const goldenTime = 1_780_000_000_000 // Unix ms
 
-func goldenList() replica.List {
-	return replica.List{Generation: 77, Servers: []serverlist.Server{
+func goldenList() storestate.List {
+	return storestate.List{Generation: 77, Servers: []serverlist.Server{
 		{ID: 7, Host: "cache-7.example", Port: 8080, Addr: "cache-7.example:8080", Zone: "zone-1", Kind: "edge", Cell: 3, Draining: true,
 			Weight: 1.5, Started: goldenTime, Warm: true},
 		{ID: 8, Host: "cache-8.example"},
 	}}
 }
 
-func goldenRevision() replica.Revision {
-	return replica.Revision{Number: 12, At: goldenTime + 0.5, By: "operator", Text: `{"limits": {}}`, Of: 9}
+func goldenRevision() storestate.Revision {
+	return storestate.Revision{Number: 12, At: goldenTime + 0.5, By: "operator", Text: `{"limits": {}}`, Of: 9}
 }
 
 // goldenChanges are of every kind that is passed on.
-func goldenChanges() []replica.Change {
+func goldenChanges() []storestate.Change {
 	list := goldenList()
-	return []replica.Change{
-		{ID: "1", Kind: replica.SetPurge, Until: goldenTime + 3_600_000, Purge: &replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}},
-		{ID: "2", Kind: replica.SetPurge, Purge: &replica.Purge{Group: 17, Made: goldenTime}},
-		{ID: "3", Kind: replica.SetDrain, Name: "cache-7", At: goldenTime + 0.25},
-		{ID: "4", Kind: replica.EndDrain, Name: "cache-7", At: goldenTime + 1},
-		{ID: "5", Kind: replica.SetList, Name: "source-1", List: &list},
-		{ID: "6", Kind: replica.SetConfig, Text: goldenRevision().Text},
+	return []storestate.Change{
+		{ID: "1", Kind: storestate.SetPurge, Until: goldenTime + 3_600_000, Purge: &storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}},
+		{ID: "2", Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 17, Made: goldenTime}},
+		{ID: "3", Kind: storestate.SetDrain, Name: "cache-7", At: goldenTime + 0.25},
+		{ID: "4", Kind: storestate.EndDrain, Name: "cache-7", At: goldenTime + 1},
+		{ID: "5", Kind: storestate.SetList, Name: "source-1", List: &list},
+		{ID: "6", Kind: storestate.SetConfig, Text: goldenRevision().Text},
 	}
 }
 
@@ -64,39 +64,39 @@
 	}
 	golden.Equal(t, "changes.bin", frame(entries))
 
-	var changes []replica.Change
-	var revisions []replica.Revision
+	var changes []storestate.Change
+	var revisions []storestate.Revision
 	s := newSink(&Options{
-		Take:    func(c replica.Change) { changes = append(changes, c) },
-		Revised: func(r replica.Revision) { revisions = append(revisions, r) },
+		Take:    func(c storestate.Change) { changes = append(changes, c) },
+		Revised: func(r storestate.Revision) { revisions = append(revisions, r) },
 	})
 	for _, entry := range entriesIn(t, "changes.bin") {
 		require.NoError(t, s.put(entry))
 	}
-	require.Equal(t, []replica.Revision{goldenRevision()}, revisions)
+	require.Equal(t, []storestate.Revision{goldenRevision()}, revisions)
 	list := goldenList()
-	require.Equal(t, []replica.Change{
-		{Kind: replica.SetPurge, At: goldenTime - 1, Until: goldenTime + 3_600_000,
-			Purge: &replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1, Until: goldenTime + 3_600_000}},
-		{Kind: replica.SetPurge, At: goldenTime, Until: 1, Purge: &replica.Purge{Group: 17, Made: goldenTime, Until: 1}},
-		{Kind: replica.SetDrain, Name: "cache-7", At: goldenTime + 1},
-		{Kind: replica.EndDrain, Name: "cache-7"},
-		{Kind: replica.SetList, Name: "source-1", List: &list},
+	require.Equal(t, []storestate.Change{
+		{Kind: storestate.SetPurge, At: goldenTime - 1, Until: goldenTime + 3_600_000,
+			Purge: &storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1, Until: goldenTime + 3_600_000}},
+		{Kind: storestate.SetPurge, At: goldenTime, Until: 1, Purge: &storestate.Purge{Group: 17, Made: goldenTime, Until: 1}},
+		{Kind: storestate.SetDrain, Name: "cache-7", At: goldenTime + 1},
+		{Kind: storestate.EndDrain, Name: "cache-7"},
+		{Kind: storestate.SetList, Name: "source-1", List: &list},
 	}, changes)
 }
 
 // So it is with all that a state of the store holds.
 func TestGoldenState(t *testing.T) {
-	state := replica.New()
+	state := storestate.New()
 	state.Applied = 500
-	state.Purges["/a/b.webp"] = replica.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}
-	state.Purges["group 17"] = replica.Purge{Group: 17, Made: goldenTime, Until: goldenTime + 1}
-	state.Config = []replica.Revision{{Number: 11, Text: "{}"}, goldenRevision()}
+	state.Purges["/a/b.webp"] = storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}
+	state.Purges["group 17"] = storestate.Purge{Group: 17, Made: goldenTime, Until: goldenTime + 1}
+	state.Config = []storestate.Revision{{Number: 11, Text: "{}"}, goldenRevision()}
 	state.Lists["source-1"] = goldenList()
 	state.Drains["cache-7"] = goldenTime + 0.25
 	state.Indexes = map[string]uint64{
-		replica.Fact(replica.SetPurge, "/a/b.webp"): 5, replica.Fact(replica.SetPurge, "group 17"): 3, replica.Fact(replica.SetConfig, ""): 30,
-		replica.Fact(replica.SetList, "source-1"): 20, replica.Fact(replica.SetDrain, "cache-7"): 25,
+		storestate.Fact(storestate.SetPurge, "/a/b.webp"): 5, storestate.Fact(storestate.SetPurge, "group 17"): 3, storestate.Fact(storestate.SetConfig, ""): 30,
+		storestate.Fact(storestate.SetList, "source-1"): 20, storestate.Fact(storestate.SetDrain, "cache-7"): 25,
 	}
 	all, err := whole(state)
 	require.NoError(t, err)
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -16,7 +16,7 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
 )
@@ -51,8 +51,8 @@
 
 	// Take and Revised have facts and revisions come into force; Guard gets what strict classes go by, of a stream. Each
 	// stream calls them from a goroutine of its own, in order. Of no use with Source.
-	Take    func(replica.Change)
-	Revised func(replica.Revision)
+	Take    func(storestate.Change)
+	Revised func(storestate.Revision)
 	Guard   func(distribution.Stream, distribution.GuardState)
 	// Observe gets each action of the subscribers before it is carried out. nil: nobody asks.
 	Observe func(distribution.Stream, distribution.Action)
--- a/internal/distribution/root.go
+++ b/internal/distribution/root.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 var errOther = errors.New("distribution: another one listens there")
@@ -61,7 +61,7 @@
 }
 
 // Replaced implements store.Follower.
-func (r *root) Replaced(s *replica.State) {
+func (r *root) Replaced(s *storestate.State) {
 	all, err := whole(s)
 	if err != nil {
 		r.node.opt.Log.Error("distribution").Err(err).Msg("the store's state can't be passed on")
@@ -77,7 +77,7 @@
 }
 
 // Applied implements store.Follower.
-func (r *root) Applied(index uint64, c replica.Change, rev replica.Revision) {
+func (r *root) Applied(index uint64, c storestate.Change, rev storestate.Revision) {
 	at, e, err := entryOf(index, c, rev)
 	if err != nil {
 		r.node.opt.Log.Error("distribution").Err(err).Msg("a change can't be passed on")
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -15,7 +15,7 @@
 	"ravenwheel/internal/clock"
 	pure "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/distribution/check"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/store"
 )
@@ -33,7 +33,7 @@
 	log *log
 
 	mu       sync.Mutex
-	state    *replica.State
+	state    *storestate.State
 	follower store.Follower
 	alone    bool // no quorum
 }
@@ -44,7 +44,7 @@
 
 	mu      sync.Mutex
 	epoch   uint64
-	changes []replica.Change
+	changes []storestate.Change
 	history map[pure.Stream]*check.History
 }
 
@@ -57,7 +57,7 @@
 }
 
 // commit adds a change; members get it by apply.
-func (l *log) commit(c replica.Change) {
+func (l *log) commit(c storestate.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.At = l.clk.Now()
@@ -65,15 +65,15 @@
 	index := uint64(len(l.changes))
 	e := pure.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
-	case replica.SetPurge:
+	case storestate.SetPurge:
 		e.Kind, e.Name, e.Made, e.Until = pure.PurgeObject, c.Purge.Object, int64(c.Purge.Made), int64(c.Until)
-	case replica.SetDrain:
+	case storestate.SetDrain:
 		e.Kind = pure.Drain
-	case replica.EndDrain:
+	case storestate.EndDrain:
 		e.Kind = pure.DrainEnded
 	}
 	stream := pure.Configuration
-	if c.Kind == replica.SetPurge {
+	if c.Kind == storestate.SetPurge {
 		stream = pure.Purges
 	}
 	l.history[stream].Commit(l.epoch, e, int64(c.At))
@@ -81,10 +81,10 @@
 
 func (l *log) purge(object string) {
 	made := l.clk.Now()
-	l.commit(replica.Change{Kind: replica.SetPurge, Until: float64(int64(made)) + 1e6, Purge: &replica.Purge{Object: object, Made: float64(int64(made))}})
+	l.commit(storestate.Change{Kind: storestate.SetPurge, Until: float64(int64(made)) + 1e6, Purge: &storestate.Purge{Object: object, Made: float64(int64(made))}})
 }
 
-func (l *log) member() *member { return &member{log: l, state: replica.New()} }
+func (l *log) member() *member { return &member{log: l, state: storestate.New()} }
 
 // apply has the member take in all that was committed.
 func (m *member) apply() {
@@ -154,7 +154,7 @@
 	seen   map[pure.Stream]*check.Process
 	gate   *pure.Gate
 	broken error
-	facts  []replica.Change
+	facts  []storestate.Change
 }
 
 func newTree(t *testing.T) *tree {
@@ -203,7 +203,7 @@
 	set := settings(p)
 	x.gate = pure.NewGate(set)
 	o := distribution.Options{
-		Settings: set, Identity: id, Clock: tr.log.clk, MostLinks: 256, Epoch: tr.log.epoch, Take: x.take, Revised: func(replica.Revision) {},
+		Settings: set, Identity: id, Clock: tr.log.clk, MostLinks: 256, Epoch: tr.log.epoch, Take: x.take, Revised: func(storestate.Revision) {},
 		Observe: func(s pure.Stream, a pure.Action) { tr.observe(x, s, a) },
 		Guard: func(s pure.Stream, g pure.GuardState) {
 			if s == pure.Purges {
@@ -235,7 +235,7 @@
 	return x
 }
 
-func (p *process) take(c replica.Change) {
+func (p *process) take(c storestate.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.facts = append(p.facts, c)
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,7 +1,7 @@
 // Package facts takes in what the members of a store share, and has it come into force in this process: lists and drains
 // go to the server registry, purges to the request's path, and all of them to the journal. It is the same whether a member
 // of the store tells them or a distributor, and is told them in order by one goroutine. It decides nothing: what a change
-// is worth was decided by the store's state (decide/replica), and what becomes of it is by the registry's ledger.
+// is worth was decided by the store's state (decide/storestate), and what becomes of it is by the registry's ledger.
 package facts
 
 import (
@@ -9,8 +9,8 @@
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/recovery"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/logs"
 	"ravenwheel/policy"
 )
@@ -37,28 +37,28 @@
 }
 
 // Take has one fact come into force. A kind that is none of facts is passed over.
-func (o *Options) Take(c replica.Change) {
+func (o *Options) Take(c storestate.Change) {
 	switch c.Kind {
-	case replica.SetList:
+	case storestate.SetList:
 		o.list(c.List)
-	case replica.SetDrain, replica.EndDrain:
+	case storestate.SetDrain, storestate.EndDrain:
 		if id, ok := serverlist.ID(c.Name); ok {
-			_ = o.Drained(id, c.Kind == replica.SetDrain) // the store has it; the keeper says what it could not keep
+			_ = o.Drained(id, c.Kind == storestate.SetDrain) // the store has it; the keeper says what it could not keep
 		}
-	case replica.SetPurge:
+	case storestate.SetPurge:
 		o.purge(*c.Purge)
 	}
 }
 
 // Run takes facts in until there are no more.
-func (o *Options) Run(heard <-chan replica.Change) {
+func (o *Options) Run(heard <-chan storestate.Change) {
 	for c := range heard {
 		o.Take(c)
 	}
 }
 
 // list takes a list whole, or not at all where one of its servers is not of this site.
-func (o *Options) list(l *replica.List) {
+func (o *Options) list(l *storestate.List) {
 	set := serverlist.Again(l.Generation, l.Servers)
 	entries := o.Entries(set)
 	usable := true
@@ -78,7 +78,7 @@
 }
 
 // purge has a purge in force before it is kept: its source tells it again after a crash in between.
-func (o *Options) purge(x replica.Purge) {
+func (o *Options) purge(x storestate.Purge) {
 	p := core.Purge{Object: x.Object, Group: x.Group, At: x.Made}
 	if p.Object != "" {
 		p.Group = -1
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -9,8 +9,8 @@
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/recovery"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/facts"
 	"ravenwheel/policy"
 )
@@ -58,13 +58,13 @@
 func TestTake(t *testing.T) {
 	h := &heard{}
 	o := options(h)
-	in := make(chan replica.Change, 8)
-	for _, c := range []replica.Change{
-		{Kind: replica.SetList, List: &replica.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
-		{Kind: replica.SetDrain, Name: serverlist.Name(1)}, {Kind: replica.EndDrain, Name: serverlist.Name(1)},
-		{Kind: replica.SetDrain, Name: "no server's name"}, {Kind: replica.Spend, Name: "a"},
-		{Kind: replica.SetPurge, Purge: &replica.Purge{Object: "o", Made: 10}},
-		{Kind: replica.SetPurge, Purge: &replica.Purge{Group: 4, Made: 11}},
+	in := make(chan storestate.Change, 8)
+	for _, c := range []storestate.Change{
+		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
+		{Kind: storestate.SetDrain, Name: serverlist.Name(1)}, {Kind: storestate.EndDrain, Name: serverlist.Name(1)},
+		{Kind: storestate.SetDrain, Name: "no server's name"}, {Kind: storestate.Spend, Name: "a"},
+		{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 10}},
+		{Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 4, Made: 11}},
 	} {
 		in <- c
 	}
@@ -83,7 +83,7 @@
 // A list with a server that is not of this site is not taken, not by half either.
 func TestForeignList(t *testing.T) {
 	h := &heard{}
-	options(h).Take(replica.Change{Kind: replica.SetList, List: &replica.List{Generation: 3, Servers: []serverlist.Server{
+	options(h).Take(storestate.Change{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Zone: "here"}, {ID: 2, Zone: "elsewhere"},
 	}}})
 	require.Empty(t, h.all)
@@ -94,6 +94,6 @@
 	h := &heard{}
 	o := options(h)
 	o.Keeper = nil
-	o.Take(replica.Change{Kind: replica.SetPurge, Purge: &replica.Purge{Object: "o", Made: 10}})
+	o.Take(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 10}})
 	require.Equal(t, []any{core.Purge{Object: "o", Group: -1, At: 10}}, h.all)
 }
--- a/internal/lab/capacity/finding.go
+++ b/internal/lab/capacity/finding.go
@@ -76,7 +76,7 @@
 			}
 			mend := mends[d]
 			if b.text(given(1e6)) == Figure.Core(given(1e6)) {
-				mend = "a purge that does not look through all others (decide/replica, built here)"
+				mend = "a purge that does not look through all others (decide/storestate, built here)"
 			}
 			name := fmt.Sprintf("a proxy's %s, %s: ", b.name, d)
 			over.check(name+situations[0].Name, b.get(situations[0], d), b.of, b.text, m.largest(d, situations[0].Load)+"; "+mend)
--- a/internal/lab/capacity/meter.go
+++ b/internal/lab/capacity/meter.go
@@ -21,7 +21,7 @@
 var Recorders = []Recorder{
 	{"policy", "The module alone: its memory, and the processor that one change or purge takes.", recordPolicy},
 	{"ledger", "The ledger of servers (decide/membership) alone, told by one source.", recordLedger},
-	{"replica", "What the store's log adds up to (decide/replica): its memory, its snapshot, the cost of taking in an entry.", recordReplica},
+	{"replica", "What the store's log adds up to (decide/storestate): its memory, its snapshot, the cost of taking in an entry.", recordReplica},
 	{"view", "The view in common (decide/fleetview) and the whole state that two members exchange (memberlist, in memory).", recordView},
 	{"journal", "What a proxy's journal writes for purges, on a file system in memory.", recordJournal},
 	{"raft", "One leader and 1 to 8 non-voting followers of hashicorp/raft in one process, over pipes, without TLS and without a disk.", recordRaft},
--- a/internal/lab/capacity/record_raft.go
+++ b/internal/lab/capacity/record_raft.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // raftRate is the target's purges a second: entries come one by one then, as nothing waits for a second one.
@@ -141,7 +141,7 @@
 	start, written, read, used := time.Now(), end.written.Load(), end.read.Load(), processor()
 	for n := 0; time.Since(start) < raftFor; n++ {
 		<-tick.C
-		raw, err := replica.Encode(purgeChange(n, objectName(n)))
+		raw, err := storestate.Encode(purgeChange(n, objectName(n)))
 		if err != nil {
 			return traffic{}, err
 		}
--- a/internal/lab/capacity/record_replica.go
+++ b/internal/lab/capacity/record_replica.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strings"
 
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // nameBytes and revisionBytes are assumed of the fleet: see assumptions.
@@ -15,14 +15,14 @@
 func changeID(n int) string { return fmt.Sprintf("%032x", n) }
 
 // purgeChange is one purge as the store proposes it, and binds for long after the time at which a recording looks.
-func purgeChange(n int, name string) replica.Change {
+func purgeChange(n int, name string) storestate.Change {
 	at := 1.8e12 + float64(n)
-	return replica.Change{ID: changeID(n), At: at, Kind: replica.SetPurge, Until: at + 1e9, Purge: &replica.Purge{Object: name, Made: at}}
+	return storestate.Change{ID: changeID(n), At: at, Kind: storestate.SetPurge, Until: at + 1e9, Purge: &storestate.Purge{Object: name, Made: at}}
 }
 
 // purgedState holds so many purges, and the results of none: what they cost is recorded apart.
-func purgedState(purges int) *replica.State {
-	s := replica.New()
+func purgedState(purges int) *storestate.State {
+	s := storestate.New()
 	for n := range purges {
 		c := purgeChange(n, objectName(n))
 		c.ID = ""
@@ -32,16 +32,16 @@
 }
 
 // rememberingState holds nothing but the results of so many changes.
-func rememberingState(changes int) *replica.State {
-	s := replica.New()
+func rememberingState(changes int) *storestate.State {
+	s := storestate.New()
 	for n := range changes {
-		s.Apply(replica.Change{ID: changeID(n), At: 1.8e12, Kind: replica.EndDrain, Name: "none"})
+		s.Apply(storestate.Change{ID: changeID(n), At: 1.8e12, Kind: storestate.EndDrain, Name: "none"})
 	}
 	return s
 }
 
-func storeList(servers int) *replica.List {
-	list := &replica.List{Generation: 1, Servers: make([]serverlist.Server, servers)}
+func storeList(servers int) *storestate.List {
+	list := &storestate.List{Generation: 1, Servers: make([]serverlist.Server, servers)}
 	for n := range list.Servers {
 		m := serverAt(n)
 		list.Servers[n] = serverlist.Server{
@@ -52,33 +52,33 @@
 	return list
 }
 
-func listChange(generation, servers int) replica.Change {
+func listChange(generation, servers int) storestate.Change {
 	list := storeList(servers)
 	list.Generation = uint64(generation)
 	list.Servers[generation*37%servers].Weight = float64(1 + generation%4)
-	return replica.Change{ID: changeID(generation), At: 1.8e12, Kind: replica.SetList, Name: "servers", List: list}
+	return storestate.Change{ID: changeID(generation), At: 1.8e12, Kind: storestate.SetList, Name: "servers", List: list}
 }
 
-func listedState(servers int) *replica.State {
-	s := replica.New()
+func listedState(servers int) *storestate.State {
+	s := storestate.New()
 	c := listChange(1, servers)
 	c.ID = ""
 	s.Apply(c)
 	return s
 }
 
-func revisedState(revisions int) *replica.State {
-	s := replica.New()
+func revisedState(revisions int) *storestate.State {
+	s := storestate.New()
 	for n := range revisions {
 		text := fmt.Sprintf("%0*d", revisionBytes, n)
-		s.Apply(replica.Change{At: 1.8e12, Kind: replica.SetConfig, Base: uint64(n), Text: text, By: "operator"})
+		s.Apply(storestate.Change{At: 1.8e12, Kind: storestate.SetConfig, Base: uint64(n), Text: text, By: "operator"})
 	}
 	return s
 }
 
 // encoded is how many bytes a change or a state comes to.
 func encoded(v any) float64 {
-	raw, err := replica.Encode(v)
+	raw, err := storestate.Encode(v)
 	if err != nil {
 		panic(err) // of plain values
 	}
@@ -86,17 +86,17 @@
 }
 
 // taking is the processor of reading an entry of the log and taking it in.
-func taking(s *replica.State, change func(i int) replica.Change) float64 {
+func taking(s *storestate.State, change func(i int) storestate.Change) float64 {
 	var raws [][]byte
 	for i := range 64 {
-		raw, err := replica.Encode(change(i))
+		raw, err := storestate.Encode(change(i))
 		if err != nil {
 			panic(err) // of plain values
 		}
 		raws = append(raws, raw)
 	}
 	return cost(func(i int) {
-		c, err := replica.DecodeChange(raws[i%len(raws)])
+		c, err := storestate.DecodeChange(raws[i%len(raws)])
 		if err != nil {
 			panic(err) // it was written above
 		}
@@ -112,16 +112,16 @@
 			Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: over(sizes, measure),
 		})
 	}
-	state := func(make func(int) *replica.State) func(int) float64 {
+	state := func(make func(int) *storestate.State) func(int) float64 {
 		return func(n int) float64 { return heap(func() any { return make(n) }) }
 	}
-	whole := func(make func(int) *replica.State) func(int) float64 {
+	whole := func(make func(int) *storestate.State) func(int) float64 {
 		return func(n int) float64 { return encoded(make(n)) }
 	}
 	add("purge-memory", "purges", "memory of the state", "bytes", sizes, state(purgedState))
 	add("purge-snapshot", "purges", "snapshot", "bytes", sizes, whole(purgedState))
 	add("purge-apply", "purges", "processor of reading and taking in one purge", "us", sizes, func(n int) float64 {
-		return taking(purgedState(n), func(i int) replica.Change { return purgeChange(i%n, objectName(i%n)) })
+		return taking(purgedState(n), func(i int) storestate.Change { return purgeChange(i%n, objectName(i%n)) })
 	})
 	add("purge-entry", "bytes of the name", "one purge in the log", "bytes", []int{10, 30, 100, 300}, func(n int) float64 {
 		return encoded(purgeChange(1, strings.Repeat("a", n)))
@@ -134,12 +134,12 @@
 	})
 	add("list-apply", "servers", "processor of reading and taking in such a change", "us", sizes, func(n int) float64 {
 		s, generation := listedState(n), 1
-		raw, err := replica.Encode(listChange(1, n))
+		raw, err := storestate.Encode(listChange(1, n))
 		if err != nil {
 			panic(err) // of plain values
 		}
 		return cost(func(int) {
-			c, err := replica.DecodeChange(raw)
+			c, err := storestate.DecodeChange(raw)
 			if err != nil {
 				panic(err) // it was written above
 			}
@@ -155,12 +155,12 @@
 		return cost(func(int) { encoded(s) })
 	})
 	add("snapshot-read", "purges", "processor of reading the snapshot", "us", sizes, func(n int) float64 {
-		raw, err := replica.Encode(purgedState(n))
+		raw, err := storestate.Encode(purgedState(n))
 		if err != nil {
 			panic(err) // of plain values
 		}
 		return cost(func(int) {
-			if _, err := replica.DecodeState(raw); err != nil {
+			if _, err := storestate.DecodeState(raw); err != nil {
 				panic(err) // it was written above
 			}
 		})
--- a/internal/lab/capacity/situation.go
+++ b/internal/lab/capacity/situation.go
@@ -50,12 +50,12 @@
 	tree := Mechanism{"levels of distributors, frames encoded once", "internal/decide/distribution", Built}
 	return []Situation{
 		{"an ordinary minute", usual, all, none, []Mechanism{tree,
-			{"state that the log adds up to", "internal/decide/replica", Stands},
+			{"state that the log adds up to", "internal/decide/storestate", Stands},
 			{"lists as changes, of one's own region", "internal/decide/distribution, replica", Missing}}},
 		{"a burst of ten times the purges", burst, all, none, []Mechanism{
-			{"a purge without a look through all others", "internal/decide/replica", Built},
+			{"a purge without a look through all others", "internal/decide/storestate", Built},
 			{"frames that gather purges for longer under load", "internal/decide/distribution", Missing},
-			{"results kept for 10 minutes at ten times the rate", "internal/decide/replica", Missing}}},
+			{"results kept for 10 minutes at ten times the rate", "internal/decide/storestate", Missing}}},
 		{"all 17,000 restarted within an hour", restart, all, starting, []Mechanism{
 			{"snapshots in chunks from distributors, admitted at a bounded rate", "internal/decide/distribution", Built},
 			{"membership within a region", "internal/peers", Missing}}},
@@ -74,7 +74,7 @@
 			{"the request path asks the gate", "internal/core", Missing}}},
 		{"a wrong configuration rolled back", rollback, all, none, []Mechanism{
 			{"the text of an earlier revision as a new one", "internal/store, replica", Stands},
-			{"revisions kept for longer than a quarter of an hour", "internal/decide/replica", Missing},
+			{"revisions kept for longer than a quarter of an hour", "internal/decide/storestate", Missing},
 			{"a revision tried on few processes first", "none", Missing}}},
 	}
 }
--- a/internal/lab/scale/apply.go
+++ b/internal/lab/scale/apply.go
@@ -7,7 +7,7 @@
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/policy"
 )
 
@@ -19,7 +19,7 @@
 	p        *process
 	router   *policy.Router
 	ledger   *membership.Ledger
-	state    *replica.State // nil: not held
+	state    *storestate.State // nil: not held
 	live     *config.Live
 	acts     []policy.Action
 	revision uint64
@@ -47,7 +47,7 @@
 		panic(err) // of settings made here
 	}
 	if state {
-		a.state = replica.New()
+		a.state = storestate.New()
 	}
 	return a
 }
@@ -99,7 +99,7 @@
 	if e.Name != sourceName(a.p.zone) {
 		return
 	}
-	c, err := replica.DecodeChange(e.Body)
+	c, err := storestate.DecodeChange(e.Body)
 	if err != nil || c.List == nil {
 		a.bad = fmt.Errorf("list of %s: %v", e.Name, err)
 		return
@@ -107,7 +107,7 @@
 	a.take(now, c.List)
 }
 
-func (a *applier) take(now float64, list *replica.List) {
+func (a *applier) take(now float64, list *storestate.List) {
 	l := membership.List{Generation: list.Generation}
 	for _, s := range list.Servers {
 		m := membership.Member{Member: policy.Member{ID: s.ID, Weight: s.Weight}, Addr: s.Addr}
@@ -150,25 +150,25 @@
 
 // change applies one of the store's log, as a member of the store or today's follower does.
 func (a *applier) change(raw []byte) {
-	c, err := replica.DecodeChange(raw)
+	c, err := storestate.DecodeChange(raw)
 	if err != nil {
 		a.bad = err
 		return
 	}
-	if a.state.Apply(c).Verdict != replica.OK {
+	if a.state.Apply(c).Verdict != storestate.OK {
 		return
 	}
 	now, at := a.now()
 	switch c.Kind {
-	case replica.SetPurge:
+	case storestate.SetPurge:
 		a.purged(at, policy.Purged{Object: c.Purge.Object, Group: c.Purge.Group, Age: age(now, int64(c.Purge.Made))})
-	case replica.SetList:
+	case storestate.SetList:
 		if c.Name == sourceName(a.p.zone) {
 			a.take(now, c.List)
 		}
-	case replica.SetDrain, replica.EndDrain:
-		a.drain(now, c.Name, c.Kind == replica.SetDrain)
-	case replica.SetConfig:
+	case storestate.SetDrain, storestate.EndDrain:
+		a.drain(now, c.Name, c.Kind == storestate.SetDrain)
+	case storestate.SetConfig:
 		if live, err := config.ParseLive("revision", c.Text); err == nil {
 			a.live, a.revision = live, a.state.Revision().Number
 		}
--- a/internal/lab/scale/commits.go
+++ b/internal/lab/scale/commits.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/policy"
 )
 
@@ -70,16 +70,16 @@
 	e := distribution.Entry{Kind: distribution.PurgeObject, Made: int64(made), Until: int64(made) + purgeBinds, Grouped: true}
 	object := int(float64(w.spec.Objects) * math.Pow(h.rng.Float64(), 3)) // some are purged again and again
 	e.Name, e.Group = fmt.Sprintf("%016x", object), int64(object%groups)
-	p := replica.Purge{Object: e.Name, Group: int(e.Group), Made: made}
+	p := storestate.Purge{Object: e.Name, Group: int(e.Group), Made: made}
 	if h.rng.Float64() < w.spec.GroupPurges {
 		e.Kind, e.Name, e.Grouped, p.Object = distribution.PurgeGroup, "", false, ""
 	}
-	return &committed{entry: e, stream: purges, change: h.encode(replica.Change{At: made, Kind: replica.SetPurge, Until: made + purgeBinds, Purge: &p})}
+	return &committed{entry: e, stream: purges, change: h.encode(storestate.Change{At: made, Kind: storestate.SetPurge, Until: made + purgeBinds, Purge: &p})}
 }
 
-func (h *history) encode(c replica.Change) []byte {
+func (h *history) encode(c storestate.Change) []byte {
 	c.ID = fmt.Sprintf("%016x", h.rng.Uint64())
-	raw, err := replica.Encode(c)
+	raw, err := storestate.Encode(c)
 	if err != nil {
 		panic(err) // of values made here
 	}
@@ -95,10 +95,10 @@
 		return h.text(w)
 	default:
 		server := h.rng.IntN(w.zones * w.spec.ZoneServers)
-		c := replica.Change{At: w.clock(proposer), Kind: replica.SetDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
+		c := storestate.Change{At: w.clock(proposer), Kind: storestate.SetDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
 		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, Made: int64(c.At)}
 		if h.drained[server] {
-			c.Kind, e.Kind, e.Made = replica.EndDrain, distribution.DrainEnded, 0
+			c.Kind, e.Kind, e.Made = storestate.EndDrain, distribution.DrainEnded, 0
 		}
 		h.drained[server] = !h.drained[server]
 		return &committed{entry: e, stream: changes, change: h.encode(c)}
@@ -109,7 +109,7 @@
 	h.number++
 	text := fmt.Sprintf(`{"limits": {"requests": %d, "connect_ms": 300, "idle_ms": 60000, "streams_per_connection": 64}}`, 1000+h.number)
 	text += " // " + strings.Repeat("x", max(0, w.spec.RevisionBytes-len(text)-5)) + "\n"
-	c := replica.Change{Kind: replica.SetConfig, Base: h.number - 1, Text: text, By: "operator"}
+	c := storestate.Change{Kind: storestate.SetConfig, Base: h.number - 1, Text: text, By: "operator"}
 	return &committed{entry: distribution.Entry{Kind: distribution.Revision, Number: h.number, Body: []byte(text)}, stream: changes, change: h.encode(c)}
 }
 
@@ -118,7 +118,7 @@
 
 func (h *history) list(w *world, zone int) *committed {
 	h.lists[zone]++
-	l := &replica.List{Generation: h.lists[zone]}
+	l := &storestate.List{Generation: h.lists[zone]}
 	for i := range w.spec.ZoneServers {
 		n := zone*w.spec.ZoneServers + i
 		host := fmt.Sprintf("10.%d.%d.%d", n>>16&255, n>>8&255, n&255)
@@ -128,7 +128,7 @@
 		}
 		l.Servers = append(l.Servers, s)
 	}
-	raw := h.encode(replica.Change{Kind: replica.SetList, Name: sourceName(zone), List: l})
+	raw := h.encode(storestate.Change{Kind: storestate.SetList, Name: sourceName(zone), List: l})
 	return &committed{entry: distribution.Entry{Kind: distribution.List, Name: sourceName(zone), Number: l.Generation, Body: raw}, stream: changes, change: raw}
 }
 
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -10,8 +10,8 @@
 	bolt "go.etcd.io/bbolt"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/retry"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // boltOptions: a second process with the same directory is told so at once.
@@ -72,14 +72,14 @@
 	var err error
 	switch q.Call {
 	case callApply:
-		if _, err := replica.DecodeChange(q.Change); err != nil {
+		if _, err := storestate.DecodeChange(q.Change); err != nil {
 			return reply{Err: err.Error()}
 		}
 		out, o := s.apply(q.Change)
 		if o != retry.Done {
 			return reply{Err: "not applied", Maybe: o == retry.Unknown}
 		}
-		raw, _ := replica.Encode(out)
+		raw, _ := storestate.Encode(out)
 		return reply{Result: raw[1:]}
 	case callIndex:
 		if err = s.raft.Barrier(s.opt.Timeout).Error(); err == nil {
--- a/internal/store/follow.go
+++ b/internal/store/follow.go
@@ -1,14 +1,14 @@
 package store
 
-import "ravenwheel/internal/decide/replica"
+import "ravenwheel/internal/decide/storestate"
 
 // Follower is told what this member applies, in the order of the log. It must return soon and not call the store.
 type Follower interface {
 	// Replaced brings the whole state: at the start, and when a snapshot took the place of entries. It may not be kept.
-	Replaced(*replica.State)
+	Replaced(*storestate.State)
 	// Applied brings a change that was taken in, with its index in the log; of one of the configuration, the revision that
 	// it made.
-	Applied(index uint64, c replica.Change, r replica.Revision)
+	Applied(index uint64, c storestate.Change, r storestate.Revision)
 }
 
 // Follow tells a follower the state as it is, and all that comes after it, for as long as the store is open.
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -6,27 +6,27 @@
 
 	"github.com/hashicorp/raft"
 
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
-// fsm is decide/replica behind raft's interface.
+// fsm is decide/storestate behind raft's interface.
 type fsm struct {
 	mu        sync.RWMutex
-	state     *replica.State
-	watchers  []chan replica.Revision
+	state     *storestate.State
+	watchers  []chan storestate.Revision
 	followers []Follower
-	facts     func(replica.Change) // set before raft starts, so that nothing applied goes untold; nil: nobody asks
+	facts     func(storestate.Change) // set before raft starts, so that nothing applied goes untold; nil: nobody asks
 }
 
-// Apply takes one entry; its result is a replica.Result.
+// Apply takes one entry; its result is a storestate.Result.
 func (f *fsm) Apply(l *raft.Log) any {
-	c, err := replica.DecodeChange(l.Data)
+	c, err := storestate.DecodeChange(l.Data)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state.Applied = l.Index
 	if err != nil {
 		// Of a later version: all members of this one pass it over alike.
-		return replica.Result{Verdict: replica.Invalid}
+		return storestate.Result{Verdict: storestate.Invalid}
 	}
 	before := f.state.Revision().Number
 	again := f.state.Did(c.ID)
@@ -37,10 +37,10 @@
 	if now := f.state.Revision(); now.Number != before {
 		f.tell(now)
 	}
-	if f.facts != nil && r.Verdict == replica.OK && c.Kind >= replica.SetList {
+	if f.facts != nil && r.Verdict == storestate.OK && c.Kind >= storestate.SetList {
 		f.facts(c)
 	}
-	if r.Verdict == replica.OK {
+	if r.Verdict == storestate.OK {
 		for _, x := range f.followers {
 			x.Applied(l.Index, c, f.state.Revision())
 		}
@@ -50,28 +50,28 @@
 
 // retell tells all facts that a new state holds, as changes, and the end of each drain that the old one held and the
 // new one does not: a member far behind is given a snapshot in place of the entries that ended them.
-func (f *fsm) retell(old *replica.State) {
+func (f *fsm) retell(old *storestate.State) {
 	if f.facts == nil {
 		return
 	}
 	for name := range old.Drains {
 		if _, held := f.state.Drains[name]; !held {
-			f.facts(replica.Change{Kind: replica.EndDrain, Name: name})
+			f.facts(storestate.Change{Kind: storestate.EndDrain, Name: name})
 		}
 	}
 	for name, l := range f.state.Lists {
-		f.facts(replica.Change{Kind: replica.SetList, Name: name, List: &l})
+		f.facts(storestate.Change{Kind: storestate.SetList, Name: name, List: &l})
 	}
 	for name, since := range f.state.Drains {
-		f.facts(replica.Change{Kind: replica.SetDrain, Name: name, At: since})
+		f.facts(storestate.Change{Kind: storestate.SetDrain, Name: name, At: since})
 	}
 	for _, p := range f.state.Purges {
-		f.facts(replica.Change{Kind: replica.SetPurge, Purge: &p, Until: p.Until})
+		f.facts(storestate.Change{Kind: storestate.SetPurge, Purge: &p, Until: p.Until})
 	}
 }
 
 // tell hands a revision to the watchers. One that lags gets the newest, not each.
-func (f *fsm) tell(r replica.Revision) {
+func (f *fsm) tell(r storestate.Revision) {
 	for _, w := range f.watchers {
 		select {
 		case <-w:
@@ -85,7 +85,7 @@
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	raw, err := replica.Encode(f.state)
+	raw, err := storestate.Encode(f.state)
 	return snapshot(raw), err
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := replica.DecodeState(raw)
+	s, err := storestate.DecodeState(raw)
 	if err != nil {
 		return err
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/golden"
 )
 
@@ -168,26 +168,26 @@
 
 func writeStore(t *testing.T, dir string) {
 	s := openGolden(t, dir)
-	do := func(c replica.Change) {
+	do := func(c storestate.Change) {
 		_, err := s.Do(c)
 		require.NoError(t, err)
 	}
-	list := &replica.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true}}}
-	do(replica.Change{Kind: replica.Spend, Name: "spent-1", Until: 9e15})
-	do(replica.Change{Kind: replica.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
-	do(replica.Change{Kind: replica.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
-	do(replica.Change{Kind: replica.Revoke, Name: "revoked-1", Until: 9e15})
-	do(replica.Change{Kind: replica.SetConfig, Text: "{}", By: "ops"})
-	do(replica.Change{Kind: replica.SetList, Name: "list", List: list})
-	do(replica.Change{Kind: replica.SetDrain, Name: "s-00000001"})
-	do(replica.Change{Kind: replica.SetDrain, Name: "s-00000002"})
-	do(replica.Change{Kind: replica.SetPurge, Purge: &replica.Purge{Object: "o", Made: 1e12}, Until: 9e15})
+	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true}}}
+	do(storestate.Change{Kind: storestate.Spend, Name: "spent-1", Until: 9e15})
+	do(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
+	do(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
+	do(storestate.Change{Kind: storestate.Revoke, Name: "revoked-1", Until: 9e15})
+	do(storestate.Change{Kind: storestate.SetConfig, Text: "{}", By: "ops"})
+	do(storestate.Change{Kind: storestate.SetList, Name: "list", List: list})
+	do(storestate.Change{Kind: storestate.SetDrain, Name: "s-00000001"})
+	do(storestate.Change{Kind: storestate.SetDrain, Name: "s-00000002"})
+	do(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 1e12}, Until: 9e15})
 	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
-	do(replica.Change{Kind: replica.Spend, Name: "spent-2", Until: 9e15})
-	do(replica.Change{Kind: replica.DropKey, Name: "k2"})
-	do(replica.Change{Kind: replica.SetConfig, Base: 1, Text: "{ }"})
-	do(replica.Change{Kind: replica.EndDrain, Name: "s-00000002"})
-	do(replica.Change{Kind: replica.SetPurge, Purge: &replica.Purge{Group: 4, Made: 1e12}, Until: 9e15})
+	do(storestate.Change{Kind: storestate.Spend, Name: "spent-2", Until: 9e15})
+	do(storestate.Change{Kind: storestate.DropKey, Name: "k2"})
+	do(storestate.Change{Kind: storestate.SetConfig, Base: 1, Text: "{ }"})
+	do(storestate.Change{Kind: storestate.EndDrain, Name: "s-00000002"})
+	do(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 4, Made: 1e12}, Until: 9e15})
 	s.Kill()
 }
 
@@ -202,21 +202,21 @@
 	defer s.Kill()
 	require.NotEqual(t, "0", s.raft.Stats()["last_snapshot_index"])
 	var raw []byte
-	require.NoError(t, s.Read(true, func(st *replica.State) {
-		raw, err = replica.Encode(st)
+	require.NoError(t, s.Read(true, func(st *storestate.State) {
+		raw, err = storestate.Encode(st)
 		require.NoError(t, err)
 	}))
-	st, err := replica.DecodeState(raw)
+	st, err := storestate.DecodeState(raw)
 	require.NoError(t, err)
 	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.Spent)
 	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.Revoked)
 	require.Equal(t, map[string]Key{"k1": {Alg: "HS256", Data: []byte("x")}}, st.Keys)
-	require.Equal(t, []replica.Revision{{Number: 1, At: 1e12, By: "ops", Text: "{}"}, {Number: 2, At: 1e12, Text: "{ }"}}, st.Config)
-	require.Equal(t, map[string]replica.List{"list": {Generation: 3, Servers: []serverlist.Server{
+	require.Equal(t, []storestate.Revision{{Number: 1, At: 1e12, By: "ops", Text: "{}"}, {Number: 2, At: 1e12, Text: "{ }"}}, st.Config)
+	require.Equal(t, map[string]storestate.List{"list": {Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
 	}}}, st.Lists)
 	require.Equal(t, map[string]float64{"s-00000001": 1e12}, st.Drains)
-	require.Equal(t, map[string]replica.Purge{
+	require.Equal(t, map[string]storestate.Purge{
 		"o": {Object: "o", Made: 1e12, Until: 9e15}, "group 4": {Group: 4, Made: 1e12, Until: 9e15},
 	}, st.Purges)
 	require.Len(t, st.Done, 14)
@@ -231,18 +231,18 @@
 	for _, path := range snapshots {
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err)
-		f := &fsm{state: replica.New()}
+		f := &fsm{state: storestate.New()}
 		require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(raw))))
 		require.Contains(t, f.state.Spent, "spent-1")
 		again, err := f.Snapshot()
 		require.NoError(t, err)
 		require.Equal(t, raw, []byte(again.(snapshot)))
-		require.Equal(t, replica.Result{}, f.Apply(&raft.Log{Index: 99, Data: mustEncode(t, replica.Change{Kind: replica.EndDrain, Name: "s-00000001"})}))
+		require.Equal(t, storestate.Result{}, f.Apply(&raft.Log{Index: 99, Data: mustEncode(t, storestate.Change{Kind: storestate.EndDrain, Name: "s-00000001"})}))
 	}
 }
 
-func mustEncode(t *testing.T, c replica.Change) []byte {
-	raw, err := replica.Encode(c)
+func mustEncode(t *testing.T, c storestate.Change) []byte {
+	raw, err := storestate.Encode(c)
 	require.NoError(t, err)
 	return raw
 }
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -12,7 +12,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // op is a call as its client saw it. Key "": the configuration; else a token id that is spent.
@@ -127,7 +127,7 @@
 				case 1:
 					book(client, op{read: true}, func() (seen, bool) {
 						var rev uint64
-						err := s.Read(true, func(st *replica.State) { rev = st.Revision().Number })
+						err := s.Read(true, func(st *storestate.State) { rev = st.Revision().Number })
 						return seen{revision: rev}, err == nil
 					})
 				default:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
 // Package store keeps configuration, signing keys, revocations, spent token ids and facts of membership in a small
-// replicated log (hashicorp/raft). What the log adds up to is decide/replica's to say, and what is tried again
+// replicated log (hashicorp/raft). What the log adds up to is decide/storestate's to say, and what is tried again
 // decide/retry's. One member alone in memory needs no log and no socket; several speak mutual TLS, and nobody else is
 // heard. It is never on the path of a platform's request.
 package store
@@ -22,8 +22,8 @@
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replica"
 	"ravenwheel/internal/decide/retry"
+	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/transient"
 )
 
@@ -39,7 +39,7 @@
 )
 
 // Key is a signing key: its algorithm is pinned with it.
-type Key = replica.Key
+type Key = storestate.Key
 
 // Member is one of the cluster.
 type Member struct {
@@ -62,7 +62,7 @@
 	Dial               func(addr string, wait time.Duration) (net.Conn, error) // nil: TCP
 	// Facts is told of every list, drain and purge: those a snapshot holds, and each change as this member applies it,
 	// from before the log is first read. It must return soon and not call the store. nil: nobody asks.
-	Facts func(replica.Change)
+	Facts func(storestate.Change)
 }
 
 func (o Options) dialer() func(string, time.Duration) (net.Conn, error) {
@@ -95,7 +95,7 @@
 		o.Timeout = 2 * time.Second
 	}
 	o.Dial = o.dialer()
-	s := &Store{opt: o, fsm: &fsm{state: replica.New(), facts: o.Facts}, budget: retry.New(retries)}
+	s := &Store{opt: o, fsm: &fsm{state: storestate.New(), facts: o.Facts}, budget: retry.New(retries)}
 	if o.Self == (Member{}) {
 		return s, nil
 	}
@@ -258,41 +258,41 @@
 
 // Spend marks a token id as used until its token is void. It returns ErrSpent for a replay.
 func (s *Store) Spend(jti string, until float64) error {
-	_, err := s.Do(replica.Change{Kind: replica.Spend, Name: jti, Until: until})
+	_, err := s.Do(storestate.Change{Kind: storestate.Spend, Name: jti, Until: until})
 	return err
 }
 
 // PutKey adds or replaces a signing key.
 func (s *Store) PutKey(kid string, k Key) error {
-	_, err := s.Do(replica.Change{Kind: replica.PutKey, Name: kid, Key: &k})
+	_, err := s.Do(storestate.Change{Kind: storestate.PutKey, Name: kid, Key: &k})
 	return err
 }
 
 // DropKey removes a signing key: what it signed is no longer accepted.
 func (s *Store) DropKey(kid string) error {
-	_, err := s.Do(replica.Change{Kind: replica.DropKey, Name: kid})
+	_, err := s.Do(storestate.Change{Kind: storestate.DropKey, Name: kid})
 	return err
 }
 
 // Revoke makes a token id void until its token is void anyway.
 func (s *Store) Revoke(jti string, until float64) error {
-	_, err := s.Do(replica.Change{Kind: replica.Revoke, Name: jti, Until: until})
+	_, err := s.Do(storestate.Change{Kind: storestate.Revoke, Name: jti, Until: until})
 	return err
 }
 
 // SetConfig puts a text in place of a revision, and returns the new one. It returns ErrConflict, and the revision that is
 // in force, if that is not the base any more.
 func (s *Store) SetConfig(base uint64, text, by string) (uint64, error) {
-	r, err := s.Do(replica.Change{Kind: replica.SetConfig, Base: base, Text: text, By: by})
+	r, err := s.Do(storestate.Change{Kind: storestate.SetConfig, Base: base, Text: text, By: by})
 	return r.Revision, err
 }
 
 // Rollback makes the text of an earlier revision that of a new one.
 func (s *Store) Rollback(to uint64, by string) (uint64, error) {
 	var base uint64
-	var old replica.Revision
+	var old storestate.Revision
 	var found bool
-	if err := s.Read(true, func(st *replica.State) {
+	if err := s.Read(true, func(st *storestate.State) {
 		base = st.Revision().Number
 		old, found = st.At(to)
 	}); err != nil {
@@ -307,22 +307,22 @@
 // Do takes one change through the log, at this member or at the leader, and tries again while that can do no harm. The
 // change keeps its id over all attempts, so that one that comes twice counts once; an outcome that stays unknown is
 // ErrUnknown, and whoever submits the same thing anew submits another change.
-func (s *Store) Do(c replica.Change) (replica.Result, error) {
+func (s *Store) Do(c storestate.Change) (storestate.Result, error) {
 	if c.ID == "" {
 		var b [16]byte
 		_, _ = rand.Read(b[:])
 		c.ID = hex.EncodeToString(b[:])
 	}
 	c.At = s.opt.Clock.Now()
-	raw, err := replica.Encode(c)
+	raw, err := storestate.Encode(c)
 	if err != nil {
-		return replica.Result{}, err
+		return storestate.Result{}, err
 	}
 	if s.raft == nil {
 		if s.closed.Load() {
-			return replica.Result{}, ErrUnavailable
+			return storestate.Result{}, ErrUnavailable
 		}
-		return verdict(s.fsm.Apply(&raft.Log{Data: raw}).(replica.Result))
+		return verdict(s.fsm.Apply(&raft.Log{Data: raw}).(storestate.Result))
 	}
 	end := c.At + clock.Ms(s.opt.Timeout)
 	var call retry.Call
@@ -337,54 +337,54 @@
 		case again && !s.closed.Load():
 			s.sleep(wait)
 		case call.Unknown:
-			return replica.Result{}, ErrUnknown
+			return storestate.Result{}, ErrUnknown
 		default:
-			return replica.Result{}, ErrUnavailable
+			return storestate.Result{}, ErrUnavailable
 		}
 	}
 }
 
-func verdict(r replica.Result) (replica.Result, error) {
+func verdict(r storestate.Result) (storestate.Result, error) {
 	switch r.Verdict {
-	case replica.OK:
+	case storestate.OK:
 		return r, nil
-	case replica.Spent:
+	case storestate.Spent:
 		return r, ErrSpent
-	case replica.Conflict:
+	case storestate.Conflict:
 		return r, ErrConflict
-	case replica.Stale:
+	case storestate.Stale:
 		return r, ErrStale
 	}
 	return r, ErrInvalid
 }
 
 // attempt submits a change once, here or at the leader.
-func (s *Store) attempt(raw []byte) (replica.Result, retry.Outcome) {
+func (s *Store) attempt(raw []byte) (storestate.Result, retry.Outcome) {
 	if s.Leader() {
 		return s.apply(raw)
 	}
 	addr, id := s.raft.LeaderWithID()
 	if addr == "" || string(id) == s.opt.Self.Name {
-		return replica.Result{}, retry.Refused
+		return storestate.Result{}, retry.Refused
 	}
 	r, sent, err := s.wire.call(string(addr), request{Call: callApply, Change: raw}, s.opt.Timeout)
 	switch {
 	case err != nil && !sent:
-		return replica.Result{}, retry.Refused
+		return storestate.Result{}, retry.Refused
 	case err != nil || r.Err != "" && r.Maybe:
-		return replica.Result{}, retry.Unknown
+		return storestate.Result{}, retry.Unknown
 	case r.Err != "":
-		return replica.Result{}, retry.Refused
+		return storestate.Result{}, retry.Refused
 	}
-	var out replica.Result
+	var out storestate.Result
 	if calls.Unmarshal(r.Result, &out) != nil {
-		return replica.Result{}, retry.Unknown
+		return storestate.Result{}, retry.Unknown
 	}
 	return out, retry.Done
 }
 
 // apply submits a change at the leader.
-func (s *Store) apply(raw []byte) (replica.Result, retry.Outcome) {
+func (s *Store) apply(raw []byte) (storestate.Result, retry.Outcome) {
 	f := s.raft.Apply(raw, s.opt.Timeout)
 	done := make(chan error, 1)
 	go func() { done <- f.Error() }()
@@ -392,22 +392,22 @@
 	case err := <-done:
 		switch {
 		case err == nil:
-			if r, ok := f.Response().(replica.Result); ok {
+			if r, ok := f.Response().(storestate.Result); ok {
 				return r, retry.Done
 			}
-			return replica.Result{}, retry.Unknown
+			return storestate.Result{}, retry.Unknown
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
-			return replica.Result{}, retry.Refused // it never came into the log
+			return storestate.Result{}, retry.Refused // it never came into the log
 		}
-		return replica.Result{}, retry.Unknown
+		return storestate.Result{}, retry.Unknown
 	case <-time.After(s.opt.Timeout): // Apply's own time-out covers only the way into the log
-		return replica.Result{}, retry.Unknown
+		return storestate.Result{}, retry.Unknown
 	}
 }
 
 // Read calls f with the state, which it may not keep. Linear: it holds every change that was acknowledged anywhere before
 // the call; else it is what this member knows, which lags by Status' StaleMs at the least.
-func (s *Store) Read(linear bool, f func(*replica.State)) error {
+func (s *Store) Read(linear bool, f func(*storestate.State)) error {
 	if linear && s.raft != nil {
 		if err := s.catchUp(); err != nil {
 			return err
@@ -450,31 +450,31 @@
 // applied is the last entry that the state holds. Raft's AppliedIndex is no guide: it counts what was handed to the
 // state machine and may not have been taken in yet, and a linearizable read that trusted it was stale.
 func (s *Store) applied() (index uint64) {
-	_ = s.Read(false, func(st *replica.State) { index = st.Applied })
+	_ = s.Read(false, func(st *storestate.State) { index = st.Applied })
 	return index
 }
 
 // Key returns a signing key as this member knows it.
 func (s *Store) Key(kid string) (k Key, ok bool) {
-	_ = s.Read(false, func(st *replica.State) { k, ok = st.Keys[kid] })
+	_ = s.Read(false, func(st *storestate.State) { k, ok = st.Keys[kid] })
 	return k, ok
 }
 
 // Revoked tells whether a token id was revoked, as this member knows it.
 func (s *Store) Revoked(jti string) (ok bool) {
-	_ = s.Read(false, func(st *replica.State) { _, ok = st.Revoked[jti] })
+	_ = s.Read(false, func(st *storestate.State) { _, ok = st.Revoked[jti] })
 	return ok
 }
 
 // Config is the revision in force, as this member knows it.
-func (s *Store) Config() (r replica.Revision) {
-	_ = s.Read(false, func(st *replica.State) { r = st.Revision() })
+func (s *Store) Config() (r storestate.Revision) {
+	_ = s.Read(false, func(st *storestate.State) { r = st.Revision() })
 	return r
 }
 
 // Watch returns a channel on which revisions come as this member learns of them; one that lags gets the newest.
-func (s *Store) Watch() <-chan replica.Revision {
-	w := make(chan replica.Revision, 1)
+func (s *Store) Watch() <-chan storestate.Revision {
+	w := make(chan storestate.Revision, 1)
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
 	s.fsm.watchers = append(s.fsm.watchers, w)
@@ -486,6 +486,6 @@
 
 // Held is the number of spent and of revoked token ids kept.
 func (s *Store) Held() (spent, revoked int) {
-	_ = s.Read(false, func(st *replica.State) { spent, revoked = len(st.Spent), len(st.Revoked) })
+	_ = s.Read(false, func(st *storestate.State) { spent, revoked = len(st.Spent), len(st.Revoked) })
 	return spent, revoked
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/replica"
+	"ravenwheel/internal/decide/storestate"
 )
 
 // patience bounds a wait; it is no expectation of speed.
@@ -207,7 +207,7 @@
 	require.NoError(t, err)
 	rev, err = s.Rollback(1, "ops")
 	require.NoError(t, err)
-	require.Equal(t, replica.Revision{Number: 3, At: 2001, By: "ops", Text: "one", Of: 1}, s.Config())
+	require.Equal(t, storestate.Revision{Number: 3, At: 2001, By: "ops", Text: "one", Of: 1}, s.Config())
 	require.EqualValues(t, 3, rev)
 	_, err = s.Rollback(9, "ops")
 	require.Error(t, err)
@@ -253,7 +253,7 @@
 	s := c.members[lead]
 	require.NoError(t, s.PutKey("k", Key{Alg: "HS256"}))
 	c.isolate(lead, true) // what it appends now, no other member has
-	change := replica.Change{ID: "one", Kind: replica.Spend, Name: "j", Until: 9e15}
+	change := storestate.Change{ID: "one", Kind: storestate.Spend, Name: "j", Until: 9e15}
 	before, outcome := s.raft.LastIndex(), make(chan error, 1)
 	go func() { _, err := s.Do(change); outcome <- err }()
 	eventually(t, func() bool { return s.raft.LastIndex() > before }, "it is in the leader's log")
@@ -283,13 +283,13 @@
 	_, ok := c.members[lone].Key("k")
 	require.True(t, ok, "reads go on")
 	require.ErrorIs(t, c.members[lone].Spend("j", 9e15), ErrUnavailable)
-	require.ErrorIs(t, c.members[lone].Read(true, func(*replica.State) {}), ErrUnavailable, "no linearizable read without the leader")
+	require.ErrorIs(t, c.members[lone].Read(true, func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
 	require.NoError(t, c.members[lead].DropKey("k"))
 	_, ok = c.members[lone].Key("k")
 	require.True(t, ok, "stale, and said so")
 	c.isolate(lone, false)
 	eventually(t, func() bool {
-		return c.members[lone].Read(true, func(s *replica.State) { _, ok = s.Keys["k"] }) == nil && !ok
+		return c.members[lone].Read(true, func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
 	}, "it caught up")
 
 	// The leader itself is cut off: it stops leading, the others go on.
@@ -328,7 +328,7 @@
 	require.NoError(t, c.members[lead].PutKey("two", Key{Alg: "HS256"}))
 	eventually(t, func() bool { return late.raft.AppliedIndex() >= c.members[lead].raft.AppliedIndex() }, "it was handed both")
 	done, seen := make(chan error, 1), false
-	go func() { done <- late.Read(true, func(s *replica.State) { _, seen = s.Keys["two"] }) }()
+	go func() { done <- late.Read(true, func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
 	time.Sleep(50 * time.Millisecond)
 	late.fsm.mu.Unlock()
 	require.NoError(t, <-done)
