--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -5,14 +5,14 @@
 	"ravenwheel/internal/decide/discovery"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/timestamp"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 )
 
 // discovery takes in what was known of discovery at the start, and returns the client that follows it. rank is its rank among the
 // ledger's sources.
-func (s *sources) discovery(rank int) *board.Client {
+func (s *sources) discovery(rank int) *discoveryclient.Client {
 	reader := timestamp.New(s.clk.Now())
-	known := board.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeTakes))
+	known := discoveryclient.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeTakes))
 	for _, n := range known {
 		n.Tell(rank, s.roster.Tell, s.purged)
 	}
@@ -20,9 +20,9 @@
 	if s.conf.Console != "" { // it may take over from another process
 		follow.NotifiedStarted = discovery.NotifiedReplaced
 	}
-	return &board.Client{
+	return &discoveryclient.Client{
 		Addr: s.conf.Board, Last: s.conf.Rev, Clock: s.clk, Log: s.log, Follow: follow,
-		Notice: func(n board.Notice) { n.Dated(reader, s.clk.Now()).Tell(rank, s.roster.Tell, s.purged) },
+		Notice: func(n discoveryclient.Notice) { n.Dated(reader, s.clk.Now()).Tell(rank, s.roster.Tell, s.purged) },
 		Heard: func() {
 			reader.Heard(s.clk.Now())
 			s.roster.Tell(membership.Heard{Source: rank})
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -19,7 +19,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/scenario"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 )
 
 // What discovery holds counts as notified so long after a fault, and a purge is to be heeded so long after that.
@@ -211,7 +211,7 @@
 	f := startFollower(t, build(t), 1, 2, "--operator", operator)
 	f.move(0, 1)
 	require.Eventually(t, func() bool {
-		var s board.Status
+		var s discoveryclient.Status
 		err := admin.Call(sock, "/v1/discovery", nil, &s)
 		return err == nil && s.Address == f.doors[1].Addr() && s.Moves == 1 && s.Calls >= 2 && s.Spoke >= 2 && s.Closed >= 1 && s.Frames >= 2 && s.LastEvent == 1
 	}, time.Minute, 10*time.Millisecond)
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -15,7 +15,7 @@
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/roster"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/internal/source/names"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/state"
@@ -37,11 +37,11 @@
 // notice board.
 type sources struct {
 	roster *roster.Roster
-	board  *board.Client // nil: none
-	list   *watch.Source // nil: none
-	state  *state.Keeper // nil: nothing is kept
-	admin  *admin.Admin  // nil: off
-	store  *store.Store  // nil: none is set up
+	board  *discoveryclient.Client // nil: none
+	list   *watch.Source           // nil: none
+	state  *state.Keeper           // nil: nothing is kept
+	admin  *admin.Admin            // nil: off
+	store  *store.Store            // nil: none is set up
 	core   *core.Core
 	conf   *config.Config // of the start
 	clk    *clock.Clock
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,7 +28,7 @@
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/state"
 	"ravenwheel/internal/store"
@@ -64,7 +64,7 @@
 	Listen string // unix:PATH or an address on loopback
 	Clock  *clock.Clock
 	Log    *logs.Log
-	Names  board.Names
+	Names  discoveryclient.Names
 	Core   *core.Core
 	Views  func() ([]membership.View, uint64)
 	List   func() watch.Status // nil: no list is watched
@@ -74,7 +74,7 @@
 	// Distribution tells how this process stands in the tree of distributors. nil: it is in none.
 	Distribution func() []distribution.Status
 	// Discovery tells how discovery is followed. nil: there is none.
-	Discovery func() board.Status
+	Discovery func() discoveryclient.Status
 	Shared    Shared
 	Desk      Desk // nil: this proxy is not one to be emptied by hand
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -21,7 +21,7 @@
 	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/golden"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
 )
@@ -75,7 +75,7 @@
 		},
 		Heavy: []fleetview.HeavyObject{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Of: 2}},
 	})
-	goldenForm(t, "discovery.json", board.Status{
+	goldenForm(t, "discovery.json", discoveryclient.Status{
 		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Spoke: 3, Failed: 4, Broken: 5, Closed: 6, Moves: 7, Frames: 8, Late: 9,
 		Overdue: 10, SilentMs: 11.5, WorstGap: 12,
 	})
@@ -120,10 +120,10 @@
 		counter.Add(int64(i + 1))
 	}
 	a, listenErr := Listen(Options{
-		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: board.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
+		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
 		Core: proxy, Views: func() ([]membership.View, uint64) { return []membership.View{ready, unnamed}, 9 },
 		List:         func() watch.Status { return watch.Status{Path: "servers.jsonc", Generation: 7} },
-		Discovery:    func() board.Status { return board.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
+		Discovery:    func() discoveryclient.Status { return discoveryclient.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
 		Distribution: func() []distribution.Status { return nil },
 		Shared:       goldenOperations{err}, Desk: goldenOperations{err},
 	})
--- a/internal/config/alone.go
+++ b/internal/config/alone.go
@@ -8,7 +8,7 @@
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/policy"
 )
 
@@ -25,7 +25,7 @@
 	p, l, s := o.Proxy, o.Limits, o.Site
 	c := &Config{
 		Name: p.Name, Listen: p.Listen, Seed: p.Seed, Cores: l.Cores, MemoryMB: l.MemoryMB, Sockets: l.Sockets,
-		Names: board.Names{Zones: s.Zones, Kinds: s.Kinds}, StreamsPerConn: l.StreamsPerConn, MostHeld: l.Requests,
+		Names: discoveryclient.Names{Zones: s.Zones, Kinds: s.Kinds}, StreamsPerConn: l.StreamsPerConn, MostHeld: l.Requests,
 		ConnIdle: l.Idle, Connect: l.Connect,
 	}
 	if c.Seed == 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,7 +8,7 @@
 	"os"
 	"strconv"
 
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/policy"
 	"ravenwheel/wire"
 )
@@ -23,8 +23,8 @@
 	MemoryMB, Sockets   int
 	Settings            policy.Settings
 	Classes             []string
-	Names               board.Names
-	Known               []board.Notice
+	Names               discoveryclient.Names
+	Known               []discoveryclient.Notice
 	Rev                 uint64
 
 	StreamsPerConn, MostHeld int
@@ -108,8 +108,8 @@
 	}
 	c.StreamsPerConn, c.MostHeld = cmp.Or(int(t.Bounds.StreamsPerConn), usualStreams), int(t.Bounds.MostHeld)
 	c.ConnIdle, c.Connect = t.Bounds.ConnIdleUs/1e3, cmp.Or(t.Bounds.ConnectTimeoutUs/1e3, usualConnect)
-	c.Names = board.Names{Zones: t.Zones, Kinds: t.Kinds}
-	if c.Known, c.Rev, err = board.Known(f.Known, c.Names); err != nil {
+	c.Names = discoveryclient.Names{Zones: t.Zones, Kinds: t.Kinds}
+	if c.Known, c.Rev, err = discoveryclient.Known(f.Known, c.Names); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/lab/fleet"
-	"ravenwheel/internal/source/board"
+	"ravenwheel/internal/source/discoveryclient"
 )
 
 var kinds = []string{"cache", "parent", "origin"}
@@ -45,9 +45,9 @@
 			Points: over(sizes, func(n int) float64 { return float64(len(boardList(n))) })},
 		{Name: "lists/board-read", Role: ListSource, Driver: "servers", Quantity: "processor of reading it", Unit: "us",
 			Points: over(sizes, func(n int) float64 {
-				raw, names := boardList(n), board.Names{Zones: zoneNames(n), Kinds: kinds}
+				raw, names := boardList(n), discoveryclient.Names{Zones: zoneNames(n), Kinds: kinds}
 				return cost(func(int) {
-					if _, _, err := board.Known(raw, names); err != nil {
+					if _, _, err := discoveryclient.Known(raw, names); err != nil {
 						panic(err) // it was written above
 					}
 				})
--- a/internal/source/board/board.go
+++ b/internal/source/discoveryclient/discoveryclient.go
@@ -1,7 +1,7 @@
-// Package board follows discovery, the operators' notice board: numbered events, first as JSON in the configuration, then as
+// Package discoveryclient follows discovery, the operators' notice board: numbered events, first as JSON in the configuration, then as
 // frames over TCP. When it is called, and which of several calls counts, is decided by decide/discovery; Client is the shell
 // round that.
-package board
+package discoveryclient
 
 import (
 	"encoding/json"
--- a/internal/source/board/board_test.go
+++ b/internal/source/discoveryclient/discoveryclient_test.go
@@ -1,4 +1,4 @@
-package board
+package discoveryclient
 
 import (
 	"context"
