--- a/cmd/ravenwheel/servers.go
+++ b/cmd/ravenwheel/servers.go
@@ -15,13 +15,13 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/strictjson"
 )
 
-// resolver asks the system for names, as the program that serves does.
-func resolver() names.Resolver { return net.DefaultResolver }
+// systemResolver asks the system for names, as the program that serves does.
+func systemResolver() resolver.Resolver { return net.DefaultResolver }
 
 // errDefects: they have been printed, a line each.
 var errDefects = errors.New("defects")
@@ -83,7 +83,7 @@
 	if noResolve {
 		return d.Unresolved(), nil
 	}
-	cache := &names.Cache{Resolver: resolver(), Clock: clock.System(), TTL: 60_000, Timeout: 5000}
+	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clock.System(), TTL: 60_000, Timeout: 5000}
 	set, bad := d.Settle(cache.Answers(d.Hosts()), old)
 	return set, bad.Err()
 }
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -16,7 +16,7 @@
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/roster"
 	"ravenwheel/internal/source/discoveryclient"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/state"
 	"ravenwheel/internal/store"
@@ -46,7 +46,7 @@
 	conf   *config.Config // of the start
 	clk    *clock.Clock
 	log    *logs.Log
-	names  *names.Cache
+	names  *resolver.Cache
 	facts  serverlist.Facts
 	member bool // of the store: what operators do goes to all of its members
 	// overdue tells that discovery has not spoken for too long.
@@ -90,7 +90,7 @@
 	talk *peers.Peers, at *place) (*sources, error) {
 	s := &sources{
 		store: shared.store, member: shared.member(o), only: shared.only(o), core: c, conf: conf, clk: clk, log: log,
-		overdue: make(chan struct{}, 1), names: &names.Cache{Resolver: resolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.Facts(0),
+		overdue: make(chan struct{}, 1), names: &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.Facts(0),
 	}
 	set, rank := s.ledgerSettings(o)
 	plan, err := s.startState(o, conf, set, clk, log)
@@ -229,7 +229,7 @@
 // stands alone could serve nobody, and does not start. Where the board tells of servers too, the list is waited for.
 func (s *sources) startList(l *config.Servers, at int, conf *config.Config, kept *serverlist.Set, clk *clock.Clock, log *logs.Log) error {
 	facts := conf.Facts(l.MostDropped)
-	cache := &names.Cache{Resolver: resolver(), Clock: clk, TTL: l.TTL, Timeout: l.Resolve}
+	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: l.TTL, Timeout: l.Resolve}
 	s.facts = facts
 	take := func(set *serverlist.Set) {
 		if s.state != nil {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -23,7 +23,7 @@
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/lab/load"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
 )
@@ -75,7 +75,7 @@
 	if err := os.WriteFile(r.path, raw, 0o600); err != nil {
 		return err
 	}
-	set, err := watch.Load(r.path, r.conf.Facts(0), &names.Cache{Clock: r.clk}, nil)
+	set, err := watch.Load(r.path, r.conf.Facts(0), &resolver.Cache{Clock: r.clk}, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/source/names/names.go
+++ b/internal/source/resolver/resolver.go
@@ -1,7 +1,7 @@
-// Package names gives the addresses of hosts. Literal addresses need nobody; names are asked of a resolver, which may
+// Package resolver gives the addresses of hosts. Literal addresses need nobody; names are asked of a resolver, which may
 // be slow, wrong for a while or hang: each answer is kept for a time, the last good one for as long as there is no
 // better, and whoever asks waits for a bounded time only. Which of several addresses is used is not decided here.
-package names
+package resolver
 
 import (
 	"context"
--- a/internal/source/names/names_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -1,4 +1,4 @@
-package names_test
+package resolver_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 )
 
 // table is a resolver that answers from a table, and hangs, deaf to its context, where the table says so.
@@ -46,10 +46,10 @@
 	}
 }
 
-func newCache() (*names.Cache, *table, *clock.Clock) {
+func newCache() (*resolver.Cache, *table, *clock.Clock) {
 	r := &table{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, asked: map[string]int{}}
 	clk := clock.Manual(0)
-	return &names.Cache{Resolver: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
+	return &resolver.Cache{Resolver: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
 }
 
 func TestSpellings(t *testing.T) {
@@ -67,8 +67,8 @@
 		require.Equal(t, want, c.Answers([]string{host})[host], host)
 	}
 	require.Len(t, r.asked, 1, "literal addresses are asked of nobody")
-	require.True(t, names.Names([]string{"127.0.0.1", "a.example.org"}))
-	require.False(t, names.Names([]string{"127.0.0.1"}))
+	require.True(t, resolver.Names([]string{"127.0.0.1", "a.example.org"}))
+	require.False(t, resolver.Names([]string{"127.0.0.1"}))
 }
 
 func TestLastGoodAnswer(t *testing.T) {
--- a/internal/source/watch/effect_test.go
+++ b/internal/source/watch/effect_test.go
@@ -12,7 +12,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
 )
@@ -38,7 +38,7 @@
 			}
 			taken := make(chan uint64, 1)
 			src := watch.New(watch.Options{
-				Path: path, Clock: clk, Names: &names.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
+				Path: path, Clock: clk, Names: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
 				Settle: debounce.Settings{Quiet: c.quiet, Most: 5000, Poll: 5000}, Take: func(s *serverlist.Set) { taken <- s.Generation },
 			}, nil)
 			go src.Run()
--- a/internal/source/watch/watch.go
+++ b/internal/source/watch/watch.go
@@ -23,7 +23,7 @@
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/logs"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/strictjson"
 )
 
@@ -32,7 +32,7 @@
 	Path   string
 	Facts  serverlist.Facts
 	Settle debounce.Settings
-	Names  *names.Cache
+	Names  *resolver.Cache
 	Clock  *clock.Clock
 	Log    *logs.Log
 	// Take gets each new set, in order, from one goroutine.
@@ -83,7 +83,7 @@
 )
 
 // Load reads, resolves and checks a list once, as it is now, against the one taken before (nil: none).
-func Load(path string, facts serverlist.Facts, cache *names.Cache, old *serverlist.Set) (*serverlist.Set, error) {
+func Load(path string, facts serverlist.Facts, cache *resolver.Cache, old *serverlist.Set) (*serverlist.Set, error) {
 	files, err := Read(path)
 	if err != nil {
 		return nil, err
@@ -282,7 +282,7 @@
 			if s.renew != nil {
 				s.renew()
 			}
-			if names.Names(hosts) {
+			if resolver.Names(hosts) {
 				s.renew = s.opt.Clock.After(s.opt.Names.TTL, func() {
 					go s.later(func() {
 						if asked == s.asking {
--- a/internal/source/watch/watch_test.go
+++ b/internal/source/watch/watch_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/source/names"
+	"ravenwheel/internal/source/resolver"
 	"ravenwheel/internal/source/watch"
 )
 
@@ -38,12 +38,12 @@
 
 func start(t *testing.T, path func(dir string) string) *rig { return startWith(t, path, nil) }
 
-func startWith(t *testing.T, path func(dir string) string, n names.Resolver) *rig {
+func startWith(t *testing.T, path func(dir string) string, n resolver.Resolver) *rig {
 	r := &rig{t: t, dir: t.TempDir(), clk: clock.Manual(0)}
 	r.path = path(r.dir)
 	r.src = watch.New(watch.Options{
 		Path: r.path, Facts: serverlist.Facts{OriginKind: "origin", Writes: true}, Clock: r.clk,
-		Settle: debounce.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &names.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
+		Settle: debounce.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &resolver.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
 		Take: func(s *serverlist.Set) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -289,7 +289,7 @@
 	dir := t.TempDir()
 	path := inDir(dir)
 	require.NoError(t, os.WriteFile(path, list(4, 1), 0o600))
-	cache := &names.Cache{Clock: clock.Manual(0)}
+	cache := &resolver.Cache{Clock: clock.Manual(0)}
 	set, err := watch.Load(path, serverlist.Facts{}, cache, nil)
 	require.NoError(t, err)
 	require.EqualValues(t, 4, set.Generation)
