--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -16,8 +16,8 @@
 	"ravenwheel/internal/lab/demo"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/lab/load"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 )
 
 func main() {
@@ -37,7 +37,7 @@
 	cmd := &cobra.Command{
 		Use: "fleet LIST", Short: "Stand in for the servers of a list, at its addresses, until SIGTERM", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := watch.Load(args[0], serverlist.Facts{ParentKind: "parent", OriginKind: "origin"}, &resolver.Cache{Clock: o.Clock}, nil)
+			set, err := filewatch.Load(args[0], serverlist.Facts{ParentKind: "parent", OriginKind: "origin"}, &resolver.Cache{Clock: o.Clock}, nil)
 			if err != nil {
 				return err
 			}
--- a/cmd/ravenwheel/servers.go
+++ b/cmd/ravenwheel/servers.go
@@ -15,8 +15,8 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/strictjson"
 )
 
@@ -72,7 +72,7 @@
 
 // readList reads one list. Its defects are an error that lists them.
 func readList(path string, old *serverlist.Set, facts serverlist.Facts) (*serverlist.Set, error) {
-	files, err := watch.Read(path)
+	files, err := filewatch.Read(path)
 	if err != nil {
 		return nil, strictjson.Defects{{File: path, Reason: err.Error()}}
 	}
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -16,8 +16,8 @@
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/roster"
 	"ravenwheel/internal/source/discoveryclient"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 	"ravenwheel/internal/state"
 	"ravenwheel/internal/store"
 	"ravenwheel/policy"
@@ -38,7 +38,7 @@
 type sources struct {
 	roster *roster.Roster
 	board  *discoveryclient.Client // nil: none
-	list   *watch.Source           // nil: none
+	list   *filewatch.Source       // nil: none
 	state  *state.Keeper           // nil: nothing is kept
 	admin  *admin.Admin            // nil: off
 	store  *store.Store            // nil: none is set up
@@ -237,7 +237,7 @@
 		}
 		s.roster.Tell(membership.List{Source: at, Generation: set.Generation, Entries: conf.Entries(set)})
 	}
-	set, err := watch.Load(l.Path, facts, cache, kept)
+	set, err := filewatch.Load(l.Path, facts, cache, kept)
 	switch {
 	case err == nil:
 		take(set)
@@ -248,7 +248,7 @@
 	case conf.Board == "":
 		return err
 	}
-	s.list = watch.New(watch.Options{
+	s.list = filewatch.New(filewatch.Options{
 		Path: l.Path, Facts: facts, Settle: l.Settle(), Names: cache, Clock: clk, Log: log, Take: take,
 	}, set)
 	go s.list.Run()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,7 +29,7 @@
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/source/discoveryclient"
-	"ravenwheel/internal/source/watch"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/state"
 	"ravenwheel/internal/store"
 	"ravenwheel/internal/strictjson"
@@ -53,10 +53,10 @@
 
 // Servers is what "servers show" shows.
 type Servers struct {
-	Version uint64        `json:"version"`
-	NowMs   float64       `json:"now_ms"`
-	Servers []Server      `json:"servers"`
-	List    *watch.Status `json:"list,omitempty"`
+	Version uint64            `json:"version"`
+	NowMs   float64           `json:"now_ms"`
+	Servers []Server          `json:"servers"`
+	List    *filewatch.Status `json:"list,omitempty"`
 }
 
 // Options set up the address.
@@ -67,10 +67,10 @@
 	Names  discoveryclient.Names
 	Core   *core.Core
 	Views  func() ([]membership.View, uint64)
-	List   func() watch.Status // nil: no list is watched
-	State  *state.Keeper       // nil: nothing is kept
-	Store  *store.Store        // nil: none is set up
-	Peers  *peers.Peers        // nil: this process is alone
+	List   func() filewatch.Status // nil: no list is watched
+	State  *state.Keeper           // nil: nothing is kept
+	Store  *store.Store            // nil: none is set up
+	Peers  *peers.Peers            // nil: this process is alone
 	// Distribution tells how this process stands in the tree of distributors. nil: it is in none.
 	Distribution func() []distribution.Status
 	// Discovery tells how discovery is followed. nil: there is none.
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -22,7 +22,7 @@
 	"ravenwheel/internal/distribution"
 	"ravenwheel/internal/golden"
 	"ravenwheel/internal/source/discoveryclient"
-	"ravenwheel/internal/source/watch"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/policy"
 )
 
@@ -46,7 +46,7 @@
 			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, Wanted: 8, Since: 900.25,
 			Why: "drained by hand", Source: "board",
 		}},
-		List: &watch.Status{Path: "servers.jsonc", Generation: 7, TakenMs: 1, Why: []string{"torn"}, RefusedMs: 2, Looks: 3, Taken: 4, Refusals: 5},
+		List: &filewatch.Status{Path: "servers.jsonc", Generation: 7, TakenMs: 1, Why: []string{"torn"}, RefusedMs: 2, Looks: 3, Taken: 4, Refusals: 5},
 	})
 	goldenForm(t, "servers-empty.json", Servers{Servers: []Server{{ID: "s-00000001"}}})
 	group, zero := 17, 0
@@ -122,7 +122,7 @@
 	a, listenErr := Listen(Options{
 		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
 		Core: proxy, Views: func() ([]membership.View, uint64) { return []membership.View{ready, unnamed}, 9 },
-		List:         func() watch.Status { return watch.Status{Path: "servers.jsonc", Generation: 7} },
+		List:         func() filewatch.Status { return filewatch.Status{Path: "servers.jsonc", Generation: 7} },
 		Discovery:    func() discoveryclient.Status { return discoveryclient.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
 		Distribution: func() []distribution.Status { return nil },
 		Shared:       goldenOperations{err}, Desk: goldenOperations{err},
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -23,8 +23,8 @@
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/lab/load"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
 )
 
@@ -75,7 +75,7 @@
 	if err := os.WriteFile(r.path, raw, 0o600); err != nil {
 		return err
 	}
-	set, err := watch.Load(r.path, r.conf.Facts(0), &resolver.Cache{Clock: r.clk}, nil)
+	set, err := filewatch.Load(r.path, r.conf.Facts(0), &resolver.Cache{Clock: r.clk}, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/source/watch/effect_test.go
+++ b/internal/source/filewatch/effect_test.go
@@ -1,4 +1,4 @@
-package watch_test
+package filewatch_test
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 	"ravenwheel/policy"
 )
 
@@ -37,7 +37,7 @@
 				return serverlist.Format(s)
 			}
 			taken := make(chan uint64, 1)
-			src := watch.New(watch.Options{
+			src := filewatch.New(filewatch.Options{
 				Path: path, Clock: clk, Names: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
 				Settle: debounce.Settings{Quiet: c.quiet, Most: 5000, Poll: 5000}, Take: func(s *serverlist.Set) { taken <- s.Generation },
 			}, nil)
--- a/internal/source/watch/watch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -1,8 +1,8 @@
-// Package watch follows a server list on disk: one file, or a directory of parts bound by a manifest. It looks when
+// Package filewatch follows a server list on disk: one file, or a directory of parts bound by a manifest. It looks when
 // the file system tells of a touch (fsnotify) and, as such news can be missed, in a slow poll; when what was read
 // counts is said by decide/debounce, and whether it can be used by decide/serverlist. What can't be used leaves the
 // list before it in force.
-package watch
+package filewatch
 
 import (
 	"errors"
--- a/internal/source/watch/watch_test.go
+++ b/internal/source/filewatch/filewatch_test.go
@@ -1,4 +1,4 @@
-package watch_test
+package filewatch_test
 
 import (
 	"bytes"
@@ -20,8 +20,8 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/debounce"
 	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
-	"ravenwheel/internal/source/watch"
 )
 
 // rig is a source under a clock that runs on while something is waited for.
@@ -30,7 +30,7 @@
 	dir  string
 	path string
 	clk  *clock.Clock
-	src  *watch.Source
+	src  *filewatch.Source
 
 	mu    sync.Mutex
 	taken []uint64
@@ -41,7 +41,7 @@
 func startWith(t *testing.T, path func(dir string) string, n resolver.Resolver) *rig {
 	r := &rig{t: t, dir: t.TempDir(), clk: clock.Manual(0)}
 	r.path = path(r.dir)
-	r.src = watch.New(watch.Options{
+	r.src = filewatch.New(filewatch.Options{
 		Path: r.path, Facts: serverlist.Facts{OriginKind: "origin", Writes: true}, Clock: r.clk,
 		Settle: debounce.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &resolver.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
 		Take: func(s *serverlist.Set) {
@@ -290,13 +290,13 @@
 	path := inDir(dir)
 	require.NoError(t, os.WriteFile(path, list(4, 1), 0o600))
 	cache := &resolver.Cache{Clock: clock.Manual(0)}
-	set, err := watch.Load(path, serverlist.Facts{}, cache, nil)
+	set, err := filewatch.Load(path, serverlist.Facts{}, cache, nil)
 	require.NoError(t, err)
 	require.EqualValues(t, 4, set.Generation)
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(list(4, 1)), "127.0.0.1:", "a.example.org:", 1)), 0o600))
-	_, err = watch.Load(path, serverlist.Facts{}, cache, nil)
+	_, err = filewatch.Load(path, serverlist.Facts{}, cache, nil)
 	require.ErrorContains(t, err, "a.example.org is a name, and no names are resolved here")
-	_, err = watch.Load(filepath.Join(dir, "none"), serverlist.Facts{}, cache, nil)
+	_, err = filewatch.Load(filepath.Join(dir, "none"), serverlist.Facts{}, cache, nil)
 	require.Error(t, err)
 }
 
--- a/internal/source/watch/golden_test.go
+++ b/internal/source/filewatch/golden_test.go
@@ -1,4 +1,4 @@
-package watch
+package filewatch
 
 import (
 	"encoding/json"
