--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/peers"
-	"ravenwheel/internal/roster"
+	"ravenwheel/internal/registry"
 	"ravenwheel/internal/source/discoveryclient"
 	"ravenwheel/internal/source/filewatch"
 	"ravenwheel/internal/source/resolver"
@@ -36,7 +36,7 @@
 // sources are who tells of servers: a list that is watched, which comes first where both list a server, and the
 // notice board.
 type sources struct {
-	roster *roster.Roster
+	roster *registry.Roster
 	board  *discoveryclient.Client // nil: none
 	list   *filewatch.Source       // nil: none
 	state  *state.Keeper           // nil: nothing is kept
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.roster, err = roster.New(s.ledger(set)); err != nil {
+	if s.roster, err = registry.New(s.ledger(set)); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -134,8 +134,8 @@
 }
 
 // ledger is how the registry publishes: to the core, and to what is kept.
-func (s *sources) ledger(set membership.Settings) roster.Options {
-	o := roster.Options{Ledger: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
+func (s *sources) ledger(set membership.Settings) registry.Options {
+	o := registry.Options{Ledger: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
 	if s.state != nil {
 		o.Publish = func(p membership.Publish) { s.core.Members(p); s.state.Published(p) }
 		o.Moved = s.state.Moved
--- a/internal/roster/roster.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package roster is the shell round the ledger of members (decide/membership): it brings the clock, takes the sources'
+// Package registry is the shell round the ledger of members (decide/membership): it brings the clock, takes the sources'
 // words in, and carries out what the ledger decides, in order and one word at a time.
-package roster
+package registry
 
 import (
 	"sync"
--- a/internal/roster/roster_test.go
+++ b/internal/registry/registry_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package registry_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/roster"
+	"ravenwheel/internal/registry"
 	"ravenwheel/internal/upstream"
 	"ravenwheel/policy"
 )
@@ -33,7 +33,7 @@
 func TestWakes(t *testing.T) {
 	clk := clock.Manual(1000)
 	var got []string
-	r, err := roster.New(roster.Options{Ledger: settings(), Clock: clk, Publish: func(p membership.Publish) {
+	r, err := registry.New(registry.Options{Ledger: settings(), Clock: clk, Publish: func(p membership.Publish) {
 		for _, m := range p.Members {
 			got = append(got, fmt.Sprint(clk.Now(), " ", m.ID, " ", m.State, " ", m.Weight))
 		}
@@ -56,7 +56,7 @@
 	var last uint64
 	set := settings()
 	set.Sources = append(set.Sources, membership.Source{Name: "board", Direct: true})
-	r, err := roster.New(roster.Options{Ledger: set, Clock: clk, Publish: func(p membership.Publish) {
+	r, err := registry.New(registry.Options{Ledger: set, Clock: clk, Publish: func(p membership.Publish) {
 		require.Equal(t, last+1, p.Version)
 		last = p.Version
 	}})
@@ -78,12 +78,12 @@
 }
 
 // newCore is a core with its pools, of 10,000 members.
-func newCore(b *testing.B) (*roster.Roster, *core.Core, []membership.Entry) {
+func newCore(b *testing.B) (*registry.Roster, *core.Core, []membership.Entry) {
 	clk := clock.System()
 	up := upstream.New(clk, upstream.Limits{PerConn: 32, Conns: 4})
 	c, err := core.New(policy.Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []policy.Class{{Deadline: time.Second}}}, []string{"a"}, 0, 7, clk, up)
 	require.NoError(b, err)
-	r, err := roster.New(roster.Options{Ledger: settings(), Clock: clk, Publish: c.Members})
+	r, err := registry.New(registry.Options{Ledger: settings(), Clock: clk, Publish: c.Members})
 	require.NoError(b, err)
 	list := entries(10_000)
 	r.Tell(membership.List{Generation: 1, Entries: list})
