--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -10,9 +10,9 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
+	"ravenwheel/internal/control"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/desk"
 	"ravenwheel/internal/front/resp"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/scenario"
@@ -41,7 +41,7 @@
 			go func() { _ = front.Serve() }()
 			defer front.Close()
 			conf := &config.Config{Settings: scenario.Settings()}
-			d := desk.New(desk.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+			d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
 			d.Serve(front, nil, nil)
 			d.Owns(true)
 			d.Accept(true)
@@ -162,7 +162,7 @@
 				go func() { _ = front.Serve() }()
 				defer front.Close()
 				conf := &config.Config{Settings: set}
-				d := desk.New(desk.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+				d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
 				d.Serve(front, nil, nil)
 				d.Owns(true)
 				d.Accept(true)
--- a/cmd/ravenwheel/place.go
+++ b/cmd/ravenwheel/place.go
@@ -7,8 +7,8 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/console"
+	"ravenwheel/internal/control"
 	"ravenwheel/internal/core"
-	"ravenwheel/internal/desk"
 	"ravenwheel/internal/front/resp"
 	"ravenwheel/internal/handover"
 	"ravenwheel/internal/logs"
@@ -17,7 +17,7 @@
 
 // place is this process among those that may own its address, and the operators' way to it.
 type place struct {
-	desk    *desk.Desk
+	desk    *control.Desk
 	hand    *handover.Hand   // nil: no console is named, and no other process is looked for
 	console *console.Console // nil: none is named
 }
@@ -25,7 +25,7 @@
 // takePlace opens the console and finds the process that owns the address, if there is one. stop ends the program; ended is closed
 // once it is told to end.
 func takePlace(ended <-chan struct{}, conf *config.Config, clk *clock.Clock, log *logs.Log, stop context.CancelFunc) (p *place, err error) {
-	d := desk.New(desk.Options{Clock: clk, MemoryMB: conf.MemoryMB, Conns: conf.Sockets / 2, AnswerWithin: killed(conf), Stop: stop})
+	d := control.New(control.Options{Clock: clk, MemoryMB: conf.MemoryMB, Conns: conf.Sockets / 2, AnswerWithin: killed(conf), Stop: stop})
 	p = &place{desk: d}
 	if conf.Console == "" {
 		return p, nil
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -15,8 +15,8 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
+	"ravenwheel/internal/control"
 	"ravenwheel/internal/core"
-	"ravenwheel/internal/desk"
 	"ravenwheel/internal/front/resp"
 	"ravenwheel/internal/handover"
 	"ravenwheel/internal/logs"
@@ -191,7 +191,7 @@
 	end := clk.Now() + clock.Ms(longest(conf)) + killAfter - stopMargin
 	passed := told()
 	if !passed {
-		pause(clk, desk.StopAfter)
+		pause(clk, control.StopAfter)
 	}
 	// Another process that passed over this one has a queue of its own, and this one's is still its own to empty.
 	if !passed || front.Accepts() {
@@ -242,5 +242,5 @@
 		conf.Sockets = 1024
 	}
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
-	desk.Memory(conf.MemoryMB, false)
+	control.Memory(conf.MemoryMB, false)
 }
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/config"
+	"ravenwheel/internal/control"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
-	"ravenwheel/internal/desk"
 	"ravenwheel/internal/front/resp"
 	"ravenwheel/internal/invariant"
 	"ravenwheel/internal/lab/fleet"
@@ -42,7 +42,7 @@
 	go func() { _ = front.Serve() }()
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := desk.New(desk.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
 	d.Serve(front, nil, nil)
 	d.Owns(true)
 	d.Accept(true)
@@ -79,7 +79,7 @@
 			return false
 		}
 	}, time.Minute, time.Millisecond)
-	require.GreaterOrEqual(t, p.Clock.Now(), began+desk.StopAfter)
+	require.GreaterOrEqual(t, p.Clock.Now(), began+control.StopAfter)
 	require.Less(t, p.Clock.Now(), began+5000+killAfter, "before SIGKILL")
 	require.True(t, operatorStopped)
 	require.Zero(t, front.Held(), "what is open as the process ends is reset, with all that nobody has read there")
@@ -120,7 +120,7 @@
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := desk.New(desk.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
 	d.Serve(front, nil, nil)
 	d.Owns(true)
 	d.Accept(true)
--- a/internal/desk/desk.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package desk is the proxy as a whole in operators' hands: it brings what the console and another process tell to the
+// Package control is the proxy as a whole in operators' hands: it brings what the console and another process tell to the
 // deciders (drain, membership, handover) and carries out what they say at the clients' front. It decides nothing.
-package desk
+package control
 
 import (
 	"errors"
--- a/internal/desk/golden_test.go
+++ b/internal/control/golden_test.go
@@ -1,4 +1,4 @@
-package desk
+package control
 
 import (
 	"fmt"
