--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -6,6 +6,7 @@
 	"maps"
 
 	"ravenwheel/internal/admin"
+	"ravenwheel/internal/applier"
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/core"
@@ -13,7 +14,6 @@
 	"ravenwheel/internal/decide/recovery"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/decide/storestate"
-	"ravenwheel/internal/facts"
 	"ravenwheel/internal/front/signed"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
@@ -102,8 +102,8 @@
 const storeList = "servers"
 
 // hears says where facts of the store go.
-func (s *sources) hears(at int, conf *config.Config, log *logs.Log) *facts.Options {
-	o := &facts.Options{
+func (s *sources) hears(at int, conf *config.Config, log *logs.Log) *applier.Options {
+	o := &applier.Options{
 		Clock: s.clk, Log: log, Source: at, Entries: conf.Entries, Tell: s.roster.Tell, Drained: s.drained, Purged: s.core.Purged,
 	}
 	if s.state != nil { // or the interface would hold a nil
--- a/internal/facts/facts.go
+++ b/internal/applier/applier.go
@@ -1,8 +1,8 @@
-// Package facts takes in what the members of a store share, and has it come into force in this process: lists and drains
+// Package applier takes in what the members of a store share, and has it come into force in this process: lists and drains
 // go to the server registry, purges to the request's path, and all of them to the journal. It is the same whether a member
 // of the store tells them or a distributor, and is told them in order by one goroutine. It decides nothing: what a change
 // is worth was decided by the store's state (decide/storestate), and what becomes of it is by the registry's ledger.
-package facts
+package applier
 
 import (
 	"ravenwheel/internal/clock"
--- a/internal/facts/facts_test.go
+++ b/internal/applier/applier_test.go
@@ -1,17 +1,17 @@
-package facts_test
+package applier_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
+	"ravenwheel/internal/applier"
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/membership"
 	"ravenwheel/internal/decide/recovery"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/decide/storestate"
-	"ravenwheel/internal/facts"
 	"ravenwheel/policy"
 )
 
@@ -35,8 +35,8 @@
 
 func (h *heard) Purging(p recovery.Purge) { h.all = append(h.all, p) }
 
-func options(h *heard) *facts.Options {
-	return &facts.Options{
+func options(h *heard) *applier.Options {
+	return &applier.Options{
 		Clock: clock.Manual(5000), Source: 1, Keeper: h,
 		Entries: func(set *serverlist.Set) []membership.Entry {
 			out := make([]membership.Entry, len(set.Servers))
@@ -73,7 +73,7 @@
 	entry := membership.Entry{}
 	entry.ID = 1
 	require.Equal(t, []any{
-		took{facts.ListSource, 3}, membership.List{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
+		took{applier.ListSource, 3}, membership.List{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
 		drained{1, true}, drained{1, false},
 		core.Purge{Object: "o", Group: -1, At: 10}, recovery.Purge{Object: "o", Made: 10, Told: 5000},
 		core.Purge{Group: 4, At: 11}, recovery.Purge{Group: 4, Made: 11, Told: 5000},
