--- a/Makefile
+++ b/Makefile
@@ -19,8 +19,8 @@
 
 # The field's dozens of processes would hold up the tests that run beside them, the store's elections first. They run once,
 # where a broken invariant ends the process: without the tag it is only counted.
-FIELDS = ./internal/lab/field
-OTHERS = $(shell go list ./... | grep -v /lab/field)
+FIELDS = ./internal/lab/multiprocess
+OTHERS = $(shell go list ./... | grep -v /lab/multiprocess)
 
 race:
 	go test -count=1 -race $(RED) ./...
@@ -77,7 +77,7 @@
 # Hundreds of processes with faults between them, at the sizes of FIELD; no part of CI. Its figures go to docs/measurements.
 FIELD = 30,100,300
 field:
-	FIELD=$(FIELD) FIELD_OFF=100 go test -count=1 -timeout 30m -v -run TestFull ./internal/lab/field
+	FIELD=$(FIELD) FIELD_OFF=100 go test -count=1 -timeout 30m -v -run TestFull ./internal/lab/multiprocess
 
 # Thousands of hollow processes in virtual time, at all sizes and both ways; some minutes, no part of CI (a small one is). Each
 # size is a run of its own, so that one's heap is not the next one's.
--- a/cmd/ravenlab/field.go
+++ b/cmd/ravenlab/field.go
@@ -9,13 +9,13 @@
 
 	"github.com/spf13/cobra"
 
-	"ravenwheel/internal/lab/field"
+	"ravenwheel/internal/lab/multiprocess"
 )
 
 func fieldCommand() *cobra.Command {
 	var bin, dir, page string
 	var seed uint64
-	play := func(cmd *cobra.Command, s field.Scenario) (err error) {
+	play := func(cmd *cobra.Command, s multiprocess.Scenario) (err error) {
 		keep := dir
 		if keep == "" {
 			if keep, err = os.MkdirTemp("", "ravenwheel-field-"); err != nil {
@@ -23,7 +23,7 @@
 			}
 		}
 		out := cmd.OutOrStdout()
-		r, err := field.Play(cmd.Context(), s, bin, keep, func(line string) { fmt.Fprintln(out, line) })
+		r, err := multiprocess.Play(cmd.Context(), s, bin, keep, func(line string) { fmt.Fprintln(out, line) })
 		if r == nil {
 			return err
 		}
@@ -32,7 +32,7 @@
 			if failed != nil {
 				return failed
 			}
-			err = errors.Join(err, field.WritePage(f, r), f.Close())
+			err = errors.Join(err, multiprocess.WritePage(f, r), f.Close())
 		}
 		asked, served := 0, 0
 		for _, w := range r.Windows {
@@ -58,12 +58,12 @@
 		}
 		return err
 	}
-	read := func(path string) (field.Scenario, error) {
+	read := func(path string) (multiprocess.Scenario, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return field.Scenario{}, err
+			return multiprocess.Scenario{}, err
 		}
-		s, bad := field.ParseScenario(path, text)
+		s, bad := multiprocess.ParseScenario(path, text)
 		if s.Name == "" {
 			s.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 		}
--- a/internal/lab/field/full_test.go
+++ b/internal/lab/multiprocess/full_test.go
@@ -1,4 +1,4 @@
-package field_test
+package multiprocess_test
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/lab/field"
+	"ravenwheel/internal/lab/multiprocess"
 	"ravenwheel/policy"
 )
 
@@ -34,15 +34,15 @@
 
 func full(t *testing.T, n int) {
 	zones := max(2, n/25)
-	f := start(t, field.Options{Seed: 7, Zones: zones, Processes: n / zones, Caches: 4, Parents: 4, Serve: 5, Fill: 20, Peers: true, Objects: 2000})
-	within := func(what string, ps, alive []*field.Process) time.Duration {
+	f := start(t, multiprocess.Options{Seed: 7, Zones: zones, Processes: n / zones, Caches: 4, Parents: 4, Serve: 5, Fill: 20, Peers: true, Objects: 2000})
+	within := func(what string, ps, alive []*multiprocess.Process) time.Duration {
 		began := time.Now()
 		var err error
 		// Asked less often than elsewhere: hundreds that tell of hundreds are a load of their own.
 		if !assert.Eventually(t, func() bool {
-			err = field.Agree(ps, alive)
+			err = multiprocess.Agree(ps, alive)
 			return err == nil
-		}, field.ReadyWithin, 500*time.Millisecond) {
+		}, multiprocess.ReadyWithin, 500*time.Millisecond) {
 			t.Fatal(err)
 		}
 		t.Logf("%d processes, %d zones: %s after %.1f s", len(f.Processes), zones, what, time.Since(began).Seconds())
@@ -51,7 +51,7 @@
 	within("all agree that all are there, once the last was ready,", f.Processes, f.Processes)
 
 	// Ten requests a second at each process, for as long as it takes to see the rates level out.
-	stop := f.Traffic(func(*field.Process) float64 { return 10 })
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 10 })
 	time.Sleep(settle)
 	const span = 20.0
 	one := traffic(t, f)
@@ -81,7 +81,7 @@
 	t.Logf("view of the caches of one's own zone against what the caches saw over the same 3 s: within 20 %% on %.0f %% of %d readings, median error %.2f, 95th percentile %.2f",
 		100*float64(good)/float64(len(errors)), len(errors), errors[len(errors)/2], errors[len(errors)*95/100])
 
-	var killed, left []*field.Process
+	var killed, left []*multiprocess.Process
 	for i, p := range f.Processes {
 		if i%3 == 0 {
 			killed = append(killed, p)
@@ -106,7 +106,7 @@
 // spent is what all processes sent, received and computed so far: bytes, and seconds.
 type spent struct{ sent, digests, streams, received, cpu float64 }
 
-func traffic(t *testing.T, f *field.Field) (x spent) {
+func traffic(t *testing.T, f *multiprocess.Field) (x spent) {
 	for _, p := range f.Processes {
 		s, err := p.Brief()
 		require.NoError(t, err)
@@ -143,8 +143,8 @@
 
 // viewErrors are by how much, as a share, one process of each zone is off about the load of each cache of its zone: the
 // caches' own count of the three seconds before is the truth.
-func viewErrors(t *testing.T, f *field.Field) (out []float64) {
-	byZone := map[int]*field.Process{}
+func viewErrors(t *testing.T, f *multiprocess.Field) (out []float64) {
+	byZone := map[int]*multiprocess.Process{}
 	for _, p := range f.Processes {
 		byZone[p.Zone] = p
 	}
@@ -179,8 +179,8 @@
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
 		zones := max(2, n/25)
-		f := start(t, field.Options{Seed: 7, Zones: zones, Processes: n / zones, Caches: 4, Parents: 4, Serve: 5, Fill: 20, Objects: 2000})
-		stop := f.Traffic(func(*field.Process) float64 { return 10 })
+		f := start(t, multiprocess.Options{Seed: 7, Zones: zones, Processes: n / zones, Caches: 4, Parents: 4, Serve: 5, Fill: 20, Objects: 2000})
+		stop := f.Traffic(func(*multiprocess.Process) float64 { return 10 })
 		time.Sleep(settle)
 		const span = 20.0
 		before, after, rss := 0.0, 0.0, []float64{}
--- a/internal/lab/field/hard_test.go
+++ b/internal/lab/multiprocess/hard_test.go
@@ -1,4 +1,4 @@
-package field_test
+package multiprocess_test
 
 import (
 	"slices"
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/lab/field"
+	"ravenwheel/internal/lab/multiprocess"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/store"
 	"ravenwheel/policy"
@@ -24,13 +24,13 @@
 // are answered, all of a zone keep sight of each other, and they are one again afterwards.
 func TestCutOneWay(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 5, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 5, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	one, two := f.Processes[:5], f.Processes[5:]
-	f.Between(0, 1, field.Link{Cut: true})
+	f.Between(0, 1, multiprocess.Link{Cut: true})
 	agree(t, one, one)
 	agree(t, two, two)
-	f.Between(0, 1, field.Link{})
+	f.Between(0, 1, multiprocess.Link{})
 	agree(t, f.Processes, f.Processes)
 }
 
@@ -39,21 +39,21 @@
 func TestOneCutOffFromNineteen(t *testing.T) {
 	t.Parallel()
 	const n = 20
-	f := start(t, field.Options{Seed: 7, Zones: n, Processes: 1, Caches: 1, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: n, Processes: 1, Caches: 1, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
-	off := func(l field.Link) {
+	off := func(l multiprocess.Link) {
 		for z := range n - 1 {
 			f.Between(z, n-1, l)
 			f.Between(n-1, z, l)
 		}
 	}
-	off(field.Link{Cut: true})
+	off(multiprocess.Link{Cut: true})
 	agree(t, f.Processes[:n-1], f.Processes[:n-1])
 	require.Eventually(t, func() bool {
 		s, err := f.Processes[n-1].Brief()
 		return err == nil && s.Hears == 0
-	}, field.ReadyWithin, asking)
-	off(field.Link{})
+	}, multiprocess.ReadyWithin, asking)
+	off(multiprocess.Link{})
 	agree(t, f.Processes, f.Processes)
 }
 
@@ -61,9 +61,9 @@
 // next to nothing, and break off streams. Whoever is given up for it comes back while the loss lasts.
 func TestLossAndJitter(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 3, Processes: 4, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 3, Processes: 4, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
-	all := func(l field.Link) {
+	all := func(l multiprocess.Link) {
 		for from := range 3 {
 			for to := range 3 {
 				if from != to {
@@ -72,22 +72,22 @@
 			}
 		}
 	}
-	all(field.Link{Loss: 0.2, Jitter: 200, Twice: 0.1})
+	all(multiprocess.Link{Loss: 0.2, Jitter: 200, Twice: 0.1})
 	ended := f.Processes[11]
 	f.Kill(ended)
 	agree(t, f.Processes[:11], f.Processes[:11])
 	require.NoError(t, f.Start(ended))
 	agree(t, f.Processes, f.Processes)
-	all(field.Link{Rate: 4, Reset: true})
-	all(field.Link{Rate: 20})
+	all(multiprocess.Link{Rate: 4, Reset: true})
+	all(multiprocess.Link{Rate: 20})
 	agree(t, f.Processes, f.Processes)
 }
 
 // Every process is restarted twice, a quarter at a time, without waiting for the others to have noticed.
 func TestRestartStorm(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 8, Caches: 3, Parents: 1, Serve: 3, Fill: 15, Peers: true})
-	stop := f.Traffic(func(*field.Process) float64 { return 5 })
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 8, Caches: 3, Parents: 1, Serve: 3, Fill: 15, Peers: true})
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 5 })
 	for range 2 {
 		for i := range 4 {
 			some := f.Processes[i*4 : i*4+4]
@@ -106,12 +106,12 @@
 // The seeds are gone for good. Who starts anew finds the others by those that it knew before.
 func TestSeedsGone(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	for _, p := range f.Processes {
-		require.Eventually(t, func() bool { return p.Remembers() > 0 }, field.ReadyWithin, asking)
+		require.Eventually(t, func() bool { return p.Remembers() > 0 }, multiprocess.ReadyWithin, asking)
 	}
-	var gone, left []*field.Process
+	var gone, left []*multiprocess.Process
 	for i, p := range f.Processes {
 		if i%4 == 0 { // three seeds: see field.writeOperator
 			gone = append(gone, p)
@@ -130,7 +130,7 @@
 // A process that was killed comes back under its name at another address.
 func TestBackElsewhere(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 1, Processes: 10, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 1, Processes: 10, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	moved := f.Processes[3]
 	f.Kill(moved)
@@ -141,7 +141,7 @@
 			s, err := p.Peers()
 			i := slices.IndexFunc(s.Members, func(m peers.Member) bool { return m.Name == moved.Name })
 			return err == nil && i >= 0 && s.Members[i].State == peers.Alive && s.Members[i].Addr == moved.PeerAddr
-		}, field.ReadyWithin, asking, "%s", p.Name)
+		}, multiprocess.ReadyWithin, asking, "%s", p.Name)
 	}
 	agree(t, f.Processes, f.Processes)
 }
@@ -149,7 +149,7 @@
 // The clock of one process is 3 s ahead of the others', and of another 3 s behind: nobody is given up, and their word counts.
 func TestClocksApart(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 1, Processes: 8, Caches: 2, Parents: 1, Serve: 3, Fill: 15, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 1, Processes: 8, Caches: 2, Parents: 1, Serve: 3, Fill: 15, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	for i, ahead := range []float64{3000, -3000} {
 		p := f.Processes[6+i]
@@ -169,7 +169,7 @@
 		t.Cleanup(s.Close)
 	}
 	agree(t, f.Processes[:6], f.Processes)
-	said := func(p *field.Process) int {
+	said := func(p *multiprocess.Process) int {
 		v, err := p.View(serverlist.Name(1))
 		require.NoError(t, err)
 		n := 0
@@ -183,7 +183,7 @@
 		return n
 	}
 	for _, p := range f.Processes[:6] {
-		require.Eventually(t, func() bool { return said(p) == 2 }, field.ReadyWithin, asking)
+		require.Eventually(t, func() bool { return said(p) == 2 }, multiprocess.ReadyWithin, asking)
 	}
 	agree(t, f.Processes[:6], f.Processes)
 }
--- a/internal/lab/field/field.go
+++ b/internal/lab/multiprocess/multiprocess.go
@@ -1,8 +1,8 @@
-// Package field runs many real processes of the program on loopback, with stand-ins for all that they speak to: caches,
+// Package multiprocess runs many real processes of the program on loopback, with stand-ins for all that they speak to: caches,
 // parents, the origin, the notice board and clients. Faults are brought upon them from a timeline, and what must hold is
 // checked by what stand-ins and clients saw, never by what a process says of itself. It needs no privileges; every
 // process is ended by its own id.
-package field
+package multiprocess
 
 import (
 	"fmt"
--- a/internal/lab/field/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -1,4 +1,4 @@
-package field
+package multiprocess
 
 import (
 	"encoding/json"
--- a/internal/lab/field/peers_test.go
+++ b/internal/lab/multiprocess/peers_test.go
@@ -1,4 +1,4 @@
-package field_test
+package multiprocess_test
 
 import (
 	"fmt"
@@ -14,21 +14,21 @@
 
 	"ravenwheel/internal/decide/fleetview"
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/lab/field"
+	"ravenwheel/internal/lab/multiprocess"
 	"ravenwheel/internal/peers"
 	"ravenwheel/internal/store"
 	"ravenwheel/policy"
 )
 
 // agree waits until some processes take exactly those for alive.
-func agree(t *testing.T, ps, alive []*field.Process) {
+func agree(t *testing.T, ps, alive []*multiprocess.Process) {
 	t.Helper()
 	var err error
 	began := time.Now()
 	if !assert.Eventually(t, func() bool {
-		err = field.Agree(ps, alive)
+		err = multiprocess.Agree(ps, alive)
 		return err == nil
-	}, field.ReadyWithin, 50*time.Millisecond) {
+	}, multiprocess.ReadyWithin, 50*time.Millisecond) {
 		t.Fatal(err)
 	}
 	t.Logf("%d agree on %d after %v", len(ps), len(alive), time.Since(began).Round(100*time.Millisecond))
@@ -38,10 +38,10 @@
 // back in again.
 func TestHalfKilled(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 10, Caches: 3, Parents: 1, Serve: 3, Fill: 15, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 10, Caches: 3, Parents: 1, Serve: 3, Fill: 15, Peers: true})
 	agree(t, f.Processes, f.Processes)
-	stop := f.Traffic(func(*field.Process) float64 { return 10 })
-	var killed, left []*field.Process
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 10 })
+	var killed, left []*multiprocess.Process
 	for i, p := range f.Processes {
 		if i%2 == 0 {
 			killed = append(killed, p)
@@ -72,20 +72,20 @@
 // left who knew of both.
 func TestCutAndHealed(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	one, two := f.Processes[:6], f.Processes[6:]
-	f.Between(0, 1, field.Link{Cut: true})
-	f.Between(1, 0, field.Link{Cut: true})
+	f.Between(0, 1, multiprocess.Link{Cut: true})
+	f.Between(1, 0, multiprocess.Link{Cut: true})
 	agree(t, one, one)
 	agree(t, two, two)
-	f.Between(0, 1, field.Link{})
-	f.Between(1, 0, field.Link{})
+	f.Between(0, 1, multiprocess.Link{})
+	f.Between(1, 0, multiprocess.Link{})
 	agree(t, f.Processes, f.Processes)
 }
 
 // stranger is a process of the field that the test plays itself, with its keys.
-func stranger(t *testing.T, f *field.Field, p *field.Process, listen string, seed string, totals func() map[policy.CacheID]fleetview.Totals) *peers.Peers {
+func stranger(t *testing.T, f *multiprocess.Field, p *multiprocess.Process, listen string, seed string, totals func() map[policy.CacheID]fleetview.Totals) *peers.Peers {
 	t.Helper()
 	id, err := store.LoadIdentity(f.Keys(), p.Name)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 // traffic, none that is dead is used, and nobody loses sight of anybody.
 func TestLiars(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 1, Processes: 8, Caches: 4, Parents: 1, Serve: 3, Fill: 15, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 1, Processes: 8, Caches: 4, Parents: 1, Serve: 3, Fill: 15, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	liar, honest := f.Processes[7], f.Processes[:7]
 	f.Kill(liar)
@@ -123,7 +123,7 @@
 		return out
 	})
 	agree(t, honest, f.Processes)
-	stop := f.Traffic(func(*field.Process) float64 { return 20 })
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 20 })
 	defer stop()
 
 	nc, err := net.Dial("udp", honest[0].PeerAddr)
@@ -133,7 +133,7 @@
 		_, _ = nc.Write([]byte(fmt.Sprint("\x48 not a datagram of ours ", i)))
 	}
 	seen := len(f.Fleet.Seen())
-	require.Eventually(t, func() bool { return len(f.Fleet.Seen()) > seen+1000 }, field.ReadyWithin, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(f.Fleet.Seen()) > seen+1000 }, multiprocess.ReadyWithin, 10*time.Millisecond)
 	byLiar := 0
 	for _, p := range honest {
 		v, err := p.View("")
@@ -183,7 +183,7 @@
 // both it and the other are named.
 func TestStoppedAndTwice(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 2, Parents: 1, Peers: true})
 	agree(t, f.Processes, f.Processes)
 	sleeper, others := f.Processes[3], slices.Concat(f.Processes[:3], f.Processes[4:])
 	require.NoError(t, sleeper.Signal(syscall.SIGSTOP))
@@ -193,7 +193,7 @@
 
 	twice := f.Processes[1]
 	s := stranger(t, f, twice, "127.0.0.1:0", f.Processes[0].PeerAddr, func() map[policy.CacheID]fleetview.Totals { return nil })
-	require.Eventually(t, func() bool { return strings.Contains(twice.Log(), "two processes have one name") }, field.ReadyWithin, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(twice.Log(), "two processes have one name") }, multiprocess.ReadyWithin, 20*time.Millisecond)
 	require.Contains(t, twice.Log(), twice.PeerAddr)
 	require.Contains(t, twice.Log(), s.Status().Addr)
 	agree(t, f.Processes, f.Processes)
--- a/internal/lab/field/roll_test.go
+++ b/internal/lab/multiprocess/roll_test.go
@@ -1,4 +1,4 @@
-package field_test
+package multiprocess_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/lab/field"
+	"ravenwheel/internal/lab/multiprocess"
 )
 
 // program is the binary that the tests start, built once.
@@ -35,9 +35,9 @@
 	os.Exit(code)
 }
 
-func start(t *testing.T, o field.Options) *field.Field {
+func start(t *testing.T, o multiprocess.Options) *multiprocess.Field {
 	o.Bin, o.Dir = program, t.TempDir()
-	f, err := field.New(o)
+	f, err := multiprocess.New(o)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	require.NoError(t, f.Start(f.Processes...))
@@ -49,8 +49,8 @@
 // than one in 200 is lost, fails or is refused to the end.
 func TestRoll(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 10, Caches: 6, Parents: 2, Serve: 3, Fill: 15})
-	stop := f.Traffic(func(*field.Process) float64 { return 15 })
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 10, Caches: 6, Parents: 2, Serve: 3, Fill: 15})
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 15 })
 	replaced := append(f.Caches(0)[:3:3], f.Caches(1)[:3]...)
 	tenth := len(f.Processes) / 10
 	for step := range 10 {
@@ -63,7 +63,7 @@
 			f.Door.Stall(true)
 			running := f.Processes
 			require.NoError(t, f.Reload(running...))
-			require.Eventually(t, func() bool { return f.Door.Calls.Load() >= int64(len(running)) }, field.ReadyWithin, 10*time.Millisecond)
+			require.Eventually(t, func() bool { return f.Door.Calls.Load() >= int64(len(running)) }, multiprocess.ReadyWithin, 10*time.Millisecond)
 			old.Close()
 			f.Purge("", 17)
 			f.Door.Stall(false)
--- a/internal/lab/field/tags_debug_test.go
+++ b/internal/lab/multiprocess/tags_debug_test.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package field_test
+package multiprocess_test
 
 const tags = "debug"
--- a/internal/lab/field/tags_test.go
+++ b/internal/lab/multiprocess/tags_test.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package field_test
+package multiprocess_test
 
 // tags that the program is built with: those of the tests.
 const tags = ""
--- a/internal/lab/field/zone_test.go
+++ b/internal/lab/multiprocess/zone_test.go
@@ -1,4 +1,4 @@
-package field_test
+package multiprocess_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/lab/field"
 	"ravenwheel/internal/lab/fleet"
+	"ravenwheel/internal/lab/multiprocess"
 	"ravenwheel/policy"
 )
 
@@ -16,8 +16,8 @@
 // the other zone does not notice, and in the end every cache is used again and every process serves.
 func TestZoneBackColdWhileCopiesAreVoid(t *testing.T) {
 	t.Parallel()
-	f := start(t, field.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 4, Parents: 2, Serve: 3, Fill: 15})
-	stop := f.Traffic(func(*field.Process) float64 { return 20 })
+	f := start(t, multiprocess.Options{Seed: 7, Zones: 2, Processes: 6, Caches: 4, Parents: 2, Serve: 3, Fill: 15})
+	stop := f.Traffic(func(*multiprocess.Process) float64 { return 20 })
 	time.Sleep(2 * time.Second)
 	struck, zone := f.Processes[0], f.Caches(0)
 	lost := f.Caches(0)
@@ -31,7 +31,7 @@
 	require.NoError(t, f.Return(lost...))
 	require.NoError(t, f.Start(struck))
 	n := len(f.Fleet.Seen())
-	served := map[*field.Process]int{}
+	served := map[*multiprocess.Process]int{}
 	for _, p := range f.Processes {
 		served[p] = f.Served(p)
 	}
