--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -14,18 +14,18 @@
 
 	"github.com/spf13/cobra"
 
-	"ravenwheel/internal/lab/scale"
+	"ravenwheel/internal/lab/hollow"
 )
 
 // scaleMemory bounds the heap of a run: beyond, collections come more often. The machine has three times as much.
 const scaleMemory = 7 << 30
 
-func readScale(path string) (scale.Spec, error) {
+func readScale(path string) (hollow.Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return scale.Spec{}, err
+		return hollow.Spec{}, err
 	}
-	s, bad := scale.Parse(path, text)
+	s, bad := hollow.Parse(path, text)
 	if s.Name == "" {
 		s.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	}
@@ -67,7 +67,7 @@
 				if failed != nil {
 					return errors.Join(err, failed)
 				}
-				err = errors.Join(err, scale.WritePage(f, s.Name, runs), f.Close())
+				err = errors.Join(err, hollow.WritePage(f, s.Name, runs), f.Close())
 			}
 			return err
 		},
@@ -82,11 +82,11 @@
 	return cmd
 }
 
-func playScale(cmd *cobra.Command, s scale.Spec, ways []string, loop bool, dir string) (runs []*scale.Result, err error) {
+func playScale(cmd *cobra.Command, s hollow.Spec, ways []string, loop bool, dir string) (runs []*hollow.Result, err error) {
 	broken := 0
 	for _, n := range s.Processes {
 		for _, way := range ways {
-			r, failed := scale.Play(cmd.Context(), s, n, way == "direct", loop)
+			r, failed := hollow.Play(cmd.Context(), s, n, way == "direct", loop)
 			if failed != nil {
 				return runs, failed
 			}
@@ -108,7 +108,7 @@
 	return runs, nil
 }
 
-func printScale(out io.Writer, r *scale.Result) error {
+func printScale(out io.Writer, r *hollow.Result) error {
 	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Way, r.Virtual, r.Wall,
 		r.Processor, r.HeapMB)
 	if r.Harness >= 0 {
@@ -138,13 +138,13 @@
 }
 
 // keptRuns reads runs that were kept.
-func keptRuns(paths []string) (runs []*scale.Result, err error) {
+func keptRuns(paths []string) (runs []*hollow.Result, err error) {
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		r := &scale.Result{}
+		r := &hollow.Result{}
 		if err := json.Unmarshal(raw, r); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
@@ -153,7 +153,7 @@
 	return runs, nil
 }
 
-func fromRuns(use, short string, write func(io.Writer, []*scale.Result) error) *cobra.Command {
+func fromRuns(use, short string, write func(io.Writer, []*hollow.Result) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -171,13 +171,13 @@
 }
 
 func scalePage() *cobra.Command {
-	return fromRuns("page OUT.html RUN.json...", "Write a page from runs that were kept", func(w io.Writer, runs []*scale.Result) error {
-		return scale.WritePage(w, "Scale", runs)
+	return fromRuns("page OUT.html RUN.json...", "Write a page from runs that were kept", func(w io.Writer, runs []*hollow.Result) error {
+		return hollow.WritePage(w, "Scale", runs)
 	})
 }
 
 func scaleRecordings() *cobra.Command {
 	machine := fmt.Sprintf("%d processors", runtime.NumCPU())
 	return fromRuns("recordings OUT.json RUN.json...", "Write what runs at several sizes measured as points for the capacity page",
-		func(w io.Writer, runs []*scale.Result) error { return scale.WriteRecordings(w, machine, runs) })
+		func(w io.Writer, runs []*hollow.Result) error { return hollow.WriteRecordings(w, machine, runs) })
 }
--- a/internal/lab/scale/recordings.go
+++ b/internal/lab/hollow/recordings.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 import (
 	"cmp"
--- a/internal/lab/scale/tape.go
+++ b/internal/lab/hollow/tape.go
@@ -1,4 +1,4 @@
-package scale
+package hollow
 
 // tape keeps what machines asked the loop for, call by call, so that the same loop can be played once more with machines
 // that do nothing else but ask for it again: what that takes is the loop's own share.
--- a/internal/lab/scale/world.go
+++ b/internal/lab/hollow/world.go
@@ -1,9 +1,9 @@
-// Package scale plays the control traffic of thousands of processes in one: hollow processes that run the very packages
+// Package hollow plays the control traffic of thousands of processes in one: hollow processes that run the very packages
 // which receive and put in force what the store commits (internal/decide/distribution, replica, membership, the module's
 // lists and purges), without front, upstream or traffic. Time is virtual and one seed gives one run; processor time and
 // heap are real. Beside it, today's way: a leader that feeds every process entry by entry. It decides nothing that the
 // program decides. What must hold is checked by what reaches a process, against what was committed. Tested here.
-package scale
+package hollow
 
 import (
 	"context"
