--- a/internal/lab/balance/balance.go
+++ b/internal/lab/loadmetrics/loadmetrics.go
@@ -1,6 +1,6 @@
-// Package balance measures, from what caches saw, how evenly load falls on them and how a fleet reacts to a change: the same for
+// Package loadmetrics measures, from what caches saw, how evenly load falls on them and how a fleet reacts to a change: the same for
 // real processes (internal/lab/multiprocess) and for those of the emulator (internal/lab/sim). Times are in seconds.
-package balance
+package loadmetrics
 
 import (
 	"cmp"
--- a/internal/lab/balance/balance_test.go
+++ b/internal/lab/loadmetrics/loadmetrics_test.go
@@ -1,4 +1,4 @@
-package balance
+package loadmetrics
 
 import (
 	"math"
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"ravenwheel/internal/decide/serverlist"
-	"ravenwheel/internal/lab/balance"
 	"ravenwheel/internal/lab/fleet"
+	"ravenwheel/internal/lab/loadmetrics"
 	"ravenwheel/policy"
 )
 
@@ -32,7 +32,7 @@
 	Missed   []string `json:"missed,omitempty"` // faults that could not be brought about
 	P50, P99 float64  // ms, of what was served
 	// Spread over windows of 1 s and 5 s: of the whole run, and of the time before the first fault.
-	Spread, Calm [2]balance.Spread
+	Spread, Calm [2]loadmetrics.Spread
 	Reactions    []Reaction `json:"reactions,omitempty"`
 }
 
@@ -399,10 +399,10 @@
 		}
 	}
 	by := map[policy.CacheID][]int{}
-	var attempts []balance.Attempt
+	var attempts []loadmetrics.Attempt
 	for _, s := range p.field.Fleet.Seen() {
 		if !s.Probe {
-			attempts = append(attempts, balance.Attempt{At: (s.At - p.began) / 1000, Cache: s.Server})
+			attempts = append(attempts, loadmetrics.Attempt{At: (s.At - p.began) / 1000, Cache: s.Server})
 		}
 		second := int((s.At - p.began) / 1000)
 		if s.Probe || s.Server >= firstParent || second < 0 || second >= seconds {
@@ -431,11 +431,11 @@
 }
 
 // weigh measures how evenly load fell, and how the fleet answered each fault at caches.
-func (p *player) weigh(attempts []balance.Attempt) {
-	r, caches := p.result, map[policy.CacheID]balance.Cache{}
+func (p *player) weigh(attempts []loadmetrics.Attempt) {
+	r, caches := p.result, map[policy.CacheID]loadmetrics.Cache{}
 	for _, m := range p.field.Members() {
 		if m.Kind == kindCache && m.State == policy.Ready {
-			caches[m.ID] = balance.Cache{Zone: m.Zone, Weight: m.Weight}
+			caches[m.ID] = loadmetrics.Cache{Zone: m.Zone, Weight: m.Weight}
 		}
 	}
 	end := float64(len(r.Windows))
@@ -443,7 +443,7 @@
 	if len(r.Timeline) > 0 {
 		calm = r.Timeline[0].At
 	}
-	record := balance.NewRecord(attempts, caches)
+	record := loadmetrics.NewRecord(attempts, caches)
 	for i, span := range []float64{1, 5} {
 		r.Spread[i] = record.Over(0, end, span)
 		// What a cold start has to fill is left out.
