--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -13,10 +13,10 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
+	"ravenwheel/internal/lab/crosscheck"
 	"ravenwheel/internal/lab/experiment"
 	"ravenwheel/internal/lab/report"
 	"ravenwheel/internal/lab/sim"
-	"ravenwheel/internal/lab/validate"
 )
 
 func readExperiment(path string) (*experiment.Experiment, error) {
@@ -219,7 +219,7 @@
 	return &cobra.Command{
 		Use: "validate", Short: "Hold the lab's model against the real proxy on sockets: under a minute, on loopback", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			relations, err := validate.Run(cmd.Context(), func(text string) { fmt.Fprintln(os.Stderr, text) })
+			relations, err := crosscheck.Run(cmd.Context(), func(text string) { fmt.Fprintln(os.Stderr, text) })
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "relation\tsockets\tlab\tdifference")
 			for _, r := range relations {
--- a/internal/lab/validate/validate.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -1,7 +1,7 @@
-// Package validate holds the lab's model against the real proxy on sockets: the same small site is played by the program's
+// Package crosscheck holds the lab's model against the real proxy on sockets: the same small site is played by the program's
 // own front, core and connections against the stand-in fleet, in real time, and by the model, and relations that both
 // show are compared. It takes under a minute and is no part of CI.
-package validate
+package crosscheck
 
 import (
 	"context"
--- a/internal/lab/validate/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -1,4 +1,4 @@
-package validate
+package crosscheck
 
 import (
 	"cmp"
