--- a/internal/lab/loadmetrics/loadmetrics.go
+++ b/internal/lab/loadmetrics/loadmetrics.go
@@ -1,5 +1,6 @@
-// Package loadmetrics measures, from what caches saw, how evenly load falls on them and how a fleet reacts to a change: the same for
-// real processes (internal/lab/multiprocess) and for those of the emulator (internal/lab/sim). Times are in seconds.
+// Package loadmetrics measures, from the attempts that cache servers received, how evenly load is spread over them and how a
+// fleet of proxies reacts to a change of one server (used by internal/lab/multiprocess). It keeps no state between calls. All
+// times are in seconds.
 package loadmetrics
 
 import (
@@ -10,150 +11,197 @@
 	"ravenwheel/policy"
 )
 
-// Attempt is one that came to a cache.
+// Attempt is one attempt as a cache server received it.
 type Attempt struct {
-	At    float64
+	At    float64 // seconds
 	Cache policy.CacheID
 }
 
-// Cache is where one stands, and its size against the others'.
+// Cache is a cache server's zone, and its weight relative to the others'.
 type Cache struct {
 	Zone   int
 	Weight float64
 }
 
-// Spread is how evenly load fell, over windows and zones: the load of a cache by its weight, against the mean of its zone. All
-// is 0 where there was no window with load.
+// Spread is how evenly load was distributed over windows and zones. Each figure is a server's load by weight over the mean of
+// its zone, so 1 is perfectly even. All are 0 where no window had load.
 type Spread struct {
-	Median, P95 float64 // of the highest
-	Least       float64 // median of the lowest
+	Median float64 // over the windows, of the most loaded server
+	P95    float64 // 95th percentile over the windows, of the most loaded server
+	Least  float64 // median over the windows, of the least loaded server
 }
 
-// Record is what caches saw, by time.
-type Record struct {
+// Trace holds the attempts of one run, ordered by time.
+type Trace struct {
 	attempts []Attempt
 	caches   map[policy.CacheID]Cache
 	ids      []policy.CacheID // by zone, then by id
 }
 
-// NewRecord sorts what caches saw. Attempts at others than these are left out.
-func NewRecord(attempts []Attempt, caches map[policy.CacheID]Cache) *Record {
-	r := &Record{caches: caches}
-	for _, a := range attempts {
-		if _, ok := caches[a.Cache]; ok {
-			r.attempts = append(r.attempts, a)
+// NewTrace orders the attempts by time. Attempts at servers that are not among caches are dropped.
+func NewTrace(attempts []Attempt, caches map[policy.CacheID]Cache) *Trace {
+	t := &Trace{caches: caches}
+	for _, attempt := range attempts {
+		if _, ok := caches[attempt.Cache]; ok {
+			t.attempts = append(t.attempts, attempt)
 		}
 	}
-	slices.SortFunc(r.attempts, func(a, b Attempt) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(t.attempts, func(a, b Attempt) int { return cmp.Compare(a.At, b.At) })
 	for id := range caches {
-		r.ids = append(r.ids, id)
+		t.ids = append(t.ids, id)
 	}
-	slices.SortFunc(r.ids, func(a, b policy.CacheID) int {
+	slices.SortFunc(t.ids, func(a, b policy.CacheID) int {
 		return cmp.Or(caches[a].Zone-caches[b].Zone, cmp.Compare(a, b))
 	})
-	return r
+	return t
 }
 
-// counts are the attempts at each cache from a time on and before another.
-func (r *Record) counts(from, to float64) map[policy.CacheID]float64 {
-	at := func(t float64) int {
-		i, _ := slices.BinarySearchFunc(r.attempts, t, func(a Attempt, t float64) int { return cmp.Compare(a.At, t) })
-		return i
+// counts returns the attempts at each server in [from, to).
+func (t *Trace) counts(from, to float64) map[policy.CacheID]float64 {
+	first := t.indexAt(from)
+	last := max(first, t.indexAt(to))
+	counts := make(map[policy.CacheID]float64, len(t.ids))
+	for _, attempt := range t.attempts[first:last] {
+		counts[attempt.Cache]++
 	}
-	out := make(map[policy.CacheID]float64, len(r.ids))
-	for _, a := range r.attempts[at(from):max(at(from), at(to))] {
-		out[a.Cache]++
-	}
-	return out
+	return counts
 }
 
-// Over is the spread over windows of a span that follow each other from one time to another. Zones idle in a window count
-// for nothing, and one with a single cache neither.
-func (r *Record) Over(from, to, span float64) (s Spread) {
-	var high, low []float64
-	for t := from; t+span <= to+1e-9; t += span {
-		n := r.counts(t, t+span)
-		for i := 0; i < len(r.ids); {
-			zone, first := r.caches[r.ids[i]].Zone, i
-			sum, weights, most, least := 0.0, 0.0, 0.0, math.Inf(1)
-			for ; i < len(r.ids) && r.caches[r.ids[i]].Zone == zone; i++ {
-				w := r.caches[r.ids[i]].Weight
-				sum, weights = sum+n[r.ids[i]], weights+w
-				most, least = max(most, n[r.ids[i]]/w), min(least, n[r.ids[i]]/w)
-			}
-			if sum > 0 && i-first > 1 {
-				high, low = append(high, most*weights/sum), append(low, least*weights/sum)
+// indexAt returns the index of the first attempt at or after a time.
+func (t *Trace) indexAt(at float64) int {
+	index, _ := slices.BinarySearchFunc(t.attempts, at, func(a Attempt, at float64) int { return cmp.Compare(a.At, at) })
+	return index
+}
+
+// roundingError is how far, in seconds, the end of the last window may lie past the end of the span.
+const roundingError = 1e-9
+
+// Spread measures the windows that follow each other in [from, to]. A zone without load in a window is left out of that
+// window, and so is a zone with a single server.
+func (t *Trace) Spread(from, to, window float64) Spread {
+	var highest, lowest []float64
+	for start := from; start+window <= to+roundingError; start += window {
+		counts := t.counts(start, start+window)
+		for rest := t.ids; len(rest) > 0; {
+			var zone []policy.CacheID
+			zone, rest = t.firstZone(rest)
+			high, low, ok := t.zoneSpread(zone, counts)
+			if ok {
+				highest = append(highest, high)
+				lowest = append(lowest, low)
 			}
 		}
 	}
-	return Spread{quantile(high, 0.5), quantile(high, 0.95), quantile(low, 0.5)}
+	return Spread{Median: quantile(highest, 0.5), P95: quantile(highest, 0.95), Least: quantile(lowest, 0.5)}
 }
 
-func quantile(xs []float64, q float64) float64 {
-	if len(xs) == 0 {
+// firstZone splits ids, which are ordered by zone, into those of the first zone and the others.
+func (t *Trace) firstZone(ids []policy.CacheID) (zone, rest []policy.CacheID) {
+	end := 0
+	for end < len(ids) && t.caches[ids[end]].Zone == t.caches[ids[0]].Zone {
+		end++
+	}
+	return ids[:end], ids[end:]
+}
+
+// zoneSpread returns the highest and the lowest load by weight of a zone's servers, over the zone's mean. ok is false where
+// the zone had no load or has a single server.
+func (t *Trace) zoneSpread(zone []policy.CacheID, counts map[policy.CacheID]float64) (high, low float64, ok bool) {
+	sum, weights := 0.0, 0.0
+	most, least := 0.0, math.Inf(1)
+	for _, id := range zone {
+		weight := t.caches[id].Weight
+		sum += counts[id]
+		weights += weight
+		most = max(most, counts[id]/weight)
+		least = min(least, counts[id]/weight)
+	}
+	if sum == 0 || len(zone) < 2 {
+		return 0, 0, false
+	}
+	return most * weights / sum, least * weights / sum, true
+}
+
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(xs)
-	return xs[int(q*float64(len(xs)-1)+0.5)]
+	slices.Sort(values)
+	return values[int(q*float64(len(values)-1)+0.5)]
 }
 
-// The windows in which a reaction is looked for.
+// How a reaction is looked for, in seconds: the load of baselineSpan before the change is compared with that of windows of
+// reactionWindow, which begin windowStep apart.
+const (
+	baselineSpan   = 5.0
+	windowStep     = 0.1
+	reactionWindow = 1.0
+)
+
+// Fractions of a server's former part of its zone's load: at abandonedAt and below the fleet has abandoned it, from
+// restoredAt on it is used again.
 const (
-	before, step, look = 5.0, 0.1, 1.0
-	// leftAt and backAt: shares of its former part of the zone's load below which a cache was left, and from which it is back.
-	leftAt, backAt = 0.5, 0.8
+	abandonedAt = 0.5
+	restoredAt  = 0.8
 )
 
-// part is a cache's share of its zone's load.
-func (r *Record) part(id policy.CacheID, from, to float64) float64 {
-	n, sum := r.counts(from, to), 0.0
-	for _, x := range r.ids {
-		if r.caches[x].Zone == r.caches[id].Zone {
-			sum += n[x]
+// zoneFraction returns a server's fraction of its zone's attempts in [from, to).
+func (t *Trace) zoneFraction(id policy.CacheID, from, to float64) float64 {
+	counts, sum := t.counts(from, to), 0.0
+	for _, other := range t.ids {
+		if t.caches[other].Zone == t.caches[id].Zone {
+			sum += counts[other]
 		}
 	}
 	if sum == 0 {
 		return 0
 	}
-	return n[id] / sum
+	return counts[id] / sum
 }
 
-// Left is how long after a change, until an end, the fleet took to bring a cache's part of its zone's load down to half and
-// below for a second; NaN: it did not.
-func (r *Record) Left(id policy.CacheID, at, end float64) float64 {
-	was := r.part(id, at-before, at)
-	for t := at; t+look <= end; t += step {
-		if was > 0 && r.part(id, t, t+look) <= leftAt*was {
-			return t - at
+// TimeToAbandon returns the seconds from a change until the fleet had reduced a server's fraction of its zone's load to half
+// of what it was before, for one second; NaN if it did not until end.
+func (t *Trace) TimeToAbandon(id policy.CacheID, changed, end float64) float64 {
+	baseline := t.zoneFraction(id, changed-baselineSpan, changed)
+	for start := changed; start+reactionWindow <= end; start += windowStep {
+		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) <= abandonedAt*baseline {
+			return start - changed
 		}
 	}
 	return math.NaN()
 }
 
-// Back is how long after a change ended a cache took to get nearly what it had before the change began.
-func (r *Record) Back(id policy.CacheID, began, ended, end float64) float64 {
-	was := r.part(id, began-before, began)
-	for t := ended; t+look <= end; t += step {
-		if was > 0 && r.part(id, t, t+look) >= backAt*was {
-			return t - ended
+// TimeToRestore returns the seconds from the end of a change until a server had four fifths of the fraction of its zone's load
+// that it had before the change began; NaN if it had not until end.
+func (t *Trace) TimeToRestore(id policy.CacheID, began, ended, end float64) float64 {
+	baseline := t.zoneFraction(id, began-baselineSpan, began)
+	for start := ended; start+reactionWindow <= end; start += windowStep {
+		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) >= restoredAt*baseline {
+			return start - ended
 		}
 	}
 	return math.NaN()
 }
 
-// surgeFor and leastRate: a surge is looked for this long after a change, at caches with so many attempts a second before.
-const surgeFor, leastRate = 5.0, 2.0
-
-// Surge is the most that one second, within surgeFor of a change, brought a cache, against its mean of the seconds before:
-// what processes that all draw the same conclusion at once do to whom they turn to.
-func (r *Record) Surge(at float64) (most float64) {
-	mean := r.counts(at-before, at)
-	for t := at; t <= at+surgeFor; t += step {
-		for id, n := range r.counts(t, t+look) {
-			if m := mean[id] / before; m >= leastRate {
-				most = max(most, n/m)
+const (
+	// surgeSpan is how long after a change a surge is looked for, in seconds.
+	surgeSpan = 5.0
+	// leastRate is the rate before the change, in attempts a second, under which a server is left out: a few attempts more
+	// would look like a surge.
+	leastRate = 2.0
+)
+
+// Surge returns the highest load that a server received in one second within surgeSpan of a change, over its mean rate before
+// the change. It shows the herd effect: processes that reach the same conclusion at once move their load to the same server.
+func (t *Trace) Surge(changed float64) float64 {
+	highest := 0.0
+	baseline := t.counts(changed-baselineSpan, changed)
+	for start := changed; start <= changed+surgeSpan; start += windowStep {
+		for id, count := range t.counts(start, start+reactionWindow) {
+			if rate := baseline[id] / baselineSpan; rate >= leastRate {
+				highest = max(highest, count/rate)
 			}
 		}
 	}
-	return most
+	return highest
 }
--- a/internal/lab/loadmetrics/loadmetrics_test.go
+++ b/internal/lab/loadmetrics/loadmetrics_test.go
@@ -9,40 +9,40 @@
 	"ravenwheel/policy"
 )
 
-// steady is so many attempts a second at a cache, evenly spaced.
-func steady(id policy.CacheID, from, to, perS float64) (out []Attempt) {
-	for i := range int((to - from) * perS) {
-		out = append(out, Attempt{from + (float64(i)+0.5)/perS, id})
+// steady returns evenly spaced attempts at a server.
+func steady(id policy.CacheID, from, to, perSecond float64) (attempts []Attempt) {
+	for i := range int((to - from) * perSecond) {
+		attempts = append(attempts, Attempt{from + (float64(i)+0.5)/perSecond, id})
 	}
-	return out
+	return attempts
 }
 
-func TestSpreadByWeight(t *testing.T) {
+func TestSpreadIsMeasuredByWeight(t *testing.T) {
 	caches := map[policy.CacheID]Cache{1: {0, 1}, 2: {0, 3}, 3: {1, 1}, 4: {1, 1}, 5: {2, 1}}
-	var as []Attempt
-	as = append(append(as, steady(1, 0, 10, 10)...), steady(2, 0, 10, 30)...)
-	r := NewRecord(append(as, steady(5, 0, 10, 10)...), caches)
-	require.Equal(t, Spread{1, 1, 1}, r.Over(0, 10, 1), "even by weight; idle zones and single caches say nothing")
-	as = append(append(as, steady(3, 0, 10, 30)...), steady(4, 0, 10, 10)...)
-	r = NewRecord(append(as, Attempt{1, 99}), caches)
-	s := r.Over(0, 10, 5)
-	require.InDelta(t, 1.5, s.P95, 1e-9)
-	require.InDelta(t, 0.5, min(s.Least, 0.5), 1e-9)
-	require.Zero(t, r.Over(20, 30, 1))
+	var attempts []Attempt
+	attempts = append(append(attempts, steady(1, 0, 10, 10)...), steady(2, 0, 10, 30)...)
+	trace := NewTrace(append(attempts, steady(5, 0, 10, 10)...), caches)
+	require.Equal(t, Spread{1, 1, 1}, trace.Spread(0, 10, 1), "even by weight; zones without load and with a single server do not count")
+	attempts = append(append(attempts, steady(3, 0, 10, 30)...), steady(4, 0, 10, 10)...)
+	trace = NewTrace(append(attempts, Attempt{1, 99}), caches)
+	spread := trace.Spread(0, 10, 5)
+	require.InDelta(t, 1.5, spread.P95, 1e-9)
+	require.InDelta(t, 0.5, min(spread.Least, 0.5), 1e-9)
+	require.Zero(t, trace.Spread(20, 30, 1))
 }
 
-// A cache turns bad at 10, is left at 12, is well again at 20 and has its part back at 23; its neighbour bears it.
-func TestReaction(t *testing.T) {
+// One server fails at 10 s, is abandoned at 12, recovers at 20 and has its load again at 23; the other takes its load meanwhile.
+func TestReactionTimesAndSurge(t *testing.T) {
 	caches := map[policy.CacheID]Cache{1: {0, 1}, 2: {0, 1}}
-	var as []Attempt
-	as = append(append(as, steady(1, 0, 12, 20)...), steady(1, 23, 30, 20)...)
-	as = append(append(append(as, steady(2, 0, 12, 20)...), steady(2, 12, 23, 40)...), steady(2, 23, 30, 20)...)
-	r := NewRecord(as, caches)
-	require.InDelta(t, 1.5, r.Left(1, 10, 20), 0.2)
-	require.InDelta(t, 2.8, r.Back(1, 10, 20, 30), 0.3)
-	require.InDelta(t, 2, r.Surge(10), 0.05)
-	require.InDelta(t, 1, r.Surge(5), 0.05)
-	require.True(t, math.IsNaN(r.Left(2, 10, 20)))
-	require.True(t, math.IsNaN(r.Back(1, 10, 20, 22)))
-	require.True(t, math.IsNaN(r.Left(1, 40, 50)), "it had nothing before")
+	var attempts []Attempt
+	attempts = append(append(attempts, steady(1, 0, 12, 20)...), steady(1, 23, 30, 20)...)
+	attempts = append(append(append(attempts, steady(2, 0, 12, 20)...), steady(2, 12, 23, 40)...), steady(2, 23, 30, 20)...)
+	trace := NewTrace(attempts, caches)
+	require.InDelta(t, 1.5, trace.TimeToAbandon(1, 10, 20), 0.2)
+	require.InDelta(t, 2.8, trace.TimeToRestore(1, 10, 20, 30), 0.3)
+	require.InDelta(t, 2, trace.Surge(10), 0.05)
+	require.InDelta(t, 1, trace.Surge(5), 0.05)
+	require.True(t, math.IsNaN(trace.TimeToAbandon(2, 10, 20)))
+	require.True(t, math.IsNaN(trace.TimeToRestore(1, 10, 20, 22)))
+	require.True(t, math.IsNaN(trace.TimeToAbandon(1, 40, 50)), "it had no load before")
 }
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -443,11 +443,11 @@
 	if len(r.Timeline) > 0 {
 		calm = r.Timeline[0].At
 	}
-	record := loadmetrics.NewRecord(attempts, caches)
+	trace := loadmetrics.NewTrace(attempts, caches)
 	for i, span := range []float64{1, 5} {
-		r.Spread[i] = record.Over(0, end, span)
+		r.Spread[i] = trace.Spread(0, end, span)
 		// What a cold start has to fill is left out.
-		r.Calm[i] = record.Over(min(warmUp, calm/2), calm, span)
+		r.Calm[i] = trace.Spread(min(warmUp, calm/2), calm, span)
 	}
 	none := func(x float64) float64 {
 		if math.IsNaN(x) {
@@ -466,8 +466,8 @@
 			}
 			ended := min(f.At+f.For, next)
 			r.Reactions = append(r.Reactions, Reaction{
-				Fault: i, Cache: serverlist.Name(id), Left: none(record.Left(id, f.At, ended)), Back: none(record.Back(id, f.At, ended, next)),
-				Surge: record.Surge(f.At),
+				Fault: i, Cache: serverlist.Name(id), Left: none(trace.TimeToAbandon(id, f.At, ended)), Back: none(trace.TimeToRestore(id, f.At, ended, next)),
+				Surge: trace.Surge(f.At),
 			})
 		}
 	}
