--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -16,9 +16,9 @@
 	for _, n := range known {
 		n.Tell(rank, s.roster.Tell, s.purged)
 	}
-	follow := discovery.Usual(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeNotice))
+	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeNotice))
 	if s.conf.Console != "" { // it may take over from another process
-		follow.NotifiedStarted = discovery.NotifiedReplaced
+		follow.NotifiedAfterStart = discovery.NotifiedAfterTakeover
 	}
 	return &discoveryclient.Client{
 		Addr: s.conf.Board, Last: s.conf.Rev, Clock: s.clk, Log: s.log, Follow: follow,
--- /dev/null
+++ b/internal/decide/discovery/event.go
@@ -0,0 +1,88 @@
+package discovery
+
+// CallID numbers the calls of one Watcher, from 1 on.
+type CallID int
+
+// Reason says why a call is opened, or why it ended. Its text is logged.
+type Reason string
+
+// The reasons. The first four apply to calls that are opened, the rest, and ReasonAddressChanged, to calls that end.
+const (
+	ReasonStart          Reason = "start"           // the first call of the process
+	ReasonAddressChanged Reason = "address changed" // the configuration names another address
+	ReasonRetry          Reason = "retry"           // a call has ended
+	ReasonSilent         Reason = "silent"          // no open call has brought a complete frame in time
+	ReasonDialFailed     Reason = "dial failed"     // the connection was never established
+	ReasonDisconnected   Reason = "disconnected"    // the service closed the connection, or sent what cannot be decoded
+	ReasonSuperseded     Reason = "superseded"      // another call brought a frame first
+	ReasonEvicted        Reason = "evicted"         // closed to make room for another call, see Settings.MaxCalls
+)
+
+// Event is an input of a Watcher: Start, Reload, FrameProgress, FrameReceived, Ended or Tick.
+type Event interface{ event() }
+
+// Start begins to watch the service at an address.
+type Start struct{ Address string }
+
+// Reload reports that the configuration was read again, and the address that it names, which may be the present one.
+type Reload struct{ Address string }
+
+// FrameProgress reports how much of its present frame a call has received. Times are in ms.
+type FrameProgress struct {
+	Call        CallID
+	Received    int     // bytes
+	Size        int     // bytes of the complete frame; 0: not known yet
+	FirstByteAt float64 // when the first byte was received
+	LastByteAt  float64 // when the latest byte was received
+}
+
+// FrameReceived reports that a call has received a complete frame.
+type FrameReceived struct{ Call CallID }
+
+// Ended reports that a call has ended by itself. Connected tells whether its connection had been established.
+type Ended struct {
+	Call      CallID
+	Connected bool
+}
+
+// Tick reports that the time of the latest Wake has come. An early or repeated Tick does no harm.
+type Tick struct{}
+
+func (Start) event()         {}
+func (Reload) event()        {}
+func (FrameProgress) event() {}
+func (FrameReceived) event() {}
+func (Ended) event()         {}
+func (Tick) event()          {}
+
+// Action is an output of a Watcher: Dial, Close, Wake, Overdue or CaughtUp.
+type Action interface{ action() }
+
+// Dial opens a call: a connection that requests everything after the last event known.
+type Dial struct {
+	Call    CallID
+	Address string
+	Reason  Reason
+}
+
+// Close ends a call. Whatever it still receives is to be ignored.
+type Close struct {
+	Call   CallID
+	Reason Reason
+}
+
+// Wake requests a Tick at a time, in ms. It replaces the Wake before it.
+type Wake struct{ At float64 }
+
+// Overdue reports that everything the service holds should have been received by now: what it held until NotifiedUntil may be
+// binding without having been received. Times are in ms.
+type Overdue struct{ LastFrameAt, NotifiedUntil float64 }
+
+// CaughtUp reports, after Overdue, that everything has been received again.
+type CaughtUp struct{}
+
+func (Dial) action()     {}
+func (Close) action()    {}
+func (Wake) action()     {}
+func (Overdue) action()  {}
+func (CaughtUp) action() {}
--- a/internal/decide/discovery/settings.go
+++ b/internal/decide/discovery/settings.go
@@ -1,41 +1,51 @@
 package discovery
 
-// Settings are in ms. Each wait and pause is drawn, so that a fleet whose calls fall silent or end in one instant does not call
-// again in another.
+// Settings of a Watcher. Times are in ms. Delays are drawn at random, so that a fleet whose calls fall silent or end in the same
+// instant does not call again in the same instant.
 type Settings struct {
-	Seed uint64 // of the draws
+	Seed uint64 // of the random draws
 
-	// FirstWord is the mean wait for a call's first whole frame, until another call is made beside it; each further wait in a row is
-	// WaitGrowth times as long, up to MostWait. A board that is well speaks within some ms. Shorter adds to what a crowded board
-	// has to bear, longer leaves fewer calls before what it holds counts as notified.
-	FirstWord, WaitGrowth, MostWait float64
-	// Silence is the least time without a whole frame after which a call that has spoken gets another one beside it, and
-	// SilenceSpread what is drawn on top of it. Frames come each second, and one may be a second late.
-	Silence, SilenceSpread float64
-	// Interval is the time between two frames of a board that has nothing to tell. A call that lives as long is no failure.
-	Interval float64
-	// Redial is the mean pause after a call that ended. It doubles with each in a row, up to SoonRedial for the first SoonRedials,
-	// which is about as long as there is time to hear what is held, and up to MostRedial after them.
-	Redial, SoonRedial, MostRedial float64
-	SoonRedials                    int
-	// Calls are open at once at most, two at least.
-	Calls int
+	// HedgeDelay is the mean time to wait for the first complete frame of a call before another call is opened beside it. Each
+	// consecutive delay is HedgeGrowth times as long, up to MaxHedgeDelay. A healthy service answers within milliseconds: a shorter
+	// delay adds load to an overloaded service, a longer one leaves fewer calls before what it holds is binding.
+	HedgeDelay, HedgeGrowth, MaxHedgeDelay float64
+	// SilenceTimeout is how long a call that has brought a frame may bring no other before another call is opened beside it, and
+	// SilenceJitter the most that is drawn on top of it. Frames come each second, and one may be a second late.
+	SilenceTimeout, SilenceJitter float64
+	// FrameInterval is the time between two frames of a service that has nothing to send. A call that lasted as long was no failure.
+	FrameInterval float64
+	// Backoff is the mean delay after a call that ended. It doubles with each consecutive failure, up to MaxEarlyBackoff for the
+	// first EarlyRetries, which cover about the time in which everything has to be received, and up to MaxBackoff after them.
+	Backoff, MaxEarlyBackoff, MaxBackoff float64
+	EarlyRetries                         int
+	// MaxCalls is how many calls may be open at once, two at least.
+	MaxCalls int
 
-	// NotifiedStarted, NotifiedMoved, NotifiedBroken and NotifiedStopped: so long after the start, a move, a broken call and the last
-	// word before a silence, what discovery holds counts as notified. Grace is the time to heed it, the shortest there is.
-	NotifiedStarted, NotifiedMoved, NotifiedBroken, NotifiedStopped, Grace float64
-	// Margin is how long before that time it is said to be over: what is sent then arrives later.
-	Margin float64
+	// What the service holds counts as notified so long after the start of the process, after a reload of the configuration, after
+	// a call that was disconnected, and after the last frame before a silence.
+	NotifiedAfterStart, NotifiedAfterReload, NotifiedAfterDisconnect, NotifiedAfterSilence float64
+	// GracePeriod is the time from the notification until what was notified must be applied: the shortest of the deployment.
+	GracePeriod float64
+	// OverdueMargin is how long before the end of the grace period Overdue is reported, since requests that are forwarded at that
+	// time arrive later.
+	OverdueMargin float64
 }
 
-// NotifiedReplaced is NotifiedStarted of a process that takes over from another one: so long after it says that it is ready.
-const NotifiedReplaced = 2000
+// NotifiedAfterTakeover is Settings.NotifiedAfterStart, in ms, of a process that replaces a running one. It counts from when the
+// new process reports that it is ready.
+const NotifiedAfterTakeover = 2000
 
-// Usual are the settings of a deployment that gives so many ms to heed what was notified.
-func Usual(seed uint64, grace float64) Settings {
+// DefaultSettings returns the settings for a deployment whose grace period is gracePeriod ms.
+func DefaultSettings(seed uint64, gracePeriod float64) Settings {
 	return Settings{
-		Seed: seed, FirstWord: 850, WaitGrowth: 1.25, MostWait: 2500, Silence: 2000, SilenceSpread: 600, Interval: 1000,
-		Redial: 100, SoonRedial: 400, SoonRedials: 8, MostRedial: 1600, Calls: 3,
-		NotifiedStarted: 4000, NotifiedMoved: 4000, NotifiedBroken: 2000, NotifiedStopped: 4000, Grace: grace, Margin: 100,
+		Seed:       seed,
+		HedgeDelay: 850, HedgeGrowth: 1.25, MaxHedgeDelay: 2500,
+		SilenceTimeout: 2000, SilenceJitter: 600,
+		FrameInterval: 1000,
+		Backoff:       100, MaxEarlyBackoff: 400, EarlyRetries: 8, MaxBackoff: 1600,
+		MaxCalls:           3,
+		NotifiedAfterStart: 4000, NotifiedAfterReload: 4000, NotifiedAfterDisconnect: 2000, NotifiedAfterSilence: 4000,
+		GracePeriod:   gracePeriod,
+		OverdueMargin: 100,
 	}
 }
--- /dev/null
+++ b/internal/decide/discovery/simulation_test.go
@@ -0,0 +1,201 @@
+package discovery
+
+import (
+	"math"
+	"slices"
+)
+
+// treatment is how the service answers one call.
+type treatment struct {
+	name         string
+	refused      bool
+	connectAfter float64 // ms until the connection is established
+	disconnects  bool    // the service closes the connection as soon as it is established
+	frameAfter   float64 // ms from then to the first frame; infinite: none ever comes
+	bytes        int     // of a frame that comes first
+	msPerByte    float64
+}
+
+// never is the time of what does not happen.
+var never = math.Inf(1)
+
+// The treatments. The pending event comes with the first frame of a call that is treated well.
+var (
+	healthy        = treatment{name: "healthy"}
+	silent         = treatment{name: "silent", frameAfter: never}
+	refused        = treatment{name: "refused", refused: true}
+	disconnected   = treatment{name: "disconnected", disconnects: true}
+	neverConnected = treatment{name: "never connected", connectAfter: never}
+	slowConnect    = treatment{name: "connected late", connectAfter: 1500}
+	trickling      = treatment{name: "trickling", bytes: 33, msPerByte: 1000}
+	slowList       = treatment{name: "slow list", bytes: 5400, msPerByte: 0.25}
+)
+
+// simulation is a watcher and the service that it watches, in virtual time.
+type simulation struct {
+	watcher    *Watcher
+	now        float64
+	queue      []scheduled // in order of time
+	wakeAt     float64
+	open       map[CallID]*connection
+	treatments []treatment // of the next calls; those after them are treated well
+	calls      []float64   // when each was opened
+	maxOpen    int         // calls open at once
+	pending    bool        // the service holds an event that has to be received
+	receivedAt float64     // when the pending event was received; never: not yet
+	overdueAt  float64     // when Overdue was reported last; never: it was not
+	actions    []Action
+
+	overdues, caughtUps int // how often each was reported
+}
+
+// scheduled is something that happens at a time.
+type scheduled struct {
+	at float64
+	do func()
+}
+
+// connection is an open call on the side of the service.
+type connection struct {
+	established bool
+	silenced    bool
+}
+
+func newSimulation(s Settings) *simulation {
+	return &simulation{watcher: New(s), open: map[CallID]*connection{}, wakeAt: never, receivedAt: never, overdueAt: never}
+}
+
+func (s *simulation) at(at float64, do func()) {
+	i, _ := slices.BinarySearchFunc(s.queue, at, func(next scheduled, at float64) int {
+		if next.at <= at {
+			return -1
+		}
+		return 1
+	})
+	s.queue = slices.Insert(s.queue, i, scheduled{at, do})
+}
+
+// run plays until a time.
+func (s *simulation) run(until float64) {
+	for {
+		if len(s.queue) > 0 && s.queue[0].at <= s.wakeAt {
+			next := s.queue[0]
+			if next.at > until {
+				break
+			}
+			s.queue = s.queue[1:]
+			s.now = next.at
+			next.do()
+			continue
+		}
+		if s.wakeAt > until {
+			break
+		}
+		s.now = max(s.now, s.wakeAt)
+		s.handle(Tick{})
+	}
+	s.now = until
+}
+
+func (s *simulation) handle(event Event) {
+	s.actions = s.watcher.Handle(s.now, event, s.actions[:0])
+	for _, action := range slices.Clone(s.actions) {
+		switch action := action.(type) {
+		case Dial:
+			s.dialled(action.Call)
+		case Close:
+			delete(s.open, action.Call)
+		case Wake:
+			s.wakeAt = action.At
+		case Overdue:
+			s.overdueAt = s.now
+			s.overdues++
+		case CaughtUp:
+			s.caughtUps++
+		}
+	}
+	s.maxOpen = max(s.maxOpen, len(s.open))
+}
+
+// dialled has the service answer the next call.
+func (s *simulation) dialled(id CallID) {
+	s.calls = append(s.calls, s.now)
+	t := healthy
+	if len(s.treatments) > 0 {
+		t, s.treatments = s.treatments[0], s.treatments[1:]
+	}
+	c := &connection{}
+	s.open[id] = c
+	s.at(s.now+t.connectAfter, func() {
+		if s.open[id] != c {
+			return
+		}
+		if c.established = !t.refused; t.refused || t.disconnects {
+			s.disconnect(id)
+			return
+		}
+		s.answer(id, c, t)
+	})
+}
+
+// answer sends the first frame of a treatment byte by byte, and then the pending event and an empty frame each second.
+func (s *simulation) answer(id CallID, c *connection, t treatment) {
+	began := s.now
+	for received := 1; received < t.bytes; received++ {
+		if received%100 != 1 && t.bytes > 100 {
+			continue
+		}
+		s.at(began+float64(received)*t.msPerByte, func() {
+			if s.open[id] != c || c.silenced {
+				return
+			}
+			progress := FrameProgress{Call: id, Received: received, FirstByteAt: began, LastByteAt: s.now}
+			if received >= 4 {
+				progress.Size = t.bytes
+			}
+			s.handle(progress)
+		})
+	}
+	s.at(began+t.frameAfter+float64(t.bytes)*t.msPerByte, func() { s.sendFrame(id, c) })
+}
+
+func (s *simulation) sendFrame(id CallID, c *connection) {
+	if s.open[id] != c || c.silenced {
+		return
+	}
+	if s.pending && s.receivedAt == never {
+		s.receivedAt = s.now
+	}
+	s.handle(FrameReceived{Call: id})
+	s.at(s.now+1000, func() { s.sendFrame(id, c) })
+}
+
+func (s *simulation) disconnect(id CallID) {
+	established := s.open[id].established
+	delete(s.open, id)
+	s.handle(Ended{Call: id, Connected: established})
+}
+
+// disconnectAll ends all established calls, and returns how many there were.
+func (s *simulation) disconnectAll() int {
+	var ids []CallID
+	for id, c := range s.open {
+		if c.established {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		if s.open[id] != nil {
+			s.disconnect(id)
+		}
+	}
+	return len(ids)
+}
+
+// silenceAll stops all frames on the calls that are open now, also on those that are not established yet.
+func (s *simulation) silenceAll() {
+	for _, c := range s.open {
+		c.silenced = true
+	}
+}
--- /dev/null
+++ b/internal/decide/discovery/watcher.go
@@ -0,0 +1,231 @@
+package discovery
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// call is a call that is open or being dialled.
+type call struct {
+	id       CallID
+	openedAt float64
+	frame    FrameProgress // of the frame that is being received
+}
+
+// Watcher watches the discovery service at one address at a time. It is not safe for concurrent use.
+type Watcher struct {
+	settings Settings
+	rng      *rand.Rand
+	actions  []Action
+
+	address     string
+	calls       []call // in the order in which they were opened
+	lastCall    CallID
+	nextCallAt  float64
+	nextReason  Reason
+	unanswered  int // calls opened since the last frame
+	failures    int // consecutive calls that ended within a frame interval
+	lastFrameAt float64
+	deadline    float64 // by when everything that the service holds must have been received
+	overdue     bool
+}
+
+// New returns a Watcher that does nothing before its Start.
+func New(s Settings) *Watcher {
+	return &Watcher{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 0)), nextCallAt: math.Inf(1), deadline: math.Inf(1)}
+}
+
+// Handle processes an event and appends the resulting actions, in the order in which they are to be carried out. now is in ms and
+// never decreases.
+func (w *Watcher) Handle(now float64, event Event, actions []Action) []Action {
+	w.actions = actions
+	switch event := event.(type) {
+	case Start:
+		w.lastFrameAt = now
+		w.switchAddress(now, event.Address, ReasonStart, w.settings.NotifiedAfterStart)
+	case Reload:
+		w.reload(now, event.Address)
+	case FrameProgress:
+		if c := w.find(event.Call); c != nil {
+			c.frame = event
+		}
+	case FrameReceived:
+		w.frameReceived(now, event.Call)
+	case Ended:
+		w.ended(now, event)
+	}
+	w.advance(now)
+	actions, w.actions = w.actions, nil
+	return actions
+}
+
+func (w *Watcher) emit(a Action) { w.actions = append(w.actions, a) }
+
+// find returns the open call with an id, or nil.
+func (w *Watcher) find(id CallID) *call {
+	for i := range w.calls {
+		if w.calls[i].id == id {
+			return &w.calls[i]
+		}
+	}
+	return nil
+}
+
+// switchAddress closes all calls and opens one at another address. Failures at the present address say nothing about the next one:
+// counted there, they would lengthen its delays, and purges would be received too late.
+func (w *Watcher) switchAddress(now float64, address string, reason Reason, notifiedAfter float64) {
+	for _, c := range w.calls {
+		w.emit(Close{Call: c.id, Reason: ReasonAddressChanged})
+	}
+	w.address, w.calls, w.unanswered, w.failures = address, nil, 0, 0
+	w.nextCallAt, w.nextReason = now, reason
+	w.deadline = now + notifiedAfter + w.settings.GracePeriod
+}
+
+// reload handles a configuration that was read again. One that names the present address indicates that something has changed
+// there: open calls are kept, but have to bring a frame soon.
+func (w *Watcher) reload(now float64, address string) {
+	if address != w.address {
+		w.switchAddress(now, address, ReasonAddressChanged, w.settings.NotifiedAfterReload)
+		return
+	}
+	w.unanswered, w.failures = 0, 0
+	w.deadline = min(w.deadline, now+w.settings.NotifiedAfterReload+w.settings.GracePeriod)
+	w.callBy(now+w.reloadDelay(), ReasonSilent)
+}
+
+// callBy schedules the next call for a time, unless it is due earlier.
+func (w *Watcher) callBy(at float64, reason Reason) {
+	if at < w.nextCallAt {
+		w.nextCallAt, w.nextReason = at, reason
+	}
+}
+
+// frameReceived keeps the call that brought a frame and closes the others. Only a complete frame counts: bytes that trickle in must
+// not keep a call in use.
+func (w *Watcher) frameReceived(now float64, id CallID) {
+	c := w.find(id)
+	if c == nil {
+		return
+	}
+	for _, other := range w.calls {
+		if other.id != id {
+			w.emit(Close{Call: other.id, Reason: ReasonSuperseded})
+		}
+	}
+	w.forgiveFailures(now, c)
+	c.frame = FrameProgress{}
+	w.calls = []call{*c}
+	w.unanswered, w.lastFrameAt = 0, now
+	w.deadline = now + w.settings.NotifiedAfterSilence + w.settings.GracePeriod
+	w.nextCallAt, w.nextReason = now+w.silenceDelay(), ReasonSilent
+	if w.overdue {
+		w.overdue = false
+		w.emit(CaughtUp{})
+	}
+}
+
+// forgiveFailures resets the backoff if a call has lasted for a frame interval.
+func (w *Watcher) forgiveFailures(now float64, c *call) {
+	if now-c.openedAt >= w.settings.FrameInterval {
+		w.failures = 0
+	}
+}
+
+// ended schedules a retry for a call that ended by itself, whatever other calls are open.
+func (w *Watcher) ended(now float64, event Ended) {
+	c := w.find(event.Call)
+	if c == nil {
+		return
+	}
+	w.forgiveFailures(now, c)
+	w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return c.id == event.Call })
+	if event.Connected {
+		w.deadline = min(w.deadline, now+w.settings.NotifiedAfterDisconnect+w.settings.GracePeriod)
+	}
+	if len(w.calls) == 0 {
+		w.nextCallAt = math.Inf(1) // no call is left to wait for: the backoff alone decides
+	}
+	w.callBy(now+w.backoff(), ReasonRetry)
+	w.failures++
+	w.unanswered = 0
+}
+
+const (
+	// progressCheck is the time, in ms, after which a frame that is being received is checked again.
+	progressCheck = 250
+	// stallTimeout is the time without a byte, in ms, after which a frame is not waited for.
+	stallTimeout = 500
+	// deadlineReserve is the time before the deadline, in ms, from which on no frame is waited for: one more call must fit in.
+	deadlineReserve = 1500
+)
+
+// advance does what is due, and requests the next Tick.
+func (w *Watcher) advance(now float64) {
+	if now >= w.nextCallAt {
+		if w.frameInTime(now) {
+			w.nextCallAt = now + progressCheck
+		} else {
+			w.dial(now)
+		}
+	}
+	overdueAt := w.deadline - w.settings.OverdueMargin
+	if !w.overdue && now >= overdueAt {
+		w.overdue = true
+		w.emit(Overdue{LastFrameAt: w.lastFrameAt, NotifiedUntil: w.deadline - w.settings.GracePeriod})
+	}
+	wake := w.nextCallAt
+	if !w.overdue {
+		wake = min(wake, overdueAt)
+	}
+	w.emit(Wake{At: wake})
+}
+
+// frameInTime reports whether a frame is being received that will be complete before the deadline at its present rate. Without it a
+// long list over a slow connection would be requested again and again.
+func (w *Watcher) frameInTime(now float64) bool {
+	if now > w.deadline-deadlineReserve {
+		return false
+	}
+	for _, c := range w.calls {
+		frame := c.frame
+		if frame.Size <= 0 || frame.Received <= 0 || now-frame.LastByteAt > stallTimeout {
+			continue
+		}
+		msPerByte := (now - frame.FirstByteAt) / float64(frame.Received)
+		if now+msPerByte*float64(frame.Size-frame.Received) <= w.deadline-w.settings.OverdueMargin {
+			return true
+		}
+	}
+	return false
+}
+
+// dial opens a call beside those that are open.
+func (w *Watcher) dial(now float64) {
+	if len(w.calls) >= w.settings.MaxCalls {
+		w.evict()
+	}
+	w.lastCall++
+	w.calls = append(w.calls, call{id: w.lastCall, openedAt: now})
+	w.emit(Dial{Call: w.lastCall, Address: w.address, Reason: w.nextReason})
+	w.nextCallAt, w.nextReason = now+w.hedgeDelay(), ReasonSilent
+	w.unanswered++
+}
+
+// evict closes a call to make room for another one. It keeps the call that has received most of a frame, or the oldest if none has
+// received anything, since an overloaded service may be about to answer on it. Of the others the oldest is closed.
+func (w *Watcher) evict() {
+	keep := 0
+	for i, c := range w.calls {
+		if c.frame.Received > w.calls[keep].frame.Received {
+			keep = i
+		}
+	}
+	evicted := 0
+	if keep == 0 {
+		evicted = 1
+	}
+	w.emit(Close{Call: w.calls[evicted].id, Reason: ReasonEvicted})
+	w.calls = slices.Delete(w.calls, evicted, evicted+1)
+}
--- a/internal/source/discoveryclient/client.go
+++ b/internal/source/discoveryclient/client.go
@@ -82,7 +82,7 @@
 type loop struct {
 	*Client
 	ctx      context.Context
-	follower *discovery.Follower
+	watcher  *discovery.Watcher
 	calls    map[discovery.CallID]*call
 	messages chan message
 	tick     chan struct{}
@@ -94,7 +94,7 @@
 func (c *Client) Run(ctx context.Context) {
 	c.last.Store(c.Last)
 	l := &loop{
-		Client: c, ctx: ctx, follower: discovery.New(c.Follow), calls: map[discovery.CallID]*call{},
+		Client: c, ctx: ctx, watcher: discovery.New(c.Follow), calls: map[discovery.CallID]*call{},
 		messages: make(chan message), tick: make(chan struct{}, 1), unset: func() {},
 	}
 	defer func() { l.unset() }()
@@ -102,7 +102,7 @@
 	c.counters.lastWord.Store(int64(c.Clock.Now()))
 	c.current.Store(int64(c.Clock.Now()))
 	c.counters.follows(c.Addr)
-	l.handle(discovery.Start{Addr: c.Addr})
+	l.handle(discovery.Start{Address: c.Addr})
 	for {
 		select {
 		case <-ctx.Done():
@@ -113,7 +113,7 @@
 			for _, addr := range c.takeMoves() {
 				c.counters.moves.Add(1)
 				c.counters.follows(addr)
-				l.handle(discovery.Move{Addr: addr})
+				l.handle(discovery.Reload{Address: addr})
 			}
 		case <-l.tick:
 			l.measure()
@@ -134,12 +134,12 @@
 		m.from.cancel()
 		why := m.from.reason()
 		l.ended(m.from, why, m.err)
-		l.handle(discovery.Ended{Call: m.from.id, Up: why == discovery.ReasonBroken})
+		l.handle(discovery.Ended{Call: m.from.id, Connected: why == discovery.ReasonDisconnected})
 		return
 	}
 	defer func() { l.current.Store(int64(l.Clock.Now())) }()
 	l.spoke(m.from, m.notice, l.last.Load())
-	l.handle(discovery.Word{Call: m.from.id})
+	l.handle(discovery.FrameReceived{Call: m.from.id})
 	if m.kind == kindNothing && l.Heard != nil {
 		l.Heard()
 	}
@@ -155,7 +155,7 @@
 // measure tells how far the frames are that are coming.
 func (l *loop) measure() {
 	for id, c := range l.calls {
-		if p := c.progress(); p.Have > 0 {
+		if p := c.progress(); p.Received > 0 {
 			p.Call = id
 			l.handle(p)
 		}
@@ -164,7 +164,7 @@
 
 // handle has an event decided on, and carries out what follows.
 func (l *loop) handle(e discovery.Event) {
-	l.acts = l.follower.Handle(l.Clock.Now(), e, l.acts[:0])
+	l.acts = l.watcher.Handle(l.Clock.Now(), e, l.acts[:0])
 	for _, a := range l.acts {
 		switch a := a.(type) {
 		case discovery.Dial:
@@ -174,11 +174,11 @@
 		case discovery.Wake:
 			l.wake(a.At)
 		case discovery.Overdue:
-			l.overdue(a.LastWord)
+			l.overdue(a.LastFrameAt)
 			if l.Overdue != nil {
-				l.Overdue(a.Notified)
+				l.Overdue(a.NotifiedUntil)
 			}
-		case discovery.Current:
+		case discovery.CaughtUp:
 			if l.Current != nil {
 				l.Current()
 			}
@@ -188,10 +188,10 @@
 
 func (l *loop) dial(d discovery.Dial) {
 	ctx, cancel := context.WithCancel(l.ctx)
-	c := &call{id: d.Call, addr: d.Addr, began: l.Clock.Now(), clock: l.Clock, cancel: cancel}
+	c := &call{id: d.Call, addr: d.Address, began: l.Clock.Now(), clock: l.Clock, cancel: cancel}
 	l.calls[d.Call] = c
 	l.publish()
-	l.called(c, d.Why)
+	l.called(c, d.Reason)
 	go c.run(ctx, l)
 }
 
@@ -203,7 +203,7 @@
 	delete(l.calls, d.Call)
 	l.publish()
 	c.cancel()
-	l.ended(c, d.Why, nil)
+	l.ended(c, d.Reason, nil)
 }
 
 // publish has CatchUp see the calls of now.
@@ -233,9 +233,9 @@
 	frames int // whole ones, of the loop alone
 
 	mu    sync.Mutex
-	nc    net.Conn           // nil: not up
-	frame discovery.Progress // under way
-	whole bool               // a frame has been read whole and is not in force yet
+	nc    net.Conn                // nil: not up
+	frame discovery.FrameProgress // under way
+	whole bool                    // a frame has been read whole and is not in force yet
 }
 
 // run dials, asks for what comes after the last event heard, and tells each frame.
@@ -305,22 +305,22 @@
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frame.Have == 0 {
-		c.frame.Began = now
+	if c.frame.Received == 0 {
+		c.frame.FirstByteAt = now
 	}
-	c.frame.Have, c.frame.Latest = c.frame.Have+n, now
+	c.frame.Received, c.frame.LastByteAt = c.frame.Received+n, now
 }
 
 func (c *call) expect(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.frame.Want = size
+	c.frame.Size = size
 }
 
 func (c *call) isWhole() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.frame, c.whole = discovery.Progress{}, true
+	c.frame, c.whole = discovery.FrameProgress{}, true
 }
 
 // inForce notes that what was read whole is in force.
@@ -330,7 +330,7 @@
 	c.whole = false
 }
 
-func (c *call) progress() discovery.Progress {
+func (c *call) progress() discovery.FrameProgress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.frame
@@ -341,9 +341,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nc == nil {
-		return discovery.ReasonFailed
+		return discovery.ReasonDialFailed
 	}
-	return discovery.ReasonBroken
+	return discovery.ReasonDisconnected
 }
 
 // errText is the text of an error, if there is one.
--- a/internal/source/discoveryclient/discoveryclient_test.go
+++ b/internal/source/discoveryclient/discoveryclient_test.go
@@ -40,7 +40,7 @@
 	require.NoError(t, err)
 	f := &followed{t: t, clk: clock.Manual(1e12), ln: ln, got: make(chan Notice, 10)}
 	f.client = &Client{
-		Addr: ln.Addr().String(), Last: 4, Follow: discovery.Usual(1, 1000), Clock: f.clk, Notice: func(n Notice) { f.got <- n },
+		Addr: ln.Addr().String(), Last: 4, Follow: discovery.DefaultSettings(1, 1000), Clock: f.clk, Notice: func(n Notice) { f.got <- n },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); ln.Close() })
--- a/internal/source/discoveryclient/move_test.go
+++ b/internal/source/discoveryclient/move_test.go
@@ -56,7 +56,7 @@
 		m.boards[i] = ln
 	}
 	m.client = &Client{
-		Addr: m.boards[0].Addr().String(), Last: 4, Follow: discovery.Usual(1, 1000), Clock: clock.Manual(1e12), // no time passes
+		Addr: m.boards[0].Addr().String(), Last: 4, Follow: discovery.DefaultSettings(1, 1000), Clock: clock.Manual(1e12), // no time passes
 		Notice: func(n Notice) { notice(m, n); m.got <- n },
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			nc, err := dialTCP(ctx, addr)
--- a/internal/source/discoveryclient/report.go
+++ b/internal/source/discoveryclient/report.go
@@ -83,9 +83,9 @@
 // ended reports that a call has ended, by itself or closed by the client.
 func (c *Client) ended(x *call, why discovery.Reason, err error) {
 	switch why {
-	case discovery.ReasonFailed:
+	case discovery.ReasonDialFailed:
 		c.counters.failed.Add(1)
-	case discovery.ReasonBroken:
+	case discovery.ReasonDisconnected:
 		c.counters.broken.Add(1)
 	default:
 		c.counters.closed.Add(1)
