--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -146,7 +146,7 @@
 	const now = 1_764_576_000_000
 	dir := filepath.Join(t.TempDir(), "state")
 	keeper, _, err := state.Open(state.Options{Dir: dir, Clock: clock.Manual(now), Settings: recovery.Settings{
-		PurgeTakes: 1e15, PurgeGrace: 1e15, DropDrain: 1e15, GoneFor: 1e15,
+		PurgePropagation: 1e15, PurgeGrace: 1e15, GoneRetention: 1e15,
 	}})
 	require.NoError(t, err)
 	files := []serverlist.File{{Name: "l", Data: golden.Read(t, "servers.jsonc")}}
@@ -154,11 +154,11 @@
 	require.NoError(t, defects.Err())
 	set := parsed.Unresolved()
 	require.NoError(t, keeper.Took("list", set))
-	purge := recovery.Purge{Object: "7f3a9c21e0b4d655", Made: now - 5}
-	purge.Told = now - 4
+	purge := recovery.Purge{Object: "7f3a9c21e0b4d655", IssuedAt: now - 5}
+	purge.NotifiedAt = now - 4
 	require.NoError(t, keeper.Purged(purge))
-	purge = recovery.Purge{Group: 17, Made: now - 3}
-	purge.Told = now - 2
+	purge = recovery.Purge{Group: 17, IssuedAt: now - 3}
+	purge.NotifiedAt = now - 2
 	require.NoError(t, keeper.Purged(purge))
 	member := membership.Moved{}
 	member.Member.ID, member.Member.Addr, member.Member.Zone, member.Member.Kind = 1, "10.1.0.9:4100", 2, 1
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -32,7 +32,7 @@
 	s.core.Purged(p)
 	var err error
 	if s.state != nil {
-		err = s.state.Purged(recovery.Purge{Object: p.Object, Group: p.Group, Made: p.At, Told: p.At})
+		err = s.state.Purged(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: p.At})
 	}
 	if s.member {
 		set := s.core.Settings()
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -147,7 +147,7 @@
 func (s *sources) purged(p core.Purge) {
 	s.core.Purged(p)
 	if s.state != nil {
-		s.state.Purging(recovery.Purge{Object: p.Object, Group: p.Group, Made: p.At, Told: s.clk.Now()})
+		s.state.Purging(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: s.clk.Now()})
 	}
 }
 
@@ -159,7 +159,7 @@
 		if p.Object != "" {
 			group = -1
 		}
-		s.core.Purged(core.Purge{Object: p.Object, Group: group, At: p.Made})
+		s.core.Purged(core.Purge{Object: p.Object, Group: group, At: p.IssuedAt})
 	}
 	if plan.Boots > 0 { // else nothing is known, and that is not to say that every server is new
 		floors := map[int]uint64{}
@@ -168,7 +168,7 @@
 		}
 		s.roster.Restore(plan.Remembered, floors)
 	}
-	for _, id := range plan.Hand {
+	for _, id := range plan.ManualDrains {
 		s.roster.Tell(membership.Drain{ID: policy.CacheID(id), On: true})
 	}
 	return kept
@@ -210,15 +210,14 @@
 	began := clk.Now()
 	s.state, plan, err = state.Open(state.Options{
 		Dir: o.State.Dir, Clock: clk, Log: log, Delay: o.State.Delay, Settings: recovery.Settings{
-			PurgeTakes: clock.Ms(conf.Settings.PurgeTakes), PurgeGrace: clock.Ms(conf.Settings.PurgeNotice),
-			DropDrain: set.DropDrain, GoneFor: set.GoneFor,
+			PurgePropagation: clock.Ms(conf.Settings.PurgeTakes), PurgeGrace: clock.Ms(conf.Settings.PurgeNotice), GoneRetention: set.GoneFor,
 		},
 	})
 	if err != nil {
 		return plan, fmt.Errorf("state: %w", err)
 	}
-	if plan.SteppedBack > 0 {
-		log.Warn("state").Float64("ms", plan.SteppedBack).Msg("the clock is behind what was seen before the restart: what binds, binds from now on")
+	if plan.ClockStepBack > 0 {
+		log.Warn("state").Float64("ms", plan.ClockStepBack).Msg("the clock is behind what was seen before the restart: what binds, binds from now on")
 	}
 	log.Info("state").Int("boots", plan.Boots).Int("purges", len(plan.Purges)).Int("servers", len(plan.Remembered)).
 		Float64("ms", clk.Now()-began).Msg("state recovered")
--- a/cmd/ravenwheel/state.go
+++ b/cmd/ravenwheel/state.go
@@ -42,7 +42,7 @@
 			RunE: func(_ *cobra.Command, args []string) error {
 				k, _, err := state.Open(state.Options{Dir: args[0], Clock: clock.System(), Settings: recovery.Settings{
 					// What binds is for the proxy to say: nothing is dropped for its age here.
-					PurgeTakes: 1e15, PurgeGrace: 1e15, DropDrain: 1e15, GoneFor: 1e15,
+					PurgePropagation: 1e15, PurgeGrace: 1e15, GoneRetention: 1e15,
 				}})
 				if err != nil {
 					return err
@@ -75,7 +75,7 @@
 		}{st, s.Boots, s.Revision, s.Purges(), s.Members(), s.Lists()})
 	}
 	at := func(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.DateTime) }
-	fmt.Fprintf(w, "record %d, snapshot %d, %d starts, last written %s\n", st.Next-1, st.Snapshot, s.Boots, at(s.High))
+	fmt.Fprintf(w, "record %d, snapshot %d, %d starts, last written %s\n", st.Next-1, st.Snapshot, s.Boots, at(s.LatestTime))
 	for _, l := range s.Lists() {
 		fmt.Fprintf(w, "list %s: generation %d, %d servers\n", l.Source, l.Generation, len(l.Servers))
 	}
@@ -88,7 +88,7 @@
 		if p.Object == "" {
 			what = fmt.Sprint("group ", p.Group)
 		}
-		fmt.Fprintf(t, "purge\t%s\tmade %s\ttold %s\n", what, at(p.Made), at(p.Told))
+		fmt.Fprintf(t, "purge\t%s\tmade %s\ttold %s\n", what, at(p.IssuedAt), at(p.NotifiedAt))
 	}
 	return t.Flush()
 }
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -85,6 +85,6 @@
 	}
 	o.Purged(p)
 	if o.Keeper != nil {
-		o.Keeper.Purging(recovery.Purge{Object: p.Object, Group: x.Group, Made: p.At, Told: o.Clock.Now()})
+		o.Keeper.Purging(recovery.Purge{Object: p.Object, Group: x.Group, IssuedAt: p.At, NotifiedAt: o.Clock.Now()})
 	}
 }
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -75,8 +75,8 @@
 	require.Equal(t, []any{
 		took{applier.ListSource, 3}, membership.List{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
 		drained{1, true}, drained{1, false},
-		core.Purge{Object: "o", Group: -1, At: 10}, recovery.Purge{Object: "o", Made: 10, Told: 5000},
-		core.Purge{Group: 4, At: 11}, recovery.Purge{Group: 4, Made: 11, Told: 5000},
+		core.Purge{Object: "o", Group: -1, At: 10}, recovery.Purge{Object: "o", IssuedAt: 10, NotifiedAt: 5000},
+		core.Purge{Group: 4, At: 11}, recovery.Purge{Group: 4, IssuedAt: 11, NotifiedAt: 5000},
 	}, h.all)
 }
 
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	w.kept, err = recovery.DecodeState(raw)
 	require.NoError(t, err)
-	plan := w.kept.Plan(w.now, recovery.Settings{DropDrain: dropDrain, GoneFor: goneFor})
+	plan := w.kept.Plan(w.now, recovery.Settings{GoneRetention: goneFor})
 	w.ledger = newLedger(t)
 	w.ledger.Restore(w.now, plan.Remembered, map[int]uint64{0: w.gens[0]})
 	w.versions, w.told, w.wake = 0, [2]bool{}, 0
@@ -118,7 +118,7 @@
 			m := a.Member
 			m.State = map[membership.Phase]policy.State{membership.Draining: policy.Draining, membership.Gone: policy.Gone}[a.To]
 			if a.To == membership.Draining || a.To == membership.Gone {
-				w.kept.Apply(recovery.Of(m, w.now))
+				w.kept.Apply(recovery.MemberEvent(m, w.now))
 			}
 		case membership.Publish:
 			w.versions++
@@ -126,7 +126,7 @@
 			require.Equal(w.t, w.versions == 1, a.Whole)
 			require.True(w.t, slices.IsSortedFunc(a.Members, func(x, y membership.Member) int { return int(x.ID) - int(y.ID) }))
 			for _, m := range a.Members {
-				w.kept.Apply(recovery.Of(m, w.now))
+				w.kept.Apply(recovery.MemberEvent(m, w.now))
 				if w.published[m.ID] = m; m.State == policy.Gone {
 					delete(w.published, m.ID)
 				}
--- a/internal/decide/recovery/bench_test.go
+++ b/internal/decide/recovery/bench_test.go
@@ -11,16 +11,15 @@
 	"ravenwheel/internal/decide/recovery"
 )
 
-// BenchmarkPrune is a purge and a server's end that come to a state that holds so many of each, and one of each that is
-// pruned.
+// BenchmarkPrune applies one purge and one departure to a state that has n of each, and prunes one of each.
 func BenchmarkPrune(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
 		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
 			s := recovery.NewState()
-			set := recovery.Settings{PurgeTakes: float64(n) / 2, GoneFor: float64(n)}
+			set := recovery.Settings{PurgePropagation: float64(n) / 2, GoneRetention: float64(n)}
 			step := func(at int) {
 				t := float64(at)
-				s.Apply(recovery.Event{At: t, Purge: &recovery.Purge{Object: strconv.Itoa(at), Made: t, Told: t}})
+				s.Apply(recovery.Event{At: t, Purge: &recovery.Purge{Object: strconv.Itoa(at), IssuedAt: t, NotifiedAt: t}})
 				s.Apply(recovery.Event{At: t, Member: &recovery.Member{ID: uint64(at), Phase: membership.Gone, Since: t}})
 			}
 			at := 0
@@ -35,19 +34,19 @@
 				s.Prune(float64(at), set)
 			}
 			b.StopTimer()
-			purges, members, _ := s.Sizes()
+			purges, members, _ := s.Counts()
 			require.Equal(b, [2]int{min(at, n+1), min(at, n+1)}, [2]int{purges, members})
 		})
 	}
 }
 
-// BenchmarkEncode is the snapshot that follows a pruning.
+// BenchmarkEncode encodes the state, as is done after each pruning.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
 		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
 			s := recovery.NewState()
 			for i := range n {
-				s.Apply(recovery.Event{At: 1, Purge: &recovery.Purge{Object: strconv.Itoa(i), Made: 1, Told: float64(i)}})
+				s.Apply(recovery.Event{At: 1, Purge: &recovery.Purge{Object: strconv.Itoa(i), IssuedAt: 1, NotifiedAt: float64(i)}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/decide/recovery/expiry_test.go
+++ b/internal/decide/recovery/expiry_test.go
@@ -10,23 +10,23 @@
 	"ravenwheel/internal/decide/recovery"
 )
 
-// pruned is what a walk through all that is held would drop, and what it would leave.
-func pruned(purges []recovery.Purge, members []recovery.Member, now float64) (leftPurges []recovery.Purge, leftMembers []recovery.Member) {
+// remaining returns what a scan of all purges and members would keep at a time.
+func remaining(purges []recovery.Purge, members []recovery.Member, now float64) (leftPurges []recovery.Purge, leftMembers []recovery.Member) {
 	for _, p := range purges {
-		if max(p.Told, p.Made)+2*set.PurgeTakes+set.PurgeGrace >= now {
+		if max(p.NotifiedAt, p.IssuedAt)+2*settings.PurgePropagation+settings.PurgeGrace >= now {
 			leftPurges = append(leftPurges, p)
 		}
 	}
 	for _, m := range members {
-		if m.Phase != membership.Gone || m.Since+set.GoneFor >= now {
+		if m.Phase != membership.Gone || m.Since+settings.GoneRetention >= now {
 			leftMembers = append(leftMembers, m)
 		}
 	}
 	return leftPurges, leftMembers
 }
 
-// Pruning drops what a walk through all that is held would, whatever came before it and however the clock jumps.
-func TestPrunedAsByWalk(t *testing.T) {
+// Prune drops exactly what a scan of the whole state would, for any history of events and any jumps of the clock.
+func TestPruneDropsWhatAFullScanWould(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := recovery.NewState(), 1e12
 		for range rapid.IntRange(0, 120).Draw(t, "n") {
@@ -41,8 +41,8 @@
 			case 1, 2:
 				at := now + float64(rapid.IntRange(-20_000, 20_000).Draw(t, "away"))
 				purges, members := s.Purges(), s.Members()
-				leftPurges, leftMembers := pruned(purges, members, at)
-				dropped := s.Prune(at, set)
+				leftPurges, leftMembers := remaining(purges, members, at)
+				dropped := s.Prune(at, settings)
 				require.Equal(t, len(purges)+len(members)-len(leftPurges)-len(leftMembers), dropped)
 				require.ElementsMatch(t, leftPurges, s.Purges())
 				require.ElementsMatch(t, leftMembers, s.Members())
@@ -51,8 +51,8 @@
 	})
 }
 
-// A server that comes and goes for good leaves no trace for each time.
-func TestComesAndGoes(t *testing.T) {
+// A server that joins and leaves many times must not leave an entry in the expiry queue for each time.
+func TestRepeatedDepartureKeepsExpiryQueueShort(t *testing.T) {
 	s := recovery.NewState()
 	for i := range 200_000 {
 		phase := membership.Ready
@@ -62,7 +62,7 @@
 		s.Apply(recovery.Event{At: float64(i), Member: &recovery.Member{ID: 1, Phase: phase, Since: float64(i)}})
 	}
 	s.Apply(recovery.Event{At: 200_000, Member: &recovery.Member{ID: 1, Phase: membership.Gone, Since: 200_000}})
-	require.LessOrEqual(t, s.Ends(), 100)
-	require.Zero(t, s.Prune(200_000+set.GoneFor, set))
-	require.Equal(t, 1, s.Prune(200_001+set.GoneFor, set))
+	require.LessOrEqual(t, s.GoneQueueLen(), 100)
+	require.Zero(t, s.Prune(200_000+settings.GoneRetention, settings))
+	require.Equal(t, 1, s.Prune(200_001+settings.GoneRetention, settings))
 }
--- a/internal/decide/recovery/export_test.go
+++ b/internal/decide/recovery/export_test.go
@@ -1,4 +1,4 @@
 package recovery
 
-// Ends is how many entries the order of the servers that are gone has.
-func (s *State) Ends() int { return s.gone.Len() }
+// GoneQueueLen returns the number of entries in the expiry queue of departed servers.
+func (s *State) GoneQueueLen() int { return s.goneExpiry.Len() }
--- a/internal/decide/recovery/golden_test.go
+++ b/internal/decide/recovery/golden_test.go
@@ -28,11 +28,11 @@
 	}
 }
 
-// goldenEvents are one of each kind, and those with optional fields left out.
+// goldenEvents returns one event of each kind, with all fields set and with the optional ones left out.
 func goldenEvents() map[string]recovery.Event {
 	return map[string]recovery.Event{
-		"event-purge-object.cbor": {At: 1e12, Purge: &recovery.Purge{Object: "o", Made: 1e12 - 10.5, Told: 1e12}},
-		"event-purge-group.cbor":  {At: 1e12, Purge: &recovery.Purge{Group: 5, Made: 1e12 - 10, Told: 1e12}},
+		"event-purge-object.cbor": {At: 1e12, Purge: &recovery.Purge{Object: "o", IssuedAt: 1e12 - 10.5, NotifiedAt: 1e12}},
+		"event-purge-group.cbor":  {At: 1e12, Purge: &recovery.Purge{Group: 5, IssuedAt: 1e12 - 10, NotifiedAt: 1e12}},
 		"event-member.cbor":       {At: 1e12, Member: goldenMember()},
 		"event-member-least.cbor": {At: 1e12, Member: &recovery.Member{ID: 8, Addr: "x", Phase: membership.Gone, Since: 1e12}},
 		"event-list.cbor":         {At: 1e12, List: goldenList()},
@@ -40,8 +40,8 @@
 		"event-revision.cbor":     {At: 1e12, Revision: 9},
 		"event-boot.cbor":         {At: 1e12, Boot: true, Epoch: 9e11, Shift: -3600000},
 		"event-boot-least.cbor":   {At: 1e12, Boot: true},
-		"event-hand-on.cbor":      {At: 1e12, Hand: &recovery.Hand{ID: 9, On: true}},
-		"event-hand-off.cbor":     {At: 1e12, Hand: &recovery.Hand{ID: 9}},
+		"event-hand-on.cbor":      {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9, Active: true}},
+		"event-hand-off.cbor":     {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9}},
 	}
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// goldenState is what all golden events but the boots add up to, in an order that does not matter for it.
+// goldenState returns the state after all golden events but the boots. Their order does not matter.
 func goldenState() *recovery.State {
 	s := recovery.NewState()
 	s.Apply(recovery.Event{At: 1e12, Boot: true, Epoch: 9e11})
@@ -75,15 +75,15 @@
 		golden.Equal(t, name, raw)
 		read, err := recovery.DecodeState(golden.Read(t, name))
 		require.NoError(t, err)
-		require.Equal(t, s.Plan(1e12, set), read.Plan(1e12, set))
-		require.Equal(t, [3]any{s.High, s.Epoch, s.Revision}, [3]any{read.High, read.Epoch, read.Revision})
+		require.Equal(t, s.Plan(1e12, settings), read.Plan(1e12, settings))
+		require.Equal(t, [3]any{s.LatestTime, s.Epoch, s.Revision}, [3]any{read.LatestTime, read.Epoch, read.Revision})
 		again, err := read.Encode()
 		require.NoError(t, err)
 		golden.Equal(t, name, again)
 	}
 }
 
-// What "state show --json" prints of a state.
+// TestGoldenJSON covers the parts of a state that "state show --json" prints.
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	for name, v := range map[string]any{"purges.json": s.Purges(), "members.json": s.Members(), "lists.json": s.Lists()} {
--- /dev/null
+++ b/internal/decide/recovery/plan.go
@@ -0,0 +1,98 @@
+package recovery
+
+import (
+	"cmp"
+	"slices"
+
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/policy"
+)
+
+// Plan is what a proxy must apply before it accepts its first request.
+type Plan struct {
+	Purges        []Purge                 // for the policy module, by time of issue
+	Remembered    []membership.Remembered // for the registry, by server id
+	Lists         []List                  // last accepted, by source
+	ClockStepBack float64                 // ms by which the clock is behind the latest stored time; 0: it is not behind
+	Boots         int                     // starts before this one
+	Revision      uint64                  // of the configuration that was in use
+	ManualDrains  []uint64                // ids of the servers that operators drain, in order
+}
+
+// Plan returns what a proxy that starts at now has to honour.
+//
+// If the clock was stepped back, stored times may lie in the future. They count as now: an obligation neither ends early
+// nor lasts longer by the size of the step.
+func (s *State) Plan(now float64, set Settings) Plan {
+	return Plan{
+		Purges:        s.purgesInForce(now, set),
+		Remembered:    s.remembered(now, set),
+		Lists:         s.Lists(),
+		ClockStepBack: max(0, s.LatestTime-now),
+		Boots:         s.Boots,
+		Revision:      s.Revision,
+		ManualDrains:  s.drainedManually(),
+	}
+}
+
+// purgesInForce returns the purges that can still match a copy. Each counts as received now, because how far it had
+// propagated before the restart is unknown: copies older than the purge are not requested for its full duration.
+func (s *State) purgesInForce(now float64, set Settings) []Purge {
+	var purges []Purge
+	for _, p := range s.purges {
+		if purgeExpiresAt(p.expiryBase(), set) < now {
+			continue
+		}
+		p.IssuedAt, p.NotifiedAt = min(p.IssuedAt, now), now
+		purges = append(purges, p)
+	}
+	slices.SortFunc(purges, func(a, b Purge) int {
+		return cmp.Or(cmp.Compare(a.IssuedAt, b.IssuedAt), cmp.Compare(a.Object, b.Object), a.Group-b.Group)
+	})
+	return purges
+}
+
+// remembered returns all servers but those that left longer ago than they are remembered for.
+func (s *State) remembered(now float64, set Settings) []membership.Remembered {
+	var list []membership.Remembered
+	for _, m := range s.members {
+		if m.Phase == membership.Gone && m.Since+set.GoneRetention < now {
+			continue
+		}
+		r := membership.Remembered{Phase: m.Phase, Since: min(m.Since, now)}
+		r.Member.ID, r.Member.Addr, r.Member.Zone, r.Member.Kind = policy.CacheID(m.ID), m.Addr, m.Zone, m.Kind
+		r.Member.Cell, r.Member.Weight, r.Member.Started = m.Cell, m.Weight, policy.Time(min(m.Started, now)*nanosecondsPerMs)
+		list = append(list, r)
+	}
+	slices.SortFunc(list, func(a, b membership.Remembered) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
+	return list
+}
+
+// Shifted returns the plan with ms added to all its times, to bring them onto another clock.
+func (p Plan) Shifted(ms float64) Plan {
+	if ms == 0 {
+		return p
+	}
+	p.Purges, p.Remembered = slices.Clone(p.Purges), slices.Clone(p.Remembered)
+	for i := range p.Purges {
+		p.Purges[i] = p.Purges[i].shifted(ms)
+	}
+	for i := range p.Remembered {
+		r := &p.Remembered[i]
+		r.Since += ms
+		if r.Member.Started > 0 {
+			r.Member.Started += policy.Time(ms * nanosecondsPerMs)
+		}
+	}
+	return p
+}
+
+// List returns the list of a source, and whether there is one.
+func (p Plan) List(source string) (List, bool) {
+	for _, l := range p.Lists {
+		if l.Source == source {
+			return l, true
+		}
+	}
+	return List{}, false
+}
--- a/internal/decide/recovery/state_test.go
+++ b/internal/decide/recovery/state_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var set = recovery.Settings{PurgeTakes: 6000, PurgeGrace: 1000, DropDrain: 3000, GoneFor: 9000}
+var settings = recovery.Settings{PurgePropagation: 6000, PurgeGrace: 1000, GoneRetention: 9000}
 
 func event(t *rapid.T, at float64) recovery.Event {
 	e := recovery.Event{At: at}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		e.Purge = &recovery.Purge{Made: at - float64(rapid.IntRange(-5, 500).Draw(t, "age")), Told: at}
+		e.Purge = &recovery.Purge{IssuedAt: at - float64(rapid.IntRange(-5, 500).Draw(t, "age")), NotifiedAt: at}
 		if rapid.Bool().Draw(t, "object") {
 			e.Purge.Object = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
 		} else {
@@ -39,69 +39,69 @@
 	case 4:
 		e.Boot = true
 	case 5:
-		e.Hand = &recovery.Hand{ID: uint64(rapid.IntRange(1, 3).Draw(t, "id")), On: rapid.Bool().Draw(t, "on")}
+		e.ManualDrain = &recovery.ManualDrain{ID: uint64(rapid.IntRange(1, 3).Draw(t, "id")), Active: rapid.Bool().Draw(t, "on")}
 	}
 	return e
 }
 
-// Whatever happened, and wherever it was cut by a snapshot, the same state comes back; and pruning takes away nothing
-// that a plan would hold.
-func TestKept(t *testing.T) {
+// A state that was encoded, decoded and pruned at arbitrary places gives the same plan as one that was not. Pruning removes
+// nothing that a plan would contain.
+func TestEncodedStateGivesTheSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain, cut := recovery.NewState(), recovery.NewState()
+		plain, stored := recovery.NewState(), recovery.NewState()
 		now := 1e12
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
 			now += float64(rapid.IntRange(0, 4000).Draw(t, "ms"))
 			e := event(t, now)
 			raw, err := e.Encode()
 			require.NoError(t, err)
-			back, err := recovery.DecodeEvent(raw)
+			decoded, err := recovery.DecodeEvent(raw)
 			require.NoError(t, err)
 			plain.Apply(e)
-			cut.Apply(back)
+			stored.Apply(decoded)
 			switch rapid.IntRange(0, 5).Draw(t, "then") {
 			case 0:
-				raw, err := cut.Encode()
+				raw, err := stored.Encode()
 				require.NoError(t, err)
-				cut, err = recovery.DecodeState(raw)
+				stored, err = recovery.DecodeState(raw)
 				require.NoError(t, err)
 			case 1:
-				cut.Prune(now, set)
+				stored.Prune(now, settings)
 			}
 		}
 		later := now + float64(rapid.IntRange(-8000, 20_000).Draw(t, "away"))
-		require.Equal(t, plain.Plan(max(now, later), set), cut.Plan(max(now, later), set))
-		p := cut.Plan(later, set)
-		require.Equal(t, max(0, cut.High-later), p.SteppedBack)
+		require.Equal(t, plain.Plan(max(now, later), settings), stored.Plan(max(now, later), settings))
+		p := stored.Plan(later, settings)
+		require.Equal(t, max(0, stored.LatestTime-later), p.ClockStepBack)
 		for _, x := range p.Purges {
-			require.LessOrEqual(t, x.Made, later, "no purge of the future, or its age would be none")
-			require.Equal(t, later, x.Told)
+			require.LessOrEqual(t, x.IssuedAt, later, "a purge issued in the future would have a negative age")
+			require.Equal(t, later, x.NotifiedAt)
 		}
 		for _, x := range p.Remembered {
-			require.LessOrEqual(t, x.Since, later, "no drain of the future, or it would last for the step too")
+			require.LessOrEqual(t, x.Since, later, "a drain that began in the future would last longer by the step")
 		}
 	})
 }
 
-func TestPurges(t *testing.T) {
+func TestPurgesExpireAndSurviveClockSteps(t *testing.T) {
 	s := recovery.NewState()
-	s.Apply(recovery.Event{At: 1000, Purge: &recovery.Purge{Object: "a", Made: 990, Told: 1000}})
-	s.Apply(recovery.Event{At: 2000, Purge: &recovery.Purge{Object: "a", Made: 900, Told: 2000}})
-	s.Apply(recovery.Event{At: 3000, Purge: &recovery.Purge{Group: 5, Made: 3000, Told: 3000}})
-	require.Equal(t, []recovery.Purge{{Object: "a", Made: 990, Told: 4000}, {Group: 5, Made: 3000, Told: 4000}}, s.Plan(4000, set).Purges)
-	require.Len(t, s.Plan(15_500, set).Purges, 1, "the first can no longer bind: 2000 + 2*6000 + 1000")
-	require.Empty(t, s.Plan(16_500, set).Purges)
-	// The clock was stepped back by 5 s: what was told in what is now the future binds from now on.
-	back := s.Plan(-2000, set)
-	require.Equal(t, 5000.0, back.SteppedBack)
-	require.Equal(t, []recovery.Purge{{Group: 5, Made: -2000, Told: -2000}, {Object: "a", Made: -2000, Told: -2000}}, back.Purges)
-	require.Equal(t, 1, s.Prune(15_500, set))
+	s.Apply(recovery.Event{At: 1000, Purge: &recovery.Purge{Object: "a", IssuedAt: 990, NotifiedAt: 1000}})
+	s.Apply(recovery.Event{At: 2000, Purge: &recovery.Purge{Object: "a", IssuedAt: 900, NotifiedAt: 2000}})
+	s.Apply(recovery.Event{At: 3000, Purge: &recovery.Purge{Group: 5, IssuedAt: 3000, NotifiedAt: 3000}})
+	require.Equal(t, []recovery.Purge{{Object: "a", IssuedAt: 990, NotifiedAt: 4000}, {Group: 5, IssuedAt: 3000, NotifiedAt: 4000}}, s.Plan(4000, settings).Purges)
+	require.Len(t, s.Plan(15_500, settings).Purges, 1, "the first expired at 2000 + 2*6000 + 1000")
+	require.Empty(t, s.Plan(16_500, settings).Purges)
+	// The clock was stepped back by 5 s: purges received at a time that is now in the future count as received now.
+	back := s.Plan(-2000, settings)
+	require.Equal(t, 5000.0, back.ClockStepBack)
+	require.Equal(t, []recovery.Purge{{Group: 5, IssuedAt: -2000, NotifiedAt: -2000}, {Object: "a", IssuedAt: -2000, NotifiedAt: -2000}}, back.Purges)
+	require.Equal(t, 1, s.Prune(15_500, settings))
 }
 
-func TestBadBytes(t *testing.T) {
+func TestDecodeRejectsInvalidBytes(t *testing.T) {
 	good, err := recovery.Event{At: 1, Member: &recovery.Member{ID: 1, Phase: membership.Ready}}.Encode()
 	require.NoError(t, err)
-	for _, e := range []recovery.Event{{At: math.NaN()}, {Member: &recovery.Member{Phase: 9}}, {Purge: &recovery.Purge{Made: math.Inf(1)}}} {
+	for _, e := range []recovery.Event{{At: math.NaN()}, {Member: &recovery.Member{Phase: 9}}, {Purge: &recovery.Purge{IssuedAt: math.Inf(1)}}} {
 		raw, err := e.Encode()
 		require.NoError(t, err)
 		_, err = recovery.DecodeEvent(raw)
@@ -117,7 +117,7 @@
 
 func FuzzDecode(f *testing.F) {
 	s := recovery.NewState()
-	s.Apply(recovery.Event{At: 1000, Purge: &recovery.Purge{Object: "a", Made: 990, Told: 1000}})
+	s.Apply(recovery.Event{At: 1000, Purge: &recovery.Purge{Object: "a", IssuedAt: 990, NotifiedAt: 1000}})
 	s.Apply(recovery.Event{At: 1, Member: &recovery.Member{ID: 1, Phase: membership.Draining}})
 	raw, _ := s.Encode()
 	f.Add(raw)
@@ -126,7 +126,7 @@
 			recovery.NewState().Apply(e)
 		}
 		if s, err := recovery.DecodeState(b); err == nil {
-			_ = s.Plan(1e12, set)
+			_ = s.Plan(1e12, settings)
 		}
 	})
 }
@@ -138,6 +138,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = s.Plan(2000, set)
+		_ = s.Plan(2000, settings)
 	}
 }
--- a/internal/lab/capacity/record_journal.go
+++ b/internal/lab/capacity/record_journal.go
@@ -18,7 +18,7 @@
 
 func purgeEvent(n int) recovery.Event {
 	at := 1.8e12 + float64(n)
-	return recovery.Event{At: at, Purge: &recovery.Purge{Object: objectName(n), Made: at, Told: at}}
+	return recovery.Event{At: at, Purge: &recovery.Purge{Object: objectName(n), IssuedAt: at, NotifiedAt: at}}
 }
 
 // journalled is how many bytes a journal holds after so many purges, each synced on its own.
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -16,7 +16,7 @@
 
 // BenchmarkRestart100k is the start of a proxy with 100,000 drains, from a snapshot, and the memory that they take.
 func BenchmarkRestart100k(b *testing.B) {
-	o := state.Options{Dir: b.TempDir(), Clock: clock.System(), Each: 1 << 30, Settings: recovery.Settings{PurgeTakes: 6e6, DropDrain: 1e9, GoneFor: 1e9}}
+	o := state.Options{Dir: b.TempDir(), Clock: clock.System(), Each: 1 << 30, Settings: recovery.Settings{PurgePropagation: 6e6, GoneRetention: 1e9}}
 	k, _, err := state.Open(o)
 	require.NoError(b, err)
 	for id := range 100_000 {
@@ -49,11 +49,11 @@
 func BenchmarkRecover1M(b *testing.B) {
 	for _, snapshot := range []bool{false, true} {
 		b.Run(fmt.Sprintf("snapshot=%v", snapshot), func(b *testing.B) {
-			o := state.Options{Dir: b.TempDir(), Clock: clock.System(), Each: 1 << 30, Settings: recovery.Settings{PurgeTakes: 6e6}}
+			o := state.Options{Dir: b.TempDir(), Clock: clock.System(), Each: 1 << 30, Settings: recovery.Settings{PurgePropagation: 6e6}}
 			k, _, err := state.Open(o)
 			require.NoError(b, err)
 			for i := range 1_000_000 {
-				k.Purging(recovery.Purge{Object: fmt.Sprintf("%016x", i%1000), Made: float64(i), Told: float64(i)})
+				k.Purging(recovery.Purge{Object: fmt.Sprintf("%016x", i%1000), IssuedAt: float64(i), NotifiedAt: float64(i)})
 			}
 			require.NoError(b, k.Drained(1, true))
 			if snapshot {
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	fs.now.Store(true)
 	require.Error(t, k.Drained(9, true))
-	k.Purging(recovery.Purge{Object: "o", Made: clk.Now(), Told: clk.Now()})
+	k.Purging(recovery.Purge{Object: "o", IssuedAt: clk.Now(), NotifiedAt: clk.Now()})
 	for range 20 {
 		clk.Advance(100)
 		time.Sleep(time.Millisecond)
@@ -81,7 +81,7 @@
 	_, plan, err := state.Open(options(disk, clk))
 	require.NoError(t, err)
 	require.Len(t, plan.Purges, 1)
-	require.Empty(t, plan.Hand, "what was told last counts")
+	require.Empty(t, plan.ManualDrains, "what was told last counts")
 }
 
 // The folder fails once more, in each way for a moment, as an operator drains a server and gives it back: whichever of the two was
@@ -110,7 +110,7 @@
 			disk.Restart(rand.New(rand.NewPCG(1, 1)))
 			_, plan, err := state.Open(options(disk, clk))
 			require.NoError(t, err)
-			require.Empty(t, plan.Hand, "%s, %d retries later", name, between)
+			require.Empty(t, plan.ManualDrains, "%s, %d retries later", name, between)
 		}
 	}
 }
@@ -141,5 +141,5 @@
 	disk.Restart(rand.New(rand.NewPCG(1, 1)))
 	_, plan, err := state.Open(options(disk, clk))
 	require.NoError(t, err)
-	require.Equal(t, []uint64{8}, plan.Hand)
+	require.Equal(t, []uint64{8}, plan.ManualDrains)
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -29,7 +29,7 @@
 	k.Published(published(1, policy.Ready))
 	k.Published(published(2, policy.Draining))
 	k.Revised(4)
-	require.NoError(t, k.Purged(recovery.Purge{Object: "before", Made: 1e12 - 5, Told: 1e12}))
+	require.NoError(t, k.Purged(recovery.Purge{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}))
 	require.NoError(t, k.Drained(9, true))
 	k.Compact()
 	clk.Advance(100)
@@ -39,7 +39,7 @@
 	require.NoError(t, k.Took("file", list))
 	require.NoError(t, k.Drained(9, false))
 	require.NoError(t, k.Drained(8, true))
-	require.NoError(t, k.Purged(recovery.Purge{Group: 6, Made: clk.Now(), Told: clk.Now()}))
+	require.NoError(t, k.Purged(recovery.Purge{Group: 6, IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
 	require.NoError(t, k.Close())
 }
 
@@ -55,8 +55,8 @@
 	require.NoError(t, err)
 	require.NotZero(t, stats.Snapshot)
 	require.Greater(t, stats.Next-1, stats.Snapshot, "records behind the snapshot")
-	require.Equal(t, 1e12+100, read.High)
-	require.Equal(t, []recovery.Purge{{Object: "before", Made: 1e12 - 5, Told: 1e12}, {Group: 6, Made: 1e12 + 100, Told: 1e12 + 100}}, read.Purges())
+	require.Equal(t, 1e12+100, read.LatestTime)
+	require.Equal(t, []recovery.Purge{{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}, {Group: 6, IssuedAt: 1e12 + 100, NotifiedAt: 1e12 + 100}}, read.Purges())
 	require.Equal(t, []recovery.Member{
 		{ID: 1, Addr: "a1", Phase: membership.Ready, Since: 1e12}, {ID: 2, Addr: "a2", Phase: membership.Draining, Since: 1e12},
 		{ID: 3, Addr: "a3", Phase: membership.Gone, Since: 1e12 + 100},
@@ -67,13 +67,13 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, plan.Boots)
 	require.EqualValues(t, 5, plan.Revision)
-	require.Equal(t, []uint64{8}, plan.Hand)
+	require.Equal(t, []uint64{8}, plan.ManualDrains)
 	require.Len(t, plan.Purges, 2)
 	require.Len(t, plan.Remembered, 3)
 	require.Equal(t, []recovery.List{{Source: "file", Generation: 4, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100},
 	}}}, plan.Lists)
-	require.NoError(t, k.Purged(recovery.Purge{Object: "after", Made: 1e12 + 200, Told: 1e12 + 200}))
+	require.NoError(t, k.Purged(recovery.Purge{Object: "after", IssuedAt: 1e12 + 200, NotifiedAt: 1e12 + 200}))
 	require.NoError(t, k.Close())
 }
 
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -106,7 +106,7 @@
 	k.j, k.state, k.since = j, t.state, t.count
 	k.number = j.Stats().Next - 1
 	now, shift := o.Clock.Now(), o.Clock.Shift(k.state.Epoch)
-	plan := k.state.Plan(now-shift, o.Settings).Moved(shift)
+	plan := k.state.Plan(now-shift, o.Settings).Shifted(shift)
 	boot := recovery.Event{At: now, Boot: true, Shift: shift}
 	boot.Epoch, _ = o.Clock.Epoch()
 	k.keep(boot)
@@ -134,14 +134,14 @@
 func (k *Keeper) Published(p membership.Publish) {
 	now := k.opt.Clock.Now()
 	for _, m := range p.Members {
-		k.keep(recovery.Of(m, now))
+		k.keep(recovery.MemberEvent(m, now))
 	}
 }
 
 // Moved keeps the ends of lives that are published to nobody: of drains from before a restart.
 func (k *Keeper) Moved(m membership.Moved) {
 	if m.To == membership.Gone || m.To == membership.Draining {
-		k.keep(recovery.Of(m.Member, k.opt.Clock.Now()))
+		k.keep(recovery.MemberEvent(m.Member, k.opt.Clock.Now()))
 	}
 }
 
@@ -158,7 +158,7 @@
 // Drained keeps a drain by hand or its end, and returns once it is on disk.
 func (k *Keeper) Drained(id uint64, on bool) error {
 	done := make(chan error, 1)
-	k.start(recovery.Event{At: k.opt.Clock.Now(), Hand: &recovery.Hand{ID: id, On: on}}, func(err error) { done <- err })
+	k.start(recovery.Event{At: k.opt.Clock.Now(), ManualDrain: &recovery.ManualDrain{ID: id, Active: on}}, func(err error) { done <- err })
 	return <-done
 }
 
@@ -286,7 +286,7 @@
 	k.mu.Lock()
 	j := k.j
 	s := Status{Boots: k.state.Boots, Waiting: len(k.lost), Dropped: k.dropped}
-	s.Purges, s.Members, s.Lists = k.state.Sizes()
+	s.Purges, s.Members, s.Lists = k.state.Counts()
 	k.mu.Unlock()
 	if j != nil {
 		s.Journal = j.Stats()
--- a/internal/state/keeper_test.go
+++ b/internal/state/keeper_test.go
@@ -18,7 +18,7 @@
 )
 
 func options(fs vfs.FS, clk *clock.Clock) state.Options {
-	return state.Options{Dir: "d", FS: fs, Clock: clk, Each: 20, Settings: recovery.Settings{PurgeTakes: 6000, PurgeGrace: 1000, DropDrain: 3000, GoneFor: 9000}}
+	return state.Options{Dir: "d", FS: fs, Clock: clk, Each: 20, Settings: recovery.Settings{PurgePropagation: 6000, PurgeGrace: 1000, GoneRetention: 9000}}
 }
 
 func published(id policy.CacheID, s policy.State) membership.Publish {
@@ -37,16 +37,16 @@
 		require.Equal(t, round, plan.Boots)
 		if round > 0 {
 			require.Equal(t, "o", plan.Purges[0].Object)
-			require.Equal(t, []uint64{9}, plan.Hand)
+			require.Equal(t, []uint64{9}, plan.ManualDrains)
 			require.Equal(t, membership.Draining, plan.Remembered[0].Phase)
 			require.Equal(t, 1e12, plan.Remembered[0].Since, "counted from when it began")
 		}
 		k.Published(published(1, policy.Draining))
 		require.NoError(t, k.Drained(9, true))
 		for range rng.IntN(30) {
-			require.NoError(t, k.Purged(recovery.Purge{Object: "o", Made: clk.Now(), Told: clk.Now()}))
+			require.NoError(t, k.Purged(recovery.Purge{Object: "o", IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
 		}
-		require.NoError(t, k.Purged(recovery.Purge{Object: "o", Made: clk.Now(), Told: clk.Now()}))
+		require.NoError(t, k.Purged(recovery.Purge{Object: "o", IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
 		clk.Advance(50)
 		_ = k.Close()
 		fs.Restart(rng)
@@ -60,7 +60,7 @@
 		clk, fs := clock.Manual(1e12), vfs.NewSim(-1)
 		k, _, err := state.Open(options(fs, clk))
 		require.NoError(t, err)
-		p := recovery.Purge{Object: "o", Made: clk.Now(), Told: clk.Now()}
+		p := recovery.Purge{Object: "o", IssuedAt: clk.Now(), NotifiedAt: clk.Now()}
 		if fault == "full" {
 			fs.Room(0)
 			require.ErrorIs(t, k.Purged(p), journal.ErrFull)
@@ -75,7 +75,7 @@
 			st := k.Status()
 			return st.Waiting == 0 && st.Purges == 1 && st.Journal.Failed == ""
 		}, time.Minute, time.Millisecond, fault)
-		require.NoError(t, k.Purged(recovery.Purge{Group: 3, Made: clk.Now(), Told: clk.Now()}))
+		require.NoError(t, k.Purged(recovery.Purge{Group: 3, IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
 		require.NoError(t, k.Close())
 		fs.Restart(rand.New(rand.NewPCG(1, 1)))
 		_, plan, err := state.Open(options(fs, clk))
@@ -95,7 +95,7 @@
 		require.NoError(t, err)
 		before := clock.System()
 		k.Published(published(1, policy.Draining))
-		require.NoError(t, k.Purged(recovery.Purge{Object: "o", Made: before.Now(), Told: before.Now()}))
+		require.NoError(t, k.Purged(recovery.Purge{Object: "o", IssuedAt: before.Now(), NotifiedAt: before.Now()}))
 		require.NoError(t, k.Close())
 		for range 3 {
 			after := clock.Shifted(step)
@@ -103,7 +103,7 @@
 			require.NoError(t, err)
 			require.Len(t, plan.Purges, 1)
 			require.Len(t, plan.Remembered, 1)
-			for _, at := range []float64{plan.Purges[0].Made, plan.Remembered[0].Since} {
+			for _, at := range []float64{plan.Purges[0].IssuedAt, plan.Remembered[0].Since} {
 				ago := after.Now() - at
 				require.GreaterOrEqual(t, ago, 0.0)
 				require.LessOrEqual(t, ago, clock.Ms(time.Since(began))+500)
