--- /dev/null
+++ b/internal/decide/dedup/window_test.go
@@ -0,0 +1,41 @@
+package dedup
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"ravenwheel/internal/scenario/seeded"
+)
+
+func TestMain(m *testing.M) { seeded.Main(m) }
+
+// No message is accepted twice, in whatever order they come, and one that is new and within the window is always accepted.
+func TestWindowAcceptsEachMessageOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var w Window
+		accepted, incarnation, highest := map[[2]uint64]bool{}, uint64(0), uint64(0)
+		for range 300 {
+			drawn := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
+			step := rapid.OneOf(rapid.IntRange(-20, 20), rapid.IntRange(-2*WindowSize, 2*WindowSize)).Draw(t, "step")
+			sequence := uint64(max(0, int(highest)+step))
+			message := [2]uint64{drawn, sequence}
+			got := w.Accept(drawn, sequence)
+			require.False(t, got && accepted[message], "accepted twice")
+			switch {
+			case drawn > incarnation:
+				require.True(t, got)
+				incarnation, highest = drawn, sequence
+			case drawn == incarnation:
+				require.Equal(t, !accepted[message] && sequence+WindowSize >= highest, got, "%d behind %d", sequence, highest)
+				highest = max(highest, sequence)
+			default:
+				require.False(t, got, "of an earlier incarnation")
+			}
+			if got {
+				accepted[message] = true
+			}
+		}
+	})
+}
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -307,7 +307,7 @@
 		w = &dedup.Window{}
 		s.by[start] = w
 	}
-	return w.Take(start, seq)
+	return w.Accept(start, seq)
 }
 
 // allowed keeps one address to its rate: signatures cost more to check than to make up.
