--- a/cmd/ravenwheel/alone_test.go
+++ b/cmd/ravenwheel/alone_test.go
@@ -138,7 +138,7 @@
 	require.NoError(t, err)
 	t.Cleanup(src.close)
 	phases := func() string {
-		views, _ := src.roster.Views()
+		views, _ := src.roster.Servers()
 		var out []string
 		for _, v := range views {
 			if v.Phase != membership.Gone {
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -14,7 +14,7 @@
 	reader := timestamp.New(s.clk.Now())
 	known := discoveryclient.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeTakes))
 	for _, n := range known {
-		n.Tell(rank, s.roster.Tell, s.purged)
+		n.Tell(rank, s.roster.Handle, s.purged)
 	}
 	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeNotice))
 	if s.conf.Console != "" { // it may take over from another process
@@ -22,10 +22,10 @@
 	}
 	return &discoveryclient.Client{
 		Addr: s.conf.Board, Last: s.conf.Rev, Clock: s.clk, Log: s.log, Follow: follow,
-		Notice: func(n discoveryclient.Notice) { n.Dated(reader, s.clk.Now()).Tell(rank, s.roster.Tell, s.purged) },
+		Notice: func(n discoveryclient.Notice) { n.Dated(reader, s.clk.Now()).Tell(rank, s.roster.Handle, s.purged) },
 		Heard: func() {
 			reader.Heard(s.clk.Now())
-			s.roster.Tell(membership.Heard{Source: rank})
+			s.roster.Handle(membership.Heartbeat{Source: rank})
 		},
 		Overdue: s.isOverdue,
 		Current: func() { s.core.Overdue(false, 0) },
--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -160,7 +160,7 @@
 	purge = recovery.Purge{Group: 17, IssuedAt: now - 3}
 	purge.NotifiedAt = now - 2
 	require.NoError(t, keeper.Purged(purge))
-	member := membership.Moved{}
+	member := membership.Transition{}
 	member.Member.ID, member.Member.Addr, member.Member.Zone, member.Member.Kind = 1, "10.1.0.9:4100", 2, 1
 	member.Member.Cell, member.Member.Weight, member.Member.Started = 3, 9.5, 1000
 	member.Member.State = policy.Draining
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -34,7 +34,7 @@
 				require.NoError(t, err)
 				list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 			}
-			p.Core.Members(membership.Publish{Version: 2, Whole: true, Members: list})
+			p.Core.Members(membership.Publish{Version: 2, Complete: true, Members: list})
 			ln, err := net.Listen("tcp", scenario.Loopback())
 			require.NoError(t, err)
 			front := resp.New(ln, 100, p.Clock, p.Core)
@@ -155,7 +155,7 @@
 				pools := upstream.New(p.Clock, upstream.Limits{PerConn: 100, Conns: 4, Connect: 400, Idle: 30_000})
 				c, err := core.New(set, []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, pools)
 				require.NoError(t, err)
-				c.Members(membership.Publish{Version: 1, Whole: true, Members: list})
+				c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
 				ln, err := net.Listen("tcp", scenario.Loopback())
 				require.NoError(t, err)
 				front := resp.New(ln, 100, p.Clock, c)
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -63,7 +63,7 @@
 }
 
 func (s *sources) drained(id policy.CacheID, on bool) error {
-	s.roster.Tell(membership.Drain{ID: id, On: on})
+	s.roster.Handle(membership.ManualDrain{ID: id, On: on})
 	if s.state == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 // hears says where facts of the store go.
 func (s *sources) hears(at int, conf *config.Config, log *logs.Log) *applier.Options {
 	o := &applier.Options{
-		Clock: s.clk, Log: log, Source: at, Entries: conf.Entries, Tell: s.roster.Tell, Drained: s.drained, Purged: s.core.Purged,
+		Clock: s.clk, Log: log, Source: at, Entries: conf.Entries, Tell: s.roster.Handle, Drained: s.drained, Purged: s.core.Purged,
 	}
 	if s.state != nil { // or the interface would hold a nil
 		o.Keeper = s.state
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -36,7 +36,7 @@
 // sources are who tells of servers: a list that is watched, which comes first where both list a server, and the
 // notice board.
 type sources struct {
-	roster *registry.Roster
+	roster *registry.Registry
 	board  *discoveryclient.Client // nil: none
 	list   *filewatch.Source       // nil: none
 	state  *state.Keeper           // nil: nothing is kept
@@ -63,18 +63,18 @@
 	if l := o.Servers; l != nil {
 		at.file = len(set.Sources)
 		set.Sources = append(set.Sources, membership.Source{Name: filepath.Base(l.Path)})
-		set.DropDrain, set.GoneFor, set.WeightStep, set.WeightEvery = l.Drain, l.Remember, l.WeightStep, l.WeightEvery
+		set.DrainTimeout, set.GoneRetention, set.WeightStep, set.WeightInterval = l.Drain, l.Remember, l.WeightStep, l.WeightEvery
 	}
 	if s.member || s.only {
 		at.store = len(set.Sources)
 		set.Sources = append(set.Sources, membership.Source{Name: "store"})
 		if o.Servers == nil {
-			set.DropDrain, set.GoneFor = storeDrain, storeDrain
+			set.DrainTimeout, set.GoneRetention = storeDrain, storeDrain
 		}
 	}
 	if s.conf.Board != "" {
 		at.board = len(set.Sources)
-		b := membership.Source{Name: "board", Direct: true}
+		b := membership.Source{Name: "board", Immediate: true}
 		if o.Path != "" {
 			b.SilentAfter = silentAfter
 		}
@@ -105,7 +105,7 @@
 	if at != nil && at.hand != nil {
 		at.hand.Follow(
 			func(id policy.CacheID, out bool) { _ = s.drained(id, out) }, // kept by the hand-over, as well as by the keeper
-			func(id policy.CacheID, at float64) { s.roster.Tell(membership.Back{ID: id, At: at}) })
+			func(id policy.CacheID, at float64) { s.roster.Handle(membership.ManualDrainEnded{ID: id, At: at}) })
 	}
 	if rank.board >= 0 {
 		s.board = s.discovery(rank.board)
@@ -135,10 +135,10 @@
 
 // ledger is how the registry publishes: to the core, and to what is kept.
 func (s *sources) ledger(set membership.Settings) registry.Options {
-	o := registry.Options{Ledger: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
+	o := registry.Options{Membership: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
 	if s.state != nil {
 		o.Publish = func(p membership.Publish) { s.core.Members(p); s.state.Published(p) }
-		o.Moved = s.state.Moved
+		o.OnTransition = s.state.Moved
 	}
 	return o
 }
@@ -169,7 +169,7 @@
 		s.roster.Restore(plan.Remembered, floors)
 	}
 	for _, id := range plan.ManualDrains {
-		s.roster.Tell(membership.Drain{ID: policy.CacheID(id), On: true})
+		s.roster.Handle(membership.ManualDrain{ID: policy.CacheID(id), On: true})
 	}
 	return kept
 }
@@ -177,7 +177,7 @@
 // startAdmin opens the operators' address.
 func (s *sources) startAdmin(listen string, shared shared, talk *peers.Peers, at *place) (err error) {
 	a := admin.Options{
-		Listen: listen, Clock: s.clk, Log: s.log, Names: s.conf.Names, Core: s.core, Views: s.roster.Views, State: s.state,
+		Listen: listen, Clock: s.clk, Log: s.log, Names: s.conf.Names, Core: s.core, Views: s.roster.Servers, State: s.state,
 		Store: shared.store, Shared: s, Peers: talk,
 	}
 	if shared.node != nil {
@@ -210,7 +210,7 @@
 	began := clk.Now()
 	s.state, plan, err = state.Open(state.Options{
 		Dir: o.State.Dir, Clock: clk, Log: log, Delay: o.State.Delay, Settings: recovery.Settings{
-			PurgePropagation: clock.Ms(conf.Settings.PurgeTakes), PurgeGrace: clock.Ms(conf.Settings.PurgeNotice), GoneRetention: set.GoneFor,
+			PurgePropagation: clock.Ms(conf.Settings.PurgeTakes), PurgeGrace: clock.Ms(conf.Settings.PurgeNotice), GoneRetention: set.GoneRetention,
 		},
 	})
 	if err != nil {
@@ -234,7 +234,7 @@
 		if s.state != nil {
 			_ = s.state.Took(listSource, set) // the keeper says so; not to take the list would be worse
 		}
-		s.roster.Tell(membership.List{Source: at, Generation: set.Generation, Entries: conf.Entries(set)})
+		s.roster.Handle(membership.Snapshot{Source: at, Generation: set.Generation, Entries: conf.Entries(set)})
 	}
 	set, err := filewatch.Load(l.Path, facts, cache, kept)
 	switch {
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -35,7 +35,7 @@
 		require.NoError(t, err)
 		list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 	}
-	p.Core.Members(membership.Publish{Version: 2, Whole: true, Members: list})
+	p.Core.Members(membership.Publish{Version: 2, Complete: true, Members: list})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	front := resp.New(ln, 100, p.Clock, p.Core)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -66,7 +66,7 @@
 	Log    *logs.Log
 	Names  discoveryclient.Names
 	Core   *core.Core
-	Views  func() ([]membership.View, uint64)
+	Views  func() ([]membership.ServerStatus, uint64)
 	List   func() filewatch.Status // nil: no list is watched
 	State  *state.Keeper           // nil: nothing is kept
 	Store  *store.Store            // nil: none is set up
@@ -207,7 +207,7 @@
 		m := v.Member
 		out.Servers[i] = Server{
 			ID: serverlist.Name(m.ID), Addr: m.Addr, Zone: name(a.opt.Names.Zones, m.Zone), Kind: name(a.opt.Names.Kinds, m.Kind),
-			Phase: v.Phase.String(), Weight: m.Weight, Wanted: v.Wanted, Since: v.Since, Why: v.Why, Source: v.Source,
+			Phase: v.Phase.String(), Weight: m.Weight, Wanted: v.TargetWeight, Since: v.Since, Why: v.Reason, Source: v.Source,
 		}
 	}
 	if a.opt.List != nil {
@@ -304,7 +304,7 @@
 		id, ok = serverlist.ID(d.ID)
 	}
 	views, _ := a.opt.Views()
-	if ok = ok && (!d.On || slices.ContainsFunc(views, func(v membership.View) bool { return v.Member.ID == id })); !ok {
+	if ok = ok && (!d.On || slices.ContainsFunc(views, func(v membership.ServerStatus) bool { return v.Member.ID == id })); !ok {
 		http.Error(w, fmt.Sprintf("no server %q", d.ID), http.StatusBadRequest)
 		return
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -106,11 +106,11 @@
 }
 
 func goldenAdmin(t *testing.T, err error) *Admin {
-	ready := membership.View{
-		Phase: membership.Ready, Since: 900.25, Why: "board 7", Source: "board", Wanted: 8,
+	ready := membership.ServerStatus{
+		Phase: membership.Ready, Since: 900.25, Reason: "board 7", Source: "board", TargetWeight: 8,
 		Member: membership.Member{Addr: "10.1.0.9:4100", Member: policy.Member{ID: 0x00c41f7a, Zone: 1, Kind: 0, Weight: 4}},
 	}
-	unnamed := membership.View{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
+	unnamed := membership.ServerStatus{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
 	proxy := &core.Core{}
 	for i, counter := range []interface{ Add(int64) int64 }{
 		&proxy.Counters.Requests, &proxy.Counters.Served, &proxy.Counters.Refused, &proxy.Counters.Failed, &proxy.Counters.Gone,
@@ -121,7 +121,7 @@
 	}
 	a, listenErr := Listen(Options{
 		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
-		Core: proxy, Views: func() ([]membership.View, uint64) { return []membership.View{ready, unnamed}, 9 },
+		Core: proxy, Views: func() ([]membership.ServerStatus, uint64) { return []membership.ServerStatus{ready, unnamed}, 9 },
 		List:         func() filewatch.Status { return filewatch.Status{Path: "servers.jsonc", Generation: 7} },
 		Discovery:    func() discoveryclient.Status { return discoveryclient.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
 		Distribution: func() []distribution.Status { return nil },
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -74,7 +74,7 @@
 	if o.Keeper != nil { // before it is in force, as a watched list is
 		_ = o.Keeper.Took(ListSource, set)
 	}
-	o.Tell(membership.List{Source: o.Source, Generation: set.Generation, Entries: entries})
+	o.Tell(membership.Snapshot{Source: o.Source, Generation: set.Generation, Entries: entries})
 }
 
 // purge has a purge in force before it is kept: its source tells it again after a crash in between.
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -73,7 +73,7 @@
 	entry := membership.Entry{}
 	entry.ID = 1
 	require.Equal(t, []any{
-		took{applier.ListSource, 3}, membership.List{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
+		took{applier.ListSource, 3}, membership.Snapshot{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
 		drained{1, true}, drained{1, false},
 		core.Purge{Object: "o", Group: -1, At: 10}, recovery.Purge{Object: "o", IssuedAt: 10, NotifiedAt: 5000},
 		core.Purge{Group: 4, At: 11}, recovery.Purge{Group: 4, IssuedAt: 11, NotifiedAt: 5000},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -477,16 +477,16 @@
 func (c *Core) Members(p membership.Publish) {
 	c.Counters.Notices.Add(1)
 	e := policy.Members{Version: int64(p.Version)}
-	if p.Whole {
+	if p.Complete {
 		e.Kind = policy.ListWhole
 	}
 	for _, m := range p.Members {
 		e.Entries = append(e.Entries, m.Member)
 	}
 	if c.Tally != nil {
-		c.Tally.members(p.Members, p.Whole)
+		c.Tally.members(p.Members, p.Complete)
 	}
-	c.up.Members(p.Members, p.Whole)
+	c.up.Members(p.Members, p.Complete)
 	c.tell(e)
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -111,7 +111,7 @@
 	require.NoError(t, err)
 	m := core.Member{Addr: p.Cache.Addr()}
 	m.ID = scenario.CacheID
-	small.Members(membership.Publish{Version: 1, Whole: true, Members: []core.Member{m}})
+	small.Members(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
 	c := &asks{core: small, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, `
 		c send r1 asset
@@ -189,7 +189,7 @@
 		m.ID, m.Kind, m.Weight = policy.CacheID(i+1), max(0, i-3), 10
 		list = append(list, m)
 	}
-	c.Members(membership.Publish{Version: 1, Whole: true, Members: list})
+	c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
 	type asked struct {
 		id   string
 		due  float64
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -42,7 +42,7 @@
 	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 	}
-	return membership.Publish{Version: 1, Whole: true, Members: list}
+	return membership.Publish{Version: 1, Complete: true, Members: list}
 }
 
 func coreOver(t *testing.T, clk *clock.Clock, up core.Upstream) *core.Core {
--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -8,7 +8,7 @@
 
 // inTheWay is another server that is in use or drains at the address that one is listed with; nil: there is none. One
 // that drains is over if the newcomer was started after it began to: two processes can't listen at one address.
-func (l *Ledger) inTheWay(r *record, c *claim) *record {
+func (l *Table) inTheWay(r *record, c *claim) *record {
 	for {
 		first := policy.CacheID(0)
 		found := false
@@ -29,7 +29,7 @@
 }
 
 // occupy books a server at an address, and has those looked at again that waited for the one it leaves.
-func (l *Ledger) occupy(r *record, addr string) {
+func (l *Table) occupy(r *record, addr string) {
 	if r.holds == addr {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // vacate has a server that waits for an address let go of the one that it was in use at, its work there being over. Two
 // that swap their addresses would wait for one another for good.
-func (l *Ledger) vacate(r *record) {
+func (l *Table) vacate(r *record) {
 	l.occupy(r, "")
 	if r.before = false; r.told {
 		gone := r.facts
--- a/internal/decide/membership/deadline.go
+++ b/internal/decide/membership/deadline.go
@@ -7,7 +7,7 @@
 )
 
 // expire does what is due: drains that are over, servers to be forgotten, weights on their way, silent sources.
-func (l *Ledger) expire() {
+func (l *Table) expire() {
 	for len(l.due) > 0 && l.due[0].at <= l.now {
 		d := heap.Pop(&l.due).(due)
 		r := l.records[d.id]
@@ -17,7 +17,7 @@
 		at, _, _ := r.word()
 		switch {
 		case r.phase == Gone && at < 0 && r.until <= l.now:
-			l.do(Moved{Member: r.facts, From: Gone, To: None, Why: "forgotten"})
+			l.do(Transition{Member: r.facts, From: Gone, To: None, Reason: "forgotten"})
 			delete(l.records, r.id)
 			delete(l.back, r.id)
 		case at < 0 || r.step > 0 && r.step <= l.now || r.phase == Joining:
@@ -27,13 +27,13 @@
 	for i, s := range l.sources {
 		if s.SilentAfter > 0 && s.told && !s.silent && l.now-s.heard >= s.SilentAfter {
 			s.silent = true
-			l.do(Silence{i, true})
+			l.do(SilenceChanged{i, true})
 		}
 	}
 }
 
 // ask asks to be woken when something falls due next.
-func (l *Ledger) ask() {
+func (l *Table) ask() {
 	if len(l.due) == 0 || l.due[0].at == l.wake && l.wake > l.now {
 		return
 	}
@@ -41,7 +41,7 @@
 	l.do(Wake{l.wake})
 }
 
-func (l *Ledger) later(at float64, id policy.CacheID) { heap.Push(&l.due, due{at, id}) }
+func (l *Table) later(at float64, id policy.CacheID) { heap.Push(&l.due, due{at, id}) }
 
 // due is a time at which something of a server falls due. An entry that has become void does no harm.
 type due struct {
--- a/internal/decide/membership/ledger.go
+++ b/internal/decide/membership/ledger.go
@@ -45,8 +45,8 @@
 	wanted  bool  // the state is not Gone
 }
 
-// Ledger is the state machine. The zero value is of no use: see New.
-type Ledger struct {
+// Table is the state machine. The zero value is of no use: see New.
+type Table struct {
 	set     Settings
 	sources []*source
 	records map[policy.CacheID]*record
@@ -68,16 +68,16 @@
 }
 
 // New returns an empty ledger, or an error that names the figure it can't work with.
-func New(s Settings) (*Ledger, error) {
+func New(s Settings) (*Table, error) {
 	if len(s.Sources) == 0 {
 		return nil, fmt.Errorf("membership: no source")
 	}
-	for _, v := range []float64{s.DropDrain, s.GoneFor, s.WeightStep, s.WeightEvery} {
+	for _, v := range []float64{s.DrainTimeout, s.GoneRetention, s.WeightStep, s.WeightInterval} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return nil, fmt.Errorf("membership: figure %v is not a time or factor of 0 or more", v)
 		}
 	}
-	l := &Ledger{
+	l := &Table{
 		set: s, records: map[policy.CacheID]*record{}, at: map[string]map[policy.CacheID]struct{}{},
 		hand: map[policy.CacheID]float64{}, back: map[policy.CacheID]float64{},
 		queue: map[string]map[policy.CacheID]struct{}{}, touched: map[policy.CacheID]struct{}{},
@@ -88,8 +88,8 @@
 	return l, nil
 }
 
-// Remembered is a server as it stood before a restart.
-type Remembered struct {
+// SavedMember is a server as it stood before a restart.
+type SavedMember struct {
 	Member Member
 	Phase  Phase
 	Since  float64 // ms
@@ -98,7 +98,7 @@
 // Restore has a new ledger take up where another one stood: who drained goes on draining, who was gone counts as gone,
 // and who was in use is no newcomer when a list names it. floors are the generations taken last, by source; nothing
 // below them is believed. It comes before the first event.
-func (l *Ledger) Restore(now float64, list []Remembered, floors map[int]uint64) {
+func (l *Table) Restore(now float64, list []SavedMember, floors map[int]uint64) {
 	l.now, l.restored, l.was = max(now, l.now), true, map[policy.CacheID]Member{}
 	for at, floor := range floors {
 		if at >= 0 && at < len(l.sources) {
@@ -118,9 +118,9 @@
 		r.handAt, r.hand = l.handed(m.ID)
 		l.records[m.ID] = r
 		if x.Phase == Gone {
-			r.until = r.since + l.set.GoneFor
+			r.until = r.since + l.set.GoneRetention
 		} else {
-			r.until = r.since + l.set.DropDrain
+			r.until = r.since + l.set.DrainTimeout
 			l.occupy(r, m.Addr)
 		}
 		l.later(r.until, m.ID)
@@ -129,18 +129,18 @@
 
 // Handle takes one event at a time in ms and appends the actions that answer it to acts. Time never goes back: an
 // earlier one counts as the last.
-func (l *Ledger) Handle(now float64, e Event, acts []Action) []Action {
+func (l *Table) Handle(now float64, e Event, acts []Action) []Action {
 	l.now, l.out = max(now, l.now), acts
 	switch e := e.(type) {
-	case List:
+	case Snapshot:
 		l.take(e.Source, e.Generation, e.Entries, true)
-	case Changes:
+	case Delta:
 		l.take(e.Source, e.Generation, e.Entries, false)
-	case Heard:
+	case Heartbeat:
 		l.hear(e.Source)
-	case Drain:
+	case ManualDrain:
 		l.byHand(e)
-	case Back:
+	case ManualDrainEnded:
 		l.back[e.ID] = min(e.At, l.now)
 		if l.records[e.ID] != nil {
 			l.touched[e.ID] = struct{}{}
@@ -154,10 +154,10 @@
 	return acts
 }
 
-func (l *Ledger) do(a Action) { l.out = append(l.out, a) }
+func (l *Table) do(a Action) { l.out = append(l.out, a) }
 
 // publish hands out what has changed, each server once and as it is now.
-func (l *Ledger) publish() {
+func (l *Table) publish() {
 	if len(l.changed) == 0 {
 		return
 	}
@@ -174,5 +174,5 @@
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	l.changed = l.changed[:0]
 	l.version++
-	l.do(Publish{Version: l.version, Whole: l.version == 1, Members: members})
+	l.do(Publish{Version: l.version, Complete: l.version == 1, Members: members})
 }
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -10,7 +10,7 @@
 
 // settle brings every server that was touched to the phase that its sources and the addresses allow. Those that
 // leave come first: what they free is there for those that come.
-func (l *Ledger) settle() {
+func (l *Table) settle() {
 	for len(l.touched) > 0 {
 		ids := make([]policy.CacheID, 0, len(l.touched))
 		for id := range l.touched {
@@ -26,14 +26,14 @@
 	}
 }
 
-func (l *Ledger) settleOne(r *record) {
+func (l *Table) settleOne(r *record) {
 	at, state, by := r.word()
 	if at < 0 {
 		l.dropped(r)
 		return
 	}
 	c := r.claims[at]
-	r.direct = l.sources[at].Direct
+	r.direct = l.sources[at].Immediate
 	why := "drained by hand"
 	if by >= 0 {
 		why = fmt.Sprintf("%s %d", l.sources[by].Name, l.sources[by].generation)
@@ -56,12 +56,12 @@
 		l.move(r, Draining, m, why)
 	case policy.Ready:
 		if !r.direct {
-			if r.phase == Joining && l.now >= r.since+l.set.DropDrain {
+			if r.phase == Joining && l.now >= r.since+l.set.DrainTimeout {
 				l.vacate(r)
 			}
 			if other := l.inTheWay(r, c); other != nil {
 				book(l.queue, c.Addr, r.id)
-				l.later(max(l.now, r.since)+max(1, l.set.DropDrain), r.id)
+				l.later(max(l.now, r.since)+max(1, l.set.DrainTimeout), r.id)
 				l.move(r, Joining, c.Member, fmt.Sprintf("%s is still held by server %d", c.Addr, other.id))
 				return
 			}
@@ -77,15 +77,15 @@
 }
 
 // dropped is a server that no list names any more: what it still owes is let finish.
-func (l *Ledger) dropped(r *record) {
+func (l *Table) dropped(r *record) {
 	switch {
-	case r.phase == Joining && !r.told, r.phase != Gone && (r.direct || l.set.DropDrain <= 0):
+	case r.phase == Joining && !r.told, r.phase != Gone && (r.direct || l.set.DrainTimeout <= 0):
 		l.move(r, Gone, r.facts, "no longer listed")
 	case r.phase == Joining || r.phase == Ready || r.phase == Draining:
 		if r.phase != Draining {
 			l.move(r, Draining, r.facts, "no longer listed")
 		}
-		r.until = r.since + l.set.DropDrain
+		r.until = r.since + l.set.DrainTimeout
 		r.why = "no longer listed"
 		if r.until <= l.now {
 			l.move(r, Gone, r.facts, "drained")
@@ -96,7 +96,7 @@
 }
 
 // move takes a server to a phase with the facts that are to be published for it.
-func (l *Ledger) move(r *record, to Phase, m Member, why string) {
+func (l *Table) move(r *record, to Phase, m Member, why string) {
 	from, was := r.phase, r.facts
 	m.ID = r.id
 	switch to {
@@ -119,14 +119,14 @@
 	}
 	if from != to {
 		r.phase, r.since, r.why, r.before = to, l.now, why, false
-		l.do(Moved{Member: m, From: from, To: to, Why: why})
+		l.do(Transition{Member: m, From: from, To: to, Reason: why})
 	}
 	switch {
 	case to == Ready || to == Draining || to == Joining && (r.told || r.holds != ""):
 		l.occupy(r, m.Addr)
 	case to == Gone:
 		l.occupy(r, "")
-		r.until = l.now + l.set.GoneFor
+		r.until = l.now + l.set.GoneRetention
 		l.later(r.until, r.id)
 	}
 	if r.facts = m; m == was && from == to {
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -22,7 +22,7 @@
 // world drives a ledger and keeps, in the plainest way, what its sources said and what it published.
 type world struct {
 	t         *rapid.T
-	ledger    *membership.Ledger
+	ledger    *membership.Table
 	now, wake float64
 	gens      [2]uint64
 	told      [2]bool
@@ -38,10 +38,10 @@
 	versions  uint64
 }
 
-func newLedger(t *rapid.T) *membership.Ledger {
+func newLedger(t *rapid.T) *membership.Table {
 	l, err := membership.New(membership.Settings{
-		Sources:   []membership.Source{{Name: "file"}, {Name: "board", Direct: true}},
-		DropDrain: dropDrain, GoneFor: goneFor, WeightStep: 2, WeightEvery: 100,
+		Sources:      []membership.Source{{Name: "file"}, {Name: "board", Immediate: true}},
+		DrainTimeout: dropDrain, GoneRetention: goneFor, WeightStep: 2, WeightInterval: 100,
 	})
 	require.NoError(t, err)
 	return l
@@ -93,7 +93,7 @@
 	}
 	w.floor = w.gens[0]
 	for id := range w.hand {
-		w.handle(membership.Drain{ID: id, On: true})
+		w.handle(membership.ManualDrain{ID: id, On: true})
 	}
 	w.handle(membership.Tick{})
 }
@@ -101,9 +101,9 @@
 func (w *world) handle(e membership.Event) {
 	for _, a := range w.ledger.Handle(w.now, e, nil) {
 		switch a := a.(type) {
-		case membership.Moved:
+		case membership.Transition:
 			id := a.Member.ID
-			require.True(w.t, membership.Legal(a.From, a.To), "%v to %v", a.From, a.To)
+			require.True(w.t, membership.ValidTransition(a.From, a.To), "%v to %v", a.From, a.To)
 			require.Equal(w.t, w.phases[id], a.From, "a life without gaps")
 			w.phases[id] = a.To
 			if a.To != membership.Draining {
@@ -123,7 +123,7 @@
 		case membership.Publish:
 			w.versions++
 			require.Equal(w.t, w.versions, a.Version)
-			require.Equal(w.t, w.versions == 1, a.Whole)
+			require.Equal(w.t, w.versions == 1, a.Complete)
 			require.True(w.t, slices.IsSortedFunc(a.Members, func(x, y membership.Member) int { return int(x.ID) - int(y.ID) }))
 			for _, m := range a.Members {
 				w.kept.Apply(recovery.MemberEvent(m, w.now))
@@ -139,9 +139,9 @@
 
 // say has a source tell a whole list, or changes, of a generation.
 func (w *world) say(at int, gen uint64, entries []membership.Entry, whole bool) {
-	var e membership.Event = membership.Changes{Source: at, Generation: gen, Entries: entries}
+	var e membership.Event = membership.Delta{Source: at, Generation: gen, Entries: entries}
 	if whole {
-		e = membership.List{Source: at, Generation: gen, Entries: entries}
+		e = membership.Snapshot{Source: at, Generation: gen, Entries: entries}
 	}
 	before := maps.Clone(w.published)
 	w.handle(e)
@@ -288,7 +288,7 @@
 				if delete(w.hand, id); on {
 					w.hand[id] = true
 				}
-				w.handle(membership.Drain{ID: id, On: on})
+				w.handle(membership.ManualDrain{ID: id, On: on})
 			},
 			"restart": func(t *rapid.T) { w.restart(t) },
 			"":        func(*rapid.T) { w.check() },
@@ -301,6 +301,6 @@
 			w.handle(membership.Tick{})
 		}
 		require.Empty(t, w.published)
-		require.Empty(t, w.ledger.Views())
+		require.Empty(t, w.ledger.Servers())
 	})
 }
--- a/internal/decide/membership/phase.go
+++ b/internal/decide/membership/phase.go
@@ -28,5 +28,5 @@
 	Gone:     {None: true, Joining: true, Ready: true, Draining: true},
 }
 
-// Legal tells whether a life may step from one phase to another.
-func Legal(from, to Phase) bool { return legal[from][to] }
+// ValidTransition tells whether a life may step from one phase to another.
+func ValidTransition(from, to Phase) bool { return legal[from][to] }
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -18,7 +18,7 @@
 }
 
 // take notes what a source says. Nothing becomes of it before settle.
-func (l *Ledger) take(at int, generation uint64, entries []Entry, whole bool) {
+func (l *Table) take(at int, generation uint64, entries []Entry, whole bool) {
 	if at < 0 || at >= len(l.sources) {
 		l.do(Rejected{at, generation, "unknown source"})
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *Ledger) hear(at int) {
+func (l *Table) hear(at int) {
 	if at < 0 || at >= len(l.sources) {
 		return
 	}
@@ -61,7 +61,7 @@
 	s.heard = l.now
 	if s.silent {
 		s.silent = false
-		l.do(Silence{at, false})
+		l.do(SilenceChanged{at, false})
 	}
 	if s.SilentAfter > 0 {
 		l.later(l.now+s.SilentAfter, 0)
@@ -69,7 +69,7 @@
 }
 
 // claim books a source's word on one server.
-func (l *Ledger) claim(at int, e Entry, first bool) {
+func (l *Table) claim(at int, e Entry, first bool) {
 	r := l.records[e.ID]
 	if r == nil {
 		r = &record{id: e.ID, claims: make([]*claim, len(l.sources))}
@@ -84,7 +84,7 @@
 	// A list by hand does not know when a server was started. One that it names anew is taken for cold, or the
 	// full share of its objects would push it over; in the first list all run already. One that comes back from
 	// a drain is the process that drained, unless the list says when it was started.
-	if s := l.sources[at]; !s.Direct && e.Started == 0 {
+	if s := l.sources[at]; !s.Immediate && e.Started == 0 {
 		switch {
 		case old != nil && old.State == policy.Draining && e.State == policy.Ready && !e.Warm:
 			c.guessed = true // drained by the list, as is done for a restart
@@ -105,7 +105,7 @@
 	l.touched[e.ID] = struct{}{}
 }
 
-func (l *Ledger) unclaim(at int, id policy.CacheID) {
+func (l *Table) unclaim(at int, id policy.CacheID) {
 	delete(l.sources[at].listed, id)
 	if r := l.records[id]; r != nil {
 		r.claims[at] = nil
--- a/internal/decide/membership/text_test.go
+++ b/internal/decide/membership/text_test.go
@@ -28,7 +28,7 @@
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err)
 		var got strings.Builder
-		var l *membership.Ledger
+		var l *membership.Table
 		for i, block := range strings.Split(strings.TrimSpace(string(raw)), "\n\n") {
 			comment := ""
 			for strings.HasPrefix(block, "#") {
@@ -42,8 +42,8 @@
 			fmt.Fprintf(&got, "%s%s\n", comment, command)
 			if command == "new" {
 				l, err = membership.New(membership.Settings{
-					Sources:   []membership.Source{{Name: "file", SilentAfter: 30_000}, {Name: "board", Direct: true}},
-					DropDrain: 10_000, GoneFor: 60_000, WeightStep: 2, WeightEvery: 1000,
+					Sources:      []membership.Source{{Name: "file", SilentAfter: 30_000}, {Name: "board", Immediate: true}},
+					DrainTimeout: 10_000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
 				})
 				require.NoError(t, err)
 				continue
@@ -60,20 +60,20 @@
 	}
 }
 
-func play(t *testing.T, l *membership.Ledger, words []string) (lines []string) {
+func play(t *testing.T, l *membership.Table, words []string) (lines []string) {
 	now, err := strconv.ParseFloat(words[0], 64)
 	require.NoError(t, err)
 	var e membership.Event = membership.Tick{}
 	if words[1] == "hand" {
 		id, err := strconv.Atoi(words[3])
 		require.NoError(t, err)
-		if e = (membership.Drain{ID: policy.CacheID(id), On: words[2] == "out"}); words[2] == "was" {
-			e = membership.Back{ID: policy.CacheID(id), At: now - 500}
+		if e = (membership.ManualDrain{ID: policy.CacheID(id), On: words[2] == "out"}); words[2] == "was" {
+			e = membership.ManualDrainEnded{ID: policy.CacheID(id), At: now - 500}
 		}
 	} else if words[1] != "tick" {
 		at := map[string]int{"file": 0, "board": 1}[words[1]]
 		if words[2] == "heard" {
-			e = membership.Heard{Source: at}
+			e = membership.Heartbeat{Source: at}
 		} else {
 			gen, err := strconv.ParseUint(words[2], 10, 64)
 			require.NoError(t, err)
@@ -81,8 +81,8 @@
 			for _, w := range words[3:] {
 				entries = append(entries, server(t, w))
 			}
-			if e = (membership.List{Source: at, Generation: gen, Entries: entries}); at == 1 {
-				e = membership.Changes{Source: at, Generation: gen, Entries: entries}
+			if e = (membership.Snapshot{Source: at, Generation: gen, Entries: entries}); at == 1 {
+				e = membership.Delta{Source: at, Generation: gen, Entries: entries}
 			}
 		}
 	}
@@ -99,11 +99,11 @@
 			lines = append(lines, line)
 		case membership.Wake:
 			lines = append(lines, fmt.Sprintf("wake %v", a.At))
-		case membership.Moved:
-			lines = append(lines, fmt.Sprintf("%d %v -> %v: %s", a.Member.ID, a.From, a.To, a.Why))
+		case membership.Transition:
+			lines = append(lines, fmt.Sprintf("%d %v -> %v: %s", a.Member.ID, a.From, a.To, a.Reason))
 		case membership.Rejected:
-			lines = append(lines, fmt.Sprintf("rejected: %s", a.Why))
-		case membership.Silence:
+			lines = append(lines, fmt.Sprintf("rejected: %s", a.Reason))
+		case membership.SilenceChanged:
 			lines = append(lines, fmt.Sprintf("source %d silent: %v", a.Source, a.Silent))
 		}
 	}
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -10,13 +10,13 @@
 
 // Plan is what a proxy must apply before it accepts its first request.
 type Plan struct {
-	Purges        []Purge                 // for the policy module, by time of issue
-	Remembered    []membership.Remembered // for the registry, by server id
-	Lists         []List                  // last accepted, by source
-	ClockStepBack float64                 // ms by which the clock is behind the latest stored time; 0: it is not behind
-	Boots         int                     // starts before this one
-	Revision      uint64                  // of the configuration that was in use
-	ManualDrains  []uint64                // ids of the servers that operators drain, in order
+	Purges        []Purge                  // for the policy module, by time of issue
+	Remembered    []membership.SavedMember // for the registry, by server id
+	Lists         []List                   // last accepted, by source
+	ClockStepBack float64                  // ms by which the clock is behind the latest stored time; 0: it is not behind
+	Boots         int                      // starts before this one
+	Revision      uint64                   // of the configuration that was in use
+	ManualDrains  []uint64                 // ids of the servers that operators drain, in order
 }
 
 // Plan returns what a proxy that starts at now has to honour.
@@ -53,18 +53,18 @@
 }
 
 // remembered returns all servers but those that left longer ago than they are remembered for.
-func (s *State) remembered(now float64, set Settings) []membership.Remembered {
-	var list []membership.Remembered
+func (s *State) remembered(now float64, set Settings) []membership.SavedMember {
+	var list []membership.SavedMember
 	for _, m := range s.members {
 		if m.Phase == membership.Gone && m.Since+set.GoneRetention < now {
 			continue
 		}
-		r := membership.Remembered{Phase: m.Phase, Since: min(m.Since, now)}
+		r := membership.SavedMember{Phase: m.Phase, Since: min(m.Since, now)}
 		r.Member.ID, r.Member.Addr, r.Member.Zone, r.Member.Kind = policy.CacheID(m.ID), m.Addr, m.Zone, m.Kind
 		r.Member.Cell, r.Member.Weight, r.Member.Started = m.Cell, m.Weight, policy.Time(min(m.Started, now)*nanosecondsPerMs)
 		list = append(list, r)
 	}
-	slices.SortFunc(list, func(a, b membership.Remembered) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
+	slices.SortFunc(list, func(a, b membership.SavedMember) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
 	return list
 }
 
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -64,7 +64,7 @@
 	version := uint64(0)
 	tell := func(whole bool, list ...core.Member) {
 		version++
-		c.Members(membership.Publish{Version: version, Whole: whole, Members: list})
+		c.Members(membership.Publish{Version: version, Complete: whole, Members: list})
 	}
 	start := func(id policy.CacheID, role fleet.Role) core.Member {
 		s, err := servers.Start(id, role, "127.0.0.1:0")
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -57,7 +57,7 @@
 				return float64(len(serverlist.Format(&serverlist.Set{Generation: 1, Servers: storeList(n).Servers})))
 			})},
 		{Name: "tools/servers", Role: Tools, Driver: "servers", Quantity: "the table of servers that a tool asks one proxy for", Unit: "bytes",
-			Points: over(sizes, func(n int) float64 { return asJSON(ledgerOf(n).Views()) })},
+			Points: over(sizes, func(n int) float64 { return asJSON(ledgerOf(n).Servers()) })},
 		{Name: "tools/members", Role: Tools, Driver: "members", Quantity: "the table of members that a tool asks one proxy for", Unit: "bytes",
 			Points: over(sizes, func(n int) float64 {
 				out := make([]fleetview.Peer, n)
--- a/internal/lab/capacity/record_policy.go
+++ b/internal/lab/capacity/record_policy.go
@@ -85,12 +85,12 @@
 
 func serverAddr(n int) string { return fmt.Sprintf("10.%d.%d.%d:4100", n>>16, n>>8&255, n&255) }
 
-func ledgerOf(servers int) *membership.Ledger {
-	l, err := membership.New(membership.Settings{Sources: []membership.Source{{Name: "store"}}, DropDrain: 10_000, GoneFor: 10_000})
+func ledgerOf(servers int) *membership.Table {
+	l, err := membership.New(membership.Settings{Sources: []membership.Source{{Name: "store"}}, DrainTimeout: 10_000, GoneRetention: 10_000})
 	if err != nil {
 		panic(err) // of fixed settings
 	}
-	l.Handle(1, membership.List{Generation: 1, Entries: entries(servers)}, nil)
+	l.Handle(1, membership.Snapshot{Generation: 1, Entries: entries(servers)}, nil)
 	return l
 }
 
@@ -104,7 +104,7 @@
 				return cost(func(i int) {
 					e := list[i*37%n]
 					e.Weight = float64(1 + i%4)
-					l.Handle(float64(i+2), membership.Changes{Generation: uint64(i + 2), Entries: []membership.Entry{e}}, nil)
+					l.Handle(float64(i+2), membership.Delta{Generation: uint64(i + 2), Entries: []membership.Entry{e}}, nil)
 				})
 			})},
 		{Name: "ledger/list", Role: Proxy, Driver: "servers", Quantity: "processor of a change of one server, told as a whole list", Unit: "us",
@@ -112,7 +112,7 @@
 				l, list := ledgerOf(n), entries(n)
 				return cost(func(i int) {
 					list[i*37%n].Weight = float64(1 + i%4)
-					l.Handle(float64(i+2), membership.List{Generation: uint64(i + 2), Entries: list}, nil)
+					l.Handle(float64(i+2), membership.Snapshot{Generation: uint64(i + 2), Entries: list}, nil)
 				})
 			})},
 	}, nil
--- a/internal/lab/capacity/record_test.go
+++ b/internal/lab/capacity/record_test.go
@@ -36,7 +36,7 @@
 		"replica/list-entry":        func(n int) float64 { return encoded(listChange(1, n)) },
 		"replica/revision-snapshot": func(n int) float64 { return encoded(revisedState(n)) },
 		"lists/board":               func(n int) float64 { return float64(len(boardList(n))) },
-		"tools/servers":             func(n int) float64 { return asJSON(ledgerOf(n).Views()) },
+		"tools/servers":             func(n int) float64 { return asJSON(ledgerOf(n).Servers()) },
 		"view/digest":               digest,
 		"journal/purges":            journal,
 		"membership/whole-state":    state,
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -63,7 +63,7 @@
 	}
 	f := fleet.New(fleet.Options{Clock: clk, Serve: serveMs, Fill: fillMs, PurgeTakes: 6000, Held: held})
 	defer f.Close()
-	p := membership.Publish{Version: 1, Whole: true}
+	p := membership.Publish{Version: 1, Complete: true}
 	add := func(id policy.CacheID, role fleet.Role, zone, kind int) error {
 		s, err := f.Start(id, role, "127.0.0.1:0")
 		if err != nil {
--- a/internal/lab/crosscheck/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -101,7 +101,7 @@
 
 func (s *site) list(whole bool, members ...membership.Member) {
 	s.version++
-	s.core.Members(membership.Publish{Version: s.version, Whole: whole, Members: members})
+	s.core.Members(membership.Publish{Version: s.version, Complete: whole, Members: members})
 }
 
 // state tells of a cache's state, and notes it for the checks.
--- a/internal/lab/hollow/apply.go
+++ b/internal/lab/hollow/apply.go
@@ -18,7 +18,7 @@
 	w        *world
 	p        *process
 	router   *policy.Router
-	ledger   *membership.Ledger
+	ledger   *membership.Table
 	state    *storestate.State // nil: not held
 	live     *config.Live
 	acts     []policy.Action
@@ -41,7 +41,7 @@
 		panic(err) // of settings made here
 	}
 	a.ledger, err = membership.New(membership.Settings{
-		Sources: []membership.Source{{Name: "store"}}, DropDrain: 2000, GoneFor: 60_000, WeightStep: 2, WeightEvery: 1000,
+		Sources: []membership.Source{{Name: "store"}}, DrainTimeout: 2000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
 	})
 	if err != nil {
 		panic(err) // of settings made here
@@ -108,7 +108,7 @@
 }
 
 func (a *applier) take(now float64, list *storestate.List) {
-	l := membership.List{Generation: list.Generation}
+	l := membership.Snapshot{Generation: list.Generation}
 	for _, s := range list.Servers {
 		m := membership.Member{Member: policy.Member{ID: s.ID, Weight: s.Weight}, Addr: s.Addr}
 		l.Entries = append(l.Entries, membership.Entry{Member: m})
@@ -118,7 +118,7 @@
 
 func (a *applier) drain(now float64, name string, on bool) {
 	if id, ok := a.w.servers[name]; ok && a.w.zoneOf(id) == a.p.zone {
-		a.tell(now, membership.Drain{ID: id, On: on})
+		a.tell(now, membership.ManualDrain{ID: id, On: on})
 	}
 }
 
@@ -128,7 +128,7 @@
 		switch x := x.(type) {
 		case membership.Publish:
 			m := policy.Members{Kind: policy.ListChanges, Version: int64(x.Version)}
-			if x.Whole {
+			if x.Complete {
 				m.Kind = policy.ListWhole
 			}
 			for _, y := range x.Members {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -13,60 +13,60 @@
 
 // Options set up a roster.
 type Options struct {
-	Ledger membership.Settings
-	Clock  *clock.Clock
-	Log    *logs.Log
+	Membership membership.Settings
+	Clock      *clock.Clock
+	Log        *logs.Log
 	// Publish gets what has changed, in order.
 	Publish func(membership.Publish)
-	// Moved gets every step in a server's life, if it is set.
-	Moved func(membership.Moved)
+	// OnTransition gets every step in a server's life, if it is set.
+	OnTransition func(membership.Transition)
 }
 
-// Roster holds the one ledger.
-type Roster struct {
+// Registry holds the one ledger.
+type Registry struct {
 	opt Options
 
 	mu      sync.Mutex
-	ledger  *membership.Ledger
+	ledger  *membership.Table
 	acts    []membership.Action
 	unset   func() // of the one timer
 	version uint64
 }
 
 // New returns an empty roster.
-func New(o Options) (*Roster, error) {
-	l, err := membership.New(o.Ledger)
+func New(o Options) (*Registry, error) {
+	l, err := membership.New(o.Membership)
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{opt: o, ledger: l, unset: func() {}}
+	r := &Registry{opt: o, ledger: l, unset: func() {}}
 	return r, nil
 }
 
-// Views are all servers that the ledger remembers, and the version that is in use.
-func (r *Roster) Views() (views []membership.View, version uint64) {
+// Servers are all servers that the ledger remembers, and the version that is in use.
+func (r *Registry) Servers() (views []membership.ServerStatus, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Views(), r.version
+	return r.ledger.Servers(), r.version
 }
 
 // Knows tells whether a server is listed, remembered or drained by hand.
-func (r *Roster) Knows(id policy.CacheID) bool {
+func (r *Registry) Knows(id policy.CacheID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Knows(id)
 }
 
 // Restore has the ledger take up where one stood before a restart. It comes before the first Tell.
-func (r *Roster) Restore(list []membership.Remembered, floors map[int]uint64) {
+func (r *Registry) Restore(list []membership.SavedMember, floors map[int]uint64) {
 	r.mu.Lock()
 	r.ledger.Restore(r.opt.Clock.Now(), list, floors)
 	r.mu.Unlock()
-	r.Tell(membership.Tick{})
+	r.Handle(membership.Tick{})
 }
 
-// Tell takes in what a source says.
-func (r *Roster) Tell(e membership.Event) {
+// Handle takes in what a source says.
+func (r *Registry) Handle(e membership.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acts = r.ledger.Handle(r.opt.Clock.Now(), e, r.acts[:0])
@@ -78,27 +78,27 @@
 			r.version = a.Version
 		case membership.Wake:
 			r.unset()
-			r.unset = r.opt.Clock.After(a.At-r.opt.Clock.Now(), func() { r.Tell(membership.Tick{}) })
-		case membership.Moved:
-			if r.opt.Moved != nil {
-				r.opt.Moved(a)
+			r.unset = r.opt.Clock.After(a.At-r.opt.Clock.Now(), func() { r.Handle(membership.Tick{}) })
+		case membership.Transition:
+			if r.opt.OnTransition != nil {
+				r.opt.OnTransition(a)
 			}
 			if !first { // at the start they come in hundreds, and nothing has happened to them
 				r.opt.Log.Debug("member").Uint64("id", uint64(a.Member.ID)).Str("addr", a.Member.Addr).
-					Stringer("from", a.From).Stringer("to", a.To).Str("why", a.Why).Msg("member moved")
+					Stringer("from", a.From).Stringer("to", a.To).Str("why", a.Reason).Msg("member moved")
 			}
 		case membership.Rejected:
-			r.opt.Log.Warn("source").Str("source", r.name(a.Source)).Uint64("generation", a.Generation).Str("why", a.Why).
+			r.opt.Log.Warn("source").Str("source", r.name(a.Source)).Uint64("generation", a.Generation).Str("why", a.Reason).
 				Msg("list not taken")
-		case membership.Silence:
+		case membership.SilenceChanged:
 			r.opt.Log.Warn("source").Str("source", r.name(a.Source)).Bool("silent", a.Silent).Msg("source silent, or heard again")
 		}
 	}
 }
 
-func (r *Roster) name(at int) string {
-	if at < 0 || at >= len(r.opt.Ledger.Sources) {
+func (r *Registry) name(at int) string {
+	if at < 0 || at >= len(r.opt.Membership.Sources) {
 		return "?"
 	}
-	return r.opt.Ledger.Sources[at].Name
+	return r.opt.Membership.Sources[at].Name
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,26 +26,26 @@
 }
 
 func settings() membership.Settings {
-	return membership.Settings{Sources: []membership.Source{{Name: "file"}}, DropDrain: 1000, GoneFor: 1000, WeightStep: 2, WeightEvery: 100}
+	return membership.Settings{Sources: []membership.Source{{Name: "file"}}, DrainTimeout: 1000, GoneRetention: 1000, WeightStep: 2, WeightInterval: 100}
 }
 
 // What is due comes by the clock, in order, and each change is published once.
 func TestWakes(t *testing.T) {
 	clk := clock.Manual(1000)
 	var got []string
-	r, err := registry.New(registry.Options{Ledger: settings(), Clock: clk, Publish: func(p membership.Publish) {
+	r, err := registry.New(registry.Options{Membership: settings(), Clock: clk, Publish: func(p membership.Publish) {
 		for _, m := range p.Members {
 			got = append(got, fmt.Sprint(clk.Now(), " ", m.ID, " ", m.State, " ", m.Weight))
 		}
 	}})
 	require.NoError(t, err)
 	list := entries(2)
-	r.Tell(membership.List{Generation: 1, Entries: list})
+	r.Handle(membership.Snapshot{Generation: 1, Entries: list})
 	list[1].Weight = 10
-	r.Tell(membership.List{Generation: 2, Entries: list[1:]})
+	r.Handle(membership.Snapshot{Generation: 2, Entries: list[1:]})
 	clk.Advance(5000)
 	require.Equal(t, []string{"1000 1 0 4", "1000 2 0 4", "1000 1 1 4", "1000 2 0 8", "1100 2 0 10", "2000 1 2 4"}, got)
-	views, version := r.Views()
+	views, version := r.Servers()
 	require.Len(t, views, 1, "the one that is gone is forgotten")
 	require.EqualValues(t, 4, version)
 }
@@ -55,8 +55,8 @@
 	clk := clock.Manual(0)
 	var last uint64
 	set := settings()
-	set.Sources = append(set.Sources, membership.Source{Name: "board", Direct: true})
-	r, err := registry.New(registry.Options{Ledger: set, Clock: clk, Publish: func(p membership.Publish) {
+	set.Sources = append(set.Sources, membership.Source{Name: "board", Immediate: true})
+	r, err := registry.New(registry.Options{Membership: set, Clock: clk, Publish: func(p membership.Publish) {
 		require.Equal(t, last+1, p.Version)
 		last = p.Version
 	}})
@@ -67,7 +67,7 @@
 		go func() {
 			defer wait.Done()
 			for n := range 200 {
-				r.Tell(membership.List{Source: at, Generation: uint64(n + 1), Entries: entries(5)[n%3:]})
+				r.Handle(membership.Snapshot{Source: at, Generation: uint64(n + 1), Entries: entries(5)[n%3:]})
 			}
 		}()
 	}
@@ -78,15 +78,15 @@
 }
 
 // newCore is a core with its pools, of 10,000 members.
-func newCore(b *testing.B) (*registry.Roster, *core.Core, []membership.Entry) {
+func newCore(b *testing.B) (*registry.Registry, *core.Core, []membership.Entry) {
 	clk := clock.System()
 	up := upstream.New(clk, upstream.Limits{PerConn: 32, Conns: 4})
 	c, err := core.New(policy.Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []policy.Class{{Deadline: time.Second}}}, []string{"a"}, 0, 7, clk, up)
 	require.NoError(b, err)
-	r, err := registry.New(registry.Options{Ledger: settings(), Clock: clk, Publish: c.Members})
+	r, err := registry.New(registry.Options{Membership: settings(), Clock: clk, Publish: c.Members})
 	require.NoError(b, err)
 	list := entries(10_000)
-	r.Tell(membership.List{Generation: 1, Entries: list})
+	r.Handle(membership.Snapshot{Generation: 1, Entries: list})
 	return r, c, list
 }
 
@@ -97,7 +97,7 @@
 	for i := 0; b.Loop(); i++ {
 		e := list[i*37%len(list)]
 		e.State = policy.State(i % 2)
-		r.Tell(membership.Changes{Generation: uint64(i + 2), Entries: []membership.Entry{e}})
+		r.Handle(membership.Delta{Generation: uint64(i + 2), Entries: []membership.Entry{e}})
 	}
 }
 
@@ -107,6 +107,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list[i*37%len(list)].State = policy.State(i % 2)
-		r.Tell(membership.List{Generation: uint64(i + 2), Entries: list})
+		r.Handle(membership.Snapshot{Generation: uint64(i + 2), Entries: list})
 	}
 }
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -54,7 +54,7 @@
 	for i, id := range []policy.CacheID{CacheID, ParentID, OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 	}
-	p.Core.Members(membership.Publish{Version: 1, Whole: true, Members: list})
+	p.Core.Members(membership.Publish{Version: 1, Complete: true, Members: list})
 	return p
 }
 
--- a/internal/source/discoveryclient/discoveryclient.go
+++ b/internal/source/discoveryclient/discoveryclient.go
@@ -34,9 +34,9 @@
 		entries[i].Member = m
 	}
 	if n.Whole {
-		tell(membership.List{Source: at, Generation: n.Rev, Entries: entries})
+		tell(membership.Snapshot{Source: at, Generation: n.Rev, Entries: entries})
 	} else {
-		tell(membership.Changes{Source: at, Generation: n.Rev, Entries: entries})
+		tell(membership.Delta{Source: at, Generation: n.Rev, Entries: entries})
 	}
 }
 
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -139,7 +139,7 @@
 }
 
 // Moved keeps the ends of lives that are published to nobody: of drains from before a restart.
-func (k *Keeper) Moved(m membership.Moved) {
+func (k *Keeper) Moved(m membership.Transition) {
 	if m.To == membership.Gone || m.To == membership.Draining {
 		k.keep(recovery.MemberEvent(m.Member, k.opt.Clock.Now()))
 	}
--- a/internal/upstream/written_test.go
+++ b/internal/upstream/written_test.go
@@ -59,7 +59,7 @@
 			for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 				list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 			}
-			c.Members(membership.Publish{Version: 1, Whole: true, Members: list})
+			c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
 			answer := make(chan core.Answer)
 			go func() {
 				answer <- c.Do(context.Background(), core.Request{ID: "00000000000000a1", Class: 1, Object: "7f3a9c21e0b4d655", Deadline: clk.Now() + budget})
