--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -114,14 +114,14 @@
 				fmt.Fprintln(w, "server\tsaid by\tattempts/s\tfrom\tto\tfailing\tfrom\tto\toverdue\tp50 ms\tp90 ms\town part")
 				for _, s := range v.Servers {
 					fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\n", s.ID, s.Reporters, s.Load.Value, s.Load.Low, s.Load.High,
-						s.Failing.Value, s.Failing.Low, s.Failing.High, s.Overdue.Value, s.P50, s.P90, s.OwnPart)
+						s.Failing.Value, s.Failing.Low, s.Failing.High, s.Overdue.Value, s.P50, s.P90, s.OwnWeight)
 					for _, r := range s.Said {
 						fmt.Fprintf(w, "  %s\t%s\t%.1f\t\t\t%.2f\t\t\t\t%.0f\t%.0f\t%.1f s old\n", r.Name, r.Zone, r.Attempts, r.Failing, r.Latency.Quantile(0.5),
 							r.Latency.Quantile(0.9), r.Age/1000)
 					}
 				}
 				for _, h := range v.Heavy {
-					fmt.Fprintf(w, "object %016x\t%d\t%.1f\t%.1f\t%.1f\n", h.Object, h.Of, h.Rate.Value, h.Rate.Low, h.Rate.High)
+					fmt.Fprintf(w, "object %016x\t%d\t%.1f\t%.1f\t%.1f\n", h.Object, h.Reporters, h.Rate.Value, h.Rate.Low, h.Rate.High)
 				}
 			})
 		},
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -62,18 +62,18 @@
 	})
 	goldenForm(t, "configure.json", Configure{Base: 1, Text: "{}", By: "ann", Back: 2})
 	goldenForm(t, "peer-call.json", PeerCall{Do: "ping", Name: "proxy-1"})
-	figure := fleetview.Figure{Value: 1.5, Low: 1, High: 2}
+	figure := fleetview.BoundedValue{Value: 1.5, Low: 1, High: 2}
 	goldenForm(t, "view.json", View{
 		Peers: []fleetview.Peer{{Name: "proxy-1", Zone: "east", Incarnation: 5, Age: 100.5, Arrivals: 20, Servers: 3}},
 		Servers: []ServerView{
 			{
 				ID:       "s-00c41f7a",
-				Estimate: fleetview.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnPart: 0.5},
-				Said:     []fleetview.Reporter{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: fleetview.Latency{1, 2}}},
+				Estimate: fleetview.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnWeight: 0.5},
+				Said:     []fleetview.Report{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: fleetview.Latency{1, 2}}},
 			},
 			{ID: "s-00000001"},
 		},
-		Heavy: []fleetview.HeavyObject{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Of: 2}},
+		Heavy: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Reporters: 2}},
 	})
 	goldenForm(t, "discovery.json", discoveryclient.Status{
 		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Spoke: 3, Failed: 4, Broken: 5, Closed: 6, Moves: 7, Frames: 8, Late: 9,
--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -40,14 +40,14 @@
 type View struct {
 	Peers   []fleetview.Peer        `json:"peers"`
 	Servers []ServerView            `json:"servers"`
-	Heavy   []fleetview.HeavyObject `json:"heavy"`
+	Heavy   []fleetview.HeavyHitter `json:"heavy"`
 }
 
 // ServerView is one server as the view has it; Said is who says what, where one server is asked for.
 type ServerView struct {
 	ID string `json:"id"`
 	fleetview.Estimate
-	Said []fleetview.Reporter `json:"said,omitempty"`
+	Said []fleetview.Report `json:"said,omitempty"`
 }
 
 // heavyShown objects are shown.
@@ -57,12 +57,12 @@
 	only := r.URL.Query().Get("server")
 	out := View{Servers: []ServerView{}}
 	a.opt.Peers.View(func(now float64, v *fleetview.View) {
-		out.Peers, out.Heavy = v.Peers(now), v.Heavy(now, heavyShown)
+		out.Peers, out.Heavy = v.Peers(now), v.HeavyHitters(now, heavyShown)
 		for _, id := range v.Servers() {
 			if name := serverlist.Name(id); only == "" || only == name {
-				s := ServerView{ID: name, Estimate: v.Server(now, id)}
+				s := ServerView{ID: name, Estimate: v.Estimate(now, id)}
 				if only != "" {
-					s.Said = v.Reporters(now, id)
+					s.Said = v.Reports(now, id)
 				}
 				out.Servers = append(out.Servers, s)
 			}
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -21,7 +21,7 @@
 type counts struct {
 	attempts, failures, refusals, overdue atomic.Uint64
 	inFlight                              atomic.Int64
-	latency                               [fleetview.Buckets]atomic.Uint64
+	latency                               [fleetview.LatencyBuckets]atomic.Uint64
 }
 
 // mostWaiting objects wait to be counted: what is over it is passed over, as any sample would do.
@@ -82,7 +82,7 @@
 	n.inFlight.Add(-1)
 	switch e.Result {
 	case policy.OK:
-		n.latency[fleetview.BucketOf(took)].Add(1)
+		n.latency[fleetview.LatencyBucket(took)].Add(1)
 	case policy.Failed, policy.Unknown, policy.Reset, policy.ConnectFailed:
 		n.failures.Add(1)
 	case policy.Full:
@@ -98,7 +98,7 @@
 	servers = map[policy.CacheID]fleetview.Totals{}
 	for id, n := range *t.servers.Load() {
 		x := fleetview.Totals{
-			Attempts: n.attempts.Load(), Failures: n.failures.Load(), Refusals: n.refusals.Load(), Overdue: n.overdue.Load(),
+			Attempts: n.attempts.Load(), Failures: n.failures.Load(), Rejections: n.refusals.Load(), Overdue: n.overdue.Load(),
 			InFlight: max(0, n.inFlight.Load()),
 		}
 		for i := range x.Latency {
--- /dev/null
+++ b/internal/decide/fleetview/collector.go
@@ -0,0 +1,117 @@
+package fleetview
+
+import (
+	"maps"
+	"slices"
+
+	"ravenwheel/policy"
+)
+
+// defaultRefresh is the Collector's Refresh where none is set.
+const defaultRefresh = 6
+
+// Totals are what one process has counted of one server since its start.
+type Totals struct {
+	Attempts, Failures, Rejections, Overdue uint64
+	InFlight                                int64
+	Latency                                 [LatencyBuckets]uint64 // answers, by bucket
+}
+
+// Collector makes digests of totals. A digest holds the rates over the last Window of the servers whose figures have changed since
+// they were published, and a few others, so that what was lost on the way is repeated within Refresh digests. It is not safe for
+// concurrent use.
+type Collector struct {
+	From        string
+	Zone        string
+	Incarnation uint64
+	Window      float64 // ms over which rates are taken
+	Refresh     int     // digests within which every entry is published again; 0: six
+
+	version   uint64
+	samples   []sample // oldest first
+	published map[policy.CacheID]ServerLoad
+}
+
+// sample is the totals at one time.
+type sample struct {
+	at       float64 // ms
+	arrivals uint64
+	totals   map[policy.CacheID]Totals
+}
+
+// Collect takes the present totals, counted from the process's start, and returns the digest to publish. A server that is no longer
+// among the totals is published once as idle. now is in ms; the totals are kept and must not be changed.
+func (c *Collector) Collect(now float64, arrivals uint64, totals map[policy.CacheID]Totals, objects []ObjectRate) Digest {
+	c.samples = append(c.samples, sample{now, arrivals, totals})
+	for len(c.samples) > 2 && c.samples[1].at <= now-c.Window {
+		c.samples = c.samples[1:]
+	}
+	if c.published == nil {
+		c.published = map[policy.CacheID]ServerLoad{}
+	}
+	oldest := c.samples[0]
+	seconds := max(1, now-oldest.at) / 1000
+	c.version++
+	d := Digest{
+		From: c.From, Incarnation: c.Incarnation, Version: c.version, Zone: c.Zone,
+		Arrivals: rate(arrivals, oldest.arrivals, seconds), Objects: objects,
+	}
+	for _, id := range slices.Sorted(maps.Keys(totals)) {
+		load := loadOf(id, totals[id], oldest.totals[id], seconds)
+		if c.publish(load) {
+			d.Servers = append(d.Servers, load)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.published)) {
+		if _, listed := totals[id]; !listed {
+			delete(c.published, id)
+			d.Servers = append(d.Servers, ServerLoad{Server: id})
+		}
+	}
+	return d
+}
+
+// publish decides whether an entry goes into the digest: one that is new, has changed enough, or is due to be refreshed. A server
+// that is and was idle is left out always: where its last entry was lost, it expires.
+func (c *Collector) publish(load ServerLoad) bool {
+	before, known := c.published[load.Server]
+	if load.idle() && before.idle() {
+		c.published[load.Server] = load
+		return false
+	}
+	refresh := c.Refresh
+	if refresh <= 0 {
+		refresh = defaultRefresh
+	}
+	due := (uint64(load.Server)+c.version)%uint64(refresh) == 0
+	if !due && known && load.near(before) {
+		return false
+	}
+	c.published[load.Server] = load
+	return true
+}
+
+// loadOf returns the figures of a server between two totals.
+func loadOf(id policy.CacheID, now, then Totals, seconds float64) ServerLoad {
+	var answers [LatencyBuckets]uint64
+	for i := range answers {
+		answers[i] = now.Latency[i] - min(now.Latency[i], then.Latency[i])
+	}
+	return ServerLoad{
+		Server:     id,
+		Attempts:   rate(now.Attempts, then.Attempts, seconds),
+		Failures:   rate(now.Failures, then.Failures, seconds),
+		Rejections: rate(now.Rejections, then.Rejections, seconds),
+		Overdue:    rate(now.Overdue, then.Overdue, seconds),
+		InFlight:   LevelOf(float64(now.InFlight)),
+		Latency:    latencyOf(answers),
+	}
+}
+
+// rate returns how much a count has risen a second. A count that fell was started anew, as its server came back: 0.
+func rate(now, then uint64, seconds float64) Level {
+	if now < then {
+		return 0
+	}
+	return LevelOf(float64(now-then) / seconds)
+}
--- a/internal/decide/fleetview/golden_test.go
+++ b/internal/decide/fleetview/golden_test.go
@@ -14,16 +14,16 @@
 func goldenDigest() Digest {
 	return Digest{
 		From: "proxy-a", Incarnation: 1_780_000_000_123, Version: 42, Zone: "zone-1", Arrivals: LevelOf(765),
-		Servers: []Seen{
-			{Server: 7, Attempts: 60, Failures: 5, Refusals: 4, Overdue: 3, InFlight: 30, Latency: Latency{200, 40, 10, 5}},
+		Servers: []ServerLoad{
+			{Server: 7, Attempts: 60, Failures: 5, Rejections: 4, Overdue: 3, InFlight: 30, Latency: Latency{200, 40, 10, 5}},
 			{Server: 300, Attempts: 1},
 		},
-		Heavy: []Heavy{{Object: 1<<60 + 3, Rate: 40}, {Object: 5, Rate: 9}},
-		Age:   812.5, Part: true,
+		Objects: []ObjectRate{{Object: 1<<60 + 3, Rate: 40}, {Object: 5, Rate: 9}},
+		Age:     812.5, Partial: true,
 	}
 }
 
-// Digests of other versions are decoded, and this version's are the same bytes.
+// Digests of earlier versions are decoded, and are encoded to the same bytes.
 func TestGoldenDigest(t *testing.T) {
 	for name, digest := range map[string]Digest{"digest.cbor": goldenDigest(), "digest_empty.cbor": {}} {
 		raw, err := cbor.Marshal(digest)
@@ -49,19 +49,19 @@
 	require.Equal(t, value, back)
 }
 
-// What operators see keeps its JSON keys.
+// What operators are shown keeps its JSON keys.
 func TestGoldenJSON(t *testing.T) {
-	figure := func(value float64) Figure { return Figure{Value: value, Low: value - 1, High: value + 1} }
+	bounded := func(value float64) BoundedValue { return BoundedValue{Value: value, Low: value - 1, High: value + 1} }
 	equalJSON(t, "peer.json", Peer{Name: "proxy-a", Zone: "zone-1", Incarnation: 3, Age: 812.5, Arrivals: 765, Servers: 9})
-	equalJSON(t, "reporter.json", Reporter{Name: "proxy-a", Zone: "zone-1", Age: 812.5, Attempts: 20, Failing: 0.25, Latency: Latency{200, 40}})
-	equalJSON(t, "heavy_object.json", HeavyObject{Object: 5, Rate: figure(40), Of: 20})
+	equalJSON(t, "reporter.json", Report{Name: "proxy-a", Zone: "zone-1", Age: 812.5, Attempts: 20, Failing: 0.25, Latency: Latency{200, 40}})
+	equalJSON(t, "heavy_object.json", HeavyHitter{Object: 5, Rate: bounded(40), Reporters: 20})
 	equalJSON(t, "estimate.json", Estimate{
-		Reporters: 3, Load: figure(100), Failing: figure(2), Overdue: figure(3), P50: 12.5, P90: 90, OwnPart: 0.5,
+		Reporters: 3, Load: bounded(100), Failing: bounded(2), Overdue: bounded(3), P50: 12.5, P90: 90, OwnWeight: 0.5,
 	})
 	equalJSON(t, "empty.json", struct {
 		Peer     Peer
-		Reporter Reporter
-		Heavy    HeavyObject
+		Reporter Report
+		Heavy    HeavyHitter
 		Estimate Estimate
 	}{})
 }
--- /dev/null
+++ b/internal/decide/fleetview/latency.go
@@ -0,0 +1,83 @@
+package fleetview
+
+import "math"
+
+const (
+	// LatencyBuckets is how many buckets a latency histogram has. Each is an octave: up to 12.5 ms, 25, 50 and so on; the last one
+	// holds all that is above.
+	LatencyBuckets = 10
+	// firstBucketEnd is the upper end of the first bucket, ms.
+	firstBucketEnd = 12.5
+	// latencyScale is the value of a bucket that holds all answers.
+	latencyScale = 255
+)
+
+// Latency is a histogram of the latency of answers: each bucket's fraction of them, in 255ths, without the empty buckets at its end.
+type Latency []byte
+
+// LatencyBucket returns the index of the bucket of an answer that took so many ms.
+func LatencyBucket(ms float64) int {
+	if !(ms > firstBucketEnd) {
+		return 0
+	}
+	return min(LatencyBuckets-1, int(math.Ceil(math.Log2(ms/firstBucketEnd))))
+}
+
+// latencyOf returns the histogram of counted answers.
+func latencyOf(counts [LatencyBuckets]uint64) Latency {
+	total := uint64(0)
+	for _, n := range counts {
+		total += n
+	}
+	if total == 0 {
+		return nil
+	}
+	out := make(Latency, 0, LatencyBuckets)
+	for _, n := range counts {
+		out = append(out, byte(math.Round(latencyScale*float64(n)/float64(total))))
+	}
+	for len(out) > 0 && out[len(out)-1] == 0 {
+		out = out[:len(out)-1]
+	}
+	return out
+}
+
+// near reports whether two histograms differ in no bucket by more than a fraction of the answers.
+func (l Latency) near(other Latency, fraction float64) bool {
+	for i := range max(len(l), len(other)) {
+		if math.Abs(l.fraction(i)-other.fraction(i)) > fraction {
+			return false
+		}
+	}
+	return true
+}
+
+// fraction returns a bucket's fraction of the answers.
+func (l Latency) fraction(bucket int) float64 {
+	if bucket >= len(l) {
+		return 0
+	}
+	return float64(l[bucket]) / latencyScale
+}
+
+// Quantile returns the latency, in ms, below which a fraction q of the answers lies, interpolated within its bucket; 0 if there were
+// no answers.
+func (l Latency) Quantile(q float64) float64 {
+	total := 0.0
+	for i := range l {
+		total += l.fraction(i)
+	}
+	if total == 0 {
+		return 0
+	}
+	low, sum := 0.0, 0.0
+	for i := range l {
+		high := firstBucketEnd * math.Exp2(float64(i))
+		if part := l.fraction(i); sum+part >= q*total && part > 0 {
+			return low + (high-low)*(q*total-sum)/part
+		}
+		sum += l.fraction(i)
+		low = high
+	}
+	return low
+}
--- /dev/null
+++ b/internal/decide/fleetview/view.go
@@ -0,0 +1,139 @@
+package fleetview
+
+import (
+	"maps"
+	"slices"
+
+	"ravenwheel/policy"
+)
+
+// Settings bound a view. Times are in ms.
+type Settings struct {
+	// FadeAfter and ExpireAfter: what was received longer ago than FadeAfter loses weight in proportion, and has none from
+	// ExpireAfter on, so that the estimates of a process that is cut off fade without a jump.
+	FadeAfter, ExpireAfter float64
+	// MaxPeers, MaxServers and MaxObjects bound what is held: processes, servers for each process, objects for each process.
+	MaxPeers, MaxServers, MaxObjects int
+	// FaultyFraction is the fraction of the reporters that may report anything while estimates stay within their stated bounds.
+	FaultyFraction float64
+}
+
+// DefaultSettings returns the settings for one digest a second: three may be lost before an entry fades.
+func DefaultSettings() Settings {
+	return Settings{FadeAfter: 4000, ExpireAfter: 15_000, MaxPeers: 4096, MaxServers: 1024, MaxObjects: 16, FaultyFraction: 0.1}
+}
+
+// View holds the digests of all processes, this one's among them. Use New. It is not safe for concurrent use.
+type View struct {
+	settings Settings
+	self     string
+	peers    map[string]*peer
+}
+
+// peer is what one process has published.
+type peer struct {
+	incarnation, version uint64
+	zone                 string
+	receivedAt           float64
+	arrivals             Level
+	objects              []ObjectRate
+	servers              map[policy.CacheID]entry
+}
+
+// entry is a server's figures, the version that brought them, and when that was received.
+type entry struct {
+	ServerLoad
+	version    uint64
+	receivedAt float64
+}
+
+// New returns an empty view. self names this process, whose own digests outweigh those of others, see Estimate.
+func New(self string, settings Settings) *View {
+	return &View{settings: settings, self: self, peers: map[string]*peer{}}
+}
+
+// MergeResult says what became of a digest.
+type MergeResult int
+
+// The results of a merge.
+const (
+	Accepted      MergeResult = iota
+	Outdated                  // the publisher has published the same or something newer before
+	LimitExceeded             // one of the Settings' limits was met, and what exceeds it was left out
+)
+
+// Merge takes in a digest that was received at now, in ms. The caller has verified that it comes from d.From.
+func (v *View) Merge(now float64, d Digest) MergeResult {
+	p := v.peers[d.From]
+	switch {
+	case p == nil && len(v.peers) >= v.settings.MaxPeers:
+		return LimitExceeded
+	case p == nil || d.Incarnation > p.incarnation:
+		p = &peer{incarnation: d.Incarnation, servers: map[policy.CacheID]entry{}}
+		v.peers[d.From] = p
+	case d.Incarnation < p.incarnation:
+		return Outdated
+	}
+	result, receivedAt := Outdated, now-max(0, d.Age)
+	if d.Version > p.version && !d.Partial {
+		p.version, p.zone, p.arrivals, p.receivedAt, result = d.Version, d.Zone, d.Arrivals, receivedAt, Accepted
+		p.objects = slices.Clone(d.Objects[:min(len(d.Objects), v.settings.MaxObjects)])
+	}
+	for _, load := range d.Servers {
+		old, known := p.servers[load.Server]
+		switch {
+		case known && old.version >= d.Version:
+		case !known && len(p.servers) >= v.settings.MaxServers:
+			return LimitExceeded
+		default:
+			p.servers[load.Server] = entry{load, d.Version, receivedAt}
+			result = Accepted
+		}
+	}
+	return result
+}
+
+// Snapshot returns all that a process has published, for a receiver that may know nothing of it yet: a digest for each version of
+// which entries are held, oldest first. Under the newest version alone, an entry that was missed here would replace a newer one at
+// the receiver.
+func (v *View) Snapshot(now float64, name string) (digests []Digest) {
+	p := v.peers[name]
+	if p == nil {
+		return nil
+	}
+	byVersion := map[uint64]*Digest{p.version: {
+		From: name, Incarnation: p.incarnation, Version: p.version, Zone: p.zone, Arrivals: p.arrivals, Objects: slices.Clone(p.objects),
+		Age: max(0, now-p.receivedAt),
+	}}
+	for _, id := range slices.Sorted(maps.Keys(p.servers)) {
+		e := p.servers[id]
+		d := byVersion[e.version]
+		if d == nil {
+			d = &Digest{
+				From: name, Incarnation: p.incarnation, Version: e.version, Zone: p.zone, Age: max(0, now-e.receivedAt), Partial: true,
+			}
+			byVersion[e.version] = d
+		}
+		d.Servers = append(d.Servers, e.ServerLoad)
+	}
+	for _, version := range slices.Sorted(maps.Keys(byVersion)) {
+		digests = append(digests, *byVersion[version])
+	}
+	return digests
+}
+
+// Forget drops all that a process has published.
+func (v *View) Forget(name string) { delete(v.peers, name) }
+
+// Expire drops what no longer has any weight, so that a view of many processes that come and go stays bounded. now is in ms.
+func (v *View) Expire(now float64) {
+	maps.DeleteFunc(v.peers, func(_ string, p *peer) bool {
+		maps.DeleteFunc(p.servers, func(_ policy.CacheID, e entry) bool { return now-e.receivedAt >= v.settings.ExpireAfter })
+		return now-p.receivedAt >= v.settings.ExpireAfter
+	})
+}
+
+// weight returns the weight, from 1 down to 0, of what was received so many ms ago.
+func (v *View) weight(age float64) float64 {
+	return min(1, max(0, (v.settings.ExpireAfter-age)/(v.settings.ExpireAfter-v.settings.FadeAfter)))
+}
--- /dev/null
+++ b/internal/decide/fleetview/view_test.go
@@ -0,0 +1,261 @@
+package fleetview
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"ravenwheel/internal/scenario/seeded"
+	"ravenwheel/policy"
+)
+
+func TestMain(m *testing.M) { seeded.Main(m) }
+
+// drawTotals draws counts that rise from earlier ones.
+func drawTotals(t *rapid.T, from map[policy.CacheID]Totals) map[policy.CacheID]Totals {
+	out := map[policy.CacheID]Totals{}
+	for _, id := range []policy.CacheID{1, 2, 3, 4} {
+		if rapid.IntRange(0, 9).Draw(t, "listed") == 0 {
+			continue
+		}
+		n := from[id]
+		n.Attempts += uint64(rapid.IntRange(0, 40).Draw(t, "attempts"))
+		n.Failures += uint64(rapid.IntRange(0, 5).Draw(t, "failures"))
+		n.Latency[rapid.IntRange(0, LatencyBuckets-1).Draw(t, "bucket")]++
+		out[id] = n
+	}
+	return out
+}
+
+// contents is what a view holds, but for times.
+func contents(v *View) map[string]any {
+	out := map[string]any{}
+	for name, p := range v.peers {
+		servers := map[policy.CacheID]string{}
+		for id, e := range p.servers {
+			servers[id] = fmt.Sprint(e.ServerLoad, e.version)
+		}
+		out[name] = []any{p.incarnation, p.version, p.zone, p.arrivals, fmt.Sprint(p.objects), servers}
+	}
+	return out
+}
+
+// In whatever order digests arrive, however often, and through whichever process: views that have received the same hold the same.
+func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var all []Digest
+		for _, from := range []string{"a", "b"} {
+			for incarnation := range uint64(rapid.IntRange(1, 2).Draw(t, "incarnations")) {
+				c := &Collector{From: from, Zone: "z", Incarnation: incarnation + 1, Window: 3000, Refresh: 3}
+				totals := map[policy.CacheID]Totals{}
+				for tick := range rapid.IntRange(1, 6).Draw(t, "ticks") {
+					totals = drawTotals(t, totals)
+					all = append(all, c.Collect(float64(tick)*1000, uint64(tick*7), totals, []ObjectRate{{Object: uint64(tick), Rate: 9}}))
+				}
+			}
+		}
+		one, two := New("x", DefaultSettings()), New("y", DefaultSettings())
+		for _, d := range all {
+			one.Merge(0, d)
+		}
+		order := rapid.Permutation(all).Draw(t, "order")
+		for i, d := range order {
+			two.Merge(float64(i), d)
+			if rapid.Bool().Draw(t, "again") {
+				two.Merge(float64(i), order[rapid.IntRange(0, i).Draw(t, "which")])
+			}
+		}
+		require.Equal(t, contents(one), contents(two))
+		// A third receives part of it itself and the rest from the second; a digest that is passed on is not younger.
+		three := New("z", DefaultSettings())
+		for _, d := range all[:rapid.IntRange(0, len(all)).Draw(t, "received")] {
+			three.Merge(5000, d)
+		}
+		for _, name := range []string{"a", "b"} {
+			for _, d := range two.Snapshot(5000, name) {
+				three.Merge(5000, d)
+			}
+		}
+		require.Equal(t, contents(one), contents(three))
+		three.Expire(5000 + DefaultSettings().ExpireAfter)
+		require.Empty(t, three.peers, "what was only passed on expires with the rest")
+	})
+}
+
+// What a collector leaves out of a digest is what a receiver has already, within the least change that is published.
+func TestDigestsOfChangesKeepReceiversAccurate(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c, v := &Collector{From: "a", Incarnation: 1, Window: 3000}, New("b", DefaultSettings())
+		totals := map[policy.CacheID]Totals{}
+		history := []map[policy.CacheID]Totals{}
+		sent := 0
+		for tick := range 20 {
+			totals = drawTotals(t, totals)
+			history = append(history, totals)
+			d := c.Collect(float64(tick)*1000, 0, totals, nil)
+			sent += len(d.Servers)
+			v.Merge(float64(tick)*1000, d)
+			then := history[max(0, tick-3)]
+			for id, n := range totals {
+				if tick == 0 || n.Attempts < then[id].Attempts {
+					continue
+				}
+				want := float64(n.Attempts-then[id].Attempts) / float64(min(tick, 3))
+				require.InDelta(t, want, v.peers["a"].servers[id].Attempts.Value(), 0.3*want+0.1, "tick %d, server %d", tick, id)
+			}
+			for id := range v.peers["a"].servers {
+				if _, listed := totals[id]; !listed {
+					require.Zero(t, v.peers["a"].servers[id].Attempts, "no longer listed, published as idle")
+				}
+			}
+		}
+		require.Less(t, sent, 20*4+1)
+	})
+}
+
+// The tolerated number of reporters may report anything, and a sum stays between the bounds that the others alone set; the bounds
+// that are returned with it hold the sum of the true values.
+func TestWinsorizedSumBoundsFaultyReporters(t *testing.T) {
+	wrong := rapid.OneOf(rapid.Float64Range(0, 20), rapid.SampledFrom([]float64{0, 1e9, math.MaxFloat64 / 1e6}))
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(4, 40).Draw(t, "n")
+		truth := rapid.SliceOfN(rapid.Float64Range(0, 20), n, n).Draw(t, "truth")
+		reported := append([]float64(nil), truth...)
+		for range tolerated(n, 0.1) {
+			reported[rapid.IntRange(0, n-1).Draw(t, "faulty")] = wrong.Draw(t, "wrong")
+		}
+		correct, got := WinsorizedSum(truth, 0.1), WinsorizedSum(reported, 0.1)
+		const eps = 1e-6
+		require.GreaterOrEqual(t, got.Value, correct.Low-eps)
+		require.LessOrEqual(t, got.Value, correct.High+eps)
+		require.LessOrEqual(t, got.Low, correct.Value+eps)
+		require.GreaterOrEqual(t, got.High, correct.Value-eps)
+	})
+}
+
+// No weight and no fraction that faulty reporters claim moves the mean out of the range that the others report.
+func TestTrimmedMeanStaysWithinCorrectReports(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(4, 40).Draw(t, "n")
+		fractions := rapid.SliceOfN(rapid.Float64Range(0.1, 0.3), n, n).Draw(t, "fractions")
+		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 50), n, n).Draw(t, "weights")
+		for i := range tolerated(n, 0.1) {
+			fractions[i] = rapid.SampledFrom([]float64{0, 1}).Draw(t, "wrong")
+			weights[i] = rapid.SampledFrom([]float64{0.01, 1, 1e9}).Draw(t, "weight")
+		}
+		f := TrimmedMean(fractions, weights, 0.1)
+		require.GreaterOrEqual(t, f.Value, 0.1-1e-9)
+		require.LessOrEqual(t, f.Value, 0.3+1e-9)
+		require.LessOrEqual(t, f.Low, f.Value)
+		require.GreaterOrEqual(t, f.High, f.Value)
+	})
+}
+
+func reportOf(from string, id policy.CacheID, attempts, failures float64) Digest {
+	return Digest{From: from, Incarnation: 1, Version: 1, Servers: []ServerLoad{{Server: id, Attempts: LevelOf(attempts), Failures: LevelOf(failures)}}}
+}
+
+// Thirty that report a server as failing do not outweigh what a process sees itself; where it has seen too little, they stand alone.
+func TestOwnReportOutweighsOthers(t *testing.T) {
+	v := New("me", DefaultSettings())
+	for i := range 30 {
+		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 10, 10))
+	}
+	require.InDelta(t, 1, v.Estimate(0, 7).Failing.Value, 0.05)
+	v.Merge(0, reportOf("me", 7, 2, 0))
+	e := v.Estimate(0, 7)
+	require.InDelta(t, 0.5, e.OwnWeight, 0.01)
+	require.LessOrEqual(t, e.Failing.Value, 0.51)
+	require.Empty(t, v.Estimate(0, 8), "nobody has reported on it")
+}
+
+// What was received loses weight in proportion and without a jump, down to nothing.
+func TestReportsFadeWithoutJump(t *testing.T) {
+	v := New("me", DefaultSettings())
+	for i := range 10 {
+		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 10, 0))
+	}
+	last := v.Estimate(0, 7).Load.Value
+	require.InDelta(t, 100, last, 8)
+	for at := 0.0; at < 20_000; at += 100 {
+		now := v.Estimate(at, 7).Load.Value
+		require.LessOrEqual(t, now, last+1e-9)
+		require.Less(t, last-now, 2.0)
+		last = now
+	}
+	require.Zero(t, last)
+	v.Expire(20_000)
+	require.Empty(t, v.Peers(20_000))
+}
+
+// A process that floods with names, servers and objects is limited, and takes nothing from the others.
+func TestMergeLimitsWhatOneProcessPublishes(t *testing.T) {
+	settings := DefaultSettings()
+	settings.MaxPeers, settings.MaxServers, settings.MaxObjects = 3, 5, 2
+	v := New("me", settings)
+	flood := Digest{From: "f", Incarnation: 1, Version: 1, Objects: make([]ObjectRate, 100)}
+	for id := range policy.CacheID(1000) {
+		flood.Servers = append(flood.Servers, ServerLoad{Server: id})
+	}
+	require.Equal(t, LimitExceeded, v.Merge(0, flood))
+	require.Len(t, v.peers["f"].servers, 5)
+	require.Len(t, v.peers["f"].objects, 2)
+	for i := range 10 {
+		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 1, 0))
+	}
+	require.Len(t, v.peers, 3)
+	require.Equal(t, LimitExceeded, v.Merge(0, flood))
+}
+
+// An object that one request in ten asks for is found; one that only a few processes report is not.
+func TestHeavyHittersAreFoundUnlessFewReportThem(t *testing.T) {
+	v := New("me", DefaultSettings())
+	for i := range 20 {
+		sketch := NewSketch(32)
+		for n := range 2000 {
+			object := uint64(1000 + n*i%700)
+			if n%10 == 0 {
+				object = 5
+			}
+			sketch.Add(object)
+		}
+		d := reportOf(fmt.Sprint("p", i), 7, 1, 0)
+		d.Objects = sketch.Top(4, 0.01)
+		if i < 2 {
+			d.Objects = append(d.Objects, ObjectRate{Object: 666, Rate: 200})
+		}
+		v.Merge(0, d)
+	}
+	most := v.HeavyHitters(0, 3)
+	require.EqualValues(t, 5, most[0].Object)
+	require.InDelta(t, 40, most[0].Rate.Value, 12)
+	for _, m := range most {
+		if m.Object == 666 {
+			require.Zero(t, m.Rate.Value)
+		}
+	}
+}
+
+func TestLevelsAndQuantilesAreNearTheAmounts(t *testing.T) {
+	for v := 0.3; v < 5000; v *= 1.07 {
+		require.InEpsilon(t, v, LevelOf(v).Value(), 0.06)
+	}
+	require.Zero(t, LevelOf(math.NaN()))
+	l := latencyOf([LatencyBuckets]uint64{0, 0, 50, 50})
+	require.InDelta(t, 50, l.Quantile(0.5), 1)
+	require.InDelta(t, 90, l.Quantile(0.9), 3)
+}
+
+func BenchmarkEstimate(b *testing.B) {
+	v := New("me", DefaultSettings())
+	for i := range 300 {
+		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, float64(i%20), 0))
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		v.Estimate(0, 7)
+	}
+}
--- a/internal/lab/capacity/record_view.go
+++ b/internal/lab/capacity/record_view.go
@@ -20,12 +20,12 @@
 func digestOf(member, servers int, version uint64) fleetview.Digest {
 	d := fleetview.Digest{From: memberName(member), Incarnation: 1, Version: version, Zone: fmt.Sprintf("zone-%02d", member%73), Arrivals: fleetview.LevelOf(765)}
 	for n := range servers {
-		d.Servers = append(d.Servers, fleetview.Seen{
+		d.Servers = append(d.Servers, fleetview.ServerLoad{
 			Server: policy.CacheID(member%73*cachesAZone + n), Attempts: fleetview.LevelOf(float64(20 + n)), Failures: 1, InFlight: 30, Latency: fleetview.Latency{200, 40, 10},
 		})
 	}
 	for n := range 4 {
-		d.Heavy = append(d.Heavy, fleetview.Heavy{Object: 1<<60 + uint64(n), Rate: 40})
+		d.Objects = append(d.Objects, fleetview.ObjectRate{Object: 1<<60 + uint64(n), Rate: 40})
 	}
 	return d
 }
@@ -34,8 +34,8 @@
 
 // viewOf has heard so many members, whatever the bound of today: the bound is a finding of its own.
 func viewOf(members int) *fleetview.View {
-	o := fleetview.Usual
-	o.Peers = 1 << 20
+	o := fleetview.DefaultSettings()
+	o.MaxPeers = 1 << 20
 	v := fleetview.New("self", o)
 	for n := range members {
 		v.Merge(1, digestOf(n, toldServers, 1))
--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -25,17 +25,17 @@
 		p.heavies.Add(o)
 	}
 	// A count that loses a quarter each tick stands for 1/(1-0.75) ticks.
-	heavy := slices.DeleteFunc(p.heavies.Most(heavyTold, (1-heavyFade)*1000/p.opt.Every), func(h fleetview.Heavy) bool {
+	heavy := slices.DeleteFunc(p.heavies.Top(heavyTold, (1-heavyFade)*1000/p.opt.Every), func(h fleetview.ObjectRate) bool {
 		return h.Rate.Value() < heavyLeast
 	})
-	p.heavies.Fade(heavyFade)
-	news := p.collector.Tick(now, arrivals, totals, heavy)
+	p.heavies.Decay(heavyFade)
+	news := p.collector.Collect(now, arrivals, totals, heavy)
 	p.view.Merge(now, news)
-	p.view.Age(now)
+	p.view.Expire(now)
 	near, far := p.targets(nodes)
 	var whole []fleetview.Digest
 	if len(far) > 0 {
-		whole = p.view.Whole(now, p.opt.Name)
+		whole = p.view.Snapshot(now, p.opt.Name)
 		for i := range whole {
 			whole[i].Age = 0 // it is this process's own word, and holds as of now
 		}
@@ -102,7 +102,7 @@
 	} else {
 		p.others++
 	}
-	if p.view.Merge(p.opt.Clock.Now(), d) == fleetview.TooMuch {
+	if p.view.Merge(p.opt.Clock.Now(), d) == fleetview.LimitExceeded {
 		p.Refused.Add(1)
 	}
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -96,8 +96,8 @@
 func goldenDigest() fleetview.Digest {
 	return fleetview.Digest{
 		Version: 42, Zone: "zone-1", Arrivals: fleetview.LevelOf(765),
-		Servers: []fleetview.Seen{{Server: 7, Attempts: 60, Failures: 5, Refusals: 4, Overdue: 3, InFlight: 30, Latency: fleetview.Latency{200, 40}}, {Server: 300}},
-		Heavy:   []fleetview.Heavy{{Object: 1<<60 + 3, Rate: 40}}, Part: true,
+		Servers: []fleetview.ServerLoad{{Server: 7, Attempts: 60, Failures: 5, Rejections: 4, Overdue: 3, InFlight: 30, Latency: fleetview.Latency{200, 40}}, {Server: 300}},
+		Objects: []fleetview.ObjectRate{{Object: 1<<60 + 3, Rate: 40}}, Partial: true,
 	}
 }
 
@@ -124,11 +124,11 @@
 	require.NoError(t, err)
 	golden.Equal(t, "digest_body.bin", body)
 
-	receiver := &Peers{opt: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.Usual), set: 0x0123456789abcdef}
+	receiver := &Peers{opt: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()), set: 0x0123456789abcdef}
 	receiver.heard("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
 	require.Zero(t, receiver.Refused.Load())
 	require.Equal(t, 1, receiver.same)
-	reporters := receiver.view.Reporters(goldenTime, 7)
+	reporters := receiver.view.Reports(goldenTime, 7)
 	require.Len(t, reporters, 1)
 	require.Equal(t, "a", reporters[0].Name)
 	require.Equal(t, fleetview.Latency{200, 40}, reporters[0].Latency)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -50,7 +50,7 @@
 	mu        sync.Mutex
 	view      *fleetview.View
 	collector *fleetview.Collector
-	heavies   *fleetview.Heavies
+	heavies   *fleetview.Sketch
 	rng       *rand.Rand
 	members   map[string]*Member
 	alive     int    // of these
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	p := &Peers{
-		opt: o, post: newPost(o.Identity, o.Clock, start), view: fleetview.New(o.Name, fleetview.Usual), heavies: fleetview.NewHeavies(heavySize),
+		opt: o, post: newPost(o.Identity, o.Clock, start), view: fleetview.New(o.Name, fleetview.DefaultSettings()), heavies: fleetview.NewSketch(heavySize),
 		collector: &fleetview.Collector{From: o.Name, Zone: o.Zone, Incarnation: start, Window: window},
 		rng:       rand.New(rand.NewPCG(start, uint64(len(o.Name)))), members: map[string]*Member{}, stop: func() {}, known: loadKnown(o.Dir),
 		twiceAt: map[string]float64{},
