--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -12,11 +12,11 @@
 // ledger's sources.
 func (s *sources) discovery(rank int) *discoveryclient.Client {
 	reader := timestamp.New(s.clk.Now())
-	known := discoveryclient.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeTakes))
+	known := discoveryclient.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
 	for _, n := range known {
 		n.Tell(rank, s.roster.Handle, s.purged)
 	}
-	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeNotice))
+	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeGrace))
 	if s.conf.Console != "" { // it may take over from another process
 		follow.NotifiedAfterStart = discovery.NotifiedAfterTakeover
 	}
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -142,7 +142,7 @@
 				p := scenario.NewProxy(t)
 				set := scenario.Settings()
 				for i := range set.Classes {
-					set.Classes[i].Deadline, set.Classes[i].Target = deadline, deadline/3
+					set.Classes[i].Deadline, set.Classes[i].LatencyObjective = deadline, deadline/3
 				}
 				servers := fleet.New(fleet.Options{Clock: p.Clock, Serve: 25, Fill: 10})
 				defer servers.Close()
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -36,7 +36,7 @@
 	}
 	if s.member {
 		set := s.core.Settings()
-		until := p.At + 2*clock.Ms(set.PurgeTakes) + clock.Ms(set.PurgeNotice)
+		until := p.At + 2*clock.Ms(set.PurgeDuration) + clock.Ms(set.PurgeGrace)
 		_, serr := s.store.Do(storestate.Change{Kind: storestate.SetPurge, Until: until, Purge: &storestate.Purge{Object: p.Object, Group: p.Group, Made: p.At}})
 		err = errors.Join(err, serr)
 	}
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -210,7 +210,7 @@
 	began := clk.Now()
 	s.state, plan, err = state.Open(state.Options{
 		Dir: o.State.Dir, Clock: clk, Log: log, Delay: o.State.Delay, Settings: recovery.Settings{
-			PurgePropagation: clock.Ms(conf.Settings.PurgeTakes), PurgeGrace: clock.Ms(conf.Settings.PurgeNotice), GoneRetention: set.GoneRetention,
+			PurgePropagation: clock.Ms(conf.Settings.PurgeDuration), PurgeGrace: clock.Ms(conf.Settings.PurgeGrace), GoneRetention: set.GoneRetention,
 		},
 	})
 	if err != nil {
--- a/internal/config/alone.go
+++ b/internal/config/alone.go
@@ -32,17 +32,17 @@
 		c.Seed = rand.Uint64()
 	}
 	ms := clock.Duration
-	fall := func(c *Cold) policy.Fall {
-		return policy.Fall{ColdFrom: c.From, WarmWithin: ms(c.WarmWithin), Multiple: c.Multiple, Within: ms(c.Within)}
+	fall := func(c *Cold) policy.WarmUp {
+		return policy.WarmUp{InitialCapacity: c.From, Duration: ms(c.WarmWithin), OverloadMultiple: c.Multiple, OverloadWindow: ms(c.Within)}
 	}
 	set := policy.Settings{
 		Rank: p.Rank, Zone: slices.Index(s.Zones, p.Zone), ParentKind: slices.Index(s.Kinds, s.ParentKind),
-		OriginKind: slices.Index(s.Kinds, s.OriginKind), MayPassBy: s.Direct, SharesFills: s.Joins, Details: policy.DetailAll, FlowKBPerS: s.Flow,
-		Siblings:   map[string]policy.Reach{"none": policy.ReachNone, "location": policy.ReachLocation, "any": policy.ReachAny}[s.Siblings],
-		PurgeTakes: ms(s.PurgeTakes), PurgeNotice: ms(s.PurgeGrace), DrainGrace: ms(s.DrainGrace),
-		CacheFall: fall(s.Cold), ParentFall: fall(s.ParentCold), AnswerSlack: ms(s.AnswerSlack), WeightsTold: true,
-		MaxTries: l.Tries, Cancel: true, RetryAfter: l.Backoff > 0,
-		MaxRetryAfter: ms(l.Backoff), ConnectWithin: ms(l.Connect),
+		OriginKind: slices.Index(s.Kinds, s.OriginKind), MayBypassCaches: s.Direct, CoalescesFills: s.Joins, OutcomeDetail: policy.DetailAll, TransferKBPerS: s.Flow,
+		SiblingFills:  map[string]policy.SiblingScope{"none": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny}[s.Siblings],
+		PurgeDuration: ms(s.PurgeTakes), PurgeGrace: ms(s.PurgeGrace), DrainGrace: ms(s.DrainGrace),
+		CacheWarmUp: fall(s.Cold), ParentWarmUp: fall(s.ParentCold), FinalAnswerGrace: ms(s.AnswerSlack), WeightsKnown: true,
+		MaxAttempts: l.Tries, CanCancel: true, SendsRetryAfter: l.Backoff > 0,
+		MaxRetryAfter: ms(l.Backoff), ConnectTimeout: ms(l.Connect),
 	}
 	for _, z := range s.Zones {
 		set.ZoneRouters = append(set.ZoneRouters, s.Proxies[z])
@@ -53,10 +53,10 @@
 	for _, k := range o.Classes {
 		c.Classes = append(c.Classes, k.Name)
 		set.Classes = append(set.Classes, policy.Class{
-			Target: ms(k.Target), AimStretch: k.Stretch, Deadline: ms(k.Deadline), Worth: k.Worth, LateValue: k.LateValue,
-			Effect: map[string]policy.Effect{"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe}[k.Effect],
-			Group:  map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}[k.Group],
-			Window: ms(k.Window), Uncached: k.Uncached, InParts: k.InParts, Fresh: ms(k.Fresh), StaleFor: ms(k.Stale), StaleWorth: k.StaleWorth,
+			LatencyObjective: ms(k.Target), ObjectiveStretch: k.Stretch, Deadline: ms(k.Deadline), PriorityWeight: k.Worth, LateFraction: k.LateValue,
+			Idempotency: map[string]policy.Idempotency{"idempotent": policy.Idempotent, "deduplicated": policy.IdempotentByKey, "at_most_once": policy.NotIdempotent}[k.Effect],
+			DedupScope:  map[string]policy.DedupScope{"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}[k.Group],
+			DedupWindow: ms(k.Window), Uncached: k.Uncached, Multipart: k.InParts, FreshFor: ms(k.Fresh), StaleFor: ms(k.Stale), StaleFraction: k.StaleWorth,
 		})
 	}
 	c.Settings = set
--- a/internal/core/catchup_test.go
+++ b/internal/core/catchup_test.go
@@ -19,7 +19,7 @@
 	for stale := 2; stale <= 3; stale++ { // the first call is before the request is decided on
 		synctest.Test(t, func(t *testing.T) {
 			set := scenario.Settings()
-			set.PurgeTakes = 6 * time.Second
+			set.PurgeDuration = 6 * time.Second
 			clk := clock.Manual(1e12)
 			reset := core.End{Result: policy.Reset, Sent: true} // so that there is a second attempt
 			d := &deaf{clock: clk, after: 100, ends: []core.End{reset, {Result: policy.OK, Sent: true}}}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -69,7 +69,7 @@
 	Until  float64        // ms on the clock: its time is up then. What is left is computed as its first byte goes out
 	Age    float64        // ms; 0: the class's fresh time
 	Keep   int
-	How    policy.How
+	How    policy.FillOptions
 	SendBy float64     // ms on the clock: past it the decision is too old, and the attempt must not be written
 	Left   func() bool // whether the client has gone; nil: not known
 	Once   bool        // it may not be repeated: what breaks off under it is lost
@@ -84,7 +84,7 @@
 	Body   []byte
 	Same   bool // the client's copy, which Tag names, is the one
 	Sent   bool // it was written whole: else it never came to a cache server
-	Load   policy.Load
+	Load   policy.LoadReport
 }
 
 // Upstream carries attempts to cache servers.
@@ -171,7 +171,7 @@
 
 // mailbox is room for all that one request's life can be told: its tries, their cancels, their ends and
 // the final answer. It is kept small: at thousands of requests a second the collector feels it.
-func (c *Core) mailbox() int { return 3*c.set.MaxTries + 2 }
+func (c *Core) mailbox() int { return 3*c.set.MaxAttempts + 2 }
 
 // New returns a core around a new Router. classes are the names of the classes, and mostHeld bounds how
 // many requests are open at once (0: 4096).
@@ -179,8 +179,8 @@
 	if len(classes) != len(set.Classes) {
 		return nil, fmt.Errorf("core: %d names for %d classes", len(classes), len(set.Classes))
 	}
-	if set.MaxTries <= 0 || set.MaxTries > mostTries {
-		set.MaxTries = mostTries
+	if set.MaxAttempts <= 0 || set.MaxAttempts > mostTries {
+		set.MaxAttempts = mostTries
 	}
 	router, err := policy.New(set, seed)
 	if err != nil {
@@ -196,7 +196,7 @@
 	// News heard after a decision binds only after its grace: a decision written within half the shorter
 	// grace can break neither the rule on drains nor the one on purges, which count from the first byte.
 	good := 500.0
-	for _, grace := range []float64{clock.Ms(set.DrainGrace), clock.Ms(set.PurgeNotice)} {
+	for _, grace := range []float64{clock.Ms(set.DrainGrace), clock.Ms(set.PurgeGrace)} {
 		if grace > 0 {
 			good = min(good, grace/2)
 		}
@@ -239,8 +239,8 @@
 	}
 	c.catchUp()
 	c.tell(policy.Request{
-		ID: q.ID, Left: clock.Duration(q.Deadline - c.clock.Now()), Class: q.Class, Object: q.Object, Part: q.Part,
-		Group: q.Group, SizeKB: q.SizeKB, Repeat: q.Repeat, Write: c.set.Classes[q.Class].Uncached,
+		ID: q.ID, TimeLeft: clock.Duration(q.Deadline - c.clock.Now()), Class: q.Class, Object: q.Object, Part: q.Part,
+		Group: q.Group, SizeKB: q.SizeKB, ClientRetry: q.Repeat, Write: c.set.Classes[q.Class].Uncached,
 	})
 	for {
 		var e any
@@ -259,15 +259,15 @@
 			continue
 		}
 		switch x := e.(type) {
-		case policy.Ask:
-			c.send(l, policy.Get{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
-		case policy.Get:
+		case policy.Lookup:
+			c.send(l, policy.Fetch{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
+		case policy.Fetch:
 			c.send(l, x)
 		case policy.Cancel:
 			if a := l.at(x.Attempt); a != nil && a.open {
 				c.outcome(l, ended{x.Attempt, End{Result: policy.Cancelled, Sent: a.abort()}})
 			}
-		case policy.Refuse:
+		case policy.Reject:
 			return c.final(l, Answer{Verdict: Refused, Backoff: clock.Ms(x.RetryAfter)})
 		case policy.Fail:
 			return c.final(l, Answer{Verdict: Failed})
@@ -295,9 +295,9 @@
 // target is the server that an action which begins an attempt is for.
 func target(e any) policy.CacheID {
 	switch x := e.(type) {
-	case policy.Ask:
+	case policy.Lookup:
 		return x.Cache
-	case policy.Get:
+	case policy.Fetch:
 		return x.Cache
 	}
 	return 0
@@ -306,7 +306,7 @@
 // begins tells whether an action of the module's begins an attempt.
 func begins(e any) bool {
 	switch e.(type) {
-	case policy.Ask, policy.Get:
+	case policy.Lookup, policy.Fetch:
 		return true
 	}
 	return false
@@ -395,7 +395,7 @@
 	if c.Tally != nil {
 		c.Tally.sent(to)
 	}
-	c.outcome(l, ended{len(l.attempts) - 1, End{Result: policy.Moot}})
+	c.outcome(l, ended{len(l.attempts) - 1, End{Result: policy.Skipped}})
 }
 
 // atOnce: timers that are due within so many milliseconds of one another are due together.
@@ -408,7 +408,7 @@
 	return a
 }
 
-func (c *Core) send(l *life, g policy.Get) {
+func (c *Core) send(l *life, g policy.Fetch) {
 	now := c.clock.Now()
 	ttl := l.q.Deadline - now
 	if g.Timeout > 0 {
@@ -419,8 +419,8 @@
 		sendBy = min(sendBy, l.q.SendBy)
 	}
 	class := &c.set.Classes[l.q.Class]
-	if class.Effect == policy.Keyed {
-		sendBy = min(sendBy, l.repeatBy(clock.Ms(class.Window)))
+	if class.Idempotency == policy.IdempotentByKey {
+		sendBy = min(sendBy, l.repeatBy(clock.Ms(class.DedupWindow)))
 	}
 	no := len(l.attempts)
 	a := &attempt{to: g.Cache, sent: now, until: now + ttl, open: true}
@@ -431,8 +431,8 @@
 	}
 	a.abort = c.up.Send(Attempt{
 		ID: l.q.ID, Class: c.classes[l.q.Class], Object: l.q.Object, Part: l.q.Part, Holds: l.q.Holds, Key: l.q.Key,
-		Body: l.q.Body, To: g.Cache, Source: g.Source, Until: now + ttl, Age: clock.Ms(g.Age), Keep: g.Keep, How: g.How,
-		SendBy: sendBy, Left: l.q.Left, Once: class.Effect == policy.Unsafe,
+		Body: l.q.Body, To: g.Cache, Source: g.Source, Until: now + ttl, Age: clock.Ms(g.MaxAge), Keep: g.RetainRank, How: g.Options,
+		SendBy: sendBy, Left: l.q.Left, Once: class.Idempotency == policy.NotIdempotent,
 	}, func(e End) { l.in <- ended{no, e} })
 }
 
@@ -449,12 +449,12 @@
 	switch e.Result {
 	case policy.TimedOut:
 		c.Counters.Timeouts.Add(1)
-	case policy.Moot:
+	case policy.Skipped:
 		c.Counters.Stale.Add(1)
 	}
 	c.tell(policy.Outcome{
-		ID: l.q.ID, Attempt: e.no, Cache: a.to, Result: e.Result, Note: e.Note, Closed: e.Result == policy.OK,
-		Latency: clock.Duration(c.clock.Now() - a.sent), Waited: clock.Duration(e.Waited), Load: e.Load,
+		ID: l.q.ID, Attempt: e.no, Cache: a.to, Result: e.Result, Note: e.Note, Final: e.Result == policy.OK,
+		Latency: clock.Duration(c.clock.Now() - a.sent), SourceWait: clock.Duration(e.Waited), Load: e.Load,
 	})
 }
 
@@ -469,7 +469,7 @@
 // on false: that all has been told.
 func (c *Core) Overdue(on bool, until float64) {
 	now := c.clock.Now()
-	c.tell(policy.Overdue{On: on, Age: clock.Duration(max(0, now-until))})
+	c.tell(policy.DiscoveryOverdue{Overdue: on, Age: clock.Duration(max(0, now-until))})
 }
 
 // Members takes in what the ledger publishes: first those who carry attempts, so that none is decided on for a server
@@ -478,7 +478,7 @@
 	c.Counters.Notices.Add(1)
 	e := policy.Members{Version: int64(p.Version)}
 	if p.Complete {
-		e.Kind = policy.ListWhole
+		e.Kind = policy.ListFull
 	}
 	for _, m := range p.Members {
 		e.Entries = append(e.Entries, m.Member)
@@ -497,13 +497,13 @@
 	c.acts = c.router.Handle(clock.Duration(c.clock.Now()), e, c.acts[:0])
 	for _, act := range c.acts {
 		switch x := act.(type) {
-		case policy.Ask:
+		case policy.Lookup:
 			c.post(x.ID, act)
-		case policy.Get:
+		case policy.Fetch:
 			c.post(x.ID, act)
 		case policy.Cancel:
 			c.post(x.ID, act)
-		case policy.Refuse:
+		case policy.Reject:
 			c.post(x.ID, act)
 		case policy.Fail:
 			c.post(x.ID, act)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -157,8 +157,8 @@
 	defer w.mu.Unlock()
 	ends := []core.End{
 		{Result: policy.OK, Sent: true}, {Result: policy.OK, Same: true, Tag: "v1", Sent: true}, {Result: policy.OK, Same: true, Tag: "v2", Sent: true},
-		{Result: policy.Full, Sent: true}, {Result: policy.Full, Note: policy.NoteNoPlace, Sent: true}, {Result: policy.Failed, Sent: true},
-		{Result: policy.Miss, Note: policy.NoteSourceLost, Sent: true}, {Result: policy.ConnectFailed}, {Result: policy.Reset, Sent: true}, {Result: policy.Moot},
+		{Result: policy.Overloaded, Sent: true}, {Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}, {Result: policy.Failed, Sent: true},
+		{Result: policy.Miss, Note: policy.NoteSourceLost, Sent: true}, {Result: policy.ConnectFailed}, {Result: policy.Reset, Sent: true}, {Result: policy.Skipped},
 	}
 	e, wait := ends[w.rng.IntN(len(ends))], w.rng.Float64()*1.2*(a.Until-w.clock.Now())
 	switch w.rng.IntN(4) {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -19,29 +19,29 @@
 		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
 		Classes: []policy.Class{
 			{
-				Target: 10 * time.Millisecond, AimStretch: 11.5, Deadline: 12 * time.Second, Worth: 13.5, LateValue: 0.25,
-				Effect: policy.Keyed, Group: policy.GroupCell, Window: 14 * time.Second, Stream: true, Uncached: true,
-				InParts: true, Fresh: 15 * time.Second, StaleFor: 16 * time.Second, StaleWorth: 0.5,
+				LatencyObjective: 10 * time.Millisecond, ObjectiveStretch: 11.5, Deadline: 12 * time.Second, PriorityWeight: 13.5, LateFraction: 0.25,
+				Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupCell, DedupWindow: 14 * time.Second, Streamed: true, Uncached: true,
+				Multipart: true, FreshFor: 15 * time.Second, StaleFor: 16 * time.Second, StaleFraction: 0.5,
 			},
 			{Deadline: time.Second},
 		},
-		ParentKind: 17, OriginKind: 18, MayPassBy: true, Siblings: policy.ReachAny, SharesFills: true,
-		Details: policy.DetailAll, FlowKBPerS: 19.5, PurgeTakes: 20 * time.Second, PurgeNotice: 21 * time.Second,
-		OriginMultiple: 22.5, OriginBears: 23 * time.Second, AskDiscovery: true, AskWithin: 24 * time.Second,
-		DrainGrace:  25 * time.Second,
-		CacheFall:   policy.Fall{ColdFrom: 0.125, WarmWithin: 26 * time.Second, Multiple: 27.5, Within: 28 * time.Second},
-		ParentFall:  policy.Fall{ColdFrom: 0.375, WarmWithin: 29 * time.Second, Multiple: 30.5, Within: 31 * time.Second},
-		AnswerSlack: 32 * time.Millisecond, WeightsTold: true, MaxTries: 33, Cancel: true, RetryAfter: true,
-		MaxRetryAfter: 34 * time.Second, ConnectWithin: 35 * time.Millisecond, Tick: 36 * time.Millisecond,
+		ParentKind: 17, OriginKind: 18, MayBypassCaches: true, SiblingFills: policy.SiblingsAny, CoalescesFills: true,
+		OutcomeDetail: policy.DetailAll, TransferKBPerS: 19.5, PurgeDuration: 20 * time.Second, PurgeGrace: 21 * time.Second,
+		OriginOverloadMultiple: 22.5, OriginOverloadWindow: 23 * time.Second, WatchDiscovery: true, PollInterval: 24 * time.Second,
+		DrainGrace:       25 * time.Second,
+		CacheWarmUp:      policy.WarmUp{InitialCapacity: 0.125, Duration: 26 * time.Second, OverloadMultiple: 27.5, OverloadWindow: 28 * time.Second},
+		ParentWarmUp:     policy.WarmUp{InitialCapacity: 0.375, Duration: 29 * time.Second, OverloadMultiple: 30.5, OverloadWindow: 31 * time.Second},
+		FinalAnswerGrace: 32 * time.Millisecond, WeightsKnown: true, MaxAttempts: 33, CanCancel: true, SendsRetryAfter: true,
+		MaxRetryAfter: 34 * time.Second, ConnectTimeout: 35 * time.Millisecond, MinBatchInterval: 36 * time.Millisecond,
 	}
 }
 
 // everyJudgement has a value in each field.
-func everyJudgement(limit float64) policy.Judged {
-	return policy.Judged{
-		Down: true, Lost: true, Unanswered: 2, FailedAt: 3 * time.Second, FailShare: 0.25, LateShare: 0.5,
-		LastAnswer: 4 * time.Second, TrialAt: 5 * time.Second, Limit: limit, Heard: 6 * time.Second, Ramped: 7 * time.Second,
-		Ramps: true, Cold: 8 * time.Second, Colds: true, Credit: -9.5, CreditAt: 10 * time.Second,
+func everyJudgement(limit float64) policy.ServerStats {
+	return policy.ServerStats{
+		Down: true, Unreachable: true, ConsecutiveOverdue: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
+		LastAnswer: 4 * time.Second, NextProbe: 5 * time.Second, Limit: limit, LimitUpdated: 6 * time.Second, RampStart: 7 * time.Second,
+		Ramping: true, WarmUpStart: 8 * time.Second, WarmingUp: true, Credit: -9.5, CreditUpdated: 10 * time.Second,
 	}
 }
 
@@ -49,10 +49,10 @@
 func everyLearned() learned {
 	return learned{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
-		Learned: policy.Learned{
-			Targets: map[policy.CacheID]policy.Judged{77: everyJudgement(11.5)}, Link: everyJudgement(12.5),
-			MeanSend: []float64{0.125, 0.25}, MeanTook: []float64{0.375, 0.5}, FillShare: 0.625, OriginShare: 0.75,
-			LinkSeen: [4]float64{1.5, 2.5, 3.5, 4.5},
+		Learned: policy.LearnedState{
+			Servers: map[policy.CacheID]policy.ServerStats{77: everyJudgement(11.5)}, Link: everyJudgement(12.5),
+			TransferTime: []float64{0.125, 0.25}, RecentTransferTime: []float64{0.375, 0.5}, FillRate: 0.625, OriginRate: 0.75,
+			PeakLoad: [4]float64{1.5, 2.5, 3.5, 4.5},
 		},
 		Counted: []int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, Epoch: 1_700_000_000_000.5,
 	}
--- a/internal/core/keyed.go
+++ b/internal/core/keyed.go
@@ -20,7 +20,7 @@
 // mayHaveRun tells of an end whether it leaves that open.
 func mayHaveRun(r policy.Result) bool {
 	switch r {
-	case policy.Full, policy.ConnectFailed, policy.Moot, policy.Miss:
+	case policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss:
 		return false
 	}
 	return true
--- a/internal/core/keyed_test.go
+++ b/internal/core/keyed_test.go
@@ -36,7 +36,7 @@
 // keyed is a core whose third class is deduplicated for so many ms.
 func keyed(t *testing.T, window time.Duration, d *deaf) *core.Core {
 	set := scenario.Settings()
-	set.Classes[2].Effect, set.Classes[2].Window = policy.Keyed, window
+	set.Classes[2].Idempotency, set.Classes[2].DedupWindow = policy.IdempotentByKey, window
 	c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, d.clock, d)
 	require.NoError(t, err)
 	c.Members(coreMembers())
@@ -83,7 +83,7 @@
 		class int
 		want  float64 // ms from the first attempt by which the second one is written
 	}{
-		{policy.Reset, 2, 1000}, {policy.Unknown, 2, 1000}, {policy.Full, 2, 1400}, {policy.Moot, 2, 1400}, {policy.Reset, 1, 1400},
+		{policy.Reset, 2, 1000}, {policy.Unknown, 2, 1000}, {policy.Overloaded, 2, 1400}, {policy.Skipped, 2, 1400}, {policy.Reset, 1, 1400},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			clk := clock.Manual(1e12)
@@ -100,9 +100,9 @@
 	for told, most := range map[int]int{0: 64, 1000: 64, 8: 8} {
 		synctest.Test(t, func(t *testing.T) {
 			set := scenario.Settings()
-			set.MaxTries = told
+			set.MaxAttempts = told
 			clk := clock.Manual(1e12)
-			d := &deaf{clock: clk, ends: []core.End{{Result: policy.Moot}}}
+			d := &deaf{clock: clk, ends: []core.End{{Result: policy.Skipped}}}
 			c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, d)
 			require.NoError(t, err)
 			c.Members(coreMembers())
@@ -117,7 +117,7 @@
 func TestNoAdvice(t *testing.T) {
 	for advice, want := range map[bool]float64{true: 500, false: 0} {
 		set := scenario.Settings()
-		set.RetryAfter = advice
+		set.SendsRetryAfter = advice
 		clk := clock.Manual(1e12)
 		c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, &deaf{clock: clk})
 		require.NoError(t, err)
--- a/internal/core/learned.go
+++ b/internal/core/learned.go
@@ -18,12 +18,12 @@
 const learnedRevision = 2
 
 type learned struct {
-	Revision int               `cbor:"Revision"`
-	Classes  []string          `cbor:"Classes"`
-	Settings [sha256.Size]byte `cbor:"Settings"` // those that it was learned under
-	Learned  policy.Learned    `cbor:"Learned"`
-	Counted  []int64           `cbor:"Counted"` // what the counters have risen to, in the order of rising
-	Epoch    float64           `cbor:"Epoch"`   // of the clock that its times are on; 0: not told
+	Revision int                 `cbor:"Revision"`
+	Classes  []string            `cbor:"Classes"`
+	Settings [sha256.Size]byte   `cbor:"Settings"` // those that it was learned under
+	Learned  policy.LearnedState `cbor:"Learned"`
+	Counted  []int64             `cbor:"Counted"` // what the counters have risen to, in the order of rising
+	Epoch    float64             `cbor:"Epoch"`   // of the clock that its times are on; 0: not told
 }
 
 // rising are the counters that only rise: they go on where the process before has left them.
@@ -37,7 +37,7 @@
 // Learned is what the module has learned: who is down, limits, ramps, budgets, sending times.
 func (c *Core) Learned() ([]byte, error) {
 	c.mu.Lock()
-	l := learned{Revision: learnedRevision, Classes: c.classes, Settings: c.settings, Learned: c.router.Learned()}
+	l := learned{Revision: learnedRevision, Classes: c.classes, Settings: c.settings, Learned: c.router.LearnedState()}
 	l.Epoch, _ = c.clock.Epoch()
 	for _, n := range c.Counters.rising() {
 		l.Counted = append(l.Counted, n.Load())
@@ -67,7 +67,7 @@
 	if err := usable(l, c.classes, clock.Duration(c.clock.Now())); err != nil {
 		return err
 	}
-	c.router.Inherit(l.Learned)
+	c.router.Restore(l.Learned)
 	for i, n := range c.Counters.rising() {
 		n.Add(l.Counted[i])
 	}
@@ -98,7 +98,7 @@
 			return errLearned
 		}
 	}
-	if len(l.Counted) != len((&Counters{}).rising()) || len(l.Classes) != len(classes) || len(l.Learned.MeanSend) != len(classes) || len(l.Learned.MeanTook) != len(classes) {
+	if len(l.Counted) != len((&Counters{}).rising()) || len(l.Classes) != len(classes) || len(l.Learned.TransferTime) != len(classes) || len(l.Learned.RecentTransferTime) != len(classes) {
 		return errLearned
 	}
 	for i, c := range classes {
@@ -114,18 +114,18 @@
 		}
 		return true
 	}
-	judged := func(j policy.Judged) bool {
-		for _, t := range []policy.Time{j.FailedAt, j.LastAnswer, j.Heard, j.Ramped, j.CreditAt} {
+	judged := func(j policy.ServerStats) bool {
+		for _, t := range []policy.Time{j.LastFailure, j.LastAnswer, j.LimitUpdated, j.RampStart, j.CreditUpdated} {
 			if t < 0 || t > now+skew {
 				return false
 			}
 		}
-		shares := good(0, float64(j.FailShare), float64(j.LateShare)) && j.FailShare <= 1 && j.LateShare <= 1
-		return shares && good(0, j.Limit) && good(-mostLearned, j.Credit) && j.Unanswered >= 0 && j.TrialAt >= 0 && j.Cold >= 0
+		shares := good(0, float64(j.FailureRate), float64(j.LateRate)) && j.FailureRate <= 1 && j.LateRate <= 1
+		return shares && good(0, j.Limit) && good(-mostLearned, j.Credit) && j.ConsecutiveOverdue >= 0 && j.NextProbe >= 0 && j.WarmUpStart >= 0
 	}
-	ok := judged(l.Learned.Link) && good(1e-9, l.Learned.MeanSend...) && good(1e-9, l.Learned.MeanTook...) &&
-		good(0, float64(l.Learned.FillShare), float64(l.Learned.OriginShare)) && good(0, l.Learned.LinkSeen[:]...)
-	for _, j := range l.Learned.Targets {
+	ok := judged(l.Learned.Link) && good(1e-9, l.Learned.TransferTime...) && good(1e-9, l.Learned.RecentTransferTime...) &&
+		good(0, float64(l.Learned.FillRate), float64(l.Learned.OriginRate)) && good(0, l.Learned.PeakLoad[:]...)
+	for _, j := range l.Learned.Servers {
 		ok = ok && judged(j)
 	}
 	if !ok {
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -29,12 +29,12 @@
 	p.Clock.Advance(500)
 	text, err := p.Core.Learned()
 	require.NoError(t, err)
-	decode := func(text []byte) (l struct{ Learned policy.Learned }) {
+	decode := func(text []byte) (l struct{ Learned policy.LearnedState }) {
 		require.NoError(t, cbor.Unmarshal(text, &l))
 		return l
 	}
 	l := decode(text)
-	require.True(t, l.Learned.Targets[scenario.CacheID].Down)
+	require.True(t, l.Learned.Servers[scenario.CacheID].Down)
 
 	next := scenario.NewProxy(t)
 	next.Clock.Advance(p.Clock.Now() - next.Clock.Now())
@@ -56,7 +56,7 @@
 	require.NoError(t, later.Core.Inherit(text))
 	again, err = later.Core.Learned()
 	require.NoError(t, err)
-	require.False(t, decode(again).Learned.Targets[scenario.CacheID].Down)
+	require.False(t, decode(again).Learned.Servers[scenario.CacheID].Down)
 }
 
 // What another process tells is taken whole or not at all, and nothing that no module can have learned.
@@ -71,7 +71,7 @@
 		Revision int
 		Classes  []string
 		Settings []byte
-		Learned  policy.Learned
+		Learned  policy.LearnedState
 		Counted  []int64
 	}
 	spoil := map[string]func(f *form){
@@ -80,20 +80,20 @@
 		"revision":    func(f *form) { f.Revision = 9 },
 		"classes":     func(f *form) { f.Classes[0] = "other" },
 		"settings":    func(f *form) { f.Settings[0]++ },
-		"few classes": func(f *form) { f.Learned.MeanSend = f.Learned.MeanSend[:1] },
+		"few classes": func(f *form) { f.Learned.TransferTime = f.Learned.TransferTime[:1] },
 		"no number":   func(f *form) { f.Learned.Link.Limit = math.NaN() },
-		"no time":     func(f *form) { f.Learned.MeanTook[0] = 0 },
-		"huge":        func(f *form) { f.Learned.LinkSeen[0] = 1e300 },
-		"share":       func(f *form) { f.Learned.Link.FailShare = 2 },
+		"no time":     func(f *form) { f.Learned.RecentTransferTime[0] = 0 },
+		"huge":        func(f *form) { f.Learned.PeakLoad[0] = 1e300 },
+		"share":       func(f *form) { f.Learned.Link.FailureRate = 2 },
 		"to come": func(f *form) {
-			j := f.Learned.Targets[scenario.CacheID]
+			j := f.Learned.Servers[scenario.CacheID]
 			j.LastAnswer = policy.Time((p.Clock.Now() + clock.Ms(time.Hour)) * 1e6)
-			f.Learned.Targets[scenario.CacheID] = j
+			f.Learned.Servers[scenario.CacheID] = j
 		},
 		"negative": func(f *form) {
-			j := f.Learned.Targets[scenario.CacheID]
-			j.Unanswered = -5
-			f.Learned.Targets[scenario.CacheID] = j
+			j := f.Learned.Servers[scenario.CacheID]
+			j.ConsecutiveOverdue = -5
+			f.Learned.Servers[scenario.CacheID] = j
 		},
 	}
 	for name, f := range spoil {
@@ -126,11 +126,11 @@
 		require.NoError(t, second.Inherit(text))
 		again, err := second.Learned()
 		require.NoError(t, err)
-		var was, is struct{ Learned policy.Learned }
+		var was, is struct{ Learned policy.LearnedState }
 		require.NoError(t, cbor.Unmarshal(text, &was))
 		require.NoError(t, cbor.Unmarshal(again, &is))
-		answered := was.Learned.Targets[scenario.CacheID].LastAnswer
+		answered := was.Learned.Servers[scenario.CacheID].LastAnswer
 		require.NotZero(t, answered)
-		require.InDelta(t, step, clock.Ms(is.Learned.Targets[scenario.CacheID].LastAnswer-answered), 500)
+		require.InDelta(t, step, clock.Ms(is.Learned.Servers[scenario.CacheID].LastAnswer-answered), 500)
 	}
 }
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -80,8 +80,8 @@
 		sent, aborts int64
 	}{
 		"for an answer":                  {sent: 1, aborts: 1},
-		"in the pause before the second": {ends: []core.End{{Result: policy.Full, Note: policy.NoteNoPlace, Sent: true}}, sent: 1},
-		"for the answer after the pause": {ends: []core.End{{Result: policy.Full, Note: policy.NoteNoPlace, Sent: true}}, pause: 200, sent: 2, aborts: 1},
+		"in the pause before the second": {ends: []core.End{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}}, sent: 1},
+		"for the answer after the pause": {ends: []core.End{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}}, pause: 200, sent: 2, aborts: 1},
 		"for the second answer":          {ends: []core.End{{Result: policy.Failed, Sent: true}}, sent: 2, aborts: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -16,7 +16,7 @@
 
 // turnAway is a refusal of a request that never came to the module, with advice where clients get any.
 func (c *Core) turnAway() Answer {
-	if !c.set.RetryAfter {
+	if !c.set.SendsRetryAfter {
 		return Answer{Verdict: Refused}
 	}
 	return Answer{Verdict: Refused, Backoff: clock.Ms(c.set.MaxRetryAfter)}
--- a/internal/core/separate_test.go
+++ b/internal/core/separate_test.go
@@ -64,11 +64,11 @@
 	}
 	his := func() *customer {
 		return newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.End{Result: policy.Failed, Sent: true}, func(s *policy.Settings) {
-			s.MaxTries, s.MaxRetryAfter = 2, 100*s.MaxRetryAfter
+			s.MaxAttempts, s.MaxRetryAfter = 2, 100*s.MaxRetryAfter
 			for i := range s.Classes {
-				s.Classes[i].Worth *= 10
+				s.Classes[i].PriorityWeight *= 10
 				s.Classes[i].Deadline /= 2
-				s.Classes[i].Effect = policy.Unsafe
+				s.Classes[i].Idempotency = policy.NotIdempotent
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	text, err := beside.core.Learned()
 	require.NoError(t, err)
 	require.Error(t, hers().core.Inherit(text))
-	same := newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.End{}, func(s *policy.Settings) { s.Classes[1].Worth = 7 })
+	same := newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.End{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
 	require.Error(t, same.core.Inherit(text), "learned under other costs")
 	require.NoError(t, his().core.Inherit(text))
 }
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -85,7 +85,7 @@
 		n.latency[fleetview.LatencyBucket(took)].Add(1)
 	case policy.Failed, policy.Unknown, policy.Reset, policy.ConnectFailed:
 		n.failures.Add(1)
-	case policy.Full:
+	case policy.Overloaded:
 		n.refusals.Add(1)
 	}
 	if e.Result == policy.TimedOut || e.Result == policy.OK && took > target {
@@ -122,4 +122,4 @@
 }
 
 // target of a class in ms.
-func (c *Core) target(class int) float64 { return clock.Ms(c.set.Classes[class].Target) }
+func (c *Core) target(class int) float64 { return clock.Ms(c.set.Classes[class].LatencyObjective) }
--- a/internal/lab/capacity/record_policy.go
+++ b/internal/lab/capacity/record_policy.go
@@ -18,7 +18,7 @@
 
 func newRouter() *policy.Router {
 	r, err := policy.New(policy.Settings{
-		Routers: 1, ParentKind: 1, OriginKind: 2, PurgeTakes: 6800 * time.Millisecond, Classes: []policy.Class{{Deadline: time.Second}},
+		Routers: 1, ParentKind: 1, OriginKind: 2, PurgeDuration: 6800 * time.Millisecond, Classes: []policy.Class{{Deadline: time.Second}},
 	}, 7)
 	if err != nil {
 		panic(err) // of fixed settings
@@ -32,7 +32,7 @@
 	for n := range list {
 		list[n] = serverAt(n)
 	}
-	r.Handle(1, policy.Members{Kind: policy.ListWhole, Entries: list}, nil)
+	r.Handle(1, policy.Members{Kind: policy.ListFull, Entries: list}, nil)
 	return r
 }
 
--- a/internal/lab/crosscheck/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -366,7 +366,7 @@
 		require.Equal(t, q.class.Write, x.Write)
 		require.NotEqual(t, elsewhere, x.Server, "a cache of another branch")
 		require.NotEqual(t, elsewhere, x.Source, "a cache of another branch")
-		if !s.set.MayPassBy {
+		if !s.set.MayBypassCaches {
 			require.Less(t, x.Server, elsewhere, "nothing goes past the caches")
 		}
 		tries[x.ID] = append(tries[x.ID], x)
@@ -378,7 +378,7 @@
 		require.Equal(t, 1, n, "%s ran again", object)
 	}
 	for id, list := range tries {
-		require.LessOrEqual(t, len(list), s.set.MaxTries)
+		require.LessOrEqual(t, len(list), s.set.MaxAttempts)
 		if by[id].class.Effect != "unsafe" {
 			continue
 		}
--- a/internal/lab/hollow/apply.go
+++ b/internal/lab/hollow/apply.go
@@ -31,10 +31,10 @@
 	a := &applier{w: w, p: p}
 	var err error
 	a.router, err = policy.New(policy.Settings{
-		Routers: w.spec.ZoneProcesses, ZoneRouters: []int{w.spec.ZoneProcesses}, ParentKind: 1, OriginKind: 2, PurgeTakes: ms(6000),
-		PurgeNotice: ms(1000), WeightsTold: true, MaxTries: 8, Classes: []policy.Class{
-			{Target: ms(400), Deadline: ms(5000), Worth: 2, InParts: true}, {Target: ms(400), Deadline: ms(2500), Worth: 1},
-			{Target: ms(600), Deadline: ms(3000), Worth: 3, Effect: policy.Unsafe, Uncached: true},
+		Routers: w.spec.ZoneProcesses, ZoneRouters: []int{w.spec.ZoneProcesses}, ParentKind: 1, OriginKind: 2, PurgeDuration: ms(6000),
+		PurgeGrace: ms(1000), WeightsKnown: true, MaxAttempts: 8, Classes: []policy.Class{
+			{LatencyObjective: ms(400), Deadline: ms(5000), PriorityWeight: 2, Multipart: true}, {LatencyObjective: ms(400), Deadline: ms(2500), PriorityWeight: 1},
+			{LatencyObjective: ms(600), Deadline: ms(3000), PriorityWeight: 3, Idempotency: policy.NotIdempotent, Uncached: true},
 		},
 	}, uint64(p.id)+1)
 	if err != nil {
@@ -129,7 +129,7 @@
 		case membership.Publish:
 			m := policy.Members{Kind: policy.ListChanges, Version: int64(x.Version)}
 			if x.Complete {
-				m.Kind = policy.ListWhole
+				m.Kind = policy.ListFull
 			}
 			for _, y := range x.Members {
 				m.Entries = append(m.Entries, y.Member)
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -67,11 +67,11 @@
 	case policy.Purged:
 		b.purged[e.Object] = max(b.purged[e.Object], now-e.Age)
 	case policy.Request:
-		q := &baselineRequest{Request: e, due: now + e.Left}
+		q := &baselineRequest{Request: e, due: now + e.TimeLeft}
 		b.open[e.ID] = q
 		b.token++
 		b.timers[b.token] = e.ID
-		acts = append(acts, policy.SetTimer{Token: b.token, After: e.Left})
+		acts = append(acts, policy.SetTimer{Token: b.token, After: e.TimeLeft})
 		return b.send(now, q, acts)
 	case policy.Timer:
 		id := b.timers[e.Token]
@@ -84,11 +84,11 @@
 		if q == nil {
 			break
 		}
-		if e.Closed || e.Result == policy.OK {
+		if e.Final || e.Result == policy.OK {
 			delete(b.open, e.ID)
 			break
 		}
-		never := []policy.Result{policy.Full, policy.ConnectFailed, policy.Moot, policy.Miss}
+		never := []policy.Result{policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss}
 		q.tried[e.Attempt].ran = !slices.Contains(never, e.Result)
 		return b.send(now, q, acts)
 	}
@@ -96,7 +96,7 @@
 }
 
 func (b *baseline) list(e policy.Members) {
-	if e.Kind == policy.ListWhole {
+	if e.Kind == policy.ListFull {
 		b.members = nil
 	}
 	for _, m := range e.Entries {
@@ -112,7 +112,7 @@
 func (b *baseline) mayRepeat(now policy.Time, q *baselineRequest) bool {
 	c := b.set.Classes[q.Class]
 	for _, t := range q.tried {
-		if t.ran && (c.Effect == policy.Unsafe || c.Effect == policy.Keyed && now-t.sent >= c.Window) {
+		if t.ran && (c.Idempotency == policy.NotIdempotent || c.Idempotency == policy.IdempotentByKey && now-t.sent >= c.DedupWindow) {
 			return false
 		}
 	}
@@ -135,13 +135,13 @@
 		return b.giveUp(q, acts)
 	}
 	q.tried = append(q.tried, baselineTry{to: to, src: src, sent: now, ran: true})
-	g := policy.Get{ID: q.ID, Cache: to, Source: src, Timeout: q.due - now, Keep: 1}
+	g := policy.Fetch{ID: q.ID, Cache: to, Source: src, Timeout: q.due - now, RetainRank: 1}
 	if at, purged := b.purged[q.Object]; c.Uncached {
-		g.Keep = 0
-	} else if purged && now-at <= 2*b.set.PurgeTakes {
-		g.Age = max(now-at, time.Microsecond)
-	} else if b.set.SharesFills {
-		g.How = policy.Join
+		g.RetainRank = 0
+	} else if purged && now-at <= 2*b.set.PurgeDuration {
+		g.MaxAge = max(now-at, time.Microsecond)
+	} else if b.set.CoalescesFills {
+		g.Options = policy.Coalesce
 	}
 	return append(acts, g)
 }
@@ -149,11 +149,11 @@
 func (b *baseline) giveUp(q *baselineRequest, acts []policy.Action) []policy.Action {
 	delete(b.open, q.ID)
 	for _, t := range q.tried {
-		if t.ran && b.set.Classes[q.Class].Effect == policy.Unsafe {
+		if t.ran && b.set.Classes[q.Class].Idempotency == policy.NotIdempotent {
 			return append(acts, policy.Fail{ID: q.ID})
 		}
 	}
-	return append(acts, policy.Refuse{ID: q.ID})
+	return append(acts, policy.Reject{ID: q.ID})
 }
 
 // source is where a miss is filled from.
--- a/internal/lab/sim/check.go
+++ b/internal/lab/sim/check.go
@@ -87,8 +87,8 @@
 	class := w.spec.Traffic.Classes[a.r.want.class]
 	for _, b := range a.r.attempts[:a.no] {
 		switch {
-		case class.repeats() == policy.Safe || b.neverRan():
-		case class.repeats() == policy.Unsafe:
+		case class.repeats() == policy.Idempotent || b.neverRan():
+		case class.repeats() == policy.NotIdempotent:
 			c.broke("repeat", fmt.Sprintf("request %s goes out again", a.r.id))
 		case c.w.now >= b.sent+class.Window:
 			c.broke("repeat", fmt.Sprintf("request %s goes out again %.0f ms after its attempt %d", a.r.id, c.w.now-b.sent, b.no))
@@ -98,7 +98,7 @@
 
 // neverRan tells whether an attempt's outcome proves that it did not run.
 func (a *attempt) neverRan() bool {
-	return !a.open && slices.Contains([]policy.Result{policy.Full, policy.ConnectFailed, policy.Moot, policy.Miss}, a.result)
+	return !a.open && slices.Contains([]policy.Result{policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss}, a.result)
 }
 
 // servedCopy: no copy older than a purge that the proxy had heard of for long enough when it sent.
@@ -113,7 +113,7 @@
 func (c *checker) ran(r *request) {
 	// A client comes back with what must not run twice only after a refusal, which says that it never ran. A keyed one that
 	// ran before the origin forgot its key may run again when its client comes back later.
-	if c.runs[r.want.no]++; c.runs[r.want.no] > 1 && c.w.spec.Traffic.Classes[r.want.class].repeats() != policy.Keyed {
+	if c.runs[r.want.no]++; c.runs[r.want.no] > 1 && c.w.spec.Traffic.Classes[r.want.class].repeats() != policy.IdempotentByKey {
 		c.broke("write", fmt.Sprintf("request %s ran %d times", r.id, c.runs[r.want.no]))
 	}
 }
@@ -131,7 +131,7 @@
 	if r.answered {
 		c.broke("answer", fmt.Sprintf("request %s has two", r.id))
 	}
-	if v != refused || c.w.spec.Traffic.Classes[r.want.class].repeats() != policy.Unsafe {
+	if v != refused || c.w.spec.Traffic.Classes[r.want.class].repeats() != policy.NotIdempotent {
 		return
 	}
 	for _, a := range r.attempts {
--- a/internal/lab/sim/clients.go
+++ b/internal/lab/sim/clients.go
@@ -132,7 +132,7 @@
 	}
 	w.out.turned(v)
 	// What must not run twice may come back only where it surely did not run.
-	if again := v == refused || c.repeats() != policy.Unsafe; !again || x.tries > w.spec.Clients.Retries {
+	if again := v == refused || c.repeats() != policy.NotIdempotent; !again || x.tries > w.spec.Clients.Retries {
 		x.over = true
 		w.out.lost(x.class, x.first)
 		return
--- a/internal/lab/sim/fill.go
+++ b/internal/lab/sim/fill.go
@@ -14,7 +14,7 @@
 	kb      float64
 	mean    float64 // KB of its class, on average
 	keep    int
-	how     policy.How
+	how     policy.FillOptions
 	oldest  float64
 	began   float64
 	epoch   int // of the process that fills
@@ -28,9 +28,9 @@
 }
 
 // fill has an attempt's server fill what it lacks, or joins a fill that is under way there.
-func (a *attempt) fill(g policy.Get, oldest float64) {
+func (a *attempt) fill(g policy.Fetch, oldest float64) {
 	w, x := a.r.p.w, a.r.want
-	if w.spec.Fleet.Joins && g.How&policy.Join != 0 {
+	if w.spec.Fleet.Joins && g.Options&policy.Coalesce != 0 {
 		for _, f := range a.to.under {
 			if f.key == x.key && !f.over && f.oldest >= oldest {
 				f.join(a)
@@ -39,11 +39,11 @@
 		}
 	}
 	if most := w.spec.Fleet.Fills; most > 0 && a.to.role == w.kinds.cache && len(a.to.under) >= most {
-		a.miss(policy.NoteNoPlace)
+		a.miss(policy.NoteNoFillSlot)
 		return
 	}
 	f := &fill{
-		w: w, to: a.to, src: a.src, key: x.key, kb: x.kb, keep: g.Keep, how: g.How, oldest: oldest, began: w.now, epoch: a.to.epoch,
+		w: w, to: a.to, src: a.src, key: x.key, kb: x.kb, keep: g.RetainRank, how: g.Options, oldest: oldest, began: w.now, epoch: a.to.epoch,
 		waits: []*attempt{a}, mean: w.spec.Traffic.Classes[x.class].KB,
 	}
 	a.from = f
@@ -83,7 +83,7 @@
 	if src.role == w.kinds.origin {
 		w.line.ask(func(ok bool) {
 			if !ok {
-				f.fail(policy.NoteSourceRefused, 0)
+				f.fail(policy.NoteSourceRejected, 0)
 				return
 			}
 			f.got(w.now, policy.NoteFilledOrigin)
@@ -94,8 +94,8 @@
 		f.got(h.made, policy.NoteFilled)
 		return
 	}
-	if src.role != w.kinds.parent || f.how&policy.HeldOnly != 0 {
-		f.fail(policy.NoteSourceLacks, 0)
+	if src.role != w.kinds.parent || f.how&policy.CachedOnly != 0 {
+		f.fail(policy.NoteSourceMiss, 0)
 		return
 	}
 	src.fetch(f)
@@ -130,7 +130,7 @@
 					if !kept {
 						w.out.filled(w.kinds.origin, f.kb)
 					}
-					if !kept && f.how&policy.ParentPasses == 0 {
+					if !kept && f.how&policy.ParentPassThrough == 0 {
 						s.keep(f.key, f.kb, w.now, 1)
 					}
 					kept = true
@@ -189,7 +189,7 @@
 	a.from = f
 	f.waits = append(f.waits, a)
 	if f.given {
-		f.answer(a, policy.NoteJoined)
+		f.answer(a, policy.NoteCoalesced)
 	}
 }
 
--- a/internal/lab/sim/kinds.go
+++ b/internal/lab/sim/kinds.go
@@ -100,19 +100,19 @@
 }
 
 // cold is the fall of caches or, where they differ, that of parents.
-func (f Fleet) cold(parent bool) policy.Fall {
-	x := policy.Fall{ColdFrom: f.ColdFrom, WarmWithin: ns(f.WarmIn), Multiple: f.FallsAt, Within: ns(f.FallsIn)}
+func (f Fleet) cold(parent bool) policy.WarmUp {
+	x := policy.WarmUp{InitialCapacity: f.ColdFrom, Duration: ns(f.WarmIn), OverloadMultiple: f.FallsAt, OverloadWindow: ns(f.FallsIn)}
 	if !parent {
 		return x
 	}
 	if f.ParentFrom > 0 {
-		x.ColdFrom = f.ParentFrom
+		x.InitialCapacity = f.ParentFrom
 	}
 	if f.ParentWarm > 0 {
-		x.WarmWithin = ns(f.ParentWarm)
+		x.Duration = ns(f.ParentWarm)
 	}
 	if f.ParentFalls > 0 {
-		x.Multiple = f.ParentFalls
+		x.OverloadMultiple = f.ParentFalls
 	}
 	return x
 }
@@ -130,11 +130,11 @@
 	f := s.Fleet
 	out := policy.Settings{
 		Rank: rank, Zone: f.Hubs + branch, ParentKind: kindParent, OriginKind: kindOrigin,
-		Siblings: policy.ReachLocation, Details: policy.DetailAll, FlowKBPerS: f.Flow, PurgeTakes: ns(f.PurgeTakes),
-		PurgeNotice: ns(s.Rules.Purge), DrainGrace: ns(s.Rules.Drain), AnswerSlack: ns(s.Rules.Answer),
-		CacheFall: f.cold(false), ParentFall: f.cold(true), MayPassBy: f.Direct, SharesFills: f.Joins,
-		WeightsTold: f.WeightsTold, MaxTries: mostTries, Cancel: true, RetryAfter: s.Clients.Most > 0,
-		MaxRetryAfter: ns(s.Clients.Most), ConnectWithin: ns(connectWithin),
+		SiblingFills: policy.SiblingsInZone, OutcomeDetail: policy.DetailAll, TransferKBPerS: f.Flow, PurgeDuration: ns(f.PurgeTakes),
+		PurgeGrace: ns(s.Rules.Purge), DrainGrace: ns(s.Rules.Drain), FinalAnswerGrace: ns(s.Rules.Answer),
+		CacheWarmUp: f.cold(false), ParentWarmUp: f.cold(true), MayBypassCaches: f.Direct, CoalescesFills: f.Joins,
+		WeightsKnown: f.WeightsTold, MaxAttempts: mostTries, CanCancel: true, SendsRetryAfter: s.Clients.Most > 0,
+		MaxRetryAfter: ns(s.Clients.Most), ConnectTimeout: ns(connectWithin),
 	}
 	for h := range f.Hubs {
 		out.ZoneRouters = append(out.ZoneRouters, 0)
@@ -151,8 +151,8 @@
 	}
 	for _, c := range s.Traffic.Classes {
 		out.Classes = append(out.Classes, policy.Class{
-			Target: ns(c.Target), AimStretch: c.Stretch, Deadline: ns(c.Deadline), Worth: c.Worth, LateValue: c.Late,
-			InParts: c.Parts > 1, Uncached: c.Write, Effect: c.repeats(), Group: policy.GroupAll, Window: ns(c.Window),
+			LatencyObjective: ns(c.Target), ObjectiveStretch: c.Stretch, Deadline: ns(c.Deadline), PriorityWeight: c.Worth, LateFraction: c.Late,
+			Multipart: c.Parts > 1, Uncached: c.Write, Idempotency: c.repeats(), DedupScope: policy.DedupAll, DedupWindow: ns(c.Window),
 		})
 	}
 	return out
--- a/internal/lab/sim/kinds_test.go
+++ b/internal/lab/sim/kinds_test.go
@@ -33,7 +33,7 @@
 	}
 	s, bad := Parse("f", []byte(`{"fleet": {"branch_caches": [3, 2, 1]}, "traffic": {"classes": [`+class(`"effect": "keyed", "window_ms": 6000`)+`]}}`))
 	require.NoError(t, bad.Err())
-	require.Equal(t, policy.Keyed, s.Traffic.Classes[0].repeats())
+	require.Equal(t, policy.IdempotentByKey, s.Traffic.Classes[0].repeats())
 }
 
 func class(more string) string {
@@ -52,10 +52,10 @@
 	require.Equal(t, 4, set.Routers)
 	require.Equal(t, []int{0, 0, 2, 1, 1}, set.ZoneRouters)
 	require.Equal(t, []float64{0, 0, 288_000, 72_000, 72_000}, set.LinkKBPerS)
-	require.True(t, set.MayPassBy)
-	require.True(t, set.SharesFills)
-	require.Equal(t, policy.Fall{ColdFrom: 0.06, WarmWithin: ns(18_000), Multiple: 2, Within: ns(3000)}, set.ParentFall)
-	require.Equal(t, 0.15, set.CacheFall.ColdFrom)
+	require.True(t, set.MayBypassCaches)
+	require.True(t, set.CoalescesFills)
+	require.Equal(t, policy.WarmUp{InitialCapacity: 0.06, Duration: ns(18_000), OverloadMultiple: 2, OverloadWindow: ns(3000)}, set.ParentWarmUp)
+	require.Equal(t, 0.15, set.CacheWarmUp.InitialCapacity)
 	require.Equal(t, []float64{10, 20}, []float64{w.branches[0].caches[0].told, w.branches[0].caches[1].told})
 	r := play(t, s, 1)
 	require.Zero(t, r.Broken, "%v", r.Rules)
@@ -98,8 +98,8 @@
 	w, p, ask := at(t, s)
 	r := ask(2, 7)
 	to := p.branch.caches
-	p.send(r.id, policy.Get{ID: r.id, Cache: to[0].id, Source: w.origin.id})
-	p.send(r.id, policy.Get{ID: r.id, Cache: to[1].id, Source: w.origin.id})
+	p.send(r.id, policy.Fetch{ID: r.id, Cache: to[0].id, Source: w.origin.id})
+	p.send(r.id, policy.Fetch{ID: r.id, Cache: to[1].id, Source: w.origin.id})
 	w.until(3000)
 	require.Equal(t, 1, w.check.runs[r.want.no])
 	require.Zero(t, w.check.count, "%v", w.check.broken)
@@ -119,7 +119,7 @@
 	send := func(r *request, s *server, broken int, why string) {
 		t.Helper()
 		before := w.check.count
-		p.send(r.id, policy.Get{ID: r.id, Cache: s.id, Source: w.origin.id})
+		p.send(r.id, policy.Fetch{ID: r.id, Cache: s.id, Source: w.origin.id})
 		require.Equal(t, before+broken, w.check.count, why)
 	}
 	seat := ask(2, 1)
@@ -152,7 +152,7 @@
 }
 
 // fills plays two requests for one object at one cache, the second a little later, and returns the fills that the origin gave.
-func fills(t *testing.T, change func(*Spec), how policy.How, between func(*world, *proxy, *request)) (*world, [2]*request) {
+func fills(t *testing.T, change func(*Spec), how policy.FillOptions, between func(*world, *proxy, *request)) (*world, [2]*request) {
 	s := Default()
 	s.Fleet.OriginMs = 0.001
 	change(&s)
@@ -162,7 +162,7 @@
 	for i := range out {
 		r := ask(1, 9)
 		out[i] = r
-		p.send(r.id, policy.Get{ID: r.id, Cache: cache.id, Source: parent.id, Keep: 1, How: how})
+		p.send(r.id, policy.Fetch{ID: r.id, Cache: cache.id, Source: parent.id, RetainRank: 1, Options: how})
 		w.until(w.now + 5)
 		between(w, p, r)
 	}
@@ -173,17 +173,17 @@
 // Requests that join a fill share it; a fill whose client has left ends, or runs on where it does.
 func TestFills(t *testing.T) {
 	nothing := func(*world, *proxy, *request) {}
-	w, _ := fills(t, func(s *Spec) {}, policy.Join, nothing)
+	w, _ := fills(t, func(s *Spec) {}, policy.Coalesce, nothing)
 	require.Equal(t, 2, w.out.Origin, "without joins")
 	w, _ = fills(t, func(s *Spec) { s.Fleet.ParentsJoin = true }, 0, nothing)
 	require.Equal(t, 1, w.out.Origin, "the parent fetches once")
-	w, r := fills(t, func(s *Spec) { s.Fleet.Joins = true }, policy.Join, nothing)
+	w, r := fills(t, func(s *Spec) { s.Fleet.Joins = true }, policy.Coalesce, nothing)
 	require.Equal(t, 1, w.out.Origin)
 	for _, x := range r {
 		require.True(t, x.answered, "both are served")
 	}
 	_, r = fills(t, func(s *Spec) { s.Fleet.Fills = 1 }, 0, nothing)
-	require.Equal(t, policy.NoteNoPlace, r[1].attempts[0].note)
+	require.Equal(t, policy.NoteNoFillSlot, r[1].attempts[0].note)
 	require.True(t, r[0].answered)
 
 	leave := func(w *world, p *proxy, r *request) {
@@ -193,7 +193,7 @@
 	}
 	w, _ = fills(t, func(s *Spec) {}, 0, leave)
 	require.Equal(t, 1, w.out.Origin, "the first never asked")
-	w, r = fills(t, func(s *Spec) { s.Fleet.FillsRunOn, s.Fleet.Joins = true, true }, policy.Join, leave)
+	w, r = fills(t, func(s *Spec) { s.Fleet.FillsRunOn, s.Fleet.Joins = true, true }, policy.Coalesce, leave)
 	require.Equal(t, 1, w.out.Origin, "the second found the fill of the first")
 	require.True(t, r[1].answered)
 	require.Empty(t, w.branches[0].caches[0].under)
@@ -206,11 +206,11 @@
 	w, p, ask := at(t, s)
 	parent := w.hubs[0][0]
 	first, second, third, seat := ask(1, 9), ask(1, 9), ask(1, 9), ask(2, 3)
-	p.send(first.id, policy.Get{ID: first.id, Cache: parent.id, Source: w.origin.id, Keep: 1})
+	p.send(first.id, policy.Fetch{ID: first.id, Cache: parent.id, Source: w.origin.id, RetainRank: 1})
 	w.until(5000)
-	p.send(second.id, policy.Get{ID: second.id, Cache: parent.id, Source: parent.id})
-	p.send(third.id, policy.Get{ID: third.id, Cache: w.origin.id, Source: w.origin.id})
-	p.send(seat.id, policy.Get{ID: seat.id, Cache: w.origin.id, Source: w.origin.id})
+	p.send(second.id, policy.Fetch{ID: second.id, Cache: parent.id, Source: parent.id})
+	p.send(third.id, policy.Fetch{ID: third.id, Cache: w.origin.id, Source: w.origin.id})
+	p.send(seat.id, policy.Fetch{ID: seat.id, Cache: w.origin.id, Source: w.origin.id})
 	w.until(10_000)
 	for i, r := range []*request{first, second, third, seat} {
 		require.True(t, r.answered, i)
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -121,7 +121,7 @@
 			return
 		}
 		p.down = false
-		p.handle(policy.Members{Kind: policy.ListWhole, Version: int64(w.seq), Entries: slices.DeleteFunc(slices.Clone(p.list),
+		p.handle(policy.Members{Kind: policy.ListFull, Version: int64(w.seq), Entries: slices.DeleteFunc(slices.Clone(p.list),
 			func(m policy.Member) bool { return m.State == policy.Gone })})
 	})
 }
@@ -147,9 +147,9 @@
 
 func (p *proxy) act(a policy.Action) {
 	switch x := a.(type) {
-	case policy.Ask:
-		p.send(x.ID, policy.Get{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
-	case policy.Get:
+	case policy.Lookup:
+		p.send(x.ID, policy.Fetch{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
+	case policy.Fetch:
 		p.send(x.ID, x)
 	case policy.Cancel:
 		if r := p.live[x.ID]; r != nil && x.Attempt < len(r.attempts) {
@@ -158,7 +158,7 @@
 				p.outcome(a, policy.Cancelled, false)
 			}
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		p.final(x.ID, refused, float64(x.RetryAfter)/1e6)
 	case policy.Fail:
 		p.final(x.ID, failed, 0)
@@ -187,8 +187,8 @@
 	w.check.took(r)
 	c := w.spec.Traffic.Classes[x.class]
 	p.handle(policy.Request{
-		ID: r.id, Left: ns(x.budget), Class: x.class, Object: w.name(x.key.object), Part: int(x.key.part), Group: -1,
-		SizeKB: x.kb, Repeat: x.tries > 1, Write: c.Write,
+		ID: r.id, TimeLeft: ns(x.budget), Class: x.class, Object: w.name(x.key.object), Part: int(x.key.part), Group: -1,
+		SizeKB: x.kb, ClientRetry: x.tries > 1, Write: c.Write,
 	})
 }
 
@@ -199,7 +199,7 @@
 	return strconv.FormatInt(int64(object), 16)
 }
 
-func (p *proxy) send(id string, g policy.Get) {
+func (p *proxy) send(id string, g policy.Fetch) {
 	r := p.live[id]
 	if r == nil || r.answered {
 		p.w.check.broke("an attempt for a request that is over", id)
@@ -223,8 +223,8 @@
 		}
 	})
 	oldest := 0.0
-	if g.Age > 0 {
-		oldest = w.now - float64(g.Age)/1e6
+	if g.MaxAge > 0 {
+		oldest = w.now - float64(g.MaxAge)/1e6
 	}
 	w.after(a.way(), func() { a.arrive(g, oldest) })
 }
@@ -233,8 +233,8 @@
 func (p *proxy) outcome(a *attempt, result policy.Result, closed bool) {
 	a.open, a.result = false, result
 	p.handle(policy.Outcome{
-		ID: a.r.id, Attempt: a.no, Cache: a.to.id, Result: result, Note: a.note, Closed: closed,
-		Latency: ns(p.w.now - a.sent), Waited: ns(a.waited),
+		ID: a.r.id, Attempt: a.no, Cache: a.to.id, Result: result, Note: a.note, Final: closed,
+		Latency: ns(p.w.now - a.sent), SourceWait: ns(a.waited),
 	})
 	p.forget(a.r)
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -53,7 +53,7 @@
 			}
 		}
 		p.keepList(list)
-		p.handle(policy.Members{Kind: policy.ListWhole, Version: 1, Entries: list})
+		p.handle(policy.Members{Kind: policy.ListFull, Version: 1, Entries: list})
 	}
 	for _, b := range w.branches {
 		w.arrivals(b)
--- a/internal/lab/sim/serve.go
+++ b/internal/lab/sim/serve.go
@@ -8,7 +8,7 @@
 )
 
 // arrive is an attempt as it reaches its server.
-func (a *attempt) arrive(g policy.Get, oldest float64) {
+func (a *attempt) arrive(g policy.Fetch, oldest float64) {
 	s, w := a.to, a.r.p.w
 	if !a.open {
 		return // given up on its way
@@ -22,7 +22,7 @@
 		a.ran = true
 		return // its time-out ends it
 	case s.role != w.kinds.origin && s.open >= s.slots:
-		w.after(a.way(), func() { a.end(policy.Full, policy.NoteNone) })
+		w.after(a.way(), func() { a.end(policy.Overloaded, policy.NoteNone) })
 		return
 	}
 	s.open++
@@ -37,7 +37,7 @@
 		a.fetch()
 		return
 	}
-	if h := s.store.get(x.key, oldest, g.Keep); h != nil {
+	if h := s.store.get(x.key, oldest, g.RetainRank); h != nil {
 		a.made = h.made
 		a.serve(policy.NoteHit)
 		return
@@ -75,7 +75,7 @@
 			case !a.alive():
 			case !ok:
 				a.ran = false
-				a.miss(policy.NoteSourceRefused)
+				a.miss(policy.NoteSourceRejected)
 			default:
 				a.serve(policy.NoteFilledOrigin)
 			}
@@ -86,7 +86,7 @@
 // runs tells whether a write that reaches the origin runs there.
 func (w *world) runs(x *want) bool {
 	c := w.spec.Traffic.Classes[x.class]
-	if c.repeats() != policy.Keyed {
+	if c.repeats() != policy.IdempotentByKey {
 		return true
 	}
 	if at, before := w.keyed[x.no]; before && w.now < at+c.Window {
@@ -103,7 +103,7 @@
 		switch {
 		case !a.alive():
 		case !ok:
-			w.after(a.way(), func() { a.end(policy.Full, policy.NoteNone) })
+			w.after(a.way(), func() { a.end(policy.Overloaded, policy.NoteNone) })
 		default:
 			a.made = w.now
 			w.out.filled(w.kinds.origin, a.r.want.kb)
--- a/internal/lab/sim/spec.go
+++ b/internal/lab/sim/spec.go
@@ -97,14 +97,14 @@
 }
 
 // repeats is what a repeat of a request of this class may do.
-func (c Class) repeats() policy.Effect {
+func (c Class) repeats() policy.Idempotency {
 	switch {
 	case c.Effect == "keyed":
-		return policy.Keyed
+		return policy.IdempotentByKey
 	case c.Effect == "unsafe" || c.Effect == "" && c.Write:
-		return policy.Unsafe
+		return policy.NotIdempotent
 	}
-	return policy.Safe
+	return policy.Idempotent
 }
 
 // Clients come back by themselves.
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -208,7 +208,7 @@
 	s.epoch++
 	s.open, s.sent = 0, 0
 	s.store.empty()
-	s.out = &link{q: &s.w.queue, rate: s.full * s.cold().ColdFrom, pace: s.w.spec.Fleet.Flow / 1000}
+	s.out = &link{q: &s.w.queue, rate: s.full * s.cold().InitialCapacity, pace: s.w.spec.Fleet.Flow / 1000}
 	s.warm(s.epoch)
 }
 
@@ -228,13 +228,13 @@
 // capacity is the share of its link that a server has now.
 func (s *server) capacity() float64 {
 	f := s.cold()
-	if s.began == 0 || f.WarmWithin <= 0 {
+	if s.began == 0 || f.Duration <= 0 {
 		return 1
 	}
-	return min(1, f.ColdFrom+(1-f.ColdFrom)*(s.w.now-s.began)/inMs(f.WarmWithin))
+	return min(1, f.InitialCapacity+(1-f.InitialCapacity)*(s.w.now-s.began)/inMs(f.Duration))
 }
 
-func (s *server) cold() policy.Fall { return s.w.spec.Fleet.cold(s.role == s.w.kinds.parent) }
+func (s *server) cold() policy.WarmUp { return s.w.spec.Fleet.cold(s.role == s.w.kinds.parent) }
 
 // kill loses a server: its connections end, and none comes up.
 func (s *server) kill(to state) {
@@ -258,11 +258,11 @@
 	if s.began == 0 || s.capacity() >= 1 || s.state != up {
 		return
 	}
-	if s.w.now >= s.window+inMs(f.Within) {
+	if s.w.now >= s.window+inMs(f.OverloadWindow) {
 		s.window, s.sent = s.w.now, 0
 	}
 	s.sent += meanKB
-	if s.sent > f.Multiple*s.full*s.capacity()*inMs(f.Within) {
+	if s.sent > f.OverloadMultiple*s.full*s.capacity()*inMs(f.OverloadWindow) {
 		s.w.check.fell(s)
 		s.kill(lost)
 	}
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -24,13 +24,13 @@
 // Settings are those of a small deployment with two classes that read and one that writes.
 func Settings() policy.Settings {
 	return policy.Settings{
-		Routers: 1, ParentKind: 1, OriginKind: 2, Details: policy.DetailAll, MaxTries: 4, Cancel: true,
-		RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectWithin: 400 * time.Millisecond,
-		DrainGrace: 2 * time.Second, PurgeNotice: time.Second, PurgeTakes: 6 * time.Second,
+		Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: policy.DetailAll, MaxAttempts: 4, CanCancel: true,
+		SendsRetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
+		DrainGrace: 2 * time.Second, PurgeGrace: time.Second, PurgeDuration: 6 * time.Second,
 		Classes: []policy.Class{
-			{Target: 400 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, InParts: true},
-			{Target: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Target: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3, Effect: policy.Unsafe, Uncached: true},
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 1, Multipart: true},
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
+			{LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 3, Idempotency: policy.NotIdempotent, Uncached: true},
 		},
 	}
 }
@@ -83,8 +83,8 @@
 }
 
 var results = map[policy.Result]string{
-	policy.OK: "ok", policy.Failed: "failed", policy.Full: "full", policy.TimedOut: "timeout",
-	policy.ConnectFailed: "unconnected", policy.Reset: "reset", policy.Moot: "moot", policy.Miss: "miss",
+	policy.OK: "ok", policy.Failed: "failed", policy.Overloaded: "full", policy.TimedOut: "timeout",
+	policy.ConnectFailed: "unconnected", policy.Reset: "reset", policy.Skipped: "moot", policy.Miss: "miss",
 }
 
 // Receive implements Actor.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -132,7 +132,7 @@
 	}
 	c.over = true
 	delete(k.open, c.attempt.ID)
-	result := policy.Moot
+	result := policy.Skipped
 	if c.written {
 		result = policy.TimedOut
 		if k.given++; k.given >= mostGiven {
@@ -208,7 +208,7 @@
 	}
 	k.mu.Unlock()
 	if late {
-		c.finish(core.End{Result: policy.Moot})
+		c.finish(core.End{Result: policy.Skipped})
 	}
 }
 
@@ -250,7 +250,7 @@
 		// came back as cold. Nor does a failure of this machine's own say who listens there: out of descriptors, one sound cache server
 		// after another was taken for dead.
 		if transient.Is(err) || errors.Is(err, syscall.ECONNRESET) && k.pool.up() || errors.As(err, &late) && late.Timeout() && k.pool.heardSince(began) {
-			result = policy.Moot
+			result = policy.Skipped
 		}
 		k.end(result, result)
 		return
@@ -278,7 +278,7 @@
 		if done {
 			nc.Close()
 			// What was still to be written never ran, and says nothing of who listens there.
-			k.end(policy.Reset, policy.Moot)
+			k.end(policy.Reset, policy.Skipped)
 			return
 		}
 		if idle > 0 {
@@ -349,7 +349,7 @@
 		if !c.over && (late || c.attempt.Left != nil && c.attempt.Left()) {
 			c.over = true
 			delete(k.open, c.attempt.ID)
-			go c.finish(core.End{Result: policy.Moot})
+			go c.finish(core.End{Result: policy.Skipped})
 		}
 		return c.over
 	})
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -101,7 +101,7 @@
 	if sendBy > 0 {
 		a.SendBy = b.clk.Now() + sendBy
 	}
-	b.aborts[id] = b.pools.Send(a, func(e core.End) { b.ends <- fmt.Sprint(id, " ", e.Result == policy.Moot, " ", e.Sent) })
+	b.aborts[id] = b.pools.Send(a, func(e core.End) { b.ends <- fmt.Sprint(id, " ", e.Result == policy.Skipped, " ", e.Sent) })
 }
 
 // A server takes nothing for a while. What a client left, or what has become too old, before its first byte was out is not
@@ -149,9 +149,9 @@
 	pools.Send(core.Attempt{ID: "over", To: scenario.CacheID, Until: 800}, end)
 	require.False(t, left())
 	clk.Advance(1000)
-	require.Equal(t, policy.Moot, <-ends, "over: its time is up, and it never ran")
+	require.Equal(t, policy.Skipped, <-ends, "over: its time is up, and it never ran")
 	close(up)
-	require.Equal(t, policy.Moot, <-ends, "old: dropped as the connection comes up")
+	require.Equal(t, policy.Skipped, <-ends, "old: dropped as the connection comes up")
 	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
 	scenario.Run(t, clk, actors, `
 		up send next
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -17,10 +17,10 @@
 	full := core.Attempt{
 		ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, Holds: "v1", Key: "k1", Body: []byte("body\r\n"),
 		To: 20, Source: 11, Until: 2499.8, Age: 20.9, Keep: 2,
-		How: policy.Join | policy.HeldOnly | policy.ParentPasses | policy.Renew, SendBy: 1500, Once: true,
+		How: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground, SendBy: 1500, Once: true,
 	}
 	frames := appendFrame(nil, &full, 1000)
-	for _, how := range []policy.How{policy.Join, policy.HeldOnly, policy.ParentPasses, policy.Renew} {
+	for _, how := range []policy.FillOptions{policy.Coalesce, policy.CachedOnly, policy.ParentPassThrough, policy.RefreshInBackground} {
 		a := full
 		a.How = how
 		frames = appendFrame(frames, &a, 1000)
@@ -33,7 +33,7 @@
 // TestGoldenAnswerFrames: each answer of a cache server is read as before.
 func TestGoldenAnswerFrames(t *testing.T) {
 	const fields = "version=v7,why=pulled,took=12.5,rep=inflight:1.5;queue:2.5;util:0.25;latency_ms:3.5;qps:4.5;eps:5.5;x0:0.5;x1:6.5;x9:1"
-	load := policy.Load{
+	load := policy.LoadReport{
 		"inflight": 1.5, "queue": 2.5, "util": 0.25, "latency": 3.5, "served": 4.5, "errors": 5.5, "hits": 0.5, "link": 6.5,
 	}
 	cases := []struct {
@@ -43,20 +43,20 @@
 		{"served", fields, "bytes", core.End{Result: policy.OK, Note: policy.NoteFilled, Waited: 12.5, Tag: "v7", Body: []byte("bytes"), Load: load}},
 		{"still_good", "version=v7", "", core.End{Result: policy.OK, Tag: "v7", Same: true}},
 		{"not_here", "-", "", core.End{Result: policy.Miss}},
-		{"overload", "why=turned_away", "", core.End{Result: policy.Full, Note: policy.NoteSourceRefused}},
+		{"overload", "why=turned_away", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceRejected}},
 		{"crashed", "why=far_fault", "", core.End{Result: policy.Failed, Note: policy.NoteOriginFailed}},
-		{"nobody", "-", "", core.End{Result: policy.Moot}},
+		{"nobody", "-", "", core.End{Result: policy.Skipped}},
 		{"green", "-", "", core.End{Result: policy.OK, Body: []byte{}}},
 		{"red", "-", "", core.End{Result: policy.Failed}},
 		{"later", "-", "", core.End{Result: policy.Unknown}},
-		{"overload", "why=local", "", core.End{Result: policy.Full, Note: policy.NoteHit}},
-		{"overload", "why=pulled_far", "", core.End{Result: policy.Full, Note: policy.NoteFilledOrigin}},
-		{"overload", "why=rode", "", core.End{Result: policy.Full, Note: policy.NoteJoined}},
-		{"overload", "why=expired", "", core.End{Result: policy.Full, Note: policy.NoteStale}},
-		{"overload", "why=cut_off", "", core.End{Result: policy.Full, Note: policy.NoteSourceLost}},
-		{"overload", "why=not_there", "", core.End{Result: policy.Full, Note: policy.NoteSourceLacks}},
-		{"overload", "why=no_place", "", core.End{Result: policy.Full, Note: policy.NoteNoPlace}},
-		{"overload", "why=later", "", core.End{Result: policy.Full}},
+		{"overload", "why=local", "", core.End{Result: policy.Overloaded, Note: policy.NoteHit}},
+		{"overload", "why=pulled_far", "", core.End{Result: policy.Overloaded, Note: policy.NoteFilledOrigin}},
+		{"overload", "why=rode", "", core.End{Result: policy.Overloaded, Note: policy.NoteCoalesced}},
+		{"overload", "why=expired", "", core.End{Result: policy.Overloaded, Note: policy.NoteStale}},
+		{"overload", "why=cut_off", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceLost}},
+		{"overload", "why=not_there", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceMiss}},
+		{"overload", "why=no_place", "", core.End{Result: policy.Overloaded, Note: policy.NoteNoFillSlot}},
+		{"overload", "why=later", "", core.End{Result: policy.Overloaded}},
 	}
 	var frames []byte
 	for _, c := range cases {
--- a/internal/upstream/push_test.go
+++ b/internal/upstream/push_test.go
@@ -160,6 +160,6 @@
 		clk.Advance(1)
 		require.Equal(t, up, len(ends) == 1)
 		clk.Advance(4500)
-		require.Equal(t, core.End{Result: policy.Moot}, <-ends)
+		require.Equal(t, core.End{Result: policy.Skipped}, <-ends)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -154,7 +154,7 @@
 		conn = pl.place(c)
 	}
 	if conn == nil { // it has left the list since, or all connections are taken: the module chooses anew
-		go c.finish(core.End{Result: policy.Moot})
+		go c.finish(core.End{Result: policy.Skipped})
 		return func() bool { c.forget(); return false }
 	}
 	now, until, sendBy := p.clock.Now(), c.attempt.Until, c.attempt.SendBy
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -396,7 +396,7 @@
 		send(fmt.Sprint("waits", i), i)
 	}
 	for range servers - most {
-		require.Equal(t, policy.Moot, (<-ends).Result)
+		require.Equal(t, policy.Skipped, (<-ends).Result)
 	}
 	require.Eventually(t, func() bool { return pools.Conns() == most }, time.Minute, time.Millisecond)
 	for waits := 0; waits < most; { // none is still to be dialled as this test ends
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -18,10 +18,10 @@
 }
 
 var hows = []struct {
-	bit  policy.How
+	bit  policy.FillOptions
 	word string
 }{
-	{policy.Join, "coalesce"}, {policy.HeldOnly, "shallow"}, {policy.ParentPasses, "transit"}, {policy.Renew, "freshen"},
+	{policy.Coalesce, "coalesce"}, {policy.CachedOnly, "shallow"}, {policy.ParentPassThrough, "transit"}, {policy.RefreshInBackground, "freshen"},
 }
 
 // notes are the words of why, in the order of policy.Note from NoteHit on.
@@ -30,8 +30,8 @@
 }
 
 var results = map[string]policy.Result{
-	"served": policy.OK, "still_good": policy.OK, "not_here": policy.Miss, "overload": policy.Full,
-	"crashed": policy.Failed, "nobody": policy.Moot, "green": policy.OK, "red": policy.Failed,
+	"served": policy.OK, "still_good": policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
+	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
 }
 
 // loads maps the names in a report to those of the module.
@@ -121,7 +121,7 @@
 		name, value, _ := strings.Cut(pair, ":")
 		if v, ok := number(value); ok && loads[name] != "" {
 			if e.Load == nil {
-				e.Load = policy.Load{}
+				e.Load = policy.LoadReport{}
 			}
 			e.Load[loads[name]] = v
 		}
--- a/internal/upstream/wire_test.go
+++ b/internal/upstream/wire_test.go
@@ -13,16 +13,16 @@
 func TestFiguresOfAnswers(t *testing.T) {
 	for text, want := range map[string]core.End{
 		"why=far_fault,took=12.5,rep=util:0.61;inflight:7;x0:0.4;x1:1.2": {
-			Note: policy.NoteOriginFailed, Waited: 12.5, Load: policy.Load{"util": 0.61, "inflight": 7, "hits": 0.4, "link": 1.2},
+			Note: policy.NoteOriginFailed, Waited: 12.5, Load: policy.LoadReport{"util": 0.61, "inflight": 7, "hits": 0.4, "link": 1.2},
 		},
-		"why=rode,took=nan,rep=util:NaN;x0:-1;x1:+Inf": {Note: policy.NoteJoined},
+		"why=rode,took=nan,rep=util:NaN;x0:-1;x1:+Inf": {Note: policy.NoteCoalesced},
 		"took=-1,rep=x9:1;inflight":                    {},
 		"took=1e300":                                   {},
 	} {
 		id, e, err := readAnswer([][]byte{[]byte("r1"), []byte("overload"), []byte(text)})
 		require.NoError(t, err)
 		require.Equal(t, "r1", id)
-		want.Result = policy.Full
+		want.Result = policy.Overloaded
 		require.Equal(t, want, e, text)
 	}
 }
@@ -34,7 +34,7 @@
 	frame := func(a core.Attempt) []byte { return appendFrame(nil, &a, 1000) }
 	require.Equal(t, "*4\r\n$5\r\nfetch\r\n$16\r\n00000000000000a1\r\n$49\r\nlane=tiles,name=7f3a9c21e0b4d655,piece=3,ttl=1499\r\n$0\r\n\r\n", string(frame(a)))
 	a.Source, a.Keep, a.Age, a.Holds, a.Key = 11, 2, 20.9, "v1", "k1"
-	a.How = policy.Join | policy.ParentPasses
+	a.How = policy.Coalesce | policy.ParentPassThrough
 	require.Contains(t, string(frame(a)),
 		"lane=tiles,name=7f3a9c21e0b4d655,piece=3,ttl=1499,fetch=s-0000000b,retain=2,newer=20,handle=coalesce+transit,holds=v1,dedupe=k1\r\n")
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -14,7 +14,7 @@
 	members Members
 	id      CacheID
 	parent  bool
-	fall    Fall
+	fall    WarmUp
 	weight  float64
 	from    Time
 	took    time.Duration
@@ -29,10 +29,10 @@
 		rng: rand.New(rand.NewPCG(seed, 9)), routers: make([]*Router, routers),
 	}
 	c.set.Routers, c.set.ZoneRouters = routers, []int{0, 0, routers}
-	c.fall = c.set.CacheFall
+	c.fall = c.set.CacheWarmUp
 	cold := 0
 	if parent {
-		c.id, c.fall, cold = 11, c.set.ParentFall, 3
+		c.id, c.fall, cold = 11, c.set.ParentWarmUp, 3
 	} else {
 		c.members.Entries = append(c.members.Entries[:1], c.members.Entries[3:]...)
 	}
@@ -42,16 +42,16 @@
 
 // allowed is how many requests of mean work the settings let the server get in the time they name, at a time.
 func (c *cold) allowed(now Time) float64 {
-	warm := min(1, float64(now-c.from)/float64(c.fall.WarmWithin))
-	return c.fall.Multiple * (c.fall.ColdFrom + (1-c.fall.ColdFrom)*warm) * c.weight * c.fall.Within.Seconds() / c.took.Seconds()
+	warm := min(1, float64(now-c.from)/float64(c.fall.Duration))
+	return c.fall.OverloadMultiple * (c.fall.InitialCapacity + (1-c.fall.InitialCapacity)*warm) * c.weight * c.fall.OverloadWindow.Seconds() / c.took.Seconds()
 }
 
 // over is the share of windows, one begun every 20 ms, in which the server got more than n + 2 roots of n + 2, and the most
 // that one had of that.
 func (c *cold) over(until Time) (share, worst float64) {
 	windows, bad, first, last := 0, 0, 0, 0
-	for begin := c.from; begin+c.fall.Within <= until; begin += 20 * ms {
-		for last < len(c.at) && c.at[last] < begin+c.fall.Within {
+	for begin := c.from; begin+c.fall.OverloadWindow <= until; begin += 20 * ms {
+		for last < len(c.at) && c.at[last] < begin+c.fall.OverloadWindow {
 			last++
 		}
 		for first < last && c.at[first] < begin {
@@ -75,7 +75,7 @@
 	}
 	r.Handle(now, c.members, nil)
 	// What limits of its own leave of a request is no part of this: the budget alone has to hold.
-	for _, x := range append([]*target{r.link}, r.order...) {
+	for _, x := range append([]*server{r.link}, r.ordered...) {
 		x.Limit = 1e6
 	}
 	c.routers[i] = r
@@ -91,7 +91,7 @@
 		rate[i] = math.Pow(10, c.rng.Float64())
 		total += rate[i]
 	}
-	offered := min(2000, 10*c.allowed(c.from+c.fall.WarmWithin)/c.fall.Within.Seconds()) * step.Seconds()
+	offered := min(2000, 10*c.allowed(c.from+c.fall.Duration)/c.fall.OverloadWindow.Seconds()) * step.Seconds()
 	n := 0
 	for now := c.from; now < c.from+length; now += step {
 		for i, r := range c.routers {
@@ -101,8 +101,8 @@
 			}
 			for want := offered*rate[i]/total + c.rng.Float64(); want >= 1 && now >= c.from+quiet; want-- {
 				n++
-				q := Request{ID: fmt.Sprint(n), Object: fmt.Sprint(n), Left: 3 * time.Second, Group: 1}
-				g, ok := find[Get](r.Handle(now, q, nil))
+				q := Request{ID: fmt.Sprint(n), Object: fmt.Sprint(n), TimeLeft: 3 * time.Second, Group: 1}
+				g, ok := find[Fetch](r.Handle(now, q, nil))
 				if !ok {
 					continue
 				}
@@ -113,16 +113,16 @@
 				if !c.parent && g.Cache == c.id || c.parent && g.Source == c.id {
 					c.at = append(c.at, now)
 				}
-				r.Handle(now, Outcome{ID: q.ID, Cache: g.Cache, Result: OK, Note: note, Latency: c.took, Closed: true}, nil)
+				r.Handle(now, Outcome{ID: q.ID, Cache: g.Cache, Result: OK, Note: note, Latency: c.took, Final: true}, nil)
 			}
 		}
 	}
 }
 
-// A server that has just started gets no more from all routers together than the settings allow it and two roots of that
-// and two, in any window of the time that they name: from twenty routers to three hundred, asked unevenly for far more,
-// with restarts in the midst, and all at once after a while in which nothing was used.
-func TestColdSumOfTheFleet(t *testing.T) {
+// A server that has just started gets no more work from all routers together than its budget n and
+// 2*sqrt(n+2), in any window of the budget: from twenty routers to three hundred, with uneven demand, with
+// restarts, and all at once after a quiet time.
+func TestWarmUpBudgetHoldsForFleet(t *testing.T) {
 	for _, routers := range []int{20, 30, 300} {
 		for _, parent := range []bool{false, true} {
 			for _, weight := range []float64{1, 4, 20} {
@@ -146,17 +146,17 @@
 	}
 }
 
-// A window half as long allows half as many, while what each router may overdraw stays one attempt: with the figures of a
-// site whose window is 1.5 s the sum holds as well, from a handful of routers to three hundred.
-func TestColdSumInAShortWindow(t *testing.T) {
-	short := Fall{ColdFrom: 0.2, WarmWithin: 17 * time.Second, Multiple: 2.5, Within: 1500 * ms}
-	shortParent := Fall{ColdFrom: 0.063, WarmWithin: 21 * time.Second, Multiple: 2, Within: 1500 * ms}
+// The warm-up budget also holds in a window of 1.5 s, where it is half as large while each router may still
+// overdraw it by one attempt.
+func TestWarmUpBudgetHoldsInShortWindow(t *testing.T) {
+	short := WarmUp{InitialCapacity: 0.2, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms}
+	shortParent := WarmUp{InitialCapacity: 0.063, Duration: 21 * time.Second, OverloadMultiple: 2, OverloadWindow: 1500 * ms}
 	for _, routers := range []int{3, 5, 20, 300} {
 		for _, parent := range []bool{false, true} {
 			for _, weight := range []float64{4, 12, 30} {
 				for _, restarts := range []float64{0, 0.3} {
 					c := newCold(uint64(routers), routers, parent, weight, 430*ms)
-					c.set.CacheFall, c.set.ParentFall, c.fall = short, shortParent, short
+					c.set.CacheWarmUp, c.set.ParentWarmUp, c.fall = short, shortParent, short
 					if parent {
 						c.fall = shortParent
 					}
--- /dev/null
+++ b/policy/concurrency_limit.go
@@ -0,0 +1,140 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+// Limits are in slots, each for one attempt or fill in flight.
+const (
+	// The first and the lowest limit of a cache or of the zone's link, for all routers that share it
+	// together.
+	cacheLimitStart, cacheLimitMin = 16.0, 9.0
+	// The first and the lowest limit of a source, for one router. The first is at most
+	// sourceLimitLinkFraction of its part of its caches' links, so that many routers do not overload a source
+	// as they start.
+	sourceLimitStart, sourceLimitMin, sourceLimitLinkFraction = 16.0, 0.2, 0.25
+	// A source's limit rises only while no more than this is free beyond twice what is in flight, so that
+	// many routers with few fills do not all raise theirs.
+	sourceLimitSpare = 0.5
+	// A late answer multiplies a limit by limitDecrease. One in time adds limitIncreaseFraction of it, but at
+	// most limitIncreaseMax slots for as many answers as it has slots.
+	limitDecrease, limitIncreaseFraction, limitIncreaseMax = 0.9, 0.1, 2.0
+	// An outcome counts once for each limitUpdateInterval since the last one, limitMaxUpdateWeight times at
+	// most, so that the limit of a rarely used server adapts as quickly.
+	limitUpdateInterval, limitMaxUpdateWeight = 100 * time.Millisecond, 8.0
+	// Capacity, in transfers, of a cache link for which a slot stands for one attempt; more on larger links.
+	referenceLinkTransfers = 8.0
+	// lowValueLimitFraction of a limit is open to requests whose weight per transfer time is lowValueRatio
+	// times below the best class's, and its square at lowestValueRatio times below.
+	lowValueLimitFraction, lowValueRatio, lowestValueRatio = 0.75, 2.0, 8.0
+)
+
+// overLimit reports whether a server or link takes no attempt of this request for now: it was overloaded
+// lately or is at its limit. The request's random draw lets a limit below one slot admit that fraction of
+// requests.
+func (r *Router) overLimit(req *openRequest, server *server, occupied float64) bool {
+	slots := server.Limit * r.limitScale
+	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.draw > slots
+}
+
+// limitFraction is the fraction of a limit that a request may use: an overload leaves slots to those with the
+// most weight per transfer time. A client's retry has less, as its latency counts from the client's first
+// attempt.
+func (r *Router) limitFraction(req *openRequest) float64 {
+	best := 0.0
+	for i, class := range r.settings.Classes {
+		if !class.Uncached { // uncached requests take no slot of a cache
+			best = max(best, class.PriorityWeight/r.transferTime[i])
+		}
+	}
+	value := req.class.PriorityWeight / cmp.Or(r.knownTransferTime(req), r.classTransferTime(req))
+	fraction := 1.0
+	for _, low := range []bool{lowValueRatio*value < best, lowestValueRatio*value < best, req.ClientRetry} {
+		if low {
+			fraction *= lowValueLimitFraction
+		}
+	}
+	return fraction
+}
+
+// occupied is the number of slots that this router occupies at a server: its attempts in flight there and the
+// expected fraction of the fills that name the server as their source.
+func (r *Router) occupied(server *server) float64 {
+	fills := float64(r.fillRate)*float64(server.openFills) + float64(r.originRate)*float64(server.originFills)
+	if server.role == roleOrigin {
+		return float64(len(server.inFlight)) + fills
+	}
+	return float64(len(server.inFlight)-server.passThrough) + fills
+}
+
+// adjustLimits lowers or raises the limits of the servers and the link that an outcome says something about.
+func (r *Router) adjustLimits(attempt *attempt, outcome Outcome) {
+	bottleneck := r.bottleneck(attempt, outcome)
+	sourceRejected := outcome.Note == NoteSourceRejected || outcome.Note == NoteOriginFailed
+	switch {
+	case outcome.Note == NoteNoFillSlot:
+		r.adjustLimit(r.link, true)
+	case outcome.Result == OK && attempt.request.class.Uncached && !attempt.late: // the limits don't bind it
+	case outcome.Result == OK:
+		attempt.server.LateRate.add(attempt.late, outcomeGain)
+		r.adjustLimit(bottleneck, attempt.late)
+	case sourceRejected && attempt.source != nil:
+		r.adjustLimit(attempt.source, true)
+		if attempt.origin != nil {
+			r.adjustLimit(attempt.origin, true) // the reason may be the origin behind the source
+		}
+	case attempt.server.overloadedUntil > r.now:
+		r.adjustLimit(attempt.server, true)
+	}
+}
+
+// bottleneck is the server or link that determined how long an answer took, and updates the late rates: for a
+// fill the source, or the zone's link if the first byte came soon and the link's fills are late more often
+// than the source's, or the origin if it was asked and the first byte came late.
+func (r *Router) bottleneck(attempt *attempt, outcome Outcome) *server {
+	found := attempt.server
+	firstByteSoon := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
+	if outcome.filled() && attempt.source != nil {
+		found = attempt.source
+		if r.link.LateRate.add(attempt.late && firstByteSoon, outcomeGain); !attempt.late {
+			attempt.source.LateRate.add(false, outcomeGain)
+			r.adjustLimit(r.link, false)
+		} else if firstByteSoon && r.link.LateRate >= attempt.source.LateRate {
+			found = r.link
+		}
+	}
+	if outcome.Note == NoteFilledOrigin && attempt.origin != nil {
+		lateAtOrigin := attempt.late && !firstByteSoon
+		if attempt.origin.LateRate.add(lateAtOrigin, outcomeGain); lateAtOrigin {
+			found = attempt.origin
+		} else {
+			r.adjustLimit(attempt.origin, false)
+		}
+	}
+	return found
+}
+
+// adjustLimit lowers a limit after a late answer and raises it after one in time. It stays while less than
+// half of its slots are occupied, as single large objects are late without an overload.
+func (r *Router) adjustLimit(server *server, late bool) {
+	lowest, routers := sourceLimitMin, 1.0
+	if server.role == roleCache { // routers that share a cache raise their limits together
+		routers = float64(r.routersSharing(server))
+		lowest = cacheLimitMin / routers
+	}
+	sinceUpdate := float64(r.now-server.LimitUpdated) / float64(limitUpdateInterval)
+	weight := min(limitMaxUpdateWeight, max(1, sinceUpdate))
+	limit, occupied := server.Limit*r.limitScale, r.occupied(server)
+	switch {
+	case server.role != roleCache && !late && 2*occupied+sourceLimitSpare < limit:
+	case 2*(occupied+1) < limit:
+	case late:
+		server.Limit *= math.Pow(limitDecrease, weight/r.limitScale)
+	default:
+		step := limitIncreaseMax / routers / server.Limit
+		server.Limit += min(step, limitIncreaseFraction*weight*server.Limit) / r.limitScale
+	}
+	server.Limit, server.LimitUpdated = max(server.Limit, lowest), r.now
+}
--- a/policy/containers.go
+++ b/policy/containers.go
@@ -6,63 +6,62 @@
 	"time"
 )
 
-// The mechanical containers of the module. They decide nothing: every limit is passed in.
-
-// bounded is a map that holds at most the given number of entries and drops the oldest key first.
-type bounded[K comparable, V any] struct {
-	m    map[K]V
-	ring []K
-	next int
+// boundedMap is a map with a maximum number of entries. When it is full, a new key replaces the oldest one.
+type boundedMap[K comparable, V any] struct {
+	values map[K]V
+	keys   []K // in the order in which they came, as a ring
+	oldest int
 }
 
-func newBounded[K comparable, V any](size int) *bounded[K, V] {
-	return &bounded[K, V]{m: map[K]V{}, ring: make([]K, 0, size)}
+func newBoundedMap[K comparable, V any](maxEntries int) *boundedMap[K, V] {
+	return &boundedMap[K, V]{values: map[K]V{}, keys: make([]K, 0, maxEntries)}
 }
 
-func (b *bounded[K, V]) get(k K) (V, bool) {
-	v, ok := b.m[k]
-	return v, ok
+func (b *boundedMap[K, V]) get(key K) (V, bool) {
+	value, found := b.values[key]
+	return value, found
 }
 
-func (b *bounded[K, V]) put(k K, v V) {
-	if _, held := b.m[k]; !held {
-		if len(b.ring) < cap(b.ring) {
-			b.ring = append(b.ring, k)
+func (b *boundedMap[K, V]) put(key K, value V) {
+	if _, found := b.values[key]; !found {
+		if len(b.keys) < cap(b.keys) {
+			b.keys = append(b.keys, key)
 		} else {
-			delete(b.m, b.ring[b.next])
-			b.ring[b.next] = k
-			b.next = (b.next + 1) % len(b.ring)
+			delete(b.values, b.keys[b.oldest])
+			b.keys[b.oldest] = key
+			b.oldest = (b.oldest + 1) % len(b.keys)
 		}
 	}
-	b.m[k] = v
+	b.values[key] = value
 }
 
-// share is the part of cases that were so, with the newest weighing most.
-type share float64
+// average is the exponentially weighted fraction of cases that were true, between 0 and 1.
+type average float64
 
-func (s *share) learn(so bool, gain float64) {
-	*s -= share(gain) * *s
-	if so {
-		*s += share(gain)
+// add includes one more case, whose weight is gain.
+func (a *average) add(isTrue bool, gain float64) {
+	*a -= average(gain) * *a
+	if isTrue {
+		*a += average(gain)
 	}
 }
 
-// rate is an amount a second, averaged with exponential forgetting.
-type rate struct {
+// decayingRate is an amount per second, averaged with exponential decay.
+type decayingRate struct {
 	total float64
 	at    Time
 }
 
-func (r *rate) faded(now Time, span time.Duration) float64 {
-	return r.total * math.Exp(-float64(now-r.at)/float64(span))
+func (d *decayingRate) decayed(now Time, span time.Duration) float64 {
+	return d.total * math.Exp(-float64(now-d.at)/float64(span))
 }
 
-func (r *rate) add(now Time, span time.Duration, amount float64) {
-	r.total, r.at = r.faded(now, span)+amount, now
+func (d *decayingRate) add(now Time, span time.Duration, amount float64) {
+	d.total, d.at = d.decayed(now, span)+amount, now
 }
 
-func (r *rate) perSecond(now Time, span time.Duration) float64 {
-	return r.faded(now, span) / span.Seconds()
+func (d *decayingRate) perSecond(now Time, span time.Duration) float64 {
+	return d.decayed(now, span) / span.Seconds()
 }
 
 // mix spreads the bits of x (the finaliser of splitmix64).
@@ -73,7 +72,7 @@
 	return x ^ x>>31
 }
 
-// hash is FNV-1a, mixed.
+// hash is the 64-bit FNV-1a hash of s, mixed.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -82,14 +81,12 @@
 	return mix(h)
 }
 
-// unit maps bits to a number between 0 and 1, neither included.
-func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
-
-func has[T comparable](list []T, x T) bool { return slices.Contains(list, x) }
+// uniform maps random bits to a number between 0 and 1, both excluded.
+func uniform(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
-// without removes the first x from list, keeping the order. What stands behind the end is cleared: an attempt left there
-// kept its request and every target that one was sent to, and those theirs, for as long as the list's owner was known.
-func without[T comparable](list []T, x T) []T {
+// removeFirst removes the first x from list and keeps the order. slices.Delete clears the slot at the end, so
+// that the list does not keep the removed element reachable.
+func removeFirst[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- /dev/null
+++ b/policy/events.go
@@ -0,0 +1,151 @@
+package policy
+
+import "time"
+
+// Event is an input of a Router: one of Members, Request, StreamStarted, Outcome, ClientLeft, Timer, Purged
+// and DiscoveryOverdue.
+type Event interface{ event() }
+
+// State is what discovery says about a member.
+type State int
+
+// The states of a member.
+const (
+	Ready    State = iota
+	Draining       // finishes what it has, and gets nothing new
+	Gone
+)
+
+// Member is an entry of discovery's list.
+type Member struct {
+	ID      CacheID
+	Zone    int
+	Kind    int // Settings.ParentKind, Settings.OriginKind or any other for a cache
+	Cell    int // see DedupCell
+	State   State
+	Weight  float64
+	Started Time // when it started; 0: long ago
+}
+
+// ListKind says how a Members event relates to the list that the router has.
+type ListKind int
+
+// The kinds of list.
+const (
+	ListChanges ListKind = iota // changes to the list
+	ListFull                    // the complete list
+	ListCached                  // the complete list as last known, perhaps outdated
+	ListFailed                  // no list: the call failed or the subscription ended
+)
+
+// Members is an update from discovery.
+type Members struct {
+	Kind    ListKind
+	Version int64
+	Entries []Member
+}
+
+// Request is a client's request, which must get exactly one final answer.
+type Request struct {
+	ID          string
+	TimeLeft    time.Duration // until the client's deadline
+	Class       int           // index in Settings.Classes
+	Tenant      int
+	Object      string
+	Part        int
+	Group       int     // the object's purge group; -1: unknown
+	SizeKB      float64 // 0: unknown
+	ClientRetry bool    // the client has marked it as a retry
+	Write       bool
+}
+
+// StreamStarted reports that a streamed answer has begun: the request is bound to this attempt from now on.
+type StreamStarted struct {
+	ID      string
+	Attempt int
+	Cache   CacheID
+	Latency time.Duration
+}
+
+// Result is how an attempt ended.
+type Result int
+
+// The results. Overloaded, ConnectFailed, Skipped and Miss prove that the attempt was not executed.
+const (
+	Unknown    Result = iota // not recognised: it may have been executed
+	OK                       // answered
+	Failed                   // answered with an error
+	Overloaded               // rejected by the server
+	TimedOut
+	ConnectFailed
+	Reset // the connection broke
+	Cancelled
+	Skipped // not sent
+	Miss    // a Lookup found no copy
+)
+
+// Note is how an outcome came about, as far as Settings.OutcomeDetail provides it.
+type Note int
+
+// The notes.
+const (
+	NoteNone           Note = iota
+	NoteHit                 // from a cached copy
+	NoteFilled              // after a fill
+	NoteFilledOrigin        // after a fill for which the origin was asked
+	NoteCoalesced           // after joining a fill in progress
+	NoteStale               // from a copy past its freshness
+	NoteSourceRejected      // the source was overloaded
+	NoteSourceLost          // the source could not be reached, or stopped answering
+	NoteSourceMiss          // the source had no copy
+	NoteNoFillSlot          // the cache had no slot for a fill
+	NoteOriginFailed        // the origin failed behind the source
+)
+
+// LoadReport is a server's load by the name of the figure. It may be late and inexact.
+type LoadReport map[string]float64
+
+// Outcome is how one attempt ended.
+type Outcome struct {
+	ID         string
+	Attempt    int // index among the request's attempts, from 0
+	Cache      CacheID
+	Result     Result
+	Note       Note
+	Final      bool // the request has its final answer
+	Latency    time.Duration
+	SourceWait time.Duration // until the source's first byte or failure; 0: unknown
+	Load       LoadReport
+}
+
+// filled reports whether the answer needed a fill.
+func (o Outcome) filled() bool { return o.Note == NoteFilled || o.Note == NoteFilledOrigin }
+
+// ClientLeft reports that a request needs no answer any more.
+type ClientLeft struct{ ID string }
+
+// Timer reports that a timer requested with SetTimer is due.
+type Timer struct{ Token uint64 }
+
+// Purged reports that an object or, if Object is empty, a whole group was purged at the origin.
+type Purged struct {
+	Object string
+	Group  int // -1: unknown
+	Age    time.Duration
+}
+
+// DiscoveryOverdue reports that discovery has been silent for too long: purges made until Age ago may exist
+// that were not reported. With Overdue false all purges have been reported again.
+type DiscoveryOverdue struct {
+	Overdue bool
+	Age     time.Duration
+}
+
+func (Members) event()          {}
+func (Request) event()          {}
+func (StreamStarted) event()    {}
+func (Outcome) event()          {}
+func (ClientLeft) event()       {}
+func (Timer) event()            {}
+func (Purged) event()           {}
+func (DiscoveryOverdue) event() {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,8 +10,8 @@
 // A router of someone else's: it tells the module what happens and does what it is told.
 func Example() {
 	r, err := policy.New(policy.Settings{
-		Routers: 1, ParentKind: 1, OriginKind: 2, Details: policy.DetailAll, MaxTries: 4,
-		Classes: []policy.Class{{Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}},
+		Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: policy.DetailAll, MaxAttempts: 4,
+		Classes: []policy.Class{{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -21,22 +21,22 @@
 	show := func(e policy.Event) {
 		for _, a := range r.Handle(now, e, nil) {
 			switch a := a.(type) {
-			case policy.Get:
+			case policy.Fetch:
 				fmt.Printf("get from cache %d, fill from %d\n", a.Cache, a.Source)
 			case policy.SetTimer:
 				fmt.Printf("timer in %v\n", a.After)
-			case policy.Refuse:
+			case policy.Reject:
 				fmt.Printf("refuse %s\n", a.ID)
 			}
 		}
 	}
-	show(policy.Members{Kind: policy.ListWhole, Entries: []policy.Member{
+	show(policy.Members{Kind: policy.ListFull, Entries: []policy.Member{
 		{ID: 1}, {ID: 11, Kind: 1}, {ID: 20, Kind: 2},
 	}})
-	show(policy.Request{ID: "r1", Object: "o", Left: time.Second, Group: -1})
+	show(policy.Request{ID: "r1", Object: "o", TimeLeft: time.Second, Group: -1})
 	// The parent could not be reached: the next in the chain is the origin.
-	show(policy.Outcome{ID: "r1", Cache: 1, Result: policy.Full, Note: policy.NoteSourceLost})
-	show(policy.Outcome{ID: "r1", Attempt: 1, Cache: 1, Result: policy.OK, Note: policy.NoteFilled, Closed: true})
+	show(policy.Outcome{ID: "r1", Cache: 1, Result: policy.Overloaded, Note: policy.NoteSourceLost})
+	show(policy.Outcome{ID: "r1", Attempt: 1, Cache: 1, Result: policy.OK, Note: policy.NoteFilled, Final: true})
 	now += time.Second
 	show(policy.Timer{Token: 1}) // the deadline of a request that is over: nothing to do
 	// Output:
--- a/policy/members.go
+++ b/policy/members.go
@@ -1,61 +1,78 @@
-// What discovery tells of caches, parents and the origin.
-
 package policy
 
-func (r *Router) members(e Members) {
-	if r.set.AskDiscovery && !r.watched {
-		r.watched = true
-		r.do(Watch{On: true})
+import "time"
+
+// watchRetryDelay is the wait before discovery is watched again after a failure.
+const watchRetryDelay = time.Second
+
+// handleMembers applies a list of servers, or changes to it. What a full list does not name is no longer
+// used.
+func (r *Router) handleMembers(e Members) {
+	if r.settings.WatchDiscovery && !r.watching {
+		r.watching = true
+		r.emit(Watch{On: true})
 	}
 	if e.Kind == ListFailed {
-		if r.set.AskDiscovery {
-			r.after(watchPause, timer{kind: atWatch})
+		if r.settings.WatchDiscovery {
+			r.setTimer(watchRetryDelay, timer{kind: watchTimer})
 		}
 		return
 	}
 	if e.Kind != ListChanges {
-		for _, t := range r.known {
-			t.listed = false
+		for _, server := range r.servers {
+			server.listed = false
 		}
 	}
-	for _, m := range e.Entries {
-		t, known := r.known[m.ID]
-		if !known {
-			t = &target{Judged: Judged{Limit: sourceStart}, hashed: mix(uint64(m.ID))}
-			r.known[m.ID], r.order = t, append(r.order, t)
-		}
-		started := m.Started > 0 && m.Started != t.Started
-		t.Member, t.listed = m, m.State != Gone
-		switch {
-		case m.Kind == r.set.OriginKind:
-			t.role = origin
-		case m.Kind == r.set.ParentKind:
-			t.role = parent
-		case m.Zone != r.set.Zone:
-			t.role = foreign
-		default:
-			t.role = edge
-			if !known { // the limit starts at this router's part: its neighbours fill the same caches
-				t.Limit = limitStart / float64(r.sharers(t))
-			}
-		}
-		if started && t.role != origin {
-			from := min(m.Started, r.now) // of a clock that runs ahead
-			r.chill(t, from)
-			t.Ramped, t.Ramps = from, true
-			t.Down, t.Unanswered, t.FailShare, t.trialOut = false, 0, 0, false
-		}
+	for _, member := range e.Entries {
+		r.updateMember(member)
 	}
-	r.relist()
-	if total := 0.0; r.set.WeightsTold && len(r.caches) > 0 {
-		for _, c := range r.caches {
-			total += c.Weight
-		}
-		r.scale = max(1, total/float64(len(r.caches))/usualLink)
-		for _, t := range r.order {
-			if t.Heard == 0 && t.role != edge {
-				t.Limit = min(sourceStart, sourcePart*total/float64(r.sharers(r.caches[0])))
-			}
+	r.rebuildLists()
+	if r.settings.WeightsKnown && len(r.caches) > 0 {
+		r.scaleLimits()
+	}
+}
+
+// updateMember applies one entry. A server with a new start time is judged anew and begins its slow start.
+func (r *Router) updateMember(member Member) {
+	server, known := r.servers[member.ID]
+	if !known {
+		server = newServer(member.ID)
+		r.servers[member.ID], r.ordered = server, append(r.ordered, server)
+	}
+	started := member.Started > 0 && member.Started != server.Started
+	server.Member, server.listed = member, member.State != Gone
+	switch {
+	case member.Kind == r.settings.OriginKind:
+		server.role = roleOrigin
+	case member.Kind == r.settings.ParentKind:
+		server.role = roleParent
+	case member.Zone != r.settings.Zone:
+		server.role = roleForeign
+	default:
+		server.role = roleCache
+	}
+	if !known && server.role == roleCache {
+		server.Limit = cacheLimitStart / float64(r.routersSharing(server))
+	}
+	if started && server.role != roleOrigin {
+		from := min(member.Started, r.now) // the server's clock may be ahead
+		r.startWarmUp(server, from)
+		server.RampStart, server.Ramping = from, true
+		server.Down, server.ConsecutiveOverdue, server.FailureRate, server.probing = false, 0, 0, false
+	}
+}
+
+// scaleLimits adapts slots, and first limits of sources, to the link capacity (weight) of the zone's caches.
+func (r *Router) scaleLimits() {
+	total := 0.0
+	for _, cache := range r.caches {
+		total += cache.Weight
+	}
+	r.limitScale = max(1, total/float64(len(r.caches))/referenceLinkTransfers)
+	portion := sourceLimitLinkFraction * total / float64(r.routersSharing(r.caches[0]))
+	for _, server := range r.ordered {
+		if server.LimitUpdated == 0 && server.role != roleCache {
+			server.Limit = min(sourceLimitStart, portion)
 		}
 	}
 }
--- a/policy/purge.go
+++ b/policy/purge.go
@@ -1,43 +1,45 @@
-// How old a copy may be after a purge.
-
 package policy
 
 import "time"
 
-func (r *Router) purged(e Purged) {
+// minCopyAge is the least maximum age that is sent, since 0 stands for the class's own.
+const minCopyAge = time.Microsecond
+
+// handlePurged remembers the latest purge of an object or of a group.
+func (r *Router) handlePurged(e Purged) {
 	at := r.now - e.Age
 	if e.Object != "" {
-		old, _ := r.objectPurged.get(e.Object)
-		r.objectPurged.put(e.Object, max(at, old))
+		last, _ := r.objectPurges.get(e.Object)
+		r.objectPurges.put(e.Object, max(at, last))
 		return
 	}
-	old, _ := r.groupPurged.get(e.Group)
-	r.groupPurged.put(e.Group, max(at, old))
+	last, _ := r.groupPurges.get(e.Group)
+	r.groupPurges.put(e.Group, max(at, last))
 }
 
-// overdueDiscovery has every copy from before a time count as purged for as long as nobody can tell which
-// were. Where all that was made by then counts as told, serving one of them breaks the rule.
-func (r *Router) overdueDiscovery(e Overdue) {
-	r.unheard, r.unheardUntil = e.On, r.now-e.Age
+// handleDiscoveryOverdue makes copies from before a time count as purged for as long as discovery is overdue
+// and may have purges from before it to report.
+func (r *Router) handleDiscoveryOverdue(e DiscoveryOverdue) {
+	r.discoveryOverdue, r.unseenPurgesUntil = e.Overdue, r.now-e.Age
 }
 
-// age is the oldest copy that will do, 0 for the class's own fresh time, and whether a purge set it.
-// Counted from the purge, it shuts out every copy from before, at the cache and at its source.
-func (r *Router) age(q *request) (time.Duration, bool) {
-	at, ok := r.objectPurged.get(q.Object)
-	if g, also := r.groupPurged.get(q.Group); also && (!ok || g > at) {
-		at, ok = g, true
+// maxAge is the maximum age of a copy that may answer the request, and whether a purge bounds it. Counted
+// from the latest purge, it excludes every copy from before, at the cache and at its source.
+func (r *Router) maxAge(req *openRequest) (age time.Duration, purged bool) {
+	at, purged := r.objectPurges.get(req.Object)
+	if groupAt, found := r.groupPurges.get(req.Group); found && (!purged || groupAt > at) {
+		at, purged = groupAt, true
 	}
-	if r.unheard && (!ok || r.unheardUntil > at) {
-		at, ok = r.unheardUntil, true
+	if r.discoveryOverdue && (!purged || r.unseenPurgesUntil > at) {
+		at, purged = r.unseenPurgesUntil, true
 	}
-	// Twice the time in which copies are dropped: a copy may have been on its way when its source's went.
-	if !ok || r.now-at > 2*r.set.PurgeTakes {
+	// Twice, as an old copy may have been on its way from a source when the source dropped its own.
+	if !purged || r.now-at > 2*r.settings.PurgeDuration {
 		return 0, false
 	}
-	age := max(r.now-at, time.Microsecond)
-	if q.class.Fresh > 0 {
-		age = min(age, q.class.Fresh)
+	age = max(r.now-at, minCopyAge)
+	if req.class.FreshFor > 0 {
+		age = min(age, req.class.FreshFor)
 	}
 	return age, true
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,216 +1,164 @@
-// What becomes of one request: its attempts, its outcomes and its one final answer.
-
 package policy
 
 import (
 	"cmp"
-	"math"
+	"slices"
 	"time"
 )
 
-func (r *Router) request(e Request) {
-	if r.reqs[e.ID] != nil {
+const (
+	typicalSizeFraction = 0.7 // typical size of an object, as a fraction of its class's mean size
+	retainOnce          = 1   // rank at which a cache retains a new object
+	retainRepeated      = 2   // rank of an object that was a hit before
+)
+
+// handleRequest makes a request's first attempt. One of unknown class or with no time left is rejected, and
+// one whose id is in use is ignored.
+func (r *Router) handleRequest(e Request) {
+	if r.requests[e.ID] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(r.set.Classes) || e.Left <= 0 {
-		r.do(Refuse{ID: e.ID})
+	if e.Class < 0 || e.Class >= len(r.settings.Classes) || e.TimeLeft <= 0 {
+		r.emit(Reject{ID: e.ID})
 		return
 	}
-	q := &request{Request: e, class: &r.set.Classes[e.Class], due: r.now + e.Left}
-	q.home = hash(e.Object)
-	r.rng = mix(r.rng)
-	q.luck = unit(r.rng)
-	if q.spot = q.home; q.class.InParts {
-		// Caches keep each part by itself: a much asked object of many parts would crowd one of them.
-		q.spot = mix(q.home + uint64(e.Part))
-	}
-	r.reqs[e.ID] = q
-	// Every request ends by its own deadline, whatever does or does not come back.
-	r.after(e.Left, timer{kind: atDeadline, q: q})
-	r.dispatch(q)
+	class, objectHash := &r.settings.Classes[e.Class], hash(e.Object)
+	req := &openRequest{
+		Request: e, class: class, deadline: r.now + e.TimeLeft, objectHash: objectHash, draw: r.random(),
+	}
+	if req.cacheHash = req.objectHash; req.class.Multipart {
+		// Parts are cached separately, so the parts of a popular object are spread over the caches.
+		req.cacheHash = mix(req.objectHash + uint64(e.Part))
+	}
+	r.requests[e.ID] = req
+	// A request ends at its deadline even if no outcome arrives.
+	r.setTimer(e.TimeLeft, timer{kind: deadlineTimer, request: req})
+	r.dispatch(req)
 }
 
-func (r *Router) first(e First) {
-	if a := r.reqs[e.ID].attempt(e.Attempt); a != nil && a.q.class.Stream && !a.q.over {
-		a.q.stream = true
-		r.answered(a.to)
+// handleStreamStarted binds a streamed request to the attempt whose answer has begun: it is not retried.
+func (r *Router) handleStreamStarted(e StreamStarted) {
+	attempt := r.requests[e.ID].attempt(e.Attempt)
+	if attempt == nil || !attempt.request.class.Streamed || attempt.request.done {
+		return
 	}
+	attempt.request.streaming = true
+	r.recordAnswer(attempt.server)
 }
 
-// giveUp is the one final answer that a router gives of itself, at once: a refusal where it is harmless,
-// with advice on when to come back, else a failure.
-func (r *Router) giveUp(q *request) {
-	if q.over {
+// giveUp gives the final answer: a rejection where a retry by the client is harmless, otherwise a failure.
+// Retry-After is drawn from the upper half of its range, so that clients return at different times.
+func (r *Router) giveUp(req *openRequest) {
+	if req.done {
 		return
 	}
-	if q.mayRefuse() {
-		a := Refuse{ID: q.ID}
-		if r.set.RetryAfter {
-			r.rng = mix(r.rng)
-			a.RetryAfter = time.Duration(float64(r.set.MaxRetryAfter) * (0.5 + unit(r.rng)/2))
+	if req.mayReject() {
+		reject := Reject{ID: req.ID}
+		if r.settings.SendsRetryAfter {
+			reject.RetryAfter = time.Duration(float64(r.settings.MaxRetryAfter) * (0.5 + r.random()/2))
 		}
-		r.do(a)
+		r.emit(reject)
 	} else {
-		r.do(Fail{ID: q.ID})
+		r.emit(Fail{ID: req.ID})
 	}
-	r.end(q)
+	r.finish(req)
 }
 
-// dispatch sends a request on its next attempt, or gives it up.
-func (r *Router) dispatch(q *request) {
-	if q.over || q.stream || q.open > 0 || q.waiting {
+// dispatch makes the next attempt of a request, or gives it up. A request that has an open attempt, is being
+// streamed or waits for its retry is left alone.
+func (r *Router) dispatch(req *openRequest) {
+	if req.done || req.streaming || req.openAttempts > 0 || req.awaitingRetry {
 		return
 	}
-	hopeless := r.ownTime(q) > (q.due - r.now).Seconds()
-	if hopeless || r.now >= q.due || r.set.MaxTries > 0 && len(q.attempts) >= r.set.MaxTries {
-		r.giveUp(q)
+	tooLarge := r.knownTransferTime(req) > (req.deadline - r.now).Seconds()
+	lastAttempt := r.settings.MaxAttempts > 0 && len(req.attempts) >= r.settings.MaxAttempts
+	if tooLarge || r.now >= req.deadline || lastAttempt {
+		r.giveUp(req)
 		return
 	}
-	var to, trial *target
-	passes := q.class.Uncached && r.set.MayPassBy && !has(q.bad, r.origin) // untouched
-	if passes && r.origin.usable() && q.maySend(r.now, r.origin) {
-		to = r.origin
-	} else if to, trial = r.pick(q); to == nil {
-		to, trial = r.passBy(q)
-	}
+	to, probed := r.chooseServer(req)
 	if to == nil {
-		r.giveUp(q)
+		r.giveUp(req)
 		return
 	}
 	if to == r.origin {
-		r.send(q, to, nil, 0, nil)
+		r.send(req, to, nil, 0, nil)
 		return
 	}
-	source, how, trialled := r.walk(q, to)
-	full := r.now < to.noFills || r.crowded(q, r.link, r.places(r.link))
-	if source == nil || full && !q.class.Uncached {
-		if q.class.Uncached || to.role != edge || len(q.attempts) > 0 {
-			r.hold(q)
+	source, options, probedSource := r.chooseSource(req, to)
+	noFills := r.now < to.noFillsUntil || r.overLimit(req, r.link, r.occupied(r.link))
+	if source == nil || noFills && !req.class.Uncached {
+		if req.class.Uncached || to.role != roleCache || len(req.attempts) > 0 {
+			r.retryLater(req)
 			return
 		}
-		source = to // no source will take more: what the cache holds can still be served
-	}
-	if trial == nil {
-		trial = trialled
+		source = to // no fill is possible, but a cached copy can still be served
 	}
-	r.send(q, to, source, how, trial)
+	r.send(req, to, source, options, cmp.Or(probed, probedSource))
 }
 
-// hold waits a little before a request whose sources all failed tries the chain again from its start.
-func (r *Router) hold(q *request) {
-	wait := retryPause * time.Duration(1+len(q.attempts))
-	if r.now+wait >= q.due-q.Left+q.class.Target || len(q.attempts) == 0 {
-		r.giveUp(q)
-		return
+// chooseServer returns the server of the next attempt, nil if there is none, and the server that it probes,
+// if any. Uncached requests go straight to the origin where the topology allows it.
+func (r *Router) chooseServer(req *openRequest) (to, probed *server) {
+	direct := req.class.Uncached && r.settings.MayBypassCaches && r.origin.usable()
+	if direct && !slices.Contains(req.failedSources, r.origin) && req.maySendTo(r.now, r.origin) {
+		return r.origin, nil
+	}
+	if to, probed = r.pickCache(req); to == nil {
+		return r.bypassCaches(req)
 	}
-	q.bad, q.tried, q.waiting = nil, nil, true
-	r.after(wait, timer{kind: atRetry, q: q})
+	return to, probed
 }
 
-func (r *Router) send(q *request, to, source *target, how How, trial *target) {
-	a := &attempt{q: q, no: len(q.attempts), to: to, source: source, sent: r.now, open: true, trial: trial}
-	q.attempts = append(q.attempts, a)
-	q.open++
-	to.out = append(to.out, a)
-	to.Credit -= r.sendingTime(q)
-	r.through(a, q.class.Uncached)
-	if source != nil && source != to {
-		a.fill = r.sendingTime(q)
-		source.Credit -= a.fill
-		source.fills++
-		r.link.fills++
-		if source.role == parent && how&HeldOnly == 0 && r.origin != nil {
-			a.deep = r.origin
-			a.deep.deep++
-		}
-	}
-	own := cmp.Or(r.ownTime(q), typicalSize*r.sendingTime(q))
-	aim := q.class.Target + time.Duration(q.class.AimStretch*own*float64(time.Second))
-	left, timeout := q.due-r.now, q.due-r.now
-	if trial != nil {
-		timeout = min(left/2, aim)
-		trial.trialOut, trial.TrialAt = true, r.now+trialEvery
-	}
-	if aim < left {
-		r.after(min(aim, timeout), timer{kind: atAim, a: a})
+// send makes an attempt at a server. source is where a miss is filled from: nil to name no source, the server
+// itself for no fill. probed is the server that the attempt probes, or nil.
+func (r *Router) send(req *openRequest, to, source *server, options FillOptions, probed *server) {
+	attempt := r.openAttempt(req, to, source, options, probed)
+	objective := r.latencyObjective(req)
+	timeLeft, timeout := req.deadline-r.now, req.deadline-r.now
+	if probed != nil {
+		timeout = min(timeLeft/2, objective) // leaves time for an attempt elsewhere
+		probed.probing, probed.NextProbe = true, r.now+probeInterval
+	}
+	if objective < timeLeft {
+		r.setTimer(min(objective, timeout), timer{kind: objectiveTimer, attempt: attempt})
 	}
 	if source == nil {
-		r.do(Ask{ID: q.ID, Cache: to.ID, Timeout: timeout})
+		r.emit(Lookup{ID: req.ID, Cache: to.ID, Timeout: timeout})
 		return
 	}
-	g := Get{ID: q.ID, Cache: to.ID, Source: source.ID, Timeout: timeout, How: how, Keep: 1}
-	if _, again := r.memory.get(place{q.Object, q.Part}); again {
-		g.Keep = 2 // what was a hit before outlives what is asked for once
-	}
-	if q.class.Uncached || to.role != edge { // parents know no ranks
-		g.Keep = 0
-	}
-	switch age, purged := r.age(q); {
-	case q.class.Uncached:
-	case purged:
-		g.Age = age // and no joining of a fill begun before the purge, nor an ageing copy
-	case how&HeldOnly == 0:
-		if r.set.SharesFills {
-			g.How |= Join
-		}
-		if q.class.Fresh > 0 {
-			g.How |= Renew
-		}
-	}
-	r.do(g)
-}
-
-// sendingTime is the class's mean sending time in seconds.
-func (r *Router) sendingTime(q *request) float64 { return r.meanSend[q.Class] }
-
-// ownTime is the sending time in seconds of the request's own bytes, 0 where size or pace is not told.
-func (r *Router) ownTime(q *request) float64 {
-	return q.SizeKB / cmp.Or(max(0, r.set.FlowKBPerS), math.Inf(1))
+	fetch := Fetch{ID: req.ID, Cache: to.ID, Source: source.ID, Timeout: timeout, Options: options}
+	r.setCaching(&fetch, req, to)
+	r.emit(fetch)
 }
 
-func (r *Router) outcome(o Outcome) {
-	q := r.reqs[o.ID]
-	a := q.attempt(o.Attempt)
-	if a == nil || !a.open {
-		return
-	}
-	r.close(a)
-	a.ran = !has([]Result{Full, ConnectFailed, Moot, Miss}, o.Result)
-	r.judge(a, o)
-	r.learn(a, o)
-	if o.Result == OK {
-		for _, b := range q.attempts {
-			if b.crashed && b.to != a.to {
-				r.failed(b.to)
-			}
-		}
-	}
-	if q.over = q.over || o.Closed || o.Result == OK; q.over {
-		r.end(q)
+// setCaching decides which copies may answer, and the rank of a new one: parents and the origin have no
+// ranks. After a purge no fill is joined, as it may have begun before, and no expiring copy is served.
+func (r *Router) setCaching(fetch *Fetch, req *openRequest, to *server) {
+	if req.class.Uncached {
 		return
 	}
-	later := o.Note == NoteNoPlace || o.Note == NoteSourceLacks && a.source != nil && a.source.role == parent
-	if later || o.Result == Full && (o.Note == NoteNone || o.Note == NoteSourceRefused) {
-		q.turned++
-	}
-	if q.crashes >= mostCrashed || q.turned >= mostTurned {
-		r.giveUp(q)
-		return
+	if _, hit := r.recentHits.get(objectPart{req.Object, req.Part}); to.role == roleCache && hit {
+		fetch.RetainRank = retainRepeated
+	} else if to.role == roleCache {
+		fetch.RetainRank = retainOnce
 	}
-	switch {
-	case a.source != nil && o.Note >= NoteSourceRefused && o.Note <= NoteSourceLacks:
-		q.bad = append(q.bad, a.source)
-	case a.source != nil && o.Note == NoteOriginFailed:
-		q.bad = append(q.bad, a.source, r.origin)
-	default:
-		q.tried = append(q.tried, a.to)
-		if a.to.role != edge {
-			q.bad = append(q.bad, a.to)
+	if age, purged := r.maxAge(req); purged {
+		fetch.MaxAge = age
+	} else if fetch.Options&CachedOnly == 0 {
+		if r.settings.CoalescesFills {
+			fetch.Options |= Coalesce
+		}
+		if req.class.FreshFor > 0 {
+			fetch.Options |= RefreshInBackground
 		}
 	}
-	if later {
-		r.hold(q) // the origin is jammed: the next parent would lack it, the next cache have no place
-		return
-	}
-	r.dispatch(q)
+}
+
+// latencyObjective is the time within which an answer earns the request's full priority weight. It grows with
+// the request's own transfer time.
+func (r *Router) latencyObjective(req *openRequest) time.Duration {
+	transfer := cmp.Or(r.knownTransferTime(req), typicalSizeFraction*r.classTransferTime(req))
+	stretch := req.class.ObjectiveStretch * transfer * float64(time.Second)
+	return req.class.LatencyObjective + time.Duration(stretch)
 }
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,81 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	maxRequestErrors     = 2                     // after which a request is taken to be at fault itself
+	maxRequestRejections = 2                     // after which retries would only add to the overload
+	retryPause           = 50 * time.Millisecond // before a retry, times 1 + the attempts made
+)
+
+// handleOutcome closes an attempt, learns from its outcome and decides what becomes of the request.
+func (r *Router) handleOutcome(outcome Outcome) {
+	req := r.requests[outcome.ID]
+	attempt := req.attempt(outcome.Attempt)
+	if attempt == nil || !attempt.open {
+		return
+	}
+	r.closeAttempt(attempt)
+	attempt.mayHaveRun = !slices.Contains([]Result{Overloaded, ConnectFailed, Skipped, Miss}, outcome.Result)
+	r.updateServerHealth(attempt, outcome)
+	if attempt.hasSource() {
+		r.updateSourceHealth(attempt, outcome)
+	}
+	r.updateEstimates(attempt, outcome)
+	if outcome.Result == OK {
+		r.recordEarlierErrors(req, attempt.server)
+	}
+	if req.done = req.done || outcome.Final || outcome.Result == OK; req.done {
+		r.finish(req)
+		return
+	}
+	// A parent that was asked only for its copies lacks one: the origin behind it is at its limit.
+	parentMiss := outcome.Note == NoteSourceMiss && attempt.source != nil && attempt.source.role == roleParent
+	originOverloaded := outcome.Note == NoteNoFillSlot || parentMiss
+	rejected := outcome.Note == NoteNone || outcome.Note == NoteSourceRejected
+	if originOverloaded || outcome.Result == Overloaded && rejected {
+		req.rejections++
+	}
+	if req.errors >= maxRequestErrors || req.rejections >= maxRequestRejections {
+		r.giveUp(req)
+		return
+	}
+	r.excludeFailed(req, attempt, outcome)
+	if originOverloaded {
+		r.retryLater(req) // the next parent would lack the object too, the next cache have no slot for a fill
+		return
+	}
+	r.dispatch(req)
+}
+
+// excludeFailed keeps the next attempts away from what failed: the source, the source and the origin, or the
+// attempt's server.
+func (r *Router) excludeFailed(req *openRequest, attempt *attempt, outcome Outcome) {
+	switch {
+	case attempt.source != nil && outcome.Note >= NoteSourceRejected && outcome.Note <= NoteSourceMiss:
+		req.failedSources = append(req.failedSources, attempt.source)
+	case attempt.source != nil && outcome.Note == NoteOriginFailed:
+		req.failedSources = append(req.failedSources, attempt.source, r.origin)
+	default:
+		req.triedCaches = append(req.triedCaches, attempt.server)
+		if attempt.server.role != roleCache {
+			req.failedSources = append(req.failedSources, attempt.server)
+		}
+	}
+}
+
+// retryLater lets a request wait before a retry with all caches and sources. It gives up a request that would
+// miss its class's latency objective by then, or that had no attempt yet.
+func (r *Router) retryLater(req *openRequest) {
+	wait := retryPause * time.Duration(1+len(req.attempts))
+	arrival := req.deadline - req.TimeLeft
+	if r.now+wait >= arrival+req.class.LatencyObjective || len(req.attempts) == 0 {
+		r.giveUp(req)
+		return
+	}
+	req.failedSources, req.triedCaches, req.awaitingRetry = nil, nil, true
+	r.setTimer(wait, timer{kind: retryTimer, request: req})
+}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -49,7 +49,7 @@
 			}
 			b.state[m.ID], b.members[m.ID] = m.State, m
 		}
-		if e.Kind == ListWhole || e.Kind == ListStored {
+		if e.Kind == ListFull || e.Kind == ListCached {
 			for id := range b.members {
 				if !listed[id] && b.state[id] != Gone {
 					b.state[id], b.toldAt[id] = Gone, now
@@ -58,7 +58,7 @@
 		}
 	case Request:
 		if b.reqs[e.ID] == nil {
-			b.reqs[e.ID] = &entry{q: e, due: now + e.Left}
+			b.reqs[e.ID] = &entry{q: e, due: now + e.TimeLeft}
 		}
 	case Outcome:
 		q := b.reqs[e.ID]
@@ -67,8 +67,8 @@
 		}
 		s := &q.sends[e.Attempt]
 		s.open = false
-		s.ran = e.Result != Full && e.Result != ConnectFailed && e.Result != Moot && e.Result != Miss
-		q.over = q.over || e.Closed
+		s.ran = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Skipped && e.Result != Miss
+		q.over = q.over || e.Final
 	case ClientLeft:
 		if q := b.reqs[e.ID]; q != nil {
 			q.over = true
@@ -85,7 +85,7 @@
 			return fmt.Errorf("second final answer for %s", id)
 		}
 		q.over = true
-		if c := b.set.Classes[q.q.Class]; refuse && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
+		if c := b.set.Classes[q.q.Class]; refuse && c.Idempotency != Idempotent && !(c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll) {
 			for _, s := range q.sends {
 				if s.open || s.ran {
 					return fmt.Errorf("%s refused though it may have run", id)
@@ -104,7 +104,7 @@
 				return fmt.Errorf("%s names %d (%+v), drained or unknown", id, t, m)
 			}
 		}
-		if b.set.MaxTries > 0 && len(q.sends) >= b.set.MaxTries {
+		if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
 			return fmt.Errorf("%s passes the attempt limit", id)
 		}
 		c := b.set.Classes[q.q.Class]
@@ -112,28 +112,28 @@
 			if s.open {
 				return fmt.Errorf("%s has two attempts out", id)
 			}
-			if (s.open || s.ran) && (c.Effect == Unsafe || c.Effect == Keyed && (now-s.at >= c.Window ||
-				c.Group == GroupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
-				c.Group == GroupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
+			if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
+				c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
+				c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
 				return fmt.Errorf("%s sent again though it may have run", id)
 			}
 		}
-		if p, ok := b.purged[q.q.Object]; ok && !origin && !c.Uncached && now-p[1] > b.set.PurgeNotice &&
-			now-p[0] < b.set.PurgeTakes && (age == 0 || age > now-p[0]) && now > p[0] {
+		if p, ok := b.purged[q.q.Object]; ok && !origin && !c.Uncached && now-p[1] > b.set.PurgeGrace &&
+			now-p[0] < b.set.PurgeDuration && (age == 0 || age > now-p[0]) && now > p[0] {
 			return fmt.Errorf("%s may be answered from before its purge: age %v", id, age)
 		}
 		q.sends = append(q.sends, sent{cache: cache, at: now, open: true})
 		return nil
 	}
 	switch a := a.(type) {
-	case Refuse:
+	case Reject:
 		return final(a.ID, true)
 	case Fail:
 		return final(a.ID, false)
-	case Ask:
+	case Lookup:
 		return send(a.ID, a.Cache, a.Cache, 0, b.members[a.Cache].Kind == b.set.OriginKind)
-	case Get:
-		return send(a.ID, a.Cache, a.Source, a.Age, false)
+	case Fetch:
+		return send(a.ID, a.Cache, a.Source, a.MaxAge, false)
 	}
 	return nil
 }
@@ -142,11 +142,11 @@
 func run(seed int64) ([]Action, error) {
 	rnd := rand.New(rand.NewSource(seed))
 	set := settings()
-	set.MayPassBy = rnd.Intn(2) == 0
-	set.Siblings, set.Details = Reach(rnd.Intn(3)), Detail(rnd.Intn(3))
-	set.WeightsTold, set.MaxTries = rnd.Intn(2) == 0, 1+rnd.Intn(8)
+	set.MayBypassCaches = rnd.Intn(2) == 0
+	set.SiblingFills, set.OutcomeDetail = SiblingScope(rnd.Intn(3)), OutcomeDetail(rnd.Intn(3))
+	set.WeightsKnown, set.MaxAttempts = rnd.Intn(2) == 0, 1+rnd.Intn(8)
 	set.Classes = append(set.Classes,
-		Class{Target: 200 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: Group(rnd.Intn(3)), Window: time.Second})
+		Class{LatencyObjective: 200 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupScope(rnd.Intn(3)), DedupWindow: time.Second})
 	r, err := New(set, uint64(seed))
 	if err != nil {
 		return nil, err
@@ -169,9 +169,9 @@
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, due{now + a.After, a.Token})
-			case Ask:
+			case Lookup:
 				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Cache: a.Cache})
-			case Get:
+			case Fetch:
 				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Cache: a.Cache})
 			}
 		}
@@ -196,14 +196,14 @@
 		switch k := rnd.Intn(20); {
 		case k < 8:
 			e = Request{ID: fmt.Sprint(step), Class: rnd.Intn(len(set.Classes)), Object: fmt.Sprint(rnd.Intn(20)),
-				Left: time.Duration(1+rnd.Intn(3000)) * ms, Group: rnd.Intn(4)}
+				TimeLeft: time.Duration(1+rnd.Intn(3000)) * ms, Group: rnd.Intn(4)}
 		case k < 16 && len(open) > 0:
 			i := rnd.Intn(len(open))
 			o := open[i]
 			open = append(open[:i], open[i+1:]...)
 			o.Result, o.Note = Result(rnd.Intn(10)), Note(rnd.Intn(11))
 			o.Latency = time.Duration(rnd.Intn(900)) * ms
-			o.Closed = o.Result == OK || b.reqs[o.ID].over
+			o.Final = o.Result == OK || b.reqs[o.ID].over
 			e = o
 		case k == 16:
 			m := list.Entries[rnd.Intn(len(list.Entries)-1)]
@@ -213,7 +213,7 @@
 			}
 			e = Members{Kind: ListChanges, Entries: []Member{m}}
 		case k == 17:
-			e = Members{Kind: ListWhole, Entries: list.Entries[rnd.Intn(4):]}
+			e = Members{Kind: ListFull, Entries: list.Entries[rnd.Intn(4):]}
 		case k == 18:
 			e = Purged{Object: fmt.Sprint(rnd.Intn(20)), Group: -1, Age: time.Duration(rnd.Intn(300)) * ms}
 		default:
@@ -231,8 +231,9 @@
 	return all, nil
 }
 
-// TestRulesUnderAnyInput also holds equal events to equal actions, alone and beside other routers.
-func TestRulesUnderAnyInput(t *testing.T) {
+// The rules of the protocol hold for arbitrary events, and equal events yield equal actions, alone or beside
+// other routers.
+func TestRulesHoldUnderArbitraryEvents(t *testing.T) {
 	const seeds = 60
 	alone := make([][]Action, seeds)
 	for seed := range alone {
@@ -264,25 +265,25 @@
 	})
 }
 
-// The checker itself fails on each kind of wrong action.
-func TestCheckerSees(t *testing.T) {
+// The checker detects each kind of wrong action.
+func TestCheckerDetectsViolations(t *testing.T) {
 	set := settings()
 	for name, c := range map[string]struct {
 		before []Event
 		acts   []Action
 	}{
 		"two answers":     {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
-		"sent after end":  {nil, []Action{Fail{ID: "a"}, Get{ID: "a", Cache: 1, Source: 11}}},
-		"two out":         {nil, []Action{Get{ID: "a", Cache: 1, Source: 11}, Get{ID: "a", Cache: 2, Source: 11}}},
-		"unsafe refused":  {nil, []Action{Get{ID: "u", Cache: 1, Source: 20}, Refuse{ID: "u"}}},
-		"drained cache":   {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Get{ID: "a", Cache: 1, Source: 11}}},
-		"drained source":  {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Get{ID: "a", Cache: 1, Source: 11}}},
-		"purged, any age": {[]Event{Purged{Object: "o"}}, []Action{Get{ID: "a", Cache: 1, Source: 11}}},
+		"sent after end":  {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"two out":         {nil, []Action{Fetch{ID: "a", Cache: 1, Source: 11}, Fetch{ID: "a", Cache: 2, Source: 11}}},
+		"unsafe refused":  {nil, []Action{Fetch{ID: "u", Cache: 1, Source: 20}, Reject{ID: "u"}}},
+		"drained cache":   {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"drained source":  {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"purged, any age": {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
 	} {
 		b := newBook(set)
 		b.event(0, fleet())
-		b.event(0, req("a", "o"))
-		u := req("u", "p")
+		b.event(0, newRequest("a", "o"))
+		u := newRequest("u", "p")
 		u.Class = 1
 		b.event(0, u)
 		for _, e := range c.before {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// A fleet whose links hold hundreds of transfers was turned away at the limits of one that holds ten.
-func TestLimitsScaleWithLinks(t *testing.T) {
+// Limits grow with the capacity of the caches' links.
+func TestLimitsScaleWithLinkCapacity(t *testing.T) {
 	for _, c := range []struct {
 		weight float64
 		most   int // requests refused of 100 that come at once
 		least  int
 	}{{weight: 10, least: 50, most: 100}, {weight: 200, most: 0}} {
 		r, err := New(Settings{
-			Routers: 1, ParentKind: 1, OriginKind: 2, Details: DetailAll, MaxTries: 4, WeightsTold: true,
-			Classes: []Class{{Target: 300 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}},
+			Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: DetailAll, MaxAttempts: 4, WeightsKnown: true,
+			Classes: []Class{{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
 		}, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(1, Members{Kind: ListWhole, Entries: []Member{
+		r.Handle(1, Members{Kind: ListFull, Entries: []Member{
 			{ID: 1, Weight: c.weight}, {ID: 11, Kind: 1, Weight: 4 * c.weight}, {ID: 20, Kind: 2, Weight: 1},
 		}}, nil)
 		refused := 0
 		for i := range 100 {
-			e := Request{ID: fmt.Sprint(i), Object: fmt.Sprint(i), Left: time.Second, Group: -1}
+			e := Request{ID: fmt.Sprint(i), Object: fmt.Sprint(i), TimeLeft: time.Second, Group: -1}
 			for _, a := range r.Handle(2, e, nil) {
-				if _, ok := a.(Refuse); ok {
+				if _, ok := a.(Reject); ok {
 					refused++
 				}
 			}
@@ -38,9 +38,9 @@
 	}
 }
 
-// Six caches in ten are replaced in one change, by routers that have just started too: nothing more is sent to those that
-// are gone, what is open there ends, and the new ones, all cold, get no more than their budget from one router or seven.
-func TestMostReplacedAtOnce(t *testing.T) {
+// Six caches in ten are replaced in one change while the routers start: those that are gone get nothing more,
+// what is open there ends, and the new ones get no more than their warm-up budget from one router or seven.
+func TestMostCachesReplacedAtOnce(t *testing.T) {
 	const took, step = 300 * ms, 100 * ms
 	for _, routers := range []int{1, 7} {
 		set := settings()
@@ -58,9 +58,9 @@
 		for i := range routers {
 			s := start(t, set, m)
 			s.r.rng = mix(uint64(i))
-			open := s.get(s.on(req("open", "o")))
+			open := s.get(s.on(newRequest("open", "o")))
 			s.on(news)
-			if s.answer("open", open, NoteHit, took); len(s.r.reqs) > 0 {
+			if s.answer("open", open, NoteHit, took); len(s.r.requests) > 0 {
 				t.Fatal("what was open when the list came has not ended")
 			}
 			all = append(all, s)
@@ -71,7 +71,7 @@
 				s.now = time.Minute + time.Duration(n)*step
 				for k := range 60 / routers {
 					id := fmt.Sprint(n, i, k)
-					g, ok := find[Get](s.on(req(id, id)))
+					g, ok := find[Fetch](s.on(newRequest(id, id)))
 					if !ok {
 						continue
 					} else if g.Cache <= 6 {
@@ -100,9 +100,9 @@
 	}
 }
 
-// No parent is up, and all routers are asked for a hundred objects at once: what they send to the origin keeps to their
-// limits, from one router to eighty, and others are still looked for in the cache.
-func TestNoParentUp(t *testing.T) {
+// With no parent up, fills from the origin keep to the routers' limits, from one router to eighty, and other
+// requests are still looked up in the caches.
+func TestOriginLimitHoldsWithNoParentUp(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		set := settings()
 		set.Routers, set.ZoneRouters = routers, []int{0, 0, min(7, routers)}
@@ -113,7 +113,7 @@
 			s := start(t, set, m)
 			for i := range 100 {
 				id := fmt.Sprint(i)
-				if g, ok := find[Get](s.on(req(id, id))); ok && g.Source == 20 {
+				if g, ok := find[Fetch](s.on(newRequest(id, id))); ok && g.Source == 20 {
 					out++
 				} else if ok && g.Source == g.Cache {
 					held++
@@ -126,9 +126,9 @@
 	}
 }
 
-// A cache that refuses connections is tried by each router once in a trial interval and no more often, whether one router
-// stands alone or eighty do, and whether a router sees a request in two seconds or forty in one.
-func TestTrialsAtBothEnds(t *testing.T) {
+// A cache that refuses connections is probed by each router once per probe interval, from one router to
+// eighty, whether a router has a request every two seconds or forty a second.
+func TestDownCacheIsProbedOncePerInterval(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		for _, every := range []time.Duration{25 * ms, 2 * time.Second} {
 			set := settings()
@@ -138,7 +138,7 @@
 				s := start(t, set, fleet())
 				for n := 0; s.now < time.Minute+30*time.Second; n++ {
 					id := fmt.Sprint(n)
-					g, ok := find[Get](s.on(req(id, id)))
+					g, ok := find[Fetch](s.on(newRequest(id, id)))
 					if ok && g.Cache == 1 {
 						tried++
 						s.on(Outcome{ID: id, Cache: 1, Result: ConnectFailed})
@@ -155,8 +155,8 @@
 	}
 }
 
-// BenchmarkOneOfTenThousand is a change of one member of a large fleet: it holds up every request meanwhile.
-func BenchmarkOneOfTenThousand(b *testing.B) {
+// BenchmarkMemberChange applies a change of one member of a fleet of ten thousand.
+func BenchmarkMemberChange(b *testing.B) {
 	r, err := New(Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []Class{{Deadline: time.Second}}}, 7)
 	if err != nil {
 		b.Fatal(err)
@@ -165,7 +165,7 @@
 	for id := range 10_000 {
 		list = append(list, Member{ID: CacheID(id), Zone: id % 20, Weight: 4})
 	}
-	r.Handle(1, Members{Kind: ListWhole, Entries: list}, nil)
+	r.Handle(1, Members{Kind: ListFull, Entries: list}, nil)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		m := list[i*37%len(list)]
--- /dev/null
+++ b/policy/slow_start.go
@@ -0,0 +1,96 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	rampInitialFraction = 0.1              // of its objects that a server gets at the start of its ramp
+	rampWarmUpFraction  = 0.6              // length of the ramp, as a fraction of the warm-up's duration
+	rampDefaultDuration = 10 * time.Second // length of the ramp where the settings give no warm-up
+	warmUpBudgetSafety  = 0.6              // of a budget that is used; the rest is for inexact weights
+	warmUpBudgetBurst   = 0.5              // of one window's budget that may be saved up
+	servedRateSpan      = 15 * time.Second // over which the work that a role serves is averaged
+)
+
+// inRampedFraction reports whether an object belongs to the fraction that a server gets by now. The fraction
+// rises linearly to 1; an object that is in it stays in it.
+func (r *Router) inRampedFraction(server *server, objectHash uint64) bool {
+	if !server.Ramping {
+		return true
+	}
+	warmUp := float64(r.warmUp(server).Duration)
+	length := cmp.Or(time.Duration(rampWarmUpFraction*warmUp), rampDefaultDuration)
+	fraction := rampInitialFraction + (1-rampInitialFraction)*float64(r.now-server.RampStart)/float64(length)
+	if fraction >= 1 {
+		server.Ramping = false
+		return true
+	}
+	return uniform(mix(mix(objectHash)+uint64(server.ID))) < fraction
+}
+
+// withinWarmUpBudget reports whether a warming server can take another attempt. All routers together are
+// bound to its capacity; this one keeps to its part, a credit in seconds of transfer time that accrues with
+// time and that one attempt may overdraw. Where a part is far below one attempt the routers take turns: each
+// starts in debt by chance, and an unused turn expires.
+func (r *Router) withinWarmUpBudget(server *server) bool {
+	if !server.WarmingUp || server.role == roleOrigin {
+		return true
+	}
+	warmUp, elapsed := r.warmUp(server), r.now-server.WarmUpStart
+	bounded := warmUp.OverloadMultiple > 0 && warmUp.OverloadWindow > 0 && warmUp.Duration > 0
+	if !bounded || elapsed > warmUp.Duration+warmUp.OverloadWindow {
+		server.WarmingUp = false
+		return true
+	}
+	rate := r.warmUpRate(server, warmUp, elapsed)
+	maxCredit := rate * warmUp.OverloadWindow.Seconds() * warmUpBudgetBurst
+	server.Credit += rate * (r.now - server.CreditUpdated).Seconds()
+	server.CreditUpdated = r.now
+	if turn := slices.Max(r.transferTime); maxCredit < turn && server.Credit > maxCredit {
+		server.Credit -= turn * math.Ceil((server.Credit-maxCredit)/turn)
+	}
+	server.Credit = min(server.Credit, maxCredit)
+	return server.Credit >= 0
+}
+
+// warmUpRate is the work that this router may give to a warming server, in seconds of transfer time per
+// second; for all routers together it is at least one attempt of the longest class a window.
+func (r *Router) warmUpRate(server *server, warmUp WarmUp, elapsed time.Duration) float64 {
+	warmth := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
+	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, warmth)
+	lowest := slices.Max(r.transferTime) / float64(r.routersSharing(server)) / warmUp.OverloadWindow.Seconds()
+	return max(warmUpBudgetSafety*warmUp.OverloadMultiple*capacity*r.linkPortion(server), lowest)
+}
+
+// startWarmUp begins the warm-up of a server that has started, or may have restarted, at the given time.
+func (r *Router) startWarmUp(server *server, from Time) {
+	debt := r.random() * slices.Max(r.transferTime)
+	server.WarmUpStart, server.WarmingUp = from, true
+	server.Credit, server.CreditUpdated = -debt, r.now
+}
+
+// linkPortion is this router's part of a server's link, in transfers: from the weight of the server where
+// weights are known, otherwise the most work that servers of its role have done for this router.
+func (r *Router) linkPortion(server *server) float64 {
+	if r.settings.WeightsKnown && server.Weight > 0 {
+		return server.Weight / float64(r.routersSharing(server))
+	}
+	return r.peakLoad[server.role]
+}
+
+// recordServed adds an answer, with its transfer time in seconds, to the work that servers of a role do.
+// Attempts are not counted: an overload would pass for a large link.
+func (r *Router) recordServed(server *server, cost float64) {
+	peers := r.caches
+	if server.role == roleParent {
+		peers = r.parents
+	}
+	served := &r.servedRate[server.role]
+	served.add(r.now, servedRateSpan, cost)
+	perServer := served.perSecond(r.now, servedRateSpan) / float64(max(1, len(peers)))
+	r.peakLoad[server.role] = max(r.peakLoad[server.role], perServer)
+}
--- /dev/null
+++ b/policy/source_chain.go
@@ -0,0 +1,62 @@
+package policy
+
+import "slices"
+
+// chooseSource returns the source that a miss at the given server is filled from, nil if there is none, the
+// options of the fill, and the parent that it probes, if any. Uncached requests, and requests that a parent
+// serves directly (to is nil, or a parent), have the origin as their only source.
+func (r *Router) chooseSource(req *openRequest, to *server) (*server, FillOptions, *server) {
+	if req.class.Uncached || to != nil && to.role == roleParent {
+		if r.origin.usable() && !slices.Contains(req.failedSources, r.origin) {
+			return r.origin, 0, nil
+		}
+		return nil, 0, nil
+	}
+	if hit := r.recentHitServer(req, to); hit != nil {
+		if hit.role == roleParent {
+			return hit, 0, nil
+		}
+		return hit, CachedOnly, nil
+	}
+	originOverLimit := r.origin != nil && r.overLimit(req, r.origin, r.occupied(r.origin))
+	options := FillOptions(0)
+	if originOverLimit {
+		options = CachedOnly // a fill that needs the origin would time out there
+	}
+	for _, parent := range rendezvousOrder(r.parents, req.objectHash, r.settings.WeightsKnown) {
+		excluded := parent.State != Ready || slices.Contains(req.failedSources, parent)
+		if excluded || r.overLimit(req, parent, r.occupied(parent)) || !r.withinWarmUpBudget(parent) {
+			continue
+		}
+		if parent.Down && r.probeDue(parent, req) {
+			return parent, 0, parent
+		}
+		if !parent.Down && r.inRampedFraction(parent, req.objectHash) {
+			return parent, options, nil
+		}
+	}
+	if r.origin.usable() && !slices.Contains(req.failedSources, r.origin) && !originOverLimit {
+		return r.origin, 0, nil
+	}
+	return nil, 0, nil
+}
+
+// recentHitServer returns the cache or parent that recently had the object, if it may be named as the source
+// of a fill at the given server; nil otherwise.
+func (r *Router) recentHitServer(req *openRequest, to *server) *server {
+	hit, _ := r.recentHits.get(objectPart{req.Object, req.Part})
+	source := hit.server
+	if to == nil || source == nil || source == to || slices.Contains(req.failedSources, source) {
+		return nil
+	}
+	outdated := r.now-hit.at > recentHitMaxAge || source.WarmingUp && hit.at < source.WarmUpStart
+	if outdated || !source.usable() || source.Down || r.now < source.overloadedUntil {
+		return nil
+	}
+	inScope := r.settings.SiblingFills != SiblingsNone && source.role == roleCache ||
+		r.settings.SiblingFills == SiblingsAny
+	if source.role != roleParent && !inScope || !r.withinWarmUpBudget(source) {
+		return nil
+	}
+	return source
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -4,280 +4,279 @@
 	"cmp"
 	"math"
 	"slices"
-	"time"
 )
 
-// What a Router holds, and the bookkeeping that decides nothing.
-
-type role int
+// serverRole is what a server is to this router.
+type serverRole int
 
 const (
-	edge role = iota
-	parent
-	origin
-	foreign // a cache of another location
+	roleCache serverRole = iota // of this router's zone
+	roleParent
+	roleOrigin
+	roleForeign // a cache of another zone
 )
 
-// target is a cache, a parent or the origin: one judgement for all.
-type target struct {
+// server is a cache, a parent or the origin. The zone's link is one too, for its limit and rates.
+type server struct {
 	Member
-	Judged
-	role   role
-	listed bool
-	hashed uint64  // of its id
-	score  float64 // in the order asked for last
+	ServerStats
+	role      serverRole
+	listed    bool
+	idHash    uint64
+	hashScore float64 // of the last rendezvousOrder
 
-	trialOut  bool
-	fullUntil Time
-	noFills   Time // until then it is asked only for what it holds
-	fills     int  // open attempts that name it as their source
-	deep      int  // open fills at parents that may ask it, the origin
-	through   int  // open attempts that only pass through it
+	probing         bool // a probe is in flight
+	overloadedUntil Time // it gets no request until then
+	noFillsUntil    Time // it gets no request that may need a fill until then
+	openFills       int  // open attempts that name it as their source
+	originFills     int  // of the origin: open fills at parents that may reach it
+	passThrough     int  // open attempts that occupy no slot here
 
-	out []*attempt // attempts sent here, oldest first
+	inFlight []*attempt // attempts sent here, oldest first
 }
 
+// usable reports whether a server may be named in an action: it is listed and not draining.
+func (s *server) usable() bool { return s != nil && s.listed && s.State == Ready }
+
+func newServer(id CacheID) *server {
+	return &server{ServerStats: ServerStats{Limit: sourceLimitStart}, idHash: mix(uint64(id))}
+}
+
+// attempt is one attempt of a request.
 type attempt struct {
-	q       *request
-	no      int
-	to      *target
-	source  *target // nil: none beyond to itself
-	sent    Time
-	open    bool
-	ran     bool // may have run
-	fill    float64
-	trial   *target // whose trial this is
-	late    bool    // its aim has passed
-	through bool    // takes no place where it was sent
-	crashed bool    // it met an error, its own or the request's
-	deep    *target // the origin, where its parent may ask it
+	request     *openRequest
+	index       int
+	server      *server
+	source      *server // nil: none is named; server itself: no fill
+	sentAt      Time
+	open        bool // it has no outcome yet
+	mayHaveRun  bool
+	fillCost    float64 // charged to the source's warm-up budget, in seconds of transfer time
+	probed      *server // the server that it probes; nil: none
+	late        bool    // its latency objective has passed
+	passThrough bool    // it occupies no slot at its server
+	failed      bool    // it ended in an error: the server's fault, or the request's
+	origin      *server // the origin, if its fill at a parent may reach it
 }
 
-type request struct {
+// hasSource reports whether the attempt names another server as its source.
+func (a *attempt) hasSource() bool { return a.source != nil && a.source != a.server }
+
+// openRequest is a request that has no final answer yet, or whose attempts have no outcome yet.
+type openRequest struct {
 	Request
-	class    *Class
-	home     uint64 // hash of the object: its order of parents
-	spot     uint64 // hash of what a cache keeps, the object or the part: its order of caches
-	due      Time
-	attempts []*attempt
-	open     int
-	over     bool
-	stream   bool
-	waiting  bool
-	luck     float64   // drawn once, to keep limits by chance
-	crashes  int       // attempts that met an error
-	turned   int       // times it was turned away as full
-	tried    []*target // caches that failed this request
-	bad      []*target // sources that failed this request
+	class         *Class
+	objectHash    uint64 // determines the order of parents
+	cacheHash     uint64 // of the object or part that a cache retains; determines the order of caches
+	deadline      Time
+	attempts      []*attempt
+	openAttempts  int
+	done          bool
+	streaming     bool
+	awaitingRetry bool
+	draw          float64   // random, between 0 and 1; see overLimit
+	errors        int       // attempts that ended in an error
+	rejections    int       // attempts that ended in an overload
+	triedCaches   []*server // caches that failed this request
+	failedSources []*server // sources that failed this request
 }
 
-type timerKind int
-
-const (
-	atDeadline timerKind = iota
-	atAim
-	atRetry
-	atWatch
-	atForget
-)
+func (req *openRequest) attempt(index int) *attempt {
+	if req == nil || index < 0 || index >= len(req.attempts) {
+		return nil
+	}
+	return req.attempts[index]
+}
 
-type timer struct {
-	kind timerKind
-	q    *request
-	a    *attempt
+// firstPossibleRun is the earliest attempt that may have been executed; nil if none can have been.
+func (req *openRequest) firstPossibleRun() *attempt {
+	for _, attempt := range req.attempts {
+		if attempt.open || attempt.mayHaveRun {
+			return attempt
+		}
+	}
+	return nil
 }
 
-type place struct {
+// objectPart is the key of a recent hit.
+type objectPart struct {
 	object string
 	part   int
 }
 
-type holder struct {
-	t  *target
-	at Time
+type recentHit struct {
+	server *server
+	at     Time
 }
 
-// Router decides for one router instance.
+// Router decides for one router instance. See New.
 type Router struct {
-	set    Settings
-	rng    uint64
-	now    Time
-	out    []Action
-	reqs   map[string]*request
-	timers map[uint64]timer
-	token  uint64
+	settings  Settings
+	rng       uint64 // state of the random sequence
+	now       Time
+	actions   []Action // of the event that is being handled
+	requests  map[string]*openRequest
+	timers    map[uint64]timer
+	lastToken uint64
 
-	known   map[CacheID]*target
-	order   []*target // all known, by id
-	caches  []*target // this location's, listed, by id
-	parents []*target // all listed, by id
-	origin  *target
-	link    *target // the location's link in, which all its fills share
-	watched bool
-	scale   float64 // how many places one of a limit stands for
+	servers    map[CacheID]*server
+	ordered    []*server // all servers, by id
+	caches     []*server // listed ones of this zone, by id
+	parents    []*server // listed ones, by id
+	origin     *server
+	link       *server // the zone's link in, which all its fills share
+	watching   bool
+	limitScale float64 // attempts per slot of a limit
 
-	memory       *bounded[place, holder]
-	objectPurged *bounded[string, Time]
-	groupPurged  *bounded[int, Time]
-	unheard      bool // discovery is overdue:
-	unheardUntil Time // what was purged until then may bind
+	recentHits        *boundedMap[objectPart, recentHit]
+	objectPurges      *boundedMap[string, Time]
+	groupPurges       *boundedMap[int, Time]
+	discoveryOverdue  bool
+	unseenPurgesUntil Time // while discoveryOverdue: purges made until then may be unknown
 
-	meanSend    []float64 // seconds, by class: the least that answers took on average
-	meanTook    []float64 // seconds, by class: what they took lately
-	learned     []Time    // when, by class
-	fillShare   share     // of answers that took a fill
-	originShare share     // and of those that the origin had to give
-	load        [foreign + 1]rate
-	linkSeen    [foreign + 1]float64 // the most that one of a role served this router, transfers
+	transferTime        []float64 // by class, in seconds, without the effects of overload
+	recentTransferTime  []float64 // by class, in seconds
+	transferTimeUpdated []Time    // by class
+	fillRate            average   // fraction of answers that needed a fill
+	originRate          average   // fraction of answers that needed the origin
+	servedRate          [roleForeign + 1]decayingRate
+	peakLoad            [roleForeign + 1]float64 // most that a server of the role did for this router, in transfers
 }
 
-// Inherit starts from what was learned by the router before, of those that were not started since.
-func (r *Router) Inherit(l Learned) {
-	for id, j := range l.Targets {
-		if t := r.known[id]; t != nil && t.Started <= j.Cold {
-			t.Judged = j
-		}
-	}
-	r.link.Judged, r.meanSend, r.meanTook = l.Link, l.MeanSend, l.MeanTook
-	r.fillShare, r.originShare, r.linkSeen = l.FillShare, l.OriginShare, l.LinkSeen
-}
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// Shifted is what was learned with all its times moved by so much, as on another clock.
-func (l Learned) Shifted(by time.Duration) Learned {
-	targets := make(map[CacheID]Judged, len(l.Targets))
-	for id, j := range l.Targets {
-		targets[id] = j.shifted(by)
-	}
-	l.Targets, l.Link = targets, l.Link.shifted(by)
-	return l
+// random returns the next number of the router's random sequence, between 0 and 1.
+func (r *Router) random() float64 {
+	r.rng = mix(r.rng)
+	return uniform(r.rng)
 }
 
-func (j Judged) shifted(by time.Duration) Judged {
-	for _, t := range []*Time{&j.FailedAt, &j.LastAnswer, &j.TrialAt, &j.Heard, &j.Ramped, &j.Cold, &j.CreditAt} {
-		if *t > 0 {
-			*t = max(0, *t+by)
-		}
-	}
-	return j
-}
-
-func (r *Router) do(a Action) { r.out = append(r.out, a) }
-
-func (r *Router) after(d time.Duration, t timer) {
-	r.token++
-	r.timers[r.token] = t
-	r.do(SetTimer{Token: r.token, After: max(0, d)})
-}
-
-// end marks a request over; it is forgotten once its last attempt has its outcome.
-func (r *Router) end(q *request) {
-	if q == nil {
+// finish marks a request as answered; it is forgotten once its last attempt has an outcome.
+func (r *Router) finish(req *openRequest) {
+	if req == nil {
 		return
 	}
-	q.over = true
-	if q.open == 0 {
-		delete(r.reqs, q.ID)
+	req.done = true
+	if req.openAttempts == 0 {
+		delete(r.requests, req.ID)
 	}
 }
 
-func (q *request) attempt(no int) *attempt {
-	if q == nil || no < 0 || no >= len(q.attempts) {
-		return nil
+// markPassThrough counts an open attempt as one that occupies no slot at its server, if it is one.
+func (r *Router) markPassThrough(attempt *attempt, passThrough bool) {
+	if passThrough && !attempt.passThrough && attempt.open {
+		attempt.passThrough = true
+		attempt.server.passThrough++
 	}
-	return q.attempts[no]
 }
 
-// through books an open attempt as one that takes no place where it was sent.
-func (r *Router) through(a *attempt, so bool) {
-	if so && !a.through && a.open {
-		a.through = true
-		a.to.through++
+// openAttempt records a new attempt, and the fill that it may cause, as in flight, and charges the warm-up
+// budgets of its server and source with the transfer time of its class.
+func (r *Router) openAttempt(
+	req *openRequest, to, source *server, options FillOptions, probed *server,
+) *attempt {
+	a := &attempt{
+		request: req, index: len(req.attempts), server: to, source: source, sentAt: r.now, open: true, probed: probed,
+	}
+	req.attempts = append(req.attempts, a)
+	req.openAttempts++
+	to.inFlight = append(to.inFlight, a)
+	to.Credit -= r.classTransferTime(req)
+	r.markPassThrough(a, req.class.Uncached)
+	if !a.hasSource() {
+		return a
 	}
+	a.fillCost = r.classTransferTime(req)
+	source.Credit -= a.fillCost
+	source.openFills++
+	r.link.openFills++
+	if source.role == roleParent && options&CachedOnly == 0 && r.origin != nil {
+		a.origin = r.origin
+		a.origin.originFills++
+	}
+	return a
 }
 
-// close takes an attempt off the books.
-func (r *Router) close(a *attempt) {
-	if !a.open {
+// closeAttempt removes an attempt from all counts of what is in flight.
+func (r *Router) closeAttempt(attempt *attempt) {
+	if !attempt.open {
 		return
 	}
-	a.open = false
-	a.q.open--
-	if a.through {
-		a.to.through--
+	attempt.open = false
+	attempt.request.openAttempts--
+	if attempt.passThrough {
+		attempt.server.passThrough--
 	}
-	if a.source != nil && a.source != a.to {
-		a.source.fills--
-		r.link.fills--
-		if a.deep != nil {
-			a.deep.deep--
+	if attempt.hasSource() {
+		attempt.source.openFills--
+		r.link.openFills--
+		if attempt.origin != nil {
+			attempt.origin.originFills--
 		}
 	}
-	a.to.out = without(a.to.out, a)
+	attempt.server.inFlight = removeFirst(attempt.server.inFlight, attempt)
 }
 
-// relist sorts what is listed by role and id, so that nothing depends on the order of a map. All but
-// newcomers are in order already: to sort a large fleet for each change would hold up the requests.
-func (r *Router) relist() {
-	slices.SortFunc(r.order, func(a, b *target) int { return cmp.Compare(a.ID, b.ID) })
-	r.caches, r.parents, r.origin = make([]*target, 0, len(r.caches)+1), nil, nil
-	r.order = slices.DeleteFunc(r.order, func(t *target) bool {
+// rebuildLists sorts the listed servers by role and id, so that no decision depends on the order of a map,
+// and forgets servers that are neither listed nor in use. All but new servers are in order already, which
+// keeps the sort of a large fleet short.
+func (r *Router) rebuildLists() {
+	slices.SortFunc(r.ordered, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	r.caches, r.parents, r.origin = make([]*server, 0, len(r.caches)+1), nil, nil
+	r.ordered = slices.DeleteFunc(r.ordered, func(server *server) bool {
 		switch {
-		case !t.listed && len(t.out) == 0 && t.fills+t.deep == 0:
-			delete(r.known, t.ID) // or a fleet that replaces its machines would fill the memory
+		case !server.listed && len(server.inFlight) == 0 && server.openFills+server.originFills == 0:
+			delete(r.servers, server.ID)
 			return true
-		case !t.listed:
-		case t.role == edge:
-			r.caches = append(r.caches, t)
-		case t.role == parent:
-			r.parents = append(r.parents, t)
-		case t.role == origin && r.origin == nil:
-			r.origin = t
+		case !server.listed:
+		case server.role == roleCache:
+			r.caches = append(r.caches, server)
+		case server.role == roleParent:
+			r.parents = append(r.parents, server)
+		case server.role == roleOrigin && r.origin == nil:
+			r.origin = server
 		}
 		return false
 	})
 }
 
-// timer hands a due timer to what it was set for.
-func (r *Router) timer(token uint64) {
-	t, ok := r.timers[token]
-	if !ok {
-		return
+// classTransferTime is the estimated transfer time of an answer of the request's class, in seconds.
+func (r *Router) classTransferTime(req *openRequest) float64 { return r.transferTime[req.Class] }
+
+// knownTransferTime is the transfer time of the request's own bytes in seconds; 0 if its size or the pace of
+// a transfer is unknown.
+func (r *Router) knownTransferTime(req *openRequest) float64 {
+	return req.SizeKB / cmp.Or(max(0, r.settings.TransferKBPerS), math.Inf(1))
+}
+
+// warmUp is what the settings say about the warm-up of servers of this role.
+func (r *Router) warmUp(server *server) WarmUp {
+	if server.role == roleParent {
+		return r.settings.ParentWarmUp
 	}
-	delete(r.timers, token)
-	switch t.kind {
-	case atDeadline:
-		if !t.q.over && !t.q.stream {
-			r.giveUp(t.q)
-		}
-		if t.q.open > 0 && !t.q.stream {
-			r.after(forgetAfter, timer{kind: atForget, q: t.q})
-		}
-	case atForget:
-		for _, a := range t.q.attempts {
-			r.close(a)
-		}
-		delete(r.reqs, t.q.ID)
-	case atAim:
-		if t.a.open {
-			r.overdue(t.a)
-		}
-	case atRetry:
-		t.q.waiting = false
-		r.dispatch(t.q)
-	case atWatch:
-		r.do(Watch{On: true})
+	return r.settings.CacheWarmUp
+}
+
+// routersSharing is the number of routers that send to a server: for a cache those of its zone, if that
+// number is known, otherwise all.
+func (r *Router) routersSharing(server *server) int {
+	zone, counts := server.Zone, r.settings.ZoneRouters
+	if server.role == roleCache && zone >= 0 && zone < len(counts) && counts[zone] > 0 {
+		return counts[zone]
 	}
+	return r.settings.Routers
 }
 
-// rendezvous sorts targets by their score for a key, highest first, by weight if asked.
-func rendezvous(ts []*target, key uint64, weighted bool) []*target {
-	out := append(make([]*target, 0, len(ts)), ts...)
-	for _, t := range out {
+// rendezvousOrder sorts servers by their rendezvous score for a key, the highest first. With weights a server
+// gets a fraction of all keys in proportion to its weight.
+func rendezvousOrder(servers []*server, key uint64, weighted bool) []*server {
+	order := append(make([]*server, 0, len(servers)), servers...)
+	for _, server := range order {
 		// Without weights the hash itself sorts as its logarithm would.
-		if t.score = unit(mix(key ^ t.hashed)); weighted {
-			t.score = -cmp.Or(max(0, t.Weight), 1) / math.Log(t.score)
+		if server.hashScore = uniform(mix(key ^ server.idHash)); weighted {
+			server.hashScore = -cmp.Or(max(0, server.Weight), 1) / math.Log(server.hashScore)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *target) int { return cmp.Compare(b.score, a.score) })
-	return out
+	slices.SortStableFunc(order, func(a, b *server) int { return cmp.Compare(b.hashScore, a.hashScore) })
+	return order
 }
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -52,20 +52,20 @@
 const usualPurge = 6 * time.Second
 
 var (
-	effects = map[string]policy.Effect{
-		"idempotent": policy.Safe, "deduplicated": policy.Keyed, "at_most_once": policy.Unsafe,
+	effects = map[string]policy.Idempotency{
+		"idempotent": policy.Idempotent, "deduplicated": policy.IdempotentByKey, "at_most_once": policy.NotIdempotent,
 	}
-	groups  = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
-	reaches = map[string]policy.Reach{
-		"silent": policy.ReachNone, "location": policy.ReachLocation, "any": policy.ReachAny,
+	groups  = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}
+	reaches = map[string]policy.SiblingScope{
+		"silent": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny,
 	}
-	details = map[string]policy.Detail{
+	details = map[string]policy.OutcomeDetail{
 		"silent": policy.DetailNone, "hit": policy.DetailHit, "all": policy.DetailAll,
 	}
 )
 
 // noEffect is what an effect of unknown name becomes; policy.New says so.
-const noEffect = policy.Effect(-1)
+const noEffect = policy.Idempotency(-1)
 
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
@@ -91,26 +91,26 @@
 		Rank: whole(e.Rank), Routers: whole(e.NInstances), Zone: whole(e.Zone),
 		ZoneRouters: wholes(f.ZoneBalancers), HomeHub: wholes(f.HomeHub),
 		LinkKBPerS: f.ZoneLinkKbPerS, ParentKind: kind(f.SecondTierKind), OriginKind: kind(f.RootKind),
-		MayPassBy: f.MayPassBy, Siblings: reaches[f.PeersFill], SharesFills: f.SharesFills,
-		Details: details[f.NoteLevel], FlowKBPerS: f.FlowKbPerS,
-		PurgeTakes: span(f.PurgeTakesUs), PurgeNotice: span(f.NoticeTimeUs),
-		OriginMultiple: f.OriginFallMultiple, OriginBears: span(f.OriginBearsUs),
-		AskDiscovery: e.Discovery == "ask", AskWithin: span(e.Rules.AskWithinUs), DrainGrace: span(e.Rules.DrainGraceUs),
-		CacheFall: policy.Fall{
-			ColdFrom: e.Rules.ColdFrom, WarmWithin: span(e.Rules.WarmWithinUs),
-			Multiple: e.Rules.FallMultiple, Within: span(e.Rules.FallUs),
+		MayBypassCaches: f.MayPassBy, SiblingFills: reaches[f.PeersFill], CoalescesFills: f.SharesFills,
+		OutcomeDetail: details[f.NoteLevel], TransferKBPerS: f.FlowKbPerS,
+		PurgeDuration: span(f.PurgeTakesUs), PurgeGrace: span(f.NoticeTimeUs),
+		OriginOverloadMultiple: f.OriginFallMultiple, OriginOverloadWindow: span(f.OriginBearsUs),
+		WatchDiscovery: e.Discovery == "ask", PollInterval: span(e.Rules.AskWithinUs), DrainGrace: span(e.Rules.DrainGraceUs),
+		CacheWarmUp: policy.WarmUp{
+			InitialCapacity: e.Rules.ColdFrom, Duration: span(e.Rules.WarmWithinUs),
+			OverloadMultiple: e.Rules.FallMultiple, OverloadWindow: span(e.Rules.FallUs),
 		},
-		ParentFall: policy.Fall{
-			ColdFrom: f.ParentColdFrom, WarmWithin: span(f.ParentWarmsInUs),
-			Multiple: f.ParentBreaksAt, Within: span(e.Rules.FallUs),
+		ParentWarmUp: policy.WarmUp{
+			InitialCapacity: f.ParentColdFrom, Duration: span(f.ParentWarmsInUs),
+			OverloadMultiple: f.ParentBreaksAt, OverloadWindow: span(e.Rules.FallUs),
 		},
-		AnswerSlack: span(e.Rules.AnswerSlackUs),
-		WeightsTold: e.Weights == "nominal" || e.Weights == "rough",
-		MaxTries:    whole(e.Bounds.MostTries), Cancel: e.Bounds.Cancel, RetryAfter: e.Bounds.RetryAfter,
-		MaxRetryAfter: span(e.Bounds.MaxRetryAfterUs), ConnectWithin: span(e.Bounds.ConnectTimeoutUs), Tick: span(e.TickUs),
+		FinalAnswerGrace: span(e.Rules.AnswerSlackUs),
+		WeightsKnown:     e.Weights == "nominal" || e.Weights == "rough",
+		MaxAttempts:      whole(e.Bounds.MostTries), CanCancel: e.Bounds.Cancel, SendsRetryAfter: e.Bounds.RetryAfter,
+		MaxRetryAfter: span(e.Bounds.MaxRetryAfterUs), ConnectTimeout: span(e.Bounds.ConnectTimeoutUs), MinBatchInterval: span(e.TickUs),
 	}
-	if s.PurgeTakes <= 0 {
-		s.PurgeTakes = usualPurge
+	if s.PurgeDuration <= 0 {
+		s.PurgeDuration = usualPurge
 	}
 	for i, g := range e.Grades {
 		effect, ok := effects[g.Effect]
@@ -118,7 +118,7 @@
 			effect = noEffect
 		}
 		group, ok := groups[g.Group]
-		if !ok && g.Group != "" && effect == policy.Keyed {
+		if !ok && g.Group != "" && effect == policy.IdempotentByKey {
 			// Guards against a group of unknown name that would be taken for the widest, over which repeats are sent anywhere.
 			return policy.Settings{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q", i, g.Group)
 		}
@@ -126,10 +126,10 @@
 			g.TargetUs = g.DeadlineUs // without an aim no answer is late before the deadline
 		}
 		s.Classes = append(s.Classes, policy.Class{
-			Target: span(g.TargetUs), AimStretch: g.AimStretch, Deadline: span(g.DeadlineUs), Worth: g.Worth,
-			LateValue: g.LateValue, Effect: effect, Group: group, Window: span(g.WindowUs), Stream: g.Stream,
-			Uncached: at(f.Uncached, i), InParts: at(f.InParts, i), Fresh: span(at(f.ClassFreshUs, i)),
-			StaleFor: span(at(f.StaleForUs, i)), StaleWorth: at(f.ClassStaleWorth, i),
+			LatencyObjective: span(g.TargetUs), ObjectiveStretch: g.AimStretch, Deadline: span(g.DeadlineUs), PriorityWeight: g.Worth,
+			LateFraction: g.LateValue, Idempotency: effect, DedupScope: group, DedupWindow: span(g.WindowUs), Streamed: g.Stream,
+			Uncached: at(f.Uncached, i), Multipart: at(f.InParts, i), FreshFor: span(at(f.ClassFreshUs, i)),
+			StaleFor: span(at(f.StaleForUs, i)), StaleFraction: at(f.ClassStaleWorth, i),
 		})
 	}
 	return s, nil
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -38,13 +38,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Classes[0].Target != 5*time.Second || s.Classes[1].Target != time.Second {
-		t.Errorf("aims %v and %v", s.Classes[0].Target, s.Classes[1].Target)
+	if s.Classes[0].LatencyObjective != 5*time.Second || s.Classes[1].LatencyObjective != time.Second {
+		t.Errorf("aims %v and %v", s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective)
 	}
-	if s.PurgeTakes != 6*time.Second {
-		t.Errorf("purges are heeded for %v", s.PurgeTakes)
+	if s.PurgeDuration != 6*time.Second {
+		t.Errorf("purges are heeded for %v", s.PurgeDuration)
 	}
-	if s.ParentKind != -1 || s.OriginKind != -1 || s.WeightsTold || s.MayPassBy || s.SharesFills || s.Classes[0].Fresh != 0 {
+	if s.ParentKind != -1 || s.OriginKind != -1 || s.WeightsKnown || s.MayBypassCaches || s.CoalescesFills || s.Classes[0].FreshFor != 0 {
 		t.Errorf("got %+v", s)
 	}
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -107,13 +107,13 @@
 	return policy.CacheID(id)
 }
 
-func (v *values) load() policy.Load {
+func (v *values) load() policy.LoadReport {
 	var raw map[string]json.RawMessage
 	v.next(&raw, false, "Stats")
 	if len(raw) == 0 {
 		return nil
 	}
-	l := policy.Load{}
+	l := policy.LoadReport{}
 	for wireName, name := range loadNames {
 		var f float64
 		if m, ok := raw[wireName]; ok && json.Unmarshal(m, &f) == nil {
@@ -129,13 +129,13 @@
 }
 
 var results = map[string]policy.Result{
-	"done": policy.OK, "err": policy.Failed, "busy": policy.Full, "etimedout": policy.TimedOut,
+	"done": policy.OK, "err": policy.Failed, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset, "ecanceled": policy.Cancelled,
-	"skipped": policy.Moot, "enoent": policy.Miss,
+	"skipped": policy.Skipped, "enoent": policy.Miss,
 }
 
 var listKinds = map[string]policy.ListKind{
-	"diff": policy.ListChanges, "snapshot": policy.ListWhole, "disk": policy.ListStored, "error": policy.ListFailed,
+	"diff": policy.ListChanges, "snapshot": policy.ListFull, "disk": policy.ListCached, "error": policy.ListFailed,
 }
 
 func decodeEvent(m []json.RawMessage) (Envelope, bool, error) {
@@ -184,9 +184,9 @@
 		return e
 	},
 	"Req": func(v *values) any {
-		e := policy.Request{ID: v.text("Txn", true), Left: us(v.num("RemainingUs", true))}
+		e := policy.Request{ID: v.text("Txn", true), TimeLeft: us(v.num("RemainingUs", true))}
 		bits := v.num("StateBits", false)
-		e.Repeat, e.Write = bits&2 != 0, bits&4 != 0
+		e.ClientRetry, e.Write = bits&2 != 0, bits&4 != 0
 		e.Part = int(v.float("Piece"))
 		e.Tenant = int(v.num("Customer", false))
 		e.SizeKB = v.float("Kbytes")
@@ -198,20 +198,20 @@
 		return e
 	},
 	"UnderWay": func(v *values) any {
-		e := policy.First{ID: v.text("Txn", true), Attempt: int(v.num("SendNo", true))}
+		e := policy.StreamStarted{ID: v.text("Txn", true), Attempt: int(v.num("SendNo", true))}
 		e.Latency = us(v.num("LagUs", false))
 		e.Cache = v.cache()
 		return e
 	},
 	"Done": func(v *values) any {
 		e := policy.Outcome{ID: v.text("Txn", true)}
-		v.next(&e.Closed, true, "Last")
+		v.next(&e.Final, true, "Last")
 		e.Latency = us(v.num("LagUs", false))
 		e.Attempt = int(v.num("SendNo", true))
 		e.Cache = v.cache()
 		e.Note = policy.Note(v.num("Note", false))
 		e.Result = results[v.text("Rc", true)]
-		e.Waited = us(v.num("WaitedUs", false))
+		e.SourceWait = us(v.num("WaitedUs", false))
 		e.Load = v.load()
 		return e
 	},
@@ -282,13 +282,13 @@
 
 func encodeAction(a Acted) []any {
 	switch x := a.Action.(type) {
-	case policy.Ask:
+	case policy.Lookup:
 		return []any{"Route", a.Who, x.ID, x.Cache, timeout(x.Timeout)}
-	case policy.Get:
-		return []any{"PullVia", a.Who, x.ID, timeout(x.Age), x.Cache, x.Keep, timeout(x.Timeout), int(x.How), x.Source}
+	case policy.Fetch:
+		return []any{"PullVia", a.Who, x.ID, timeout(x.MaxAge), x.Cache, x.RetainRank, timeout(x.Timeout), int(x.Options), x.Source}
 	case policy.Cancel:
 		return []any{"Withdraw", a.Who, x.ID, x.Attempt}
-	case policy.Refuse:
+	case policy.Reject:
 		return []any{"Deny", a.Who, x.ID, timeout(x.RetryAfter)}
 	case policy.Fail:
 		return []any{"Fail", a.Who, x.ID}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -11,18 +11,18 @@
 
 func TestDecodeEvents(t *testing.T) {
 	for line, want := range map[string]any{
-		`["Req",3,"id",240000,2,3,0,640,11,"ab",1]`: policy.Request{ID: "id", Left: 240 * time.Millisecond,
-			Repeat: true, Part: 3, SizeKB: 640, Group: 11, Object: "ab", Class: 1},
+		`["Req",3,"id",240000,2,3,0,640,11,"ab",1]`: policy.Request{ID: "id", TimeLeft: 240 * time.Millisecond,
+			ClientRetry: true, Part: 3, SizeKB: 640, Group: 11, Object: "ab", Class: 1},
 		`["Req",3,"id",240000,null,null,null,null,null,"ab",0]`: policy.Request{ID: "id",
-			Left: 240 * time.Millisecond, Group: -1, Object: "ab"},
-		`["Done",3,"id",true,18500,1,77,2,"done",9400,{"x0":0.5,"new":{}}]`: policy.Outcome{ID: "id", Closed: true,
+			TimeLeft: 240 * time.Millisecond, Group: -1, Object: "ab"},
+		`["Done",3,"id",true,18500,1,77,2,"done",9400,{"x0":0.5,"new":{}}]`: policy.Outcome{ID: "id", Final: true,
 			Latency: 18500 * time.Microsecond, Attempt: 1, Cache: 77, Note: policy.NoteFilled, Result: policy.OK,
-			Waited: 9400 * time.Microsecond, Load: policy.Load{"hits": 0.5}},
+			SourceWait: 9400 * time.Microsecond, Load: policy.LoadReport{"hits": 0.5}},
 		`["Done",3,"id",false,1,0,77,null,"newword",null,null]`: policy.Outcome{ID: "id",
 			Latency: time.Microsecond, Cache: 77, Result: policy.Unknown},
 		`["Purged",3,11,null,85000]`: policy.Purged{Group: 11, Age: 85 * time.Millisecond},
 		`["TimeoutFired",3,77]`:      policy.Timer{Token: 77},
-		`["Targets",3,"disk",41,[[5,1,0,0,"L",1.5,6100000,9]]]`: policy.Members{Kind: policy.ListStored, Version: 41,
+		`["Targets",3,"disk",41,[[5,1,0,0,"L",1.5,6100000,9]]]`: policy.Members{Kind: policy.ListCached, Version: 41,
 			Entries: []policy.Member{{ID: 5, Zone: 1, State: policy.Draining, Weight: 1.5, Started: 6100 * time.Millisecond}}},
 	} {
 		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unheard",1]]}`))
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	s := b.Events[0].Event.(Boot).Settings
-	if s.Routers != 3 || !s.WeightsTold || s.OriginKind != 2 || s.ParentKind != -1 || s.Siblings != policy.ReachAny ||
-		s.Details != policy.DetailHit || !s.Classes[0].Uncached || s.Classes[0].Effect != policy.Unsafe {
+	if s.Routers != 3 || !s.WeightsKnown || s.OriginKind != 2 || s.ParentKind != -1 || s.SiblingFills != policy.SiblingsAny ||
+		s.OutcomeDetail != policy.DetailHit || !s.Classes[0].Uncached || s.Classes[0].Idempotency != policy.NotIdempotent {
 		t.Errorf("got %+v", s)
 	}
 	if _, err := policy.New(s, 1); err == nil {
@@ -70,10 +70,10 @@
 
 func TestEncodeReply(t *testing.T) {
 	got, err := EncodeReply(nil, []Acted{
-		{3, policy.Ask{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
-		{3, policy.Get{ID: "a", Cache: 7, Source: 9, Keep: 2, Age: time.Second, Timeout: 900 * time.Millisecond, How: policy.Join | policy.Renew}},
+		{3, policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
+		{3, policy.Fetch{ID: "a", Cache: 7, Source: 9, RetainRank: 2, MaxAge: time.Second, Timeout: 900 * time.Millisecond, Options: policy.Coalesce | policy.RefreshInBackground}},
 		{3, policy.SetTimer{Token: 77, After: 500*time.Millisecond + 1}},
-		{3, policy.Refuse{ID: "a"}},
+		{3, policy.Reject{ID: "a"}},
 		{3, Fault{Text: "bad\nline"}},
 	})
 	want := `{"outbox":[["Route",3,"a",7,80000],["PullVia",3,"a",1000000,7,2,900000,9,9],["After",3,77,500001],` +
