--- a/cmd/ravenwheel/alone_test.go
+++ b/cmd/ravenwheel/alone_test.go
@@ -130,7 +130,7 @@
 		Board: ln.Addr().String(), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"small", "parent", "origin"}},
 		Classes: []string{"a"}, Rev: 1,
 		Settings: policy.Settings{Zone: 1, ParentKind: 1, OriginKind: 2, ZoneRouters: []int{0, 1}, Classes: []policy.Class{{Deadline: time.Second}}},
-		Known:    []discoveryclient.Notice{{Rev: 1, Whole: true, Members: []core.Member{member(1, policy.Ready), member(2, policy.Ready)}}},
+		Known:    []discoveryclient.Event{{Revision: 1, Complete: true, Members: []core.Member{member(1, policy.Ready), member(2, policy.Ready)}}},
 	}
 	c, err := core.New(conf.Settings, conf.Classes, 0, 7, clk, upstream.New(clk, upstream.Limits{}))
 	require.NoError(t, err)
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -12,23 +12,25 @@
 // ledger's sources.
 func (s *sources) discovery(rank int) *discoveryclient.Client {
 	reader := timestamp.New(s.clk.Now())
-	known := discoveryclient.DatedKnown(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
+	known := discoveryclient.TranslateInitialEvents(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
 	for _, n := range known {
-		n.Tell(rank, s.roster.Handle, s.purged)
+		n.Dispatch(rank, s.roster.Handle, s.purged)
 	}
 	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeGrace))
 	if s.conf.Console != "" { // it may take over from another process
 		follow.NotifiedAfterStart = discovery.NotifiedAfterTakeover
 	}
 	return &discoveryclient.Client{
-		Addr: s.conf.Board, Last: s.conf.Rev, Clock: s.clk, Log: s.log, Follow: follow,
-		Notice: func(n discoveryclient.Notice) { n.Dated(reader, s.clk.Now()).Tell(rank, s.roster.Handle, s.purged) },
-		Heard: func() {
+		Addr: s.conf.Board, LastRevision: s.conf.Rev, Clock: s.clk, Log: s.log, Settings: follow,
+		OnEvent: func(n discoveryclient.Event) {
+			n.Translate(reader, s.clk.Now()).Dispatch(rank, s.roster.Handle, s.purged)
+		},
+		OnHeartbeat: func() {
 			reader.Heard(s.clk.Now())
 			s.roster.Handle(membership.Heartbeat{Source: rank})
 		},
-		Overdue: s.isOverdue,
-		Current: func() { s.core.Overdue(false, 0) },
+		OnOverdue: s.isOverdue,
+		OnCurrent: func() { s.core.Overdue(false, 0) },
 	}
 }
 
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -213,6 +213,6 @@
 	require.Eventually(t, func() bool {
 		var s discoveryclient.Status
 		err := admin.Call(sock, "/v1/discovery", nil, &s)
-		return err == nil && s.Address == f.doors[1].Addr() && s.Moves == 1 && s.Calls >= 2 && s.Spoke >= 2 && s.Closed >= 1 && s.Frames >= 2 && s.LastEvent == 1
+		return err == nil && s.Address == f.doors[1].Addr() && s.AddressChanges == 1 && s.Calls >= 2 && s.Responded >= 2 && s.Closed >= 1 && s.Frames >= 2 && s.LastEvent == 1
 	}, time.Minute, 10*time.Millisecond)
 }
--- a/cmd/ravenwheel/reload.go
+++ b/cmd/ravenwheel/reload.go
@@ -165,7 +165,7 @@
 	}
 	r := &reloader{
 		read:  func() (*config.Config, error) { return config.Load(os.Getenv) },
-		start: s.conf, at: s.conf.Board, follow: s.board.Move, signals: signals, log: log,
+		start: s.conf, at: s.conf.Board, follow: s.board.SetAddr, signals: signals, log: log,
 	}
 	go func() {
 		for range s.overdue {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,7 +24,7 @@
 	Settings            policy.Settings
 	Classes             []string
 	Names               discoveryclient.Names
-	Known               []discoveryclient.Notice
+	Known               []discoveryclient.Event
 	Rev                 uint64
 
 	StreamsPerConn, MostHeld int
@@ -109,7 +109,7 @@
 	c.StreamsPerConn, c.MostHeld = cmp.Or(int(t.Bounds.StreamsPerConn), usualStreams), int(t.Bounds.MostHeld)
 	c.ConnIdle, c.Connect = t.Bounds.ConnIdleUs/1e3, cmp.Or(t.Bounds.ConnectTimeoutUs/1e3, usualConnect)
 	c.Names = discoveryclient.Names{Zones: t.Zones, Kinds: t.Kinds}
-	if c.Known, c.Rev, err = discoveryclient.Known(f.Known, c.Names); err != nil {
+	if c.Known, c.Rev, err = discoveryclient.DecodeInitialEvents(f.Known, c.Names); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -47,7 +47,7 @@
 			Points: over(sizes, func(n int) float64 {
 				raw, names := boardList(n), discoveryclient.Names{Zones: zoneNames(n), Kinds: kinds}
 				return cost(func(int) {
-					if _, _, err := discoveryclient.Known(raw, names); err != nil {
+					if _, _, err := discoveryclient.DecodeInitialEvents(raw, names); err != nil {
 						panic(err) // it was written above
 					}
 				})
--- a/internal/source/discoveryclient/catchup.go
+++ b/internal/source/discoveryclient/catchup.go
@@ -16,7 +16,7 @@
 // out of date. It returns at once while a frame is no older than the grace, as nothing that was written after it binds yet.
 // Guards against a process that was stopped and is woken, and reads its clients' requests before the purges that came meanwhile.
 func (c *Client) CatchUp() (behind bool) {
-	if c.Clock.Now()-float64(c.current.Load()) < c.Follow.GracePeriod {
+	if c.Clock.Now()-float64(c.current.Load()) < c.Settings.GracePeriod {
 		return false
 	}
 	for range catchUpTries {
--- a/internal/source/discoveryclient/client.go
+++ b/internal/source/discoveryclient/client.go
@@ -18,15 +18,15 @@
 // Client follows discovery, wherever it moves. It carries out what decide/discovery decides: one goroutine decides, and one for
 // each call dials and reads.
 type Client struct {
-	Addr   string // at the start; see Move
-	Last   uint64 // number of the last event known at the start
-	Follow discovery.Settings
-	Notice func(Notice)
-	Heard  func() // a frame came that tells nothing new; may be nil
-	// Overdue tells that what discovery held until so many ms of the clock may bind without having been heard, and Current that all
+	Addr         string // at the start; see Move
+	LastRevision uint64 // number of the last event known at the start
+	Settings     discovery.Settings
+	OnEvent      func(Event)
+	OnHeartbeat  func() // a frame came that tells nothing new; may be nil
+	// OnOverdue tells that what discovery held until so many ms of the clock may bind without having been heard, and Current that all
 	// was heard again; may be nil.
-	Overdue func(until float64)
-	Current func()
+	OnOverdue func(until float64)
+	OnCurrent func()
 	// Dial connects to an address; nil: package net's.
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
 	Clock *clock.Clock
@@ -42,8 +42,8 @@
 	moved chan struct{} // there may be some
 }
 
-// Move names an address anew, that of now or another one. The numbers go on there: the last one known is asked from.
-func (c *Client) Move(addr string) {
+// SetAddr names an address anew, that of now or another one. The numbers go on there: the last one known is asked from.
+func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	c.moves = append(c.moves, addr)
 	c.mu.Unlock()
@@ -73,7 +73,7 @@
 // message is what a call tells the loop: a whole frame, or with an error its end.
 type message struct {
 	from   *call
-	notice Notice
+	notice Event
 	kind   byte
 	err    error
 }
@@ -92,9 +92,9 @@
 
 // Run follows discovery until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	c.last.Store(c.Last)
+	c.last.Store(c.LastRevision)
 	l := &loop{
-		Client: c, ctx: ctx, watcher: discovery.New(c.Follow), calls: map[discovery.CallID]*call{},
+		Client: c, ctx: ctx, watcher: discovery.New(c.Settings), calls: map[discovery.CallID]*call{},
 		messages: make(chan message), tick: make(chan struct{}, 1), unset: func() {},
 	}
 	defer func() { l.unset() }()
@@ -140,15 +140,15 @@
 	defer func() { l.current.Store(int64(l.Clock.Now())) }()
 	l.spoke(m.from, m.notice, l.last.Load())
 	l.handle(discovery.FrameReceived{Call: m.from.id})
-	if m.kind == kindNothing && l.Heard != nil {
-		l.Heard()
+	if m.kind == kindNothing && l.OnHeartbeat != nil {
+		l.OnHeartbeat()
 	}
-	if m.kind == kindNothing || m.notice.Rev <= l.last.Load() {
+	if m.kind == kindNothing || m.notice.Revision <= l.last.Load() {
 		return
 	}
-	l.last.Store(m.notice.Rev)
-	if m.notice.Purge != nil || m.notice.Whole || m.notice.Members != nil {
-		l.Notice(m.notice)
+	l.last.Store(m.notice.Revision)
+	if m.notice.Purge != nil || m.notice.Complete || m.notice.Members != nil {
+		l.OnEvent(m.notice)
 	}
 }
 
@@ -175,12 +175,12 @@
 			l.wake(a.At)
 		case discovery.Overdue:
 			l.overdue(a.LastFrameAt)
-			if l.Overdue != nil {
-				l.Overdue(a.NotifiedUntil)
+			if l.OnOverdue != nil {
+				l.OnOverdue(a.NotifiedUntil)
 			}
 		case discovery.CaughtUp:
-			if l.Current != nil {
-				l.Current()
+			if l.OnCurrent != nil {
+				l.OnCurrent()
 			}
 		}
 	}
--- a/internal/source/discoveryclient/discoveryclient.go
+++ b/internal/source/discoveryclient/discoveryclient.go
@@ -14,17 +14,17 @@
 	"ravenwheel/policy"
 )
 
-// Notice is one event of the notice board: of the list, whole or in changes, or a purge. Its times are stamps of other
+// Event is one event of the notice board: of the list, whole or in changes, or a purge. Its times are stamps of other
 // machines until they are read; see Dated.
-type Notice struct {
-	Rev     uint64
-	Whole   bool
-	Members []core.Member
-	Purge   *core.Purge
+type Event struct {
+	Revision uint64
+	Complete bool
+	Members  []core.Member
+	Purge    *core.Purge
 }
 
-// Tell hands an event on: a list to the ledger, as what source at says, a purge to the core.
-func (n Notice) Tell(at int, tell func(membership.Event), purged func(core.Purge)) {
+// Dispatch hands an event on: a list to the ledger, as what source at says, a purge to the core.
+func (n Event) Dispatch(at int, tell func(membership.Event), purged func(core.Purge)) {
 	if n.Purge != nil {
 		purged(*n.Purge)
 		return
@@ -33,10 +33,10 @@
 	for i, m := range n.Members {
 		entries[i].Member = m
 	}
-	if n.Whole {
-		tell(membership.Snapshot{Source: at, Generation: n.Rev, Entries: entries})
+	if n.Complete {
+		tell(membership.Snapshot{Source: at, Generation: n.Revision, Entries: entries})
 	} else {
-		tell(membership.Delta{Source: at, Generation: n.Rev, Entries: entries})
+		tell(membership.Delta{Source: at, Generation: n.Revision, Entries: entries})
 	}
 }
 
@@ -71,8 +71,8 @@
 
 var stateNames = map[string]policy.State{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
 
-// Known decodes the events of the start, and the number of the last one.
-func Known(raw []byte, names Names) (notices []Notice, last uint64, err error) {
+// DecodeInitialEvents decodes the events of the start, and the number of the last one.
+func DecodeInitialEvents(raw []byte, names Names) (notices []Event, last uint64, err error) {
 	var known struct {
 		Rev     uint64       `json:"rev"`
 		Notices []jsonNotice `json:"notices"`
@@ -81,9 +81,9 @@
 		return nil, 0, fmt.Errorf("known: %w", err)
 	}
 	for i, j := range known.Notices {
-		n := Notice{Rev: j.Rev}
+		n := Event{Revision: j.Rev}
 		if p := j.Pool; p != nil {
-			n.Whole = p.Reset || i == 0
+			n.Complete = p.Reset || i == 0
 			for _, m := range p.Instances {
 				e, err := m.member(names)
 				if err != nil {
--- a/internal/source/discoveryclient/discoveryclient_test.go
+++ b/internal/source/discoveryclient/discoveryclient_test.go
@@ -32,15 +32,15 @@
 	clk    *clock.Clock
 	ln     net.Listener
 	client *Client
-	got    chan Notice // the events that the client hands on
+	got    chan Event // the events that the client hands on
 }
 
 func follow(t *testing.T) *followed {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &followed{t: t, clk: clock.Manual(1e12), ln: ln, got: make(chan Notice, 10)}
+	f := &followed{t: t, clk: clock.Manual(1e12), ln: ln, got: make(chan Event, 10)}
 	f.client = &Client{
-		Addr: ln.Addr().String(), Last: 4, Follow: discovery.DefaultSettings(1, 1000), Clock: f.clk, Notice: func(n Notice) { f.got <- n },
+		Addr: ln.Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: f.clk, OnEvent: func(n Event) { f.got <- n },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); ln.Close() })
@@ -93,7 +93,7 @@
 	f := follow(t)
 	first := f.accept(4)
 	f.write(first, append(frame(5, kindGroup, group(17, 1000)...), frame(5, kindGroup, group(17, 1000)...)...))
-	require.Equal(t, Notice{Rev: 5, Purge: &core.Purge{Group: 17, At: 1001}}, <-f.got)
+	require.Equal(t, Event{Revision: 5, Purge: &core.Purge{Group: 17, At: 1001}}, <-f.got)
 	f.called() // it has fallen silent
 	second := f.accept(5)
 	f.write(second, frame(6, kindObject, 1, 2, 3)) // can't be read
@@ -121,11 +121,11 @@
 	second := f.accept(4)
 	both := append(frame(5, kindGroup, group(17, 1000)...), frame(6, kindGroup, group(18, 1000)...)...)
 	f.write(second, both)
-	require.EqualValues(t, 5, (<-f.got).Rev)
-	require.EqualValues(t, 6, (<-f.got).Rev)
+	require.EqualValues(t, 5, (<-f.got).Revision)
+	require.EqualValues(t, 6, (<-f.got).Revision)
 	_, _ = first.Write(both)
 	f.write(second, frame(7, kindGroup, group(19, 1000)...))
-	require.EqualValues(t, 7, (<-f.got).Rev)
+	require.EqualValues(t, 7, (<-f.got).Revision)
 	require.Empty(t, f.got)
 }
 
@@ -137,7 +137,7 @@
 		nc := f.accept(uint64(4 + min(asked, 1)))
 		if asked == 0 || asked == 5 {
 			f.write(nc, frame(uint64(5+asked), kindGroup, group(17, 1000)...))
-			require.EqualValues(t, 5+asked, (<-f.got).Rev)
+			require.EqualValues(t, 5+asked, (<-f.got).Revision)
 		}
 		if asked < 5 {
 			f.called()
@@ -151,13 +151,13 @@
 	f := follow(t)
 	nc := f.accept(4)
 	f.write(nc, frame(5, kindGroup, group(17, 1000)...))
-	require.EqualValues(t, 5, (<-f.got).Rev)
-	f.pass(func(s Status) bool { return s.SilentMs >= 1100 })
+	require.EqualValues(t, 5, (<-f.got).Revision)
+	f.pass(func(s Status) bool { return s.SinceLastFrameMs >= 1100 })
 	require.False(t, f.client.CatchUp(), "nothing was written")
 	for rev := uint64(6); rev <= 20; rev++ { // more than are taken
 		f.write(nc, frame(rev, kindGroup, group(17, 1000)...))
 	}
-	f.pass(func(s Status) bool { return s.LastEvent > 6 && s.SilentMs >= 1100 })
+	f.pass(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
 	require.True(t, f.client.CatchUp(), "what is written is not in force")
 	taken := make(chan bool)
 	go func() {
@@ -174,7 +174,7 @@
 func TestOverdueIsTold(t *testing.T) {
 	f := follow(t)
 	said := make(chan string, 10)
-	f.client.Overdue, f.client.Current = func(float64) { said <- "overdue" }, func() { said <- "current" }
+	f.client.OnOverdue, f.client.OnCurrent = func(float64) { said <- "overdue" }, func() { said <- "current" }
 	nc := f.accept(4)
 	f.pass(func(s Status) bool { return s.Overdue == 1 })
 	require.Equal(t, "overdue", <-said)
@@ -185,18 +185,18 @@
 
 func TestKnown(t *testing.T) {
 	names := Names{Zones: []string{"east"}, Kinds: []string{"std"}}
-	notices, last, err := Known([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":false,"instances":[
+	notices, last, err := DecodeInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":false,"instances":[
 		{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:4100","zone":"east","machineType":"std","cell":2,
 		"lifecycle":"draining","weight":4,"startedAtMs":5}]}},{"rev":2,"flush":{"asset":"7f3a9c21e0b4d655","ms":7}}]}`), names)
 	require.NoError(t, err)
 	require.EqualValues(t, 2, last)
-	require.True(t, notices[0].Whole, "the first list is whole")
+	require.True(t, notices[0].Complete, "the first list is whole")
 	m := notices[0].Members[0]
 	require.Equal(t, policy.Member{ID: 0xc41f7a, Cell: 2, State: policy.Draining, Weight: 4, Started: 5e6}, m.Member)
 	require.Equal(t, &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}, notices[1].Purge)
 	for _, bad := range []string{`[`, `{"notices":[{"pool":{"instances":[{"instanceId":"x"}]}}]}`,
 		`{"notices":[{"pool":{"instances":[{"instanceId":"s-1","lifecycle":"up","zone":"west"}]}}]}`} {
-		_, _, err := Known([]byte(bad), names)
+		_, _, err := DecodeInitialEvents([]byte(bad), names)
 		require.Error(t, err)
 	}
 }
@@ -211,15 +211,15 @@
 		return m
 	}
 	r := timestamp.New(now)
-	known := []Notice{
-		{Rev: 1, Whole: true, Members: []core.Member{server(1, 0), server(2, now-hour), server(3, now-2000)}},
-		{Rev: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
+	known := []Event{
+		{Revision: 1, Complete: true, Members: []core.Member{server(1, 0), server(2, now-hour), server(3, now-2000)}},
+		{Revision: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
 	}
-	require.Equal(t, known, DatedKnown(known, r, now, 6000))
+	require.Equal(t, known, TranslateInitialEvents(known, r, now, 6000))
 	r.Heard(now + 1000)
-	stepped := Notice{Rev: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
-	require.Equal(t, now+1500+1, stepped.Dated(r, now+1500).Purge.At, "of a clock that was stepped back, and told now")
-	list := Notice{Rev: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Dated(r, now+1600)
+	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
+	require.Equal(t, now+1500+1, stepped.Translate(r, now+1500).Purge.At, "of a clock that was stepped back, and told now")
+	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(r, now+1600)
 	require.Equal(t, now-2000, ms(list.Members[0].Started))
 	require.GreaterOrEqual(t, ms(list.Members[1].Started), now+500)
 	require.LessOrEqual(t, ms(list.Members[1].Started), now+1600)
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -33,13 +33,13 @@
 const frameHead, numberLen = 13, 9
 
 // readFrame reads one frame. expect is told how long it is, once that is known.
-func readFrame(r io.Reader, expect func(size int)) (n Notice, kind byte, err error) {
+func readFrame(r io.Reader, expect func(size int)) (n Event, kind byte, err error) {
 	var head [frameHead]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return n, 0, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	n.Rev, kind = binary.BigEndian.Uint64(head[4:]), head[12]
+	n.Revision, kind = binary.BigEndian.Uint64(head[4:]), head[12]
 	if size < numberLen || size > mostFrame {
 		return n, kind, errFrame
 	}
@@ -51,7 +51,7 @@
 	u64 := binary.BigEndian.Uint64
 	switch {
 	case (kind == kindWhole || kind == kindChanges) && len(b)%recordLen == 0:
-		n.Whole = kind == kindWhole
+		n.Complete = kind == kindWhole
 		for ; len(b) > 0; b = b[recordLen:] {
 			m, err := record(b)
 			if err != nil {
--- a/internal/source/discoveryclient/golden_test.go
+++ b/internal/source/discoveryclient/golden_test.go
@@ -23,26 +23,26 @@
 
 // goldenFrames are the bytes of one frame of each kind, an empty list and a kind of a later version among them, and what
 // each is decoded to.
-func goldenFrames() (encoded []byte, decoded []Notice, kinds []byte) {
+func goldenFrames() (encoded []byte, decoded []Event, kinds []byte) {
 	record := func(state byte) []byte {
 		return []byte{
 			0x00, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x10, 0x04, state, 1, 2, 0x01, 0x02, 0, 0, 0x11, 0x94,
 			0, 0, 0x01, 0x9a, 0xd8, 0xec, 0xf8, 0,
 		}
 	}
-	add := func(n Notice, kind byte, payload ...byte) {
-		encoded = append(encoded, frame(n.Rev, kind, payload...)...)
+	add := func(n Event, kind byte, payload ...byte) {
+		encoded = append(encoded, frame(n.Revision, kind, payload...)...)
 		decoded, kinds = append(decoded, n), append(kinds, kind)
 	}
 	members := []core.Member{goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)}
-	add(Notice{Rev: 40}, 0)
-	add(Notice{Rev: 41, Whole: true, Members: members[:1]}, 1, record(0)...)
-	add(Notice{Rev: 42, Members: members[1:]}, 2, append(record(1), record(2)...)...)
-	add(Notice{Rev: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 1001}}, 3,
+	add(Event{Revision: 40}, 0)
+	add(Event{Revision: 41, Complete: true, Members: members[:1]}, 1, record(0)...)
+	add(Event{Revision: 42, Members: members[1:]}, 2, append(record(1), record(2)...)...)
+	add(Event{Revision: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 1001}}, 3,
 		0x7f, 0x3a, 0x9c, 0x21, 0xe0, 0xb4, 0xd6, 0x55, 0, 0, 0, 0, 0, 0, 0x03, 0xe8)
-	add(Notice{Rev: 44, Purge: &core.Purge{Group: 17, At: 1001}}, 4, 0, 17, 0, 0, 0, 0, 0, 0, 0x03, 0xe8)
-	add(Notice{Rev: 45, Whole: true}, 1)
-	add(Notice{Rev: 46}, 9, 1, 2, 3)
+	add(Event{Revision: 44, Purge: &core.Purge{Group: 17, At: 1001}}, 4, 0, 17, 0, 0, 0, 0, 0, 0, 0x03, 0xe8)
+	add(Event{Revision: 45, Complete: true}, 1)
+	add(Event{Revision: 46}, 9, 1, 2, 3)
 	return encoded, decoded, kinds
 }
 
@@ -66,24 +66,24 @@
 // The events of the configuration, in JSON with the protocol's themed names.
 func TestGoldenKnownEvents(t *testing.T) {
 	names := Names{Zones: []string{"hub", "east"}, Kinds: []string{"origin", "parent", "std"}}
-	notices, last, err := Known(golden.Read(t, "known.json"), names)
+	notices, last, err := DecodeInitialEvents(golden.Read(t, "known.json"), names)
 	require.NoError(t, err)
 	require.EqualValues(t, 44, last)
 	ready, draining, gone := goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)
-	require.Equal(t, []Notice{
-		{Rev: 40, Whole: true, Members: []core.Member{ready}},
-		{Rev: 41, Members: []core.Member{draining}},
-		{Rev: 42, Whole: true, Members: []core.Member{ready, gone}},
-		{Rev: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}},
-		{Rev: 44, Purge: &core.Purge{Group: 17, At: 9.5}},
+	require.Equal(t, []Event{
+		{Revision: 40, Complete: true, Members: []core.Member{ready}},
+		{Revision: 41, Members: []core.Member{draining}},
+		{Revision: 42, Complete: true, Members: []core.Member{ready, gone}},
+		{Revision: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}},
+		{Revision: 44, Purge: &core.Purge{Group: 17, At: 9.5}},
 	}, notices)
 }
 
 // The client's status, as operators are shown it.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{
-		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Spoke: 3, Failed: 4, Broken: 5, Closed: 6, Moves: 7, Frames: 8, Late: 9,
-		Overdue: 10, SilentMs: 11.5, WorstGap: 12,
+		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Broken: 5, Closed: 6, AddressChanges: 7, Frames: 8, EventsAfterSilence: 9,
+		Overdue: 10, SinceLastFrameMs: 11.5, LongestSilenceMs: 12,
 	}
 	encoded, err := json.Marshal(status)
 	require.NoError(t, err)
--- a/internal/source/discoveryclient/move_test.go
+++ b/internal/source/discoveryclient/move_test.go
@@ -44,11 +44,11 @@
 	client *Client
 	boards [2]net.Listener
 	read   atomic.Int64 // bytes
-	got    chan Notice
+	got    chan Event
 }
 
-func newMover(t *testing.T, notice func(m *mover, n Notice)) *mover {
-	m := &mover{t: t, got: make(chan Notice, 10)}
+func newMover(t *testing.T, notice func(m *mover, n Event)) *mover {
+	m := &mover{t: t, got: make(chan Event, 10)}
 	for i := range m.boards {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -56,8 +56,8 @@
 		m.boards[i] = ln
 	}
 	m.client = &Client{
-		Addr: m.boards[0].Addr().String(), Last: 4, Follow: discovery.DefaultSettings(1, 1000), Clock: clock.Manual(1e12), // no time passes
-		Notice: func(n Notice) { notice(m, n); m.got <- n },
+		Addr: m.boards[0].Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: clock.Manual(1e12), // no time passes
+		OnEvent: func(n Event) { notice(m, n); m.got <- n },
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			nc, err := dialTCP(ctx, addr)
 			return counted{nc, &m.read}, err
@@ -91,7 +91,7 @@
 	for _, rev := range revs {
 		select {
 		case n := <-m.got:
-			require.Equal(m.t, rev, n.Rev)
+			require.Equal(m.t, rev, n.Revision)
 		case <-time.After(time.Minute):
 			require.Fail(m.t, "nothing came", "event %d", rev)
 		}
@@ -104,14 +104,14 @@
 func TestMoveWithinAFrame(t *testing.T) {
 	whole := history()
 	for cut := 1; cut < len(whole[6]); cut++ {
-		m := newMover(t, func(*mover, Notice) {})
+		m := newMover(t, func(*mover, Event) {})
 		old, from := m.accept(0)
 		require.EqualValues(t, 4, from)
 		_, err := old.Write(append(whole[5], whole[6][:cut]...))
 		require.NoError(t, err)
 		m.expect(5)
 		require.Eventually(t, func() bool { return m.read.Load() == int64(len(whole[5])+cut) }, time.Minute, 100*time.Microsecond)
-		m.client.Move(m.boards[1].Addr().String())
+		m.client.SetAddr(m.boards[1].Addr().String())
 		_, err = old.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF, "the client has left")
 		_, _ = old.Write(whole[6][cut:])
@@ -126,9 +126,9 @@
 // each event is handed on once.
 func TestMoveAsAFrameEnds(t *testing.T) {
 	whole := history()
-	moves := func(m *mover, n Notice) {
-		if n.Rev == 5 {
-			m.client.Move(m.boards[1].Addr().String())
+	moves := func(m *mover, n Event) {
+		if n.Revision == 5 {
+			m.client.SetAddr(m.boards[1].Addr().String())
 		}
 	}
 	m := newMover(t, moves)
@@ -141,13 +141,13 @@
 	m.expect(5, 6, 7)
 
 	for range 20 {
-		m := newMover(t, func(*mover, Notice) {})
+		m := newMover(t, func(*mover, Event) {})
 		old, _ := m.accept(0)
 		_, err := old.Write(append(whole[5], whole[6][:20]...))
 		require.NoError(t, err)
 		m.expect(5)
 		go func() { _, _ = old.Write(whole[6][20:]) }()
-		m.client.Move(m.boards[1].Addr().String())
+		m.client.SetAddr(m.boards[1].Addr().String())
 		next, from := m.accept(1)
 		require.Contains(t, []uint64{5, 6}, from)
 		m.tellAfter(next, from)
--- a/internal/source/discoveryclient/report.go
+++ b/internal/source/discoveryclient/report.go
@@ -25,28 +25,28 @@
 
 // Status is how discovery is followed, as operators are shown it.
 type Status struct {
-	Address   string  `json:"address"`
-	LastEvent uint64  `json:"last_event"`
-	Calls     int64   `json:"calls"`
-	Spoke     int64   `json:"calls_that_spoke"`
-	Failed    int64   `json:"calls_that_never_came_up"`
-	Broken    int64   `json:"calls_broken_off"`
-	Closed    int64   `json:"calls_closed"` // by the client: moved, overtaken or replaced
-	Moves     int64   `json:"reloads"`
-	Frames    int64   `json:"frames"`
-	Late      int64   `json:"events_after_a_silence"`
-	Overdue   int64   `json:"times_overdue"`
-	SilentMs  float64 `json:"since_last_frame_ms"`
-	WorstGap  int64   `json:"longest_silence_ms"`
+	Address            string  `json:"address"`
+	LastEvent          uint64  `json:"last_event"`
+	Calls              int64   `json:"calls"`
+	Responded          int64   `json:"calls_that_spoke"`
+	Failed             int64   `json:"calls_that_never_came_up"`
+	Broken             int64   `json:"calls_broken_off"`
+	Closed             int64   `json:"calls_closed"` // by the client: moved, overtaken or replaced
+	AddressChanges     int64   `json:"reloads"`
+	Frames             int64   `json:"frames"`
+	EventsAfterSilence int64   `json:"events_after_a_silence"`
+	Overdue            int64   `json:"times_overdue"`
+	SinceLastFrameMs   float64 `json:"since_last_frame_ms"`
+	LongestSilenceMs   int64   `json:"longest_silence_ms"`
 }
 
 // Status tells how the client stands.
 func (c *Client) Status() Status {
 	n := &c.counters
 	s := Status{
-		LastEvent: c.last.Load(), Calls: n.calls.Load(), Spoke: n.spoke.Load(), Failed: n.failed.Load(), Broken: n.broken.Load(),
-		Closed: n.closed.Load(), Moves: n.moves.Load(), Frames: n.frames.Load(), Late: n.late.Load(), Overdue: n.overdue.Load(),
-		SilentMs: c.Clock.Now() - float64(n.lastWord.Load()), WorstGap: n.worstGap.Load(),
+		LastEvent: c.last.Load(), Calls: n.calls.Load(), Responded: n.spoke.Load(), Failed: n.failed.Load(), Broken: n.broken.Load(),
+		Closed: n.closed.Load(), AddressChanges: n.moves.Load(), Frames: n.frames.Load(), EventsAfterSilence: n.late.Load(), Overdue: n.overdue.Load(),
+		SinceLastFrameMs: c.Clock.Now() - float64(n.lastWord.Load()), LongestSilenceMs: n.worstGap.Load(),
 	}
 	if addr := n.address.Load(); addr != nil {
 		s.Address = *addr
@@ -62,7 +62,7 @@
 }
 
 // spoke reports a whole frame.
-func (c *Client) spoke(x *call, n Notice, last uint64) {
+func (c *Client) spoke(x *call, n Event, last uint64) {
 	now, counters := c.Clock.Now(), &c.counters
 	gap := now - float64(counters.lastWord.Swap(int64(now)))
 	counters.frames.Add(1)
@@ -71,11 +71,11 @@
 	}
 	if x.frames++; x.frames == 1 {
 		counters.spoke.Add(1)
-		c.Log.Info(logKind).Int("call", int(x.id)).Float64("ms", now-x.began).Uint64("event", n.Rev).Msg("discovery speaks")
+		c.Log.Info(logKind).Int("call", int(x.id)).Float64("ms", now-x.began).Uint64("event", n.Revision).Msg("discovery speaks")
 	}
-	if gap > gapAfter && n.Rev > last && (n.Purge != nil || n.Whole || n.Members != nil) {
+	if gap > gapAfter && n.Revision > last && (n.Purge != nil || n.Complete || n.Members != nil) {
 		counters.late.Add(1)
-		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("event", n.Rev).Bool("purge", n.Purge != nil).Float64("silent_ms", gap).
+		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("event", n.Revision).Bool("purge", n.Purge != nil).Float64("silent_ms", gap).
 			Msg("an event was heard after a silence")
 	}
 }
--- a/internal/source/discoveryclient/slow_test.go
+++ b/internal/source/discoveryclient/slow_test.go
@@ -34,13 +34,13 @@
 	f.trickle(nc, frame(5, kindWhole, payload...), parts, pause)
 	select {
 	case n := <-f.got:
-		require.EqualValues(t, 5, n.Rev)
+		require.EqualValues(t, 5, n.Revision)
 		require.Len(t, n.Members, servers)
 	case <-time.After(time.Minute):
 		require.Fail(t, "the list never came")
 	}
 	f.write(nc, frame(6, kindGroup, group(17, 1000)...)) // still the same connection
-	require.EqualValues(t, 6, (<-f.got).Rev)
+	require.EqualValues(t, 6, (<-f.got).Revision)
 }
 
 // A frame trickles over a call that has spoken, a byte a second: it is not waited for, another call is made and tells what there is.
@@ -53,10 +53,10 @@
 	for second := 0; f.client.Status().Calls == 1; second++ {
 		require.Less(t, second, 4, "s without a whole frame")
 		f.write(first, purge[second:second+1])
-		f.pass(func(s Status) bool { return s.Calls > 1 || s.SilentMs >= float64(second+1)*1000 })
+		f.pass(func(s Status) bool { return s.Calls > 1 || s.SinceLastFrameMs >= float64(second+1)*1000 })
 	}
 	f.write(f.accept(4), purge)
-	require.EqualValues(t, 5, (<-f.got).Rev)
+	require.EqualValues(t, 5, (<-f.got).Revision)
 	f.left(first)
 }
 
@@ -68,6 +68,6 @@
 	f.called()
 	second := f.accept(4)
 	f.write(first, frame(5, kindGroup, group(17, 1000)...))
-	require.EqualValues(t, 5, (<-f.got).Rev)
+	require.EqualValues(t, 5, (<-f.got).Revision)
 	f.left(second)
 }
--- a/internal/source/discoveryclient/stamps.go
+++ b/internal/source/discoveryclient/stamps.go
@@ -9,10 +9,10 @@
 // ms is a time of the module's in ms.
 func ms(t policy.Time) float64 { return float64(t) / 1e6 }
 
-// Dated returns a notice that was heard now with its stamps read as times on this machine's clock.
-func (n Notice) Dated(r *timestamp.Reader, now float64) Notice {
+// Translate returns a notice that was heard now with its stamps read as times on this machine's clock.
+func (n Event) Translate(r *timestamp.Reader, now float64) Event {
 	start := r.Start
-	if n.Whole {
+	if n.Complete {
 		start = r.KnownStart
 	}
 	n = n.started(now, start)
@@ -25,8 +25,8 @@
 	return n
 }
 
-// DatedKnown returns the notices of the start with their stamps read. The purges among them are of the last span of so many ms.
-func DatedKnown(known []Notice, r *timestamp.Reader, now, span float64) []Notice {
+// TranslateInitialEvents returns the notices of the start with their stamps read. The purges among them are of the last span of so many ms.
+func TranslateInitialEvents(known []Event, r *timestamp.Reader, now, span float64) []Event {
 	newest := 0.0
 	for _, n := range known {
 		if n.Purge != nil {
@@ -36,7 +36,7 @@
 	if newest > 0 {
 		r.Known(now, newest, span)
 	}
-	out := make([]Notice, len(known))
+	out := make([]Event, len(known))
 	for i, n := range known {
 		out[i] = n.started(now, r.KnownStart)
 		if n.Purge != nil {
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (n Notice) started(now float64, read func(now float64, id policy.CacheID, stamp float64) float64) Notice {
+func (n Event) started(now float64, read func(now float64, id policy.CacheID, stamp float64) float64) Event {
 	members := n.Members
 	n.Members = nil
 	for _, m := range members {
