--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -153,20 +153,20 @@
 	parsed, defects := serverlist.Parse(files, serverlist.Facts{ParentKind: "parent", OriginKind: "origin", Writes: true})
 	require.NoError(t, defects.Err())
 	set := parsed.Unresolved()
-	require.NoError(t, keeper.Took("list", set))
+	require.NoError(t, keeper.RecordList("list", set))
 	purge := recovery.Purge{Object: "7f3a9c21e0b4d655", IssuedAt: now - 5}
 	purge.NotifiedAt = now - 4
-	require.NoError(t, keeper.Purged(purge))
+	require.NoError(t, keeper.RecordPurge(purge))
 	purge = recovery.Purge{Group: 17, IssuedAt: now - 3}
 	purge.NotifiedAt = now - 2
-	require.NoError(t, keeper.Purged(purge))
+	require.NoError(t, keeper.RecordPurge(purge))
 	member := membership.Transition{}
 	member.Member.ID, member.Member.Addr, member.Member.Zone, member.Member.Kind = 1, "10.1.0.9:4100", 2, 1
 	member.Member.Cell, member.Member.Weight, member.Member.Started = 3, 9.5, 1000
 	member.Member.State = policy.Draining
 	member.To = membership.Draining
-	keeper.Moved(member)
-	keeper.Revised(6)
+	keeper.RecordTransition(member)
+	keeper.RecordRevision(6)
 	require.NoError(t, keeper.Close())
 	var out bytes.Buffer
 	for _, args := range []string{"show", "show --json", "verify"} {
--- a/cmd/ravenwheel/operator.go
+++ b/cmd/ravenwheel/operator.go
@@ -44,7 +44,7 @@
 	st := shared.store
 	follow := &live{store: st, revisions: shared.revisions, log: log, core: c, up: up, conf: conf, oper: o}
 	if src.state != nil {
-		follow.used = src.state.Revised
+		follow.used = src.state.RecordRevision
 	}
 	s := o.Signed
 	if s == nil {
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -32,7 +32,7 @@
 	s.core.Purged(p)
 	var err error
 	if s.state != nil {
-		err = s.state.Purged(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: p.At})
+		err = s.state.RecordPurge(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: p.At})
 	}
 	if s.member {
 		set := s.core.Settings()
@@ -67,7 +67,7 @@
 	if s.state == nil {
 		return nil
 	}
-	return s.state.Drained(uint64(id), on)
+	return s.state.RecordManualDrain(uint64(id), on)
 }
 
 // Push implements admin.Shared.
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -39,7 +39,7 @@
 	roster *registry.Registry
 	board  *discoveryclient.Client // nil: none
 	list   *filewatch.Source       // nil: none
-	state  *state.Keeper           // nil: nothing is kept
+	state  *state.Recorder         // nil: nothing is kept
 	admin  *admin.Admin            // nil: off
 	store  *store.Store            // nil: none is set up
 	core   *core.Core
@@ -137,8 +137,8 @@
 func (s *sources) ledger(set membership.Settings) registry.Options {
 	o := registry.Options{Membership: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
 	if s.state != nil {
-		o.Publish = func(p membership.Publish) { s.core.Members(p); s.state.Published(p) }
-		o.OnTransition = s.state.Moved
+		o.Publish = func(p membership.Publish) { s.core.Members(p); s.state.RecordPublish(p) }
+		o.OnTransition = s.state.RecordTransition
 	}
 	return o
 }
@@ -147,7 +147,7 @@
 func (s *sources) purged(p core.Purge) {
 	s.core.Purged(p)
 	if s.state != nil {
-		s.state.Purging(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: s.clk.Now()})
+		s.state.RecordPurgeAsync(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: s.clk.Now()})
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	began := clk.Now()
 	s.state, plan, err = state.Open(state.Options{
-		Dir: o.State.Dir, Clock: clk, Log: log, Delay: o.State.Delay, Settings: recovery.Settings{
+		Dir: o.State.Dir, Clock: clk, Log: log, BatchDelay: o.State.Delay, Settings: recovery.Settings{
 			PurgePropagation: clock.Ms(conf.Settings.PurgeDuration), PurgeGrace: clock.Ms(conf.Settings.PurgeGrace), GoneRetention: set.GoneRetention,
 		},
 	})
@@ -232,7 +232,7 @@
 	s.facts = facts
 	take := func(set *serverlist.Set) {
 		if s.state != nil {
-			_ = s.state.Took(listSource, set) // the keeper says so; not to take the list would be worse
+			_ = s.state.RecordList(listSource, set) // the keeper says so; not to take the list would be worse
 		}
 		s.roster.Handle(membership.Snapshot{Source: at, Generation: set.Generation, Entries: conf.Entries(set)})
 	}
--- a/cmd/ravenwheel/state.go
+++ b/cmd/ravenwheel/state.go
@@ -33,7 +33,7 @@
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: whole to record %d, snapshot %d, %d segments, %d bytes torn off at the end\n",
-					args[0], st.Next-1, st.Snapshot, len(st.Segments), st.Torn)
+					args[0], st.Next-1, st.Snapshot, len(st.Segments), st.TornBytes)
 				return nil
 			},
 		},
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -68,7 +68,7 @@
 	Core   *core.Core
 	Views  func() ([]membership.ServerStatus, uint64)
 	List   func() filewatch.Status // nil: no list is watched
-	State  *state.Keeper           // nil: nothing is kept
+	State  *state.Recorder         // nil: nothing is kept
 	Store  *store.Store            // nil: none is set up
 	Peers  *peers.Peers            // nil: this process is alone
 	// Distribution tells how this process stands in the tree of distributors. nil: it is in none.
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -20,8 +20,8 @@
 
 // Keeper is the journal's part.
 type Keeper interface {
-	Took(source string, set *serverlist.Set) error
-	Purging(recovery.Purge)
+	RecordList(source string, set *serverlist.Set) error
+	RecordPurgeAsync(recovery.Purge)
 }
 
 // Options say where facts go.
@@ -72,7 +72,7 @@
 		return
 	}
 	if o.Keeper != nil { // before it is in force, as a watched list is
-		_ = o.Keeper.Took(ListSource, set)
+		_ = o.Keeper.RecordList(ListSource, set)
 	}
 	o.Tell(membership.Snapshot{Source: o.Source, Generation: set.Generation, Entries: entries})
 }
@@ -85,6 +85,6 @@
 	}
 	o.Purged(p)
 	if o.Keeper != nil {
-		o.Keeper.Purging(recovery.Purge{Object: p.Object, Group: x.Group, IssuedAt: p.At, NotifiedAt: o.Clock.Now()})
+		o.Keeper.RecordPurgeAsync(recovery.Purge{Object: p.Object, Group: x.Group, IssuedAt: p.At, NotifiedAt: o.Clock.Now()})
 	}
 }
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -28,12 +28,12 @@
 	on bool
 }
 
-func (h *heard) Took(source string, set *serverlist.Set) error {
+func (h *heard) RecordList(source string, set *serverlist.Set) error {
 	h.all = append(h.all, took{source, set.Generation})
 	return nil
 }
 
-func (h *heard) Purging(p recovery.Purge) { h.all = append(h.all, p) }
+func (h *heard) RecordPurgeAsync(p recovery.Purge) { h.all = append(h.all, p) }
 
 func options(h *heard) *applier.Options {
 	return &applier.Options{
--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -6,40 +6,11 @@
 	"syscall"
 )
 
-// begin starts a new segment for what is written from now on. The one before it is closed for good.
-func (j *Journal) begin() error {
-	name := segmentName(j.next)
-	f, err := j.opt.FS.Create(j.path(name))
-	if err != nil {
-		return err
-	}
-	head := appendHeader(nil, j.next)
-	if _, err = f.Write(head); err == nil {
-		err = f.Sync()
-	}
-	if err == nil {
-		err = j.opt.FS.SyncDir(j.dir)
-	}
-	if err != nil {
-		f.Close()
-		return err
-	}
-	if j.file != nil {
-		j.file.Close()
-	}
-	j.file, j.size = f, headLen
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if n := len(j.segs); n == 0 || j.segs[n-1] != j.next {
-		j.segs = append(j.segs, j.next)
-	}
-	return nil
-}
-
-// Append writes a record and returns its number once it is on disk.
+// Append writes a record and returns its number once it is on disk. It returns ErrDiskFull, ErrFailed, ErrClosed,
+// ErrRecordTooLarge or the error of the write.
 func (j *Journal) Append(payload []byte) (number uint64, err error) {
 	done := make(chan struct{})
-	j.Start(payload, func(n uint64, e error) {
+	j.AppendAsync(payload, func(n uint64, e error) {
 		number, err = n, e
 		close(done)
 	})
@@ -47,20 +18,21 @@
 	return number, err
 }
 
-// Start writes a record and calls end once it is on disk, or won't be, in the order of the calls.
-func (j *Journal) Start(payload []byte, end func(number uint64, err error)) {
-	if len(payload) > MostRecord {
-		end(0, ErrTooLarge)
+// AppendAsync queues a record and calls done, in the order of the calls, once it is on disk or has failed with one of
+// Append's errors. done must not block. The payload must not change until then.
+func (j *Journal) AppendAsync(payload []byte, done func(number uint64, err error)) {
+	if len(payload) > MaxRecordSize {
+		done(0, ErrRecordTooLarge)
 		return
 	}
-	j.enqueue(&entry{payload: payload, end: end})
+	j.enqueue(&entry{payload: payload, done: done})
 }
 
 func (j *Journal) enqueue(e *entry) {
 	j.mu.Lock()
 	if j.closed || j.opt.ReadOnly {
 		j.mu.Unlock()
-		e.end(0, ErrClosed)
+		e.done(0, ErrClosed)
 		return
 	}
 	j.queue = append(j.queue, e)
@@ -75,40 +47,48 @@
 	}
 }
 
-// run writes what is queued, a batch at a time.
+// run is the writer goroutine. It writes the queue, a batch at a time, until the journal is closed.
 func (j *Journal) run() {
 	defer close(j.done)
 	for range j.wake {
-		if j.opt.Delay > 0 {
-			gathered := make(chan struct{})
-			j.opt.Clock.After(j.opt.Delay, func() { close(gathered) })
-			<-gathered
+		j.waitForBatch()
+		if closed := j.drainQueue(); closed {
+			return
 		}
-		for {
-			batch, closed := j.take()
-			if len(batch) > 0 {
-				j.write(batch)
-				continue
-			}
-			if closed {
-				return
-			}
-			break
+	}
+}
+
+func (j *Journal) waitForBatch() {
+	if j.opt.BatchDelay <= 0 {
+		return
+	}
+	gathered := make(chan struct{})
+	j.opt.Clock.After(j.opt.BatchDelay, func() { close(gathered) })
+	<-gathered
+}
+
+// drainQueue writes batches until the queue is empty, and reports whether the journal is closed.
+func (j *Journal) drainQueue() (closed bool) {
+	for {
+		batch, closed := j.nextBatch()
+		if len(batch) == 0 {
+			return closed
 		}
+		j.commit(batch)
 	}
 }
 
-// take cuts the next batch off the queue.
-func (j *Journal) take() (batch []*entry, closed bool) {
+// nextBatch removes the next batch from the queue. A roll ends its batch.
+func (j *Journal) nextBatch() (batch []*entry, closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	size := 0
-	for len(j.queue) > 0 && size < mostBatch && !(j.opt.EachSynced && len(batch) > 0) {
+	for len(j.queue) > 0 && size < maxBatchSize && !(j.opt.SyncEachRecord && len(batch) > 0) {
 		e := j.queue[0]
 		j.queue[0] = nil
 		j.queue = j.queue[1:]
 		batch = append(batch, e)
-		if size += recordHead + len(e.payload); e.roll {
+		if size += recordHeaderSize + len(e.payload); e.roll {
 			break
 		}
 	}
@@ -118,28 +98,41 @@
 	return batch, j.closed
 }
 
-func (j *Journal) write(batch []*entry) {
-	err := j.err()
+// commit writes a batch and reports the result to each of its entries.
+func (j *Journal) commit(batch []*entry) {
+	err := j.failure()
 	if err == nil {
-		err = j.put(batch)
+		err = j.writeBatch(batch)
 	}
 	for _, e := range batch {
 		if err != nil {
 			e.number = 0
 		}
-		e.end(e.number, err)
+		e.done(e.number, err)
 	}
 }
 
-// put writes one batch and syncs it.
-func (j *Journal) put(batch []*entry) error {
-	if j.size >= j.opt.Segment {
-		if err := j.begin(); errors.Is(err, syscall.ENOSPC) {
-			return ErrFull // the new file is empty, and is begun again with the next batch
+func (j *Journal) writeBatch(batch []*entry) error {
+	if j.fileSize >= j.opt.SegmentSize {
+		if err := j.startSegment(); errors.Is(err, syscall.ENOSPC) {
+			return ErrDiskFull // the new file is empty, and the next batch starts it again
 		} else if err != nil {
-			return j.broken(err)
+			return j.fail(err)
+		}
+	}
+	if err := j.writeRecords(batch); err != nil {
+		return err
+	}
+	if batch[len(batch)-1].roll && j.fileSize > headerSize {
+		if err := j.startSegment(); err != nil {
+			return j.fail(err)
 		}
 	}
+	return nil
+}
+
+// writeRecords numbers a batch's records, appends them to the segment and syncs it.
+func (j *Journal) writeRecords(batch []*entry) error {
 	var b []byte
 	first, next := j.next, j.next
 	for _, e := range batch {
@@ -149,33 +142,62 @@
 			next++
 		}
 	}
-	if len(b) > 0 {
-		if _, err := j.file.Write(b); err != nil {
-			// The bytes are taken back, and that is synced: a record that was said not to be there must not come back.
-			if terr := j.file.Truncate(int64(j.size)); terr != nil {
-				return j.broken(terr)
-			}
-			if serr := j.file.Sync(); serr != nil {
-				return j.broken(serr)
-			}
-			if errors.Is(err, syscall.ENOSPC) {
-				return ErrFull
-			}
-			return fmt.Errorf("journal: not written: %w", err)
-		}
-		if err := j.file.Sync(); err != nil {
-			return j.broken(err)
-		}
-		j.mu.Lock()
-		j.syncs++
-		j.next = next
-		j.mu.Unlock()
-		j.size += len(b)
+	if len(b) == 0 {
+		return nil
 	}
-	if batch[len(batch)-1].roll && j.size > headLen {
-		if err := j.begin(); err != nil {
-			return j.broken(err)
-		}
+	if _, err := j.file.Write(b); err != nil {
+		return j.undoWrite(err)
+	}
+	if err := j.file.Sync(); err != nil {
+		return j.fail(err)
+	}
+	j.mu.Lock()
+	j.syncs++
+	j.next = next
+	j.mu.Unlock()
+	j.fileSize += len(b)
+	return nil
+}
+
+// undoWrite truncates what a failed write left, and syncs that: a record that was reported as not written must not appear
+// after a restart. It returns the error for the batch.
+func (j *Journal) undoWrite(cause error) error {
+	if err := j.file.Truncate(int64(j.fileSize)); err != nil {
+		return j.fail(err)
+	}
+	if err := j.file.Sync(); err != nil {
+		return j.fail(err)
+	}
+	if errors.Is(cause, syscall.ENOSPC) {
+		return ErrDiskFull
+	}
+	return fmt.Errorf("journal: not written: %w", cause)
+}
+
+// startSegment starts a new segment for the records from next on, and closes the one before it.
+func (j *Journal) startSegment() error {
+	f, err := j.opt.FS.Create(j.path(segmentName(j.next)))
+	if err != nil {
+		return err
+	}
+	if _, err = f.Write(appendHeader(nil, j.next)); err == nil {
+		err = f.Sync()
+	}
+	if err == nil {
+		err = j.opt.FS.SyncDir(j.dir)
+	}
+	if err != nil {
+		f.Close()
+		return err
+	}
+	if j.file != nil {
+		j.file.Close()
+	}
+	j.file, j.fileSize = f, headerSize
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if n := len(j.segments); n == 0 || j.segments[n-1] != j.next {
+		j.segments = append(j.segments, j.next)
 	}
 	return nil
 }
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -11,14 +11,14 @@
 	"ravenwheel/internal/clock"
 )
 
-// BenchmarkAppend is durable appends of 200 bytes on the machine's disk, by so many writers at once, with syncs shared
-// and with one for each record.
+// BenchmarkAppend measures durable appends of 200 bytes on the machine's disk by concurrent writers, with shared syncs and
+// with one sync for each record.
 func BenchmarkAppend(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
 		for _, each := range []bool{false, true} {
 			b.Run(fmt.Sprintf("writers=%d/each=%v", writers, each), func(b *testing.B) {
 				clk := clock.System()
-				j, err := Open(b.TempDir(), Options{Clock: clk, EachSynced: each}, &model{})
+				j, err := Open(b.TempDir(), Options{Clock: clk, SyncEachRecord: each}, &recorder{})
 				require.NoError(b, err)
 				defer j.Close()
 				var mu sync.Mutex
@@ -50,13 +50,13 @@
 	}
 }
 
-// counter is a target that keeps nothing.
+// counter is a target that counts records.
 type counter struct{ n int }
 
 func (c *counter) Restore([]byte) error        { return nil }
 func (c *counter) Replay(uint64, []byte) error { c.n++; return nil }
 
-// BenchmarkRecover1M is the start of a journal that holds a million records of 100 bytes.
+// BenchmarkRecover1M opens a journal of a million records of 100 bytes.
 func BenchmarkRecover1M(b *testing.B) {
 	dir := b.TempDir()
 	j, err := Open(dir, Options{Clock: clock.System()}, &counter{})
@@ -65,7 +65,7 @@
 	var wait sync.WaitGroup
 	for range 1_000_000 {
 		wait.Add(1)
-		j.Start(record, func(uint64, error) { wait.Done() })
+		j.AppendAsync(record, func(uint64, error) { wait.Done() })
 	}
 	wait.Wait()
 	require.NoError(b, j.Close())
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -12,10 +12,10 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// goldenJournal has records, a snapshot of the first three of them, and records in the segment behind it.
+// goldenJournal returns a journal of five records with a snapshot of the first three.
 func goldenJournal(t *testing.T) *vfs.Sim {
 	fs := vfs.NewSim(-1)
-	j, err := Open("d", Options{FS: fs, Clock: clock.Manual(0), EachSynced: true}, &model{})
+	j, err := Open("d", Options{FS: fs, Clock: clock.Manual(0), SyncEachRecord: true}, &recorder{})
 	require.NoError(t, err)
 	for _, text := range []string{"one", "", "three"} {
 		_, err := j.Append([]byte(text))
@@ -35,11 +35,11 @@
 func TestGoldenFiles(t *testing.T) {
 	fs := goldenJournal(t)
 	for _, name := range goldenFiles {
-		golden.Equal(t, name, fs.Bytes(filepath.Join("d", name)))
+		golden.Equal(t, name, fs.Contents(filepath.Join("d", name)))
 	}
 }
 
-// The golden files are read, with the snapshot and, as its loss may be, without.
+// The golden files are read with the snapshot, without it, and without the segment that it covers.
 func TestGoldenFilesAreRead(t *testing.T) {
 	for _, names := range [][]string{goldenFiles, {goldenFiles[0], goldenFiles[2]}, goldenFiles[1:]} {
 		fs := vfs.NewSim(-1)
@@ -50,24 +50,24 @@
 			_, err = f.Write(golden.Read(t, name))
 			require.NoError(t, err)
 		}
-		var m model
+		var m recorder
 		j, err := Open("d", Options{FS: fs, ReadOnly: true}, &m)
 		require.NoError(t, err)
-		require.Equal(t, []string{"one", "", "three", "four", "five"}, m.got)
+		require.Equal(t, []string{"one", "", "three", "four", "five"}, m.payloads)
 		require.EqualValues(t, 6, j.Stats().Next)
 	}
 }
 
 func TestGoldenRecords(t *testing.T) {
-	number, batch, payload, size := readRecord(golden.Read(t, goldenFiles[2])[headLen:])
+	number, batch, payload, size := readRecord(golden.Read(t, goldenFiles[2])[headerSize:])
 	require.Equal(t, [2]uint64{4, 4}, [2]uint64{number, batch})
 	require.Equal(t, "four", string(payload))
-	require.Equal(t, golden.Read(t, goldenFiles[2])[headLen:headLen+size], appendRecord(nil, number, batch, payload))
+	require.Equal(t, golden.Read(t, goldenFiles[2])[headerSize:headerSize+size], appendRecord(nil, number, batch, payload))
 }
 
 func TestGoldenStats(t *testing.T) {
 	for name, s := range map[string]Stats{
-		"stats.json":       {Next: 6, Snapshot: 3, Segments: []uint64{1, 4}, Torn: 7, Syncs: 8, Failed: "why", Dir: "d"},
+		"stats.json":       {Next: 6, Snapshot: 3, Segments: []uint64{1, 4}, TornBytes: 7, Syncs: 8, Failed: "why", Dir: "d"},
 		"stats-empty.json": {},
 	} {
 		raw, err := json.MarshalIndent(s, "", "  ")
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,7 @@
-// Package journal is a write-ahead log with snapshots on plain files, for what is hot and local: drains and purges that
-// a proxy was told of. A record is acknowledged once it is on disk; records of many writers share one sync. Recovery
-// keeps every record that was acknowledged, cuts off what was torn, refuses what is damaged with its offset, and never
-// invents. It knows nothing of what its records mean. Its failures are caused in tests, at every call to the disk.
+// Package journal is a write-ahead log with snapshots on plain files. A record is acknowledged once it is on disk, and
+// records of concurrent writers share one sync. Recovery keeps every acknowledged record, truncates a torn tail, reports
+// damage with its offset, and never returns a record that was not written. The package does not interpret its records.
+// Its tests inject a fault at every call to the file system.
 package journal
 
 import (
@@ -16,164 +16,187 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// Bounds. MostRecord of a payload; a batch that is synced together; a snapshot, unpacked.
+// MaxRecordSize is the largest payload of a record, in bytes.
+const MaxRecordSize = 16 << 20
+
 const (
-	MostRecord   = 16 << 20
-	mostBatch    = 1 << 20
-	mostSnapshot = 1 << 30
-	// mostSegment: a larger file is no segment of ours, and would only cost memory.
-	mostSegment = 256 << 20
+	maxBatchSize       = 1 << 20   // bytes of records after which a batch takes no more
+	maxSnapshotSize    = 1 << 30   // bytes of a snapshot's state, decompressed
+	maxFileSize        = 256 << 20 // bytes of a file; recovery does not load a larger one into memory
+	defaultSegmentSize = 8 << 20   // bytes
 )
 
-// What an append can meet.
 var (
-	// ErrFull: the disk is full. The record is not there, and a later one may be.
-	ErrFull = errors.New("journal: disk full")
-	// ErrFailed: a sync failed. Whether the record is there is not known, and nothing more is taken: what the kernel
-	// holds can't be trusted after that (https://lwn.net/Articles/752063/). The journal must be opened anew.
+	// ErrDiskFull says that the disk is full. The record was not written; a later one may be.
+	ErrDiskFull = errors.New("journal: disk full")
+	// ErrFailed says that a sync failed. Whether the record is on disk is unknown, and the journal accepts no more: after a
+	// failed sync the page cache can't be trusted (https://lwn.net/Articles/752063/). The journal must be opened again.
 	ErrFailed = errors.New("journal: failed")
-	// ErrClosed: nothing was written.
+	// ErrClosed says that the journal is closed or read-only. Nothing was written.
 	ErrClosed = errors.New("journal: closed")
-	// ErrNone: a directory without a segment or snapshot, which only a writer may begin with.
-	ErrNone = errors.New("journal: none here")
-	// ErrTooLarge: a record over MostRecord.
-	ErrTooLarge = errors.New("journal: record too large")
+	// ErrEmptyDirectory says that a directory opened read-only holds no segment and no snapshot.
+	ErrEmptyDirectory = errors.New("journal: none here")
+	// ErrRecordTooLarge says that a payload is larger than MaxRecordSize.
+	ErrRecordTooLarge = errors.New("journal: record too large")
 )
 
-// Options set up a journal.
+// Options configure a journal.
 type Options struct {
-	FS    vfs.FS // nil: the machine's
+	FS    vfs.FS // nil: the machine's file system
 	Clock *clock.Clock
-	// Delay is how many ms a batch waits for more writers; 0: it is written at once, and those that come while it is
-	// synced make the next one. Longer saves syncs, and each writer waits longer.
-	Delay float64
-	// Segment is the size in bytes at which a new file is begun; 0: 8 MB.
-	Segment int
-	// EachSynced syncs every record by itself: a baseline for measuring.
-	EachSynced bool
-	// ReadOnly recovers without cutting, locking or writing anything.
+	// BatchDelay is how many ms a batch waits for more writers. 0: it is written at once, and records that arrive during its
+	// sync form the next batch. A longer delay saves syncs at the cost of each writer's latency.
+	BatchDelay float64
+	// SegmentSize is the size in bytes at which a new segment is started. 0: 8 MB.
+	SegmentSize int
+	// SyncEachRecord syncs each record by itself, as a baseline for benchmarks.
+	SyncEachRecord bool
+	// ReadOnly recovers without locking, truncating or writing anything.
 	ReadOnly bool
 }
 
-// Journal is an open one.
+// Journal is an open journal. Its methods are safe for concurrent use.
 type Journal struct {
 	opt  Options
 	dir  string
-	lock io.Closer
-	file vfs.File // the last segment
-	size int
-	segs []uint64 // first numbers, in order
-	snap uint64   // number that the newest snapshot covers; 0: none
-	old  uint64   // that of the one before it
-	next uint64
-
-	mu     sync.Mutex
-	queue  []*entry
-	wake   chan struct{}
-	closed bool
-	failed error
-	done   chan struct{}
-	torn   int64
-	syncs  int64
+	lock io.Closer // of the directory; nil: read-only
+
+	// The writer goroutine owns these after Open.
+	file     vfs.File // the last segment
+	fileSize int      // bytes written to it and synced
+
+	mu               sync.Mutex
+	segments         []uint64 // numbers of their first records, in order
+	snapshot         uint64   // last record that the newest snapshot covers; 0: no snapshot
+	previousSnapshot uint64   // the same of the snapshot before it
+	next             uint64   // number of the next record
+	queue            []*entry
+	closed           bool
+	failed           error
+	tornBytes        int64
+	syncs            int64
+
+	wake chan struct{} // capacity 1: the queue has changed
+	done chan struct{} // closed when the writer goroutine has returned
 }
 
+// entry is a request to the writer goroutine.
 type entry struct {
 	payload []byte
-	roll    bool // begin a new segment
+	roll    bool // start a new segment; there is no payload
 	number  uint64
-	end     func(number uint64, err error)
+	done    func(number uint64, err error)
 }
 
-// Target is what a journal is read into.
+// Target receives what a journal holds when it is opened.
 type Target interface {
-	// Restore takes the newest snapshot, if there is one, before any record.
+	// Restore receives the newest snapshot, if there is one, before any record.
 	Restore(snapshot []byte) error
-	// Replay takes a record, in order. The payload may not be kept.
+	// Replay receives a record. Records come in order; payload is valid only during the call.
 	Replay(number uint64, payload []byte) error
 }
 
-func segmentName(first uint64) string   { return fmt.Sprintf("%016x.log", first) }
-func snapshotName(covers uint64) string { return fmt.Sprintf("%016x.snap", covers) }
+const (
+	segmentExtension  = "log"
+	snapshotExtension = "snap"
+	partialExtension  = "tmp" // of a file that has not been renamed into place
+)
+
+func segmentName(first uint64) string { return fmt.Sprintf("%016x.%s", first, segmentExtension) }
+
+func snapshotName(covers uint64) string { return fmt.Sprintf("%016x.%s", covers, snapshotExtension) }
+
+func partialName(name string) string { return name + "." + partialExtension }
+
+func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
-// Open reads a directory into a target and takes it for writing. It fails at once if another process has it.
+// Open reads a directory into a target and locks it for writing. It returns vfs.ErrLocked at once if another process has
+// the directory, and a DamageError if an acknowledged record can't be read.
 func Open(dir string, o Options, into Target) (j *Journal, err error) {
 	if o.FS == nil {
 		o.FS = vfs.Disk{}
 	}
-	if o.Segment <= 0 {
-		o.Segment = 8 << 20
+	if o.SegmentSize <= 0 {
+		o.SegmentSize = defaultSegmentSize
 	}
 	j = &Journal{opt: o, dir: dir, wake: make(chan struct{}, 1), done: make(chan struct{}), next: 1}
-	if !o.ReadOnly {
-		if err := o.FS.MkdirAll(dir); err != nil {
-			return nil, err
-		}
-		if j.lock, err = o.FS.Lock(filepath.Join(dir, "lock")); err != nil {
-			return nil, err
-		}
-		lock := j.lock
-		defer func() {
-			if err != nil {
-				lock.Close()
-			}
-		}()
+	if o.ReadOnly {
+		return j.openReadOnly(into)
 	}
-	if err := j.recover(into); err != nil {
+	if err := o.FS.MkdirAll(dir); err != nil {
 		return nil, err
 	}
-	if o.ReadOnly {
-		// Guards against a directory that is empty, or the wrong one, being called whole.
-		if len(j.segs) == 0 && j.snap == 0 {
-			return nil, fmt.Errorf("%w: %s holds no segment and no snapshot", ErrNone, dir)
-		}
-		return j, nil
+	if j.lock, err = o.FS.Lock(filepath.Join(dir, "lock")); err != nil {
+		return nil, err
 	}
-	if err := j.begin(); err != nil {
+	if err := j.openForWriting(into); err != nil {
+		j.lock.Close()
 		return nil, err
 	}
-	go j.run()
 	return j, nil
 }
 
-func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
+func (j *Journal) openReadOnly(into Target) (*Journal, error) {
+	if err := j.recover(into); err != nil {
+		return nil, err
+	}
+	// An empty or wrong directory must not pass for an intact journal.
+	if len(j.segments) == 0 && j.snapshot == 0 {
+		return nil, fmt.Errorf("%w: %s holds no segment and no snapshot", ErrEmptyDirectory, j.dir)
+	}
+	return j, nil
+}
 
-// broken ends the journal's life: nothing more is acknowledged.
-func (j *Journal) broken(err error) error {
+func (j *Journal) openForWriting(into Target) error {
+	if err := j.recover(into); err != nil {
+		return err
+	}
+	if err := j.startSegment(); err != nil {
+		return err
+	}
+	go j.run()
+	return nil
+}
+
+// fail makes the journal refuse all further records.
+func (j *Journal) fail(cause error) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.failed = fmt.Errorf("%w: %w", ErrFailed, err)
+	j.failed = fmt.Errorf("%w: %w", ErrFailed, cause)
 	return j.failed
 }
 
-func (j *Journal) err() error {
+func (j *Journal) failure() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.failed
 }
 
-// Stats tell how a journal stands.
+// Stats describe a journal.
 type Stats struct {
-	Next     uint64   `json:"next"`             // number of the record that comes next
-	Snapshot uint64   `json:"snapshot"`         // what the newest snapshot covers
-	Segments []uint64 `json:"segments"`         // by their first numbers
-	Torn     int64    `json:"torn_bytes"`       // cut off at the start
-	Syncs    int64    `json:"syncs"`            // so far
-	Failed   string   `json:"failed,omitempty"` // why nothing more is taken
-	Dir      string   `json:"dir,omitempty"`    //
+	Next      uint64   `json:"next"`             // number of the next record
+	Snapshot  uint64   `json:"snapshot"`         // last record that the newest snapshot covers; 0: no snapshot
+	Segments  []uint64 `json:"segments"`         // numbers of the segments' first records
+	TornBytes int64    `json:"torn_bytes"`       // truncated by recovery
+	Syncs     int64    `json:"syncs"`            // of batches since the journal was opened
+	Failed    string   `json:"failed,omitempty"` // why no more records are accepted
+	Dir       string   `json:"dir,omitempty"`
 }
 
-// Stats are those of now.
+// Stats returns the journal's current state.
 func (j *Journal) Stats() Stats {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	s := Stats{Next: j.next, Snapshot: j.snap, Segments: slices.Clone(j.segs), Torn: j.torn, Syncs: j.syncs, Dir: j.dir}
+	s := Stats{
+		Next: j.next, Snapshot: j.snapshot, Segments: slices.Clone(j.segments), TornBytes: j.tornBytes, Syncs: j.syncs, Dir: j.dir,
+	}
 	if j.failed != nil {
 		s.Failed = j.failed.Error()
 	}
 	return s
 }
 
-// Close writes what is queued and ends the journal.
+// Close writes the queued records, and releases the directory.
 func (j *Journal) Close() error {
 	if j.opt.ReadOnly {
 		return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,91 +17,95 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// model is a target that keeps all payloads.
-type model struct{ got []string }
+// recorder is a target that keeps all payloads.
+type recorder struct{ payloads []string }
 
-func (m *model) Restore(b []byte) error {
-	m.got = nil
-	if len(b) > 0 {
-		m.got = strings.Split(string(b), "\n")
+func (r *recorder) Restore(snapshot []byte) error {
+	r.payloads = nil
+	if len(snapshot) > 0 {
+		r.payloads = strings.Split(string(snapshot), "\n")
 	}
 	return nil
 }
 
-func (m *model) Replay(_ uint64, p []byte) error { m.got = append(m.got, string(p)); return nil }
+func (r *recorder) Replay(_ uint64, payload []byte) error {
+	r.payloads = append(r.payloads, string(payload))
+	return nil
+}
 
-func (m *model) state() []byte { return []byte(strings.Join(m.got, "\n")) }
+func (r *recorder) state() []byte { return []byte(strings.Join(r.payloads, "\n")) }
 
 func payload(n int) string { return fmt.Sprintf("record %d %s", n, strings.Repeat("x", n*37%700)) }
 
 func options(fs vfs.FS) Options {
-	return Options{FS: fs, Clock: clock.System(), Segment: 3000}
+	return Options{FS: fs, Clock: clock.System(), SegmentSize: 3000}
 }
 
-// work appends records, one batch after another, with snapshots in between, until something fails. It returns what was
-// acknowledged and what was tried, as numbers of payloads from the first on.
-func work(fs vfs.FS, from, n int) (acked, tried int) {
-	var m model
+// appendBatches appends n records from number from on, one batch after another, with snapshots in between, until something
+// fails. It returns how many payloads were acknowledged and how many were attempted, each counted from the first payload.
+func appendBatches(fs vfs.FS, from, n int) (acknowledged, attempted int) {
+	var m recorder
 	j, err := Open("d", options(fs), &m)
 	if err != nil {
 		return from, from
 	}
 	defer j.Close()
-	acked, tried = from, from
+	acknowledged, attempted = from, from
 	for i := from; i < from+n; {
-		// A batch of one to three, as the writer would gather them.
+		// A batch of one to three records, queued at once so that the writer takes them together.
 		var wait sync.WaitGroup
 		size := 1 + i%3
 		errs := make([]error, size)
 		batch := make([]*entry, 0, size)
 		for k := range size {
 			wait.Add(1)
-			batch = append(batch, &entry{payload: []byte(payload(i + k)), end: func(_ uint64, err error) {
+			batch = append(batch, &entry{payload: []byte(payload(i + k)), done: func(_ uint64, err error) {
 				errs[k] = err
 				wait.Done()
 			}})
 		}
-		tried = i + size
+		attempted = i + size
 		j.mu.Lock()
 		j.queue = append(j.queue, batch...)
 		j.mu.Unlock()
 		j.signal()
 		wait.Wait()
 		if errors.Join(errs...) != nil {
-			return acked, tried
+			return acknowledged, attempted
 		}
 		for k := range size {
-			m.got = append(m.got, payload(i+k))
+			m.payloads = append(m.payloads, payload(i+k))
 		}
 		i += size
-		acked = i
-		if i%7 == 0 && j.Compact(uint64(len(m.got)), m.state()) != nil {
-			return acked, tried
+		acknowledged = i
+		if i%7 == 0 && j.Compact(uint64(len(m.payloads)), m.state()) != nil {
+			return acknowledged, attempted
 		}
 	}
-	return acked, tried
+	return acknowledged, attempted
 }
 
-// recovered reads what is there and checks it: all that was acknowledged, and of what was tried the first ones.
-func recovered(t *testing.T, fs vfs.FS, acked, tried int, what string) int {
+// requireRecovered opens the journal and requires that it holds all acknowledged records and, behind them, nothing but the
+// first of those attempted. It returns how many records there are.
+func requireRecovered(t *testing.T, fs vfs.FS, acknowledged, attempted int, what string) int {
 	t.Helper()
-	var m model
+	var m recorder
 	j, err := Open("d", options(fs), &m)
 	require.NoError(t, err, what)
 	require.NoError(t, j.Close(), what)
-	require.GreaterOrEqual(t, len(m.got), acked, "%s: an acknowledged record is lost", what)
-	require.LessOrEqual(t, len(m.got), tried, "%s: a record was invented", what)
-	for i, p := range m.got {
+	require.GreaterOrEqual(t, len(m.payloads), acknowledged, "%s: an acknowledged record is lost", what)
+	require.LessOrEqual(t, len(m.payloads), attempted, "%s: a record was invented", what)
+	for i, p := range m.payloads {
 		require.Equal(t, payload(i), p, "%s: record %d", what, i)
 	}
-	return len(m.got)
+	return len(m.payloads)
 }
 
-// Power lost at every call to the disk, with what was not synced torn in several ways: what was acknowledged is there,
-// and work goes on behind it.
+// The power is lost at every call to the disk, with unsynced data torn in several ways. All acknowledged records are
+// recovered, and more can be appended behind them.
 func TestCrashAtEveryCall(t *testing.T) {
 	clean := vfs.NewSim(-1)
-	work(clean, 0, 40)
+	appendBatches(clean, 0, 40)
 	calls := clean.Calls()
 	require.Greater(t, calls, 60)
 	for at := 1; at <= calls+1; at++ {
@@ -110,22 +114,22 @@
 			what := fmt.Sprintf("crash at call %d of %d, seed %d", at, calls, seed)
 			fs := vfs.NewSim(-1)
 			fs.FailAt(at, vfs.Crash)
-			acked, tried := work(fs, 0, 40)
+			acknowledged, attempted := appendBatches(fs, 0, 40)
 			fs.Restart(rng)
-			// A second crash while it recovers, before it goes on.
+			// A second crash during the recovery.
 			fs.FailAt(fs.Calls()+1+rng.IntN(6), vfs.Crash)
-			_, _ = Open("d", options(fs), &model{})
+			_, _ = Open("d", options(fs), &recorder{})
 			fs.Restart(rng)
-			have := recovered(t, fs, acked, tried, what)
+			have := requireRecovered(t, fs, acknowledged, attempted, what)
 			fs.FailAt(fs.Calls()+1+rng.IntN(30), vfs.Crash)
-			acked, tried = work(fs, have, 9)
+			acknowledged, attempted = appendBatches(fs, have, 9)
 			fs.Restart(rng)
-			recovered(t, fs, max(have, acked), max(have, tried), what+", and again")
+			requireRecovered(t, fs, max(have, acknowledged), max(have, attempted), what+", and again")
 		}
 	}
 }
 
-// Errors at every call: whatever was acknowledged stays; after a sync that failed nothing more is acknowledged.
+// An error at every call to the disk: all acknowledged records are recovered.
 func TestErrorAtEveryCall(t *testing.T) {
 	for _, fault := range []vfs.Fault{vfs.IOError, vfs.SyncLost, vfs.Short} {
 		for at := 1; at <= 80; at++ {
@@ -133,19 +137,19 @@
 			what := fmt.Sprintf("fault %d at call %d", fault, at)
 			fs := vfs.NewSim(-1)
 			fs.FailAt(at, fault)
-			acked, tried := work(fs, 0, 40)
+			acknowledged, attempted := appendBatches(fs, 0, 40)
 			fs.Restart(rng)
-			have := recovered(t, fs, acked, tried, what)
-			acked, tried = work(fs, have, 9)
+			have := requireRecovered(t, fs, acknowledged, attempted, what)
+			acknowledged, attempted = appendBatches(fs, have, 9)
 			fs.Restart(rng)
-			recovered(t, fs, max(have, acked), max(have, tried), what)
+			requireRecovered(t, fs, max(have, acknowledged), max(have, attempted), what)
 		}
 	}
 }
 
-func TestNothingAfterAFailedSync(t *testing.T) {
+func TestNoRecordIsAcceptedAfterFailedSync(t *testing.T) {
 	fs := vfs.NewSim(-1)
-	j, err := Open("d", options(fs), &model{})
+	j, err := Open("d", options(fs), &recorder{})
 	require.NoError(t, err)
 	_, err = j.Append([]byte("a"))
 	require.NoError(t, err)
@@ -159,17 +163,17 @@
 	_, err = j.Append([]byte("d"))
 	require.ErrorIs(t, err, ErrClosed)
 	fs.Restart(rand.New(rand.NewPCG(1, 1)))
-	var m model
+	var m recorder
 	_, err = Open("d", options(fs), &m)
 	require.NoError(t, err)
-	require.Equal(t, "a", m.got[0])
+	require.Equal(t, "a", m.payloads[0])
 }
 
-// A sync fails, the process alone is started again and reads what the kernel still shows; then the power is lost.
-func TestShownButNotOnDisk(t *testing.T) {
+// A sync fails, the process alone is restarted and reads what the page cache still shows, and then the power is lost.
+func TestRecoveryAfterFailedSyncAndProcessRestart(t *testing.T) {
 	for seed := range uint64(50) {
 		fs := vfs.NewSim(-1)
-		j, err := Open("d", options(fs), &model{})
+		j, err := Open("d", options(fs), &recorder{})
 		require.NoError(t, err)
 		_, err = j.Append([]byte(payload(0)))
 		require.NoError(t, err)
@@ -178,19 +182,19 @@
 		require.ErrorIs(t, err, ErrFailed)
 		require.NoError(t, j.Close())
 		fs.Restart(nil)
-		acked, _ := work(fs, 2, 3)
+		acknowledged, _ := appendBatches(fs, 2, 3)
 		fs.Restart(rand.New(rand.NewPCG(seed, 1)))
-		recovered(t, fs, acked, acked, "after a sync that failed")
+		requireRecovered(t, fs, acknowledged, acknowledged, "after a sync that failed")
 	}
 }
 
-// A disk that is full takes nothing, loses nothing, and takes records again once there is room.
-func TestDiskFull(t *testing.T) {
-	for room := range 5000 {
-		fs := vfs.NewSim(room)
-		j, err := Open("d", options(fs), &model{})
+// A full disk rejects records and loses none, and accepts records again once there is space.
+func TestFullDiskLosesNothingAndRecovers(t *testing.T) {
+	for free := range 5000 {
+		fs := vfs.NewSim(free)
+		j, err := Open("d", options(fs), &recorder{})
 		if err != nil {
-			continue // no room for as much as a header
+			continue // not even a header fits
 		}
 		var want []string
 		for i := range 12 {
@@ -201,27 +205,27 @@
 			want = append(want, payload(i))
 		}
 		if err != nil {
-			require.ErrorIs(t, err, ErrFull)
-			fs.Room(-1)
+			require.ErrorIs(t, err, ErrDiskFull)
+			fs.SetFreeSpace(-1)
 			_, err = j.Append([]byte("later"))
 			require.NoError(t, err)
 			want = append(want, "later")
 		}
 		require.NoError(t, j.Close())
-		fs.Room(-1)
-		fs.Restart(rand.New(rand.NewPCG(uint64(room), 1)))
-		var m model
+		fs.SetFreeSpace(-1)
+		fs.Restart(rand.New(rand.NewPCG(uint64(free), 1)))
+		var m recorder
 		_, err = Open("d", options(fs), &m)
 		require.NoError(t, err)
-		require.Equal(t, want, m.got, room)
+		require.Equal(t, want, m.payloads, free)
 	}
 }
 
-// Every bit of every file turned over: damage is named with its place, or what is read is right.
-func TestEveryBitFlip(t *testing.T) {
+// A bit of every byte of every file is inverted: the damage is reported with its place, or the records read are correct.
+func TestEveryBitFlipIsReportedOrHarmless(t *testing.T) {
 	build := func() *vfs.Sim {
 		fs := vfs.NewSim(-1)
-		work(fs, 0, 26)
+		appendBatches(fs, 0, 26)
 		return fs
 	}
 	names, err := build().List("d")
@@ -230,19 +234,19 @@
 	for _, name := range names {
 		path := filepath.Join("d", name)
 		fs := build()
-		size := len(fs.Bytes(path))
+		size := len(fs.Contents(path))
 		for at := range size {
-			if !fs.Flip(path, at, uint(at%8)) {
+			if !fs.FlipBit(path, at, uint(at%8)) {
 				break
 			}
-			var m model
+			var m recorder
 			o := options(fs)
 			o.ReadOnly = true
 			_, err := Open("d", o, &m)
-			for i, p := range m.got {
+			for i, p := range m.payloads {
 				require.Equal(t, payload(i), p, "%s, byte %d", name, at)
 			}
-			var d *Damage
+			var d *DamageError
 			switch {
 			case errors.As(err, &d):
 				require.ErrorIs(t, err, ErrDamaged)
@@ -250,21 +254,21 @@
 				damaged++
 			case err != nil:
 				require.NoError(t, err, "%s, byte %d", name, at)
-			case len(m.got) < 27:
-				// Only of the batch that was synced last nothing behind it tells that it was.
-				require.GreaterOrEqual(t, len(m.got), 25, "%s, byte %d", name, at)
+			case len(m.payloads) < 27:
+				// Only the batch that was synced last has nothing behind it that proves that it was.
+				require.GreaterOrEqual(t, len(m.payloads), 25, "%s, byte %d", name, at)
 				torn++
 			}
-			fs.Flip(path, at, uint(at%8))
+			fs.FlipBit(path, at, uint(at%8))
 		}
 	}
 	require.Greater(t, damaged, 500)
-	t.Logf("%d flips named as damage, %d read as a torn end", damaged, torn)
+	t.Logf("%d flips reported as damage, %d read as a torn tail", damaged, torn)
 }
 
-func TestMissingSegment(t *testing.T) {
+func TestMissingSegmentIsDamage(t *testing.T) {
 	fs := vfs.NewSim(-1)
-	work(fs, 0, 40)
+	appendBatches(fs, 0, 40)
 	names, err := fs.List("d")
 	require.NoError(t, err)
 	var logs []string
@@ -276,17 +280,17 @@
 	require.Greater(t, len(logs), 2)
 	require.NoError(t, fs.Remove(filepath.Join("d", logs[len(logs)-2])))
 	fs.Restart(nil)
-	_, err = Open("d", options(fs), &model{})
+	_, err = Open("d", options(fs), &recorder{})
 	require.ErrorIs(t, err, ErrDamaged)
 }
 
-// On the machine's own disk: many writers at once, two processes for one directory, and a real file that is cut.
-func TestDisk(t *testing.T) {
+// On the machine's disk: concurrent writers share syncs, a second process is refused, and a truncated segment is damage.
+func TestConcurrentWritersOnRealDisk(t *testing.T) {
 	dir := t.TempDir()
-	o := Options{Clock: clock.System(), Delay: 1}
-	j, err := Open(dir, o, &model{})
+	o := Options{Clock: clock.System(), BatchDelay: 1}
+	j, err := Open(dir, o, &recorder{})
 	require.NoError(t, err)
-	_, err = Open(dir, o, &model{})
+	_, err = Open(dir, o, &recorder{})
 	require.ErrorIs(t, err, vfs.ErrLocked)
 	var wait sync.WaitGroup
 	numbers := make([]uint64, 200)
@@ -302,15 +306,15 @@
 		}()
 	}
 	wait.Wait()
-	_, err = j.Append(make([]byte, MostRecord+1))
-	require.ErrorIs(t, err, ErrTooLarge)
+	_, err = j.Append(make([]byte, MaxRecordSize+1))
+	require.ErrorIs(t, err, ErrRecordTooLarge)
 	require.NoError(t, j.Close())
 	require.Less(t, j.Stats().Syncs, int64(200), "writers share syncs")
-	var m model
+	var m recorder
 	j, err = Open(dir, o, &m)
 	require.NoError(t, err)
 	for i, n := range numbers {
-		require.Equal(t, fmt.Sprint(i), m.got[n-1])
+		require.Equal(t, fmt.Sprint(i), m.payloads[n-1])
 	}
 	require.NoError(t, j.Close())
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -318,8 +322,8 @@
 	info, err := os.Stat(logs[0])
 	require.NoError(t, err)
 	require.NoError(t, os.Truncate(logs[0], info.Size()-3))
-	_, err = Open(dir, o, &model{})
-	require.ErrorIs(t, err, ErrDamaged, "a segment that is not the last was whole once")
+	_, err = Open(dir, o, &recorder{})
+	require.ErrorIs(t, err, ErrDamaged, "a segment that is not the last was complete once")
 }
 
 func FuzzSegment(f *testing.F) {
@@ -343,13 +347,13 @@
 	})
 }
 
-// Whatever stands in a directory, opening it gives records or one clear error.
+// Opening a directory of arbitrary content gives records or an error of one line.
 func FuzzDirectory(f *testing.F) {
 	fs := vfs.NewSim(-1)
-	work(fs, 0, 10)
+	appendBatches(fs, 0, 10)
 	names, _ := fs.List("d")
 	for _, n := range names {
-		f.Add(fs.Bytes(filepath.Join("d", n)), strings.HasSuffix(n, ".snap"))
+		f.Add(fs.Contents(filepath.Join("d", n)), strings.HasSuffix(n, ".snap"))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, snapshot bool) {
 		fs := vfs.NewSim(-1)
@@ -364,7 +368,7 @@
 		require.NoError(t, err)
 		o := options(fs)
 		o.ReadOnly = true
-		if _, err = Open("d", o, &model{}); err != nil {
+		if _, err = Open("d", o, &recorder{}); err != nil {
 			require.NotContains(t, err.Error(), "\n")
 		}
 	})
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -6,78 +6,92 @@
 	"io"
 	"strconv"
 	"strings"
+
+	"ravenwheel/internal/journal/vfs"
 )
 
-// recover reads the newest snapshot that is whole, and the records behind it.
+// recover reads the newest intact snapshot into a target, and the records behind it.
 func (j *Journal) recover(into Target) error {
-	names, err := j.opt.FS.List(j.dir)
+	snapshots, err := j.listFiles()
 	if err != nil {
 		return err
 	}
-	var snaps []uint64
-	for _, n := range names {
-		base, ext, _ := strings.Cut(n, ".")
-		number, err := strconv.ParseUint(base, 16, 64)
-		switch {
-		case ext == "tmp" || strings.HasSuffix(n, ".tmp"):
-			if !j.opt.ReadOnly {
-				_ = j.opt.FS.Remove(j.path(n)) // a snapshot that was never finished
-			}
-		case err != nil || len(base) != 16:
-		case ext == "log":
-			j.segs = append(j.segs, number)
-		case ext == "snap":
-			snaps = append(snaps, number)
-		}
-	}
-	if err := j.restore(snaps, into); err != nil {
+	if err := j.restoreSnapshot(snapshots, into); err != nil {
 		return err
 	}
-	j.next = j.snap + 1
-	if len(j.segs) == 0 {
+	j.next = j.snapshot + 1
+	if len(j.segments) == 0 {
 		return nil
 	}
-	if j.segs[0] > j.next {
-		return &Damage{j.path(segmentName(j.segs[0])), 0, fmt.Sprintf("records %d to %d are missing before it", j.next, j.segs[0]-1)}
+	if j.segments[0] > j.next {
+		return &DamageError{
+			j.path(segmentName(j.segments[0])), 0, fmt.Sprintf("records %d to %d are missing before it", j.next, j.segments[0]-1),
+		}
 	}
-	// Segments that the snapshot covers whole are left from a removal that did not come to its end.
+	// Segments that the snapshot covers completely remain if their removal was interrupted.
 	from := 0
-	for from+1 < len(j.segs) && j.segs[from+1] <= j.next {
+	for from+1 < len(j.segments) && j.segments[from+1] <= j.next {
 		from++
 	}
-	for i := from; i < len(j.segs); i++ {
-		if err := j.replay(i, into); err != nil {
+	for i := from; i < len(j.segments); i++ {
+		if err := j.replaySegment(i, into); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restore reads the newest snapshot that is whole. Snapshots are renamed into place once they are synced, so that one
-// that can't be read is damage; the one before it will do as long as the records behind that are there.
-func (j *Journal) restore(snaps []uint64, into Target) error {
-	var bad error
-	for i := len(snaps) - 1; i >= 0; i-- {
-		state, err := j.readSnapshot(snaps[i])
+// listFiles finds the segments and snapshots, in order, and removes files that were never renamed into place.
+func (j *Journal) listFiles() (snapshots []uint64, err error) {
+	names, err := j.opt.FS.List(j.dir)
+	if err != nil {
+		return nil, err
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, "."+partialExtension) {
+			if !j.opt.ReadOnly {
+				_ = j.opt.FS.Remove(j.path(name))
+			}
+			continue
+		}
+		base, extension, _ := strings.Cut(name, ".")
+		number, err := strconv.ParseUint(base, 16, 64)
+		switch {
+		case err != nil || len(base) != 16:
+		case extension == segmentExtension:
+			j.segments = append(j.segments, number)
+		case extension == snapshotExtension:
+			snapshots = append(snapshots, number)
+		}
+	}
+	return snapshots, nil
+}
+
+// restoreSnapshot reads the newest intact snapshot. A snapshot is renamed into place only once it is synced, so one that
+// can't be read is damaged; the one before it serves as long as the records behind that are there.
+func (j *Journal) restoreSnapshot(snapshots []uint64, into Target) error {
+	var damage error
+	for i := len(snapshots) - 1; i >= 0; i-- {
+		state, err := j.readSnapshot(snapshots[i])
 		if err != nil {
-			bad = err
+			damage = err
 			continue
 		}
-		if bad != nil && (len(j.segs) == 0 || j.segs[0] > snaps[i]+1) {
-			return bad
+		if damage != nil && (len(j.segments) == 0 || j.segments[0] > snapshots[i]+1) {
+			return damage
 		}
-		if j.snap = snaps[i]; i > 0 {
-			j.old = snaps[i-1]
+		if j.snapshot = snapshots[i]; i > 0 {
+			j.previousSnapshot = snapshots[i-1]
 		}
 		return into.Restore(state)
 	}
-	if bad != nil && (len(j.segs) == 0 || j.segs[0] > 1) {
-		return bad
+	if damage != nil && (len(j.segments) == 0 || j.segments[0] > 1) {
+		return damage
 	}
 	return nil
 }
 
-func (j *Journal) readAll(name string, most int64) ([]byte, error) {
+func (j *Journal) readFile(name string) ([]byte, error) {
 	f, err := j.opt.FS.Open(j.path(name))
 	if err != nil {
 		return nil, err
@@ -87,8 +101,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if size > most {
-		return nil, &Damage{j.path(name), most, fmt.Sprintf("larger than %d bytes", most)}
+	if size > maxFileSize {
+		return nil, &DamageError{j.path(name), maxFileSize, fmt.Sprintf("larger than %d bytes", maxFileSize)}
 	}
 	b := make([]byte, size)
 	if n, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && n == len(b)) {
@@ -97,26 +111,21 @@
 	return b, nil
 }
 
-func (j *Journal) replay(i int, into Target) error {
-	name, last := segmentName(j.segs[i]), i == len(j.segs)-1
-	b, err := j.readAll(name, mostSegment)
+// replaySegment reads a segment's records into a target, and truncates the last segment behind its last intact record.
+func (j *Journal) replaySegment(i int, into Target) error {
+	name, last := segmentName(j.segments[i]), i == len(j.segments)-1
+	b, err := j.readFile(name)
 	if err != nil {
 		return err
 	}
-	// The last segment may have been torn while it was made: then it holds nothing yet.
-	if first, ok := readHeader(b); last && !ok && len(b) <= headLen {
-		j.torn += int64(len(b))
-		j.segs = j.segs[:i]
-		if j.opt.ReadOnly {
-			return nil
-		}
-		return j.opt.FS.Remove(j.path(name))
-	} else if ok && (first != j.segs[i] || first > j.next) {
-		return &Damage{j.path(name), 8, fmt.Sprintf("begins with record %d where %d is due", first, j.next)}
+	if first, ok := readHeader(b); last && !ok && len(b) <= headerSize {
+		return j.dropTornSegment(i, len(b))
+	} else if ok && (first != j.segments[i] || first > j.next) {
+		return &DamageError{j.path(name), 8, fmt.Sprintf("begins with record %d where %d is due", first, j.next)}
 	}
 	end, next, err := scan(j.path(name), b, last, func(number uint64, payload []byte) error {
 		if number < j.next {
-			return nil // the snapshot covers it
+			return nil // covered by the snapshot
 		}
 		return into.Replay(number, payload)
 	})
@@ -124,35 +133,51 @@
 		return err
 	}
 	if next < j.next {
-		if last && next <= j.snap {
-			// The snapshot is of more than the segment holds: its tail was torn and never mattered.
-			next = j.next
-		} else {
-			return &Damage{j.path(name), int64(end), fmt.Sprintf("ends with record %d where %d was known", next-1, j.next-1)}
+		// A snapshot may cover more than the last segment holds: that segment's tail was torn and is not needed.
+		if !last || next > j.snapshot {
+			return &DamageError{j.path(name), int64(end), fmt.Sprintf("ends with record %d where %d was known", next-1, j.next-1)}
 		}
+		next = j.next
 	}
 	j.next = next
-	if j.torn += int64(len(b) - end); !last || j.opt.ReadOnly {
+	if j.tornBytes += int64(len(b) - end); !last || j.opt.ReadOnly {
+		return nil
+	}
+	return j.rewriteSegment(name, b[:end])
+}
+
+// dropTornSegment removes the last segment, whose header was torn while it was created: it holds no record yet.
+func (j *Journal) dropTornSegment(i, size int) error {
+	name := segmentName(j.segments[i])
+	j.tornBytes += int64(size)
+	j.segments = j.segments[:i]
+	if j.opt.ReadOnly {
 		return nil
 	}
-	return j.renew(name, b[:end])
+	return j.opt.FS.Remove(j.path(name))
 }
 
-// renew writes the good part of the last segment anew. Guards against a sync that failed before a restart of the process
-// alone: the kernel goes on showing bytes that the disk does not have, takes them for clean, and a sync would not write
-// them. Records that were read from them, and those that are written behind them, would be lost with the power.
-func (j *Journal) renew(name string, good []byte) error {
-	tmp := j.path(name + ".tmp")
-	f, err := j.opt.FS.Create(tmp)
+// rewriteSegment replaces the last segment by a new file of its intact part. After a failed sync and a restart of the
+// process alone, the page cache shows bytes that are not on disk and counts them as clean, so that another sync does not
+// write them. Records read from them, and all behind them, would be lost with the power.
+func (j *Journal) rewriteSegment(name string, intact []byte) error {
+	partial := j.path(partialName(name))
+	f, err := j.opt.FS.Create(partial)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(good); err == nil {
+	return j.commitFile(f, partial, name, intact)
+}
+
+// commitFile writes and syncs the content of a partial file, closes it and renames it to name.
+func (j *Journal) commitFile(f vfs.File, partial, name string, content []byte) error {
+	_, err := f.Write(content)
+	if err == nil {
 		err = f.Sync()
 	}
 	f.Close()
 	if err == nil {
-		err = j.opt.FS.Rename(tmp, j.path(name))
+		err = j.opt.FS.Rename(partial, j.path(name))
 	}
 	if err == nil {
 		err = j.opt.FS.SyncDir(j.dir)
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -8,102 +8,123 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Snapshots are a magic, what they cover, the length unpacked, a sum of the packed bytes and these.
+// A snapshot file is a header followed by the state, compressed with zstd:
+//
+//	header  magic:8 covers:8 size:8 crc:4 headerCRC:4
+//
+// covers is the last record that the state includes, size the state's length decompressed, crc the checksum of the
+// compressed state, and headerCRC that of the header from covers on. Numbers and checksums are as in segments.
 const (
-	snapMagic = "RWSNAP01"
-	snapHead  = 32
+	snapshotMagic      = "RWSNAP01"
+	snapshotHeaderSize = 32 // bytes
 )
 
+// readSnapshot returns the state in the snapshot of the records up to a number.
 func (j *Journal) readSnapshot(covers uint64) ([]byte, error) {
 	name := snapshotName(covers)
-	b, err := j.readAll(name, mostSegment)
+	b, err := j.readFile(name)
 	if err != nil {
 		return nil, err
 	}
-	bad := func(at int, reason string) error { return &Damage{j.path(name), int64(at), reason} }
+	damaged := func(offset int, reason string) error { return &DamageError{j.path(name), int64(offset), reason} }
 	switch {
-	case len(b) < snapHead || string(b[:8]) != snapMagic:
-		return nil, bad(0, "its header can't be read")
+	case len(b) < snapshotHeaderSize || string(b[:8]) != snapshotMagic:
+		return nil, damaged(0, "its header can't be read")
 	case binary.LittleEndian.Uint64(b[8:]) != covers:
-		return nil, bad(8, "it covers other records than its name says")
+		return nil, damaged(8, "it covers other records than its name says")
 	case crc32.Checksum(b[8:28], castagnoli) != binary.LittleEndian.Uint32(b[28:]):
-		return nil, bad(8, "its header's sum is wrong")
-	case crc32.Checksum(b[snapHead:], castagnoli) != binary.LittleEndian.Uint32(b[24:]):
-		return nil, bad(snapHead, "its sum is wrong")
+		return nil, damaged(8, "its header's checksum is wrong")
+	case crc32.Checksum(b[snapshotHeaderSize:], castagnoli) != binary.LittleEndian.Uint32(b[24:]):
+		return nil, damaged(snapshotHeaderSize, "its checksum is wrong")
 	}
 	size := binary.LittleEndian.Uint64(b[16:])
-	if size > mostSnapshot {
-		return nil, bad(16, "it claims too much")
+	if size > maxSnapshotSize {
+		return nil, damaged(16, fmt.Sprintf("its state is larger than %d bytes", maxSnapshotSize))
 	}
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostSnapshot))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotSize))
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
-	state, err := z.DecodeAll(b[snapHead:], make([]byte, 0, min(size, 1<<20)))
+	defer decoder.Close()
+	state, err := decoder.DecodeAll(b[snapshotHeaderSize:], make([]byte, 0, min(size, maxInitialBuffer)))
 	if err != nil || uint64(len(state)) != size {
-		return nil, bad(snapHead, "it can't be unpacked")
+		return nil, damaged(snapshotHeaderSize, "it can't be decompressed")
 	}
 	return state, nil
 }
 
-// Compact puts a snapshot in place of the records up to a number, which must have been acknowledged, and removes files
-// that nothing needs any more. The snapshot before it is kept, with the records behind it.
-func (j *Journal) Compact(covers uint64, state []byte) error {
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+// maxInitialBuffer bounds the bytes allocated for a state on the word of a header.
+const maxInitialBuffer = 1 << 20
+
+func encodeSnapshot(covers uint64, state []byte) ([]byte, error) {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
-		return err
+		return nil, err
 	}
-	packed := z.EncodeAll(state, nil)
-	_ = z.Close()
-	b := append(make([]byte, 0, snapHead+len(packed)), snapMagic...)
+	compressed := encoder.EncodeAll(state, nil)
+	_ = encoder.Close()
+	b := append(make([]byte, 0, snapshotHeaderSize+len(compressed)), snapshotMagic...)
 	b = binary.LittleEndian.AppendUint64(b, covers)
 	b = binary.LittleEndian.AppendUint64(b, uint64(len(state)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(packed, castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(compressed, castagnoli))
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[8:28], castagnoli))
-	b = append(b, packed...)
-	tmp := j.path(snapshotName(covers) + ".tmp")
-	f, err := j.opt.FS.Create(tmp)
+	return append(b, compressed...), nil
+}
+
+// Compact stores a snapshot of the state after all records up to covers, which must have been acknowledged, and removes the
+// files that are no longer needed. The previous snapshot stays, with the records behind it, in case the new one is damaged.
+func (j *Journal) Compact(covers uint64, state []byte) error {
+	b, err := encodeSnapshot(covers, state)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Sync()
+	if err := j.writeSnapshot(snapshotName(covers), b); err != nil {
+		return err
 	}
-	f.Close()
-	if err == nil {
-		err = j.opt.FS.Rename(tmp, j.path(snapshotName(covers)))
+	if err := j.roll(); err != nil {
+		return err
 	}
-	if err == nil {
-		err = j.opt.FS.SyncDir(j.dir)
+	for _, name := range j.replaceSnapshot(covers) {
+		if err := j.opt.FS.Remove(j.path(name)); err != nil {
+			return fmt.Errorf("journal: remove after snapshot: %w", err)
+		}
 	}
+	return nil
+}
+
+func (j *Journal) writeSnapshot(name string, b []byte) error {
+	partial := j.path(partialName(name))
+	f, err := j.opt.FS.Create(partial)
 	if err != nil {
-		_ = j.opt.FS.Remove(tmp)
+		return err
+	}
+	if err := j.commitFile(f, partial, name, b); err != nil {
+		_ = j.opt.FS.Remove(partial)
 		return fmt.Errorf("journal: snapshot: %w", err)
 	}
-	// A new segment: the records before it can go once the next snapshot has made this one the older.
+	return nil
+}
+
+// roll starts a new segment, so that those before it can be removed once the next snapshot makes this one the previous.
+func (j *Journal) roll() error {
 	rolled := make(chan error, 1)
-	j.enqueue(&entry{roll: true, end: func(_ uint64, err error) { rolled <- err }})
-	if err := <-rolled; err != nil {
-		return err
-	}
+	j.enqueue(&entry{roll: true, done: func(_ uint64, err error) { rolled <- err }})
+	return <-rolled
+}
+
+// replaceSnapshot makes a snapshot the newest, and returns the names of the files that no recovery needs any more.
+func (j *Journal) replaceSnapshot(covers uint64) (obsolete []string) {
 	j.mu.Lock()
-	drop := j.old
-	j.old, j.snap = j.snap, covers
-	keep := j.old + 1 // the first record that the older snapshot does not cover
-	var gone []string
-	for len(j.segs) > 1 && j.segs[1] <= keep {
-		gone = append(gone, segmentName(j.segs[0]))
-		j.segs = j.segs[1:]
-	}
-	if drop > 0 && drop != j.old {
-		gone = append(gone, snapshotName(drop))
+	defer j.mu.Unlock()
+	dropped := j.previousSnapshot
+	j.previousSnapshot, j.snapshot = j.snapshot, covers
+	firstNeeded := j.previousSnapshot + 1 // the first record that the previous snapshot does not cover
+	for len(j.segments) > 1 && j.segments[1] <= firstNeeded {
+		obsolete = append(obsolete, segmentName(j.segments[0]))
+		j.segments = j.segments[1:]
 	}
-	j.mu.Unlock()
-	for _, name := range gone {
-		if err := j.opt.FS.Remove(j.path(name)); err != nil {
-			return fmt.Errorf("journal: %w", err)
-		}
+	if dropped > 0 && dropped != j.previousSnapshot {
+		obsolete = append(obsolete, snapshotName(dropped))
 	}
-	return nil
+	return obsolete
 }
--- a/internal/journal/vfs/sim.go
+++ b/internal/journal/vfs/sim.go
@@ -11,77 +11,88 @@
 	"syscall"
 )
 
-// Sim is a file system in memory with a page cache that a crash loses. Every call is counted, and a fault can be put at
-// any of them. Directories take changes in order, as journaling file systems do; blocks of a file do not.
+// Sim is a file system in memory with a page cache that a crash loses. It counts its calls, and a fault can be injected at
+// any of them. Changes of directories reach the disk in order, as in journaling file systems; blocks of a file do not.
 type Sim struct {
-	mu    sync.Mutex
-	names map[string]*inode // as a running process sees them
-	disk  map[string]*inode // as a crash would find them
-	moves []move            // of names, not synced yet
-	dirs  map[string]bool
-	locks map[string]bool
-	calls int
-	fail  map[int]Fault
-	left  int // bytes that still fit; below 0: no bound
-	epoch int // files of an earlier one are of a process that died
+	mu          sync.Mutex
+	cached      map[string]*inode // files by name, as a running process sees them
+	durable     map[string]*inode // files by name, as a crash would leave them
+	nameChanges []nameChange      // not synced yet
+	dirs        map[string]bool
+	locks       map[string]bool
+	calls       int
+	faults      map[int]Fault // by number of the call
+	free        int           // bytes; negative: unlimited
+	epoch       int           // of the process; files opened in an earlier one are dead
 }
 
 // Fault is what goes wrong with a call.
 type Fault int
 
-// The faults. Crash ends the process at that call: nothing after it happens. SyncLost fails a sync and forgets what it
-// should have written, as kernels do. Short writes half.
+// The faults.
 const (
-	None Fault = iota
-	Crash
-	IOError
-	SyncLost
-	Short
+	None     Fault = iota
+	Crash          // the process ends at the call, and its later calls fail with ErrCrashed
+	IOError        // the call fails with EIO and has no effect
+	SyncLost       // a sync fails with EIO, and its data counts as clean without being on disk, as in Linux
+	Short          // a write writes half
 )
 
-// ErrCrashed is what a process gets that has died.
+// ErrCrashed is the error of all calls of a process that has crashed.
 var ErrCrashed = errors.New("sim: crashed")
 
-// block is the unit that a disk writes whole.
-const block = 512
+// blockSize is how many bytes a disk writes atomically.
+const blockSize = 512
 
 type inode struct {
-	data   []byte
-	synced []byte
-	lost   [][2]int // of data, taken for clean by a sync that failed: it never comes to the disk
+	data   []byte   // as a running process sees it
+	synced []byte   // as a crash would leave it
+	lost   [][2]int // ranges of data that a failed sync marked as clean: they never reach the disk
 }
 
-type move struct {
+// nameChange is a creation, rename or removal of a name that SyncDir has not made durable yet.
+type nameChange struct {
 	from, to string
-	node     *inode // nil: removed
-	dir      string
+	node     *inode // nil: to is removed
 }
 
-// NewSim returns an empty file system with room for so many bytes; below 0: without bound.
-func NewSim(room int) *Sim {
+// NewSim returns an empty file system with this many free bytes; negative: unlimited.
+func NewSim(free int) *Sim {
 	return &Sim{
-		names: map[string]*inode{}, disk: map[string]*inode{}, dirs: map[string]bool{}, locks: map[string]bool{},
-		fail: map[int]Fault{}, left: room,
+		cached: map[string]*inode{}, durable: map[string]*inode{}, dirs: map[string]bool{}, locks: map[string]bool{},
+		faults: map[int]Fault{}, free: free,
 	}
 }
 
-// Calls is how many calls were made so far.
-func (s *Sim) Calls() int { s.mu.Lock(); defer s.mu.Unlock(); return s.calls }
+// Calls returns the number of calls so far.
+func (s *Sim) Calls() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
+}
 
-// FailAt puts a fault at a call, counted from 1.
-func (s *Sim) FailAt(call int, f Fault) { s.mu.Lock(); defer s.mu.Unlock(); s.fail[call] = f }
+// FailAt injects a fault at a call, counted from 1.
+func (s *Sim) FailAt(call int, f Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults[call] = f
+}
 
-// Room sets how many bytes still fit.
-func (s *Sim) Room(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.left = n }
+// SetFreeSpace sets how many bytes are free; negative: unlimited.
+func (s *Sim) SetFreeSpace(bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.free = bytes
+}
 
-// call counts a call and says what is wrong with it.
+// call counts a call of a process, and returns the fault injected at it and the error that the call must return for it.
 func (s *Sim) call(epoch int) (Fault, error) {
 	if epoch != s.epoch {
 		return Crash, ErrCrashed
 	}
 	s.calls++
-	f := s.fail[s.calls]
-	delete(s.fail, s.calls)
+	f := s.faults[s.calls]
+	delete(s.faults, s.calls)
 	switch f {
 	case Crash:
 		s.epoch++
@@ -92,86 +103,86 @@
 	return f, nil
 }
 
-// Restart is the machine after the process or the power was lost: of what was not synced some blocks, and of the names'
-// changes the first few, are there. Open files are dead. With a nil rng the process alone died, and nothing is lost.
+// Restart ends the process, and with it its open files and locks. With a nil rng nothing is lost. Otherwise the power was
+// lost too: of the unsynced data some blocks remain, and of the unsynced changes of names the first few.
 func (s *Sim) Restart(rng *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch++
-	s.locks, s.fail = map[string]bool{}, map[int]Fault{}
+	s.locks, s.faults = map[string]bool{}, map[int]Fault{}
 	if rng == nil {
 		return
 	}
-	for _, m := range s.moves[:rng.IntN(len(s.moves)+1)] {
-		s.settle(m)
+	for _, change := range s.nameChanges[:rng.IntN(len(s.nameChanges)+1)] {
+		s.makeDurable(change)
 	}
-	s.moves = nil
-	s.names = map[string]*inode{}
-	done := map[*inode]bool{}
-	for name, n := range s.disk {
-		if !done[n] {
-			n.tear(rng)
-			done[n] = true
+	s.nameChanges = nil
+	s.cached = map[string]*inode{}
+	torn := map[*inode]bool{}
+	for name, node := range s.durable {
+		if !torn[node] {
+			node.tear(rng)
+			torn[node] = true
 		}
-		s.names[name] = n
+		s.cached[name] = node
 	}
 }
 
-// tear leaves of the blocks that were not synced some, in any order.
+// tear keeps a random part of the unsynced blocks.
 func (n *inode) tear(rng *rand.Rand) {
-	out := slices.Clone(n.synced)
+	content := slices.Clone(n.synced)
 	size := len(n.synced)
 	if len(n.data) != size {
-		lo, hi := min(size, len(n.data)), max(size, len(n.data))
-		if size = lo + rng.IntN(hi-lo+1); rng.IntN(3) == 0 {
+		least, most := min(size, len(n.data)), max(size, len(n.data))
+		if size = least + rng.IntN(most-least+1); rng.IntN(3) == 0 {
 			size = len(n.data)
 		}
 	}
-	for len(out) < size {
-		out = append(out, 0) // a length that was written before its blocks
+	for len(content) < size {
+		content = append(content, 0) // the file's length was written before its blocks
 	}
-	out = out[:size]
-	for at := 0; at < size; at += block {
-		end := min(at+block, size)
-		if rng.IntN(2) == 0 && at < len(n.data) {
-			copy(out[at:end], n.data[at:])
+	content = content[:size]
+	for offset := 0; offset < size; offset += blockSize {
+		end := min(offset+blockSize, size)
+		if rng.IntN(2) == 0 && offset < len(n.data) {
+			copy(content[offset:end], n.data[offset:])
 		}
 	}
-	n.data, n.synced, n.lost = out, slices.Clone(out), nil
+	n.data, n.synced, n.lost = content, slices.Clone(content), nil
 }
 
-func (s *Sim) settle(m move) {
-	if m.from != "" {
-		delete(s.disk, m.from)
+func (s *Sim) makeDurable(change nameChange) {
+	if change.from != "" {
+		delete(s.durable, change.from)
 	}
-	if m.node == nil {
-		delete(s.disk, m.to)
+	if change.node == nil {
+		delete(s.durable, change.to)
 	} else {
-		s.disk[m.to] = m.node
+		s.durable[change.to] = change.node
 	}
 }
 
-// Flip turns one bit of a file over, on disk and in the cache. It tells whether the file has that byte.
-func (s *Sim) Flip(name string, at int, bit uint) bool {
+// FlipBit inverts a bit of a file's byte, on disk and in the cache. It reports whether the file has that byte.
+func (s *Sim) FlipBit(name string, offset int, bit uint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.names[name]
-	if n == nil || at >= len(n.data) {
+	node := s.cached[name]
+	if node == nil || offset >= len(node.data) {
 		return false
 	}
-	n.data[at] ^= 1 << bit
-	if at < len(n.synced) {
-		n.synced[at] ^= 1 << bit
+	node.data[offset] ^= 1 << bit
+	if offset < len(node.synced) {
+		node.synced[offset] ^= 1 << bit
 	}
 	return true
 }
 
-// Bytes are a file's, as a process sees them.
-func (s *Sim) Bytes(name string) []byte {
+// Contents returns a file's content as a process sees it; nil if there is no such file.
+func (s *Sim) Contents(name string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := s.names[name]; n != nil {
-		return slices.Clone(n.data)
+	if node := s.cached[name]; node != nil {
+		return slices.Clone(node.data)
 	}
 	return nil
 }
@@ -191,7 +202,7 @@
 	if !s.dirs[dir] {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: fs.ErrNotExist}
 	}
-	for name := range s.names {
+	for name := range s.cached {
 		if filepath.Dir(name) == dir {
 			names = append(names, filepath.Base(name))
 		}
@@ -207,10 +218,10 @@
 	if _, err := s.call(s.epoch); err != nil {
 		return nil, err
 	}
-	n := &inode{}
-	s.names[name] = n
-	s.moves = append(s.moves, move{to: name, node: n, dir: filepath.Dir(name)})
-	return &simFile{s, n, s.epoch}, nil
+	node := &inode{}
+	s.cached[name] = node
+	s.nameChanges = append(s.nameChanges, nameChange{to: name, node: node})
+	return &simFile{s, node, s.epoch}, nil
 }
 
 // Open implements FS.
@@ -220,11 +231,11 @@
 	if _, err := s.call(s.epoch); err != nil {
 		return nil, err
 	}
-	n := s.names[name]
-	if n == nil {
+	node := s.cached[name]
+	if node == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &simFile{s, n, s.epoch}, nil
+	return &simFile{s, node, s.epoch}, nil
 }
 
 // Rename implements FS.
@@ -234,13 +245,13 @@
 	if _, err := s.call(s.epoch); err != nil {
 		return err
 	}
-	n := s.names[from]
-	if n == nil {
+	node := s.cached[from]
+	if node == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	delete(s.names, from)
-	s.names[to] = n
-	s.moves = append(s.moves, move{from: from, to: to, node: n, dir: filepath.Dir(to)})
+	delete(s.cached, from)
+	s.cached[to] = node
+	s.nameChanges = append(s.nameChanges, nameChange{from: from, to: to, node: node})
 	return nil
 }
 
@@ -251,25 +262,25 @@
 	if _, err := s.call(s.epoch); err != nil {
 		return err
 	}
-	if s.names[name] == nil {
+	if s.cached[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	delete(s.names, name)
-	s.moves = append(s.moves, move{to: name, dir: filepath.Dir(name)})
+	delete(s.cached, name)
+	s.nameChanges = append(s.nameChanges, nameChange{to: name})
 	return nil
 }
 
 // SyncDir implements FS.
-func (s *Sim) SyncDir(dir string) error {
+func (s *Sim) SyncDir(string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, err := s.call(s.epoch); err != nil {
 		return err
 	}
-	for _, m := range s.moves {
-		s.settle(m)
+	for _, change := range s.nameChanges {
+		s.makeDurable(change)
 	}
-	s.moves = nil
+	s.nameChanges = nil
 	return nil
 }
 
@@ -281,54 +292,64 @@
 		return nil, ErrLocked
 	}
 	s.locks[name] = true
-	return unlock(func() { s.mu.Lock(); defer s.mu.Unlock(); delete(s.locks, name) }), nil
+	return &simLock{s, name}, nil
 }
 
-type unlock func()
+type simLock struct {
+	sim  *Sim
+	name string
+}
 
-func (u unlock) Close() error { u(); return nil }
+// Close implements io.Closer.
+func (l *simLock) Close() error {
+	l.sim.mu.Lock()
+	defer l.sim.mu.Unlock()
+	delete(l.sim.locks, l.name)
+	return nil
+}
 
+// simFile is an open file of one process.
 type simFile struct {
-	s     *Sim
-	n     *inode
+	sim   *Sim
+	node  *inode
 	epoch int
 }
 
 // Write implements File.
 func (f *simFile) Write(p []byte) (int, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	fault, err := f.s.call(f.epoch)
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	fault, err := f.sim.call(f.epoch)
 	n := len(p)
 	switch {
-	case fault == Crash && f.epoch+1 == f.s.epoch:
-		n = len(p) / 2 // it died within the write
+	case fault == Crash && f.epoch+1 == f.sim.epoch:
+		n = len(p) / 2 // the process died during the write
 	case err != nil:
 		return 0, err
 	case fault == Short:
 		n, err = len(p)/2, io.ErrShortWrite
 	}
-	if f.s.left >= 0 && n > f.s.left {
-		n, err = f.s.left, syscall.ENOSPC
+	if f.sim.free >= 0 && n > f.sim.free {
+		n, err = f.sim.free, syscall.ENOSPC
 	}
-	if f.s.left >= 0 {
-		f.s.left -= n
+	if f.sim.free >= 0 {
+		f.sim.free -= n
 	}
-	f.n.data = append(f.n.data, p[:n]...)
+	f.node.data = append(f.node.data, p[:n]...)
 	return n, err
 }
 
 // ReadAt implements File.
-func (f *simFile) ReadAt(p []byte, at int64) (int, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	if f.epoch != f.s.epoch {
+func (f *simFile) ReadAt(p []byte, offset int64) (int, error) {
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	if f.epoch != f.sim.epoch {
 		return 0, ErrCrashed
 	}
-	if at >= int64(len(f.n.data)) {
+	if offset >= int64(len(f.node.data)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.n.data[at:])
+	n := copy(p, f.node.data[offset:])
 	if n < len(p) {
 		return n, io.EOF
 	}
@@ -337,41 +358,41 @@
 
 // Size implements File.
 func (f *simFile) Size() (int64, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	return int64(len(f.n.data)), nil
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	return int64(len(f.node.data)), nil
 }
 
 // Truncate implements File.
 func (f *simFile) Truncate(size int64) error {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	if _, err := f.s.call(f.epoch); err != nil {
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	if _, err := f.sim.call(f.epoch); err != nil {
 		return err
 	}
-	if cut := len(f.n.data) - int(size); f.s.left >= 0 && cut > 0 {
-		f.s.left += cut
+	if cut := len(f.node.data) - int(size); f.sim.free >= 0 && cut > 0 {
+		f.sim.free += cut
 	}
-	f.n.data = slices.Clone(f.n.data[:min(int(size), len(f.n.data))])
+	f.node.data = slices.Clone(f.node.data[:min(int(size), len(f.node.data))])
 	return nil
 }
 
 // Sync implements File.
 func (f *simFile) Sync() error {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	fault, err := f.s.call(f.epoch)
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	fault, err := f.sim.call(f.epoch)
 	switch {
 	case fault == SyncLost:
-		// The cache goes on showing what the disk does not have, and takes it for clean.
-		f.n.lost = append(f.n.lost, [2]int{min(len(f.n.synced), len(f.n.data)), len(f.n.data)})
+		// The cache goes on showing data that the disk does not have, and counts it as clean.
+		f.node.lost = append(f.node.lost, [2]int{min(len(f.node.synced), len(f.node.data)), len(f.node.data)})
 		return syscall.EIO
 	case err != nil:
 		return err
 	}
-	f.n.synced = slices.Clone(f.n.data)
-	for _, l := range f.n.lost {
-		clear(f.n.synced[min(l[0], len(f.n.synced)):min(l[1], len(f.n.synced))])
+	f.node.synced = slices.Clone(f.node.data)
+	for _, lost := range f.node.lost {
+		clear(f.node.synced[min(lost[0], len(f.node.synced)):min(lost[1], len(f.node.synced))])
 	}
 	return nil
 }
--- a/internal/journal/vfs/vfs.go
+++ b/internal/journal/vfs/vfs.go
@@ -1,13 +1,12 @@
-// Package vfs is the little of a file system that the journal needs, behind an interface, so that tests can break it at
-// every call. Disk is the real one; Sim is one in memory that loses what was not synced, tears and reorders writes,
-// runs full and fails.
+// Package vfs is the part of a file system that the journal uses, behind an interface, so that tests can inject a fault at
+// every call. Disk is the machine's file system. Sim is one in memory that loses unsynced data, tears and reorders writes,
+// runs full and fails on demand; its behaviour is exercised by the journal's tests.
 package vfs
 
 import (
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,24 +14,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is a file system. Names are paths.
+// FS is a file system. Names are paths. Errors are those of package os, or of the fault that a Sim injects.
 type FS interface {
 	MkdirAll(dir string) error
-	// List returns the names in a directory, in order.
+	// List returns the names in a directory, sorted.
 	List(dir string) ([]string, error)
-	// Create makes a file, or empties the one that is there.
+	// Create creates a file, or truncates an existing one to length 0.
 	Create(name string) (File, error)
-	// Open opens a file that is there, to read and to append.
+	// Open opens an existing file for reading and appending.
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDir makes durable which names a directory holds.
+	// SyncDir makes a directory's entries durable.
 	SyncDir(dir string) error
-	// Lock takes a name for this process alone. It fails at once if another has it.
+	// Lock takes an exclusive lock until it is closed. It returns ErrLocked at once if another process has it.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is an open file. Write appends.
+// File is an open file. Write appends; sizes are in bytes.
 type File interface {
 	io.Writer
 	io.ReaderAt
@@ -42,7 +41,7 @@
 	Sync() error
 }
 
-// ErrLocked says that another process has the lock.
+// ErrLocked says that another process holds the lock.
 var ErrLocked = errors.New("in use by another process")
 
 // Disk is the machine's file system.
@@ -104,7 +103,7 @@
 	return d.Sync()
 }
 
-// Lock implements FS, by flock: a process that dies lets go of it.
+// Lock implements FS by flock, which a process releases when it dies.
 func (Disk) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -119,12 +118,3 @@
 	}
 	return f, nil
 }
-
-// Exists tells whether a name is there.
-func Exists(f FS, name string) (bool, error) {
-	names, err := f.List(filepath.Dir(name))
-	if errors.Is(err, fs.ErrNotExist) {
-		return false, nil
-	}
-	return slices.Contains(names, filepath.Base(name)), err
-}
--- a/internal/lab/capacity/record_journal.go
+++ b/internal/lab/capacity/record_journal.go
@@ -46,7 +46,7 @@
 	}
 	total := 0
 	for _, name := range names {
-		total += len(disk.Bytes("state/" + name))
+		total += len(disk.Contents("state/" + name))
 	}
 	return float64(total), nil
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,33 +17,33 @@
 	"ravenwheel/policy"
 )
 
-// writeState fills a directory with a snapshot and records behind it, of each kind of event on either side.
+// writeState fills a directory with a snapshot and with records behind it, of each kind of event.
 func writeState(t *testing.T, dir string) {
 	clk := clock.Manual(1e12)
 	o := options(nil, clk)
 	o.Dir = dir
-	k, _, err := state.Open(o)
+	recorder, _, err := state.Open(o)
 	require.NoError(t, err)
 	list := &serverlist.Set{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100}}}
-	require.NoError(t, k.Took("file", list))
-	k.Published(published(1, policy.Ready))
-	k.Published(published(2, policy.Draining))
-	k.Revised(4)
-	require.NoError(t, k.Purged(recovery.Purge{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}))
-	require.NoError(t, k.Drained(9, true))
-	k.Compact()
+	require.NoError(t, recorder.RecordList("file", list))
+	recorder.RecordPublish(published(1, policy.Ready))
+	recorder.RecordPublish(published(2, policy.Draining))
+	recorder.RecordRevision(4)
+	require.NoError(t, recorder.RecordPurge(recovery.Purge{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}))
+	require.NoError(t, recorder.RecordManualDrain(9, true))
+	recorder.Compact()
 	clk.Advance(100)
-	k.Published(published(3, policy.Gone))
-	k.Revised(5)
+	recorder.RecordPublish(published(3, policy.Gone))
+	recorder.RecordRevision(5)
 	list.Generation = 4
-	require.NoError(t, k.Took("file", list))
-	require.NoError(t, k.Drained(9, false))
-	require.NoError(t, k.Drained(8, true))
-	require.NoError(t, k.Purged(recovery.Purge{Group: 6, IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
-	require.NoError(t, k.Close())
+	require.NoError(t, recorder.RecordList("file", list))
+	require.NoError(t, recorder.RecordManualDrain(9, false))
+	require.NoError(t, recorder.RecordManualDrain(8, true))
+	require.NoError(t, recorder.RecordPurge(recovery.Purge{Group: 6, IssuedAt: clk.Now(), NotifiedAt: clk.Now()}))
+	require.NoError(t, recorder.Close())
 }
 
-// A state directory that an earlier version wrote is opened, and all that it wrote is there.
+// A state directory written by an earlier version is opened, and everything that it wrote is recovered.
 func TestGoldenDirectory(t *testing.T) {
 	dir := golden.Directory(t, "directory", func(dir string) { writeState(t, dir) })
 	for pattern, least := range map[string]int{"*.snap": 1, "*.log": 2} {
@@ -63,7 +63,7 @@
 	}, read.Members())
 	o := options(nil, clock.Manual(1e12+200))
 	o.Dir = dir
-	k, plan, err := state.Open(o)
+	recorder, plan, err := state.Open(o)
 	require.NoError(t, err)
 	require.Equal(t, 1, plan.Boots)
 	require.EqualValues(t, 5, plan.Revision)
@@ -73,13 +73,13 @@
 	require.Equal(t, []recovery.List{{Source: "file", Generation: 4, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100},
 	}}}, plan.Lists)
-	require.NoError(t, k.Purged(recovery.Purge{Object: "after", IssuedAt: 1e12 + 200, NotifiedAt: 1e12 + 200}))
-	require.NoError(t, k.Close())
+	require.NoError(t, recorder.RecordPurge(recovery.Purge{Object: "after", IssuedAt: 1e12 + 200, NotifiedAt: 1e12 + 200}))
+	require.NoError(t, recorder.Close())
 }
 
 func TestGoldenStatus(t *testing.T) {
 	raw, err := json.MarshalIndent(state.Status{
-		Purges: 1, Members: 2, Lists: 3, Boots: 4, Waiting: 5, Dropped: 6, Journal: journal.Stats{Next: 7, Segments: []uint64{1}},
+		Purges: 1, Members: 2, Lists: 3, Boots: 4, Pending: 5, Dropped: 6, Journal: journal.Stats{Next: 7, Segments: []uint64{1}},
 	}, "", "  ")
 	require.NoError(t, err)
 	golden.Equal(t, "status.json", raw)
--- a/internal/state/retry.go
+++ b/internal/state/retry.go
@@ -4,101 +4,105 @@
 	"math/rand/v2"
 
 	"ravenwheel/internal/decide/recovery"
-	"ravenwheel/internal/journal"
 )
 
-// retryAfter: ms after which what was not kept is tried again, half to one and a half of it; it doubles with each try in a row, up to
-// retryMost. Longer leaves what was told unkept when the folder is well again.
-const retryAfter, retryMost = 500, 2000
+// The delay before a retry doubles with each failure in a row, and is jittered between half and one and a half of itself.
+// Its maximum bounds how long events stay unstored once the disk works again.
+const (
+	minRetryDelay = 500  // ms
+	maxRetryDelay = 2000 // ms
+)
+
+// maxPending bounds the events that wait for the journal. Beyond it the oldest are dropped and counted.
+const maxPending = 65_536
 
-// lose puts an event with those that wait for the journal to take them. The caller holds mu.
-func (k *Keeper) lose(e recovery.Event) {
-	if len(k.lost) >= mostLost {
-		k.lost = k.lost[1:]
-		k.dropped++
+// addPending queues an event until the journal accepts it. The caller holds mu.
+func (r *Recorder) addPending(e recovery.Event) {
+	if len(r.pending) >= maxPending {
+		r.pending = r.pending[1:]
+		r.dropped++
 	}
-	k.lost = append(k.lost, e)
-	k.retryLater()
+	r.pending = append(r.pending, e)
+	r.scheduleRetry()
 }
 
-// retryLater sets the one retry, if none is set. The caller holds mu.
-func (k *Keeper) retryLater() {
-	if k.retrying || k.closed {
+// scheduleRetry schedules a retry unless one is scheduled. The caller holds mu.
+func (r *Recorder) scheduleRetry() {
+	if r.retryPending || r.closed {
 		return
 	}
-	k.retrying = true
-	wait := k.pause * (0.5 + rand.Float64())
-	k.pause = min(2*k.pause, retryMost)
-	k.opt.Clock.After(wait, k.retry)
+	r.retryPending = true
+	delay := r.retryDelay * (0.5 + rand.Float64())
+	r.retryDelay = min(2*r.retryDelay, maxRetryDelay)
+	r.opt.Clock.After(delay, r.retry)
 }
 
-// retry opens the journal anew where it failed, and hands it what waits. A retry that fails sets the next one.
-func (k *Keeper) retry() {
-	k.reopening.Lock()
-	defer k.reopening.Unlock()
-	k.mu.Lock()
-	k.retrying = false
-	closed := k.closed
-	k.mu.Unlock()
+// retry reopens the journal if it has failed, and resubmits the pending events. If the journal can't be reopened it
+// schedules the next retry.
+func (r *Recorder) retry() {
+	r.reopening.Lock()
+	defer r.reopening.Unlock()
+	r.mu.Lock()
+	r.retryPending = false
+	closed := r.closed
+	r.mu.Unlock()
 	if closed {
 		return
 	}
-	if err := k.reopen(); err != nil {
-		k.opt.Log.Error("state").Err(err).Msg("the state's journal can't be opened anew")
-		k.mu.Lock()
-		k.retryLater()
-		k.mu.Unlock()
+	if err := r.reopen(); err != nil {
+		r.opt.Log.Error("state").Err(err).Msg("journal could not be reopened; retrying")
+		r.mu.Lock()
+		r.scheduleRetry()
+		r.mu.Unlock()
 		return
 	}
-	k.resubmit()
+	r.resubmit()
 }
 
-// reopen puts a journal that is opened anew in place of one that failed. There is none to close when the try before failed too:
-// closing it all the same ended the process.
-func (k *Keeper) reopen() error {
-	k.mu.Lock()
-	failed, open := k.failed, k.j != nil
-	k.failed = nil
-	k.mu.Unlock()
+// reopen replaces a failed journal. The failed one is closed at the first attempt only, so that a later one finds none.
+func (r *Recorder) reopen() error {
+	r.mu.Lock()
+	failed, open := r.failed, r.journal != nil
+	r.failed = nil
+	r.mu.Unlock()
 	if failed != nil {
 		_ = failed.Close()
 	}
 	if open {
 		return nil
 	}
-	t := &target{state: recovery.NewState()}
-	j, err := journal.Open(k.opt.Dir, journal.Options{FS: k.opt.FS, Clock: k.opt.Clock, Delay: k.opt.Delay}, t)
+	j, recovered, err := r.openJournal()
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.j, k.state, k.since, k.number = j, t.state, t.count, j.Stats().Next-1
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.install(j, recovered)
 	return nil
 }
 
-// resubmit hands the journal what waits, before anything that comes meanwhile.
-func (k *Keeper) resubmit() {
-	k.order.Lock()
-	defer k.order.Unlock()
-	k.mu.Lock()
-	lost := k.lost
-	k.lost = nil
-	k.mu.Unlock()
-	for i, e := range lost {
-		last := i == len(lost)-1
-		k.submit(e, func(err error) {
+// resubmit hands the pending events to the journal, before any event that is recorded meanwhile.
+func (r *Recorder) resubmit() {
+	r.order.Lock()
+	defer r.order.Unlock()
+	r.mu.Lock()
+	events := r.pending
+	r.pending = nil
+	r.mu.Unlock()
+	for i, e := range events {
+		last := i == len(events)-1
+		r.submit(e, func(err error) {
 			if err == nil && last {
-				k.keptAgain(len(lost))
+				r.recovered(len(events))
 			}
 		})
 	}
 }
 
-// keptAgain notes that what waited is on disk.
-func (k *Keeper) keptAgain(events int) {
-	k.mu.Lock()
-	k.pause = retryAfter
-	k.mu.Unlock()
-	k.opt.Log.Info("state").Int("events", events).Msg("state is kept again")
+// recovered resets the retry delay once the pending events are on disk.
+func (r *Recorder) recovered(events int) {
+	r.mu.Lock()
+	r.retryDelay = minRetryDelay
+	r.mu.Unlock()
+	r.opt.Log.Info("state").Int("events", events).Msg("pending events stored")
 }
