--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -51,17 +51,17 @@
 			return nil
 		},
 	}
-	cmd.Flags().Float64Var(&o.Serve, "serve-ms", 4, "time of a transfer")
-	cmd.Flags().Float64Var(&o.Fill, "fill-ms", 25, "how much longer one takes that must be fetched")
-	cmd.Flags().Float64Var(&o.PurgeTakes, "purge-takes-ms", 6000, "time after which copies that were purged are dropped")
-	cmd.Flags().IntVar(&o.Held, "held", 4096, "copies that a cache or parent holds")
+	cmd.Flags().Float64Var(&o.TransferTime, "serve-ms", 4, "time of a transfer")
+	cmd.Flags().Float64Var(&o.FillTime, "fill-ms", 25, "how much longer one takes that must be fetched")
+	cmd.Flags().Float64Var(&o.PurgeDelay, "purge-takes-ms", 6000, "time after which copies that were purged are dropped")
+	cmd.Flags().IntVar(&o.MaxCopies, "held", 4096, "copies that a cache or parent holds")
 	return cmd
 }
 
 // standardClasses are those of deploy/standalone.jsonc.
 var standardClasses = []load.Class{
-	{Name: "replay", Share: 0.53, Budget: 5000, Parts: 12}, {Name: "asset", Share: 0.44, Budget: 2500, Parts: 1},
-	{Name: "seat-claim", Share: 0.03, Budget: 3000, Write: true, Parts: 1},
+	{Name: "replay", Fraction: 0.53, DeadlineMs: 5000, PartsPerObject: 12}, {Name: "asset", Fraction: 0.44, DeadlineMs: 2500, PartsPerObject: 1},
+	{Name: "seat-claim", Fraction: 0.03, DeadlineMs: 3000, Write: true, PartsPerObject: 1},
 }
 
 func loadCommand() *cobra.Command {
@@ -79,11 +79,11 @@
 				}
 			}
 			if crowd != "" {
-				habits, err := load.ParseBad(crowd)
+				habits, err := load.ParseMisbehaving(crowd)
 				if err != nil {
 					return err
 				}
-				bad := load.Misbehave(o.Addr, habits, o.Clock)
+				bad := load.StartMisbehaving(o.Addr, habits, o.Clock)
 				defer func() {
 					bad.Stop()
 					fmt.Fprintf(cmd.OutOrStdout(), "misbehaved on %d connections, of which the proxy ended %d\n", bad.Opened.Load(), bad.Ended.Load())
@@ -91,18 +91,18 @@
 			}
 			c := load.New(o)
 			defer c.Close()
-			c.Pace(cmd.Context(), phases)
-			c.Wait()
+			c.FollowSchedule(cmd.Context(), phases)
+			c.WaitIdle()
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "class\tasked\tserved\trefused\tfailed\tlost\tp50 ms\tp99 ms\t")
-			sums := c.Sums()
+			sums := c.Results()
 			for _, k := range o.Classes {
 				s := sums[k.Name]
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Name, s.Asked, s.Served, s.Refused, s.Failed, s.Lost,
-					float64(s.Took.ValueAtQuantile(50))/1000, float64(s.Took.ValueAtQuantile(99))/1000)
+				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Name, s.Requested, s.Served, s.Rejected, s.Failed, s.Lost,
+					float64(s.Latency.ValueAtQuantile(50))/1000, float64(s.Latency.ValueAtQuantile(99))/1000)
 			}
 			_ = w.Flush()
-			for _, x := range c.Wrong() {
+			for _, x := range c.Violations() {
 				fmt.Fprintln(cmd.OutOrStdout(), "wrong:", x)
 			}
 			return nil
--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -80,20 +80,20 @@
 		s.doors[s.at].Stall(true)
 		s.at = (s.at + 1 + s.rng.IntN(len(s.doors)-1)) % len(s.doors)
 		s.doors[s.at].Stall(false)
-		s.treatCallers(fleet.CallerFault{Silent: true}, 2)
+		s.treatCallers(fleet.CallerFault{Unresponsive: true}, 2)
 		s.write(s.at)
 		s.reload()
 	case 2: // the configuration names the address of now, whose calls say nothing more
-		s.treatCallers(fleet.CallerFault{Silent: true}, 2)
+		s.treatCallers(fleet.CallerFault{Unresponsive: true}, 2)
 		s.reload()
 	case 3:
 		s.treatCallers(fleet.CallerFault{}, 2)
 		s.hold(2000)
-		s.doors[s.at].Break()
+		s.doors[s.at].ResetConnections()
 	case 4: // it stops, or trickles
-		told := fleet.CallerFault{Silent: true}
+		told := fleet.CallerFault{Unresponsive: true}
 		if s.rng.IntN(2) == 0 {
-			told = fleet.CallerFault{ByteEvery: 1000}
+			told = fleet.CallerFault{ByteInterval: 1000}
 		}
 		s.treatCallers(told, 1)
 		s.hold(4000)
@@ -132,9 +132,9 @@
 	before := s.doors[s.at].Calls.Load()
 	var next []fleet.CallerFault
 	for range s.rng.IntN(most + 1) {
-		next = append(next, []fleet.CallerFault{{Silent: true}, {BreakOff: true}, {ByteEvery: 1000}}[s.rng.IntN(3)])
+		next = append(next, []fleet.CallerFault{{Unresponsive: true}, {Disconnect: true}, {ByteInterval: 1000}}[s.rng.IntN(3)])
 	}
-	s.doors[s.at].Treat(func(caller int64) fleet.CallerFault {
+	s.doors[s.at].SetCallerFault(func(caller int64) fleet.CallerFault {
 		switch n := caller - before; {
 		case n <= 0:
 			return old
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -53,8 +53,8 @@
 // follower is a whole process that follows discovery at one of several doors, and a client that asks it all the time.
 type follower struct {
 	t       *testing.T
-	board   *fleet.Board
-	doors   []*fleet.Door
+	board   *fleet.DiscoveryService
+	doors   []*fleet.DiscoveryListener
 	answers *replies
 	config  string
 	listen  string
@@ -66,7 +66,7 @@
 
 // startFollower starts a process with a seed and further arguments, at the first of so many doors.
 func startFollower(t *testing.T, bin string, seed, doors int, args ...string) *follower {
-	f := &follower{t: t, answers: &replies{}, board: fleet.NewBoard(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
+	f := &follower{t: t, answers: &replies{}, board: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range doors {
 		d, err := f.board.Open("127.0.0.1:0")
 		require.NoError(t, err)
@@ -142,8 +142,8 @@
 				f := startFollower(t, bin, seed, 4)
 				f.doors[1].Stall(true)
 				f.doors[2].Stall(true)
-				f.doors[3].Treat(func(caller int64) fleet.CallerFault {
-					return fleet.CallerFault{Silent: name == "silent" && caller == 1, BreakOff: name == "broken off" && caller <= 5}
+				f.doors[3].SetCallerFault(func(caller int64) fleet.CallerFault {
+					return fleet.CallerFault{Unresponsive: name == "silent" && caller == 1, Disconnect: name == "broken off" && caller <= 5}
 				})
 				f.doors[0].Stall(true)
 				f.board.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
@@ -169,9 +169,9 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			f := startFollower(t, bin, seed, 1)
-			f.doors[0].Treat(func(caller int64) fleet.CallerFault {
+			f.doors[0].SetCallerFault(func(caller int64) fleet.CallerFault {
 				if caller == 1 {
-					return fleet.CallerFault{ByteEvery: 1000}
+					return fleet.CallerFault{ByteInterval: 1000}
 				}
 				return fleet.CallerFault{}
 			})
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -26,7 +26,7 @@
 	for _, passed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("passed %v", passed), func(t *testing.T) {
 			p := scenario.NewProxy(t)
-			servers := fleet.New(fleet.Options{Clock: p.Clock, Serve: 5, Fill: 5})
+			servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 5, FillTime: 5})
 			defer servers.Close()
 			list := make([]core.Member, 3)
 			for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
@@ -58,7 +58,7 @@
 			_, err = c.Receive()
 			require.NoError(t, err)
 			// It answered a moment ago: some seconds of silence are no reason yet to send elsewhere.
-			servers.Server(scenario.CacheID).Set(fleet.Fault{Silent: true})
+			servers.Server(scenario.CacheID).SetFault(fleet.Fault{Unresponsive: true})
 			ask(2500)
 			p.Clock.Advance(100)
 			if passed {
@@ -144,7 +144,7 @@
 				for i := range set.Classes {
 					set.Classes[i].Deadline, set.Classes[i].LatencyObjective = deadline, deadline/3
 				}
-				servers := fleet.New(fleet.Options{Clock: p.Clock, Serve: 25, Fill: 10})
+				servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 25, FillTime: 10})
 				defer servers.Close()
 				list := make([]core.Member, 3)
 				for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
@@ -186,7 +186,7 @@
 					moment()
 				}
 				if hangs {
-					servers.Server(scenario.CacheID).Set(fleet.Fault{Silent: true})
+					servers.Server(scenario.CacheID).SetFault(fleet.Fault{Unresponsive: true})
 				}
 				began, kill := p.Clock.Now(), min(3000, clock.Ms(deadline))+700
 				require.False(t, d.Stop())
--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/lists_test.go
@@ -79,7 +79,7 @@
 	r := &rig{t: t, clk: clock.Manual(1_764_576_000_000)}
 	dir := t.TempDir()
 	r.path = filepath.Join(dir, "servers.jsonc")
-	r.fleet = fleet.New(fleet.Options{Clock: r.clk, Serve: 5, Fill: 20, PurgeTakes: 6000})
+	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 5, FillTime: 20, PurgeDelay: 6000})
 	t.Cleanup(r.fleet.Close)
 	for id := range policy.CacheID(100) {
 		role := fleet.Cache
@@ -112,8 +112,8 @@
 	t.Cleanup(func() { _ = front.Close() })
 	r.client = load.New(load.Options{
 		Addr: ln.Addr().String(), Clock: r.clk, Seed: 7, Conns: 4, Objects: 60, Retries: 3, Classes: []load.Class{
-			{Name: "replay", Share: 5, Budget: 5000, Parts: 4}, {Name: "asset", Share: 4, Budget: 2500, Parts: 1},
-			{Name: "seat-claim", Share: 1, Budget: 3000, Write: true, Parts: 1},
+			{Name: "replay", Fraction: 5, DeadlineMs: 5000, PartsPerObject: 4}, {Name: "asset", Fraction: 4, DeadlineMs: 2500, PartsPerObject: 1},
+			{Name: "seat-claim", Fraction: 1, DeadlineMs: 3000, Write: true, PartsPerObject: 1},
 		},
 	})
 	t.Cleanup(r.client.Close)
@@ -161,9 +161,9 @@
 // check holds what the servers and the clients saw against the lists that were in use.
 func (r *rig) check() {
 	r.t.Helper()
-	var told []fleet.Told
+	var told []fleet.Notification
 	for i, u := range r.used {
-		one := fleet.Told{At: u.at}
+		one := fleet.Notification{At: u.at}
 		for id := policy.CacheID(1); id <= 20; id++ {
 			if u.ready[id] {
 				one.Returns = append(one.Returns, id)
@@ -173,19 +173,19 @@
 		}
 		told = append(told, one)
 	}
-	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Broken(r.fleet.Seen(), told))
-	for _, s := range r.fleet.Seen() {
-		require.Less(r.t, s.Server, policy.CacheID(90), "a server that only invalid lists name got %s", s.ID)
+	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Violations(r.fleet.Observations(), told))
+	for _, s := range r.fleet.Observations() {
+		require.Less(r.t, s.Server, policy.CacheID(90), "a server that only invalid lists name got %s", s.RequestID)
 		whole := slices.ContainsFunc(r.used, func(u use) bool {
 			return u.at <= s.At && u.ready[s.Server] && (s.Source == s.Server || u.ready[s.Source])
 		})
-		require.True(r.t, whole, "request %s went to %d with source %d, which no list holds together", s.ID, s.Server, s.Source)
+		require.True(r.t, whole, "request %s went to %d with source %d, which no list holds together", s.RequestID, s.Server, s.Source)
 	}
-	require.Empty(r.t, r.fleet.RanTwice())
-	require.Empty(r.t, r.client.Wrong())
+	require.Empty(r.t, r.fleet.DuplicateWrites())
+	require.Empty(r.t, r.client.Violations())
 	require.Zero(r.t, invariant.Broken())
-	for name, s := range r.client.Sums() {
-		require.Equal(r.t, s.Asked, s.Served, "%s: %+v", name, s)
+	for name, s := range r.client.Results() {
+		require.Equal(r.t, s.Requested, s.Served, "%s: %+v", name, s)
 	}
 }
 
@@ -212,7 +212,7 @@
 	generation := 1
 	for turn := range 240 {
 		for range 3 {
-			r.client.Ask()
+			r.client.Send()
 		}
 		perm := rng.Perm(len(caches))
 		n := 1 + rng.IntN(4)
@@ -269,5 +269,5 @@
 	r.quiet(uint64(generation))
 	r.check()
 	require.Greater(t, len(r.used), 80)
-	require.Greater(t, r.fleet.Ran(), 20)
+	require.Greater(t, r.fleet.WritesRun(), 20)
 }
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -138,7 +138,7 @@
 		rounds = n
 	}
 	bin, listen, dir := build(t), freeAddr(t), t.TempDir()
-	servers := fleet.New(fleet.Options{Clock: clock.System(), Serve: 2, Fill: 1})
+	servers := fleet.New(fleet.Options{Clock: clock.System(), TransferTime: 2, FillTime: 1})
 	defer servers.Close()
 	var addrs []string
 	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -67,8 +67,8 @@
 	plan soakPlan
 
 	servers *fleet.Fleet
-	board   *fleet.Board
-	doors   []*fleet.Door
+	board   *fleet.DiscoveryService
+	doors   []*fleet.DiscoveryListener
 	list    map[policy.CacheID]core.Member
 	config  string
 	listen  string
@@ -79,7 +79,7 @@
 	late     atomic.Int64 // ns by which this machine was late at the worst
 	mu       sync.Mutex
 	asked    map[string]*soakRequest
-	told     []fleet.Told
+	told     []fleet.Notification
 	stalled  float64 // until when the board tells nothing
 	lull     float64 // until when discovery has no further trouble; see troubleDiscovery
 	at       int     // the door that the configuration names
@@ -131,14 +131,14 @@
 		stepAt: time.Duration(1000+s.rng.IntN(2500)) * time.Millisecond,
 	}
 	s.servers = fleet.New(fleet.Options{
-		Clock: s.clk, Serve: float64(2 + s.rng.IntN(20)), Fill: float64(2 + s.rng.IntN(20)), PurgeTakes: 6000, Window: clock.Ms(s.plan.window),
+		Clock: s.clk, TransferTime: float64(2 + s.rng.IntN(20)), FillTime: float64(2 + s.rng.IntN(20)), PurgeDelay: 6000, IdempotencyWindow: clock.Ms(s.plan.window),
 	})
 	t.Cleanup(s.servers.Close)
 	members := []core.Member{}
 	for id := range soakCaches + 2 {
 		members = append(members, s.start(policy.CacheID(id+1)))
 	}
-	s.board = fleet.NewBoard(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
+	s.board = fleet.NewDiscoveryService(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
 	for range 2 {
 		d, err := s.board.Open("127.0.0.1:0")
 		require.NoError(t, err)
@@ -177,7 +177,7 @@
 		}
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": s.listen, "seed": "8c1f30d27a5be964", "board": s.doors[door].Addr(), "known": s.board.Known(),
+		"name": "n0", "listen": s.listen, "seed": "8c1f30d27a5be964", "board": s.doors[door].Addr(), "known": s.board.InitialEvents(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": soakSockets},
 		"settings": map[string]any{
 			"NInstances": 1, "Zones": []string{"z"}, "Kinds": []string{"small", "parent", "origin"}, "Weights": "nominal",
@@ -280,7 +280,7 @@
 }
 
 // tell books what the board tells now, as of when it counts as told.
-func (s *soak) tell(t fleet.Told) {
+func (s *soak) tell(t fleet.Notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Made = s.now()
@@ -308,31 +308,31 @@
 	}
 	switch kind {
 	case 0:
-		server.Set(fleet.Fault{Silent: true})
+		server.SetFault(fleet.Fault{Unresponsive: true})
 	case 1:
-		server.Set(fleet.Fault{Full: true})
+		server.SetFault(fleet.Fault{Overloaded: true})
 	case 2:
-		server.Set(fleet.Fault{Crashes: true})
+		server.SetFault(fleet.Fault{Failing: true})
 	case 3:
 		for id := range soakCaches {
-			s.servers.Server(policy.CacheID(id + 1)).Set(fleet.Fault{Slow: float64(s.rng.IntN(200))})
+			s.servers.Server(policy.CacheID(id + 1)).SetFault(fleet.Fault{ExtraLatency: float64(s.rng.IntN(200))})
 		}
 	case 4: // it is killed and comes back cold, elsewhere
 		server.Kill()
 		m := s.start(id)
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
 		s.list[id] = m
-		s.tell(fleet.Told{Returns: []policy.CacheID{id}})
+		s.tell(fleet.Notification{Returns: []policy.CacheID{id}})
 		s.board.Change(m)
 	case 5:
 		m := s.list[id]
 		m.State = policy.Draining
 		s.list[id] = m
-		s.tell(fleet.Told{Drains: []policy.CacheID{id}})
+		s.tell(fleet.Notification{Drains: []policy.CacheID{id}})
 		s.board.Change(m)
 	case 6:
 		group := s.rng.IntN(fleet.Groups)
-		s.tell(fleet.Told{Purge: true, Group: group})
+		s.tell(fleet.Notification{Purge: true, Group: group})
 		s.board.Purge("", group, s.servers.Purge("", group))
 	case 7: // a stop counts as told 4 s later
 		s.mu.Lock()
@@ -361,8 +361,8 @@
 	slack := 50 + 2*float64(s.late.Load())/1e6
 	s.judgeAnswers(slack)
 	s.judgeAttempts(slack)
-	s.broken = append(s.broken, s.servers.RanTwice()...)
-	s.broken = append(s.broken, fleet.Rules{Drain: 2000, Purge: 1000, Slack: slack}.Broken(s.servers.Seen(), s.told)...)
+	s.broken = append(s.broken, s.servers.DuplicateWrites()...)
+	s.broken = append(s.broken, fleet.Rules{Drain: 2000, Purge: 1000, Slack: slack}.Violations(s.servers.Observations(), s.told)...)
 	words := map[string]int{}
 	for _, q := range s.asked {
 		words[q.word]++
@@ -398,26 +398,26 @@
 // after its window, and what was refused as harmless did not run.
 func (s *soak) judgeAttempts(slack float64) {
 	firsts := map[string]float64{} // by key
-	for _, a := range s.servers.Seen() {
-		q := s.asked[a.ID]
+	for _, a := range s.servers.Observations() {
+		q := s.asked[a.RequestID]
 		if a.Probe || q == nil {
 			continue
 		}
 		if q.left > 0 && a.At > q.left+100+slack {
-			s.fail("%s %s: an attempt came %.0f ms after its client had left", q.class, a.ID, a.At-q.left)
+			s.fail("%s %s: an attempt came %.0f ms after its client had left", q.class, a.RequestID, a.At-q.left)
 		}
-		if left := q.sent + q.budget - a.At; a.Left > left+150+slack {
-			s.fail("%s %s: told %.0f ms, of which %.0f were left", q.class, a.ID, a.Left, left)
+		if left := q.sent + q.budget - a.At; a.RemainingMs > left+150+slack {
+			s.fail("%s %s: told %.0f ms, of which %.0f were left", q.class, a.RequestID, a.RemainingMs, left)
 		}
 		if q.class == "claim" && q.word == "full" && a.Answer == "served" {
-			s.fail("claim %s: refused as harmless, and it ran", a.ID)
+			s.fail("claim %s: refused as harmless, and it ran", a.RequestID)
 		}
 		if a.Key != "" && a.Answer != "overload" && a.Answer != "not_here" {
-			first, known := firsts[a.ID+a.Key]
+			first, known := firsts[a.RequestID+a.Key]
 			if !known {
-				firsts[a.ID+a.Key] = a.At
+				firsts[a.RequestID+a.Key] = a.At
 			} else if a.At > first+clock.Ms(s.plan.window)+slack {
-				s.fail("report %s: repeated %.0f ms after its first attempt", a.ID, a.At-first)
+				s.fail("report %s: repeated %.0f ms after its first attempt", a.RequestID, a.At-first)
 			}
 		}
 	}
--- a/cmd/ravenwheel/stepped_test.go
+++ b/cmd/ravenwheel/stepped_test.go
@@ -78,7 +78,7 @@
 			t.Parallel()
 			cache, listen := scenario.Listen(t), freeAddr(t)
 			// Its first event is the one that the configuration knows, and it says each second that it is there.
-			board := fleet.NewBoard(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
+			board := fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
 			door, err := board.Open("127.0.0.1:0")
 			require.NoError(t, err)
 			defer door.Close()
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -27,7 +27,7 @@
 // is closed with no answer.
 func TestStopUnderLoad(t *testing.T) {
 	p := scenario.NewProxy(t)
-	servers := fleet.New(fleet.Options{Clock: p.Clock, Serve: 40, Fill: 20})
+	servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 40, FillTime: 20})
 	defer servers.Close()
 	list := make([]core.Member, 3)
 	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
@@ -56,7 +56,7 @@
 	asked := map[*scenario.Client]int{}
 	for at := 0.0; at < 600; at += 10 {
 		if at == 570 { // these are open when the front closes
-			servers.Server(scenario.CacheID).Set(fleet.Fault{Slow: 300})
+			servers.Server(scenario.CacheID).SetFault(fleet.Fault{ExtraLatency: 300})
 		}
 		c := clients
 		if at < 400 {
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -48,7 +48,7 @@
 	cmd      *exec.Cmd
 	logs     safeBuffer
 	gen      int
-	told     []fleet.Told
+	told     []fleet.Notification
 	starts   []time.Duration // from the start to a request that can be taken
 	// names are the ids under which the boxes are listed: a box that drains is listed anew under another one.
 	names map[policy.CacheID]policy.CacheID
@@ -153,7 +153,7 @@
 	text = strings.Replace(text, `"servers": {`, fmt.Sprintf(`"admin": {"listen": %q}, "state": {"dir": "state"}, "servers": {`, x.sock), 1)
 	text = strings.Replace(text, `"drain_ms": 3000`, `"drain_ms": 2500`, 1)
 	require.NoError(t, os.WriteFile(x.operator, []byte(text), 0o600))
-	x.fleet = fleet.New(fleet.Options{Clock: x.clk, Serve: 3, Fill: 10, PurgeTakes: 6000})
+	x.fleet = fleet.New(fleet.Options{Clock: x.clk, TransferTime: 3, FillTime: 10, PurgeDelay: 6000})
 	defer x.fleet.Close()
 	var all []policy.CacheID
 	for id := policy.CacheID(1); id <= boxes; id++ {
@@ -172,8 +172,8 @@
 
 	client := load.New(load.Options{
 		Addr: x.listen, Clock: x.clk, Seed: seed, Conns: 4, Objects: 50, Retries: 2, Classes: []load.Class{
-			{Name: "replay", Share: 5, Budget: 2000, Parts: 3}, {Name: "asset", Share: 4, Budget: 2000, Parts: 1},
-			{Name: "seat-claim", Share: 2, Budget: 2000, Write: true, Parts: 1},
+			{Name: "replay", Fraction: 5, DeadlineMs: 2000, PartsPerObject: 3}, {Name: "asset", Fraction: 4, DeadlineMs: 2000, PartsPerObject: 1},
+			{Name: "seat-claim", Fraction: 2, DeadlineMs: 2000, Write: true, PartsPerObject: 1},
 		},
 	})
 	defer client.Close()
@@ -185,7 +185,7 @@
 		for {
 			select {
 			case <-tick.C:
-				client.Ask()
+				client.Send()
 			case <-stop:
 				return
 			}
@@ -202,7 +202,7 @@
 			if inUse := x.ready(box); x.use(rest, patience) && inUse {
 				// Until the drain is over. Its end is counted from the latest that it can have begun.
 				now := x.clk.Now()
-				x.told = append(x.told, fleet.Told{At: now, Drains: []policy.CacheID{box}}, fleet.Told{At: now + drain - 800, Returns: []policy.CacheID{box}})
+				x.told = append(x.told, fleet.Notification{At: now, Drains: []policy.CacheID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.CacheID{box}})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(60)) * time.Millisecond)
 			x.kill()
@@ -215,7 +215,7 @@
 			x.fleet.Purge(object, group)
 			at := x.clk.Now()
 			if admin.Call(x.sock, "/v1/purge", admin.Purge{Object: object}, &map[string]float64{}) == nil {
-				x.told = append(x.told, fleet.Told{At: at, Purge: true, Object: object})
+				x.told = append(x.told, fleet.Notification{At: at, Purge: true, Object: object})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
 			x.kill()
@@ -241,19 +241,19 @@
 	time.Sleep(1500 * time.Millisecond)
 	close(stop)
 	<-stopped
-	client.Wait()
+	client.WaitIdle()
 
 	// Stricter than the rule: a decision is written within half a second of it or not at all.
-	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Broken(x.fleet.Seen(), x.told)
-	require.Empty(t, append(broken, x.fleet.RanTwice()...))
-	for _, w := range client.Wrong() { // a process that is killed loses what it holds, and nothing else
+	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.told)
+	require.Empty(t, append(broken, x.fleet.DuplicateWrites()...))
+	for _, w := range client.Violations() { // a process that is killed loses what it holds, and nothing else
 		require.Contains(t, w, "lost: ", w)
 	}
-	sum := client.Sums()["asset"]
-	require.Greater(t, sum.Served, sum.Asked/2, "%+v\n%s\n%v", client.Sums(), x.logs.String(), client.Wrong())
+	sum := client.Results()["asset"]
+	require.Greater(t, sum.Served, sum.Requested/2, "%+v\n%s\n%v", client.Results(), x.logs.String(), client.Violations())
 	out, err := exec.Command(x.bin, "state", "verify", filepath.Join(dir, "state")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	slices.Sort(x.starts)
 	t.Logf("up after %v (median) to %v (most); killed %d times: told of %d things; %d attempts seen, %d writes ran; %s",
-		x.starts[len(x.starts)/2].Round(time.Millisecond), x.starts[len(x.starts)-1].Round(time.Millisecond), kills(), len(x.told), len(x.fleet.Seen()), x.fleet.Ran(), out)
+		x.starts[len(x.starts)/2].Round(time.Millisecond), x.starts[len(x.starts)-1].Round(time.Millisecond), kills(), len(x.told), len(x.fleet.Observations()), x.fleet.WritesRun(), out)
 }
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -50,7 +50,7 @@
 	// Few threads: to look at all goroutines stops them, and on a busy machine each further one is waited for.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
 	clk := clock.Manual(1_764_576_000_000)
-	servers := fleet.New(fleet.Options{Clock: clk, Held: 256})
+	servers := fleet.New(fleet.Options{Clock: clk, MaxCopies: 256})
 	defer servers.Close()
 	pools := upstream.New(clk, upstream.Limits{PerConn: 100, Conns: 4, Connect: 5000, Idle: 30_000})
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, pools)
@@ -130,7 +130,7 @@
 		calm.advance(clk, max(0, end-clk.Now()), idleStep)
 	}
 	heap := func() float64 {
-		servers.Forget()
+		servers.DiscardObservations()
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.GC()
@@ -170,7 +170,7 @@
 		old.State = policy.Gone
 		tell(false, old)
 		servers.Server(old.ID).Kill()
-		servers.Server(old.ID).Empty() // the stand-in's own memory
+		servers.Server(old.ID).DropCopies() // the stand-in's own memory
 		switch now := heap(); {
 		case minute >= s.minutes-s.read:
 			late += now / float64(s.read)
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -28,7 +28,7 @@
 	for n, e := range entries(servers) {
 		list[n] = e.Member
 	}
-	return fleet.NewBoard(clock.System(), zoneNames(servers), kinds, list).Known()
+	return fleet.NewDiscoveryService(clock.System(), zoneNames(servers), kinds, list).InitialEvents()
 }
 
 func asJSON(v any) float64 {
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	f := fleet.New(fleet.Options{Clock: clk, Serve: serveMs, Fill: fillMs, PurgeTakes: 6000, Held: held})
+	f := fleet.New(fleet.Options{Clock: clk, TransferTime: serveMs, FillTime: fillMs, PurgeDelay: 6000, MaxCopies: held})
 	defer f.Close()
 	p := membership.Publish{Version: 1, Complete: true}
 	add := func(id policy.CacheID, role fleet.Role, zone, kind int) error {
@@ -100,7 +100,7 @@
 	defer front.Close()
 	client := load.New(load.Options{
 		Addr: ln.Addr().String(), Clock: clk, Seed: 7, Conns: 8, Objects: objects, Retries: 3,
-		Classes: []load.Class{{Name: "replay", Share: 1, Budget: deadlineMs, Parts: parts}},
+		Classes: []load.Class{{Name: "replay", Fraction: 1, DeadlineMs: deadlineMs, PartsPerObject: parts}},
 	})
 	defer client.Close()
 	began := clk.Now()
@@ -112,10 +112,10 @@
 			at(s, f, c)
 		}
 	}()
-	client.Pace(ctx, []load.Phase{{Seconds: seconds, From: perS, To: perS}})
-	client.Wait()
+	client.FollowSchedule(ctx, []load.Phase{{Seconds: seconds, From: perS, To: perS}})
+	client.WaitIdle()
 	out = make([]window, int(seconds)+1)
-	for _, s := range f.Seen() {
+	for _, s := range f.Observations() {
 		i := int((s.At - began) / 1000)
 		if s.Probe || s.Answer != "served" || i < 0 || i >= len(out) {
 			continue
@@ -128,14 +128,14 @@
 			out[i].origin++
 		}
 	}
-	sum := client.Sums()["replay"]
+	sum := client.Results()["replay"]
 	quick := int64(0)
-	for _, b := range sum.Took.Distribution() {
+	for _, b := range sum.Latency.Distribution() {
 		if b.To <= targetMs*1000 {
 			quick += b.Count
 		}
 	}
-	return out, 1 - float64(quick)/float64(max(1, sum.Asked)), ctx.Err()
+	return out, 1 - float64(quick)/float64(max(1, sum.Requested)), ctx.Err()
 }
 
 // spec is the same site in the lab.
@@ -207,7 +207,7 @@
 	say("a cache that hangs")
 	_, slow, err := play(ctx, 8, 4096, func(s int, f *fleet.Fleet, _ *core.Core) {
 		if s == 2 || s == 6 {
-			f.Server(1).Set(fleet.Fault{Silent: s == 2})
+			f.Server(1).SetFault(fleet.Fault{Unresponsive: s == 2})
 		}
 	})
 	if err != nil {
@@ -224,7 +224,7 @@
 	real, _, err = play(ctx, 10, 4096, func(s int, f *fleet.Fleet, _ *core.Core) {
 		if s == at {
 			for id := range policy.CacheID(caches) {
-				f.Server(id + 1).Empty()
+				f.Server(id + 1).DropCopies()
 			}
 		}
 	})
--- a/internal/lab/crosscheck/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -37,7 +37,7 @@
 	front   *resp.Front
 	members []membership.Member
 	version uint64
-	told    []fleet.Told
+	told    []fleet.Notification
 	clients *clients
 }
 
@@ -69,7 +69,7 @@
 		names = append(names, c.Name)
 		window = max(window, c.Window)
 	}
-	s.fleet = fleet.New(fleet.Options{Clock: s.clk, Serve: 1, Fill: 3, PurgeTakes: 4 * grace, Held: 200, Window: window})
+	s.fleet = fleet.New(fleet.Options{Clock: s.clk, TransferTime: 1, FillTime: 3, PurgeDelay: 4 * grace, MaxCopies: 200, IdempotencyWindow: window})
 	t.Cleanup(s.fleet.Close)
 	for id := range policy.CacheID(caches5) {
 		s.start(id+1, fleet.Cache, s.set.Zone, 0)
@@ -109,7 +109,7 @@
 	m := s.members[slices.IndexFunc(s.members, func(m membership.Member) bool { return m.ID == id })]
 	m.State = state
 	s.list(false, m)
-	told := fleet.Told{At: s.clk.Now()}
+	told := fleet.Notification{At: s.clk.Now()}
 	if state == policy.Ready {
 		told.Returns = []policy.CacheID{id}
 	} else {
@@ -121,7 +121,7 @@
 func (s *site) purge(group int) {
 	at := s.fleet.Purge("", group)
 	s.core.Purged(core.Purge{Group: group, At: at})
-	s.told = append(s.told, fleet.Told{At: s.clk.Now(), Purge: true, Group: group, Made: at})
+	s.told = append(s.told, fleet.Notification{At: s.clk.Now(), Purge: true, Group: group, Made: at})
 }
 
 // clients ask for all classes over a few connections, many at once, and keep every answer.
@@ -288,9 +288,9 @@
 
 // troubles plays rounds with something wrong at servers in turn, and the list and purges moving.
 func (s *site) troubles() {
-	set := func(id policy.CacheID, f fleet.Fault) { s.fleet.Server(id).Set(f) }
+	set := func(id policy.CacheID, f fleet.Fault) { s.fleet.Server(id).SetFault(f) }
 	s.round(12)
-	for _, f := range []fleet.Fault{{Full: true}, {Crashes: true}, {Silent: true}, {Slow: 50}} {
+	for _, f := range []fleet.Fault{{Overloaded: true}, {Failing: true}, {Unresponsive: true}, {ExtraLatency: 50}} {
 		for _, id := range []policy.CacheID{1, parentID, originID} {
 			set(id, f)
 			s.round(6)
@@ -311,7 +311,7 @@
 	s.state(3, policy.Gone)
 	s.round(8)
 	for id := range policy.CacheID(caches5) { // no cache of the branch answers
-		set(id+1, fleet.Fault{Full: true})
+		set(id+1, fleet.Fault{Overloaded: true})
 	}
 	s.round(4)
 }
@@ -352,16 +352,16 @@
 	for _, q := range s.clients.all {
 		by[q.rid] = q
 	}
-	seen := s.fleet.Seen()
-	require.Empty(t, fleet.Rules{Drain: grace, Purge: grace, Slack: 50}.Broken(seen, s.told))
-	require.Empty(t, s.fleet.RanTwice())
-	tries, ran := map[string][]fleet.Seen{}, map[string]int{}
+	seen := s.fleet.Observations()
+	require.Empty(t, fleet.Rules{Drain: grace, Purge: grace, Slack: 50}.Violations(seen, s.told))
+	require.Empty(t, s.fleet.DuplicateWrites())
+	tries, ran := map[string][]fleet.Observation{}, map[string]int{}
 	for _, x := range seen {
-		q := by[x.ID]
-		require.NotNil(t, q, "no client asked for %s", x.ID)
+		q := by[x.RequestID]
+		require.NotNil(t, q, "no client asked for %s", x.RequestID)
 		require.Equal(t, q.class.Name, x.Class)
 		require.Equal(t, q.object, x.Object)
-		require.Equal(t, q.key, x.Key, "%s of %s", x.ID, x.Class)
+		require.Equal(t, q.key, x.Key, "%s of %s", x.RequestID, x.Class)
 		require.Equal(t, q.class.Effect == "keyed", x.Key != "")
 		require.Equal(t, q.class.Write, x.Write)
 		require.NotEqual(t, elsewhere, x.Server, "a cache of another branch")
@@ -369,7 +369,7 @@
 		if !s.set.MayBypassCaches {
 			require.Less(t, x.Server, elsewhere, "nothing goes past the caches")
 		}
-		tries[x.ID] = append(tries[x.ID], x)
+		tries[x.RequestID] = append(tries[x.RequestID], x)
 		if x.Write && x.Answer == "served" && q.class.Effect == "unsafe" {
 			ran[x.Object]++
 		}
@@ -382,7 +382,7 @@
 		if by[id].class.Effect != "unsafe" {
 			continue
 		}
-		slices.SortStableFunc(list, func(a, b fleet.Seen) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(list, func(a, b fleet.Observation) int { return cmp.Compare(a.At, b.At) })
 		for _, x := range list[:len(list)-1] {
 			require.Contains(t, []string{"overload", "not_here"}, x.Answer, "%s went out again and may have run", id)
 		}
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -46,7 +46,7 @@
 	oper   *config.Operator
 	fleet  *fleet.Fleet
 	client *load.Client
-	told   []fleet.Told
+	told   []fleet.Notification
 }
 
 // Run plays it. The error tells of a rule that was broken, or of what kept it from playing.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet = fleet.New(fleet.Options{Clock: r.clk, Serve: 4, Fill: 25, PurgeTakes: r.oper.Site.PurgeTakes})
+	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 4, FillTime: 25, PurgeDelay: r.oper.Site.PurgeTakes})
 	defer r.fleet.Close()
 	if err := r.fleet.StartList(set, r.oper.Site.ParentKind, r.oper.Site.OriginKind); err != nil {
 		return err
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	r.client.Wait()
+	r.client.WaitIdle()
 	defer r.client.Close()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -140,9 +140,9 @@
 	var classes []load.Class
 	shares := []float64{0.53, 0.44, 0.03}
 	for i, k := range r.oper.Classes {
-		c := load.Class{Name: k.Name, Share: shares[i%len(shares)], Budget: k.Deadline, Write: k.Uncached, Parts: 1}
+		c := load.Class{Name: k.Name, Fraction: shares[i%len(shares)], DeadlineMs: k.Deadline, Write: k.Uncached, PartsPerObject: 1}
 		if k.InParts {
-			c.Parts = 12
+			c.PartsPerObject = 12
 		}
 		classes = append(classes, c)
 	}
@@ -161,7 +161,7 @@
 			case <-end:
 				return
 			case <-tick.C:
-				r.client.Ask()
+				r.client.Send()
 			}
 		}
 	}()
@@ -246,7 +246,7 @@
 			return r.tryRefused(ctx, twice, "a list that names one address twice")
 		},
 		func(ctx context.Context) error {
-			r.told = append(r.told, fleet.Told{At: r.clk.Now() + 2000, Drains: []policy.CacheID{gone}})
+			r.told = append(r.told, fleet.Notification{At: r.clk.Now() + 2000, Drains: []policy.CacheID{gone}})
 			if err := r.take(ctx, without, "a list without %s: it drains", serverlist.Name(gone)); err != nil {
 				return err
 			}
@@ -259,7 +259,7 @@
 			if err := admin.Call(r.oper.Admin.Listen, "/v1/purge", admin.Purge{Group: &group}, &map[string]float64{}); err != nil {
 				return err
 			}
-			r.told = append(r.told, fleet.Told{At: r.clk.Now(), Purge: true, Group: group})
+			r.told = append(r.told, fleet.Notification{At: r.clk.Now(), Purge: true, Group: group})
 			r.say("group %d of the objects is purged, and the proxy told of it", group)
 			return nil
 		},
@@ -282,7 +282,7 @@
 				return err
 			}
 			r.say("%s has drained and is gone", serverlist.Name(gone))
-			r.told = append(r.told, fleet.Told{At: r.clk.Now(), Returns: []policy.CacheID{gone}})
+			r.told = append(r.told, fleet.Notification{At: r.clk.Now(), Returns: []policy.CacheID{gone}})
 			return r.take(ctx, back, "rolled back: %s is listed again, and taken for freshly started", serverlist.Name(gone))
 		},
 	}
@@ -339,26 +339,26 @@
 func (r *run) report() error {
 	w := tabwriter.NewWriter(r.opt.Out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nclass\tasked\tserved\trefused\tfailed\tlost\tretried\tp50 ms\tp99 ms\t")
-	sums := r.client.Sums()
+	sums := r.client.Results()
 	for _, k := range r.oper.Classes {
 		s := sums[k.Name]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Name, s.Asked, s.Served, s.Refused, s.Failed, s.Lost, s.Retried,
-			float64(s.Took.ValueAtQuantile(50))/1000, float64(s.Took.ValueAtQuantile(99))/1000)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.Name, s.Requested, s.Served, s.Rejected, s.Failed, s.Lost, s.Retried,
+			float64(s.Latency.ValueAtQuantile(50))/1000, float64(s.Latency.ValueAtQuantile(99))/1000)
 	}
 	fmt.Fprintln(w, "\nserver\trole\tattempts\tserved\tsource of\tprobes\t")
 	for _, c := range r.fleet.Counts() {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t\n", serverlist.Name(c.Server), []string{"cache", "parent", "origin"}[c.Role],
-			c.Attempts, c.Served, c.Named, c.Probes)
+			c.Attempts, c.Served, c.NamedAsSource, c.Probes)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	broken := fleet.Rules{Drain: r.oper.Site.DrainGrace, Purge: r.oper.Site.PurgeGrace, Slack: 50}.Broken(r.fleet.Seen(), r.told)
-	for _, id := range r.fleet.RanTwice() {
+	broken := fleet.Rules{Drain: r.oper.Site.DrainGrace, Purge: r.oper.Site.PurgeGrace, Slack: 50}.Violations(r.fleet.Observations(), r.told)
+	for _, id := range r.fleet.DuplicateWrites() {
 		broken = append(broken, "a write ran twice: "+id)
 	}
-	broken = append(broken, r.client.Wrong()...)
-	fmt.Fprintf(r.opt.Out, "\n%d seat claims ran, none of them twice; rules broken, as the servers and clients saw it: %d\n", r.fleet.Ran(), len(broken))
+	broken = append(broken, r.client.Violations()...)
+	fmt.Fprintf(r.opt.Out, "\n%d seat claims ran, none of them twice; rules broken, as the servers and clients saw it: %d\n", r.fleet.WritesRun(), len(broken))
 	if len(broken) > 0 {
 		return fmt.Errorf("%d rules broken:\n%s", len(broken), strings.Join(broken, "\n"))
 	}
--- a/internal/lab/fleet/board.go
+++ b/internal/lab/fleet/discovery.go
@@ -17,8 +17,8 @@
 	"ravenwheel/policy"
 )
 
-// Board stands in for the notice board: one log of numbered events, told at any number of doors.
-type Board struct {
+// DiscoveryService stands in for the notice board: one log of numbered events, told at any number of doors.
+type DiscoveryService struct {
 	clk          *clock.Clock
 	zones, kinds []string
 
@@ -30,49 +30,49 @@
 	wake    chan struct{} // closed and made anew with each event
 }
 
-// Door is one address at which a board is told.
-type Door struct {
-	board *Board
+// DiscoveryListener is one address at which a board is told.
+type DiscoveryListener struct {
+	service *DiscoveryService
 	ln    net.Listener
 	// Calls counts the connections that came up and said what they know.
 	Calls atomic.Int64
 
 	mu      sync.Mutex
 	stalled bool
-	treat   func(caller int64) CallerFault // nil: all are treated well
+	callerFault   func(caller int64) CallerFault // nil: all are treated well
 	conns   map[net.Conn]struct{}
 }
 
 // CallerFault is how a door treats one caller. The zero value is a door that is well.
 type CallerFault struct {
-	Silent    bool    // nothing is said to it, for as long as it waits
-	BreakOff  bool    // its connection is ended as soon as it has asked
-	ByteEvery float64 // ms between two bytes of what it is told; 0: at once
+	Unresponsive    bool    // nothing is said to it, for as long as it waits
+	Disconnect  bool    // its connection is ended as soon as it has asked
+	ByteInterval float64 // ms between two bytes of what it is told; 0: at once
 }
 
 // The kinds of event, as their frames name them.
 const (
-	kindNothing = iota
-	kindWhole
+	kindHeartbeat = iota
+	kindFullList
 	kindChanges
-	kindObject
-	kindGroup
+	kindObjectPurge
+	kindGroupPurge
 )
 
-// beat: an empty frame comes each second.
-const beat = 1000
+// heartbeatInterval: an empty frame comes each second.
+const heartbeatInterval = 1000
 
-// NewBoard returns a board whose first event is the whole list.
-func NewBoard(clk *clock.Clock, zones, kinds []string, list []membership.Member) *Board {
-	b := &Board{clk: clk, zones: zones, kinds: kinds, list: map[policy.CacheID]membership.Member{}, wake: make(chan struct{})}
-	b.tell(kindWhole, list)
+// NewDiscoveryService returns a board whose first event is the whole list.
+func NewDiscoveryService(clk *clock.Clock, zones, kinds []string, list []membership.Member) *DiscoveryService {
+	b := &DiscoveryService{clk: clk, zones: zones, kinds: kinds, list: map[policy.CacheID]membership.Member{}, wake: make(chan struct{})}
+	b.publish(kindFullList, list)
 	return b
 }
 
 // Change tells what has changed of the list.
-func (b *Board) Change(list ...membership.Member) { b.tell(kindChanges, list) }
+func (b *DiscoveryService) Change(list ...membership.Member) { b.publish(kindChanges, list) }
 
-func (b *Board) tell(kind byte, list []membership.Member) {
+func (b *DiscoveryService) publish(kind byte, list []membership.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var payload []byte
@@ -83,24 +83,24 @@
 		}
 		b.list[m.ID] = m
 	}
-	b.add(kind, payload)
+	b.appendEvent(kind, payload)
 }
 
 // Purge tells of a purge: of an object or, with none, of a group.
-func (b *Board) Purge(object string, group int, at float64) {
+func (b *DiscoveryService) Purge(object string, group int, at float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if object == "" {
 		b.notices = append(b.notices, map[string]any{"rev": len(b.frames) + 1, "flush": map[string]any{"collection": group, "ms": at}})
-		b.add(kindGroup, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(nil, uint16(group)), uint64(at)))
+		b.appendEvent(kindGroupPurge, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(nil, uint16(group)), uint64(at)))
 		return
 	}
 	n, _ := strconv.ParseUint(object, 16, 64)
 	b.notices = append(b.notices, map[string]any{"rev": len(b.frames) + 1, "flush": map[string]any{"asset": object, "ms": at}})
-	b.add(kindObject, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, n), uint64(at)))
+	b.appendEvent(kindObjectPurge, binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, n), uint64(at)))
 }
 
-func (b *Board) add(kind byte, payload []byte) {
+func (b *DiscoveryService) appendEvent(kind byte, payload []byte) {
 	b.frames = append(b.frames, frame(uint64(len(b.frames)+1), kind, payload))
 	close(b.wake)
 	b.wake = make(chan struct{})
@@ -123,8 +123,8 @@
 	return binary.BigEndian.AppendUint64(b, uint64(clock.Ms(m.Started)))
 }
 
-// Known is what a proxy that starts now is told: the list as it stands, and every purge.
-func (b *Board) Known() json.RawMessage {
+// InitialEvents is what a proxy that starts now is told: the list as it stands, and every purge.
+func (b *DiscoveryService) InitialEvents() json.RawMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	instances := []any{}
@@ -147,12 +147,12 @@
 }
 
 // Open tells the board at another address; port 0 is one from the kernel.
-func (b *Board) Open(addr string) (*Door, error) {
+func (b *DiscoveryService) Open(addr string) (*DiscoveryListener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("notice board: %w", err)
 	}
-	d := &Door{board: b, ln: ln, conns: map[net.Conn]struct{}{}}
+	d := &DiscoveryListener{service: b, ln: ln, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -169,41 +169,41 @@
 }
 
 // Addr is where it listens.
-func (d *Door) Addr() string { return d.ln.Addr().String() }
+func (d *DiscoveryListener) Addr() string { return d.ln.Addr().String() }
 
 // Stall has the door accept connections and say nothing, or speak again.
-func (d *Door) Stall(on bool) {
+func (d *DiscoveryListener) Stall(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stalled = on
 }
 
-// Treat sets how each caller is treated, by its number at this door from 1 on. It is asked before every word.
-func (d *Door) Treat(treat func(caller int64) CallerFault) {
+// SetCallerFault sets how each caller is treated, by its number at this door from 1 on. It is asked before every word.
+func (d *DiscoveryListener) SetCallerFault(treat func(caller int64) CallerFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.treat = treat
+	d.callerFault = treat
 }
 
 // fault is how a caller is treated now.
-func (d *Door) fault(caller int64) (f CallerFault) {
+func (d *DiscoveryListener) fault(caller int64) (f CallerFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.treat != nil {
-		f = d.treat(caller)
+	if d.callerFault != nil {
+		f = d.callerFault(caller)
 	}
-	f.Silent = f.Silent || d.stalled
+	f.Unresponsive = f.Unresponsive || d.stalled
 	return f
 }
 
 // Close ends the door and what came through it.
-func (d *Door) Close() {
+func (d *DiscoveryListener) Close() {
 	_ = d.ln.Close()
-	d.Break()
+	d.ResetConnections()
 }
 
-// Break ends all connections that came through the door.
-func (d *Door) Break() {
+// ResetConnections ends all connections that came through the door.
+func (d *DiscoveryListener) ResetConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for nc := range d.conns {
@@ -211,7 +211,7 @@
 	}
 }
 
-func (d *Door) serve(nc net.Conn) {
+func (d *DiscoveryListener) serve(nc net.Conn) {
 	gone := make(chan struct{})
 	defer func() {
 		_ = nc.Close()
@@ -230,17 +230,17 @@
 	}()
 	next := int(binary.BigEndian.Uint64(last[:]))
 	for {
-		b := d.board
+		b := d.service
 		b.mu.Lock()
 		wake, frames := b.wake, b.frames[min(next, len(b.frames)):]
 		b.mu.Unlock()
 		fault := d.fault(caller)
-		if fault.BreakOff {
+		if fault.Disconnect {
 			return
 		}
-		if !fault.Silent {
+		if !fault.Unresponsive {
 			if len(frames) == 0 {
-				frames = [][]byte{frame(uint64(next), kindNothing, nil)}
+				frames = [][]byte{frame(uint64(next), kindHeartbeat, nil)}
 			} else {
 				next += len(frames)
 			}
@@ -251,7 +251,7 @@
 			}
 		}
 		tick := make(chan struct{})
-		stop := b.clk.After(beat, func() { close(tick) })
+		stop := b.clk.After(heartbeatInterval, func() { close(tick) })
 		select {
 		case <-tick:
 		case <-wake:
@@ -264,10 +264,10 @@
 }
 
 // write writes a frame as its caller is treated, at once or a byte at a time.
-func (d *Door) write(nc net.Conn, caller int64, frame []byte) error {
+func (d *DiscoveryListener) write(nc net.Conn, caller int64, frame []byte) error {
 	for len(frame) > 0 {
 		size := len(frame)
-		every := d.fault(caller).ByteEvery
+		every := d.fault(caller).ByteInterval
 		if every > 0 {
 			size = 1
 		}
@@ -277,7 +277,7 @@
 		frame = frame[size:]
 		if every > 0 {
 			over := make(chan struct{})
-			d.board.clk.After(every, func() { close(over) })
+			d.service.clk.After(every, func() { close(over) })
 			<-over
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -26,42 +26,42 @@
 // Options set up a fleet.
 type Options struct {
 	Clock *clock.Clock
-	// Serve is how long a transfer to the proxy takes, Fill how much longer one that must be fetched does, in ms. 0:
+	// TransferTime is how long a transfer to the proxy takes, FillTime how much longer one that must be fetched does, in ms. 0:
 	// at once.
-	Serve, Fill float64
-	// PurgeTakes: caches and parents drop what was purged so many ms later.
-	PurgeTakes float64
-	// Held bounds the copies of one cache or parent.
-	Held int
-	// Window: the origin drops the repeat of a write with a key for so many ms.
-	Window float64
+	TransferTime, FillTime float64
+	// PurgeDelay: caches and parents drop what was purged so many ms later.
+	PurgeDelay float64
+	// MaxCopies bounds the copies of one cache or parent.
+	MaxCopies int
+	// IdempotencyWindow: the origin drops the repeat of a write with a key for so many ms.
+	IdempotencyWindow float64
 }
 
 // Fleet is all servers.
 type Fleet struct {
-	opt Options
+	options Options
 
 	mu      sync.Mutex
 	servers map[policy.CacheID]*Server
-	objects map[string]float64 // when purged last
-	groups  map[int]float64
-	seen    []Seen
-	forgot  int                // how many were seen before those
-	runs    map[string]int     // of writes, by request id, and of those with a key by that
-	ran     map[string]float64 // when a write with a key ran last
+	objectPurges map[string]float64 // when purged last
+	groupPurges  map[int]float64
+	observations    []Observation
+	discarded  int                // how many were seen before those
+	writeRuns    map[string]int     // of writes, by request id, and of those with a key by that
+	lastKeyedRun     map[string]float64 // when a write with a key ran last
 }
 
-// Seen is one attempt as a server saw it.
-type Seen struct {
+// Observation is one attempt as a server saw it.
+type Observation struct {
 	At      float64 // when it had come whole
 	Server  policy.CacheID
-	ID      string
+	RequestID      string
 	Class   string
 	Object  string
 	Part    int
 	Source  policy.CacheID // where a miss was to be filled from; the server itself: nowhere
-	Newest  float64        // the oldest copy that would do was made then; 0: any
-	Left    float64        // ms that were told to be left for it
+	OldestAllowed  float64        // the oldest copy that would do was made then; 0: any
+	RemainingMs    float64        // ms that were told to be left for it
 	Probe   bool
 	Write   bool
 	Key     string // the idempotency key that came with it
@@ -73,12 +73,12 @@
 
 // New returns a fleet without servers.
 func New(o Options) *Fleet {
-	if o.Held <= 0 {
-		o.Held = 4096
+	if o.MaxCopies <= 0 {
+		o.MaxCopies = 4096
 	}
 	return &Fleet{
-		opt: o, servers: map[policy.CacheID]*Server{}, objects: map[string]float64{}, groups: map[int]float64{},
-		runs: map[string]int{}, ran: map[string]float64{},
+		options: o, servers: map[policy.CacheID]*Server{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
+		writeRuns: map[string]int{}, lastKeyedRun: map[string]float64{},
 	}
 }
 
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("server %s: %w", serverlist.Name(id), err)
 	}
-	s := &Server{fleet: f, ID: id, Role: role, ln: ln, conns: map[*conn]struct{}{}, copies: map[key]*held{}}
+	s := &Server{fleet: f, ID: id, Role: role, ln: ln, conns: map[*conn]struct{}{}, copies: map[partKey]*cachedCopy{}}
 	f.mu.Lock()
 	f.servers[id] = s
 	f.mu.Unlock()
@@ -139,14 +139,14 @@
 // Purge voids what the origin made of an object, or of a group with no object, up to now. Copies lie about for a while.
 func (f *Fleet) Purge(object string, group int) (at float64) {
 	f.mu.Lock()
-	at = f.opt.Clock.Now()
+	at = f.options.Clock.Now()
 	if object != "" {
-		f.objects[object] = at
+		f.objectPurges[object] = at
 	} else {
-		f.groups[group] = at
+		f.groupPurges[group] = at
 	}
 	f.mu.Unlock()
-	f.opt.Clock.After(f.opt.PurgeTakes, func() {
+	f.options.Clock.After(f.options.PurgeDelay, func() {
 		f.mu.Lock()
 		all := make([]*Server, 0, len(f.servers))
 		for _, s := range f.servers {
@@ -154,7 +154,7 @@
 		}
 		f.mu.Unlock()
 		for _, s := range all {
-			s.drop(func(k key, c *held) bool {
+			s.dropCopies(func(k partKey, c *cachedCopy) bool {
 				return c.stamp <= at && (object != "" && k.object == object || object == "" && Group(k.object) == group)
 			})
 		}
@@ -162,33 +162,33 @@
 	return at
 }
 
-// Seen is all that the servers saw so far, in the order in which it came.
-func (f *Fleet) Seen() []Seen {
+// Observations is all that the servers saw so far, in the order in which it came.
+func (f *Fleet) Observations() []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.seen)
+	return slices.Clone(f.observations)
 }
 
-// SeenAfter is what came after the first n.
-func (f *Fleet) SeenAfter(n int) []Seen {
+// ObservationsAfter is what came after the first n.
+func (f *Fleet) ObservationsAfter(n int) []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.seen[min(n, len(f.seen)):])
+	return slices.Clone(f.observations[min(n, len(f.observations)):])
 }
 
-// Forget drops what the servers saw so far: over a long day it would be the most that is held.
-func (f *Fleet) Forget() {
+// DiscardObservations drops what the servers saw so far: over a long day it would be the most that is held.
+func (f *Fleet) DiscardObservations() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgot += len(f.seen)
-	f.seen = nil
+	f.discarded += len(f.observations)
+	f.observations = nil
 }
 
-// RanTwice are the requests that write and ran more than once.
-func (f *Fleet) RanTwice() (ids []string) {
+// DuplicateWrites are the requests that write and ran more than once.
+func (f *Fleet) DuplicateWrites() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, n := range f.runs {
+	for id, n := range f.writeRuns {
 		if n > 1 {
 			ids = append(ids, id+" "+strconv.Itoa(n)+" times")
 		}
@@ -197,41 +197,41 @@
 	return ids
 }
 
-// run runs a write at the origin, or drops it as the repeat of one with the same key.
-func (f *Fleet) run(id, key string) {
+// runWrite runs a write at the origin, or drops it as the repeat of one with the same key.
+func (f *Fleet) runWrite(id, key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if key == "" {
-		f.runs[id]++
+		f.writeRuns[id]++
 		return
 	}
-	now := f.opt.Clock.Now()
-	if at, before := f.ran[key]; before && now < at+f.opt.Window {
+	now := f.options.Clock.Now()
+	if at, before := f.lastKeyedRun[key]; before && now < at+f.options.IdempotencyWindow {
 		return
 	}
-	f.ran[key] = now
-	f.runs["key "+key]++
+	f.lastKeyedRun[key] = now
+	f.writeRuns["key "+key]++
 }
 
-// Ran is how many writes ran.
-func (f *Fleet) Ran() int {
+// WritesRun is how many writes ran.
+func (f *Fleet) WritesRun() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.runs)
+	return len(f.writeRuns)
 }
 
-func (f *Fleet) saw(s Seen) (at int) {
+func (f *Fleet) observe(s Observation) (at int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen = append(f.seen, s)
-	return f.forgot + len(f.seen) - 1
+	f.observations = append(f.observations, s)
+	return f.discarded + len(f.observations) - 1
 }
 
-func (f *Fleet) answered(at int, word, why string, stamp float64) {
+func (f *Fleet) recordAnswer(at int, word, why string, stamp float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at -= f.forgot; at >= 0 {
-		f.seen[at].Answer, f.seen[at].Why, f.seen[at].Stamp = word, why, stamp
+	if at -= f.discarded; at >= 0 {
+		f.observations[at].Answer, f.observations[at].Why, f.observations[at].Stamp = word, why, stamp
 	}
 }
 
@@ -243,14 +243,14 @@
 	for id, s := range f.servers {
 		by[id] = &Count{Server: id, Role: s.Role}
 	}
-	for _, s := range f.seen {
+	for _, s := range f.observations {
 		c := by[s.Server]
 		switch {
 		case s.Probe:
 			c.Probes++
 			continue
 		case s.Source != s.Server && by[s.Source] != nil && s.Answer == "served":
-			by[s.Source].Named++
+			by[s.Source].NamedAsSource++
 		}
 		if c.Attempts++; s.Answer == "served" {
 			c.Served++
@@ -268,5 +268,5 @@
 type Count struct {
 	Server                          policy.CacheID
 	Role                            Role
-	Attempts, Served, Named, Probes int
+	Attempts, Served, NamedAsSource, Probes int
 }
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/rules.go
@@ -9,8 +9,8 @@
 	"ravenwheel/policy"
 )
 
-// Told is what a proxy was told, and when: for holding what the servers saw against the rules.
-type Told struct {
+// Notification is what a proxy was told, and when: for holding what the servers saw against the rules.
+type Notification struct {
 	At      float64
 	Drains  []policy.CacheID // from At on nothing new, after the grace
 	Returns []policy.CacheID // listed as ready again
@@ -23,9 +23,9 @@
 // Rules are the graces in ms.
 type Rules struct{ Drain, Purge, Slack float64 }
 
-// Broken holds what the servers saw against what the proxy was told: new work to a server that drains, as request or
+// Violations holds what the servers saw against what the proxy was told: new work to a server that drains, as request or
 // as source, and copies served that are older than a purge. It trusts nothing that the proxy says.
-func (r Rules) Broken(seen []Seen, told []Told) (broken []string) {
+func (r Rules) Violations(seen []Observation, told []Notification) (broken []string) {
 	for _, s := range seen {
 		if s.Probe {
 			continue
@@ -33,7 +33,7 @@
 		for _, id := range []policy.CacheID{s.Server, s.Source} {
 			if since, drains := drainsAt(told, id, s.At); drains && s.At > since+r.Drain+r.Slack {
 				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
-					serverlist.Name(s.Server), s.ID, s.At, serverlist.Name(id), since))
+					serverlist.Name(s.Server), s.RequestID, s.At, serverlist.Name(id), since))
 			}
 		}
 		for _, t := range told {
@@ -42,7 +42,7 @@
 			}
 			if t.Object == s.Object || t.Object == "" && t.Group == Group(s.Object) {
 				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
-					serverlist.Name(s.Server), s.ID, s.At, s.Stamp, cmp.Or(t.Made, t.At)))
+					serverlist.Name(s.Server), s.RequestID, s.At, s.Stamp, cmp.Or(t.Made, t.At)))
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // drainsAt tells whether a server drains at a time, and since when.
-func drainsAt(told []Told, id policy.CacheID, at float64) (since float64, drains bool) {
+func drainsAt(told []Notification, id policy.CacheID, at float64) (since float64, drains bool) {
 	for _, t := range told {
 		switch {
 		case t.At > at:
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -20,31 +20,31 @@
 
 	mu     sync.Mutex
 	conns  map[*conn]struct{}
-	copies map[key]*held
-	used   int64
+	copies map[partKey]*cachedCopy
+	useCount   int64
 	fault  Fault
-	open   int
-	dead   bool
+	inFlight   int
+	killed   bool
 }
 
 // Fault is what is wrong with a server.
 type Fault struct {
-	Silent  bool    // takes requests and answers none
-	Full    bool    // turns requests away
-	Crashes bool    // answers that it may have run
-	Slow    float64 // ms more for each answer
+	Unresponsive  bool    // takes requests and answers none
+	Overloaded    bool    // turns requests away
+	Failing bool    // answers that it may have run
+	ExtraLatency    float64 // ms more for each answer
 }
 
-type key struct {
+type partKey struct {
 	object string
 	part   int
 }
 
-// held is a copy.
-type held struct {
+// cachedCopy is a copy.
+type cachedCopy struct {
 	stamp float64
-	rank  int
-	used  int64
+	retention  int
+	lastUsed  int64
 }
 
 // conn is one connection to a server.
@@ -53,14 +53,14 @@
 	nc net.Conn
 
 	mu    sync.Mutex
-	stops map[string]func() // of what is open, by id
+	cancels map[string]func() // of what is open, by id
 }
 
 // Addr is where it listens.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Set makes something wrong with it, or right again.
-func (s *Server) Set(f Fault) {
+// SetFault makes something wrong with it, or right again.
+func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
@@ -70,7 +70,7 @@
 func (s *Server) Kill() {
 	_ = s.ln.Close()
 	s.mu.Lock()
-	s.dead = true
+	s.killed = true
 	conns := s.conns
 	s.conns = map[*conn]struct{}{}
 	s.mu.Unlock()
@@ -80,14 +80,14 @@
 	}
 }
 
-// Empty drops all copies, as a restart does, and the table with them: an emptied one keeps its size.
-func (s *Server) Empty() {
+// DropCopies drops all copies, as a restart does, and the table with them: an emptied one keeps its size.
+func (s *Server) DropCopies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copies = map[key]*held{}
+	s.copies = map[partKey]*cachedCopy{}
 }
 
-func (s *Server) drop(which func(key, *held) bool) {
+func (s *Server) dropCopies(which func(partKey, *cachedCopy) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, c := range s.copies {
@@ -103,9 +103,9 @@
 		if err != nil {
 			return
 		}
-		k := &conn{s: s, nc: nc, stops: map[string]func(){}}
+		k := &conn{s: s, nc: nc, cancels: map[string]func(){}}
 		s.mu.Lock()
-		if s.dead {
+		if s.killed {
 			s.mu.Unlock()
 			nc.Close()
 			return
@@ -135,10 +135,10 @@
 	k.s.mu.Unlock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, stop := range k.stops { // closing the connection gives up all that is open on it
+	for _, stop := range k.cancels { // closing the connection gives up all that is open on it
 		stop()
 	}
-	k.stops = map[string]func(){}
+	k.cancels = map[string]func(){}
 }
 
 func (k *conn) send(parts ...string) {
@@ -153,15 +153,15 @@
 		k.fetch(words[1], words[2], strings.Join(words[3:], ""))
 	case words[0] == "abort" && len(words) == 2:
 		k.mu.Lock()
-		if stop := k.stops[words[1]]; stop != nil {
+		if stop := k.cancels[words[1]]; stop != nil {
 			stop()
-			delete(k.stops, words[1])
+			delete(k.cancels, words[1])
 		}
 		k.mu.Unlock()
 	case (words[0] == "stats" || words[0] == "alive") && len(words) == 2:
-		k.s.fleet.saw(Seen{At: k.s.fleet.opt.Clock.Now(), Server: k.s.ID, Probe: true, Answer: "green"})
+		k.s.fleet.observe(Observation{At: k.s.fleet.options.Clock.Now(), Server: k.s.ID, Probe: true, Answer: "green"})
 		k.s.mu.Lock()
-		silent, open := k.s.fault.Silent, k.s.open
+		silent, open := k.s.fault.Unresponsive, k.s.inFlight
 		k.s.mu.Unlock()
 		if !silent {
 			k.send(words[1], "green", fmt.Sprintf("rep=inflight:%d;util:0.5", open))
@@ -179,32 +179,32 @@
 		k.send(id, "crashed", "why=no_place")
 		return
 	}
-	now := f.opt.Clock.Now()
+	now := f.options.Clock.Now()
 	part, _ := strconv.Atoi(fields["piece"])
-	seen := Seen{
-		At: now, Server: s.ID, ID: id, Class: fields["lane"], Object: fields["name"], Part: part, Source: s.ID, Address: s.Addr(),
+	seen := Observation{
+		At: now, Server: s.ID, RequestID: id, Class: fields["lane"], Object: fields["name"], Part: part, Source: s.ID, Address: s.Addr(),
 		Key: fields["dedupe"],
 	}
 	if src := fields["fetch"]; src != "" {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(src, "s-"), 16, 32)
 		seen.Source = policy.CacheID(n)
 	}
-	seen.Left, _ = strconv.ParseFloat(fields["ttl"], 64)
+	seen.RemainingMs, _ = strconv.ParseFloat(fields["ttl"], 64)
 	if age, err := strconv.ParseFloat(fields["newer"], 64); err == nil && age > 0 {
-		seen.Newest = now - age
+		seen.OldestAllowed = now - age
 	}
 	// What is kept nowhere runs at the origin: it is asked for at no rank and with a body, or has the name of a write.
 	seen.Write = len(body) > 0 || fields["retain"] == "" && seen.Source != s.ID && f.role(seen.Source) == Origin
-	at := f.saw(seen)
+	at := f.observe(seen)
 	s.mu.Lock()
 	fault := s.fault
-	s.open++
+	s.inFlight++
 	s.mu.Unlock()
 	done := func(word, why string, stamp float64) {
 		s.mu.Lock()
-		s.open--
+		s.inFlight--
 		s.mu.Unlock()
-		f.answered(at, word, why, stamp)
+		f.recordAnswer(at, word, why, stamp)
 		if word == "" {
 			return
 		}
@@ -217,27 +217,27 @@
 		k.send(id, word, list)
 	}
 	switch {
-	case fault.Silent:
+	case fault.Unresponsive:
 		done("", "", 0)
 		return
-	case fault.Full:
+	case fault.Overloaded:
 		done("overload", "turned_away", 0)
 		return
-	case fault.Crashes:
+	case fault.Failing:
 		done("crashed", "far_fault", 0)
 		return
 	}
 	word, why, stamp, wait := s.answer(seen, fields)
-	wait += fault.Slow
+	wait += fault.ExtraLatency
 	if wait <= 0 {
 		done(word, why, stamp)
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.stops[id] = f.opt.Clock.After(wait, func() {
+	k.cancels[id] = f.options.Clock.After(wait, func() {
 		k.mu.Lock()
-		delete(k.stops, id)
+		delete(k.cancels, id)
 		k.mu.Unlock()
 		done(word, why, stamp)
 	})
@@ -251,106 +251,106 @@
 }
 
 // answer is what becomes of a request here: from a copy, by a fill, or by running it at the origin.
-func (s *Server) answer(q Seen, fields map[string]string) (word, why string, stamp, wait float64) {
+func (s *Server) answer(q Observation, fields map[string]string) (word, why string, stamp, wait float64) {
 	f := s.fleet
 	if q.Write {
-		f.run(q.ID, q.Key)
-		return "served", "pulled", f.opt.Clock.Now(), f.opt.Serve + f.opt.Fill
+		f.runWrite(q.RequestID, q.Key)
+		return "served", "pulled", f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime
 	}
-	k := key{q.Object, q.Part}
-	if stamp, ok := s.hold(k, q.Newest); ok {
-		return "served", "local", stamp, f.opt.Serve
+	k := partKey{q.Object, q.Part}
+	if stamp, ok := s.lookUp(k, q.OldestAllowed); ok {
+		return "served", "local", stamp, f.options.TransferTime
 	}
 	if s.Role == Origin { // a request that came past all caches
-		return "served", "pulled_far", f.make(k), f.opt.Serve
+		return "served", "pulled_far", f.stampNow(k), f.options.TransferTime
 	}
 	if q.Source == s.ID {
 		return "not_here", "not_there", 0, 0
 	}
 	src := f.Server(q.Source)
-	if src == nil || src.gone() {
+	if src == nil || src.unreachable() {
 		return "not_here", "cut_off", 0, 0
 	}
 	shallow := strings.Contains(fields["handle"], "shallow")
-	stamp, far, ok := src.give(k, q.Newest, shallow, strings.Contains(fields["handle"], "transit"))
+	stamp, far, ok := src.serveFill(k, q.OldestAllowed, shallow, strings.Contains(fields["handle"], "transit"))
 	if !ok {
 		return "not_here", "not_there", 0, 0
 	}
 	rank, _ := strconv.Atoi(fields["retain"])
-	s.keep(k, stamp, rank)
+	s.store(k, stamp, rank)
 	why = "pulled"
-	if wait = f.opt.Serve + f.opt.Fill; far {
-		why, wait = "pulled_far", wait+f.opt.Fill
+	if wait = f.options.TransferTime + f.options.FillTime; far {
+		why, wait = "pulled_far", wait+f.options.FillTime
 	}
 	return "served", why, stamp, wait
 }
 
-func (s *Server) gone() bool {
+func (s *Server) unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dead || s.fault.Silent
+	return s.killed || s.fault.Unresponsive
 }
 
-// hold finds a copy that was made at newest or later.
-func (s *Server) hold(k key, newest float64) (stamp float64, ok bool) {
+// lookUp finds a copy that was made at newest or later.
+func (s *Server) lookUp(k partKey, newest float64) (stamp float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.copies[k]
 	if s.Role == Origin || c == nil || c.stamp < newest {
 		return 0, false
 	}
-	s.used++
-	c.used = s.used
+	s.useCount++
+	c.lastUsed = s.useCount
 	return c.stamp, true
 }
 
-// give is a source's answer to a fill. far: it came from the origin behind a parent.
-func (s *Server) give(k key, newest float64, shallow, transit bool) (stamp float64, far, ok bool) {
+// serveFill is a source's answer to a fill. far: it came from the origin behind a parent.
+func (s *Server) serveFill(k partKey, newest float64, shallow, transit bool) (stamp float64, far, ok bool) {
 	if s.Role == Origin {
-		return s.fleet.make(k), false, true
+		return s.fleet.stampNow(k), false, true
 	}
-	if stamp, ok := s.hold(k, newest); ok {
+	if stamp, ok := s.lookUp(k, newest); ok {
 		return stamp, false, true
 	}
 	if s.Role != Parent || shallow {
 		return 0, false, false
 	}
-	stamp = s.fleet.make(k)
+	stamp = s.fleet.stampNow(k)
 	if !transit {
-		s.keep(k, stamp, 1)
+		s.store(k, stamp, 1)
 	}
 	return stamp, true, true
 }
 
-// make is when the origin gave out the copy that it gives now.
-func (f *Fleet) make(key) float64 {
-	return float64(int64(f.opt.Clock.Now()))
+// stampNow is when the origin gave out the copy that it gives now.
+func (f *Fleet) stampNow(partKey) float64 {
+	return float64(int64(f.options.Clock.Now()))
 }
 
-// keep holds a copy, in place of the one used longest ago of the lowest rank that is no higher.
-func (s *Server) keep(k key, stamp float64, rank int) {
+// store holds a copy, in place of the one used longest ago of the lowest rank that is no higher.
+func (s *Server) store(k partKey, stamp float64, rank int) {
 	if rank <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used++
+	s.useCount++
 	if c := s.copies[k]; c != nil {
-		c.stamp, c.rank, c.used = max(c.stamp, stamp), rank, s.used
+		c.stamp, c.retention, c.lastUsed = max(c.stamp, stamp), rank, s.useCount
 		return
 	}
-	if len(s.copies) >= s.fleet.opt.Held {
-		var worst key
-		var w *held
+	if len(s.copies) >= s.fleet.options.MaxCopies {
+		var worst partKey
+		var w *cachedCopy
 		for k, c := range s.copies {
-			if w == nil || c.rank < w.rank || c.rank == w.rank && c.used < w.used {
+			if w == nil || c.retention < w.retention || c.retention == w.retention && c.lastUsed < w.lastUsed {
 				worst, w = k, c
 			}
 		}
-		if w.rank > rank {
+		if w.retention > rank {
 			return
 		}
 		delete(s.copies, worst)
 	}
-	s.copies[k] = &held{stamp: stamp, rank: rank, used: s.used}
+	s.copies[k] = &cachedCopy{stamp: stamp, retention: rank, lastUsed: s.useCount}
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -20,10 +20,10 @@
 // Class is what is asked for of one class.
 type Class struct {
 	Name   string
-	Share  float64 // of the requests, among all shares
-	Budget float64 // ms
+	Fraction  float64 // of the requests, among all shares
+	DeadlineMs float64 // ms
 	Write  bool
-	Parts  int // of an object; 1: it is whole
+	PartsPerObject  int // of an object; 1: it is whole
 }
 
 // Options set up clients.
@@ -47,16 +47,16 @@
 	conns []*conn
 	next  int
 	tag   uint64
-	sums  map[string]*Sum
+	sums  map[string]*ClassResult
 	wrong []string
 	open  int
 	idle  *sync.Cond
 }
 
-// Sum is what became of one class.
-type Sum struct {
-	Asked, Served, Refused, Failed, Lost, Retried int
-	Took                                          *hdrhistogram.Histogram // of what was served, in µs
+// ClassResult is what became of one class.
+type ClassResult struct {
+	Requested, Served, Rejected, Failed, Lost, Retried int
+	Latency                                          *hdrhistogram.Histogram // of what was served, in µs
 }
 
 // mostWrong of what was wrong is kept as text.
@@ -66,12 +66,12 @@
 func New(o Options) *Client {
 	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	c := &Client{
-		opt: o, rng: rng, zip: rand.NewZipf(rng, 1.1, 8, uint64(max(1, o.Objects-1))), sums: map[string]*Sum{},
+		opt: o, rng: rng, zip: rand.NewZipf(rng, 1.1, 8, uint64(max(1, o.Objects-1))), sums: map[string]*ClassResult{},
 		conns: make([]*conn, max(1, o.Conns)),
 	}
 	c.idle = sync.NewCond(&c.mu)
 	for _, k := range o.Classes {
-		c.sums[k.Name] = &Sum{Took: hdrhistogram.New(1, 60_000_000, 3)}
+		c.sums[k.Name] = &ClassResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	return c
 }
@@ -89,32 +89,32 @@
 // Object is the name of the nth object.
 func Object(n uint64) string { return fmt.Sprintf("%016x", 0x5eed0000_00000000+n*0x9e3779b1) }
 
-// Ask sends one request, drawn at random.
-func (c *Client) Ask() { c.AskThen(func() {}) }
+// Send sends one request, drawn at random.
+func (c *Client) Send() { c.SendThen(func() {}) }
 
-// AskThen sends one request, drawn at random, and calls done once its last try is over.
-func (c *Client) AskThen(done func()) { c.askAt(c.opt.Clock.Now(), done) }
+// SendThen sends one request, drawn at random, and calls done once its last try is over.
+func (c *Client) SendThen(done func()) { c.sendAt(c.opt.Clock.Now(), done) }
 
-// askAt sends one whose time counts from when it was due.
-func (c *Client) askAt(due float64, done func()) {
+// sendAt sends one whose time counts from when it was due.
+func (c *Client) sendAt(due float64, done func()) {
 	c.mu.Lock()
 	total := 0.0
 	for _, k := range c.opt.Classes {
-		total += k.Share
+		total += k.Fraction
 	}
 	pick := c.rng.Float64() * total
 	class := c.opt.Classes[0]
 	for _, k := range c.opt.Classes {
-		if class = k; pick < k.Share {
+		if class = k; pick < k.Fraction {
 			break
 		}
-		pick -= k.Share
+		pick -= k.Fraction
 	}
 	q := &request{class: class, object: Object(c.zip.Uint64()), began: due, done: done}
-	if class.Parts > 1 {
-		q.part = c.rng.IntN(class.Parts)
+	if class.PartsPerObject > 1 {
+		q.part = c.rng.IntN(class.PartsPerObject)
 	}
-	c.sums[class.Name].Asked++
+	c.sums[class.Name].Requested++
 	c.open++
 	c.mu.Unlock()
 	c.try(q)
@@ -138,7 +138,7 @@
 		}
 		k = fresh
 	}
-	fields := fmt.Sprintf("rid=%s,budget=%.0f,obj=%s,nth=%d,batch=%d", rid, q.class.Budget, q.object, q.part, fleet.Group(q.object))
+	fields := fmt.Sprintf("rid=%s,budget=%.0f,obj=%s,nth=%d,batch=%d", rid, q.class.DeadlineMs, q.object, q.part, fleet.Group(q.object))
 	if q.tries > 0 {
 		fields += ",again=1"
 	}
@@ -158,12 +158,12 @@
 	switch word {
 	case "ok":
 		sum.Served++
-		_ = sum.Took.RecordValue(max(1, int64((c.opt.Clock.Now()-q.began)*1000)))
+		_ = sum.Latency.RecordValue(max(1, int64((c.opt.Clock.Now()-q.began)*1000)))
 		if _, err := fleet.Check(body, q.object, q.part); err != nil {
 			c.note("%s: %v", q.class.Name, err)
 		}
 	case "full":
-		sum.Refused++
+		sum.Rejected++
 		again = true
 	case "lost":
 		sum.Lost++
@@ -192,8 +192,8 @@
 	}
 }
 
-// Wait returns once nothing is open.
-func (c *Client) Wait() {
+// WaitIdle returns once nothing is open.
+func (c *Client) WaitIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.open > 0 {
@@ -208,21 +208,21 @@
 	return c.open
 }
 
-// Wrong is what no client may see: lost requests, second answers, bytes that no server made.
-func (c *Client) Wrong() []string {
+// Violations is what no client may see: lost requests, second answers, bytes that no server made.
+func (c *Client) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.wrong...)
 }
 
-// Sums are the accounts so far, by class.
-func (c *Client) Sums() map[string]Sum {
+// Results are the accounts so far, by class.
+func (c *Client) Results() map[string]ClassResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[string]Sum{}
+	out := map[string]ClassResult{}
 	for name, s := range c.sums {
 		x := *s
-		x.Took = hdrhistogram.Import(s.Took.Export())
+		x.Latency = hdrhistogram.Import(s.Latency.Export())
 		out[name] = x
 	}
 	return out
--- a/internal/lab/load/pace.go
+++ b/internal/lab/load/schedule.go
@@ -54,9 +54,9 @@
 	return out, nil
 }
 
-// Due are the times, in ms from the start, at which the requests of a course are to be sent: the nth comes when the
+// Schedule are the times, in ms from the start, at which the requests of a course are to be sent: the nth comes when the
 // area under the rate has reached n.
-func Due(phases []Phase, each func(ms float64) bool) {
+func Schedule(phases []Phase, each func(ms float64) bool) {
 	at, owed := 0.0, 0.0
 	for _, p := range phases {
 		const step = 1.0 // ms
@@ -72,12 +72,12 @@
 	}
 }
 
-// Pace asks by a course, whatever becomes of what was asked before, and counts each request's time from when it was due
+// FollowSchedule asks by a course, whatever becomes of what was asked before, and counts each request's time from when it was due
 // and not from when it could be sent: a proxy that stalls is not asked less, nor judged by the few that got through
 // (coordinated omission).
-func (c *Client) Pace(ctx context.Context, phases []Phase) {
+func (c *Client) FollowSchedule(ctx context.Context, phases []Phase) {
 	began := c.opt.Clock.Now()
-	Due(phases, func(ms float64) bool {
+	Schedule(phases, func(ms float64) bool {
 		if wait := began + ms - c.opt.Clock.Now(); wait > 0 {
 			woken := make(chan struct{})
 			stop := c.opt.Clock.After(wait, func() { close(woken) })
@@ -88,13 +88,13 @@
 				return false
 			}
 		}
-		c.askAt(began+ms, func() {})
+		c.sendAt(began+ms, func() {})
 		return ctx.Err() == nil
 	})
 }
 
-// Bad is a crowd of clients that misbehave, on connections of their own, until Stop.
-type Bad struct {
+// MisbehavingClients is a crowd of clients that misbehave, on connections of their own, until Stop.
+type MisbehavingClients struct {
 	addr string
 	stop chan struct{}
 	wait sync.WaitGroup
@@ -114,8 +114,8 @@
 	"leave": {send: string(resp.Append(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), leave: true},
 }
 
-// ParseBad reads "idle=100,half=20".
-func ParseBad(text string) (map[string]int, error) {
+// ParseMisbehaving reads "idle=100,half=20".
+func ParseMisbehaving(text string) (map[string]int, error) {
 	out := map[string]int{}
 	for _, part := range strings.Split(text, ",") {
 		name, n, _ := strings.Cut(part, "=")
@@ -128,9 +128,9 @@
 	return out, nil
 }
 
-// Misbehave starts a crowd: so many of each habit, each of which comes again a moment after its connection has ended.
-func Misbehave(addr string, crowd map[string]int, clk *clock.Clock) *Bad {
-	b := &Bad{addr: addr, stop: make(chan struct{})}
+// StartMisbehaving starts a crowd: so many of each habit, each of which comes again a moment after its connection has ended.
+func StartMisbehaving(addr string, crowd map[string]int, clk *clock.Clock) *MisbehavingClients {
+	b := &MisbehavingClients{addr: addr, stop: make(chan struct{})}
 	for name, n := range crowd {
 		for range n {
 			b.wait.Add(1)
@@ -147,7 +147,7 @@
 // pause between two connections of one that misbehaves.
 const pause = 100 * time.Millisecond
 
-func (b *Bad) once(send string, leave bool) bool {
+func (b *MisbehavingClients) once(send string, leave bool) bool {
 	select {
 	case <-b.stop:
 		return false
@@ -182,7 +182,7 @@
 }
 
 // Stop ends the crowd.
-func (b *Bad) Stop() {
+func (b *MisbehavingClients) Stop() {
 	close(b.stop)
 	b.wait.Wait()
 }
--- a/internal/lab/load/pace_test.go
+++ b/internal/lab/load/schedule_test.go
@@ -16,7 +16,7 @@
 	phases, err := ParsePhases("10:50-150, 5:400")
 	require.NoError(t, err)
 	var due []float64
-	Due(phases, func(ms float64) bool { due = append(due, ms); return true })
+	Schedule(phases, func(ms float64) bool { due = append(due, ms); return true })
 	require.InDelta(t, 10*100+5*400, len(due), 1)
 	require.IsNonDecreasing(t, due)
 	first := 0
@@ -31,20 +31,20 @@
 		require.Error(t, err, bad)
 	}
 	n := 0
-	Due(phases, func(float64) bool { n++; return n < 7 })
+	Schedule(phases, func(float64) bool { n++; return n < 7 })
 	require.Equal(t, 7, n)
 }
 
 // Clients that misbehave do so, and come again when they are turned out.
 func TestMisbehave(t *testing.T) {
 	addr := scenario.ListenOnce(t, func(net.Conn) {})
-	crowd, err := ParseBad("idle=3,half=2,leave=1")
+	crowd, err := ParseMisbehaving("idle=3,half=2,leave=1")
 	require.NoError(t, err)
-	b := Misbehave(addr, crowd, clock.System())
+	b := StartMisbehaving(addr, crowd, clock.System())
 	require.Eventually(t, func() bool { return b.Ended.Load() > 10 }, time.Minute, time.Millisecond)
 	b.Stop()
 	for _, bad := range []string{"idle", "idle=x", "idle=99999", "rude=1"} {
-		_, err := ParseBad(bad)
+		_, err := ParseMisbehaving(bad)
 		require.Error(t, err, bad)
 	}
 }
--- a/internal/lab/multiprocess/configuration.go
+++ b/internal/lab/multiprocess/configuration.go
@@ -15,17 +15,17 @@
 	grades, uncached, inParts := []any{}, []bool{}, []bool{}
 	for _, k := range o.Classes {
 		g := map[string]any{
-			"Name": k.Name, "Effect": "idempotent", "TargetUs": 400_000, "DeadlineUs": int64(k.Budget * 1000), "Worth": 1.0, "AimStretch": 1.6,
+			"Name": k.Name, "Effect": "idempotent", "TargetUs": 400_000, "DeadlineUs": int64(k.DeadlineMs * 1000), "Worth": 1.0, "AimStretch": 1.6,
 		}
 		if k.Write {
 			g["Effect"], g["Worth"] = "at_most_once", 3.0
 		}
-		grades, uncached, inParts = append(grades, g), append(uncached, k.Write), append(inParts, k.Parts > 1)
+		grades, uncached, inParts = append(grades, g), append(uncached, k.Write), append(inParts, k.PartsPerObject > 1)
 		fresh, stale = append(fresh, 0), append(stale, 0)
 	}
 	return p.Configure(map[string]any{
 		"name": p.Name, "listen": p.Listen, "board": board, "seed": fmt.Sprintf("%016x", f.opt.Seed*1_000_003+uint64(p.starts)<<32+hashName(p.Name)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": f.Board.Known(),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": f.Board.InitialEvents(),
 		"settings": map[string]any{
 			"NInstances": o.Zones * o.Processes, "Rank": slices.Index(f.Processes, p), "Zone": p.Zone, "Zones": f.zones(), "Kinds": f.kinds(),
 			"Weights": "nominal",
--- a/internal/lab/multiprocess/full_test.go
+++ b/internal/lab/multiprocess/full_test.go
@@ -96,7 +96,7 @@
 	stop()
 	require.Empty(t, f.Broken())
 	for _, p := range left {
-		require.Empty(t, f.Client(p).Wrong())
+		require.Empty(t, f.Client(p).Violations())
 	}
 }
 
@@ -150,7 +150,7 @@
 	}
 	now := f.Clock.Now()
 	truth := map[policy.CacheID]float64{}
-	for _, s := range f.Fleet.Seen() {
+	for _, s := range f.Fleet.Observations() {
 		if s.At > now-3000 && !s.Probe {
 			truth[s.Server] += 1.0 / 3
 		}
--- a/internal/lab/multiprocess/hard_test.go
+++ b/internal/lab/multiprocess/hard_test.go
@@ -99,7 +99,7 @@
 	stop()
 	require.Empty(t, f.Broken())
 	for _, p := range f.Processes {
-		require.Empty(t, f.Client(p).Wrong())
+		require.Empty(t, f.Client(p).Violations())
 	}
 }
 
--- a/internal/lab/multiprocess/invariants.go
+++ b/internal/lab/multiprocess/invariants.go
@@ -13,8 +13,8 @@
 	f.mu.Lock()
 	told := slices.Clone(f.told)
 	f.mu.Unlock()
-	broken = fleet.Rules{Drain: drainGrace, Purge: purgeGrace, Slack: ruleSlack}.Broken(f.Fleet.Seen(), told)
-	for _, id := range f.Fleet.RanTwice() {
+	broken = fleet.Rules{Drain: drainGrace, Purge: purgeGrace, Slack: ruleSlack}.Violations(f.Fleet.Observations(), told)
+	for _, id := range f.Fleet.DuplicateWrites() {
 		broken = append(broken, "a write ran twice: "+id)
 	}
 	for _, p := range f.Processes {
--- a/internal/lab/multiprocess/multiprocess.go
+++ b/internal/lab/multiprocess/multiprocess.go
@@ -39,8 +39,8 @@
 
 // Classes are what clients ask for where nothing else is said.
 var Classes = []load.Class{
-	{Name: "replay", Share: 0.5, Budget: 5000, Parts: 6}, {Name: "asset", Share: 0.45, Budget: 2500, Parts: 1},
-	{Name: "seat-claim", Share: 0.05, Budget: 3000, Write: true, Parts: 1},
+	{Name: "replay", Fraction: 0.5, DeadlineMs: 5000, PartsPerObject: 6}, {Name: "asset", Fraction: 0.45, DeadlineMs: 2500, PartsPerObject: 1},
+	{Name: "seat-claim", Fraction: 0.05, DeadlineMs: 3000, Write: true, PartsPerObject: 1},
 }
 
 // Field is all of it.
@@ -49,14 +49,14 @@
 	number int
 	Clock  *clock.Clock
 	Fleet  *fleet.Fleet
-	Board  *fleet.Board
-	Door   *fleet.Door // the board's first address
+	Board  *fleet.DiscoveryService
+	Door   *fleet.DiscoveryListener // the board's first address
 
 	Processes []*Process
 
 	mu      sync.Mutex
 	members []membership.Member // as the board has them
-	told    []fleet.Told
+	told    []fleet.Notification
 	next    policy.CacheID
 	relays  []map[string]*relay // by zone that sends, and by who is sent to
 	clients map[*Process]*load.Client
@@ -98,7 +98,7 @@
 		o.Objects = 300
 	}
 	f := &Field{opt: o, number: int(fields.Add(1)), Clock: clock.System(), next: 1, clients: map[*Process]*load.Client{}}
-	f.Fleet = fleet.New(fleet.Options{Clock: f.Clock, Serve: o.Serve, Fill: o.Fill, PurgeTakes: purgeTakes})
+	f.Fleet = fleet.New(fleet.Options{Clock: f.Clock, TransferTime: o.Serve, FillTime: o.Fill, PurgeDelay: purgeTakes})
 	var list []membership.Member
 	for z := range o.Zones {
 		for range o.Caches {
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	f.members = append(list, m)
-	f.Board = fleet.NewBoard(f.Clock, f.zones(), f.kinds(), f.members)
+	f.Board = fleet.NewDiscoveryService(f.Clock, f.zones(), f.kinds(), f.members)
 	if f.Door, err = f.Board.Open("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
--- a/internal/lab/multiprocess/peers_test.go
+++ b/internal/lab/multiprocess/peers_test.go
@@ -57,7 +57,7 @@
 	require.Empty(t, f.Broken())
 	for _, p := range left {
 		require.Positive(t, f.Served(p))
-		require.Empty(t, f.Client(p).Wrong())
+		require.Empty(t, f.Client(p).Violations())
 	}
 	for _, p := range f.Processes { // also those that started under load
 		n, err := p.Counters()
@@ -132,8 +132,8 @@
 	for i := range 3000 {
 		_, _ = nc.Write([]byte(fmt.Sprint("\x48 not a datagram of ours ", i)))
 	}
-	seen := len(f.Fleet.Seen())
-	require.Eventually(t, func() bool { return len(f.Fleet.Seen()) > seen+1000 }, multiprocess.ReadyWithin, 10*time.Millisecond)
+	seen := len(f.Fleet.Observations())
+	require.Eventually(t, func() bool { return len(f.Fleet.Observations()) > seen+1000 }, multiprocess.ReadyWithin, 10*time.Millisecond)
 	byLiar := 0
 	for _, p := range honest {
 		v, err := p.View("")
@@ -156,7 +156,7 @@
 	}
 	require.Positive(t, byLiar, "the lie was heard")
 	used := map[policy.CacheID]int{}
-	for _, x := range f.Fleet.SeenAfter(seen) {
+	for _, x := range f.Fleet.ObservationsAfter(seen) {
 		used[x.Server]++
 	}
 	for _, id := range caches {
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -95,7 +95,7 @@
 	p.sum()
 	r.Broken = f.Broken()
 	for _, q := range f.Processes {
-		for _, w := range f.Client(q).Wrong() {
+		for _, w := range f.Client(q).Violations() {
 			if !p.struck[q] {
 				r.Broken = append(r.Broken, q.Name+": "+w)
 			}
@@ -190,7 +190,7 @@
 	case "replace":
 		return p.replace(caches)
 	case "slow", "fail", "silent":
-		p.setFault(caches, fleet.Fault{Slow: f.Size * zeroOne(f.Kind == "slow"), Crashes: f.Kind == "fail", Silent: f.Kind == "silent"})
+		p.setFault(caches, fleet.Fault{ExtraLatency: f.Size * zeroOne(f.Kind == "slow"), Failing: f.Kind == "fail", Unresponsive: f.Kind == "silent"})
 		p.lasts(ctx, f)
 		p.setFault(caches, fleet.Fault{})
 	case "purge":
@@ -288,7 +288,7 @@
 func (p *player) setFault(caches []policy.CacheID, fault fleet.Fault) {
 	for _, id := range caches {
 		if s := p.field.Fleet.Server(id); s != nil {
-			s.Set(fault)
+			s.SetFault(fault)
 		}
 	}
 }
@@ -356,7 +356,7 @@
 // window books a second: what clients got, how many run, and who takes whom for alive.
 func (p *player) window(second int) {
 	now := p.field.Sum()
-	w := Window{Asked: now.Asked, Served: now.Served, Refused: now.Refused - now.Retried, Failed: now.Failed, Lost: now.Lost}
+	w := Window{Asked: now.Requested, Served: now.Served, Refused: now.Rejected - now.Retried, Failed: now.Failed, Lost: now.Lost}
 	d := Window{Asked: w.Asked - p.last.Asked, Served: w.Served - p.last.Served, Refused: w.Refused - p.last.Refused, Failed: w.Failed - p.last.Failed, Lost: w.Lost - p.last.Lost}
 	p.last = w
 	least, most := len(p.field.Processes)+1, 0
@@ -400,7 +400,7 @@
 	}
 	by := map[policy.CacheID][]int{}
 	var attempts []loadmetrics.Attempt
-	for _, s := range p.field.Fleet.Seen() {
+	for _, s := range p.field.Fleet.Observations() {
 		if !s.Probe {
 			attempts = append(attempts, loadmetrics.Attempt{At: (s.At - p.began) / 1000, Cache: s.Server})
 		}
--- a/internal/lab/multiprocess/roll_test.go
+++ b/internal/lab/multiprocess/roll_test.go
@@ -83,8 +83,8 @@
 	sum := f.Sum()
 	require.Empty(t, f.Broken())
 	require.Greater(t, sum.Served, 2000)
-	bad := sum.Lost + sum.Failed + max(0, sum.Refused-sum.Retried)
-	require.LessOrEqual(t, bad, sum.Asked/200, "%+v", sum)
+	bad := sum.Lost + sum.Failed + max(0, sum.Rejected-sum.Retried)
+	require.LessOrEqual(t, bad, sum.Requested/200, "%+v", sum)
 	for _, c := range f.Fleet.Counts() {
 		if !slices.Contains(replaced, c.Server) && c.Role == 0 {
 			require.Positive(t, c.Attempts, "a cache that came, or stayed, is used: %d", c.Server)
--- a/internal/lab/multiprocess/servers.go
+++ b/internal/lab/multiprocess/servers.go
@@ -11,7 +11,7 @@
 )
 
 // Move opens the board at another address, to which the next start and the next SIGHUP lead.
-func (f *Field) Move() (old *fleet.Door, err error) {
+func (f *Field) Move() (old *fleet.DiscoveryListener, err error) {
 	old = f.Door
 	if f.Door, err = f.Board.Open("127.0.0.1:0"); err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	}
 	f.next++
 	f.members[i].State = policy.Draining
-	f.told = append(f.told, fleet.Told{At: f.Clock.Now() + toldWithin, Drains: []policy.CacheID{id}})
+	f.told = append(f.told, fleet.Notification{At: f.Clock.Now() + toldWithin, Drains: []policy.CacheID{id}})
 	f.Board.Change(f.members[i], fresh)
 	f.members = append(f.members, fresh)
 	return nil
@@ -104,5 +104,5 @@
 	defer f.mu.Unlock()
 	at := f.Fleet.Purge(object, group)
 	f.Board.Purge(object, group, at)
-	f.told = append(f.told, fleet.Told{At: at + toldWithin, Made: at, Purge: true, Object: object, Group: group})
+	f.told = append(f.told, fleet.Notification{At: at + toldWithin, Made: at, Purge: true, Object: object, Group: group})
 }
--- a/internal/lab/multiprocess/traffic.go
+++ b/internal/lab/multiprocess/traffic.go
@@ -23,11 +23,11 @@
 			for {
 				select {
 				case <-end:
-					f.Client(p).Wait()
+					f.Client(p).WaitIdle()
 					return
 				case <-tick.C:
 					if p.taken.Load() {
-						f.Client(p).Ask()
+						f.Client(p).Send()
 					}
 				}
 			}
@@ -40,8 +40,8 @@
 func (f *Field) Took() *hdrhistogram.Histogram {
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	for _, p := range f.Processes {
-		for _, s := range f.Client(p).Sums() {
-			all.Merge(s.Took)
+		for _, s := range f.Client(p).Results() {
+			all.Merge(s.Latency)
 		}
 	}
 	return all
@@ -49,19 +49,19 @@
 
 // Served is how much was served by a process.
 func (f *Field) Served(p *Process) (n int) {
-	for _, s := range f.Client(p).Sums() {
+	for _, s := range f.Client(p).Results() {
 		n += s.Served
 	}
 	return n
 }
 
 // Sum is what became of all requests, of all classes and processes.
-func (f *Field) Sum() (all load.Sum) {
+func (f *Field) Sum() (all load.ClassResult) {
 	for _, p := range f.Processes {
-		for _, s := range f.Client(p).Sums() {
-			all.Asked += s.Asked
+		for _, s := range f.Client(p).Results() {
+			all.Requested += s.Requested
 			all.Served += s.Served
-			all.Refused += s.Refused
+			all.Rejected += s.Rejected
 			all.Failed += s.Failed
 			all.Lost += s.Lost
 			all.Retried += s.Retried
--- a/internal/lab/multiprocess/zone_test.go
+++ b/internal/lab/multiprocess/zone_test.go
@@ -30,7 +30,7 @@
 	time.Sleep(time.Second)
 	require.NoError(t, f.Return(lost...))
 	require.NoError(t, f.Start(struck))
-	n := len(f.Fleet.Seen())
+	n := len(f.Fleet.Observations())
 	served := map[*multiprocess.Process]int{}
 	for _, p := range f.Processes {
 		served[p] = f.Served(p)
@@ -40,7 +40,7 @@
 	stop()
 	require.Empty(t, f.Broken())
 	used := map[policy.CacheID]int{}
-	for _, s := range f.Fleet.SeenAfter(n) {
+	for _, s := range f.Fleet.ObservationsAfter(n) {
 		used[s.Server]++
 	}
 	for _, id := range zone {
@@ -48,7 +48,7 @@
 	}
 	for _, p := range f.Processes {
 		require.Greater(t, f.Served(p), served[p], p.Name)
-		for _, w := range f.Client(p).Wrong() {
+		for _, w := range f.Client(p).Violations() {
 			require.Same(t, struck, p, "%s: %s", p.Name, w)
 		}
 	}
