--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -33,20 +33,20 @@
 // DiscoveryListener is one address at which a board is told.
 type DiscoveryListener struct {
 	service *DiscoveryService
-	ln    net.Listener
+	ln      net.Listener
 	// Calls counts the connections that came up and said what they know.
 	Calls atomic.Int64
 
-	mu      sync.Mutex
-	stalled bool
-	callerFault   func(caller int64) CallerFault // nil: all are treated well
-	conns   map[net.Conn]struct{}
+	mu          sync.Mutex
+	stalled     bool
+	callerFault func(caller int64) CallerFault // nil: all are treated well
+	conns       map[net.Conn]struct{}
 }
 
 // CallerFault is how a door treats one caller. The zero value is a door that is well.
 type CallerFault struct {
-	Unresponsive    bool    // nothing is said to it, for as long as it waits
-	Disconnect  bool    // its connection is ended as soon as it has asked
+	Unresponsive bool    // nothing is said to it, for as long as it waits
+	Disconnect   bool    // its connection is ended as soon as it has asked
 	ByteInterval float64 // ms between two bytes of what it is told; 0: at once
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -41,34 +41,34 @@
 type Fleet struct {
 	options Options
 
-	mu      sync.Mutex
-	servers map[policy.CacheID]*Server
+	mu           sync.Mutex
+	servers      map[policy.CacheID]*Server
 	objectPurges map[string]float64 // when purged last
 	groupPurges  map[int]float64
-	observations    []Observation
-	discarded  int                // how many were seen before those
+	observations []Observation
+	discarded    int                // how many were seen before those
 	writeRuns    map[string]int     // of writes, by request id, and of those with a key by that
-	lastKeyedRun     map[string]float64 // when a write with a key ran last
+	lastKeyedRun map[string]float64 // when a write with a key ran last
 }
 
 // Observation is one attempt as a server saw it.
 type Observation struct {
-	At      float64 // when it had come whole
-	Server  policy.CacheID
-	RequestID      string
-	Class   string
-	Object  string
-	Part    int
-	Source  policy.CacheID // where a miss was to be filled from; the server itself: nowhere
-	OldestAllowed  float64        // the oldest copy that would do was made then; 0: any
-	RemainingMs    float64        // ms that were told to be left for it
-	Probe   bool
-	Write   bool
-	Key     string // the idempotency key that came with it
-	Answer  string
-	Why     string  // how the answer came about, as it is told
-	Stamp   float64 // of the copy that was served
-	Address string
+	At            float64 // when it had come whole
+	Server        policy.CacheID
+	RequestID     string
+	Class         string
+	Object        string
+	Part          int
+	Source        policy.CacheID // where a miss was to be filled from; the server itself: nowhere
+	OldestAllowed float64        // the oldest copy that would do was made then; 0: any
+	RemainingMs   float64        // ms that were told to be left for it
+	Probe         bool
+	Write         bool
+	Key           string // the idempotency key that came with it
+	Answer        string
+	Why           string  // how the answer came about, as it is told
+	Stamp         float64 // of the copy that was served
+	Address       string
 }
 
 // New returns a fleet without servers.
@@ -266,7 +266,7 @@
 
 // Count is what one server saw.
 type Count struct {
-	Server                          policy.CacheID
-	Role                            Role
+	Server                                  policy.CacheID
+	Role                                    Role
 	Attempts, Served, NamedAsSource, Probes int
 }
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -18,21 +18,21 @@
 	fleet *Fleet
 	ln    net.Listener
 
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	copies map[partKey]*cachedCopy
-	useCount   int64
-	fault  Fault
-	inFlight   int
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	copies   map[partKey]*cachedCopy
+	useCount int64
+	fault    Fault
+	inFlight int
 	killed   bool
 }
 
 // Fault is what is wrong with a server.
 type Fault struct {
-	Unresponsive  bool    // takes requests and answers none
-	Overloaded    bool    // turns requests away
-	Failing bool    // answers that it may have run
-	ExtraLatency    float64 // ms more for each answer
+	Unresponsive bool    // takes requests and answers none
+	Overloaded   bool    // turns requests away
+	Failing      bool    // answers that it may have run
+	ExtraLatency float64 // ms more for each answer
 }
 
 type partKey struct {
@@ -42,8 +42,8 @@
 
 // cachedCopy is a copy.
 type cachedCopy struct {
-	stamp float64
-	retention  int
+	stamp     float64
+	retention int
 	lastUsed  int64
 }
 
@@ -52,7 +52,7 @@
 	s  *Server
 	nc net.Conn
 
-	mu    sync.Mutex
+	mu      sync.Mutex
 	cancels map[string]func() // of what is open, by id
 }
 
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -19,11 +19,11 @@
 
 // Class is what is asked for of one class.
 type Class struct {
-	Name   string
-	Fraction  float64 // of the requests, among all shares
-	DeadlineMs float64 // ms
-	Write  bool
-	PartsPerObject  int // of an object; 1: it is whole
+	Name           string
+	Fraction       float64 // of the requests, among all shares
+	DeadlineMs     float64 // ms
+	Write          bool
+	PartsPerObject int // of an object; 1: it is whole
 }
 
 // Options set up clients.
@@ -56,7 +56,7 @@
 // ClassResult is what became of one class.
 type ClassResult struct {
 	Requested, Served, Rejected, Failed, Lost, Retried int
-	Latency                                          *hdrhistogram.Histogram // of what was served, in µs
+	Latency                                            *hdrhistogram.Histogram // of what was served, in µs
 }
 
 // mostWrong of what was wrong is kept as text.
