--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"ravenwheel/policy"
 )
 
-// A router of someone else's: it tells the module what happens and does what it is told.
+// A caller passes events to the router and carries out its actions.
 func Example() {
 	r, err := policy.New(policy.Settings{
 		Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: policy.DetailAll, MaxAttempts: 4,
--- a/policy/scale_test.go
+++ b/policy/fleet_test.go
@@ -10,7 +10,7 @@
 func TestLimitsScaleWithLinkCapacity(t *testing.T) {
 	for _, c := range []struct {
 		weight float64
-		most   int // requests refused of 100 that come at once
+		most   int // requests rejected of 100 that arrive at once
 		least  int
 	}{{weight: 10, least: 50, most: 100}, {weight: 200, most: 0}} {
 		r, err := New(Settings{
@@ -33,7 +33,7 @@
 			}
 		}
 		if refused < c.least || refused > c.most {
-			t.Errorf("links of %v: refused %d of 100, want %d to %d", c.weight, refused, c.least, c.most)
+			t.Errorf("links of %v: rejected %d of 100, want %d to %d", c.weight, refused, c.least, c.most)
 		}
 	}
 }
@@ -56,12 +56,12 @@
 		}
 		var all []*script
 		for i := range routers {
-			s := start(t, set, m)
+			s := startRouter(t, set, m)
 			s.r.rng = mix(uint64(i))
-			open := s.get(s.on(newRequest("open", "o")))
-			s.on(news)
+			open := s.fetch(s.handle(newRequest("open", "o")))
+			s.handle(news)
 			if s.answer("open", open, NoteHit, took); len(s.r.requests) > 0 {
-				t.Fatal("what was open when the list came has not ended")
+				t.Fatal("an attempt open when the list arrived has not ended")
 			}
 			all = append(all, s)
 		}
@@ -71,7 +71,7 @@
 				s.now = time.Minute + time.Duration(n)*step
 				for k := range 60 / routers {
 					id := fmt.Sprint(n, i, k)
-					g, ok := find[Fetch](s.on(newRequest(id, id)))
+					g, ok := find[Fetch](s.handle(newRequest(id, id)))
 					if !ok {
 						continue
 					} else if g.Cache <= 6 {
@@ -90,7 +90,7 @@
 					asked += s
 				}
 				if budget := 3 * 10 * (0.2 + 0.8*float64(n)*step.Seconds()/16) * 2; id > 30 && asked > budget {
-					t.Fatalf("%d routers: %d was asked for %.1f s in 2 s, budget %.1f", routers, id, asked, budget)
+					t.Fatalf("%d routers: %d got work of %.1f s in 2 s, budget %.1f", routers, id, asked, budget)
 				}
 			}
 		}
@@ -110,10 +110,10 @@
 		m.Entries = append(m.Entries[:3], m.Entries[5])
 		out, held := 0, 0
 		for range routers {
-			s := start(t, set, m)
+			s := startRouter(t, set, m)
 			for i := range 100 {
 				id := fmt.Sprint(i)
-				if g, ok := find[Fetch](s.on(newRequest(id, id))); ok && g.Source == 20 {
+				if g, ok := find[Fetch](s.handle(newRequest(id, id))); ok && g.Source == 20 {
 					out++
 				} else if ok && g.Source == g.Cache {
 					held++
@@ -121,7 +121,7 @@
 			}
 		}
 		if out < routers || float64(out) > max(20, 3*float64(routers)) || held == 0 {
-			t.Errorf("%d routers: %d out at the origin, %d held", routers, out, held)
+			t.Errorf("%d routers: %d in flight at the origin, %d cached lookups", routers, out, held)
 		}
 	}
 }
@@ -135,13 +135,13 @@
 			set.Routers, set.ZoneRouters = routers, []int{0, 0, min(7, routers)}
 			tried := 0
 			for range routers {
-				s := start(t, set, fleet())
+				s := startRouter(t, set, fleet())
 				for n := 0; s.now < time.Minute+30*time.Second; n++ {
 					id := fmt.Sprint(n)
-					g, ok := find[Fetch](s.on(newRequest(id, id)))
+					g, ok := find[Fetch](s.handle(newRequest(id, id)))
 					if ok && g.Cache == 1 {
 						tried++
-						s.on(Outcome{ID: id, Cache: 1, Result: ConnectFailed})
+						s.handle(Outcome{ID: id, Cache: 1, Result: ConnectFailed})
 					} else if ok {
 						s.answer(id, g, NoteHit, 10*ms)
 					}
--- a/policy/jam_test.go
+++ b/policy/overload_test.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// sized is a request whose own bytes take so long at a transfer's best pace.
-func sized(id string, own time.Duration) Request {
+// sizedRequest is a request whose transfer takes the given time.
+func sizedRequest(id string, own time.Duration) Request {
 	q := newRequest(id, "o"+id)
-	q.SizeKB = own.Seconds() * sizedFlow
+	q.SizeKB = own.Seconds() * sizedTransferKBPerS
 	return q
 }
 
-// sizedFlow is the pace of a transfer in KB a second where sizes are told.
-const sizedFlow = 1000
+// sizedTransferKBPerS is the pace of a transfer in KB/s where sizes are known.
+const sizedTransferKBPerS = 1000
 
 func sizedSettings() Settings {
 	set := settings()
-	set.TransferKBPerS = sizedFlow
+	set.TransferKBPerS = sizedTransferKBPerS
 	return set
 }
 
 // A request whose transfer alone would take longer than the time left is answered at once, and one that just
 // fits is sent.
 func TestRequestTooLargeForDeadlineIsGivenUp(t *testing.T) {
-	s := start(t, sizedSettings(), fleet())
-	acts := s.on(sized("a", 3100*ms))
+	s := startRouter(t, sizedSettings(), fleet())
+	acts := s.handle(sizedRequest("a", 3100*ms))
 	if a, ok := find[Reject](acts); !ok || a.RetryAfter <= 0 {
-		t.Errorf("got %v, want a refusal with advice at once", acts)
+		t.Errorf("got %v, want a rejection with a Retry-After at once", acts)
 	}
 	if len(s.r.requests) != 0 {
-		t.Error("the request is still held")
+		t.Error("the request was not forgotten")
 	}
-	g := s.get(s.on(sized("b", 2900*ms)))
+	g := s.fetch(s.handle(sizedRequest("b", 2900*ms)))
 	// A second attempt has less time left, and the same bytes to come.
 	s.now += 200 * ms
-	if _, ok := find[Reject](s.on(Outcome{ID: "b", Cache: g.Cache, Result: ConnectFailed})); !ok {
-		t.Error("what no longer fits was sent again")
+	if _, ok := find[Reject](s.handle(Outcome{ID: "b", Cache: g.Cache, Result: ConnectFailed})); !ok {
+		t.Error("a transfer longer than the time left was sent again")
 	}
 }
 
-// admitted is how many of a hundred routers take a request where places of its limit are taken: of caches, the location's link,
-// or the sources. The places are set so that a whole limit has room for it and lowStanding of it has none.
-func admitted(t *testing.T, set Settings, q Request, at func(r *Router) []*server) (count int) {
+// countAdmitted is how many of a hundred routers send a request where slots are occupied: of caches, the zone's link or
+// the sources. So many are occupied that a whole limit admits it and lowValueLimitFraction of it does not.
+func countAdmitted(t *testing.T, set Settings, q Request, at func(r *Router) []*server) (count int) {
 	t.Helper()
 	for seed := range 100 {
 		r, err := New(set, uint64(seed))
@@ -76,7 +76,7 @@
 			return append([]*server{r.origin}, r.parents...)
 		},
 	}
-	repeat := sized("r", 50*ms)
+	repeat := sizedRequest("r", 50*ms)
 	repeat.ClientRetry = true
 	for name, at := range places {
 		set := sizedSettings()
@@ -84,10 +84,10 @@
 			q           Request
 			least, most int
 		}{
-			"small": {sized("s", 50*ms), 100, 100}, "large": {sized("l", 1200*ms), 0, 0}, "repeat": {repeat, 0, 0},
+			"small": {sizedRequest("s", 50*ms), 100, 100}, "large": {sizedRequest("l", 1200*ms), 0, 0}, "repeat": {repeat, 0, 0},
 		} {
-			if got := admitted(t, set, c.q, at); got < c.least || got > c.most {
-				t.Errorf("%s jammed: %d of 100 took the %s one, want %d to %d", name, got, what, c.least, c.most)
+			if got := countAdmitted(t, set, c.q, at); got < c.least || got > c.most {
+				t.Errorf("%s at their limits: %d of 100 admitted the %s one, want %d to %d", name, got, what, c.least, c.most)
 			}
 		}
 	}
@@ -99,24 +99,24 @@
 	for _, worth := range []float64{0.001, 1000} {
 		set := sizedSettings()
 		set.Classes[1].PriorityWeight = worth
-		s := start(t, set, fleet())
-		s.on(sized("a", 50*ms))
+		s := startRouter(t, set, fleet())
+		s.handle(sizedRequest("a", 50*ms))
 		if got := s.r.limitFraction(s.r.requests["a"]); got != 1 {
-			t.Errorf("writes worth %v leave a small object %v of a limit, want all", worth, got)
+			t.Errorf("writes of weight %v leave a small object %v of a limit, want all", worth, got)
 		}
 	}
 }
 
 // The fraction of a limit that a request may use falls in steps with its value, and is never 0.
 func TestLimitFractionFallsInSteps(t *testing.T) {
-	s := start(t, sizedSettings(), fleet())
+	s := startRouter(t, sizedSettings(), fleet())
 	before := 1.0
 	for i, own := range []time.Duration{50 * ms, 700 * ms, 2500 * ms} {
 		id := fmt.Sprint(i)
-		s.on(sized(id, own))
+		s.handle(sizedRequest(id, own))
 		got := s.r.limitFraction(s.r.requests[id])
 		if i > 0 && got >= before || got <= 0.4 {
-			t.Errorf("an object of %v has standing %v, after %v", own, got, before)
+			t.Errorf("an object of %v may use %v of a limit, after %v", own, got, before)
 		}
 		before = got
 	}
@@ -127,24 +127,24 @@
 func TestBypassToDownParentIsProbe(t *testing.T) {
 	set := settings()
 	set.MayBypassCaches = true
-	s := start(t, set, fleet())
+	s := startRouter(t, set, fleet())
 	for _, c := range s.r.caches {
 		c.Down, c.NextProbe = true, s.now+time.Minute
 	}
 	for _, p := range s.r.parents {
 		p.Down, p.NextProbe = true, s.now
 	}
-	g := s.get(s.on(newRequest("a", "o")))
+	g := s.fetch(s.handle(newRequest("a", "o")))
 	parent := s.r.servers[g.Cache]
 	if parent.role != 1 || !parent.probing || g.Timeout > 1500*ms {
-		t.Fatalf("got %+v, want a parent on trial for half of the time at most", g)
+		t.Fatalf("got %+v, want a probe of a parent for half of the time at most", g)
 	}
-	if again := s.get(s.on(newRequest("b", "o"))); again.Cache == g.Cache {
-		t.Errorf("parent %d has a second trial beside the first", again.Cache)
+	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Cache == g.Cache {
+		t.Errorf("parent %d is probed twice at once", again.Cache)
 	}
 	s.answer("a", g, NoteFilledOrigin, 10*ms)
 	if parent.Down {
-		t.Error("the trial's answer did not mark the parent up")
+		t.Error("the probe's answer did not mark the parent up")
 	}
 }
 
@@ -152,15 +152,15 @@
 func TestRetainRankIsSetOnlyAtCaches(t *testing.T) {
 	set := settings()
 	set.MayBypassCaches = true
-	s := start(t, set, fleet())
-	if g := s.get(s.on(newRequest("a", "o"))); g.RetainRank == 0 {
-		t.Errorf("got %+v, want a copy kept at the cache", g)
+	s := startRouter(t, set, fleet())
+	if g := s.fetch(s.handle(newRequest("a", "o"))); g.RetainRank == 0 {
+		t.Errorf("got %+v, want a copy retained at the cache", g)
 	}
 	for _, c := range s.r.caches {
 		c.Down, c.NextProbe = true, s.now+time.Minute
 	}
-	if g := s.get(s.on(newRequest("b", "p"))); s.r.servers[g.Cache].role != roleParent || g.RetainRank != 0 {
-		t.Errorf("got %+v, want a parent asked with no rank", g)
+	if g := s.fetch(s.handle(newRequest("b", "p"))); s.r.servers[g.Cache].role != roleParent || g.RetainRank != 0 {
+		t.Errorf("got %+v, want a parent and no rank", g)
 	}
 }
 
@@ -168,21 +168,21 @@
 func TestWriteRetriesAfterPauseWhenOriginConnectionFails(t *testing.T) {
 	set := settings()
 	set.MayBypassCaches, set.MaxAttempts = true, 8
-	s := start(t, set, fleet())
+	s := startRouter(t, set, fleet())
 	q := newRequest("a", "o")
 	q.Class = 1
-	acts := s.on(q)
+	acts := s.handle(q)
 	if a, ok := find[Lookup](acts); !ok || a.Cache != 20 {
-		t.Fatalf("got %v, want the origin asked", acts)
+		t.Fatalf("got %v, want an attempt at the origin", acts)
 	}
-	acts = s.on(Outcome{ID: "a", Cache: 20, Result: ConnectFailed})
+	acts = s.handle(Outcome{ID: "a", Cache: 20, Result: ConnectFailed})
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Lookup:
-			t.Errorf("asked %d again at once", a.Cache)
+			t.Errorf("%d retried at once", a.Cache)
 		case Fetch:
 			if a.Source == 20 {
-				t.Errorf("asked the origin again at once, by cache %d", a.Cache)
+				t.Errorf("origin retried at once, by cache %d", a.Cache)
 			}
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// book follows the actions of one router and says which rule one breaks. It knows events only: no
-// servers, no load.
-type book struct {
-	set     Settings
-	reqs    map[string]*entry
-	state   map[CacheID]State
-	toldAt  map[CacheID]Time
-	members map[CacheID]Member
-	purged  map[string][2]Time // object: purge, told
+// ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not the load of
+// servers.
+type ruleChecker struct {
+	set        Settings
+	reqs       map[string]*entry
+	state      map[CacheID]State
+	notifiedAt map[CacheID]Time
+	members    map[CacheID]Member
+	purged     map[string][2]Time // object: time of the purge, time of its notice
 }
 
 type entry struct {
@@ -33,26 +33,26 @@
 	open, ran bool
 }
 
-func newBook(s Settings) *book {
-	return &book{set: s, reqs: map[string]*entry{}, state: map[CacheID]State{}, toldAt: map[CacheID]Time{},
+func newRuleChecker(s Settings) *ruleChecker {
+	return &ruleChecker{set: s, reqs: map[string]*entry{}, state: map[CacheID]State{}, notifiedAt: map[CacheID]Time{},
 		members: map[CacheID]Member{}, purged: map[string][2]Time{}}
 }
 
-func (b *book) event(now Time, e Event) {
+func (b *ruleChecker) event(now Time, e Event) {
 	switch e := e.(type) {
 	case Members:
 		listed := map[CacheID]bool{}
 		for _, m := range e.Entries {
 			listed[m.ID] = true
 			if m.State != b.state[m.ID] {
-				b.toldAt[m.ID] = now
+				b.notifiedAt[m.ID] = now
 			}
 			b.state[m.ID], b.members[m.ID] = m.State, m
 		}
 		if e.Kind == ListFull || e.Kind == ListCached {
 			for id := range b.members {
 				if !listed[id] && b.state[id] != Gone {
-					b.state[id], b.toldAt[id] = Gone, now
+					b.state[id], b.notifiedAt[id] = Gone, now
 				}
 			}
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func (b *book) action(now Time, a Action) error {
+func (b *ruleChecker) action(now Time, a Action) error {
 	final := func(id string, refuse bool) error {
 		q := b.reqs[id]
 		if q == nil || q.over {
@@ -88,7 +88,7 @@
 		if c := b.set.Classes[q.q.Class]; refuse && c.Idempotency != Idempotent && !(c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll) {
 			for _, s := range q.sends {
 				if s.open || s.ran {
-					return fmt.Errorf("%s refused though it may have run", id)
+					return fmt.Errorf("%s rejected though it may have been executed", id)
 				}
 			}
 		}
@@ -97,25 +97,25 @@
 	send := func(id string, cache, source CacheID, age time.Duration, origin bool) error {
 		q := b.reqs[id]
 		if q == nil || q.over {
-			return fmt.Errorf("%s sent after its end", id)
+			return fmt.Errorf("%s sent after its final answer", id)
 		}
 		for _, t := range []CacheID{cache, source} {
-			if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.toldAt[t] > b.set.DrainGrace {
-				return fmt.Errorf("%s names %d (%+v), drained or unknown", id, t, m)
+			if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
+				return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
 			}
 		}
 		if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
-			return fmt.Errorf("%s passes the attempt limit", id)
+			return fmt.Errorf("%s exceeds the attempt limit", id)
 		}
 		c := b.set.Classes[q.q.Class]
 		for _, s := range q.sends {
 			if s.open {
-				return fmt.Errorf("%s has two attempts out", id)
+				return fmt.Errorf("%s has two attempts in flight", id)
 			}
 			if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
 				c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
 				c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
-				return fmt.Errorf("%s sent again though it may have run", id)
+				return fmt.Errorf("%s retried though it may have been executed", id)
 			}
 		}
 		if p, ok := b.purged[q.q.Object]; ok && !origin && !c.Uncached && now-p[1] > b.set.PurgeGrace &&
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// run feeds arbitrary legal events for a seed and returns all actions, or the first broken rule.
-func run(seed int64) ([]Action, error) {
+// runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a rule.
+func runRandomEvents(seed int64) ([]Action, error) {
 	rnd := rand.New(rand.NewSource(seed))
 	set := settings()
 	set.MayBypassCaches = rnd.Intn(2) == 0
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b, now := newBook(set), Time(seed%7)*time.Second
+	b, now := newRuleChecker(set), Time(seed%7)*time.Second
 	var all []Action
 	type due struct {
 		at    Time
@@ -224,7 +224,7 @@
 		}
 		for id, q := range b.reqs {
 			if !q.over && now > q.due+20*ms {
-				return nil, fmt.Errorf("step %d: %s is overdue", step, id)
+				return nil, fmt.Errorf("step %d: %s has no final answer at its deadline", step, id)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 	const seeds = 60
 	alone := make([][]Action, seeds)
 	for seed := range alone {
-		acts, err := run(int64(seed))
+		acts, err := runRandomEvents(int64(seed))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -246,12 +246,12 @@
 	beside := make([][]Action, seeds)
 	var all sync.WaitGroup
 	for seed := range beside {
-		all.Go(func() { beside[seed], _ = run(int64(seed)) })
+		all.Go(func() { beside[seed], _ = runRandomEvents(int64(seed)) })
 	}
 	all.Wait()
 	for seed := range alone {
 		if !reflect.DeepEqual(alone[seed], beside[seed]) {
-			t.Errorf("seed %d: equal events gave other actions", seed)
+			t.Errorf("seed %d: equal events gave different actions", seed)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if _, err := run(seed); err != nil {
+		if _, err := runRandomEvents(seed); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -272,15 +272,15 @@
 		before []Event
 		acts   []Action
 	}{
-		"two answers":     {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
-		"sent after end":  {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"two out":         {nil, []Action{Fetch{ID: "a", Cache: 1, Source: 11}, Fetch{ID: "a", Cache: 2, Source: 11}}},
-		"unsafe refused":  {nil, []Action{Fetch{ID: "u", Cache: 1, Source: 20}, Reject{ID: "u"}}},
-		"drained cache":   {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"drained source":  {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"purged, any age": {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"two answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
+		"sent after its final answer": {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"two in flight":               {nil, []Action{Fetch{ID: "a", Cache: 1, Source: 11}, Fetch{ID: "a", Cache: 2, Source: 11}}},
+		"non-idempotent rejected":     {nil, []Action{Fetch{ID: "u", Cache: 1, Source: 20}, Reject{ID: "u"}}},
+		"draining cache":              {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
 	} {
-		b := newBook(set)
+		b := newRuleChecker(set)
 		b.event(0, fleet())
 		b.event(0, newRequest("a", "o"))
 		u := newRequest("u", "p")
@@ -296,7 +296,7 @@
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
