--- a/cmd/ravenwheel/distribution.go
+++ b/cmd/ravenwheel/distribution.go
@@ -108,8 +108,8 @@
 	if self.Name == "" {
 		self.Name = conf.Name
 	}
-	set := pure.Defaults(0, self)
-	set.Seed, set.HeartbeatEvery, set.SilentFor, set.Bound, set.ClockBound = conf.Seed, d.Heartbeat, d.Silent, d.Bound, d.ClockBound
+	set := pure.DefaultSettings(0, self)
+	set.Seed, set.HeartbeatInterval, set.SilenceTimeout, set.MaxLag, set.MaxClockSkew = conf.Seed, d.Heartbeat, d.Silent, d.Bound, d.ClockBound
 	opt = distribution.Options{Settings: set, Clock: clk, Log: log, MostLinks: d.MostLinks, Epoch: d.Epoch}
 	for _, u := range d.Upstream {
 		opt.Candidates = append(opt.Candidates, distribution.Candidate{
--- a/internal/decide/distribution/backlog.go
+++ b/internal/decide/distribution/backlog.go
@@ -8,7 +8,7 @@
 // segment is a range of the stream that goes out as one batch.
 type segment struct {
 	after, through uint64
-	whole          bool // see Batch: nobody may begin within it
+	atomic         bool // see Batch: nobody may begin within it
 	entries        []Entry
 	bytes          int
 	frame          *Frame // nil: to be encoded
@@ -26,7 +26,7 @@
 
 // append adds a range, cut into segments of at most so many bytes.
 func (b *backlog) append(after, through uint64, entries []Entry, most int) {
-	b.takeIdle(&after)
+	b.removeIdleTail(&after)
 	s := &segment{after: after}
 	for _, e := range entries {
 		size := EncodedSize(e)
@@ -43,13 +43,13 @@
 }
 
 // appendWhole adds a range that is not cut, and that nobody may begin within.
-func (b *backlog) appendWhole(after, through uint64, entries []Entry) {
-	b.push(&segment{after: after, through: through, whole: true, entries: entries, bytes: sizeOf(entries)})
+func (b *backlog) appendAtomic(after, through uint64, entries []Entry) {
+	b.push(&segment{after: after, through: through, atomic: true, entries: entries, bytes: sizeOf(entries)})
 }
 
 // takeIdle removes a last segment without entries: the next begins where it did.
-func (b *backlog) takeIdle(after *uint64) {
-	if n := len(b.segments); n > 0 && len(b.segments[n-1].entries) == 0 && !b.segments[n-1].whole {
+func (b *backlog) removeIdleTail(after *uint64) {
+	if n := len(b.segments); n > 0 && len(b.segments[n-1].entries) == 0 && !b.segments[n-1].atomic {
 		*after = b.segments[n-1].after
 		b.segments = b.segments[:n-1]
 	}
@@ -85,7 +85,7 @@
 	b.entries, b.bytes, s.bytes = b.entries-1, b.bytes-size, s.bytes-size
 	s.entries = slices.Concat(s.entries[:at], s.entries[at+1:])
 	s.frame = nil
-	if len(s.entries) == 0 && !s.whole && i+1 < len(b.segments) && !b.segments[i+1].whole {
+	if len(s.entries) == 0 && !s.atomic && i+1 < len(b.segments) && !b.segments[i+1].atomic {
 		next := b.segments[i+1]
 		next.after, next.frame = s.after, nil
 		b.segments = slices.Delete(b.segments, i, i+1)
--- a/internal/decide/distribution/bridge_test.go
+++ b/internal/decide/distribution/bridge_test.go
@@ -9,15 +9,15 @@
 )
 
 func purgeOf(sequence uint64, name string) distribution.Entry {
-	return distribution.Entry{Sequence: sequence, Kind: distribution.PurgeObject, Name: name, Made: 5}
+	return distribution.Entry{Sequence: sequence, Kind: distribution.PurgeObject, Name: name, EffectiveAt: 5}
 }
 
 // messagesTo are the messages of actions to one link.
 func messagesTo(t *testing.T, link distribution.Link, actions []distribution.Action) []distribution.Message {
 	var all []distribution.Message
 	for _, a := range actions {
-		if s, isSend := a.(distribution.Send); isSend {
-			for _, to := range s.To {
+		if s, isSend := a.(distribution.SendFrame); isSend {
+			for _, to := range s.Links {
 				if to == link {
 					m, err := distribution.Decode(s.Frame.Bytes)
 					require.NoError(t, err)
@@ -37,20 +37,20 @@
 // A relay that fell back passes the snapshot on as one batch. Its numbers are made up: "late" was committed at 160 and has
 // 140 here. A subscriber that comes from another distributor, and is at 150, would pass it over in a part of the batch.
 func TestNobodyBeginsWithinABridge(t *testing.T) {
-	set := distribution.Defaults(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
-	set.MostFrame = 1 // what is not whole is cut into batches of one
+	set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
+	set.MaxFrame = 1 // what is not whole is cut into batches of one
 	mark := func(sequence uint64) distribution.Watermark {
 		return distribution.Watermark{Sequence: sequence, At: 1000}
 	}
 	relay := distribution.NewDistributor(set)
-	relay.Handle(1000, distribution.Replace{Epoch: 1, Through: 100, Mark: mark(100), Entries: []distribution.Entry{purgeOf(90, "early")}})
+	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeOf(90, "early")}})
 	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeAt("near", 100)})
 
 	snapshot := []distribution.Entry{purgeOf(139, "early"), purgeOf(140, "late"), purgeOf(200, "later")}
-	got := messagesTo(t, 1, relay.Handle(1001, distribution.Replace{Epoch: 1, Through: 200, Mark: mark(200), Entries: snapshot}))
+	got := messagesTo(t, 1, relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: mark(200), Entries: snapshot}))
 	require.Len(t, got, 1)
 	bridge := got[0].(distribution.Batch)
-	require.True(t, bridge.Whole)
+	require.True(t, bridge.Atomic)
 	require.Equal(t, [2]uint64{100, 200}, [2]uint64{bridge.After, bridge.Through})
 	require.Len(t, bridge.Entries, 2, "early is in force already")
 
@@ -58,7 +58,7 @@
 	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeAt("from elsewhere", 150)})) {
 		_, isBatch := m.(distribution.Batch)
 		require.False(t, isBatch)
-		if c, isChunk := m.(distribution.Chunk); isChunk {
+		if c, isChunk := m.(distribution.SnapshotChunk); isChunk {
 			for _, e := range c.Entries {
 				chunks = append(chunks, e.Name)
 			}
@@ -67,24 +67,24 @@
 	require.Equal(t, []string{"early", "late", "later"}, chunks)
 
 	next := distribution.NewDistributor(set) // the level below: it must not cut it either
-	next.Handle(1000, distribution.Replace{Epoch: 1, Through: 100, Mark: mark(100)})
+	next.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100)})
 	next.Handle(1000, distribution.Received{Link: 1, Message: subscribeAt("near", 100)})
-	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{Epoch: 1, Whole: bridge.Whole, After: 100, Through: 200, Mark: mark(200), Entries: bridge.Entries}))
+	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: mark(200), Entries: bridge.Entries}))
 	require.Len(t, got, 1)
-	require.True(t, got[0].(distribution.Batch).Whole)
+	require.True(t, got[0].(distribution.Batch).Atomic)
 }
 
 // The same where nothing was idle before, and a batch follows: who is at its end goes on with the tail.
 func TestTailGoesOnBehindABridge(t *testing.T) {
-	relay := distribution.NewDistributor(distribution.Defaults(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
-	relay.Handle(1000, distribution.Replace{Epoch: 1, Through: 100, Mark: distribution.Watermark{Sequence: 100, At: 1000}})
-	relay.Handle(1001, distribution.Replace{Epoch: 1, Through: 200, Mark: distribution.Watermark{Sequence: 200, At: 1001}, Entries: []distribution.Entry{purgeOf(200, "x")}})
-	relay.Handle(1002, distribution.Apply{Epoch: 1, After: 200, Through: 205, Mark: distribution.Watermark{Sequence: 205, At: 1002}, Entries: []distribution.Entry{purgeOf(203, "y")}})
+	relay := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
+	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: distribution.Watermark{Sequence: 100, At: 1000}})
+	relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: distribution.Watermark{Sequence: 200, At: 1001}, Entries: []distribution.Entry{purgeOf(200, "x")}})
+	relay.Handle(1002, distribution.Apply{Epoch: 1, After: 200, Through: 205, Watermark: distribution.Watermark{Sequence: 205, At: 1002}, Entries: []distribution.Entry{purgeOf(203, "y")}})
 	for _, from := range []uint64{200, 203} {
 		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{Link: distribution.Link(from), Message: subscribeAt("s", from)}))
 		require.Len(t, got, 2)
 		batch := got[1].(distribution.Batch)
-		require.False(t, batch.Whole)
+		require.False(t, batch.Atomic)
 		require.Equal(t, [2]uint64{200, 205}, [2]uint64{batch.After, batch.Through})
 	}
 }
--- a/internal/decide/distribution/check/check.go
+++ b/internal/decide/distribution/check/check.go
@@ -15,31 +15,31 @@
 
 // The rules.
 const (
-	Order     Rule = "entries in order, each once in effect"
-	Epochs    Rule = "a sequence begins anew only with a higher epoch and a snapshot"
-	Committed Rule = "nothing in effect that was not committed"
-	Complete  Rule = "no committed purge, revision, list or drain missed"
-	Strictly  Rule = "past the bound no strict class from a copy older than the watermark"
-	Bounded   Rule = "bytes bounded"
+	RuleOrder     Rule = "entries in order, each once in effect"
+	RuleEpochs    Rule = "a sequence begins anew only with a higher epoch and a snapshot"
+	RuleCommitted Rule = "nothing in effect that was not committed"
+	RuleComplete  Rule = "no committed purge, revision, list or drain missed"
+	RuleStrict    Rule = "past the bound no strict class from a copy older than the watermark"
+	RuleBounded   Rule = "bytes bounded"
 )
 
 // Broken is the error for a rule that does not hold.
-type Broken struct {
-	Rule Rule
-	Text string
+type Violation struct {
+	Rule   Rule
+	Detail string
 }
 
 // Error implements error.
-func (b *Broken) Error() string { return string(b.Rule) + ": " + b.Text }
+func (b *Violation) Error() string { return string(b.Rule) + ": " + b.Detail }
 
-func broken(r Rule, format string, values ...any) error {
-	return &Broken{Rule: r, Text: fmt.Sprintf(format, values...)}
+func violated(r Rule, format string, values ...any) error {
+	return &Violation{Rule: r, Detail: fmt.Sprintf(format, values...)}
 }
 
 // fact is a committed entry, and when.
 type fact struct {
 	distribution.Entry
-	at int64
+	committedAt int64
 }
 
 // History is what the store committed, by epoch. The zero value is empty.
@@ -53,7 +53,7 @@
 	if h.epochs == nil {
 		h.epochs = map[uint64][]fact{}
 	}
-	h.epochs[epoch] = append(h.epochs[epoch], fact{Entry: e, at: at})
+	h.epochs[epoch] = append(h.epochs[epoch], fact{Entry: e, committedAt: at})
 	if p := (distribution.Position{Epoch: epoch, Sequence: e.Sequence}); h.latest.Before(p) {
 		h.latest = p
 	}
@@ -79,24 +79,24 @@
 func (h *History) Latest() distribution.Position { return h.latest }
 
 // name is what an entry is about.
-type name struct {
+type factKey struct {
 	kind  distribution.Kind
 	name  string
 	group int64
 }
 
-func nameOf(e distribution.Entry) name {
+func factKeyOf(e distribution.Entry) factKey {
 	switch e.Kind {
 	case distribution.PurgeGroup:
-		return name{kind: e.Kind, group: e.Group}
+		return factKey{kind: e.Kind, group: e.Group}
 	case distribution.DrainEnded:
-		return name{kind: distribution.Drain, name: e.Name}
+		return factKey{kind: distribution.Drain, name: e.Name}
 	default:
-		return name{kind: e.Kind, name: e.Name}
+		return factKey{kind: e.Kind, name: e.Name}
 	}
 }
 
-func purge(k distribution.Kind) bool {
+func isPurge(k distribution.Kind) bool {
 	return k == distribution.PurgeObject || k == distribution.PurgeGroup
 }
 
@@ -104,130 +104,130 @@
 
 // Process is what a process has in effect, by the actions it was given.
 type Process struct {
-	history *History
-	have    bool
-	at      distribution.Position
-	force   map[name]distribution.Entry
-	mark    distribution.Watermark
+	history   *History
+	hasState  bool
+	position  distribution.Position
+	effective map[factKey]distribution.Entry
+	watermark distribution.Watermark
 }
 
 // NewProcess returns one with nothing in effect.
 func NewProcess(h *History) *Process {
-	return &Process{history: h, force: map[name]distribution.Entry{}}
+	return &Process{history: h, effective: map[factKey]distribution.Entry{}}
 }
 
 // Clone copies it for a model that branches, with the history of its branch.
 func (p *Process) Clone(h *History) *Process {
 	c := *p
 	c.history = h
-	c.force = make(map[name]distribution.Entry, len(p.force))
-	for n, e := range p.force {
-		c.force[n] = e
+	c.effective = make(map[factKey]distribution.Entry, len(p.effective))
+	for n, e := range p.effective {
+		c.effective[n] = e
 	}
 	return &c
 }
 
 // Position is up to where it was told.
-func (p *Process) Position() distribution.Position { return p.at }
+func (p *Process) Position() distribution.Position { return p.position }
 
 // InForce is how many entries are in effect.
-func (p *Process) InForce() int { return len(p.force) }
+func (p *Process) EntryCount() int { return len(p.effective) }
 
 // Observe takes an action of the process's Subscriber and tells which rule it breaks.
 func (p *Process) Observe(a distribution.Action) error {
 	switch a := a.(type) {
 	case distribution.Apply:
 		return p.apply(a)
-	case distribution.Replace:
+	case distribution.InstallSnapshot:
 		return p.replace(a)
 	}
 	return nil
 }
 
 func (p *Process) apply(a distribution.Apply) error {
-	if !p.have || a.Epoch != p.at.Epoch {
-		return broken(Epochs, "entries of epoch %d at epoch %d", a.Epoch, p.at.Epoch)
+	if !p.hasState || a.Epoch != p.position.Epoch {
+		return violated(RuleEpochs, "entries of epoch %d at epoch %d", a.Epoch, p.position.Epoch)
 	}
-	if a.After != p.at.Sequence || a.Through < a.After {
-		return broken(Order, "entries (%d, %d] at %d", a.After, a.Through, p.at.Sequence)
+	if a.After != p.position.Sequence || a.Through < a.After {
+		return violated(RuleOrder, "entries (%d, %d] at %d", a.After, a.Through, p.position.Sequence)
 	}
 	last := a.After
 	for _, e := range a.Entries {
 		if e.Sequence <= last || e.Sequence > a.Through {
-			return broken(Order, "entry %d behind %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
+			return violated(RuleOrder, "entry %d behind %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
 		}
 		last = e.Sequence
-		if held, known := p.force[nameOf(e)]; known && held.Sequence >= e.Sequence {
-			return broken(Order, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, held.Sequence)
+		if held, known := p.effective[factKeyOf(e)]; known && held.Sequence >= e.Sequence {
+			return violated(RuleOrder, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, held.Sequence)
 		}
-		if err := p.enter(a.Epoch, a.Through, e); err != nil {
+		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
 			return err
 		}
 	}
-	p.at.Sequence = a.Through
+	p.position.Sequence = a.Through
 	return nil
 }
 
-func (p *Process) replace(a distribution.Replace) error {
-	if p.have && (a.Epoch < p.at.Epoch || a.Epoch == p.at.Epoch && a.Through < p.at.Sequence) {
-		return broken(Epochs, "a snapshot of %d/%d at %d/%d", a.Epoch, a.Through, p.at.Epoch, p.at.Sequence)
+func (p *Process) replace(a distribution.InstallSnapshot) error {
+	if p.hasState && (a.Epoch < p.position.Epoch || a.Epoch == p.position.Epoch && a.Through < p.position.Sequence) {
+		return violated(RuleEpochs, "a snapshot of %d/%d at %d/%d", a.Epoch, a.Through, p.position.Epoch, p.position.Sequence)
 	}
-	for n := range p.force {
-		if !purge(n.kind) {
-			delete(p.force, n)
+	for n := range p.effective {
+		if !isPurge(n.kind) {
+			delete(p.effective, n)
 		}
 	}
-	if a.Epoch != p.at.Epoch { // sequences of two epochs are not compared
-		for n, e := range p.force {
+	if a.Epoch != p.position.Epoch { // sequences of two epochs are not compared
+		for n, e := range p.effective {
 			e.Sequence = 0
-			p.force[n] = e
+			p.effective[n] = e
 		}
-		p.mark = distribution.Watermark{}
+		p.watermark = distribution.Watermark{}
 	}
 	last := uint64(0)
 	for _, e := range a.Entries {
 		if e.Sequence <= last || e.Sequence > a.Through {
-			return broken(Order, "entry %d behind %d in a snapshot of %d", e.Sequence, last, a.Through)
+			return violated(RuleOrder, "entry %d behind %d in a snapshot of %d", e.Sequence, last, a.Through)
 		}
 		last = e.Sequence
-		if err := p.enter(a.Epoch, a.Through, e); err != nil {
+		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
 			return err
 		}
 	}
-	p.have, p.at = true, distribution.Position{Epoch: a.Epoch, Sequence: a.Through}
+	p.hasState, p.position = true, distribution.Position{Epoch: a.Epoch, Sequence: a.Through}
 	return nil
 }
 
 // enter puts one entry in effect. It must be what was committed by then; its number may be another, as a store that reads
 // its state back has facts without their numbers.
-func (p *Process) enter(epoch, through uint64, e distribution.Entry) error {
-	f, known := p.history.same(epoch, through, e)
+func (p *Process) putInEffect(epoch, through uint64, e distribution.Entry) error {
+	f, known := p.history.find(epoch, through, e)
 	if !known {
-		return broken(Committed, "entry %d/%d is not what was committed", epoch, e.Sequence)
+		return violated(RuleCommitted, "entry %d/%d is not what was committed", epoch, e.Sequence)
 	}
-	n := nameOf(e)
+	n := factKeyOf(e)
 	if e.Kind == distribution.DrainEnded {
-		delete(p.force, n)
+		delete(p.effective, n)
 		return nil
 	}
-	if held, already := p.force[n]; already && purge(e.Kind) {
-		e.Made = max(e.Made, held.Made)
-		if outlasts(held.Until, e.Until) {
-			e.Until = held.Until
+	if held, already := p.effective[n]; already && isPurge(e.Kind) {
+		e.EffectiveAt = max(e.EffectiveAt, held.EffectiveAt)
+		if outlasts(held.ExpiresAt, e.ExpiresAt) {
+			e.ExpiresAt = held.ExpiresAt
 		}
 	}
 	e.Sequence = f.Sequence
-	p.force[n] = e
+	p.effective[n] = e
 	return nil
 }
 
 // same is the last fact up to a sequence that an entry has the content of; a purge may say more.
-func (h *History) same(epoch, through uint64, e distribution.Entry) (found fact, known bool) {
+func (h *History) find(epoch, through uint64, e distribution.Entry) (found fact, known bool) {
 	for _, f := range h.epochs[epoch] {
 		switch {
-		case f.Sequence > through, f.Kind != e.Kind, nameOf(f.Entry) != nameOf(e), f.Group != e.Group, f.Grouped != e.Grouped,
-			f.Number != e.Number, !bytes.Equal(f.Body, e.Body):
-		case purge(e.Kind) && (e.Made < f.Made || !outlasts(e.Until, f.Until)):
+		case f.Sequence > through, f.Kind != e.Kind, factKeyOf(f.Entry) != factKeyOf(e), f.Group != e.Group, f.GroupKnown != e.GroupKnown,
+			f.Version != e.Version, !bytes.Equal(f.Body, e.Body):
+		case isPurge(e.Kind) && (e.EffectiveAt < f.EffectiveAt || !outlasts(e.ExpiresAt, f.ExpiresAt)):
 		default:
 			found, known = f, true
 		}
@@ -236,54 +236,54 @@
 }
 
 // Claims takes the watermark that the process goes by and tells whether it is true.
-func (p *Process) Claims(w distribution.Watermark) error {
-	if w == p.mark || w == (distribution.Watermark{}) {
+func (p *Process) CheckWatermark(w distribution.Watermark) error {
+	if w == p.watermark || w == (distribution.Watermark{}) {
 		return nil
 	}
-	p.mark = w
-	return p.complete(func(f fact) bool { return f.at < w.At || f.Sequence <= w.Sequence }, w.At)
+	p.watermark = w
+	return p.checkComplete(func(f fact) bool { return f.committedAt < w.At || f.Sequence <= w.Sequence }, w.At)
 }
 
 // CaughtUp tells whether all that was committed by now is in effect.
-func (p *Process) CaughtUp(now int64) error {
-	if p.at.Epoch != p.history.latest.Epoch || p.at.Sequence < p.history.latest.Sequence {
-		return broken(Complete, "at %d/%d, the store is at %d/%d", p.at.Epoch, p.at.Sequence,
+func (p *Process) CheckComplete(now int64) error {
+	if p.position.Epoch != p.history.latest.Epoch || p.position.Sequence < p.history.latest.Sequence {
+		return violated(RuleComplete, "at %d/%d, the store is at %d/%d", p.position.Epoch, p.position.Sequence,
 			p.history.latest.Epoch, p.history.latest.Sequence)
 	}
-	return p.complete(func(fact) bool { return true }, now)
+	return p.checkComplete(func(fact) bool { return true }, now)
 }
 
 // complete tells whether all facts of the epoch that are asked for are in effect, or can bind nothing after now.
-func (p *Process) complete(asked func(fact) bool, now int64) error {
-	facts := p.history.epochs[p.at.Epoch]
-	last := map[name]fact{}
+func (p *Process) checkComplete(asked func(fact) bool, now int64) error {
+	facts := p.history.epochs[p.position.Epoch]
+	last := map[factKey]fact{}
 	for _, f := range facts {
 		if !asked(f) {
 			continue
 		}
-		if !purge(f.Kind) {
-			last[nameOf(f.Entry)] = f
+		if !isPurge(f.Kind) {
+			last[factKeyOf(f.Entry)] = f
 			continue
 		}
-		if f.Until != 0 && f.Until <= now || p.binds(f.Entry) {
+		if f.ExpiresAt != 0 && f.ExpiresAt <= now || p.covered(f.Entry) {
 			continue
 		}
-		return broken(Complete, "purge %d/%d is not in effect at %d", p.at.Epoch, f.Sequence, p.at.Sequence)
+		return violated(RuleComplete, "purge %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
 	}
 	for n, f := range last {
-		held, known := p.force[n]
+		held, known := p.effective[n]
 		if f.Kind == distribution.DrainEnded && known && held.Sequence < f.Sequence || f.Kind != distribution.DrainEnded &&
-			(!known || held.Sequence < f.Sequence) && !p.ended(n, f.Sequence) {
-			return broken(Complete, "entry %d/%d is not in effect at %d", p.at.Epoch, f.Sequence, p.at.Sequence)
+			(!known || held.Sequence < f.Sequence) && !p.drainEnded(n, f.Sequence) {
+			return violated(RuleComplete, "entry %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
 		}
 	}
 	return nil
 }
 
 // ended tells whether a drain that is not in effect has ended behind a sequence.
-func (p *Process) ended(n name, sequence uint64) bool {
-	for _, f := range p.history.epochs[p.at.Epoch] {
-		if f.Kind == distribution.DrainEnded && nameOf(f.Entry) == n && f.Sequence > sequence && f.Sequence <= p.at.Sequence {
+func (p *Process) drainEnded(n factKey, sequence uint64) bool {
+	for _, f := range p.history.epochs[p.position.Epoch] {
+		if f.Kind == distribution.DrainEnded && factKeyOf(f.Entry) == n && f.Sequence > sequence && f.Sequence <= p.position.Sequence {
 			return true
 		}
 	}
@@ -291,43 +291,43 @@
 }
 
 // binds tells whether every copy that a purge voids is voided by what is in effect.
-func (p *Process) binds(e distribution.Entry) bool {
-	if held, known := p.force[nameOf(e)]; known && held.Made >= e.Made && outlasts(held.Until, e.Until) {
+func (p *Process) covered(e distribution.Entry) bool {
+	if held, known := p.effective[factKeyOf(e)]; known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt) {
 		return true
 	}
-	if e.Kind != distribution.PurgeObject || !e.Grouped {
+	if e.Kind != distribution.PurgeObject || !e.GroupKnown {
 		return false
 	}
-	held, known := p.force[name{kind: distribution.PurgeGroup, group: e.Group}]
-	return known && held.Made >= e.Made && outlasts(held.Until, e.Until)
+	held, known := p.effective[factKey{kind: distribution.PurgeGroup, group: e.Group}]
+	return known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt)
 }
 
 // Served tells whether a request of a class may have been answered as it was: now and made are true times, by the store's
 // clock; w is the watermark that the process has.
-func Served(s distribution.Settings, w distribution.Watermark, now float64, class string, made float64, v distribution.Verdict) error {
-	if s.Classes[class] != distribution.Strict || v != distribution.Serve && v != distribution.Counted {
+func CheckServed(s distribution.Settings, w distribution.Watermark, now float64, class string, made float64, v distribution.Verdict) error {
+	if s.Classes[class] != distribution.PolicyStrict || v != distribution.VerdictServe && v != distribution.VerdictServeStale {
 		return nil
 	}
-	if w == (distribution.Watermark{}) || now-float64(w.At) > s.Bound && made < float64(w.At) {
-		return broken(Strictly, "class %q from a copy of %.0f at %.0f, watermark %d", class, made, now, w.At)
+	if w == (distribution.Watermark{}) || now-float64(w.At) > s.MaxLag && made < float64(w.At) {
+		return violated(RuleStrict, "class %q from a copy of %.0f at %.0f, watermark %d", class, made, now, w.At)
 	}
 	return nil
 }
 
 // UnderWay tells whether no more bytes of batches and chunks are on their way to one subscriber than it gave credit for.
 // One frame that is larger than all of it may go alone.
-func UnderWay(credit, frames, bytes int) error {
+func CheckCredit(credit, frames, bytes int) error {
 	if bytes > credit && frames > 1 {
-		return broken(Bounded, "%d bytes in %d frames under way, credit %d", bytes, frames, credit)
+		return violated(RuleBounded, "%d bytes in %d frames under way, credit %d", bytes, frames, credit)
 	}
 	return nil
 }
 
 // Kept tells whether a distributor keeps no more of the stream than it is set to.
-func Kept(s distribution.Settings, d *distribution.Distributor) error {
+func CheckBacklog(s distribution.Settings, d *distribution.Distributor) error {
 	_, _, entries, size := d.Sizes()
-	if entries > s.BacklogEntries || size > s.BacklogBytes {
-		return broken(Bounded, "a backlog of %d entries, %d bytes", entries, size)
+	if entries > s.MaxBacklogEntries || size > s.MaxBacklogBytes {
+		return violated(RuleBounded, "a backlog of %d entries, %d bytes", entries, size)
 	}
 	return nil
 }
--- a/internal/decide/distribution/event.go
+++ b/internal/decide/distribution/event.go
@@ -21,7 +21,7 @@
 		Bytes   int
 	}
 	// Lost: the link has ended, or never came to be.
-	Lost struct{ Link Link }
+	Disconnected struct{ Link Link }
 )
 
 // Events of a Subscriber.
@@ -37,16 +37,16 @@
 	// Demand is how many subscribers and distributors share the load here (of one zone, say), from the registry.
 	Demand struct{ Subscribers, Distributors int }
 	// Stop: the process ends soon; its subscribers are spread over others first.
-	Stop struct{}
+	Shutdown struct{}
 )
 
-func (Tick) event()       {}
-func (Received) event()   {}
-func (Lost) event()       {}
-func (Candidates) event() {}
-func (Connected) event()  {}
-func (Demand) event()     {}
-func (Stop) event()       {}
+func (Tick) event()         {}
+func (Received) event()     {}
+func (Disconnected) event() {}
+func (Candidates) event()   {}
+func (Connected) event()    {}
+func (Demand) event()       {}
+func (Shutdown) event()     {}
 
 // What a Subscriber wants put in force. They are events of a Distributor as they stand: that is how levels are chained
 // (see Relay), and at the root the shell makes them from what the store commits.
@@ -55,33 +55,33 @@
 	// up to Mark.Sequence covers. Whole is for the levels below: see Batch.
 	Apply struct {
 		Epoch          uint64
-		Whole          bool
+		Atomic         bool
 		After, Through uint64
-		Mark           Watermark
+		Watermark      Watermark
 		Entries        []Entry
 	}
 	// Replace sets the whole: revisions, lists and drains are those of Entries and no others; purges are joined to those
 	// in force (the latest Made and Until of each stand), which end by their Until. What is in force already is not put
 	// in force again.
-	Replace struct {
-		Epoch   uint64
-		Through uint64
-		Mark    Watermark
-		Entries []Entry
+	InstallSnapshot struct {
+		Epoch     uint64
+		Through   uint64
+		Watermark Watermark
+		Entries   []Entry
 	}
 	// Advance: nothing new up to Mark.Sequence. Said with a watermark that is later than the last one.
-	Advance struct {
-		Epoch uint64
-		Mark  Watermark
+	AdvanceWatermark struct {
+		Epoch     uint64
+		Watermark Watermark
 	}
 )
 
-func (Apply) event()    {}
-func (Replace) event()  {}
-func (Advance) event()  {}
-func (Apply) action()   {}
-func (Replace) action() {}
-func (Advance) action() {}
+func (Apply) event()             {}
+func (InstallSnapshot) event()   {}
+func (AdvanceWatermark) event()  {}
+func (Apply) action()            {}
+func (InstallSnapshot) action()  {}
+func (AdvanceWatermark) action() {}
 
 // Actions of a Subscriber.
 type (
@@ -93,59 +93,59 @@
 	// Disconnect ends a link. No answer is waited for.
 	Disconnect struct{ Link Link }
 	// Say sends a message on its link. On a link that has ended it is dropped.
-	Say struct {
+	SendMessage struct {
 		Link    Link
 		Message Message
 	}
 	// Guard is what the request path asks from now on: see Gate. It is published before anything later is done.
-	Guard struct{ State GuardState }
+	SetFreshness struct{ State Freshness }
 	// Left is told for logs and counters: why a distributor was left.
-	Left struct {
-		To  Peer
-		Why Cause
+	Unsubscribed struct {
+		Distributor Peer
+		Cause       Cause
 	}
 )
 
 // Actions of a Distributor.
 type (
 	// Send writes one frame to several links, in the order of the actions. It is the same memory for all of them.
-	Send struct {
-		To    []Link
+	SendFrame struct {
+		Links []Link
 		Frame *Frame
 	}
 	// Drop ends a link, after what was sent on it.
-	Drop struct {
-		Link Link
-		Why  Cause
+	CloseLink struct {
+		Link  Link
+		Cause Cause
 	}
 )
 
 // Wake asks either machine's shell for a Tick so many ms from now. Only the last one counts.
 type Wake struct{ After float64 }
 
-func (Connect) action()    {}
-func (Disconnect) action() {}
-func (Say) action()        {}
-func (Guard) action()      {}
-func (Left) action()       {}
-func (Send) action()       {}
-func (Drop) action()       {}
-func (Wake) action()       {}
+func (Connect) action()      {}
+func (Disconnect) action()   {}
+func (SendMessage) action()  {}
+func (SetFreshness) action() {}
+func (Unsubscribed) action() {}
+func (SendFrame) action()    {}
+func (CloseLink) action()    {}
+func (Wake) action()         {}
 
 // Cause is why a link was ended from this side.
 type Cause uint8
 
 // The causes.
 const (
-	CauseLost     Cause = iota + 1 // the other side or the way to it
-	CauseSilent                    // nothing was heard for too long
-	CauseFenced                    // it speaks of an epoch lower than one seen
-	CauseBroken                    // it says what it may not: another stream, a range that goes back, too much at once
-	CauseRefused                   // it has no place, see Reason
-	CauseNearer                    // a nearer one is tried
-	CauseRemoved                   // it is no candidate any more
-	CauseStalled                   // it is ahead, and sends nothing
-	CauseFinished                  // the subscriber said Leave, or was refused
+	CauseDisconnected  Cause = iota + 1 // the other side or the way to it
+	CauseTimeout                        // nothing was heard for too long
+	CauseFenced                         // it speaks of an epoch lower than one seen
+	CauseProtocolError                  // it says what it may not: another stream, a range that goes back, too much at once
+	CauseRejected                       // it has no place, see Reason
+	CauseCloserParent                   // a nearer one is tried
+	CauseRemoved                        // it is no candidate any more
+	CauseStalled                        // it is ahead, and sends nothing
+	CauseFinished                       // the subscriber said Leave, or was refused
 )
 
 var causeNames = [...]string{"none", "lost", "silent", "fenced", "broken", "refused", "nearer", "removed", "stalled", "finished"}
--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -10,12 +10,12 @@
 // Clone copies a Subscriber for a model that branches.
 func (s *Subscriber) Clone() *Subscriber {
 	c := *s
-	c.turned = maps.Clone(s.turned)
-	c.out = nil
-	if s.gather != nil {
-		g := *s.gather
+	c.backoffs = maps.Clone(s.backoffs)
+	c.actions = nil
+	if s.assembly != nil {
+		g := *s.assembly
 		g.entries = slices.Clone(g.entries)
-		c.gather = &g
+		c.assembly = &g
 	}
 	return &c
 }
@@ -23,11 +23,11 @@
 // Clone copies a Distributor for a model that branches.
 func (d *Distributor) Clone() *Distributor {
 	c := *d
-	c.out = nil
-	c.table = &table{held: maps.Clone(d.table.held), ends: slices.Clone(d.table.ends), bytes: d.table.bytes,
-		groups: map[int64]map[string]struct{}{}}
-	for group, names := range d.table.groups {
-		c.table.groups[group] = maps.Clone(names)
+	c.actions = nil
+	c.facts = &factTable{entries: maps.Clone(d.facts.entries), expiries: slices.Clone(d.facts.expiries), bytes: d.facts.bytes,
+		objectsByGroup: map[int64]map[string]struct{}{}}
+	for group, names := range d.facts.objectsByGroup {
+		c.facts.objectsByGroup[group] = maps.Clone(names)
 	}
 	c.backlog.segments = make([]*segment, len(d.backlog.segments))
 	for i, s := range d.backlog.segments {
@@ -35,31 +35,31 @@
 		copied.entries = slices.Clone(s.entries)
 		c.backlog.segments[i] = &copied
 	}
-	c.members, c.links = make([]*member, len(d.members)), map[Link]*member{}
-	for i, m := range d.members {
+	c.subscriptions, c.links = make([]*subscription, len(d.subscriptions)), map[Link]*subscription{}
+	for i, m := range d.subscriptions {
 		copied := *m
-		c.members[i] = &copied
+		c.subscriptions[i] = &copied
 		c.links[m.link] = &copied
 	}
 	return &c
 }
 
 // print is a fingerprint under way.
-type print []byte
+type fingerprint []byte
 
-func (p *print) whole(numbers ...uint64) {
+func (p *fingerprint) numbers(numbers ...uint64) {
 	for _, n := range numbers {
 		*p = binary.AppendUvarint(*p, n)
 	}
 }
 
-func (p *print) real(numbers ...float64) {
+func (p *fingerprint) floats(numbers ...float64) {
 	for _, n := range numbers {
 		*p = binary.BigEndian.AppendUint64(*p, math.Float64bits(n))
 	}
 }
 
-func (p *print) flags(flags ...bool) {
+func (p *fingerprint) flags(flags ...bool) {
 	for _, f := range flags {
 		if f {
 			*p = append(*p, 1)
@@ -69,61 +69,61 @@
 	}
 }
 
-func (p *print) mark(w Watermark) { p.whole(w.Sequence, uint64(w.At)) }
+func (p *fingerprint) watermark(w Watermark) { p.numbers(w.Sequence, uint64(w.At)) }
 
-func (p *print) entries(all []Entry) {
-	p.whole(uint64(len(all)))
+func (p *fingerprint) entries(all []Entry) {
+	p.numbers(uint64(len(all)))
 	for _, e := range all {
-		p.whole(e.Sequence, uint64(e.Made), uint64(e.Until))
+		p.numbers(e.Sequence, uint64(e.EffectiveAt), uint64(e.ExpiresAt))
 	}
 }
 
 // Print appends all that decides what a Subscriber does next, but for the state of its draws and numbers of links.
-func (s *Subscriber) Print(b []byte) []byte {
-	p := print(b)
-	p.whole(uint64(s.phase), uint64(s.again), uint64(s.owed), s.taken, s.epoch, s.applied, s.seen)
-	p = append(p, s.at.Name...)
-	p.real(s.until, s.heard, s.asked, s.moved, s.said, s.risen, s.returnAt, s.easeAt)
-	p.real(s.state.Oldest, s.state.FreshUntil, s.state.Watermark)
-	p.flags(s.have, s.state.Held, s.gather != nil)
-	p.mark(s.pending)
-	p.mark(s.mark)
-	if g := s.gather; g != nil {
-		p.whole(g.epoch, g.through, uint64(g.index))
+func (s *Subscriber) AppendFingerprint(b []byte) []byte {
+	p := fingerprint(b)
+	p.numbers(uint64(s.phase), uint64(s.resubscribes), uint64(s.unreturnedCredit), s.receivedBytes, s.epoch, s.applied, s.highestEpoch)
+	p = append(p, s.parent.Name...)
+	p.floats(s.backoffUntil, s.lastReceivedAt, s.subscribedAt, s.progressAt, s.lastSentAt, s.watermarkRoseAt, s.closerParentAt, s.relaxAt)
+	p.floats(s.freshness.OldestCopy, s.freshness.FreshUntil, s.freshness.WatermarkTime)
+	p.flags(s.hasState, s.freshness.Restricted, s.assembly != nil)
+	p.watermark(s.pendingWatermark)
+	p.watermark(s.watermark)
+	if g := s.assembly; g != nil {
+		p.numbers(g.epoch, g.through, uint64(g.nextChunk))
 		p.entries(g.entries)
 	}
-	for _, c := range s.order {
-		t := s.turned[c.Name]
-		p.real(t.until, float64(t.times))
+	for _, c := range s.candidates {
+		t := s.backoffs[c.Name]
+		p.floats(t.until, float64(t.attempts))
 	}
 	return p
 }
 
 // Print appends all that decides what a Distributor does next, but for the numbers of links.
-func (d *Distributor) Print(b []byte) []byte {
-	p := print(b)
-	p.whole(d.epoch, d.head, d.backlog.floor, uint64(len(d.members)))
-	p.mark(d.mark)
-	p.real(d.beatAt, d.door.tokens, d.door.filled, d.door.slot)
-	p.entries(d.table.all())
+func (d *Distributor) AppendFingerprint(b []byte) []byte {
+	p := fingerprint(b)
+	p.numbers(d.epoch, d.head, d.backlog.floor, uint64(len(d.subscriptions)))
+	p.watermark(d.watermark)
+	p.floats(d.heartbeatAt, d.admission.tokens, d.admission.refilledAt, d.admission.nextSlotAt)
+	p.entries(d.facts.sorted())
 	for _, s := range d.backlog.segments {
-		p.whole(s.after, s.through)
+		p.numbers(s.after, s.through)
 		p.entries(s.entries)
 		p.flags(s.frame != nil)
 		if s.frame != nil {
 			p = append(p, s.frame.Bytes...)
 		}
 	}
-	if d.shared != nil {
-		p.whole(d.shared.through)
+	if d.lastSnapshot != nil {
+		p.numbers(d.lastSnapshot.through)
 	}
-	for _, m := range d.members {
+	for _, m := range d.subscriptions {
 		p = append(p, m.name...)
-		p.whole(uint64(m.window), uint64(int64(m.credit)), m.given, m.cursor, uint64(m.chunk))
-		p.real(m.heard, m.sent)
-		p.flags(m.behind, m.snapshot != nil)
+		p.numbers(uint64(m.window), uint64(int64(m.credit)), m.sentBytes, m.cursor, uint64(m.nextChunk))
+		p.floats(m.lastReceivedAt, m.lastSentAt)
+		p.flags(m.needsSnapshot, m.snapshot != nil)
 		if m.snapshot != nil {
-			p.whole(m.snapshot.through)
+			p.numbers(m.snapshot.through)
 		}
 	}
 	return p
@@ -132,40 +132,42 @@
 // What the mutations of the model need to get past what guards against them.
 
 // Applied and Seen are where a Subscriber stands.
-func (s *Subscriber) Applied() uint64 { return s.applied }
+func (s *Subscriber) AppliedSequence() uint64 { return s.applied }
 
 // Pending is the watermark that does not hold yet.
-func (s *Subscriber) Pending() Watermark { return s.pending }
+func (s *Subscriber) PendingWatermark() Watermark { return s.pendingWatermark }
 
 // Linked tells whether messages are taken.
-func (s *Subscriber) Linked() bool { return s.phase >= asking }
+func (s *Subscriber) AcceptsMessages() bool { return s.phase >= phaseSubscribing }
 
 // GatherIndex is the chunk that comes next.
-func (s *Subscriber) GatherIndex() int {
-	if s.gather == nil {
+func (s *Subscriber) NextChunk() int {
+	if s.assembly == nil {
 		return 0
 	}
-	return s.gather.index
+	return s.assembly.nextChunk
 }
 
 // Rewind has a Subscriber forget how far it is.
-func (s *Subscriber) Rewind(applied uint64) { s.applied = applied }
+func (s *Subscriber) RewindTo(applied uint64) { s.applied = applied }
 
 // Believe has a Subscriber take the watermark for holding at once.
-func (s *Subscriber) Believe() { s.mark = s.pending }
+func (s *Subscriber) TrustPendingWatermark() { s.watermark = s.pendingWatermark }
 
 // Unseen has a Subscriber forget the epochs it has heard of beyond its own.
-func (s *Subscriber) Unseen(epoch uint64) { s.seen = min(s.seen, epoch) }
+func (s *Subscriber) ForgetHigherEpochs(epoch uint64) { s.highestEpoch = min(s.highestEpoch, epoch) }
 
 // Lavish gives every member of a Distributor its whole credit.
-func (d *Distributor) Lavish() {
-	for _, m := range d.members {
+func (d *Distributor) ResetCredits() {
+	for _, m := range d.subscriptions {
 		m.credit = m.window
 	}
 }
 
 // Unlimited has a Distributor keep all.
-func (d *Distributor) Unlimited() { d.set.BacklogEntries, d.set.BacklogBytes = 1<<30, 1<<30 }
+func (d *Distributor) UnlimitBacklog() {
+	d.settings.MaxBacklogEntries, d.settings.MaxBacklogBytes = 1<<30, 1<<30
+}
 
 // Boastful has a Distributor take its backlog for one that begins with the stream.
-func (d *Distributor) Boastful() { d.backlog.floor = 0 }
+func (d *Distributor) PretendFullBacklog() { d.backlog.floor = 0 }
--- a/internal/decide/distribution/failover_test.go
+++ b/internal/decide/distribution/failover_test.go
@@ -19,14 +19,14 @@
 	dists map[string]*distribution.Distributor
 	dead  map[string]bool
 	subs  []*distribution.Subscriber
-	links map[distribution.Link]ends // by the distributor's number
+	links map[distribution.Link]expiryHeap // by the distributor's number
 	next  distribution.Link
 	wakes []float64
 	most  map[string]int // subscribers at once
 	gone  map[string]int // refused
 }
 
-type ends struct {
+type expiryHeap struct {
 	sub   int
 	link  distribution.Link
 	to    string
@@ -74,7 +74,7 @@
 		switch a := a.(type) {
 		case distribution.Connect:
 			z.connect(i, a)
-		case distribution.Say:
+		case distribution.SendMessage:
 			for number, l := range z.links {
 				if l.sub == i && l.link == a.Link && !l.ended {
 					z.after(oneWay, func() { z.dist(l.to, distribution.Received{Link: number, Message: a.Message}) })
@@ -84,7 +84,7 @@
 			for number, l := range z.links {
 				if l.sub == i && l.link == a.Link {
 					delete(z.links, number)
-					z.after(oneWay, func() { z.dist(l.to, distribution.Lost{Link: number}) })
+					z.after(oneWay, func() { z.dist(l.to, distribution.Disconnected{Link: number}) })
 				}
 			}
 		case distribution.Wake:
@@ -102,7 +102,7 @@
 // connect takes a way there and back; who is dead does not answer.
 func (z *zone) connect(i int, a distribution.Connect) {
 	z.next++
-	z.links[z.next] = ends{sub: i, link: a.Link, to: a.To.Name}
+	z.links[z.next] = expiryHeap{sub: i, link: a.Link, to: a.To.Name}
 	if !z.dead[a.To.Name] {
 		z.after(2*oneWay, func() { z.sub(i, distribution.Connected{Link: a.Link}) })
 	}
@@ -115,24 +115,24 @@
 	d := z.dists[name]
 	for _, a := range d.Handle(z.now, e) {
 		switch a := a.(type) {
-		case distribution.Send:
+		case distribution.SendFrame:
 			m, err := distribution.Decode(a.Frame.Bytes)
 			if err != nil {
 				panic(err)
 			}
-			if _, refused := m.(distribution.Refused); refused {
+			if _, refused := m.(distribution.Rejected); refused {
 				z.gone[name]++
 			}
-			for _, to := range a.To {
+			for _, to := range a.Links {
 				if l, open := z.links[to]; open {
 					z.after(oneWay, func() {
 						z.sub(l.sub, distribution.Received{Link: l.link, Message: m, Bytes: len(a.Frame.Bytes)})
 					})
 				}
 			}
-		case distribution.Drop:
+		case distribution.CloseLink:
 			if l, open := z.links[a.Link]; open {
-				z.after(oneWay+1, func() { z.sub(l.sub, distribution.Lost{Link: l.link}) })
+				z.after(oneWay+1, func() { z.sub(l.sub, distribution.Disconnected{Link: l.link}) })
 			}
 		}
 	}
@@ -141,22 +141,22 @@
 
 // newZone has so many distributors of one zone and one of its region, all fed by Advance, and so many subscribers.
 func newZone(distributors, subscribers int) *zone {
-	z := &zone{now: 1_000_000, dists: map[string]*distribution.Distributor{}, dead: map[string]bool{}, links: map[distribution.Link]ends{},
+	z := &zone{now: 1_000_000, dists: map[string]*distribution.Distributor{}, dead: map[string]bool{}, links: map[distribution.Link]expiryHeap{},
 		most: map[string]int{}, gone: map[string]int{}, wakes: make([]float64, subscribers)}
 	peers := []distribution.Peer{{Name: "region", Rank: 1, Region: "r", Zone: "other"}}
 	for i := range distributors {
 		peers = append(peers, distribution.Peer{Name: fmt.Sprint("d", i), Rank: 2, Region: "r", Zone: "z"})
 	}
 	for i, p := range peers {
-		z.dists[p.Name] = distribution.NewDistributor(distribution.Defaults(distribution.Purges, p))
-		z.dist(p.Name, distribution.Replace{Epoch: 1, Through: 1, Mark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
+		z.dists[p.Name] = distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, p))
+		z.dist(p.Name, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
 		if i > 0 {
 			z.dist(p.Name, distribution.Demand{Subscribers: subscribers, Distributors: distributors})
 		}
 	}
 	z.feed(peers)
 	for i := range subscribers {
-		set := distribution.Defaults(distribution.Purges, distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"})
+		set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"})
 		set.Seed = uint64(i) + 1
 		z.subs = append(z.subs, distribution.NewSubscriber(set))
 		z.sub(i, distribution.Candidates{Peers: peers})
@@ -166,7 +166,7 @@
 
 func (z *zone) feed(peers []distribution.Peer) {
 	for _, p := range peers {
-		z.dist(p.Name, distribution.Advance{Epoch: 1, Mark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
+		z.dist(p.Name, distribution.AdvanceWatermark{Epoch: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
 		z.dist(p.Name, distribution.Tick{})
 	}
 	z.after(500, func() { z.feed(peers) })
@@ -175,8 +175,8 @@
 // furthest is how far the furthest is behind, and how many are within their bound.
 func (z *zone) furthest() (behind float64, within int) {
 	for _, s := range z.subs {
-		behind = max(behind, s.Behind(z.now))
-		if s.Behind(z.now) <= distribution.Defaults(distribution.Purges, distribution.Peer{}).Bound {
+		behind = max(behind, s.Lag(z.now))
+		if s.Lag(z.now) <= distribution.DefaultSettings(distribution.Purges, distribution.Peer{}).MaxLag {
 			within++
 		}
 	}
--- a/internal/decide/distribution/golden_test.go
+++ b/internal/decide/distribution/golden_test.go
@@ -12,12 +12,12 @@
 // goldenEntries have every kind, with and without what is optional.
 func goldenEntries() []distribution.Entry {
 	return []distribution.Entry{
-		{Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, Grouped: true, Made: someDay - 1500, Until: someDay + 3_600_000},
-		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", Made: someDay + 5},
-		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, Made: someDay - 2, Until: someDay + 1},
-		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Number: 12, Body: []byte("limits"), Made: someDay},
-		{Sequence: 401, Kind: distribution.List, Name: "source-1", Number: 1 << 40, Body: []byte{0, 1, 0xff}},
-		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", Made: someDay - 86_400_000},
+		{Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true, EffectiveAt: someDay - 1500, ExpiresAt: someDay + 3_600_000},
+		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: someDay + 5},
+		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: someDay - 2, ExpiresAt: someDay + 1},
+		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: someDay},
+		{Sequence: 401, Kind: distribution.List, Name: "source-1", Version: 1 << 40, Body: []byte{0, 1, 0xff}},
+		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", EffectiveAt: someDay - 86_400_000},
 		{Sequence: 900, Kind: distribution.DrainEnded, Name: "cache-7"},
 	}
 }
@@ -28,21 +28,21 @@
 	purges, configuration := distribution.Purges, distribution.Configuration
 	for name, message := range map[string]distribution.Message{
 		"subscribe.bin": distribution.Subscribe{Stream: purges, Name: "proxy-a", Rank: 3, From: distribution.Position{Epoch: 12, Sequence: 99},
-			Credit: 256 << 10, Taken: 1 << 33},
+			Credit: 256 << 10, ReceivedBytes: 1 << 33},
 		"subscribe_from_nothing.bin": distribution.Subscribe{Stream: configuration, Name: "p"},
 		"credit.bin":                 distribution.Credit{Stream: purges, Bytes: 128 << 10},
 		"credit_none.bin":            distribution.Credit{Stream: configuration},
-		"leave.bin":                  distribution.Leave{Stream: configuration},
-		"batch.bin": distribution.Batch{Stream: purges, Epoch: 12, After: 99, Through: 950, Mark: mark,
+		"leave.bin":                  distribution.Unsubscribe{Stream: configuration},
+		"batch.bin": distribution.Batch{Stream: purges, Epoch: 12, After: 99, Through: 950, Watermark: mark,
 			Entries: goldenEntries()},
-		"batch_whole.bin": distribution.Batch{Stream: purges, Epoch: 12, Whole: true, After: 99, Through: 950, Mark: mark,
+		"batch_whole.bin": distribution.Batch{Stream: purges, Epoch: 12, Atomic: true, After: 99, Through: 950, Watermark: mark,
 			Entries: goldenEntries()},
 		"batch_empty.bin": distribution.Batch{Stream: configuration, Epoch: 1, Through: 3},
-		"chunk.bin": distribution.Chunk{Stream: configuration, Epoch: 12, Through: 1000, Mark: mark, Index: 3,
+		"chunk.bin": distribution.SnapshotChunk{Stream: configuration, Epoch: 12, Through: 1000, Watermark: mark, Index: 3,
 			Entries: goldenEntries()},
-		"chunk_last.bin": distribution.Chunk{Stream: purges, Epoch: 12, Through: 1000, Mark: mark, Index: 4, Last: true},
-		"heartbeat.bin":  distribution.Heartbeat{Stream: purges, Epoch: 12, Mark: mark},
-		"refused.bin":    distribution.Refused{Stream: purges, Reason: distribution.Busy, RetryAfter: 8000},
+		"chunk_last.bin": distribution.SnapshotChunk{Stream: purges, Epoch: 12, Through: 1000, Watermark: mark, Index: 4, Last: true},
+		"heartbeat.bin":  distribution.Heartbeat{Stream: purges, Epoch: 12, Watermark: mark},
+		"refused.bin":    distribution.Rejected{Stream: purges, Reason: distribution.RejectBusy, RetryAfter: 8000},
 	} {
 		golden.Equal(t, name, distribution.Encode(message).Bytes)
 		back, err := distribution.Decode(golden.Read(t, name))
@@ -57,6 +57,6 @@
 	require.Equal(t, []distribution.Stream{1, 2}, []distribution.Stream{distribution.Purges, distribution.Configuration})
 	require.Equal(t, []distribution.Kind{1, 2, 3, 4, 5, 6}, []distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup,
 		distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded})
-	require.Equal(t, []distribution.Reason{1, 2, 3, 4, 5, 6}, []distribution.Reason{distribution.Full, distribution.Busy,
-		distribution.OldEpoch, distribution.NotReady, distribution.Ending, distribution.WrongRank})
+	require.Equal(t, []distribution.RejectReason{1, 2, 3, 4, 5, 6}, []distribution.RejectReason{distribution.RejectFull, distribution.RejectBusy,
+		distribution.RejectOldEpoch, distribution.RejectNotReady, distribution.RejectShutdown, distribution.RejectWrongRank})
 }
--- a/internal/decide/distribution/jitter.go
+++ b/internal/decide/distribution/jitter.go
@@ -1,9 +1,9 @@
 package distribution
 
 // draws are numbers from a seed (splitmix64): the same machine draws the same.
-type draws struct{ state uint64 }
+type jitter struct{ state uint64 }
 
-func (d *draws) next() uint64 {
+func (d *jitter) next() uint64 {
 	d.state += 0x9e3779b97f4a7c15
 	z := d.state
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -12,6 +12,6 @@
 }
 
 // below is a number from 0 up to, not including, most.
-func (d *draws) below(most float64) float64 {
+func (d *jitter) upTo(most float64) float64 {
 	return float64(d.next()>>11) / (1 << 53) * most
 }
--- a/internal/decide/distribution/message.go
+++ b/internal/decide/distribution/message.go
@@ -55,13 +55,13 @@
 	// Name is the object, the scope of a revision (empty: the one for all), the source or the server.
 	Name string
 	// Group is that of a group's purge, and of an object where Grouped says that it is known.
-	Group   int64
-	Grouped bool
+	Group      int64
+	GroupKnown bool
 	// Made is when a purge was asked for, a copy older than that is void, or since when a server drains. Until is from
 	// when on a purge can bind no copy any more, 0: never. Unix ms, both rounded up: more is void, never less.
-	Made, Until int64
-	Number      uint64 // of a revision; a list's generation
-	Body        []byte // of a revision or a list, as the store has it; never changed once it is here
+	EffectiveAt, ExpiresAt int64
+	Version                uint64 // of a revision; a list's generation
+	Body                   []byte // of a revision or a list, as the store has it; never changed once it is here
 }
 
 // Message is what goes over a link.
@@ -72,12 +72,12 @@
 	// zero: nothing. Credit is how many bytes of batches and chunks may be under way to it, and Taken how many it has taken
 	// in on this link: what is under way from before counts on.
 	Subscribe struct {
-		Stream Stream
-		Name   string
-		Rank   int
-		From   Position
-		Credit int
-		Taken  uint64
+		Stream        Stream
+		Name          string
+		Rank          int
+		From          Position
+		Credit        int
+		ReceivedBytes uint64
 	}
 	// Credit gives back what the subscriber has taken in. With 0 bytes it says that the subscriber lives.
 	Credit struct {
@@ -85,72 +85,72 @@
 		Bytes  int
 	}
 	// Leave ends a subscription.
-	Leave struct{ Stream Stream }
+	Unsubscribe struct{ Stream Stream }
 
 	// Batch is all of the stream in (After, Through] that was not covered by something later up to Mark.Sequence. Whole: it
 	// was made from a snapshot, its sequences are made up, and who is at a place within it can't take a part.
 	Batch struct {
 		Stream         Stream
 		Epoch          uint64
-		Whole          bool
+		Atomic         bool
 		After, Through uint64
-		Mark           Watermark
+		Watermark      Watermark
 		Entries        []Entry // sequences rise
 	}
 	// Chunk is a part of a snapshot: all that holds at Through. Those of one snapshot have one Through and Mark, and come
 	// in the order of Index.
-	Chunk struct {
-		Stream  Stream
-		Epoch   uint64
-		Through uint64
-		Mark    Watermark
-		Index   int
-		Last    bool
-		Entries []Entry // sequences rise, over all chunks
+	SnapshotChunk struct {
+		Stream    Stream
+		Epoch     uint64
+		Through   uint64
+		Watermark Watermark
+		Index     int
+		Last      bool
+		Entries   []Entry // sequences rise, over all chunks
 	}
 	// Heartbeat says that the distributor lives, and how complete who has all is.
 	Heartbeat struct {
-		Stream Stream
-		Epoch  uint64
-		Mark   Watermark
+		Stream    Stream
+		Epoch     uint64
+		Watermark Watermark
 	}
 	// Refused ends a subscription, or lets none begin. The distributor is left alone for RetryAfter ms.
-	Refused struct {
+	Rejected struct {
 		Stream     Stream
-		Reason     Reason
+		Reason     RejectReason
 		RetryAfter int
 	}
 )
 
-func (Subscribe) message() {}
-func (Credit) message()    {}
-func (Leave) message()     {}
-func (Batch) message()     {}
-func (Chunk) message()     {}
-func (Heartbeat) message() {}
-func (Refused) message()   {}
+func (Subscribe) message()     {}
+func (Credit) message()        {}
+func (Unsubscribe) message()   {}
+func (Batch) message()         {}
+func (SnapshotChunk) message() {}
+func (Heartbeat) message()     {}
+func (Rejected) message()      {}
 
 // Reason is why a distributor refuses.
-type Reason uint8
+type RejectReason uint8
 
 // The reasons. Numbers are on the wire: new ones are added behind.
 const (
-	Full      Reason = iota + 1 // as many subscribers as its share allows
-	Busy                        // too many at once
-	OldEpoch                    // the subscriber has seen a later epoch
-	NotReady                    // it has nothing whole to give yet
-	Ending                      // it stops
-	WrongRank                   // the subscriber is not below it
+	RejectFull      RejectReason = iota + 1 // as many subscribers as its share allows
+	RejectBusy                              // too many at once
+	RejectOldEpoch                          // the subscriber has seen a later epoch
+	RejectNotReady                          // it has nothing whole to give yet
+	RejectShutdown                          // it stops
+	RejectWrongRank                         // the subscriber is not below it
 )
 
-var reasonNames = [...]string{"none", "full", "busy", "old epoch", "not ready", "ending", "wrong rank"}
+var rejectReasonNames = [...]string{"none", "full", "busy", "old epoch", "not ready", "ending", "wrong rank"}
 
 // String names the reason for logs.
-func (r Reason) String() string {
-	if int(r) >= len(reasonNames) {
+func (r RejectReason) String() string {
+	if int(r) >= len(rejectReasonNames) {
 		return "unknown"
 	}
-	return reasonNames[r]
+	return rejectReasonNames[r]
 }
 
 // Frame is a message in its encoding, made once and shared by all that it goes to. It is never changed.
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -190,7 +190,7 @@
 	leftBehind(w)
 	var kept []distribution.Message
 	for _, m := range w.wires[w.wireFrom(atLeft)].down {
-		if _, isChunk := m.(distribution.Chunk); isChunk {
+		if _, isChunk := m.(distribution.SnapshotChunk); isChunk {
 			kept = append(kept, m)
 		}
 	}
--- a/internal/decide/distribution/mutation_test.go
+++ b/internal/decide/distribution/mutation_test.go
@@ -9,7 +9,7 @@
 	onEvent       func(s *distribution.Subscriber, e distribution.Event) distribution.Event
 	onAfter       func(s *distribution.Subscriber)
 	onAction      func(s *distribution.Subscriber, a distribution.Action) distribution.Action
-	onGuard       func(g distribution.GuardState) distribution.GuardState
+	onGuard       func(g distribution.Freshness) distribution.Freshness
 	onDistributor func(d *distribution.Distributor)
 	onSent        func(w *world, m distribution.Message) distribution.Message
 }
@@ -34,7 +34,7 @@
 	return m.onAction(s, a)
 }
 
-func (m mutation) guard(g distribution.GuardState) distribution.GuardState {
+func (m mutation) guard(g distribution.Freshness) distribution.Freshness {
 	if m.onGuard == nil {
 		return g
 	}
@@ -67,16 +67,16 @@
 // What could be wrong. Each must be caught by one of the runs.
 var mutations = []mutation{
 	{name: "a gap is taken for the next", run: "loss", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, b, ok := batchIn(s, e); ok && b.After > s.Applied() {
-			b.After = s.Applied()
+		if r, b, ok := batchIn(s, e); ok && b.After > s.AppliedSequence() {
+			b.After = s.AppliedSequence()
 			r.Message = b
 			return r
 		}
 		return e
 	}},
 	{name: "a duplicate is taken in again", run: "loss", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.Applied() {
-			s.Rewind(b.After)
+		if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
+			s.RewindTo(b.After)
 		}
 		return e
 	}},
@@ -90,32 +90,32 @@
 	}},
 	{name: "an old epoch is heard again", run: "old chunks", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.Chunk); isChunk {
-				s.Unseen(c.Epoch)
+			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
+				s.ForgetHigherEpochs(c.Epoch)
 			}
 		}
 		return e
 	}},
-	{name: "a watermark holds before its sequence is here", run: "loss", onAfter: func(s *distribution.Subscriber) { s.Believe() }},
+	{name: "a watermark holds before its sequence is here", run: "loss", onAfter: func(s *distribution.Subscriber) { s.TrustPendingWatermark() }},
 	{name: "a batch claims its own end, with holes that later ones cover", run: "loss", onSent: func(w *world, m distribution.Message) distribution.Message {
 		if b, ok := m.(distribution.Batch); ok {
-			b.Mark.Sequence = b.Through
+			b.Watermark.Sequence = b.Through
 			return b
 		}
 		return m
 	}},
 	{name: "a relay passes on its own end as complete", run: "loss", onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
 		if x, ok := a.(distribution.Apply); ok {
-			x.Mark.Sequence = x.Through
+			x.Watermark.Sequence = x.Through
 			return x
 		}
 		return a
 	}},
 	{name: "the newest purge does not carry what it covers", run: "crash", onSent: func(w *world, m distribution.Message) distribution.Message {
-		if c, ok := m.(distribution.Chunk); ok {
+		if c, ok := m.(distribution.SnapshotChunk); ok {
 			for i, e := range c.Entries {
 				if e.Name == script[2].Name && e.Sequence > 4 { // made before the one that it covers
-					c.Entries[i].Made = script[2].Made + int64(w.epoch)*1000
+					c.Entries[i].EffectiveAt = script[2].EffectiveAt + int64(w.epoch)*1000
 				}
 			}
 		}
@@ -124,7 +124,7 @@
 	{name: "a group's purge covers what ends later", run: "loss", onSent: func(w *world, m distribution.Message) distribution.Message {
 		b, ok := m.(distribution.Batch)
 		for i, e := range b.Entries {
-			if ok && e.Name == "y" && e.Until < 20_000 {
+			if ok && e.Name == "y" && e.ExpiresAt < 20_000 {
 				b.Entries = append(b.Entries[:i:i], b.Entries[i+1:]...)
 				return b
 			}
@@ -133,8 +133,8 @@
 	}},
 	{name: "a lost chunk is not missed", run: "epoch", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.Chunk); isChunk {
-				c.Index = s.GatherIndex()
+			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
+				c.Index = s.NextChunk()
 				r.Message = c
 				return r
 			}
@@ -142,7 +142,7 @@
 		return e
 	}},
 	{name: "a snapshot ends a chunk early", run: "loss", onSent: func(w *world, m distribution.Message) distribution.Message {
-		if c, ok := m.(distribution.Chunk); ok && c.Index == 0 {
+		if c, ok := m.(distribution.SnapshotChunk); ok && c.Index == 0 {
 			c.Last = true
 			return c
 		}
@@ -150,14 +150,14 @@
 	}},
 	{name: "a snapshot of the past is put in force", run: "old", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.Chunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.Applied() {
-				s.Rewind(c.Through)
+			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.AppliedSequence() {
+				s.RewindTo(c.Through)
 			}
 		}
 		return e
 	}},
 	{name: "a subscriber resumes behind what it has not got", run: "loss", onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
-		if x, ok := a.(distribution.Say); ok {
+		if x, ok := a.(distribution.SendMessage); ok {
 			if m, isSubscribe := x.Message.(distribution.Subscribe); isSubscribe && m.From.Epoch != 0 {
 				m.From.Sequence += 2
 				x.Message = m
@@ -168,21 +168,21 @@
 	}},
 	{name: "a relay gives out its own time as the store's", run: "loss", onSent: func(w *world, m distribution.Message) distribution.Message {
 		if h, ok := m.(distribution.Heartbeat); ok {
-			h.Mark.At = int64(w.now)
+			h.Watermark.At = int64(w.now)
 			return h
 		}
 		return m
 	}},
-	{name: "credit is not counted", run: "crash", onDistributor: func(d *distribution.Distributor) { d.Lavish() }},
-	{name: "the backlog is not trimmed", run: "loss", onDistributor: func(d *distribution.Distributor) { d.Unlimited() }},
-	{name: "who is behind the backlog gets only its tail", run: "cut", onDistributor: func(d *distribution.Distributor) { d.Boastful() }},
-	{name: "the bound is only looked at by Ticks", run: "asleep", onGuard: func(g distribution.GuardState) distribution.GuardState {
+	{name: "credit is not counted", run: "crash", onDistributor: func(d *distribution.Distributor) { d.ResetCredits() }},
+	{name: "the backlog is not trimmed", run: "loss", onDistributor: func(d *distribution.Distributor) { d.UnlimitBacklog() }},
+	{name: "who is behind the backlog gets only its tail", run: "cut", onDistributor: func(d *distribution.Distributor) { d.PretendFullBacklog() }},
+	{name: "the bound is only looked at by Ticks", run: "asleep", onGuard: func(g distribution.Freshness) distribution.Freshness {
 		g.FreshUntil = 1e18
 		return g
 	}},
-	{name: "the oldest copy is raised to some time before the watermark", run: "asleep", onGuard: func(g distribution.GuardState) distribution.GuardState {
-		g.Oldest -= 500
-		g.Watermark -= 500
+	{name: "the oldest copy is raised to some time before the watermark", run: "asleep", onGuard: func(g distribution.Freshness) distribution.Freshness {
+		g.OldestCopy -= 500
+		g.WatermarkTime -= 500
 		return g
 	}},
 }
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -24,7 +24,7 @@
 		}
 		chosen := map[string]distribution.Peer{}
 		for _, p := range peers {
-			order := distribution.Order(p, peers)
+			order := distribution.RankParents(p, peers)
 			if p.Rank > 0 {
 				require.NotEmpty(t, order)
 				chosen[p.Name] = rapid.SampledFrom(order).Draw(t, "chosen")
@@ -44,8 +44,8 @@
 
 // A distributor refuses who is not below it, whatever its candidates said.
 func TestRankIsCheckedByWhoIsAsked(t *testing.T) {
-	d := distribution.NewDistributor(distribution.Defaults(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
-	d.Handle(0, distribution.Replace{Epoch: 1, Through: 1, Mark: distribution.Watermark{Sequence: 1, At: 1}})
+	d := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
+	d.Handle(0, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: 1}})
 	for rank, taken := range map[int]int{1: 0, 2: 0, 3: 1} {
 		d.Handle(1, distribution.Received{Link: distribution.Link(rank), Message: distribution.Subscribe{Stream: distribution.Purges, Name: fmt.Sprint(rank), Rank: rank, Credit: 1000}})
 		if rank == 3 {
@@ -67,7 +67,7 @@
 		{Name: "beside", Rank: 3, Region: "r", Zone: "z", Site: "s"},
 	}
 	var order []string
-	for _, p := range distribution.Order(self, peers) {
+	for _, p := range distribution.RankParents(self, peers) {
 		order = append(order, p.Name)
 	}
 	require.Equal(t, []string{"site", "zone", "next zone", "region", "store", "far"}, order)
@@ -82,7 +82,7 @@
 	moved, had := map[string]int{}, 0
 	for i := range 600 {
 		self := distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"}
-		before, after := distribution.Order(self, peers)[0], distribution.Order(self, peers[1:])[0]
+		before, after := distribution.RankParents(self, peers)[0], distribution.RankParents(self, peers[1:])[0]
 		if before.Name == "d0" {
 			had++
 			moved[after.Name]++
--- a/internal/decide/distribution/routing_table.go
+++ b/internal/decide/distribution/routing_table.go
@@ -7,92 +7,92 @@
 )
 
 // key is what an entry is about: a later one of the same key takes the place of an earlier one.
-type key struct {
+type factKey struct {
 	kind  Kind
 	name  string
 	group int64
 }
 
-func keyOf(e Entry) key {
+func factKeyOf(e Entry) factKey {
 	switch e.Kind {
 	case PurgeGroup:
-		return key{kind: PurgeGroup, group: e.Group}
+		return factKey{kind: PurgeGroup, group: e.Group}
 	case DrainEnded:
-		return key{kind: Drain, name: e.Name}
+		return factKey{kind: Drain, name: e.Name}
 	default:
-		return key{kind: e.Kind, name: e.Name}
+		return factKey{kind: e.Kind, name: e.Name}
 	}
 }
 
 // never is the Until of what ends by no time; on the wire and in entries it is 0.
-const never = 0
+const noExpiry = 0
 
 // outlasts tells whether one that ends at until holds at least as long as one that ends at other.
 func outlasts(until, other int64) bool {
-	return until == never || other != never && until >= other
+	return until == noExpiry || other != noExpiry && until >= other
 }
 
 // join is the entry that has the effect of both, for kinds in which an earlier one goes on to count.
-func join(earlier, later Entry) Entry {
+func joinEntries(earlier, later Entry) Entry {
 	switch later.Kind {
 	case PurgeObject, PurgeGroup:
-		later.Made = max(later.Made, earlier.Made)
-		if outlasts(earlier.Until, later.Until) {
-			later.Until = earlier.Until
+		later.EffectiveAt = max(later.EffectiveAt, earlier.EffectiveAt)
+		if outlasts(earlier.ExpiresAt, later.ExpiresAt) {
+			later.ExpiresAt = earlier.ExpiresAt
 		}
 	case Drain: // counted from when it began
-		later.Made = min(later.Made, earlier.Made)
+		later.EffectiveAt = min(later.EffectiveAt, earlier.EffectiveAt)
 	}
 	return later
 }
 
 // table is all that holds at a place of the stream: by key the one entry that has the effect of all before.
-type table struct {
-	held   map[key]Entry
-	groups map[int64]map[string]struct{} // objects held whose group is known
-	ends   ends
-	bytes  int
+type factTable struct {
+	entries        map[factKey]Entry
+	objectsByGroup map[int64]map[string]struct{} // objects held whose group is known
+	expiries       expiryHeap
+	bytes          int
 }
 
-func newTable() *table {
-	return &table{held: map[key]Entry{}, groups: map[int64]map[string]struct{}{}}
+func newFactTable() *factTable {
+	return &factTable{entries: map[factKey]Entry{}, objectsByGroup: map[int64]map[string]struct{}{}}
 }
 
 // add takes an entry in. It returns it joined with what it covers, and the sequences that it covers.
-func (t *table) add(e Entry) (Entry, []uint64) {
+func (t *factTable) add(e Entry) (Entry, []uint64) {
 	var covered []uint64
-	k := keyOf(e)
-	if old, known := t.held[k]; known {
-		e = join(old, e)
+	k := factKeyOf(e)
+	if old, known := t.entries[k]; known {
+		e = joinEntries(old, e)
 		covered = append(covered, old.Sequence)
 		t.remove(k)
 	}
 	if e.Kind == PurgeGroup {
-		covered = append(covered, t.cover(e)...)
+		covered = append(covered, t.coverObjects(e)...)
 	}
 	if e.Kind == DrainEnded {
 		return e, covered
 	}
-	t.held[k] = e
+	t.entries[k] = e
 	t.bytes += EncodedSize(e)
-	if e.Kind == PurgeObject && e.Grouped {
-		if t.groups[e.Group] == nil {
-			t.groups[e.Group] = map[string]struct{}{}
+	if e.Kind == PurgeObject && e.GroupKnown {
+		if t.objectsByGroup[e.Group] == nil {
+			t.objectsByGroup[e.Group] = map[string]struct{}{}
 		}
-		t.groups[e.Group][e.Name] = struct{}{}
+		t.objectsByGroup[e.Group][e.Name] = struct{}{}
 	}
-	if e.Until != never {
-		heap.Push(&t.ends, end{until: e.Until, key: k, sequence: e.Sequence})
+	if e.ExpiresAt != noExpiry {
+		heap.Push(&t.expiries, expiry{expiresAt: e.ExpiresAt, key: k, sequence: e.Sequence})
 	}
 	return e, covered
 }
 
 // cover removes the purges of a group's objects that say no more than the group's.
-func (t *table) cover(group Entry) []uint64 {
+func (t *factTable) coverObjects(group Entry) []uint64 {
 	var covered []uint64
-	for name := range t.groups[group.Group] {
-		k := key{kind: PurgeObject, name: name}
-		if o := t.held[k]; o.Made <= group.Made && outlasts(group.Until, o.Until) {
+	for name := range t.objectsByGroup[group.Group] {
+		k := factKey{kind: PurgeObject, name: name}
+		if o := t.entries[k]; o.EffectiveAt <= group.EffectiveAt && outlasts(group.ExpiresAt, o.ExpiresAt) {
 			covered = append(covered, o.Sequence)
 			t.remove(k)
 		}
@@ -102,63 +102,63 @@
 }
 
 // covers tells whether a purge says nothing that is not held.
-func (t *table) covers(e Entry) bool {
-	if held, known := t.held[keyOf(e)]; known && held.Made >= e.Made && outlasts(held.Until, e.Until) {
+func (t *factTable) covers(e Entry) bool {
+	if held, known := t.entries[factKeyOf(e)]; known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt) {
 		return true
 	}
-	if e.Kind != PurgeObject || !e.Grouped {
+	if e.Kind != PurgeObject || !e.GroupKnown {
 		return false
 	}
-	held, known := t.held[key{kind: PurgeGroup, group: e.Group}]
-	return known && held.Made >= e.Made && outlasts(held.Until, e.Until)
+	held, known := t.entries[factKey{kind: PurgeGroup, group: e.Group}]
+	return known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt)
 }
 
-func (t *table) remove(k key) {
-	e := t.held[k]
+func (t *factTable) remove(k factKey) {
+	e := t.entries[k]
 	t.bytes -= EncodedSize(e)
-	delete(t.held, k)
-	if e.Kind == PurgeObject && e.Grouped {
-		delete(t.groups[e.Group], e.Name)
-		if len(t.groups[e.Group]) == 0 {
-			delete(t.groups, e.Group)
+	delete(t.entries, k)
+	if e.Kind == PurgeObject && e.GroupKnown {
+		delete(t.objectsByGroup[e.Group], e.Name)
+		if len(t.objectsByGroup[e.Group]) == 0 {
+			delete(t.objectsByGroup, e.Group)
 		}
 	}
 }
 
 // expire removes what ended by a time, and returns the sequences.
-func (t *table) expire(at int64) []uint64 {
+func (t *factTable) expire(at int64) []uint64 {
 	var gone []uint64
-	for len(t.ends) > 0 && t.ends[0].until <= at {
-		x := heap.Pop(&t.ends).(end)
-		if e, held := t.held[x.key]; held && e.Sequence == x.sequence {
+	for len(t.expiries) > 0 && t.expiries[0].expiresAt <= at {
+		x := heap.Pop(&t.expiries).(expiry)
+		if e, held := t.entries[x.key]; held && e.Sequence == x.sequence {
 			t.remove(x.key)
 			gone = append(gone, x.sequence)
 		}
 	}
-	if len(t.ends) > 2*len(t.held)+idleEnds {
-		t.tidy()
+	if len(t.expiries) > 2*len(t.entries)+maxStaleExpiries {
+		t.dropStaleExpiries()
 	}
 	return gone
 }
 
 // idleEnds are kept of what was covered before its time, before they are looked through: fewer cost more looks.
-const idleEnds = 1024
+const maxStaleExpiries = 1024
 
-func (t *table) tidy() {
-	kept := t.ends[:0]
-	for _, x := range t.ends {
-		if e, held := t.held[x.key]; held && e.Sequence == x.sequence {
+func (t *factTable) dropStaleExpiries() {
+	kept := t.expiries[:0]
+	for _, x := range t.expiries {
+		if e, held := t.entries[x.key]; held && e.Sequence == x.sequence {
 			kept = append(kept, x)
 		}
 	}
-	t.ends = kept
-	heap.Init(&t.ends)
+	t.expiries = kept
+	heap.Init(&t.expiries)
 }
 
 // all is what holds, in the order of sequences.
-func (t *table) all() []Entry {
-	entries := make([]Entry, 0, len(t.held))
-	for _, e := range t.held {
+func (t *factTable) sorted() []Entry {
+	entries := make([]Entry, 0, len(t.entries))
+	for _, e := range t.entries {
 		entries = append(entries, e)
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
@@ -166,24 +166,24 @@
 }
 
 // end is when an entry ends, if it is still held by then.
-type end struct {
-	until    int64
-	key      key
-	sequence uint64
+type expiry struct {
+	expiresAt int64
+	key       factKey
+	sequence  uint64
 }
 
 // ends is a heap, the earliest first.
-type ends []end
+type expiryHeap []expiry
 
-func (h ends) Len() int           { return len(h) }
-func (h ends) Less(i, j int) bool { return h[i].until < h[j].until }
-func (h ends) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *ends) Push(x any) { *h = append(*h, x.(end)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
 
 // Pop implements heap.Interface.
-func (h *ends) Pop() any {
+func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/decide/distribution/settings.go
+++ b/internal/decide/distribution/settings.go
@@ -10,48 +10,48 @@
 
 	// HeartbeatEvery is between two watermarks where nothing else is sent. Shorter is known sooner, and costs some 20
 	// bytes each.
-	HeartbeatEvery float64
+	HeartbeatInterval float64
 	// SilentFor: a distributor that says nothing for so long is left; one that is heard but does not get on, too.
-	SilentFor float64
+	SilenceTimeout float64
 	// ConnectFor is how long a link may take to open and to be answered on.
-	ConnectFor float64
+	ConnectTimeout float64
 	// AliveEvery: a subscriber says that it lives; after three of them without a word its distributor forgets it.
-	AliveEvery float64
+	KeepaliveInterval float64
 
 	// FailoverOver is the span over which the subscribers of a distributor that is gone are drawn.
-	FailoverOver float64
+	FailoverSpread float64
 	// RetryFrom and RetryMost bound the doubling pause after all candidates were tried in vain.
-	RetryFrom, RetryMost float64
+	MinBackoff, MaxBackoff float64
 	// ReturnEvery is the mean between two tries to get nearer, where a nearer distributor is known.
-	ReturnEvery float64
+	CloserParentInterval float64
 
 	// Credit is what may be under way to one subscriber. A frame is never larger than half of it.
 	Credit int
 	// MostFrame bounds the entries of a batch or chunk; an entry that is larger goes alone.
-	MostFrame int
+	MaxFrame int
 	// MostEntry bounds one entry: larger ones are the store's to refuse.
-	MostEntry int
+	MaxEntry int
 	// MostSnapshot bounds what a subscriber gathers before it puts it in force.
-	MostSnapshot int
+	MaxSnapshot int
 	// BacklogEntries and BacklogBytes bound what a distributor keeps to resume from; who is further back gets a snapshot.
-	BacklogEntries, BacklogBytes int
+	MaxBacklogEntries, MaxBacklogBytes int
 
 	// LoadBound is the c of bounded load: a distributor takes up to c times its even share.
-	LoadBound float64
+	LoadFactor float64
 	// MostSubscribers is the bound while no Demand was told, and above any share.
-	MostSubscribers int
+	MaxSubscribers int
 	// AdmitPerSecond and AdmitBurst bound subscriptions that begin; beyond, RetryAfter spreads them.
 	AdmitPerSecond, AdmitBurst float64
 
 	// Bound is how far a process may be behind before its strict classes are held, and ClockBound how far two clocks may
 	// be apart: it is added to what is measured.
-	Bound, ClockBound float64
+	MaxLag, MaxClockSkew float64
 	// EaseOver is the span over which processes that are no longer behind end being strict.
-	EaseOver float64
+	RelaxSpread float64
 	// Classes says what each class of requests does past the bound. One that is not named continues.
 	Classes map[string]Policy
 	// ShieldShare of the requests that need it, and at most ShieldPerSecond, go to the origin past the bound.
-	ShieldShare, ShieldPerSecond float64
+	OriginFraction, OriginPerSecond float64
 }
 
 // Policy is what a class does in a process that may be too far behind.
@@ -59,27 +59,27 @@
 
 // The policies.
 const (
-	Continue Policy = iota // serve, and count
-	Strict                 // nothing older than the watermark
+	PolicyServeStale Policy = iota // serve, and count
+	PolicyStrict                   // nothing older than the watermark
 )
 
 // Defaults are for 17,000 processes in 73 zones, 87 purges a second, in force everywhere within 6.8 s.
-func Defaults(stream Stream, self Peer) Settings {
+func DefaultSettings(stream Stream, self Peer) Settings {
 	return Settings{
 		Stream: stream, Self: self,
-		HeartbeatEvery: 500,  // 40 bytes a second; with three levels a watermark is some 1.5 s old at worst
-		SilentFor:      1800, // three heartbeats lost; with FailoverOver and ConnectFor within 6.8 s
-		ConnectFor:     1000,
-		AliveEvery:     5000,
-		FailoverOver:   2000, // 75 processes of a dead distributor: 38 a second over its neighbours
-		RetryFrom:      500, RetryMost: 8000,
-		ReturnEvery: 60_000,
-		Credit:      256 << 10, MostFrame: 32 << 10, MostEntry: 96 << 10, MostSnapshot: 64 << 20,
-		BacklogEntries: 1 << 14, BacklogBytes: 4 << 20, // three minutes of purges
-		LoadBound: 1.25, MostSubscribers: 512,
+		HeartbeatInterval: 500,  // 40 bytes a second; with three levels a watermark is some 1.5 s old at worst
+		SilenceTimeout:    1800, // three heartbeats lost; with FailoverOver and ConnectFor within 6.8 s
+		ConnectTimeout:    1000,
+		KeepaliveInterval: 5000,
+		FailoverSpread:    2000, // 75 processes of a dead distributor: 38 a second over its neighbours
+		MinBackoff:        500, MaxBackoff: 8000,
+		CloserParentInterval: 60_000,
+		Credit:               256 << 10, MaxFrame: 32 << 10, MaxEntry: 96 << 10, MaxSnapshot: 64 << 20,
+		MaxBacklogEntries: 1 << 14, MaxBacklogBytes: 4 << 20, // three minutes of purges
+		LoadFactor: 1.25, MaxSubscribers: 512,
 		AdmitPerSecond: 50, AdmitBurst: 50,
-		Bound: 6800, ClockBound: 250,
-		EaseOver:    10_000,
-		ShieldShare: 0.05, ShieldPerSecond: 20,
+		MaxLag: 6800, MaxClockSkew: 250,
+		RelaxSpread:    10_000,
+		OriginFraction: 0.05, OriginPerSecond: 20,
 	}
 }
--- a/internal/decide/distribution/steps_test.go
+++ b/internal/decide/distribution/steps_test.go
@@ -42,7 +42,7 @@
 	w.now = max(w.now, math.Ceil(next))
 	if w.now >= w.told+500 {
 		w.told = w.now
-		w.below(atRoot, distribution.Advance{Epoch: w.epoch, Mark: w.top()})
+		w.below(atRoot, distribution.AdvanceWatermark{Epoch: w.epoch, Watermark: w.top()})
 	}
 	for i := range processes {
 		if w.stopped[i] || w.seen[i] == nil {
@@ -69,7 +69,7 @@
 // settled tells whether everybody has all that was committed.
 func (w *world) settled() bool {
 	for i := range processes {
-		if w.subs[i] != nil && w.seen[i].CaughtUp(int64(w.now)) != nil {
+		if w.subs[i] != nil && w.seen[i].CheckComplete(int64(w.now)) != nil {
 			return false
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	for i := range processes {
 		if w.subs[i] != nil {
-			if err := w.seen[i].CaughtUp(int64(w.now)); err != nil {
+			if err := w.seen[i].CheckComplete(int64(w.now)); err != nil {
 				return err
 			}
 		}
--- a/internal/decide/distribution/stream_test.go
+++ b/internal/decide/distribution/stream_test.go
@@ -18,16 +18,16 @@
 		name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name")
 		made := rapid.Int64Range(100, 200).Draw(t, "made")
 		until := rapid.SampledFrom([]int64{0, 13_000, 20_000, 90_000}).Draw(t, "until")
-		e := distribution.Entry{Kind: distribution.PurgeObject, Name: name, Group: int64(name[0]) % 2, Grouped: name != "z", Made: made, Until: until}
+		e := distribution.Entry{Kind: distribution.PurgeObject, Name: name, Group: int64(name[0]) % 2, GroupKnown: name != "z", EffectiveAt: made, ExpiresAt: until}
 		switch {
 		case stream == distribution.Configuration:
 			kind := rapid.SampledFrom([]distribution.Kind{distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind")
-			e = distribution.Entry{Kind: kind, Name: name, Made: made}
+			e = distribution.Entry{Kind: kind, Name: name, EffectiveAt: made}
 			if kind == distribution.Revision || kind == distribution.List {
-				e.Number, e.Body = uint64(i+1), []byte(name)
+				e.Version, e.Body = uint64(i+1), []byte(name)
 			}
 		case rapid.IntRange(0, 3).Draw(t, "group") == 0:
-			e = distribution.Entry{Kind: distribution.PurgeGroup, Group: rapid.Int64Range(0, 1).Draw(t, "which"), Made: made, Until: until}
+			e = distribution.Entry{Kind: distribution.PurgeGroup, Group: rapid.Int64Range(0, 1).Draw(t, "which"), EffectiveAt: made, ExpiresAt: until}
 		}
 		all = append(all, e)
 	}
@@ -61,7 +61,7 @@
 	have    bool
 	at      distribution.Position
 	seen    uint64
-	chunks  []distribution.Chunk
+	chunks  []distribution.SnapshotChunk
 	fenced  bool
 	entries map[uint64]int // of the epoch, how often each was put in force
 }
@@ -79,7 +79,7 @@
 		}
 	case distribution.Heartbeat:
 		n.hear(m.Epoch)
-	case distribution.Chunk:
+	case distribution.SnapshotChunk:
 		n.hear(m.Epoch)
 		n.chunk(m)
 	}
@@ -90,7 +90,7 @@
 	n.seen = max(n.seen, epoch)
 }
 
-func (n *naive) chunk(m distribution.Chunk) {
+func (n *naive) chunk(m distribution.SnapshotChunk) {
 	switch {
 	case n.fenced:
 		return
@@ -99,7 +99,7 @@
 		return
 	case m.Index == 0:
 		n.chunks = nil
-	case len(n.chunks) != m.Index || n.chunks[0].Epoch != m.Epoch || n.chunks[0].Through != m.Through || n.chunks[0].Mark != m.Mark:
+	case len(n.chunks) != m.Index || n.chunks[0].Epoch != m.Epoch || n.chunks[0].Through != m.Through || n.chunks[0].Watermark != m.Watermark:
 		n.chunks = nil
 		return
 	}
@@ -124,11 +124,11 @@
 	mark := distribution.Watermark{Sequence: through, At: int64(through) * 100}
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0:
-		return distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Mark: mark}
+		return distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: mark}
 	case 1:
 		index := rapid.IntRange(0, 1).Draw(t, "index")
 		half := through / 2
-		c := distribution.Chunk{Stream: distribution.Purges, Epoch: epoch, Through: through, Mark: mark, Index: index, Last: index == 1}
+		c := distribution.SnapshotChunk{Stream: distribution.Purges, Epoch: epoch, Through: through, Watermark: mark, Index: index, Last: index == 1}
 		if index == 0 {
 			c.Entries = trueEntries(epoch, 0, half)
 		} else {
@@ -137,14 +137,14 @@
 		return c
 	default:
 		after := rapid.Uint64Range(0, through).Draw(t, "after")
-		return distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Mark: mark, Entries: trueEntries(epoch, after, through)}
+		return distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: trueEntries(epoch, after, through)}
 	}
 }
 
 func trueEntries(epoch, after, through uint64) []distribution.Entry {
 	var entries []distribution.Entry
 	for s := after + 1; s <= through; s++ {
-		entries = append(entries, distribution.Entry{Sequence: s, Kind: distribution.PurgeObject, Name: fmt.Sprint(epoch, "/", s), Made: 1})
+		entries = append(entries, distribution.Entry{Sequence: s, Kind: distribution.PurgeObject, Name: fmt.Sprint(epoch, "/", s), EffectiveAt: 1})
 	}
 	return entries
 }
@@ -170,11 +170,11 @@
 					link = c.Link
 				}
 			}
-			require.NoError(t, seen.Claims(s.Watermark()))
+			require.NoError(t, seen.CheckWatermark(s.Watermark()))
 		}
 		handle(distribution.Candidates{Peers: peers})
 		for range rapid.IntRange(1, 60).Draw(t, "messages") {
-			for !s.Linked() { // a link at all times, whatever made it leave the last
+			for !s.AcceptsMessages() { // a link at all times, whatever made it leave the last
 				plain.chunks = nil // what was under way is void with the link
 				now += 50
 				handle(distribution.Tick{})
@@ -184,7 +184,7 @@
 			plain.take(m)
 			handle(distribution.Received{Link: link, Message: m, Bytes: 10})
 			taken++
-			if s.GatherIndex() == 0 {
+			if s.NextChunk() == 0 {
 				plain.chunks = nil
 			}
 			require.Equal(t, plain.at, s.Position())
--- a/internal/decide/distribution/wire.go
+++ b/internal/decide/distribution/wire.go
@@ -28,10 +28,10 @@
 )
 
 // mostCount bounds what a count may say before its bytes were read, so that a few bytes reserve no memory.
-const mostCount = 1 << 20
+const maxEntryCount = 1 << 20
 
 // ErrForm is wrapped by every error of Decode.
-var ErrForm = errors.New("distribution: not a message of this version")
+var ErrMalformed = errors.New("distribution: not a message of this version")
 
 // Encode makes a frame of a message. What has no meaning on the wire (an unknown type) makes none: nil.
 func Encode(m Message) *Frame {
@@ -40,33 +40,33 @@
 	case Subscribe:
 		b = append(b, wireSubscribe, byte(m.Stream))
 		b = appendText(b, m.Name)
-		b = appendNumbers(b, uint64(m.Rank), m.From.Epoch, m.From.Sequence, uint64(m.Credit), m.Taken)
+		b = appendNumbers(b, uint64(m.Rank), m.From.Epoch, m.From.Sequence, uint64(m.Credit), m.ReceivedBytes)
 	case Credit:
 		b = appendNumbers(append(b, wireCredit, byte(m.Stream)), uint64(m.Bytes))
-	case Leave:
+	case Unsubscribe:
 		b = append(b, wireLeave, byte(m.Stream))
 	case Batch:
 		b = make([]byte, 0, frameOverhead+sizeOf(m.Entries))
 		kind := byte(wireBatch)
-		if m.Whole {
+		if m.Atomic {
 			kind = wireWhole
 		}
 		b = appendNumbers(append(b, kind, byte(m.Stream)), m.Epoch, m.After, m.Through-m.After)
-		b = appendMark(b, m.Mark)
-		b = appendEntries(b, m.After, m.Mark.At, m.Entries)
-	case Chunk:
+		b = appendMark(b, m.Watermark)
+		b = appendEntries(b, m.After, m.Watermark.At, m.Entries)
+	case SnapshotChunk:
 		last := uint64(0)
 		if m.Last {
 			last = 1
 		}
 		b = make([]byte, 0, frameOverhead+sizeOf(m.Entries))
 		b = appendNumbers(append(b, wireChunk, byte(m.Stream)), m.Epoch, m.Through, uint64(m.Index)<<1|last)
-		b = appendMark(b, m.Mark)
-		b = appendEntries(b, 0, m.Mark.At, m.Entries)
+		b = appendMark(b, m.Watermark)
+		b = appendEntries(b, 0, m.Watermark.At, m.Entries)
 	case Heartbeat:
 		b = appendNumbers(append(b, wireHeartbeat, byte(m.Stream)), m.Epoch)
-		b = appendMark(b, m.Mark)
-	case Refused:
+		b = appendMark(b, m.Watermark)
+	case Rejected:
 		b = append(b, wireRefused, byte(m.Stream), byte(m.Reason))
 		b = appendNumbers(b, uint64(m.RetryAfter))
 	default:
@@ -99,15 +99,15 @@
 		b = binary.AppendUvarint(b, e.Sequence-after)
 		after = e.Sequence
 		b = appendText(b, e.Name)
-		b = binary.AppendVarint(b, at-e.Made)
-		if named(e.Kind, e.Grouped) {
+		b = binary.AppendVarint(b, at-e.EffectiveAt)
+		if carriesGroup(e.Kind, e.GroupKnown) {
 			b = binary.AppendVarint(b, e.Group)
 		}
-		if e.Until != 0 {
-			b = binary.AppendVarint(b, e.Until-e.Made)
+		if e.ExpiresAt != 0 {
+			b = binary.AppendVarint(b, e.ExpiresAt-e.EffectiveAt)
 		}
-		if e.Number != 0 {
-			b = binary.AppendUvarint(b, e.Number)
+		if e.Version != 0 {
+			b = binary.AppendUvarint(b, e.Version)
 		}
 		if len(e.Body) != 0 {
 			b = append(binary.AppendUvarint(b, uint64(len(e.Body))), e.Body...)
@@ -117,17 +117,17 @@
 }
 
 // named tells whether an entry of a kind has a group with it.
-func named(k Kind, grouped bool) bool { return grouped || k == PurgeGroup }
+func carriesGroup(k Kind, grouped bool) bool { return grouped || k == PurgeGroup }
 
 func firstByte(e Entry) byte {
 	first := byte(e.Kind) & kindBits
-	if e.Grouped {
+	if e.GroupKnown {
 		first |= hasGroup
 	}
-	if e.Until != 0 {
+	if e.ExpiresAt != 0 {
 		first |= hasUntil
 	}
-	if e.Number != 0 {
+	if e.Version != 0 {
 		first |= hasNumber
 	}
 	if len(e.Body) != 0 {
@@ -150,13 +150,13 @@
 // EncodedSize is what an entry takes in a batch or chunk, at most.
 func EncodedSize(e Entry) int {
 	size := 1 + sizeSequence + sizeLength(len(e.Name)) + len(e.Name) + sizeTime
-	if named(e.Kind, e.Grouped) {
+	if carriesGroup(e.Kind, e.GroupKnown) {
 		size += sizeOfVarint(e.Group)
 	}
-	if e.Until != 0 {
+	if e.ExpiresAt != 0 {
 		size += sizeTime
 	}
-	if e.Number != 0 {
+	if e.Version != 0 {
 		size += sizeNumber
 	}
 	if len(e.Body) != 0 {
@@ -187,31 +187,31 @@
 
 // reader takes a frame apart; after the first thing that does not fit, all that it reads is zero.
 type reader struct {
-	rest []byte
-	bad  bool
+	remaining []byte
+	failed    bool
 }
 
 func (r *reader) number() uint64 {
-	n, size := binary.Uvarint(r.rest)
+	n, size := binary.Uvarint(r.remaining)
 	if size <= 0 {
 		r.fail()
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.remaining = r.remaining[size:]
 	return n
 }
 
 func (r *reader) signed() int64 {
-	n, size := binary.Varint(r.rest)
+	n, size := binary.Varint(r.remaining)
 	if size <= 0 {
 		r.fail()
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.remaining = r.remaining[size:]
 	return n
 }
 
-func (r *reader) fail() { r.bad, r.rest = true, nil }
+func (r *reader) fail() { r.failed, r.remaining = true, nil }
 
 func (r *reader) small() int {
 	n := r.number()
@@ -223,41 +223,41 @@
 }
 
 func (r *reader) byte() byte {
-	if len(r.rest) == 0 {
+	if len(r.remaining) == 0 {
 		r.fail()
 		return 0
 	}
-	b := r.rest[0]
-	r.rest = r.rest[1:]
+	b := r.remaining[0]
+	r.remaining = r.remaining[1:]
 	return b
 }
 
 func (r *reader) bytes() []byte {
 	n := r.number()
-	if n > uint64(len(r.rest)) {
+	if n > uint64(len(r.remaining)) {
 		r.fail()
 		return nil
 	}
-	b := r.rest[:n:n]
-	r.rest = r.rest[n:]
+	b := r.remaining[:n:n]
+	r.remaining = r.remaining[n:]
 	return b
 }
 
-func (r *reader) mark() Watermark { return Watermark{Sequence: r.number(), At: r.signed()} }
+func (r *reader) watermark() Watermark { return Watermark{Sequence: r.number(), At: r.signed()} }
 
 func (r *reader) entries(after uint64, at int64) []Entry {
 	count := r.number()
-	if count > mostCount || count > uint64(len(r.rest)) { // an entry has more than a byte
+	if count > maxEntryCount || count > uint64(len(r.remaining)) { // an entry has more than a byte
 		r.fail()
 		return nil
 	}
 	if count == 0 {
 		return nil
 	}
-	entries := make([]Entry, 0, min(count, uint64(len(r.rest)/4+1)))
+	entries := make([]Entry, 0, min(count, uint64(len(r.remaining)/4+1)))
 	for range count {
 		e := r.entry(after, at)
-		if r.bad {
+		if r.failed {
 			return nil
 		}
 		after = e.Sequence
@@ -268,16 +268,16 @@
 
 func (r *reader) entry(after uint64, at int64) Entry {
 	first := r.byte()
-	e := Entry{Kind: Kind(first & kindBits), Sequence: after + r.number(), Name: string(r.bytes()), Made: at - r.signed()}
-	e.Grouped = first&hasGroup != 0
-	if named(e.Kind, e.Grouped) {
+	e := Entry{Kind: Kind(first & kindBits), Sequence: after + r.number(), Name: string(r.bytes()), EffectiveAt: at - r.signed()}
+	e.GroupKnown = first&hasGroup != 0
+	if carriesGroup(e.Kind, e.GroupKnown) {
 		e.Group = r.signed()
 	}
 	if first&hasUntil != 0 {
-		e.Until = e.Made + r.signed()
+		e.ExpiresAt = e.EffectiveAt + r.signed()
 	}
 	if first&hasNumber != 0 {
-		e.Number = r.number()
+		e.Version = r.number()
 	}
 	if first&hasBody != 0 {
 		e.Body = append([]byte(nil), r.bytes()...) // what stays for long does not hold the frame
@@ -287,39 +287,39 @@
 
 // Decode reads a frame. What it returns shares no memory with b.
 func Decode(b []byte) (Message, error) {
-	r := &reader{rest: b}
+	r := &reader{remaining: b}
 	kind, stream := r.byte(), Stream(r.byte())
 	var m Message
 	switch kind {
 	case wireSubscribe:
 		m = Subscribe{Stream: stream, Name: string(r.bytes()), Rank: r.small(),
-			From: Position{Epoch: r.number(), Sequence: r.number()}, Credit: r.small(), Taken: r.number()}
+			From: Position{Epoch: r.number(), Sequence: r.number()}, Credit: r.small(), ReceivedBytes: r.number()}
 	case wireCredit:
 		m = Credit{Stream: stream, Bytes: r.small()}
 	case wireLeave:
-		m = Leave{Stream: stream}
+		m = Unsubscribe{Stream: stream}
 	case wireBatch, wireWhole:
-		x := Batch{Stream: stream, Whole: kind == wireWhole, Epoch: r.number(), After: r.number()}
+		x := Batch{Stream: stream, Atomic: kind == wireWhole, Epoch: r.number(), After: r.number()}
 		x.Through = x.After + r.number()
-		x.Mark = r.mark()
-		x.Entries = r.entries(x.After, x.Mark.At)
+		x.Watermark = r.watermark()
+		x.Entries = r.entries(x.After, x.Watermark.At)
 		m = x
 	case wireChunk:
-		x := Chunk{Stream: stream, Epoch: r.number(), Through: r.number()}
+		x := SnapshotChunk{Stream: stream, Epoch: r.number(), Through: r.number()}
 		place := r.small()
 		x.Index, x.Last = place>>1, place&1 != 0
-		x.Mark = r.mark()
-		x.Entries = r.entries(0, x.Mark.At)
+		x.Watermark = r.watermark()
+		x.Entries = r.entries(0, x.Watermark.At)
 		m = x
 	case wireHeartbeat:
-		m = Heartbeat{Stream: stream, Epoch: r.number(), Mark: r.mark()}
+		m = Heartbeat{Stream: stream, Epoch: r.number(), Watermark: r.watermark()}
 	case wireRefused:
-		m = Refused{Stream: stream, Reason: Reason(r.byte()), RetryAfter: r.small()}
+		m = Rejected{Stream: stream, Reason: RejectReason(r.byte()), RetryAfter: r.small()}
 	default:
 		r.fail()
 	}
-	if r.bad || len(r.rest) != 0 {
-		return nil, fmt.Errorf("%w: kind %d, %d bytes", ErrForm, kind, len(b))
+	if r.failed || len(r.remaining) != 0 {
+		return nil, fmt.Errorf("%w: kind %d, %d bytes", ErrMalformed, kind, len(b))
 	}
 	return m, nil
 }
--- a/internal/decide/distribution/wire_test.go
+++ b/internal/decide/distribution/wire_test.go
@@ -15,20 +15,20 @@
 
 func drawEntry(t *rapid.T, sequence uint64) distribution.Entry {
 	e := distribution.Entry{
-		Sequence: sequence,
-		Kind:     rapid.SampledFrom([]distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup, distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind"),
-		Name:     rapid.StringN(0, 40, 80).Draw(t, "name"),
-		Made:     someDay - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
+		Sequence:    sequence,
+		Kind:        rapid.SampledFrom([]distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup, distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind"),
+		Name:        rapid.StringN(0, 40, 80).Draw(t, "name"),
+		EffectiveAt: someDay - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
 	}
 	if rapid.Bool().Draw(t, "ends") {
-		e.Until = e.Made + rapid.Int64Range(1, 86_400_000).Draw(t, "until")
+		e.ExpiresAt = e.EffectiveAt + rapid.Int64Range(1, 86_400_000).Draw(t, "until")
 	}
 	if e.Kind == distribution.PurgeGroup || rapid.Bool().Draw(t, "grouped") {
 		e.Group = rapid.Int64().Draw(t, "group")
-		e.Grouped = e.Kind != distribution.PurgeGroup
+		e.GroupKnown = e.Kind != distribution.PurgeGroup
 	}
 	if e.Kind == distribution.Revision || e.Kind == distribution.List {
-		e.Number = rapid.Uint64Range(1, 1<<40).Draw(t, "number")
+		e.Version = rapid.Uint64Range(1, 1<<40).Draw(t, "number")
 		e.Body = rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "body")
 	}
 	return e
@@ -51,13 +51,13 @@
 	entries := drawEntries(t, after)
 	through := after + 2000
 	return rapid.SampledFrom([]distribution.Message{
-		distribution.Subscribe{Stream: distribution.Purges, Name: "a name", Rank: 3, From: distribution.Position{Epoch: epoch, Sequence: after}, Credit: number, Taken: epoch},
+		distribution.Subscribe{Stream: distribution.Purges, Name: "a name", Rank: 3, From: distribution.Position{Epoch: epoch, Sequence: after}, Credit: number, ReceivedBytes: epoch},
 		distribution.Credit{Stream: distribution.Configuration, Bytes: number},
-		distribution.Leave{Stream: distribution.Purges},
-		distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Mark: mark, Entries: entries},
-		distribution.Chunk{Stream: distribution.Configuration, Epoch: epoch, Through: through, Mark: mark, Index: number / 2, Last: number%2 == 1, Entries: entries},
-		distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Mark: mark},
-		distribution.Refused{Stream: distribution.Purges, Reason: distribution.Full, RetryAfter: number},
+		distribution.Unsubscribe{Stream: distribution.Purges},
+		distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: entries},
+		distribution.SnapshotChunk{Stream: distribution.Configuration, Epoch: epoch, Through: through, Watermark: mark, Index: number / 2, Last: number%2 == 1, Entries: entries},
+		distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: mark},
+		distribution.Rejected{Stream: distribution.Purges, Reason: distribution.RejectFull, RetryAfter: number},
 	}).Draw(t, "message")
 }
 
@@ -74,14 +74,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := distribution.Encode(drawMessage(t)).Bytes
 		_, err := distribution.Decode(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
-		require.ErrorIs(t, err, distribution.ErrForm)
+		require.ErrorIs(t, err, distribution.ErrMalformed)
 		_, err = distribution.Decode(append(b[:len(b):len(b)], 0))
-		require.ErrorIs(t, err, distribution.ErrForm)
+		require.ErrorIs(t, err, distribution.ErrMalformed)
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Mark: distribution.Watermark{Sequence: 3, At: someDay}}).Bytes)
+	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: someDay}}).Bytes)
 	f.Add(distribution.Encode(distribution.Batch{Stream: 1, Epoch: 2, After: 3, Through: 9, Entries: []distribution.Entry{{Sequence: 5, Kind: distribution.PurgeObject, Name: "x"}}}).Bytes)
 	f.Add([]byte{4, 1, 1, 1, 1, 1, 1, 0xff, 0xff, 0x3f})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -97,7 +97,7 @@
 
 func TestEncodedSizeIsABound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		with := distribution.Batch{Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000, Mark: distribution.Watermark{Sequence: 1 << 33, At: someDay}}
+		with := distribution.Batch{Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000, Watermark: distribution.Watermark{Sequence: 1 << 33, At: someDay}}
 		without := len(distribution.Encode(with).Bytes)
 		with.Entries = drawEntries(t, 1<<32)
 		bound := 0
@@ -112,18 +112,18 @@
 func TestPurgesTakeLittle(t *testing.T) {
 	var entries []distribution.Entry
 	for i := range 87 {
-		entries = append(entries, distribution.Entry{Sequence: 1_000_000 + uint64(i), Kind: distribution.PurgeObject, Group: int64(i), Grouped: true,
-			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), Made: someDay - int64(i*11), Until: someDay + 3_600_000})
+		entries = append(entries, distribution.Entry{Sequence: 1_000_000 + uint64(i), Kind: distribution.PurgeObject, Group: int64(i), GroupKnown: true,
+			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: someDay - int64(i*11), ExpiresAt: someDay + 3_600_000})
 	}
 	bytes := 0
 	for _, e := range entries { // each alone in a batch, the worst
 		b := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: e.Sequence - 1, Through: e.Sequence,
-			Mark: distribution.Watermark{Sequence: e.Sequence, At: someDay}, Entries: []distribution.Entry{e}}
+			Watermark: distribution.Watermark{Sequence: e.Sequence, At: someDay}, Entries: []distribution.Entry{e}}
 		size := len(distribution.Encode(b).Bytes)
 		require.Less(t, size, 195)
 		bytes += size
 	}
 	together := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
-		Mark: distribution.Watermark{Sequence: 1_000_086, At: someDay}, Entries: entries}
+		Watermark: distribution.Watermark{Sequence: 1_000_086, At: someDay}, Entries: entries}
 	t.Logf("names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87, len(distribution.Encode(together).Bytes)/87)
 }
--- a/internal/decide/distribution/world_test.go
+++ b/internal/decide/distribution/world_test.go
@@ -31,14 +31,14 @@
 	if i == atRight {
 		self.Rank = 1
 	}
-	s := distribution.Defaults(w.stream, self)
+	s := distribution.DefaultSettings(w.stream, self)
 	s.Seed = uint64(i)
-	s.HeartbeatEvery, s.SilentFor, s.ConnectFor = 500, 1000, 1000
-	s.FailoverOver, s.RetryFrom, s.RetryMost, s.EaseOver = 100, 100, 400, 400
-	s.MostFrame, s.Credit = 1, 100 // an entry a frame, two frames under way
-	s.BacklogEntries, s.BacklogBytes = 3, 1000
-	s.Bound, s.ClockBound = 2000, 0
-	s.Classes = map[string]distribution.Policy{"strict": distribution.Strict}
+	s.HeartbeatInterval, s.SilenceTimeout, s.ConnectTimeout = 500, 1000, 1000
+	s.FailoverSpread, s.MinBackoff, s.MaxBackoff, s.RelaxSpread = 100, 100, 400, 400
+	s.MaxFrame, s.Credit = 1, 100 // an entry a frame, two frames under way
+	s.MaxBacklogEntries, s.MaxBacklogBytes = 3, 1000
+	s.MaxLag, s.MaxClockSkew = 2000, 0
+	s.Classes = map[string]distribution.Policy{"strict": distribution.PolicyStrict}
 	return s
 }
 
@@ -62,7 +62,7 @@
 	subs     [processes]*distribution.Subscriber // nil: the root
 	dists    [processes]*distribution.Distributor
 	seen     [processes]*check.Process
-	gates    [processes]distribution.GuardState
+	gates    [processes]distribution.Freshness
 	subWake  [processes]float64
 	distWake [processes]float64
 	stopped  [processes]bool
@@ -87,12 +87,12 @@
 // script is what is committed after the start, in each epoch from its beginning. It covers: the same object, a group's
 // objects, a purge made earlier than one before it, one that ends early, one that covers none.
 var script = []distribution.Entry{
-	{Kind: distribution.PurgeObject, Name: "x", Group: 1, Grouped: true, Made: 100, Until: 90_000},
-	{Kind: distribution.PurgeObject, Name: "y", Group: 1, Grouped: true, Made: 90, Until: 95_000},
-	{Kind: distribution.PurgeObject, Name: "x", Group: 1, Grouped: true, Made: 95, Until: 80_000},
-	{Kind: distribution.PurgeGroup, Group: 1, Made: 99, Until: 99_000},
-	{Kind: distribution.PurgeObject, Name: "y", Group: 1, Grouped: true, Made: 140, Until: 12_500},
-	{Kind: distribution.PurgeObject, Name: "w", Made: 150},
+	{Kind: distribution.PurgeObject, Name: "x", Group: 1, GroupKnown: true, EffectiveAt: 100, ExpiresAt: 90_000},
+	{Kind: distribution.PurgeObject, Name: "y", Group: 1, GroupKnown: true, EffectiveAt: 90, ExpiresAt: 95_000},
+	{Kind: distribution.PurgeObject, Name: "x", Group: 1, GroupKnown: true, EffectiveAt: 95, ExpiresAt: 80_000},
+	{Kind: distribution.PurgeGroup, Group: 1, EffectiveAt: 99, ExpiresAt: 99_000},
+	{Kind: distribution.PurgeObject, Name: "y", Group: 1, GroupKnown: true, EffectiveAt: 140, ExpiresAt: 12_500},
+	{Kind: distribution.PurgeObject, Name: "w", EffectiveAt: 150},
 }
 
 // newWorld has all processes but one (0: all run), the first entries of the script committed, and everybody connected and told.
@@ -124,7 +124,7 @@
 // boot starts a process with nothing.
 func (w *world) boot(i int) {
 	w.seen[i] = check.NewProcess(w.history)
-	w.gates[i] = distribution.GuardState{Held: true, Oldest: math.Inf(1), FreshUntil: math.Inf(-1), Watermark: math.Inf(1)}
+	w.gates[i] = distribution.Freshness{Restricted: true, OldestCopy: math.Inf(1), FreshUntil: math.Inf(-1), WatermarkTime: math.Inf(1)}
 	w.subWake[i], w.distWake[i] = math.Inf(1), math.Inf(1)
 	w.stopped[i] = false
 	if i != atLeaf {
@@ -150,7 +150,7 @@
 	for range w.initial {
 		all = append(all, w.book())
 	}
-	w.below(atRoot, distribution.Replace{Epoch: w.epoch, Through: w.sequence, Mark: w.top(), Entries: all})
+	w.below(atRoot, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.top(), Entries: all})
 }
 
 // reread has the root read its state back: facts joined by what they are about, with numbers made up, in an order of its own.
@@ -163,14 +163,14 @@
 			delete(held, fmt.Sprint(distribution.Drain, e.Name, e.Group))
 			continue
 		}
-		e.Made += int64(w.epoch) * 1000
+		e.EffectiveAt += int64(w.epoch) * 1000
 		if old, again := held[name]; again && w.stream == distribution.Purges {
-			e.Made = max(e.Made, old.Made)
-			if old.Until == 0 || e.Until != 0 && e.Until < old.Until {
-				e.Until = old.Until
+			e.EffectiveAt = max(e.EffectiveAt, old.EffectiveAt)
+			if old.ExpiresAt == 0 || e.ExpiresAt != 0 && e.ExpiresAt < old.ExpiresAt {
+				e.ExpiresAt = old.ExpiresAt
 			}
 		} else if again && e.Kind == distribution.Drain {
-			e.Made = min(e.Made, old.Made)
+			e.EffectiveAt = min(e.EffectiveAt, old.EffectiveAt)
 		}
 		held[name] = e
 		order = append(order, name)
@@ -185,7 +185,7 @@
 	for i := range entries {
 		entries[i].Sequence = w.sequence - uint64(len(entries)-1-i)
 	}
-	w.below(atRoot, distribution.Replace{Epoch: w.epoch, Through: w.sequence, Mark: w.top(), Entries: entries})
+	w.below(atRoot, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.top(), Entries: entries})
 }
 
 // restart has the root come back with what it reads.
@@ -200,7 +200,7 @@
 	w.next++
 	w.sequence += 1 + uint64(w.next%2)
 	e.Sequence = w.sequence
-	e.Made += int64(w.epoch) * 1000
+	e.EffectiveAt += int64(w.epoch) * 1000
 	w.history.Commit(w.epoch, e, int64(w.now))
 	return e
 }
@@ -212,7 +212,7 @@
 func (w *world) commit() {
 	after := w.sequence
 	e := w.book()
-	w.below(atRoot, distribution.Apply{Epoch: w.epoch, After: after, Through: w.sequence, Mark: w.top(),
+	w.below(atRoot, distribution.Apply{Epoch: w.epoch, After: after, Through: w.sequence, Watermark: w.top(),
 		Entries: []distribution.Entry{e}})
 }
 
@@ -254,10 +254,10 @@
 			b = append(b, 1)
 		}
 		if w.subs[i] != nil {
-			b = w.subs[i].Print(b)
+			b = w.subs[i].AppendFingerprint(b)
 		}
 		if w.dists[i] != nil {
-			b = w.dists[i].Print(b)
+			b = w.dists[i].AppendFingerprint(b)
 		}
 	}
 	for _, l := range w.wires {
@@ -295,19 +295,19 @@
 	for _, a := range actions {
 		w.act(i, w.mutation.action(s, a))
 	}
-	w.check(w.seen[i].Claims(s.Watermark()))
+	w.check(w.seen[i].CheckWatermark(s.Watermark()))
 	w.serve(i)
 }
 
 // act is what a shell does for a Subscriber.
 func (w *world) act(i int, a distribution.Action) {
 	switch a := a.(type) {
-	case distribution.Apply, distribution.Replace, distribution.Advance:
+	case distribution.Apply, distribution.InstallSnapshot, distribution.AdvanceWatermark:
 		w.check(w.seen[i].Observe(a))
 		if w.dists[i] != nil {
 			w.below(i, a.(distribution.Event))
 		}
-	case distribution.Guard:
+	case distribution.SetFreshness:
 		w.gates[i] = w.mutation.guard(a.State)
 	case distribution.Connect:
 		w.links++
@@ -318,7 +318,7 @@
 			w.wires[at].open = false
 			w.wires[at].up, w.wires[at].down = append(w.wires[at].up, nil), nil
 		}
-	case distribution.Say:
+	case distribution.SendMessage:
 		if at := w.wireOf(i, a.Link); at >= 0 {
 			w.wires[at].up = append(w.wires[at].up, w.wired(a.Message))
 		}
@@ -346,11 +346,11 @@
 	w.mutation.distributor(d)
 	for _, a := range d.Handle(w.now, e) {
 		switch a := a.(type) {
-		case distribution.Send:
-			for _, to := range a.To {
+		case distribution.SendFrame:
+			for _, to := range a.Links {
 				w.send(i, to, a.Frame)
 			}
-		case distribution.Drop:
+		case distribution.CloseLink:
 			if at := w.wireTo(i, a.Link); at >= 0 {
 				w.wires[at].down = append(w.wires[at].down, nil)
 			}
@@ -358,7 +358,7 @@
 			w.distWake[i] = w.now + a.After
 		}
 	}
-	w.check(check.Kept(w.settings(i), d))
+	w.check(check.CheckBacklog(w.settings(i), d))
 }
 
 func (w *world) wireTo(to int, link distribution.Link) int {
@@ -378,7 +378,7 @@
 	if counts(m) {
 		l.bytes += len(f.Bytes)
 		l.frames++
-		w.check(check.UnderWay(w.settings(l.from).Credit+l.extra, l.frames, l.bytes))
+		w.check(check.CheckCredit(w.settings(l.from).Credit+l.extra, l.frames, l.bytes))
 	}
 	l.down = append(l.down, w.mutation.sent(w, m))
 }
@@ -386,7 +386,7 @@
 // counts tells whether a message goes against the credit.
 func counts(m distribution.Message) bool {
 	switch m.(type) {
-	case distribution.Batch, distribution.Chunk:
+	case distribution.Batch, distribution.SnapshotChunk:
 		return true
 	}
 	return false
@@ -399,9 +399,9 @@
 	}
 	mark := w.subs[i].Watermark()
 	for _, made := range []float64{w.now - 5000, float64(mark.At) - 1, float64(mark.At), w.now} {
-		g := distribution.NewGate(w.settings(i))
-		g.Set(w.gates[i])
-		w.check(check.Served(w.settings(i), mark, w.now, "strict", made, g.Judge(w.now, "strict", made)))
+		g := distribution.NewFreshnessGate(w.settings(i))
+		g.Update(w.gates[i])
+		w.check(check.CheckServed(w.settings(i), mark, w.now, "strict", made, g.Decide(w.now, "strict", made)))
 	}
 }
 
@@ -412,7 +412,7 @@
 	l.down = l.down[1:]
 	if m == nil {
 		l.open, l.down = false, nil
-		w.above(l.from, distribution.Lost{Link: l.fromLink})
+		w.above(l.from, distribution.Disconnected{Link: l.fromLink})
 		return
 	}
 	size := len(distribution.Encode(m).Bytes)
@@ -435,7 +435,7 @@
 			l.down = append(l.down, nil)
 		}
 		if w.dists[to] != nil {
-			w.below(to, distribution.Lost{Link: link})
+			w.below(to, distribution.Disconnected{Link: link})
 		}
 		return
 	}
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -115,12 +115,12 @@
 		mark.Sequence = 1
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		v := p.gate.Judge(now, "strict", old)
+		v := p.gate.Decide(now, "strict", old)
 		if settled := p.node.Status()[0].MarkMs == mark.At; settled {
-			require.NoError(t, check.Served(settings(p.peer), mark, now, "strict", old, v))
+			require.NoError(t, check.CheckServed(settings(p.peer), mark, now, "strict", old, v))
 		}
-		require.NotContains(t, []pure.Verdict{pure.Origin, pure.Refuse}, p.gate.Judge(now, "other", old))
-		return v == pure.Origin || v == pure.Refuse
+		require.NotContains(t, []pure.Verdict{pure.VerdictFetchOrigin, pure.VerdictReject}, p.gate.Decide(now, "other", old))
+		return v == pure.VerdictFetchOrigin || v == pure.VerdictReject
 	})
 	tr.log.purge("meanwhile")
 	a.apply()
@@ -133,7 +133,7 @@
 	eventually(t, "strict classes let go of", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.gate.Judge(tr.log.clk.Now(), "strict", old) == pure.Serve
+		return p.gate.Decide(tr.log.clk.Now(), "strict", old) == pure.VerdictServe
 	})
 }
 
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -20,7 +20,7 @@
 	case storestate.SetPurge:
 		return distribution.Purges, purgeEntry(index, *c.Purge, c.Until), nil
 	case storestate.SetDrain:
-		e.Kind, e.Made = distribution.Drain, ceil(c.At)
+		e.Kind, e.EffectiveAt = distribution.Drain, ceil(c.At)
 	case storestate.EndDrain:
 		e.Kind = distribution.DrainEnded
 	case storestate.SetList:
@@ -35,7 +35,7 @@
 
 func purgeEntry(index uint64, p storestate.Purge, until float64) distribution.Entry {
 	// An end of 0 would be none: such a purge ended long ago.
-	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, Made: ceil(p.Made), Until: max(1, ceil(until))}
+	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: ceil(p.Made), ExpiresAt: max(1, ceil(until))}
 	if p.Object == "" {
 		e.Kind, e.Group = distribution.PurgeGroup, int64(p.Group)
 	}
@@ -43,13 +43,13 @@
 }
 
 func listEntry(e distribution.Entry, l storestate.List) (_ distribution.Stream, _ distribution.Entry, err error) {
-	e.Kind, e.Number = distribution.List, l.Generation
+	e.Kind, e.Version = distribution.List, l.Generation
 	e.Body, err = cbor.Marshal(l)
 	return distribution.Configuration, e, err
 }
 
 func revisionEntry(e distribution.Entry, r storestate.Revision) (_ distribution.Stream, _ distribution.Entry, err error) {
-	e.Kind, e.Number, e.Name = distribution.Revision, r.Number, ""
+	e.Kind, e.Version, e.Name = distribution.Revision, r.Number, ""
 	e.Body, err = cbor.Marshal(r)
 	return distribution.Configuration, e, err
 }
@@ -83,7 +83,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Drains)) {
 		all = append(all, distribution.Entry{
-			Sequence: index(storestate.SetDrain, name), Kind: distribution.Drain, Name: name, Made: ceil(s.Drains[name]),
+			Sequence: index(storestate.SetDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: ceil(s.Drains[name]),
 		})
 	}
 	out[distribution.Configuration] = all
@@ -130,11 +130,11 @@
 
 // put has one entry come into force. What this version can't read is an error, and passed over as the store does it.
 func (s *sink) put(e distribution.Entry) error {
-	c := storestate.Change{Name: e.Name, At: float64(e.Made), Until: float64(e.Until)}
+	c := storestate.Change{Name: e.Name, At: float64(e.EffectiveAt), Until: float64(e.ExpiresAt)}
 	switch e.Kind {
 	case distribution.PurgeObject, distribution.PurgeGroup:
 		c.Kind, c.Name = storestate.SetPurge, ""
-		c.Purge = &storestate.Purge{Made: float64(e.Made), Until: float64(e.Until)}
+		c.Purge = &storestate.Purge{Made: float64(e.EffectiveAt), Until: float64(e.ExpiresAt)}
 		if c.Purge.Object = e.Name; e.Kind == distribution.PurgeGroup {
 			c.Purge.Object, c.Purge.Group = "", int(e.Group)
 		}
@@ -149,13 +149,13 @@
 		if err := bodies.Unmarshal(e.Body, c.List); err != nil {
 			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
 		}
-		s.held.lists[e.Name] = e.Number
+		s.held.lists[e.Name] = e.Version
 	case distribution.Revision:
 		var r storestate.Revision
 		if err := bodies.Unmarshal(e.Body, &r); err != nil {
-			return fmt.Errorf("distribution: revision %d: %w", e.Number, err)
+			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
 		}
-		s.held.revision = e.Number
+		s.held.revision = e.Version
 		s.revised(r)
 		return nil
 	default:
@@ -180,8 +180,8 @@
 		number, listed := s.held.lists[e.Name]
 		switch {
 		case e.Kind == distribution.Drain && s.held.drains[e.Name]:
-		case e.Kind == distribution.List && listed && number == e.Number:
-		case e.Kind == distribution.Revision && s.held.revision == e.Number:
+		case e.Kind == distribution.List && listed && number == e.Version:
+		case e.Kind == distribution.Revision && s.held.revision == e.Version:
 		default:
 			if err := s.put(e); err != nil {
 				bad(err)
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -42,7 +42,7 @@
 // frame is entries as they are sent.
 func frame(entries []distribution.Entry) []byte {
 	return distribution.Encode(distribution.Batch{
-		Stream: distribution.Purges, Epoch: 1, Through: 1000, Mark: distribution.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
+		Stream: distribution.Purges, Epoch: 1, Through: 1000, Watermark: distribution.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
 	}).Bytes
 }
 
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -53,7 +53,7 @@
 	// stream calls them from a goroutine of its own, in order. Of no use with Source.
 	Take    func(storestate.Change)
 	Revised func(storestate.Revision)
-	Guard   func(distribution.Stream, distribution.GuardState)
+	Guard   func(distribution.Stream, distribution.Freshness)
 	// Observe gets each action of the subscribers before it is carried out. nil: nobody asks.
 	Observe func(distribution.Stream, distribution.Action)
 	// Dial opens connections. nil: TCP.
@@ -109,7 +109,7 @@
 // Stop has subscribers spread over other distributors, and returns when all have gone, or after so many ms.
 func (n *Node) Stop(wait float64) {
 	for _, s := range n.streams {
-		s.post(input{below: true, event: distribution.Stop{}})
+		s.post(input{below: true, event: distribution.Shutdown{}})
 	}
 	for end := n.opt.Clock.Now() + wait; n.opt.Clock.Now() < end; n.pause(stopEvery) {
 		left := 0
@@ -183,7 +183,7 @@
 			m, err = distribution.Decode(raw)
 		}
 	}
-	s.post(input{below: true, event: distribution.Lost{Link: number}})
+	s.post(input{below: true, event: distribution.Disconnected{Link: number}})
 }
 
 // Status is how a stream stands in a process.
@@ -212,7 +212,7 @@
 		s := *n.streams[at].status.Load()
 		s.BehindMs = -1 // nothing whole yet
 		if s.MarkMs > 0 {
-			s.BehindMs = now - float64(s.MarkMs) + n.opt.Settings.ClockBound
+			s.BehindMs = now - float64(s.MarkMs) + n.opt.Settings.MaxClockSkew
 		}
 		out = append(out, s)
 	}
--- a/internal/distribution/root.go
+++ b/internal/distribution/root.go
@@ -43,14 +43,14 @@
 				r.advance(index)
 			}
 		}
-		r.node.pause(r.node.opt.Settings.HeartbeatEvery)
+		r.node.pause(r.node.opt.Settings.HeartbeatInterval)
 	}
 }
 
 func (r *root) advance(index uint64) {
 	mark := r.mark(index)
 	for _, at := range Streams {
-		r.node.streams[at].post(input{below: true, event: distribution.Advance{Epoch: r.node.opt.Epoch, Mark: mark}})
+		r.node.streams[at].post(input{below: true, event: distribution.AdvanceWatermark{Epoch: r.node.opt.Epoch, Watermark: mark}})
 	}
 }
 
@@ -70,8 +70,8 @@
 	mark := r.mark(s.Applied)
 	for _, at := range Streams {
 		r.last[at] = s.Applied
-		r.node.streams[at].post(input{below: true, event: distribution.Replace{
-			Epoch: r.node.opt.Epoch, Through: s.Applied, Mark: mark, Entries: all[at],
+		r.node.streams[at].post(input{below: true, event: distribution.InstallSnapshot{
+			Epoch: r.node.opt.Epoch, Through: s.Applied, Watermark: mark, Entries: all[at],
 		}})
 	}
 }
@@ -89,6 +89,6 @@
 	after := r.last[at]
 	r.last[at] = index
 	r.node.streams[at].post(input{below: true, event: distribution.Apply{
-		Epoch: r.node.opt.Epoch, After: after, Through: index, Mark: r.mark(index), Entries: []distribution.Entry{e},
+		Epoch: r.node.opt.Epoch, After: after, Through: index, Watermark: r.mark(index), Entries: []distribution.Entry{e},
 	}})
 }
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -36,7 +36,7 @@
 	asked  distribution.Link // the link above that is wanted; 0: none
 	up     *outbox           // nil: not open
 	down   map[distribution.Link]*outbox
-	guard  distribution.GuardState
+	guard  distribution.Freshness
 	mark   distribution.Watermark // at a root: the latest that was told
 	status atomic.Pointer[Status]
 }
@@ -45,7 +45,7 @@
 	set := n.opt.Settings
 	set.Stream = name
 	if name == distribution.Configuration {
-		set.MostEntry = mostBody
+		set.MaxEntry = mostBody
 	}
 	// Two streams of one seed would draw alike, and do at one moment what is to be spread.
 	set.Seed = rand.New(rand.NewPCG(set.Seed, uint64(name))).Uint64()
@@ -113,7 +113,7 @@
 		s.down[in.link] = in.opened
 	case in.below:
 		s.below(in.event)
-		if lost, ok := in.event.(distribution.Lost); ok {
+		if lost, ok := in.event.(distribution.Disconnected); ok {
 			s.drop(lost.Link)
 		}
 	case in.opened != nil && in.link != s.asked:
@@ -122,7 +122,7 @@
 		s.up = in.opened
 		s.above(distribution.Connected{Link: in.link})
 	default:
-		if lost, ok := in.event.(distribution.Lost); ok && lost.Link == s.asked {
+		if lost, ok := in.event.(distribution.Disconnected); ok && lost.Link == s.asked {
 			s.asked, s.up = 0, nil
 		}
 		s.above(in.event)
@@ -146,12 +146,12 @@
 		return
 	}
 	switch e := e.(type) { // of the store
-	case distribution.Replace:
-		s.mark = e.Mark
+	case distribution.InstallSnapshot:
+		s.mark = e.Watermark
 	case distribution.Apply:
-		s.mark = e.Mark
-	case distribution.Advance:
-		s.mark = e.Mark
+		s.mark = e.Watermark
+	case distribution.AdvanceWatermark:
+		s.mark = e.Watermark
 	}
 	s.carry(1, s.relay.Distributor.Handle(s.node.opt.Clock.Now(), e))
 }
@@ -167,9 +167,9 @@
 			for _, e := range a.Entries {
 				s.bad(s.sink.put(e))
 			}
-		case distribution.Replace:
+		case distribution.InstallSnapshot:
 			s.sink.whole(a.Entries, s.bad)
-		case distribution.Guard:
+		case distribution.SetFreshness:
 			s.guard = a.State
 			if s.node.opt.Guard != nil {
 				s.node.opt.Guard(s.name, a.State)
@@ -196,20 +196,20 @@
 			s.up.end()
 			s.up = nil
 		}
-	case distribution.Say:
+	case distribution.SendMessage:
 		if s.up != nil && a.Link == s.asked {
 			s.up.send(distribution.Encode(a.Message).Bytes)
 		}
-	case distribution.Left:
-		s.node.opt.Log.Info("distribution").Str("stream", streamNames[s.name]).Str("distributor", a.To.Name).
-			Stringer("why", a.Why).Msg("distributor left")
-	case distribution.Send:
-		for _, link := range a.To {
+	case distribution.Unsubscribed:
+		s.node.opt.Log.Info("distribution").Str("stream", streamNames[s.name]).Str("distributor", a.Distributor.Name).
+			Stringer("why", a.Cause).Msg("distributor left")
+	case distribution.SendFrame:
+		for _, link := range a.Links {
 			if out := s.down[link]; out != nil {
 				out.send(a.Frame.Bytes)
 			}
 		}
-	case distribution.Drop:
+	case distribution.CloseLink:
 		s.drop(a.Link)
 	}
 }
@@ -242,16 +242,16 @@
 // dial opens a link above and reads it until its end.
 func (s *stream) dial(a distribution.Connect) {
 	set := s.set
-	l, err := store.DialLink(s.node.opt.Identity, s.node.addrs[a.To.Name], clock.Duration(set.ConnectFor), s.node.opt.Dial)
+	l, err := store.DialLink(s.node.opt.Identity, s.node.addrs[a.To.Name], clock.Duration(set.ConnectTimeout), s.node.opt.Dial)
 	if err == nil && l.Peer != a.To.Name {
 		l.Close()
 		s.node.opt.Log.Warn("distribution").Str("wanted", a.To.Name).Str("found", l.Peer).Msg("another one listens at a distributor's address")
 		err = errOther
 	}
 	if err == nil {
-		s.read(l, a.Link, max(set.Credit/2, set.MostFrame, set.MostEntry)+frameSlack)
+		s.read(l, a.Link, max(set.Credit/2, set.MaxFrame, set.MaxEntry)+frameSlack)
 	}
-	s.post(input{event: distribution.Lost{Link: a.Link}})
+	s.post(input{event: distribution.Disconnected{Link: a.Link}})
 }
 
 // frameSlack is what a frame has beside its entries.
@@ -302,9 +302,9 @@
 	if root {
 		position, mark = s.relay.Distributor.Position(), s.mark
 	} else {
-		st.Held = s.guard.Held || s.guard.FreshUntil <= s.node.opt.Clock.Now()
+		st.Held = s.guard.Restricted || s.guard.FreshUntil <= s.node.opt.Clock.Now()
 	}
-	if at, ok := s.relay.Subscriber.At(); ok {
+	if at, ok := s.relay.Subscriber.Parent(); ok {
 		st.At = at.Name
 	}
 	st.Epoch, st.Sequence, st.MarkMs = position.Epoch, position.Sequence, mark.At
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -66,7 +66,7 @@
 	e := pure.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
 	case storestate.SetPurge:
-		e.Kind, e.Name, e.Made, e.Until = pure.PurgeObject, c.Purge.Object, int64(c.Purge.Made), int64(c.Until)
+		e.Kind, e.Name, e.EffectiveAt, e.ExpiresAt = pure.PurgeObject, c.Purge.Object, int64(c.Purge.Made), int64(c.Until)
 	case storestate.SetDrain:
 		e.Kind = pure.Drain
 	case storestate.EndDrain:
@@ -152,7 +152,7 @@
 
 	mu     sync.Mutex
 	seen   map[pure.Stream]*check.Process
-	gate   *pure.Gate
+	gate   *pure.FreshnessGate
 	broken error
 	facts  []storestate.Change
 }
@@ -173,13 +173,13 @@
 
 // settings are short, so that failures are seen soon; a test waits for what follows and not for a time.
 func settings(self pure.Peer) pure.Settings {
-	s := pure.Defaults(0, self)
+	s := pure.DefaultSettings(0, self)
 	s.Seed = uint64(len(self.Name)) + uint64(self.Name[len(self.Name)-1])
-	s.HeartbeatEvery, s.SilentFor, s.AliveEvery, s.FailoverOver = 50, 600, 500, 100
-	s.RetryFrom, s.RetryMost = 20, 200
-	s.Bound, s.ClockBound, s.EaseOver = 1500, 10, 50
+	s.HeartbeatInterval, s.SilenceTimeout, s.KeepaliveInterval, s.FailoverSpread = 50, 600, 500, 100
+	s.MinBackoff, s.MaxBackoff = 20, 200
+	s.MaxLag, s.MaxClockSkew, s.RelaxSpread = 1500, 10, 50
 	s.AdmitPerSecond, s.AdmitBurst = 500, 500
-	s.Classes = map[string]pure.Policy{"strict": pure.Strict}
+	s.Classes = map[string]pure.Policy{"strict": pure.PolicyStrict}
 	return s
 }
 
@@ -201,14 +201,14 @@
 		x.seen[s] = check.NewProcess(tr.log.history[s])
 	}
 	set := settings(p)
-	x.gate = pure.NewGate(set)
+	x.gate = pure.NewFreshnessGate(set)
 	o := distribution.Options{
 		Settings: set, Identity: id, Clock: tr.log.clk, MostLinks: 256, Epoch: tr.log.epoch, Take: x.take, Revised: func(storestate.Revision) {},
 		Observe: func(s pure.Stream, a pure.Action) { tr.observe(x, s, a) },
-		Guard: func(s pure.Stream, g pure.GuardState) {
+		Guard: func(s pure.Stream, g pure.Freshness) {
 			if s == pure.Purges {
 				x.mu.Lock()
-				x.gate.Set(g)
+				x.gate.Update(g)
 				x.mu.Unlock()
 			}
 		},
@@ -248,8 +248,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	err := p.seen[s].Observe(a)
-	if advance, ok := a.(pure.Advance); ok && err == nil {
-		err = p.seen[s].Claims(advance.Mark)
+	if advance, ok := a.(pure.AdvanceWatermark); ok && err == nil {
+		err = p.seen[s].CheckWatermark(advance.Watermark)
 	}
 	if err != nil && p.broken == nil {
 		p.broken = fmt.Errorf("%s: %w", p.peer.Name, err)
@@ -345,7 +345,7 @@
 				if tr.log.history[s].Latest() == (pure.Position{}) {
 					continue // nothing was committed
 				}
-				last = errors.Join(last, p.seen[s].CaughtUp(int64(tr.log.clk.Now())))
+				last = errors.Join(last, p.seen[s].CheckComplete(int64(tr.log.clk.Now())))
 			}
 			return last == nil || p.broken != nil
 		}
--- a/internal/lab/hollow/apply.go
+++ b/internal/lab/hollow/apply.go
@@ -66,11 +66,11 @@
 	now, at := a.now()
 	switch e.Kind {
 	case distribution.PurgeObject:
-		a.purged(at, policy.Purged{Object: e.Name, Group: int(e.Group), Age: age(now, e.Made)})
+		a.purged(at, policy.Purged{Object: e.Name, Group: int(e.Group), Age: age(now, e.EffectiveAt)})
 	case distribution.PurgeGroup:
-		a.purged(at, policy.Purged{Group: int(e.Group), Age: age(now, e.Made)})
+		a.purged(at, policy.Purged{Group: int(e.Group), Age: age(now, e.EffectiveAt)})
 	case distribution.Revision:
-		if e.Number <= a.revision {
+		if e.Version <= a.revision {
 			return
 		}
 		live, err := config.ParseLive("revision", string(e.Body))
@@ -78,7 +78,7 @@
 			a.bad = err
 			return
 		}
-		a.live, a.revision = live, e.Number
+		a.live, a.revision = live, e.Version
 	case distribution.List:
 		a.list(now, e)
 	case distribution.Drain, distribution.DrainEnded:
--- a/internal/lab/hollow/check.go
+++ b/internal/lab/hollow/check.go
@@ -88,7 +88,7 @@
 	}
 	entries := a.Entries
 	var said saying
-	if a.Whole { // made of a snapshot: its numbers say only the order
+	if a.Atomic { // made of a snapshot: its numbers say only the order
 		said, entries = c.said(p, stream, entries), nil
 	}
 	for at < len(log) && log[at].entry.Sequence <= a.Through {
@@ -102,13 +102,13 @@
 			}
 			entries = entries[1:]
 			c.book(p, x)
-		case x.cover != 0 && x.cover <= a.Mark.Sequence:
+		case x.cover != 0 && x.cover <= a.Watermark.Sequence:
 			if x.cover > a.Through {
 				p.owed = append(p.owed, owed{stream, at, x.cover})
 			} else {
 				c.book(p, x)
 			}
-		case x.entry.Until > 0 && x.entry.Until <= a.Mark.At:
+		case x.entry.ExpiresAt > 0 && x.entry.ExpiresAt <= a.Watermark.At:
 			c.book(p, x) // it binds nothing any more
 		default:
 			c.fail("%s: stream %d: %d is missing between %d and %d", p.name, stream, x.entry.Sequence, a.After, a.Through)
@@ -180,12 +180,12 @@
 }
 
 // replaced is a whole state that a subscriber was told to put in force.
-func (c *checker) replaced(p *process, stream int, r distribution.Replace) {
+func (c *checker) replaced(p *process, stream int, r distribution.InstallSnapshot) {
 	c.w.tape.write(tapeReach, stream, p.id, 0, float64(r.Through))
 	log, at := c.w.history.log[stream], 0
 	said := c.said(p, stream, r.Entries)
 	for ; at < len(log) && log[at].entry.Sequence <= r.Through; at++ {
-		if x := log[at]; !said.has(x) && x.live(max(r.Through, r.Mark.Sequence), r.Mark.At) {
+		if x := log[at]; !said.has(x) && x.live(max(r.Through, r.Watermark.Sequence), r.Watermark.At) {
 			c.fail("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, x.entry.Sequence, r.Through)
 		}
 	}
@@ -200,15 +200,15 @@
 // held tells whether strict classes are turned from copies by a time of the process's clock, also where its machine has had
 // no chance yet to say so.
 func (p *process) held(stream int, now float64) bool {
-	return p.gates[stream] != nil && !math.IsInf(p.gates[stream].Oldest(now), -1)
+	return p.gates[stream] != nil && !math.IsInf(p.gates[stream].OldestCopy(now), -1)
 }
 
 // same tells whether an entry is what was committed. Times may be those of what it covers.
 func same(got distribution.Entry, x *committed) bool {
 	want := x.entry
 	between := func(v, a, b int64) bool { return v >= min(a, b) && v <= max(a, b) }
-	return got.Kind == want.Kind && got.Name == want.Name && got.Group == want.Group && got.Number == want.Number &&
-		between(got.Made, want.Made, x.joined.Made) && between(got.Until, want.Until, x.joined.Until) && bytes.Equal(got.Body, want.Body)
+	return got.Kind == want.Kind && got.Name == want.Name && got.Group == want.Group && got.Version == want.Version &&
+		between(got.EffectiveAt, want.EffectiveAt, x.joined.EffectiveAt) && between(got.ExpiresAt, want.ExpiresAt, x.joined.ExpiresAt) && bytes.Equal(got.Body, want.Body)
 }
 
 // describe is an entry as a line, its body by its size.
--- a/internal/lab/hollow/check_test.go
+++ b/internal/lab/hollow/check_test.go
@@ -29,7 +29,7 @@
 
 func all(entries []distribution.Entry) distribution.Apply {
 	through := entries[len(entries)-1].Sequence
-	return distribution.Apply{Epoch: 1, Through: through, Mark: distribution.Watermark{Sequence: through, At: epoch0}, Entries: entries}
+	return distribution.Apply{Epoch: 1, Through: through, Watermark: distribution.Watermark{Sequence: through, At: epoch0}, Entries: entries}
 }
 
 // The checker takes what is right, in one piece or in several, and what is left out as something later covers it.
@@ -49,12 +49,12 @@
 	w.history.commit(0, again)
 	left := slices.Concat(entries[:3], entries[4:])
 	a := all(left)
-	a.Mark.Sequence = again.entry.Sequence
+	a.Watermark.Sequence = again.entry.Sequence
 	w.check.applied(p, purges, a)
 	require.Zero(t, w.check.broken, "%v", w.check.texts)
 	require.Len(t, p.owed, 1)
 	w.check.applied(p, purges, distribution.Apply{
-		Epoch: 1, After: a.Through, Through: again.entry.Sequence, Mark: distribution.Watermark{Sequence: again.entry.Sequence, At: epoch0},
+		Epoch: 1, After: a.Through, Through: again.entry.Sequence, Watermark: distribution.Watermark{Sequence: again.entry.Sequence, At: epoch0},
 		Entries: []distribution.Entry{again.entry},
 	})
 	require.Zero(t, w.check.broken, "%v", w.check.texts)
@@ -65,14 +65,14 @@
 func TestCheckerTakesMadeUpNumbers(t *testing.T) {
 	w, p, entries := book(t, 9)
 	a := all(entries)
-	a.Whole, a.Entries = true, slices.Clone(entries)
+	a.Atomic, a.Entries = true, slices.Clone(entries)
 	for i := range a.Entries {
 		a.Entries[i].Sequence = uint64(i + 1)
 	}
 	w.check.applied(p, purges, a)
 	require.Zero(t, w.check.broken, "%v", w.check.texts)
 	require.Equal(t, 9, p.next[purges])
-	a.Whole = false
+	a.Atomic = false
 	w.check.applied(w.byRole[Proxy][1], purges, a)
 	require.NotZero(t, w.check.broken, "other batches have the store's numbers")
 }
@@ -107,7 +107,7 @@
 			w.check.applied(p, purges, all(e))
 		},
 		"made earlier": func(w *world, p *process, e []distribution.Entry) {
-			e[4].Made--
+			e[4].EffectiveAt--
 			w.check.applied(p, purges, all(e))
 		},
 		"order": func(w *world, p *process, e []distribution.Entry) {
@@ -125,27 +125,27 @@
 		},
 		"snapshot lacks": func(w *world, p *process, e []distribution.Entry) {
 			a := all(e)
-			w.check.replaced(p, purges, distribution.Replace{Epoch: 1, Through: a.Through, Mark: a.Mark, Entries: e[1:]})
+			w.check.replaced(p, purges, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: e[1:]})
 		},
 		"snapshot invents": func(w *world, p *process, e []distribution.Entry) {
 			a := all(e)
 			more := distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"}
-			w.check.replaced(p, purges, distribution.Replace{Epoch: 1, Through: a.Through, Mark: a.Mark, Entries: append(slices.Clone(e), more)})
+			w.check.replaced(p, purges, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more)})
 		},
 		"whole batch lacks": func(w *world, p *process, e []distribution.Entry) {
 			a := all(e)
-			a.Whole, a.Entries = true, e[1:]
+			a.Atomic, a.Entries = true, e[1:]
 			w.check.applied(p, purges, a)
 		},
 		"whole batch invents": func(w *world, p *process, e []distribution.Entry) {
 			a := all(e)
-			a.Whole, a.Entries = true, append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
+			a.Atomic, a.Entries = true, append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
 			w.check.applied(p, purges, a)
 		},
 		"snapshot back": func(w *world, p *process, e []distribution.Entry) {
 			w.check.applied(p, purges, all(e))
 			a := all(e[:4])
-			w.check.replaced(p, purges, distribution.Replace{Epoch: 1, Through: a.Through, Mark: a.Mark, Entries: a.Entries})
+			w.check.replaced(p, purges, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries})
 		},
 		"owed": func(w *world, p *process, e []distribution.Entry) {
 			p.owed = append(p.owed, owed{purges, 0, e[1].Sequence})
@@ -160,7 +160,7 @@
 				x.up = x == p
 			}
 			w.now = w.spec.BoundMs + 1
-			p.gates[purges] = distribution.NewGate(distribution.Defaults(distribution.Purges, p.peer()))
+			p.gates[purges] = distribution.NewFreshnessGate(distribution.DefaultSettings(distribution.Purges, p.peer()))
 			w.check.sweep()
 			require.Zero(t, w.check.broken, "one that begins turns from copies")
 			p.gates[purges] = nil
--- a/internal/lab/hollow/commits.go
+++ b/internal/lab/hollow/commits.go
@@ -67,12 +67,12 @@
 
 func (h *history) purge(w *world, proposer *process) *committed {
 	made := math.Ceil(w.clock(proposer))
-	e := distribution.Entry{Kind: distribution.PurgeObject, Made: int64(made), Until: int64(made) + purgeBinds, Grouped: true}
+	e := distribution.Entry{Kind: distribution.PurgeObject, EffectiveAt: int64(made), ExpiresAt: int64(made) + purgeBinds, GroupKnown: true}
 	object := int(float64(w.spec.Objects) * math.Pow(h.rng.Float64(), 3)) // some are purged again and again
 	e.Name, e.Group = fmt.Sprintf("%016x", object), int64(object%groups)
 	p := storestate.Purge{Object: e.Name, Group: int(e.Group), Made: made}
 	if h.rng.Float64() < w.spec.GroupPurges {
-		e.Kind, e.Name, e.Grouped, p.Object = distribution.PurgeGroup, "", false, ""
+		e.Kind, e.Name, e.GroupKnown, p.Object = distribution.PurgeGroup, "", false, ""
 	}
 	return &committed{entry: e, stream: purges, change: h.encode(storestate.Change{At: made, Kind: storestate.SetPurge, Until: made + purgeBinds, Purge: &p})}
 }
@@ -96,9 +96,9 @@
 	default:
 		server := h.rng.IntN(w.zones * w.spec.ZoneServers)
 		c := storestate.Change{At: w.clock(proposer), Kind: storestate.SetDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
-		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, Made: int64(c.At)}
+		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, EffectiveAt: int64(c.At)}
 		if h.drained[server] {
-			c.Kind, e.Kind, e.Made = storestate.EndDrain, distribution.DrainEnded, 0
+			c.Kind, e.Kind, e.EffectiveAt = storestate.EndDrain, distribution.DrainEnded, 0
 		}
 		h.drained[server] = !h.drained[server]
 		return &committed{entry: e, stream: changes, change: h.encode(c)}
@@ -110,7 +110,7 @@
 	text := fmt.Sprintf(`{"limits": {"requests": %d, "connect_ms": 300, "idle_ms": 60000, "streams_per_connection": 64}}`, 1000+h.number)
 	text += " // " + strings.Repeat("x", max(0, w.spec.RevisionBytes-len(text)-5)) + "\n"
 	c := storestate.Change{Kind: storestate.SetConfig, Base: h.number - 1, Text: text, By: "operator"}
-	return &committed{entry: distribution.Entry{Kind: distribution.Revision, Number: h.number, Body: []byte(text)}, stream: changes, change: h.encode(c)}
+	return &committed{entry: distribution.Entry{Kind: distribution.Revision, Version: h.number, Body: []byte(text)}, stream: changes, change: h.encode(c)}
 }
 
 // sourceName is that of a zone's list.
@@ -129,7 +129,7 @@
 		l.Servers = append(l.Servers, s)
 	}
 	raw := h.encode(storestate.Change{Kind: storestate.SetList, Name: sourceName(zone), List: l})
-	return &committed{entry: distribution.Entry{Kind: distribution.List, Name: sourceName(zone), Number: l.Generation, Body: raw}, stream: changes, change: raw}
+	return &committed{entry: distribution.Entry{Kind: distribution.List, Name: sourceName(zone), Version: l.Generation, Body: raw}, stream: changes, change: raw}
 }
 
 // key is what a later entry must have in common to cover an earlier one.
@@ -158,9 +158,9 @@
 		if old.cover == 0 {
 			old.cover = h.index
 		}
-		c.joined.Made, c.joined.Until = max(c.entry.Made, old.joined.Made), max(c.entry.Until, old.joined.Until)
+		c.joined.EffectiveAt, c.joined.ExpiresAt = max(c.entry.EffectiveAt, old.joined.EffectiveAt), max(c.entry.ExpiresAt, old.joined.ExpiresAt)
 		if c.entry.Kind == distribution.Drain {
-			c.joined.Made = min(c.entry.Made, old.joined.Made)
+			c.joined.EffectiveAt = min(c.entry.EffectiveAt, old.joined.EffectiveAt)
 		}
 	}
 	h.last[k] = c
@@ -172,7 +172,7 @@
 		for _, old := range h.grouped[g] {
 			switch {
 			case old.cover != 0:
-			case old.joined.Made <= c.joined.Made && old.joined.Until <= c.joined.Until:
+			case old.joined.EffectiveAt <= c.joined.EffectiveAt && old.joined.ExpiresAt <= c.joined.ExpiresAt:
 				old.cover = h.index
 			default:
 				left = append(left, old)
@@ -230,5 +230,5 @@
 	if c.cover != 0 && c.cover <= through || c.entry.Kind == distribution.DrainEnded {
 		return false
 	}
-	return c.entry.Until == 0 || c.entry.Until > now
+	return c.entry.ExpiresAt == 0 || c.entry.ExpiresAt > now
 }
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -211,7 +211,7 @@
 	w.breakAll(p)
 	p.life++
 	p.inbox, p.unread, p.owed, p.applier = nil, nil, nil, nil
-	p.gates = [2]*distribution.Gate{}
+	p.gates = [2]*distribution.FreshnessGate{}
 	p.sides, p.timers, p.next, p.follow = [2]side{}, [nSlots]timer{}, [2]int{}, follower{kept: p.follow.kept}
 	w.elect()
 }
--- a/internal/lab/hollow/levels.go
+++ b/internal/lab/hollow/levels.go
@@ -32,9 +32,9 @@
 const storeEpoch = 1
 
 func (l *levels) settings(p *process, stream int) distribution.Settings {
-	s := distribution.Defaults(streams[stream], p.peer())
+	s := distribution.DefaultSettings(streams[stream], p.peer())
 	s.Seed = l.w.spec.Seed<<32 ^ uint64(p.id)<<8 ^ uint64(p.life)<<2 ^ uint64(stream)
-	s.Bound, s.ClockBound = l.w.spec.BoundMs, l.w.spec.ClockBoundMs
+	s.MaxLag, s.MaxClockSkew = l.w.spec.BoundMs, l.w.spec.ClockBoundMs
 	return s
 }
 
@@ -56,7 +56,7 @@
 		default:
 			x.relay = distribution.NewRelay(s)
 		}
-		p.gates[stream] = distribution.NewGate(s)
+		p.gates[stream] = distribution.NewFreshnessGate(s)
 		if p.role != Store {
 			l.above(p, stream, distribution.Candidates{Peers: l.w.candidates(p)})
 		}
@@ -71,9 +71,9 @@
 	h, at := l.w.history, p.next[stream]
 	now := l.w.clock(p)
 	through := h.log[stream][at-1].entry.Sequence
-	r := distribution.Replace{
+	r := distribution.InstallSnapshot{
 		Epoch: storeEpoch, Through: through, Entries: h.whole(stream, at, int64(now)),
-		Mark: distribution.Watermark{Sequence: through, At: markAt},
+		Watermark: distribution.Watermark{Sequence: through, At: markAt},
 	}
 	l.below(p, stream, p.sides[stream].relay.Distributor.Handle(now, r))
 }
@@ -96,7 +96,7 @@
 			l.root(p, stream, at)
 			continue
 		}
-		a := distribution.Apply{Epoch: storeEpoch, After: log[stream][p.next[stream]-1].entry.Sequence, Through: through, Mark: mark, Entries: entries}
+		a := distribution.Apply{Epoch: storeEpoch, After: log[stream][p.next[stream]-1].entry.Sequence, Through: through, Watermark: mark, Entries: entries}
 		p.next[stream] += len(entries)
 		l.below(p, stream, p.sides[stream].relay.Distributor.Handle(l.w.clock(p), a))
 	}
@@ -108,7 +108,7 @@
 		if n := p.next[stream]; n > 0 {
 			mark := distribution.Watermark{Sequence: log[n-1].entry.Sequence, At: at}
 			d := p.sides[stream].relay.Distributor
-			l.below(p, stream, d.Handle(l.w.clock(p), distribution.Advance{Epoch: storeEpoch, Mark: mark}))
+			l.below(p, stream, d.Handle(l.w.clock(p), distribution.AdvanceWatermark{Epoch: storeEpoch, Watermark: mark}))
 		}
 	}
 }
@@ -153,12 +153,12 @@
 	x := &p.sides[c.stream]
 	if p == c.from {
 		delete(x.links, c.link)
-		l.above(p, c.stream, distribution.Lost{Link: c.link})
+		l.above(p, c.stream, distribution.Disconnected{Link: c.link})
 		return
 	}
 	if c.below != 0 {
 		delete(x.below, c.below)
-		l.below(p, c.stream, x.relay.Distributor.Handle(l.w.clock(p), distribution.Lost{Link: c.below}))
+		l.below(p, c.stream, x.relay.Distributor.Handle(l.w.clock(p), distribution.Disconnected{Link: c.below}))
 	}
 }
 
@@ -201,16 +201,16 @@
 			l.enforce(p, e)
 		}
 		l.w.check.applied(p, stream, a)
-	case distribution.Replace:
+	case distribution.InstallSnapshot:
 		for _, e := range a.Entries {
 			l.enforce(p, e)
 		}
 		l.w.check.replaced(p, stream, a)
 		l.w.snapshots++
-	case distribution.Advance:
-		l.w.check.settle(p, stream, a.Mark.Sequence)
-	case distribution.Guard:
-		p.gates[stream].Set(a.State)
+	case distribution.AdvanceWatermark:
+		l.w.check.settle(p, stream, a.Watermark.Sequence)
+	case distribution.SetFreshness:
+		p.gates[stream].Update(a.State)
 	case distribution.Connect:
 		to := l.w.byName[a.To.Name]
 		x.links[a.Link] = l.w.dial(p, to, stream, a.Link)
@@ -219,13 +219,13 @@
 			delete(x.links, a.Link)
 			l.w.leave(c, p)
 		}
-	case distribution.Say:
+	case distribution.SendMessage:
 		if c := x.links[a.Link]; c != nil {
 			f := distribution.Encode(a.Message)
 			l.w.send(c, true, &payload{size: len(f.Bytes), frame: f})
 		}
-	case distribution.Left:
-		l.causes[a.Why.String()]++
+	case distribution.Unsubscribed:
+		l.causes[a.Cause.String()]++
 	case distribution.Wake:
 		l.w.wake(p, slotSubscriber+stream, a.After)
 	default:
@@ -245,19 +245,19 @@
 	x := &p.sides[stream]
 	for _, a := range actions {
 		switch a := a.(type) {
-		case distribution.Send:
+		case distribution.SendFrame:
 			load := &payload{size: len(a.Frame.Bytes), frame: a.Frame}
-			for _, link := range a.To {
+			for _, link := range a.Links {
 				if c := x.below[link]; c != nil {
 					l.w.send(c, false, load)
 				}
 			}
-		case distribution.Drop:
+		case distribution.CloseLink:
 			if c := x.below[a.Link]; c != nil {
 				delete(x.below, a.Link)
 				l.w.leave(c, p)
 			}
-			l.causes["dropped: "+a.Why.String()]++
+			l.causes["dropped: "+a.Cause.String()]++
 		case distribution.Wake:
 			l.w.wake(p, slotDistributor+stream, a.After)
 		default:
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -54,9 +54,9 @@
 	timers           [nSlots]timer
 
 	sides   [2]side
-	gates   [2]*distribution.Gate // what requests go by
-	next    [2]int                // place in the log of each stream: all before it is in force
-	owed    []owed                // what was left out of a batch, as something later covers it
+	gates   [2]*distribution.FreshnessGate // what requests go by
+	next    [2]int                         // place in the log of each stream: all before it is in force
+	owed    []owed                         // what was left out of a batch, as something later covers it
 	applier *applier
 	follow  follower // today's way
 
