--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts one policy.Router for each instance and speaks JSON lines on standard input and
-// output. It holds no decision.
+// Command wirehost runs one policy.Router per instance for the simulator. It reads batches of events as JSON lines from
+// standard input and writes a line of actions for each to standard output. It decides nothing.
 package main
 
 import (
@@ -14,6 +14,9 @@
 	"ravenwheel/wire"
 )
 
+// readBufferSize is the size of the input buffer in bytes. Longer lines are read too.
+const readBufferSize = 1 << 20
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
@@ -21,26 +24,18 @@
 	}
 }
 
-// serve answers each line with one reply until the input ends.
+// serve answers each line with one reply until the input ends. Empty lines are skipped.
 func serve(in io.Reader, out io.Writer) error {
-	host := host{routers: map[int]*policy.Router{}}
-	lines := bufio.NewReaderSize(in, 1<<20)
-	var reply []byte
-	for n := 1; ; n++ {
+	host := newHost()
+	lines := bufio.NewReaderSize(in, readBufferSize)
+	for number := 1; ; number++ {
 		line, err := lines.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("reading line %d: %w", n, err)
+			return fmt.Errorf("reading line %d: %w", number, err)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			batch, err := wire.DecodeBatch(line)
-			if err != nil {
-				return fmt.Errorf("line %d: %w", n, err)
-			}
-			if reply, err = wire.EncodeReply(reply[:0], host.handle(batch)); err != nil {
-				return fmt.Errorf("line %d: %w", n, err)
-			}
-			if _, err := out.Write(reply); err != nil {
-				return fmt.Errorf("writing the reply to line %d: %w", n, err)
+			if err := host.answer(line, out); err != nil {
+				return fmt.Errorf("line %d: %w", number, err)
 			}
 		}
 		if err != nil {
@@ -49,46 +44,67 @@
 	}
 }
 
+// host holds the running instances.
 type host struct {
 	routers map[int]*policy.Router
-	acts    []policy.Action
+	actions []policy.Action // reused for each event
+	reply   []byte          // reused for each line
+}
+
+func newHost() *host { return &host{routers: map[int]*policy.Router{}} }
+
+// answer decodes one line, handles its events and writes the reply.
+func (h *host) answer(line []byte, out io.Writer) error {
+	batch, err := wire.DecodeBatch(line)
+	if err != nil {
+		return err
+	}
+	if h.reply, err = wire.EncodeReply(h.reply[:0], h.handle(batch)); err != nil {
+		return err
+	}
+	if _, err := out.Write(h.reply); err != nil {
+		return fmt.Errorf("writing the reply: %w", err)
+	}
+	return nil
 }
 
-func (h *host) handle(b wire.Batch) []wire.Acted {
-	var out []wire.Acted
-	for _, e := range b.Events {
-		acts, err := h.one(b.At, e)
-		for _, a := range acts {
-			out = append(out, wire.Acted{Who: e.Who, Action: a})
+func (h *host) handle(batch wire.Batch) []wire.InstanceAction {
+	var out []wire.InstanceAction
+	for _, event := range batch.Events {
+		actions, err := h.handleEvent(batch.At, event)
+		for _, action := range actions {
+			out = append(out, wire.InstanceAction{Instance: event.Instance, Action: action})
 		}
 		if err != nil {
-			delete(h.routers, e.Who)
-			out = append(out, wire.Acted{Who: e.Who, Action: wire.Fault{Text: err.Error()}})
+			delete(h.routers, event.Instance)
+			failure := wire.InternalError{Text: err.Error()}
+			out = append(out, wire.InstanceAction{Instance: event.Instance, Action: failure})
 		}
 	}
 	return out
 }
 
-// one hands an event to its instance. A panic there is that instance's fault and nobody else's.
-func (h *host) one(at policy.Time, e wire.Envelope) (acts []policy.Action, err error) {
+// handleEvent passes an event to its instance. An error, also for a panic there, concerns this instance alone. The actions
+// are valid until the next call.
+func (h *host) handleEvent(at policy.Time, event wire.InstanceEvent) (actions []policy.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			acts, err = nil, fmt.Errorf("panic: %v", p)
+			actions, err = nil, fmt.Errorf("panic: %v", p)
 		}
 	}()
-	switch x := e.Event.(type) {
-	case wire.Boot:
-		r, err := policy.New(x.Settings, x.Seed)
+	switch e := event.Event.(type) {
+	case wire.Start:
+		router, err := policy.New(e.Settings, e.Seed)
 		if err != nil {
 			return nil, fmt.Errorf("starting: %w", err)
 		}
-		h.routers[e.Who] = r
-	case wire.Detach:
-		delete(h.routers, e.Who)
+		h.routers[event.Instance] = router
+	case wire.Stop:
+		delete(h.routers, event.Instance)
 	case policy.Event:
-		if r := h.routers[e.Who]; r != nil {
-			h.acts = r.Handle(at, x, h.acts[:0])
-			return h.acts, nil
+		if router := h.routers[event.Instance]; router != nil {
+			h.actions = router.Handle(at, e, h.actions[:0])
+			return h.actions, nil
 		}
 	}
 	return nil, nil
--- a/wire/wire_test.go
+++ b/wire/batch_test.go
@@ -28,13 +28,14 @@
 		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unheard",1]]}`))
 		if err != nil {
 			t.Errorf("%s: %v", line, err)
-		} else if len(b.Events) != 1 || b.Events[0].Who != 3 || !reflect.DeepEqual(b.Events[0].Event, want) {
+		} else if len(b.Events) != 1 || b.Events[0].Instance != 3 || !reflect.DeepEqual(b.Events[0].Event, want) {
 			t.Errorf("%s: got %+v, want %+v", line, b.Events, want)
 		}
 	}
 }
 
-func TestBadLinesNameTheEvent(t *testing.T) {
+// The error of an invalid line names the event and the value.
+func TestDecodeBatchReportsInvalidEvent(t *testing.T) {
 	for line, part := range map[string]string{
 		`nonsense`:                                           "not a batch",
 		`{"events":[]}`:                                      "not a batch",
@@ -50,7 +51,8 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+// A Start carries the settings, and an unknown word for the idempotency is left to policy.New to reject.
+func TestDecodeStartWithSettings(t *testing.T) {
 	line := `{"AtTimeUs":1,"events":[["Boot",0,9,{"NInstances":3,"Zone":2,"New":1,"Weights":"rough",
 		"Grades":[{"Effect":"at_most_once","DeadlineUs":5000},{"Effect":"odd"}],
 		"FamilyInfo":{"Uncached":[true],"RootKind":2,"PeersFill":"any","NoteLevel":"hit"}}]]}`
@@ -58,31 +60,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := b.Events[0].Event.(Boot).Settings
+	s := b.Events[0].Event.(Start).Settings
 	if s.Routers != 3 || !s.WeightsKnown || s.OriginKind != 2 || s.ParentKind != -1 || s.SiblingFills != policy.SiblingsAny ||
 		s.OutcomeDetail != policy.DetailHit || !s.Classes[0].Uncached || s.Classes[0].Idempotency != policy.NotIdempotent {
 		t.Errorf("got %+v", s)
 	}
 	if _, err := policy.New(s, 1); err == nil {
-		t.Error("an effect of unknown name was taken")
+		t.Error("an unknown idempotency was accepted")
 	}
 }
 
 func TestEncodeReply(t *testing.T) {
-	got, err := EncodeReply(nil, []Acted{
+	got, err := EncodeReply(nil, []InstanceAction{
 		{3, policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
 		{3, policy.Fetch{ID: "a", Cache: 7, Source: 9, RetainRank: 2, MaxAge: time.Second, Timeout: 900 * time.Millisecond, Options: policy.Coalesce | policy.RefreshInBackground}},
 		{3, policy.SetTimer{Token: 77, After: 500*time.Millisecond + 1}},
 		{3, policy.Reject{ID: "a"}},
-		{3, Fault{Text: "bad\nline"}},
+		{3, InternalError{Text: "bad\nline"}},
 	})
 	want := `{"outbox":[["Route",3,"a",7,80000],["PullVia",3,"a",1000000,7,2,900000,9,9],["After",3,77,500001],` +
 		`["Deny",3,"a",0],["InternalError",3,"bad\nline"]]}` + "\n"
 	if err != nil || string(got) != want {
 		t.Errorf("got %s, %v\nwant %s", got, err, want)
 	}
-	if _, err := EncodeReply(nil, []Acted{{1, 5}}); err == nil {
-		t.Error("an action that is none was encoded")
+	if _, err := EncodeReply(nil, []InstanceAction{{1, 5}}); err == nil {
+		t.Error("an unknown action was encoded")
 	}
 }
 
@@ -93,7 +95,7 @@
 		b, err := DecodeBatch(line)
 		for _, e := range b.Events {
 			if err != nil || e.Event == nil {
-				t.Fatalf("an event came with error %v: %+v", err, e)
+				t.Fatalf("got an event and error %v: %+v", err, e)
 			}
 		}
 	})
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -77,8 +77,8 @@
 		line string
 		want any
 	}{
-		{bootLine, Boot{Seed: 18446744073709551615, Settings: wantSettings()}},
-		{`["Detach",1]`, Detach{}},
+		{bootLine, Start{Seed: 18446744073709551615, Settings: wantSettings()}},
+		{`["Detach",1]`, Stop{}},
 		{`["Targets",1,"diff",41,` + hosts + `]`, policy.Members{Kind: policy.ListChanges, Version: 41, Entries: entry}},
 		{`["Targets",1,"snapshot",42,` + hosts + `]`, policy.Members{Kind: policy.ListFull, Version: 42, Entries: entry}},
 		{`["Targets",1,"disk",43,` + hosts + `]`, policy.Members{Kind: policy.ListCached, Version: 43, Entries: entry}},
@@ -123,7 +123,7 @@
 			t.Errorf("%s: %v", line, err)
 			continue
 		}
-		want := Batch{At: 5 * time.Microsecond, Events: []Envelope{{Who: 1, Event: cases[i].want}}}
+		want := Batch{At: 5 * time.Microsecond, Events: []InstanceEvent{{Instance: 1, Event: cases[i].want}}}
 		if !reflect.DeepEqual(batch, want) {
 			t.Errorf("%s:\n got %+v\nwant %+v", line, batch, want)
 		}
@@ -133,26 +133,26 @@
 // TestGoldenActions: each action is encoded to the same bytes as before, with every field set and with the optional
 // ones empty.
 func TestGoldenActions(t *testing.T) {
-	reply, err := EncodeReply(nil, []Acted{
-		{Who: 3, Action: policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
-		{Who: 3, Action: policy.Lookup{ID: "a", Cache: 7}},
-		{Who: 3, Action: policy.Fetch{
+	reply, err := EncodeReply(nil, []InstanceAction{
+		{Instance: 3, Action: policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
+		{Instance: 3, Action: policy.Lookup{ID: "a", Cache: 7}},
+		{Instance: 3, Action: policy.Fetch{
 			ID: "a", Cache: 7, Source: 9, Timeout: 900 * time.Millisecond, MaxAge: time.Second, RetainRank: 2,
 			Options: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground,
 		}},
-		{Who: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.Coalesce}},
-		{Who: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.CachedOnly}},
-		{Who: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.ParentPassThrough}},
-		{Who: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.RefreshInBackground}},
-		{Who: 3, Action: policy.Cancel{ID: "a", Attempt: 4}},
-		{Who: 3, Action: policy.Reject{ID: "a", RetryAfter: 1500 * time.Millisecond}},
-		{Who: 3, Action: policy.Reject{ID: "a"}},
-		{Who: 3, Action: policy.Fail{ID: "a"}},
-		{Who: 3, Action: policy.SetTimer{Token: 18446744073709551615, After: 500*time.Millisecond + 1}},
-		{Who: 3, Action: policy.Watch{On: true}},
-		{Who: 3, Action: policy.Watch{}},
-		{Who: 3, Action: policy.Log{Text: "7 up"}},
-		{Who: 3, Action: Fault{Text: "starting: \"x\""}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.Coalesce}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.CachedOnly}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.ParentPassThrough}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.RefreshInBackground}},
+		{Instance: 3, Action: policy.Cancel{ID: "a", Attempt: 4}},
+		{Instance: 3, Action: policy.Reject{ID: "a", RetryAfter: 1500 * time.Millisecond}},
+		{Instance: 3, Action: policy.Reject{ID: "a"}},
+		{Instance: 3, Action: policy.Fail{ID: "a"}},
+		{Instance: 3, Action: policy.SetTimer{Token: 18446744073709551615, After: 500*time.Millisecond + 1}},
+		{Instance: 3, Action: policy.Watch{On: true}},
+		{Instance: 3, Action: policy.Watch{}},
+		{Instance: 3, Action: policy.Log{Text: "7 up"}},
+		{Instance: 3, Action: InternalError{Text: "starting: \"x\""}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -11,158 +11,218 @@
 	"ravenwheel/policy"
 )
 
-// env holds the settings as they come; keys that it does not list are skipped. Whole numbers are read as any number is:
-// nothing says that a writer of JSON puts 1500000 where another puts 1500000.0 or 1.5e6.
-type env struct {
-	NInstances, Rank, Zone float64
-	Discovery, Weights     string
-	TickUs                 float64
-	Bounds                 struct {
-		Cancel, RetryAfter                           bool
-		MostTries, MaxRetryAfterUs, ConnectTimeoutUs float64
-	}
-	Rules struct {
-		AnswerSlackUs, AskWithinUs, DrainGraceUs, FallUs, WarmWithinUs float64
-		ColdFrom, FallMultiple                                         float64
-	}
-	Grades []struct {
-		TargetUs, DeadlineUs, WindowUs float64
-		AimStretch, LateValue, Worth   float64
-		Effect, Group                  string
-		Stream                         bool
-	}
-	FamilyInfo struct {
-		ClassFreshUs, StaleForUs       []float64
-		ClassStaleWorth                []float64
-		InParts, Uncached              []bool
-		MayPassBy, SharesFills         bool
-		FlowKbPerS, OriginFallMultiple float64
-		OriginBearsUs, ParentWarmsInUs float64
-		ParentColdFrom, ParentBreaksAt float64
-		RootKind, SecondTierKind       *float64
-		PurgeTakesUs, NoticeTimeUs     float64
-		PeersFill, NoteLevel           string
-		ZoneBalancers, HomeHub         []float64
-		ZoneLinkKbPerS                 []float64
-	}
+// settingsMessage is the settings object with the protocol's field names in the tags; keys that it does not list are
+// ignored. Integers are decoded as floats, since a writer of JSON may write 1500000 as 1500000.0 or 1.5e6.
+type settingsMessage struct {
+	Routers          float64            `json:"NInstances"`
+	Rank             float64            `json:"Rank"`
+	Zone             float64            `json:"Zone"`
+	Discovery        string             `json:"Discovery"`
+	Weights          string             `json:"Weights"`
+	MinBatchInterval float64            `json:"TickUs"`
+	Bounds           boundsMessage      `json:"Bounds"`
+	Rules            rulesMessage       `json:"Rules"`
+	Classes          []classMessage     `json:"Grades"`
+	CacheFamily      cacheFamilyMessage `json:"FamilyInfo"`
+}
+
+// boundsMessage holds what the clients and servers allow. Times are in microseconds, here and below.
+type boundsMessage struct {
+	CanCancel       bool    `json:"Cancel"`
+	SendsRetryAfter bool    `json:"RetryAfter"`
+	MaxAttempts     float64 `json:"MostTries"`
+	MaxRetryAfter   float64 `json:"MaxRetryAfterUs"`
+	ConnectTimeout  float64 `json:"ConnectTimeoutUs"`
+}
+
+type rulesMessage struct {
+	FinalAnswerGrace float64 `json:"AnswerSlackUs"`
+	PollInterval     float64 `json:"AskWithinUs"`
+	DrainGrace       float64 `json:"DrainGraceUs"`
+	OverloadWindow   float64 `json:"FallUs"`
+	WarmUpDuration   float64 `json:"WarmWithinUs"`
+	InitialCapacity  float64 `json:"ColdFrom"`
+	OverloadMultiple float64 `json:"FallMultiple"`
+}
+
+type classMessage struct {
+	LatencyObjective float64 `json:"TargetUs"`
+	Deadline         float64 `json:"DeadlineUs"`
+	DedupWindow      float64 `json:"WindowUs"`
+	ObjectiveStretch float64 `json:"AimStretch"`
+	LateFraction     float64 `json:"LateValue"`
+	PriorityWeight   float64 `json:"Worth"`
+	Idempotency      string  `json:"Effect"`
+	DedupScope       string  `json:"Group"`
+	Streamed         bool    `json:"Stream"`
+}
+
+// cacheFamilyMessage holds the facts of caching. Its lists are by class or by zone, as policy.Settings has them.
+type cacheFamilyMessage struct {
+	FreshFor               []float64 `json:"ClassFreshUs"`
+	StaleFor               []float64 `json:"StaleForUs"`
+	StaleFraction          []float64 `json:"ClassStaleWorth"`
+	Multipart              []bool    `json:"InParts"`
+	Uncached               []bool    `json:"Uncached"`
+	MayBypassCaches        bool      `json:"MayPassBy"`
+	CoalescesFills         bool      `json:"SharesFills"`
+	TransferKBPerS         float64   `json:"FlowKbPerS"`
+	OriginOverloadMultiple float64   `json:"OriginFallMultiple"`
+	OriginOverloadWindow   float64   `json:"OriginBearsUs"`
+	ParentWarmUpDuration   float64   `json:"ParentWarmsInUs"`
+	ParentInitialCapacity  float64   `json:"ParentColdFrom"`
+	ParentOverloadMultiple float64   `json:"ParentBreaksAt"`
+	OriginKind             *float64  `json:"RootKind"`
+	ParentKind             *float64  `json:"SecondTierKind"`
+	PurgeDuration          float64   `json:"PurgeTakesUs"`
+	PurgeGrace             float64   `json:"NoticeTimeUs"`
+	SiblingFills           string    `json:"PeersFill"`
+	OutcomeDetail          string    `json:"NoteLevel"`
+	ZoneRouters            []float64 `json:"ZoneBalancers"`
+	HomeHub                []float64 `json:"HomeHub"`
+	LinkKBPerS             []float64 `json:"ZoneLinkKbPerS"`
 }
 
-// usualPurge: where it is not told how long copies from before a purge may lie about. Guards against a purge that would not
-// be heeded at all: shorter misses old copies, longer fetches some anew for nothing.
-const usualPurge = 6 * time.Second
+const (
+	// defaultPurgeDuration applies where the settings give no time for purges. With 0 purges would have no effect; a
+	// longer time fetches some copies again without need, a shorter one misses old copies.
+	defaultPurgeDuration = 6 * time.Second
+	// noKind is the kind of parents, or of the origin, where there are none.
+	noKind = -1
+	// unknownIdempotency stands for an unknown word. policy.New rejects it and names the class.
+	unknownIdempotency = policy.Idempotency(-1)
+	// maxMicroseconds bounds a duration from outside: 100 days.
+	maxMicroseconds = 100 * 24 * 3600 * 1e6
+)
 
 var (
-	effects = map[string]policy.Idempotency{
+	idempotencies = map[string]policy.Idempotency{
 		"idempotent": policy.Idempotent, "deduplicated": policy.IdempotentByKey, "at_most_once": policy.NotIdempotent,
 	}
-	groups  = map[string]policy.DedupScope{"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell}
-	reaches = map[string]policy.SiblingScope{
+	dedupScopes = map[string]policy.DedupScope{
+		"all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
+	}
+	siblingScopes = map[string]policy.SiblingScope{
 		"silent": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny,
 	}
-	details = map[string]policy.OutcomeDetail{
+	outcomeDetails = map[string]policy.OutcomeDetail{
 		"silent": policy.DetailNone, "hit": policy.DetailHit, "all": policy.DetailAll,
 	}
 )
 
-// noEffect is what an effect of unknown name becomes; policy.New says so.
-const noEffect = policy.Idempotency(-1)
+// DecodeSettings decodes the settings object of the simulator and of the platform's configuration. The error names the
+// place of a value of the wrong type or of an unknown deduplication scope.
+func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
+	var m settingsMessage
+	if err := json.Unmarshal(raw, &m); err != nil {
+		return policy.Settings{}, settingsError(err)
+	}
+	family := m.CacheFamily
+	settings := policy.Settings{
+		Rank: integer(m.Rank), Routers: integer(m.Routers), Zone: integer(m.Zone),
+		ZoneRouters: integers(family.ZoneRouters), HomeHub: integers(family.HomeHub), LinkKBPerS: family.LinkKBPerS,
+		ParentKind: kind(family.ParentKind), OriginKind: kind(family.OriginKind),
+		MayBypassCaches: family.MayBypassCaches, SiblingFills: siblingScopes[family.SiblingFills],
+		CoalescesFills: family.CoalescesFills, OutcomeDetail: outcomeDetails[family.OutcomeDetail],
+		TransferKBPerS: family.TransferKBPerS,
+		PurgeDuration:  duration(family.PurgeDuration), PurgeGrace: duration(family.PurgeGrace),
+		OriginOverloadMultiple: family.OriginOverloadMultiple, OriginOverloadWindow: duration(family.OriginOverloadWindow),
+		WatchDiscovery: m.Discovery == "ask", PollInterval: duration(m.Rules.PollInterval),
+		DrainGrace: duration(m.Rules.DrainGrace), CacheWarmUp: m.Rules.cacheWarmUp(), ParentWarmUp: m.parentWarmUp(),
+		FinalAnswerGrace: duration(m.Rules.FinalAnswerGrace), WeightsKnown: m.Weights == "nominal" || m.Weights == "rough",
+		MaxAttempts: integer(m.Bounds.MaxAttempts), CanCancel: m.Bounds.CanCancel, SendsRetryAfter: m.Bounds.SendsRetryAfter,
+		MaxRetryAfter: duration(m.Bounds.MaxRetryAfter), ConnectTimeout: duration(m.Bounds.ConnectTimeout),
+		MinBatchInterval: duration(m.MinBatchInterval),
+	}
+	if settings.PurgeDuration <= 0 {
+		settings.PurgeDuration = defaultPurgeDuration
+	}
+	for i := range m.Classes {
+		class, err := m.class(i)
+		if err != nil {
+			return policy.Settings{}, err
+		}
+		settings.Classes = append(settings.Classes, class)
+	}
+	return settings, nil
+}
+
+func (m *rulesMessage) cacheWarmUp() policy.WarmUp {
+	return policy.WarmUp{
+		InitialCapacity: m.InitialCapacity, Duration: duration(m.WarmUpDuration),
+		OverloadMultiple: m.OverloadMultiple, OverloadWindow: duration(m.OverloadWindow),
+	}
+}
 
-func at[T any](list []T, i int) (v T) {
-	if i < len(list) {
-		v = list[i]
+func (m *settingsMessage) parentWarmUp() policy.WarmUp {
+	return policy.WarmUp{
+		InitialCapacity: m.CacheFamily.ParentInitialCapacity, Duration: duration(m.CacheFamily.ParentWarmUpDuration),
+		OverloadMultiple: m.CacheFamily.ParentOverloadMultiple, OverloadWindow: duration(m.Rules.OverloadWindow),
 	}
-	return v
 }
 
-// DecodeSettings reads the settings object of the simulator and of the platform's configuration.
-func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
-	var e env
-	if err := json.Unmarshal(raw, &e); err != nil {
-		return policy.Settings{}, plain(err)
-	}
-	f := e.FamilyInfo
-	kind := func(k *float64) int {
-		if k == nil {
-			return -1
-		}
-		return whole(*k)
-	}
-	s := policy.Settings{
-		Rank: whole(e.Rank), Routers: whole(e.NInstances), Zone: whole(e.Zone),
-		ZoneRouters: wholes(f.ZoneBalancers), HomeHub: wholes(f.HomeHub),
-		LinkKBPerS: f.ZoneLinkKbPerS, ParentKind: kind(f.SecondTierKind), OriginKind: kind(f.RootKind),
-		MayBypassCaches: f.MayPassBy, SiblingFills: reaches[f.PeersFill], CoalescesFills: f.SharesFills,
-		OutcomeDetail: details[f.NoteLevel], TransferKBPerS: f.FlowKbPerS,
-		PurgeDuration: span(f.PurgeTakesUs), PurgeGrace: span(f.NoticeTimeUs),
-		OriginOverloadMultiple: f.OriginFallMultiple, OriginOverloadWindow: span(f.OriginBearsUs),
-		WatchDiscovery: e.Discovery == "ask", PollInterval: span(e.Rules.AskWithinUs), DrainGrace: span(e.Rules.DrainGraceUs),
-		CacheWarmUp: policy.WarmUp{
-			InitialCapacity: e.Rules.ColdFrom, Duration: span(e.Rules.WarmWithinUs),
-			OverloadMultiple: e.Rules.FallMultiple, OverloadWindow: span(e.Rules.FallUs),
-		},
-		ParentWarmUp: policy.WarmUp{
-			InitialCapacity: f.ParentColdFrom, Duration: span(f.ParentWarmsInUs),
-			OverloadMultiple: f.ParentBreaksAt, OverloadWindow: span(e.Rules.FallUs),
-		},
-		FinalAnswerGrace: span(e.Rules.AnswerSlackUs),
-		WeightsKnown:     e.Weights == "nominal" || e.Weights == "rough",
-		MaxAttempts:      whole(e.Bounds.MostTries), CanCancel: e.Bounds.Cancel, SendsRetryAfter: e.Bounds.RetryAfter,
-		MaxRetryAfter: span(e.Bounds.MaxRetryAfterUs), ConnectTimeout: span(e.Bounds.ConnectTimeoutUs), MinBatchInterval: span(e.TickUs),
-	}
-	if s.PurgeDuration <= 0 {
-		s.PurgeDuration = usualPurge
-	}
-	for i, g := range e.Grades {
-		effect, ok := effects[g.Effect]
-		if !ok {
-			effect = noEffect
-		}
-		group, ok := groups[g.Group]
-		if !ok && g.Group != "" && effect == policy.IdempotentByKey {
-			// Guards against a group of unknown name that would be taken for the widest, over which repeats are sent anywhere.
-			return policy.Settings{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q", i, g.Group)
-		}
-		if g.TargetUs <= 0 {
-			g.TargetUs = g.DeadlineUs // without an aim no answer is late before the deadline
-		}
-		s.Classes = append(s.Classes, policy.Class{
-			LatencyObjective: span(g.TargetUs), ObjectiveStretch: g.AimStretch, Deadline: span(g.DeadlineUs), PriorityWeight: g.Worth,
-			LateFraction: g.LateValue, Idempotency: effect, DedupScope: group, DedupWindow: span(g.WindowUs), Streamed: g.Stream,
-			Uncached: at(f.Uncached, i), Multipart: at(f.InParts, i), FreshFor: span(at(f.ClassFreshUs, i)),
-			StaleFor: span(at(f.StaleForUs, i)), StaleFraction: at(f.ClassStaleWorth, i),
-		})
-	}
-	return s, nil
+// class translates one class. An unknown deduplication scope of a class with idempotency keys is an error: taken for the
+// widest, it would allow retries at any cache.
+func (m *settingsMessage) class(i int) (policy.Class, error) {
+	c, family := m.Classes[i], m.CacheFamily
+	idempotency, known := idempotencies[c.Idempotency]
+	if !known {
+		idempotency = unknownIdempotency
+	}
+	scope, known := dedupScopes[c.DedupScope]
+	if !known && c.DedupScope != "" && idempotency == policy.IdempotentByKey {
+		return policy.Class{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q", i, c.DedupScope)
+	}
+	if c.LatencyObjective <= 0 {
+		c.LatencyObjective = c.Deadline // no answer before the deadline is late
+	}
+	return policy.Class{
+		LatencyObjective: duration(c.LatencyObjective), ObjectiveStretch: c.ObjectiveStretch, Deadline: duration(c.Deadline),
+		PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, Idempotency: idempotency, DedupScope: scope,
+		DedupWindow: duration(c.DedupWindow), Streamed: c.Streamed, Uncached: elementOrZero(family.Uncached, i),
+		Multipart: elementOrZero(family.Multipart, i), FreshFor: duration(elementOrZero(family.FreshFor, i)),
+		StaleFor: duration(elementOrZero(family.StaleFor, i)), StaleFraction: elementOrZero(family.StaleFraction, i),
+	}, nil
 }
 
-// longestSpan bounds a time that is told, in microseconds: a hundred days.
-const longestSpan = 100 * 24 * 3600 * 1e6
+func elementOrZero[T any](list []T, i int) (element T) {
+	if i < len(list) {
+		element = list[i]
+	}
+	return element
+}
 
-// span is a time told in microseconds.
-func span(n float64) time.Duration {
-	return us(int64(math.Round(max(-longestSpan, min(n, longestSpan)))))
+// duration converts microseconds, rounded to whole ones.
+func duration(us float64) time.Duration {
+	return microseconds(int64(math.Round(max(-maxMicroseconds, min(us, maxMicroseconds)))))
 }
 
-// whole is a count or a place.
-func whole(n float64) int { return int(math.Round(max(math.MinInt32, min(n, math.MaxInt32)))) }
+func integer(n float64) int { return int(math.Round(max(math.MinInt32, min(n, math.MaxInt32)))) }
 
-func wholes(list []float64) (out []int) {
+func integers(list []float64) (out []int) {
 	for _, n := range list {
-		out = append(out, whole(n))
+		out = append(out, integer(n))
 	}
 	return out
 }
 
-// forms are what JSON calls what a value is read into.
-var forms = map[reflect.Kind]string{
+func kind(k *float64) int {
+	if k == nil {
+		return noKind
+	}
+	return integer(*k)
+}
+
+// jsonTypes names the JSON types of the kinds in settingsMessage.
+var jsonTypes = map[reflect.Kind]string{
 	reflect.Float64: "number", reflect.String: "string", reflect.Bool: "bool", reflect.Slice: "array", reflect.Struct: "object",
 }
 
-// plain names the place of what can't be read in one line.
-func plain(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return fmt.Errorf("settings.%s: %s found, %s wanted", wrong.Field, wrong.Value, forms[wrong.Type.Kind()])
+// settingsError describes an error of package json in one line that names the place.
+func settingsError(err error) error {
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		return fmt.Errorf("settings.%s: %s found, %s wanted", wrongType.Field, wrongType.Value, jsonTypes[wrongType.Type.Kind()])
 	}
 	return fmt.Errorf("settings: %w", err)
 }
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -9,8 +9,8 @@
 	"ravenwheel/policy"
 )
 
-// The same settings, however a writer of JSON puts whole numbers.
-func TestNumbersOfAnyForm(t *testing.T) {
+// Integers may be written in any form of a JSON number.
+func TestDecodeSettingsAcceptsAnyNumberForm(t *testing.T) {
 	decode := func(numbers ...string) policy.Settings {
 		text := `{"NInstances":#,"Zone":#,"Grades":[{"DeadlineUs":#,"WindowUs":#,"Effect":"deduplicated"}],
 			"Bounds":{"MostTries":#},"Rules":{"FallUs":#},"FamilyInfo":{"RootKind":#,"ZoneBalancers":[#],"PurgeTakesUs":#}}`
@@ -32,25 +32,25 @@
 	}
 }
 
-// What is absent, or 0, stands for the safe side of what it could be.
-func TestAbsent(t *testing.T) {
+// Settings that are absent or 0 get the safe default.
+func TestDecodeSettingsDefaults(t *testing.T) {
 	s, err := DecodeSettings([]byte(`{"Grades":[{"DeadlineUs":5000000},{"DeadlineUs":5000000,"TargetUs":1000000}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Classes[0].LatencyObjective != 5*time.Second || s.Classes[1].LatencyObjective != time.Second {
-		t.Errorf("aims %v and %v", s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective)
+		t.Errorf("latency objectives %v and %v", s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective)
 	}
 	if s.PurgeDuration != 6*time.Second {
-		t.Errorf("purges are heeded for %v", s.PurgeDuration)
+		t.Errorf("purge duration %v", s.PurgeDuration)
 	}
 	if s.ParentKind != -1 || s.OriginKind != -1 || s.WeightsKnown || s.MayBypassCaches || s.CoalescesFills || s.Classes[0].FreshFor != 0 {
 		t.Errorf("got %+v", s)
 	}
 }
 
-// A group of unknown name is not taken for the widest; of a class without keys it says nothing.
-func TestUnknownGroup(t *testing.T) {
+// An unknown deduplication scope is an error, except for a class without idempotency keys.
+func TestDecodeSettingsRejectsUnknownDedupScope(t *testing.T) {
 	_, err := DecodeSettings([]byte(`{"Grades":[{"Effect":"idempotent","Group":"hall"},{"Effect":"deduplicated","Group":"hall"}]}`))
 	if err == nil || err.Error() != `settings.Grades[1].Group: unknown group "hall"` {
 		t.Errorf("got %v", err)
@@ -60,8 +60,8 @@
 	}
 }
 
-// What can't be read is told with its place, in one line.
-func TestSettingsOfOtherTypes(t *testing.T) {
+// A value of the wrong type is reported in one line with its place.
+func TestDecodeSettingsReportsPlaceOfWrongType(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"Grades":[{"DeadlineUs":"3s"}]}`:      "settings.Grades.DeadlineUs: string found, number wanted",
 		`{"FamilyInfo":{"Uncached":[0]}}`:       "settings.FamilyInfo.Uncached: number found, bool wanted",
