--- a/cmd/ravenwheel/alone_test.go
+++ b/cmd/ravenwheel/alone_test.go
@@ -118,7 +118,7 @@
 	}
 	server := func(id policy.CacheID) string { return entryText(id, fmt.Sprintf("127.0.0.%d:9", id), `, "weight": 4`) }
 	put(listText(1, []string{server(1), server(20)}))
-	o, err := config.ParseOperator(filepath.Join(dir, "o.jsonc"), []byte(`{"servers": {"path": "servers.jsonc", "quiet_ms": 30, "most_dropped": 1}}`))
+	o, err := config.ParseOperatorFile(filepath.Join(dir, "o.jsonc"), []byte(`{"servers": {"path": "servers.jsonc", "quiet_ms": 30, "most_dropped": 1}}`))
 	require.NoError(t, err)
 	ln := listenBoard(t)
 	member := func(id policy.CacheID, state policy.State) core.Member {
@@ -127,10 +127,10 @@
 		return m
 	}
 	conf := &config.Config{
-		Board: ln.Addr().String(), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"small", "parent", "origin"}},
-		Classes: []string{"a"}, Rev: 1,
-		Settings: policy.Settings{Zone: 1, ParentKind: 1, OriginKind: 2, ZoneRouters: []int{0, 1}, Classes: []policy.Class{{Deadline: time.Second}}},
-		Known:    []discoveryclient.Event{{Revision: 1, Complete: true, Members: []core.Member{member(1, policy.Ready), member(2, policy.Ready)}}},
+		DiscoveryAddr: ln.Addr().String(), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"small", "parent", "origin"}},
+		Classes: []string{"a"}, InitialRevision: 1,
+		Settings:      policy.Settings{Zone: 1, ParentKind: 1, OriginKind: 2, ZoneRouters: []int{0, 1}, Classes: []policy.Class{{Deadline: time.Second}}},
+		InitialEvents: []discoveryclient.Event{{Revision: 1, Complete: true, Members: []core.Member{member(1, policy.Ready), member(2, policy.Ready)}}},
 	}
 	c, err := core.New(conf.Settings, conf.Classes, 0, 7, clk, upstream.New(clk, upstream.Limits{}))
 	require.NoError(t, err)
--- a/cmd/ravenwheel/cluster.go
+++ b/cmd/ravenwheel/cluster.go
@@ -32,7 +32,7 @@
 
 func (a *asker) ask(call, name, addr string) (store.Status, error) {
 	if operatorFile != "" {
-		o, err := config.LoadOperator(operatorFile)
+		o, err := config.LoadOperatorFile(operatorFile)
 		if err != nil {
 			return store.Status{}, err
 		}
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -12,16 +12,16 @@
 // ledger's sources.
 func (s *sources) discovery(rank int) *discoveryclient.Client {
 	reader := timestamp.New(s.clk.Now())
-	known := discoveryclient.TranslateInitialEvents(s.conf.Known, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
+	known := discoveryclient.TranslateInitialEvents(s.conf.InitialEvents, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
 	for _, n := range known {
 		n.Dispatch(rank, s.roster.Handle, s.purged)
 	}
 	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeGrace))
-	if s.conf.Console != "" { // it may take over from another process
+	if s.conf.ConsoleAddr != "" { // it may take over from another process
 		follow.NotifiedAfterStart = discovery.NotifiedAfterTakeover
 	}
 	return &discoveryclient.Client{
-		Addr: s.conf.Board, LastRevision: s.conf.Rev, Clock: s.clk, Log: s.log, Settings: follow,
+		Addr: s.conf.DiscoveryAddr, LastRevision: s.conf.InitialRevision, Clock: s.clk, Log: s.log, Settings: follow,
 		OnEvent: func(n discoveryclient.Event) {
 			n.Translate(reader, s.clk.Now()).Dispatch(rank, s.roster.Handle, s.purged)
 		},
--- a/cmd/ravenwheel/distribution.go
+++ b/cmd/ravenwheel/distribution.go
@@ -30,11 +30,11 @@
 }
 
 // member tells whether the process is one of a store's, only whether it is not, and hears what the store holds.
-func (s shared) member(o *config.Operator) bool { return s.store != nil && o.Store.Name != "" }
-func (s shared) only(o *config.Operator) bool   { return s.node != nil && o.Store.Name == "" }
+func (s shared) member(o *config.OperatorFile) bool { return s.store != nil && o.Store.Name != "" }
+func (s shared) only(o *config.OperatorFile) bool   { return s.node != nil && o.Store.Name == "" }
 
 // openShared opens the store and joins the tree of distributors, where the operator's file sets them up.
-func openShared(o *config.Operator, conf *config.Config, clk *clock.Clock, log *logs.Log) (s shared, err error) {
+func openShared(o *config.OperatorFile, conf *config.Config, clk *clock.Clock, log *logs.Log) (s shared, err error) {
 	defer func() {
 		if err != nil {
 			s.close()
@@ -47,7 +47,7 @@
 		s.heard, told = heard, func(c storestate.Change) { heard <- c }
 	}
 	if o.Store.Name != "" || o.Signed != nil {
-		if s.store, err = o.OpenStore(clk, told); err != nil {
+		if s.store, err = o.Store.Open(clk, told); err != nil {
 			return s, err
 		}
 		s.revisions = s.store.Watch()
@@ -109,9 +109,9 @@
 		self.Name = conf.Name
 	}
 	set := pure.DefaultSettings(0, self)
-	set.Seed, set.HeartbeatInterval, set.SilenceTimeout, set.MaxLag, set.MaxClockSkew = conf.Seed, d.Heartbeat, d.Silent, d.Bound, d.ClockBound
-	opt = distribution.Options{Settings: set, Clock: clk, Log: log, MostLinks: d.MostLinks, Epoch: d.Epoch}
-	for _, u := range d.Upstream {
+	set.Seed, set.HeartbeatInterval, set.SilenceTimeout, set.MaxLag, set.MaxClockSkew = conf.Seed, d.HeartbeatMs, d.SilenceTimeoutMs, d.MaxLagMs, d.MaxClockSkewMs
+	opt = distribution.Options{Settings: set, Clock: clk, Log: log, MostLinks: d.MaxLinks, Epoch: d.Epoch}
+	for _, u := range d.Distributors {
 		opt.Candidates = append(opt.Candidates, distribution.Candidate{
 			Peer: pure.Peer{Name: u.Name, Rank: u.Rank, Region: u.Region, Zone: u.Zone, Site: u.Site}, Addr: u.Addr,
 		})
--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/lists_test.go
@@ -94,12 +94,12 @@
 			require.NoError(t, err)
 		}
 	}
-	o, err := config.ParseOperator(filepath.Join(dir, "operator.jsonc"), []byte(operatorText))
+	o, err := config.ParseOperatorFile(filepath.Join(dir, "operator.jsonc"), []byte(operatorText))
 	require.NoError(t, err)
 	conf, err := config.Read(os.Getenv, o)
 	require.NoError(t, err)
 	up := upstream.New(r.clk, upstream.Limits{PerConn: 32, Conns: 4, Connect: 5000, Idle: 60_000})
-	r.core, err = core.New(conf.Settings, conf.Classes, conf.MostHeld, conf.Seed, r.clk, up)
+	r.core, err = core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, r.clk, up)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(r.path, []byte(r.fill(first)), 0o600))
 	r.src, err = startSources(o, conf, r.clk, nil, r.core, shared{}, nil, nil)
--- a/cmd/ravenwheel/live_test.go
+++ b/cmd/ravenwheel/live_test.go
@@ -28,8 +28,8 @@
 	require.NoError(t, err)
 	var used []uint64
 	l := &live{
-		store: st, log: log, core: p.Core, up: p.Pools, conf: &config.Config{MostHeld: 4096, StreamsPerConn: 32, Connect: 400},
-		oper: &config.Operator{LogOpt: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
+		store: st, log: log, core: p.Core, up: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		oper: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
 	}
 	set := func(base uint64, text string) {
 		_, err := st.SetConfig(base, text, "ops")
@@ -77,8 +77,8 @@
 	require.NoError(t, err)
 	var used []uint64
 	l := &live{
-		log: log, core: p.Core, up: p.Pools, conf: &config.Config{MostHeld: 4096, StreamsPerConn: 32, Connect: 400},
-		oper: &config.Operator{LogOpt: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
+		log: log, core: p.Core, up: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		oper: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
 	}
 	good := `{"log": {"level": "info"}, "keys": {"k1": {"alg": "HS256", "key": "eA=="}}}`
 	l.apply(storestate.Revision{Number: 1, Text: good})
--- a/cmd/ravenwheel/operator.go
+++ b/cmd/ravenwheel/operator.go
@@ -20,7 +20,7 @@
 var operatorFile string
 
 // startOperator starts what the operator's file sets up. stop ends it once what is open has been answered.
-func startOperator(o *config.Operator, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core, up *upstream.Pools, shared shared, src *sources) (stop func(context.Context), err error) {
+func startOperator(o *config.OperatorFile, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core, up *upstream.Pools, shared shared, src *sources) (stop func(context.Context), err error) {
 	var ends []func(context.Context)
 	stop = func(ctx context.Context) {
 		for i := len(ends) - 1; i >= 0; i-- {
@@ -53,7 +53,7 @@
 		}
 		return stop, nil
 	}
-	go seed(st, o.Keys)
+	go seed(st, o.SigningKeys)
 	ln, err := net.Listen("tcp", s.Listen)
 	if err != nil {
 		return nil, err
--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -18,7 +18,7 @@
 )
 
 // startPeers joins the other processes, where the operator's file sets them up; else it is nil, and nothing is counted.
-func startPeers(o *config.Operator, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core) (*peers.Peers, error) {
+func startPeers(o *config.OperatorFile, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core) (*peers.Peers, error) {
 	p := o.Peers
 	if p == nil {
 		return nil, nil
@@ -36,7 +36,7 @@
 	}
 	c.Tally = core.NewTally()
 	return peers.Start(peers.Options{
-		Name: name, Listen: p.Listen, Advertise: p.Advertise, Seeds: p.Seeds, Seen: p.Seen, Zone: zone, Region: p.Region, Every: p.Every,
+		Name: name, Listen: p.Listen, Advertise: p.Advertise, Seeds: p.Seeds, Seen: p.AddressesByName, Zone: zone, Region: p.Region, Every: p.DigestIntervalMs,
 		Dir: p.Dir, Identity: id, Clock: clk, Log: log, Totals: c.Tally.Totals, Objects: c.Tally.Objects,
 	})
 }
--- a/cmd/ravenwheel/place.go
+++ b/cmd/ravenwheel/place.go
@@ -27,16 +27,16 @@
 func takePlace(ended <-chan struct{}, conf *config.Config, clk *clock.Clock, log *logs.Log, stop context.CancelFunc) (p *place, err error) {
 	d := control.New(control.Options{Clock: clk, MemoryMB: conf.MemoryMB, Conns: conf.Sockets / 2, AnswerWithin: killed(conf), Stop: stop})
 	p = &place{desk: d}
-	if conf.Console == "" {
+	if conf.ConsoleAddr == "" {
 		return p, nil
 	}
-	if p.console, err = console.Listen(conf.Console, d, log); err != nil {
+	if p.console, err = console.Listen(conf.ConsoleAddr, d, log); err != nil {
 		return nil, err
 	}
 	go p.console.Serve()
-	if conf.Shared != "" {
+	if conf.HandoverDir != "" {
 		p.hand, err = handover.Start(handover.Options{
-			Dir: conf.Shared, Listen: conf.Listen, Clock: clk, Log: log, Accept: d.Accept, Owns: d.Owns, Shares: d.Shares, Stop: d.Step,
+			Dir: conf.HandoverDir, Listen: conf.Listen, Clock: clk, Log: log, Accept: d.Accept, Owns: d.Owns, Shares: d.Shares, Stop: d.Step,
 			Ended: ended,
 		})
 	}
--- a/cmd/ravenwheel/reload.go
+++ b/cmd/ravenwheel/reload.go
@@ -147,7 +147,7 @@
 	if !extends(c.Names.Zones, r.start.Names.Zones) || !extends(c.Names.Kinds, r.start.Names.Kinds) {
 		return "", errRestart
 	}
-	return c.Board, nil
+	return c.DiscoveryAddr, nil
 }
 
 // extends tells whether a list has the names of another one in the same places.
@@ -165,7 +165,7 @@
 	}
 	r := &reloader{
 		read:  func() (*config.Config, error) { return config.Load(os.Getenv) },
-		start: s.conf, at: s.conf.Board, follow: s.board.SetAddr, signals: signals, log: log,
+		start: s.conf, at: s.conf.DiscoveryAddr, follow: s.board.SetAddr, signals: signals, log: log,
 	}
 	go func() {
 		for range s.overdue {
--- a/cmd/ravenwheel/reload_test.go
+++ b/cmd/ravenwheel/reload_test.go
@@ -33,7 +33,7 @@
 	start, err := config.Load(getenv)
 	require.NoError(t, err)
 	x := &reloader{
-		read: func() (*config.Config, error) { return config.Load(getenv) }, start: start, at: start.Board,
+		read: func() (*config.Config, error) { return config.Load(getenv) }, start: start, at: start.DiscoveryAddr,
 		follow: func(addr string) { r.followed <- addr }, signals: r.signals,
 	}
 	go x.run()
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -48,8 +48,8 @@
 var profile string
 
 // read is what the program is started with: the operator's file, and the platform's where it does not stand alone.
-func read() (*config.Operator, *config.Config, error) {
-	o, err := config.LoadOperator(operatorFile)
+func read() (*config.OperatorFile, *config.Config, error) {
+	o, err := config.LoadOperatorFile(operatorFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%s on %s: %d classes, %d events known\n", c.Name, c.Listen, len(c.Classes), len(c.Known))
+	fmt.Fprintf(cmd.OutOrStdout(), "%s on %s: %d classes, %d events known\n", c.Name, c.Listen, len(c.Classes), len(c.InitialEvents))
 	return nil
 }
 
@@ -78,7 +78,7 @@
 		return err
 	}
 	clk := clock.System()
-	log, err := logs.New(os.Stderr, operator.LogOpt, clk)
+	log, err := logs.New(os.Stderr, operator.LogOptions, clk)
 	if err != nil {
 		return err
 	}
@@ -172,10 +172,10 @@
 // newCore returns the core, and the connections to the servers that it sends to.
 func newCore(conf *config.Config, clk *clock.Clock, log *logs.Log) (*upstream.Pools, *core.Core, error) {
 	up := upstream.New(clk, upstream.Limits{
-		PerConn: conf.StreamsPerConn, Conns: min(mostConns, max(leastConns, conf.Sockets/connShare)), Connect: conf.Connect, Idle: conf.ConnIdle, Total: forServers(conf.Sockets),
+		PerConn: conf.StreamsPerConn, Conns: min(mostConns, max(leastConns, conf.Sockets/connShare)), Connect: conf.ConnectTimeoutMs, Idle: conf.IdleTimeoutMs, Total: forServers(conf.Sockets),
 		Life: clock.Ms(longest(conf)),
 	})
-	c, err := core.New(conf.Settings, conf.Classes, conf.MostHeld, conf.Seed, clk, up)
+	c, err := core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, clk, up)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/cmd/ravenwheel/servers.go
+++ b/cmd/ravenwheel/servers.go
@@ -59,7 +59,7 @@
 	if operatorFile == "" {
 		return facts, nil
 	}
-	o, err := config.LoadOperator(operatorFile)
+	o, err := config.LoadOperatorFile(operatorFile)
 	if err != nil || o.Proxy == nil {
 		return facts, err
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return facts, err
 	}
-	return conf.Facts(o.Servers.MostDropped), nil
+	return conf.ListFacts(o.Servers.MaxDroppedFraction), nil
 }
 
 // readList reads one list. Its defects are an error that lists them.
@@ -137,7 +137,7 @@
 	if adminAddr != "" {
 		return adminAddr, nil
 	}
-	o, err := config.LoadOperator(operatorFile)
+	o, err := config.LoadOperatorFile(operatorFile)
 	if err != nil {
 		return "", err
 	}
@@ -194,7 +194,7 @@
 func checkConfig(cmd *cobra.Command, paths []string) error {
 	failed := false
 	for _, path := range paths {
-		o, err := config.LoadOperator(path)
+		o, err := config.LoadOperatorFile(path)
 		if err != nil {
 			failed = true
 			fmt.Fprintln(cmd.OutOrStdout(), err)
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -121,7 +121,7 @@
 	up        *upstream.Pools
 	signed    *signed.Front // nil: off
 	conf      *config.Config
-	oper      *config.Operator
+	oper      *config.OperatorFile
 	good      string // the text in use
 	used      func(revision uint64)
 }
@@ -147,8 +147,8 @@
 		return
 	}
 	// Nothing below can fail, so that no revision is in force by half.
-	level, limits := l.oper.LogOpt.Level, config.LiveLimits{
-		Requests: l.conf.MostHeld, Connect: l.conf.Connect, Idle: l.conf.ConnIdle, Streams: l.conf.StreamsPerConn,
+	level, limits := l.oper.LogOptions.Level, config.LiveLimits{
+		MaxOpenRequests: l.conf.MaxOpenRequests, ConnectTimeoutMs: l.conf.ConnectTimeoutMs, IdleTimeoutMs: l.conf.IdleTimeoutMs, StreamsPerConn: l.conf.StreamsPerConn,
 	}
 	if x.Log != nil {
 		level = x.Log.Level
@@ -160,8 +160,8 @@
 		limits = *x.Limits
 	}
 	l.log.SetLevel(level)
-	l.core.SetMostHeld(limits.Requests)
-	l.up.SetLimits(limits.Streams, limits.Connect, limits.Idle)
+	l.core.SetMostHeld(limits.MaxOpenRequests)
+	l.up.SetLimits(limits.StreamsPerConn, limits.ConnectTimeoutMs, limits.IdleTimeoutMs)
 	if l.signed != nil {
 		leeway := l.oper.Signed.LeewayMs
 		if x.Signed != nil {
@@ -169,8 +169,8 @@
 		}
 		l.signed.SetLeeway(leeway)
 	}
-	if x.Ring != nil && l.store != nil && l.store.Leader() {
-		l.changeKeys(x.Ring)
+	if x.SigningKeys != nil && l.store != nil && l.store.Leader() {
+		l.changeKeys(x.SigningKeys)
 	}
 	if l.good = r.Text; l.used != nil {
 		l.used(r.Number)
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -58,12 +58,12 @@
 type ranks struct{ file, store, board int }
 
 // ledgerSettings are those of the one ledger, by who tells of servers here.
-func (s *sources) ledgerSettings(o *config.Operator) (set membership.Settings, at ranks) {
+func (s *sources) ledgerSettings(o *config.OperatorFile) (set membership.Settings, at ranks) {
 	at = ranks{-1, -1, -1}
 	if l := o.Servers; l != nil {
 		at.file = len(set.Sources)
 		set.Sources = append(set.Sources, membership.Source{Name: filepath.Base(l.Path)})
-		set.DrainTimeout, set.GoneRetention, set.WeightStep, set.WeightInterval = l.Drain, l.Remember, l.WeightStep, l.WeightEvery
+		set.DrainTimeout, set.GoneRetention, set.WeightStep, set.WeightInterval = l.DrainMs, l.RememberMs, l.WeightStep, l.WeightIntervalMs
 	}
 	if s.member || s.only {
 		at.store = len(set.Sources)
@@ -72,7 +72,7 @@
 			set.DrainTimeout, set.GoneRetention = storeDrain, storeDrain
 		}
 	}
-	if s.conf.Board != "" {
+	if s.conf.DiscoveryAddr != "" {
 		at.board = len(set.Sources)
 		b := membership.Source{Name: "board", Immediate: true}
 		if o.Path != "" {
@@ -86,11 +86,11 @@
 // startSources takes in what is known at the start, and follows what comes later: shared brings the facts of the store,
 // from before it opened. talk is this process among its peers (nil: alone), at what the process before it has passed on,
 // and what operators empty (nil: neither).
-func startSources(o *config.Operator, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core, shared shared,
+func startSources(o *config.OperatorFile, conf *config.Config, clk *clock.Clock, log *logs.Log, c *core.Core, shared shared,
 	talk *peers.Peers, at *place) (*sources, error) {
 	s := &sources{
 		store: shared.store, member: shared.member(o), only: shared.only(o), core: c, conf: conf, clk: clk, log: log,
-		overdue: make(chan struct{}, 1), names: &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.Facts(0),
+		overdue: make(chan struct{}, 1), names: &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.ListFacts(0),
 	}
 	set, rank := s.ledgerSettings(o)
 	plan, err := s.startState(o, conf, set, clk, log)
@@ -203,13 +203,13 @@
 const listSource = "list"
 
 // startState recovers what was kept, and takes its directory.
-func (s *sources) startState(o *config.Operator, conf *config.Config, set membership.Settings, clk *clock.Clock, log *logs.Log) (plan recovery.Plan, err error) {
+func (s *sources) startState(o *config.OperatorFile, conf *config.Config, set membership.Settings, clk *clock.Clock, log *logs.Log) (plan recovery.Plan, err error) {
 	if o.State == nil {
 		return plan, nil
 	}
 	began := clk.Now()
 	s.state, plan, err = state.Open(state.Options{
-		Dir: o.State.Dir, Clock: clk, Log: log, BatchDelay: o.State.Delay, Settings: recovery.Settings{
+		Dir: o.State.Dir, Clock: clk, Log: log, BatchDelay: o.State.BatchDelayMs, Settings: recovery.Settings{
 			PurgePropagation: clock.Ms(conf.Settings.PurgeDuration), PurgeGrace: clock.Ms(conf.Settings.PurgeGrace), GoneRetention: set.GoneRetention,
 		},
 	})
@@ -227,8 +227,8 @@
 // startList reads the list that is there. Where it can't be used, the one that was kept is; without either, a proxy that
 // stands alone could serve nobody, and does not start. Where the board tells of servers too, the list is waited for.
 func (s *sources) startList(l *config.Servers, at int, conf *config.Config, kept *serverlist.Set, clk *clock.Clock, log *logs.Log) error {
-	facts := conf.Facts(l.MostDropped)
-	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: l.TTL, Timeout: l.Resolve}
+	facts := conf.ListFacts(l.MaxDroppedFraction)
+	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: l.ResolveTTLMs, Timeout: l.ResolveTimeoutMs}
 	s.facts = facts
 	take := func(set *serverlist.Set) {
 		if s.state != nil {
@@ -244,11 +244,11 @@
 		log.Error("list").Err(err).Uint64("in_use", kept.Generation).Msg("server list refused: the one kept from before the restart is used")
 		set = kept
 		take(set)
-	case conf.Board == "":
+	case conf.DiscoveryAddr == "":
 		return err
 	}
 	s.list = filewatch.New(filewatch.Options{
-		Path: l.Path, Facts: facts, Settle: l.Settle(), Names: cache, Clock: clk, Log: log, Take: take,
+		Path: l.Path, Facts: facts, Settle: l.Debounce(), Names: cache, Clock: clk, Log: log, Take: take,
 	}, set)
 	go s.list.Run()
 	return nil
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -7,29 +7,28 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Distribution sets up how what the store holds gets to processes that are not its members. A member of the store begins a
+// Distribution is how processes that are not members of the store get what it holds. A member of the store is the root of a
 // tree of distributors; any other process subscribes at one, and serves others where it listens. Times are in ms.
 type Distribution struct {
 	Name     string `json:"name"`     // of the certificate; empty: the proxy's. A member has that of the store
 	Identity string `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key. A member has that of the store
 
-	Epoch     uint64        `json:"epoch"`      // of a member: the number of the store's history, from 1
-	Listen    string        `json:"listen"`     // where others subscribe: mutual TLS; empty: nowhere
-	MostLinks int           `json:"most_links"` // two to a subscriber
-	Rank      int           `json:"rank"`       // 0: a member of the store; others subscribe at a lower one alone
-	Site      string        `json:"site"`
-	Zone      string        `json:"zone"`
-	Region    string        `json:"region"`
-	Upstream  []Distributor `json:"upstream"` // at which it may subscribe; the order is by nearness
-
-	Heartbeat  float64  `json:"heartbeat_ms"`   // between two watermarks
-	Silent     float64  `json:"silent_ms"`      // a distributor that says nothing for so long is left
-	Bound      float64  `json:"bound_ms"`       // how far a process may be behind before it says so
-	ClockBound float64  `json:"clock_bound_ms"` // how far two clocks may be apart
-	Strict     []string `json:"strict"`         // refused: classes are not yet held
+	Epoch            uint64        `json:"epoch"`      // of a member: the number of the store's history, from 1
+	Listen           string        `json:"listen"`     // for subscribers, over mutual TLS; empty: none
+	MaxLinks         int           `json:"most_links"` // two to a subscriber
+	Rank             int           `json:"rank"`       // 0: a member of the store; others subscribe only at a lower rank
+	Site             string        `json:"site"`
+	Zone             string        `json:"zone"`
+	Region           string        `json:"region"`
+	Distributors     []Distributor `json:"upstream"`       // at which it may subscribe; the nearest is preferred
+	HeartbeatMs      float64       `json:"heartbeat_ms"`   // between two watermarks
+	SilenceTimeoutMs float64       `json:"silent_ms"`      // a distributor that sends nothing for so long is left
+	MaxLagMs         float64       `json:"bound_ms"`       // how far a process may be behind before it reports that
+	MaxClockSkewMs   float64       `json:"clock_bound_ms"` // between two machines
+	StrictClasses    []string      `json:"strict"`         // rejected: not implemented
 }
 
-// Distributor is one that may be subscribed at.
+// Distributor is a process to subscribe at.
 type Distributor struct {
 	Name   string `json:"name"` // of its certificate
 	Addr   string `json:"addr"`
@@ -39,82 +38,95 @@
 	Region string `json:"region"`
 }
 
-// Bounds of ranks. leafRank is that of a process at which nobody subscribes: below any distributor's.
 const (
+	// leafRank is the rank of a process at which nobody subscribes.
 	leafRank = 100
-	mostRank = 100
+	// maxRank is the highest rank: that of a leaf.
+	maxRank = 100
+	// minMissedHeartbeats is how many heartbeats are missed, at least, before a distributor is left.
+	minMissedHeartbeats = 3
+	// defaultSilenceTimeoutMs and defaultMaxLagMs are raised to their lower bounds where those are higher.
+	defaultSilenceTimeoutMs = 1800
+	defaultMaxLagMs         = 6800
 )
 
-// leastSilences is how many heartbeats may be lost before a distributor is left, at least.
-const leastSilences = 3
-
-func (o *Operator) checkDistribution(doc *strictjson.Doc) {
-	d := o.Distribution
+func (f *OperatorFile) checkDistribution(doc *strictjson.Doc) {
+	d := f.Distribution
 	if d == nil {
 		return
 	}
 	c := checker{doc, "distribution"}
-	if doc.Has(c.at("strict")) {
-		doc.Fail(c.at("strict"), "strict is not carried to the request path yet")
+	if doc.Has(c.path("strict")) {
+		doc.Fail(c.path("strict"), "strict is not carried to the request path yet")
 	}
 	if d.Listen != "" {
 		c.address("listen", d.Listen, false)
 	}
-	c.count("most_links", &d.MostLinks, 1024, 2, 1<<16)
-	c.within("heartbeat_ms", &d.Heartbeat, 500, 10, 60_000)
-	c.within("silent_ms", &d.Silent, max(1800, leastSilences*d.Heartbeat), leastSilences*d.Heartbeat, day)
-	c.within("bound_ms", &d.Bound, max(6800, d.Silent), d.Silent, day)
-	c.within("clock_bound_ms", &d.ClockBound, 250, 0, 60_000)
-	if o.Store.Name != "" {
-		d.checkRoot(c, o.Store)
+	c.count("most_links", &d.MaxLinks, valueRange{1024, 2, 1 << 16})
+	d.checkTimes(c)
+	if f.Store.Name != "" {
+		d.checkRoot(c, f.Store)
 		return
 	}
 	d.checkSubscriber(c)
-	if o.Signed != nil {
+	if f.Signed != nil {
 		doc.Fail("signed", "signed goes with a member of the store: spent tokens are not distributed")
 	}
 }
 
-// checkRoot holds a member of the store to what it may set: it begins a tree, and subscribes nowhere.
+func (d *Distribution) checkTimes(c checker) {
+	c.number("heartbeat_ms", &d.HeartbeatMs, valueRange{500, 10, 60_000})
+	minSilence := minMissedHeartbeats * d.HeartbeatMs
+	c.number("silent_ms", &d.SilenceTimeoutMs, valueRange{max(defaultSilenceTimeoutMs, minSilence), minSilence, day})
+	c.number("bound_ms", &d.MaxLagMs, valueRange{max(defaultMaxLagMs, d.SilenceTimeoutMs), d.SilenceTimeoutMs, day})
+	c.number("clock_bound_ms", &d.MaxClockSkewMs, valueRange{250, 0, 60_000})
+}
+
+// checkRoot validates a member of the store: it is the root of a tree, and subscribes nowhere.
 func (d *Distribution) checkRoot(c checker, s Store) {
 	for _, field := range []string{"name", "identity", "upstream"} {
-		if c.doc.Has(c.at(field)) {
-			c.doc.Fail(c.at(field), "a member of the store has no %s of its own for distribution", field)
+		if c.doc.Has(c.path(field)) {
+			c.doc.Fail(c.path(field), "a member of the store has no %s of its own for distribution", field)
 		}
 	}
 	if d.Epoch == 0 {
-		c.doc.Fail(c.at("epoch"), "a member of the store needs epoch, from 1: the number of the store's history")
+		c.doc.Fail(c.path("epoch"), "a member of the store needs epoch, from 1: the number of the store's history")
 	}
 	if d.Listen == "" {
-		c.doc.Fail(c.at("listen"), "a member of the store needs listen: others subscribe there")
+		c.doc.Fail(c.path("listen"), "a member of the store needs listen: others subscribe there")
 	}
-	c.count("rank", &d.Rank, 0, 0, 0)
+	c.count("rank", &d.Rank, valueRange{0, 0, 0})
 	d.Name, d.Identity = s.Name, s.Identity
 }
 
 func (d *Distribution) checkSubscriber(c checker) {
-	c.given("identity", d.Identity)
-	if c.doc.Has(c.at("epoch")) {
-		c.doc.Fail(c.at("epoch"), "epoch is told by the members of the store")
+	c.required("identity", d.Identity)
+	if c.doc.Has(c.path("epoch")) {
+		c.doc.Fail(c.path("epoch"), "epoch is told by the members of the store")
 	}
-	if d.Listen != "" && !c.doc.Has(c.at("rank")) {
-		c.doc.Fail(c.at("rank"), "a distributor needs rank: those that subscribe at it have a higher one")
+	if d.Listen != "" && !c.doc.Has(c.path("rank")) {
+		c.doc.Fail(c.path("rank"), "a distributor needs rank: those that subscribe at it have a higher one")
 	} else {
-		c.count("rank", &d.Rank, leafRank, 1, mostRank)
+		c.count("rank", &d.Rank, valueRange{leafRank, 1, maxRank})
 	}
-	if len(d.Upstream) == 0 {
-		c.doc.Fail(c.at("upstream"), "a process that is not a member of the store needs upstream: where it subscribes")
+	if len(d.Distributors) == 0 {
+		c.doc.Fail(c.path("upstream"), "a process that is not a member of the store needs upstream: where it subscribes")
 	}
 	names := map[string]bool{d.Name: true}
-	for i, u := range d.Upstream {
-		at := checker{c.doc, fmt.Sprintf("distribution.upstream[%d]", i)}
-		if names[u.Name] || strings.TrimSpace(u.Name) == "" {
-			c.doc.Fail(at.at("name"), "distributor %q is empty, named twice or this process itself", u.Name)
-		}
-		names[u.Name] = true
-		at.address("addr", u.Addr, false)
-		if u.Rank < 0 || u.Rank >= d.Rank {
-			c.doc.Fail(at.at("rank"), "rank %d of %q is not 0 to %d: this process has rank %d", u.Rank, u.Name, d.Rank-1, d.Rank)
-		}
+	for i, distributor := range d.Distributors {
+		entry := checker{c.doc, fmt.Sprintf("distribution.upstream[%d]", i)}
+		distributor.check(entry, names[distributor.Name], d.Rank)
+		names[distributor.Name] = true
+	}
+}
+
+// check validates one distributor; ownRank is that of the subscriber.
+func (d Distributor) check(c checker, repeated bool, ownRank int) {
+	if repeated || strings.TrimSpace(d.Name) == "" {
+		c.doc.Fail(c.path("name"), "distributor %q is empty, named twice or this process itself", d.Name)
+	}
+	c.address("addr", d.Addr, false)
+	if d.Rank < 0 || d.Rank >= ownRank {
+		c.doc.Fail(c.path("rank"), "rank %d of %q is not 0 to %d: this process has rank %d", d.Rank, d.Name, ownRank-1, ownRank)
 	}
 }
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -27,31 +27,31 @@
   }
 }`
 
-// What is not told has its usual value, and a member of the store goes by the store's name and keys.
-func TestDistribution(t *testing.T) {
-	o, err := config.ParseOperator("/etc/o", []byte(rootText))
+// Absent keys have their default values, and a member of the store uses the store's name and identity.
+func TestDistributionDefaults(t *testing.T) {
+	o, err := config.ParseOperatorFile("/etc/o", []byte(rootText))
 	require.NoError(t, err)
 	d := o.Distribution
 	require.Equal(t, config.Distribution{
-		Name: "m1", Identity: "/etc/keys", Epoch: 1, Listen: "127.0.0.1:4500", MostLinks: 1024,
-		Heartbeat: 500, Silent: 1800, Bound: 6800, ClockBound: 250,
+		Name: "m1", Identity: "/etc/keys", Epoch: 1, Listen: "127.0.0.1:4500", MaxLinks: 1024,
+		HeartbeatMs: 500, SilenceTimeoutMs: 1800, MaxLagMs: 6800, MaxClockSkewMs: 250,
 	}, *d)
-	o, err = config.ParseOperator("/etc/o", []byte(distributorText))
+	o, err = config.ParseOperatorFile("/etc/o", []byte(distributorText))
 	require.NoError(t, err)
 	require.Equal(t, "/etc/keys", o.Distribution.Identity)
-	require.Len(t, o.Distribution.Upstream, 2)
+	require.Len(t, o.Distribution.Distributors, 2)
 	leaf := strings.Replace(distributorText, `"listen": "127.0.0.1:4501", "rank": 1, `, `"heartbeat_ms": 5000, `, 1)
-	o, err = config.ParseOperator("/etc/o", []byte(leaf))
+	o, err = config.ParseOperatorFile("/etc/o", []byte(leaf))
 	require.NoError(t, err)
 	require.Equal(t, 100, o.Distribution.Rank, "below any distributor")
-	require.Equal(t, []float64{15_000, 15_000}, []float64{o.Distribution.Silent, o.Distribution.Bound})
-	o, err = config.ParseOperator("/etc/o", []byte(`{}`))
+	require.Equal(t, []float64{15_000, 15_000}, []float64{o.Distribution.SilenceTimeoutMs, o.Distribution.MaxLagMs})
+	o, err = config.ParseOperatorFile("/etc/o", []byte(`{}`))
 	require.NoError(t, err)
 	require.Nil(t, o.Distribution, "off unless it is asked for")
 }
 
-// Each change is refused with these lines.
-func TestDistributionRefused(t *testing.T) {
+// Each change of a valid file is rejected with this line.
+func TestInvalidDistributionIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, from, to, want string }{
 		{rootText, `"epoch": 1, `, ``, "o:3:19: a member of the store needs epoch, from 1: the number of the store's history"},
 		{rootText, `"epoch": 1, "listen": "127.0.0.1:4500"`, `"epoch": 1`, "o:3:19: a member of the store needs listen: others subscribe there"},
@@ -82,11 +82,11 @@
   "dist`, "o:1:12: signed goes with a member of the store: spent tokens are not distributed"},
 	} {
 		require.Contains(t, c.text, c.from)
-		_, err := config.ParseOperator("o", []byte(strings.Replace(c.text, c.from, c.to, 1)))
+		_, err := config.ParseOperatorFile("o", []byte(strings.Replace(c.text, c.from, c.to, 1)))
 		if assert.Error(t, err, c.to) {
 			assert.Contains(t, strings.Split(err.Error(), "\n"), c.want, c.to)
 		}
 	}
-	_, err := config.ParseOperator("o", []byte(`{"distribution": {"identity": "keys"}}`))
+	_, err := config.ParseOperatorFile("o", []byte(`{"distribution": {"identity": "keys"}}`))
 	require.EqualError(t, err, "o:1:18: a process that is not a member of the store needs upstream: where it subscribes")
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -27,13 +27,13 @@
 
 // The operator's file with every key decodes to what it decoded to before, and what is decoded has the same keys again.
 func TestGoldenOperatorFile(t *testing.T) {
-	file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
+	file, err := config.ParseOperatorFile("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
 	require.NoError(t, err)
 	encoded := encode(t, file)
 	golden.Equal(t, "operator-decoded.json", encoded)
-	golden.Equal(t, "operator-keys.txt", fmt.Appendf(nil, "path %s\nkeys %v\nlog %v\n", file.Path, file.Keys, file.LogOpt))
+	golden.Equal(t, "operator-keys.txt", fmt.Appendf(nil, "path %s\nkeys %v\nlog %v\n", file.Path, file.SigningKeys, file.LogOptions))
 
-	var again config.Operator
+	var again config.OperatorFile
 	require.NoError(t, json.Unmarshal(encoded, &again))
 	require.Equal(t, encoded, encode(t, &again))
 }
@@ -54,7 +54,7 @@
 			"store": {"name": "m1", "listen": "127.0.0.1:4300", "join": "127.0.0.1:4301", "dir": "d", "identity": "keys"},
 			"distribution": {"epoch": 1, "listen": "127.0.0.1:4500"}}`,
 	} {
-		file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", []byte(text))
+		file, err := config.ParseOperatorFile("/etc/ravenwheel/operator.jsonc", []byte(text))
 		require.NoError(t, err, name)
 		golden.Equal(t, "defaults-"+strings.ReplaceAll(name, " ", "-")+".json", encode(t, file))
 	}
@@ -65,7 +65,7 @@
 	live, err := config.ParseLive("revision 3", string(golden.Read(t, "live.jsonc")))
 	require.NoError(t, err)
 	golden.Equal(t, "live-decoded.json", encode(t, live))
-	golden.Equal(t, "live-keys.txt", fmt.Appendf(nil, "keys %v\n", live.Ring))
+	golden.Equal(t, "live-keys.txt", fmt.Appendf(nil, "keys %v\n", live.SigningKeys))
 }
 
 // What the platform writes, and an operator's file that stands alone, configure the proxy as before.
@@ -78,7 +78,7 @@
 	require.NoError(t, err)
 	golden.Equal(t, "config-environment.txt", describe(overridden))
 
-	file, err := config.ParseOperator("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
+	file, err := config.ParseOperatorFile("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
 	require.NoError(t, err)
 	standalone, err := config.Read(noEnvironment, file)
 	require.NoError(t, err)
@@ -91,9 +91,9 @@
 	line := func(name string, value any) { fmt.Fprintf(&out, "%s: %v\n", name, value) }
 	line("name", c.Name)
 	line("listen", c.Listen)
-	line("board", c.Board)
-	line("console", c.Console)
-	line("shared", c.Shared)
+	line("board", c.DiscoveryAddr)
+	line("console", c.ConsoleAddr)
+	line("shared", c.HandoverDir)
 	line("seed", c.Seed)
 	line("cores", c.Cores)
 	line("memory_mb", c.MemoryMB)
@@ -101,12 +101,12 @@
 	line("classes", c.Classes)
 	line("zones", c.Names.Zones)
 	line("kinds", c.Names.Kinds)
-	line("known events", len(c.Known))
-	line("revision", c.Rev)
+	line("known events", len(c.InitialEvents))
+	line("revision", c.InitialRevision)
 	line("streams per connection", c.StreamsPerConn)
-	line("requests", c.MostHeld)
-	line("idle ms", c.ConnIdle)
-	line("connect ms", c.Connect)
+	line("requests", c.MaxOpenRequests)
+	line("idle ms", c.IdleTimeoutMs)
+	line("connect ms", c.ConnectTimeoutMs)
 	describeSettings(line, c.Settings)
 	return out.Bytes()
 }
@@ -186,12 +186,12 @@
 		{`"rank": 3}`, `"rank": 3`},
 	} {
 		require.Contains(t, good, change.from)
-		_, err := config.ParseOperator("o", []byte(strings.Replace(good, change.from, change.to, 1)))
+		_, err := config.ParseOperatorFile("o", []byte(strings.Replace(good, change.from, change.to, 1)))
 		require.Error(t, err, change.to)
 		fmt.Fprintf(&out, "%s -> %s\n%v\n\n", change.from, change.to, err)
 	}
 	for _, text := range []string{`{"limits": {}}`, `{"proxy": {}}`, `{`, ``} {
-		_, err := config.ParseOperator("o", []byte(text))
+		_, err := config.ParseOperatorFile("o", []byte(text))
 		require.Error(t, err, text)
 		fmt.Fprintf(&out, "%s\n%s\n\n", text, sorted(err))
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_file_test.go
@@ -20,9 +20,9 @@
 	return string(raw)
 }
 
-// The file that the README starts with tells all that the platform would.
-func TestExamples(t *testing.T) {
-	o, err := config.LoadOperator("../../deploy/standalone.jsonc")
+// The example files are valid, and that of the README configures everything that the platform would.
+func TestExampleFilesAreValid(t *testing.T) {
+	o, err := config.LoadOperatorFile("../../deploy/standalone.jsonc")
 	require.NoError(t, err)
 	c, err := config.Read(func(string) string { return "" }, o)
 	require.NoError(t, err)
@@ -33,14 +33,14 @@
 	require.Equal(t, 2, c.Settings.Routers)
 	require.NotZero(t, c.Seed)
 	require.False(t, c.Settings.MayBypassCaches || c.Settings.CoalescesFills)
-	o, err = config.ParseOperator("o", []byte(strings.Replace(example(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
+	o, err = config.ParseOperatorFile("o", []byte(strings.Replace(example(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
 	require.NoError(t, err)
 	c, err = config.Read(func(string) string { return "" }, o)
 	require.NoError(t, err)
 	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "a deployment whose requests may go straight up, or join a fill")
 	raw, err := os.ReadFile("../../deploy/servers.example.jsonc")
 	require.NoError(t, err)
-	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.Facts(0.34))
+	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListFacts(0.34))
 	require.NoError(t, bad.Err())
 	answers := map[string]serverlist.Answer{}
 	for _, h := range d.Hosts() {
@@ -48,7 +48,7 @@
 	}
 	set, bad := d.Settle(answers, nil)
 	require.NoError(t, bad.Err())
-	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.Facts(0.34))
+	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.ListFacts(0.34))
 	require.NoError(t, bad.Err())
 	written, bad := again.Settle(answers, set)
 	require.NoError(t, bad.Err())
@@ -59,20 +59,20 @@
 
 	raw, err = os.ReadFile("../../deploy/operator.example.jsonc")
 	require.NoError(t, err)
-	_, err = config.ParseOperator("o", raw)
+	_, err = config.ParseOperatorFile("o", raw)
 	require.EqualError(t, err, `o:10:42: key "2026-12" is not base64`, "its key must be filled in, and nothing else")
-	_, err = config.ParseOperator("o", []byte(strings.Replace(string(raw), `"key": ""`, `"key": "eA=="`, 1)))
+	_, err = config.ParseOperatorFile("o", []byte(strings.Replace(string(raw), `"key": ""`, `"key": "eA=="`, 1)))
 	require.NoError(t, err)
-	o, err = config.LoadOperator("")
+	o, err = config.LoadOperatorFile("")
 	require.NoError(t, err)
 	_, err = config.Read(func(string) string { return "" }, o)
 	require.EqualError(t, err, "LB_CONFIG is not set")
-	_, err = config.LoadOperator(filepath.Join(t.TempDir(), "none"))
+	_, err = config.LoadOperatorFile(filepath.Join(t.TempDir(), "none"))
 	require.Error(t, err)
 }
 
-// Each change of the example is refused with these lines.
-func TestRefused(t *testing.T) {
+// Each change of the example is rejected with this line.
+func TestInvalidOperatorFileIsRejected(t *testing.T) {
 	text := example(t)
 	for _, c := range []struct{ from, to, want string }{
 		{`"listen": "127.0.20.100:4100"`, `"listen": "localhost:4100"`, `o:9:15: listen "localhost:4100" is not of the form 127.0.0.1:4100`},
@@ -95,16 +95,16 @@
 		{`"servers": {`, `"admin": {`, `o:54:3: "admin" is given twice`},
 	} {
 		require.Contains(t, text, c.from)
-		_, err := config.ParseOperator("o", []byte(strings.Replace(text, c.from, c.to, 1)))
+		_, err := config.ParseOperatorFile("o", []byte(strings.Replace(text, c.from, c.to, 1)))
 		if assert.Error(t, err, c.to) {
 			assert.Contains(t, err.Error(), c.want, c.to)
 		}
 	}
-	_, err := config.ParseOperator("o", []byte(`{"limits": {}, "proxy": {"name": "x"}}`))
+	_, err := config.ParseOperatorFile("o", []byte(`{"limits": {}, "proxy": {"name": "x"}}`))
 	require.Equal(t, "o:1:25: proxy needs classes: the program is to run without the platform\n"+
 		"o:1:25: proxy needs servers: there is no notice board to tell them\n"+
 		"o:1:25: proxy needs site: the program is to run without the platform", sorted(err))
-	_, err = config.ParseOperator("o", []byte(`{"limits": {}}`))
+	_, err = config.ParseOperatorFile("o", []byte(`{"limits": {}}`))
 	require.EqualError(t, err, "o:1:12: limits goes with proxy: without it the platform tells this")
 }
 
--- /dev/null
+++ b/internal/config/platform_settings.go
@@ -0,0 +1,257 @@
+package config
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// The defaults of what the platform's settings may leave out. They are also those of an operator's file.
+const (
+	// defaultStreamsPerConn is the number of attempts in flight on one connection.
+	defaultStreamsPerConn = 32
+	// defaultConnectTimeoutMs bounds connecting: the system's own timeout is minutes.
+	defaultConnectTimeoutMs = 400
+)
+
+// SettingError is a value of the platform's configuration that can't be used.
+type SettingError struct {
+	Path   string // as in settings.Grades[0].Name
+	Reason string
+}
+
+// Error returns the path and the reason in one line.
+func (e *SettingError) Error() string { return e.Path + ": " + e.Reason }
+
+func settingErrorf(path, format string, args ...any) error {
+	return &SettingError{Path: path, Reason: fmt.Sprintf(format, args...)}
+}
+
+// platformSettings are the platform's settings as far as the proxy itself reads them or validates them before it starts. The
+// module reads the rest. The tags are the platform's names. A list that is absent is nil.
+type platformSettings struct {
+	Zone    float64         `json:"Zone"` // index into Zones
+	Zones   []string        `json:"Zones"`
+	Kinds   []string        `json:"Kinds"` // of servers
+	Classes []platformClass `json:"Grades"`
+	Rules   platformRules   `json:"Rules"`
+	Bounds  platformBounds  `json:"Bounds"`
+	Site    platformSite    `json:"FamilyInfo"`
+}
+
+// platformClass is a class of requests.
+type platformClass struct {
+	Name           string  `json:"Name"`
+	Effect         string  `json:"Effect"`
+	TargetUs       float64 `json:"TargetUs"`
+	DeadlineUs     float64 `json:"DeadlineUs"`
+	DedupWindowUs  float64 `json:"WindowUs"`
+	TargetStretch  float64 `json:"AimStretch"`
+	PriorityWeight float64 `json:"Worth"`
+	LateFraction   float64 `json:"LateValue"`
+}
+
+type platformRules struct {
+	DrainGraceUs     float64 `json:"DrainGraceUs"`
+	InitialCapacity  float64 `json:"ColdFrom"`
+	WarmUpUs         float64 `json:"WarmWithinUs"`
+	OverloadFactor   float64 `json:"FallMultiple"`
+	OverloadWithinUs float64 `json:"FallUs"`
+}
+
+type platformBounds struct {
+	StreamsPerConn   float64 `json:"StreamsPerConn"`
+	MaxOpenRequests  float64 `json:"MostHeld"`
+	MaxAttempts      float64 `json:"MostTries"`
+	IdleTimeoutUs    float64 `json:"ConnIdleUs"`
+	ConnectTimeoutUs float64 `json:"ConnectTimeoutUs"`
+}
+
+// platformSite are facts of the site. The lists are by class or by zone.
+type platformSite struct {
+	ClassFreshUs    []float64 `json:"ClassFreshUs"`
+	ClassStaleUs    []float64 `json:"StaleForUs"`
+	ClassStaleValue []float64 `json:"ClassStaleWorth"`
+	ClassInParts    []bool    `json:"InParts"`
+	ClassUncached   []bool    `json:"Uncached"`
+	ZoneProxies     []float64 `json:"ZoneBalancers"`
+	ZoneHomeHub     []float64 `json:"HomeHub"`
+	ZoneLinkKBPerS  []float64 `json:"ZoneLinkKbPerS"`
+
+	OriginKind            *float64 `json:"RootKind"`       // index into Kinds
+	ParentKind            *float64 `json:"SecondTierKind"` // index into Kinds
+	FlowKBPerS            float64  `json:"FlowKbPerS"`
+	PurgePropagationUs    float64  `json:"PurgeTakesUs"`
+	ParentInitialCapacity float64  `json:"ParentColdFrom"`
+	ParentWarmUpUs        float64  `json:"ParentWarmsInUs"`
+	ParentOverloadFactor  float64  `json:"ParentBreaksAt"`
+}
+
+// check returns the first value that can't be used, as a SettingError.
+func (s *platformSettings) check() error {
+	if len(s.Classes) == 0 {
+		return settingErrorf("settings.Grades", "there are no classes")
+	}
+	for i, class := range s.Classes {
+		repeated := slices.ContainsFunc(s.Classes[:i], func(other platformClass) bool { return other.Name == class.Name })
+		if err := class.check(fmt.Sprintf("settings.Grades[%d]", i), repeated); err != nil {
+			return err
+		}
+	}
+	return cmp.Or(
+		s.checkLengths(),
+		notRepeated("settings.Zones", s.Zones),
+		notRepeated("settings.Kinds", s.Kinds),
+		s.checkIndexes(),
+		s.checkKinds(),
+		s.checkNumbers(),
+	)
+}
+
+func (k platformClass) check(path string, repeated bool) error {
+	switch {
+	case !validClassName(k.Name, repeated):
+		return settingErrorf(path+".Name", "class %q is empty, named twice or can't be written in a field", k.Name)
+	case !slices.Contains(effects, k.Effect):
+		return settingErrorf(path+".Effect", "%q is none of %s", k.Effect, strings.Join(effects, ", "))
+	case k.DeadlineUs <= 0:
+		return settingErrorf(path+".DeadlineUs", "%v is not above 0", k.DeadlineUs)
+	case k.Effect == effectDeduplicated && k.DedupWindowUs <= 0:
+		return settingErrorf(path+".WindowUs", "%v is not above 0, and repeats of the class are discarded for so long", k.DedupWindowUs)
+	}
+	return notNegative(path, map[string]float64{
+		"TargetUs": k.TargetUs, "WindowUs": k.DedupWindowUs, "AimStretch": k.TargetStretch, "Worth": k.PriorityWeight,
+		"LateValue": k.LateFraction,
+	})
+}
+
+// validClassName tells whether a class has a name of its own that can be written in a field of a frame.
+func validClassName(name string, repeated bool) bool {
+	const separators = " ,=\r\n"
+	return name != "" && !repeated && !strings.ContainsAny(name, separators)
+}
+
+// checkLengths compares the lists with the number of classes or zones that they describe: in a shorter one, the values of the
+// last class or zone would be missing.
+func (s *platformSettings) checkLengths() error {
+	site := &s.Site
+	for _, list := range []struct {
+		name       string
+		given, due int
+		of         string
+	}{
+		{"ClassFreshUs", len(site.ClassFreshUs), len(s.Classes), "classes"},
+		{"ClassStaleWorth", len(site.ClassStaleValue), len(s.Classes), "classes"},
+		{"InParts", len(site.ClassInParts), len(s.Classes), "classes"},
+		{"StaleForUs", len(site.ClassStaleUs), len(s.Classes), "classes"},
+		{"Uncached", len(site.ClassUncached), len(s.Classes), "classes"},
+		{"HomeHub", len(site.ZoneHomeHub), len(s.Zones), "zones"},
+		{"ZoneBalancers", len(site.ZoneProxies), len(s.Zones), "zones"},
+		{"ZoneLinkKbPerS", len(site.ZoneLinkKBPerS), len(s.Zones), "zones"},
+	} {
+		if list.given > 0 && list.given != list.due {
+			return settingErrorf("settings.FamilyInfo."+list.name, "%d values for %d %s", list.given, list.due, list.of)
+		}
+	}
+	return nil
+}
+
+func notRepeated(path string, names []string) error {
+	for i, name := range names {
+		if slices.Index(names, name) != i {
+			return settingErrorf(fmt.Sprintf("%s[%d]", path, i), "%q is named twice", name)
+		}
+	}
+	return nil
+}
+
+// checkIndexes validates the indexes into the lists of zones and kinds.
+func (s *platformSettings) checkIndexes() error {
+	zones, kinds := len(s.Zones), len(s.Kinds)
+	if zones > 0 && (s.Zone < 0 || int(s.Zone) >= zones) {
+		return settingErrorf("settings.Zone", "%v is no place in %d zones", s.Zone, zones)
+	}
+	for i, hub := range s.Site.ZoneHomeHub {
+		if int(hub) >= zones {
+			return settingErrorf(fmt.Sprintf("settings.FamilyInfo.HomeHub[%d]", i), "%v is no place in %d zones", hub, zones)
+		}
+	}
+	for _, kind := range []struct {
+		name  string
+		index *float64
+	}{
+		{"RootKind", s.Site.OriginKind},
+		{"SecondTierKind", s.Site.ParentKind},
+	} {
+		if kind.index != nil && int(*kind.index) >= kinds {
+			return settingErrorf("settings.FamilyInfo."+kind.name, "%v is no place in %d kinds", *kind.index, kinds)
+		}
+	}
+	return nil
+}
+
+func (s *platformSettings) checkKinds() error {
+	origin, parent := s.Site.OriginKind, s.Site.ParentKind
+	if origin != nil && parent != nil && *origin >= 0 && *origin == *parent {
+		return settingErrorf("settings.FamilyInfo.RootKind", "parents and the origin are of kinds of their own, both are %v", *origin)
+	}
+	return nil
+}
+
+// checkNumbers validates what can't be below 0.
+func (s *platformSettings) checkNumbers() error {
+	rules, bounds, site := &s.Rules, &s.Bounds, &s.Site
+	for i, count := range site.ZoneProxies {
+		if count < 0 {
+			return settingErrorf(fmt.Sprintf("settings.FamilyInfo.ZoneBalancers[%d]", i), "%v is below 0", count)
+		}
+	}
+	return cmp.Or(
+		notNegative("settings.Rules", map[string]float64{
+			"DrainGraceUs": rules.DrainGraceUs, "ColdFrom": rules.InitialCapacity, "WarmWithinUs": rules.WarmUpUs,
+			"FallMultiple": rules.OverloadFactor, "FallUs": rules.OverloadWithinUs,
+		}),
+		notNegative("settings.Bounds", map[string]float64{
+			"StreamsPerConn": bounds.StreamsPerConn, "MostHeld": bounds.MaxOpenRequests, "MostTries": bounds.MaxAttempts,
+			"ConnIdleUs": bounds.IdleTimeoutUs, "ConnectTimeoutUs": bounds.ConnectTimeoutUs,
+		}),
+		notNegative("settings.FamilyInfo", map[string]float64{
+			"FlowKbPerS": site.FlowKBPerS, "PurgeTakesUs": site.PurgePropagationUs, "ParentColdFrom": site.ParentInitialCapacity,
+			"ParentWarmsInUs": site.ParentWarmUpUs, "ParentBreaksAt": site.ParentOverloadFactor,
+		}),
+	)
+}
+
+// notNegative returns an error for the first of the values, by name, that is below 0.
+func notNegative(path string, values map[string]float64) error {
+	negative := ""
+	for name, value := range values {
+		if value < 0 && (negative == "" || name < negative) {
+			negative = name
+		}
+	}
+	if negative == "" {
+		return nil
+	}
+	return settingErrorf(path+"."+negative, "%v is below 0", values[negative])
+}
+
+// withPlace adds to a decoder's error the place in the text, in one line.
+func withPlace(raw []byte, err error) error {
+	var syntaxError *json.SyntaxError
+	if errors.As(err, &syntaxError) {
+		before := raw[:min(len(raw), int(syntaxError.Offset))]
+		line := 1 + bytes.Count(before, []byte("\n"))
+		column := len(before) - bytes.LastIndexByte(before, '\n') - 1
+		return fmt.Errorf("%d:%d: %w", line, column, err)
+	}
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return settingErrorf(typeError.Field, "%s found where it can't stand", typeError.Value)
+	}
+	return err
+}
--- a/internal/config/settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -11,8 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// platform is what the platform tells of a deployment with a keyed class, links that are told, no cells and direct
-// requests: all that the first one had otherwise.
+// platform is the platform's configuration of a deployment with a deduplicated class, known link rates, no cells, and requests
+// that may go straight to the origin.
 const platform = `{"name":"n0","listen":"127.0.0.1:4100","seed":"8c1f30d27a5be964","board":"127.0.0.1:9092",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"rev":1,"notices":[{"rev":1,"pool":{"reset":true,"instances":[
@@ -31,7 +31,7 @@
 	return config.Parse([]byte(text), func(string) string { return "" })
 }
 
-func TestParse(t *testing.T) {
+func TestParsePlatformConfig(t *testing.T) {
 	c, err := parse(platform)
 	require.NoError(t, err)
 	require.Equal(t, []string{"tiles", "reports"}, c.Classes)
@@ -39,7 +39,7 @@
 	require.True(t, c.Settings.WeightsKnown && c.Settings.MayBypassCaches && c.Settings.CoalescesFills)
 	require.Equal(t, []float64{0, 0, 91000.5, 45000}, c.Settings.LinkKBPerS)
 	require.Equal(t, 32, c.StreamsPerConn)
-	require.Equal(t, 400.0, c.Connect)
+	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 
 	// Numbers in another form are the same numbers.
 	other := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
@@ -47,17 +47,16 @@
 	require.NoError(t, err)
 	require.Equal(t, c, again)
 
-	// What is absent has a bound all the same: without, a connection that never comes up would be waited for for minutes,
-	// and a connection would carry a single attempt.
+	// Absent limits have defaults: without, connecting would take minutes to fail, and a connection would carry one attempt.
 	bare := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
 	c, err = parse(bare)
 	require.NoError(t, err)
 	require.Equal(t, 32, c.StreamsPerConn)
-	require.Equal(t, 400.0, c.Connect)
+	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 }
 
-// Each change of the settings is refused with this one line.
-func TestSettingsRefused(t *testing.T) {
+// Each change of valid settings is rejected with this one line.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"Grades":[`, `"Grads":[`, "settings.Grades: there are no classes"},
 		{`"DeadlineUs":6000000`, `"DeadlineUs":0`, "settings.Grades[0].DeadlineUs: 0 is not above 0"},
@@ -98,14 +97,14 @@
 	}
 }
 
-// No configuration that is cut short is taken, and each is refused in one line.
-func TestCutShort(t *testing.T) {
+// Every truncated configuration is rejected, in one line.
+func TestTruncatedOrMistypedConfigIsRejected(t *testing.T) {
 	for n := range len(platform) {
 		_, err := parse(platform[:n])
 		require.Error(t, err, n)
 		require.NotContains(t, err.Error(), "\n")
 	}
-	// Nor does one crash of which any one field is absent, or of another type.
+	// A configuration of which one field is absent or has another type is rejected in one line, or starts a router.
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(platform), &root))
 	visit(root, func() {
@@ -117,11 +116,11 @@
 			return
 		}
 		_, err = policy.New(c.Settings, c.Seed)
-		require.NoError(t, err, "what is taken, a router starts from")
+		require.NoError(t, err, "a router starts with every accepted configuration")
 	})
 }
 
-// visit calls try with each field below at in turn absent, null, or of another type.
+// visit calls try with each field below at absent, null, or of another type in turn.
 func visit(at any, try func()) {
 	switch x := at.(type) {
 	case map[string]any:
--- /dev/null
+++ b/internal/config/server_list.go
@@ -0,0 +1,55 @@
+package config
+
+import (
+	"slices"
+
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/policy"
+)
+
+// ListFacts returns what server lists are validated against. maxDroppedFraction is the fraction of the ready servers that one
+// list may remove.
+func (c *Config) ListFacts(maxDroppedFraction float64) serverlist.Facts {
+	facts := serverlist.Facts{
+		Zones:       c.Names.Zones,
+		Kinds:       c.Names.Kinds,
+		ParentKind:  c.kindName(c.Settings.ParentKind),
+		OriginKind:  c.kindName(c.Settings.OriginKind),
+		MostDropped: maxDroppedFraction,
+	}
+	for zone, proxies := range c.Settings.ZoneRouters {
+		if proxies > 0 && zone < len(c.Names.Zones) {
+			facts.Clients = append(facts.Clients, c.Names.Zones[zone])
+		}
+	}
+	for _, class := range c.Settings.Classes {
+		facts.Writes = facts.Writes || class.Uncached
+	}
+	return facts
+}
+
+// kindName is the name of a kind of server; empty: there is none with this index.
+func (c *Config) kindName(index int) string {
+	if index < 0 || index >= len(c.Names.Kinds) {
+		return ""
+	}
+	return c.Names.Kinds[index]
+}
+
+// Entries returns the servers of a list as the membership decider takes them.
+func (c *Config) Entries(set *serverlist.Set) []membership.Entry {
+	entries := make([]membership.Entry, len(set.Servers))
+	for i, server := range set.Servers {
+		entry := &entries[i]
+		entry.ID, entry.Addr, entry.Cell, entry.Weight, entry.Warm = server.ID, server.Addr, server.Cell, server.Weight, server.Warm
+		entry.Zone, entry.Kind = slices.Index(c.Names.Zones, server.Zone), slices.Index(c.Names.Kinds, server.Kind)
+		entry.Started = policy.Time(server.Started * nanosecondsPerMs)
+		if server.Draining {
+			entry.State = policy.Draining
+		}
+	}
+	return entries
+}
+
+const nanosecondsPerMs = 1e6
--- /dev/null
+++ b/internal/config/services.go
@@ -0,0 +1,135 @@
+package config
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"ravenwheel/internal/logs"
+	"ravenwheel/internal/strictjson"
+)
+
+// Admin is the operators' HTTP address: a unix socket (unix:PATH) or one on loopback.
+type Admin struct {
+	Listen string `json:"listen"`
+}
+
+// maxSocketPath is the length in bytes of the longest path of a unix socket.
+const maxSocketPath = 100
+
+func (f *OperatorFile) checkAdmin(doc *strictjson.Doc) {
+	if f.Admin == nil {
+		return
+	}
+	path, isUnix := strings.CutPrefix(f.Admin.Listen, "unix:")
+	if !isUnix {
+		checker{doc, "admin"}.address("listen", f.Admin.Listen, true)
+		return
+	}
+	if path == "" || len(path) > maxSocketPath {
+		doc.Fail("admin.listen", "a unix socket needs a path of 1 to %d characters", maxSocketPath)
+	}
+}
+
+// State is the journal that a process alone recovers from after a crash.
+type State struct {
+	Dir          string  `json:"dir"`      // relative to the directory of the operator's file
+	BatchDelayMs float64 `json:"delay_ms"` // how long a write waits for others to be written with it
+}
+
+func (f *OperatorFile) checkState(doc *strictjson.Doc) {
+	if f.State == nil {
+		return
+	}
+	c := checker{doc, "state"}
+	c.required("dir", f.State.Dir)
+	c.number("delay_ms", &f.State.BatchDelayMs, valueRange{0, 0, 1000})
+}
+
+// Log is the lowest level that is logged, and the format of the lines. Empty: info, and auto.
+type Log struct {
+	Level  string `json:"level"`  // debug, info, warn or error
+	Format string `json:"format"` // auto, text or json
+}
+
+func (f *OperatorFile) checkLog(doc *strictjson.Doc) {
+	f.LogOptions = logs.Options{Level: f.Log.Level, Format: f.Log.Format}
+	c := checker{doc, "log"}
+	c.oneOf("level", f.Log.Level, "", "debug", "info", "warn", "error")
+	c.oneOf("format", f.Log.Format, "", "auto", "text", "json")
+}
+
+// Signed is the HTTP front that serves signed links and tokens.
+type Signed struct {
+	Listen   string         `json:"listen"`
+	Audience string         `json:"audience"`  // that tokens must name
+	LeewayMs float64        `json:"leeway_ms"` // how far the clocks of issuers may be off
+	Keys     map[string]Key `json:"keys"`      // by key id; put into the store at the start
+}
+
+// Key is a signing key: the PKIX DER of a public key, or an HMAC secret, both in base64.
+type Key struct {
+	Algorithm string `json:"alg"`
+	Base64    string `json:"key"`
+}
+
+func (f *OperatorFile) checkSigned(doc *strictjson.Doc) {
+	if f.Signed == nil {
+		return
+	}
+	c := checker{doc, "signed"}
+	c.required("audience", f.Signed.Audience)
+	c.address("listen", f.Signed.Listen, false)
+	c.number("leeway_ms", &f.Signed.LeewayMs, tokenLeewayMsRange)
+	f.SigningKeys = checker{doc, "signed.keys"}.signingKeys(f.Signed.Keys)
+}
+
+// SNMP is the SNMP agent.
+type SNMP struct {
+	Listen    string `json:"listen"`
+	Community string `json:"community"`
+}
+
+func (f *OperatorFile) checkSNMP(doc *strictjson.Doc) {
+	if f.SNMP == nil {
+		return
+	}
+	c := checker{doc, "snmp"}
+	c.address("listen", f.SNMP.Listen, false)
+	c.required("community", f.SNMP.Community)
+}
+
+// Peers is the membership and gossip among processes.
+type Peers struct {
+	Name             string            `json:"name"`      // empty: the proxy's
+	Listen           string            `json:"listen"`    // for other processes, over UDP and TCP
+	Advertise        string            `json:"advertise"` // the address that others are given; empty: Listen
+	Seeds            []string          `json:"seeds"`     // addresses of any others
+	AddressesByName  map[string]string `json:"as_seen"`   // of others, where they differ from what those advertise
+	Zone             string            `json:"zone"`      // empty: the proxy's
+	Region           string            `json:"region"`
+	Identity         string            `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key
+	Dir              string            `json:"dir"`      // where starts are counted; empty: the clock numbers them
+	DigestIntervalMs float64           `json:"every_ms"`
+}
+
+func (f *OperatorFile) checkPeers(doc *strictjson.Doc) {
+	p := f.Peers
+	if p == nil {
+		return
+	}
+	c := checker{doc, "peers"}
+	c.address("listen", p.Listen, false)
+	if p.Advertise != "" {
+		c.address("advertise", p.Advertise, false)
+	}
+	for i, seed := range p.Seeds {
+		c.address(fmt.Sprintf("seeds[%d]", i), seed, false)
+	}
+	for _, name := range slices.Sorted(maps.Keys(p.AddressesByName)) {
+		c.address("as_seen."+name, p.AddressesByName[name], false)
+	}
+	c.required("identity", p.Identity)
+	c.number("every_ms", &p.DigestIntervalMs, valueRange{1000, 100, 60_000})
+}
--- /dev/null
+++ b/internal/config/store.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/storestate"
+	"ravenwheel/internal/store"
+	"ravenwheel/internal/strictjson"
+)
+
+// Store is this member of the replicated store. Without a name the store has no other members and is in memory.
+type Store struct {
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`   // for other members, over mutual TLS
+	Peers     []store.Member `json:"peers"`    // all members of a new cluster, this one among them
+	Join      string         `json:"join"`     // in place of Peers: the address of a member of a cluster to join
+	Dir       string         `json:"dir"`      // of the log
+	Identity  string         `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key
+	TimeoutMs float64        `json:"timeout_ms"`
+}
+
+// Timeout is how long a change of the store may take.
+func (s *Store) Timeout() time.Duration { return clock.Duration(s.TimeoutMs) }
+
+// Open starts this member. onChange is as store.Options.Facts. It returns the errors of reading the identity, of making the
+// directory and of store.Open.
+func (s *Store) Open(clk *clock.Clock, onChange func(storestate.Change)) (*store.Store, error) {
+	options := store.Options{Timeout: s.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, Facts: onChange}
+	if s.Name == "" {
+		return store.Open(options)
+	}
+	identity, err := store.LoadIdentity(s.Identity, s.Name)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.MkdirAll(s.Dir, 0o700); err != nil {
+		return nil, err
+	}
+	options.Self, options.Identity = store.Member{Name: s.Name, Addr: s.Listen}, identity
+	return store.Open(options)
+}
+
+func (f *OperatorFile) checkStore(doc *strictjson.Doc) {
+	c := checker{doc, "store"}
+	c.number("timeout_ms", &f.Store.TimeoutMs, valueRange{2000, 10, 60_000})
+	if f.Store.Name == "" {
+		f.Store.checkUnnamed(c)
+	} else {
+		f.Store.checkMember(c)
+	}
+}
+
+// checkUnnamed reports what only a member of a cluster has.
+func (s *Store) checkUnnamed(c checker) {
+	for _, field := range []string{"listen", "peers", "join", "dir", "identity"} {
+		if c.doc.Has(c.path(field)) {
+			c.doc.Fail(c.path(field), "%s goes with name: a store without one is alone and in memory", field)
+		}
+	}
+}
+
+func (s *Store) checkMember(c checker) {
+	c.address("listen", s.Listen, false)
+	c.required("dir", s.Dir)
+	c.required("identity", s.Identity)
+	if (len(s.Peers) == 0) == (s.Join == "") {
+		c.doc.Fail(c.part, "store needs peers, of a new cluster, or join, the address of a member of one")
+	}
+	if s.Join != "" {
+		c.address("join", s.Join, false)
+	}
+	listed := len(s.Peers) == 0
+	for i, peer := range s.Peers {
+		checker{c.doc, fmt.Sprintf("store.peers[%d]", i)}.address("addr", peer.Addr, false)
+		listed = listed || peer.Name == s.Name && peer.Addr == s.Listen
+	}
+	if !listed {
+		c.doc.Fail("store.peers", "peers do not hold %q at %s", s.Name, s.Listen)
+	}
+}
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -53,7 +53,7 @@
 // wants that were not served within their target.
 func play(ctx context.Context, seconds float64, held int, at func(second int, f *fleet.Fleet, c *core.Core)) (out []window, slow float64, err error) {
 	clk := clock.System()
-	o, err := config.ParseOperator("validate", []byte(operator))
+	o, err := config.ParseOperatorFile("validate", []byte(operator))
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -43,7 +43,7 @@
 	began  float64
 	path   string
 	conf   *config.Config
-	oper   *config.Operator
+	oper   *config.OperatorFile
 	fleet  *fleet.Fleet
 	client *load.Client
 	told   []fleet.Notification
@@ -53,7 +53,7 @@
 func Run(ctx context.Context, o Options) error {
 	r := &run{opt: o, clk: clock.System()}
 	var err error
-	if r.oper, err = config.LoadOperator(o.Operator); err != nil {
+	if r.oper, err = config.LoadOperatorFile(o.Operator); err != nil {
 		return err
 	}
 	if r.oper.Proxy == nil || r.oper.Admin == nil {
@@ -75,11 +75,11 @@
 	if err := os.WriteFile(r.path, raw, 0o600); err != nil {
 		return err
 	}
-	set, err := filewatch.Load(r.path, r.conf.Facts(0), &resolver.Cache{Clock: r.clk}, nil)
+	set, err := filewatch.Load(r.path, r.conf.ListFacts(0), &resolver.Cache{Clock: r.clk}, nil)
 	if err != nil {
 		return err
 	}
-	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 4, FillTime: 25, PurgeDelay: r.oper.Site.PurgeTakes})
+	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 4, FillTime: 25, PurgeDelay: r.oper.Site.PurgePropagationMs})
 	defer r.fleet.Close()
 	if err := r.fleet.StartList(set, r.oper.Site.ParentKind, r.oper.Site.OriginKind); err != nil {
 		return err
@@ -140,7 +140,7 @@
 	var classes []load.Class
 	shares := []float64{0.53, 0.44, 0.03}
 	for i, k := range r.oper.Classes {
-		c := load.Class{Name: k.Name, Fraction: shares[i%len(shares)], DeadlineMs: k.Deadline, Write: k.Uncached, PartsPerObject: 1}
+		c := load.Class{Name: k.Name, Fraction: shares[i%len(shares)], DeadlineMs: k.DeadlineMs, Write: k.Uncached, PartsPerObject: 1}
 		if k.InParts {
 			c.PartsPerObject = 12
 		}
@@ -353,7 +353,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	broken := fleet.Rules{Drain: r.oper.Site.DrainGrace, Purge: r.oper.Site.PurgeGrace, Slack: 50}.Violations(r.fleet.Observations(), r.told)
+	broken := fleet.Rules{Drain: r.oper.Site.DrainGraceMs, Purge: r.oper.Site.PurgeGraceMs, Slack: 50}.Violations(r.fleet.Observations(), r.told)
 	for _, id := range r.fleet.DuplicateWrites() {
 		broken = append(broken, "a write ran twice: "+id)
 	}
