--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -194,8 +194,8 @@
 		pause(clk, control.StopAfter)
 	}
 	// Another process that passed over this one has a queue of its own, and this one's is still its own to empty.
-	if !passed || front.Accepts() {
-		for front.Queued() && clk.Now() < end {
+	if !passed || front.IsAccepting() {
+		for front.HasQueuedConns() && clk.Now() < end {
 			pause(clk, idleEvery)
 		}
 		_ = front.Close()
@@ -204,7 +204,7 @@
 	defer cancel()
 	defer clk.After(end-clk.Now(), cancel)()
 	stopOperator(ctx)
-	for front.Held() > 0 && clk.Now() < end {
+	for front.OpenConns() > 0 && clk.Now() < end {
 		pause(clk, idleEvery)
 	}
 }
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -82,7 +82,7 @@
 	require.GreaterOrEqual(t, p.Clock.Now(), began+control.StopAfter)
 	require.Less(t, p.Clock.Now(), began+5000+killAfter, "before SIGKILL")
 	require.True(t, operatorStopped)
-	require.Zero(t, front.Held(), "what is open as the process ends is reset, with all that nobody has read there")
+	require.Zero(t, front.OpenConns(), "what is open as the process ends is reset, with all that nobody has read there")
 	for c, n := range asked {
 		for range n {
 			words, err := c.Receive()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -21,11 +21,11 @@
 
 // Front is the clients' front, as far as it is told.
 type Front interface {
-	Takes(yes bool)
-	Empty(drain.Plan)
-	Accepting(on bool)
-	SetMost(n int)
-	Held() int
+	SetReady(ready bool)
+	SetDrainPlan(drain.Plan)
+	SetAccepting(on bool)
+	SetMaxConns(n int)
+	OpenConns() int
 }
 
 // Servers are who carries out what operators say of one.
@@ -80,14 +80,14 @@
 	if d.front == nil {
 		return
 	}
-	d.front.Takes(d.state.Takes())
-	d.front.Accepting(d.accepting)
-	d.front.Empty(d.state.Plan(d.passed))
+	d.front.SetReady(d.state.Takes())
+	d.front.SetAccepting(d.accepting)
+	d.front.SetDrainPlan(d.state.Plan(d.passed))
 	most := d.opt.Conns
 	if d.shared { // honest clients hold a third of all descriptors, and move from one process to the other
 		most = most * 3 / 4
 	}
-	d.front.SetMost(most)
+	d.front.SetMaxConns(most)
 }
 
 func (d *Desk) handle(e drain.Event) bool {
@@ -175,7 +175,7 @@
 	defer d.mu.Unlock()
 	p := d.state.Phase()
 	if p == drain.Draining && d.front != nil {
-		if n := d.front.Held(); n > 0 {
+		if n := d.front.OpenConns(); n > 0 {
 			return fmt.Sprintf("draining, %d connections left", n), false
 		}
 		return "drained", false
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -14,11 +14,11 @@
 // goldenFront is a clients' front with so many connections.
 type goldenFront struct{ connections int }
 
-func (*goldenFront) Takes(bool)       {}
-func (*goldenFront) Empty(drain.Plan) {}
-func (*goldenFront) Accepting(bool)   {}
-func (*goldenFront) SetMost(int)      {}
-func (f *goldenFront) Held() int      { return f.connections }
+func (*goldenFront) SetReady(bool)           {}
+func (*goldenFront) SetDrainPlan(drain.Plan) {}
+func (*goldenFront) SetAccepting(bool)       {}
+func (*goldenFront) SetMaxConns(int)         {}
+func (f *goldenFront) OpenConns() int        { return f.connections }
 
 type goldenServers struct{}
 
--- a/internal/front/resp/call.go
+++ b/internal/front/resp/call.go
@@ -48,7 +48,7 @@
 
 // readCall reads class, fields and body of a call that came at now. ok is false if any can't be used: no
 // such request may reach the module or a cache.
-func readCall(args [][]byte, now float64, d Doer) (q core.Request, ok bool) {
+func readCall(args [][]byte, now float64, d RequestHandler) (q core.Request, ok bool) {
 	if len(args) < 2 {
 		return q, false
 	}
--- a/internal/front/resp/empty_test.go
+++ b/internal/front/resp/empty_test.go
@@ -43,8 +43,8 @@
 		half expect 1 yes
 		half send half *2`)
 	now := p.Clock.Now()
-	f.Takes(false)
-	f.Empty(drain.Plan{On: true, CloseFrom: now + 300, RefuseFrom: now + 700})
+	f.SetReady(false)
+	f.SetDrainPlan(drain.Plan{On: true, CloseFrom: now + 300, RefuseFrom: now + 700})
 	scenario.Run(t, p.Clock, actors, `
 		rests send RPC.HEALTH 2
 		rests expect 2 no
@@ -65,14 +65,14 @@
 		busy await closed
 		half await closed`)
 	require.EqualValues(t, 1, p.Core.Counters.Unsent.Load())
-	f.Empty(drain.Plan{})
-	f.Takes(true)
+	f.SetDrainPlan(drain.Plan{})
+	f.SetReady(true)
 	ends := p.Clock.Now() + 5000
-	for f.Held() > 0 && p.Clock.Now() < ends { // those that were told to end have ended
+	for f.OpenConns() > 0 && p.Clock.Now() < ends { // those that were told to end have ended
 		p.Clock.Advance(10)
 		time.Sleep(time.Millisecond)
 	}
-	require.Zero(t, f.Held())
+	require.Zero(t, f.OpenConns())
 }
 
 // What a slow reader has not taken yet is not lost by the close: the connection ends after it.
@@ -88,7 +88,7 @@
 		s expect fetch 00000000000000a1 * -
 		s send $id served why=local,version=v1 `+body)
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond, "written, as far as this side knows")
-	f.Empty(drain.Plan{On: true})
+	f.SetDrainPlan(drain.Plan{On: true})
 	p.Clock.Advance(20)
 	_, _ = nc.Write(frames.Append(nil, "RPC.HEALTH", "3")) // crosses the close
 	total := 0
@@ -110,17 +110,17 @@
 		held send RPC.HEALTH 1
 		held expect 1 yes`
 	scenario.Run(t, p.Clock, actors, held)
-	f.Accepting(false)
-	f.Accepting(false)
+	f.SetAccepting(false)
+	f.SetAccepting(false)
 	// One may slip in, where the accept was past the look at its deadline and not yet at the queue: it is served here.
 	actors["slips"] = scenario.Dial(t, f.Addr())
 	actors["queued"] = scenario.Dial(t, f.Addr())
 	scenario.Run(t, p.Clock, actors, `
 		queued send RPC.HEALTH 1`+held)
-	require.LessOrEqual(t, f.Held(), 2)
-	f.Accepting(true)
+	require.LessOrEqual(t, f.OpenConns(), 2)
+	f.SetAccepting(true)
 	scenario.Run(t, p.Clock, actors, `
 		queued expect 1 yes`)
-	f.Accepting(false)
+	f.SetAccepting(false)
 	require.NoError(t, f.Close(), "also one that does not accept ends")
 }
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -71,7 +71,7 @@
 		},
 		"half a frame, for too long": func(t *testing.T, p *scenario.Proxy, _ *resp.Front) { p.Clock.Advance(2750) },
 		"the proxy is emptied and the last request refused": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
-			f.Empty(drain.Plan{On: true})
+			f.SetDrainPlan(drain.Plan{On: true})
 			p.Clock.Advance(20)
 		},
 	} {
@@ -116,7 +116,7 @@
 			require.NoError(t, nc.(*net.TCPConn).CloseWrite())
 			_, err = nc.Read(read)
 			require.ErrorIs(t, err, io.EOF)
-			require.Eventually(t, func() bool { return f.Held() <= 1 }, time.Minute, time.Millisecond)
+			require.Eventually(t, func() bool { return f.OpenConns() <= 1 }, time.Minute, time.Millisecond)
 			require.Zero(t, p.Core.Counters.Attempts.Load())
 			require.Zero(t, p.Core.Counters.Served.Load())
 		})
@@ -130,13 +130,13 @@
 		stays send RPC.HEALTH 1
 		stays expect 1 yes`)
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-	f.Empty(drain.Plan{On: true})
+	f.SetDrainPlan(drain.Plan{On: true})
 	p.Clock.Advance(20)
 	scenario.Run(t, p.Clock, actors, `
 		stays expect closed
 		stays send RPC.HEALTH 2`)
-	require.Equal(t, 1, f.Held())
-	require.Eventually(t, func() bool { p.Clock.Advance(100); return f.Held() == 0 }, time.Minute, time.Millisecond)
+	require.Equal(t, 1, f.OpenConns())
+	require.Eventually(t, func() bool { p.Clock.Advance(100); return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
 	require.NoError(t, actors["stays"].Close(), "not before: nobody but the front has ended it")
 }
 
@@ -155,7 +155,7 @@
 		words, err := c.Receive()
 		require.NoError(t, err, i)
 		require.Equal(t, []string{"1", "yes"}, words, "a proper client gets in")
-		require.Eventually(t, func() bool { return f.Idle() && f.Held() <= most+1+most/8 }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return f.Idle() && f.OpenConns() <= most+1+most/8 }, time.Minute, time.Millisecond)
 	}
 }
 
@@ -195,7 +195,7 @@
 		p.Clock.Advance(10)
 	}
 	b.out.Store(false)
-	require.Eventually(t, func() bool { p.Clock.Advance(10); return f.Held() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { p.Clock.Advance(10); return f.OpenConns() == 1 }, time.Minute, time.Millisecond)
 	words, err := c.Receive()
 	require.NoError(t, err)
 	require.Equal(t, []string{"1", "yes"}, words)
@@ -230,7 +230,7 @@
 	require.Eventually(t, func() bool { return p.Core.Counters.Served.Load() == int64(out-2) }, time.Minute, time.Millisecond)
 	require.False(t, f.Idle(), "answers wait for a reader that is none")
 	require.NoError(t, nc.(*net.TCPConn).CloseWrite())
-	require.Eventually(t, func() bool { return f.Held() == 0 && f.Idle() && p.Core.Counters.Open.Load() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() && p.Core.Counters.Open.Load() == 0 }, time.Minute, time.Millisecond)
 	require.EqualValues(t, 2, p.Core.Counters.Gone.Load())
 	for range 2 {
 		scenario.Run(t, p.Clock, actors, `
@@ -244,7 +244,7 @@
 
 // holds is a core whose requests stay open until their client has left.
 type holds struct {
-	resp.Doer
+	resp.RequestHandler
 	open, most atomic.Int64
 }
 
@@ -264,7 +264,7 @@
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	h := &holds{Doer: p.Core}
+	h := &holds{RequestHandler: p.Core}
 	f := resp.New(ln, 20, p.Clock, h)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
@@ -287,7 +287,7 @@
 		other expect 1 yes`)
 	require.Eventually(t, func() bool { return h.open.Load() == most }, time.Minute, time.Millisecond)
 	require.NoError(t, nc.Close())
-	require.Eventually(t, func() bool { return h.open.Load() == 0 && f.Held() == 1 && f.Idle() }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return h.open.Load() == 0 && f.OpenConns() == 1 && f.Idle() }, time.Minute, time.Millisecond)
 	require.EqualValues(t, most, h.most.Load())
 	require.Zero(t, invariant.Broken())
 }
@@ -309,5 +309,5 @@
 		require.NoError(t, err, "%q: its end, in order", first)
 		require.NoError(t, nc.Close())
 	}
-	require.Eventually(t, func() bool { return f.Held() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
 }
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -19,8 +19,8 @@
 	"ravenwheel/policy"
 )
 
-// Doer lives a request from its arrival to its one final answer.
-type Doer interface {
+// RequestHandler lives a request from its arrival to its one final answer.
+type RequestHandler interface {
 	Do(context.Context, core.Request) core.Answer
 	ClassOf(name string) int
 	Settings() policy.Settings
@@ -62,7 +62,7 @@
 // Front serves clients on one listener.
 type Front struct {
 	clock *clock.Clock
-	core  Doer
+	core  RequestHandler
 	most  atomic.Int64
 	busy  atomic.Int64 // requests open and bytes not yet written
 	takes atomic.Bool  // whoever asks is told that work is taken
@@ -82,7 +82,7 @@
 }
 
 // New returns a front on ln that holds at most so many connections.
-func New(ln net.Listener, most int, c *clock.Clock, d Doer) *Front {
+func New(ln net.Listener, most int, c *clock.Clock, d RequestHandler) *Front {
 	f := &Front{clock: c, core: d, ln: ln, conns: map[*guard]struct{}{}}
 	f.closed.L = &f.mu
 	f.most.Store(int64(most))
@@ -101,18 +101,18 @@
 // Close stops accepting; connections that are open go on.
 func (f *Front) Close() error {
 	err := f.ln.Close()
-	f.Accepting(true) // whoever waits to accept sees the end
+	f.SetAccepting(true) // whoever waits to accept sees the end
 	return err
 }
 
-// SetMost changes how many connections are held. Those that are open stay.
-func (f *Front) SetMost(n int) { f.most.Store(int64(n)) }
+// SetMaxConns changes how many connections are held. Those that are open stay.
+func (f *Front) SetMaxConns(n int) { f.most.Store(int64(n)) }
 
-// Accepts tells whether new connections are accepted here.
-func (f *Front) Accepts() bool { return f.halt() == nil }
+// IsAccepting tells whether new connections are accepted here.
+func (f *Front) IsAccepting() bool { return f.halt() == nil }
 
-// Queued tells whether connections wait to be accepted here: they have been taken, and so has what they ask.
-func (f *Front) Queued() (some bool) {
+// HasQueuedConns tells whether connections wait to be accepted here: they have been taken, and so has what they ask.
+func (f *Front) HasQueuedConns() (some bool) {
 	if f.admitting.Load() {
 		return true
 	}
@@ -134,18 +134,18 @@
 // Addr is where it listens.
 func (f *Front) Addr() string { return f.ln.Addr().String() }
 
-// Held is how many connections are open.
-func (f *Front) Held() int {
+// OpenConns is how many connections are open.
+func (f *Front) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Takes sets what whoever asks is told: whether the proxy takes work.
-func (f *Front) Takes(yes bool) { f.takes.Store(yes) }
+// SetReady sets what whoever asks is told: whether the proxy takes work.
+func (f *Front) SetReady(yes bool) { f.takes.Store(yes) }
 
-// Accepting has new connections accepted, or left to another process that holds the same listener.
-func (f *Front) Accepting(on bool) {
+// SetAccepting has new connections accepted, or left to another process that holds the same listener.
+func (f *Front) SetAccepting(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ln, ok := f.ln.(*net.TCPListener)
@@ -168,8 +168,8 @@
 	return f.halted
 }
 
-// Empty has connections treated as a plan says, until the next one.
-func (f *Front) Empty(p drain.Plan) {
+// SetDrainPlan has connections treated as a plan says, until the next one.
+func (f *Front) SetDrainPlan(p drain.Plan) {
 	if was := f.plan.Swap(&p); p.On && !was.On {
 		f.clock.After(emptyEvery, f.empty)
 	}
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -211,7 +211,7 @@
 	}
 }
 
-var _ resp.Doer = (*core.Core)(nil)
+var _ resp.RequestHandler = (*core.Core)(nil)
 
 // A proxy that has just started knows of no copy: what its forerunner was told is asked for again.
 func TestCopyOverARestart(t *testing.T) {
--- a/internal/front/resp/golden_test.go
+++ b/internal/front/resp/golden_test.go
@@ -21,7 +21,7 @@
 
 // prepared is a core that gives prepared answers, by the requests' ids, and notes what it was asked.
 type prepared struct {
-	resp.Doer
+	resp.RequestHandler
 	answers map[string]core.Answer
 	asked   bytes.Buffer
 }
@@ -37,7 +37,7 @@
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	doer := &prepared{Doer: p.Core, answers: map[string]core.Answer{
+	doer := &prepared{RequestHandler: p.Core, answers: map[string]core.Answer{
 		"00000000000000a1": {Verdict: core.Served, Body: []byte("BYTES"), Tag: "v1"},
 		"00000000000000a2": {Verdict: core.Served, Same: true, Tag: "v7"},
 		"00000000000000a3": {Verdict: core.Served},
@@ -77,9 +77,9 @@
 	call("9", "asset", "rid=00000000000000a9,budget=2501"+object)
 	ask("RPC.OTHER", "10", "x")
 	ask("RPC.HEALTH", "11")
-	f.Takes(false)
+	f.SetReady(false)
 	ask("RPC.HEALTH", "12")
-	f.Empty(drain.Plan{On: true, RefuseFrom: 1})
+	f.SetDrainPlan(drain.Plan{On: true, RefuseFrom: 1})
 	call("13", "asset", "rid=00000000000000a1,budget=900"+object)
 	golden.Equal(t, "answers.txt", out.Bytes())
 	golden.Equal(t, "requests.txt", doer.asked.Bytes())
--- a/internal/front/resp/gone_test.go
+++ b/internal/front/resp/gone_test.go
@@ -45,7 +45,7 @@
 					require.Eventually(t, func() bool { return f.Idle() && gate.wanted.Load() >= asked+int64(len(call)) }, time.Minute, 100*time.Microsecond)
 					require.NoError(t, nc.Close())
 				}
-				require.Eventually(t, func() bool { return f.Held() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
+				require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
 				require.Zero(t, p.Core.Counters.Attempts.Load(), "its client had left by the time it was read")
 			}
 		})
--- a/internal/front/resp/leave_test.go
+++ b/internal/front/resp/leave_test.go
@@ -26,7 +26,7 @@
 
 // counts is a core that is told of connections alone.
 type counts struct {
-	Doer
+	RequestHandler
 	unanswered int
 }
 
@@ -79,14 +79,14 @@
 		}
 		if !asked {
 			require.NoError(t, g.Close())
-			require.Equal(t, 1, f.Held(), "it was accepted a moment ago")
+			require.Equal(t, 1, f.OpenConns(), "it was accepted a moment ago")
 			clk.Advance(newFor)
 		}
 		require.NoError(t, g.Close())
 		if asked {
 			for range 20 {
 				time.Sleep(time.Millisecond) // a close would be under way
-				require.Equal(t, 1, f.Held())
+				require.Equal(t, 1, f.OpenConns())
 			}
 			_, err := g.Write([]byte("x"))
 			require.NoError(t, err, "its answer can be written")
@@ -103,7 +103,7 @@
 		_, err = g.Read(make([]byte, 99))
 		require.ErrorIs(t, err, net.ErrClosed)
 		require.NoError(t, g.Close())
-		require.Eventually(t, func() bool { return f.Held() == 0 }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
 	}
 }
 
@@ -138,7 +138,7 @@
 		worst = max(worst, held.Load())
 	}
 	require.LessOrEqual(t, worst, int64(most+1+most/leavingShare))
-	require.EqualValues(t, worst, f.Held())
+	require.EqualValues(t, worst, f.OpenConns())
 }
 
 // A connection that is cut off has left the books, and the goroutine that is to close its socket is held back. Nothing is
--- a/internal/front/resp/takes_test.go
+++ b/internal/front/resp/takes_test.go
@@ -22,7 +22,7 @@
 
 // answersAtOnce is a core that answers each request with the largest object, and counts them.
 type answersAtOnce struct {
-	resp.Doer
+	resp.RequestHandler
 	answered atomic.Int64
 }
 
@@ -81,7 +81,7 @@
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	x := &takesNothing{t: t, proxy: p, core: &answersAtOnce{Doer: p.Core}}
+	x := &takesNothing{t: t, proxy: p, core: &answersAtOnce{RequestHandler: p.Core}}
 	narrow := &small{TCPListener: ln.(*net.TCPListener)}
 	x.front = resp.New(narrow, 20, p.Clock, x.core)
 	go func() { _ = x.front.Serve() }()
@@ -93,7 +93,7 @@
 	x.askBlocked()
 	require.Eventually(t, func() bool { return narrow.writing.Load() == 1 }, time.Minute, time.Millisecond)
 	x.other = scenario.Dial(t, x.front.Addr())
-	require.Eventually(t, func() bool { return x.front.Held() == 2 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return x.front.OpenConns() == 2 }, time.Minute, time.Millisecond)
 	return x
 }
 
@@ -127,10 +127,10 @@
 	for range 39 {
 		x.proxy.Clock.Advance(250)
 		x.askOther()
-		require.Equal(t, 2, x.front.Held(), "it has its 10 s")
+		require.Equal(t, 2, x.front.OpenConns(), "it has its 10 s")
 	}
 	x.proxy.Clock.Advance(500)
-	require.Eventually(t, func() bool { return x.front.Held() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return x.front.OpenConns() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
 	x.askOther()
 	_, _, err := (&frames.Buffer{Most: frames.MostAnswered}).Next(x.blocked)
 	require.Error(t, err)
@@ -144,9 +144,9 @@
 	for range room - 1 {
 		x.askBlocked()
 		x.askOther()
-		require.Equal(t, 2, x.front.Held(), "it may be owed so much")
+		require.Equal(t, 2, x.front.OpenConns(), "it may be owed so much")
 	}
 	x.askBlocked()
-	require.Eventually(t, func() bool { return x.front.Held() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return x.front.OpenConns() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
 	x.askOther()
 }
