--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -30,13 +30,13 @@
 			s.roster.Handle(membership.Heartbeat{Source: rank})
 		},
 		OnOverdue: s.isOverdue,
-		OnCurrent: func() { s.core.Overdue(false, 0) },
+		OnCurrent: func() { s.core.DiscoveryOverdue(false, 0) },
 	}
 }
 
 // isOverdue tells that discovery has not spoken for too long, and that what it held until a time counts as notified.
 func (s *sources) isOverdue(until float64) {
-	s.core.Overdue(true, until)
+	s.core.DiscoveryOverdue(true, until)
 	select {
 	case s.overdue <- struct{}{}:
 	default:
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -34,7 +34,7 @@
 				require.NoError(t, err)
 				list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 			}
-			p.Core.Members(membership.Publish{Version: 2, Complete: true, Members: list})
+			p.Core.UpdateMembers(membership.Publish{Version: 2, Complete: true, Members: list})
 			ln, err := net.Listen("tcp", scenario.Loopback())
 			require.NoError(t, err)
 			front := resp.New(ln, 100, p.Clock, p.Core)
@@ -152,10 +152,10 @@
 					require.NoError(t, err)
 					list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 				}
-				pools := upstream.New(p.Clock, upstream.Limits{PerConn: 100, Conns: 4, Connect: 400, Idle: 30_000})
+				pools := upstream.New(p.Clock, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 400, IdleTimeout: 30_000})
 				c, err := core.New(set, []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, pools)
 				require.NoError(t, err)
-				c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
+				c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 				ln, err := net.Listen("tcp", scenario.Loopback())
 				require.NoError(t, err)
 				front := resp.New(ln, 100, p.Clock, c)
--- a/cmd/ravenwheel/live_test.go
+++ b/cmd/ravenwheel/live_test.go
@@ -43,8 +43,8 @@
 	require.True(t, ok && string(k.Data) == "x")
 	ctx, leave := context.WithCancel(context.Background())
 	go p.Core.Do(ctx, core.Request{ID: "r1", Class: 1, Object: "o", Deadline: p.Clock.Now() + 900})
-	require.Eventually(t, func() bool { return p.Core.Counters.Open.Load() == 1 }, time.Minute, time.Millisecond)
-	full := core.Answer{Verdict: core.Refused, Backoff: clock.Ms(scenario.Settings().MaxRetryAfter)}
+	require.Eventually(t, func() bool { return p.Core.Counters.InFlight.Load() == 1 }, time.Minute, time.Millisecond)
+	full := core.Answer{Verdict: core.Rejected, RetryAfter: clock.Ms(scenario.Settings().MaxRetryAfter)}
 	require.Equal(t, full, p.Core.Do(ctx, core.Request{ID: "r2", Class: 1, Object: "o", Deadline: p.Clock.Now() + 900}))
 	leave()
 
--- a/cmd/ravenwheel/operator.go
+++ b/cmd/ravenwheel/operator.go
@@ -38,7 +38,7 @@
 			return nil, err
 		}
 		conns := func() int64 { return int64(up.Conns()) }
-		go func() { _ = snmp.New(s.Community, snmp.Scalars(&c.Counters, up.Late.Load, conns)).Serve(pc) }()
+		go func() { _ = snmp.New(s.Community, snmp.Scalars(&c.Counters, up.LateAnswers.Load, conns)).Serve(pc) }()
 		ends = append(ends, func(context.Context) { pc.Close() })
 	}
 	st := shared.store
--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Tally = core.NewTally()
+	c.LoadCounter = core.NewLoadCounter()
 	return peers.Start(peers.Options{
 		Name: name, Listen: p.Listen, Advertise: p.Advertise, Seeds: p.Seeds, Seen: p.AddressesByName, Zone: zone, Region: p.Region, Every: p.DigestIntervalMs,
-		Dir: p.Dir, Identity: id, Clock: clk, Log: log, Totals: c.Tally.Totals, Objects: c.Tally.Objects,
+		Dir: p.Dir, Identity: id, Clock: clk, Log: log, Totals: c.LoadCounter.Totals, Objects: c.LoadCounter.Objects,
 	})
 }
 
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -172,8 +172,8 @@
 // newCore returns the core, and the connections to the servers that it sends to.
 func newCore(conf *config.Config, clk *clock.Clock, log *logs.Log) (*upstream.Pools, *core.Core, error) {
 	up := upstream.New(clk, upstream.Limits{
-		PerConn: conf.StreamsPerConn, Conns: min(mostConns, max(leastConns, conf.Sockets/connShare)), Connect: conf.ConnectTimeoutMs, Idle: conf.IdleTimeoutMs, Total: forServers(conf.Sockets),
-		Life: clock.Ms(longest(conf)),
+		RequestsPerConn: conf.StreamsPerConn, ConnsPerServer: min(mostConns, max(leastConns, conf.Sockets/connShare)), ConnectTimeout: conf.ConnectTimeoutMs, IdleTimeout: conf.IdleTimeoutMs, MaxConns: forServers(conf.Sockets),
+		RequestLifetime: clock.Ms(longest(conf)),
 	})
 	c, err := core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, clk, up)
 	if err != nil {
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -160,7 +160,7 @@
 		limits = *x.Limits
 	}
 	l.log.SetLevel(level)
-	l.core.SetMostHeld(limits.MaxOpenRequests)
+	l.core.SetMaxRequests(limits.MaxOpenRequests)
 	l.up.SetLimits(limits.StreamsPerConn, limits.ConnectTimeoutMs, limits.IdleTimeoutMs)
 	if l.signed != nil {
 		leeway := l.oper.Signed.LeewayMs
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -135,9 +135,9 @@
 
 // ledger is how the registry publishes: to the core, and to what is kept.
 func (s *sources) ledger(set membership.Settings) registry.Options {
-	o := registry.Options{Membership: set, Clock: s.clk, Log: s.log, Publish: s.core.Members}
+	o := registry.Options{Membership: set, Clock: s.clk, Log: s.log, Publish: s.core.UpdateMembers}
 	if s.state != nil {
-		o.Publish = func(p membership.Publish) { s.core.Members(p); s.state.RecordPublish(p) }
+		o.Publish = func(p membership.Publish) { s.core.UpdateMembers(p); s.state.RecordPublish(p) }
 		o.OnTransition = s.state.RecordTransition
 	}
 	return o
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -35,7 +35,7 @@
 		require.NoError(t, err)
 		list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 	}
-	p.Core.Members(membership.Publish{Version: 2, Complete: true, Members: list})
+	p.Core.UpdateMembers(membership.Publish{Version: 2, Complete: true, Members: list})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	front := resp.New(ln, 100, p.Clock, p.Core)
@@ -92,7 +92,7 @@
 	}
 	n := &p.Core.Counters
 	require.EqualValues(t, 60, n.Served.Load())
-	require.Zero(t, n.Unsent.Load()+n.Unanswered.Load())
+	require.Zero(t, n.NeverSent.Load()+n.UnansweredConns.Load())
 	require.Zero(t, invariant.Broken())
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -220,10 +220,10 @@
 func (a *Admin) counters(w http.ResponseWriter, _ *http.Request) {
 	n := &a.opt.Core.Counters
 	reply(w, map[string]int64{
-		"requests": n.Requests.Load(), "served": n.Served.Load(), "refused": n.Refused.Load(), "failed": n.Failed.Load(),
-		"gone": n.Gone.Load(), "attempts": n.Attempts.Load(), "timeouts": n.Timeouts.Load(), "stale": n.Stale.Load(),
-		"notices": n.Notices.Load(), "open": n.Open.Load(), "unsent": n.Unsent.Load(), "unanswered": n.Unanswered.Load(),
-		"misnamed": n.Misnamed.Load(),
+		"requests": n.Requests.Load(), "served": n.Served.Load(), "refused": n.Rejected.Load(), "failed": n.Failed.Load(),
+		"gone": n.Abandoned.Load(), "attempts": n.Attempts.Load(), "timeouts": n.Timeouts.Load(), "stale": n.Skipped.Load(),
+		"notices": n.Notifications.Load(), "open": n.InFlight.Load(), "unsent": n.NeverSent.Load(), "unanswered": n.UnansweredConns.Load(),
+		"misnamed": n.WrongTags.Load(),
 	})
 }
 
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -113,9 +113,9 @@
 	unnamed := membership.ServerStatus{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
 	proxy := &core.Core{}
 	for i, counter := range []interface{ Add(int64) int64 }{
-		&proxy.Counters.Requests, &proxy.Counters.Served, &proxy.Counters.Refused, &proxy.Counters.Failed, &proxy.Counters.Gone,
-		&proxy.Counters.Attempts, &proxy.Counters.Timeouts, &proxy.Counters.Stale, &proxy.Counters.Notices, &proxy.Counters.Open,
-		&proxy.Counters.Unsent, &proxy.Counters.Unanswered, &proxy.Counters.Misnamed,
+		&proxy.Counters.Requests, &proxy.Counters.Served, &proxy.Counters.Rejected, &proxy.Counters.Failed, &proxy.Counters.Abandoned,
+		&proxy.Counters.Attempts, &proxy.Counters.Timeouts, &proxy.Counters.Skipped, &proxy.Counters.Notifications, &proxy.Counters.InFlight,
+		&proxy.Counters.NeverSent, &proxy.Counters.UnansweredConns, &proxy.Counters.WrongTags,
 	} {
 		counter.Add(int64(i + 1))
 	}
--- a/internal/core/catchup_test.go
+++ b/internal/core/catchup_test.go
@@ -21,11 +21,11 @@
 			set := scenario.Settings()
 			set.PurgeDuration = 6 * time.Second
 			clk := clock.Manual(1e12)
-			reset := core.End{Result: policy.Reset, Sent: true} // so that there is a second attempt
-			d := &deaf{clock: clk, after: 100, ends: []core.End{reset, {Result: policy.OK, Sent: true}}}
+			reset := core.Outcome{Result: policy.Reset, Written: true} // so that there is a second attempt
+			d := &deaf{clock: clk, after: 100, ends: []core.Outcome{reset, {Result: policy.OK, Written: true}}}
 			c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, d)
 			require.NoError(t, err)
-			c.Members(coreMembers())
+			c.UpdateMembers(coreMembers())
 			calls, purgedAt := 0, -1
 			c.CatchUp = func() bool {
 				if calls++; calls != stale {
@@ -38,7 +38,7 @@
 			ask(t, c, clk, core.Request{ID: "a", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
 			require.GreaterOrEqual(t, purgedAt, 0)
 			for n, a := range d.sent {
-				require.Equal(t, n >= purgedAt, a.Age > 0, "attempt %d, the purge came before attempt %d", n, purgedAt)
+				require.Equal(t, n >= purgedAt, a.MaxAge > 0, "attempt %d, the purge came before attempt %d", n, purgedAt)
 			}
 			require.Greater(t, len(d.sent), purgedAt)
 		})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -37,7 +37,7 @@
 
 func (a *asks) Send(words []string) error {
 	q := core.Request{
-		ID: words[0], Class: a.core.ClassOf(words[1]), Object: "7f3a9c21e0b4d655", Deadline: a.clock.Now() + 900,
+		ID: words[0], Class: a.core.ClassIndex(words[1]), Object: "7f3a9c21e0b4d655", Deadline: a.clock.Now() + 900,
 	}
 	go func() {
 		x := a.core.Do(a.ctx, q)
@@ -111,14 +111,14 @@
 	require.NoError(t, err)
 	m := core.Member{Addr: p.Cache.Addr()}
 	m.ID = scenario.CacheID
-	small.Members(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
+	small.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
 	c := &asks{core: small, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, `
 		c send r1 asset
 		s expect fetch r1 * -`)
 	a := small.Do(c.ctx, core.Request{ID: "r2", Class: 1, Object: "o", Deadline: p.Clock.Now() + 900})
-	require.Equal(t, core.Answer{Verdict: core.Refused, Backoff: clock.Ms(scenario.Settings().MaxRetryAfter)}, a)
-	require.EqualValues(t, 1, small.Counters.Open.Load())
+	require.Equal(t, core.Answer{Verdict: core.Rejected, RetryAfter: clock.Ms(scenario.Settings().MaxRetryAfter)}, a)
+	require.EqualValues(t, 1, small.Counters.InFlight.Load())
 }
 
 // What was refused or failed without an attempt that a cache server could have read is told apart from the rest.
@@ -133,16 +133,16 @@
 		wait 900
 		c expect r1 refused -
 		s expect abort r1`)
-	require.Zero(t, n.Unsent.Load(), "it was sent, and nobody answered")
+	require.Zero(t, n.NeverSent.Load(), "it was sent, and nobody answered")
 	scenario.Run(t, p.Clock, actors, `
 		s close
 		c send r2 asset
 		c expect r2 refused -
 		c send w1 seat-claim
 		c expect w1 refused -`)
-	require.Eventually(t, func() bool { return n.Open.Load() == 0 }, time.Minute, time.Millisecond)
-	require.EqualValues(t, 2, n.Unsent.Load())
-	require.EqualValues(t, 3, n.Refused.Load())
+	require.Eventually(t, func() bool { return n.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
+	require.EqualValues(t, 2, n.NeverSent.Load())
+	require.EqualValues(t, 3, n.Rejected.Load())
 }
 
 // whims is an upstream that ends attempts in any way, at any time or never.
@@ -152,27 +152,27 @@
 	rng   *rand.Rand
 }
 
-func (w *whims) Send(a core.Attempt, end func(core.End)) func() bool {
+func (w *whims) Send(a core.Attempt, end func(core.Outcome)) func() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ends := []core.End{
-		{Result: policy.OK, Sent: true}, {Result: policy.OK, Same: true, Tag: "v1", Sent: true}, {Result: policy.OK, Same: true, Tag: "v2", Sent: true},
-		{Result: policy.Overloaded, Sent: true}, {Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}, {Result: policy.Failed, Sent: true},
-		{Result: policy.Miss, Note: policy.NoteSourceLost, Sent: true}, {Result: policy.ConnectFailed}, {Result: policy.Reset, Sent: true}, {Result: policy.Skipped},
+	ends := []core.Outcome{
+		{Result: policy.OK, Written: true}, {Result: policy.OK, NotModified: true, Tag: "v1", Written: true}, {Result: policy.OK, NotModified: true, Tag: "v2", Written: true},
+		{Result: policy.Overloaded, Written: true}, {Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}, {Result: policy.Failed, Written: true},
+		{Result: policy.Miss, Note: policy.NoteSourceLost, Written: true}, {Result: policy.ConnectFailed}, {Result: policy.Reset, Written: true}, {Result: policy.Skipped},
 	}
-	e, wait := ends[w.rng.IntN(len(ends))], w.rng.Float64()*1.2*(a.Until-w.clock.Now())
+	e, wait := ends[w.rng.IntN(len(ends))], w.rng.Float64()*1.2*(a.Deadline-w.clock.Now())
 	switch w.rng.IntN(4) {
 	case 0: // never
 		return func() bool { return true }
 	case 1:
 		go end(e)
-		return func() bool { return e.Sent }
+		return func() bool { return e.Written }
 	}
 	stop := w.clock.After(wait, func() { end(e) })
-	return func() bool { stop(); return e.Sent }
+	return func() bool { stop(); return e.Written }
 }
 
-func (w *whims) Members([]core.Member, bool) {}
+func (w *whims) UpdateMembers([]core.Member, bool) {}
 
 // Whatever those who carry attempts do, each request has its one final answer by its deadline, and a copy is called current
 // only where it is the client's.
@@ -189,7 +189,7 @@
 		m.ID, m.Kind, m.Weight = policy.CacheID(i+1), max(0, i-3), 10
 		list = append(list, m)
 	}
-	c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
+	c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 	type asked struct {
 		id   string
 		due  float64
@@ -198,14 +198,14 @@
 	var open []*asked
 	for step := range 3000 {
 		if step < 2000 {
-			q := core.Request{ID: fmt.Sprint(step), Class: rng.IntN(3), Object: fmt.Sprint(rng.IntN(50)), Holds: []string{"", "v1"}[rng.IntN(2)]}
+			q := core.Request{ID: fmt.Sprint(step), Class: rng.IntN(3), Object: fmt.Sprint(rng.IntN(50)), CachedTag: []string{"", "v1"}[rng.IntN(2)]}
 			q.Deadline = clk.Now() + 20 + rng.Float64()*2000
 			a := &asked{id: q.ID, due: q.Deadline}
 			open = append(open, a)
 			go func() {
 				x := c.Do(context.Background(), q)
-				if x.Same && (q.Holds == "" || x.Tag != q.Holds) {
-					t.Errorf("%s: %q called current, the client holds %q", q.ID, x.Tag, q.Holds)
+				if x.NotModified && (q.CachedTag == "" || x.Tag != q.CachedTag) {
+					t.Errorf("%s: %q called current, the client holds %q", q.ID, x.Tag, q.CachedTag)
 				}
 				a.done.Add(1)
 			}()
@@ -223,9 +223,9 @@
 	}
 	require.Empty(t, open)
 	n := &c.Counters
-	require.Equal(t, n.Requests.Load(), n.Served.Load()+n.Refused.Load()+n.Failed.Load())
-	require.Positive(t, n.Misnamed.Load())
-	require.Zero(t, n.Open.Load())
+	require.Equal(t, n.Requests.Load(), n.Served.Load()+n.Rejected.Load()+n.Failed.Load())
+	require.Positive(t, n.WrongTags.Load())
+	require.Zero(t, n.InFlight.Load())
 	require.Zero(t, invariant.Broken())
 }
 
@@ -240,7 +240,7 @@
 		}
 	})}
 	m.ID, m.Weight = scenario.CacheID, 10
-	p.Core.Members(membership.Publish{Version: 2, Members: []core.Member{m}})
+	p.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
 	for i := range 300 {
 		q := core.Request{ID: fmt.Sprint(i), Class: 1, Object: "o", Deadline: p.Clock.Now() + 900}
 		require.Equal(t, core.Served, p.Core.Do(context.Background(), q).Verdict, i)
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -46,26 +46,26 @@
 }
 
 // everyLearned has a value in each field. It holds one target, since the order of a map is not fixed.
-func everyLearned() learned {
-	return learned{
+func everyLearned() learnedMessage {
+	return learnedMessage{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
-		Learned: policy.LearnedState{
+		State: policy.LearnedState{
 			Servers: map[policy.CacheID]policy.ServerStats{77: everyJudgement(11.5)}, Link: everyJudgement(12.5),
 			TransferTime: []float64{0.125, 0.25}, RecentTransferTime: []float64{0.375, 0.5}, FillRate: 0.625, OriginRate: 0.75,
 			PeakLoad: [4]float64{1.5, 2.5, 3.5, 4.5},
 		},
-		Counted: []int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, Epoch: 1_700_000_000_000.5,
+		Counters: []int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}, Epoch: 1_700_000_000_000.5,
 	}
 }
 
 // TestGoldenLearned: what a process hands to its successor keeps the form that earlier versions wrote and read.
 func TestGoldenLearned(t *testing.T) {
-	for name, want := range map[string]learned{"learned.cbor": everyLearned(), "learned-empty.cbor": {}} {
+	for name, want := range map[string]learnedMessage{"learned.cbor": everyLearned(), "learned-empty.cbor": {}} {
 		encoded, err := cbor.Marshal(want)
 		require.NoError(t, err)
 		golden.Equal(t, name, encoded)
 
-		var got learned
+		var got learnedMessage
 		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &got))
 		require.Equal(t, want, got)
 		again, err := cbor.Marshal(got)
@@ -78,7 +78,7 @@
 // must be the one that earlier versions computed.
 func TestGoldenSettingsDigest(t *testing.T) {
 	for name, settings := range map[string]policy.Settings{"settings.digest": everySetting(), "settings-empty.digest": {}} {
-		sum, err := digest(settings)
+		sum, err := settingsDigest(settings)
 		require.NoError(t, err)
 		golden.Equal(t, name, []byte(hex.EncodeToString(sum[:])+"\n"))
 	}
--- a/internal/core/keyed.go
+++ b/internal/core/keyed.go
@@ -8,10 +8,10 @@
 
 // repeatBy is until when a repeat of a keyed request may be written: repeats are discarded for so many ms from the first
 // attempt that may have run. Guards against one that was decided on within that time, and waits for its connection beyond it.
-func (l *life) repeatBy(window float64) float64 {
+func (l *openRequest) retryDeadline(window float64) float64 {
 	for _, a := range l.attempts {
-		if a.open || a.ran {
-			return a.sent + window
+		if a.open || a.mayHaveRun {
+			return a.sentAt + window
 		}
 	}
 	return math.Inf(1)
--- a/internal/core/keyed_test.go
+++ b/internal/core/keyed_test.go
@@ -19,19 +19,19 @@
 // deaf is an upstream whose attempts end so, after so many ms.
 type deaf struct {
 	clock *clock.Clock
-	ends  []core.End
+	ends  []core.Outcome
 	after float64
 	sent  []core.Attempt
 }
 
-func (d *deaf) Send(a core.Attempt, end func(core.End)) func() bool {
+func (d *deaf) Send(a core.Attempt, end func(core.Outcome)) func() bool {
 	e := d.ends[len(d.sent)%len(d.ends)]
 	d.sent = append(d.sent, a)
 	stop := d.clock.After(d.after, func() { end(e) })
-	return func() bool { stop(); return e.Sent }
+	return func() bool { stop(); return e.Written }
 }
 
-func (d *deaf) Members([]core.Member, bool) {}
+func (d *deaf) UpdateMembers([]core.Member, bool) {}
 
 // keyed is a core whose third class is deduplicated for so many ms.
 func keyed(t *testing.T, window time.Duration, d *deaf) *core.Core {
@@ -39,7 +39,7 @@
 	set.Classes[2].Idempotency, set.Classes[2].DedupWindow = policy.IdempotentByKey, window
 	c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, d.clock, d)
 	require.NoError(t, err)
-	c.Members(coreMembers())
+	c.UpdateMembers(coreMembers())
 	return c
 }
 
@@ -63,14 +63,14 @@
 func TestKeyPassesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clk := clock.Manual(1e12)
-		d := &deaf{clock: clk, after: 100, ends: []core.End{{Result: policy.Reset, Sent: true}, {Result: policy.OK, Sent: true}}}
+		d := &deaf{clock: clk, after: 100, ends: []core.Outcome{{Result: policy.Reset, Written: true}, {Result: policy.OK, Written: true}}}
 		c := keyed(t, 6*time.Second, d)
 		for n, key := range []string{"k1", ""} {
 			d.sent = nil
-			ask(t, c, clk, core.Request{ID: fmt.Sprint(n), Class: 2, Object: "o", Key: key, Deadline: clk.Now() + 2000})
+			ask(t, c, clk, core.Request{ID: fmt.Sprint(n), Class: 2, Object: "o", IdempotencyKey: key, Deadline: clk.Now() + 2000})
 			require.Len(t, d.sent, 2)
-			require.Equal(t, key, d.sent[0].Key)
-			require.Equal(t, key, d.sent[1].Key)
+			require.Equal(t, key, d.sent[0].IdempotencyKey)
+			require.Equal(t, key, d.sent[1].IdempotencyKey)
 		}
 	})
 }
@@ -87,8 +87,8 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			clk := clock.Manual(1e12)
-			d := &deaf{clock: clk, after: 900, ends: []core.End{{Result: c.first, Sent: true}, {Result: policy.OK, Sent: true}}}
-			ask(t, keyed(t, time.Second, d), clk, core.Request{ID: "a", Class: c.class, Object: "o", Key: "k1", Deadline: 1e12 + 2400})
+			d := &deaf{clock: clk, after: 900, ends: []core.Outcome{{Result: c.first, Written: true}, {Result: policy.OK, Written: true}}}
+			ask(t, keyed(t, time.Second, d), clk, core.Request{ID: "a", Class: c.class, Object: "o", IdempotencyKey: "k1", Deadline: 1e12 + 2400})
 			require.GreaterOrEqual(t, len(d.sent), 2)
 			require.InDelta(t, 1e12+c.want, d.sent[1].SendBy, 0.01, "%+v", c)
 		})
@@ -102,10 +102,10 @@
 			set := scenario.Settings()
 			set.MaxAttempts = told
 			clk := clock.Manual(1e12)
-			d := &deaf{clock: clk, ends: []core.End{{Result: policy.Skipped}}}
+			d := &deaf{clock: clk, ends: []core.Outcome{{Result: policy.Skipped}}}
 			c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, d)
 			require.NoError(t, err)
-			c.Members(coreMembers())
+			c.UpdateMembers(coreMembers())
 			ask(t, c, clk, core.Request{ID: "a", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
 			require.Equal(t, most, len(d.sent), "told %d", told)
 		})
@@ -121,6 +121,6 @@
 		clk := clock.Manual(1e12)
 		c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, &deaf{clock: clk})
 		require.NoError(t, err)
-		require.Equal(t, core.Answer{Verdict: core.Refused, Backoff: want}, c.Refuse())
+		require.Equal(t, core.Answer{Verdict: core.Rejected, RetryAfter: want}, c.Reject())
 	}
 }
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -27,7 +27,7 @@
 	}
 	require.Eventually(t, func() bool { return p.Core.Counters.Attempts.Load() == 5 }, time.Minute, time.Millisecond)
 	p.Clock.Advance(500)
-	text, err := p.Core.Learned()
+	text, err := p.Core.LearnedState()
 	require.NoError(t, err)
 	decode := func(text []byte) (l struct{ Learned policy.LearnedState }) {
 		require.NoError(t, cbor.Unmarshal(text, &l))
@@ -38,12 +38,12 @@
 
 	next := scenario.NewProxy(t)
 	next.Clock.Advance(p.Clock.Now() - next.Clock.Now())
-	require.NoError(t, next.Core.Inherit(text))
-	again, err := next.Core.Learned()
+	require.NoError(t, next.Core.RestoreLearnedState(text))
+	again, err := next.Core.LearnedState()
 	require.NoError(t, err)
 	require.Equal(t, l, decode(again), "all of it")
 	answer := next.Core.Do(t.Context(), core.Request{ID: "x", Class: 1, Object: "x", Group: -1, Deadline: next.Clock.Now() + 2500})
-	require.Equal(t, core.Refused, answer.Verdict, "not sent where nobody answers")
+	require.Equal(t, core.Rejected, answer.Verdict, "not sent where nobody answers")
 	require.EqualValues(t, 5, next.Core.Counters.Attempts.Load(), "those of the one before, and none of its own")
 	require.EqualValues(t, 6, next.Core.Counters.Requests.Load())
 
@@ -51,10 +51,10 @@
 	later := scenario.NewProxy(t)
 	m := core.Member{Addr: "127.0.0.1:1"}
 	m.ID, m.Weight, m.Started = scenario.CacheID, 10, policy.Time(later.Clock.Now()*1e6)
-	later.Core.Members(membership.Publish{Version: 2, Members: []core.Member{m}})
+	later.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
 	later.Clock.Advance(p.Clock.Now() - later.Clock.Now())
-	require.NoError(t, later.Core.Inherit(text))
-	again, err = later.Core.Learned()
+	require.NoError(t, later.Core.RestoreLearnedState(text))
+	again, err = later.Core.LearnedState()
 	require.NoError(t, err)
 	require.False(t, decode(again).Learned.Servers[scenario.CacheID].Down)
 }
@@ -62,11 +62,11 @@
 // What another process tells is taken whole or not at all, and nothing that no module can have learned.
 func TestInheritUnusable(t *testing.T) {
 	p := scenario.NewProxy(t)
-	good, err := p.Core.Learned()
+	good, err := p.Core.LearnedState()
 	require.NoError(t, err)
-	require.Error(t, p.Core.Inherit(nil))
-	require.Error(t, p.Core.Inherit(good[:len(good)/2]))
-	require.Error(t, p.Core.Inherit([]byte("\xff\x00rubbish")))
+	require.Error(t, p.Core.RestoreLearnedState(nil))
+	require.Error(t, p.Core.RestoreLearnedState(good[:len(good)/2]))
+	require.Error(t, p.Core.RestoreLearnedState([]byte("\xff\x00rubbish")))
 	type form struct {
 		Revision int
 		Classes  []string
@@ -102,15 +102,15 @@
 		f(&x)
 		text, err := cbor.Marshal(x)
 		require.NoError(t, err)
-		require.Error(t, p.Core.Inherit(text), name)
+		require.Error(t, p.Core.RestoreLearnedState(text), name)
 	}
-	after, err := p.Core.Learned()
+	after, err := p.Core.LearnedState()
 	require.NoError(t, err)
 	var was, is form
 	require.NoError(t, cbor.Unmarshal(good, &was))
 	require.NoError(t, cbor.Unmarshal(after, &is))
 	require.Equal(t, was, is)
-	require.NoError(t, p.Core.Inherit(good))
+	require.NoError(t, p.Core.RestoreLearnedState(good))
 }
 
 // The wall clock is stepped by an hour between the starts of two processes. What the first has learned is taken over by the
@@ -120,11 +120,11 @@
 		before, after := clock.System(), clock.Shifted(step)
 		first := coreOver(t, before, &serves{})
 		require.Equal(t, core.Served, first.Do(context.Background(), core.Request{ID: "a", Class: 1, Object: "o", Deadline: before.Now() + 900}).Verdict)
-		text, err := first.Learned()
+		text, err := first.LearnedState()
 		require.NoError(t, err)
 		second := coreOver(t, after, &serves{})
-		require.NoError(t, second.Inherit(text))
-		again, err := second.Learned()
+		require.NoError(t, second.RestoreLearnedState(text))
+		again, err := second.LearnedState()
 		require.NoError(t, err)
 		var was, is struct{ Learned policy.LearnedState }
 		require.NoError(t, cbor.Unmarshal(text, &was))
--- a/internal/core/leave_test.go
+++ b/internal/core/leave_test.go
@@ -19,23 +19,23 @@
 
 // serves is an upstream that ends the first attempts as listed and answers the others at once, or never while it is silent.
 type serves struct {
-	list   []core.End
+	list   []core.Outcome
 	silent atomic.Bool
 	sent   atomic.Int64
 	aborts atomic.Int64
 }
 
-func (s *serves) Send(_ core.Attempt, end func(core.End)) func() bool {
+func (s *serves) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
 	switch n := int(s.sent.Add(1)); {
 	case n <= len(s.list):
 		go end(s.list[n-1])
 	case !s.silent.Load():
-		go end(core.End{Result: policy.OK, Note: policy.NoteHit, Sent: true})
+		go end(core.Outcome{Result: policy.OK, Note: policy.NoteHit, Written: true})
 	}
 	return func() bool { s.aborts.Add(1); return true }
 }
 
-func (s *serves) Members([]core.Member, bool) {}
+func (s *serves) UpdateMembers([]core.Member, bool) {}
 
 func coreMembers() membership.Publish {
 	list := make([]core.Member, 3)
@@ -48,7 +48,7 @@
 func coreOver(t *testing.T, clk *clock.Clock, up core.Upstream) *core.Core {
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, up)
 	require.NoError(t, err)
-	c.Members(coreMembers())
+	c.UpdateMembers(coreMembers())
 	return c
 }
 
@@ -61,7 +61,7 @@
 	leave()
 	for i := range 300 {
 		q := core.Request{ID: fmt.Sprint("left", i), Class: i % 3, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
-		require.Equal(t, core.Gone, c.Do(gone, q).Verdict)
+		require.Equal(t, core.Abandoned, c.Do(gone, q).Verdict)
 	}
 	require.Zero(t, up.sent.Load())
 	for i := range 8 {
@@ -75,14 +75,14 @@
 // for the answer to that. Nothing further is sent, however long the clock runs, and what was out is aborted once.
 func TestLeftWhileItWaits(t *testing.T) {
 	for name, wait := range map[string]struct {
-		ends         []core.End // of its attempts, at once; the next one never ends
-		pause        float64    // before it leaves, ms
+		ends         []core.Outcome // of its attempts, at once; the next one never ends
+		pause        float64        // before it leaves, ms
 		sent, aborts int64
 	}{
 		"for an answer":                  {sent: 1, aborts: 1},
-		"in the pause before the second": {ends: []core.End{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}}, sent: 1},
-		"for the answer after the pause": {ends: []core.End{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Sent: true}}, pause: 200, sent: 2, aborts: 1},
-		"for the second answer":          {ends: []core.End{{Result: policy.Failed, Sent: true}}, sent: 2, aborts: 1},
+		"in the pause before the second": {ends: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, sent: 1},
+		"for the answer after the pause": {ends: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, pause: 200, sent: 2, aborts: 1},
+		"for the second answer":          {ends: []core.Outcome{{Result: policy.Failed, Written: true}}, sent: 2, aborts: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -100,14 +100,14 @@
 				require.Equal(t, wait.sent, up.sent.Load())
 				leave()
 				synctest.Wait()
-				require.Equal(t, core.Gone, (<-over).Verdict)
+				require.Equal(t, core.Abandoned, (<-over).Verdict)
 				for range 400 {
 					clk.Advance(10)
 					synctest.Wait()
 				}
 				require.Equal(t, wait.sent, up.sent.Load(), "nothing is sent for one that has left")
 				require.Equal(t, wait.aborts, up.aborts.Load())
-				require.Zero(t, c.Counters.Open.Load())
+				require.Zero(t, c.Counters.InFlight.Load())
 				require.Zero(t, invariant.Broken())
 			})
 		})
--- a/internal/core/refuse.go
+++ b/internal/core/refuse.go
@@ -7,17 +7,17 @@
 )
 
 // Refuse turns a request away that its front does not bring in, as the proxy is being emptied: it never ran.
-func (c *Core) Refuse() Answer {
-	for _, n := range []*atomic.Int64{&c.Counters.Requests, &c.Counters.Refused, &c.Counters.Unsent} {
+func (c *Core) Reject() Answer {
+	for _, n := range []*atomic.Int64{&c.Counters.Requests, &c.Counters.Rejected, &c.Counters.NeverSent} {
 		n.Add(1)
 	}
-	return c.turnAway()
+	return c.rejection()
 }
 
 // turnAway is a refusal of a request that never came to the module, with advice where clients get any.
-func (c *Core) turnAway() Answer {
-	if !c.set.SendsRetryAfter {
-		return Answer{Verdict: Refused}
+func (c *Core) rejection() Answer {
+	if !c.settings.SendsRetryAfter {
+		return Answer{Verdict: Rejected}
 	}
-	return Answer{Verdict: Refused, Backoff: clock.Ms(c.set.MaxRetryAfter)}
+	return Answer{Verdict: Rejected, RetryAfter: clock.Ms(c.settings.MaxRetryAfter)}
 }
--- a/internal/core/separate_test.go
+++ b/internal/core/separate_test.go
@@ -17,19 +17,19 @@
 // notes is an upstream that writes down what it is sent and answers as its customer's servers do.
 type notes struct {
 	list []string
-	end  core.End
+	end  core.Outcome
 }
 
-func (n *notes) Send(a core.Attempt, end func(core.End)) func() bool {
+func (n *notes) Send(a core.Attempt, end func(core.Outcome)) func() bool {
 	n.list = append(n.list, fmt.Sprintf("%+v", core.Attempt{
-		ID: a.ID, Class: a.Class, Object: a.Object, Holds: a.Holds, Key: a.Key, To: a.To, Source: a.Source, Until: a.Until, Age: a.Age,
-		Keep: a.Keep, How: a.How, SendBy: a.SendBy, Once: a.Once,
+		ID: a.ID, Class: a.Class, Object: a.Object, CachedTag: a.CachedTag, IdempotencyKey: a.IdempotencyKey, Server: a.Server, Source: a.Source, Deadline: a.Deadline, MaxAge: a.MaxAge,
+		RetainRank: a.RetainRank, Options: a.Options, SendBy: a.SendBy, NonIdempotent: a.NonIdempotent,
 	}))
 	go end(n.end)
 	return func() bool { return true }
 }
 
-func (n *notes) Members([]core.Member, bool) {}
+func (n *notes) UpdateMembers([]core.Member, bool) {}
 
 // customer is a deployment in this process: names, effects, deadlines, worth and what its servers answer are its own.
 type customer struct {
@@ -38,32 +38,32 @@
 	clk  *clock.Clock
 }
 
-func newCustomer(t *testing.T, names []string, end core.End, turn func(*policy.Settings)) *customer {
+func newCustomer(t *testing.T, names []string, end core.Outcome, turn func(*policy.Settings)) *customer {
 	set := scenario.Settings()
 	turn(&set)
 	c := &customer{up: &notes{end: end}, clk: clock.Manual(1e12)}
 	var err error
 	c.core, err = core.New(set, names, 0, 7, c.clk, c.up)
 	require.NoError(t, err)
-	c.core.Members(coreMembers())
+	c.core.UpdateMembers(coreMembers())
 	return c
 }
 
 func (c *customer) ask(n int) string {
-	q := core.Request{ID: fmt.Sprint(n), Class: n % 3, Object: fmt.Sprint(n % 7), Holds: "v1", Deadline: c.clk.Now() + 900}
+	q := core.Request{ID: fmt.Sprint(n), Class: n % 3, Object: fmt.Sprint(n % 7), CachedTag: "v1", Deadline: c.clk.Now() + 900}
 	a := c.core.Do(context.Background(), q)
 	c.clk.Advance(10)
-	return fmt.Sprint(a.Verdict, a.Tag, a.Same, a.Backoff)
+	return fmt.Sprint(a.Verdict, a.Tag, a.NotModified, a.RetryAfter)
 }
 
 // Two customers' settings in one process, one after the other and by turns: what one gets is to the letter what it gets
 // alone, and no name of the other's shows in it; and what one has learned is not taken by the other.
 func TestCustomersAreApart(t *testing.T) {
 	hers := func() *customer {
-		return newCustomer(t, []string{"lap", "badge", "vote"}, core.End{Result: policy.OK, Note: policy.NoteHit, Tag: "v1", Same: true, Sent: true}, func(*policy.Settings) {})
+		return newCustomer(t, []string{"lap", "badge", "vote"}, core.Outcome{Result: policy.OK, Note: policy.NoteHit, Tag: "v1", NotModified: true, Written: true}, func(*policy.Settings) {})
 	}
 	his := func() *customer {
-		return newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.End{Result: policy.Failed, Sent: true}, func(s *policy.Settings) {
+		return newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.Outcome{Result: policy.Failed, Written: true}, func(s *policy.Settings) {
 			s.MaxAttempts, s.MaxRetryAfter = 2, 100*s.MaxRetryAfter
 			for i := range s.Classes {
 				s.Classes[i].PriorityWeight *= 10
@@ -89,10 +89,10 @@
 	}
 	require.True(t, strings.Contains(by.up.list[0], "lap"))
 	// By a hand-over between processes: the same names, and other costs.
-	text, err := beside.core.Learned()
+	text, err := beside.core.LearnedState()
 	require.NoError(t, err)
-	require.Error(t, hers().core.Inherit(text))
-	same := newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.End{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
-	require.Error(t, same.core.Inherit(text), "learned under other costs")
-	require.NoError(t, his().core.Inherit(text))
+	require.Error(t, hers().core.RestoreLearnedState(text))
+	same := newCustomer(t, []string{"timetable", "deckplan", "booking"}, core.Outcome{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
+	require.Error(t, same.core.RestoreLearnedState(text), "learned under other costs")
+	require.NoError(t, his().core.RestoreLearnedState(text))
 }
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -12,34 +12,34 @@
 
 // Tally counts, for the view in common, what became of attempts at each server. It is written on the request's path with
 // atomic additions alone; a server's counts are found through a map that is replaced whole when the list changes.
-type Tally struct {
+type LoadCounter struct {
 	arrivals atomic.Uint64
-	servers  atomic.Pointer[map[policy.CacheID]*counts]
+	servers  atomic.Pointer[map[policy.CacheID]*serverCounts]
 	objects  chan uint64
 }
 
-type counts struct {
+type serverCounts struct {
 	attempts, failures, refusals, overdue atomic.Uint64
 	inFlight                              atomic.Int64
 	latency                               [fleetview.LatencyBuckets]atomic.Uint64
 }
 
 // mostWaiting objects wait to be counted: what is over it is passed over, as any sample would do.
-const mostWaiting = 1024
+const maxPendingObjects = 1024
 
 // NewTally returns a tally to be set as Core.Tally before the first event.
-func NewTally() *Tally {
-	t := &Tally{objects: make(chan uint64, mostWaiting)}
-	t.servers.Store(&map[policy.CacheID]*counts{})
+func NewLoadCounter() *LoadCounter {
+	t := &LoadCounter{objects: make(chan uint64, maxPendingObjects)}
+	t.servers.Store(&map[policy.CacheID]*serverCounts{})
 	return t
 }
 
-func (t *Tally) of(id policy.CacheID) *counts { return (*t.servers.Load())[id] }
+func (t *LoadCounter) countsOf(id policy.CacheID) *serverCounts { return (*t.servers.Load())[id] }
 
 // members keeps counts for those that are listed. Called under no more than one goroutine at a time, as Core.Members is.
-func (t *Tally) members(list []Member, whole bool) {
+func (t *LoadCounter) updateServers(list []Member, whole bool) {
 	old := *t.servers.Load()
-	next := map[policy.CacheID]*counts{}
+	next := map[policy.CacheID]*serverCounts{}
 	if !whole {
 		next = maps.Clone(old)
 	}
@@ -50,13 +50,13 @@
 		case old[m.ID] != nil:
 			next[m.ID] = old[m.ID]
 		default:
-			next[m.ID] = &counts{}
+			next[m.ID] = &serverCounts{}
 		}
 	}
 	t.servers.Store(&next)
 }
 
-func (t *Tally) asked(object string) {
+func (t *LoadCounter) recordRequest(object string) {
 	t.arrivals.Add(1)
 	if n, err := strconv.ParseUint(object, 16, 64); err == nil {
 		select {
@@ -66,16 +66,16 @@
 	}
 }
 
-func (t *Tally) sent(to policy.CacheID) {
-	if n := t.of(to); n != nil {
+func (t *LoadCounter) recordAttempt(to policy.CacheID) {
+	if n := t.countsOf(to); n != nil {
 		n.attempts.Add(1)
 		n.inFlight.Add(1)
 	}
 }
 
 // ended counts the end of an attempt that took so many ms, of a class with such a target.
-func (t *Tally) ended(to policy.CacheID, e End, took, target float64) {
-	n := t.of(to)
+func (t *LoadCounter) recordOutcome(to policy.CacheID, e Outcome, took, target float64) {
+	n := t.countsOf(to)
 	if n == nil {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // Totals are the arrivals, and the counts of each server that is listed, since the start.
-func (t *Tally) Totals() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals) {
+func (t *LoadCounter) Totals() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals) {
 	servers = map[policy.CacheID]fleetview.Totals{}
 	for id, n := range *t.servers.Load() {
 		x := fleetview.Totals{
@@ -110,7 +110,7 @@
 }
 
 // Objects are those asked for since the last call, in order, as far as there was room.
-func (t *Tally) Objects() (out []uint64) {
+func (t *LoadCounter) Objects() (out []uint64) {
 	for {
 		select {
 		case o := <-t.objects:
@@ -122,4 +122,6 @@
 }
 
 // target of a class in ms.
-func (c *Core) target(class int) float64 { return clock.Ms(c.set.Classes[class].LatencyObjective) }
+func (c *Core) latencyObjective(class int) float64 {
+	return clock.Ms(c.settings.Classes[class].LatencyObjective)
+}
--- a/internal/front/resp/call.go
+++ b/internal/front/resp/call.go
@@ -65,14 +65,14 @@
 		ok = ok && err == nil && v >= least && v <= most && !math.IsNaN(v)
 		return v
 	}
-	class := d.ClassOf(string(args[0]))
+	class := d.ClassIndex(string(args[0]))
 	if class < 0 {
 		return q, false
 	}
 	facts := d.Settings().Classes[class]
 	q = core.Request{
 		// The module remembers objects for long: as a part of the fields' text, each name would hold all of it.
-		ID: f["rid"], Class: class, Object: strings.Clone(f["obj"]), Repeat: f["again"] == "1", Holds: f["got"], Key: f["token"],
+		ID: f["rid"], Class: class, Object: strings.Clone(f["obj"]), ClientRetry: f["again"] == "1", CachedTag: f["got"], IdempotencyKey: f["token"],
 		Part: int(number("nth", 0, mostParts, 0)), Group: int(number("batch", 0, mostGroup, -1)),
 		SizeKB: number("mem", 0, mostSizeKB, 0), Deadline: now + number("budget", 1, clock.Ms(facts.Deadline), 0),
 	}
@@ -83,20 +83,20 @@
 	if facts.Uncached {
 		most = largestWrite
 	}
-	usable := isHex16(q.ID) && isHex16(q.Object) && bare.MatchString(q.Holds) && bare.MatchString(q.Key) && len(q.Body) <= most
+	usable := isHex16(q.ID) && isHex16(q.Object) && bare.MatchString(q.CachedTag) && bare.MatchString(q.IdempotencyKey) && len(q.Body) <= most
 	return q, ok && usable && q.Deadline > now
 }
 
 // appendAnswer adds a final answer, as clients read it, to b.
 func appendAnswer(b []byte, tag string, a core.Answer) []byte {
 	switch {
-	case a.Verdict == core.Refused && a.Backoff >= 1:
-		return resp.Append(b, tag, "full", "backoff="+strconv.Itoa(int(a.Backoff)))
-	case a.Verdict == core.Refused:
+	case a.Verdict == core.Rejected && a.RetryAfter >= 1:
+		return resp.Append(b, tag, "full", "backoff="+strconv.Itoa(int(a.RetryAfter)))
+	case a.Verdict == core.Rejected:
 		return resp.Append(b, tag, "full")
 	case a.Verdict == core.Failed:
 		return resp.Append(b, tag, "fault")
-	case a.Same:
+	case a.NotModified:
 		return resp.Append(b, tag, "ok", "ok304=1", "")
 	}
 	return resp.AppendBody(b, a.Body, tag, "ok", "")
--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -105,11 +105,11 @@
 		delete(c.open, tag)
 		c.mu.Unlock()
 		cancel()
-		c.send(func(b []byte) []byte { return appendAnswer(b, tag, c.front.core.Refuse()) })
+		c.send(func(b []byte) []byte { return appendAnswer(b, tag, c.front.core.Reject()) })
 		return nil
 	}
 	c.front.busy.Add(1)
-	q.Left = c.nc.left
+	q.ClientGone = c.nc.left
 	if len(c.calls) == 0 {
 		c.since = now
 	}
@@ -136,7 +136,7 @@
 	invariant.Check(c.open[k.tag] != nil, "a tag is answered once")
 	delete(c.open, k.tag)
 	c.mu.Unlock()
-	if a.Verdict != core.Gone {
+	if a.Verdict != core.Abandoned {
 		c.send(func(b []byte) []byte { return appendAnswer(b, k.tag, a) })
 	}
 }
--- a/internal/front/resp/empty_test.go
+++ b/internal/front/resp/empty_test.go
@@ -64,7 +64,7 @@
 		busy expect 1 ok - BYTES
 		busy await closed
 		half await closed`)
-	require.EqualValues(t, 1, p.Core.Counters.Unsent.Load())
+	require.EqualValues(t, 1, p.Core.Counters.NeverSent.Load())
 	f.SetDrainPlan(drain.Plan{})
 	f.SetReady(true)
 	ends := p.Clock.Now() + 5000
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -218,7 +218,7 @@
 	// A request is counted before it is decided. Once each has an attempt or a refusal, the number of attempts is final.
 	counters := &p.Core.Counters
 	require.Eventually(t, func() bool { return counters.Requests.Load() == 32 }, time.Minute, time.Millisecond)
-	require.Eventually(t, func() bool { return counters.Attempts.Load()+counters.Refused.Load() == 32 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return counters.Attempts.Load()+counters.Rejected.Load() == 32 }, time.Minute, time.Millisecond)
 	body := strings.Repeat("x", 240_000)
 	out := int(counters.Attempts.Load())
 	require.Greater(t, out, 8)
@@ -230,8 +230,8 @@
 	require.Eventually(t, func() bool { return p.Core.Counters.Served.Load() == int64(out-2) }, time.Minute, time.Millisecond)
 	require.False(t, f.Idle(), "answers wait for a reader that is none")
 	require.NoError(t, nc.(*net.TCPConn).CloseWrite())
-	require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() && p.Core.Counters.Open.Load() == 0 }, time.Minute, time.Millisecond)
-	require.EqualValues(t, 2, p.Core.Counters.Gone.Load())
+	require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() && p.Core.Counters.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
+	require.EqualValues(t, 2, p.Core.Counters.Abandoned.Load())
 	for range 2 {
 		scenario.Run(t, p.Clock, actors, `
 			s expect fetch * * -`)
@@ -254,7 +254,7 @@
 	}
 	<-ctx.Done()
 	h.open.Add(-1)
-	return core.Answer{Verdict: core.Gone}
+	return core.Answer{Verdict: core.Abandoned}
 }
 
 // A client sends thousands of requests at once: 32 may be open, each further one gets its one answer, a fault, and none of
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -22,10 +22,10 @@
 // RequestHandler lives a request from its arrival to its one final answer.
 type RequestHandler interface {
 	Do(context.Context, core.Request) core.Answer
-	ClassOf(name string) int
+	ClassIndex(name string) int
 	Settings() policy.Settings
-	Unanswered()         // a connection was closed by the front before it had any answer
-	Refuse() core.Answer // a request that comes while the proxy is emptied
+	CountUnansweredConn() // a connection was closed by the front before it had any answer
+	Reject() core.Answer  // a request that comes while the proxy is emptied
 }
 
 const (
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -188,7 +188,7 @@
 		last expect 1 yes
 		s send 00000000000000a1 served why=local,version=v1 BYTES
 		waits expect 1 ok - BYTES`)
-	require.EqualValues(t, 1, p.Core.Counters.Unanswered.Load(), "the silent one; the idle one had been answered")
+	require.EqualValues(t, 1, p.Core.Counters.UnansweredConns.Load(), "the silent one; the idle one had been answered")
 }
 
 func TestFront(t *testing.T) {
@@ -206,7 +206,7 @@
 			}, script)
 			require.Zero(t, invariant.Broken())
 			n := &p.Core.Counters
-			require.LessOrEqual(t, n.Served.Load()+n.Refused.Load()+n.Failed.Load()+n.Gone.Load(), n.Requests.Load())
+			require.LessOrEqual(t, n.Served.Load()+n.Rejected.Load()+n.Failed.Load()+n.Abandoned.Load(), n.Requests.Load())
 		})
 	}
 }
--- a/internal/front/resp/golden_test.go
+++ b/internal/front/resp/golden_test.go
@@ -28,7 +28,7 @@
 
 func (p *prepared) Do(_ context.Context, q core.Request) core.Answer {
 	fmt.Fprintf(&p.asked, "%s: class %d, object %s, part %d, group %d, size %v, repeat %v, holds %q, key %q, body %q, deadline %v\n",
-		q.ID, q.Class, q.Object, q.Part, q.Group, q.SizeKB, q.Repeat, q.Holds, q.Key, q.Body, q.Deadline)
+		q.ID, q.Class, q.Object, q.Part, q.Group, q.SizeKB, q.ClientRetry, q.CachedTag, q.IdempotencyKey, q.Body, q.Deadline)
 	return p.answers[q.ID]
 }
 
@@ -39,11 +39,11 @@
 	require.NoError(t, err)
 	doer := &prepared{RequestHandler: p.Core, answers: map[string]core.Answer{
 		"00000000000000a1": {Verdict: core.Served, Body: []byte("BYTES"), Tag: "v1"},
-		"00000000000000a2": {Verdict: core.Served, Same: true, Tag: "v7"},
+		"00000000000000a2": {Verdict: core.Served, NotModified: true, Tag: "v7"},
 		"00000000000000a3": {Verdict: core.Served},
-		"00000000000000a4": {Verdict: core.Refused},
-		"00000000000000a5": {Verdict: core.Refused, Backoff: 0.5},
-		"00000000000000a6": {Verdict: core.Refused, Backoff: 250.75},
+		"00000000000000a4": {Verdict: core.Rejected},
+		"00000000000000a5": {Verdict: core.Rejected, RetryAfter: 0.5},
+		"00000000000000a6": {Verdict: core.Rejected, RetryAfter: 250.75},
 		"00000000000000a7": {Verdict: core.Failed},
 	}}
 	f := resp.New(ln, 20, p.Clock, doer)
--- a/internal/front/resp/gone_test.go
+++ b/internal/front/resp/gone_test.go
@@ -67,7 +67,7 @@
 			time.Sleep(time.Millisecond)
 			scenario.Run(t, p.Clock, actors, `
 				s send 00000000000000a1 crashed`)
-			require.Eventually(t, func() bool { return p.Core.Counters.Open.Load() == 0 || p.Core.Counters.Attempts.Load() > 1 }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return p.Core.Counters.InFlight.Load() == 0 || p.Core.Counters.Attempts.Load() > 1 }, 10*time.Second, time.Millisecond)
 			gate.mu.Unlock()
 			require.EqualValues(t, 1, p.Core.Counters.Attempts.Load())
 		})
--- a/internal/front/resp/guard.go
+++ b/internal/front/resp/guard.go
@@ -42,7 +42,7 @@
 		if held, ok := g.front.admitSoon(nc); ok {
 			return held, nil
 		}
-		g.front.core.Unanswered()
+		g.front.core.CountUnansweredConn()
 		nc.Close()
 	}
 }
--- a/internal/front/resp/leave_test.go
+++ b/internal/front/resp/leave_test.go
@@ -30,7 +30,7 @@
 	unanswered int
 }
 
-func (c *counts) Unanswered() { c.unanswered++ }
+func (c *counts) CountUnansweredConn() { c.unanswered++ }
 
 // A request that crosses the close of its connection is not lived: its answer would be lost.
 func TestLeave(t *testing.T) {
--- a/internal/front/resp/places.go
+++ b/internal/front/resp/places.go
@@ -110,7 +110,7 @@
 // dismiss ends a connection that was left for want of a request or of a place. Called under the front's lock.
 func (f *Front) dismiss(g *guard) {
 	if !g.asked {
-		f.core.Unanswered()
+		f.core.CountUnansweredConn()
 	}
 	f.end(g)
 }
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -25,7 +25,7 @@
 // Doer lives a request from its arrival to its one final answer.
 type Doer interface {
 	Do(context.Context, core.Request) core.Answer
-	ClassOf(name string) int
+	ClassIndex(name string) int
 	Settings() policy.Settings
 }
 
@@ -111,7 +111,7 @@
 		q.Deadline = min(q.Deadline, t.void)
 	}
 	a := f.core.Do(r.Context(), q)
-	if a.Verdict == core.Gone {
+	if a.Verdict == core.Abandoned {
 		return
 	}
 	if write {
@@ -130,14 +130,14 @@
 	switch {
 	case err != nil:
 		f.deny(w, err)
-	case a.Verdict == core.Served && a.Same:
+	case a.Verdict == core.Served && a.NotModified:
 		w.WriteHeader(http.StatusNotModified)
 	case a.Verdict == core.Served:
 		serve(w, a)
 	case f.clock.Now() >= q.Deadline-timerSlack:
 		reply(w, http.StatusGatewayTimeout, "timed out")
-	case a.Verdict == core.Refused:
-		f.overloaded(w, a.Backoff)
+	case a.Verdict == core.Rejected:
+		f.overloaded(w, a.RetryAfter)
 	default:
 		reply(w, http.StatusBadGateway, "upstream failed")
 	}
@@ -149,10 +149,10 @@
 	switch {
 	case a.Verdict == core.Served:
 		serve(w, a)
-	case a.Verdict == core.Refused && now >= t.void: // it never ran
+	case a.Verdict == core.Rejected && now >= t.void: // it never ran
 		f.deny(w, errExpired)
-	case a.Verdict == core.Refused:
-		f.overloaded(w, a.Backoff)
+	case a.Verdict == core.Rejected:
+		f.overloaded(w, a.RetryAfter)
 	case now >= q.Deadline-timerSlack:
 		reply(w, http.StatusGatewayTimeout, "timed out: effect unknown")
 	default:
@@ -196,7 +196,7 @@
 // read makes a request of the core's from one over HTTP. ok is false if it can't be used.
 func (f *Front) read(r *http.Request, now float64) (q core.Request, write, ok bool) {
 	class, object, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	c := f.core.ClassOf(class)
+	c := f.core.ClassIndex(class)
 	if c < 0 || !objectID.MatchString(object) {
 		return q, false, false
 	}
@@ -221,7 +221,7 @@
 		q.Deadline = min(q.Deadline, now+float64(ms))
 	}
 	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); tagForm.MatchString(tag) {
-		q.Holds = tag
+		q.CachedTag = tag
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, largestWrite+1))
 	if err != nil || len(body) > largestWrite || !write && len(body) > 0 {
--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -222,6 +222,6 @@
 	}, script)
 	n := &p.Core.Counters
 	require.Eventually(t, func() bool {
-		return n.Served.Load()+n.Refused.Load()+n.Failed.Load()+n.Gone.Load() == n.Requests.Load()
+		return n.Served.Load()+n.Rejected.Load()+n.Failed.Load()+n.Abandoned.Load() == n.Requests.Load()
 	}, time.Minute, time.Millisecond, "each request ends exactly once")
 }
--- a/internal/front/signed/golden_test.go
+++ b/internal/front/signed/golden_test.go
@@ -35,12 +35,12 @@
 func (p *prepared) Do(_ context.Context, q core.Request) core.Answer {
 	now := p.clock.Now()
 	p.asked = fmt.Sprintf("id of %d digits, class %d, object %s, part %d, group %d, holds %q, body %q, deadline in %v ms, last send in %v ms\n",
-		len(q.ID), q.Class, q.Object, q.Part, q.Group, q.Holds, q.Body, q.Deadline-now, max(0, q.SendBy-now))
+		len(q.ID), q.Class, q.Object, q.Part, q.Group, q.CachedTag, q.Body, q.Deadline-now, max(0, q.SendBy-now))
 	p.clock.Advance(p.after)
 	return p.answer
 }
 
-func (p *prepared) ClassOf(name string) int {
+func (p *prepared) ClassIndex(name string) int {
 	return map[string]int{"replay": 0, "asset": 1, "seat-claim": 2, "": -1}[name]
 }
 
@@ -84,9 +84,9 @@
 	}{
 		{"a read that is served", "GET", read, "r", "If-None-Match: \"v6\"", 10, "", core.Answer{Body: []byte("BYTES"), Tag: "v7"}, 5},
 		{"a read of a part", "GET", read + "?part=3", "r", "X-Budget-Ms: 700", 10, "", core.Answer{Body: []byte("PART")}, 5},
-		{"the client's copy holds", "GET", read, "r", "If-None-Match: \"v7\"", 10, "", core.Answer{Same: true, Tag: "v7"}, 5},
-		{"a read that is refused", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Refused, Backoff: 2500}, 5},
-		{"a read that is refused without advice", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Refused}, 5},
+		{"the client's copy holds", "GET", read, "r", "If-None-Match: \"v7\"", 10, "", core.Answer{NotModified: true, Tag: "v7"}, 5},
+		{"a read that is refused", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Rejected, RetryAfter: 2500}, 5},
+		{"a read that is refused without advice", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Rejected}, 5},
 		{"a read that failed", "GET", read, "r", "", 10, "", core.Answer{Verdict: core.Failed}, 5},
 		{"a read that timed out", "GET", read, "r", "X-Budget-Ms: 700", 10, "", core.Answer{Verdict: core.Failed}, 700},
 		{"a read whose link expired", "GET", read, "r", "", 1, "", core.Answer{Body: []byte("BYTES")}, 4000},
@@ -96,10 +96,10 @@
 		{"a bad request", "POST", read, "r", "", 10, "", core.Answer{}, 0},
 		{"a write that is served", "POST", write, "w1", "", 10, "seat9", core.Answer{Body: []byte("DONE")}, 5},
 		{"the write once more", "POST", write, "w1", "", 10, "seat9", core.Answer{}, 5},
-		{"a write that is refused", "POST", write, "w2", "", 10, "seat9", core.Answer{Verdict: core.Refused, Backoff: 100}, 5},
+		{"a write that is refused", "POST", write, "w2", "", 10, "seat9", core.Answer{Verdict: core.Rejected, RetryAfter: 100}, 5},
 		{"a write that failed", "POST", write, "w3", "", 10, "seat9", core.Answer{Verdict: core.Failed}, 5},
 		{"a write that timed out", "POST", write, "w4", "X-Budget-Ms: 900", 10, "seat9", core.Answer{Verdict: core.Failed}, 900},
-		{"a write whose token expired unsent", "POST", write, "w5", "", 1, "seat9", core.Answer{Verdict: core.Refused}, 4000},
+		{"a write whose token expired unsent", "POST", write, "w5", "", 1, "seat9", core.Answer{Verdict: core.Rejected}, 4000},
 	} {
 		doer.answer, doer.after, doer.asked = c.answer, c.after, "not asked\n"
 		r := httptest.NewRequest(c.method, "http://proxy"+c.path, strings.NewReader(c.body))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -53,8 +53,8 @@
 
 // Knowledge is what a process has learned and the next one may start from.
 type Knowledge interface {
-	Learned() ([]byte, error)
-	Inherit(text []byte) error
+	LearnedState() ([]byte, error)
+	RestoreLearnedState(text []byte) error
 }
 
 // Hand is a process's part in passing its address on.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -27,9 +27,9 @@
 	got   struct{ accepts, owns, shares, stopped bool }
 }
 
-func (p *process) Learned() ([]byte, error) { return []byte(p.knows), nil }
+func (p *process) LearnedState() ([]byte, error) { return []byte(p.knows), nil }
 
-func (p *process) Inherit(text []byte) error { p.knows = string(text) + "+"; return nil }
+func (p *process) RestoreLearnedState(text []byte) error { p.knows = string(text) + "+"; return nil }
 
 func (p *process) phase() decide.Phase {
 	p.Hand.mu.Lock()
--- a/internal/handover/learned.go
+++ b/internal/handover/learned.go
@@ -15,7 +15,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = h.known.Inherit(text)
+		err = h.known.RestoreLearnedState(text)
 	}
 	if err != nil {
 		h.opt.Log.Warn("handover").Err(err).Msg("what the owner before has learned is not used")
@@ -29,7 +29,7 @@
 	if h.known == nil {
 		return
 	}
-	text, err := h.known.Learned()
+	text, err := h.known.LearnedState()
 	if err == nil {
 		err = os.WriteFile(path, text, 0o600)
 	}
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -85,12 +85,12 @@
 	if err := add(20, fleet.Origin, 0, 2); err != nil {
 		return nil, 0, err
 	}
-	up := upstream.New(clk, upstream.Limits{PerConn: 32, Conns: 8, Connect: 400, Idle: 30_000})
+	up := upstream.New(clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000})
 	c, err := core.New(conf.Settings, conf.Classes, 0, 7, clk, up)
 	if err != nil {
 		return nil, 0, err
 	}
-	c.Members(p)
+	c.UpdateMembers(p)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, 0, err
--- a/internal/lab/crosscheck/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -78,7 +78,7 @@
 	s.start(parentID, fleet.Parent, 0, s.set.ParentKind)
 	s.start(parentID+1, fleet.Parent, 1, s.set.ParentKind)
 	s.start(originID, fleet.Origin, 0, s.set.OriginKind)
-	up := upstream.New(s.clk, upstream.Limits{PerConn: 32, Conns: 8, Connect: 400, Idle: 30_000})
+	up := upstream.New(s.clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000})
 	s.core, err = core.New(s.set, names, 0, 7, s.clk, up)
 	require.NoError(t, err)
 	s.list(true, s.members...)
@@ -101,7 +101,7 @@
 
 func (s *site) list(whole bool, members ...membership.Member) {
 	s.version++
-	s.core.Members(membership.Publish{Version: s.version, Complete: whole, Members: members})
+	s.core.UpdateMembers(membership.Publish{Version: s.version, Complete: whole, Members: members})
 }
 
 // state tells of a cache's state, and notes it for the checks.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -80,10 +80,10 @@
 // newCore is a core with its pools, of 10,000 members.
 func newCore(b *testing.B) (*registry.Registry, *core.Core, []membership.Entry) {
 	clk := clock.System()
-	up := upstream.New(clk, upstream.Limits{PerConn: 32, Conns: 4})
+	up := upstream.New(clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 4})
 	c, err := core.New(policy.Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []policy.Class{{Deadline: time.Second}}}, []string{"a"}, 0, 7, clk, up)
 	require.NoError(b, err)
-	r, err := registry.New(registry.Options{Membership: settings(), Clock: clk, Publish: c.Members})
+	r, err := registry.New(registry.Options{Membership: settings(), Clock: clk, Publish: c.UpdateMembers})
 	require.NoError(b, err)
 	list := entries(10_000)
 	r.Handle(membership.Snapshot{Generation: 1, Entries: list})
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -46,7 +46,7 @@
 // NewProxy starts a core whose one cache, which fills from a parent and the origin, is a stand-in.
 func NewProxy(t *testing.T) *Proxy {
 	p := &Proxy{Clock: clock.Manual(1_764_576_000_000), Cache: Listen(t)}
-	p.Pools = upstream.New(p.Clock, upstream.Limits{PerConn: 100, Conns: 4, Connect: 5000, Idle: 30_000})
+	p.Pools = upstream.New(p.Clock, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
 	var err error
 	p.Core, err = core.New(Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, p.Pools)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	for i, id := range []policy.CacheID{CacheID, ParentID, OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 	}
-	p.Core.Members(membership.Publish{Version: 1, Complete: true, Members: list})
+	p.Core.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 	return p
 }
 
@@ -74,9 +74,9 @@
 // Send implements Actor.
 func (a *Attempts) Send(words []string) error {
 	a.to.Send(core.Attempt{
-		ID: words[0], Class: "asset", Object: "o", To: CacheID, Source: CacheID, Until: a.to.Clock().Now() + 1000, Once: len(words) > 1,
-	}, func(e core.End) {
-		a.sent.Store(e.Sent)
+		ID: words[0], Class: "asset", Object: "o", Server: CacheID, Source: CacheID, Deadline: a.to.Clock().Now() + 1000, NonIdempotent: len(words) > 1,
+	}, func(e core.Outcome) {
+		a.sent.Store(e.Written)
 		a.in <- message{words: []string{words[0], results[e.Result]}}
 	})
 	return nil
--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -30,10 +30,10 @@
 // Scalars are the MIB's objects, in its order.
 func Scalars(n *core.Counters, late, conns func() int64) []Scalar {
 	return []Scalar{
-		{Read: n.Requests.Load}, {Read: n.Served.Load}, {Read: n.Refused.Load}, {Read: n.Failed.Load},
-		{Read: n.Gone.Load}, {Read: n.Attempts.Load}, {Read: n.Timeouts.Load}, {Read: n.Stale.Load},
-		{Read: n.Notices.Load}, {Gauge: true, Read: n.Open.Load}, {Read: late}, {Gauge: true, Read: conns},
-		{Read: invariant.Broken}, {Read: n.Unsent.Load}, {Read: n.Unanswered.Load}, {Read: n.Misnamed.Load},
+		{Read: n.Requests.Load}, {Read: n.Served.Load}, {Read: n.Rejected.Load}, {Read: n.Failed.Load},
+		{Read: n.Abandoned.Load}, {Read: n.Attempts.Load}, {Read: n.Timeouts.Load}, {Read: n.Skipped.Load},
+		{Read: n.Notifications.Load}, {Gauge: true, Read: n.InFlight.Load}, {Read: late}, {Gauge: true, Read: conns},
+		{Read: invariant.Broken}, {Read: n.NeverSent.Load}, {Read: n.UnansweredConns.Load}, {Read: n.WrongTags.Load},
 	}
 }
 
--- a/internal/snmp/agent_test.go
+++ b/internal/snmp/agent_test.go
@@ -33,7 +33,7 @@
 func TestAgent(t *testing.T) {
 	c, n, scalars := start(t)
 	n.Requests.Store(1 << 40)
-	n.Open.Store(5)
+	n.InFlight.Store(5)
 
 	// What can't be read gets no answer and ends nothing.
 	_, err := c.Conn.Write([]byte{0x30, 0x84, 0xff, 0xff, 0xff, 0xff})
--- a/internal/source/discoveryclient/discoveryclient.go
+++ b/internal/source/discoveryclient/discoveryclient.go
@@ -93,7 +93,7 @@
 			}
 		}
 		if f := j.Flush; f != nil {
-			n.Purge = &core.Purge{Object: f.Asset, Group: -1, At: f.Ms + core.StampUnit}
+			n.Purge = &core.Purge{Object: f.Asset, Group: -1, At: f.Ms + core.TimestampResolution}
 			if f.Collection != nil {
 				n.Purge.Group = *f.Collection
 			}
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -60,9 +60,9 @@
 			n.Members = append(n.Members, m)
 		}
 	case kind == kindObject && len(b) == 16:
-		n.Purge = &core.Purge{Object: fmt.Sprintf("%016x", u64(b)), Group: -1, At: float64(u64(b[8:])) + core.StampUnit}
+		n.Purge = &core.Purge{Object: fmt.Sprintf("%016x", u64(b)), Group: -1, At: float64(u64(b[8:])) + core.TimestampResolution}
 	case kind == kindGroup && len(b) == 10:
-		n.Purge = &core.Purge{Group: int(binary.BigEndian.Uint16(b)), At: float64(u64(b[2:])) + core.StampUnit}
+		n.Purge = &core.Purge{Group: int(binary.BigEndian.Uint16(b)), At: float64(u64(b[2:])) + core.TimestampResolution}
 	case kind > kindGroup || kind == kindNothing: // of a later version, or nothing new
 	default:
 		return n, kind, errFrame
--- a/internal/source/discoveryclient/stamps.go
+++ b/internal/source/discoveryclient/stamps.go
@@ -18,7 +18,7 @@
 	n = n.started(now, start)
 	if n.Purge != nil {
 		p := *n.Purge
-		p.At = r.Purge(now, p.At-core.StampUnit) + core.StampUnit
+		p.At = r.Purge(now, p.At-core.TimestampResolution) + core.TimestampResolution
 		n.Purge = &p
 	}
 	r.Heard(now)
@@ -41,7 +41,7 @@
 		out[i] = n.started(now, r.KnownStart)
 		if n.Purge != nil {
 			p := *n.Purge
-			p.At = r.KnownPurge(now, p.At-core.StampUnit) + core.StampUnit
+			p.At = r.KnownPurge(now, p.At-core.TimestampResolution) + core.TimestampResolution
 			out[i].Purge = &p
 		}
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -21,7 +21,7 @@
 // says of time holds for its first byte.
 type call struct {
 	attempt core.Attempt
-	end     func(core.End)
+	end     func(core.Outcome)
 
 	once    sync.Once
 	over    bool
@@ -30,8 +30,8 @@
 }
 
 // finish reports the end of a call that is over, unless it was forgotten.
-func (c *call) finish(e core.End) {
-	e.Sent = c.written
+func (c *call) finish(e core.Outcome) {
+	e.Written = c.written
 	c.once.Do(func() { c.end(e) })
 }
 
@@ -97,7 +97,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if n = len(k.open); n > 0 && k.pool.all.clock.Now()-k.quiet >= quietFor {
-		n += k.pool.all.limits.Load().PerConn
+		n += k.pool.all.limits.Load().RequestsPerConn
 	}
 	return n, !k.closed
 }
@@ -108,7 +108,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l, now := k.pool.all.limits.Load(), k.pool.all.clock.Now()
-	if k.closed || len(k.open) >= l.PerConn || !k.ids.add(c.attempt.ID, now, l.Life) {
+	if k.closed || len(k.open) >= l.RequestsPerConn || !k.ids.add(c.attempt.ID, now, l.RequestLifetime) {
 		return false
 	}
 	k.used = now
@@ -148,7 +148,7 @@
 	}
 	k.mu.Unlock()
 	if timeout {
-		c.finish(core.End{Result: result})
+		c.finish(core.Outcome{Result: result})
 	} else {
 		c.forget()
 	}
@@ -208,7 +208,7 @@
 	}
 	k.mu.Unlock()
 	if late {
-		c.finish(core.End{Result: policy.Skipped})
+		c.finish(core.Outcome{Result: policy.Skipped})
 	}
 }
 
@@ -220,7 +220,7 @@
 // and to call that a failed connection would take a sound cache server out.
 func (k *conn) dial() (nc net.Conn, err error) {
 	for resets, own := 0, 0; ; {
-		nc, err = k.pool.all.limits.Load().Dial("tcp", k.pool.addr, clock.Duration(k.pool.all.limits.Load().Connect))
+		nc, err = k.pool.all.limits.Load().Dial("tcp", k.pool.addr, clock.Duration(k.pool.all.limits.Load().ConnectTimeout))
 		switch {
 		case errors.Is(err, syscall.ECONNRESET) && resets < redials:
 			resets++
@@ -259,7 +259,7 @@
 	k.nc = nc
 	k.mu.Unlock()
 	go k.read(nc)
-	idle := k.pool.all.limits.Load().Idle
+	idle := k.pool.all.limits.Load().IdleTimeout
 	stop := func() {} // of the one idle timer
 	for range k.wake {
 		var done bool
@@ -335,7 +335,7 @@
 	now := k.pool.all.clock.Now()
 	if len(k.open) > 0 {
 		k.used = now
-	} else if idle := k.pool.all.limits.Load().Idle; idle > 0 && now-k.used >= idle/2 {
+	} else if idle := k.pool.all.limits.Load().IdleTimeout; idle > 0 && now-k.used >= idle/2 {
 		k.closed = true // before the other side closes it under a new call
 	}
 	return true, k.closed && len(k.open) == 0, nil
@@ -346,10 +346,10 @@
 func (k *conn) drop(now float64) {
 	k.queue = slices.DeleteFunc(k.queue, func(c *call) bool {
 		late := c.attempt.SendBy > 0 && now > c.attempt.SendBy
-		if !c.over && (late || c.attempt.Left != nil && c.attempt.Left()) {
+		if !c.over && (late || c.attempt.ClientGone != nil && c.attempt.ClientGone()) {
 			c.over = true
 			delete(k.open, c.attempt.ID)
-			go c.finish(core.End{Result: policy.Skipped})
+			go c.finish(core.Outcome{Result: policy.Skipped})
 		}
 		return c.over
 	})
@@ -466,7 +466,7 @@
 		delete(k.open, id)
 	} else {
 		// Guards against passing on an answer to an attempt that was given up, or a second one: dropped and counted.
-		k.pool.all.Late.Add(1)
+		k.pool.all.LateAnswers.Add(1)
 	}
 	now := k.pool.all.clock.Now()
 	k.heard, k.used, k.quiet, k.half, k.began = now, now, now, 0, 0
@@ -501,7 +501,7 @@
 		if c.written {
 			result = written
 		}
-		c.finish(core.End{Result: result})
+		c.finish(core.Outcome{Result: result})
 	}
 }
 
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -46,11 +46,11 @@
 }
 
 func poolsAt(clk *clock.Clock, addr string, l upstream.Limits) *upstream.Pools {
-	l.PerConn, l.Conns, l.Connect = 50, 3, 5000
+	l.RequestsPerConn, l.ConnsPerServer, l.ConnectTimeout = 50, 3, 5000
 	pools := upstream.New(clk, l)
 	m := core.Member{Addr: addr}
 	m.ID = scenario.CacheID
-	pools.Members([]core.Member{m}, true)
+	pools.UpdateMembers([]core.Member{m}, true)
 	return pools
 }
 
@@ -97,11 +97,11 @@
 
 // send starts an attempt with so much time and a body of so many bytes, which may be written within sendBy ms (0: at any time).
 func (b *blocked) send(id string, ttl, sendBy float64, size int) {
-	a := core.Attempt{ID: id, To: scenario.CacheID, Until: b.clk.Now() + ttl, Body: []byte(strings.Repeat("x", size))}
+	a := core.Attempt{ID: id, Server: scenario.CacheID, Deadline: b.clk.Now() + ttl, Body: []byte(strings.Repeat("x", size))}
 	if sendBy > 0 {
 		a.SendBy = b.clk.Now() + sendBy
 	}
-	b.aborts[id] = b.pools.Send(a, func(e core.End) { b.ends <- fmt.Sprint(id, " ", e.Result == policy.Skipped, " ", e.Sent) })
+	b.aborts[id] = b.pools.Send(a, func(e core.Outcome) { b.ends <- fmt.Sprint(id, " ", e.Result == policy.Skipped, " ", e.Written) })
 }
 
 // A server takes nothing for a while. What a client left, or what has become too old, before its first byte was out is not
@@ -143,10 +143,10 @@
 		return net.DialTimeout(network, addr, wait)
 	}})
 	ends := make(chan policy.Result, 3)
-	end := func(e core.End) { ends <- e.Result }
-	left := pools.Send(core.Attempt{ID: "left", To: scenario.CacheID, Until: 5000}, end)
-	pools.Send(core.Attempt{ID: "old", To: scenario.CacheID, Until: 5000, SendBy: 500}, end)
-	pools.Send(core.Attempt{ID: "over", To: scenario.CacheID, Until: 800}, end)
+	end := func(e core.Outcome) { ends <- e.Result }
+	left := pools.Send(core.Attempt{ID: "left", Server: scenario.CacheID, Deadline: 5000}, end)
+	pools.Send(core.Attempt{ID: "old", Server: scenario.CacheID, Deadline: 5000, SendBy: 500}, end)
+	pools.Send(core.Attempt{ID: "over", Server: scenario.CacheID, Deadline: 800}, end)
 	require.False(t, left())
 	clk.Advance(1000)
 	require.Equal(t, policy.Skipped, <-ends, "over: its time is up, and it never ran")
@@ -159,7 +159,7 @@
 		s send next served -
 		up expect next ok`)
 	require.Equal(t, 1, pools.Conns())
-	pools.Members(nil, true)
+	pools.UpdateMembers(nil, true)
 	scenario.Run(t, clk, actors, `
 		s expect closed`)
 	require.Empty(t, ends)
@@ -228,9 +228,9 @@
 		}
 		return counted{nc.(*net.TCPConn), &taken}, nil
 	}})
-	ends := make(chan core.End, 2)
+	ends := make(chan core.Outcome, 2)
 	for _, id := range []string{"r1", "r2"} {
-		pools.Send(core.Attempt{ID: id, To: scenario.CacheID, Until: 60_000}, func(e core.End) { ends <- e })
+		pools.Send(core.Attempt{ID: id, Server: scenario.CacheID, Deadline: 60_000}, func(e core.Outcome) { ends <- e })
 		scenario.Run(t, clk, map[string]scenario.Actor{"s": cache}, "s expect fetch * * -")
 	}
 	sent := int64(0)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,17 +15,17 @@
 // empty, and for each refinement of a fill.
 func TestGoldenRequestFrames(t *testing.T) {
 	full := core.Attempt{
-		ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, Holds: "v1", Key: "k1", Body: []byte("body\r\n"),
-		To: 20, Source: 11, Until: 2499.8, Age: 20.9, Keep: 2,
-		How: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground, SendBy: 1500, Once: true,
+		ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, CachedTag: "v1", IdempotencyKey: "k1", Body: []byte("body\r\n"),
+		Server: 20, Source: 11, Deadline: 2499.8, MaxAge: 20.9, RetainRank: 2,
+		Options: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground, SendBy: 1500, NonIdempotent: true,
 	}
 	frames := appendFrame(nil, &full, 1000)
 	for _, how := range []policy.FillOptions{policy.Coalesce, policy.CachedOnly, policy.ParentPassThrough, policy.RefreshInBackground} {
 		a := full
-		a.How = how
+		a.Options = how
 		frames = appendFrame(frames, &a, 1000)
 	}
-	frames = appendFrame(frames, &core.Attempt{ID: "b", Class: "c", Object: "d", To: 20, Source: 20, Until: 900}, 1000)
+	frames = appendFrame(frames, &core.Attempt{ID: "b", Class: "c", Object: "d", Server: 20, Source: 20, Deadline: 900}, 1000)
 	frames = resp.Append(frames, "abort", full.ID)
 	golden.Equal(t, "requests.resp", frames)
 }
@@ -38,25 +38,25 @@
 	}
 	cases := []struct {
 		word, fields, body string
-		want               core.End
+		want               core.Outcome
 	}{
-		{"served", fields, "bytes", core.End{Result: policy.OK, Note: policy.NoteFilled, Waited: 12.5, Tag: "v7", Body: []byte("bytes"), Load: load}},
-		{"still_good", "version=v7", "", core.End{Result: policy.OK, Tag: "v7", Same: true}},
-		{"not_here", "-", "", core.End{Result: policy.Miss}},
-		{"overload", "why=turned_away", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceRejected}},
-		{"crashed", "why=far_fault", "", core.End{Result: policy.Failed, Note: policy.NoteOriginFailed}},
-		{"nobody", "-", "", core.End{Result: policy.Skipped}},
-		{"green", "-", "", core.End{Result: policy.OK, Body: []byte{}}},
-		{"red", "-", "", core.End{Result: policy.Failed}},
-		{"later", "-", "", core.End{Result: policy.Unknown}},
-		{"overload", "why=local", "", core.End{Result: policy.Overloaded, Note: policy.NoteHit}},
-		{"overload", "why=pulled_far", "", core.End{Result: policy.Overloaded, Note: policy.NoteFilledOrigin}},
-		{"overload", "why=rode", "", core.End{Result: policy.Overloaded, Note: policy.NoteCoalesced}},
-		{"overload", "why=expired", "", core.End{Result: policy.Overloaded, Note: policy.NoteStale}},
-		{"overload", "why=cut_off", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceLost}},
-		{"overload", "why=not_there", "", core.End{Result: policy.Overloaded, Note: policy.NoteSourceMiss}},
-		{"overload", "why=no_place", "", core.End{Result: policy.Overloaded, Note: policy.NoteNoFillSlot}},
-		{"overload", "why=later", "", core.End{Result: policy.Overloaded}},
+		{"served", fields, "bytes", core.Outcome{Result: policy.OK, Note: policy.NoteFilled, SourceWait: 12.5, Tag: "v7", Body: []byte("bytes"), Load: load}},
+		{"still_good", "version=v7", "", core.Outcome{Result: policy.OK, Tag: "v7", NotModified: true}},
+		{"not_here", "-", "", core.Outcome{Result: policy.Miss}},
+		{"overload", "why=turned_away", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteSourceRejected}},
+		{"crashed", "why=far_fault", "", core.Outcome{Result: policy.Failed, Note: policy.NoteOriginFailed}},
+		{"nobody", "-", "", core.Outcome{Result: policy.Skipped}},
+		{"green", "-", "", core.Outcome{Result: policy.OK, Body: []byte{}}},
+		{"red", "-", "", core.Outcome{Result: policy.Failed}},
+		{"later", "-", "", core.Outcome{Result: policy.Unknown}},
+		{"overload", "why=local", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteHit}},
+		{"overload", "why=pulled_far", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteFilledOrigin}},
+		{"overload", "why=rode", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteCoalesced}},
+		{"overload", "why=expired", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteStale}},
+		{"overload", "why=cut_off", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteSourceLost}},
+		{"overload", "why=not_there", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteSourceMiss}},
+		{"overload", "why=no_place", "", core.Outcome{Result: policy.Overloaded, Note: policy.NoteNoFillSlot}},
+		{"overload", "why=later", "", core.Outcome{Result: policy.Overloaded}},
 	}
 	var frames []byte
 	for _, c := range cases {
--- a/internal/upstream/push_test.go
+++ b/internal/upstream/push_test.go
@@ -35,7 +35,7 @@
 		clk := clock.Manual(0)
 		var wire []byte
 		room := 0
-		p := New(clk, Limits{PerConn: 100, Conns: 3, Write: func(_ int, b []byte) (int, error) {
+		p := New(clk, Limits{RequestsPerConn: 100, ConnsPerServer: 3, Write: func(_ int, b []byte) (int, error) {
 			n := min(room, len(b), rapid.IntRange(1, 40).Draw(t, "taken"))
 			if n == 0 {
 				return -1, syscall.EAGAIN
@@ -78,7 +78,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				id := fmt.Sprint("call", len(calls))
-				c := &call{attempt: core.Attempt{ID: id, Class: "asset", Object: "o", Until: farOff}, end: func(e core.End) { ended <- id }}
+				c := &call{attempt: core.Attempt{ID: id, Class: "asset", Object: "o", Deadline: farOff}, end: func(e core.Outcome) { ended <- id }}
 				if rapid.Bool().Draw(t, "ages") {
 					c.attempt.SendBy = clk.Now() + 50
 				}
@@ -144,22 +144,22 @@
 func TestStaleWhileBlocked(t *testing.T) {
 	for _, up := range []bool{true, false} {
 		clk := clock.Manual(0)
-		p := New(clk, Limits{PerConn: 100, Conns: 3})
+		p := New(clk, Limits{RequestsPerConn: 100, ConnsPerServer: 3})
 		m := core.Member{Addr: "127.0.0.1:1"}
 		m.ID = 1
-		p.Members([]core.Member{m}, true)
+		p.UpdateMembers([]core.Member{m}, true)
 		k := newConn(p.pool(1), false) // nobody writes on it
 		if up {
 			k.nc, _ = net.Pipe()
 		}
 		p.pool(1).conns = []*conn{k}
-		ends := make(chan core.End, 1)
-		p.Send(core.Attempt{ID: "r1", To: 1, Until: 5000, SendBy: 500}, func(e core.End) { ends <- e })
+		ends := make(chan core.Outcome, 1)
+		p.Send(core.Attempt{ID: "r1", Server: 1, Deadline: 5000, SendBy: 500}, func(e core.Outcome) { ends <- e })
 		clk.Advance(499)
 		require.Empty(t, ends)
 		clk.Advance(1)
 		require.Equal(t, up, len(ends) == 1)
 		clk.Advance(4500)
-		require.Equal(t, core.End{Result: policy.Skipped}, <-ends)
+		require.Equal(t, core.Outcome{Result: policy.Skipped}, <-ends)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -22,21 +22,21 @@
 
 // Limits bound what the connections may take.
 type Limits struct {
-	PerConn int                                                              // attempts out on one connection
-	Conns   int                                                              // connections to one cache server
-	Total   int                                                              // and to all together; 0: no bound
-	Connect float64                                                          // ms until a connection must be up
-	Idle    float64                                                          // ms after which the other side closes an idle connection
-	Life    float64                                                          // ms for which a request's id may come again; 0: usualLife
-	Dial    func(network, addr string, wait time.Duration) (net.Conn, error) // nil: package net's
-	Write   func(fd int, b []byte) (int, error)                              // what the socket takes now; nil: the system's
+	RequestsPerConn int                                                              // attempts out on one connection
+	ConnsPerServer  int                                                              // connections to one cache server
+	MaxConns        int                                                              // and to all together; 0: no bound
+	ConnectTimeout  float64                                                          // ms until a connection must be up
+	IdleTimeout     float64                                                          // ms after which the other side closes an idle connection
+	RequestLifetime float64                                                          // ms for which a request's id may come again; 0: usualLife
+	Dial            func(network, addr string, wait time.Duration) (net.Conn, error) // nil: package net's
+	Write           func(fd int, b []byte) (int, error)                              // what the socket takes now; nil: the system's
 }
 
 // Pools are the connections to all cache servers.
 type Pools struct {
-	clock  *clock.Clock
-	limits atomic.Pointer[Limits]
-	Late   atomic.Int64 // answers that came after their attempt was over
+	clock       *clock.Clock
+	limits      atomic.Pointer[Limits]
+	LateAnswers atomic.Int64 // answers that came after their attempt was over
 
 	// pools are found without a lock, by attempts that come by the thousand; a list is put in place whole.
 	pools atomic.Pointer[iradix.Tree[*pool]]
@@ -55,14 +55,14 @@
 
 // New returns pools without a cache server.
 func New(c *clock.Clock, l Limits) *Pools {
-	l.PerConn, l.Conns = max(1, l.PerConn), max(aloneConns+1, l.Conns)
+	l.RequestsPerConn, l.ConnsPerServer = max(1, l.RequestsPerConn), max(aloneConns+1, l.ConnsPerServer)
 	if l.Dial == nil {
 		l.Dial = net.DialTimeout
 	}
 	if l.Write == nil {
 		l.Write = syscall.Write
 	}
-	l.Life = cmp.Or(l.Life, usualLife)
+	l.RequestLifetime = cmp.Or(l.RequestLifetime, usualLife)
 	p := &Pools{clock: c}
 	p.limits.Store(&l)
 	p.pools.Store(iradix.New[*pool]())
@@ -72,7 +72,7 @@
 // SetLimits changes what bounds a connection: attempts on it, and its times. Connections that are up keep to the new ones.
 func (p *Pools) SetLimits(perConn int, connect, idle float64) {
 	l := *p.limits.Load()
-	l.PerConn, l.Connect, l.Idle = max(1, perConn), connect, idle
+	l.RequestsPerConn, l.ConnectTimeout, l.IdleTimeout = max(1, perConn), connect, idle
 	p.limits.Store(&l)
 }
 
@@ -83,7 +83,7 @@
 
 // Members tells where cache servers are. One that is gone, or has moved, loses its idle connections; what
 // is out on the others runs on.
-func (p *Pools) Members(list []core.Member, whole bool) {
+func (p *Pools) UpdateMembers(list []core.Member, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.pools.Load().Txn()
@@ -133,7 +133,7 @@
 }
 
 // Send starts an attempt; see core.Upstream.
-func (p *Pools) Send(a core.Attempt, end func(core.End)) (abort func() bool) {
+func (p *Pools) Send(a core.Attempt, end func(core.Outcome)) (abort func() bool) {
 	return p.start(&call{attempt: a, end: end})
 }
 
@@ -149,15 +149,15 @@
 // start puts a call on a connection and its time-out on the clock.
 func (p *Pools) start(c *call) (abort func() bool) {
 	var conn *conn
-	if pl := p.pool(c.attempt.To); pl != nil {
+	if pl := p.pool(c.attempt.Server); pl != nil {
 		p.makeRoom()
 		conn = pl.place(c)
 	}
 	if conn == nil { // it has left the list since, or all connections are taken: the module chooses anew
-		go c.finish(core.End{Result: policy.Skipped})
+		go c.finish(core.Outcome{Result: policy.Skipped})
 		return func() bool { c.forget(); return false }
 	}
-	now, until, sendBy := p.clock.Now(), c.attempt.Until, c.attempt.SendBy
+	now, until, sendBy := p.clock.Now(), c.attempt.Deadline, c.attempt.SendBy
 	stop, stale := p.clock.After(until-now, func() { conn.giveUp(c, true) }), func() {}
 	if sendBy > 0 && sendBy < until {
 		stale = p.clock.After(sendBy-now, func() { conn.overdue(c) })
@@ -173,8 +173,8 @@
 // can't be read, which ends all that is open on its connection: reads are spread in small parts, and what
 // may not be repeated goes over connections of its own.
 func (pl *pool) place(c *call) *conn {
-	part, most := usualPart, pl.all.limits.Load().Conns-aloneConns
-	alone := c.attempt.Once
+	part, most := usualPart, pl.all.limits.Load().ConnsPerServer-aloneConns
+	alone := c.attempt.NonIdempotent
 	if alone {
 		part, most = 1, aloneConns
 	}
@@ -197,7 +197,7 @@
 		}
 		return nil
 	}
-	room := len(own) < most && len(pl.conns) < 2*pl.all.limits.Load().Conns
+	room := len(own) < most && len(pl.conns) < 2*pl.all.limits.Load().ConnsPerServer
 	if room {
 		if k := find(part); k != nil {
 			return k
@@ -215,7 +215,7 @@
 
 // reserve books one more connection, if there may be one.
 func (p *Pools) reserve() bool {
-	most := int64(p.limits.Load().Total)
+	most := int64(p.limits.Load().MaxConns)
 	if n := p.total.Add(1); most > 0 && n > most {
 		p.total.Add(-1)
 		return false
@@ -225,7 +225,7 @@
 
 // makeRoom ends the connection that has been at rest for longest, where there may be no more of them.
 func (p *Pools) makeRoom() {
-	if most := int64(p.limits.Load().Total); most <= 0 || p.total.Load() < most {
+	if most := int64(p.limits.Load().MaxConns); most <= 0 || p.total.Load() < most {
 		return
 	}
 	var idlest *conn
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -146,7 +146,7 @@
 	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(five, "\n\t", "\n"))
 	m := core.Member{Addr: next.Addr()}
 	m.ID = scenario.CacheID
-	p.Core.Members(membership.Publish{Version: 2, Members: []core.Member{m}})
+	p.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
 	scenario.Run(t, p.Clock, actors, `
 		up send r6
 		next expect fetch r6 * -
@@ -156,11 +156,11 @@
 
 // newPools has one cache server, and one connection for reads.
 func newPools(clk *clock.Clock, cache *scenario.Server, l upstream.Limits) *upstream.Pools {
-	l.PerConn, l.Conns, l.Connect = 10, 3, 5000
+	l.RequestsPerConn, l.ConnsPerServer, l.ConnectTimeout = 10, 3, 5000
 	pools := upstream.New(clk, l)
 	m := core.Member{Addr: cache.Addr()}
 	m.ID = scenario.CacheID
-	pools.Members([]core.Member{m}, true)
+	pools.UpdateMembers([]core.Member{m}, true)
 	return pools
 }
 
@@ -172,7 +172,7 @@
 	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
-		abort := pools.Send(core.Attempt{ID: id, To: scenario.CacheID, Until: pools.Clock().Now() + 1000}, func(e core.End) {
+		abort := pools.Send(core.Attempt{ID: id, Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(e core.Outcome) {
 			t.Errorf("%s ended: %+v", id, e)
 		})
 		scenario.Run(t, clk, actors, "s expect fetch * * -")
@@ -332,10 +332,10 @@
 		return net.DialTimeout(network, addr, wait)
 	}
 	clk, cache := clock.Manual(0), scenario.Listen(t)
-	pools := upstream.New(clk, upstream.Limits{PerConn: 10, Conns: 8, Connect: 5000, Idle: 4000, Dial: dial})
+	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 10, ConnsPerServer: 8, ConnectTimeout: 5000, IdleTimeout: 4000, Dial: dial})
 	m := core.Member{Addr: cache.Addr()}
 	m.ID = scenario.CacheID
-	pools.Members([]core.Member{m}, true)
+	pools.UpdateMembers([]core.Member{m}, true)
 	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
 	for i := range 50 {
 		scenario.Run(t, clk, actors, strings.ReplaceAll(`
@@ -350,7 +350,7 @@
 	require.Eventually(t, func() bool { return pools.Conns() == 0 }, time.Minute, time.Millisecond)
 	dials.Store(0)
 	for i := range 200 {
-		pools.Send(core.Attempt{ID: fmt.Sprint("r", i), To: scenario.CacheID, Until: pools.Clock().Now() + 1000}, func(core.End) {})
+		pools.Send(core.Attempt{ID: fmt.Sprint("r", i), Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(core.Outcome) {})
 	}
 	require.LessOrEqual(t, pools.Conns(), 6, "two more are for what may not be repeated")
 }
@@ -360,7 +360,7 @@
 func TestConnectionsOfAllServers(t *testing.T) {
 	const servers, most = 30, 8
 	clk := clock.Manual(0)
-	pools := upstream.New(clk, upstream.Limits{PerConn: 100, Conns: 4, Connect: 5000, Total: most})
+	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
 	list := make([]core.Member, servers)
 	var silent atomic.Bool
 	asked := make(chan string, 2*servers)
@@ -380,10 +380,10 @@
 			}
 		}()
 	}
-	pools.Members(list, true)
-	ends := make(chan core.End, servers)
+	pools.UpdateMembers(list, true)
+	ends := make(chan core.Outcome, servers)
 	send := func(id string, i int) {
-		pools.Send(core.Attempt{ID: id, To: policy.CacheID(i + 1), Until: clk.Now() + 60_000}, func(e core.End) { ends <- e })
+		pools.Send(core.Attempt{ID: id, Server: policy.CacheID(i + 1), Deadline: clk.Now() + 60_000}, func(e core.Outcome) { ends <- e })
 	}
 	for i := range servers {
 		send(fmt.Sprint("answered", i), i)
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -13,7 +13,7 @@
 )
 
 // Name is a cache server's id as text.
-func Name(id policy.CacheID) string {
+func serverName(id policy.CacheID) string {
 	return "s-" + hex.EncodeToString(binary.BigEndian.AppendUint32(nil, uint32(id)))
 }
 
@@ -52,31 +52,31 @@
 	}
 	add("name", a.Object)
 	add("piece", strconv.Itoa(a.Part))
-	add("ttl", strconv.Itoa(max(1, int(a.Until-now))))
-	if a.Source != a.To {
-		add("fetch", Name(a.Source))
+	add("ttl", strconv.Itoa(max(1, int(a.Deadline-now))))
+	if a.Source != a.Server {
+		add("fetch", serverName(a.Source))
 	}
-	if a.Keep > 0 {
-		add("retain", strconv.Itoa(a.Keep))
+	if a.RetainRank > 0 {
+		add("retain", strconv.Itoa(a.RetainRank))
 	}
-	if a.Age > 0 {
+	if a.MaxAge > 0 {
 		// Rounded down, as an older copy would not do; 0 would mean the class's own time.
-		add("newer", strconv.Itoa(max(1, int(a.Age))))
+		add("newer", strconv.Itoa(max(1, int(a.MaxAge))))
 	}
 	var words []string
 	for _, h := range hows {
-		if a.How&h.bit != 0 {
+		if a.Options&h.bit != 0 {
 			words = append(words, h.word)
 		}
 	}
 	if len(words) > 0 {
 		add("handle", strings.Join(words, "+"))
 	}
-	if a.Holds != "" {
-		add("holds", a.Holds)
+	if a.CachedTag != "" {
+		add("holds", a.CachedTag)
 	}
-	if a.Key != "" {
-		add("dedupe", a.Key)
+	if a.IdempotencyKey != "" {
+		add("dedupe", a.IdempotencyKey)
 	}
 	return resp.AppendBody(b, a.Body, "fetch", a.ID, string(f))
 }
@@ -95,7 +95,7 @@
 }
 
 // readAnswer reads one answer: id, word, fields, body. An unknown word is an end that may have run.
-func readAnswer(parts [][]byte) (id string, e core.End, err error) {
+func readAnswer(parts [][]byte) (id string, e core.Outcome, err error) {
 	if len(parts) < 2 {
 		return "", e, resp.ErrMalformed
 	}
@@ -107,14 +107,14 @@
 			return "", e, resp.ErrMalformed
 		}
 	}
-	e.Result, e.Same, e.Tag = results[word], word == "still_good", fields["version"]
+	e.Result, e.NotModified, e.Tag = results[word], word == "still_good", fields["version"]
 	for i, w := range notes {
 		if fields["why"] == w {
 			e.Note = policy.NoteHit + policy.Note(i)
 		}
 	}
-	e.Waited, _ = number(fields["took"])
-	if len(parts) > 3 && e.Result == policy.OK && !e.Same {
+	e.SourceWait, _ = number(fields["took"])
+	if len(parts) > 3 && e.Result == policy.OK && !e.NotModified {
 		e.Body = bytes.Clone(parts[3])
 	}
 	for _, pair := range strings.Split(fields["rep"], ";") {
--- a/internal/upstream/wire_test.go
+++ b/internal/upstream/wire_test.go
@@ -11,9 +11,9 @@
 
 // Figures that a cache server tells are figures, or are not told: no arithmetic recovers from one that is no number.
 func TestFiguresOfAnswers(t *testing.T) {
-	for text, want := range map[string]core.End{
+	for text, want := range map[string]core.Outcome{
 		"why=far_fault,took=12.5,rep=util:0.61;inflight:7;x0:0.4;x1:1.2": {
-			Note: policy.NoteOriginFailed, Waited: 12.5, Load: policy.LoadReport{"util": 0.61, "inflight": 7, "hits": 0.4, "link": 1.2},
+			Note: policy.NoteOriginFailed, SourceWait: 12.5, Load: policy.LoadReport{"util": 0.61, "inflight": 7, "hits": 0.4, "link": 1.2},
 		},
 		"why=rode,took=nan,rep=util:NaN;x0:-1;x1:+Inf": {Note: policy.NoteCoalesced},
 		"took=-1,rep=x9:1;inflight":                    {},
@@ -30,11 +30,11 @@
 // What a class or a deployment does not have is absent from the frame: no source, no rank, no age, no copy, no key. Where a
 // copy is good until it is purged nothing else bounds its age.
 func TestFrame(t *testing.T) {
-	a := core.Attempt{ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, To: 20, Source: 20, Until: 2499.8}
+	a := core.Attempt{ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, Server: 20, Source: 20, Deadline: 2499.8}
 	frame := func(a core.Attempt) []byte { return appendFrame(nil, &a, 1000) }
 	require.Equal(t, "*4\r\n$5\r\nfetch\r\n$16\r\n00000000000000a1\r\n$49\r\nlane=tiles,name=7f3a9c21e0b4d655,piece=3,ttl=1499\r\n$0\r\n\r\n", string(frame(a)))
-	a.Source, a.Keep, a.Age, a.Holds, a.Key = 11, 2, 20.9, "v1", "k1"
-	a.How = policy.Coalesce | policy.ParentPassThrough
+	a.Source, a.RetainRank, a.MaxAge, a.CachedTag, a.IdempotencyKey = 11, 2, 20.9, "v1", "k1"
+	a.Options = policy.Coalesce | policy.ParentPassThrough
 	require.Contains(t, string(frame(a)),
 		"lane=tiles,name=7f3a9c21e0b4d655,piece=3,ttl=1499,fetch=s-0000000b,retain=2,newer=20,handle=coalesce+transit,holds=v1,dedupe=k1\r\n")
 }
--- a/internal/upstream/written_test.go
+++ b/internal/upstream/written_test.go
@@ -44,7 +44,7 @@
 			dials := make(chan int, 3)
 			var dialled atomic.Int32
 			goOn := make(chan struct{})
-			pools := upstream.New(clk, upstream.Limits{PerConn: 50, Conns: 3, Connect: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
+			pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 50, ConnsPerServer: 3, ConnectTimeout: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
 				n := int(dialled.Add(1))
 				dials <- n
 				<-goOn
@@ -59,7 +59,7 @@
 			for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 				list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 			}
-			c.Members(membership.Publish{Version: 1, Complete: true, Members: list})
+			c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 			answer := make(chan core.Answer)
 			go func() {
 				answer <- c.Do(context.Background(), core.Request{ID: "00000000000000a1", Class: 1, Object: "7f3a9c21e0b4d655", Deadline: clk.Now() + budget})
