--- a/cmd/ravenwheel/cluster.go
+++ b/cmd/ravenwheel/cluster.go
@@ -30,7 +30,7 @@
 // clusterWait bounds what a cluster is given to answer.
 const clusterWait = 20 * time.Second
 
-func (a *asker) ask(call, name, addr string) (store.Status, error) {
+func (a *asker) ask(call store.Operation, name, addr string) (store.Status, error) {
 	if operatorFile != "" {
 		o, err := config.LoadOperatorFile(operatorFile)
 		if err != nil {
@@ -53,14 +53,14 @@
 	if err != nil {
 		return store.Status{}, err
 	}
-	return store.Ask(id, a.at, call, name, addr, clusterWait)
+	return store.Request(id, a.at, call, name, addr, clusterWait)
 }
 
 func clusterCommand() *cobra.Command {
 	a := &asker{}
 	cmd := &cobra.Command{Use: "cluster", Short: "Look after the members of the store", Args: cobra.NoArgs}
 	a.flags(cmd)
-	say := func(cmd *cobra.Command, call, name, addr, done string) error {
+	say := func(cmd *cobra.Command, call store.Operation, name, addr, done string) error {
 		if _, err := a.ask(call, name, addr); err != nil {
 			return err
 		}
@@ -86,29 +86,29 @@
 			},
 		},
 		&cobra.Command{Use: "status", Short: "Show the members", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			st, err := a.ask(store.AskStatus, "", "")
+			st, err := a.ask(store.OpStatus, "", "")
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "%s: %s in term %d, leader %s, applied %d of %d, configuration %d, heard of the leader %.0f ms ago\n",
-				st.Name, st.State, st.Term, st.Leader, st.Applied, st.Commit, st.Config, st.StaleMs)
+				st.Name, st.State, st.Term, st.Leader, st.AppliedIndex, st.CommitIndex, st.ConfigRevision, st.StaleMs)
 			for _, m := range st.Members {
-				fmt.Fprintf(w, "%s\t%s\t%s\n", m.Name, m.Addr, map[bool]string{true: "votes", false: "learns"}[m.Votes])
+				fmt.Fprintf(w, "%s\t%s\t%s\n", m.Name, m.Addr, map[bool]string{true: "votes", false: "learns"}[m.Voter])
 			}
 			return w.Flush()
 		}},
 		&cobra.Command{Use: "join NAME ADDR", Short: "Take a member in that listens there: it learns first, then votes", Args: cobra.ExactArgs(2),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return say(cmd, store.AskJoin, args[0], args[1], "joined")
+				return say(cmd, store.OpJoin, args[0], args[1], "joined")
 			}},
 		&cobra.Command{Use: "remove NAME", Short: "Take a member out", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return say(cmd, store.AskRemove, args[0], "", "removed")
+				return say(cmd, store.OpRemove, args[0], "", "removed")
 			}},
 		&cobra.Command{Use: "transfer [NAME]", Short: "Have another member lead", Args: cobra.MaximumNArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return say(cmd, store.AskTransfer, append(args, "")[0], "", "transferred")
+				return say(cmd, store.OpTransfer, append(args, "")[0], "", "transferred")
 			}},
 	)
 	return cmd
@@ -192,10 +192,10 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			for _, r := range c.Revisions {
 				of := ""
-				if r.Of > 0 {
-					of = fmt.Sprintf("as %d", r.Of)
+				if r.RollbackOf > 0 {
+					of = fmt.Sprintf("as %d", r.RollbackOf)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%d bytes\t%s\n", r.Number, time.UnixMilli(int64(r.At)).UTC().Format(time.DateTime), r.By, len(r.Text), of)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%d bytes\t%s\n", r.Number, time.UnixMilli(int64(r.CreatedAt)).UTC().Format(time.DateTime), r.Author, len(r.Text), of)
 			}
 			return w.Flush()
 		}},
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -37,7 +37,7 @@
 	if s.member {
 		set := s.core.Settings()
 		until := p.At + 2*clock.Ms(set.PurgeDuration) + clock.Ms(set.PurgeGrace)
-		_, serr := s.store.Do(storestate.Change{Kind: storestate.SetPurge, Until: until, Purge: &storestate.Purge{Object: p.Object, Group: p.Group, Made: p.At}})
+		_, serr := s.store.Propose(storestate.Change{Kind: storestate.AddPurge, ExpiresAt: until, Purge: &storestate.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At}})
 		err = errors.Join(err, serr)
 	}
 	return err
@@ -56,9 +56,9 @@
 	}
 	kind := storestate.EndDrain
 	if on {
-		kind = storestate.SetDrain
+		kind = storestate.StartDrain
 	}
-	_, err := s.store.Do(storestate.Change{Kind: kind, Name: serverlist.Name(id)})
+	_, err := s.store.Propose(storestate.Change{Kind: kind, Name: serverlist.Name(id)})
 	return err
 }
 
@@ -94,7 +94,7 @@
 	if bad != nil {
 		return nil, bad
 	}
-	_, err := s.store.Do(storestate.Change{Kind: storestate.SetList, Name: storeList, List: &storestate.List{Generation: set.Generation, Servers: set.Servers}})
+	_, err := s.store.Propose(storestate.Change{Kind: storestate.SetList, Name: storeList, List: &storestate.List{Generation: set.Generation, Servers: set.Servers}})
 	return set, err
 }
 
@@ -175,7 +175,7 @@
 	if l.good = r.Text; l.used != nil {
 		l.used(r.Number)
 	}
-	l.log.Info("config").Uint64("revision", r.Number).Str("by", r.By).Msg("revision in force")
+	l.log.Info("config").Uint64("revision", r.Number).Str("by", r.Author).Msg("revision in force")
 }
 
 // changeKeys brings the store's signing keys to those that a revision names. One member does it, the leader; a change
@@ -192,7 +192,7 @@
 	}
 	for kid := range have {
 		if _, wanted := ring[kid]; !wanted {
-			if err := l.store.DropKey(kid); err != nil {
+			if err := l.store.DeleteKey(kid); err != nil {
 				l.log.Error("config").Err(err).Str("kid", kid).Msg("a signing key was not dropped")
 			}
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -359,7 +359,7 @@
 func (a *Admin) config(w http.ResponseWriter, _ *http.Request) {
 	out := Config{StaleMs: a.opt.Store.Status().StaleMs}
 	_ = a.opt.Store.Read(false, func(s *storestate.State) {
-		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Config)
+		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Revisions)
 	})
 	reply(w, out)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -58,7 +58,7 @@
 	goldenForm(t, "drain.json", Drain{ID: "s-00c41f7a", On: true})
 	goldenForm(t, "list.json", List{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
 	goldenForm(t, "config.json", Config{
-		InForce: 2, StaleMs: 3.5, Revisions: []storestate.Revision{{Number: 1, At: 10.5, By: "ann", Text: "{}", Of: 4}, {Number: 2, At: 11, Text: "{}"}},
+		InForce: 2, StaleMs: 3.5, Revisions: []storestate.Revision{{Number: 1, CreatedAt: 10.5, Author: "ann", Text: "{}", RollbackOf: 4}, {Number: 2, CreatedAt: 11, Text: "{}"}},
 	})
 	goldenForm(t, "configure.json", Configure{Base: 1, Text: "{}", By: "ann", Back: 2})
 	goldenForm(t, "peer-call.json", PeerCall{Do: "ping", Name: "proxy-1"})
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -41,11 +41,11 @@
 	switch c.Kind {
 	case storestate.SetList:
 		o.list(c.List)
-	case storestate.SetDrain, storestate.EndDrain:
+	case storestate.StartDrain, storestate.EndDrain:
 		if id, ok := serverlist.ID(c.Name); ok {
-			_ = o.Drained(id, c.Kind == storestate.SetDrain) // the store has it; the keeper says what it could not keep
+			_ = o.Drained(id, c.Kind == storestate.StartDrain) // the store has it; the keeper says what it could not keep
 		}
-	case storestate.SetPurge:
+	case storestate.AddPurge:
 		o.purge(*c.Purge)
 	}
 }
@@ -79,7 +79,7 @@
 
 // purge has a purge in force before it is kept: its source tells it again after a crash in between.
 func (o *Options) purge(x storestate.Purge) {
-	p := core.Purge{Object: x.Object, Group: x.Group, At: x.Made}
+	p := core.Purge{Object: x.Object, Group: x.Group, At: x.IssuedAt}
 	if p.Object != "" {
 		p.Group = -1
 	}
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -61,10 +61,10 @@
 	in := make(chan storestate.Change, 8)
 	for _, c := range []storestate.Change{
 		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
-		{Kind: storestate.SetDrain, Name: serverlist.Name(1)}, {Kind: storestate.EndDrain, Name: serverlist.Name(1)},
-		{Kind: storestate.SetDrain, Name: "no server's name"}, {Kind: storestate.Spend, Name: "a"},
-		{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 10}},
-		{Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 4, Made: 11}},
+		{Kind: storestate.StartDrain, Name: serverlist.Name(1)}, {Kind: storestate.EndDrain, Name: serverlist.Name(1)},
+		{Kind: storestate.StartDrain, Name: "no server's name"}, {Kind: storestate.SpendToken, Name: "a"},
+		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}},
+		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 11}},
 	} {
 		in <- c
 	}
@@ -94,6 +94,6 @@
 	h := &heard{}
 	o := options(h)
 	o.Keeper = nil
-	o.Take(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 10}})
+	o.Take(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}})
 	require.Equal(t, []any{core.Purge{Object: "o", Group: -1, At: 10}}, h.all)
 }
--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -17,11 +17,11 @@
 // snapshot, as applying so many changes is what is measured.
 func holding(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
-	s.Now = 1
+	s.Time = 1
 	for i := 1; i <= n; i++ {
 		name := strconv.Itoa(i)
-		s.Purges[name] = storestate.Purge{Object: name, Made: 1, Until: float64(i)}
-		s.Spent[name], s.Revoked[name] = float64(i), float64(i)
+		s.Purges[name] = storestate.Purge{Object: name, IssuedAt: 1, ExpiresAt: float64(i)}
+		s.SpentTokens[name], s.RevokedTokens[name] = float64(i), float64(i)
 	}
 	raw, err := storestate.Encode(s)
 	require.NoError(b, err)
@@ -35,7 +35,7 @@
 	for _, kind := range []struct {
 		name string
 		kind storestate.Kind
-	}{{"purge", storestate.SetPurge}, {"spend", storestate.Spend}, {"revoke", storestate.Revoke}} {
+	}{{"purge", storestate.AddPurge}, {"spend", storestate.SpendToken}, {"revoke", storestate.RevokeToken}} {
 		for _, n := range heldSizes {
 			b.Run(fmt.Sprintf("%s/held=%d", kind.name, n), func(b *testing.B) {
 				s := holding(b, n)
@@ -44,9 +44,9 @@
 				for b.Loop() {
 					at++
 					name := strconv.Itoa(n + at)
-					c := storestate.Change{Kind: kind.kind, At: float64(at), Until: float64(n + at), Name: name}
-					if c.Kind == storestate.SetPurge {
-						c.Purge = &storestate.Purge{Object: name, Made: c.At}
+					c := storestate.Change{Kind: kind.kind, ProposedAt: float64(at), ExpiresAt: float64(n + at), Name: name}
+					if c.Kind == storestate.AddPurge {
+						c.Purge = &storestate.Purge{Object: name, IssuedAt: c.ProposedAt}
 					}
 					s.Apply(c)
 				}
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -29,24 +29,24 @@
 // goldenChanges are an entry of each kind, and one with each field set.
 func goldenChanges() []goldenEntry {
 	return []goldenEntry{
-		{"change-spend.cbor", storestate.Change{ID: "id-1", At: 1e12, Kind: storestate.Spend, Name: "jti", Until: 1e12 + 9000.5}},
-		{"change-put-key.cbor", storestate.Change{ID: "id-2", At: 1e12, Kind: storestate.PutKey, Name: "kid", Key: goldenKey()}},
-		{"change-drop-key.cbor", storestate.Change{ID: "id-3", At: 1e12, Kind: storestate.DropKey, Name: "other"}},
-		{"change-revoke.cbor", storestate.Change{ID: "id-4", At: 1e12, Kind: storestate.Revoke, Name: "jti", Until: 1e12 + 9000}},
-		{"change-set-config.cbor", storestate.Change{ID: "id-5", At: 1e12, Kind: storestate.SetConfig, Text: "{}", By: "ops"}},
-		{"change-set-config-next.cbor", storestate.Change{ID: "id-6", At: 1e12, Kind: storestate.SetConfig, Base: 1, Text: "{ }"}},
-		{"change-set-config-back.cbor", storestate.Change{ID: "id-7", At: 1e12, Kind: storestate.SetConfig, Base: 2, Text: "{}", By: "ops"}},
-		{"change-set-list.cbor", storestate.Change{ID: "id-8", At: 1e12, Kind: storestate.SetList, Name: "main", List: goldenList()}},
-		{"change-set-drain.cbor", storestate.Change{ID: "id-9", At: 1e12, Kind: storestate.SetDrain, Name: "s-00000001"}},
-		{"change-end-drain.cbor", storestate.Change{ID: "id-10", At: 1e12, Kind: storestate.EndDrain, Name: "s-00000002"}},
+		{"change-spend.cbor", storestate.Change{ID: "id-1", ProposedAt: 1e12, Kind: storestate.SpendToken, Name: "jti", ExpiresAt: 1e12 + 9000.5}},
+		{"change-put-key.cbor", storestate.Change{ID: "id-2", ProposedAt: 1e12, Kind: storestate.PutKey, Name: "kid", Key: goldenKey()}},
+		{"change-drop-key.cbor", storestate.Change{ID: "id-3", ProposedAt: 1e12, Kind: storestate.DeleteKey, Name: "other"}},
+		{"change-revoke.cbor", storestate.Change{ID: "id-4", ProposedAt: 1e12, Kind: storestate.RevokeToken, Name: "jti", ExpiresAt: 1e12 + 9000}},
+		{"change-set-config.cbor", storestate.Change{ID: "id-5", ProposedAt: 1e12, Kind: storestate.SetConfig, Text: "{}", Author: "ops"}},
+		{"change-set-config-next.cbor", storestate.Change{ID: "id-6", ProposedAt: 1e12, Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"}},
+		{"change-set-config-back.cbor", storestate.Change{ID: "id-7", ProposedAt: 1e12, Kind: storestate.SetConfig, BaseRevision: 2, Text: "{}", Author: "ops"}},
+		{"change-set-list.cbor", storestate.Change{ID: "id-8", ProposedAt: 1e12, Kind: storestate.SetList, Name: "main", List: goldenList()}},
+		{"change-set-drain.cbor", storestate.Change{ID: "id-9", ProposedAt: 1e12, Kind: storestate.StartDrain, Name: "s-00000001"}},
+		{"change-end-drain.cbor", storestate.Change{ID: "id-10", ProposedAt: 1e12, Kind: storestate.EndDrain, Name: "s-00000002"}},
 		{"change-set-purge-object.cbor", storestate.Change{
-			ID: "id-11", At: 1e12, Kind: storestate.SetPurge, Until: 1e12 + 9000, Purge: &storestate.Purge{Object: "o", Made: 1e12 - 5, Until: 1e12},
+			ID: "id-11", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12 - 5, ExpiresAt: 1e12},
 		}},
-		{"change-set-purge-group.cbor", storestate.Change{ID: "id-12", At: 1e12, Kind: storestate.SetPurge, Until: 1e12 + 9000, Purge: &storestate.Purge{Group: 3, Made: 1e12}}},
-		{"change-stale-list.cbor", storestate.Change{ID: "id-13", At: 1e12, Kind: storestate.SetList, Name: "main", List: &storestate.List{Generation: 1}}},
+		{"change-set-purge-group.cbor", storestate.Change{ID: "id-12", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000, Purge: &storestate.Purge{Group: 3, IssuedAt: 1e12}}},
+		{"change-stale-list.cbor", storestate.Change{ID: "id-13", ProposedAt: 1e12, Kind: storestate.SetList, Name: "main", List: &storestate.List{Generation: 1}}},
 		{"change-full.cbor", storestate.Change{
-			ID: "id-14", At: 1e12, Kind: storestate.SetDrain, Name: "s-00000003", Until: 1e12 + 1, Key: goldenKey(), Base: 4, Text: "t", By: "b",
-			List: goldenList(), Purge: &storestate.Purge{Object: "o", Group: 1, Made: 1e12, Until: 1e12 + 2},
+			ID: "id-14", ProposedAt: 1e12, Kind: storestate.StartDrain, Name: "s-00000003", ExpiresAt: 1e12 + 1, Key: goldenKey(), BaseRevision: 4, Text: "t", Author: "b",
+			List: goldenList(), Purge: &storestate.Purge{Object: "o", Group: 1, IssuedAt: 1e12, ExpiresAt: 1e12 + 2},
 		}},
 		{"change-least.cbor", storestate.Change{}},
 	}
@@ -67,7 +67,7 @@
 func goldenState() *storestate.State {
 	s := storestate.New()
 	for i, e := range goldenChanges() {
-		s.Applied = uint64(i + 10)
+		s.AppliedIndex = uint64(i + 10)
 		s.Apply(e.change)
 	}
 	return s
@@ -82,7 +82,7 @@
 		require.NoError(t, err)
 		for _, c := range []*storestate.State{s, read} { // an id that was used before has its first result again
 			for _, e := range goldenChanges() {
-				require.Equal(t, s.Did(e.change.ID), c.Did(e.change.ID))
+				require.Equal(t, s.HasApplied(e.change.ID), c.HasApplied(e.change.ID))
 			}
 		}
 		again, err := storestate.Encode(read)
@@ -109,7 +109,7 @@
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	for name, v := range map[string]any{
-		"keys.json": s.Keys, "lists.json": s.Lists, "purges.json": s.Purges, "config.json": s.Config, "revision-empty.json": storestate.Revision{},
+		"keys.json": s.Keys, "lists.json": s.Lists, "purges.json": s.Purges, "config.json": s.Revisions, "revision-empty.json": storestate.Revision{},
 		"purge-empty.json": storestate.Purge{},
 	} {
 		raw, err := json.MarshalIndent(v, "", "  ")
--- a/internal/decide/storestate/storestate_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -16,15 +16,15 @@
 
 func change(t *rapid.T, n int) storestate.Change {
 	c := storestate.Change{
-		ID: fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id")), At: float64(rapid.IntRange(0, 5000).Draw(t, "at")),
+		ID: fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id")), ProposedAt: float64(rapid.IntRange(0, 5000).Draw(t, "at")),
 		Kind: storestate.Kind(rapid.IntRange(0, 10).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-		Until: float64(rapid.IntRange(0, 9000).Draw(t, "until")), Base: uint64(rapid.IntRange(0, 4).Draw(t, "base")),
+		ExpiresAt: float64(rapid.IntRange(0, 9000).Draw(t, "until")), BaseRevision: uint64(rapid.IntRange(0, 4).Draw(t, "base")),
 		Text: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "text"),
 	}
 	if rapid.Bool().Draw(t, "full") {
 		c.Key = &storestate.Key{Alg: "HS256", Data: []byte{1}}
 		c.List = &storestate.List{Generation: uint64(rapid.IntRange(1, 3).Draw(t, "gen")), Servers: []serverlist.Server{{ID: 1, Host: "h"}}}
-		c.Purge = &storestate.Purge{Group: rapid.IntRange(0, 2).Draw(t, "group"), Made: c.At}
+		c.Purge = &storestate.Purge{Group: rapid.IntRange(0, 2).Draw(t, "group"), IssuedAt: c.ProposedAt}
 	}
 	return c
 }
@@ -48,7 +48,7 @@
 			require.Equal(t, r, one.Apply(c), "the same id again has the same result, and no effect")
 			require.LessOrEqual(t, one.Revision().Number, before+1)
 			again := ids[c.ID]
-			if ids[c.ID] = true; !again && c.Kind == storestate.Spend && r.Verdict == storestate.OK && c.Until > 5000 {
+			if ids[c.ID] = true; !again && c.Kind == storestate.SpendToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
 				if by, done := spent[c.Name]; done {
 					require.Equal(t, by, c.ID, "spent twice")
 				}
@@ -75,7 +75,7 @@
 	require.NoError(t, err)
 	require.Equal(t, storestate.Key{Alg: "HS256", Data: []byte("x")}, s.Keys["k1"])
 	for raw, want := range map[string]storestate.Verdict{
-		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            storestate.Spent,
+		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            storestate.AlreadySpent,
 		`{"Op":0,"Name":"j3","Until":9000,"Now":1000}`:            storestate.OK,
 		`{"Op":1,"Name":"k2","Key":{"alg":"HS256","key":"eQ=="}}`: storestate.OK,
 		`{"Op":2,"Name":"k1"}`:                                    storestate.OK,
@@ -98,7 +98,7 @@
 // A proposer whose clock is years ahead does not void everybody's tokens.
 func TestClockAhead(t *testing.T) {
 	s := storestate.New()
-	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.Spend, Name: "a", At: 1000, Until: 100_000}).Verdict)
-	s.Apply(storestate.Change{Kind: storestate.Spend, Name: "b", At: 9e15, Until: 9e15})
-	require.Equal(t, storestate.Spent, s.Apply(storestate.Change{Kind: storestate.Spend, Name: "a", At: 1001, Until: 100_000}).Verdict)
+	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1000, ExpiresAt: 100_000}).Verdict)
+	s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "b", ProposedAt: 9e15, ExpiresAt: 9e15})
+	require.Equal(t, storestate.AlreadySpent, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1001, ExpiresAt: 100_000}).Verdict)
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -20,7 +20,7 @@
 	a := tr.log.member()
 	tr.log.purge("before")
 	tr.start(peer("a", 0), a, true)
-	tr.log.commit(storestate.Change{Kind: storestate.SetDrain, Name: "s-1"})
+	tr.log.commit(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
 	p := tr.start(peer("p", 9), nil, false, "a")
 	tr.caughtUp("p")
 	tr.log.purge("after")
@@ -37,14 +37,14 @@
 	defer p.mu.Unlock()
 	for _, c := range p.facts {
 		switch c.Kind {
-		case storestate.SetPurge:
+		case storestate.AddPurge:
 			purges = append(purges, c.Purge.Object)
 		default:
 			drains = append(drains, fmt.Sprint(c.Kind, c.Name))
 		}
 	}
 	require.Equal(t, []string{"before", "after"}, purges)
-	require.Equal(t, []string{fmt.Sprint(storestate.SetDrain, "s-1"), fmt.Sprint(storestate.EndDrain, "s-1")}, drains)
+	require.Equal(t, []string{fmt.Sprint(storestate.StartDrain, "s-1"), fmt.Sprint(storestate.EndDrain, "s-1")}, drains)
 }
 
 // levels starts two roots, two distributors and four proxies.
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -17,10 +17,10 @@
 func entryOf(index uint64, c storestate.Change, r storestate.Revision) (distribution.Stream, distribution.Entry, error) {
 	e := distribution.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
-	case storestate.SetPurge:
-		return distribution.Purges, purgeEntry(index, *c.Purge, c.Until), nil
-	case storestate.SetDrain:
-		e.Kind, e.EffectiveAt = distribution.Drain, ceil(c.At)
+	case storestate.AddPurge:
+		return distribution.Purges, purgeEntry(index, *c.Purge, c.ExpiresAt), nil
+	case storestate.StartDrain:
+		e.Kind, e.EffectiveAt = distribution.Drain, ceil(c.ProposedAt)
 	case storestate.EndDrain:
 		e.Kind = distribution.DrainEnded
 	case storestate.SetList:
@@ -35,7 +35,7 @@
 
 func purgeEntry(index uint64, p storestate.Purge, until float64) distribution.Entry {
 	// An end of 0 would be none: such a purge ended long ago.
-	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: ceil(p.Made), ExpiresAt: max(1, ceil(until))}
+	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: ceil(p.IssuedAt), ExpiresAt: max(1, ceil(until))}
 	if p.Object == "" {
 		e.Kind, e.Group = distribution.PurgeGroup, int64(p.Group)
 	}
@@ -61,10 +61,10 @@
 // indexes comes first, under the lowest numbers: nobody has heard of a stream that long ago.
 func whole(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
 	out := map[distribution.Stream][]distribution.Entry{}
-	index := func(k storestate.Kind, name string) uint64 { return s.Indexes[storestate.Fact(k, name)] }
+	index := func(k storestate.Kind, name string) uint64 { return s.FactIndexes[storestate.FactKey(k, name)] }
 	for _, name := range slices.Sorted(maps.Keys(s.Purges)) {
 		p := s.Purges[name]
-		out[distribution.Purges] = append(out[distribution.Purges], purgeEntry(index(storestate.SetPurge, name), p, p.Until))
+		out[distribution.Purges] = append(out[distribution.Purges], purgeEntry(index(storestate.AddPurge, name), p, p.ExpiresAt))
 	}
 	var all []distribution.Entry
 	if r := s.Revision(); r.Number > 0 {
@@ -83,7 +83,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Drains)) {
 		all = append(all, distribution.Entry{
-			Sequence: index(storestate.SetDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: ceil(s.Drains[name]),
+			Sequence: index(storestate.StartDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: ceil(s.Drains[name]),
 		})
 	}
 	out[distribution.Configuration] = all
@@ -130,16 +130,16 @@
 
 // put has one entry come into force. What this version can't read is an error, and passed over as the store does it.
 func (s *sink) put(e distribution.Entry) error {
-	c := storestate.Change{Name: e.Name, At: float64(e.EffectiveAt), Until: float64(e.ExpiresAt)}
+	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
 	switch e.Kind {
 	case distribution.PurgeObject, distribution.PurgeGroup:
-		c.Kind, c.Name = storestate.SetPurge, ""
-		c.Purge = &storestate.Purge{Made: float64(e.EffectiveAt), Until: float64(e.ExpiresAt)}
+		c.Kind, c.Name = storestate.AddPurge, ""
+		c.Purge = &storestate.Purge{IssuedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
 		if c.Purge.Object = e.Name; e.Kind == distribution.PurgeGroup {
 			c.Purge.Object, c.Purge.Group = "", int(e.Group)
 		}
 	case distribution.Drain:
-		c.Kind = storestate.SetDrain
+		c.Kind = storestate.StartDrain
 		s.held.drains[e.Name] = true
 	case distribution.DrainEnded:
 		c.Kind = storestate.EndDrain
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -23,17 +23,17 @@
 }
 
 func goldenRevision() storestate.Revision {
-	return storestate.Revision{Number: 12, At: goldenTime + 0.5, By: "operator", Text: `{"limits": {}}`, Of: 9}
+	return storestate.Revision{Number: 12, CreatedAt: goldenTime + 0.5, Author: "operator", Text: `{"limits": {}}`, RollbackOf: 9}
 }
 
 // goldenChanges are of every kind that is passed on.
 func goldenChanges() []storestate.Change {
 	list := goldenList()
 	return []storestate.Change{
-		{ID: "1", Kind: storestate.SetPurge, Until: goldenTime + 3_600_000, Purge: &storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}},
-		{ID: "2", Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 17, Made: goldenTime}},
-		{ID: "3", Kind: storestate.SetDrain, Name: "cache-7", At: goldenTime + 0.25},
-		{ID: "4", Kind: storestate.EndDrain, Name: "cache-7", At: goldenTime + 1},
+		{ID: "1", Kind: storestate.AddPurge, ExpiresAt: goldenTime + 3_600_000, Purge: &storestate.Purge{Object: "/a/b.webp", IssuedAt: goldenTime - 1.5, ExpiresAt: goldenTime + 3_600_000}},
+		{ID: "2", Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 17, IssuedAt: goldenTime}},
+		{ID: "3", Kind: storestate.StartDrain, Name: "cache-7", ProposedAt: goldenTime + 0.25},
+		{ID: "4", Kind: storestate.EndDrain, Name: "cache-7", ProposedAt: goldenTime + 1},
 		{ID: "5", Kind: storestate.SetList, Name: "source-1", List: &list},
 		{ID: "6", Kind: storestate.SetConfig, Text: goldenRevision().Text},
 	}
@@ -76,10 +76,10 @@
 	require.Equal(t, []storestate.Revision{goldenRevision()}, revisions)
 	list := goldenList()
 	require.Equal(t, []storestate.Change{
-		{Kind: storestate.SetPurge, At: goldenTime - 1, Until: goldenTime + 3_600_000,
-			Purge: &storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1, Until: goldenTime + 3_600_000}},
-		{Kind: storestate.SetPurge, At: goldenTime, Until: 1, Purge: &storestate.Purge{Group: 17, Made: goldenTime, Until: 1}},
-		{Kind: storestate.SetDrain, Name: "cache-7", At: goldenTime + 1},
+		{Kind: storestate.AddPurge, ProposedAt: goldenTime - 1, ExpiresAt: goldenTime + 3_600_000,
+			Purge: &storestate.Purge{Object: "/a/b.webp", IssuedAt: goldenTime - 1, ExpiresAt: goldenTime + 3_600_000}},
+		{Kind: storestate.AddPurge, ProposedAt: goldenTime, ExpiresAt: 1, Purge: &storestate.Purge{Group: 17, IssuedAt: goldenTime, ExpiresAt: 1}},
+		{Kind: storestate.StartDrain, Name: "cache-7", ProposedAt: goldenTime + 1},
 		{Kind: storestate.EndDrain, Name: "cache-7"},
 		{Kind: storestate.SetList, Name: "source-1", List: &list},
 	}, changes)
@@ -88,15 +88,15 @@
 // So it is with all that a state of the store holds.
 func TestGoldenState(t *testing.T) {
 	state := storestate.New()
-	state.Applied = 500
-	state.Purges["/a/b.webp"] = storestate.Purge{Object: "/a/b.webp", Made: goldenTime - 1.5, Until: goldenTime + 3_600_000}
-	state.Purges["group 17"] = storestate.Purge{Group: 17, Made: goldenTime, Until: goldenTime + 1}
-	state.Config = []storestate.Revision{{Number: 11, Text: "{}"}, goldenRevision()}
+	state.AppliedIndex = 500
+	state.Purges["/a/b.webp"] = storestate.Purge{Object: "/a/b.webp", IssuedAt: goldenTime - 1.5, ExpiresAt: goldenTime + 3_600_000}
+	state.Purges["group 17"] = storestate.Purge{Group: 17, IssuedAt: goldenTime, ExpiresAt: goldenTime + 1}
+	state.Revisions = []storestate.Revision{{Number: 11, Text: "{}"}, goldenRevision()}
 	state.Lists["source-1"] = goldenList()
 	state.Drains["cache-7"] = goldenTime + 0.25
-	state.Indexes = map[string]uint64{
-		storestate.Fact(storestate.SetPurge, "/a/b.webp"): 5, storestate.Fact(storestate.SetPurge, "group 17"): 3, storestate.Fact(storestate.SetConfig, ""): 30,
-		storestate.Fact(storestate.SetList, "source-1"): 20, storestate.Fact(storestate.SetDrain, "cache-7"): 25,
+	state.FactIndexes = map[string]uint64{
+		storestate.FactKey(storestate.AddPurge, "/a/b.webp"): 5, storestate.FactKey(storestate.AddPurge, "group 17"): 3, storestate.FactKey(storestate.SetConfig, ""): 30,
+		storestate.FactKey(storestate.SetList, "source-1"): 20, storestate.FactKey(storestate.StartDrain, "cache-7"): 25,
 	}
 	all, err := whole(state)
 	require.NoError(t, err)
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -29,8 +29,8 @@
 
 // Source is a member of the store.
 type Source interface {
-	Follow(store.Follower)
-	Confirmed() (index uint64, at float64, err error)
+	Observe(store.Observer)
+	ReadIndex() (index uint64, at float64, err error)
 }
 
 // Options set up a node.
@@ -64,9 +64,9 @@
 type Node struct {
 	opt     Options
 	streams map[distribution.Stream]*stream
-	addrs   map[string]string // of candidates
-	links   *store.Links      // nil: nobody subscribes here
-	linked  atomic.Uint64     // numbers links from below
+	addrs   map[string]string   // of candidates
+	links   *store.LinkListener // nil: nobody subscribes here
+	linked  atomic.Uint64       // numbers links from below
 	done    chan struct{}
 	closing sync.Once
 	wait    sync.WaitGroup // of all goroutines but the listener's
--- a/internal/distribution/root.go
+++ b/internal/distribution/root.go
@@ -31,14 +31,14 @@
 			return
 		default:
 		}
-		index, at, err := r.node.opt.Source.Confirmed()
+		index, at, err := r.node.opt.Source.ReadIndex()
 		if err == nil && math.Floor(at) > r.confirmed {
 			r.mu.Lock()
 			r.confirmed = math.Floor(at)
 			r.mu.Unlock()
 			if !following {
 				following = true
-				r.node.opt.Source.Follow(r)
+				r.node.opt.Source.Observe(r)
 			} else {
 				r.advance(index)
 			}
@@ -60,24 +60,24 @@
 	return distribution.Watermark{Sequence: index, At: int64(r.confirmed)}
 }
 
-// Replaced implements store.Follower.
-func (r *root) Replaced(s *storestate.State) {
+// StateReplaced implements store.Follower.
+func (r *root) StateReplaced(s *storestate.State) {
 	all, err := whole(s)
 	if err != nil {
 		r.node.opt.Log.Error("distribution").Err(err).Msg("the store's state can't be passed on")
 		return
 	}
-	mark := r.mark(s.Applied)
+	mark := r.mark(s.AppliedIndex)
 	for _, at := range Streams {
-		r.last[at] = s.Applied
+		r.last[at] = s.AppliedIndex
 		r.node.streams[at].post(input{below: true, event: distribution.InstallSnapshot{
-			Epoch: r.node.opt.Epoch, Through: s.Applied, Watermark: mark, Entries: all[at],
+			Epoch: r.node.opt.Epoch, Through: s.AppliedIndex, Watermark: mark, Entries: all[at],
 		}})
 	}
 }
 
-// Applied implements store.Follower.
-func (r *root) Applied(index uint64, c storestate.Change, rev storestate.Revision) {
+// ChangeApplied implements store.Follower.
+func (r *root) ChangeApplied(index uint64, c storestate.Change, rev storestate.Revision) {
 	at, e, err := entryOf(index, c, rev)
 	if err != nil {
 		r.node.opt.Log.Error("distribution").Err(err).Msg("a change can't be passed on")
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -34,7 +34,7 @@
 
 	mu       sync.Mutex
 	state    *storestate.State
-	follower store.Follower
+	follower store.Observer
 	alone    bool // no quorum
 }
 
@@ -60,28 +60,28 @@
 func (l *log) commit(c storestate.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.At = l.clk.Now()
+	c.ProposedAt = l.clk.Now()
 	l.changes = append(l.changes, c)
 	index := uint64(len(l.changes))
 	e := pure.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
-	case storestate.SetPurge:
-		e.Kind, e.Name, e.EffectiveAt, e.ExpiresAt = pure.PurgeObject, c.Purge.Object, int64(c.Purge.Made), int64(c.Until)
-	case storestate.SetDrain:
+	case storestate.AddPurge:
+		e.Kind, e.Name, e.EffectiveAt, e.ExpiresAt = pure.PurgeObject, c.Purge.Object, int64(c.Purge.IssuedAt), int64(c.ExpiresAt)
+	case storestate.StartDrain:
 		e.Kind = pure.Drain
 	case storestate.EndDrain:
 		e.Kind = pure.DrainEnded
 	}
 	stream := pure.Configuration
-	if c.Kind == storestate.SetPurge {
+	if c.Kind == storestate.AddPurge {
 		stream = pure.Purges
 	}
-	l.history[stream].Commit(l.epoch, e, int64(c.At))
+	l.history[stream].Commit(l.epoch, e, int64(c.ProposedAt))
 }
 
 func (l *log) purge(object string) {
 	made := l.clk.Now()
-	l.commit(storestate.Change{Kind: storestate.SetPurge, Until: float64(int64(made)) + 1e6, Purge: &storestate.Purge{Object: object, Made: float64(int64(made))}})
+	l.commit(storestate.Change{Kind: storestate.AddPurge, ExpiresAt: float64(int64(made)) + 1e6, Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(made))}})
 }
 
 func (l *log) member() *member { return &member{log: l, state: storestate.New()} }
@@ -93,23 +93,23 @@
 	m.log.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for m.state.Applied < uint64(len(changes)) {
-		c := changes[m.state.Applied]
-		m.state.Applied++
+	for m.state.AppliedIndex < uint64(len(changes)) {
+		c := changes[m.state.AppliedIndex]
+		m.state.AppliedIndex++
 		if m.state.Apply(c); m.follower != nil {
-			m.follower.Applied(m.state.Applied, c, m.state.Revision())
+			m.follower.ChangeApplied(m.state.AppliedIndex, c, m.state.Revision())
 		}
 	}
 }
 
-func (m *member) Follow(f store.Follower) {
+func (m *member) Observe(f store.Observer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.follower = f
-	f.Replaced(m.state)
+	f.StateReplaced(m.state)
 }
 
-func (m *member) Confirmed() (uint64, float64, error) {
+func (m *member) ReadIndex() (uint64, float64, error) {
 	m.mu.Lock()
 	alone := m.alone
 	m.mu.Unlock()
@@ -120,7 +120,7 @@
 	m.apply()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.state.Applied, at, nil
+	return m.state.AppliedIndex, at, nil
 }
 
 func (m *member) cut(alone bool) {
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -97,8 +97,8 @@
 	}
 	if write {
 		// Authorised once and for all before its first attempt: from here on only what becomes of it counts.
-		switch err := f.store.Spend(t.jti, t.expires); {
-		case errors.Is(err, store.ErrSpent):
+		switch err := f.store.SpendToken(t.jti, t.expires); {
+		case errors.Is(err, store.ErrTokenSpent):
 			reply(w, http.StatusConflict, "replayed")
 			return
 		case err != nil:
--- a/internal/front/signed/golden_test.go
+++ b/internal/front/signed/golden_test.go
@@ -59,7 +59,7 @@
 	defer st.Close()
 	require.Eventually(t, st.Leader, time.Minute, time.Millisecond)
 	require.NoError(t, st.PutKey("k2", store.Key{Alg: "HS256", Data: secret}))
-	require.NoError(t, st.Revoke("revoked", clk.Now()+1e9))
+	require.NoError(t, st.RevokeToken("revoked", clk.Now()+1e9))
 	doer := &prepared{clock: clk}
 	front := signed.New(signed.Options{Audience: "tabletop", Leeway: leeway, Clock: clk, Store: st, Core: doer})
 	token := func(path, id string, seconds float64) string {
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -87,7 +87,7 @@
 		err = errors.New("cdniip is not supported")
 	case write && c.ID == "":
 		err = errors.New("a write needs a jti")
-	case c.ID != "" && v.store.Revoked(c.ID):
+	case c.ID != "" && v.store.IsRevoked(c.ID):
 		err = errors.New("revoked")
 	case parsed.Header["crit"] != nil:
 		err = errors.New("a critical header is not understood")
@@ -124,7 +124,7 @@
 	if v.clock.Now() >= t.void {
 		return errExpired
 	}
-	if _, ok := v.store.Key(t.kid); !ok || t.jti != "" && v.store.Revoked(t.jti) {
+	if _, ok := v.store.Key(t.kid); !ok || t.jti != "" && v.store.IsRevoked(t.jti) {
 		return errUnauthorised
 	}
 	return nil
--- a/internal/lab/capacity/model_test.go
+++ b/internal/lab/capacity/model_test.go
@@ -109,6 +109,6 @@
 
 // Bounds that the formulas repeat are those of the code.
 func TestBoundsAreThoseOfTheReplica(t *testing.T) {
-	require.Len(t, revisedState(mostRevisions+30).Config, mostRevisions)
-	require.Len(t, rememberingState(mostResults+30).Done, mostResults)
+	require.Len(t, revisedState(mostRevisions+30).Revisions, mostRevisions)
+	require.Len(t, rememberingState(mostResults+30).Results, mostResults)
 }
--- a/internal/lab/capacity/record_replica.go
+++ b/internal/lab/capacity/record_replica.go
@@ -17,7 +17,7 @@
 // purgeChange is one purge as the store proposes it, and binds for long after the time at which a recording looks.
 func purgeChange(n int, name string) storestate.Change {
 	at := 1.8e12 + float64(n)
-	return storestate.Change{ID: changeID(n), At: at, Kind: storestate.SetPurge, Until: at + 1e9, Purge: &storestate.Purge{Object: name, Made: at}}
+	return storestate.Change{ID: changeID(n), ProposedAt: at, Kind: storestate.AddPurge, ExpiresAt: at + 1e9, Purge: &storestate.Purge{Object: name, IssuedAt: at}}
 }
 
 // purgedState holds so many purges, and the results of none: what they cost is recorded apart.
@@ -35,7 +35,7 @@
 func rememberingState(changes int) *storestate.State {
 	s := storestate.New()
 	for n := range changes {
-		s.Apply(storestate.Change{ID: changeID(n), At: 1.8e12, Kind: storestate.EndDrain, Name: "none"})
+		s.Apply(storestate.Change{ID: changeID(n), ProposedAt: 1.8e12, Kind: storestate.EndDrain, Name: "none"})
 	}
 	return s
 }
@@ -56,7 +56,7 @@
 	list := storeList(servers)
 	list.Generation = uint64(generation)
 	list.Servers[generation*37%servers].Weight = float64(1 + generation%4)
-	return storestate.Change{ID: changeID(generation), At: 1.8e12, Kind: storestate.SetList, Name: "servers", List: list}
+	return storestate.Change{ID: changeID(generation), ProposedAt: 1.8e12, Kind: storestate.SetList, Name: "servers", List: list}
 }
 
 func listedState(servers int) *storestate.State {
@@ -71,7 +71,7 @@
 	s := storestate.New()
 	for n := range revisions {
 		text := fmt.Sprintf("%0*d", revisionBytes, n)
-		s.Apply(storestate.Change{At: 1.8e12, Kind: storestate.SetConfig, Base: uint64(n), Text: text, By: "operator"})
+		s.Apply(storestate.Change{ProposedAt: 1.8e12, Kind: storestate.SetConfig, BaseRevision: uint64(n), Text: text, Author: "operator"})
 	}
 	return s
 }
--- a/internal/lab/hollow/apply.go
+++ b/internal/lab/hollow/apply.go
@@ -160,14 +160,14 @@
 	}
 	now, at := a.now()
 	switch c.Kind {
-	case storestate.SetPurge:
-		a.purged(at, policy.Purged{Object: c.Purge.Object, Group: c.Purge.Group, Age: age(now, int64(c.Purge.Made))})
+	case storestate.AddPurge:
+		a.purged(at, policy.Purged{Object: c.Purge.Object, Group: c.Purge.Group, Age: age(now, int64(c.Purge.IssuedAt))})
 	case storestate.SetList:
 		if c.Name == sourceName(a.p.zone) {
 			a.take(now, c.List)
 		}
-	case storestate.SetDrain, storestate.EndDrain:
-		a.drain(now, c.Name, c.Kind == storestate.SetDrain)
+	case storestate.StartDrain, storestate.EndDrain:
+		a.drain(now, c.Name, c.Kind == storestate.StartDrain)
 	case storestate.SetConfig:
 		if live, err := config.ParseLive("revision", c.Text); err == nil {
 			a.live, a.revision = live, a.state.Revision().Number
--- a/internal/lab/hollow/commits.go
+++ b/internal/lab/hollow/commits.go
@@ -70,11 +70,11 @@
 	e := distribution.Entry{Kind: distribution.PurgeObject, EffectiveAt: int64(made), ExpiresAt: int64(made) + purgeBinds, GroupKnown: true}
 	object := int(float64(w.spec.Objects) * math.Pow(h.rng.Float64(), 3)) // some are purged again and again
 	e.Name, e.Group = fmt.Sprintf("%016x", object), int64(object%groups)
-	p := storestate.Purge{Object: e.Name, Group: int(e.Group), Made: made}
+	p := storestate.Purge{Object: e.Name, Group: int(e.Group), IssuedAt: made}
 	if h.rng.Float64() < w.spec.GroupPurges {
 		e.Kind, e.Name, e.GroupKnown, p.Object = distribution.PurgeGroup, "", false, ""
 	}
-	return &committed{entry: e, stream: purges, change: h.encode(storestate.Change{At: made, Kind: storestate.SetPurge, Until: made + purgeBinds, Purge: &p})}
+	return &committed{entry: e, stream: purges, change: h.encode(storestate.Change{ProposedAt: made, Kind: storestate.AddPurge, ExpiresAt: made + purgeBinds, Purge: &p})}
 }
 
 func (h *history) encode(c storestate.Change) []byte {
@@ -95,8 +95,8 @@
 		return h.text(w)
 	default:
 		server := h.rng.IntN(w.zones * w.spec.ZoneServers)
-		c := storestate.Change{At: w.clock(proposer), Kind: storestate.SetDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
-		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, EffectiveAt: int64(c.At)}
+		c := storestate.Change{ProposedAt: w.clock(proposer), Kind: storestate.StartDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
+		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, EffectiveAt: int64(c.ProposedAt)}
 		if h.drained[server] {
 			c.Kind, e.Kind, e.EffectiveAt = storestate.EndDrain, distribution.DrainEnded, 0
 		}
@@ -109,7 +109,7 @@
 	h.number++
 	text := fmt.Sprintf(`{"limits": {"requests": %d, "connect_ms": 300, "idle_ms": 60000, "streams_per_connection": 64}}`, 1000+h.number)
 	text += " // " + strings.Repeat("x", max(0, w.spec.RevisionBytes-len(text)-5)) + "\n"
-	c := storestate.Change{Kind: storestate.SetConfig, Base: h.number - 1, Text: text, By: "operator"}
+	c := storestate.Change{Kind: storestate.SetConfig, BaseRevision: h.number - 1, Text: text, Author: "operator"}
 	return &committed{entry: distribution.Entry{Kind: distribution.Revision, Version: h.number, Body: []byte(text)}, stream: changes, change: h.encode(c)}
 }
 
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -202,7 +202,7 @@
 
 // holder is another whose certificate was checked, with the secrets shared with it.
 type holder struct {
-	store.Holder
+	store.Peer
 	cert    []byte
 	out, in []byte
 }
@@ -216,18 +216,18 @@
 // check finds whose certificate it is. One that is known keeps its own unless the other was issued later: a key that leaked is
 // then of no more use, and who has a new one needs nobody else to start anew.
 func (p *post) check(cert []byte) (*holder, error) {
-	h, err := p.id.Holder(cert)
+	h, err := p.id.VerifyPeer(cert)
 	if err != nil {
 		return nil, err
 	}
 	if known := p.holder(h.Name); known != nil && !h.Issued.After(known.Issued) {
 		return known, nil
 	}
-	out, in, err := p.id.Shared(h, "peers")
+	out, in, err := p.id.SharedSecrets(h, "peers")
 	if err != nil {
 		return nil, err
 	}
-	return &holder{Holder: h, cert: bytes.Clone(cert), out: out, in: in}, nil
+	return &holder{Peer: h, cert: bytes.Clone(cert), out: out, in: in}, nil
 }
 
 // learn takes the certificate of a stream's other end, which has shown that it holds the key; it returns whose it is.
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -17,7 +17,7 @@
 		other := c.members[c.other(lead)]
 		began := time.Now()
 		c.members[lead].Kill()
-		for i := 0; other.Spend(string(rune('a'+i%26))+time.Now().String(), 9e15) != nil; i++ {
+		for i := 0; other.SpendToken(string(rune('a'+i%26))+time.Now().String(), 9e15) != nil; i++ {
 		}
 		_ = took.RecordValue(time.Since(began).Milliseconds())
 		c.open(lead, Options{})
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -7,95 +7,81 @@
 	"time"
 
 	"github.com/hashicorp/raft"
-	bolt "go.etcd.io/bbolt"
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/retry"
 	"ravenwheel/internal/decide/storestate"
 )
 
-// boltOptions: a second process with the same directory is told so at once.
-func boltOptions() *bolt.Options { return &bolt.Options{Timeout: 100 * time.Millisecond} }
-
-// Status is how a member stands.
+// Status describes a member.
 type Status struct {
-	Name    string        `cbor:"1,keyasint" json:"name"`
-	State   string        `cbor:"2,keyasint" json:"state"`
-	Leader  string        `cbor:"3,keyasint" json:"leader"`
-	Term    uint64        `cbor:"4,keyasint" json:"term"`
-	Applied uint64        `cbor:"5,keyasint" json:"applied"`
-	Commit  uint64        `cbor:"6,keyasint" json:"commit"`
-	StaleMs float64       `cbor:"7,keyasint" json:"stale_ms"` // since it heard of a leader; 0: it leads
-	Members []MemberState `cbor:"8,keyasint" json:"members"`
-	Config  uint64        `cbor:"9,keyasint" json:"config_revision"`
+	Name           string        `cbor:"1,keyasint" json:"name"`
+	State          string        `cbor:"2,keyasint" json:"state"`  // raft's: Leader, Follower, Candidate, Shutdown
+	Leader         string        `cbor:"3,keyasint" json:"leader"` // name; empty: unknown
+	Term           uint64        `cbor:"4,keyasint" json:"term"`
+	AppliedIndex   uint64        `cbor:"5,keyasint" json:"applied"`
+	CommitIndex    uint64        `cbor:"6,keyasint" json:"commit"`
+	StaleMs        float64       `cbor:"7,keyasint" json:"stale_ms"` // since the last contact with a leader; 0: it is the leader
+	Members        []MemberState `cbor:"8,keyasint" json:"members"`
+	ConfigRevision uint64        `cbor:"9,keyasint" json:"config_revision"`
 }
 
-// MemberState is a member as another one has it on its list.
+// MemberState is a member as another one knows it.
 type MemberState struct {
 	Name  string `cbor:"1,keyasint" json:"name"`
 	Addr  string `cbor:"2,keyasint" json:"addr"`
-	Votes bool   `cbor:"3,keyasint" json:"votes"`
+	Voter bool   `cbor:"3,keyasint" json:"votes"`
 }
 
-// Status tells how this member stands.
+// Status returns this member's current state.
 func (s *Store) Status() Status {
 	if s.raft == nil {
-		return Status{Name: "alone", State: "Leader", Leader: "alone", Config: s.Config().Number}
+		return Status{Name: "alone", State: "Leader", Leader: "alone", ConfigRevision: s.Config().Number}
 	}
 	_, leader := s.raft.LeaderWithID()
 	st := Status{
 		Name: s.opt.Self.Name, State: s.raft.State().String(), Leader: string(leader),
-		Applied: s.raft.AppliedIndex(), Commit: s.raft.CommitIndex(), Config: s.Config().Number,
+		AppliedIndex: s.raft.AppliedIndex(), CommitIndex: s.raft.CommitIndex(), ConfigRevision: s.Config().Number,
 	}
 	st.Term, _ = strconv.ParseUint(s.raft.Stats()["term"], 10, 64)
 	if !s.Leader() {
 		st.StaleMs = clock.Ms(time.Since(s.raft.LastContact()))
 	}
-	if f := s.raft.GetConfiguration(); f.Error() == nil {
-		for _, x := range f.Configuration().Servers {
-			st.Members = append(st.Members, MemberState{string(x.ID), string(x.Address), x.Suffrage == raft.Voter})
-		}
+	for _, server := range s.servers() {
+		st.Members = append(st.Members, MemberState{string(server.ID), string(server.Address), server.Suffrage == raft.Voter})
 	}
 	return st
 }
 
-// serve answers another member's call.
-func (s *Store) serve(peer string, q request) (r reply) {
-	if q.Call == callStatus {
+// handleCall answers another member's call.
+func (s *Store) handleCall(peer string, q request) reply {
+	if q.Operation == OpStatus {
 		st := s.Status()
 		return reply{Status: &st}
 	}
 	if !s.Leader() {
 		addr, _ := s.raft.LeaderWithID()
-		return reply{Err: notLeader, Leader: string(addr)}
+		return reply{Err: errTextNotLeader, Leader: string(addr)}
 	}
 	var err error
-	switch q.Call {
-	case callApply:
-		if _, err := storestate.DecodeChange(q.Change); err != nil {
-			return reply{Err: err.Error()}
-		}
-		out, o := s.apply(q.Change)
-		if o != retry.Done {
-			return reply{Err: "not applied", Maybe: o == retry.Unknown}
-		}
-		raw, _ := storestate.Encode(out)
-		return reply{Result: raw[1:]}
-	case callIndex:
+	switch q.Operation {
+	case opApply:
+		return s.handleApply(q.Change)
+	case opIndex:
 		if err = s.raft.Barrier(s.opt.Timeout).Error(); err == nil {
-			return reply{Index: s.applied()} // a barrier returns once all before it is taken in
+			return reply{Index: s.appliedIndex()} // after a barrier, all entries before it are applied
 		}
-	case callJoin:
+	case OpJoin:
 		if peer != q.Name {
 			return reply{Err: fmt.Sprintf("member %q asks in the name of %q", peer, q.Name)}
 		}
-		err = s.admit(q.Name, q.Addr)
-	case callRemove:
+		err = s.addMember(q.Name, q.Addr)
+	case OpRemove:
 		err = s.raft.RemoveServer(raft.ServerID(q.Name), 0, s.opt.Timeout).Error()
-	case callTransfer:
-		err = s.transfer(q.Name)
+	case OpTransfer:
+		err = s.transferLeadership(q.Name)
 	default:
-		err = fmt.Errorf("no call %q", q.Call)
+		err = fmt.Errorf("unknown operation %q", q.Operation)
 	}
 	if err != nil {
 		return reply{Err: err.Error(), Maybe: true}
@@ -103,35 +89,58 @@
 	return reply{}
 }
 
-// admit takes a member in: it learns until it knows nearly all, and votes then. One that voted at once would be counted
-// for a quorum while it knows nothing.
-func (s *Store) admit(name, addr string) error {
-	if f := s.raft.GetConfiguration(); f.Error() == nil {
-		for _, x := range f.Configuration().Servers {
-			if string(x.ID) == name && string(x.Address) == addr && x.Suffrage == raft.Voter {
-				return nil
-			}
+func (s *Store) handleApply(change []byte) reply {
+	if _, err := storestate.DecodeChange(change); err != nil {
+		return reply{Err: err.Error()}
+	}
+	result, outcome := s.applyAsLeader(change)
+	if outcome != retry.Done {
+		return reply{Err: "not applied", Maybe: outcome == retry.Unknown}
+	}
+	raw, _ := storestate.Encode(result)
+	return reply{Result: raw[1:]} // without the format version
+}
+
+const (
+	// catchUpLag is by how many entries a new member may be behind when it becomes a voter.
+	catchUpLag = 16
+	// catchUpTimeouts is how many time-outs it has to get there.
+	catchUpTimeouts = 5
+	// catchUpPollInterval is how many ms pass between two looks at how far it is.
+	catchUpPollInterval = 10
+)
+
+// addMember adds a member as a non-voter, waits until it has caught up, and makes it a voter. A voter with an empty log
+// would count for a quorum before it could serve in one.
+func (s *Store) addMember(name, addr string) error {
+	for _, server := range s.servers() {
+		if string(server.ID) == name && string(server.Address) == addr && server.Suffrage == raft.Voter {
+			return nil
 		}
 	}
 	if err := s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(addr), 0, s.opt.Timeout).Error(); err != nil {
 		return err
 	}
-	for end := s.opt.Clock.Now() + 5*clock.Ms(s.opt.Timeout); ; s.sleep(10) {
-		r, _, err := s.wire.call(addr, request{Call: callStatus}, s.opt.Timeout)
-		if err == nil && r.Status != nil && r.Status.Applied+closeBehind >= s.raft.CommitIndex() {
-			break
+	if err := s.awaitCatchUp(name, addr); err != nil {
+		return err
+	}
+	return s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(addr), 0, s.opt.Timeout).Error()
+}
+
+func (s *Store) awaitCatchUp(name, addr string) error {
+	for deadline := s.opt.Clock.Now() + catchUpTimeouts*clock.Ms(s.opt.Timeout); ; s.sleep(catchUpPollInterval) {
+		r, _, err := s.transport.call(addr, request{Operation: OpStatus}, s.opt.Timeout)
+		if err == nil && r.Status != nil && r.Status.AppliedIndex+catchUpLag >= s.raft.CommitIndex() {
+			return nil
 		}
-		if s.opt.Clock.Now() >= end {
+		if s.opt.Clock.Now() >= deadline {
 			return fmt.Errorf("member %q does not catch up: it goes on learning", name)
 		}
 	}
-	return s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(addr), 0, s.opt.Timeout).Error()
 }
 
-// closeBehind entries are caught up with in a moment.
-const closeBehind = 16
-
-func (s *Store) transfer(name string) error {
+// transferLeadership transfers leadership to a member, or to any for an empty name.
+func (s *Store) transferLeadership(name string) error {
 	if name == "" {
 		return s.raft.LeadershipTransfer().Error()
 	}
@@ -139,25 +148,29 @@
 	if err := f.Error(); err != nil {
 		return err
 	}
-	for _, x := range f.Configuration().Servers {
-		if string(x.ID) == name {
-			return s.raft.LeadershipTransferToServer(x.ID, x.Address).Error()
+	for _, server := range f.Configuration().Servers {
+		if string(server.ID) == name {
+			return s.raft.LeadershipTransferToServer(server.ID, server.Address).Error()
 		}
 	}
 	return fmt.Errorf("no member %q", name)
 }
 
-// Ask has a member of the cluster do something, following it to the leader where that is needed. While leadership moves,
-// a member knows of no leader or of one that has just stopped leading: what it refuses for that has not run, and is
-// asked again until wait is over. It needs a certificate of the cluster, and no store.
-func Ask(id *Identity, addr, call, name, at string, wait time.Duration) (Status, error) {
-	w := &wire{id: id, dial: Options{}.dialer()}
-	for end := time.Now().Add(wait); ; time.Sleep(askAgain) {
-		r, _, err := w.call(addr, request{Call: call, Name: name, Addr: at}, wait)
+// requestRetryDelay is the pause before a request is repeated while leadership moves.
+const requestRetryDelay = 20 * time.Millisecond
+
+// Request has a member of the cluster carry out an operation, and follows it to the leader. name and memberAddr are those of
+// the member that the operation is about. While leadership moves, members know no leader or an outdated one; what they refuse
+// for that reason had no effect, and is requested again until timeout is over. Request needs an identity of the cluster, but
+// no store.
+func Request(id *Identity, addr string, op Operation, name, memberAddr string, timeout time.Duration) (Status, error) {
+	t := &transport{identity: id, dial: dialTCP}
+	for end := time.Now().Add(timeout); ; time.Sleep(requestRetryDelay) {
+		r, _, err := t.call(addr, request{Operation: op, Name: name, Addr: memberAddr}, timeout)
 		switch {
 		case err != nil:
 			return Status{}, fmt.Errorf("store: member at %s: %w", addr, err)
-		case r.Err == notLeader && time.Now().Before(end):
+		case r.Err == errTextNotLeader && time.Now().Before(end):
 			addr = cmp.Or(r.Leader, addr)
 		case r.Err != "":
 			return Status{}, fmt.Errorf("store: member at %s says: %s", addr, r.Err)
@@ -168,16 +181,3 @@
 		}
 	}
 }
-
-const (
-	notLeader = "not the leader" // the answer of a member that does not lead, the call not run
-	askAgain  = 20 * time.Millisecond
-)
-
-// The calls that Ask makes.
-const (
-	AskStatus   = callStatus
-	AskJoin     = callJoin // of the member itself: its certificate must have that name
-	AskRemove   = callRemove
-	AskTransfer = callTransfer
-)
--- a/internal/store/facts_test.go
+++ b/internal/store/facts_test.go
@@ -21,7 +21,7 @@
 func (t *told) fact(c storestate.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c.Kind == storestate.SetDrain || c.Kind == storestate.EndDrain {
+	if c.Kind == storestate.StartDrain || c.Kind == storestate.EndDrain {
 		t.last[c.Name] = c.Kind
 	}
 }
@@ -37,15 +37,15 @@
 func TestFactsFromTheStart(t *testing.T) {
 	c := newCluster(t, "a")
 	eventually(t, func() bool { // its election may take longer than a call waits, on a loaded machine
-		_, err := c.members["a"].Do(storestate.Change{Kind: storestate.SetDrain, Name: "s-1"})
+		_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
 		return err == nil
 	}, "a leader, and the drain")
-	_, err := c.members["a"].Do(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
+	_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	require.NoError(t, err)
 	c.members["a"].Kill()
 
 	heard := &told{last: map[string]storestate.Kind{}}
-	back := c.open("a", Options{Facts: heard.fact})
+	back := c.open("a", Options{OnFact: heard.fact})
 	eventually(t, func() bool { return heard.of("s-1") == storestate.EndDrain }, "the end of the drain, told")
 	var held bool
 	require.NoError(t, back.Read(false, func(s *storestate.State) { _, held = s.Drains["s-1"] }))
@@ -56,11 +56,11 @@
 // as ended.
 func TestSnapshotEndsDrain(t *testing.T) {
 	heard := &told{last: map[string]storestate.Kind{}}
-	f := &fsm{state: storestate.New(), facts: heard.fact}
-	raw, err := storestate.Encode(storestate.Change{ID: "1", Kind: storestate.SetDrain, Name: "s-1"})
+	f := &fsm{state: storestate.New(), onFact: heard.fact}
+	raw, err := storestate.Encode(storestate.Change{ID: "1", Kind: storestate.StartDrain, Name: "s-1"})
 	require.NoError(t, err)
 	require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: 1, Data: raw}).(storestate.Result).Verdict)
-	require.Equal(t, storestate.SetDrain, heard.of("s-1"))
+	require.Equal(t, storestate.StartDrain, heard.of("s-1"))
 
 	later, err := storestate.Encode(storestate.New())
 	require.NoError(t, err)
@@ -72,9 +72,9 @@
 // drain that was ended in between came back in the proxies, and in no state.
 func TestToldOnce(t *testing.T) {
 	heard := &told{last: map[string]storestate.Kind{}}
-	f := &fsm{state: storestate.New(), facts: heard.fact}
+	f := &fsm{state: storestate.New(), onFact: heard.fact}
 	for i, c := range []storestate.Change{
-		{ID: "1", Kind: storestate.SetDrain, Name: "s-1"}, {ID: "2", Kind: storestate.EndDrain, Name: "s-1"}, {ID: "1", Kind: storestate.SetDrain, Name: "s-1"},
+		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"}, {ID: "2", Kind: storestate.EndDrain, Name: "s-1"}, {ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
 	} {
 		raw, err := storestate.Encode(c)
 		require.NoError(t, err)
@@ -90,16 +90,16 @@
 	told  map[string]uint64
 }
 
-func (f *follower) Replaced(s *storestate.State) { f.state = s }
+func (f *follower) StateReplaced(s *storestate.State) { f.state = s }
 
-func (f *follower) Applied(index uint64, c storestate.Change, r storestate.Revision) {
+func (f *follower) ChangeApplied(index uint64, c storestate.Change, r storestate.Revision) {
 	switch c.Kind {
 	case storestate.EndDrain:
-		delete(f.told, storestate.Fact(storestate.SetDrain, c.Name))
-	case storestate.SetPurge:
-		f.told[storestate.Fact(c.Kind, c.Purge.Object)] = index
+		delete(f.told, storestate.FactKey(storestate.StartDrain, c.Name))
+	case storestate.AddPurge:
+		f.told[storestate.FactKey(c.Kind, c.Purge.Object)] = index
 	default:
-		f.told[storestate.Fact(c.Kind, c.Name)] = index
+		f.told[storestate.FactKey(c.Kind, c.Name)] = index
 	}
 }
 
@@ -108,14 +108,14 @@
 func TestFollow(t *testing.T) {
 	s := &Store{fsm: &fsm{state: storestate.New()}}
 	f := &follower{told: map[string]uint64{}}
-	s.Follow(f)
+	s.Observe(f)
 	for i, c := range []storestate.Change{
-		{Kind: storestate.SetDrain, Name: "s-1"}, {Kind: storestate.SetDrain, Name: "s-2"}, {Kind: storestate.EndDrain, Name: "s-1"},
+		{Kind: storestate.StartDrain, Name: "s-1"}, {Kind: storestate.StartDrain, Name: "s-2"}, {Kind: storestate.EndDrain, Name: "s-1"},
 		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 2}}, {Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 1}},
-		{Kind: storestate.SetConfig, Text: "x"}, {Kind: storestate.SetPurge, Until: 9000, Purge: &storestate.Purge{Object: "o", Made: 1}},
-		{Kind: storestate.SetPurge, Until: 10, Purge: &storestate.Purge{Object: "over", Made: 1}},
+		{Kind: storestate.SetConfig, Text: "x"}, {Kind: storestate.AddPurge, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1}},
+		{Kind: storestate.AddPurge, ExpiresAt: 10, Purge: &storestate.Purge{Object: "over", IssuedAt: 1}},
 	} {
-		c.At = 1000
+		c.ProposedAt = 1000
 		raw, err := storestate.Encode(c)
 		require.NoError(t, err)
 		s.fsm.Apply(&raft.Log{Index: uint64(i + 5), Data: raw})
@@ -126,5 +126,5 @@
 	raw, err := storestate.Encode(s.fsm.state)
 	require.NoError(t, err)
 	require.NoError(t, s.fsm.Restore(io.NopCloser(bytes.NewReader(raw))))
-	require.Equal(t, f.told, f.state.Indexes)
+	require.Equal(t, f.told, f.state.FactIndexes)
 }
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -14,64 +14,72 @@
 	mu        sync.RWMutex
 	state     *storestate.State
 	watchers  []chan storestate.Revision
-	followers []Follower
-	facts     func(storestate.Change) // set before raft starts, so that nothing applied goes untold; nil: nobody asks
+	observers []Observer
+	onFact    func(storestate.Change) // set before raft starts, so that no entry is missed; nil: not called
 }
 
-// Apply takes one entry; its result is a storestate.Result.
-func (f *fsm) Apply(l *raft.Log) any {
-	c, err := storestate.DecodeChange(l.Data)
+// Apply implements raft.FSM. Its result is a storestate.Result.
+func (f *fsm) Apply(entry *raft.Log) any {
+	c, err := storestate.DecodeChange(entry.Data)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state.Applied = l.Index
+	f.state.AppliedIndex = entry.Index
 	if err != nil {
-		// Of a later version: all members of this one pass it over alike.
+		// Written by a later version: all members of this version ignore it alike.
 		return storestate.Result{Verdict: storestate.Invalid}
 	}
 	before := f.state.Revision().Number
-	again := f.state.Did(c.ID)
+	repeated := f.state.HasApplied(c.ID)
 	r := f.state.Apply(c)
-	if again { // its effect was told then, and may have been ended since
+	if repeated { // announced then, and its effect may have been undone since
 		return r
 	}
-	if now := f.state.Revision(); now.Number != before {
-		f.tell(now)
-	}
-	if f.facts != nil && r.Verdict == storestate.OK && c.Kind >= storestate.SetList {
-		f.facts(c)
-	}
+	f.notifyWatchers(before)
 	if r.Verdict == storestate.OK {
-		for _, x := range f.followers {
-			x.Applied(l.Index, c, f.state.Revision())
-		}
+		f.announce(entry.Index, c)
 	}
 	return r
 }
 
-// retell tells all facts that a new state holds, as changes, and the end of each drain that the old one held and the
-// new one does not: a member far behind is given a snapshot in place of the entries that ended them.
-func (f *fsm) retell(old *storestate.State) {
-	if f.facts == nil {
+// announce passes an applied change on.
+func (f *fsm) announce(index uint64, c storestate.Change) {
+	if f.onFact != nil && c.Kind >= storestate.SetList {
+		f.onFact(c)
+	}
+	for _, o := range f.observers {
+		o.ChangeApplied(index, c, f.state.Revision())
+	}
+}
+
+// announceState passes all facts of a new state on as changes, and the end of each drain that the old state had and the new
+// one has not: a member far behind receives a snapshot in place of the entries that ended them.
+func (f *fsm) announceState(old *storestate.State) {
+	if f.onFact == nil {
 		return
 	}
 	for name := range old.Drains {
-		if _, held := f.state.Drains[name]; !held {
-			f.facts(storestate.Change{Kind: storestate.EndDrain, Name: name})
+		if _, draining := f.state.Drains[name]; !draining {
+			f.onFact(storestate.Change{Kind: storestate.EndDrain, Name: name})
 		}
 	}
 	for name, l := range f.state.Lists {
-		f.facts(storestate.Change{Kind: storestate.SetList, Name: name, List: &l})
+		f.onFact(storestate.Change{Kind: storestate.SetList, Name: name, List: &l})
 	}
 	for name, since := range f.state.Drains {
-		f.facts(storestate.Change{Kind: storestate.SetDrain, Name: name, At: since})
+		f.onFact(storestate.Change{Kind: storestate.StartDrain, Name: name, ProposedAt: since})
 	}
 	for _, p := range f.state.Purges {
-		f.facts(storestate.Change{Kind: storestate.SetPurge, Purge: &p, Until: p.Until})
+		f.onFact(storestate.Change{Kind: storestate.AddPurge, Purge: &p, ExpiresAt: p.ExpiresAt})
 	}
 }
 
-// tell hands a revision to the watchers. One that lags gets the newest, not each.
-func (f *fsm) tell(r storestate.Revision) {
+// notifyWatchers sends the configuration revision to the watchers if it is not the one before. It replaces one that a
+// watcher has not received yet.
+func (f *fsm) notifyWatchers(before uint64) {
+	r := f.state.Revision()
+	if r.Number == before {
+		return
+	}
 	for _, w := range f.watchers {
 		select {
 		case <-w:
@@ -81,7 +89,7 @@
 	}
 }
 
-// Snapshot copies the state.
+// Snapshot implements raft.FSM.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -89,7 +97,7 @@
 	return snapshot(raw), err
 }
 
-// Restore replaces the state by a snapshot.
+// Restore implements raft.FSM.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	raw, err := io.ReadAll(r)
@@ -103,18 +111,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.state
-	before := old.Revision().Number
 	f.state = s
-	f.retell(old)
-	for _, x := range f.followers {
-		x.Replaced(s)
-	}
-	if now := s.Revision(); now.Number != before {
-		f.tell(now)
+	f.announceState(old)
+	for _, o := range f.observers {
+		o.StateReplaced(s)
 	}
+	f.notifyWatchers(old.Revision().Number)
 	return nil
 }
 
+// snapshot is an encoded state.
 type snapshot []byte
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -24,19 +24,19 @@
 
 func goldenStatus() Status {
 	return Status{
-		Name: "a", State: "Leader", Leader: "b", Term: 3, Applied: 40, Commit: 41, StaleMs: 12.5,
-		Members: []MemberState{{Name: "a", Addr: "127.0.73.1:4000", Votes: true}, {Name: "b", Addr: "127.0.73.2:4000"}}, Config: 6,
+		Name: "a", State: "Leader", Leader: "b", Term: 3, AppliedIndex: 40, CommitIndex: 41, StaleMs: 12.5,
+		Members: []MemberState{{Name: "a", Addr: "127.0.73.1:4000", Voter: true}, {Name: "b", Addr: "127.0.73.2:4000"}}, ConfigRevision: 6,
 	}
 }
 
 var goldenRequests = map[string]request{
-	"request-apply.bin":    {Call: callApply, Change: []byte{1, 0xa0}},
-	"request-index.bin":    {Call: callIndex},
-	"request-status.bin":   {Call: callStatus},
-	"request-join.bin":     {Call: callJoin, Name: "b", Addr: "127.0.73.2:4000"},
-	"request-remove.bin":   {Call: callRemove, Name: "b"},
-	"request-transfer.bin": {Call: callTransfer, Name: "b"},
-	"request-full.bin":     {Call: callApply, Change: []byte{1}, Name: "n", Addr: "a"},
+	"request-apply.bin":    {Operation: opApply, Change: []byte{1, 0xa0}},
+	"request-index.bin":    {Operation: opIndex},
+	"request-status.bin":   {Operation: OpStatus},
+	"request-join.bin":     {Operation: OpJoin, Name: "b", Addr: "127.0.73.2:4000"},
+	"request-remove.bin":   {Operation: OpRemove, Name: "b"},
+	"request-transfer.bin": {Operation: OpTransfer, Name: "b"},
+	"request-full.bin":     {Operation: opApply, Change: []byte{1}, Name: "n", Addr: "a"},
 }
 
 func goldenReplies() map[string]reply {
@@ -46,7 +46,7 @@
 		"reply-result.bin":     {Result: []byte{0xa1, 1, 0}},
 		"reply-index.bin":      {Index: 77},
 		"reply-status.bin":     {Status: &status},
-		"reply-not-leader.bin": {Err: notLeader, Leader: "127.0.73.1:4000"},
+		"reply-not-leader.bin": {Err: errTextNotLeader, Leader: "127.0.73.1:4000"},
 		"reply-maybe.bin":      {Err: "not applied", Maybe: true},
 		"reply-full.bin":       {Result: []byte{1}, Index: 2, Err: "e", Maybe: true, Leader: "l", Status: &Status{}},
 	}
@@ -56,21 +56,21 @@
 func TestGoldenFrames(t *testing.T) {
 	for name, q := range goldenRequests {
 		var frame bytes.Buffer
-		require.NoError(t, writeFrame(&frame, q))
+		require.NoError(t, writeMessage(&frame, q))
 		golden.Equal(t, name, frame.Bytes())
 		var read request
-		require.NoError(t, readFrame(bytes.NewReader(golden.Read(t, name)), &read))
+		require.NoError(t, readMessage(bytes.NewReader(golden.Read(t, name)), &read))
 		require.Equal(t, q, read, name)
 	}
 	for name, r := range goldenReplies() {
 		var frame bytes.Buffer
-		require.NoError(t, writeFrame(&frame, r))
+		require.NoError(t, writeMessage(&frame, r))
 		golden.Equal(t, name, frame.Bytes())
 		var read reply
-		require.NoError(t, readFrame(bytes.NewReader(golden.Read(t, name)), &read))
+		require.NoError(t, readMessage(bytes.NewReader(golden.Read(t, name)), &read))
 		require.Equal(t, r, read, name)
 	}
-	require.Equal(t, "RCD", string([]byte{forRaft, forCalls, forLinks}))
+	require.Equal(t, "RCD", string([]byte{connRaft, connCalls, connLink}))
 }
 
 // A link's frame is its length and its bytes.
@@ -78,7 +78,7 @@
 	one, two := net.Pipe()
 	defer one.Close()
 	sent := make(chan error, 1)
-	go func() { sent <- (&Link{nc: one}).Send([]byte("frame"), patience); one.Close() }()
+	go func() { sent <- (&Link{conn: one}).Send([]byte("frame"), patience); one.Close() }()
 	raw, err := io.ReadAll(two)
 	require.NoError(t, err)
 	require.NoError(t, <-sent)
@@ -105,13 +105,13 @@
 }
 
 // goldenHolder is a member as its certificate names it. That the certificate is over by now does not matter here.
-func goldenHolder(t *testing.T, dir, name string) Holder {
+func goldenHolder(t *testing.T, dir, name string) Peer {
 	raw, err := os.ReadFile(filepath.Join(dir, name+".crt"))
 	require.NoError(t, err)
 	block, _ := pem.Decode(raw)
 	leaf, err := x509.ParseCertificate(block.Bytes)
 	require.NoError(t, err)
-	return Holder{Name: name, Key: leaf.PublicKey.(*ecdsa.PublicKey), Issued: leaf.NotBefore}
+	return Peer{Name: name, Key: leaf.PublicKey.(*ecdsa.PublicKey), Issued: leaf.NotBefore}
 }
 
 // Identities that an earlier version issued are read, sign, and make the same secrets with one another; one that is issued
@@ -139,11 +139,11 @@
 		require.Equal(t, was.ExtKeyUsage, is.ExtKeyUsage)
 		require.Equal(t, was.NotAfter.Sub(was.NotBefore), is.NotAfter.Sub(is.NotBefore))
 	}
-	out, in, err := ids[0].Shared(goldenHolder(t, dir, "b"), "peers")
+	out, in, err := ids[0].SharedSecrets(goldenHolder(t, dir, "b"), "peers")
 	require.NoError(t, err)
 	golden.Equal(t, "shared-a-to-b.bin", out)
 	golden.Equal(t, "shared-b-to-a.bin", in)
-	out, in, err = ids[1].Shared(goldenHolder(t, dir, "a"), "peers")
+	out, in, err = ids[1].SharedSecrets(goldenHolder(t, dir, "a"), "peers")
 	require.NoError(t, err)
 	golden.Equal(t, "shared-a-to-b.bin", in)
 	golden.Equal(t, "shared-b-to-a.bin", out)
@@ -159,7 +159,7 @@
 	require.NoError(t, err)
 	self := Member{Name: "a", Addr: "127.0.73.1:0"}
 	s, err := Open(Options{
-		Self: self, Peers: []Member{self}, Dir: dir, Identity: id, Fast: true, Snapshot: 8, Trailing: 2, Clock: clock.Manual(1e12),
+		Self: self, Peers: []Member{self}, Dir: dir, Identity: id, FastElections: true, SnapshotThreshold: 8, TrailingLogs: 2, Clock: clock.Manual(1e12),
 	})
 	require.NoError(t, err)
 	eventually(t, s.Leader, "it leads")
@@ -169,25 +169,25 @@
 func writeStore(t *testing.T, dir string) {
 	s := openGolden(t, dir)
 	do := func(c storestate.Change) {
-		_, err := s.Do(c)
+		_, err := s.Propose(c)
 		require.NoError(t, err)
 	}
 	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true}}}
-	do(storestate.Change{Kind: storestate.Spend, Name: "spent-1", Until: 9e15})
+	do(storestate.Change{Kind: storestate.SpendToken, Name: "spent-1", ExpiresAt: 9e15})
 	do(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
 	do(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
-	do(storestate.Change{Kind: storestate.Revoke, Name: "revoked-1", Until: 9e15})
-	do(storestate.Change{Kind: storestate.SetConfig, Text: "{}", By: "ops"})
+	do(storestate.Change{Kind: storestate.RevokeToken, Name: "revoked-1", ExpiresAt: 9e15})
+	do(storestate.Change{Kind: storestate.SetConfig, Text: "{}", Author: "ops"})
 	do(storestate.Change{Kind: storestate.SetList, Name: "list", List: list})
-	do(storestate.Change{Kind: storestate.SetDrain, Name: "s-00000001"})
-	do(storestate.Change{Kind: storestate.SetDrain, Name: "s-00000002"})
-	do(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Object: "o", Made: 1e12}, Until: 9e15})
+	do(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000001"})
+	do(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000002"})
+	do(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12}, ExpiresAt: 9e15})
 	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
-	do(storestate.Change{Kind: storestate.Spend, Name: "spent-2", Until: 9e15})
-	do(storestate.Change{Kind: storestate.DropKey, Name: "k2"})
-	do(storestate.Change{Kind: storestate.SetConfig, Base: 1, Text: "{ }"})
+	do(storestate.Change{Kind: storestate.SpendToken, Name: "spent-2", ExpiresAt: 9e15})
+	do(storestate.Change{Kind: storestate.DeleteKey, Name: "k2"})
+	do(storestate.Change{Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"})
 	do(storestate.Change{Kind: storestate.EndDrain, Name: "s-00000002"})
-	do(storestate.Change{Kind: storestate.SetPurge, Purge: &storestate.Purge{Group: 4, Made: 1e12}, Until: 9e15})
+	do(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 1e12}, ExpiresAt: 9e15})
 	s.Kill()
 }
 
@@ -208,19 +208,19 @@
 	}))
 	st, err := storestate.DecodeState(raw)
 	require.NoError(t, err)
-	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.Spent)
-	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.Revoked)
+	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.SpentTokens)
+	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.RevokedTokens)
 	require.Equal(t, map[string]Key{"k1": {Alg: "HS256", Data: []byte("x")}}, st.Keys)
-	require.Equal(t, []storestate.Revision{{Number: 1, At: 1e12, By: "ops", Text: "{}"}, {Number: 2, At: 1e12, Text: "{ }"}}, st.Config)
+	require.Equal(t, []storestate.Revision{{Number: 1, CreatedAt: 1e12, Author: "ops", Text: "{}"}, {Number: 2, CreatedAt: 1e12, Text: "{ }"}}, st.Revisions)
 	require.Equal(t, map[string]storestate.List{"list": {Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
 	}}}, st.Lists)
 	require.Equal(t, map[string]float64{"s-00000001": 1e12}, st.Drains)
 	require.Equal(t, map[string]storestate.Purge{
-		"o": {Object: "o", Made: 1e12, Until: 9e15}, "group 4": {Group: 4, Made: 1e12, Until: 9e15},
+		"o": {Object: "o", IssuedAt: 1e12, ExpiresAt: 9e15}, "group 4": {Group: 4, IssuedAt: 1e12, ExpiresAt: 9e15},
 	}, st.Purges)
-	require.Len(t, st.Done, 14)
-	require.ErrorIs(t, s.Spend("spent-2", 9e15), ErrSpent)
+	require.Len(t, st.Results, 14)
+	require.ErrorIs(t, s.SpendToken("spent-2", 9e15), ErrTokenSpent)
 }
 
 // The snapshot in that directory is read by the state machine alone.
@@ -233,7 +233,7 @@
 		require.NoError(t, err)
 		f := &fsm{state: storestate.New()}
 		require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(raw))))
-		require.Contains(t, f.state.Spent, "spent-1")
+		require.Contains(t, f.state.SpentTokens, "spent-1")
 		again, err := f.Snapshot()
 		require.NoError(t, err)
 		require.Equal(t, raw, []byte(again.(snapshot)))
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -2,126 +2,52 @@
 
 import (
 	"crypto/ecdsa"
-	"crypto/elliptic"
 	"crypto/hkdf"
 	"crypto/rand"
 	"crypto/sha256"
 	"crypto/tls"
 	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
-	"math/big"
-	"net/url"
 	"os"
-	"path/filepath"
-	"regexp"
 	"strings"
 	"time"
 )
 
-// Identity is who a member is: its name, its cluster, and a certificate that the cluster's authority has signed. Its URI
-// is spiffe://CLUSTER/member/NAME (https://spiffe.io/docs/latest/spiffe-specs/spiffe-id/).
-type Identity struct {
-	Cluster, Name string
-	cert          tls.Certificate
-	roots         *x509.CertPool
-}
-
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
-
+// A member's certificate names it by the URI spiffe://CLUSTER/member/NAME, the authority's by spiffe://CLUSTER
+// (https://spiffe.io/docs/latest/spiffe-specs/spiffe-id/).
 const (
-	authorityFor = 10 * 365 * 24 * time.Hour
-	memberFor    = 2 * 365 * 24 * time.Hour
-	// backdated: the clocks of members may be apart.
-	backdated = time.Hour
+	uriScheme  = "spiffe"
+	memberPath = "/member/"
 )
 
-// NewCluster writes the authority of a new cluster into a directory: ca.crt and ca.key. Only who issues certificates
-// needs the key.
-func NewCluster(dir, cluster string) error {
-	if !nameForm.MatchString(cluster) {
-		return fmt.Errorf("store: cluster %q: small letters, digits, dots and dashes, 63 at most", cluster)
-	}
-	if _, err := os.Stat(filepath.Join(dir, "ca.crt")); err == nil {
-		return fmt.Errorf("store: %s has a cluster's authority already", dir)
-	}
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
-	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return err
-	}
-	t := template("cluster "+cluster, authorityFor)
-	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
-	t.URIs = []*url.URL{{Scheme: "spiffe", Host: cluster}}
-	return write(dir, "ca", t, t, key, key)
-}
-
-// Issue writes a member's certificate and key beside the authority's: NAME.crt and NAME.key.
-func Issue(dir, name string) error {
-	if !nameForm.MatchString(name) || name == "ca" {
-		return fmt.Errorf("store: member %q: small letters, digits, dots and dashes, 63 at most", name)
-	}
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.crt"), filepath.Join(dir, "ca.key"))
-	if err != nil {
-		return fmt.Errorf("store: the cluster's authority: %w", err)
-	}
-	cluster, _, err := readURI(pair.Leaf)
-	if err != nil {
-		return err
-	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return err
-	}
-	t := template(name, memberFor)
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
-	t.URIs = []*url.URL{{Scheme: "spiffe", Host: cluster, Path: "/member/" + name}}
-	return write(dir, name, t, pair.Leaf, key, pair.PrivateKey.(*ecdsa.PrivateKey))
-}
+// ErrNotMember says that a certificate is not one of a member of this cluster.
+var ErrNotMember = errors.New("store: not a certificate of a member")
 
-func template(name string, good time.Duration) *x509.Certificate {
-	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
-	now := time.Now()
-	return &x509.Certificate{
-		SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-backdated), NotAfter: now.Add(good),
-	}
-}
+// Identity is a member's certificate and key, and the authority of its cluster.
+type Identity struct {
+	Cluster, Name string
 
-func write(dir, name string, t, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
-	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
-	if err != nil {
-		return err
-	}
-	raw, err := x509.MarshalPKCS8PrivateKey(key)
-	if err != nil {
-		return err
-	}
-	put := func(ext, kind string, b []byte, mode os.FileMode) error {
-		return os.WriteFile(filepath.Join(dir, name+ext), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: b}), mode)
-	}
-	return errors.Join(put(".key", "PRIVATE KEY", raw, 0o600), put(".crt", "CERTIFICATE", der, 0o644))
+	cert  tls.Certificate
+	roots *x509.CertPool
 }
 
-// LoadIdentity reads a member's certificate and key, and the authority's certificate, from a directory.
+// LoadIdentity reads NAME.crt, NAME.key and ca.crt from a directory. It does not check whether the certificate has expired.
 func LoadIdentity(dir, name string) (*Identity, error) {
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, name+".crt"), filepath.Join(dir, name+".key"))
+	pair, err := tls.LoadX509KeyPair(certificatePath(dir, name), keyPath(dir, name))
 	if err != nil {
 		return nil, fmt.Errorf("store: identity of %s: %w", name, err)
 	}
-	ca, err := os.ReadFile(filepath.Join(dir, "ca.crt"))
+	authorityPath := certificatePath(dir, authorityName)
+	authority, err := os.ReadFile(authorityPath)
 	if err != nil {
 		return nil, fmt.Errorf("store: the cluster's authority: %w", err)
 	}
 	id := &Identity{cert: pair, roots: x509.NewCertPool()}
-	if !id.roots.AppendCertsFromPEM(ca) {
-		return nil, fmt.Errorf("store: %s holds no certificate", filepath.Join(dir, "ca.crt"))
+	if !id.roots.AppendCertsFromPEM(authority) {
+		return nil, fmt.Errorf("store: %s holds no certificate", authorityPath)
 	}
-	if id.Cluster, id.Name, err = readURI(pair.Leaf); err != nil {
+	if id.Cluster, id.Name, err = parseURI(pair.Leaf); err != nil {
 		return nil, err
 	}
 	if id.Name != name {
@@ -130,68 +56,72 @@
 	return id, nil
 }
 
-// readURI reads a certificate's cluster and, of a member's, its name.
-func readURI(c *x509.Certificate) (cluster, name string, err error) {
-	if len(c.URIs) != 1 || c.URIs[0].Scheme != "spiffe" {
-		return "", "", errors.New("store: a certificate of no member")
+// parseURI returns a certificate's cluster and, of a member's, its name.
+func parseURI(c *x509.Certificate) (cluster, name string, err error) {
+	if len(c.URIs) != 1 || c.URIs[0].Scheme != uriScheme {
+		return "", "", ErrNotMember
 	}
 	u := c.URIs[0]
-	name, member := strings.CutPrefix(u.Path, "/member/")
-	if !member && u.Path != "" {
-		return "", "", errors.New("store: a certificate of no member")
+	name, isMember := strings.CutPrefix(u.Path, memberPath)
+	if !isMember && u.Path != "" {
+		return "", "", ErrNotMember
 	}
 	return u.Host, name, nil
 }
 
-// TLS is what a member speaks and asks of others: TLS 1.3, a certificate of the cluster's authority, and in it the
-// cluster's own name. The name of the host does not matter, the member's does.
+// TLS returns the configuration for both ends of a connection between members: TLS 1.3, and a certificate that the cluster's
+// authority has signed for a member of this cluster. The name of the host is not checked.
 func (id *Identity) TLS() *tls.Config {
 	return &tls.Config{
 		Certificates: []tls.Certificate{id.cert}, MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert,
-		InsecureSkipVerify: true, // VerifyConnection does it, for both sides alike and without a host's name
+		InsecureSkipVerify: true, // VerifyConnection does it, at both ends alike and without a host's name
 		VerifyConnection: func(cs tls.ConnectionState) error {
-			_, err := id.peer(cs)
+			_, err := id.verifyConnection(cs)
 			return err
 		},
 	}
 }
 
-// Certificate is the member's own, in DER.
+// Certificate returns the member's certificate in DER.
 func (id *Identity) Certificate() []byte { return id.cert.Certificate[0] }
 
-// Sign signs a hash with the member's key, as ASN.1.
+// Sign signs a hash with the member's key. The signature is in ASN.1.
 func (id *Identity) Sign(hash []byte) ([]byte, error) {
 	return ecdsa.SignASN1(rand.Reader, id.cert.PrivateKey.(*ecdsa.PrivateKey), hash)
 }
 
-// Holder is a member whose certificate was checked.
-type Holder struct {
+// Peer is a member whose certificate was verified.
+type Peer struct {
 	Name   string
 	Key    *ecdsa.PublicKey
-	Issued time.Time // to the second
+	Issued time.Time // beginning of the certificate's validity, to the second
 }
 
-// Holder checks that a certificate in DER is one of this cluster, and returns whose it is.
-func (id *Identity) Holder(der []byte) (h Holder, err error) {
+// VerifyPeer verifies a certificate in DER and returns the member that it names. It returns an error of x509, or
+// ErrNotMember.
+func (id *Identity) VerifyPeer(der []byte) (p Peer, err error) {
 	leaf, err := x509.ParseCertificate(der)
 	if err != nil {
-		return h, fmt.Errorf("store: %w", err)
+		return p, fmt.Errorf("store: %w", err)
 	}
-	if h.Name, err = id.member(leaf); err != nil {
-		return h, err
+	if p.Name, err = id.verify(leaf); err != nil {
+		return p, err
 	}
-	h.Issued = leaf.NotBefore
+	p.Issued = leaf.NotBefore
 	var ok bool
-	if h.Key, ok = leaf.PublicKey.(*ecdsa.PublicKey); !ok {
-		return h, errors.New("store: a certificate without an ECDSA key")
+	if p.Key, ok = leaf.PublicKey.(*ecdsa.PublicKey); !ok {
+		return p, errors.New("store: a certificate without an ECDSA key")
 	}
-	return h, nil
+	return p, nil
 }
 
-// Shared are two secrets of 32 bytes that only this member and another can make: for what goes to the other, and for what
-// comes from it. Static Diffie-Hellman on the keys of both certificates, spread by HKDF (RFC 5869) with cluster, purpose and
-// the names in the order of sender and receiver.
-func (id *Identity) Shared(other Holder, purpose string) (out, in []byte, err error) {
+// sharedSecretSize is in bytes.
+const sharedSecretSize = 32
+
+// SharedSecrets returns two secrets that only this member and another can derive, one for each direction: static
+// Diffie-Hellman on the keys of both certificates, expanded by HKDF (RFC 5869) with the cluster, the purpose and the names of
+// sender and receiver.
+func (id *Identity) SharedSecrets(other Peer, purpose string) (out, in []byte, err error) {
 	own, err := id.cert.PrivateKey.(*ecdsa.PrivateKey).ECDH()
 	if err != nil {
 		return nil, nil, err
@@ -205,8 +135,9 @@
 		return nil, nil, err
 	}
 	derive := func(from, to string) ([]byte, error) {
-		// Names hold no slash: no two pairs share a label.
-		return hkdf.Key(sha256.New, secret, nil, strings.Join([]string{"ravenwheel", purpose, id.Cluster, from, to}, "/"), 32)
+		// Names contain no slash, so that no two pairs have the same label.
+		label := strings.Join([]string{"ravenwheel", purpose, id.Cluster, from, to}, "/")
+		return hkdf.Key(sha256.New, secret, nil, label, sharedSecretSize)
 	}
 	if out, err = derive(id.Name, other.Name); err != nil {
 		return nil, nil, err
@@ -215,24 +146,26 @@
 	return out, in, err
 }
 
-// peer checks who is at the other end, and returns its name.
-func (id *Identity) peer(cs tls.ConnectionState) (string, error) {
+// verifyConnection verifies the certificate at the other end of a connection, and returns the member's name.
+func (id *Identity) verifyConnection(cs tls.ConnectionState) (string, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return "", errors.New("store: no certificate")
 	}
-	return id.member(cs.PeerCertificates[0])
+	return id.verify(cs.PeerCertificates[0])
 }
 
-func (id *Identity) member(leaf *x509.Certificate) (string, error) {
+// verify checks that a certificate is signed by the cluster's authority and names a member of the cluster, and returns the
+// member's name.
+func (id *Identity) verify(leaf *x509.Certificate) (string, error) {
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: id.roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
 		return "", fmt.Errorf("store: %w", err)
 	}
-	cluster, name, err := readURI(leaf)
+	cluster, name, err := parseURI(leaf)
 	if err != nil {
 		return "", err
 	}
 	if cluster != id.Cluster || name == "" {
-		return "", fmt.Errorf("store: a certificate of cluster %q, member %q", cluster, name)
+		return "", fmt.Errorf("%w: a certificate of cluster %q, member %q", ErrNotMember, cluster, name)
 	}
 	return name, nil
 }
--- a/internal/store/linear_test.go
+++ b/internal/store/linear_test.go
@@ -119,7 +119,7 @@
 						case err == nil || errors.Is(err, ErrConflict):
 							base = rev
 							return seen{ok: err == nil, revision: rev}, true
-						case errors.Is(err, ErrUnknown):
+						case errors.Is(err, ErrOutcomeUnknown):
 							return seen{unknown: true}, true
 						}
 						return seen{}, false
@@ -133,11 +133,11 @@
 				default:
 					jti := fmt.Sprint("j", time.Since(began).Milliseconds()/40) // many clients at the same ids
 					book(client, op{key: jti}, func() (seen, bool) {
-						err := s.Spend(jti, 9e15)
+						err := s.SpendToken(jti, 9e15)
 						switch {
-						case err == nil || errors.Is(err, ErrSpent):
+						case err == nil || errors.Is(err, ErrTokenSpent):
 							return seen{ok: err == nil}, true
-						case errors.Is(err, ErrUnknown):
+						case errors.Is(err, ErrOutcomeUnknown):
 							return seen{unknown: true}, true
 						}
 						return seen{}, false
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -9,74 +9,81 @@
 	"ravenwheel/internal/transient"
 )
 
-// Link is a connection between two members of a cluster on which each sends frames as it has them: the certificates and the
-// length of 4 bytes in front of each are those of the store's calls. One goroutine sends, one receives.
+// Link is a connection between two members of a cluster on which either sends frames at any time. It uses the certificates
+// and the framing of the store's calls. One goroutine at a time may send, and one receive.
 type Link struct {
-	Peer string // the name in the other's certificate
-	nc   net.Conn
-	in   *bufio.Reader
-	end  func()
-	once sync.Once
+	Peer string // name in the other member's certificate
+
+	conn      net.Conn
+	in        *bufio.Reader
+	closeConn func()
+	closeOnce sync.Once
 }
 
-// Send writes a frame, and gives it wait (0: without end) to be taken.
-func (l *Link) Send(frame []byte, wait time.Duration) error {
-	if err := l.nc.SetWriteDeadline(deadline(wait)); err != nil {
+// Send writes a frame. It fails if the peer does not take it within timeout; 0: no time-out.
+func (l *Link) Send(frame []byte, timeout time.Duration) error {
+	if err := l.conn.SetWriteDeadline(deadline(timeout)); err != nil {
 		return err
 	}
-	return writeBytes(l.nc, frame)
+	return writeFrame(l.conn, frame)
 }
 
-// Receive reads a frame of so many bytes at most, and gives it wait (0: without end) to come whole.
-func (l *Link) Receive(most int, wait time.Duration) ([]byte, error) {
-	if err := l.nc.SetReadDeadline(deadline(wait)); err != nil {
+// Receive reads a frame of at most maxSize bytes. It fails with ErrFrameTooLarge for a larger one, and if the frame is not
+// complete within timeout; 0: no time-out.
+func (l *Link) Receive(maxSize int, timeout time.Duration) ([]byte, error) {
+	if err := l.conn.SetReadDeadline(deadline(timeout)); err != nil {
 		return nil, err
 	}
-	return readBytes(l.in, most)
+	return readFrame(l.in, maxSize)
 }
 
-// Close ends the connection, and what is being sent or received on it.
-func (l *Link) Close() { l.once.Do(l.end) }
+// Close closes the connection. A Send or Receive in progress fails.
+func (l *Link) Close() { l.closeOnce.Do(l.closeConn) }
 
-func deadline(wait time.Duration) time.Time {
-	if wait == 0 {
+// deadline returns the time after a time-out by the machine's clock, which sockets use; none for 0.
+func deadline(timeout time.Duration) time.Time {
+	if timeout == 0 {
 		return time.Time{}
 	}
-	return time.Now().Add(wait) // of the socket, which knows no settable clock
+	return time.Now().Add(timeout)
 }
 
-// Links is an address at which members of the cluster, and nobody else, open links.
-type Links struct{ wire *wire }
+// LinkListener is an address at which members of the cluster open links.
+type LinkListener struct{ transport *transport }
 
-// ListenLinks opens an address for so many links at once. Each has take called, in a goroutine of its own, and is closed
-// when that returns.
-func ListenLinks(id *Identity, ln net.Listener, most int, take func(*Link)) *Links {
-	w := &wire{ln: transient.Listener(ln), id: id, most: most, links: take, done: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	go w.run()
-	return &Links{w}
+// ListenLinks accepts up to maxLinks links at once. It calls handle for each, in a goroutine of its own, and closes the link
+// when handle returns.
+func ListenLinks(id *Identity, ln net.Listener, maxLinks int, handle func(*Link)) *LinkListener {
+	t := newTransport(transient.Listener(ln), id, maxLinks)
+	t.handleLink = handle
+	go t.run()
+	return &LinkListener{t}
 }
 
-// Addr is where it listens.
-func (l *Links) Addr() net.Addr { return l.wire.Addr() }
+// Addr returns the address it listens on.
+func (l *LinkListener) Addr() net.Addr { return l.transport.Addr() }
 
-// Close ends the address and all its links, and returns when each take has.
-func (l *Links) Close() error {
-	err := l.wire.Close()
-	l.wire.greeting.Wait()
+// Close closes the address and all its links, and waits until the handlers have returned.
+func (l *LinkListener) Close() error {
+	err := l.transport.Close()
+	l.transport.handlers.Wait()
 	return err
 }
 
 // DialLink opens a link. dial is nil for TCP.
-func DialLink(id *Identity, addr string, wait time.Duration, dial func(string, time.Duration) (net.Conn, error)) (*Link, error) {
-	w := &wire{id: id, dial: Options{Dial: dial}.dialer()}
-	nc, err := w.connect(addr, forLinks, wait)
+func DialLink(id *Identity, addr string, timeout time.Duration, dial DialFunc) (*Link, error) {
+	if dial == nil {
+		dial = dialTCP
+	}
+	t := &transport{identity: id, dial: dial}
+	conn, err := t.connect(addr, connLink, timeout)
 	if err != nil {
 		return nil, err
 	}
-	peer, err := id.peer(nc.ConnectionState())
+	peer, err := id.verifyConnection(conn.ConnectionState())
 	if err != nil {
-		nc.Close()
+		conn.Close()
 		return nil, err
 	}
-	return &Link{Peer: peer, nc: nc, in: bufio.NewReader(nc), end: func() { nc.Close() }}, nil
+	return &Link{Peer: peer, conn: conn, in: bufio.NewReader(conn), closeConn: func() { conn.Close() }}, nil
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -25,7 +25,7 @@
 }
 
 // listenLinks opens an address on loopback whose links echo what they get.
-func listenLinks(t *testing.T, id *Identity, most int) *Links {
+func listenLinks(t *testing.T, id *Identity, most int) *LinkListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := ListenLinks(id, ln, most, func(l *Link) {
@@ -66,7 +66,7 @@
 func TestLinkKinds(t *testing.T) {
 	ids := identities(t, "a", "b")
 	at := listenLinks(t, ids[0], 8)
-	_, sent, err := (&wire{id: ids[1], dial: Options{}.dialer()}).call(at.Addr().String(), request{Call: callStatus}, patience)
+	_, sent, err := (&transport{identity: ids[1], dial: dialTCP}).call(at.Addr().String(), request{Operation: OpStatus}, patience)
 	require.True(t, sent)
 	require.Error(t, err)
 
--- /dev/null
+++ b/internal/store/message.go
@@ -0,0 +1,105 @@
+package store
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// A connection between members begins with one byte that says what it carries.
+const (
+	connRaft  = 'R' // raft's own stream
+	connCalls = 'C' // calls: a request and its reply as frames, one after the other
+	connLink  = 'D' // a Link: frames in both directions, at an address of its own
+)
+
+// Operation is what a call asks of a member.
+type Operation string
+
+// The operations for operators. All but OpStatus are the leader's.
+const (
+	OpStatus   Operation = "status"   // describe this member
+	OpJoin     Operation = "join"     // add the calling member, whose certificate must have the name
+	OpRemove   Operation = "remove"   // remove a member
+	OpTransfer Operation = "transfer" // transfer leadership, to a member or to any
+)
+
+// The operations between members, which are the leader's.
+const (
+	opApply Operation = "apply" // commit a change
+	opIndex Operation = "index" // return the index that a linearizable read must have applied
+)
+
+// request is a call.
+type request struct {
+	Operation Operation `cbor:"1,keyasint"`
+	Change    []byte    `cbor:"2,keyasint,omitempty"` // encoded, of opApply
+	Name      string    `cbor:"3,keyasint,omitempty"` // of the member that the operation is about
+	Addr      string    `cbor:"4,keyasint,omitempty"` // of that member
+}
+
+// reply is the answer to a call.
+type reply struct {
+	Result []byte  `cbor:"1,keyasint,omitempty"` // of a change: a storestate.Result in CBOR, without format version
+	Index  uint64  `cbor:"2,keyasint,omitempty"`
+	Err    string  `cbor:"3,keyasint,omitempty"` // empty: the operation succeeded
+	Maybe  bool    `cbor:"4,keyasint,omitempty"` // with Err: the operation may have had an effect
+	Leader string  `cbor:"5,keyasint,omitempty"` // with Err: address of the leader, which may be asked instead
+	Status *Status `cbor:"6,keyasint,omitempty"`
+}
+
+// errTextNotLeader is the Err of a member that is not the leader. The operation had no effect.
+const errTextNotLeader = "not the leader"
+
+// maxCallSize is the largest request or reply, in bytes.
+const maxCallSize = 32 << 20
+
+// A frame is a length of 4 bytes, big-endian, and as many bytes.
+const frameHeaderSize = 4
+
+// ErrFrameTooLarge says that a frame claims more bytes than its receiver accepts.
+var ErrFrameTooLarge = errors.New("store: frame too large")
+
+// frameDecoding bounds what a message may claim.
+var frameDecoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
+
+func writeMessage(w io.Writer, message any) error {
+	b, err := cbor.Marshal(message)
+	if err != nil {
+		return err
+	}
+	return writeFrame(w, b)
+}
+
+func readMessage(r io.Reader, message any) error {
+	b, err := readFrame(r, maxCallSize)
+	if err != nil {
+		return err
+	}
+	return frameDecoding.Unmarshal(b, message)
+}
+
+func writeFrame(w io.Writer, b []byte) error {
+	_, err := w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderSize+len(b)), uint32(len(b))), b...))
+	return err
+}
+
+func readFrame(r io.Reader, maxSize int) ([]byte, error) {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(header[:])
+	if int64(size) > int64(maxSize) {
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, size)
+	}
+	// The buffer grows as bytes arrive, so that a claimed size alone costs no memory.
+	b, err := io.ReadAll(io.LimitReader(r, int64(size)))
+	if err != nil || len(b) < int(size) {
+		return nil, errors.Join(err, io.ErrUnexpectedEOF)
+	}
+	return b, nil
+}
--- /dev/null
+++ b/internal/store/propose.go
@@ -0,0 +1,176 @@
+package store
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	mathrand "math/rand/v2"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/retry"
+	"ravenwheel/internal/decide/storestate"
+)
+
+// SpendToken marks a token id as used until its token expires, in Unix ms. It returns ErrTokenSpent for a replay.
+func (s *Store) SpendToken(jti string, expiresAt float64) error {
+	_, err := s.Propose(storestate.Change{Kind: storestate.SpendToken, Name: jti, ExpiresAt: expiresAt})
+	return err
+}
+
+// PutKey adds or replaces a signing key.
+func (s *Store) PutKey(kid string, k Key) error {
+	_, err := s.Propose(storestate.Change{Kind: storestate.PutKey, Name: kid, Key: &k})
+	return err
+}
+
+// DeleteKey removes a signing key. Tokens that it signed are no longer accepted.
+func (s *Store) DeleteKey(kid string) error {
+	_, err := s.Propose(storestate.Change{Kind: storestate.DeleteKey, Name: kid})
+	return err
+}
+
+// RevokeToken makes a token id void until its token expires, in Unix ms.
+func (s *Store) RevokeToken(jti string, expiresAt float64) error {
+	_, err := s.Propose(storestate.Change{Kind: storestate.RevokeToken, Name: jti, ExpiresAt: expiresAt})
+	return err
+}
+
+// SetConfig makes a text the revision after base, and returns the new revision. If base is no longer in force it returns
+// ErrConflict and the revision that is.
+func (s *Store) SetConfig(base uint64, text, author string) (uint64, error) {
+	r, err := s.Propose(storestate.Change{Kind: storestate.SetConfig, BaseRevision: base, Text: text, Author: author})
+	return r.Revision, err
+}
+
+// Rollback makes the text of an earlier revision a new revision, and returns that. It returns ErrNoRevision, and the revision
+// in force, if the earlier one is not kept.
+func (s *Store) Rollback(to uint64, author string) (uint64, error) {
+	var base uint64
+	var old storestate.Revision
+	var found bool
+	if err := s.Read(true, func(st *storestate.State) {
+		base = st.Revision().Number
+		old, found = st.RevisionByNumber(to)
+	}); err != nil {
+		return 0, err
+	}
+	if !found {
+		return base, fmt.Errorf("%w: revision %d is not kept", ErrNoRevision, to)
+	}
+	return s.SetConfig(base, old.Text, author)
+}
+
+// Propose commits one change through the log, here or at the leader, and retries within Options.Timeout while that is safe.
+// The change has the same id in all attempts, so that it is applied once. After ErrOutcomeUnknown a caller that proposes the
+// same thing again proposes another change, unless it sets the same id.
+func (s *Store) Propose(c storestate.Change) (storestate.Result, error) {
+	if c.ID == "" {
+		c.ID = newChangeID()
+	}
+	c.ProposedAt = s.opt.Clock.Now()
+	raw, err := storestate.Encode(c)
+	if err != nil {
+		return storestate.Result{}, err
+	}
+	if s.raft == nil {
+		if s.closed.Load() {
+			return storestate.Result{}, ErrUnavailable
+		}
+		return resultError(s.fsm.Apply(&raft.Log{Data: raw}).(storestate.Result))
+	}
+	deadline := c.ProposedAt + clock.Ms(s.opt.Timeout)
+	var call retry.Call
+	for {
+		r, outcome := s.attempt(raw)
+		s.mu.Lock()
+		delay, again := s.budget.Ended(&call, outcome, s.opt.Clock.Now(), deadline, mathrand.Float64())
+		s.mu.Unlock()
+		switch {
+		case outcome == retry.Done:
+			return resultError(r)
+		case again && !s.closed.Load():
+			s.sleep(delay)
+		case call.Unknown:
+			return storestate.Result{}, ErrOutcomeUnknown
+		default:
+			return storestate.Result{}, ErrUnavailable
+		}
+	}
+}
+
+func newChangeID() string {
+	var b [16]byte
+	_, _ = rand.Read(b[:])
+	return hex.EncodeToString(b[:])
+}
+
+// resultError returns a result with the error of its verdict.
+func resultError(r storestate.Result) (storestate.Result, error) {
+	switch r.Verdict {
+	case storestate.OK:
+		return r, nil
+	case storestate.AlreadySpent:
+		return r, ErrTokenSpent
+	case storestate.Conflict:
+		return r, ErrConflict
+	case storestate.Stale:
+		return r, ErrStale
+	}
+	return r, ErrInvalid
+}
+
+// attempt submits an encoded change once, here or at the leader.
+func (s *Store) attempt(raw []byte) (storestate.Result, retry.Outcome) {
+	if s.Leader() {
+		return s.applyAsLeader(raw)
+	}
+	addr, id := s.raft.LeaderWithID()
+	if addr == "" || string(id) == s.opt.Self.Name {
+		return storestate.Result{}, retry.Refused
+	}
+	r, sent, err := s.transport.call(string(addr), request{Operation: opApply, Change: raw}, s.opt.Timeout)
+	switch {
+	case err != nil && !sent:
+		return storestate.Result{}, retry.Refused
+	case err != nil || r.Err != "" && r.Maybe:
+		return storestate.Result{}, retry.Unknown
+	case r.Err != "":
+		return storestate.Result{}, retry.Refused
+	}
+	var result storestate.Result
+	if frameDecoding.Unmarshal(r.Result, &result) != nil {
+		return storestate.Result{}, retry.Unknown
+	}
+	return result, retry.Done
+}
+
+// applyAsLeader submits an encoded change to raft. The time-out of raft's Apply only covers the entry's way into the log, so
+// the wait for its commit has one of its own.
+func (s *Store) applyAsLeader(raw []byte) (storestate.Result, retry.Outcome) {
+	f := s.raft.Apply(raw, s.opt.Timeout)
+	done := make(chan error, 1)
+	go func() { done <- f.Error() }()
+	select {
+	case err := <-done:
+		return applyOutcome(f, err)
+	case <-time.After(s.opt.Timeout):
+		return storestate.Result{}, retry.Unknown
+	}
+}
+
+func applyOutcome(f raft.ApplyFuture, err error) (storestate.Result, retry.Outcome) {
+	switch {
+	case err == nil:
+		if r, ok := f.Response().(storestate.Result); ok {
+			return r, retry.Done
+		}
+		return storestate.Result{}, retry.Unknown
+	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
+		return storestate.Result{}, retry.Refused // the entry never reached the log
+	}
+	return storestate.Result{}, retry.Unknown
+}
--- /dev/null
+++ b/internal/store/raft.go
@@ -0,0 +1,168 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	boltdb "github.com/hashicorp/raft-boltdb/v2"
+	bolt "go.etcd.io/bbolt"
+
+	"ravenwheel/internal/transient"
+)
+
+const (
+	// lockTimeout bounds the wait for a directory that another process has.
+	lockTimeout = 100 * time.Millisecond
+	// retainedSnapshots is how many snapshots are kept on disk.
+	retainedSnapshots = 2
+	// raftConnsPerPeer is how many idle connections raft keeps to each member.
+	raftConnsPerPeer = 3
+
+	joinAttempts   = 10
+	joinRetryDelay = 100 // ms
+	// joinTimeouts is how many time-outs a call to join may take, as the leader waits until the new member has caught up.
+	joinTimeouts = 10
+)
+
+// startRaft opens the log, the snapshots and the address of this member, and starts raft on them.
+func (s *Store) startRaft() error {
+	if s.opt.Identity == nil || s.opt.Identity.Name != s.opt.Self.Name {
+		return fmt.Errorf("member %q needs an identity of that name", s.opt.Self.Name)
+	}
+	conf := s.raftConfig()
+	storage, err := s.openStorage()
+	if err != nil {
+		return err
+	}
+	network, err := s.listen()
+	if err != nil {
+		return err
+	}
+	known, err := raft.HasExistingState(storage.logs, storage.stable, storage.snapshots)
+	if err != nil {
+		return err
+	}
+	if !known && s.opt.Join == "" {
+		err := raft.BootstrapCluster(conf, storage.logs, storage.stable, storage.snapshots, network, s.initialMembers())
+		if err != nil {
+			return err
+		}
+	}
+	if s.raft, err = raft.NewRaft(conf, s.fsm, storage.logs, storage.stable, storage.snapshots, network); err != nil {
+		return err
+	}
+	go s.transport.run()
+	if !known && s.opt.Join != "" {
+		return s.join()
+	}
+	return nil
+}
+
+func (s *Store) raftConfig() *raft.Config {
+	conf := raft.DefaultConfig()
+	conf.Logger = hclog.NewNullLogger()
+	conf.LocalID = raft.ServerID(s.opt.Self.Name)
+	if s.opt.FastElections {
+		conf.HeartbeatTimeout, conf.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
+		conf.LeaderLeaseTimeout, conf.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
+		conf.SnapshotInterval = 50 * time.Millisecond
+	}
+	if s.opt.SnapshotThreshold > 0 {
+		conf.SnapshotThreshold, conf.TrailingLogs = s.opt.SnapshotThreshold, s.opt.TrailingLogs
+	}
+	return conf
+}
+
+// storage is where raft keeps its log, its term and vote, and the snapshots.
+type storage struct {
+	logs      raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+}
+
+// openStorage opens the storage in the store's directory, or in memory if there is none.
+func (s *Store) openStorage() (storage, error) {
+	if s.opt.Dir == "" {
+		memory := raft.NewInmemStore()
+		return storage{memory, memory, raft.NewInmemSnapshotStore()}, nil
+	}
+	db, err := boltdb.New(boltdb.Options{
+		Path: filepath.Join(s.opt.Dir, "raft.db"), BoltOptions: &bolt.Options{Timeout: lockTimeout},
+	})
+	if err != nil {
+		return storage{}, fmt.Errorf("%s: %w", s.opt.Dir, err)
+	}
+	s.closers = append(s.closers, db)
+	snapshots, err := raft.NewFileSnapshotStore(s.opt.Dir, retainedSnapshots, io.Discard)
+	if err != nil {
+		return storage{}, err
+	}
+	return storage{db, db, snapshots}, nil
+}
+
+// listen opens this member's address, and raft's network on it.
+func (s *Store) listen() (*raft.NetworkTransport, error) {
+	ln, err := net.Listen("tcp", s.opt.Self.Addr)
+	if err != nil {
+		return nil, err
+	}
+	s.transport = newTransport(transient.Listener(ln), s.opt.Identity, maxConns)
+	s.transport.dial, s.transport.handleCall = s.opt.Dial, s.handleCall
+	s.closers = append(s.closers, s.transport)
+	network := raft.NewNetworkTransport(s.transport, raftConnsPerPeer, s.opt.Timeout, io.Discard)
+	s.closers = append(s.closers, network)
+	return network, nil
+}
+
+func (s *Store) initialMembers() raft.Configuration {
+	var members raft.Configuration
+	for _, p := range s.opt.Peers {
+		members.Servers = append(members.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Addr)})
+	}
+	return members
+}
+
+// join asks the cluster to add this member, first as a non-voter and then as a voter.
+func (s *Store) join() error {
+	addr := s.opt.Join
+	q := request{Operation: OpJoin, Name: s.opt.Self.Name, Addr: s.opt.Self.Addr}
+	var err error
+	for range joinAttempts {
+		var r reply
+		r, _, err = s.transport.call(addr, q, joinTimeouts*s.opt.Timeout)
+		switch {
+		case err == nil && r.Err == "":
+			return nil
+		case err == nil && r.Leader != "":
+			addr = r.Leader
+		case err == nil:
+			err = errors.New(r.Err)
+		}
+		s.sleep(joinRetryDelay)
+	}
+	return fmt.Errorf("joining at %s: %w", s.opt.Join, err)
+}
+
+func (s *Store) voterCount() (n int) {
+	for _, server := range s.servers() {
+		if server.Suffrage == raft.Voter {
+			n++
+		}
+	}
+	return n
+}
+
+// servers returns the members as this one knows them; nil if raft is shut down.
+func (s *Store) servers() []raft.Server {
+	f := s.raft.GetConfiguration()
+	if f.Error() != nil {
+		return nil
+	}
+	return f.Configuration().Servers
+}
--- /dev/null
+++ b/internal/store/read.go
@@ -0,0 +1,124 @@
+package store
+
+import (
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/storestate"
+)
+
+// readPollInterval is how many ms a linearizable read waits before it looks again whether this member has caught up.
+const readPollInterval = 2
+
+// Read calls f with the state, which f must not retain. A linearizable read sees every change that was acknowledged anywhere
+// before the call, and returns ErrUnavailable without a quorum. Any other read sees what this member knows, which may be
+// older by Status.StaleMs.
+func (s *Store) Read(linearizable bool, f func(*storestate.State)) error {
+	if linearizable && s.raft != nil {
+		if err := s.catchUp(); err != nil {
+			return err
+		}
+	}
+	s.fsm.mu.RLock()
+	defer s.fsm.mu.RUnlock()
+	f(s.fsm.state)
+	return nil
+}
+
+// catchUp waits until this member has applied all entries that the leader had committed when it was asked, and the leader
+// has confirmed by a quorum that it led (ReadIndex, section 6.4 of Ongaro's thesis).
+func (s *Store) catchUp() error {
+	if s.Leader() {
+		if err := s.raft.Barrier(s.opt.Timeout).Error(); err != nil {
+			return ErrUnavailable
+		}
+		return nil
+	}
+	addr, id := s.raft.LeaderWithID()
+	if addr == "" || string(id) == s.opt.Self.Name {
+		return ErrUnavailable
+	}
+	r, _, err := s.transport.call(string(addr), request{Operation: opIndex}, s.opt.Timeout)
+	if err != nil || r.Err != "" {
+		return ErrUnavailable
+	}
+	for deadline := s.opt.Clock.Now() + clock.Ms(s.opt.Timeout); s.appliedIndex() < r.Index; {
+		if s.opt.Clock.Now() >= deadline {
+			return ErrUnavailable
+		}
+		s.sleep(readPollInterval)
+	}
+	return nil
+}
+
+// appliedIndex returns the index of the last entry that the state includes. Raft's AppliedIndex also counts entries that
+// were handed to the state machine but not applied yet, and a linearizable read that relied on it could be stale.
+func (s *Store) appliedIndex() (index uint64) {
+	_ = s.Read(false, func(st *storestate.State) { index = st.AppliedIndex })
+	return index
+}
+
+// ReadIndex returns a log index and a time of this member's clock, in ms, such that the entries up to the index include all
+// that the store had committed before the time. It needs a quorum, and returns ErrUnavailable without one.
+func (s *Store) ReadIndex() (index uint64, at float64, err error) {
+	at = s.opt.Clock.Now()
+	if s.raft != nil {
+		if err := s.catchUp(); err != nil {
+			return 0, 0, err
+		}
+	}
+	return s.appliedIndex(), at, nil
+}
+
+// Key returns a signing key as this member knows it, and whether there is one.
+func (s *Store) Key(kid string) (k Key, ok bool) {
+	_ = s.Read(false, func(st *storestate.State) { k, ok = st.Keys[kid] })
+	return k, ok
+}
+
+// IsRevoked reports whether a token id was revoked, as this member knows it.
+func (s *Store) IsRevoked(jti string) (revoked bool) {
+	_ = s.Read(false, func(st *storestate.State) { _, revoked = st.RevokedTokens[jti] })
+	return revoked
+}
+
+// Config returns the configuration revision in force, as this member knows it.
+func (s *Store) Config() (r storestate.Revision) {
+	_ = s.Read(false, func(st *storestate.State) { r = st.Revision() })
+	return r
+}
+
+// TokenCounts returns how many spent and how many revoked token ids are stored.
+func (s *Store) TokenCounts() (spent, revoked int) {
+	_ = s.Read(false, func(st *storestate.State) { spent, revoked = len(st.SpentTokens), len(st.RevokedTokens) })
+	return spent, revoked
+}
+
+// Watch returns a channel of configuration revisions as this member learns of them, the current one first. A receiver that
+// lags misses revisions, but never the newest.
+func (s *Store) Watch() <-chan storestate.Revision {
+	watcher := make(chan storestate.Revision, 1)
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	s.fsm.watchers = append(s.fsm.watchers, watcher)
+	if current := s.fsm.state.Revision(); current.Number > 0 {
+		watcher <- current
+	}
+	return watcher
+}
+
+// Observer receives what this member applies, in the order of the log. Its methods must return soon and must not call the
+// store.
+type Observer interface {
+	// StateReplaced receives the whole state: at first, and when a snapshot took the place of entries. It must not be
+	// retained.
+	StateReplaced(*storestate.State)
+	// ChangeApplied receives a change that was applied, its log index, and the configuration revision in force after it.
+	ChangeApplied(index uint64, c storestate.Change, r storestate.Revision)
+}
+
+// Observe calls an observer with the current state, and with all that comes after it while the store is open.
+func (s *Store) Observe(o Observer) {
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	s.fsm.observers = append(s.fsm.observers, o)
+	o.StateReplaced(s.fsm.state)
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -73,9 +73,9 @@
 func (c *cluster) open(name string, o Options) *Store {
 	id, err := LoadIdentity(c.keys, name)
 	require.NoError(c.t, err)
-	o.Self, o.Identity, o.Clock, o.Fast, o.Timeout = Member{name, c.addrs[name]}, id, c.clk, true, 2*time.Second
+	o.Self, o.Identity, o.Clock, o.FastElections, o.Timeout = Member{name, c.addrs[name]}, id, c.clk, true, 2*time.Second
 	o.Dir = c.dirs[name]
-	o.Snapshot, o.Trailing = 64, 8
+	o.SnapshotThreshold, o.TrailingLogs = 64, 8
 	o.Dial = func(addr string, wait time.Duration) (net.Conn, error) { return c.dial(name, addr, wait) }
 	s, err := Open(o)
 	require.NoError(c.t, err)
@@ -169,7 +169,7 @@
 	eventually(t, func() bool {
 		n++
 		jti = fmt.Sprintf("%p-%d", &n, n)
-		return s.Spend(jti, 9e15) == nil
+		return s.SpendToken(jti, 9e15) == nil
 	}, "a quorum")
 	return jti
 }
@@ -179,20 +179,20 @@
 	s, err := Open(Options{Clock: clk})
 	require.NoError(t, err)
 	require.True(t, s.Leader())
-	require.NoError(t, s.Spend("a", 2000))
-	require.ErrorIs(t, s.Spend("a", 2000), ErrSpent)
+	require.NoError(t, s.SpendToken("a", 2000))
+	require.ErrorIs(t, s.SpendToken("a", 2000), ErrTokenSpent)
 	require.NoError(t, s.PutKey("k1", Key{Alg: "HS256", Data: []byte("x")}))
 	k, ok := s.Key("k1")
 	require.True(t, ok && k.Alg == "HS256")
-	require.NoError(t, s.DropKey("k1"))
+	require.NoError(t, s.DeleteKey("k1"))
 	_, ok = s.Key("k1")
 	require.False(t, ok)
-	require.NoError(t, s.Revoke("r", 1500))
-	require.True(t, s.Revoked("r"))
+	require.NoError(t, s.RevokeToken("r", 1500))
+	require.True(t, s.IsRevoked("r"))
 	clk.Advance(1001) // what can no longer pass is pruned with the next change
-	require.NoError(t, s.Spend("b", 3000))
-	require.NoError(t, s.Revoke("r2", 3000))
-	spent, revoked := s.Held()
+	require.NoError(t, s.SpendToken("b", 3000))
+	require.NoError(t, s.RevokeToken("r2", 3000))
+	spent, revoked := s.TokenCounts()
 	require.Equal(t, [2]int{1, 1}, [2]int{spent, revoked})
 
 	w := s.Watch()
@@ -207,12 +207,12 @@
 	require.NoError(t, err)
 	rev, err = s.Rollback(1, "ops")
 	require.NoError(t, err)
-	require.Equal(t, storestate.Revision{Number: 3, At: 2001, By: "ops", Text: "one", Of: 1}, s.Config())
+	require.Equal(t, storestate.Revision{Number: 3, CreatedAt: 2001, Author: "ops", Text: "one", RollbackOf: 1}, s.Config())
 	require.EqualValues(t, 3, rev)
 	_, err = s.Rollback(9, "ops")
 	require.Error(t, err)
 	require.NoError(t, s.Close())
-	require.ErrorIs(t, s.Spend("c", 3000), ErrUnavailable)
+	require.ErrorIs(t, s.SpendToken("c", 3000), ErrUnavailable)
 }
 
 // The leader is lost between taking a change and answering; a member that was down comes back by a snapshot, as the log
@@ -239,8 +239,8 @@
 	for _, s := range c.all() {
 		for _, jti := range spent {
 			var err error
-			eventually(t, func() bool { err = s.Spend(jti, 9e15); return err == ErrSpent || err == nil }, "a quorum")
-			require.ErrorIs(t, err, ErrSpent, jti)
+			eventually(t, func() bool { err = s.SpendToken(jti, 9e15); return err == ErrTokenSpent || err == nil }, "a quorum")
+			require.ErrorIs(t, err, ErrTokenSpent, jti)
 		}
 	}
 }
@@ -253,21 +253,21 @@
 	s := c.members[lead]
 	require.NoError(t, s.PutKey("k", Key{Alg: "HS256"}))
 	c.isolate(lead, true) // what it appends now, no other member has
-	change := storestate.Change{ID: "one", Kind: storestate.Spend, Name: "j", Until: 9e15}
+	change := storestate.Change{ID: "one", Kind: storestate.SpendToken, Name: "j", ExpiresAt: 9e15}
 	before, outcome := s.raft.LastIndex(), make(chan error, 1)
-	go func() { _, err := s.Do(change); outcome <- err }()
+	go func() { _, err := s.Propose(change); outcome <- err }()
 	eventually(t, func() bool { return s.raft.LastIndex() > before }, "it is in the leader's log")
 	s.Kill()
-	require.ErrorIs(t, <-outcome, ErrUnknown)
+	require.ErrorIs(t, <-outcome, ErrOutcomeUnknown)
 	c.isolate(lead, false)
 	next := c.members[c.leader()]
 	c.open(lead, Options{})
 	for range 3 {
 		var err error
-		eventually(t, func() bool { _, err = next.Do(change); return !errors.Is(err, ErrUnavailable) }, "a quorum")
+		eventually(t, func() bool { _, err = next.Propose(change); return !errors.Is(err, ErrUnavailable) }, "a quorum")
 		require.NoError(t, err)
 	}
-	require.ErrorIs(t, next.Spend("j", 9e15), ErrSpent)
+	require.ErrorIs(t, next.SpendToken("j", 9e15), ErrTokenSpent)
 }
 
 // A member that is cut off goes on answering reads, and says how stale they are; it acknowledges nothing, and what it
@@ -282,9 +282,9 @@
 	eventually(t, func() bool { return c.members[lone].Status().StaleMs > 300 }, "it knows that it is stale")
 	_, ok := c.members[lone].Key("k")
 	require.True(t, ok, "reads go on")
-	require.ErrorIs(t, c.members[lone].Spend("j", 9e15), ErrUnavailable)
+	require.ErrorIs(t, c.members[lone].SpendToken("j", 9e15), ErrUnavailable)
 	require.ErrorIs(t, c.members[lone].Read(true, func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
-	require.NoError(t, c.members[lead].DropKey("k"))
+	require.NoError(t, c.members[lead].DeleteKey("k"))
 	_, ok = c.members[lone].Key("k")
 	require.True(t, ok, "stale, and said so")
 	c.isolate(lone, false)
@@ -310,8 +310,8 @@
 	id, err := LoadIdentity(c.keys, lead)
 	require.NoError(t, err)
 	done := make(chan error, 1)
-	go func() { _, err := Ask(id, c.addrs[lead], AskRemove, "nobody", "", 20*time.Second); done <- err }()
-	time.Sleep(5 * askAgain)
+	go func() { _, err := Request(id, c.addrs[lead], OpRemove, "nobody", "", 20*time.Second); done <- err }()
+	time.Sleep(5 * requestRetryDelay)
 	c.isolate(lead, false)
 	require.NoError(t, <-done)
 	spendNew(t, c.members[lead])
@@ -344,16 +344,16 @@
 	d := c.open("d", Options{Join: c.addrs[c.other(lead)]}) // through one that does not lead
 	// It was let in by one that leads, and hears of that a moment later.
 	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the newcomer knows of all")
-	require.ErrorIs(t, d.Spend(jti, 9e15), ErrSpent)
+	require.ErrorIs(t, d.SpendToken(jti, 9e15), ErrTokenSpent)
 	id, err := LoadIdentity(c.keys, "d")
 	require.NoError(t, err)
-	_, err = Ask(id, c.addrs["d"], AskTransfer, "d", "", 5*time.Second)
+	_, err = Request(id, c.addrs["d"], OpTransfer, "d", "", 5*time.Second)
 	require.NoError(t, err)
 	eventually(t, d.Leader, "the newcomer leads")
-	_, err = Ask(id, c.addrs["a"], AskRemove, lead, "", 5*time.Second)
+	_, err = Request(id, c.addrs["a"], OpRemove, lead, "", 5*time.Second)
 	require.NoError(t, err)
 	eventually(t, func() bool {
-		st, err := Ask(id, c.addrs["d"], AskStatus, "", "", 5*time.Second)
+		st, err := Request(id, c.addrs["d"], OpStatus, "", "", 5*time.Second)
 		return err == nil && len(st.Members) == 3
 	}, "one less")
 	c.members[lead].Kill()
@@ -367,26 +367,26 @@
 	c.leader()
 	id, err := LoadIdentity(c.keys, "a")
 	require.NoError(t, err)
-	_, err = Ask(id, c.addrs["a"], AskStatus, "", "", 5*time.Second)
+	_, err = Request(id, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.NoError(t, err)
 	other := t.TempDir()
 	require.NoError(t, NewCluster(other, "th")) // of the same name, with another authority
 	require.NoError(t, Issue(other, "a"))
 	forged, err := LoadIdentity(other, "a")
 	require.NoError(t, err)
-	_, err = Ask(forged, c.addrs["a"], AskStatus, "", "", 5*time.Second)
+	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.Error(t, err)
 	// A certificate of the right authority for another cluster.
 	forged, err = LoadIdentity(c.keys, "a")
 	require.NoError(t, err)
 	forged.Cluster = "elsewhere"
-	_, err = Ask(forged, c.addrs["a"], AskStatus, "", "", 5*time.Second)
+	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.ErrorContains(t, err, `a certificate of cluster "th", member "a"`)
 	// A member that asks to be let in under another's name.
 	require.NoError(t, Issue(c.keys, "b"))
 	b, err := LoadIdentity(c.keys, "b")
 	require.NoError(t, err)
-	_, err = Ask(b, c.addrs["a"], callJoin, "c", "", 5*time.Second)
+	_, err = Request(b, c.addrs["a"], OpJoin, "c", "", 5*time.Second)
 	require.ErrorContains(t, err, `member "b" asks in the name of "c"`)
 	nc, err := net.Dial("tcp", c.addrs["a"])
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/store/transport.go
@@ -0,0 +1,223 @@
+package store
+
+import (
+	"bufio"
+	"crypto/tls"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+const (
+	// handshakeTimeout bounds how long a connection may take to say who it is from and what it carries.
+	handshakeTimeout = 5 * time.Second
+	// maxConns bounds the connections accepted at a store's address at once.
+	maxConns = 256
+	// callIdleTimeout is after how long without a request a connection for calls is closed.
+	callIdleTimeout = time.Minute
+)
+
+// transport is an address at which other members connect, and the way to connect to theirs. It is raft's stream layer.
+type transport struct {
+	listener   net.Listener
+	identity   *Identity
+	dial       DialFunc
+	handleCall func(peer string, q request) reply
+	handleLink func(*Link) // set: the address accepts links only, and neither calls nor raft's streams
+	raftConns  chan net.Conn
+	maxConns   int
+	done       chan struct{} // closed by Close
+
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{}
+	closed   bool
+	handlers sync.WaitGroup // of the connections being handled
+}
+
+func newTransport(listener net.Listener, id *Identity, maxConns int) *transport {
+	return &transport{
+		listener: listener, identity: id, maxConns: maxConns, raftConns: make(chan net.Conn), done: make(chan struct{}),
+		conns: map[net.Conn]struct{}{},
+	}
+}
+
+// run accepts connections until the transport is closed. Beyond maxConns it closes them at once.
+func (t *transport) run() {
+	for {
+		conn, err := t.listener.Accept()
+		if err != nil {
+			return
+		}
+		t.mu.Lock()
+		if t.closed || len(t.conns) >= t.maxConns {
+			t.mu.Unlock()
+			conn.Close()
+			continue
+		}
+		t.conns[conn] = struct{}{}
+		t.handlers.Add(1)
+		t.mu.Unlock()
+		go func() {
+			defer t.handlers.Done()
+			t.handle(conn)
+		}()
+	}
+}
+
+// drop closes an accepted connection and forgets it.
+func (t *transport) drop(conn net.Conn) {
+	conn.Close()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.conns, conn)
+}
+
+// handle serves an accepted connection. One without a certificate of the cluster is closed.
+func (t *transport) handle(raw net.Conn) {
+	conn, peer, kind, err := t.accept(raw)
+	switch {
+	case err != nil:
+		t.drop(raw)
+	case t.handleLink != nil:
+		if kind == connLink {
+			t.handleLink(&Link{Peer: peer, conn: conn, in: bufio.NewReader(conn), closeConn: func() { raw.Close() }})
+		}
+		t.drop(raw)
+	case kind == connRaft:
+		select {
+		case t.raftConns <- raftConn{conn, t, raw}:
+		case <-t.done:
+			t.drop(raw)
+		}
+	case kind == connCalls:
+		t.serveCalls(raw, conn, peer)
+		t.drop(raw)
+	default:
+		t.drop(raw)
+	}
+}
+
+// accept finds out who has connected, and what the connection carries.
+func (t *transport) accept(raw net.Conn) (conn *tls.Conn, peer string, kind byte, err error) {
+	_ = raw.SetDeadline(time.Now().Add(handshakeTimeout))
+	conn = tls.Server(raw, t.identity.TLS())
+	if err := conn.Handshake(); err != nil {
+		return nil, "", 0, err
+	}
+	if peer, err = t.identity.verifyConnection(conn.ConnectionState()); err != nil {
+		return nil, "", 0, err
+	}
+	var first [1]byte
+	if _, err := io.ReadFull(conn, first[:]); err != nil {
+		return nil, "", 0, err
+	}
+	_ = raw.SetDeadline(time.Time{})
+	return conn, peer, first[0], nil
+}
+
+// serveCalls answers calls until the connection ends or is idle for too long.
+func (t *transport) serveCalls(raw net.Conn, conn *tls.Conn, peer string) {
+	in := bufio.NewReader(conn)
+	for {
+		_ = raw.SetDeadline(time.Now().Add(callIdleTimeout))
+		var q request
+		if err := readMessage(in, &q); err != nil {
+			return
+		}
+		if err := writeMessage(conn, t.handleCall(peer, q)); err != nil {
+			return
+		}
+	}
+}
+
+// raftConn is an accepted stream, which the transport forgets once raft closes it.
+type raftConn struct {
+	net.Conn
+	transport *transport
+	raw       net.Conn
+}
+
+// Close implements net.Conn.
+func (c raftConn) Close() error {
+	c.transport.drop(c.raw)
+	return nil
+}
+
+// connect opens a connection of a kind to a member.
+func (t *transport) connect(addr string, kind byte, timeout time.Duration) (*tls.Conn, error) {
+	raw, err := t.dial(addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	_ = raw.SetDeadline(time.Now().Add(timeout))
+	conn := tls.Client(raw, t.identity.TLS())
+	if err := conn.Handshake(); err != nil {
+		raw.Close()
+		return nil, err
+	}
+	if _, err := conn.Write([]byte{kind}); err != nil {
+		raw.Close()
+		return nil, err
+	}
+	_ = raw.SetDeadline(time.Time{})
+	return conn, nil
+}
+
+// call makes a call to a member. sent reports whether the request may have reached it.
+func (t *transport) call(addr string, q request, timeout time.Duration) (r reply, sent bool, err error) {
+	conn, err := t.connect(addr, connCalls, timeout)
+	if err != nil {
+		return r, false, err
+	}
+	defer conn.Close()
+	// Without a deadline, a call to a member that was cut off would never return.
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	if err := writeMessage(conn, q); err != nil {
+		return r, true, err
+	}
+	err = readMessage(conn, &r)
+	return r, true, err
+}
+
+// Accept implements raft.StreamLayer.
+func (t *transport) Accept() (net.Conn, error) {
+	select {
+	case conn := <-t.raftConns:
+		return conn, nil
+	case <-t.done:
+		return nil, net.ErrClosed
+	}
+}
+
+// Dial implements raft.StreamLayer.
+func (t *transport) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	conn, err := t.connect(string(addr), connRaft, timeout)
+	if err != nil {
+		return nil, err // an interface that holds a nil *tls.Conn would not be nil
+	}
+	return conn, nil
+}
+
+// Addr implements raft.StreamLayer.
+func (t *transport) Addr() net.Addr { return t.listener.Addr() }
+
+// Close implements raft.StreamLayer. It closes the listener and all accepted connections.
+func (t *transport) Close() error {
+	t.mu.Lock()
+	if t.closed {
+		t.mu.Unlock()
+		return nil
+	}
+	t.closed = true
+	conns := t.conns
+	t.conns = map[net.Conn]struct{}{}
+	t.mu.Unlock()
+	close(t.done)
+	for conn := range conns {
+		conn.Close()
+	}
+	return t.listener.Close()
+}
