--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -2,46 +2,48 @@
 
 import "math"
 
-// door decides who may begin a subscription: no more than the bounded share, and not too many at once.
+// admission decides whether a subscription may begin: up to a limit of subscribers, and at a bounded rate (a token bucket).
 type admission struct {
-	settings   Settings
-	limit      int
-	tokens     float64
-	refilledAt float64
-	nextSlotAt float64 // up to when those that were turned away are told to come back
+	settings    Settings
+	limit       int // of subscribers
+	tokens      float64
+	refilledAt  float64
+	nextRetryAt float64 // up to when rejected subscribers have been told to return
 }
 
 func newAdmission(s Settings) admission {
 	return admission{settings: s, limit: s.MaxSubscribers, tokens: s.AdmitBurst, refilledAt: math.Inf(-1)}
 }
 
-// demand sets the bound: LoadBound times the even share.
-func (d *admission) setDemand(e Demand) {
-	d.limit = d.settings.MaxSubscribers
+// setDemand sets the limit to LoadFactor times the even share of the subscribers.
+func (a *admission) setDemand(e Demand) {
+	a.limit = a.settings.MaxSubscribers
 	if e.Distributors > 0 {
-		share := math.Ceil(d.settings.LoadFactor * float64(e.Subscribers) / float64(e.Distributors))
-		d.limit = max(1, min(d.limit, int(share)))
+		share := math.Ceil(a.settings.LoadFactor * float64(e.Subscribers) / float64(e.Distributors))
+		a.limit = max(1, min(a.limit, int(share)))
 	}
 }
 
-// busy tells how long to stay away, ms; 0: one may come in now. Those that may not are told times one after the other.
-func (d *admission) retryAfter(now float64) float64 {
-	if now > d.refilledAt {
-		if !math.IsInf(d.refilledAt, -1) {
-			d.tokens = min(d.settings.AdmitBurst, d.tokens+(now-d.refilledAt)/1000*d.settings.AdmitPerSecond)
+// take takes a token. If there is none it returns how long to stay away, in ms: rejected subscribers are told times that follow each
+// other at the admitted rate.
+func (a *admission) take(now float64) (retryAfter float64) {
+	if now > a.refilledAt {
+		if !math.IsInf(a.refilledAt, -1) {
+			a.tokens = min(a.settings.AdmitBurst, a.tokens+(now-a.refilledAt)/1000*a.settings.AdmitPerSecond)
 		}
-		d.refilledAt = now
+		a.refilledAt = now
 	}
-	if d.tokens >= 1 {
-		d.tokens--
+	if a.tokens >= 1 {
+		a.tokens--
 		return 0
 	}
-	d.nextSlotAt = min(max(d.nextSlotAt, now)+1000/d.settings.AdmitPerSecond, now+d.settings.MaxBackoff)
-	return d.nextSlotAt - now
+	a.nextRetryAt = min(max(a.nextRetryAt, now)+1000/a.settings.AdmitPerSecond, now+a.settings.MaxBackoff)
+	return a.nextRetryAt - now
 }
 
-// admit tells why a subscription may not begin, and for how long to stay away. One that is open goes on (fresh is false).
-func (d *Distributor) admit(fresh bool, m Subscribe) (RejectReason, float64) {
+// admit decides on a Subscribe. It returns 0, or why it is rejected and for how many ms the subscriber is to stay away. isNew is false
+// for a subscription that begins anew on its link: limits do not apply to it.
+func (d *Distributor) admit(isNew bool, m Subscribe) (reason RejectReason, retryAfter float64) {
 	switch {
 	case m.Stream != d.settings.Stream || d.epoch == 0:
 		return RejectNotReady, d.settings.MinBackoff
@@ -49,25 +51,25 @@
 		return RejectOldEpoch, d.settings.MaxBackoff
 	case m.Rank <= d.settings.Self.Rank:
 		return RejectWrongRank, d.settings.MaxBackoff
-	case !fresh:
+	case !isNew:
 		return 0, 0
 	case d.shutdownAt != 0:
 		return RejectShutdown, d.settings.MaxBackoff
 	case len(d.subscriptions) >= d.admission.limit && d.find(m.Name) == nil:
 		return RejectFull, d.settings.MaxBackoff
 	}
-	if after := d.admission.retryAfter(d.now); after > 0 {
-		return RejectBusy, after
+	if retryAfter := d.admission.take(d.now); retryAfter > 0 {
+		return RejectBusy, retryAfter
 	}
 	return 0, 0
 }
 
-// awayAt is when the next member is sent away: one after the other over the span of a failover.
+// nextDismissalAt is when the next subscriber is dismissed during a shutdown: one after the other over FailoverSpread.
 func (d *Distributor) nextDismissalAt() float64 {
 	return d.shutdownAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.toDismiss))
 }
 
-// sendAway spreads the members of a process that stops.
+// dismissDue sends subscribers to other distributors while the process shuts down.
 func (d *Distributor) dismissDue() {
 	for d.shutdownAt != 0 && len(d.subscriptions) > 0 && d.now >= d.nextDismissalAt() {
 		d.dismissed++
--- a/internal/decide/distribution/backlog.go
+++ b/internal/decide/distribution/backlog.go
@@ -5,32 +5,32 @@
 	"sort"
 )
 
-// segment is a range of the stream that goes out as one batch.
+// segment is a range of the stream that is sent as one batch.
 type segment struct {
-	after, through uint64
-	atomic         bool // see Batch: nobody may begin within it
+	after, through uint64 // the range (after, through]
+	atomic         bool   // see Batch
 	entries        []Entry
-	bytes          int
-	frame          *Frame // nil: to be encoded
+	bytes          int    // of the entries, encoded
+	frame          *Frame // the encoded batch; nil: it has to be encoded
 }
 
-// backlog is the end of the stream, to resume from. Segments follow each other without a gap, from floor on.
+// backlog is the latest part of the stream, which subscribers resume from. Its segments follow each other without a gap.
 type backlog struct {
 	segments       []*segment
-	floor          uint64
-	entries, bytes int
+	floor          uint64 // the sequence behind which the first segment begins
+	entries, bytes int    // of all segments
 }
 
-// reset forgets all: the stream goes on from a place.
+// reset drops all segments: the stream goes on behind a sequence.
 func (b *backlog) reset(floor uint64) { *b = backlog{floor: floor} }
 
-// append adds a range, cut into segments of at most so many bytes.
-func (b *backlog) append(after, through uint64, entries []Entry, most int) {
-	b.removeIdleTail(&after)
+// append adds a range, split into segments of at most maxBytes. An entry that is larger is alone in its segment.
+func (b *backlog) append(after, through uint64, entries []Entry, maxBytes int) {
+	after = b.removeEmptyTail(after)
 	s := &segment{after: after}
 	for _, e := range entries {
 		size := EncodedSize(e)
-		if len(s.entries) > 0 && s.bytes+size > most {
+		if len(s.entries) > 0 && s.bytes+size > maxBytes {
 			s.through = s.entries[len(s.entries)-1].Sequence
 			b.push(s)
 			s = &segment{after: s.through}
@@ -42,17 +42,21 @@
 	b.push(s)
 }
 
-// appendWhole adds a range that is not cut, and that nobody may begin within.
+// appendAtomic adds a range that is not split, see Batch.
 func (b *backlog) appendAtomic(after, through uint64, entries []Entry) {
 	b.push(&segment{after: after, through: through, atomic: true, entries: entries, bytes: sizeOf(entries)})
 }
 
-// takeIdle removes a last segment without entries: the next begins where it did.
-func (b *backlog) removeIdleTail(after *uint64) {
-	if n := len(b.segments); n > 0 && len(b.segments[n-1].entries) == 0 && !b.segments[n-1].atomic {
-		*after = b.segments[n-1].after
-		b.segments = b.segments[:n-1]
+// removeEmptyTail removes a last segment without entries, and returns where the next one begins: where the removed one did, or at
+// after.
+func (b *backlog) removeEmptyTail(after uint64) uint64 {
+	last := len(b.segments) - 1
+	if last < 0 || len(b.segments[last].entries) > 0 || b.segments[last].atomic {
+		return after
 	}
+	after = b.segments[last].after
+	b.segments = b.segments[:last]
+	return after
 }
 
 func (b *backlog) push(s *segment) {
@@ -61,13 +65,12 @@
 	b.bytes += s.bytes
 }
 
-// find is the index of the first segment that ends behind a place.
+// find returns the index of the first segment that ends behind a sequence.
 func (b *backlog) find(cursor uint64) int {
 	return sort.Search(len(b.segments), func(i int) bool { return b.segments[i].through > cursor })
 }
 
-// drop removes an entry that something later covers, or that has ended. A segment that is left without any goes into
-// the next.
+// drop removes an entry that something later covers, or that has expired. A segment that becomes empty is merged into the next.
 func (b *backlog) drop(sequence uint64) {
 	if sequence <= b.floor {
 		return
@@ -92,9 +95,9 @@
 	}
 }
 
-// trim gives up the oldest until no more than so many entries and bytes are kept.
-func (b *backlog) trim(entries, bytes int) {
-	for len(b.segments) > 0 && (b.entries > entries || b.bytes > bytes) {
+// trim drops the oldest segments until no more than so many entries and bytes are left.
+func (b *backlog) trim(maxEntries, maxBytes int) {
+	for len(b.segments) > 0 && (b.entries > maxEntries || b.bytes > maxBytes) {
 		s := b.segments[0]
 		b.segments[0] = nil
 		b.segments = b.segments[1:]
@@ -104,7 +107,7 @@
 	}
 }
 
-// middle is the place that half of the segments are behind.
+// middle returns the sequence that half of the segments are behind.
 func (b *backlog) middle() uint64 {
 	if len(b.segments) == 0 {
 		return b.floor
--- /dev/null
+++ b/internal/decide/distribution/check/process.go
@@ -0,0 +1,195 @@
+package check
+
+import "ravenwheel/internal/decide/distribution"
+
+// Process is what a process has in effect, by the actions that it was given.
+type Process struct {
+	history   *History
+	hasState  bool
+	position  distribution.Position
+	effective map[factKey]distribution.Entry
+	watermark distribution.Watermark
+}
+
+// NewProcess returns a Process with nothing in effect.
+func NewProcess(h *History) *Process {
+	return &Process{history: h, effective: map[factKey]distribution.Entry{}}
+}
+
+// Clone copies the process for a model that branches, with the history of its branch.
+func (p *Process) Clone(h *History) *Process {
+	c := *p
+	c.history = h
+	c.effective = make(map[factKey]distribution.Entry, len(p.effective))
+	for key, e := range p.effective {
+		c.effective[key] = e
+	}
+	return &c
+}
+
+// Position returns the position up to which it was told.
+func (p *Process) Position() distribution.Position { return p.position }
+
+// EntryCount returns how many entries are in effect.
+func (p *Process) EntryCount() int { return len(p.effective) }
+
+// Observe takes in an action of the process's Subscriber. It returns a Violation if a rule does not hold.
+func (p *Process) Observe(a distribution.Action) error {
+	switch a := a.(type) {
+	case distribution.Apply:
+		return p.apply(a)
+	case distribution.InstallSnapshot:
+		return p.installSnapshot(a)
+	}
+	return nil
+}
+
+func (p *Process) apply(a distribution.Apply) error {
+	if !p.hasState || a.Epoch != p.position.Epoch {
+		return violated(RuleEpochs, "entries of epoch %d at epoch %d", a.Epoch, p.position.Epoch)
+	}
+	if a.After != p.position.Sequence || a.Through < a.After {
+		return violated(RuleOrder, "entries (%d, %d] at %d", a.After, a.Through, p.position.Sequence)
+	}
+	last := a.After
+	for _, e := range a.Entries {
+		if e.Sequence <= last || e.Sequence > a.Through {
+			return violated(RuleOrder, "entry %d behind %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
+		}
+		last = e.Sequence
+		if held, known := p.effective[factKeyOf(e)]; known && held.Sequence >= e.Sequence {
+			return violated(RuleOrder, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, held.Sequence)
+		}
+		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
+			return err
+		}
+	}
+	p.position.Sequence = a.Through
+	return nil
+}
+
+func (p *Process) installSnapshot(a distribution.InstallSnapshot) error {
+	if p.hasState && (a.Epoch < p.position.Epoch || a.Epoch == p.position.Epoch && a.Through < p.position.Sequence) {
+		return violated(RuleEpochs, "a snapshot of %d/%d at %d/%d", a.Epoch, a.Through, p.position.Epoch, p.position.Sequence)
+	}
+	for key := range p.effective {
+		if !isPurge(key.kind) {
+			delete(p.effective, key)
+		}
+	}
+	if a.Epoch != p.position.Epoch { // sequences of two epochs are not compared
+		for key, e := range p.effective {
+			e.Sequence = 0
+			p.effective[key] = e
+		}
+		p.watermark = distribution.Watermark{}
+	}
+	last := uint64(0)
+	for _, e := range a.Entries {
+		if e.Sequence <= last || e.Sequence > a.Through {
+			return violated(RuleOrder, "entry %d behind %d in a snapshot of %d", e.Sequence, last, a.Through)
+		}
+		last = e.Sequence
+		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
+			return err
+		}
+	}
+	p.hasState, p.position = true, distribution.Position{Epoch: a.Epoch, Sequence: a.Through}
+	return nil
+}
+
+// putInEffect puts one entry into effect. It must have the content of a fact that was committed by then; its sequence may differ, as a
+// store that reads its state back has facts without their sequences.
+func (p *Process) putInEffect(epoch, through uint64, e distribution.Entry) error {
+	f, known := p.history.find(epoch, through, e)
+	if !known {
+		return violated(RuleCommitted, "entry %d/%d is not what was committed", epoch, e.Sequence)
+	}
+	key := factKeyOf(e)
+	if e.Kind == distribution.DrainEnded {
+		delete(p.effective, key)
+		return nil
+	}
+	if held, already := p.effective[key]; already && isPurge(e.Kind) {
+		e.EffectiveAt = max(e.EffectiveAt, held.EffectiveAt)
+		if outlasts(held.ExpiresAt, e.ExpiresAt) {
+			e.ExpiresAt = held.ExpiresAt
+		}
+	}
+	e.Sequence = f.Sequence
+	p.effective[key] = e
+	return nil
+}
+
+// CheckWatermark takes the watermark that the process goes by, and checks that it is true.
+func (p *Process) CheckWatermark(w distribution.Watermark) error {
+	if w == p.watermark || w == (distribution.Watermark{}) {
+		return nil
+	}
+	p.watermark = w
+	return p.checkComplete(func(f fact) bool { return f.committedAt < w.At || f.Sequence <= w.Sequence }, w.At)
+}
+
+// CheckCaughtUp checks that everything that was committed by now, Unix ms, is in effect.
+func (p *Process) CheckCaughtUp(now int64) error {
+	if p.position.Epoch != p.history.latest.Epoch || p.position.Sequence < p.history.latest.Sequence {
+		return violated(RuleComplete, "at %d/%d, the store is at %d/%d", p.position.Epoch, p.position.Sequence,
+			p.history.latest.Epoch, p.history.latest.Sequence)
+	}
+	return p.checkComplete(func(fact) bool { return true }, now)
+}
+
+// checkComplete checks that the facts of the epoch that are expected are in effect, or can void nothing after now.
+func (p *Process) checkComplete(expected func(fact) bool, now int64) error {
+	last := map[factKey]fact{}
+	for _, f := range p.history.epochs[p.position.Epoch] {
+		if !expected(f) {
+			continue
+		}
+		if !isPurge(f.Kind) {
+			last[factKeyOf(f.Entry)] = f
+			continue
+		}
+		if f.ExpiresAt != 0 && f.ExpiresAt <= now || p.covered(f.Entry) {
+			continue
+		}
+		return violated(RuleComplete, "purge %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
+	}
+	for key, f := range last {
+		if p.missing(key, f) {
+			return violated(RuleComplete, "entry %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
+		}
+	}
+	return nil
+}
+
+// missing reports whether the last expected fact of a key is not in effect, nor a later one.
+func (p *Process) missing(key factKey, f fact) bool {
+	held, known := p.effective[key]
+	if f.Kind == distribution.DrainEnded {
+		return known && held.Sequence < f.Sequence
+	}
+	return (!known || held.Sequence < f.Sequence) && !p.drainEnded(key, f.Sequence)
+}
+
+// drainEnded reports whether a drain that is not in effect has ended behind a sequence.
+func (p *Process) drainEnded(key factKey, sequence uint64) bool {
+	for _, f := range p.history.epochs[p.position.Epoch] {
+		if f.Kind == distribution.DrainEnded && factKeyOf(f.Entry) == key && f.Sequence > sequence && f.Sequence <= p.position.Sequence {
+			return true
+		}
+	}
+	return false
+}
+
+// covered reports whether every copy that a purge voids is voided by what is in effect.
+func (p *Process) covered(e distribution.Entry) bool {
+	if held, known := p.effective[factKeyOf(e)]; known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt) {
+		return true
+	}
+	if e.Kind != distribution.PurgeObject || !e.GroupKnown {
+		return false
+	}
+	held, known := p.effective[factKey{kind: distribution.PurgeGroup, group: e.Group}]
+	return known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt)
+}
--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -104,7 +104,7 @@
 	p := fingerprint(b)
 	p.numbers(d.epoch, d.head, d.backlog.floor, uint64(len(d.subscriptions)))
 	p.watermark(d.watermark)
-	p.floats(d.heartbeatAt, d.admission.tokens, d.admission.refilledAt, d.admission.nextSlotAt)
+	p.floats(d.heartbeatAt, d.admission.tokens, d.admission.refilledAt, d.admission.nextRetryAt)
 	p.entries(d.facts.sorted())
 	for _, s := range d.backlog.segments {
 		p.numbers(s.after, s.through)
--- /dev/null
+++ b/internal/decide/distribution/freshness.go
@@ -0,0 +1,128 @@
+package distribution
+
+import "math"
+
+// Freshness is what the request path goes by. It states what holds later too: a process that was stopped, and decides on a request
+// before its machine has had its Tick, comes to the same decision. All times are Unix ms by this process's clock.
+type Freshness struct {
+	// Restricted: strict classes take no copy from before OldestCopy.
+	Restricted bool
+	OldestCopy float64
+	// From FreshUntil on the process may be behind by more than MaxLag: strict classes then take no copy from before WatermarkTime,
+	// which is the watermark's time plus MaxClockSkew.
+	FreshUntil    float64
+	WatermarkTime float64
+}
+
+// unknownFreshness holds before the first watermark: no copy is known to be good.
+var unknownFreshness = Freshness{Restricted: true, OldestCopy: math.Inf(1), FreshUntil: math.Inf(-1), WatermarkTime: math.Inf(1)}
+
+// updateFreshness decides what holds now for the request path. Past FreshUntil strict classes are restricted to copies from after the
+// watermark. Once the process has caught up, the restriction ends after a draw over RelaxSpread; at the start, when no request was
+// restricted yet, it ends at once.
+func (s *Subscriber) updateFreshness() {
+	if s.watermark == (Watermark{}) {
+		return
+	}
+	next := s.freshness
+	next.WatermarkTime = float64(s.watermark.At) + s.settings.MaxClockSkew
+	next.FreshUntil = float64(s.watermark.At) + s.settings.MaxLag - s.settings.MaxClockSkew
+	starting := math.IsInf(next.OldestCopy, 1)
+	switch {
+	case s.now >= next.FreshUntil:
+		if !next.Restricted || starting {
+			next.OldestCopy = next.WatermarkTime
+		}
+		next.Restricted, next.OldestCopy = true, max(next.OldestCopy, next.WatermarkTime)
+		s.relaxAt = 0
+	case next.Restricted && starting:
+		next.Restricted, next.OldestCopy = false, 0
+	case next.Restricted && s.relaxAt == 0:
+		s.relaxAt = s.now + s.jitter.upTo(s.settings.RelaxSpread)
+	case next.Restricted && s.now >= s.relaxAt:
+		next.Restricted, next.OldestCopy, s.relaxAt = false, 0, 0
+	}
+	if next != s.freshness {
+		s.freshness = next
+		s.emit(SetFreshness{State: next})
+	}
+}
+
+// Verdict is what may be done with a copy.
+type Verdict uint8
+
+// The verdicts.
+const (
+	VerdictServe       Verdict = iota // serve the copy
+	VerdictServeStale                 // serve the copy, and count it as served by a process that may be too far behind
+	VerdictFetchOrigin                // do not serve the copy: fetch from the origin
+	VerdictReject                     // do not serve the copy, and the origin's quota is used up
+)
+
+// maxOriginTokens is how many unused requests to the origin accumulate: enough for a few requests at once, no burst.
+const maxOriginTokens = 4
+
+// FreshnessGate decides whether a request may be served from a copy. It is not safe for concurrent use.
+type FreshnessGate struct {
+	settings         Settings
+	state            Freshness
+	originTokens     float64 // rises by OriginFraction with each request that asks for the origin
+	originRateTokens float64 // rises by OriginPerSecond
+	refilledAt       float64 // when originRateTokens was refilled last
+}
+
+// NewFreshnessGate returns a gate that takes no copy before the first Update.
+func NewFreshnessGate(s Settings) *FreshnessGate {
+	return &FreshnessGate{
+		settings: s, state: unknownFreshness, originTokens: 1, originRateTokens: s.OriginPerSecond, refilledAt: math.Inf(-1),
+	}
+}
+
+// Update takes the state of a SetFreshness.
+func (g *FreshnessGate) Update(state Freshness) { g.state = state }
+
+// OldestCopy returns the time before which strict classes take no copy, Unix ms; minus infinity: they take any.
+func (g *FreshnessGate) OldestCopy(now float64) float64 {
+	oldest := math.Inf(-1)
+	if g.state.Restricted {
+		oldest = g.state.OldestCopy
+	}
+	if now >= g.state.FreshUntil {
+		oldest = max(oldest, g.state.WatermarkTime)
+	}
+	return oldest
+}
+
+// Decide decides on a request of a class, for which there is a copy that was made (or validated) at madeAt, Unix ms by this process's
+// clock.
+func (g *FreshnessGate) Decide(now float64, class string, madeAt float64) Verdict {
+	switch {
+	case madeAt >= g.OldestCopy(now):
+		return VerdictServe
+	case g.settings.Classes[class] == PolicyServeStale:
+		return VerdictServeStale
+	case g.admitOrigin(now):
+		return VerdictFetchOrigin
+	default:
+		return VerdictReject
+	}
+}
+
+// admitOrigin reports whether one more request may go to the origin: OriginFraction of those that ask for it, and no more than
+// OriginPerSecond. It takes a token of both.
+func (g *FreshnessGate) admitOrigin(now float64) bool {
+	if now > g.refilledAt {
+		if !math.IsInf(g.refilledAt, -1) {
+			refill := (now - g.refilledAt) / 1000 * g.settings.OriginPerSecond
+			g.originRateTokens = min(g.settings.OriginPerSecond, g.originRateTokens+refill)
+		}
+		g.refilledAt = now
+	}
+	g.originTokens = min(maxOriginTokens, g.originTokens+g.settings.OriginFraction)
+	if g.originTokens < 1 || g.originRateTokens < 1 {
+		return false
+	}
+	g.originTokens--
+	g.originRateTokens--
+	return true
+}
--- a/internal/decide/distribution/parent_selection.go
+++ b/internal/decide/distribution/parent_selection.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tier is how far a distributor is. The store's members are the last of the region's, as thousands would fall on them.
+// tier is how far away a distributor is, the closest first. The members of the store come behind all other distributors of the region,
+// as thousands of processes would fall back on them.
 type tier int
 
 const (
@@ -33,13 +34,14 @@
 	}
 }
 
-// mostOfTier bounds the candidates of one tier that a subscriber considers: enough that two thirds may be dead, few enough
-// that it keeps a few hundred bytes.
+// maxPerTier bounds the candidates of one tier that a subscriber considers: enough that two thirds may be down, few enough to take a
+// few hundred bytes.
 const maxPerTier = 8
 
-// Order is the order in which a process tries distributors: the nearer first, of one tier the deeper, then by rendezvous
-// hashing, so that each process has an order of its own and the loss of one moves only those that were there. Only those
-// of a lower rank are in it: a chain of subscriptions goes down in rank with each step, and ends at the store.
+// RankParents returns the distributors that a process may subscribe at, in the order in which it tries them: closer ones first; of one
+// tier those of the higher rank; and then by rendezvous hashing, so that each process has an order of its own and the loss of one
+// distributor moves only its own subscribers. Only distributors of a lower rank than the process's are returned: each chain of
+// subscriptions goes down in rank with each step, and ends at the store.
 func RankParents(self Peer, peers []Peer) []Peer {
 	type candidate struct {
 		peer  Peer
@@ -57,71 +59,73 @@
 			cmp.Compare(a.peer.Name, b.peer.Name))
 	})
 	var order []Peer
-	taken := [tierElsewhere + 1]int{}
+	perTier := [tierElsewhere + 1]int{}
 	for _, c := range all {
-		if taken[c.tier]++; taken[c.tier] <= maxPerTier {
+		if perTier[c.tier]++; perTier[c.tier] <= maxPerTier {
 			order = append(order, c.peer)
 		}
 	}
 	return order
 }
 
-// turned is a candidate that is left alone for a while.
+// backoff is how long a candidate is not tried again.
 type backoff struct {
-	until     float64
-	attempts  int
-	retrySoon bool // it lives, and has asked to be tried again
+	until     float64 // Unix ms
+	attempts  int     // that failed since its watermark last advanced here
+	retrySoon bool    // it is alive, and has asked to be tried again
 }
 
-// mostSoon is how often one that lives and has no place yet is waited for, before one that is farther is asked: when all
-// start at once, the levels fill from above, and nobody but the first level belongs at the store.
+// maxSoonRetries is how often a subscriber waits for a candidate that is alive and cannot admit it yet, before it tries one that is
+// farther away. When all processes start at once the levels fill from above, and only the first level belongs at the store.
 const maxSoonRetries = 4
 
-// turn leaves the present distributor alone: for so long as it said, or for a pause that doubles.
-func (s *Subscriber) backOff(name string, pause float64) {
-	t := s.backoffs[name]
-	t.attempts++
-	doubled := s.settings.MinBackoff
-	for i := 1; i < t.attempts && doubled < s.settings.MaxBackoff; i++ {
-		doubled *= 2
+// backOff leaves a candidate alone: for a delay that doubles with each attempt, between half and all of it, or for least ms if that is
+// longer.
+func (s *Subscriber) backOff(name string, least float64) {
+	b := s.backoffs[name]
+	b.attempts++
+	delay := s.settings.MinBackoff
+	for i := 1; i < b.attempts && delay < s.settings.MaxBackoff; i++ {
+		delay *= 2
 	}
-	doubled = min(doubled, s.settings.MaxBackoff)
-	t.retrySoon = false
-	t.until = s.now + max(pause, doubled/2+s.jitter.upTo(doubled/2))
-	s.backoffs[name] = t
+	delay = min(delay, s.settings.MaxBackoff)
+	b.retrySoon = false
+	b.until = s.now + max(least, delay/2+s.jitter.upTo(delay/2))
+	s.backoffs[name] = b
 }
 
-// turnedAway is a refusal: the distributor lives, and says when to come again.
+// handleRejected leaves a distributor that has rejected the subscription, for as long as it asks.
 func (s *Subscriber) handleRejected(m Rejected) {
 	name := s.parent.Name
 	s.disconnect(CauseRejected, float64(m.RetryAfter))
-	t := s.backoffs[name]
-	t.retrySoon = m.Reason == RejectBusy || m.Reason == RejectNotReady
-	s.backoffs[name] = t
+	b := s.backoffs[name]
+	b.retrySoon = m.Reason == RejectBusy || m.Reason == RejectNotReady
+	s.backoffs[name] = b
 	s.connectNext()
 }
 
-// choose connects to the first candidate that is not left alone, or waits for one.
+// connectNext connects to the first candidate that is not backed off, or waits for one. It does not go on to the next tier while a
+// candidate has asked to be tried again soon.
 func (s *Subscriber) connectNext() {
 	if len(s.candidates) == 0 {
 		s.phase = phaseIdle
 		return
 	}
 	soonest := s.backoffs[s.candidates[0].Name].until
-	wait, reached := false, tierOf(s.settings.Self, s.candidates[0])
+	waitInTier, tier := false, tierOf(s.settings.Self, s.candidates[0])
 	for _, p := range s.candidates {
-		t := s.backoffs[p.Name]
-		if far := tierOf(s.settings.Self, p); wait && far != reached {
+		next := tierOf(s.settings.Self, p)
+		if waitInTier && next != tier {
 			break
-		} else {
-			reached = far
 		}
-		if t.until <= s.now {
+		tier = next
+		b := s.backoffs[p.Name]
+		if b.until <= s.now {
 			s.connect(p)
 			return
 		}
-		wait = wait || t.retrySoon && t.attempts <= maxSoonRetries
-		soonest = min(soonest, t.until)
+		waitInTier = waitInTier || b.retrySoon && b.attempts <= maxSoonRetries
+		soonest = min(soonest, b.until)
 	}
 	s.phase, s.backoffUntil = phaseBackingOff, soonest
 }
@@ -132,9 +136,10 @@
 	s.emit(Connect{Link: s.link, To: p})
 }
 
-// leave ends the present link, if any, and looks for another: at once, or after a draw over the span of a failover.
-func (s *Subscriber) leave(why Cause, pause float64, spread bool) {
-	s.disconnect(why, pause)
+// leave leaves the present distributor for another one: at once, or, with spread, after a draw over FailoverSpread, as others may be
+// leaving it too. The distributor is not tried again for at least backoff ms.
+func (s *Subscriber) leave(cause Cause, backoff float64, spread bool) {
+	s.disconnect(cause, backoff)
 	if !spread {
 		s.connectNext()
 		return
@@ -142,18 +147,20 @@
 	s.phase, s.backoffUntil = phaseBackingOff, s.now+s.jitter.upTo(s.settings.FailoverSpread)
 }
 
-func (s *Subscriber) disconnect(why Cause, pause float64) {
-	if why != CauseDisconnected {
+// disconnect ends the present link and backs the distributor off, unless it is left for a closer one.
+func (s *Subscriber) disconnect(cause Cause, backoff float64) {
+	if cause != CauseDisconnected {
 		s.emit(Disconnect{Link: s.link})
 	}
-	s.emit(Unsubscribed{Distributor: s.parent, Cause: why})
-	if why != CauseCloserParent {
-		s.backOff(s.parent.Name, pause)
+	s.emit(Unsubscribed{Distributor: s.parent, Cause: cause})
+	if cause != CauseCloserParent {
+		s.backOff(s.parent.Name, backoff)
 	}
 	s.assembly, s.unreturnedCredit = nil, 0
 }
 
-// candidates takes a new list of them.
+// setCandidates takes a new list of distributors. The first connection is made after a draw over MinBackoff only, as all processes of a
+// site that has got its power back start at once.
 func (s *Subscriber) setCandidates(peers []Peer) {
 	first := s.candidates == nil
 	s.candidates = RankParents(s.settings.Self, peers)
@@ -167,28 +174,33 @@
 		s.leave(CauseRemoved, 0, true)
 	case s.hasLink():
 		s.scheduleCloserParent()
-	case first: // a site that gets its power back starts at once
+	case first:
 		s.phase, s.backoffUntil = phaseBackingOff, s.now+s.jitter.upTo(s.settings.MinBackoff)
 	case s.phase == phaseIdle:
 		s.connectNext()
 	}
 }
 
-// planReturn sets when a nearer distributor is tried next.
+// scheduleCloserParent sets when a closer distributor is tried next, if there is one.
 func (s *Subscriber) scheduleCloserParent() {
 	s.closerParentAt = 0
-	if len(s.candidates) > 0 && tierOf(s.settings.Self, s.candidates[0]) < tierOf(s.settings.Self, s.parent) {
+	if len(s.candidates) > 0 && s.closer(s.candidates[0]) {
 		s.closerParentAt = s.now + s.settings.CloserParentInterval*(0.5+s.jitter.upTo(1))
 	}
 }
 
-// nearer leaves for a nearer distributor, if one is not left alone.
+// tryCloserParent leaves for a closer distributor, if there is one that is not backed off.
 func (s *Subscriber) tryCloserParent() {
 	for _, p := range s.candidates {
-		if tierOf(s.settings.Self, p) < tierOf(s.settings.Self, s.parent) && s.backoffs[p.Name].until <= s.now {
+		if s.closer(p) && s.backoffs[p.Name].until <= s.now {
 			s.leave(CauseCloserParent, 0, false)
 			return
 		}
 	}
 	s.scheduleCloserParent()
 }
+
+// closer reports whether a distributor is closer than the present one.
+func (s *Subscriber) closer(p Peer) bool {
+	return tierOf(s.settings.Self, p) < tierOf(s.settings.Self, s.parent)
+}
--- a/internal/decide/distribution/relay.go
+++ b/internal/decide/distribution/relay.go
@@ -1,24 +1,25 @@
 package distribution
 
-// Relay is a Subscriber and a Distributor of one stream in one process: what the one puts in force the other passes on.
+// Relay is the Subscriber and the Distributor of one stream in one process: what the Subscriber puts into force the Distributor passes
+// on.
 type Relay struct {
 	Subscriber  *Subscriber
 	Distributor *Distributor
 }
 
-// NewRelay returns both with the same settings.
+// NewRelay returns a Relay whose machines have the same settings.
 func NewRelay(s Settings) *Relay {
 	return &Relay{Subscriber: NewSubscriber(s), Distributor: NewDistributor(s)}
 }
 
-// Above handles an event from the level above, or a wake of the Subscriber: above are the Subscriber's actions, below
-// those of the Distributor that follow from them. Events from the level below go to the Distributor as they are.
-func (r *Relay) Above(now float64, e Event) (above, below []Action) {
-	above = r.Subscriber.Handle(now, e)
-	for _, a := range above {
+// HandleAbove processes an event of the level above, or a Tick of the Subscriber. It returns the Subscriber's actions, and those of the
+// Distributor that follow from them. Events of the level below are handled by the Distributor itself.
+func (r *Relay) HandleAbove(now float64, e Event) (subscriber, distributor []Action) {
+	subscriber = r.Subscriber.Handle(now, e)
+	for _, a := range subscriber {
 		if passed, isEvent := a.(Event); isEvent {
-			below = append(below, r.Distributor.Handle(now, passed)...)
+			distributor = append(distributor, r.Distributor.Handle(now, passed)...)
 		}
 	}
-	return above, below
+	return subscriber, distributor
 }
--- a/internal/decide/distribution/settings.go
+++ b/internal/decide/distribution/settings.go
@@ -1,77 +1,80 @@
 package distribution
 
-// Settings of both machines; see Defaults. Times are in ms, sizes in bytes as encoded.
+// Settings of both machines; see DefaultSettings. Times and intervals are in ms, sizes in bytes as encoded.
 type Settings struct {
 	Stream Stream
-	// Self is where this process stands. Rank is above that of every distributor that it may subscribe at.
+	// Self is this process.
 	Self Peer
-	// Seed of the draws: another one for each start.
+	// Seed of the random draws: another one for each start.
 	Seed uint64
 
-	// HeartbeatEvery is between two watermarks where nothing else is sent. Shorter is known sooner, and costs some 20
-	// bytes each.
+	// HeartbeatInterval is the time between two watermarks if nothing else is sent. A shorter one shows sooner that a distributor is
+	// gone, and costs some 20 bytes a heartbeat.
 	HeartbeatInterval float64
-	// SilentFor: a distributor that says nothing for so long is left; one that is heard but does not get on, too.
+	// SilenceTimeout: a distributor that sends nothing for so long is left, and one that has more and does not send it.
 	SilenceTimeout float64
-	// ConnectFor is how long a link may take to open and to be answered on.
+	// ConnectTimeout is how long a link may take to be established, and a subscription to be answered.
 	ConnectTimeout float64
-	// AliveEvery: a subscriber says that it lives; after three of them without a word its distributor forgets it.
+	// KeepaliveInterval is the time between two keepalives of a subscriber. A distributor drops it after three missed ones.
 	KeepaliveInterval float64
 
-	// FailoverOver is the span over which the subscribers of a distributor that is gone are drawn.
+	// FailoverSpread is the span over which the subscribers of a distributor that is gone subscribe elsewhere.
 	FailoverSpread float64
-	// RetryFrom and RetryMost bound the doubling pause after all candidates were tried in vain.
+	// MinBackoff and MaxBackoff bound the backoff of a distributor that could not be reached or has rejected the subscription.
 	MinBackoff, MaxBackoff float64
-	// ReturnEvery is the mean between two tries to get nearer, where a nearer distributor is known.
+	// CloserParentInterval is the mean time between two attempts to move to a closer distributor, if one is known.
 	CloserParentInterval float64
 
-	// Credit is what may be under way to one subscriber. A frame is never larger than half of it.
+	// Credit is how many bytes of batches and chunks may be in flight to one subscriber. No frame is larger than half of it.
 	Credit int
-	// MostFrame bounds the entries of a batch or chunk; an entry that is larger goes alone.
+	// MaxFrame bounds the entries of a batch or chunk; an entry that is larger is sent alone.
 	MaxFrame int
-	// MostEntry bounds one entry: larger ones are the store's to refuse.
+	// MaxEntry bounds one entry: the store rejects larger ones.
 	MaxEntry int
-	// MostSnapshot bounds what a subscriber gathers before it puts it in force.
+	// MaxSnapshot bounds a snapshot that a subscriber assembles.
 	MaxSnapshot int
-	// BacklogEntries and BacklogBytes bound what a distributor keeps to resume from; who is further back gets a snapshot.
+	// MaxBacklogEntries and MaxBacklogBytes bound what a distributor retains to resume from: a subscriber that is further behind
+	// gets a snapshot.
 	MaxBacklogEntries, MaxBacklogBytes int
 
-	// LoadBound is the c of bounded load: a distributor takes up to c times its even share.
+	// LoadFactor is the factor of bounded-load balancing: a distributor admits up to so many times its even share of subscribers.
 	LoadFactor float64
-	// MostSubscribers is the bound while no Demand was told, and above any share.
+	// MaxSubscribers is the limit before the first Demand, and at any demand.
 	MaxSubscribers int
-	// AdmitPerSecond and AdmitBurst bound subscriptions that begin; beyond, RetryAfter spreads them.
+	// AdmitPerSecond and AdmitBurst bound how many subscriptions begin; others are rejected, and return spread over time.
 	AdmitPerSecond, AdmitBurst float64
 
-	// Bound is how far a process may be behind before its strict classes are held, and ClockBound how far two clocks may
-	// be apart: it is added to what is measured.
+	// MaxLag is how far a process may be behind before strict classes are restricted, and MaxClockSkew how far two clocks may be
+	// apart, which is added to what is measured.
 	MaxLag, MaxClockSkew float64
-	// EaseOver is the span over which processes that are no longer behind end being strict.
+	// RelaxSpread is the span over which processes that have caught up end the restriction, so that a fleet does not change its
+	// behaviour in one instant.
 	RelaxSpread float64
-	// Classes says what each class of requests does past the bound. One that is not named continues.
+	// Classes is the policy of each class of requests once a process is too far behind: by default PolicyServeStale.
 	Classes map[string]Policy
-	// ShieldShare of the requests that need it, and at most ShieldPerSecond, go to the origin past the bound.
+	// OriginFraction is the fraction of the requests that are not served from a copy which may go to the origin instead, and
+	// OriginPerSecond the most of them a second.
 	OriginFraction, OriginPerSecond float64
 }
 
-// Policy is what a class does in a process that may be too far behind.
+// Policy is what a class of requests does in a process that may be too far behind.
 type Policy uint8
 
 // The policies.
 const (
-	PolicyServeStale Policy = iota // serve, and count
-	PolicyStrict                   // nothing older than the watermark
+	PolicyServeStale Policy = iota // serve the copy, and count it
+	PolicyStrict                   // serve no copy from before the watermark
 )
 
-// Defaults are for 17,000 processes in 73 zones, 87 purges a second, in force everywhere within 6.8 s.
+// DefaultSettings returns the settings for 17,000 processes in 73 zones and 87 purges a second, each in force everywhere within 6.8 s.
 func DefaultSettings(stream Stream, self Peer) Settings {
 	return Settings{
 		Stream: stream, Self: self,
-		HeartbeatInterval: 500,  // 40 bytes a second; with three levels a watermark is some 1.5 s old at worst
-		SilenceTimeout:    1800, // three heartbeats lost; with FailoverOver and ConnectFor within 6.8 s
+		HeartbeatInterval: 500,  // with three levels a watermark is up to 1.5 s old
+		SilenceTimeout:    1800, // three lost heartbeats; with FailoverSpread and ConnectTimeout within 6.8 s
 		ConnectTimeout:    1000,
 		KeepaliveInterval: 5000,
-		FailoverSpread:    2000, // 75 processes of a dead distributor: 38 a second over its neighbours
+		FailoverSpread:    2000, // 75 processes of one distributor: 38 a second at its neighbours
 		MinBackoff:        500, MaxBackoff: 8000,
 		CloserParentInterval: 60_000,
 		Credit:               256 << 10, MaxFrame: 32 << 10, MaxEntry: 96 << 10, MaxSnapshot: 64 << 20,
--- a/internal/decide/distribution/steps_test.go
+++ b/internal/decide/distribution/steps_test.go
@@ -69,7 +69,7 @@
 // settled tells whether everybody has all that was committed.
 func (w *world) settled() bool {
 	for i := range processes {
-		if w.subs[i] != nil && w.seen[i].CheckComplete(int64(w.now)) != nil {
+		if w.subs[i] != nil && w.seen[i].CheckCaughtUp(int64(w.now)) != nil {
 			return false
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	for i := range processes {
 		if w.subs[i] != nil {
-			if err := w.seen[i].CheckComplete(int64(w.now)); err != nil {
+			if err := w.seen[i].CheckCaughtUp(int64(w.now)); err != nil {
 				return err
 			}
 		}
--- /dev/null
+++ b/internal/decide/distribution/stream.go
@@ -0,0 +1,71 @@
+package distribution
+
+// Stream identifies a stream. Each has epochs and sequences of its own.
+type Stream uint8
+
+// The streams. The numbers are on the wire: new ones are appended.
+const (
+	Purges        Stream = iota + 1 // of objects and groups
+	Configuration                   // revisions, lists of sources, drains
+)
+
+// Position is a position in a stream. An epoch is one history of the store: it is raised only when the store begins another one, and
+// the sequence then begins anew. The sequence is the index in the store's log, so that all its members number alike; a stream uses
+// some of the indexes.
+type Position struct{ Epoch, Sequence uint64 }
+
+// Before reports whether p is earlier than q.
+func (p Position) Before(q Position) bool {
+	return p.Epoch < q.Epoch || p.Epoch == q.Epoch && p.Sequence < q.Sequence
+}
+
+// Watermark states: whoever has everything up to Sequence lacks nothing that was committed before At. At is Unix ms by the clock of
+// the store's member that commits, rounded down.
+type Watermark struct {
+	Sequence uint64
+	At       int64
+}
+
+// joinWatermarks combines two watermarks that hold: whoever has everything up to the later sequence lacks nothing before the later
+// time.
+func joinWatermarks(a, b Watermark) Watermark {
+	return Watermark{Sequence: max(a.Sequence, b.Sequence), At: max(a.At, b.At)}
+}
+
+// Kind is the kind of an entry.
+type Kind uint8
+
+// The kinds. The numbers are on the wire: new ones are appended.
+const (
+	PurgeObject Kind = iota + 1
+	PurgeGroup
+	Revision // of the configuration
+	List     // of a source
+	Drain    // of a server
+	DrainEnded
+)
+
+// Entry is one committed fact.
+type Entry struct {
+	Sequence uint64
+	Kind     Kind
+	// Name is the object, the scope of a revision (empty: the one for all), the source or the server.
+	Name string
+	// Group is the group of a group's purge, and that of an object if GroupKnown is set.
+	Group      int64
+	GroupKnown bool
+	// EffectiveAt is the time, Unix ms rounded up, of a purge: copies made before it are void. Of a drain it is when the drain began.
+	EffectiveAt int64
+	// ExpiresAt is the time, Unix ms rounded up, from which on a purge can void no copy any more; 0: never.
+	ExpiresAt int64
+	Version   uint64 // number of a revision; generation of a list
+	Body      []byte // of a revision or a list, as the store has it; never changed
+}
+
+// Peer is a process in the tree of distributors. Its rank is above that of every distributor that it may subscribe at; the members of
+// the store have rank 0.
+type Peer struct {
+	Name               string
+	Rank               int
+	Region, Zone, Site string
+}
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -136,7 +136,7 @@
 		s.carry(0, s.relay.Subscriber.Handle(now, e))
 		return
 	}
-	above, below := s.relay.Above(now, e)
+	above, below := s.relay.HandleAbove(now, e)
 	s.carry(0, above)
 	s.carry(1, below)
 }
@@ -294,7 +294,8 @@
 func (s *stream) publish() {
 	root := s.node.opt.Source != nil
 	st := &Status{Stream: streamNames[s.name], Root: root, Subscribers: s.relay.Distributor.Subscribers()}
-	st.Entries, _, st.Backlog, _ = s.relay.Distributor.Sizes()
+	sizes := s.relay.Distributor.Sizes()
+	st.Entries, st.Backlog = sizes.Entries, sizes.BacklogEntries
 	for _, out := range s.down {
 		st.Waiting = max(st.Waiting, out.waiting())
 	}
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -345,7 +345,7 @@
 				if tr.log.history[s].Latest() == (pure.Position{}) {
 					continue // nothing was committed
 				}
-				last = errors.Join(last, p.seen[s].CheckComplete(int64(tr.log.clk.Now())))
+				last = errors.Join(last, p.seen[s].CheckCaughtUp(int64(tr.log.clk.Now())))
 			}
 			return last == nil || p.broken != nil
 		}
--- a/internal/lab/hollow/levels.go
+++ b/internal/lab/hollow/levels.go
@@ -185,7 +185,7 @@
 		}
 		return
 	}
-	above, below := r.Above(l.w.clock(p), e)
+	above, below := r.HandleAbove(l.w.clock(p), e)
 	for _, a := range above {
 		l.carry(p, stream, a)
 	}
