--- a/internal/core/catchup_test.go
+++ b/internal/core/catch_up_test.go
@@ -13,16 +13,16 @@
 	"ravenwheel/policy"
 )
 
-// Discovery told of a purge that is in force only after an attempt was decided on: that attempt is not made, and the next one is
-// decided from what is known then, whichever attempt of the request it is.
-func TestDecidedAnewAfterCatchingUp(t *testing.T) {
-	for stale := 2; stale <= 3; stale++ { // the first call is before the request is decided on
+// If discovery has sent a purge that is not processed yet when an attempt was decided on, that attempt is
+// skipped and the next one is decided with the purge known, for each attempt of a request.
+func TestPendingPurgeIsAppliedBeforeAttempt(t *testing.T) {
+	for stale := 2; stale <= 3; stale++ { // the first call comes before any decision
 		synctest.Test(t, func(t *testing.T) {
 			set := scenario.Settings()
 			set.PurgeDuration = 6 * time.Second
 			clk := clock.Manual(1e12)
-			reset := core.Outcome{Result: policy.Reset, Written: true} // so that there is a second attempt
-			d := &deaf{clock: clk, after: 100, ends: []core.Outcome{reset, {Result: policy.OK, Written: true}}}
+			reset := core.Outcome{Result: policy.Reset, Written: true} // so that there is a retry
+			d := &scriptedUpstream{clock: clk, after: 100, outcomes: []core.Outcome{reset, {Result: policy.OK, Written: true}}}
 			c, err := core.New(set, []string{"tiles", "pages", "reports"}, 0, 7, clk, d)
 			require.NoError(t, err)
 			c.UpdateMembers(coreMembers())
@@ -35,10 +35,10 @@
 				c.Purged(core.Purge{Object: "o", Group: -1, At: clk.Now() - 50})
 				return true
 			}
-			ask(t, c, clk, core.Request{ID: "a", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
+			do(t, c, clk, core.Request{ID: "a", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
 			require.GreaterOrEqual(t, purgedAt, 0)
 			for n, a := range d.sent {
-				require.Equal(t, n >= purgedAt, a.MaxAge > 0, "attempt %d, the purge came before attempt %d", n, purgedAt)
+				require.Equal(t, n >= purgedAt, a.MaxAge > 0, "attempt %d, purge before attempt %d", n, purgedAt)
 			}
 			require.Greater(t, len(d.sent), purgedAt)
 		})
--- a/internal/core/leave_test.go
+++ b/internal/core/client_left_test.go
@@ -17,15 +17,15 @@
 	"ravenwheel/policy"
 )
 
-// serves is an upstream that ends the first attempts as listed and answers the others at once, or never while it is silent.
-type serves struct {
+// cacheUpstream ends the first attempts with the listed outcomes and answers the others at once, or never while silent.
+type cacheUpstream struct {
 	list   []core.Outcome
 	silent atomic.Bool
 	sent   atomic.Int64
 	aborts atomic.Int64
 }
 
-func (s *serves) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
+func (s *cacheUpstream) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
 	switch n := int(s.sent.Add(1)); {
 	case n <= len(s.list):
 		go end(s.list[n-1])
@@ -35,7 +35,7 @@
 	return func() bool { s.aborts.Add(1); return true }
 }
 
-func (s *serves) UpdateMembers([]core.Member, bool) {}
+func (s *cacheUpstream) UpdateMembers([]core.Member, bool) {}
 
 func coreMembers() membership.Publish {
 	list := make([]core.Member, 3)
@@ -45,18 +45,18 @@
 	return membership.Publish{Version: 1, Complete: true, Members: list}
 }
 
-func coreOver(t *testing.T, clk *clock.Clock, up core.Upstream) *core.Core {
+func newCore(t *testing.T, clk *clock.Clock, up core.Upstream) *core.Core {
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, up)
 	require.NoError(t, err)
 	c.UpdateMembers(coreMembers())
 	return c
 }
 
-// A client that has left by the time its first attempt is decided on: none is made, and none stays booked. Either came by
-// chance before; what stayed booked took places at the server until a minute after the request's deadline.
-func TestLeftBeforeTheAttempt(t *testing.T) {
-	clk, up := clock.Manual(1e12), &serves{}
-	c := coreOver(t, clk, up)
+// For a client that has left when its first attempt is decided on, no attempt is made and none stays counted
+// as in flight, which would occupy slots of the server.
+func TestClientLeftBeforeFirstAttempt(t *testing.T) {
+	clk, up := clock.Manual(1e12), &cacheUpstream{}
+	c := newCore(t, clk, up)
 	gone, leave := context.WithCancel(context.Background())
 	leave()
 	for i := range 300 {
@@ -66,17 +66,17 @@
 	require.Zero(t, up.sent.Load())
 	for i := range 8 {
 		q := core.Request{ID: fmt.Sprint("stays", i), Class: 1, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
-		require.Equal(t, core.Served, c.Do(context.Background(), q).Verdict, "the places are free")
+		require.Equal(t, core.Served, c.Do(context.Background(), q).Verdict, "no slot is occupied")
 	}
 	require.Zero(t, invariant.Broken())
 }
 
-// A client leaves in each place in which its request can wait: for an answer, in the pause before a further attempt, and
-// for the answer to that. Nothing further is sent, however long the clock runs, and what was out is aborted once.
-func TestLeftWhileItWaits(t *testing.T) {
+// A client leaves while its request waits: for an answer, in the pause before a retry, or for the retry's
+// answer. Nothing more is sent, and open attempts are aborted once.
+func TestClientLeftWhileWaiting(t *testing.T) {
 	for name, wait := range map[string]struct {
-		ends         []core.Outcome // of its attempts, at once; the next one never ends
-		pause        float64        // before it leaves, ms
+		ends         []core.Outcome // of the first attempts, at once; the next one never ends
+		pause        float64        // before the client leaves, in ms
 		sent, aborts int64
 	}{
 		"for an answer":                  {sent: 1, aborts: 1},
@@ -86,9 +86,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				clk, up := clock.Manual(1e12), &serves{list: wait.ends}
+				clk, up := clock.Manual(1e12), &cacheUpstream{list: wait.ends}
 				up.silent.Store(true)
-				c := coreOver(t, clk, up)
+				c := newCore(t, clk, up)
 				ctx, leave := context.WithCancel(context.Background())
 				over := make(chan core.Answer, 1)
 				go func() {
@@ -105,7 +105,7 @@
 					clk.Advance(10)
 					synctest.Wait()
 				}
-				require.Equal(t, wait.sent, up.sent.Load(), "nothing is sent for one that has left")
+				require.Equal(t, wait.sent, up.sent.Load(), "nothing is sent after the client has left")
 				require.Equal(t, wait.aborts, up.aborts.Load())
 				require.Zero(t, c.Counters.InFlight.Load())
 				require.Zero(t, invariant.Broken())
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,9 +23,9 @@
 	"ravenwheel/policy"
 )
 
-// asks lives requests without a front: "send ID CLASS"; it expects "ID VERDICT BODY". Its close is that the
+// directClients runs requests without a front: it sends "ID CLASS" and receives "ID VERDICT BODY". When it is closed the
 // clients leave.
-type asks struct {
+type directClients struct {
 	core  *core.Core
 	clock *clock.Clock
 	ctx   context.Context
@@ -35,7 +35,7 @@
 
 var verdicts = []string{"served", "refused", "failed", "gone"}
 
-func (a *asks) Send(words []string) error {
+func (a *directClients) Send(words []string) error {
 	q := core.Request{
 		ID: words[0], Class: a.core.ClassIndex(words[1]), Object: "7f3a9c21e0b4d655", Deadline: a.clock.Now() + 900,
 	}
@@ -46,11 +46,11 @@
 	return nil
 }
 
-func (a *asks) Receive() ([]string, error) { return <-a.out, nil }
-func (a *asks) Close() error               { a.leave(); return nil }
+func (a *directClients) Receive() ([]string, error) { return <-a.out, nil }
+func (a *directClients) Close() error               { a.leave(); return nil }
 
 var scenarios = map[string]string{
-	"a write under a connection that breaks off has failed and is not sent again": `
+	"a write fails if its connection breaks, and is not retried": `
 		c send w1 seat-claim
 		s expect fetch w1 * -
 		s send raw noise
@@ -60,20 +60,19 @@
 		s expect fetch r1 * -
 		s send r1 served -
 		c expect r1 served -`,
-	"a write whose answer never comes has failed at its deadline": `
+	"a write fails at its deadline without an answer": `
 		c send w1 seat-claim
 		s expect fetch w1 * -
 		wait 900
 		c expect w1 failed -`,
-	"an id that is open is not opened again, whatever it asks for": `
+	"a request with an id that is in use fails": `
 		c send r1 asset
 		s expect fetch r1 * -
 		c send r1 replay
 		c expect r1 failed -
 		s send r1 served - BYTES
 		c expect r1 served -BYTES`,
-	// Eight tries with such a request once took the cache out for all.
-	"a request that crashes twice is given up, and the next goes to the same cache": `
+	"a request with two errors is given up, and the next one goes to the same cache": `
 		c send r1 asset
 		s expect fetch r1 * -
 		s send r1 crashed
@@ -84,7 +83,7 @@
 		s expect fetch r2 * -
 		s send r2 served -
 		c expect r2 served -`,
-	"clients that leave are owed nothing, and their attempts are given up": `
+	"attempts of clients that leave are aborted": `
 		c send r1 asset
 		s expect fetch r1 * -
 		c close
@@ -92,11 +91,12 @@
 		s expect abort r1`,
 }
 
-func TestCore(t *testing.T) {
+// Requests over scripted servers get the expected answers.
+func TestRequestScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
-			c := &asks{core: p.Core, clock: p.Clock, out: make(chan []string, 10)}
+			c := &directClients{core: p.Core, clock: p.Clock, out: make(chan []string, 10)}
 			c.ctx, c.leave = context.WithCancel(context.Background())
 			scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, script)
 			require.Zero(t, invariant.Broken())
@@ -104,15 +104,16 @@
 	}
 }
 
-// With as many requests open as may be held, the next is turned away unseen by the module, with advice.
-func TestMostHeld(t *testing.T) {
+// With the maximum number of requests open, the next one is rejected with a Retry-After and never reaches the
+// module.
+func TestRequestsBeyondMaxAreRejected(t *testing.T) {
 	p := scenario.NewProxy(t)
 	small, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 1, 7, p.Clock, p.Pools)
 	require.NoError(t, err)
 	m := core.Member{Addr: p.Cache.Addr()}
 	m.ID = scenario.CacheID
 	small.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
-	c := &asks{core: small, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
+	c := &directClients{core: small, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, `
 		c send r1 asset
 		s expect fetch r1 * -`)
@@ -121,10 +122,10 @@
 	require.EqualValues(t, 1, small.Counters.InFlight.Load())
 }
 
-// What was refused or failed without an attempt that a cache server could have read is told apart from the rest.
-func TestUnsent(t *testing.T) {
+// Requests that were rejected or failed without an attempt that reached a server are counted as never sent.
+func TestNeverSentCountsRequestsWithoutWrittenAttempt(t *testing.T) {
 	p := scenario.NewProxy(t)
-	c := &asks{core: p.Core, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
+	c := &directClients{core: p.Core, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
 	actors := map[string]scenario.Actor{"c": c, "s": p.Cache}
 	n := &p.Core.Counters
 	scenario.Run(t, p.Clock, actors, `
@@ -133,7 +134,7 @@
 		wait 900
 		c expect r1 refused -
 		s expect abort r1`)
-	require.Zero(t, n.NeverSent.Load(), "it was sent, and nobody answered")
+	require.Zero(t, n.NeverSent.Load(), "it was written, without an answer")
 	scenario.Run(t, p.Clock, actors, `
 		s close
 		c send r2 asset
@@ -145,14 +146,14 @@
 	require.EqualValues(t, 3, n.Rejected.Load())
 }
 
-// whims is an upstream that ends attempts in any way, at any time or never.
-type whims struct {
+// randomUpstream ends attempts with any outcome, at any time or never.
+type randomUpstream struct {
 	clock *clock.Clock
 	mu    sync.Mutex
 	rng   *rand.Rand
 }
 
-func (w *whims) Send(a core.Attempt, end func(core.Outcome)) func() bool {
+func (w *randomUpstream) Send(a core.Attempt, end func(core.Outcome)) func() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ends := []core.Outcome{
@@ -172,16 +173,18 @@
 	return func() bool { stop(); return e.Written }
 }
 
-func (w *whims) UpdateMembers([]core.Member, bool) {}
+func (w *randomUpstream) UpdateMembers([]core.Member, bool) {}
 
-// Whatever those who carry attempts do, each request has its one final answer by its deadline, and a copy is called current
-// only where it is the client's.
-func TestAlwaysAnswered(t *testing.T) { synctest.Test(t, alwaysAnswered) }
+// Whatever the upstream does, each request gets exactly one final answer by its deadline, and a copy is
+// called current only if it is the client's.
+func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
+	synctest.Test(t, testEveryRequestIsAnswered)
+}
 
-func alwaysAnswered(t *testing.T) {
-	const slack = 500 // ms in which a late final answer earns nothing, and after which the request is lost
+func testEveryRequestIsAnswered(t *testing.T) {
+	const slack = 500 // ms after the deadline in which a final answer is accepted
 	clk, rng := clock.Manual(1e12), rand.New(rand.NewPCG(7, 1))
-	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, &whims{clock: clk, rng: rand.New(rand.NewPCG(7, 2))})
+	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, &randomUpstream{clock: clk, rng: rand.New(rand.NewPCG(7, 2))})
 	require.NoError(t, err)
 	var list []core.Member
 	for i := range 6 {
@@ -205,19 +208,19 @@
 			go func() {
 				x := c.Do(context.Background(), q)
 				if x.NotModified && (q.CachedTag == "" || x.Tag != q.CachedTag) {
-					t.Errorf("%s: %q called current, the client holds %q", q.ID, x.Tag, q.CachedTag)
+					t.Errorf("%s: %q called current, the client has %q", q.ID, x.Tag, q.CachedTag)
 				}
 				a.done.Add(1)
 			}()
 		}
-		synctest.Wait() // a clock that moved on under one who has read it would set a timer too late
+		synctest.Wait() // otherwise a timer could be set by a time that has passed
 		clk.Advance(10)
 		synctest.Wait()
 		open = slices.DeleteFunc(open, func(a *asked) bool {
 			if a.due+slack > clk.Now() {
 				return false
 			}
-			require.EqualValues(t, 1, a.done.Load(), "%s is open after its time and half a second", a.id)
+			require.EqualValues(t, 1, a.done.Load(), "%s has no answer half a second after its deadline", a.id)
 			return true
 		})
 	}
@@ -229,9 +232,9 @@
 	require.Zero(t, invariant.Broken())
 }
 
-// A cache that closes each connection right behind its answer, so that the next request goes out on one that is just
-// ending: reads are served all the same, over the next connection.
-func TestPeerClosesAsRequestsGoOut(t *testing.T) {
+// A server closes each connection right after its answer, as the next request is written there. Reads are
+// served all the same over another connection.
+func TestServerClosingAfterEachAnswer(t *testing.T) {
 	p := scenario.NewProxy(t)
 	m := core.Member{Addr: scenario.ListenOnce(t, func(nc net.Conn) {
 		buf := resp.Buffer{Most: resp.MostAnswered}
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// everyJudgement has a value in each field.
-func everyJudgement(limit float64) policy.ServerStats {
+// everyStatistic has a value in each field.
+func everyStatistic(limit float64) policy.ServerStats {
 	return policy.ServerStats{
 		Down: true, Unreachable: true, ConsecutiveOverdue: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
 		LastAnswer: 4 * time.Second, NextProbe: 5 * time.Second, Limit: limit, LimitUpdated: 6 * time.Second, RampStart: 7 * time.Second,
@@ -45,12 +45,12 @@
 	}
 }
 
-// everyLearned has a value in each field. It holds one target, since the order of a map is not fixed.
+// everyLearned has a value in each field. It has one server, since the order of a map is not fixed.
 func everyLearned() learnedMessage {
 	return learnedMessage{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
 		State: policy.LearnedState{
-			Servers: map[policy.CacheID]policy.ServerStats{77: everyJudgement(11.5)}, Link: everyJudgement(12.5),
+			Servers: map[policy.CacheID]policy.ServerStats{77: everyStatistic(11.5)}, Link: everyStatistic(12.5),
 			TransferTime: []float64{0.125, 0.25}, RecentTransferTime: []float64{0.375, 0.5}, FillRate: 0.625, OriginRate: 0.75,
 			PeakLoad: [4]float64{1.5, 2.5, 3.5, 4.5},
 		},
@@ -78,7 +78,7 @@
 // must be the one that earlier versions computed.
 func TestGoldenSettingsDigest(t *testing.T) {
 	for name, settings := range map[string]policy.Settings{"settings.digest": everySetting(), "settings-empty.digest": {}} {
-		sum, err := settingsDigest(settings)
+		sum, err := digestOf(settings)
 		require.NoError(t, err)
 		golden.Equal(t, name, []byte(hex.EncodeToString(sum[:])+"\n"))
 	}
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_state_test.go
@@ -16,13 +16,13 @@
 	"ravenwheel/policy"
 )
 
-// A process that takes over goes on with what the one before has learned: a cache found silent gets nothing but trials.
-func TestInherit(t *testing.T) {
+// A successor continues with what the process before has learned: a cache that was silent gets only probes.
+func TestRestoreLearnedState(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ask := func(p *scenario.Proxy, id string) {
 		go p.Core.Do(t.Context(), core.Request{ID: id, Class: 1, Object: id, Group: -1, Deadline: p.Clock.Now() + 2500})
 	}
-	for n := range 5 { // nobody has answered yet: three are enough to find it silent
+	for n := range 5 { // with no answer so far, three mark it down
 		ask(p, string(rune('a'+n)))
 	}
 	require.Eventually(t, func() bool { return p.Core.Counters.Attempts.Load() == 5 }, time.Minute, time.Millisecond)
@@ -41,13 +41,13 @@
 	require.NoError(t, next.Core.RestoreLearnedState(text))
 	again, err := next.Core.LearnedState()
 	require.NoError(t, err)
-	require.Equal(t, l, decode(again), "all of it")
+	require.Equal(t, l, decode(again), "the complete state")
 	answer := next.Core.Do(t.Context(), core.Request{ID: "x", Class: 1, Object: "x", Group: -1, Deadline: next.Clock.Now() + 2500})
-	require.Equal(t, core.Rejected, answer.Verdict, "not sent where nobody answers")
-	require.EqualValues(t, 5, next.Core.Counters.Attempts.Load(), "those of the one before, and none of its own")
+	require.Equal(t, core.Rejected, answer.Verdict, "not sent to a cache that is down")
+	require.EqualValues(t, 5, next.Core.Counters.Attempts.Load(), "the predecessor's, and none of its own")
 	require.EqualValues(t, 6, next.Core.Counters.Requests.Load())
 
-	// One that was started since is judged anew.
+	// A server that has started since is not restored.
 	later := scenario.NewProxy(t)
 	m := core.Member{Addr: "127.0.0.1:1"}
 	m.ID, m.Weight, m.Started = scenario.CacheID, 10, policy.Time(later.Clock.Now()*1e6)
@@ -59,8 +59,8 @@
 	require.False(t, decode(again).Learned.Servers[scenario.CacheID].Down)
 }
 
-// What another process tells is taken whole or not at all, and nothing that no module can have learned.
-func TestInheritUnusable(t *testing.T) {
+// Learned state that is damaged, of another form or implausible is rejected completely.
+func TestRestoreRejectsInvalidState(t *testing.T) {
 	p := scenario.NewProxy(t)
 	good, err := p.Core.LearnedState()
 	require.NoError(t, err)
@@ -75,17 +75,17 @@
 		Counted  []int64
 	}
 	spoil := map[string]func(f *form){
-		"counters":    func(f *form) { f.Counted[0] = -1 },
-		"few counted": func(f *form) { f.Counted = f.Counted[1:] },
-		"revision":    func(f *form) { f.Revision = 9 },
-		"classes":     func(f *form) { f.Classes[0] = "other" },
-		"settings":    func(f *form) { f.Settings[0]++ },
-		"few classes": func(f *form) { f.Learned.TransferTime = f.Learned.TransferTime[:1] },
-		"no number":   func(f *form) { f.Learned.Link.Limit = math.NaN() },
-		"no time":     func(f *form) { f.Learned.RecentTransferTime[0] = 0 },
-		"huge":        func(f *form) { f.Learned.PeakLoad[0] = 1e300 },
-		"share":       func(f *form) { f.Learned.Link.FailureRate = 2 },
-		"to come": func(f *form) {
+		"counters":        func(f *form) { f.Counted[0] = -1 },
+		"missing counter": func(f *form) { f.Counted = f.Counted[1:] },
+		"revision":        func(f *form) { f.Revision = 9 },
+		"classes":         func(f *form) { f.Classes[0] = "other" },
+		"settings":        func(f *form) { f.Settings[0]++ },
+		"missing class":   func(f *form) { f.Learned.TransferTime = f.Learned.TransferTime[:1] },
+		"not a number":    func(f *form) { f.Learned.Link.Limit = math.NaN() },
+		"transfer time 0": func(f *form) { f.Learned.RecentTransferTime[0] = 0 },
+		"too large":       func(f *form) { f.Learned.PeakLoad[0] = 1e300 },
+		"rate above 1":    func(f *form) { f.Learned.Link.FailureRate = 2 },
+		"future time": func(f *form) {
 			j := f.Learned.Servers[scenario.CacheID]
 			j.LastAnswer = policy.Time((p.Clock.Now() + clock.Ms(time.Hour)) * 1e6)
 			f.Learned.Servers[scenario.CacheID] = j
@@ -113,16 +113,15 @@
 	require.NoError(t, p.Core.RestoreLearnedState(good))
 }
 
-// The wall clock is stepped by an hour between the starts of two processes. What the first has learned is taken over by the
-// second, with its times where they were: no server is judged by a time to come, nor as long ago.
-func TestInheritOverAStep(t *testing.T) {
+// Learned times stay in place when the wall clock is stepped by an hour between the starts of two processes.
+func TestRestoreAcrossClockStep(t *testing.T) {
 	for _, step := range []float64{3_600_000, -3_600_000} {
 		before, after := clock.System(), clock.Shifted(step)
-		first := coreOver(t, before, &serves{})
+		first := newCore(t, before, &cacheUpstream{})
 		require.Equal(t, core.Served, first.Do(context.Background(), core.Request{ID: "a", Class: 1, Object: "o", Deadline: before.Now() + 900}).Verdict)
 		text, err := first.LearnedState()
 		require.NoError(t, err)
-		second := coreOver(t, after, &serves{})
+		second := newCore(t, after, &cacheUpstream{})
 		require.NoError(t, second.RestoreLearnedState(text))
 		again, err := second.LearnedState()
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/core/load_counter.go
@@ -0,0 +1,124 @@
+package core
+
+import (
+	"maps"
+	"strconv"
+	"sync/atomic"
+
+	"ravenwheel/internal/decide/fleetview"
+	"ravenwheel/policy"
+)
+
+// maxPendingObjects is the number of requested objects that wait to be collected. Further ones are dropped, which a
+// sample allows.
+const maxPendingObjects = 1024
+
+// LoadCounter counts requests and, by server, the outcomes of attempts, for the fleet's view of the load. On the path of
+// a request it only adds to atomic counters, which it finds through a map that is replaced when the list of servers
+// changes.
+type LoadCounter struct {
+	arrivals atomic.Uint64
+	servers  atomic.Pointer[map[policy.CacheID]*serverCounts]
+	objects  chan uint64
+}
+
+type serverCounts struct {
+	attempts, failures, rejections, overdue atomic.Uint64
+	inFlight                                atomic.Int64
+	latency                                 [fleetview.LatencyBuckets]atomic.Uint64
+}
+
+// NewLoadCounter returns a counter without servers.
+func NewLoadCounter() *LoadCounter {
+	l := &LoadCounter{objects: make(chan uint64, maxPendingObjects)}
+	l.servers.Store(&map[policy.CacheID]*serverCounts{})
+	return l
+}
+
+func (l *LoadCounter) countsOf(id policy.CacheID) *serverCounts { return (*l.servers.Load())[id] }
+
+// updateServers keeps the counts of listed servers. It must not be called concurrently.
+func (l *LoadCounter) updateServers(list []Member, full bool) {
+	old := *l.servers.Load()
+	next := map[policy.CacheID]*serverCounts{}
+	if !full {
+		next = maps.Clone(old)
+	}
+	for _, member := range list {
+		switch {
+		case member.State == policy.Gone:
+			delete(next, member.ID)
+		case old[member.ID] != nil:
+			next[member.ID] = old[member.ID]
+		default:
+			next[member.ID] = &serverCounts{}
+		}
+	}
+	l.servers.Store(&next)
+}
+
+// recordRequest counts a request and, if its object is a hexadecimal number, keeps the object for Objects.
+func (l *LoadCounter) recordRequest(object string) {
+	l.arrivals.Add(1)
+	if n, err := strconv.ParseUint(object, 16, 64); err == nil {
+		select {
+		case l.objects <- n:
+		default:
+		}
+	}
+}
+
+func (l *LoadCounter) recordAttempt(server policy.CacheID) {
+	if counts := l.countsOf(server); counts != nil {
+		counts.attempts.Add(1)
+		counts.inFlight.Add(1)
+	}
+}
+
+// recordOutcome counts the outcome of an attempt. latency and the class's objective are in ms.
+func (l *LoadCounter) recordOutcome(server policy.CacheID, outcome Outcome, latency, objective float64) {
+	counts := l.countsOf(server)
+	if counts == nil {
+		return
+	}
+	counts.inFlight.Add(-1)
+	switch outcome.Result {
+	case policy.OK:
+		counts.latency[fleetview.LatencyBucket(latency)].Add(1)
+	case policy.Failed, policy.Unknown, policy.Reset, policy.ConnectFailed:
+		counts.failures.Add(1)
+	case policy.Overloaded:
+		counts.rejections.Add(1)
+	}
+	if outcome.Result == policy.TimedOut || outcome.Result == policy.OK && latency > objective {
+		counts.overdue.Add(1)
+	}
+}
+
+// Totals returns the number of requests, and the counts of each listed server, since the start.
+func (l *LoadCounter) Totals() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals) {
+	servers = map[policy.CacheID]fleetview.Totals{}
+	for id, counts := range *l.servers.Load() {
+		totals := fleetview.Totals{
+			Attempts: counts.attempts.Load(), Failures: counts.failures.Load(), Rejections: counts.rejections.Load(),
+			Overdue: counts.overdue.Load(), InFlight: max(0, counts.inFlight.Load()),
+		}
+		for i := range totals.Latency {
+			totals.Latency[i] = counts.latency[i].Load()
+		}
+		servers[id] = totals
+	}
+	return l.arrivals.Load(), servers
+}
+
+// Objects returns the objects requested since the last call, in order, as far as there was room for them.
+func (l *LoadCounter) Objects() (objects []uint64) {
+	for {
+		select {
+		case object := <-l.objects:
+			objects = append(objects, object)
+		default:
+			return objects
+		}
+	}
+}
