--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -10,12 +10,12 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// heldSizes are how many obligations a benchmark's state holds.
-var heldSizes = []int{600, 6_000, 60_000, 600_000}
+// stateSizes are how many entries of each kind a benchmark's state holds.
+var stateSizes = []int{600, 6_000, 60_000, 600_000}
 
-// holding is a state with n purges, n spent and n revoked token ids, the i-th of which ends at i ms. It is read from a
-// snapshot, as applying so many changes is what is measured.
-func holding(b *testing.B, n int) *storestate.State {
+// stateOf returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded from
+// a snapshot, which is faster than applying the changes.
+func stateOf(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
 	s.Time = 1
 	for i := 1; i <= n; i++ {
@@ -30,15 +30,15 @@
 	return s
 }
 
-// BenchmarkExpire is one change of a state that holds so many: one obligation comes, and one ends.
+// BenchmarkExpire applies one change to a state of n entries: one entry is added, and one expires.
 func BenchmarkExpire(b *testing.B) {
 	for _, kind := range []struct {
 		name string
 		kind storestate.Kind
 	}{{"purge", storestate.AddPurge}, {"spend", storestate.SpendToken}, {"revoke", storestate.RevokeToken}} {
-		for _, n := range heldSizes {
+		for _, n := range stateSizes {
 			b.Run(fmt.Sprintf("%s/held=%d", kind.name, n), func(b *testing.B) {
-				s := holding(b, n)
+				s := stateOf(b, n)
 				b.ReportAllocs()
 				at := 1
 				for b.Loop() {
--- a/internal/decide/storestate/expiry_test.go
+++ b/internal/decide/storestate/expiry_test.go
@@ -10,50 +10,50 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// walk is what the state holds until a time, as a walk through all of it at each change keeps it.
-type walk struct {
+// scanModel is what the state must hold, by a scan of all tokens and purges at each change. Values are expiry times.
+type scanModel struct {
 	spent, revoked, purges map[string]float64
 }
 
-func prune(ends map[string]float64, now float64) {
-	for name, end := range ends {
-		if end < now {
-			delete(ends, name)
+func dropExpired(expiry map[string]float64, now float64) {
+	for name, expiresAt := range expiry {
+		if expiresAt < now {
+			delete(expiry, name)
 		}
 	}
 }
 
-func (w walk) apply(now float64, c storestate.Change) {
+func (m scanModel) apply(now float64, c storestate.Change) {
 	switch c.Kind {
 	case storestate.SpendToken:
-		prune(w.spent, now)
-		if _, known := w.spent[c.Name]; !known {
-			w.spent[c.Name] = c.ExpiresAt
+		dropExpired(m.spent, now)
+		if _, known := m.spent[c.Name]; !known {
+			m.spent[c.Name] = c.ExpiresAt
 		}
 	case storestate.RevokeToken:
-		prune(w.revoked, now)
-		w.revoked[c.Name] = c.ExpiresAt
+		dropExpired(m.revoked, now)
+		m.revoked[c.Name] = c.ExpiresAt
 	case storestate.AddPurge:
-		w.purges[c.Purge.Object] = max(c.ExpiresAt, w.purges[c.Purge.Object])
-		prune(w.purges, now)
+		m.purges[c.Purge.Object] = max(c.ExpiresAt, m.purges[c.Purge.Object])
+		dropExpired(m.purges, now)
 	}
 }
 
-func (w walk) require(t *rapid.T, s *storestate.State) {
-	require.Equal(t, w.spent, s.SpentTokens)
-	require.Equal(t, w.revoked, s.RevokedTokens)
-	require.Len(t, s.Purges, len(w.purges))
-	for name, until := range w.purges {
+func (m scanModel) require(t *rapid.T, s *storestate.State) {
+	require.Equal(t, m.spent, s.SpentTokens)
+	require.Equal(t, m.revoked, s.RevokedTokens)
+	require.Len(t, s.Purges, len(m.purges))
+	for name, until := range m.purges {
 		require.Equal(t, until, s.Purges[name].ExpiresAt, name)
 	}
 }
 
-// What is held until a time is what a walk through all of it would keep, after each change, whatever the order of the
-// times, with clocks that jump and snapshots in between.
-func TestExpiry(t *testing.T) {
+// After each change the state holds the tokens and purges that a full scan would keep, for any order of times, jumping clocks
+// and snapshots in between.
+func TestExpiryMatchesAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := storestate.New()
-		w := walk{map[string]float64{}, map[string]float64{}, map[string]float64{}}
+		m := scanModel{map[string]float64{}, map[string]float64{}, map[string]float64{}}
 		at := 1e6
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			at += rapid.OneOf(rapid.Float64Range(0, 50), rapid.Float64Range(-1e5, 1e5)).Draw(t, "step")
@@ -64,8 +64,8 @@
 				Purge: &storestate.Purge{Object: name, IssuedAt: at},
 			}
 			s.Apply(c)
-			w.apply(s.Time, c)
-			w.require(t, s)
+			m.apply(s.Time, c)
+			m.require(t, s)
 			if rapid.IntRange(0, 19).Draw(t, "snapshot") == 0 {
 				raw, err := storestate.Encode(s)
 				require.NoError(t, err)
@@ -76,8 +76,8 @@
 	})
 }
 
-// Members whose contents are equal have equal bytes, in whatever order it came to them.
-func TestOrderOfArrival(t *testing.T) {
+// States with equal contents have equal encodings, in whatever order the changes came.
+func TestEqualStatesEncodeEquallyInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := []storestate.Change{{Kind: storestate.EndDrain, ProposedAt: 1000}}
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
@@ -86,7 +86,7 @@
 			kind := rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind")
 			changes = append(changes, storestate.Change{Kind: kind, ProposedAt: 1000, ExpiresAt: until, Name: name, Purge: &storestate.Purge{Object: name, IssuedAt: 1000}})
 		}
-		last := []storestate.Change{ // each has those of its kind end whose time is over
+		last := []storestate.Change{ // each expires entries of its kind
 			{Kind: storestate.SpendToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"}, {Kind: storestate.RevokeToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
 			{Kind: storestate.AddPurge, ProposedAt: 1500, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "z", IssuedAt: 1500}},
 		}
@@ -104,9 +104,8 @@
 	})
 }
 
-// A snapshot that holds an end that is no time keeps what it is the end of, as it did before ends were ordered, and what
-// is beside it expires.
-func TestEndThatIsNone(t *testing.T) {
+// A snapshot may hold a NaN as an expiry time. That token stays, and the others expire.
+func TestNaNExpiryInSnapshotNeverExpires(t *testing.T) {
 	s := storestate.New()
 	s.Time = 1000
 	s.RevokedTokens["a"], s.RevokedTokens["b"] = math.NaN(), 1500
@@ -119,12 +118,11 @@
 	require.NotContains(t, s.RevokedTokens, "b")
 	s.Apply(storestate.Change{Kind: storestate.RevokeToken, ProposedAt: 2000, ExpiresAt: 2500, Name: "a"})
 	s.Apply(storestate.Change{Kind: storestate.RevokeToken, ProposedAt: 2600, ExpiresAt: 3000, Name: "d"})
-	require.NotContains(t, s.RevokedTokens, "a", "it has an end since")
+	require.NotContains(t, s.RevokedTokens, "a", "its expiry has been replaced")
 }
 
-// Results that are kept for changes that come again take no more memory however many changes there were: what the slice
-// was cut from is let go of whenever it is made anew.
-func TestDoneBounded(t *testing.T) {
+// The results kept for repeated changes take bounded memory, however many changes there were.
+func TestResultsAreBounded(t *testing.T) {
 	s := storestate.New()
 	for i := range 400_000 {
 		s.Apply(storestate.Change{ID: string(rune(i)) + string(rune(i>>10)), Kind: storestate.EndDrain, ProposedAt: 1000})
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -26,7 +26,7 @@
 	change storestate.Change
 }
 
-// goldenChanges are an entry of each kind, and one with each field set.
+// goldenChanges returns an entry of each kind, one with all fields set and one with none.
 func goldenChanges() []goldenEntry {
 	return []goldenEntry{
 		{"change-spend.cbor", storestate.Change{ID: "id-1", ProposedAt: 1e12, Kind: storestate.SpendToken, Name: "jti", ExpiresAt: 1e12 + 9000.5}},
@@ -63,7 +63,7 @@
 	}
 }
 
-// goldenState is what the entries add up to.
+// goldenState returns the state after all golden entries.
 func goldenState() *storestate.State {
 	s := storestate.New()
 	for i, e := range goldenChanges() {
@@ -80,10 +80,8 @@
 		golden.Equal(t, name, raw)
 		read, err := storestate.DecodeState(golden.Read(t, name))
 		require.NoError(t, err)
-		for _, c := range []*storestate.State{s, read} { // an id that was used before has its first result again
-			for _, e := range goldenChanges() {
-				require.Equal(t, s.HasApplied(e.change.ID), c.HasApplied(e.change.ID))
-			}
+		for _, e := range goldenChanges() {
+			require.Equal(t, s.HasApplied(e.change.ID), read.HasApplied(e.change.ID))
 		}
 		again, err := storestate.Encode(read)
 		require.NoError(t, err)
@@ -91,7 +89,7 @@
 	}
 }
 
-// A result goes to the member that asked without its form in front.
+// A result is sent to the member that asked without its format version.
 func TestGoldenResults(t *testing.T) {
 	for name, r := range map[string]storestate.Result{
 		"result-ok.cbor": {}, "result-conflict.cbor": {Verdict: storestate.Conflict, Revision: 7}, "result-invalid.cbor": {Verdict: storestate.Invalid},
@@ -105,7 +103,7 @@
 	}
 }
 
-// What the admin interface shows of a state.
+// TestGoldenJSON covers the parts of a state that the admin interface shows.
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	for name, v := range map[string]any{
--- a/internal/decide/storestate/storestate_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -29,48 +29,48 @@
 	return c
 }
 
-// Members that apply the same log agree, whether they got it entry by entry, with entries submitted again, or from a
-// snapshot at any place; and a token id is spent once, whoever asks.
-func TestAgree(t *testing.T) {
+// Members that apply the same log agree, whether they receive entry by entry, repeated entries, or a snapshot at any place. A
+// token id is spent once.
+func TestReplicasOfOneLogAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, two := storestate.New(), storestate.New()
-		spent := map[string]string{} // by name: the change that spent it
-		ids := map[string]bool{}
+		first, second := storestate.New(), storestate.New()
+		spentBy := map[string]string{} // by token id: the change that spent it
+		submitted := map[string]bool{}
 		for n := range rapid.IntRange(0, 60).Draw(t, "n") {
 			c := change(t, n)
 			raw, err := storestate.Encode(c)
 			require.NoError(t, err)
-			back, err := storestate.DecodeChange(raw)
+			decoded, err := storestate.DecodeChange(raw)
 			require.NoError(t, err)
-			before := one.Revision().Number
-			r := one.Apply(c)
-			require.Equal(t, r, two.Apply(back))
-			require.Equal(t, r, one.Apply(c), "the same id again has the same result, and no effect")
-			require.LessOrEqual(t, one.Revision().Number, before+1)
-			again := ids[c.ID]
-			if ids[c.ID] = true; !again && c.Kind == storestate.SpendToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
-				if by, done := spent[c.Name]; done {
+			before := first.Revision().Number
+			r := first.Apply(c)
+			require.Equal(t, r, second.Apply(decoded))
+			require.Equal(t, r, first.Apply(c), "the same id again has the same result and no effect")
+			require.LessOrEqual(t, first.Revision().Number, before+1)
+			again := submitted[c.ID]
+			if submitted[c.ID] = true; !again && c.Kind == storestate.SpendToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
+				if by, known := spentBy[c.Name]; known {
 					require.Equal(t, by, c.ID, "spent twice")
 				}
-				spent[c.Name] = c.ID
+				spentBy[c.Name] = c.ID
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				raw, err := storestate.Encode(two)
+				raw, err := storestate.Encode(second)
 				require.NoError(t, err)
-				two, err = storestate.DecodeState(raw)
+				second, err = storestate.DecodeState(raw)
 				require.NoError(t, err)
 			}
 		}
-		a, err := storestate.Encode(one)
+		a, err := storestate.Encode(first)
 		require.NoError(t, err)
-		b, err := storestate.Encode(two)
+		b, err := storestate.Encode(second)
 		require.NoError(t, err)
 		require.Equal(t, a, b)
 	})
 }
 
-// What version 0 wrote, entries and snapshots, is read.
-func TestMigration(t *testing.T) {
+// Entries and snapshots of format version 0 are decoded.
+func TestVersion0IsDecoded(t *testing.T) {
 	s, err := storestate.DecodeState([]byte(`{"Keys":{"k1":{"alg":"HS256","key":"eA=="}},"Config":{"site":"th"},"Spent":{"j1":9000},"Revoked":{"j2":9000}}`))
 	require.NoError(t, err)
 	require.Equal(t, storestate.Key{Alg: "HS256", Data: []byte("x")}, s.Keys["k1"])
@@ -95,8 +95,8 @@
 	}
 }
 
-// A proposer whose clock is years ahead does not void everybody's tokens.
-func TestClockAhead(t *testing.T) {
+// A proposer whose clock is years ahead must not make the others' spent tokens expire.
+func TestProposerWithFastClockExpiresNoTokens(t *testing.T) {
 	s := storestate.New()
 	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1000, ExpiresAt: 100_000}).Verdict)
 	s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "b", ProposedAt: 9e15, ExpiresAt: 9e15})
