--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkFailover is the time from the leader's loss to the first change that another member acknowledges, with the
-// time-outs of members near one another (150 ms).
+// BenchmarkFailover measures the time from the leader's loss to the first change that another member acknowledges, with
+// election time-outs of 150 ms.
 func BenchmarkFailover(b *testing.B) {
 	c := newCluster(b, "a", "b", "c")
 	took := hdrhistogram.New(1, 60_000, 3)
--- /dev/null
+++ b/internal/store/fsm_test.go
@@ -0,0 +1,130 @@
+package store
+
+import (
+	"bytes"
+	"io"
+	"sync"
+	"testing"
+
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/storestate"
+)
+
+// drainRecorder records the last fact about each server's drain.
+type drainRecorder struct {
+	mu   sync.Mutex
+	last map[string]storestate.Kind
+}
+
+func (r *drainRecorder) onFact(c storestate.Change) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if c.Kind == storestate.StartDrain || c.Kind == storestate.EndDrain {
+		r.last[c.Name] = c.Kind
+	}
+}
+
+func (r *drainRecorder) of(name string) storestate.Kind {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.last[name]
+}
+
+// A member that restarts applies its log while the proxy around it is still starting. The end of a drain that it applies then
+// must be announced: the proxy still has the drain from before the restart, and would keep it forever.
+func TestFactsAreAnnouncedDuringStartup(t *testing.T) {
+	c := newCluster(t, "a")
+	eventually(t, func() bool { // its election may take longer than a call waits, on a loaded machine
+		_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
+		return err == nil
+	}, "a leader, and the drain")
+	_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
+	require.NoError(t, err)
+	c.members["a"].Kill()
+
+	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
+	back := c.open("a", Options{OnFact: recorder.onFact})
+	eventually(t, func() bool { return recorder.of("s-1") == storestate.EndDrain }, "the end of the drain is announced")
+	var draining bool
+	require.NoError(t, back.Read(false, func(s *storestate.State) { _, draining = s.Drains["s-1"] }))
+	require.False(t, draining)
+}
+
+// A member far behind receives a snapshot in place of entries. The end of a drain that the snapshot no longer holds is
+// announced.
+func TestSnapshotAnnouncesEndOfDrain(t *testing.T) {
+	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
+	f := &fsm{state: storestate.New(), onFact: recorder.onFact}
+	raw, err := storestate.Encode(storestate.Change{ID: "1", Kind: storestate.StartDrain, Name: "s-1"})
+	require.NoError(t, err)
+	require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: 1, Data: raw}).(storestate.Result).Verdict)
+	require.Equal(t, storestate.StartDrain, recorder.of("s-1"))
+
+	later, err := storestate.Encode(storestate.New())
+	require.NoError(t, err)
+	require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(later))))
+	require.Equal(t, storestate.EndDrain, recorder.of("s-1"))
+}
+
+// A change that is repeated, as its proposer did not learn its outcome, is not announced again. Else a drain that ended in
+// between would return in the proxies, though it is in no state.
+func TestRepeatedChangeIsAnnouncedOnce(t *testing.T) {
+	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
+	f := &fsm{state: storestate.New(), onFact: recorder.onFact}
+	for i, c := range []storestate.Change{
+		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"}, {ID: "2", Kind: storestate.EndDrain, Name: "s-1"}, {ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
+	} {
+		raw, err := storestate.Encode(c)
+		require.NoError(t, err)
+		require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: uint64(i + 1), Data: raw}).(storestate.Result).Verdict)
+	}
+	require.Empty(t, f.state.Drains)
+	require.Equal(t, storestate.EndDrain, recorder.of("s-1"))
+}
+
+// indexRecorder records the index under which each fact was announced.
+type indexRecorder struct {
+	state   *storestate.State
+	indexes map[string]uint64
+}
+
+func (f *indexRecorder) StateReplaced(s *storestate.State) { f.state = s }
+
+func (f *indexRecorder) ChangeApplied(index uint64, c storestate.Change, r storestate.Revision) {
+	switch c.Kind {
+	case storestate.EndDrain:
+		delete(f.indexes, storestate.FactKey(storestate.StartDrain, c.Name))
+	case storestate.AddPurge:
+		f.indexes[storestate.FactKey(c.Kind, c.Purge.Object)] = index
+	default:
+		f.indexes[storestate.FactKey(c.Kind, c.Name)] = index
+	}
+}
+
+// An observer receives the state and then each change with its index. A state restored from a snapshot still has the index of
+// each of its facts.
+func TestObserverReceivesChangesWithIndexes(t *testing.T) {
+	s := &Store{fsm: &fsm{state: storestate.New()}}
+	observer := &indexRecorder{indexes: map[string]uint64{}}
+	s.Observe(observer)
+	for i, c := range []storestate.Change{
+		{Kind: storestate.StartDrain, Name: "s-1"}, {Kind: storestate.StartDrain, Name: "s-2"}, {Kind: storestate.EndDrain, Name: "s-1"},
+		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 2}}, {Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 1}},
+		{Kind: storestate.SetConfig, Text: "x"}, {Kind: storestate.AddPurge, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1}},
+		{Kind: storestate.AddPurge, ExpiresAt: 10, Purge: &storestate.Purge{Object: "over", IssuedAt: 1}},
+	} {
+		c.ProposedAt = 1000
+		raw, err := storestate.Encode(c)
+		require.NoError(t, err)
+		s.fsm.Apply(&raft.Log{Index: uint64(i + 5), Data: raw})
+	}
+	require.Equal(t, uint64(12), observer.indexes["purge over"], "announced, and expired at once")
+	delete(observer.indexes, "purge over")
+	require.Equal(t, map[string]uint64{"drain s-2": 6, "list l": 8, "config": 10, "purge o": 11}, observer.indexes)
+	raw, err := storestate.Encode(s.fsm.state)
+	require.NoError(t, err)
+	require.NoError(t, s.fsm.Restore(io.NopCloser(bytes.NewReader(raw))))
+	require.Equal(t, observer.indexes, observer.state.FactIndexes)
+}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each call and each answer as a frame on the connection.
+// Each request and each reply as a frame on the connection.
 func TestGoldenFrames(t *testing.T) {
 	for name, q := range goldenRequests {
 		var frame bytes.Buffer
@@ -96,7 +96,7 @@
 	golden.Equal(t, "member.json", raw)
 }
 
-// writeKeys issues identities of a cluster into a directory, and leaves out the authority's key.
+// writeKeys issues identities of a cluster into a directory, and removes the authority's key.
 func writeKeys(t *testing.T, dir string) {
 	require.NoError(t, NewCluster(dir, "th"))
 	require.NoError(t, Issue(dir, "a"))
@@ -104,8 +104,8 @@
 	require.NoError(t, os.Remove(filepath.Join(dir, "ca.key")))
 }
 
-// goldenHolder is a member as its certificate names it. That the certificate is over by now does not matter here.
-func goldenHolder(t *testing.T, dir, name string) Peer {
+// goldenPeer returns a member as its certificate names it, without a check of the certificate's validity.
+func goldenPeer(t *testing.T, dir, name string) Peer {
 	raw, err := os.ReadFile(filepath.Join(dir, name+".crt"))
 	require.NoError(t, err)
 	block, _ := pem.Decode(raw)
@@ -114,8 +114,8 @@
 	return Peer{Name: name, Key: leaf.PublicKey.(*ecdsa.PublicKey), Issued: leaf.NotBefore}
 }
 
-// Identities that an earlier version issued are read, sign, and make the same secrets with one another; one that is issued
-// now says the same of its member.
+// Identities issued by an earlier version are read, can sign, and derive the same shared secrets. A certificate issued now
+// makes the same statements.
 func TestGoldenIdentities(t *testing.T) {
 	dir := golden.Directory(t, "identities", func(dir string) { writeKeys(t, dir) })
 	now := t.TempDir()
@@ -128,7 +128,7 @@
 		hash := sha256.Sum256([]byte("x"))
 		signature, err := id.Sign(hash[:])
 		require.NoError(t, err)
-		require.True(t, ecdsa.VerifyASN1(goldenHolder(t, dir, name).Key, hash[:], signature))
+		require.True(t, ecdsa.VerifyASN1(goldenPeer(t, dir, name).Key, hash[:], signature))
 		ids = append(ids, id)
 		issued, err := LoadIdentity(now, name)
 		require.NoError(t, err)
@@ -139,18 +139,17 @@
 		require.Equal(t, was.ExtKeyUsage, is.ExtKeyUsage)
 		require.Equal(t, was.NotAfter.Sub(was.NotBefore), is.NotAfter.Sub(is.NotBefore))
 	}
-	out, in, err := ids[0].SharedSecrets(goldenHolder(t, dir, "b"), "peers")
+	out, in, err := ids[0].SharedSecrets(goldenPeer(t, dir, "b"), "peers")
 	require.NoError(t, err)
 	golden.Equal(t, "shared-a-to-b.bin", out)
 	golden.Equal(t, "shared-b-to-a.bin", in)
-	out, in, err = ids[1].SharedSecrets(goldenHolder(t, dir, "a"), "peers")
+	out, in, err = ids[1].SharedSecrets(goldenPeer(t, dir, "a"), "peers")
 	require.NoError(t, err)
 	golden.Equal(t, "shared-a-to-b.bin", in)
 	golden.Equal(t, "shared-b-to-a.bin", out)
 }
 
-// openGolden opens a member alone in its cluster on a directory, with keys of its own. An entry more than eight makes a
-// snapshot.
+// openGolden opens the only member of a cluster on a directory, with new keys. It takes a snapshot after eight entries.
 func openGolden(t *testing.T, dir string) *Store {
 	keys := t.TempDir()
 	require.NoError(t, NewCluster(keys, "th"))
@@ -191,8 +190,8 @@
 	s.Kill()
 }
 
-// A store's directory that an earlier version wrote is opened, and all that it wrote is there: what its snapshot holds, and
-// the entries behind it.
+// A store's directory written by an earlier version is opened, and everything that it wrote is recovered, from the snapshot
+// and from the entries behind it.
 func TestGoldenDirectory(t *testing.T) {
 	dir := golden.Directory(t, "directory", func(dir string) { writeStore(t, dir) })
 	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
@@ -223,7 +222,7 @@
 	require.ErrorIs(t, s.SpendToken("spent-2", 9e15), ErrTokenSpent)
 }
 
-// The snapshot in that directory is read by the state machine alone.
+// The snapshot in that directory is restored by the state machine alone.
 func TestGoldenSnapshot(t *testing.T) {
 	snapshots, err := filepath.Glob(filepath.Join("testdata", "golden", "directory", "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
--- a/internal/store/linear_test.go
+++ b/internal/store/linearizability_test.go
@@ -15,24 +15,24 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// op is a call as its client saw it. Key "": the configuration; else a token id that is spent.
+// op is a call as its client saw it. An empty key is the configuration, any other a token id to spend.
 type op struct {
 	key  string
 	base uint64
 	read bool
 }
 
-// seen is how it ended. An outcome that is unknown may have happened at any time since.
-type seen struct {
+// outcome is how a call ended. One that is unknown may have taken effect at any time since.
+type outcome struct {
 	ok, unknown bool
 	revision    uint64
 }
 
-// model is one key: a token id that is spent once, or a revision that is changed from what it was.
+// model is that of one key: a token id that can be spent once, or a revision that is replaced by the next.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(uint64), input.(op), output.(seen)
+		s, in, out := state.(uint64), input.(op), output.(outcome)
 		switch {
 		case in.read:
 			if out.unknown || out.revision == s {
@@ -40,7 +40,7 @@
 			}
 		case in.key != "":
 			if out.unknown {
-				return []any{uint64(1)} // spent by it, or before it
+				return []any{uint64(1)} // spent by this call or before it
 			}
 			if out.ok == (s == 0) {
 				return []any{uint64(1)}
@@ -71,8 +71,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// TestLinearizable has clients spend token ids, change the configuration and read it, while members are cut off, killed
-// and started again, and holds what they saw against one order of all that is right.
+// Clients spend token ids, change the configuration and read it while members are cut off, killed and restarted. Their history
+// is linearizable.
 func TestLinearizable(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
@@ -80,11 +80,11 @@
 	began := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	book := func(client int, in op, f func() (seen, bool)) {
+	record := func(client int, in op, f func() (outcome, bool)) {
 		call := time.Since(began).Nanoseconds()
 		out, happened := f()
 		if !happened {
-			return // surely not: there is nothing to order
+			return // it had no effect, so there is nothing to order
 		}
 		end := time.Since(began).Nanoseconds()
 		if out.unknown {
@@ -113,34 +113,34 @@
 				c.mu.Unlock()
 				switch rng.IntN(4) {
 				case 0:
-					book(client, op{base: base}, func() (seen, bool) {
+					record(client, op{base: base}, func() (outcome, bool) {
 						rev, err := s.SetConfig(base, fmt.Sprint(client, n), "")
 						switch {
 						case err == nil || errors.Is(err, ErrConflict):
 							base = rev
-							return seen{ok: err == nil, revision: rev}, true
+							return outcome{ok: err == nil, revision: rev}, true
 						case errors.Is(err, ErrOutcomeUnknown):
-							return seen{unknown: true}, true
+							return outcome{unknown: true}, true
 						}
-						return seen{}, false
+						return outcome{}, false
 					})
 				case 1:
-					book(client, op{read: true}, func() (seen, bool) {
+					record(client, op{read: true}, func() (outcome, bool) {
 						var rev uint64
 						err := s.Read(true, func(st *storestate.State) { rev = st.Revision().Number })
-						return seen{revision: rev}, err == nil
+						return outcome{revision: rev}, err == nil
 					})
 				default:
-					jti := fmt.Sprint("j", time.Since(began).Milliseconds()/40) // many clients at the same ids
-					book(client, op{key: jti}, func() (seen, bool) {
+					jti := fmt.Sprint("j", time.Since(began).Milliseconds()/40) // many clients spend the same ids
+					record(client, op{key: jti}, func() (outcome, bool) {
 						err := s.SpendToken(jti, 9e15)
 						switch {
 						case err == nil || errors.Is(err, ErrTokenSpent):
-							return seen{ok: err == nil}, true
+							return outcome{ok: err == nil}, true
 						case errors.Is(err, ErrOutcomeUnknown):
-							return seen{unknown: true}, true
+							return outcome{unknown: true}, true
 						}
-						return seen{}, false
+						return outcome{}, false
 					})
 				}
 			}
@@ -168,7 +168,7 @@
 	wait.Wait()
 	done, unknown := 0, 0
 	for _, o := range history {
-		if done++; o.Output.(seen).unknown {
+		if done++; o.Output.(outcome).unknown {
 			unknown++
 		}
 	}
@@ -179,5 +179,5 @@
 		_ = porcupine.VisualizePath(model.ToModel(), info, path)
 	}
 	require.Equal(t, porcupine.Ok, verdict)
-	t.Logf("%d calls in one order, of %d the outcome is not known", done, unknown)
+	t.Logf("%d calls, of %d the outcome is unknown", done, unknown)
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// identities issues one of each name, of one cluster.
+// identities issues an identity for each name, in one cluster.
 func identities(t *testing.T, names ...string) []*Identity {
 	dir := t.TempDir()
 	require.NoError(t, NewCluster(dir, "th"))
@@ -24,7 +24,7 @@
 	return out
 }
 
-// listenLinks opens an address on loopback whose links echo what they get.
+// listenLinks opens an address on loopback whose links echo frames with the peer's name in front.
 func listenLinks(t *testing.T, id *Identity, most int) *LinkListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,9 +40,8 @@
 	return l
 }
 
-// Two members of a cluster know one another by name and exchange frames; who has another cluster's certificate gets
-// nothing.
-func TestLink(t *testing.T) {
+// Two members of a cluster learn each other's name and exchange frames. A member of another cluster can't connect.
+func TestLinkExchangesFramesBetweenNamedPeers(t *testing.T) {
 	ids := identities(t, "a", "b")
 	at := listenLinks(t, ids[0], 8)
 	l, err := DialLink(ids[1], at.Addr().String(), patience, nil)
@@ -57,13 +56,13 @@
 	}
 	require.NoError(t, l.Send(make([]byte, 101), patience))
 	_, err = l.Receive(100, patience)
-	require.Error(t, err, "a frame beyond the bound ends the link")
+	require.Error(t, err, "a frame above the maximum ends the link")
 	_, err = DialLink(identities(t, "b")[0], at.Addr().String(), patience, nil)
 	require.Error(t, err)
 }
 
-// An address for links takes nothing else, nor one of the store a link.
-func TestLinkKinds(t *testing.T) {
+// An address for links refuses calls, and a store's address refuses links.
+func TestAddressRefusesOtherKindsOfConnection(t *testing.T) {
 	ids := identities(t, "a", "b")
 	at := listenLinks(t, ids[0], 8)
 	_, sent, err := (&transport{identity: ids[1], dial: dialTCP}).call(at.Addr().String(), request{Operation: OpStatus}, patience)
@@ -80,9 +79,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// An address that is closed ends its links, waits until those that served them have returned, and leaves the other side
-// an end in place of silence. One link more than the most is turned away.
-func TestLinksClose(t *testing.T) {
+// Closing an address ends its links at both ends and waits for their handlers. A link beyond the maximum is refused.
+func TestLinkListenerCloseEndsItsLinks(t *testing.T) {
 	ids := identities(t, "a", "b")
 	at := listenLinks(t, ids[0], 1)
 	l, err := DialLink(ids[1], at.Addr().String(), patience, nil)
@@ -98,8 +96,8 @@
 	require.Error(t, err)
 }
 
-// Who does not read is given so long and no longer.
-func TestLinkSlow(t *testing.T) {
+// A send to a peer that does not read fails after its time-out.
+func TestLinkSendTimesOut(t *testing.T) {
 	ids := identities(t, "a", "b")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,7 +16,7 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// patience bounds a wait; it is no expectation of speed.
+// patience bounds a wait. It expresses no expectation of speed.
 const patience = 60 * time.Second
 
 func eventually(t testing.TB, ok func() bool, what string) {
@@ -24,7 +24,7 @@
 	require.Eventually(t, ok, patience, 2*time.Millisecond, what)
 }
 
-// cluster is members on loopback, whose links can be cut.
+// cluster is a set of members on loopback whose connections can be cut.
 type cluster struct {
 	t    testing.TB
 	keys string
@@ -59,7 +59,8 @@
 	return c
 }
 
-// add gives a member a key and an address that only listeners of this test use, so that it is free after a restart.
+// add issues a member's key and picks its address, in a range that only listeners of these tests use, so that it is still
+// free after a restart.
 func (c *cluster) add(name string) Member {
 	require.NoError(c.t, Issue(c.keys, name))
 	ln, err := net.Listen("tcp", "127.0.73.1:0")
@@ -109,7 +110,7 @@
 	return nc, err
 }
 
-// isolate cuts a member off from all others, or joins it to them again.
+// isolate cuts a member off from all others, or connects it again.
 func (c *cluster) isolate(name string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +163,7 @@
 	return ""
 }
 
-// spendNew spends a new id. One whose try got no quorum may still be spent later, so each try has its own.
+// spendNew spends a new token id. An attempt without a quorum may still succeed later, so each attempt has an id of its own.
 func spendNew(t testing.TB, s *Store) (jti string) {
 	t.Helper()
 	n := 0
@@ -174,7 +175,7 @@
 	return jti
 }
 
-func TestAlone(t *testing.T) {
+func TestMemberAloneNeedsNoLog(t *testing.T) {
 	clk := clock.Manual(1000)
 	s, err := Open(Options{Clock: clk})
 	require.NoError(t, err)
@@ -189,7 +190,7 @@
 	require.False(t, ok)
 	require.NoError(t, s.RevokeToken("r", 1500))
 	require.True(t, s.IsRevoked("r"))
-	clk.Advance(1001) // what can no longer pass is pruned with the next change
+	clk.Advance(1001) // expired ids are dropped with the next change
 	require.NoError(t, s.SpendToken("b", 3000))
 	require.NoError(t, s.RevokeToken("r2", 3000))
 	spent, revoked := s.TokenCounts()
@@ -202,7 +203,7 @@
 	require.Equal(t, "one", (<-w).Text)
 	rev, err = s.SetConfig(0, "other", "ops")
 	require.ErrorIs(t, err, ErrConflict)
-	require.EqualValues(t, 1, rev, "what is in force")
+	require.EqualValues(t, 1, rev, "the revision in force")
 	_, err = s.SetConfig(1, "two", "ops")
 	require.NoError(t, err)
 	rev, err = s.Rollback(1, "ops")
@@ -215,15 +216,15 @@
 	require.ErrorIs(t, s.SpendToken("c", 3000), ErrUnavailable)
 }
 
-// The leader is lost between taking a change and answering; a member that was down comes back by a snapshot, as the log
-// that it lacks is cut off; whatever was acknowledged is everywhere in the end.
-func TestLoseAndReturn(t *testing.T) {
+// A member that was down returns by a snapshot, as the entries that it lacks were compacted, and then the leader is lost. All
+// acknowledged changes are on all members in the end.
+func TestMemberReturnsBySnapshotAfterLeaderLoss(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	first := c.leader()
 	spent := []string{spendNew(t, c.members[first]), spendNew(t, c.members[c.other(first)])}
 	down := c.other(first)
 	c.members[down].Kill()
-	for range 150 { // past the threshold of a snapshot, and its trailing entries
+	for range 150 { // beyond the snapshot's threshold and its trailing entries
 		require.NoError(t, c.members[first].PutKey("k", Key{Alg: "HS256", Data: []byte("y")}))
 	}
 	spent = append(spent, spendNew(t, c.members[first]))
@@ -245,14 +246,14 @@
 	}
 }
 
-// The leader has a change in its log and is killed before it could answer. The caller is told that the outcome is not
-// known; the same change under its own id counts once, however often it comes; another one for the same thing is refused.
-func TestKilledBeforeTheAnswer(t *testing.T) {
+// The leader has a change in its log and is killed before it answers. The caller gets ErrOutcomeUnknown. The same change under
+// its id counts once, however often it is proposed; another change that spends the same token is refused.
+func TestChangeCountsOnceWhenLeaderIsKilled(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
 	s := c.members[lead]
 	require.NoError(t, s.PutKey("k", Key{Alg: "HS256"}))
-	c.isolate(lead, true) // what it appends now, no other member has
+	c.isolate(lead, true) // no other member receives what it appends now
 	change := storestate.Change{ID: "one", Kind: storestate.SpendToken, Name: "j", ExpiresAt: 9e15}
 	before, outcome := s.raft.LastIndex(), make(chan error, 1)
 	go func() { _, err := s.Propose(change); outcome <- err }()
@@ -270,16 +271,16 @@
 	require.ErrorIs(t, next.SpendToken("j", 9e15), ErrTokenSpent)
 }
 
-// A member that is cut off goes on answering reads, and says how stale they are; it acknowledges nothing, and what it
-// could not bring through is either in or not, never twice.
-func TestMinority(t *testing.T) {
+// A member that is cut off serves reads and reports how stale they are, and acknowledges no change. A leader that is cut off
+// steps down, and the others elect another one.
+func TestMinorityServesStaleReadsOnly(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
 	require.NoError(t, c.members[lead].PutKey("k", Key{Alg: "HS256", Data: []byte("x")}))
 	lone := c.other(lead)
 	eventually(t, func() bool { _, ok := c.members[lone].Key("k"); return ok }, "the key is there")
 	c.isolate(lone, true)
-	eventually(t, func() bool { return c.members[lone].Status().StaleMs > 300 }, "it knows that it is stale")
+	eventually(t, func() bool { return c.members[lone].Status().StaleMs > 300 }, "it reports that it is stale")
 	_, ok := c.members[lone].Key("k")
 	require.True(t, ok, "reads go on")
 	require.ErrorIs(t, c.members[lone].SpendToken("j", 9e15), ErrUnavailable)
@@ -306,7 +307,7 @@
 	}, "another leads")
 	spendNew(t, c.members[next])
 
-	// One that knows of no leader refused what it was asked at once, though it had not run: it is asked again.
+	// A member that knows no leader refuses an operation without effect, and the operation is requested again.
 	id, err := LoadIdentity(c.keys, lead)
 	require.NoError(t, err)
 	done := make(chan error, 1)
@@ -317,9 +318,9 @@
 	spendNew(t, c.members[lead])
 }
 
-// A follower has been handed two changes that were acknowledged, and has not taken them in yet. A linearizable read
-// there waits for both.
-func TestReadWaitsForTheState(t *testing.T) {
+// Raft has handed a follower two acknowledged changes that its state machine has not applied yet. A linearizable read there
+// waits for both.
+func TestLinearizableReadWaitsForAppliedState(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
 	late := c.members[c.other(lead)]
@@ -335,14 +336,14 @@
 	require.True(t, seen)
 }
 
-// Members come, are replaced and go in service, and leadership moves where it is asked to.
-func TestMembership(t *testing.T) {
+// Members join and are removed while the cluster serves, and leadership is transferred on request.
+func TestMembersJoinLeaveAndTransferLeadership(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
 	jti := spendNew(t, c.members[lead])
 	c.add("d")
-	d := c.open("d", Options{Join: c.addrs[c.other(lead)]}) // through one that does not lead
-	// It was let in by one that leads, and hears of that a moment later.
+	d := c.open("d", Options{Join: c.addrs[c.other(lead)]}) // through a follower
+	// The leader has added it; the newcomer itself learns of that a moment later.
 	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the newcomer knows of all")
 	require.ErrorIs(t, d.SpendToken(jti, 9e15), ErrTokenSpent)
 	id, err := LoadIdentity(c.keys, "d")
@@ -357,12 +358,13 @@
 		return err == nil && len(st.Members) == 3
 	}, "one less")
 	c.members[lead].Kill()
-	require.NoError(t, d.Close()) // one that leads hands that on first
+	require.NoError(t, d.Close()) // a leader transfers its leadership first
 	spendNew(t, c.members[c.other(lead)])
 }
 
-// Whoever has no certificate of this cluster is not heard: another cluster's member, one in another's name, plain text.
-func TestStrangers(t *testing.T) {
+// Connections without a certificate of this cluster are refused: another cluster's member, a member under another's name, and
+// plain text.
+func TestUnauthenticatedPeersAreRefused(t *testing.T) {
 	c := newCluster(t, "a")
 	c.leader()
 	id, err := LoadIdentity(c.keys, "a")
@@ -382,7 +384,7 @@
 	forged.Cluster = "elsewhere"
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.ErrorContains(t, err, `a certificate of cluster "th", member "a"`)
-	// A member that asks to be let in under another's name.
+	// A member that asks to join under another's name.
 	require.NoError(t, Issue(c.keys, "b"))
 	b, err := LoadIdentity(c.keys, "b")
 	require.NoError(t, err)
@@ -393,7 +395,7 @@
 	_, _ = nc.Write([]byte("C\x00\x00\x00\x01x"))
 	_ = nc.SetReadDeadline(time.Now().Add(patience))
 	_, err = nc.Read(make([]byte, 64))
-	if err == nil { // an alert of TLS, and then the end
+	if err == nil { // a TLS alert, and then the end
 		_, err = nc.Read(make([]byte, 64))
 	}
 	require.Error(t, err)
@@ -403,8 +405,8 @@
 	require.Error(t, err)
 }
 
-// One directory is of one process.
-func TestOneDirectory(t *testing.T) {
+// A directory is locked by the process that uses it.
+func TestDirectoryIsLockedByOneProcess(t *testing.T) {
 	c := newCluster(t, "a")
 	id, err := LoadIdentity(c.keys, "a")
 	require.NoError(t, err)
