--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/lists_test.go
@@ -183,7 +183,7 @@
 	}
 	require.Empty(r.t, r.fleet.DuplicateWrites())
 	require.Empty(r.t, r.client.Violations())
-	require.Zero(r.t, invariant.Broken())
+	require.Zero(r.t, invariant.Violations())
 	for name, s := range r.client.Results() {
 		require.Equal(r.t, s.Requested, s.Served, "%s: %+v", name, s)
 	}
--- a/cmd/ravenwheel/operator.go
+++ b/cmd/ravenwheel/operator.go
@@ -62,7 +62,7 @@
 	follow.signed = front
 	go follow.run()
 	go func() {
-		if err := front.Serve(transient.Listener(ln)); err != nil {
+		if err := front.Serve(transient.KeepAccepting(ln)); err != nil {
 			log.Error("signed").Err(err).Msg("the signed front is lost")
 		}
 	}()
--- a/cmd/ravenwheel/place.go
+++ b/cmd/ravenwheel/place.go
@@ -52,7 +52,7 @@
 	if p.hand != nil {
 		return p.hand.Ready(c)
 	}
-	ln, err := transient.Listen(func() (net.Listener, error) { return net.Listen("tcp", conf.Listen) })
+	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", conf.Listen) })
 	if err == nil {
 		p.desk.Owns(true)
 		p.desk.Accept(true)
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -72,9 +72,9 @@
 func (a *steady) run(n int) {
 	var nc net.Conn
 	var in resp.Buffer
-	in.Most = resp.MostAnswered
+	in.MaxFrameSize = resp.MaxResponseSize
 	for i := 0; !a.stop.Load(); i++ {
-		frame := resp.Append(nil, "RPC.CALL", strconv.Itoa(i+1), "asset", fmt.Sprintf("rid=%08x%08x,budget=50000,obj=%016x,nth=0,batch=17", n, i, i%50))
+		frame := resp.AppendFrame(nil, "RPC.CALL", strconv.Itoa(i+1), "asset", fmt.Sprintf("rid=%08x%08x,budget=50000,obj=%016x,nth=0,batch=17", n, i, i%50))
 		a.asked++
 		kills := a.kills.Load()
 		for try := 0; ; try++ {
@@ -93,7 +93,7 @@
 					a.err = fmt.Errorf("turned away: %w", err)
 					return
 				}
-				in = resp.Buffer{Most: resp.MostAnswered}
+				in = resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 			}
 			_, err := nc.Write(frame)
 			var parts [][]byte
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -94,7 +94,7 @@
 func (c *soakClient) read(nc *net.TCPConn, open map[string]*soakRequest, ended chan struct{}) {
 	defer close(ended)
 	defer nc.Close()
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(nc)
 		now := c.s.now()
@@ -199,7 +199,7 @@
 	if q.class == "report" {
 		fields += ",token=k" + id
 	}
-	frame := resp.Append(nil, "RPC.CALL", tag, q.class, fields, body)
+	frame := resp.AppendFrame(nil, "RPC.CALL", tag, q.class, fields, body)
 	c.mu.Lock()
 	c.open[tag] = q
 	c.mu.Unlock()
@@ -246,7 +246,7 @@
 	if !open {
 		return
 	}
-	if _, err := c.nc.Write(resp.Append(nil, "RPC.CANCEL", tag)); err != nil {
+	if _, err := c.nc.Write(resp.AppendFrame(nil, "RPC.CANCEL", tag)); err != nil {
 		return
 	}
 	q.left = c.s.now() // an answer may be on its way
@@ -295,10 +295,10 @@
 		return false, nil
 	}
 	defer nc.Close()
-	if _, err = nc.Write(resp.Append(nil, "RPC.HEALTH", "1")); err != nil {
+	if _, err = nc.Write(resp.AppendFrame(nil, "RPC.HEALTH", "1")); err != nil {
 		return true, err
 	}
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	parts, _, err := buf.Next(nc)
 	if err == nil && string(parts[1]) != "yes" {
 		err = fmt.Errorf("it says %s", parts[1])
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -93,7 +93,7 @@
 	n := &p.Core.Counters
 	require.EqualValues(t, 60, n.Served.Load())
 	require.Zero(t, n.NeverSent.Load()+n.UnansweredConns.Load())
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
 
 // heldUp is a listener whose accepts are held up while it is shut, as out of descriptors.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -186,7 +186,7 @@
 
 // Serve answers until Close.
 func (a *Admin) Serve() {
-	if err := a.srv.Serve(transient.Listener(a.ln)); !errors.Is(err, http.ErrServerClosed) {
+	if err := a.srv.Serve(transient.KeepAccepting(a.ln)); !errors.Is(err, http.ErrServerClosed) {
 		a.opt.Log.Error("admin").Err(err).Msg("the operators' address is lost")
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -48,11 +48,11 @@
 
 // Listen opens the address.
 func Listen(addr string, d Desk, log *logs.Log) (*Console, error) {
-	ln, err := transient.Listen(func() (net.Listener, error) { return net.Listen("tcp", addr) })
+	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Console{ln: transient.Listener(ln), desk: d, log: log}, nil
+	return &Console{ln: transient.KeepAccepting(ln), desk: d, log: log}, nil
 }
 
 // Addr is where it listens.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -61,8 +61,8 @@
 // New returns the desk of a proxy that has just started.
 func New(o Options) *Desk {
 	set := drain.Settings{
-		FrontAfter: frontAfter, StopAfter: StopAfter, RefuseAfter: refuseAfter, AnswerWithin: o.AnswerWithin,
-		HeardFor: heardFor, RestWithin: restWithin, HalfFor: halfFor,
+		CloseIdleAfterDrain: frontAfter, CloseIdleAfterStop: StopAfter, RejectAfter: refuseAfter, KillAfter: o.AnswerWithin,
+		RequestsAfterStop: heardFor, RejectBeforeKill: restWithin, PartialFrameTimeout: halfFor,
 	}
 	return &Desk{opt: o, state: drain.New(set)}
 }
@@ -80,7 +80,7 @@
 	if d.front == nil {
 		return
 	}
-	d.front.SetReady(d.state.Takes())
+	d.front.SetReady(d.state.Ready())
 	d.front.SetAccepting(d.accepting)
 	d.front.SetDrainPlan(d.state.Plan(d.passed))
 	most := d.opt.Conns
@@ -101,9 +101,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.passed = !on; on {
-		d.handle(drain.Own)
+		d.handle(drain.AddressOwned)
 	} else {
-		d.handle(drain.Yield)
+		d.handle(drain.AddressYielded)
 	}
 }
 
@@ -150,7 +150,7 @@
 func (d *Desk) Step(string) {
 	d.mu.Lock()
 	d.passed = true
-	d.handle(drain.Yield)
+	d.handle(drain.AddressYielded)
 	d.mu.Unlock()
 	d.opt.Stop()
 }
@@ -189,7 +189,7 @@
 	defer d.mu.Unlock()
 	e := drain.Resume
 	if on {
-		e = drain.Pause
+		e = drain.Drain
 	}
 	if !d.handle(e) {
 		return fmt.Errorf("this process is %s", d.state.Phase())
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -68,7 +68,7 @@
 		q := core.Request{ID: fmt.Sprint("stays", i), Class: 1, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
 		require.Equal(t, core.Served, c.Do(context.Background(), q).Verdict, "no slot is occupied")
 	}
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
 
 // A client leaves while its request waits: for an answer, in the pause before a retry, or for the retry's
@@ -108,7 +108,7 @@
 				require.Equal(t, wait.sent, up.sent.Load(), "nothing is sent after the client has left")
 				require.Equal(t, wait.aborts, up.aborts.Load())
 				require.Zero(t, c.Counters.InFlight.Load())
-				require.Zero(t, invariant.Broken())
+				require.Zero(t, invariant.Violations())
 			})
 		})
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -99,7 +99,7 @@
 			c := &directClients{core: p.Core, clock: p.Clock, out: make(chan []string, 10)}
 			c.ctx, c.leave = context.WithCancel(context.Background())
 			scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, script)
-			require.Zero(t, invariant.Broken())
+			require.Zero(t, invariant.Violations())
 		})
 	}
 }
@@ -229,7 +229,7 @@
 	require.Equal(t, n.Requests.Load(), n.Served.Load()+n.Rejected.Load()+n.Failed.Load())
 	require.Positive(t, n.WrongTags.Load())
 	require.Zero(t, n.InFlight.Load())
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
 
 // A server closes each connection right after its answer, as the next request is written there. Reads are
@@ -237,9 +237,9 @@
 func TestServerClosingAfterEachAnswer(t *testing.T) {
 	p := scenario.NewProxy(t)
 	m := core.Member{Addr: scenario.ListenOnce(t, func(nc net.Conn) {
-		buf := resp.Buffer{Most: resp.MostAnswered}
+		buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 		if parts, _, err := buf.Next(nc); err == nil {
-			_, _ = nc.Write(resp.Append(nil, string(parts[1]), "served", "", "BYTES"))
+			_, _ = nc.Write(resp.AppendFrame(nil, string(parts[1]), "served", "", "BYTES"))
 		}
 	})}
 	m.ID, m.Weight = scenario.CacheID, 10
@@ -248,5 +248,5 @@
 		q := core.Request{ID: fmt.Sprint(i), Class: 1, Object: "o", Deadline: p.Clock.Now() + 900}
 		require.Equal(t, core.Served, p.Core.Do(context.Background(), q).Verdict, i)
 	}
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
--- a/internal/core/dedup_window_test.go
+++ b/internal/core/dedup_window_test.go
@@ -111,7 +111,7 @@
 			require.Equal(t, most, len(d.sent), "limit %d", told)
 		})
 	}
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
 
 // A rejection has a Retry-After only where clients support it.
--- a/internal/decide/expiryqueue/expiryqueue.go
+++ b/internal/decide/expiryqueue/expiryqueue.go
@@ -40,10 +40,10 @@
 func (q *Queue[K]) Len() int { return len(q.heap) }
 
 // Spare tells whether the queue of so many keys is to be built anew.
-func (q *Queue[K]) Spare(keys int) bool { return len(q.heap) > spareTimes*keys+spareEntries }
+func (q *Queue[K]) NeedsRebuild(keys int) bool { return len(q.heap) > spareTimes*keys+spareEntries }
 
 // Reset builds the queue from all keys and their ends.
-func (q *Queue[K]) Reset(ends iter.Seq2[K, float64]) {
+func (q *Queue[K]) Rebuild(ends iter.Seq2[K, float64]) {
 	clear(q.heap) // what it held is let go of
 	q.heap = q.heap[:0]
 	for key, at := range ends {
--- a/internal/decide/expiryqueue/expiryqueue_test.go
+++ b/internal/decide/expiryqueue/expiryqueue_test.go
@@ -28,7 +28,7 @@
 				delete(held, key)
 			case 1:
 				q = Queue[int]{}
-				q.Reset(maps.All(held))
+				q.Rebuild(maps.All(held))
 			case 2, 3:
 				now := rapid.Float64Range(-10, 110).Draw(t, "now")
 				due := func(at float64) bool { return at < now }
@@ -43,8 +43,8 @@
 				old, known := held[key]
 				walked[key], held[key] = at, at
 				q.Set(key, at, old, known)
-				if q.Spare(len(held)) {
-					q.Reset(maps.All(held))
+				if q.NeedsRebuild(len(held)) {
+					q.Rebuild(maps.All(held))
 				}
 			}
 			require.Len(t, held, len(walked))
@@ -65,8 +65,8 @@
 		at := float64(1000 - i%2)
 		old, held := ends["a"]
 		ends["a"] = at
-		if q.Set("a", at, old, held); q.Spare(len(ends)) {
-			q.Reset(maps.All(ends))
+		if q.Set("a", at, old, held); q.NeedsRebuild(len(ends)) {
+			q.Rebuild(maps.All(ends))
 		}
 	}
 	require.LessOrEqual(t, cap(q.heap), 4*(spareTimes+spareEntries))
--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -78,8 +78,8 @@
 		return
 	}
 	s.goneExpiry.Set(m.ID, m.Since, old.Since, known && old.Phase == membership.Gone)
-	if s.goneExpiry.Spare(len(s.members)) {
-		s.goneExpiry.Reset(s.goneSince)
+	if s.goneExpiry.NeedsRebuild(len(s.members)) {
+		s.goneExpiry.Rebuild(s.goneSince)
 	}
 }
 
@@ -134,8 +134,8 @@
 		}
 		s.members[id] = m
 	}
-	s.purgeExpiry.Reset(s.purgeExpiryBases)
-	s.goneExpiry.Reset(s.goneSince)
+	s.purgeExpiry.Rebuild(s.purgeExpiryBases)
+	s.goneExpiry.Rebuild(s.goneSince)
 }
 
 func (p Purge) shifted(ms float64) Purge {
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -7,12 +7,12 @@
 
 // Settings bound what is tried again. Times are in ms.
 type Settings struct {
-	Attempts int     // in all, the first among them
-	Base     float64 // the least wait
-	Most     float64 // the longest
+	MaxAttempts int     // in all, the first among them
+	BaseDelay   float64 // the least wait
+	MaxDelay    float64 // the longest
 	// Budget is how many retries may be saved up, and Earn how much of one a success adds: over time at most Earn retries
 	// come on a success, whatever fails (the token bucket of "Addressing Cascading Failures", Google SRE book, ch. 22).
-	Budget, Earn float64
+	MaxRetries, RetriesPerSuccess float64
 }
 
 // Outcome is what is known of an attempt.
@@ -20,49 +20,49 @@
 
 // The outcomes. Refused: it surely did not happen. Unknown: it may have.
 const (
-	Done Outcome = iota
-	Refused
+	Succeeded Outcome = iota
+	NotExecuted
 	Unknown
 )
 
 // Budget is what all callers share.
 type Budget struct {
-	set  Settings
-	left float64
+	settings  Settings
+	remaining float64
 }
 
 // New returns a budget that is full.
-func New(s Settings) *Budget { return &Budget{set: s, left: s.Budget} }
+func New(s Settings) *Budget { return &Budget{settings: s, remaining: s.MaxRetries} }
 
 // Left is how many retries are left.
-func (b *Budget) Left() float64 { return b.left }
+func (b *Budget) Remaining() float64 { return b.remaining }
 
 // Call is one thing that is tried.
-type Call struct {
-	tries int
-	wait  float64 // the last
+type Operation struct {
+	attempts int
+	delay    float64 // the last
 	// Unknown: an attempt may have happened. From then on only the same change may be sent, under the same id.
-	Unknown bool
+	MayHaveRun bool
 }
 
 // Ended books an attempt's outcome at a time, and says whether another is to be made, and in how many ms. luck is drawn
 // between 0 and 1; end is when the caller gives up.
-func (b *Budget) Ended(c *Call, o Outcome, now, end, luck float64) (wait float64, again bool) {
-	c.tries++
+func (b *Budget) AttemptEnded(c *Operation, o Outcome, now, end, luck float64) (wait float64, again bool) {
+	c.attempts++
 	switch o {
-	case Done:
-		b.left = min(b.set.Budget, b.left+b.set.Earn)
+	case Succeeded:
+		b.remaining = min(b.settings.MaxRetries, b.remaining+b.settings.RetriesPerSuccess)
 		return 0, false
 	case Unknown:
-		c.Unknown = true
+		c.MayHaveRun = true
 	}
 	// "Exponential Backoff And Jitter", AWS Architecture Blog, 2015: drawn between the base and three times the last wait.
-	if c.wait = min(b.set.Most, b.set.Base+luck*(3*max(c.wait, b.set.Base)-b.set.Base)); math.IsNaN(c.wait) {
-		c.wait = b.set.Base
+	if c.delay = min(b.settings.MaxDelay, b.settings.BaseDelay+luck*(3*max(c.delay, b.settings.BaseDelay)-b.settings.BaseDelay)); math.IsNaN(c.delay) {
+		c.delay = b.settings.BaseDelay
 	}
-	if c.tries >= b.set.Attempts || b.left < 1 || now+c.wait >= end {
+	if c.attempts >= b.settings.MaxAttempts || b.remaining < 1 || now+c.delay >= end {
 		return 0, false
 	}
-	b.left--
-	return c.wait, true
+	b.remaining--
+	return c.delay, true
 }
--- a/internal/decide/storestate/expiry.go
+++ b/internal/decide/storestate/expiry.go
@@ -10,8 +10,8 @@
 func setToken(tokens map[string]float64, expiry *expiryqueue.Queue[string], id string, expiresAt float64) {
 	old, known := tokens[id]
 	tokens[id] = expiresAt
-	if expiry.Set(id, expiresAt, old, known); expiry.Spare(len(tokens)) {
-		expiry.Reset(maps.All(tokens))
+	if expiry.Set(id, expiresAt, old, known); expiry.NeedsRebuild(len(tokens)) {
+		expiry.Rebuild(maps.All(tokens))
 	}
 }
 
@@ -36,9 +36,9 @@
 
 // rebuildExpiry builds the expiry queues from the tokens and purges.
 func (s *State) rebuildExpiry() {
-	s.spentExpiry.Reset(maps.All(s.SpentTokens))
-	s.revokedExpiry.Reset(maps.All(s.RevokedTokens))
-	s.purgeExpiry.Reset(func(yield func(string, float64) bool) {
+	s.spentExpiry.Rebuild(maps.All(s.SpentTokens))
+	s.revokedExpiry.Rebuild(maps.All(s.RevokedTokens))
+	s.purgeExpiry.Rebuild(func(yield func(string, float64) bool) {
 		for name, p := range s.Purges {
 			if !yield(name, p.ExpiresAt) {
 				return
--- a/internal/front/resp/call.go
+++ b/internal/front/resp/call.go
@@ -52,7 +52,7 @@
 	if len(args) < 2 {
 		return q, false
 	}
-	f, ok := resp.Fields(args[1])
+	f, ok := resp.ParseFields(args[1])
 	if !ok {
 		return q, false
 	}
@@ -91,13 +91,13 @@
 func appendAnswer(b []byte, tag string, a core.Answer) []byte {
 	switch {
 	case a.Verdict == core.Rejected && a.RetryAfter >= 1:
-		return resp.Append(b, tag, "full", "backoff="+strconv.Itoa(int(a.RetryAfter)))
+		return resp.AppendFrame(b, tag, "full", "backoff="+strconv.Itoa(int(a.RetryAfter)))
 	case a.Verdict == core.Rejected:
-		return resp.Append(b, tag, "full")
+		return resp.AppendFrame(b, tag, "full")
 	case a.Verdict == core.Failed:
-		return resp.Append(b, tag, "fault")
+		return resp.AppendFrame(b, tag, "fault")
 	case a.NotModified:
-		return resp.Append(b, tag, "ok", "ok304=1", "")
+		return resp.AppendFrame(b, tag, "ok", "ok304=1", "")
 	}
-	return resp.AppendBody(b, a.Body, tag, "ok", "")
+	return resp.AppendFrameWithBody(b, a.Body, tag, "ok", "")
 }
--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -100,7 +100,7 @@
 		cancel()
 		c.send(word(tag, "fault"))
 		return nil
-	case !plan.Hears(now) || q.Deadline <= now:
+	case !plan.AcceptsRequest(now) || q.Deadline <= now:
 		c.mu.Lock()
 		delete(c.open, tag)
 		c.mu.Unlock()
@@ -143,7 +143,7 @@
 
 // word is an answer that is no more than that.
 func word(tag, w string) func([]byte) []byte {
-	return func(b []byte) []byte { return resp.Append(b, tag, w) }
+	return func(b []byte) []byte { return resp.AppendFrame(b, tag, w) }
 }
 
 // send adds one whole answer to the out buffer and wakes the writer.
--- a/internal/front/resp/empty_test.go
+++ b/internal/front/resp/empty_test.go
@@ -44,7 +44,7 @@
 		half send half *2`)
 	now := p.Clock.Now()
 	f.SetReady(false)
-	f.SetDrainPlan(drain.Plan{On: true, CloseFrom: now + 300, RefuseFrom: now + 700})
+	f.SetDrainPlan(drain.Plan{Active: true, CloseIdleFrom: now + 300, RejectFrom: now + 700})
 	scenario.Run(t, p.Clock, actors, `
 		rests send RPC.HEALTH 2
 		rests expect 2 no
@@ -82,15 +82,15 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	body := strings.Repeat("x", 200_000)
-	_, err = nc.Write(frames.Append(nil, strings.Fields(strings.Replace(asset, "900", "2000", 1))...))
+	_, err = nc.Write(frames.AppendFrame(nil, strings.Fields(strings.Replace(asset, "900", "2000", 1))...))
 	require.NoError(t, err)
 	scenario.Run(t, p.Clock, actors, `
 		s expect fetch 00000000000000a1 * -
 		s send $id served why=local,version=v1 `+body)
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond, "written, as far as this side knows")
-	f.SetDrainPlan(drain.Plan{On: true})
+	f.SetDrainPlan(drain.Plan{Active: true})
 	p.Clock.Advance(20)
-	_, _ = nc.Write(frames.Append(nil, "RPC.HEALTH", "3")) // crosses the close
+	_, _ = nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", "3")) // crosses the close
 	total := 0
 	buf := make([]byte, 8192)
 	for {
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/ends_test.go
@@ -71,7 +71,7 @@
 		},
 		"half a frame, for too long": func(t *testing.T, p *scenario.Proxy, _ *resp.Front) { p.Clock.Advance(2750) },
 		"the proxy is emptied and the last request refused": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
-			f.SetDrainPlan(drain.Plan{On: true})
+			f.SetDrainPlan(drain.Plan{Active: true})
 			p.Clock.Advance(20)
 		},
 	} {
@@ -94,7 +94,7 @@
 			require.Contains(t, string(answer[:n]), "yes")
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 			begins := strings.HasPrefix(name, "half")
-			call := frames.Append(nil, strings.Fields(asset)...)
+			call := frames.AppendFrame(nil, strings.Fields(asset)...)
 			if begins {
 				_, err = nc.Write(call[:9])
 				require.NoError(t, err)
@@ -130,7 +130,7 @@
 		stays send RPC.HEALTH 1
 		stays expect 1 yes`)
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-	f.SetDrainPlan(drain.Plan{On: true})
+	f.SetDrainPlan(drain.Plan{Active: true})
 	p.Clock.Advance(20)
 	scenario.Run(t, p.Clock, actors, `
 		stays expect closed
@@ -211,7 +211,7 @@
 	require.NoError(t, nc.(*net.TCPConn).SetReadBuffer(1<<14))
 	var calls []byte
 	for i := range 32 {
-		calls = frames.Append(calls, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
+		calls = frames.AppendFrame(calls, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
 	}
 	_, err = nc.Write(calls)
 	require.NoError(t, err)
@@ -273,10 +273,10 @@
 	defer nc.Close()
 	var all []byte
 	for i := range calls {
-		all = frames.Append(all, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
+		all = frames.AppendFrame(all, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
 	}
 	go func() { _, _ = nc.Write(all) }()
-	buf := frames.Buffer{Most: frames.MostAnswered}
+	buf := frames.Buffer{MaxFrameSize: frames.MaxResponseSize}
 	for i := range calls - most {
 		parts, _, err := buf.Next(nc)
 		require.NoError(t, err)
@@ -289,7 +289,7 @@
 	require.NoError(t, nc.Close())
 	require.Eventually(t, func() bool { return h.open.Load() == 0 && f.OpenConns() == 1 && f.Idle() }, time.Minute, time.Millisecond)
 	require.EqualValues(t, most, h.most.Load())
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
 
 // Whatever the first frame of a connection is, as long as it can be read, the place that it takes is given back: redcon's own
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -170,7 +170,7 @@
 
 // SetDrainPlan has connections treated as a plan says, until the next one.
 func (f *Front) SetDrainPlan(p drain.Plan) {
-	if was := f.plan.Swap(&p); p.On && !was.On {
+	if was := f.plan.Swap(&p); p.Active && !was.Active {
 		f.clock.After(emptyEvery, f.empty)
 	}
 }
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -204,7 +204,7 @@
 				"c": scenario.Dial(t, ln.Addr().String()), "d": scenario.Dial(t, ln.Addr().String()),
 				"e": scenario.Dial(t, ln.Addr().String()), "f": scenario.Dial(t, ln.Addr().String()), "s": p.Cache,
 			}, script)
-			require.Zero(t, invariant.Broken())
+			require.Zero(t, invariant.Violations())
 			n := &p.Core.Counters
 			require.LessOrEqual(t, n.Served.Load()+n.Rejected.Load()+n.Failed.Load()+n.Abandoned.Load(), n.Requests.Load())
 		})
--- a/internal/front/resp/golden_test.go
+++ b/internal/front/resp/golden_test.go
@@ -53,10 +53,10 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	require.NoError(t, nc.SetReadDeadline(time.Now().Add(time.Minute)))
-	buf := frames.Buffer{Most: frames.MostAnswered}
+	buf := frames.Buffer{MaxFrameSize: frames.MaxResponseSize}
 	var out bytes.Buffer
 	ask := func(words ...string) {
-		_, err := nc.Write(frames.Append(nil, words...))
+		_, err := nc.Write(frames.AppendFrame(nil, words...))
 		require.NoError(t, err)
 		_, raw, err := buf.Next(nc)
 		require.NoError(t, err)
@@ -79,7 +79,7 @@
 	ask("RPC.HEALTH", "11")
 	f.SetReady(false)
 	ask("RPC.HEALTH", "12")
-	f.SetDrainPlan(drain.Plan{On: true, RefuseFrom: 1})
+	f.SetDrainPlan(drain.Plan{Active: true, RejectFrom: 1})
 	call("13", "asset", "rid=00000000000000a1,budget=900"+object)
 	golden.Equal(t, "answers.txt", out.Bytes())
 	golden.Equal(t, "requests.txt", doer.asked.Bytes())
--- a/internal/front/resp/gone_test.go
+++ b/internal/front/resp/gone_test.go
@@ -16,12 +16,12 @@
 // connection, a reset, or a cancel. No attempt begins for a client that has left, and none further where an answer has come
 // meanwhile that asks for one.
 func TestLeaveBehindARequest(t *testing.T) {
-	call := frames.Append(nil, strings.Fields(asset)...)
+	call := frames.AppendFrame(nil, strings.Fields(asset)...)
 	for name, leave := range map[string]func(nc *net.TCPConn) error{
 		"closes": (*net.TCPConn).Close,
 		"resets": func(nc *net.TCPConn) error { _ = nc.SetLinger(0); return nc.Close() },
 		"cancels": func(nc *net.TCPConn) error {
-			_, err := nc.Write(frames.Append(nil, "RPC.CANCEL", "1"))
+			_, err := nc.Write(frames.AppendFrame(nil, "RPC.CANCEL", "1"))
 			return err
 		},
 	} {
@@ -32,7 +32,7 @@
 				nc, err := net.Dial("tcp", f.Addr())
 				require.NoError(t, err)
 				asked := gate.taken.Load()
-				_, err = nc.Write(frames.Append(nil, "RPC.HEALTH", "9"))
+				_, err = nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", "9"))
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return gate.wanted.Load() > asked && f.Idle() }, time.Minute, time.Millisecond)
 				gate.mu.Lock()
--- a/internal/front/resp/guard.go
+++ b/internal/front/resp/guard.go
@@ -169,7 +169,7 @@
 type halves struct{ g *guard }
 
 func (h halves) Read(p []byte) (int, error) {
-	if h.g.buf.Held() > 0 {
+	if h.g.buf.Buffered() > 0 {
 		h.g.mark(true)
 	}
 	if c := h.g.client; c != nil && len(c.calls) > 0 && !h.g.unread() && !h.g.left() {
@@ -222,10 +222,10 @@
 
 // facts are what the plan wants to know. Called under the front's lock.
 func (g *guard) facts(now float64) drain.Conn {
-	c := drain.Conn{Half: g.half, New: g.fresh(now), Unread: g.unread()}
+	c := drain.Conn{PartialFrame: g.half, New: g.fresh(now), Unread: g.unread()}
 	if g.client != nil {
 		g.client.mu.Lock()
-		c.Open = len(g.client.open) + len(g.client.out)
+		c.Pending = len(g.client.open) + len(g.client.out)
 		g.client.mu.Unlock()
 	}
 	return c
--- a/internal/front/resp/places.go
+++ b/internal/front/resp/places.go
@@ -13,7 +13,7 @@
 // empty ends the connections that the plan ends.
 func (f *Front) empty() {
 	p := f.plan.Load()
-	if !p.On {
+	if !p.Active {
 		return
 	}
 	f.clock.After(emptyEvery, f.empty)
@@ -28,7 +28,7 @@
 
 // rest ends a connection if the plan says so. Called under the front's lock.
 func (f *Front) rest(g *guard, now float64, p *drain.Plan) {
-	if g.stage == serving && p.Ends(now, g.facts(now)) && g.leave() {
+	if g.stage == serving && p.ShouldClose(now, g.facts(now)) && g.leave() {
 		f.end(g)
 	}
 }
@@ -37,7 +37,7 @@
 // that asks again at once, for seconds: it is never found at rest between.
 func (f *Front) answered(c *client) {
 	p, now := f.plan.Load(), f.clock.Now()
-	if p.Hears(now) {
+	if p.AcceptsRequest(now) {
 		return
 	}
 	defer f.closeCut()
@@ -68,7 +68,7 @@
 // places are taken, one makes room, but never one that is owed an answer or has sent what nobody has read yet.
 func (f *Front) admit(nc net.Conn) (*guard, bool) {
 	g := &guard{Conn: nc, front: f, since: f.clock.Now()}
-	g.buf.Most, g.buf.Keep = resp.MostAsked, keepIn
+	g.buf.MaxFrameSize, g.buf.MaxRetained = resp.MaxRequestSize, keepIn
 	defer f.closeCut()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -183,5 +183,5 @@
 	t.Logf("%d of %d served, the heap at the end %.3f of what it was once the tables were full", served, asked, late/early)
 	require.LessOrEqual(t, late, early*1.05, "%.0f KB after collections at the end, %.0f once the tables were full", late/1024, early/1024)
 	require.Greater(t, served, asked*99/100, "of %d", asked)
-	require.Zero(t, invariant.Broken())
+	require.Zero(t, invariant.Violations())
 }
--- a/internal/front/resp/takes_test.go
+++ b/internal/front/resp/takes_test.go
@@ -101,7 +101,7 @@
 func (x *takesNothing) askBlocked() {
 	x.asked++
 	was := x.core.answered.Load()
-	_, err := x.blocked.Write(frames.Append(nil, call(x.asked)...))
+	_, err := x.blocked.Write(frames.AppendFrame(nil, call(x.asked)...))
 	require.NoError(x.t, err)
 	require.Eventually(x.t, func() bool { return x.core.answered.Load() > was }, time.Minute, 100*time.Microsecond)
 }
@@ -132,7 +132,7 @@
 	x.proxy.Clock.Advance(500)
 	require.Eventually(t, func() bool { return x.front.OpenConns() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
 	x.askOther()
-	_, _, err := (&frames.Buffer{Most: frames.MostAnswered}).Next(x.blocked)
+	_, _, err := (&frames.Buffer{MaxFrameSize: frames.MaxResponseSize}).Next(x.blocked)
 	require.Error(t, err)
 }
 
--- a/internal/front/resp/unread_test.go
+++ b/internal/front/resp/unread_test.go
@@ -41,7 +41,7 @@
 		require.Eventually(t, func() bool { return gate.wanted.Load() == sent }, 10*time.Second, time.Millisecond)
 	}
 	for _, tag := range []string{"1", "2"} {
-		call := frames.Append(nil, "RPC.CALL", tag, "asset", "rid=00000000000000a"+tag+",budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17")
+		call := frames.AppendFrame(nil, "RPC.CALL", tag, "asset", "rid=00000000000000a"+tag+",budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17")
 		for size := len(call)/7 + 1; len(call) > 0; call = call[min(size, len(call)):] {
 			write(call[:min(size, len(call))])
 			if len(call) > size {
@@ -69,7 +69,7 @@
 func TestHalvesApart(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
-	call := frames.Append(nil, strings.Fields(asset)...)
+	call := frames.AppendFrame(nil, strings.Fields(asset)...)
 	half := func() net.Conn {
 		nc, err := net.Dial("tcp", f.Addr())
 		require.NoError(t, err)
@@ -115,7 +115,7 @@
 			_, err = nc.Read(answer)
 			require.NoError(t, err)
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-			call := frames.Append(nil, strings.Fields(asset)...)
+			call := frames.AppendFrame(nil, strings.Fields(asset)...)
 			begun := 0
 			if half {
 				begun = 9
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -20,7 +20,7 @@
 	f, err := os.OpenFile(h.base+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		// Guards against a process that refuses to start as the folder takes nothing for a while: it is tried again.
-		if !transient.Is(err) && !transient.Full(err) {
+		if !transient.IsTransient(err) && !transient.IsStorageUnavailable(err) {
 			h.fail(err)
 		}
 		return false
@@ -39,7 +39,7 @@
 		cerr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 		return errors.Join(cerr, err)
 	}}
-	ln, err := transient.Listen(func() (net.Listener, error) { return lc.Listen(context.Background(), "tcp", h.opt.Listen) })
+	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return lc.Listen(context.Background(), "tcp", h.opt.Listen) })
 	if err != nil {
 		return err
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -4,7 +4,7 @@
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var violations atomic.Int64
 
 // Check asserts that ok holds; what names the invariant.
 func Check(ok bool, what string) {
@@ -14,8 +14,8 @@
 	if debug {
 		panic("invariant broken: " + what)
 	}
-	broken.Add(1)
+	violations.Add(1)
 }
 
 // Broken is how many breaches were counted since the start.
-func Broken() int64 { return broken.Load() }
+func Violations() int64 { return violations.Load() }
--- a/internal/lab/crosscheck/operators_test.go
+++ b/internal/lab/crosscheck/operators_test.go
@@ -174,7 +174,7 @@
 		c.mu.Lock()
 		c.open[tag] = q
 		c.mu.Unlock()
-		_, err := nc.Write(wire.Append(nil, "RPC.HEALTH", tag))
+		_, err := nc.Write(wire.AppendFrame(nil, "RPC.HEALTH", tag))
 		require.NoError(c.t, err)
 	}
 	c.wait(list)
@@ -192,7 +192,7 @@
 }
 
 func (c *clients) read(nc net.Conn) {
-	buf := wire.Buffer{Most: wire.MostAnswered}
+	buf := wire.Buffer{MaxFrameSize: wire.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(nc)
 		if err != nil {
@@ -243,7 +243,7 @@
 	if class.Write {
 		words = append(words, "what is written")
 	}
-	_, err := c.conns[conn].Write(wire.Append(nil, words...))
+	_, err := c.conns[conn].Write(wire.AppendFrame(nil, words...))
 	require.NoError(c.t, err)
 	return q
 }
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -117,7 +117,7 @@
 }
 
 func (k *conn) read() {
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(k.nc)
 		if err != nil {
@@ -144,7 +144,7 @@
 func (k *conn) send(parts ...string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, _ = k.nc.Write(resp.Append(nil, parts...))
+	_, _ = k.nc.Write(resp.AppendFrame(nil, parts...))
 }
 
 func (k *conn) command(words []string) {
@@ -174,7 +174,7 @@
 // fetch answers one request, when its time has come.
 func (k *conn) fetch(id, list, body string) {
 	s, f := k.s, k.s.fleet
-	fields, ok := resp.Fields([]byte(list))
+	fields, ok := resp.ParseFields([]byte(list))
 	if !ok {
 		k.send(id, "crashed", "why=no_place")
 		return
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -288,12 +288,12 @@
 		return
 	}
 	k.open[tag] = q
-	_, _ = k.nc.Write(resp.Append(nil, words...)) // a break is seen by the reader
+	_, _ = k.nc.Write(resp.AppendFrame(nil, words...)) // a break is seen by the reader
 	k.mu.Unlock()
 }
 
 func (k *conn) read() {
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(k.nc)
 		if err != nil {
@@ -326,7 +326,7 @@
 	}
 	backoff := 0.0
 	if len(parts) > 2 {
-		if f, ok := resp.Fields(parts[2]); ok {
+		if f, ok := resp.ParseFields(parts[2]); ok {
 			backoff, _ = strconv.ParseFloat(f["backoff"], 64)
 		}
 	}
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -111,7 +111,7 @@
 	"half":  {send: "*4\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$5\r\nas"},
 	"noise": {send: "\x00\xff GET / HTTP/1.1\r\n\r\n"},
 	"claim": {send: "*4\r\n$2147483647\r\n"},
-	"leave": {send: string(resp.Append(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), leave: true},
+	"leave": {send: string(resp.AppendFrame(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), leave: true},
 }
 
 // ParseMisbehaving reads "idle=100,half=20".
--- a/internal/lab/multiprocess/process.go
+++ b/internal/lab/multiprocess/process.go
@@ -164,10 +164,10 @@
 	}
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(time.Second))
-	if _, err := nc.Write(resp.Append(nil, "RPC.HEALTH", "1")); err != nil {
+	if _, err := nc.Write(resp.AppendFrame(nil, "RPC.HEALTH", "1")); err != nil {
 		return false
 	}
-	buf := resp.Buffer{Most: resp.MostAsked}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxRequestSize}
 	parts, _, err := buf.Next(nc)
 	return err == nil && len(parts) == 2 && string(parts[1]) == "yes"
 }
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -14,12 +14,12 @@
 	cases := [][]string{{"abort", "00000000000000a1"}, {"fetch", "id", "lane=tiles,name=ab", "body\r\n\x00\xff"}, {""}, {"a", "", ""}}
 	var frames []byte
 	for _, parts := range cases {
-		frames = Append(frames, parts...)
+		frames = AppendFrame(frames, parts...)
 	}
-	frames = AppendBody(frames, nil, "fetch", "id", "-")
+	frames = AppendFrameWithBody(frames, nil, "fetch", "id", "-")
 	golden.Equal(t, "frames.resp", frames)
 
-	buffer, source := Buffer{Most: MostAsked}, bytes.NewReader(golden.Read(t, "frames.resp"))
+	buffer, source := Buffer{MaxFrameSize: MaxRequestSize}, bytes.NewReader(golden.Read(t, "frames.resp"))
 	var again []byte
 	for _, want := range append(cases, []string{"fetch", "id", "-", ""}) {
 		parts, raw, err := buffer.Next(source)
@@ -32,7 +32,7 @@
 	}
 	golden.Equal(t, "frames.resp", again)
 
-	fields, ok := Fields([]byte("lane=tiles,name=ab=c,empty="))
+	fields, ok := ParseFields([]byte("lane=tiles,name=ab=c,empty="))
 	require.True(t, ok)
 	require.Equal(t, map[string]string{"lane": "tiles", "name": "ab=c", "empty": ""}, fields)
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -14,23 +14,23 @@
 // The bounds of a frame: in bytes by who sends it, as a client's write brings 48,000 at most and an object
 // holds 240,000; its parts; and the line that tells a length.
 const (
-	MostAsked    = 56 << 10
-	MostAnswered = 256 << 10
-	maxParts     = 8
-	maxLine      = 16
+	MaxRequestSize  = 56 << 10
+	MaxResponseSize = 256 << 10
+	maxParts        = 8
+	maxLengthLine   = 16
 )
 
 // ErrMalformed says that the bytes can't be read as a frame, now or later.
 var ErrMalformed = errors.New("malformed frame")
 
 // number reads the line "<mark>digits\r\n" at the start of b; n is 0 while the line is not whole.
-func number(b []byte, mark byte) (value, n int, err error) {
+func parseNumber(b []byte, mark byte) (value, n int, err error) {
 	if len(b) > 0 && b[0] != mark {
 		return 0, 0, ErrMalformed
 	}
-	end := bytes.IndexByte(b[:min(len(b), maxLine)], '\n')
+	end := bytes.IndexByte(b[:min(len(b), maxLengthLine)], '\n')
 	if end < 0 {
-		if len(b) >= maxLine {
+		if len(b) >= maxLengthLine {
 			return 0, 0, ErrMalformed
 		}
 		return 0, 0, nil
@@ -49,8 +49,8 @@
 
 // Split cuts the first frame, of most bytes at the most, off b. Its parts point into b; n is 0 while the
 // frame is not whole. One that claims more fails as soon as its length is read, before its bytes have come.
-func Split(b []byte, most int) (parts [][]byte, n int, err error) {
-	count, n, err := number(b, '*')
+func ParseFrame(b []byte, most int) (parts [][]byte, n int, err error) {
+	count, n, err := parseNumber(b, '*')
 	if err != nil || n == 0 {
 		return nil, 0, err
 	}
@@ -59,7 +59,7 @@
 	}
 	parts = make([][]byte, 0, count)
 	for range count {
-		size, head, err := number(b[n:], '$')
+		size, head, err := parseNumber(b[n:], '$')
 		if err != nil || head == 0 {
 			return nil, 0, err
 		}
@@ -80,19 +80,19 @@
 
 // Buffer is the one read buffer of a connection, grown and compacted in place.
 type Buffer struct {
-	Most       int // bytes of a frame
-	Keep       int // grown beyond this it is given back once it is empty; 0: never
-	buf        []byte
-	start, end int
+	MaxFrameSize int // bytes of a frame
+	MaxRetained  int // grown beyond this it is given back once it is empty; 0: never
+	buf          []byte
+	start, end   int
 }
 
 // Held is how many bytes have come that are no whole frame yet.
-func (b *Buffer) Held() int { return b.end - b.start }
+func (b *Buffer) Buffered() int { return b.end - b.start }
 
 // Next returns the next frame, reading from src as needed. Its parts, and raw, hold until the next call.
 func (b *Buffer) Next(src io.Reader) (parts [][]byte, raw []byte, err error) {
 	for {
-		parts, n, err := Split(b.buf[b.start:b.end], b.Most)
+		parts, n, err := ParseFrame(b.buf[b.start:b.end], b.MaxFrameSize)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -105,7 +105,7 @@
 			b.end = copy(b.buf, b.buf[b.start:b.end])
 			b.start = 0
 		}
-		if b.Keep > 0 && b.end == 0 && len(b.buf) > b.Keep {
+		if b.MaxRetained > 0 && b.end == 0 && len(b.buf) > b.MaxRetained {
 			b.buf = nil
 		}
 		if b.end == len(b.buf) {
@@ -120,13 +120,13 @@
 }
 
 // Append adds one frame of the given parts to b.
-func Append(b []byte, parts ...string) []byte {
+func AppendFrame(b []byte, parts ...string) []byte {
 	last := len(parts) - 1
-	return AppendBody(b, []byte(parts[last]), parts[:last]...)
+	return AppendFrameWithBody(b, []byte(parts[last]), parts[:last]...)
 }
 
 // AppendBody adds one frame of the given parts and a body to b.
-func AppendBody(b, body []byte, parts ...string) []byte {
+func AppendFrameWithBody(b, body []byte, parts ...string) []byte {
 	b = redcon.AppendArray(b, len(parts)+1)
 	for _, p := range parts {
 		b = redcon.AppendBulkString(b, p)
@@ -135,7 +135,7 @@
 }
 
 // Fields reads "name=value,name=value"; "-" and nothing are no fields. ok is false if a field has no name.
-func Fields(list []byte) (fields map[string]string, ok bool) {
+func ParseFields(list []byte) (fields map[string]string, ok bool) {
 	fields = map[string]string{}
 	if len(list) == 0 || string(list) == "-" {
 		return fields, true
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -138,7 +138,7 @@
 
 // read puts a connection's frames into the inbox; empty parts show as "-".
 func (in inbox) read(nc net.Conn) {
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(nc)
 		if err != nil {
@@ -181,7 +181,7 @@
 // with "half" nothing is behind them.
 func encode(words []string) []byte {
 	if words[0] != "raw" && words[0] != "half" {
-		return resp.Append(nil, words...)
+		return resp.AppendFrame(nil, words...)
 	}
 	b := []byte(strings.ReplaceAll(words[1], `\r\n`, "\r\n"))
 	if words[0] == "raw" {
--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -33,7 +33,7 @@
 		{Read: n.Requests.Load}, {Read: n.Served.Load}, {Read: n.Rejected.Load}, {Read: n.Failed.Load},
 		{Read: n.Abandoned.Load}, {Read: n.Attempts.Load}, {Read: n.Timeouts.Load}, {Read: n.Skipped.Load},
 		{Read: n.Notifications.Load}, {Gauge: true, Read: n.InFlight.Load}, {Read: late}, {Gauge: true, Read: conns},
-		{Read: invariant.Broken}, {Read: n.NeverSent.Load}, {Read: n.UnansweredConns.Load}, {Read: n.WrongTags.Load},
+		{Read: invariant.Violations}, {Read: n.NeverSent.Load}, {Read: n.UnansweredConns.Load}, {Read: n.WrongTags.Load},
 	}
 }
 
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -94,7 +94,7 @@
 		return reply{Err: err.Error()}
 	}
 	result, outcome := s.applyAsLeader(change)
-	if outcome != retry.Done {
+	if outcome != retry.Succeeded {
 		return reply{Err: "not applied", Maybe: outcome == retry.Unknown}
 	}
 	raw, _ := storestate.Encode(result)
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -54,7 +54,7 @@
 // ListenLinks accepts up to maxLinks links at once. It calls handle for each, in a goroutine of its own, and closes the link
 // when handle returns.
 func ListenLinks(id *Identity, ln net.Listener, maxLinks int, handle func(*Link)) *LinkListener {
-	t := newTransport(transient.Listener(ln), id, maxLinks)
+	t := newTransport(transient.KeepAccepting(ln), id, maxLinks)
 	t.handleLink = handle
 	go t.run()
 	return &LinkListener{t}
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -83,18 +83,18 @@
 		return resultError(s.fsm.Apply(&raft.Log{Data: raw}).(storestate.Result))
 	}
 	deadline := c.ProposedAt + clock.Ms(s.opt.Timeout)
-	var call retry.Call
+	var call retry.Operation
 	for {
 		r, outcome := s.attempt(raw)
 		s.mu.Lock()
-		delay, again := s.budget.Ended(&call, outcome, s.opt.Clock.Now(), deadline, mathrand.Float64())
+		delay, again := s.budget.AttemptEnded(&call, outcome, s.opt.Clock.Now(), deadline, mathrand.Float64())
 		s.mu.Unlock()
 		switch {
-		case outcome == retry.Done:
+		case outcome == retry.Succeeded:
 			return resultError(r)
 		case again && !s.closed.Load():
 			s.sleep(delay)
-		case call.Unknown:
+		case call.MayHaveRun:
 			return storestate.Result{}, ErrOutcomeUnknown
 		default:
 			return storestate.Result{}, ErrUnavailable
@@ -130,22 +130,22 @@
 	}
 	addr, id := s.raft.LeaderWithID()
 	if addr == "" || string(id) == s.opt.Self.Name {
-		return storestate.Result{}, retry.Refused
+		return storestate.Result{}, retry.NotExecuted
 	}
 	r, sent, err := s.transport.call(string(addr), request{Operation: opApply, Change: raw}, s.opt.Timeout)
 	switch {
 	case err != nil && !sent:
-		return storestate.Result{}, retry.Refused
+		return storestate.Result{}, retry.NotExecuted
 	case err != nil || r.Err != "" && r.Maybe:
 		return storestate.Result{}, retry.Unknown
 	case r.Err != "":
-		return storestate.Result{}, retry.Refused
+		return storestate.Result{}, retry.NotExecuted
 	}
 	var result storestate.Result
 	if frameDecoding.Unmarshal(r.Result, &result) != nil {
 		return storestate.Result{}, retry.Unknown
 	}
-	return result, retry.Done
+	return result, retry.Succeeded
 }
 
 // applyAsLeader submits an encoded change to raft. The time-out of raft's Apply only covers the entry's way into the log, so
@@ -166,11 +166,11 @@
 	switch {
 	case err == nil:
 		if r, ok := f.Response().(storestate.Result); ok {
-			return r, retry.Done
+			return r, retry.Succeeded
 		}
 		return storestate.Result{}, retry.Unknown
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
-		return storestate.Result{}, retry.Refused // the entry never reached the log
+		return storestate.Result{}, retry.NotExecuted // the entry never reached the log
 	}
 	return storestate.Result{}, retry.Unknown
 }
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.transport = newTransport(transient.Listener(ln), s.opt.Identity, maxConns)
+	s.transport = newTransport(transient.KeepAccepting(ln), s.opt.Identity, maxConns)
 	s.transport.dial, s.transport.handleCall = s.opt.Dial, s.handleCall
 	s.closers = append(s.closers, s.transport)
 	network := raft.NewNetworkTransport(s.transport, raftConnsPerPeer, s.opt.Timeout, io.Discard)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -73,7 +73,7 @@
 
 // retries bound how a change is retried. Times are in ms. The budget limits the extra load on a store in trouble: in the long
 // run its callers together add a fifth to their changes.
-var retries = retry.Settings{Attempts: 8, Base: 20, Most: 500, Budget: 50, Earn: 0.2}
+var retries = retry.Settings{MaxAttempts: 8, BaseDelay: 20, MaxDelay: 500, MaxRetries: 50, RetriesPerSuccess: 0.2}
 
 // Store is a member of the cluster. Its methods are safe for concurrent use.
 type Store struct {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -18,7 +18,7 @@
 }
 
 // Is tells whether an error is of that kind.
-func Is(err error) bool {
+func IsTransient(err error) bool {
 	for _, errno := range errnos {
 		if errors.Is(err, errno) {
 			return true
@@ -28,7 +28,7 @@
 }
 
 // Full tells whether an error is of a folder that takes no writes for a while.
-func Full(err error) bool {
+func IsStorageUnavailable(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EDQUOT)
 }
 
@@ -45,7 +45,7 @@
 
 // Listener returns a listener whose Accept fails only once it is closed. Guards against servers that end for good with the first
 // accept that fails.
-func Listener(ln net.Listener) net.Listener { return listener{ln} }
+func KeepAccepting(ln net.Listener) net.Listener { return listener{ln} }
 
 // Accept implements net.Listener.
 func (l listener) Accept() (net.Conn, error) {
@@ -60,9 +60,9 @@
 
 // Listen opens a listener, and tries again for a while where that fails for the moment. Guards against a process that refuses to
 // start for it.
-func Listen(open func() (net.Listener, error)) (ln net.Listener, err error) {
+func ListenWithRetry(open func() (net.Listener, error)) (ln net.Listener, err error) {
 	for range listenTries {
-		if ln, err = open(); err == nil || !Is(err) {
+		if ln, err = open(); err == nil || !IsTransient(err) {
 			return ln, err
 		}
 		time.Sleep(listenPause)
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -28,7 +28,7 @@
 func TestAcceptGoesOn(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := Listener(&failing{ln, []error{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM}})
+	l := KeepAccepting(&failing{ln, []error{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM}})
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer nc.Close()
@@ -45,7 +45,7 @@
 func TestListenTriesAgain(t *testing.T) {
 	for why, tries := range map[syscall.Errno]int{syscall.ENFILE: 3, syscall.EADDRINUSE: 1} {
 		tried := 0
-		ln, err := Listen(func() (net.Listener, error) {
+		ln, err := ListenWithRetry(func() (net.Listener, error) {
 			if tried++; tried < 3 {
 				return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", why)}
 			}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -224,7 +224,7 @@
 		switch {
 		case errors.Is(err, syscall.ECONNRESET) && resets < redials:
 			resets++
-		case transient.Is(err) && own < ownRedials:
+		case transient.IsTransient(err) && own < ownRedials:
 			own++
 			over := make(chan struct{})
 			k.pool.all.clock.After(ownPause, func() { close(over) })
@@ -249,7 +249,7 @@
 		// or answering meanwhile, it is there. Taken as one that could not be reached, it was passed over for seconds and
 		// came back as cold. Nor does a failure of this machine's own say who listens there: out of descriptors, one sound cache server
 		// after another was taken for dead.
-		if transient.Is(err) || errors.Is(err, syscall.ECONNRESET) && k.pool.up() || errors.As(err, &late) && late.Timeout() && k.pool.heardSince(began) {
+		if transient.IsTransient(err) || errors.Is(err, syscall.ECONNRESET) && k.pool.up() || errors.As(err, &late) && late.Timeout() && k.pool.heardSince(began) {
 			result = policy.Skipped
 		}
 		k.end(result, result)
@@ -318,7 +318,7 @@
 			ends = append(ends, len(k.out))
 		}
 		for _, id := range k.aborts {
-			k.out = resp.Append(k.out, "abort", id)
+			k.out = resp.AppendFrame(k.out, "abort", id)
 		}
 		if len(k.out) == 0 {
 			break
@@ -394,11 +394,11 @@
 }
 
 func (k *conn) read(nc net.Conn) {
-	buf := resp.Buffer{Most: resp.MostAnswered}
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(halves{k, nc, &buf})
 		if err == nil {
-			err = k.answer(parts, buf.Held() > 0)
+			err = k.answer(parts, buf.Buffered() > 0)
 		}
 		if err != nil {
 			k.mu.Lock()
@@ -419,7 +419,7 @@
 }
 
 func (h halves) Read(p []byte) (int, error) {
-	if h.buf.Held() > 0 {
+	if h.buf.Buffered() > 0 {
 		h.k.mu.Lock()
 		h.k.begun()
 		h.k.mu.Unlock()
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -119,7 +119,7 @@
 	require.Equal(t, "old true false", <-b.ends, "it moves on at once, though the connection is still blocked")
 	b.send("wanted", 60_000, 0, 10)
 	nc := <-b.accepted
-	buf := resp.Buffer{Most: 4 << 20}
+	buf := resp.Buffer{MaxFrameSize: 4 << 20}
 	for {
 		parts, _, err := buf.Next(nc)
 		require.NoError(t, err)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -26,7 +26,7 @@
 		frames = appendFrame(frames, &a, 1000)
 	}
 	frames = appendFrame(frames, &core.Attempt{ID: "b", Class: "c", Object: "d", Server: 20, Source: 20, Deadline: 900}, 1000)
-	frames = resp.Append(frames, "abort", full.ID)
+	frames = resp.AppendFrame(frames, "abort", full.ID)
 	golden.Equal(t, "requests.resp", frames)
 }
 
@@ -60,13 +60,13 @@
 	}
 	var frames []byte
 	for _, c := range cases {
-		frames = resp.Append(frames, "r1", c.word, c.fields, c.body)
+		frames = resp.AppendFrame(frames, "r1", c.word, c.fields, c.body)
 	}
 	golden.Equal(t, "answers.resp", frames)
 
 	rest := golden.Read(t, "answers.resp")
 	for _, c := range cases {
-		parts, n, err := resp.Split(rest, resp.MostAnswered)
+		parts, n, err := resp.ParseFrame(rest, resp.MaxResponseSize)
 		require.NoError(t, err)
 		require.Positive(t, n)
 		rest = rest[n:]
--- a/internal/upstream/push_test.go
+++ b/internal/upstream/push_test.go
@@ -110,9 +110,9 @@
 		require.True(t, all)
 		check()
 		// What the server saw.
-		buf, src := resp.Buffer{Most: 1 << 20}, strings.NewReader(string(wire))
+		buf, src := resp.Buffer{MaxFrameSize: 1 << 20}, strings.NewReader(string(wire))
 		fetched, aborted := map[string]bool{}, map[string]bool{}
-		for src.Len()+buf.Held() > 0 {
+		for src.Len()+buf.Buffered() > 0 {
 			parts, _, err := buf.Next(src)
 			require.NoError(t, err, "frames stay whole")
 			switch id := string(parts[1]); string(parts[0]) {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			scenario.Run(t, p.Clock, map[string]scenario.Actor{"up": scenario.Attempt(p.Pools), "s": p.Cache}, script)
-			require.Zero(t, invariant.Broken())
+			require.Zero(t, invariant.Violations())
 		})
 	}
 }
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -78,7 +78,7 @@
 	if a.IdempotencyKey != "" {
 		add("dedupe", a.IdempotencyKey)
 	}
-	return resp.AppendBody(b, a.Body, "fetch", a.ID, string(f))
+	return resp.AppendFrameWithBody(b, a.Body, "fetch", a.ID, string(f))
 }
 
 // mostNumber bounds what an answer may tell in numbers: in ms it is half an hour.
@@ -103,7 +103,7 @@
 	fields := map[string]string{}
 	if len(parts) > 2 {
 		var ok bool
-		if fields, ok = resp.Fields(parts[2]); !ok {
+		if fields, ok = resp.ParseFields(parts[2]); !ok {
 			return "", e, resp.ErrMalformed
 		}
 	}
--- a/internal/upstream/written_test.go
+++ b/internal/upstream/written_test.go
@@ -82,7 +82,7 @@
 		b.send("waits", budget, 500, 10)
 		clk.Advance(waited)
 		nc := <-b.accepted
-		buf := resp.Buffer{Most: 4 << 20}
+		buf := resp.Buffer{MaxFrameSize: 4 << 20}
 		for {
 			parts, _, err := buf.Next(nc)
 			require.NoError(t, err)
