--- a/internal/decide/distribution/bridge_test.go
+++ b/internal/decide/distribution/atomic_batch_test.go
@@ -8,11 +8,11 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-func purgeOf(sequence uint64, name string) distribution.Entry {
+func purgeEntry(sequence uint64, name string) distribution.Entry {
 	return distribution.Entry{Sequence: sequence, Kind: distribution.PurgeObject, Name: name, EffectiveAt: 5}
 }
 
-// messagesTo are the messages of actions to one link.
+// messagesTo returns the messages that actions send on one link.
 func messagesTo(t *testing.T, link distribution.Link, actions []distribution.Action) []distribution.Message {
 	var all []distribution.Message
 	for _, a := range actions {
@@ -29,24 +29,24 @@
 	return all
 }
 
-func subscribeAt(name string, sequence uint64) distribution.Subscribe {
+func subscribeFrom(name string, sequence uint64) distribution.Subscribe {
 	return distribution.Subscribe{Stream: distribution.Purges, Name: name, Rank: 9, Credit: 1 << 20,
 		From: distribution.Position{Epoch: 1, Sequence: sequence}}
 }
 
-// A relay that fell back passes the snapshot on as one batch. Its numbers are made up: "late" was committed at 160 and has
-// 140 here. A subscriber that comes from another distributor, and is at 150, would pass it over in a part of the batch.
-func TestNobodyBeginsWithinABridge(t *testing.T) {
+// A relay that fell behind passes the snapshot on as one atomic batch. Its sequences say only the order: "late" was committed at 160 and
+// has 140 here. A subscriber that comes from another distributor and is at 150 would miss it in a part of the batch.
+func TestSubscriberWithinAtomicBatchGetsSnapshot(t *testing.T) {
 	set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
-	set.MaxFrame = 1 // what is not whole is cut into batches of one
+	set.MaxFrame = 1 // what is not atomic is split into batches of one entry
 	mark := func(sequence uint64) distribution.Watermark {
 		return distribution.Watermark{Sequence: sequence, At: 1000}
 	}
 	relay := distribution.NewDistributor(set)
-	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeOf(90, "early")}})
-	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeAt("near", 100)})
+	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeEntry(90, "early")}})
+	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
 
-	snapshot := []distribution.Entry{purgeOf(139, "early"), purgeOf(140, "late"), purgeOf(200, "later")}
+	snapshot := []distribution.Entry{purgeEntry(139, "early"), purgeEntry(140, "late"), purgeEntry(200, "later")}
 	got := messagesTo(t, 1, relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: mark(200), Entries: snapshot}))
 	require.Len(t, got, 1)
 	bridge := got[0].(distribution.Batch)
@@ -55,7 +55,7 @@
 	require.Len(t, bridge.Entries, 2, "early is in force already")
 
 	var chunks []string
-	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeAt("from elsewhere", 150)})) {
+	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeFrom("from elsewhere", 150)})) {
 		_, isBatch := m.(distribution.Batch)
 		require.False(t, isBatch)
 		if c, isChunk := m.(distribution.SnapshotChunk); isChunk {
@@ -66,22 +66,22 @@
 	}
 	require.Equal(t, []string{"early", "late", "later"}, chunks)
 
-	next := distribution.NewDistributor(set) // the level below: it must not cut it either
+	next := distribution.NewDistributor(set) // the level below must not split it either
 	next.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100)})
-	next.Handle(1000, distribution.Received{Link: 1, Message: subscribeAt("near", 100)})
+	next.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
 	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: mark(200), Entries: bridge.Entries}))
 	require.Len(t, got, 1)
 	require.True(t, got[0].(distribution.Batch).Atomic)
 }
 
-// The same where nothing was idle before, and a batch follows: who is at its end goes on with the tail.
-func TestTailGoesOnBehindABridge(t *testing.T) {
+// A batch follows an atomic one: a subscriber at the end of the latter continues with it.
+func TestBacklogContinuesBehindAtomicBatch(t *testing.T) {
 	relay := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
 	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: distribution.Watermark{Sequence: 100, At: 1000}})
-	relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: distribution.Watermark{Sequence: 200, At: 1001}, Entries: []distribution.Entry{purgeOf(200, "x")}})
-	relay.Handle(1002, distribution.Apply{Epoch: 1, After: 200, Through: 205, Watermark: distribution.Watermark{Sequence: 205, At: 1002}, Entries: []distribution.Entry{purgeOf(203, "y")}})
+	relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: distribution.Watermark{Sequence: 200, At: 1001}, Entries: []distribution.Entry{purgeEntry(200, "x")}})
+	relay.Handle(1002, distribution.Apply{Epoch: 1, After: 200, Through: 205, Watermark: distribution.Watermark{Sequence: 205, At: 1002}, Entries: []distribution.Entry{purgeEntry(203, "y")}})
 	for _, from := range []uint64{200, 203} {
-		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{Link: distribution.Link(from), Message: subscribeAt("s", from)}))
+		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{Link: distribution.Link(from), Message: subscribeFrom("s", from)}))
 		require.Len(t, got, 2)
 		batch := got[1].(distribution.Batch)
 		require.False(t, batch.Atomic)
--- a/internal/decide/distribution/check/process.go
+++ b/internal/decide/distribution/check/process.go
@@ -27,7 +27,7 @@
 	return &c
 }
 
-// Position returns the position up to which it was told.
+// Position returns the position up to which everything is in effect.
 func (p *Process) Position() distribution.Position { return p.position }
 
 // EntryCount returns how many entries are in effect.
@@ -57,8 +57,8 @@
 			return violated(RuleOrder, "entry %d behind %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
 		}
 		last = e.Sequence
-		if held, known := p.effective[factKeyOf(e)]; known && held.Sequence >= e.Sequence {
-			return violated(RuleOrder, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, held.Sequence)
+		if existing, known := p.effective[factKeyOf(e)]; known && existing.Sequence >= e.Sequence {
+			return violated(RuleOrder, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, existing.Sequence)
 		}
 		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
 			return err
@@ -110,10 +110,10 @@
 		delete(p.effective, key)
 		return nil
 	}
-	if held, already := p.effective[key]; already && isPurge(e.Kind) {
-		e.EffectiveAt = max(e.EffectiveAt, held.EffectiveAt)
-		if outlasts(held.ExpiresAt, e.ExpiresAt) {
-			e.ExpiresAt = held.ExpiresAt
+	if existing, known := p.effective[key]; known && isPurge(e.Kind) {
+		e.EffectiveAt = max(e.EffectiveAt, existing.EffectiveAt)
+		if outlasts(existing.ExpiresAt, e.ExpiresAt) {
+			e.ExpiresAt = existing.ExpiresAt
 		}
 	}
 	e.Sequence = f.Sequence
@@ -165,11 +165,11 @@
 
 // missing reports whether the last expected fact of a key is not in effect, nor a later one.
 func (p *Process) missing(key factKey, f fact) bool {
-	held, known := p.effective[key]
+	existing, known := p.effective[key]
 	if f.Kind == distribution.DrainEnded {
-		return known && held.Sequence < f.Sequence
+		return known && existing.Sequence < f.Sequence
 	}
-	return (!known || held.Sequence < f.Sequence) && !p.drainEnded(key, f.Sequence)
+	return (!known || existing.Sequence < f.Sequence) && !p.drainEnded(key, f.Sequence)
 }
 
 // drainEnded reports whether a drain that is not in effect has ended behind a sequence.
@@ -184,12 +184,12 @@
 
 // covered reports whether every copy that a purge voids is voided by what is in effect.
 func (p *Process) covered(e distribution.Entry) bool {
-	if held, known := p.effective[factKeyOf(e)]; known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt) {
+	if existing, known := p.effective[factKeyOf(e)]; known && existing.EffectiveAt >= e.EffectiveAt && outlasts(existing.ExpiresAt, e.ExpiresAt) {
 		return true
 	}
 	if e.Kind != distribution.PurgeObject || !e.GroupKnown {
 		return false
 	}
-	held, known := p.effective[factKey{kind: distribution.PurgeGroup, group: e.Group}]
-	return known && held.EffectiveAt >= e.EffectiveAt && outlasts(held.ExpiresAt, e.ExpiresAt)
+	existing, known := p.effective[factKey{kind: distribution.PurgeGroup, group: e.Group}]
+	return known && existing.EffectiveAt >= e.EffectiveAt && outlasts(existing.ExpiresAt, e.ExpiresAt)
 }
--- a/internal/decide/distribution/check/rule.go
+++ b/internal/decide/distribution/check/rule.go
@@ -1,5 +1,5 @@
 // Package check states what must hold of distribution, once, for the model, the tests of the shell and the tests of scale. A History is
-// what the store has committed; a Process watches what one process was told to put into force, and trusts nothing else of it. The
+// what the store has committed; a Process watches what one process puts into force, and trusts nothing else of it. The
 // package decides nothing and is imported by tests and the lab alone.
 package check
 
--- a/internal/decide/distribution/stream_test.go
+++ b/internal/decide/distribution/drawn_faults_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/decide/distribution/check"
 )
 
-// drawScript is what the store commits: few names, so that much is covered by something later.
+// drawScript draws what the store commits: few names, so that much is covered by something later.
 func drawScript(t *rapid.T, stream distribution.Stream) []distribution.Entry {
 	var all []distribution.Entry
 	for i := range rapid.IntRange(1, 25).Draw(t, "commits") {
@@ -34,67 +34,69 @@
 	return all
 }
 
-// Long walks of the model, with four processes and all faults: what the exhaustive one can't reach in depth.
-func testWalk(t *testing.T, stream distribution.Stream) {
+// checkRandomWalk plays long walks of the model, with four processes and all faults: deeper than the exhaustive search.
+func checkRandomWalk(t *testing.T, stream distribution.Stream) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{stream: stream, script: drawScript(t, stream)}
-		w.begin()
-		w.faults = rapid.IntRange(0, 15).Draw(t, "faults")
-		w.breaks = rapid.IntRange(0, 8).Draw(t, "breaks")
-		r := run{kinds: []breakage{cuts, crashes, stops, epochs, restarts}}
+		w.start()
+		w.faultsLeft = rapid.IntRange(0, 15).Draw(t, "faults")
+		w.breakagesLeft = rapid.IntRange(0, 8).Draw(t, "breaks")
+		r := search{breakageKinds: []breakage{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}}
 		for range rapid.IntRange(1, 150).Draw(t, "moves") {
-			moves := r.moves(w)
-			moves[rapid.IntRange(0, len(moves)-1).Draw(t, "move")].make(w)
-			w.tidy()
-			require.NoError(t, w.broken)
+			moves := r.steps(w)
+			moves[rapid.IntRange(0, len(moves)-1).Draw(t, "move")].take(w)
+			w.dropEndedLinks()
+			require.NoError(t, w.violation)
 		}
 		require.NoError(t, w.heal())
 	})
 }
 
-func TestPurgesUnderDrawnFaults(t *testing.T) { testWalk(t, distribution.Purges) }
+func TestRulesHoldForPurgesUnderDrawnFaults(t *testing.T) { checkRandomWalk(t, distribution.Purges) }
 
-func TestConfigurationUnderDrawnFaults(t *testing.T) { testWalk(t, distribution.Configuration) }
+func TestRulesHoldForConfigurationUnderDrawnFaults(t *testing.T) {
+	checkRandomWalk(t, distribution.Configuration)
+}
 
-// naive is a subscriber of a stream without holes, written as plainly as can be.
-type naive struct {
-	have    bool
-	at      distribution.Position
-	seen    uint64
-	chunks  []distribution.SnapshotChunk
-	fenced  bool
-	entries map[uint64]int // of the epoch, how often each was put in force
+// referenceSubscriber is a subscriber of a stream in which nothing is covered, written as plainly as possible.
+type referenceSubscriber struct {
+	hasState     bool
+	position     distribution.Position
+	highestEpoch uint64
+	chunks       []distribution.SnapshotChunk
+	fenced       bool
+	entries      map[uint64]int // of the epoch: how often each sequence was put into force
 }
 
-func (n *naive) take(m distribution.Message) {
+func (n *referenceSubscriber) receive(m distribution.Message) {
 	switch m := m.(type) {
 	case distribution.Batch:
-		if n.hear(m.Epoch); !n.fenced && n.have && m.Epoch == n.at.Epoch && m.After <= n.at.Sequence && n.at.Sequence < m.Through {
+		if n.receiveEpoch(m.Epoch); !n.fenced && n.hasState && m.Epoch == n.position.Epoch && m.After <= n.position.Sequence && n.position.Sequence < m.Through {
 			for _, e := range m.Entries {
-				if e.Sequence > n.at.Sequence {
+				if e.Sequence > n.position.Sequence {
 					n.entries[e.Sequence]++
 				}
 			}
-			n.at.Sequence = m.Through
+			n.position.Sequence = m.Through
 		}
 	case distribution.Heartbeat:
-		n.hear(m.Epoch)
+		n.receiveEpoch(m.Epoch)
 	case distribution.SnapshotChunk:
-		n.hear(m.Epoch)
-		n.chunk(m)
+		n.receiveEpoch(m.Epoch)
+		n.receiveChunk(m)
 	}
 }
 
-func (n *naive) hear(epoch uint64) {
-	n.fenced = epoch < n.seen
-	n.seen = max(n.seen, epoch)
+func (n *referenceSubscriber) receiveEpoch(epoch uint64) {
+	n.fenced = epoch < n.highestEpoch
+	n.highestEpoch = max(n.highestEpoch, epoch)
 }
 
-func (n *naive) chunk(m distribution.SnapshotChunk) {
+func (n *referenceSubscriber) receiveChunk(m distribution.SnapshotChunk) {
 	switch {
 	case n.fenced:
 		return
-	case n.have && m.Epoch == n.at.Epoch && m.Through < n.at.Sequence:
+	case n.hasState && m.Epoch == n.position.Epoch && m.Through < n.position.Sequence:
 		n.chunks = nil
 		return
 	case m.Index == 0:
@@ -106,7 +108,7 @@
 	if n.chunks = append(n.chunks, m); !m.Last {
 		return
 	}
-	if m.Epoch != n.at.Epoch {
+	if m.Epoch != n.position.Epoch {
 		n.entries = map[uint64]int{}
 	}
 	for _, c := range n.chunks {
@@ -114,11 +116,11 @@
 			n.entries[e.Sequence] = 1
 		}
 	}
-	n.have, n.at, n.chunks = true, distribution.Position{Epoch: m.Epoch, Sequence: m.Through}, nil
+	n.hasState, n.position, n.chunks = true, distribution.Position{Epoch: m.Epoch, Sequence: m.Through}, nil
 }
 
-// drawTrue is a message that a distributor may say at some time of two epochs of ten entries, none of which covers another.
-func drawTrue(t *rapid.T) distribution.Message {
+// drawValidMessage draws a message that a distributor may send at some time in two epochs of ten entries, none of which covers another.
+func drawValidMessage(t *rapid.T) distribution.Message {
 	epoch := rapid.Uint64Range(1, 2).Draw(t, "epoch")
 	through := rapid.Uint64Range(1, 10).Draw(t, "through")
 	mark := distribution.Watermark{Sequence: through, At: int64(through) * 100}
@@ -130,18 +132,18 @@
 		half := through / 2
 		c := distribution.SnapshotChunk{Stream: distribution.Purges, Epoch: epoch, Through: through, Watermark: mark, Index: index, Last: index == 1}
 		if index == 0 {
-			c.Entries = trueEntries(epoch, 0, half)
+			c.Entries = validEntries(epoch, 0, half)
 		} else {
-			c.Entries = trueEntries(epoch, half, through)
+			c.Entries = validEntries(epoch, half, through)
 		}
 		return c
 	default:
 		after := rapid.Uint64Range(0, through).Draw(t, "after")
-		return distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: trueEntries(epoch, after, through)}
+		return distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: validEntries(epoch, after, through)}
 	}
 }
 
-func trueEntries(epoch, after, through uint64) []distribution.Entry {
+func validEntries(epoch, after, through uint64) []distribution.Entry {
 	var entries []distribution.Entry
 	for s := after + 1; s <= through; s++ {
 		entries = append(entries, distribution.Entry{Sequence: s, Kind: distribution.PurgeObject, Name: fmt.Sprint(epoch, "/", s), EffectiveAt: 1})
@@ -149,19 +151,19 @@
 	return entries
 }
 
-// A subscriber that is told true things in any order, often twice or never, is always where the plain one is.
-func TestSubscriberIsWhereThePlainOneIs(t *testing.T) {
+// A subscriber that receives valid messages in any order, some twice or never, is always at the position of the reference.
+func TestSubscriberMatchesReference(t *testing.T) {
 	moved := 0
 	defer func() { t.Logf("%d messages", moved) }()
 	rapid.Check(t, func(t *rapid.T) {
 		h := &check.History{}
 		for epoch := uint64(1); epoch <= 2; epoch++ {
-			for _, e := range trueEntries(epoch, 0, 10) {
+			for _, e := range validEntries(epoch, 0, 10) {
 				h.Commit(epoch, e, int64(e.Sequence)*100)
 			}
 		}
 		w := &world{stream: distribution.Purges}
-		s, seen, plain := distribution.NewSubscriber(w.settings(atLeaf)), check.NewProcess(h), &naive{entries: map[uint64]int{}}
+		s, seen, reference := distribution.NewSubscriber(w.settings(atLeaf)), check.NewProcess(h), &referenceSubscriber{entries: map[uint64]int{}}
 		now, link, taken := 1000.0, distribution.Link(0), 0
 		handle := func(e distribution.Event) {
 			for _, a := range s.Handle(now, e) {
@@ -174,21 +176,21 @@
 		}
 		handle(distribution.Candidates{Peers: peers})
 		for range rapid.IntRange(1, 60).Draw(t, "messages") {
-			for !s.AcceptsMessages() { // a link at all times, whatever made it leave the last
-				plain.chunks = nil // what was under way is void with the link
+			for !s.AcceptsMessages() { // it has a link at all times, whatever made it leave the last one
+				reference.chunks = nil // what was in flight is void with the link
 				now += 50
 				handle(distribution.Tick{})
 				handle(distribution.Connected{Link: link})
 			}
-			m := drawTrue(t)
-			plain.take(m)
+			m := drawValidMessage(t)
+			reference.receive(m)
 			handle(distribution.Received{Link: link, Message: m, Bytes: 10})
 			taken++
 			if s.NextChunk() == 0 {
-				plain.chunks = nil
+				reference.chunks = nil
 			}
-			require.Equal(t, plain.at, s.Position())
-			for sequence, times := range plain.entries {
+			require.Equal(t, reference.position, s.Position())
+			for sequence, times := range reference.entries {
 				require.Equal(t, 1, times, "entry %d", sequence)
 			}
 		}
--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Clone copies a Subscriber for a model that branches.
+// Clone copies the Subscriber for a model that branches.
 func (s *Subscriber) Clone() *Subscriber {
 	c := *s
 	c.backoffs = maps.Clone(s.backoffs)
@@ -20,7 +20,7 @@
 	return &c
 }
 
-// Clone copies a Distributor for a model that branches.
+// Clone copies the Distributor for a model that branches.
 func (d *Distributor) Clone() *Distributor {
 	c := *d
 	c.actions = nil
@@ -44,7 +44,7 @@
 	return &c
 }
 
-// print is a fingerprint under way.
+// fingerprint is a fingerprint that is being made.
 type fingerprint []byte
 
 func (p *fingerprint) numbers(numbers ...uint64) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Print appends all that decides what a Subscriber does next, but for the state of its draws and numbers of links.
+// AppendFingerprint appends everything that decides what the Subscriber does next, but for the state of its jitter and link numbers.
 func (s *Subscriber) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(uint64(s.phase), uint64(s.resubscribes), uint64(s.unreturnedCredit), s.receivedBytes, s.epoch, s.applied, s.highestEpoch)
@@ -99,7 +99,7 @@
 	return p
 }
 
-// Print appends all that decides what a Distributor does next, but for the numbers of links.
+// AppendFingerprint appends everything that decides what the Distributor does next, but for link numbers.
 func (d *Distributor) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(d.epoch, d.head, d.backlog.floor, uint64(len(d.subscriptions)))
@@ -129,18 +129,18 @@
 	return p
 }
 
-// What the mutations of the model need to get past what guards against them.
+// The mutations of the model use the following to get past what guards against them.
 
-// Applied and Seen are where a Subscriber stands.
+// AppliedSequence returns the sequence up to which everything was put into force.
 func (s *Subscriber) AppliedSequence() uint64 { return s.applied }
 
-// Pending is the watermark that does not hold yet.
+// PendingWatermark returns the watermark that does not hold yet.
 func (s *Subscriber) PendingWatermark() Watermark { return s.pendingWatermark }
 
-// Linked tells whether messages are taken.
+// AcceptsMessages reports whether messages are received.
 func (s *Subscriber) AcceptsMessages() bool { return s.phase >= phaseSubscribing }
 
-// GatherIndex is the chunk that comes next.
+// NextChunk returns the index of the chunk that is expected next.
 func (s *Subscriber) NextChunk() int {
 	if s.assembly == nil {
 		return 0
@@ -148,26 +148,26 @@
 	return s.assembly.nextChunk
 }
 
-// Rewind has a Subscriber forget how far it is.
+// RewindTo sets the Subscriber back.
 func (s *Subscriber) RewindTo(applied uint64) { s.applied = applied }
 
-// Believe has a Subscriber take the watermark for holding at once.
+// TrustPendingWatermark has the watermark hold at once.
 func (s *Subscriber) TrustPendingWatermark() { s.watermark = s.pendingWatermark }
 
-// Unseen has a Subscriber forget the epochs it has heard of beyond its own.
+// ForgetHigherEpochs has the Subscriber forget the epochs that it has seen above one.
 func (s *Subscriber) ForgetHigherEpochs(epoch uint64) { s.highestEpoch = min(s.highestEpoch, epoch) }
 
-// Lavish gives every member of a Distributor its whole credit.
+// ResetCredits gives every subscriber its full credit.
 func (d *Distributor) ResetCredits() {
 	for _, m := range d.subscriptions {
 		m.credit = m.window
 	}
 }
 
-// Unlimited has a Distributor keep all.
+// UnlimitBacklog has the Distributor retain everything.
 func (d *Distributor) UnlimitBacklog() {
 	d.settings.MaxBacklogEntries, d.settings.MaxBacklogBytes = 1<<30, 1<<30
 }
 
-// Boastful has a Distributor take its backlog for one that begins with the stream.
+// PretendFullBacklog has the Distributor take its backlog for one that begins with the stream.
 func (d *Distributor) PretendFullBacklog() { d.backlog.floor = 0 }
--- a/internal/decide/distribution/fact_table.go
+++ b/internal/decide/distribution/fact_table.go
@@ -107,14 +107,14 @@
 
 // covers reports whether a purge adds nothing to what the table holds.
 func (t *factTable) covers(purge Entry) bool {
-	if held, known := t.entries[factKeyOf(purge)]; known && binds(held, purge) {
+	if existing, known := t.entries[factKeyOf(purge)]; known && binds(existing, purge) {
 		return true
 	}
 	if purge.Kind != PurgeObject || !purge.GroupKnown {
 		return false
 	}
-	held, known := t.entries[factKey{kind: PurgeGroup, group: purge.Group}]
-	return known && binds(held, purge)
+	existing, known := t.entries[factKey{kind: PurgeGroup, group: purge.Group}]
+	return known && binds(existing, purge)
 }
 
 func (t *factTable) remove(key factKey) {
@@ -145,13 +145,13 @@
 	return expired
 }
 
-// current reports whether the entry of an expiry is still held.
+// current reports whether the entry of an expiry is still in the table.
 func (t *factTable) current(x expiry) bool {
-	e, held := t.entries[x.key]
-	return held && e.Sequence == x.sequence
+	e, exists := t.entries[x.key]
+	return exists && e.Sequence == x.sequence
 }
 
-// maxStaleExpiries is how many expiries of entries that are no longer held stay in the heap, besides one for each entry, before it is
+// maxStaleExpiries is how many expiries of entries that are no longer in the table stay in the heap, besides one for each entry, before it is
 // cleaned up. The fewer, the more often it is.
 const maxStaleExpiries = 1024
 
@@ -170,7 +170,7 @@
 	return entries
 }
 
-// expiry is when an entry expires, if it is still held then.
+// expiry is when an entry expires, if it is still in the table then.
 type expiry struct {
 	expiresAt int64 // Unix ms
 	key       factKey
--- a/internal/decide/distribution/golden_test.go
+++ b/internal/decide/distribution/golden_test.go
@@ -12,19 +12,19 @@
 // goldenEntries have every kind, with and without what is optional.
 func goldenEntries() []distribution.Entry {
 	return []distribution.Entry{
-		{Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true, EffectiveAt: someDay - 1500, ExpiresAt: someDay + 3_600_000},
-		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: someDay + 5},
-		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: someDay - 2, ExpiresAt: someDay + 1},
-		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: someDay},
+		{Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true, EffectiveAt: timeInTests - 1500, ExpiresAt: timeInTests + 3_600_000},
+		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: timeInTests + 5},
+		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: timeInTests - 2, ExpiresAt: timeInTests + 1},
+		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: timeInTests},
 		{Sequence: 401, Kind: distribution.List, Name: "source-1", Version: 1 << 40, Body: []byte{0, 1, 0xff}},
-		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", EffectiveAt: someDay - 86_400_000},
+		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", EffectiveAt: timeInTests - 86_400_000},
 		{Sequence: 900, Kind: distribution.DrainEnded, Name: "cache-7"},
 	}
 }
 
-// Frames of every kind are decoded from another version's bytes, and this version's are the same.
+// Frames of earlier versions are decoded, and are encoded to the same bytes.
 func TestGoldenFrames(t *testing.T) {
-	mark := distribution.Watermark{Sequence: 1000, At: someDay}
+	mark := distribution.Watermark{Sequence: 1000, At: timeInTests}
 	purges, configuration := distribution.Purges, distribution.Configuration
 	for name, message := range map[string]distribution.Message{
 		"subscribe.bin": distribution.Subscribe{Stream: purges, Name: "proxy-a", Rank: 3, From: distribution.Position{Epoch: 12, Sequence: 99},
@@ -52,7 +52,7 @@
 	}
 }
 
-// The numbers that stand on the wire.
+// The numbers that are sent on the wire stay the same.
 func TestGoldenNumbers(t *testing.T) {
 	require.Equal(t, []distribution.Stream{1, 2}, []distribution.Stream{distribution.Purges, distribution.Configuration})
 	require.Equal(t, []distribution.Kind{1, 2, 3, 4, 5, 6}, []distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup,
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -14,58 +14,58 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// breakage is what may happen beside loss.
+// breakage is a fault other than the loss or the duplication of a message.
 type breakage int
 
 const (
-	cuts breakage = iota
-	crashes
-	stops
-	epochs
-	restarts
+	linkCuts breakage = iota
+	processCrashes
+	processPauses
+	newEpochs
+	rootRestarts
 )
 
-// run is one exhaustive search: all orders of all moves, up to a depth and a number of states.
-type run struct {
-	name    string
-	without int
-	depth   int
-	faults  int // messages lost or twice
-	breaks  int
-	kinds   []breakage
-	commits int // committed and not delivered when it begins
-	before  func(w *world)
-	heal    int // one state in so many is healed, and must end with everybody complete
+// search is one exhaustive search: all orders of all steps, up to a depth.
+type search struct {
+	name          string
+	absent        int
+	depth         int
+	faults        int // messages that are lost or duplicated
+	breakages     int
+	breakageKinds []breakage
+	commits       int // entries that are committed and not delivered at the beginning
+	prepare       func(w *world)
+	healEvery     int // from one state in so many all faults end, and every process must become complete
 }
 
-var runs = []run{
-	{name: "loss", without: atRight, depth: 7, faults: 2, heal: 11},
-	{name: "cut", without: atRight, depth: 7, faults: 1, breaks: 1, kinds: []breakage{cuts}, heal: 11},
-	{name: "crash", without: atRight, depth: 7, breaks: 2, kinds: []breakage{cuts, crashes}, heal: 11},
-	{name: "stop", without: atRight, depth: 7, breaks: 1, kinds: []breakage{stops}, heal: 11},
-	{name: "epoch", without: atRight, depth: 7, faults: 1, breaks: 1, kinds: []breakage{epochs}, heal: 11},
-	{name: "behind", without: atRight, depth: 7, faults: 1, breaks: 1, kinds: []breakage{cuts}, commits: 4, heal: 11},
-	{name: "restart", without: atRight, depth: 6, breaks: 2, kinds: []breakage{cuts, restarts}, heal: 5},
-	{name: "far behind", without: atRight, depth: 6, breaks: 2, kinds: []breakage{cuts, restarts}, before: leftCutOff, heal: 5},
-	{name: "old", without: atRight, depth: 6, faults: 1, breaks: 1, kinds: []breakage{epochs}, before: leftBehind, heal: 11},
-	{name: "old chunks", without: atRight, depth: 5, breaks: 1, kinds: []breakage{cuts}, before: lateChunks, heal: 11},
-	{name: "old batch", without: atRight, depth: 5, breaks: 1, kinds: []breakage{cuts}, before: lateBatch, heal: 11},
-	{name: "asleep", without: atRight, depth: 6, breaks: 1, kinds: []breakage{cuts}, before: leafAsleep, heal: 11},
-	{name: "four", depth: 5, faults: 1, breaks: 1, kinds: []breakage{cuts, crashes, stops, epochs, restarts}, heal: 23},
+var searches = []search{
+	{name: "loss", absent: atRight, depth: 7, faults: 2, healEvery: 11},
+	{name: "cut", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts}, healEvery: 11},
+	{name: "crash", absent: atRight, depth: 7, breakages: 2, breakageKinds: []breakage{linkCuts, processCrashes}, healEvery: 11},
+	{name: "stop", absent: atRight, depth: 7, breakages: 1, breakageKinds: []breakage{processPauses}, healEvery: 11},
+	{name: "epoch", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, healEvery: 11},
+	{name: "behind", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts}, commits: 4, healEvery: 11},
+	{name: "restart", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts}, healEvery: 5},
+	{name: "far behind", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts}, prepare: leftCutOff, healEvery: 5},
+	{name: "old", absent: atRight, depth: 6, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, prepare: leftRestoring, healEvery: 11},
+	{name: "old chunks", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochChunks, healEvery: 11},
+	{name: "old batch", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochBatch, healEvery: 11},
+	{name: "asleep", absent: atRight, depth: 6, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: leafPaused, healEvery: 11},
+	{name: "four", depth: 5, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23},
 }
 
-// move is one step of the model; the text is for the path of a failure.
-type move struct {
+// step is one step of the model; the text is for the path to a failure.
+type step struct {
 	text string
-	make func(w *world)
+	take func(w *world)
 }
 
-func (r run) moves(w *world) []move {
-	var all []move
+func (r search) steps(w *world) []step {
+	var all []step
 	add := func(make func(*world), format string, values ...any) {
-		all = append(all, move{fmt.Sprintf(format, values...), make})
+		all = append(all, step{fmt.Sprintf(format, values...), make})
 	}
-	for at, l := range w.wires {
+	for at, l := range w.links {
 		pair := names[l.from] + "-" + names[l.to]
 		if len(l.up) > 0 && !w.stopped[l.to] {
 			add(func(w *world) { w.deliverUp(at) }, "%s up", pair)
@@ -73,74 +73,74 @@
 		if len(l.down) > 0 && !w.stopped[l.from] {
 			add(func(w *world) { w.deliverDown(at) }, "%s down", pair)
 		}
-		if w.faults > 0 {
-			r.faultsOf(w, at, pair, add)
+		if w.faultsLeft > 0 {
+			r.addFaults(w, at, pair, add)
 		}
-		if w.breaks > 0 && l.open && r.allows(cuts) {
-			add(func(w *world) { w.breaks--; w.cut(at) }, "%s cut", pair)
+		if w.breakagesLeft > 0 && l.open && r.allows(linkCuts) {
+			add(func(w *world) { w.breakagesLeft--; w.cut(at) }, "%s cut", pair)
 		}
 	}
-	if w.next < len(w.script) {
-		add(func(w *world) { w.commit() }, "commit %d", w.next)
+	if w.nextEntry < len(w.script) {
+		add(func(w *world) { w.commit() }, "commit %d", w.nextEntry)
 	}
-	add(func(w *world) { w.pass() }, "time")
+	add(func(w *world) { w.advanceTime() }, "time")
 	for _, i := range []int{atLeft, atLeaf} {
 		switch {
 		case w.stopped[i]:
-			add(func(w *world) { w.resume(i) }, "%s wakes", names[i])
-		case w.breaks > 0 && r.allows(stops):
-			add(func(w *world) { w.breaks--; w.stopped[i] = true }, "%s stops", names[i])
+			add(func(w *world) { w.resume(i) }, "%s resumes", names[i])
+		case w.breakagesLeft > 0 && r.allows(processPauses):
+			add(func(w *world) { w.breakagesLeft--; w.stopped[i] = true }, "%s pauses", names[i])
 		}
 	}
-	if w.breaks > 0 && r.allows(crashes) {
-		add(func(w *world) { w.breaks--; w.crash(atLeft) }, "left crashes")
+	if w.breakagesLeft > 0 && r.allows(processCrashes) {
+		add(func(w *world) { w.breakagesLeft--; w.crash(atLeft) }, "left crashes")
 	}
-	if w.breaks > 0 && r.allows(restarts) {
-		add(func(w *world) { w.breaks--; w.restart() }, "root restarts")
-		add(func(w *world) { w.breaks--; w.reread() }, "root reads its state again")
+	if w.breakagesLeft > 0 && r.allows(rootRestarts) {
+		add(func(w *world) { w.breakagesLeft--; w.restartRoot() }, "root restarts")
+		add(func(w *world) { w.breakagesLeft--; w.restoreRoot() }, "root restores its state")
 	}
-	if w.breaks > 0 && r.allows(epochs) {
-		add(func(w *world) { w.breaks--; w.restore() }, "a new epoch")
+	if w.breakagesLeft > 0 && r.allows(newEpochs) {
+		add(func(w *world) { w.breakagesLeft--; w.beginEpoch() }, "a new epoch")
 	}
 	return all
 }
 
-func (r run) faultsOf(w *world, at int, pair string, add func(func(*world), string, ...any)) {
-	l := w.wires[at]
+func (r search) addFaults(w *world, at int, pair string, add func(func(*world), string, ...any)) {
+	l := w.links[at]
 	if len(l.up) > 0 && l.up[0] != nil {
-		add(func(w *world) { w.faults--; w.wires[at].up = w.wires[at].up[1:] }, "%s up is lost", pair)
+		add(func(w *world) { w.faultsLeft--; w.links[at].up = w.links[at].up[1:] }, "%s up is lost", pair)
 	}
 	if len(l.down) == 0 || l.down[0] == nil {
 		return
 	}
-	add(func(w *world) { w.faults--; w.lose(at) }, "%s down is lost", pair)
-	add(func(w *world) { w.faults--; w.twice(at) }, "%s down comes twice, late", pair)
+	add(func(w *world) { w.faultsLeft--; w.dropMessage(at) }, "%s down is lost", pair)
+	add(func(w *world) { w.faultsLeft--; w.duplicateMessage(at) }, "%s down is duplicated, late", pair)
 }
 
-// lose drops the first message to a subscriber.
-func (w *world) lose(at int) {
-	l := &w.wires[at]
-	if m := l.down[0]; counts(m) {
-		l.bytes -= len(distribution.Encode(m).Bytes)
-		l.frames--
+// dropMessage loses the first message to a subscriber.
+func (w *world) dropMessage(at int) {
+	l := &w.links[at]
+	if m := l.down[0]; countsAgainstCredit(m) {
+		l.bytesInFlight -= len(distribution.Encode(m).Bytes)
+		l.framesInFlight--
 	}
 	l.down = l.down[1:]
 }
 
-// twice has the first message come once more behind all others.
-func (w *world) twice(at int) {
-	l := &w.wires[at]
+// duplicateMessage has the first message arrive once more, behind all others.
+func (w *world) duplicateMessage(at int) {
+	l := &w.links[at]
 	m := l.down[0]
-	if counts(m) {
+	if countsAgainstCredit(m) {
 		size := len(distribution.Encode(m).Bytes)
-		l.bytes, l.extra = l.bytes+size, l.extra+size
-		l.frames++
+		l.bytesInFlight, l.duplicatedBytes = l.bytesInFlight+size, l.duplicatedBytes+size
+		l.framesInFlight++
 	}
 	l.down = append(l.down, m)
 }
 
-func (r run) allows(b breakage) bool {
-	for _, k := range r.kinds {
+func (r search) allows(b breakage) bool {
+	for _, k := range r.breakageKinds {
 		if k == b {
 			return true
 		}
@@ -148,79 +148,79 @@
 	return false
 }
 
-// leftBehind has a relay that has just come back, with its snapshot on the way.
-func leftBehind(w *world) {
+// leftRestoring has a relay that has just restarted, with its snapshot in flight.
+func leftRestoring(w *world) {
 	w.crash(atLeft)
 	for range 20 {
-		for at := range w.wires {
-			if w.wires[at].from == atLeft && len(w.wires[at].up) > 0 {
+		for at := range w.links {
+			if w.links[at].from == atLeft && len(w.links[at].up) > 0 {
 				w.deliverUp(at)
 			}
-			if w.wires[at].from == atLeft && len(w.wires[at].down) > 2 {
+			if w.links[at].from == atLeft && len(w.links[at].down) > 2 {
 				return
 			}
 		}
-		w.tidy()
-		w.pass()
+		w.dropEndedLinks()
+		w.advanceTime()
 	}
 }
 
-// leftCutOff has a relay that has lost its link, and more committed than the backlog keeps.
+// leftCutOff has a relay that has lost its link, and more entries committed than the backlog retains.
 func leftCutOff(w *world) {
-	w.cut(w.wireFrom(atLeft))
+	w.cut(w.openLinkFrom(atLeft))
 	for range 4 {
 		w.commit()
 	}
 }
 
-// late has messages to the left relay, kept from the epoch before, come behind those of the new one.
-func (w *world) late(kept []distribution.Message) {
-	w.settle()
-	w.restore()
-	w.settle()
-	at := w.wireFrom(atLeft)
-	w.wires[at].down = append(w.wires[at].down, kept...)
+// deliverLate has messages of the epoch before arrive at the left relay behind those of the new one.
+func (w *world) deliverLate(messages []distribution.Message) {
+	w.deliverAll()
+	w.beginEpoch()
+	w.deliverAll()
+	at := w.openLinkFrom(atLeft)
+	w.links[at].down = append(w.links[at].down, messages...)
 }
 
-func (w *world) wireFrom(from int) int {
-	return slices.IndexFunc(w.wires, func(l wire) bool { return l.from == from && l.open })
+func (w *world) openLinkFrom(from int) int {
+	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.open })
 }
 
-func lateChunks(w *world) {
-	leftBehind(w)
-	var kept []distribution.Message
-	for _, m := range w.wires[w.wireFrom(atLeft)].down {
+func oldEpochChunks(w *world) {
+	leftRestoring(w)
+	var messages []distribution.Message
+	for _, m := range w.links[w.openLinkFrom(atLeft)].down {
 		if _, isChunk := m.(distribution.SnapshotChunk); isChunk {
-			kept = append(kept, m)
+			messages = append(messages, m)
 		}
 	}
-	w.late(kept)
+	w.deliverLate(messages)
 }
 
-func lateBatch(w *world) {
+func oldEpochBatch(w *world) {
 	w.commit()
-	w.late(slices.Clone(w.wires[w.wireFrom(atLeft)].down))
+	w.deliverLate(slices.Clone(w.links[w.openLinkFrom(atLeft)].down))
 }
 
-// leafAsleep has a leaf that was stopped for longer than its bound, and what was sent meanwhile.
-func leafAsleep(w *world) {
+// leafPaused has a leaf that was paused for longer than MaxLag, and what was sent meanwhile.
+func leafPaused(w *world) {
 	w.stopped[atLeaf] = true
 	w.commit()
 	for until := w.now + 3000; w.now < until; {
-		w.settle()
-		w.pass()
+		w.deliverAll()
+		w.advanceTime()
 	}
 }
 
-// found is what a search came to.
-type found struct {
+// searchResult is the result of a search.
+type searchResult struct {
 	states, healed int
 	path           string
 	err            error
 }
 
-// explore goes through all states, the nearest first.
-func (r run) explore(m mutation) found {
+// explore visits all states, breadth first.
+func (r search) explore(m mutation) searchResult {
 	type node struct {
 		w    *world
 		from *node
@@ -232,40 +232,40 @@
 		}
 		return last
 	}
-	start := newWorld(r.without, m)
+	start := newWorld(r.absent, m)
 	for range r.commits {
 		start.commit()
 	}
-	if r.before != nil {
-		r.before(start)
+	if r.prepare != nil {
+		r.prepare(start)
 	}
-	start.faults, start.breaks = r.faults, r.breaks
-	if start.broken != nil {
-		return found{err: start.broken, path: "the start"}
+	start.faultsLeft, start.breakagesLeft = r.faults, r.breakages
+	if start.violation != nil {
+		return searchResult{err: start.violation, path: "the start"}
 	}
-	var out found
+	var out searchResult
 	known := map[uint64]bool{}
 	level := []*node{{w: start}}
 	var buffer []byte
 	for depth := 0; depth < r.depth && len(level) > 0; depth++ {
 		var next []*node
 		for _, n := range level {
-			for _, step := range r.moves(n.w) {
+			for _, step := range r.steps(n.w) {
 				w := n.w.clone()
-				step.make(w)
-				w.tidy()
-				if w.broken != nil {
-					out.err, out.path = w.broken, path(n, step.text)
+				step.take(w)
+				w.dropEndedLinks()
+				if w.violation != nil {
+					out.err, out.path = w.violation, path(n, step.text)
 					return out
 				}
-				buffer = w.print(buffer[:0])
+				buffer = w.appendFingerprint(buffer[:0])
 				if sum := xxhash.Sum64(buffer); known[sum] {
 					continue
 				} else {
 					known[sum] = true
 				}
 				out.states++
-				if out.states%r.heal == 0 {
+				if out.states%r.healEvery == 0 {
 					out.healed++
 					if err := w.clone().heal(); err != nil {
 						out.err, out.path = err, path(n, step.text+"; all heals")
@@ -281,8 +281,8 @@
 	return out
 }
 
-func TestEveryOrderOfEvents(t *testing.T) {
-	for _, r := range runs {
+func TestRulesHoldInEveryOrderOfEvents(t *testing.T) {
+	for _, r := range searches {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
 			f := r.explore(mutation{})
@@ -292,13 +292,13 @@
 	}
 }
 
-func TestMutationsAreCaught(t *testing.T) {
+func TestCheckerCatchesMutations(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			f := m.caught()
-			require.Error(t, f.err, "%s does not catch it in %d states", m.run, f.states)
-			t.Logf("%s after %d states: %v (%s)", m.run, f.states, f.err, f.path)
+			require.Error(t, f.err, "%s does not catch it in %d states", m.search, f.states)
+			t.Logf("%s after %d states: %v (%s)", m.search, f.states, f.err, f.path)
 		})
 	}
 }
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -15,8 +15,8 @@
 	return distribution.Peer{Name: name, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Region: draw("region"), Zone: draw("zone"), Site: draw("site")}
 }
 
-// Whoever subscribes where it likes among its candidates, there is no cycle, and each way ends at the store.
-func TestNoCycleOfSubscriptions(t *testing.T) {
+// Whichever of its candidates each process subscribes at, there is no cycle, and each chain ends at the store.
+func TestSubscriptionsFormNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []distribution.Peer{{Name: "store"}}
 		for i := range rapid.IntRange(1, 25).Draw(t, "peers") {
@@ -35,15 +35,15 @@
 		for _, p := range peers {
 			for steps := 0; p.Rank > 0; steps++ {
 				require.Less(t, chosen[p.Name].Rank, p.Rank)
-				require.Less(t, steps, 4, "a way that does not end")
+				require.Less(t, steps, 4, "a chain that does not end")
 				p = chosen[p.Name]
 			}
 		}
 	})
 }
 
-// A distributor refuses who is not below it, whatever its candidates said.
-func TestRankIsCheckedByWhoIsAsked(t *testing.T) {
+// A distributor rejects a subscriber whose rank is not above its own, whatever the candidates of the subscriber were.
+func TestDistributorRejectsWrongRank(t *testing.T) {
 	d := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
 	d.Handle(0, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: 1}})
 	for rank, taken := range map[int]int{1: 0, 2: 0, 3: 1} {
@@ -55,7 +55,7 @@
 	require.Equal(t, 1, d.Subscribers())
 }
 
-func TestNearerFirst(t *testing.T) {
+func TestRankParentsPrefersCloser(t *testing.T) {
 	self := distribution.Peer{Name: "self", Rank: 3, Region: "r", Zone: "z", Site: "s"}
 	peers := []distribution.Peer{
 		{Name: "far", Rank: 2, Region: "q", Zone: "y", Site: "t"},
@@ -73,8 +73,8 @@
 	require.Equal(t, []string{"site", "zone", "next zone", "region", "store", "far"}, order)
 }
 
-// The loss of one of a zone's distributors moves only those that it had, and spreads them.
-func TestLossMovesOnlyItsOwn(t *testing.T) {
+// The loss of one of a zone's distributors moves only its own subscribers, and spreads them.
+func TestLossMovesOnlyItsOwnSubscribers(t *testing.T) {
 	var peers []distribution.Peer
 	for i := range 6 {
 		peers = append(peers, distribution.Peer{Name: fmt.Sprint("d", i), Rank: 2, Region: "r", Zone: "z"})
--- a/internal/decide/distribution/steps_test.go
+++ b/internal/decide/distribution/steps_test.go
@@ -7,96 +7,96 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// tidy forgets wires that have ended at both sides.
-func (w *world) tidy() {
-	w.wires = slices.DeleteFunc(w.wires, func(l wire) bool { return !l.open && len(l.up) == 0 && len(l.down) == 0 })
+// dropEndedLinks drops links that have ended at both sides.
+func (w *world) dropEndedLinks() {
+	w.links = slices.DeleteFunc(w.links, func(l modelLink) bool { return !l.open && len(l.up) == 0 && len(l.down) == 0 })
 }
 
-// cut ends a wire at both sides; what is under way is gone.
+// cut ends a link at both sides; what is in flight is lost.
 func (w *world) cut(at int) {
-	w.wires[at].up, w.wires[at].down = []distribution.Message{nil}, []distribution.Message{nil}
+	w.links[at].up, w.links[at].down = []distribution.Message{nil}, []distribution.Message{nil}
 }
 
-// crash has a distributor start anew with nothing.
+// crash restarts a process with no state.
 func (w *world) crash(i int) {
-	for at, l := range w.wires {
+	for at, l := range w.links {
 		if l.to == i {
-			w.wires[at].up, w.wires[at].down = nil, []distribution.Message{nil}
+			w.links[at].up, w.links[at].down = nil, []distribution.Message{nil}
 		}
 		if l.from == i {
-			w.wires[at].open = false
-			w.wires[at].up, w.wires[at].down = []distribution.Message{nil}, nil
+			w.links[at].open = false
+			w.links[at].up, w.links[at].down = []distribution.Message{nil}, nil
 		}
 	}
-	w.boot(i)
+	w.startProcess(i)
 }
 
-// pass lets time go on to the next thing that is due, and does it.
-func (w *world) pass() {
+// advanceTime moves the time to the next wake-up, and handles it.
+func (w *world) advanceTime() {
 	next := math.Inf(1)
 	for i := range processes {
-		if !w.stopped[i] && w.seen[i] != nil {
-			next = min(next, w.subWake[i], w.distWake[i])
+		if !w.stopped[i] && w.observed[i] != nil {
+			next = min(next, w.subscriberWakeAt[i], w.distributorWakeAt[i])
 		}
 	}
 	w.now = max(w.now, math.Ceil(next))
-	if w.now >= w.told+500 {
-		w.told = w.now
-		w.below(atRoot, distribution.AdvanceWatermark{Epoch: w.epoch, Watermark: w.top()})
+	if w.now >= w.advancedAt+500 {
+		w.advancedAt = w.now
+		w.handleDistributor(atRoot, distribution.AdvanceWatermark{Epoch: w.epoch, Watermark: w.watermark()})
 	}
 	for i := range processes {
-		if w.stopped[i] || w.seen[i] == nil {
+		if w.stopped[i] || w.observed[i] == nil {
 			continue
 		}
-		if w.subs[i] != nil {
-			w.serve(i) // before its Tick
+		if w.subscribers[i] != nil {
+			w.checkServing(i) // before its Tick
 		}
-		if w.distWake[i] <= w.now {
-			w.distWake[i] = math.Inf(1)
-			w.below(i, distribution.Tick{})
+		if w.distributorWakeAt[i] <= w.now {
+			w.distributorWakeAt[i] = math.Inf(1)
+			w.handleDistributor(i, distribution.Tick{})
 		}
-		if w.subWake[i] <= w.now {
-			w.subWake[i] = math.Inf(1)
-			w.above(i, distribution.Tick{})
+		if w.subscriberWakeAt[i] <= w.now {
+			w.subscriberWakeAt[i] = math.Inf(1)
+			w.handleSubscriber(i, distribution.Tick{})
 		}
 	}
 }
 
-func (w *world) quiet() bool {
-	return !slices.ContainsFunc(w.wires, func(l wire) bool { return len(l.up) > 0 || len(l.down) > 0 })
+func (w *world) idle() bool {
+	return !slices.ContainsFunc(w.links, func(l modelLink) bool { return len(l.up) > 0 || len(l.down) > 0 })
 }
 
-// settled tells whether everybody has all that was committed.
-func (w *world) settled() bool {
+// caughtUp reports whether every process has everything that was committed.
+func (w *world) caughtUp() bool {
 	for i := range processes {
-		if w.subs[i] != nil && w.seen[i].CheckCaughtUp(int64(w.now)) != nil {
+		if w.subscribers[i] != nil && w.observed[i].CheckCaughtUp(int64(w.now)) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// resume wakes a process; a request may be there before anything else.
+// resume resumes a paused process; a request may come before anything else.
 func (w *world) resume(i int) {
 	w.stopped[i] = false
-	w.serve(i)
+	w.checkServing(i)
 }
 
-// settle delivers all that is under way.
-func (w *world) settle() {
+// deliverAll delivers all messages that are in flight.
+func (w *world) deliverAll() {
 	for range 10_000 {
 		moved := false
-		for at := range w.wires {
-			if l := w.wires[at]; len(l.up) > 0 && !w.stopped[l.to] {
+		for at := range w.links {
+			if l := w.links[at]; len(l.up) > 0 && !w.stopped[l.to] {
 				w.deliverUp(at)
 				moved = true
 			}
-			if l := w.wires[at]; len(l.down) > 0 && !w.stopped[l.from] {
+			if l := w.links[at]; len(l.down) > 0 && !w.stopped[l.from] {
 				w.deliverDown(at)
 				moved = true
 			}
 		}
-		w.tidy()
+		w.dropEndedLinks()
 		if !moved {
 			return
 		}
@@ -104,7 +104,7 @@
 	panic("messages without end")
 }
 
-// heal ends all faults, and tells whether everybody gets everything in the end.
+// heal ends all faults, and checks that every process gets everything in the end.
 func (w *world) heal() error {
 	for i := range processes {
 		if w.stopped[i] {
@@ -112,18 +112,18 @@
 		}
 	}
 	for range 200 {
-		w.settle()
-		if w.broken != nil {
-			return w.broken
+		w.deliverAll()
+		if w.violation != nil {
+			return w.violation
 		}
-		if w.quiet() && w.settled() {
+		if w.idle() && w.caughtUp() {
 			return nil
 		}
-		w.pass()
+		w.advanceTime()
 	}
 	for i := range processes {
-		if w.subs[i] != nil {
-			if err := w.seen[i].CheckCaughtUp(int64(w.now)); err != nil {
+		if w.subscribers[i] != nil {
+			if err := w.observed[i].CheckCaughtUp(int64(w.now)); err != nil {
 				return err
 			}
 		}
--- a/internal/decide/distribution/wire_test.go
+++ b/internal/decide/distribution/wire_test.go
@@ -10,15 +10,15 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// At some time in 2026, Unix ms.
-const someDay = 1_780_000_000_000
+// timeInTests is a time in 2026, Unix ms.
+const timeInTests = 1_780_000_000_000
 
 func drawEntry(t *rapid.T, sequence uint64) distribution.Entry {
 	e := distribution.Entry{
 		Sequence:    sequence,
 		Kind:        rapid.SampledFrom([]distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup, distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind"),
 		Name:        rapid.StringN(0, 40, 80).Draw(t, "name"),
-		EffectiveAt: someDay - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
+		EffectiveAt: timeInTests - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
 	}
 	if rapid.Bool().Draw(t, "ends") {
 		e.ExpiresAt = e.EffectiveAt + rapid.Int64Range(1, 86_400_000).Draw(t, "until")
@@ -45,7 +45,7 @@
 
 func drawMessage(t *rapid.T) distribution.Message {
 	after := rapid.Uint64Range(0, 1<<33).Draw(t, "after")
-	mark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "mark"), At: someDay}
+	mark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "mark"), At: timeInTests}
 	epoch := rapid.Uint64().Draw(t, "epoch")
 	number := rapid.IntRange(0, 1<<30).Draw(t, "number")
 	entries := drawEntries(t, after)
@@ -61,7 +61,7 @@
 	}).Draw(t, "message")
 }
 
-func TestWhatIsEncodedIsDecoded(t *testing.T) {
+func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		back, err := distribution.Decode(distribution.Encode(m).Bytes)
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestCutAndLongerFramesAreRefused(t *testing.T) {
+func TestDecodeRejectsTruncatedAndTrailingBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := distribution.Encode(drawMessage(t)).Bytes
 		_, err := distribution.Decode(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
@@ -81,7 +81,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: someDay}}).Bytes)
+	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: timeInTests}}).Bytes)
 	f.Add(distribution.Encode(distribution.Batch{Stream: 1, Epoch: 2, After: 3, Through: 9, Entries: []distribution.Entry{{Sequence: 5, Kind: distribution.PurgeObject, Name: "x"}}}).Bytes)
 	f.Add([]byte{4, 1, 1, 1, 1, 1, 1, 0xff, 0xff, 0x3f})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -95,9 +95,9 @@
 	})
 }
 
-func TestEncodedSizeIsABound(t *testing.T) {
+func TestEncodedSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		with := distribution.Batch{Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000, Watermark: distribution.Watermark{Sequence: 1 << 33, At: someDay}}
+		with := distribution.Batch{Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000, Watermark: distribution.Watermark{Sequence: 1 << 33, At: timeInTests}}
 		without := len(distribution.Encode(with).Bytes)
 		with.Entries = drawEntries(t, 1<<32)
 		bound := 0
@@ -108,22 +108,22 @@
 	})
 }
 
-// A purge may take 195 bytes if nothing else were sent: 17 KB/s for 87 purges a second.
-func TestPurgesTakeLittle(t *testing.T) {
+// A purge may take 195 bytes: 17 KB/s for 87 purges a second.
+func TestPurgeFrameSize(t *testing.T) {
 	var entries []distribution.Entry
 	for i := range 87 {
 		entries = append(entries, distribution.Entry{Sequence: 1_000_000 + uint64(i), Kind: distribution.PurgeObject, Group: int64(i), GroupKnown: true,
-			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: someDay - int64(i*11), ExpiresAt: someDay + 3_600_000})
+			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: timeInTests - int64(i*11), ExpiresAt: timeInTests + 3_600_000})
 	}
 	bytes := 0
-	for _, e := range entries { // each alone in a batch, the worst
+	for _, e := range entries { // the worst case: each alone in a batch
 		b := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: e.Sequence - 1, Through: e.Sequence,
-			Watermark: distribution.Watermark{Sequence: e.Sequence, At: someDay}, Entries: []distribution.Entry{e}}
+			Watermark: distribution.Watermark{Sequence: e.Sequence, At: timeInTests}, Entries: []distribution.Entry{e}}
 		size := len(distribution.Encode(b).Bytes)
 		require.Less(t, size, 195)
 		bytes += size
 	}
 	together := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
-		Watermark: distribution.Watermark{Sequence: 1_000_086, At: someDay}, Entries: entries}
+		Watermark: distribution.Watermark{Sequence: 1_000_086, At: timeInTests}, Entries: entries}
 	t.Logf("names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87, len(distribution.Encode(together).Bytes)/87)
 }
