--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -37,7 +37,7 @@
 	cmd := &cobra.Command{
 		Use: "fleet LIST", Short: "Stand in for the servers of a list, at its addresses, until SIGTERM", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := filewatch.Load(args[0], serverlist.Facts{ParentKind: "parent", OriginKind: "origin"}, &resolver.Cache{Clock: o.Clock}, nil)
+			set, err := filewatch.Load(args[0], serverlist.Requirements{ParentKind: "parent", OriginKind: "origin"}, &resolver.Cache{Clock: o.Clock}, nil)
 			if err != nil {
 				return err
 			}
--- a/cmd/ravenwheel/cluster.go
+++ b/cmd/ravenwheel/cluster.go
@@ -116,13 +116,13 @@
 
 // sharedConfig are the commands for the configuration that the store holds.
 func sharedConfig() []*cobra.Command {
-	get := func(cmd *cobra.Command) (c admin.Config, addr string, err error) {
+	get := func(cmd *cobra.Command) (c admin.ConfigResponse, addr string, err error) {
 		if addr, err = adminAddress(); err == nil {
 			err = admin.Call(addr, "/v1/config", nil, &c)
 		}
 		return c, addr, err
 	}
-	put := func(cmd *cobra.Command, addr string, c admin.Configure) error {
+	put := func(cmd *cobra.Command, addr string, c admin.ConfigRequest) error {
 		if u, err := user.Current(); err == nil {
 			c.By = u.Username
 		}
@@ -152,7 +152,7 @@
 			if base >= 0 {
 				c.InForce = uint64(base)
 			}
-			return put(cmd, addr, admin.Configure{Base: c.InForce, Text: string(raw)})
+			return put(cmd, addr, admin.ConfigRequest{Base: c.InForce, Text: string(raw)})
 		},
 	}
 	set.Flags().Int64Var(&base, "base", -1, "the revision that is changed (default: the one in force)")
@@ -167,7 +167,7 @@
 			if err != nil {
 				return err
 			}
-			return put(cmd, addr, admin.Configure{Back: number})
+			return put(cmd, addr, admin.ConfigRequest{Back: number})
 		},
 	}
 	out := []*cobra.Command{
@@ -214,8 +214,8 @@
 			if err != nil {
 				return err
 			}
-			var out admin.Drain
-			if err := admin.Call(addr, "/v1/drain", admin.Drain{ID: args[0], On: on}, &out); err != nil {
+			var out admin.DrainRequest
+			if err := admin.Call(addr, "/v1/drain", admin.DrainRequest{ID: args[0], On: on}, &out); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), args[0], map[bool]string{true: "drains", false: "is given back"}[on])
@@ -234,7 +234,7 @@
 				return err
 			}
 			var out map[string]float64
-			if err := admin.Call(addr, "/v1/list", admin.List{File: args[0], Text: string(raw)}, &out); err != nil {
+			if err := admin.Call(addr, "/v1/list", admin.PushListRequest{File: args[0], Text: string(raw)}, &out); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "generation %.0f, %.0f servers\n", out["generation"], out["servers"])
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -26,7 +26,7 @@
 			n.Translate(reader, s.clk.Now()).Dispatch(rank, s.roster.Handle, s.purged)
 		},
 		OnHeartbeat: func() {
-			reader.Heard(s.clk.Now())
+			reader.Heartbeat(s.clk.Now())
 			s.roster.Handle(membership.Heartbeat{Source: rank})
 		},
 		OnOverdue: s.isOverdue,
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -137,7 +137,7 @@
 	f.t.Helper()
 	for i := from; i < from+n; i++ {
 		var out map[string]float64
-		require.NoError(f.t, admin.Call(f.sock(fleetMember), "/v1/purge", admin.Purge{Object: fmt.Sprintf("%016x", i+1)}, &out))
+		require.NoError(f.t, admin.Call(f.sock(fleetMember), "/v1/purge", admin.PurgeRequest{Object: fmt.Sprintf("%016x", i+1)}, &out))
 	}
 }
 
--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -91,8 +91,8 @@
 	me, err := user.Current()
 	require.NoError(t, err)
 	answers := map[string]any{
-		"/v1/servers": filled[admin.Servers](), "/v1/peers": filled[peers.Status](), "/v1/view": filled[admin.View](),
-		"/v1/distribution": filled[[]distribution.Status](), "/v1/config": filled[admin.Config](),
+		"/v1/servers": filled[admin.ServersResponse](), "/v1/peers": filled[peers.Status](), "/v1/view": filled[admin.ViewResponse](),
+		"/v1/distribution": filled[[]distribution.Status](), "/v1/config": filled[admin.ConfigResponse](),
 	}
 	for path, answer := range answers {
 		raw, err := json.MarshalIndent(answer, "", " ")
@@ -150,7 +150,7 @@
 	}})
 	require.NoError(t, err)
 	files := []serverlist.File{{Name: "l", Data: golden.Read(t, "servers.jsonc")}}
-	parsed, defects := serverlist.Parse(files, serverlist.Facts{ParentKind: "parent", OriginKind: "origin", Writes: true})
+	parsed, defects := serverlist.Parse(files, serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", Writes: true})
 	require.NoError(t, defects.Err())
 	set := parsed.Unresolved()
 	require.NoError(t, keeper.RecordList("list", set))
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -42,9 +42,9 @@
 			defer front.Close()
 			conf := &config.Config{Settings: scenario.Settings()}
 			d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
-			d.Serve(front, nil, nil)
-			d.Owns(true)
-			d.Accept(true)
+			d.Attach(front, nil, nil)
+			d.SetOwner(true)
+			d.SetAccepting(true)
 			c := scenario.Dial(t, front.Addr())
 			asked := 0
 			ask := func(budget int) {
@@ -62,7 +62,7 @@
 			ask(2500)
 			p.Clock.Advance(100)
 			if passed {
-				d.Owns(false)
+				d.SetOwner(false)
 			}
 			require.Equal(t, passed, d.Stop())
 			began := p.Clock.Now()
@@ -163,9 +163,9 @@
 				defer front.Close()
 				conf := &config.Config{Settings: set}
 				d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
-				d.Serve(front, nil, nil)
-				d.Owns(true)
-				d.Accept(true)
+				d.Attach(front, nil, nil)
+				d.SetOwner(true)
+				d.SetAccepting(true)
 				var clients []*restless
 				for range 6 {
 					clients = append(clients, &restless{c: scenario.Dial(t, front.Addr())})
--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/lists_test.go
@@ -68,7 +68,7 @@
 	case id >= 10 && id < 20:
 		kind, zone = "parent", "hub"
 	}
-	return fmt.Sprintf(`{"id": "%s", "addr": "%s", "zone": "%s", "kind": "%s"%s}`, serverlist.Name(id), addr, zone, kind, more)
+	return fmt.Sprintf(`{"id": "%s", "addr": "%s", "zone": "%s", "kind": "%s"%s}`, serverlist.FormatID(id), addr, zone, kind, more)
 }
 
 func listText(generation int, entries []string) string {
--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -86,7 +86,7 @@
 			Use: what + " NAME", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				var out map[string]float64
-				return asked(cmd, "/v1/peers", admin.PeerCall{Do: what, Name: args[0]}, &out, false, func(w *tabwriter.Writer) {
+				return asked(cmd, "/v1/peers", admin.PeerRequest{Do: what, Name: args[0]}, &out, false, func(w *tabwriter.Writer) {
 					fmt.Fprintln(w, tell(args[0], out["took_ms"]))
 				})
 			},
@@ -109,7 +109,7 @@
 			if len(args) > 0 {
 				path += "?server=" + url.QueryEscape(args[0])
 			}
-			var v admin.View
+			var v admin.ViewResponse
 			return asked(cmd, path, nil, &v, asJSON, func(w *tabwriter.Writer) {
 				fmt.Fprintln(w, "server\tsaid by\tattempts/s\tfrom\tto\tfailing\tfrom\tto\toverdue\tp50 ms\tp90 ms\town part")
 				for _, s := range v.Servers {
--- a/cmd/ravenwheel/place.go
+++ b/cmd/ravenwheel/place.go
@@ -17,7 +17,7 @@
 
 // place is this process among those that may own its address, and the operators' way to it.
 type place struct {
-	desk    *control.Desk
+	desk    *control.Controller
 	hand    *handover.Hand   // nil: no console is named, and no other process is looked for
 	console *console.Console // nil: none is named
 }
@@ -36,7 +36,7 @@
 	go p.console.Serve()
 	if conf.HandoverDir != "" {
 		p.hand, err = handover.Start(handover.Options{
-			Dir: conf.HandoverDir, Listen: conf.Listen, Clock: clk, Log: log, Accept: d.Accept, Owns: d.Owns, Shares: d.Shares, Stop: d.Step,
+			Dir: conf.HandoverDir, Listen: conf.Listen, Clock: clk, Log: log, Accept: d.SetAccepting, Owns: d.SetOwner, Shares: d.SetShared, Stop: d.Step,
 			Ended: ended,
 		})
 	}
@@ -54,15 +54,15 @@
 	}
 	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", conf.Listen) })
 	if err == nil {
-		p.desk.Owns(true)
-		p.desk.Accept(true)
+		p.desk.SetOwner(true)
+		p.desk.SetAccepting(true)
 	}
 	return ln, err
 }
 
 // serve has operators' calls carried out.
 func (p *place) serve(front *resp.Front, src *sources) {
-	p.desk.Serve(front, src, p.hand)
+	p.desk.Attach(front, src, p.hand)
 }
 
 func (p *place) close() {
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -242,5 +242,5 @@
 		conf.Sockets = 1024
 	}
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
-	control.Memory(conf.MemoryMB, false)
+	control.LimitMemory(conf.MemoryMB, false)
 }
--- a/cmd/ravenwheel/servers.go
+++ b/cmd/ravenwheel/servers.go
@@ -21,7 +21,7 @@
 )
 
 // systemResolver asks the system for names, as the program that serves does.
-func systemResolver() resolver.Resolver { return net.DefaultResolver }
+func systemResolver() resolver.Backend { return net.DefaultResolver }
 
 // errDefects: they have been printed, a line each.
 var errDefects = errors.New("defects")
@@ -54,8 +54,8 @@
 }
 
 // listFacts are those of the operator's file where it is given, else what every site shares.
-func listFacts() (serverlist.Facts, error) {
-	facts := serverlist.Facts{ParentKind: "parent", OriginKind: "origin", Writes: true}
+func listFacts() (serverlist.Requirements, error) {
+	facts := serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", Writes: true}
 	if operatorFile == "" {
 		return facts, nil
 	}
@@ -71,8 +71,8 @@
 }
 
 // readList reads one list. Its defects are an error that lists them.
-func readList(path string, old *serverlist.Set, facts serverlist.Facts) (*serverlist.Set, error) {
-	files, err := filewatch.Read(path)
+func readList(path string, old *serverlist.List, facts serverlist.Requirements) (*serverlist.List, error) {
+	files, err := filewatch.ReadFiles(path)
 	if err != nil {
 		return nil, strictjson.Defects{{File: path, Reason: err.Error()}}
 	}
@@ -83,8 +83,8 @@
 	if noResolve {
 		return d.Unresolved(), nil
 	}
-	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clock.System(), TTL: 60_000, Timeout: 5000}
-	set, bad := d.Settle(cache.Answers(d.Hosts()), old)
+	cache := &resolver.Cache{Backend: systemResolver(), Clock: clock.System(), TTL: 60_000, Timeout: 5000}
+	set, bad := d.Resolve(cache.Resolve(d.Hosts()), old)
 	return set, bad.Err()
 }
 
@@ -115,7 +115,7 @@
 		return err
 	}
 	old, err := readList(paths[0], nil, facts)
-	var next *serverlist.Set
+	var next *serverlist.List
 	if err == nil {
 		next, err = readList(paths[1], old, facts)
 	}
@@ -125,7 +125,7 @@
 	}
 	changes := serverlist.Diff(old, next)
 	for _, c := range changes {
-		fmt.Fprintf(cmd.OutOrStdout(), "%s %s: %s\n", serverlist.Name(c.ID), c.Verb, c.Text)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s %s: %s\n", serverlist.FormatID(c.ID), c.Kind, c.Text)
 	}
 	if len(changes) == 0 {
 		fmt.Fprintln(cmd.OutOrStdout(), "nothing changes")
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	var s admin.Servers
+	var s admin.ServersResponse
 	if err := admin.Call(addr, "/v1/servers", nil, &s); err != nil {
 		return err
 	}
@@ -160,10 +160,10 @@
 	return nil
 }
 
-func show(w io.Writer, s admin.Servers) {
+func show(w io.Writer, s admin.ServersResponse) {
 	if l := s.List; l != nil {
-		fmt.Fprintf(w, "list %s: generation %d in use, taken %d times, refused %d times\n", l.Path, l.Generation, l.Taken, l.Refusals)
-		for _, why := range l.Why {
+		fmt.Fprintf(w, "list %s: generation %d in use, taken %d times, refused %d times\n", l.Path, l.Generation, l.Accepted, l.Rejected)
+		for _, why := range l.Reasons {
 			fmt.Fprintln(w, "  not in use:", why)
 		}
 	}
@@ -222,7 +222,7 @@
 			if err != nil {
 				return err
 			}
-			p := admin.Purge{Object: object}
+			p := admin.PurgeRequest{Object: object}
 			if cmd.Flags().Changed("group") {
 				p.Group = &group
 			}
--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -23,11 +23,11 @@
 
 // What operators do goes to all members of the store, or, where there is none, to this proxy and its journal.
 
-// Purge implements admin.Shared. It is in force here before it is kept, and kept before it is told: a crash in between
+// Purge implements admin.Operations. It is in force here before it is kept, and kept before it is told: a crash in between
 // leaves a purge that nobody was told of.
 func (s *sources) Purge(p core.Purge) error {
 	if s.only {
-		return admin.ErrMember
+		return admin.ErrNotMember
 	}
 	s.core.Purged(p)
 	var err error
@@ -46,11 +46,11 @@
 // Knows implements desk.Servers.
 func (s *sources) Knows(id policy.CacheID) bool { return s.roster.Knows(id) }
 
-// Drain implements admin.Shared.
+// Drain implements admin.Operations.
 func (s *sources) Drain(id policy.CacheID, on bool) error {
 	switch {
 	case s.only:
-		return admin.ErrMember
+		return admin.ErrNotMember
 	case !s.member:
 		return s.drained(id, on)
 	}
@@ -58,7 +58,7 @@
 	if on {
 		kind = storestate.StartDrain
 	}
-	_, err := s.store.Propose(storestate.Change{Kind: kind, Name: serverlist.Name(id)})
+	_, err := s.store.Propose(storestate.Change{Kind: kind, Name: serverlist.FormatID(id)})
 	return err
 }
 
@@ -70,11 +70,11 @@
 	return s.state.RecordManualDrain(uint64(id), on)
 }
 
-// Push implements admin.Shared.
-func (s *sources) Push(file string, text []byte) (*serverlist.Set, error) {
+// PushList implements admin.Operations.
+func (s *sources) PushList(file string, text []byte) (*serverlist.List, error) {
 	switch {
 	case s.only:
-		return nil, admin.ErrMember
+		return nil, admin.ErrNotMember
 	case !s.member:
 		return nil, errors.New("lists are pushed to a store, and none is set up")
 	}
@@ -82,15 +82,15 @@
 	if bad != nil {
 		return nil, bad
 	}
-	var old *serverlist.Set
+	var old *serverlist.List
 	if err := s.store.Read(true, func(st *storestate.State) {
 		if l, ok := st.Lists[storeList]; ok {
-			old = serverlist.Again(l.Generation, l.Servers)
+			old = serverlist.NewList(l.Generation, l.Servers)
 		}
 	}); err != nil {
 		return nil, err
 	}
-	set, bad := d.Settle(s.names.Answers(d.Hosts()), old)
+	set, bad := d.Resolve(s.names.Resolve(d.Hosts()), old)
 	if bad != nil {
 		return nil, bad
 	}
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -38,7 +38,7 @@
 type sources struct {
 	roster *registry.Registry
 	board  *discoveryclient.Client // nil: none
-	list   *filewatch.Source       // nil: none
+	list   *filewatch.Watcher      // nil: none
 	state  *state.Recorder         // nil: nothing is kept
 	admin  *admin.Admin            // nil: off
 	store  *store.Store            // nil: none is set up
@@ -47,7 +47,7 @@
 	clk    *clock.Clock
 	log    *logs.Log
 	names  *resolver.Cache
-	facts  serverlist.Facts
+	facts  serverlist.Requirements
 	member bool // of the store: what operators do goes to all of its members
 	// overdue tells that discovery has not spoken for too long.
 	overdue chan struct{}
@@ -90,7 +90,7 @@
 	talk *peers.Peers, at *place) (*sources, error) {
 	s := &sources{
 		store: shared.store, member: shared.member(o), only: shared.only(o), core: c, conf: conf, clk: clk, log: log,
-		overdue: make(chan struct{}, 1), names: &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.ListFacts(0),
+		overdue: make(chan struct{}, 1), names: &resolver.Cache{Backend: systemResolver(), Clock: clk, TTL: 30_000, Timeout: 2000}, facts: conf.ListFacts(0),
 	}
 	set, rank := s.ledgerSettings(o)
 	plan, err := s.startState(o, conf, set, clk, log)
@@ -153,7 +153,7 @@
 
 // restore has what was told before the restart bind, before anything new is heard and before the first request, and returns the
 // watched list that was kept (nil: none). file is the list's rank.
-func (s *sources) restore(plan recovery.Plan, file int) (kept *serverlist.Set) {
+func (s *sources) restore(plan recovery.Plan, file int) (kept *serverlist.List) {
 	for _, p := range plan.Purges {
 		group := p.Group
 		if p.Object != "" {
@@ -164,7 +164,7 @@
 	if plan.Boots > 0 { // else nothing is known, and that is not to say that every server is new
 		floors := map[int]uint64{}
 		if l, ok := plan.List(listSource); ok {
-			floors[file], kept = l.Generation, serverlist.Again(l.Generation, l.Servers)
+			floors[file], kept = l.Generation, serverlist.NewList(l.Generation, l.Servers)
 		}
 		s.roster.Restore(plan.Remembered, floors)
 	}
@@ -177,17 +177,17 @@
 // startAdmin opens the operators' address.
 func (s *sources) startAdmin(listen string, shared shared, talk *peers.Peers, at *place) (err error) {
 	a := admin.Options{
-		Listen: listen, Clock: s.clk, Log: s.log, Names: s.conf.Names, Core: s.core, Views: s.roster.Servers, State: s.state,
-		Store: shared.store, Shared: s, Peers: talk,
+		Listen: listen, Clock: s.clk, Log: s.log, Names: s.conf.Names, Core: s.core, Servers: s.roster.Servers, State: s.state,
+		Store: shared.store, Operations: s, Peers: talk,
 	}
 	if shared.node != nil {
 		a.Distribution = shared.node.Status
 	}
 	if at != nil {
-		a.Desk = at.desk
+		a.Controller = at.desk
 	}
 	if s.list != nil {
-		a.List = s.list.Status
+		a.ListStatus = s.list.Status
 	}
 	if s.board != nil {
 		a.Discovery = s.board.Status
@@ -226,11 +226,11 @@
 
 // startList reads the list that is there. Where it can't be used, the one that was kept is; without either, a proxy that
 // stands alone could serve nobody, and does not start. Where the board tells of servers too, the list is waited for.
-func (s *sources) startList(l *config.Servers, at int, conf *config.Config, kept *serverlist.Set, clk *clock.Clock, log *logs.Log) error {
+func (s *sources) startList(l *config.Servers, at int, conf *config.Config, kept *serverlist.List, clk *clock.Clock, log *logs.Log) error {
 	facts := conf.ListFacts(l.MaxDroppedFraction)
-	cache := &resolver.Cache{Resolver: systemResolver(), Clock: clk, TTL: l.ResolveTTLMs, Timeout: l.ResolveTimeoutMs}
+	cache := &resolver.Cache{Backend: systemResolver(), Clock: clk, TTL: l.ResolveTTLMs, Timeout: l.ResolveTimeoutMs}
 	s.facts = facts
-	take := func(set *serverlist.Set) {
+	take := func(set *serverlist.List) {
 		if s.state != nil {
 			_ = s.state.RecordList(listSource, set) // the keeper says so; not to take the list would be worse
 		}
@@ -248,7 +248,7 @@
 		return err
 	}
 	s.list = filewatch.New(filewatch.Options{
-		Path: l.Path, Facts: facts, Settle: l.Debounce(), Names: cache, Clock: clk, Log: log, Take: take,
+		Path: l.Path, Requirements: facts, Debounce: l.Debounce(), Resolver: cache, Clock: clk, Log: log, OnList: take,
 	}, set)
 	go s.list.Run()
 	return nil
--- a/cmd/ravenwheel/state.go
+++ b/cmd/ravenwheel/state.go
@@ -81,7 +81,7 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for _, m := range s.Members() {
-		fmt.Fprintf(t, "%s\t%s\t%s\tsince %s\n", serverlist.Name(policy.CacheID(m.ID)), m.Addr, m.Phase, at(m.Since))
+		fmt.Fprintf(t, "%s\t%s\t%s\tsince %s\n", serverlist.FormatID(policy.CacheID(m.ID)), m.Addr, m.Phase, at(m.Since))
 	}
 	for _, p := range s.Purges() {
 		what := "object " + p.Object
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -43,9 +43,9 @@
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
 	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
-	d.Serve(front, nil, nil)
-	d.Owns(true)
-	d.Accept(true)
+	d.Attach(front, nil, nil)
+	d.SetOwner(true)
+	d.SetAccepting(true)
 	ended := make(chan struct{})
 	operatorStopped := false
 	go func() {
@@ -121,9 +121,9 @@
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
 	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
-	d.Serve(front, nil, nil)
-	d.Owns(true)
-	d.Accept(true)
+	d.Attach(front, nil, nil)
+	d.SetOwner(true)
+	d.SetAccepting(true)
 	c := scenario.Dial(t, front.Addr())
 	require.NoError(t, c.Send([]string{"RPC.CALL", "1", "asset", "rid=00000000000000a1,budget=2500,obj=7f3a9c21e0b4d655,nth=0,batch=17"}))
 	ended := make(chan struct{})
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -94,7 +94,7 @@
 	defer func() { x.starts = append(x.starts, time.Since(began)) }()
 	require.NoError(x.t, x.cmd.Start())
 	for end := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
-		var s admin.Servers
+		var s admin.ServersResponse
 		if admin.Call(x.sock, "/v1/servers", nil, &s) == nil {
 			nc, err := net.Dial("tcp", x.listen)
 			if err == nil {
@@ -117,7 +117,7 @@
 	require.NoError(x.t, os.WriteFile(x.list+".new", []byte(x.text(boxes)), 0o600))
 	require.NoError(x.t, os.Rename(x.list+".new", x.list))
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		var s admin.Servers
+		var s admin.ServersResponse
 		if admin.Call(x.sock, "/v1/servers", nil, &s) == nil && s.List.Generation == uint64(x.gen) {
 			return true
 		}
@@ -131,9 +131,9 @@
 	if named := x.names[box]; named != 0 {
 		id = named
 	}
-	var s admin.Servers
+	var s admin.ServersResponse
 	return admin.Call(x.sock, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.Server) bool {
-		return v.ID == serverlist.Name(id) && v.Phase == "ready"
+		return v.ID == serverlist.FormatID(id) && v.Phase == "ready"
 	})
 }
 
@@ -214,14 +214,14 @@
 			object := load.Object(uint64(x.rng.IntN(5)))
 			x.fleet.Purge(object, group)
 			at := x.clk.Now()
-			if admin.Call(x.sock, "/v1/purge", admin.Purge{Object: object}, &map[string]float64{}) == nil {
+			if admin.Call(x.sock, "/v1/purge", admin.PurgeRequest{Object: object}, &map[string]float64{}) == nil {
 				x.told = append(x.told, fleet.Notification{At: at, Purge: true, Object: object})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
 			x.kill()
 		case 2: // killed in the middle of whatever goes on, with the list torn or an older one in its place
 			go func() {
-				_ = admin.Call(x.sock, "/v1/purge", admin.Purge{Object: load.Object(40)}, &map[string]float64{})
+				_ = admin.Call(x.sock, "/v1/purge", admin.PurgeRequest{Object: load.Object(40)}, &map[string]float64{})
 			}()
 			time.Sleep(time.Duration(x.rng.IntN(100)) * time.Millisecond)
 			x.kill()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -51,8 +51,8 @@
 	Source string  `json:"source,omitempty"`
 }
 
-// Servers is what "servers show" shows.
-type Servers struct {
+// ServersResponse is what "servers show" shows.
+type ServersResponse struct {
 	Version uint64            `json:"version"`
 	NowMs   float64           `json:"now_ms"`
 	Servers []Server          `json:"servers"`
@@ -61,40 +61,40 @@
 
 // Options set up the address.
 type Options struct {
-	Listen string // unix:PATH or an address on loopback
-	Clock  *clock.Clock
-	Log    *logs.Log
-	Names  discoveryclient.Names
-	Core   *core.Core
-	Views  func() ([]membership.ServerStatus, uint64)
-	List   func() filewatch.Status // nil: no list is watched
-	State  *state.Recorder         // nil: nothing is kept
-	Store  *store.Store            // nil: none is set up
-	Peers  *peers.Peers            // nil: this process is alone
+	Listen     string // unix:PATH or an address on loopback
+	Clock      *clock.Clock
+	Log        *logs.Log
+	Names      discoveryclient.Names
+	Core       *core.Core
+	Servers    func() ([]membership.ServerStatus, uint64)
+	ListStatus func() filewatch.Status // nil: no list is watched
+	State      *state.Recorder         // nil: nothing is kept
+	Store      *store.Store            // nil: none is set up
+	Peers      *peers.Peers            // nil: this process is alone
 	// Distribution tells how this process stands in the tree of distributors. nil: it is in none.
 	Distribution func() []distribution.Status
 	// Discovery tells how discovery is followed. nil: there is none.
-	Discovery func() discoveryclient.Status
-	Shared    Shared
-	Desk      Desk // nil: this proxy is not one to be emptied by hand
+	Discovery  func() discoveryclient.Status
+	Operations Operations
+	Controller Controller // nil: this proxy is not one to be emptied by hand
 }
 
-// Desk is the proxy as a whole in operators' hands.
-type Desk interface {
+// Controller is the proxy as a whole in operators' hands.
+type Controller interface {
 	Status() (text string, ready bool)
-	Pause(on bool) error
-	Out(id policy.CacheID, out bool) error
+	SetPaused(on bool) error
+	SetServerDrained(id policy.CacheID, out bool) error
 }
 
-// Shared is what is done for all members of a store, or for this proxy where there is none. Each returns once it is kept.
-type Shared interface {
+// Operations is what is done for all members of a store, or for this proxy where there is none. Each returns once it is kept.
+type Operations interface {
 	Purge(core.Purge) error
 	Drain(id policy.CacheID, on bool) error
-	Push(file string, text []byte) (*serverlist.Set, error)
+	PushList(file string, text []byte) (*serverlist.List, error)
 }
 
-// ErrMember is the answer to what only a member of the store can do, in a process that subscribes: nothing was done.
-var ErrMember = errors.New("this process only hears what the store holds: tell a member of the store")
+// ErrNotMember is the answer to what only a member of the store can do, in a process that subscribes: nothing was done.
+var ErrNotMember = errors.New("this process only hears what the store holds: tell a member of the store")
 
 // Admin serves operators.
 type Admin struct {
@@ -138,7 +138,7 @@
 	mux.HandleFunc("GET /v1/state", a.state)
 	mux.HandleFunc("POST /v1/drain", a.drain)
 	mux.HandleFunc("POST /v1/list", a.push)
-	if o.Desk != nil {
+	if o.Controller != nil {
 		mux.HandleFunc("GET /v1/status", a.status)
 		mux.HandleFunc("POST /v1/pause", a.pause)
 	}
@@ -195,8 +195,8 @@
 func (a *Admin) Close() { _ = a.srv.Close() }
 
 func (a *Admin) servers(w http.ResponseWriter, _ *http.Request) {
-	views, version := a.opt.Views()
-	out := Servers{Version: version, NowMs: a.opt.Clock.Now(), Servers: make([]Server, len(views))}
+	views, version := a.opt.Servers()
+	out := ServersResponse{Version: version, NowMs: a.opt.Clock.Now(), Servers: make([]Server, len(views))}
 	name := func(list []string, i int) string {
 		if i < 0 || i >= len(list) {
 			return strconv.Itoa(i)
@@ -206,12 +206,12 @@
 	for i, v := range views {
 		m := v.Member
 		out.Servers[i] = Server{
-			ID: serverlist.Name(m.ID), Addr: m.Addr, Zone: name(a.opt.Names.Zones, m.Zone), Kind: name(a.opt.Names.Kinds, m.Kind),
+			ID: serverlist.FormatID(m.ID), Addr: m.Addr, Zone: name(a.opt.Names.Zones, m.Zone), Kind: name(a.opt.Names.Kinds, m.Kind),
 			Phase: v.Phase.String(), Weight: m.Weight, Wanted: v.TargetWeight, Since: v.Since, Why: v.Reason, Source: v.Source,
 		}
 	}
-	if a.opt.List != nil {
-		st := a.opt.List()
+	if a.opt.ListStatus != nil {
+		st := a.opt.ListStatus()
 		out.List = &st
 	}
 	reply(w, out)
@@ -235,14 +235,14 @@
 	reply(w, a.opt.State.Status())
 }
 
-// Purge names an object or a group.
-type Purge struct {
+// PurgeRequest names an object or a group.
+type PurgeRequest struct {
 	Object string `json:"object,omitempty"`
 	Group  *int   `json:"group,omitempty"`
 }
 
 func (a *Admin) purge(w http.ResponseWriter, r *http.Request) {
-	var p Purge
+	var p PurgeRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&p)
 	// A copy made within the millisecond of its purge counts as older, as on the notice board.
 	q := core.Purge{Object: p.Object, Group: -1, At: a.opt.Clock.Now() + 1}
@@ -253,7 +253,7 @@
 		http.Error(w, "wants an object of 16 hexadecimal digits, or a group from 0 to 255", http.StatusBadRequest)
 		return
 	}
-	if err := a.opt.Shared.Purge(q); err != nil {
+	if err := a.opt.Operations.Purge(q); err != nil {
 		notDone(w, "in force here, but not kept: ", err)
 		return
 	}
@@ -261,27 +261,27 @@
 	reply(w, map[string]float64{"purged_ms": q.At})
 }
 
-// Status is whether the proxy takes work, and what it does.
-type Status struct {
+// StatusResponse is whether the proxy takes work, and what it does.
+type StatusResponse struct {
 	Ready bool   `json:"ready"`
 	Phase string `json:"phase"`
 }
 
 func (a *Admin) status(w http.ResponseWriter, _ *http.Request) {
-	text, ready := a.opt.Desk.Status()
-	reply(w, Status{Ready: ready, Phase: text})
+	text, ready := a.opt.Controller.Status()
+	reply(w, StatusResponse{Ready: ready, Phase: text})
 }
 
-// Pause empties the proxy, or brings it back to work.
-type Pause struct {
+// PauseRequest empties the proxy, or brings it back to work.
+type PauseRequest struct {
 	On bool `json:"on"`
 }
 
 func (a *Admin) pause(w http.ResponseWriter, r *http.Request) {
-	var p Pause
+	var p PauseRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&p)
 	if err == nil {
-		err = a.opt.Desk.Pause(p.On)
+		err = a.opt.Controller.SetPaused(p.On)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -291,26 +291,26 @@
 	a.status(w, r)
 }
 
-// Drain names a server to be drained by hand, or given back.
-type Drain struct {
+// DrainRequest names a server to be drained by hand, or given back.
+type DrainRequest struct {
 	ID string `json:"id"`
 	On bool   `json:"on"`
 }
 
 func (a *Admin) drain(w http.ResponseWriter, r *http.Request) {
-	var d Drain
+	var d DrainRequest
 	id, ok := policy.CacheID(0), false
 	if json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&d) == nil {
-		id, ok = serverlist.ID(d.ID)
+		id, ok = serverlist.ParseID(d.ID)
 	}
-	views, _ := a.opt.Views()
+	views, _ := a.opt.Servers()
 	if ok = ok && (!d.On || slices.ContainsFunc(views, func(v membership.ServerStatus) bool { return v.Member.ID == id })); !ok {
 		http.Error(w, fmt.Sprintf("no server %q", d.ID), http.StatusBadRequest)
 		return
 	}
-	drain := a.opt.Shared.Drain
-	if a.opt.Desk != nil {
-		drain = a.opt.Desk.Out // kept for a process that takes over, too
+	drain := a.opt.Operations.Drain
+	if a.opt.Controller != nil {
+		drain = a.opt.Controller.SetServerDrained // kept for a process that takes over, too
 	}
 	if err := drain(id, d.On); err != nil {
 		notDone(w, "not kept: ", err)
@@ -322,25 +322,25 @@
 
 // notDone tells what became of a call that failed: that it is to be made elsewhere, or what happened and why.
 func notDone(w http.ResponseWriter, what string, err error) {
-	if errors.Is(err, ErrMember) {
-		http.Error(w, ErrMember.Error(), http.StatusConflict)
+	if errors.Is(err, ErrNotMember) {
+		http.Error(w, ErrNotMember.Error(), http.StatusConflict)
 		return
 	}
 	http.Error(w, what+err.Error(), http.StatusInsufficientStorage)
 }
 
-// List is a server list that is pushed to all members.
-type List struct {
+// PushListRequest is a server list that is pushed to all members.
+type PushListRequest struct {
 	File string `json:"file"` // as its defects name it
 	Text string `json:"text"`
 }
 
 func (a *Admin) push(w http.ResponseWriter, r *http.Request) {
-	var l List
+	var l PushListRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, 2*strictjson.MostBytes)).Decode(&l)
-	var set *serverlist.Set
+	var set *serverlist.List
 	if err == nil {
-		set, err = a.opt.Shared.Push(l.File, []byte(l.Text))
+		set, err = a.opt.Operations.PushList(l.File, []byte(l.Text))
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -349,23 +349,23 @@
 	reply(w, map[string]any{"generation": set.Generation, "servers": len(set.Servers)})
 }
 
-// Config is what "config get" and "config history" show: the revisions that are kept, oldest first.
-type Config struct {
+// ConfigResponse is what "config get" and "config history" show: the revisions that are kept, oldest first.
+type ConfigResponse struct {
 	InForce   uint64                `json:"in_force"`
 	Revisions []storestate.Revision `json:"revisions"`
 	StaleMs   float64               `json:"stale_ms"` // how long this member has heard of no leader
 }
 
 func (a *Admin) config(w http.ResponseWriter, _ *http.Request) {
-	out := Config{StaleMs: a.opt.Store.Status().StaleMs}
+	out := ConfigResponse{StaleMs: a.opt.Store.Status().StaleMs}
 	_ = a.opt.Store.Read(false, func(s *storestate.State) {
 		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Revisions)
 	})
 	reply(w, out)
 }
 
-// Configure puts a text in place of a revision, or goes back to one.
-type Configure struct {
+// ConfigRequest puts a text in place of a revision, or goes back to one.
+type ConfigRequest struct {
 	Base uint64 `json:"base"`
 	Text string `json:"text"`
 	By   string `json:"by"`
@@ -373,7 +373,7 @@
 }
 
 func (a *Admin) configure(w http.ResponseWriter, r *http.Request) {
-	var c Configure
+	var c ConfigRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&c)
 	var revision uint64
 	switch {
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -41,31 +41,31 @@
 }
 
 func TestGoldenForms(t *testing.T) {
-	goldenForm(t, "servers.json", Servers{
+	goldenForm(t, "servers.json", ServersResponse{
 		Version: 9, NowMs: 1000.5, Servers: []Server{{
 			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, Wanted: 8, Since: 900.25,
 			Why: "drained by hand", Source: "board",
 		}},
-		List: &filewatch.Status{Path: "servers.jsonc", Generation: 7, TakenMs: 1, Why: []string{"torn"}, RefusedMs: 2, Looks: 3, Taken: 4, Refusals: 5},
+		List: &filewatch.Status{Path: "servers.jsonc", Generation: 7, AcceptedMs: 1, Reasons: []string{"torn"}, RejectedMs: 2, Reads: 3, Accepted: 4, Rejected: 5},
 	})
-	goldenForm(t, "servers-empty.json", Servers{Servers: []Server{{ID: "s-00000001"}}})
+	goldenForm(t, "servers-empty.json", ServersResponse{Servers: []Server{{ID: "s-00000001"}}})
 	group, zero := 17, 0
-	goldenForm(t, "purge-object.json", Purge{Object: "7f3a9c21e0b4d655"})
-	goldenForm(t, "purge-group.json", Purge{Group: &group})
-	goldenForm(t, "purge-group-0.json", Purge{Group: &zero})
-	goldenForm(t, "status.json", Status{Ready: true, Phase: "serving"})
-	goldenForm(t, "pause.json", Pause{On: true})
-	goldenForm(t, "drain.json", Drain{ID: "s-00c41f7a", On: true})
-	goldenForm(t, "list.json", List{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
-	goldenForm(t, "config.json", Config{
+	goldenForm(t, "purge-object.json", PurgeRequest{Object: "7f3a9c21e0b4d655"})
+	goldenForm(t, "purge-group.json", PurgeRequest{Group: &group})
+	goldenForm(t, "purge-group-0.json", PurgeRequest{Group: &zero})
+	goldenForm(t, "status.json", StatusResponse{Ready: true, Phase: "serving"})
+	goldenForm(t, "pause.json", PauseRequest{On: true})
+	goldenForm(t, "drain.json", DrainRequest{ID: "s-00c41f7a", On: true})
+	goldenForm(t, "list.json", PushListRequest{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
+	goldenForm(t, "config.json", ConfigResponse{
 		InForce: 2, StaleMs: 3.5, Revisions: []storestate.Revision{{Number: 1, CreatedAt: 10.5, Author: "ann", Text: "{}", RollbackOf: 4}, {Number: 2, CreatedAt: 11, Text: "{}"}},
 	})
-	goldenForm(t, "configure.json", Configure{Base: 1, Text: "{}", By: "ann", Back: 2})
-	goldenForm(t, "peer-call.json", PeerCall{Do: "ping", Name: "proxy-1"})
+	goldenForm(t, "configure.json", ConfigRequest{Base: 1, Text: "{}", By: "ann", Back: 2})
+	goldenForm(t, "peer-call.json", PeerRequest{Do: "ping", Name: "proxy-1"})
 	figure := fleetview.BoundedValue{Value: 1.5, Low: 1, High: 2}
-	goldenForm(t, "view.json", View{
+	goldenForm(t, "view.json", ViewResponse{
 		Peers: []fleetview.Peer{{Name: "proxy-1", Zone: "east", Incarnation: 5, Age: 100.5, Arrivals: 20, Servers: 3}},
-		Servers: []ServerView{
+		Servers: []ServerEstimate{
 			{
 				ID:       "s-00c41f7a",
 				Estimate: fleetview.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnWeight: 0.5},
@@ -96,13 +96,13 @@
 // goldenOperations stand for what carries out calls. All of them fail with err, if it is set.
 type goldenOperations struct{ err error }
 
-func (g goldenOperations) Status() (string, bool)           { return "draining, 3 connections left", false }
-func (g goldenOperations) Pause(bool) error                 { return g.err }
-func (g goldenOperations) Out(policy.CacheID, bool) error   { return g.err }
-func (g goldenOperations) Purge(core.Purge) error           { return g.err }
-func (g goldenOperations) Drain(policy.CacheID, bool) error { return g.err }
-func (g goldenOperations) Push(string, []byte) (*serverlist.Set, error) {
-	return &serverlist.Set{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
+func (g goldenOperations) Status() (string, bool)                      { return "draining, 3 connections left", false }
+func (g goldenOperations) SetPaused(bool) error                        { return g.err }
+func (g goldenOperations) SetServerDrained(policy.CacheID, bool) error { return g.err }
+func (g goldenOperations) Purge(core.Purge) error                      { return g.err }
+func (g goldenOperations) Drain(policy.CacheID, bool) error            { return g.err }
+func (g goldenOperations) PushList(string, []byte) (*serverlist.List, error) {
+	return &serverlist.List{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
 }
 
 func goldenAdmin(t *testing.T, err error) *Admin {
@@ -121,11 +121,11 @@
 	}
 	a, listenErr := Listen(Options{
 		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000), Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
-		Core: proxy, Views: func() ([]membership.ServerStatus, uint64) { return []membership.ServerStatus{ready, unnamed}, 9 },
-		List:         func() filewatch.Status { return filewatch.Status{Path: "servers.jsonc", Generation: 7} },
+		Core: proxy, Servers: func() ([]membership.ServerStatus, uint64) { return []membership.ServerStatus{ready, unnamed}, 9 },
+		ListStatus:   func() filewatch.Status { return filewatch.Status{Path: "servers.jsonc", Generation: 7} },
 		Discovery:    func() discoveryclient.Status { return discoveryclient.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
 		Distribution: func() []distribution.Status { return nil },
-		Shared:       goldenOperations{err}, Desk: goldenOperations{err},
+		Operations:   goldenOperations{err}, Controller: goldenOperations{err},
 	})
 	require.NoError(t, listenErr)
 	go a.Serve()
@@ -165,7 +165,7 @@
 	} {
 		goldenCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
 	}
-	failures := []error{errors.New("disk full"), ErrMember}
+	failures := []error{errors.New("disk full"), ErrNotMember}
 	for _, failure := range failures {
 		a := goldenAdmin(t, failure)
 		for _, call := range [][2]string{
--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -10,14 +10,14 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// PeerCall asks for something to be done about a member: "ping" or "forget".
-type PeerCall struct {
+// PeerRequest asks for something to be done about a member: "ping" or "forget".
+type PeerRequest struct {
 	Do   string `json:"do"`
 	Name string `json:"name"`
 }
 
 func (a *Admin) peer(w http.ResponseWriter, r *http.Request) {
-	var c PeerCall
+	var c PeerRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&c)
 	var took float64
 	switch {
@@ -36,15 +36,15 @@
 	reply(w, map[string]float64{"took_ms": took})
 }
 
-// View is what "view show" shows.
-type View struct {
+// ViewResponse is what "view show" shows.
+type ViewResponse struct {
 	Peers   []fleetview.Peer        `json:"peers"`
-	Servers []ServerView            `json:"servers"`
+	Servers []ServerEstimate        `json:"servers"`
 	Heavy   []fleetview.HeavyHitter `json:"heavy"`
 }
 
-// ServerView is one server as the view has it; Said is who says what, where one server is asked for.
-type ServerView struct {
+// ServerEstimate is one server as the view has it; Said is who says what, where one server is asked for.
+type ServerEstimate struct {
 	ID string `json:"id"`
 	fleetview.Estimate
 	Said []fleetview.Report `json:"said,omitempty"`
@@ -55,12 +55,12 @@
 
 func (a *Admin) view(w http.ResponseWriter, r *http.Request) {
 	only := r.URL.Query().Get("server")
-	out := View{Servers: []ServerView{}}
+	out := ViewResponse{Servers: []ServerEstimate{}}
 	a.opt.Peers.View(func(now float64, v *fleetview.View) {
 		out.Peers, out.Heavy = v.Peers(now), v.HeavyHitters(now, heavyShown)
 		for _, id := range v.Servers() {
-			if name := serverlist.Name(id); only == "" || only == name {
-				s := ServerView{ID: name, Estimate: v.Estimate(now, id)}
+			if name := serverlist.FormatID(id); only == "" || only == name {
+				s := ServerEstimate{ID: name, Estimate: v.Estimate(now, id)}
 				if only != "" {
 					s.Said = v.Reports(now, id)
 				}
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -20,7 +20,7 @@
 
 // Keeper is the journal's part.
 type Keeper interface {
-	RecordList(source string, set *serverlist.Set) error
+	RecordList(source string, set *serverlist.List) error
 	RecordPurgeAsync(recovery.Purge)
 }
 
@@ -29,7 +29,7 @@
 	Clock   *clock.Clock
 	Log     *logs.Log
 	Source  int // the store's among the registry's sources
-	Entries func(*serverlist.Set) []membership.Entry
+	Entries func(*serverlist.List) []membership.Entry
 	Tell    func(membership.Event)                 // the registry
 	Drained func(id policy.CacheID, on bool) error // the registry and the journal
 	Purged  func(core.Purge)                       // the request's path
@@ -42,7 +42,7 @@
 	case storestate.SetList:
 		o.list(c.List)
 	case storestate.StartDrain, storestate.EndDrain:
-		if id, ok := serverlist.ID(c.Name); ok {
+		if id, ok := serverlist.ParseID(c.Name); ok {
 			_ = o.Drained(id, c.Kind == storestate.StartDrain) // the store has it; the keeper says what it could not keep
 		}
 	case storestate.AddPurge:
@@ -59,12 +59,12 @@
 
 // list takes a list whole, or not at all where one of its servers is not of this site.
 func (o *Options) list(l *storestate.List) {
-	set := serverlist.Again(l.Generation, l.Servers)
+	set := serverlist.NewList(l.Generation, l.Servers)
 	entries := o.Entries(set)
 	usable := true
 	for i, e := range entries {
 		if e.Zone < 0 || e.Kind < 0 {
-			o.Log.Error("list").Str("server", serverlist.Name(set.Servers[i].ID)).Msg("the store's list is not of this site: not used")
+			o.Log.Error("list").Str("server", serverlist.FormatID(set.Servers[i].ID)).Msg("the store's list is not of this site: not used")
 			usable = false
 		}
 	}
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -28,7 +28,7 @@
 	on bool
 }
 
-func (h *heard) RecordList(source string, set *serverlist.Set) error {
+func (h *heard) RecordList(source string, set *serverlist.List) error {
 	h.all = append(h.all, took{source, set.Generation})
 	return nil
 }
@@ -38,7 +38,7 @@
 func options(h *heard) *applier.Options {
 	return &applier.Options{
 		Clock: clock.Manual(5000), Source: 1, Keeper: h,
-		Entries: func(set *serverlist.Set) []membership.Entry {
+		Entries: func(set *serverlist.List) []membership.Entry {
 			out := make([]membership.Entry, len(set.Servers))
 			for i, s := range set.Servers {
 				if out[i].ID = s.ID; s.Zone != "here" {
@@ -61,7 +61,7 @@
 	in := make(chan storestate.Change, 8)
 	for _, c := range []storestate.Change{
 		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
-		{Kind: storestate.StartDrain, Name: serverlist.Name(1)}, {Kind: storestate.EndDrain, Name: serverlist.Name(1)},
+		{Kind: storestate.StartDrain, Name: serverlist.FormatID(1)}, {Kind: storestate.EndDrain, Name: serverlist.FormatID(1)},
 		{Kind: storestate.StartDrain, Name: "no server's name"}, {Kind: storestate.SpendToken, Name: "a"},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 11}},
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -42,15 +42,15 @@
 	require.NoError(t, err)
 	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListFacts(0.34))
 	require.NoError(t, bad.Err())
-	answers := map[string]serverlist.Answer{}
+	answers := map[string]serverlist.Resolution{}
 	for _, h := range d.Hosts() {
-		answers[h] = serverlist.Answer{Addrs: []string{h}}
+		answers[h] = serverlist.Resolution{Addrs: []string{h}}
 	}
-	set, bad := d.Settle(answers, nil)
+	set, bad := d.Resolve(answers, nil)
 	require.NoError(t, bad.Err())
 	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.ListFacts(0.34))
 	require.NoError(t, bad.Err())
-	written, bad := again.Settle(answers, set)
+	written, bad := again.Resolve(answers, set)
 	require.NoError(t, bad.Err())
 	require.Same(t, set, written, "what is written reads as the same list")
 	entries := c.Entries(set)
--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -10,13 +10,13 @@
 
 // ListFacts returns what server lists are validated against. maxDroppedFraction is the fraction of the ready servers that one
 // list may remove.
-func (c *Config) ListFacts(maxDroppedFraction float64) serverlist.Facts {
-	facts := serverlist.Facts{
-		Zones:       c.Names.Zones,
-		Kinds:       c.Names.Kinds,
-		ParentKind:  c.kindName(c.Settings.ParentKind),
-		OriginKind:  c.kindName(c.Settings.OriginKind),
-		MostDropped: maxDroppedFraction,
+func (c *Config) ListFacts(maxDroppedFraction float64) serverlist.Requirements {
+	facts := serverlist.Requirements{
+		Zones:      c.Names.Zones,
+		Kinds:      c.Names.Kinds,
+		ParentKind: c.kindName(c.Settings.ParentKind),
+		OriginKind: c.kindName(c.Settings.OriginKind),
+		MaxDropped: maxDroppedFraction,
 	}
 	for zone, proxies := range c.Settings.ZoneRouters {
 		if proxies > 0 && zone < len(c.Names.Zones) {
@@ -38,13 +38,13 @@
 }
 
 // Entries returns the servers of a list as the membership decider takes them.
-func (c *Config) Entries(set *serverlist.Set) []membership.Entry {
+func (c *Config) Entries(set *serverlist.List) []membership.Entry {
 	entries := make([]membership.Entry, len(set.Servers))
 	for i, server := range set.Servers {
 		entry := &entries[i]
 		entry.ID, entry.Addr, entry.Cell, entry.Weight, entry.Warm = server.ID, server.Addr, server.Cell, server.Weight, server.Warm
 		entry.Zone, entry.Kind = slices.Index(c.Names.Zones, server.Zone), slices.Index(c.Names.Kinds, server.Kind)
-		entry.Started = policy.Time(server.Started * nanosecondsPerMs)
+		entry.Started = policy.Time(server.StartedMs * nanosecondsPerMs)
 		if server.Draining {
 			entry.State = policy.Draining
 		}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -18,11 +18,11 @@
 	"ravenwheel/policy"
 )
 
-// Desk carries out what operators ask of a proxy. A call that is turned down returns why.
-type Desk interface {
+// Controller carries out what operators ask of a proxy. A call that is turned down returns why.
+type Controller interface {
 	Status() (text string, ready bool)
-	Out(id policy.CacheID, out bool) error
-	Pause(on bool) error
+	SetServerDrained(id policy.CacheID, out bool) error
+	SetPaused(on bool) error
 }
 
 const (
@@ -39,7 +39,7 @@
 // Console serves operators on a listener.
 type Console struct {
 	ln   net.Listener
-	desk Desk
+	desk Controller
 	log  *logs.Log
 
 	mu   sync.Mutex
@@ -47,7 +47,7 @@
 }
 
 // Listen opens the address.
-func Listen(addr string, d Desk, log *logs.Log) (*Console, error) {
+func Listen(addr string, d Controller, log *logs.Log) (*Console, error) {
 	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -132,11 +132,11 @@
 		}
 		return "SUCCESS " + text
 	case word == "PAUSE" && !named, word == "RESUME" && !named:
-		err = c.desk.Pause(word == "PAUSE")
+		err = c.desk.SetPaused(word == "PAUSE")
 	case word == "SUSPEND", word == "RESTORE":
-		id, ok := serverlist.ID(rest)
+		id, ok := serverlist.ParseID(rest)
 		if err = fmt.Errorf("no such cache server"); ok {
-			err = c.desk.Out(id, word == "SUSPEND")
+			err = c.desk.SetServerDrained(id, word == "SUSPEND")
 		}
 	}
 	if err != nil {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -25,7 +25,7 @@
 
 func (d *desk) Status() (string, bool) { return "serving", d.ready }
 
-func (d *desk) Out(id policy.CacheID, out bool) error {
+func (d *desk) SetServerDrained(id policy.CacheID, out bool) error {
 	if id == 9 {
 		return errors.New("no such cache server")
 	}
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (d *desk) Pause(on bool) error {
+func (d *desk) SetPaused(on bool) error {
 	d.note(map[bool]string{true: "pause", false: "resume"}[on])
 	return nil
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -44,8 +44,8 @@
 	Stop         func()
 }
 
-// Desk is one proxy's. It is a console.Desk, and what handover.Options call on.
-type Desk struct {
+// Controller is one proxy's. It is a console.Controller, and what handover.Options call on.
+type Controller struct {
 	opt Options
 
 	mu        sync.Mutex
@@ -59,16 +59,16 @@
 }
 
 // New returns the desk of a proxy that has just started.
-func New(o Options) *Desk {
+func New(o Options) *Controller {
 	set := drain.Settings{
 		CloseIdleAfterDrain: frontAfter, CloseIdleAfterStop: StopAfter, RejectAfter: refuseAfter, KillAfter: o.AnswerWithin,
 		RequestsAfterStop: heardFor, RejectBeforeKill: restWithin, PartialFrameTimeout: halfFor,
 	}
-	return &Desk{opt: o, state: drain.New(set)}
+	return &Controller{opt: o, state: drain.New(set)}
 }
 
-// Serve tells what the desk works with. The proxy serves once it owns its address.
-func (d *Desk) Serve(f Front, s Servers, h *handover.Hand) {
+// Attach tells what the desk works with. The proxy serves once it owns its address.
+func (d *Controller) Attach(f Front, s Servers, h *handover.Hand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.front, d.servers, d.hand = f, s, h
@@ -76,7 +76,7 @@
 }
 
 // apply has the front do as the state says.
-func (d *Desk) apply() {
+func (d *Controller) apply() {
 	if d.front == nil {
 		return
 	}
@@ -90,14 +90,14 @@
 	d.front.SetMaxConns(most)
 }
 
-func (d *Desk) handle(e drain.Event) bool {
+func (d *Controller) handle(e drain.Event) bool {
 	ok := d.state.Handle(d.opt.Clock.Now(), e)
 	d.apply()
 	return ok
 }
 
-// Owns tells whether this process owns the address, or another one does.
-func (d *Desk) Owns(on bool) {
+// SetOwner tells whether this process owns the address, or another one does.
+func (d *Controller) SetOwner(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.passed = !on; on {
@@ -107,23 +107,23 @@
 	}
 }
 
-// Accept has new connections taken, or left.
-func (d *Desk) Accept(on bool) {
+// SetAccepting has new connections taken, or left.
+func (d *Controller) SetAccepting(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.accepting = on
 	d.apply()
 }
 
-// Shares tells whether another process runs beside this one: the limits are for both together.
-func (d *Desk) Shares(on bool) {
+// SetShared tells whether another process runs beside this one: the limits are for both together.
+func (d *Controller) SetShared(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.shared == on {
 		return
 	}
 	d.shared = on
-	Memory(d.opt.MemoryMB, on)
+	LimitMemory(d.opt.MemoryMB, on)
 	if on {
 		go debug.FreeOSMemory()
 	}
@@ -133,8 +133,8 @@
 // gcPercent: collections on one core delay what waits for it, and memory is there to make them rarer. Shared, it is not.
 const gcPercent, gcShared = 400, 50
 
-// Memory keeps the runtime within what the platform gives, less what the runtime does not count; shared: within half.
-func Memory(mb int, shared bool) {
+// LimitMemory keeps the runtime within what the platform gives, less what the runtime does not count; shared: within half.
+func LimitMemory(mb int, shared bool) {
 	if mb <= 0 {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // Step has the proxy end, as another process owns its address.
-func (d *Desk) Step(string) {
+func (d *Controller) Step(string) {
 	d.mu.Lock()
 	d.passed = true
 	d.handle(drain.AddressYielded)
@@ -156,7 +156,7 @@
 }
 
 // Stop tells that the proxy was told to end; passed whether another process has its clients.
-func (d *Desk) Stop() (passed bool) {
+func (d *Controller) Stop() (passed bool) {
 	d.mu.Lock()
 	h := d.hand
 	d.mu.Unlock()
@@ -169,8 +169,8 @@
 	return passed || d.passed
 }
 
-// Status implements console.Desk.
-func (d *Desk) Status() (text string, ready bool) {
+// Status implements console.Controller.
+func (d *Controller) Status() (text string, ready bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.state.Phase()
@@ -183,8 +183,8 @@
 	return p.String(), p == drain.Serving && d.front != nil
 }
 
-// Pause implements console.Desk.
-func (d *Desk) Pause(on bool) error {
+// SetPaused implements console.Controller.
+func (d *Controller) SetPaused(on bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := drain.Resume
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// Out implements console.Desk. What is asked is in force before it is kept, and kept before it is told.
-func (d *Desk) Out(id policy.CacheID, out bool) error {
+// SetServerDrained implements console.Controller. What is asked is in force before it is kept, and kept before it is told.
+func (d *Controller) SetServerDrained(id policy.CacheID, out bool) error {
 	d.mu.Lock()
 	servers, hand := d.servers, d.hand
 	d.mu.Unlock()
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -36,23 +36,23 @@
 	}
 	call := func(done string, err error) { show(fmt.Sprintf("%s (%v)", done, err)) }
 	show("new")
-	call("server 1 drained before there are servers", d.Out(1, true))
-	d.Serve(front, goldenServers{}, nil)
+	call("server 1 drained before there are servers", d.SetServerDrained(1, true))
+	d.Attach(front, goldenServers{}, nil)
 	show("with a front")
-	d.Owns(true)
+	d.SetOwner(true)
 	show("owns its address")
-	call("server 1 drained", d.Out(1, true))
-	call("server 2 drained", d.Out(2, true))
+	call("server 1 drained", d.SetServerDrained(1, true))
+	call("server 2 drained", d.SetServerDrained(2, true))
 	front.connections = 3
-	call("paused", d.Pause(true))
+	call("paused", d.SetPaused(true))
 	front.connections = 0
 	show("no connection left")
-	call("resumed", d.Pause(false))
-	d.Owns(false)
+	call("resumed", d.SetPaused(false))
+	d.SetOwner(false)
 	show("another process owns its address")
-	call("paused", d.Pause(true))
+	call("paused", d.SetPaused(true))
 	d.Stop()
 	show("told to stop")
-	call("resumed", d.Pause(false))
+	call("resumed", d.SetPaused(false))
 	golden.Equal(t, "status.txt", []byte(transcript.String()))
 }
--- a/internal/decide/debounce/debounce.go
+++ b/internal/decide/debounce/debounce.go
@@ -11,20 +11,20 @@
 
 // Settings are in ms.
 type Settings struct {
-	Quiet float64 // how long a text must stay the same
-	Most  float64 // the longest that touches can put off a look
-	Poll  float64 // between looks that nothing asked for, as a touch may have been missed
+	Quiet        float64 // how long a text must stay the same
+	MaxDelay     float64 // the longest that touches can put off a look
+	PollInterval float64 // between looks that nothing asked for, as a touch may have been missed
 }
 
 // Action is what to do next.
 type Action struct {
-	Look bool    // read it now, and tell what was found with Found
-	Take bool    // what the last look found counts
-	At   float64 // when to call Due next
+	Read   bool    // read it now, and tell what was found with Found
+	Accept bool    // what the last look found counts
+	WakeAt float64 // when to call Due next
 }
 
-// Watch is one thing that is watched.
-type Watch struct {
+// Debouncer is one thing that is watched.
+type Debouncer struct {
 	set     Settings
 	touched float64 // last, since the last look
 	first   float64 // touched first since the last look; NaN: not at all
@@ -37,65 +37,65 @@
 }
 
 // New returns a watch that wants to look at once.
-func New(s Settings, now float64) *Watch {
-	return &Watch{set: s, first: math.NaN(), due: now}
+func New(s Settings, now float64) *Debouncer {
+	return &Debouncer{set: s, first: math.NaN(), due: now}
 }
 
-// Touched tells that the file may have changed.
-func (w *Watch) Touched(now float64) Action {
+// Changed tells that the file may have changed.
+func (w *Debouncer) Changed(now float64) Action {
 	if math.IsNaN(w.first) {
 		w.first = now
 	}
 	w.touched = now
-	w.due = min(now+w.set.Quiet, w.first+w.set.Most)
-	return Action{At: w.due}
+	w.due = min(now+w.set.Quiet, w.first+w.set.MaxDelay)
+	return Action{WakeAt: w.due}
 }
 
-// Due tells that the time that was asked for has come, or may have.
-func (w *Watch) Due(now float64) Action {
+// Tick tells that the time that was asked for has come, or may have.
+func (w *Debouncer) Tick(now float64) Action {
 	if now < w.due {
-		return Action{At: w.due}
+		return Action{WakeAt: w.due}
 	}
 	w.first = math.NaN()
-	w.due = now + w.set.Poll
-	return Action{Look: true, At: w.due}
+	w.due = now + w.set.PollInterval
+	return Action{Read: true, WakeAt: w.due}
 }
 
-// Found tells what a look that began at a time found, as a fingerprint of all of it. ok is false if nothing could be
+// ReadDone tells what a look that began at a time found, as a fingerprint of all of it. ok is false if nothing could be
 // read whole: what counted before goes on counting.
-func (w *Watch) Found(began, now float64, print uint64, ok bool) Action {
+func (w *Debouncer) ReadDone(began, now float64, print uint64, ok bool) Action {
 	if !ok {
 		w.seen = false
-		return w.again(now, w.set.Poll)
+		return w.again(now, w.set.PollInterval)
 	}
 	if !w.seen || w.print != print {
 		w.seen, w.print, w.since = true, print, began
 	}
 	if w.took && w.taken == print {
-		return w.again(now, w.set.Poll)
+		return w.again(now, w.set.PollInterval)
 	}
 	// A touch after the look began may be a write that the look saw half of.
 	if began-w.since < w.set.Quiet || w.touched > w.since && began-w.touched < w.set.Quiet {
 		return w.again(now, w.set.Quiet)
 	}
 	w.took, w.taken = true, print
-	a := w.again(now, w.set.Poll)
-	a.Take = true
+	a := w.again(now, w.set.PollInterval)
+	a.Accept = true
 	return a
 }
 
 // again asks for the next look, sooner if a touch asked for that meanwhile.
-func (w *Watch) again(now, after float64) Action {
+func (w *Debouncer) again(now, after float64) Action {
 	if math.IsNaN(w.first) {
 		w.due = now + after
 	} else {
 		w.due = min(w.due, now+after)
 	}
-	return Action{At: w.due}
+	return Action{WakeAt: w.due}
 }
 
-// Forget has the next look count even if it finds what was taken last: what was made of it then may differ now.
-func (w *Watch) Forget(now float64) Action {
+// Invalidate has the next look count even if it finds what was taken last: what was made of it then may differ now.
+func (w *Debouncer) Invalidate(now float64) Action {
 	w.took = false
 	return w.again(now, 0)
 }
--- a/internal/decide/debounce/debounce_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -12,34 +12,34 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var set = debounce.Settings{Quiet: 50, Most: 500, Poll: 2000}
+var set = debounce.Settings{Quiet: 50, MaxDelay: 500, PollInterval: 2000}
 
 // play lets a watch run to a time over a file whose print changes at the given times. It returns when which print
 // was taken, and how many looks it took.
 func play(until float64, touches bool, changes map[float64]uint64) (taken map[float64]uint64, looks int) {
 	taken = map[float64]uint64{}
 	w := debounce.New(set, 0)
-	at, print := w.Due(0).At, uint64(0)
+	at, print := w.Tick(0).WakeAt, uint64(0)
 	look := func(now float64) {
 		looks++
-		a := w.Found(now, now, print, print != 0)
-		if a.Take {
+		a := w.ReadDone(now, now, print, print != 0)
+		if a.Accept {
 			taken[now] = print
 		}
-		at = a.At
+		at = a.WakeAt
 	}
 	look(0)
 	for now := 0.0; now <= until; now++ {
 		if p, ok := changes[now]; ok {
 			if print = p; touches {
-				at = w.Touched(now).At
+				at = w.Changed(now).WakeAt
 			}
 		}
 		if now >= at {
-			if a := w.Due(now); a.Look {
+			if a := w.Tick(now); a.Read {
 				look(now)
 			} else {
-				at = a.At
+				at = a.WakeAt
 			}
 		}
 	}
--- a/internal/decide/serverlist/format.go
+++ b/internal/decide/serverlist/format.go
@@ -9,13 +9,13 @@
 )
 
 // Format writes a set as one list file, an entry a line. What it writes, Parse reads.
-func Format(s *Set) []byte {
+func Format(s *List) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "{\n  \"generation\": %d,\n  \"servers\": [\n", s.Generation)
 	for i, x := range s.Servers {
 		e := entryForm{
-			ID: Name(x.ID), Addr: x.Host + ":" + strconv.Itoa(x.Port), Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight,
-			Started: x.Started, Warm: x.Warm,
+			ID: FormatID(x.ID), Addr: x.Host + ":" + strconv.Itoa(x.Port), Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight,
+			Started: x.StartedMs, Warm: x.Warm,
 		}
 		if strings.Contains(x.Host, ":") {
 			e.Addr = "[" + x.Host + "]:" + strconv.Itoa(x.Port)
--- a/internal/decide/serverlist/golden_test.go
+++ b/internal/decide/serverlist/golden_test.go
@@ -16,7 +16,7 @@
 	return []serverlist.Server{
 		{
 			ID: 1, Host: "cache1.example.org", Port: 4100, Addr: "127.0.1.1:4100", Zone: "east", Kind: "small", Cell: 3,
-			Draining: true, Weight: 4.5, Started: 1_764_576_000_000,
+			Draining: true, Weight: 4.5, StartedMs: 1_764_576_000_000,
 		},
 		{ID: 0x00c41f7a, Host: "::1", Port: 4101, Addr: "[::1]:4101", Zone: "west", Kind: "parent", Weight: 1, Warm: true},
 	}
@@ -42,16 +42,16 @@
 }
 
 // goldenAnswers resolve the hosts of the golden lists.
-var goldenAnswers = map[string]serverlist.Answer{
+var goldenAnswers = map[string]serverlist.Resolution{
 	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "::1": {Addrs: []string{"::1"}}, "127.0.0.20": {Addrs: []string{"127.0.0.20"}},
 }
 
 // The list file: what Format writes is read to the same servers, and written again to the same bytes.
 func TestGoldenListFile(t *testing.T) {
-	golden.Equal(t, "list.json", serverlist.Format(&serverlist.Set{Generation: 7, Servers: goldenServers()}))
-	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Facts{})
+	golden.Equal(t, "list.json", serverlist.Format(&serverlist.List{Generation: 7, Servers: goldenServers()}))
+	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Requirements{})
 	require.NoError(t, defects.Err())
-	set, defects := draft.Settle(goldenAnswers, nil)
+	set, defects := draft.Resolve(goldenAnswers, nil)
 	require.NoError(t, defects.Err())
 	require.EqualValues(t, 7, set.Generation)
 	require.Equal(t, goldenServers(), set.Servers)
@@ -67,7 +67,7 @@
 	draft, defects := serverlist.Parse(files, facts)
 	require.NoError(t, defects.Err())
 	require.True(t, draft.Force)
-	set, defects := draft.Settle(goldenAnswers, nil)
+	set, defects := draft.Resolve(goldenAnswers, nil)
 	require.NoError(t, defects.Err())
 	golden.Equal(t, "parts-as-one.json", serverlist.Format(set))
 }
--- a/internal/decide/serverlist/list_test.go
+++ b/internal/decide/serverlist/list_test.go
@@ -12,9 +12,9 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-var facts = serverlist.Facts{
+var facts = serverlist.Requirements{
 	Zones: []string{"hub", "east", "west"}, Kinds: []string{"small", "parent", "origin"},
-	ParentKind: "parent", OriginKind: "origin", Clients: []string{"east"}, Writes: true, MostDropped: 0.5,
+	ParentKind: "parent", OriginKind: "origin", Clients: []string{"east"}, Writes: true, MaxDropped: 0.5,
 }
 
 const (
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("{\"generation\": %d, \"servers\": [\n%s],\n\"end\": %[1]d}", generation, strings.Join(entries, ",\n"))
 }
 
-var answers = map[string]serverlist.Answer{
+var answers = map[string]serverlist.Resolution{
 	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "cache2.example.org": {Addrs: []string{"127.0.1.1"}},
 	"127.0.0.2": {Addrs: []string{"127.0.0.2"}}, "127.0.0.3": {Addrs: []string{"127.0.0.3"}},
 	"127.0.0.20": {Addrs: []string{"127.0.0.20"}}, "::1": {Addrs: []string{"::1"}}, "0:0:0:0:0:0:0:1": {Addrs: []string{"::1"}},
@@ -39,12 +39,12 @@
 }
 
 // take parses and settles one file; the defects are lines, "" for none.
-func take(text string, old *serverlist.Set) (*serverlist.Set, string) {
+func take(text string, old *serverlist.List) (*serverlist.List, string) {
 	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: []byte(text)}}, facts)
 	if bad != nil {
 		return nil, bad.Error()
 	}
-	set, bad := d.Settle(answers, old)
+	set, bad := d.Resolve(answers, old)
 	if bad != nil {
 		return nil, bad.Error()
 	}
@@ -126,7 +126,7 @@
 	require.Empty(t, bad)
 	var lines []string
 	for _, c := range serverlist.Diff(old, next) {
-		lines = append(lines, fmt.Sprintf("%s %s %s", serverlist.Name(c.ID), c.Verb, c.Text))
+		lines = append(lines, fmt.Sprintf("%s %s %s", serverlist.FormatID(c.ID), c.Kind, c.Text))
 	}
 	require.Equal(t, []string{
 		"s-00000001 re-weighted from 4 to 6",
@@ -136,18 +136,18 @@
 	}, lines)
 
 	// A name with many addresses stays at the one in use while it is among them, and then moves.
-	answers["many.example.org"] = serverlist.Answer{Addrs: []string{"127.0.1.7", "127.0.1.8"}}
+	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7", "127.0.1.8"}}
 	text := list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
 		with(with(east3, "3\"", "5\""), "127.0.0.3", "many.example.org"))
 	again, bad := take(text, next)
 	require.Empty(t, bad)
 	require.Same(t, next, again)
-	answers["many.example.org"] = serverlist.Answer{Addrs: []string{"127.0.1.7"}}
+	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7"}}
 	moved, bad := take(text, next)
 	require.Empty(t, bad)
-	require.Equal(t, "moved", serverlist.Diff(next, moved)[0].Verb)
+	require.Equal(t, "moved", serverlist.Diff(next, moved)[0].Kind)
 	// To an address that another server has: the list that was good stays.
-	answers["many.example.org"] = serverlist.Answer{Addrs: []string{"127.0.0.2"}}
+	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.0.2"}}
 	_, got := take(text, next)
 	require.Contains(t, got, "the address of s-00000002")
 }
@@ -225,7 +225,7 @@
 		d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: text}}, facts)
 		require.Equal(t, bad == nil, d != nil)
 		if d != nil {
-			_, _ = d.Settle(answers, nil)
+			_, _ = d.Resolve(answers, nil)
 		}
 	})
 }
@@ -241,17 +241,17 @@
 
 func BenchmarkParse10k(b *testing.B) {
 	files := large(10_000)
-	known := map[string]serverlist.Answer{}
+	known := map[string]serverlist.Resolution{}
 	d, bad := serverlist.Parse(files, facts)
 	require.NoError(b, bad.Err())
 	for _, h := range d.Hosts() {
-		known[h] = serverlist.Answer{Addrs: []string{h}}
+		known[h] = serverlist.Resolution{Addrs: []string{h}}
 	}
 	b.SetBytes(int64(len(files[0].Data)))
 	b.ReportAllocs()
 	for b.Loop() {
 		d, _ := serverlist.Parse(files, facts)
-		if _, bad := d.Settle(known, nil); bad != nil {
+		if _, bad := d.Resolve(known, nil); bad != nil {
 			b.Fatal(bad)
 		}
 	}
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -39,32 +39,32 @@
 	Data []byte
 }
 
-// Facts are what a list is held against. Where Zones or Kinds is empty, every name will do.
-type Facts struct {
+// Requirements are what a list is held against. Where Zones or Kinds is empty, every name will do.
+type Requirements struct {
 	Zones, Kinds           []string
 	ParentKind, OriginKind string
 	// Clients are the zones with clients: each needs a ready cache.
 	Clients []string
 	// Writes: there are classes that run at the origin, so that one is needed.
 	Writes bool
-	// MostDropped is the share of the ready servers that one list may take out of use, unless it says "force": true.
+	// MaxDropped is the share of the ready servers that one list may take out of use, unless it says "force": true.
 	// A list cut short by hand looks like one that means it.
-	MostDropped float64
+	MaxDropped float64
 }
 
 // Server is one entry, checked.
 type Server struct {
-	ID       policy.CacheID `cbor:"ID" json:"ID"`
-	Host     string         `cbor:"Host" json:"Host"` // in small letters, without a dot at its end
-	Port     int            `cbor:"Port" json:"Port"`
-	Addr     string         `cbor:"Addr" json:"Addr"` // host and port as they are dialled; set by Settle
-	Zone     string         `cbor:"Zone" json:"Zone"`
-	Kind     string         `cbor:"Kind" json:"Kind"`
-	Cell     int            `cbor:"Cell" json:"Cell"`
-	Draining bool           `cbor:"Draining" json:"Draining"`
-	Weight   float64        `cbor:"Weight" json:"Weight"`
-	Started  float64        `cbor:"Started" json:"Started"` // Unix ms; 0: not told
-	Warm     bool           `cbor:"Warm" json:"Warm"`
+	ID        policy.CacheID `cbor:"ID" json:"ID"`
+	Host      string         `cbor:"Host" json:"Host"` // in small letters, without a dot at its end
+	Port      int            `cbor:"Port" json:"Port"`
+	Addr      string         `cbor:"Addr" json:"Addr"` // host and port as they are dialled; set by Settle
+	Zone      string         `cbor:"Zone" json:"Zone"`
+	Kind      string         `cbor:"Kind" json:"Kind"`
+	Cell      int            `cbor:"Cell" json:"Cell"`
+	Draining  bool           `cbor:"Draining" json:"Draining"`
+	Weight    float64        `cbor:"Weight" json:"Weight"`
+	StartedMs float64        `cbor:"Started" json:"Started"` // Unix ms; 0: not told
+	Warm      bool           `cbor:"Warm" json:"Warm"`
 
 	place place
 }
@@ -82,7 +82,7 @@
 	Force      bool
 	Servers    []Server // by id
 
-	facts Facts
+	facts Requirements
 	docs  []*strictjson.Doc
 	head  place
 }
@@ -132,7 +132,7 @@
 }
 
 // Parse reads one list file, or a manifest and its parts (any file named manifest.jsonc makes it that).
-func Parse(files []File, facts Facts) (*Draft, strictjson.Defects) {
+func Parse(files []File, facts Requirements) (*Draft, strictjson.Defects) {
 	d := &Draft{facts: facts}
 	d.read(files)
 	if d.defects() == nil {
@@ -299,7 +299,7 @@
 		fail("warm", "warm contradicts started_ms")
 	}
 	s.Zone, s.Kind, s.Cell, s.Draining, s.Weight = e.Zone, e.Kind, e.Cell, e.State == "draining", e.Weight
-	s.Started, s.Warm, s.place = e.Started, e.Warm, p
+	s.StartedMs, s.Warm, s.place = e.Started, e.Warm, p
 	return s, ok
 }
 
@@ -308,14 +308,14 @@
 	digits, found := strings.CutPrefix(text, "s-")
 	n, err := strconv.ParseUint(digits, 16, 32)
 	// Guards against spellings that differ: the same id in capitals would pass for another.
-	return policy.CacheID(n), found && err == nil && text == Name(policy.CacheID(n))
+	return policy.CacheID(n), found && err == nil && text == FormatID(policy.CacheID(n))
 }
 
-// ID reads an id as Name writes it.
-func ID(text string) (policy.CacheID, bool) { return readID(text) }
+// ParseID reads an id as Name writes it.
+func ParseID(text string) (policy.CacheID, bool) { return readID(text) }
 
-// Name is a server's id as lists and the protocol write it.
-func Name(id policy.CacheID) string { return fmt.Sprintf("s-%08x", uint64(id)) }
+// FormatID is a server's id as lists and the protocol write it.
+func FormatID(id policy.CacheID) string { return fmt.Sprintf("s-%08x", uint64(id)) }
 
 // readAddr reads HOST:PORT, with the host in the one spelling that names are compared in.
 func readAddr(text string) (host string, port int, err string) {
@@ -358,13 +358,13 @@
 	for i := range d.Servers {
 		s := &d.Servers[i]
 		if o := ids[s.ID]; o != nil {
-			s.place.doc.Fail(s.place.path+".id", "id %s is that of %s too", Name(s.ID), o.place)
+			s.place.doc.Fail(s.place.path+".id", "id %s is that of %s too", FormatID(s.ID), o.place)
 		} else {
 			ids[s.ID] = s
 		}
 		at := s.Host + ":" + strconv.Itoa(s.Port)
 		if o := addrs[at]; o != nil {
-			s.place.doc.Fail(s.place.path+".addr", "%s is the address of %s at %s too", at, Name(o.ID), o.place)
+			s.place.doc.Fail(s.place.path+".addr", "%s is the address of %s at %s too", at, FormatID(o.ID), o.place)
 		} else {
 			addrs[at] = s
 		}
--- a/internal/decide/serverlist/settle.go
+++ b/internal/decide/serverlist/settle.go
@@ -15,14 +15,14 @@
 	"ravenwheel/policy"
 )
 
-// Answer is what is known of a host: its addresses in one spelling, or why there are none.
-type Answer struct {
+// Resolution is what is known of a host: its addresses in one spelling, or why there are none.
+type Resolution struct {
 	Addrs []string // as they are dialled, IPv6 without brackets
 	Err   string
 }
 
-// Set is a checked list, ready for use. It is never changed once it is made.
-type Set struct {
+// List is a checked list, ready for use. It is never changed once it is made.
+type List struct {
 	Generation uint64
 	Servers    []Server // by id
 	Sum        uint64   // xxhash of what the servers are, whatever their files look like
@@ -41,15 +41,15 @@
 	return hosts
 }
 
-// Settle puts addresses to hosts and holds the draft against the set in use (nil: none). It returns the set that is
+// Resolve puts addresses to hosts and holds the draft against the set in use (nil: none). It returns the set that is
 // to be used from now on, which is the old one if nothing has changed, or what stands against it.
-func (d *Draft) Settle(answers map[string]Answer, old *Set) (*Set, strictjson.Defects) {
+func (d *Draft) Resolve(answers map[string]Resolution, old *List) (*List, strictjson.Defects) {
 	kept := len(d.docs)
 	defer func() { d.docs = d.docs[:kept] }()
 	for _, doc := range d.docs {
 		doc.Defects = nil
 	}
-	set := &Set{Generation: d.Generation, Servers: slices.Clone(d.Servers)}
+	set := &List{Generation: d.Generation, Servers: slices.Clone(d.Servers)}
 	was := map[policy.CacheID]*Server{}
 	if old != nil {
 		for i := range old.Servers {
@@ -68,7 +68,7 @@
 			s.Addr = "[" + ip + "]:" + strconv.Itoa(s.Port)
 		}
 		if o := at[s.Addr]; o != nil {
-			s.place.doc.Fail(s.place.path+".addr", "%s is %s, the address of %s at %s too", s.Host, s.Addr, Name(o.ID), o.place)
+			s.place.doc.Fail(s.place.path+".addr", "%s is %s, the address of %s at %s too", s.Host, s.Addr, FormatID(o.ID), o.place)
 			continue
 		}
 		at[s.Addr] = s
@@ -91,7 +91,7 @@
 
 // choose is the address that a host is used at. The one in use stays as long as the answer holds it: a name with
 // many addresses comes in another order each time, and each change would cost the server its connections.
-func choose(s *Server, a Answer, was *Server) (ip, err string) {
+func choose(s *Server, a Resolution, was *Server) (ip, err string) {
 	switch {
 	case len(a.Addrs) == 0 && a.Err != "":
 		return "", a.Err
@@ -109,7 +109,7 @@
 }
 
 // against holds a set against the one in use.
-func (d *Draft) against(set, old *Set) {
+func (d *Draft) against(set, old *List) {
 	fail := func(format string, args ...any) { d.head.doc.Fail(d.head.path, format, args...) }
 	switch {
 	case set.Generation < old.Generation:
@@ -120,7 +120,7 @@
 		fail("generation %d was used for another list: give a changed list the next one", set.Generation)
 		return
 	}
-	if d.Force || d.facts.MostDropped <= 0 || d.facts.MostDropped >= 1 {
+	if d.Force || d.facts.MaxDropped <= 0 || d.facts.MaxDropped >= 1 {
 		return
 	}
 	ready := map[policy.CacheID]bool{}
@@ -136,33 +136,33 @@
 			lost++
 		}
 	}
-	if most := int(math.Floor(d.facts.MostDropped * float64(had))); lost > most {
+	if most := int(math.Floor(d.facts.MaxDropped * float64(had))); lost > most {
 		fail("takes %d of %d ready servers out of use, %d at the most without \"force\": true", lost, had, most)
 	}
 }
 
 // sameButAddrs: names may be answered anew under the same generation.
-func sameButAddrs(a, b *Set) bool {
+func sameButAddrs(a, b *List) bool {
 	return slices.EqualFunc(a.Servers, b.Servers, func(x, y Server) bool {
 		x.Addr, y.Addr = "", ""
 		return x == y
 	})
 }
 
-func (s *Set) sum() uint64 {
+func (s *List) sum() uint64 {
 	h := xxhash.New()
 	var b []byte
 	for _, x := range s.Servers {
 		b = binary.BigEndian.AppendUint64(b[:0], uint64(x.ID))
-		b = fmt.Appendf(b, "%s\x00%s\x00%s\x00%s\x00%d %v %v %v %v", x.Host, x.Addr, x.Zone, x.Kind, x.Cell, x.Draining, x.Weight, x.Started, x.Warm)
+		b = fmt.Appendf(b, "%s\x00%s\x00%s\x00%s\x00%d %v %v %v %v", x.Host, x.Addr, x.Zone, x.Kind, x.Cell, x.Draining, x.Weight, x.StartedMs, x.Warm)
 		_, _ = h.Write(b)
 	}
 	return h.Sum64()
 }
 
-// Again is a set as it was taken before, from what was kept of it.
-func Again(generation uint64, servers []Server) *Set {
-	s := &Set{Generation: generation, Servers: servers}
+// NewList is a set as it was taken before, from what was kept of it.
+func NewList(generation uint64, servers []Server) *List {
+	s := &List{Generation: generation, Servers: servers}
 	s.Sum = s.sum()
 	return s
 }
@@ -170,12 +170,12 @@
 // Change is what becomes of one server between two lists.
 type Change struct {
 	ID   policy.CacheID
-	Verb string // added, dropped, drained, restored, moved, re-weighted, changed
+	Kind string // added, dropped, drained, restored, moved, re-weighted, changed
 	Text string
 }
 
 // Diff says what taking list b after list a does, by id. Either may be nil.
-func Diff(a, b *Set) (changes []Change) {
+func Diff(a, b *List) (changes []Change) {
 	was, is := index(a), index(b)
 	ids := make([]policy.CacheID, 0, len(was)+len(is))
 	for id := range was {
@@ -211,7 +211,7 @@
 			if x.Weight != y.Weight {
 				add("re-weighted", "from %v to %v", x.Weight, y.Weight)
 			}
-			if x.Zone != y.Zone || x.Kind != y.Kind || x.Cell != y.Cell || x.Started != y.Started || x.Warm != y.Warm {
+			if x.Zone != y.Zone || x.Kind != y.Kind || x.Cell != y.Cell || x.StartedMs != y.StartedMs || x.Warm != y.Warm {
 				add("changed", "zone %s, kind %s, cell %d%s", y.Zone, y.Kind, y.Cell, y.how())
 			}
 		}
@@ -229,13 +229,13 @@
 		return ", draining"
 	case s.Warm:
 		return ", warm"
-	case s.Started > 0:
-		return fmt.Sprintf(", started at %.0f", s.Started)
+	case s.StartedMs > 0:
+		return fmt.Sprintf(", started at %.0f", s.StartedMs)
 	}
 	return ""
 }
 
-func index(s *Set) map[policy.CacheID]*Server {
+func index(s *List) map[policy.CacheID]*Server {
 	out := map[policy.CacheID]*Server{}
 	if s != nil {
 		for i := range s.Servers {
@@ -246,8 +246,8 @@
 }
 
 // Unresolved is the draft as a set with its hosts as they are written, for comparing lists where no resolver is.
-func (d *Draft) Unresolved() *Set {
-	s := &Set{Generation: d.Generation, Servers: d.Servers}
+func (d *Draft) Unresolved() *List {
+	s := &List{Generation: d.Generation, Servers: d.Servers}
 	s.Sum = s.sum()
 	return s
 }
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -17,7 +17,7 @@
 func goldenList() *storestate.List {
 	return &storestate.List{Generation: 12, Servers: []serverlist.Server{{
 		ID: 1, Host: "cache1.example.org", Port: 4100, Addr: "127.0.0.1:4100", Zone: "east", Kind: "small", Cell: 2, Draining: true,
-		Weight: 4.5, Started: 1e12, Warm: true,
+		Weight: 4.5, StartedMs: 1e12, Warm: true,
 	}, {ID: 2, Host: "127.0.0.2", Port: 4100}}}
 }
 
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -22,8 +22,8 @@
 	mostStarts = 1 << 16
 )
 
-// Reader reads the stamps of one source. Times are in ms, on the clock of its caller; stamps are in Unix ms.
-type Reader struct {
+// Translator reads the stamps of one source. Times are in ms, on the clock of its caller; stamps are in Unix ms.
+type Translator struct {
 	word   float64 // when the source was heard last
 	ahead  float64 // what a stamp lacks for the time on this machine's clock
 	starts map[policy.CacheID]start
@@ -34,46 +34,46 @@
 type start struct{ stamp, at float64 }
 
 // New returns a reader for a source that is followed from now on.
-func New(now float64) *Reader { return &Reader{word: now, starts: map[policy.CacheID]start{}} }
+func New(now float64) *Translator { return &Translator{word: now, starts: map[policy.CacheID]start{}} }
 
-// Heard notes that the source was heard now. It comes after the stamps of that word were read.
-func (r *Reader) Heard(now float64) { r.word = max(r.word, now) }
+// Heartbeat notes that the source was heard now. It comes after the stamps of that word were read.
+func (r *Translator) Heartbeat(now float64) { r.word = max(r.word, now) }
 
-// Known takes from the newest purge that a process is told of at its start how far the clocks are apart: the purges of the
+// Calibrate takes from the newest purge that a process is told of at its start how far the clocks are apart: the purges of the
 // last span of so many ms are told again.
-func (r *Reader) Known(now, newest, span float64) {
+func (r *Translator) Calibrate(now, newest, span float64) {
 	if r.apart(now, newest, now-span-knownLag) {
 		r.ahead = now - newest
 	}
 }
 
-// KnownPurge reads the stamp of a purge that was told at the start.
-func (r *Reader) KnownPurge(now, stamp float64) float64 { return min(now, stamp+r.ahead) }
+// InitialPurge reads the stamp of a purge that was told at the start.
+func (r *Translator) InitialPurge(now, stamp float64) float64 { return min(now, stamp+r.ahead) }
 
 // Purge reads the stamp of a purge that is heard now. As purges are told soon, it shows how far the clocks are apart.
-func (r *Reader) Purge(now, stamp float64) float64 {
+func (r *Translator) Purge(now, stamp float64) float64 {
 	if r.apart(now, stamp, r.word-purgeLag) {
 		r.ahead = now - stamp
 	}
 	return min(now, stamp+r.ahead)
 }
 
-func (r *Reader) apart(now, stamp, oldest float64) bool {
+func (r *Translator) apart(now, stamp, oldest float64) bool {
 	at := stamp + r.ahead
 	return at > now+early || at < oldest
 }
 
-// KnownStart reads the stamp of a server's start in a whole list, which may be of any age. 0: long ago.
-func (r *Reader) KnownStart(now float64, id policy.CacheID, stamp float64) float64 {
+// SnapshotStart reads the stamp of a server's start in a whole list, which may be of any age. 0: long ago.
+func (r *Translator) SnapshotStart(now float64, id policy.CacheID, stamp float64) float64 {
 	return r.start(now, id, stamp, 0)
 }
 
 // Start reads the stamp of a server's start that is heard now as a change. 0: long ago.
-func (r *Reader) Start(now float64, id policy.CacheID, stamp float64) float64 {
+func (r *Translator) Start(now float64, id policy.CacheID, stamp float64) float64 {
 	return r.start(now, id, stamp, r.word-startLag)
 }
 
-func (r *Reader) start(now float64, id policy.CacheID, stamp, oldest float64) float64 {
+func (r *Translator) start(now float64, id policy.CacheID, stamp, oldest float64) float64 {
 	if stamp <= 0 {
 		return 0
 	}
--- a/internal/decide/timestamp/timestamp_test.go
+++ b/internal/decide/timestamp/timestamp_test.go
@@ -18,7 +18,7 @@
 	for _, step := range []float64{0, -hour, hour, -7000, 7000, -40_000} {
 		now := started
 		r := New(now)
-		hear := func() { now += 1000; r.Heard(now) }
+		hear := func() { now += 1000; r.Heartbeat(now) }
 		for range 100 {
 			hear()
 		}
@@ -50,7 +50,7 @@
 func TestStartIsTheFirstToTell(t *testing.T) {
 	for _, step := range []float64{-hour, hour, -18_000} {
 		r := New(started)
-		r.Heard(started + 1000)
+		r.Heartbeat(started + 1000)
 		now := started + 1900
 		require.Equal(t, now, r.Start(now, 1, now-800+step))
 	}
@@ -59,11 +59,11 @@
 // Discovery was away, and tells at once what happened meanwhile: nothing of that is taken for a step.
 func TestBackAfterAnOutage(t *testing.T) {
 	r := New(started)
-	r.Heard(started + 1000)
+	r.Heartbeat(started + 1000)
 	now := started + 61_000
 	require.Equal(t, now-50_000, r.Purge(now, now-50_000))
 	require.Equal(t, now-45_000, r.Start(now, 1, now-45_000))
-	require.Equal(t, now-2*hour, r.KnownStart(now, 2, now-2*hour), "a whole list has servers of any age")
+	require.Equal(t, now-2*hour, r.SnapshotStart(now, 2, now-2*hour), "a whole list has servers of any age")
 	require.Zero(t, r.Start(now, 3, 0))
 }
 
@@ -75,13 +75,13 @@
 		right := started
 		now := right + off
 		r := New(now)
-		r.Known(now, right-400, span)
+		r.Calibrate(now, right-400, span)
 		for _, made := range []float64{right - 5000, right - 400} {
-			at := r.KnownPurge(now, made)
+			at := r.InitialPurge(now, made)
 			require.GreaterOrEqual(t, at, made+off)
 			require.LessOrEqual(t, at, now)
 		}
-		at := r.KnownStart(now, 1, right-2000)
+		at := r.SnapshotStart(now, 1, right-2000)
 		require.GreaterOrEqual(t, at, now-2000)
 		require.LessOrEqual(t, at, now)
 	}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -17,7 +17,7 @@
 func goldenList() storestate.List {
 	return storestate.List{Generation: 77, Servers: []serverlist.Server{
 		{ID: 7, Host: "cache-7.example", Port: 8080, Addr: "cache-7.example:8080", Zone: "zone-1", Kind: "edge", Cell: 3, Draining: true,
-			Weight: 1.5, Started: goldenTime, Warm: true},
+			Weight: 1.5, StartedMs: goldenTime, Warm: true},
 		{ID: 8, Host: "cache-8.example"},
 	}}
 }
--- a/internal/handover/action.go
+++ b/internal/handover/action.go
@@ -75,7 +75,7 @@
 
 func names(list []policy.CacheID) (out []string) {
 	for _, id := range list {
-		out = append(out, serverlist.Name(id))
+		out = append(out, serverlist.FormatID(id))
 	}
 	return out
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -164,7 +164,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m := message{Kind: "out", ID: serverlist.Name(id), On: out}
+	m := message{Kind: "out", ID: serverlist.FormatID(id), On: out}
 	for _, p := range h.peers {
 		_ = send(p, m, nil)
 	}
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("%d servers out by hand are more than %d", len(names), mostOut)
 	}
 	for _, n := range names {
-		id, ok := serverlist.ID(n)
+		id, ok := serverlist.ParseID(n)
 		if !ok {
 			return nil, fmt.Errorf("%q is no server's id", n)
 		}
@@ -182,7 +182,7 @@
 	defer r.mu.Unlock()
 	list := map[policy.CacheID]float64{}
 	for name, at := range r.kept.Back {
-		if id, ok := serverlist.ID(name); ok {
+		if id, ok := serverlist.ParseID(name); ok {
 			list[id] = at
 		}
 	}
@@ -199,7 +199,7 @@
 func (r *record) put(id policy.CacheID, out bool, now float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := serverlist.Name(id)
+	name := serverlist.FormatID(id)
 	if slices.Contains(r.kept.Out, name) == out {
 		if r.behind {
 			return r.write(r.kept)
@@ -229,7 +229,7 @@
 func (r *record) note(id policy.CacheID, out bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := serverlist.Name(id)
+	name := serverlist.FormatID(id)
 	r.kept.Out = slices.DeleteFunc(r.kept.Out, func(n string) bool { return n == name })
 	if out && len(r.kept.Out) < mostOut {
 		r.kept.Out = append(r.kept.Out, name)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -128,7 +128,7 @@
 
 // heard takes in what an operator told the other process.
 func (h *Hand) heard(m message) {
-	id, ok := serverlist.ID(m.ID)
+	id, ok := serverlist.ParseID(m.ID)
 	if !ok {
 		return
 	}
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -54,7 +54,7 @@
 			})},
 		{Name: "lists/file", Role: ListSource, Driver: "servers", Quantity: "a list file", Unit: "bytes",
 			Points: over(sizes, func(n int) float64 {
-				return float64(len(serverlist.Format(&serverlist.Set{Generation: 1, Servers: storeList(n).Servers})))
+				return float64(len(serverlist.Format(&serverlist.List{Generation: 1, Servers: storeList(n).Servers})))
 			})},
 		{Name: "tools/servers", Role: Tools, Driver: "servers", Quantity: "the table of servers that a tool asks one proxy for", Unit: "bytes",
 			Points: over(sizes, func(n int) float64 { return asJSON(ledgerOf(n).Servers()) })},
--- a/internal/lab/capacity/record_replica.go
+++ b/internal/lab/capacity/record_replica.go
@@ -46,7 +46,7 @@
 		m := serverAt(n)
 		list.Servers[n] = serverlist.Server{
 			ID: m.ID, Host: serverAddr(n)[:len(serverAddr(n))-5], Port: 4100, Addr: serverAddr(n), Zone: fmt.Sprintf("zone-%02d", m.Zone),
-			Kind: "cache", Cell: m.Cell, Weight: m.Weight, Started: 1.8e12,
+			Kind: "cache", Cell: m.Cell, Weight: m.Weight, StartedMs: 1.8e12,
 		}
 	}
 	return list
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -94,7 +94,7 @@
 }
 
 // play starts the proxy and takes it through its day.
-func (r *run) play(ctx context.Context, set *serverlist.Set) error {
+func (r *run) play(ctx context.Context, set *serverlist.List) error {
 	var logs bytes.Buffer
 	cmd := exec.Command(r.opt.Proxy, "serve", "--operator", r.opt.Operator, "--servers", r.path)
 	cmd.Stderr = &logs
@@ -170,8 +170,8 @@
 }
 
 // change makes the list of another generation, as an operator would.
-func change(set *serverlist.Set, f func([]serverlist.Server) []serverlist.Server) *serverlist.Set {
-	return &serverlist.Set{Generation: set.Generation + 1, Servers: f(slices.Clone(set.Servers))}
+func change(set *serverlist.List, f func([]serverlist.Server) []serverlist.Server) *serverlist.List {
+	return &serverlist.List{Generation: set.Generation + 1, Servers: f(slices.Clone(set.Servers))}
 }
 
 // over renames a list into place.
@@ -183,13 +183,13 @@
 }
 
 // show asks the proxy what it uses.
-func (r *run) show() (s admin.Servers, err error) {
+func (r *run) show() (s admin.ServersResponse, err error) {
 	err = admin.Call(r.oper.Admin.Listen, "/v1/servers", nil, &s)
 	return s, err
 }
 
 // until waits for what the proxy shows.
-func (r *run) until(ctx context.Context, what string, ok func(admin.Servers) bool) error {
+func (r *run) until(ctx context.Context, what string, ok func(admin.ServersResponse) bool) error {
 	for end := r.clk.Now() + 30_000; ; {
 		s, err := r.show()
 		switch {
@@ -217,7 +217,7 @@
 type step func(ctx context.Context) error
 
 // day is what happens to the list.
-func (r *run) day(ctx context.Context, set *serverlist.Set) error {
+func (r *run) day(ctx context.Context, set *serverlist.List) error {
 	gone, extra := policy.CacheID(2), policy.CacheID(6)
 	without := change(set, func(l []serverlist.Server) []serverlist.Server {
 		return slices.DeleteFunc(l, func(s serverlist.Server) bool { return s.ID == gone })
@@ -247,7 +247,7 @@
 		},
 		func(ctx context.Context) error {
 			r.told = append(r.told, fleet.Notification{At: r.clk.Now() + 2000, Drains: []policy.CacheID{gone}})
-			if err := r.take(ctx, without, "a list without %s: it drains", serverlist.Name(gone)); err != nil {
+			if err := r.take(ctx, without, "a list without %s: it drains", serverlist.FormatID(gone)); err != nil {
 				return err
 			}
 			r.told[len(r.told)-1].At = r.clk.Now()
@@ -256,7 +256,7 @@
 		func(ctx context.Context) error {
 			group := 17
 			r.fleet.Purge("", group)
-			if err := admin.Call(r.oper.Admin.Listen, "/v1/purge", admin.Purge{Group: &group}, &map[string]float64{}); err != nil {
+			if err := admin.Call(r.oper.Admin.Listen, "/v1/purge", admin.PurgeRequest{Group: &group}, &map[string]float64{}); err != nil {
 				return err
 			}
 			r.told = append(r.told, fleet.Notification{At: r.clk.Now(), Purge: true, Group: group})
@@ -267,7 +267,7 @@
 			if err := r.fleet.StartList(grown, r.oper.Site.ParentKind, r.oper.Site.OriginKind); err != nil {
 				return err
 			}
-			return r.take(ctx, grown, "a list with %s, switched on just now, and another weight for %s", serverlist.Name(extra), serverlist.Name(1))
+			return r.take(ctx, grown, "a list with %s, switched on just now, and another weight for %s", serverlist.FormatID(extra), serverlist.FormatID(1))
 		},
 		func(ctx context.Context) error {
 			few := change(grown, func(l []serverlist.Server) []serverlist.Server {
@@ -276,14 +276,14 @@
 			return r.tryRefused(ctx, serverlist.Format(few), "a list that drops half of the servers")
 		},
 		func(ctx context.Context) error {
-			if err := r.until(ctx, "the drain is over", func(s admin.Servers) bool {
-				return slices.ContainsFunc(s.Servers, func(x admin.Server) bool { return x.ID == serverlist.Name(gone) && x.Phase == "gone" })
+			if err := r.until(ctx, "the drain is over", func(s admin.ServersResponse) bool {
+				return slices.ContainsFunc(s.Servers, func(x admin.Server) bool { return x.ID == serverlist.FormatID(gone) && x.Phase == "gone" })
 			}); err != nil {
 				return err
 			}
-			r.say("%s has drained and is gone", serverlist.Name(gone))
+			r.say("%s has drained and is gone", serverlist.FormatID(gone))
 			r.told = append(r.told, fleet.Notification{At: r.clk.Now(), Returns: []policy.CacheID{gone}})
-			return r.take(ctx, back, "rolled back: %s is listed again, and taken for freshly started", serverlist.Name(gone))
+			return r.take(ctx, back, "rolled back: %s is listed again, and taken for freshly started", serverlist.FormatID(gone))
 		},
 	}
 	for _, s := range steps {
@@ -298,12 +298,12 @@
 }
 
 // take renames a list into place and waits until it is in use.
-func (r *run) take(ctx context.Context, set *serverlist.Set, format string, args ...any) error {
+func (r *run) take(ctx context.Context, set *serverlist.List, format string, args ...any) error {
 	began := r.clk.Now()
 	if err := r.over(serverlist.Format(set)); err != nil {
 		return err
 	}
-	if err := r.until(ctx, "the list in use", func(s admin.Servers) bool { return s.List.Generation == set.Generation }); err != nil {
+	if err := r.until(ctx, "the list in use", func(s admin.ServersResponse) bool { return s.List.Generation == set.Generation }); err != nil {
 		return err
 	}
 	r.say("generation %d in use %.0f ms after its rename: %s", set.Generation, r.clk.Now()-began, fmt.Sprintf(format, args...))
@@ -323,14 +323,14 @@
 	if err != nil {
 		return err
 	}
-	n := s.List.Refusals
-	if err := r.until(ctx, "a refusal", func(now admin.Servers) bool {
+	n := s.List.Rejected
+	if err := r.until(ctx, "a refusal", func(now admin.ServersResponse) bool {
 		s = now
-		return now.List.Refusals > n && len(now.List.Why) > 0
+		return now.List.Rejected > n && len(now.List.Reasons) > 0
 	}); err != nil {
 		return err
 	}
-	_, why, _ := strings.Cut(s.List.Why[0], filepath.Base(r.path)+":")
+	_, why, _ := strings.Cut(s.List.Reasons[0], filepath.Base(r.path)+":")
 	r.say("%s is refused, %d stays in use: line %s", what, s.List.Generation, why)
 	return nil
 }
@@ -347,7 +347,7 @@
 	}
 	fmt.Fprintln(w, "\nserver\trole\tattempts\tserved\tsource of\tprobes\t")
 	for _, c := range r.fleet.Counts() {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t\n", serverlist.Name(c.Server), []string{"cache", "parent", "origin"}[c.Role],
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t\n", serverlist.FormatID(c.Server), []string{"cache", "parent", "origin"}[c.Role],
 			c.Attempts, c.Served, c.NamedAsSource, c.Probes)
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		instances = append(instances, map[string]any{
-			"instanceId": serverlist.Name(id), "hostPort": m.Addr, "zone": b.zones[m.Zone], "machineType": b.kinds[m.Kind], "cell": m.Cell,
+			"instanceId": serverlist.FormatID(id), "hostPort": m.Addr, "zone": b.zones[m.Zone], "machineType": b.kinds[m.Kind], "cell": m.Cell,
 			"lifecycle": []string{"up", "draining", "removed"}[m.State], "weight": m.Weight, "startedAtMs": clock.Ms(m.Started),
 		})
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -86,7 +86,7 @@
 func (f *Fleet) Start(id policy.CacheID, role Role, addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("server %s: %w", serverlist.Name(id), err)
+		return nil, fmt.Errorf("server %s: %w", serverlist.FormatID(id), err)
 	}
 	s := &Server{fleet: f, ID: id, Role: role, ln: ln, conns: map[*conn]struct{}{}, copies: map[partKey]*cachedCopy{}}
 	f.mu.Lock()
@@ -97,7 +97,7 @@
 }
 
 // StartList brings up a server for each entry of a list, at its address.
-func (f *Fleet) StartList(set *serverlist.Set, parentKind, originKind string) error {
+func (f *Fleet) StartList(set *serverlist.List, parentKind, originKind string) error {
 	for _, x := range set.Servers {
 		if f.Server(x.ID) != nil {
 			continue
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -33,7 +33,7 @@
 		for _, id := range []policy.CacheID{s.Server, s.Source} {
 			if since, drains := drainsAt(told, id, s.At); drains && s.At > since+r.Drain+r.Slack {
 				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
-					serverlist.Name(s.Server), s.RequestID, s.At, serverlist.Name(id), since))
+					serverlist.FormatID(s.Server), s.RequestID, s.At, serverlist.FormatID(id), since))
 			}
 		}
 		for _, t := range told {
@@ -42,7 +42,7 @@
 			}
 			if t.Object == s.Object || t.Object == "" && t.Group == Group(s.Object) {
 				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
-					serverlist.Name(s.Server), s.RequestID, s.At, s.Stamp, cmp.Or(t.Made, t.At)))
+					serverlist.FormatID(s.Server), s.RequestID, s.At, s.Stamp, cmp.Or(t.Made, t.At)))
 			}
 		}
 	}
--- a/internal/lab/hollow/commits.go
+++ b/internal/lab/hollow/commits.go
@@ -95,7 +95,7 @@
 		return h.text(w)
 	default:
 		server := h.rng.IntN(w.zones * w.spec.ZoneServers)
-		c := storestate.Change{ProposedAt: w.clock(proposer), Kind: storestate.StartDrain, Name: serverlist.Name(policy.CacheID(server + 1))}
+		c := storestate.Change{ProposedAt: w.clock(proposer), Kind: storestate.StartDrain, Name: serverlist.FormatID(policy.CacheID(server + 1))}
 		e := distribution.Entry{Kind: distribution.Drain, Name: c.Name, EffectiveAt: int64(c.ProposedAt)}
 		if h.drained[server] {
 			c.Kind, e.Kind, e.EffectiveAt = storestate.EndDrain, distribution.DrainEnded, 0
--- a/internal/lab/hollow/world.go
+++ b/internal/lab/hollow/world.go
@@ -60,7 +60,7 @@
 	w.fleet(n)
 	for i := range w.zones * s.ZoneServers {
 		id := policy.CacheID(i + 1)
-		w.servers[serverlist.Name(id)] = id
+		w.servers[serverlist.FormatID(id)] = id
 	}
 	w.history = newHistory(w)
 	w.check = newChecker(w)
--- a/internal/lab/multiprocess/full_test.go
+++ b/internal/lab/multiprocess/full_test.go
@@ -163,7 +163,7 @@
 			said[s.ID] = s.Load.Value
 		}
 		for _, id := range f.Caches(zone) {
-			out = append(out, math.Abs(said[serverlist.Name(id)]-truth[id])/max(truth[id], 1))
+			out = append(out, math.Abs(said[serverlist.FormatID(id)]-truth[id])/max(truth[id], 1))
 		}
 	}
 	return out
--- a/internal/lab/multiprocess/hard_test.go
+++ b/internal/lab/multiprocess/hard_test.go
@@ -170,7 +170,7 @@
 	}
 	agree(t, f.Processes[:6], f.Processes)
 	said := func(p *multiprocess.Process) int {
-		v, err := p.View(serverlist.Name(1))
+		v, err := p.View(serverlist.FormatID(1))
 		require.NoError(t, err)
 		n := 0
 		for _, x := range v.Servers {
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -112,7 +112,7 @@
 }
 
 // View is what a process says that all know together; of one server, with who says what.
-func (p *Process) View(server string) (v admin.View, err error) {
+func (p *Process) View(server string) (v admin.ViewResponse, err error) {
 	path := "/v1/view"
 	if server != "" {
 		path += "?server=" + server
--- a/internal/lab/multiprocess/peers_test.go
+++ b/internal/lab/multiprocess/peers_test.go
@@ -139,7 +139,7 @@
 		v, err := p.View("")
 		require.NoError(t, err)
 		for _, x := range v.Servers {
-			if x.ID == serverlist.Name(caches[0]) {
+			if x.ID == serverlist.FormatID(caches[0]) {
 				said, err := p.View(x.ID)
 				require.NoError(t, err)
 				for _, r := range said.Servers[0].Said {
@@ -173,7 +173,7 @@
 }
 
 func idOf(t *testing.T, name string) policy.CacheID {
-	id, ok := serverlist.ID(name)
+	id, ok := serverlist.ParseID(name)
 	require.True(t, ok, name)
 	return id
 }
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -422,7 +422,7 @@
 		if !listed {
 			z = -1 // it has left
 		}
-		r.Caches = append(r.Caches, Cache{serverlist.Name(id), z, n})
+		r.Caches = append(r.Caches, Cache{serverlist.FormatID(id), z, n})
 	}
 	slices.SortFunc(r.Caches, func(a, b Cache) int { return cmp.Or(a.Zone-b.Zone, cmp.Compare(a.ID, b.ID)) })
 	took := p.field.Took()
@@ -466,7 +466,7 @@
 			}
 			ended := min(f.At+f.For, next)
 			r.Reactions = append(r.Reactions, Reaction{
-				Fault: i, Cache: serverlist.Name(id), Left: none(trace.TimeToAbandon(id, f.At, ended)), Back: none(trace.TimeToRestore(id, f.At, ended, next)),
+				Fault: i, Cache: serverlist.FormatID(id), Left: none(trace.TimeToAbandon(id, f.At, ended)), Back: none(trace.TimeToRestore(id, f.At, ended, next)),
 				Surge: trace.Surge(f.At),
 			})
 		}
--- a/internal/lab/sim/check.go
+++ b/internal/lab/sim/check.go
@@ -48,7 +48,7 @@
 		} else if _, known := p.drained[m.ID]; !known {
 			p.drained[m.ID] = c.w.now
 		}
-		c.happened("proxy %d hears that %s is %v", p.no, serverlist.Name(m.ID), []string{"ready", "draining", "gone"}[m.State])
+		c.happened("proxy %d hears that %s is %v", p.no, serverlist.FormatID(m.ID), []string{"ready", "draining", "gone"}[m.State])
 	}
 }
 
@@ -65,7 +65,7 @@
 	for _, s := range []*server{a.to, a.src} {
 		since, drains := a.r.p.drained[s.id]
 		if drains && c.w.now > since+c.w.spec.Rules.Drain {
-			c.broke("drain", fmt.Sprintf("proxy %d uses %s, told at %.3f ms", a.r.p.no, serverlist.Name(s.id), since))
+			c.broke("drain", fmt.Sprintf("proxy %d uses %s, told at %.3f ms", a.r.p.no, serverlist.FormatID(s.id), since))
 		}
 	}
 }
@@ -74,11 +74,11 @@
 func (c *checker) allowed(a *attempt) {
 	w, p := c.w, a.r.p
 	if a.to.role != w.kinds.cache && !w.spec.Fleet.Direct {
-		c.broke("way", fmt.Sprintf("proxy %d goes straight to %s", p.no, serverlist.Name(a.to.id)))
+		c.broke("way", fmt.Sprintf("proxy %d goes straight to %s", p.no, serverlist.FormatID(a.to.id)))
 	}
 	for _, s := range []*server{a.to, a.src} {
 		if s.branch != nil && s.branch != p.branch {
-			c.broke("way", fmt.Sprintf("proxy %d uses %s of another branch", p.no, serverlist.Name(s.id)))
+			c.broke("way", fmt.Sprintf("proxy %d uses %s of another branch", p.no, serverlist.FormatID(s.id)))
 		}
 	}
 	if a.no >= mostTries {
@@ -145,5 +145,5 @@
 // fell: a cold server was pushed over.
 func (c *checker) fell(s *server) {
 	c.broke("cold start", fmt.Sprintf("%s, started at %.3f ms, was sent %.0f KB since %.3f ms, more than it bears with %.2f of its %.0f KB a ms",
-		serverlist.Name(s.id), s.began, s.sent, s.window, s.capacity(), s.full))
+		serverlist.FormatID(s.id), s.began, s.sent, s.window, s.capacity(), s.full))
 }
--- a/internal/source/discoveryclient/discoveryclient_test.go
+++ b/internal/source/discoveryclient/discoveryclient_test.go
@@ -216,7 +216,7 @@
 		{Revision: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
 	}
 	require.Equal(t, known, TranslateInitialEvents(known, r, now, 6000))
-	r.Heard(now + 1000)
+	r.Heartbeat(now + 1000)
 	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
 	require.Equal(t, now+1500+1, stepped.Translate(r, now+1500).Purge.At, "of a clock that was stepped back, and told now")
 	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(r, now+1600)
--- a/internal/source/discoveryclient/stamps.go
+++ b/internal/source/discoveryclient/stamps.go
@@ -10,10 +10,10 @@
 func ms(t policy.Time) float64 { return float64(t) / 1e6 }
 
 // Translate returns a notice that was heard now with its stamps read as times on this machine's clock.
-func (n Event) Translate(r *timestamp.Reader, now float64) Event {
+func (n Event) Translate(r *timestamp.Translator, now float64) Event {
 	start := r.Start
 	if n.Complete {
-		start = r.KnownStart
+		start = r.SnapshotStart
 	}
 	n = n.started(now, start)
 	if n.Purge != nil {
@@ -21,12 +21,12 @@
 		p.At = r.Purge(now, p.At-core.TimestampResolution) + core.TimestampResolution
 		n.Purge = &p
 	}
-	r.Heard(now)
+	r.Heartbeat(now)
 	return n
 }
 
 // TranslateInitialEvents returns the notices of the start with their stamps read. The purges among them are of the last span of so many ms.
-func TranslateInitialEvents(known []Event, r *timestamp.Reader, now, span float64) []Event {
+func TranslateInitialEvents(known []Event, r *timestamp.Translator, now, span float64) []Event {
 	newest := 0.0
 	for _, n := range known {
 		if n.Purge != nil {
@@ -34,14 +34,14 @@
 		}
 	}
 	if newest > 0 {
-		r.Known(now, newest, span)
+		r.Calibrate(now, newest, span)
 	}
 	out := make([]Event, len(known))
 	for i, n := range known {
-		out[i] = n.started(now, r.KnownStart)
+		out[i] = n.started(now, r.SnapshotStart)
 		if n.Purge != nil {
 			p := *n.Purge
-			p.At = r.KnownPurge(now, p.At-core.TimestampResolution) + core.TimestampResolution
+			p.At = r.InitialPurge(now, p.At-core.TimestampResolution) + core.TimestampResolution
 			out[i].Purge = &p
 		}
 	}
--- a/internal/source/filewatch/effect_test.go
+++ b/internal/source/filewatch/effect_test.go
@@ -28,7 +28,7 @@
 			clk, took := clock.System(), hdrhistogram.New(1, 60_000_000, 3)
 			path := filepath.Join(b.TempDir(), "servers.jsonc")
 			text := func(generation int) []byte {
-				s := &serverlist.Set{Generation: uint64(generation)}
+				s := &serverlist.List{Generation: uint64(generation)}
 				for i := range c.servers {
 					s.Servers = append(s.Servers, serverlist.Server{
 						ID: policy.CacheID(i + 1), Host: fmt.Sprintf("127.%d.%d.1", 1+i/250, i%250), Port: 4100, Zone: "east", Kind: "small", Weight: 4,
@@ -38,8 +38,8 @@
 			}
 			taken := make(chan uint64, 1)
 			src := filewatch.New(filewatch.Options{
-				Path: path, Clock: clk, Names: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
-				Settle: debounce.Settings{Quiet: c.quiet, Most: 5000, Poll: 5000}, Take: func(s *serverlist.Set) { taken <- s.Generation },
+				Path: path, Clock: clk, Resolver: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
+				Debounce: debounce.Settings{Quiet: c.quiet, MaxDelay: 5000, PollInterval: 5000}, OnList: func(s *serverlist.List) { taken <- s.Generation },
 			}, nil)
 			go src.Run()
 			defer src.Close()
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -29,38 +29,38 @@
 
 // Options set up a watch.
 type Options struct {
-	Path   string
-	Facts  serverlist.Facts
-	Settle debounce.Settings
-	Names  *resolver.Cache
-	Clock  *clock.Clock
-	Log    *logs.Log
-	// Take gets each new set, in order, from one goroutine.
-	Take func(*serverlist.Set)
+	Path         string
+	Requirements serverlist.Requirements
+	Debounce     debounce.Settings
+	Resolver     *resolver.Cache
+	Clock        *clock.Clock
+	Log          *logs.Log
+	// OnList gets each new set, in order, from one goroutine.
+	OnList func(*serverlist.List)
 }
 
 // Status is how the watched list stands.
 type Status struct {
 	Path       string             `json:"path"`
 	Generation uint64             `json:"generation"`         // in use; 0: none
-	TakenMs    float64            `json:"taken_ms,omitempty"` // Unix ms
-	Refused    strictjson.Defects `json:"-"`                  // why what is there now is not in use
-	Why        []string           `json:"refused,omitempty"`
-	RefusedMs  float64            `json:"refused_ms,omitempty"`
-	Looks      int64              `json:"looks"`
-	Taken      int64              `json:"taken"`
-	Refusals   int64              `json:"refusals"`
+	AcceptedMs float64            `json:"taken_ms,omitempty"` // Unix ms
+	Defects    strictjson.Defects `json:"-"`                  // why what is there now is not in use
+	Reasons    []string           `json:"refused,omitempty"`
+	RejectedMs float64            `json:"refused_ms,omitempty"`
+	Reads      int64              `json:"looks"`
+	Accepted   int64              `json:"taken"`
+	Rejected   int64              `json:"refusals"`
 }
 
-// Source is one watched list.
-type Source struct {
+// Watcher is one watched list.
+type Watcher struct {
 	opt    Options
 	events chan func() // what the loop does next
 	stop   chan struct{}
 	once   sync.Once
 
 	// Of the loop alone.
-	watch   *debounce.Watch
+	watch   *debounce.Debouncer
 	fs      *fsnotify.Watcher
 	dirs    map[string]bool
 	looking bool
@@ -72,7 +72,7 @@
 	last    string            // how a look failed last
 
 	mu     sync.Mutex
-	set    *serverlist.Set
+	set    *serverlist.List
 	status Status
 }
 
@@ -83,8 +83,8 @@
 )
 
 // Load reads, resolves and checks a list once, as it is now, against the one taken before (nil: none).
-func Load(path string, facts serverlist.Facts, cache *resolver.Cache, old *serverlist.Set) (*serverlist.Set, error) {
-	files, err := Read(path)
+func Load(path string, facts serverlist.Requirements, cache *resolver.Cache, old *serverlist.List) (*serverlist.List, error) {
+	files, err := ReadFiles(path)
 	if err != nil {
 		return nil, err
 	}
@@ -92,36 +92,36 @@
 	if bad != nil {
 		return nil, bad
 	}
-	set, bad := d.Settle(cache.Answers(d.Hosts()), old)
+	set, bad := d.Resolve(cache.Resolve(d.Hosts()), old)
 	return set, bad.Err()
 }
 
 // New returns a source whose set (nil: none) is in use already.
-func New(o Options, set *serverlist.Set) *Source {
-	s := &Source{opt: o, events: make(chan func(), 64), stop: make(chan struct{}), dirs: map[string]bool{}, set: set}
+func New(o Options, set *serverlist.List) *Watcher {
+	s := &Watcher{opt: o, events: make(chan func(), 64), stop: make(chan struct{}), dirs: map[string]bool{}, set: set}
 	s.status.Path = o.Path
 	if set != nil {
-		s.status.Generation, s.status.TakenMs = set.Generation, o.Clock.Now()
+		s.status.Generation, s.status.AcceptedMs = set.Generation, o.Clock.Now()
 	}
 	return s
 }
 
 // Close ends the watch.
-func (s *Source) Close() { s.once.Do(func() { close(s.stop) }) }
+func (s *Watcher) Close() { s.once.Do(func() { close(s.stop) }) }
 
 // Status tells how the list stands.
-func (s *Source) Status() Status {
+func (s *Watcher) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.status
-	for _, d := range st.Refused {
-		st.Why = append(st.Why, d.Error())
+	for _, d := range st.Defects {
+		st.Reasons = append(st.Reasons, d.Error())
 	}
 	return st
 }
 
 // Run follows the list until Close.
-func (s *Source) Run() {
+func (s *Watcher) Run() {
 	var touched <-chan fsnotify.Event
 	var broken <-chan error
 	var err error
@@ -132,9 +132,9 @@
 		touched, broken = s.fs.Events, s.fs.Errors
 		defer s.fs.Close()
 	}
-	s.watch = debounce.New(s.opt.Settle, s.opt.Clock.Now())
+	s.watch = debounce.New(s.opt.Debounce, s.opt.Clock.Now())
 	s.follow()
-	s.act(s.watch.Due(s.opt.Clock.Now()))
+	s.act(s.watch.Tick(s.opt.Clock.Now()))
 	for {
 		select {
 		case <-s.stop:
@@ -144,17 +144,17 @@
 			f()
 		case e := <-touched:
 			if s.concerns(e) {
-				s.act(s.watch.Touched(s.opt.Clock.Now()))
+				s.act(s.watch.Changed(s.opt.Clock.Now()))
 			}
 		case err := <-broken:
 			// The queue of news ran over: what it held is not known, so look.
 			s.opt.Log.Warn("watch").Err(err).Msg("news from the file system lost")
-			s.act(s.watch.Touched(s.opt.Clock.Now()))
+			s.act(s.watch.Changed(s.opt.Clock.Now()))
 		}
 	}
 }
 
-func (s *Source) clear() {
+func (s *Watcher) clear() {
 	if s.unset != nil {
 		s.unset()
 	}
@@ -164,7 +164,7 @@
 }
 
 // later has f done by the loop, unless the watch has ended.
-func (s *Source) later(f func()) {
+func (s *Watcher) later(f func()) {
 	select {
 	case s.events <- f:
 	case <-s.stop:
@@ -172,7 +172,7 @@
 }
 
 // concerns: in a directory that holds much else, most events are of other files.
-func (s *Source) concerns(e fsnotify.Event) bool {
+func (s *Watcher) concerns(e fsnotify.Event) bool {
 	if e.Op == fsnotify.Chmod {
 		return false
 	}
@@ -182,33 +182,33 @@
 }
 
 // act carries out what the decider wants.
-func (s *Source) act(a debounce.Action) {
-	if a.Take {
+func (s *Watcher) act(a debounce.Action) {
+	if a.Accept {
 		s.take()
 	}
-	if a.Look && !s.looking {
+	if a.Read && !s.looking {
 		s.look()
 	}
 	if s.unset != nil {
 		s.unset()
 	}
-	wait := a.At - s.opt.Clock.Now()
+	wait := a.WakeAt - s.opt.Clock.Now()
 	s.unset = s.opt.Clock.After(wait, func() {
-		go s.later(func() { s.act(s.watch.Due(s.opt.Clock.Now())) })
+		go s.later(func() { s.act(s.watch.Tick(s.opt.Clock.Now())) })
 	})
 }
 
 // look reads the list away from the loop: a file system that hangs must not hold up the drains of the list in use.
-func (s *Source) look() {
+func (s *Watcher) look() {
 	s.looking = true
 	s.follow()
 	began := s.opt.Clock.Now()
 	go func() {
-		files, err := Read(s.opt.Path)
+		files, err := ReadFiles(s.opt.Path)
 		s.later(func() {
 			s.looking = false
 			s.mu.Lock()
-			s.status.Looks++
+			s.status.Reads++
 			s.mu.Unlock()
 			switch {
 			case err != nil:
@@ -216,18 +216,18 @@
 			case s.last != "":
 				// It is there again: what was refused or in use before is looked at anew.
 				s.last = ""
-				s.watch.Forget(s.opt.Clock.Now())
+				s.watch.Invalidate(s.opt.Clock.Now())
 				fallthrough
 			default:
 				s.files = files
 			}
-			s.act(s.watch.Found(began, s.opt.Clock.Now(), fingerprint(files), err == nil))
+			s.act(s.watch.ReadDone(began, s.opt.Clock.Now(), fingerprint(files), err == nil))
 		})
 	}()
 }
 
 // fail notes a look that read nothing, once for each reason.
-func (s *Source) fail(err error) {
+func (s *Watcher) fail(err error) {
 	if s.last == err.Error() || errors.Is(err, errChanged) {
 		return
 	}
@@ -254,8 +254,8 @@
 }
 
 // take checks what was read last, and uses it if it can be used.
-func (s *Source) take() {
-	d, bad := serverlist.Parse(s.files, s.opt.Facts)
+func (s *Watcher) take() {
+	d, bad := serverlist.Parse(s.files, s.opt.Requirements)
 	s.files = nil
 	if bad != nil {
 		// The draft before it stays: its names are still to be answered anew.
@@ -267,23 +267,23 @@
 }
 
 // settle asks for the names of the draft, and holds it against the set in use.
-func (s *Source) settle() {
+func (s *Watcher) settle() {
 	s.asking++
 	asked, d := s.asking, s.draft
 	go func() {
 		hosts := d.Hosts()
-		answers := s.opt.Names.Answers(hosts)
+		answers := s.opt.Resolver.Resolve(hosts)
 		s.later(func() {
 			if asked != s.asking {
 				return // a newer list has come meanwhile
 			}
-			s.opt.Names.Forget(hosts)
+			s.opt.Resolver.Retain(hosts)
 			s.use(d, answers)
 			if s.renew != nil {
 				s.renew()
 			}
-			if resolver.Names(hosts) {
-				s.renew = s.opt.Clock.After(s.opt.Names.TTL, func() {
+			if resolver.HasNames(hosts) {
+				s.renew = s.opt.Clock.After(s.opt.Resolver.TTL, func() {
 					go s.later(func() {
 						if asked == s.asking {
 							s.settle()
@@ -295,21 +295,21 @@
 	}()
 }
 
-func (s *Source) use(d *serverlist.Draft, answers map[string]serverlist.Answer) {
+func (s *Watcher) use(d *serverlist.Draft, answers map[string]serverlist.Resolution) {
 	s.mu.Lock()
 	old := s.set
 	s.mu.Unlock()
-	set, bad := d.Settle(answers, old)
+	set, bad := d.Resolve(answers, old)
 	if bad != nil {
 		s.refuse(bad)
 		return
 	}
 	s.mu.Lock()
-	s.status.Refused, s.status.RefusedMs = nil, 0
+	s.status.Defects, s.status.RejectedMs = nil, 0
 	if set != old {
 		s.set = set
-		s.status.Generation, s.status.TakenMs = set.Generation, s.opt.Clock.Now()
-		s.status.Taken++
+		s.status.Generation, s.status.AcceptedMs = set.Generation, s.opt.Clock.Now()
+		s.status.Accepted++
 	}
 	s.mu.Unlock()
 	if set == old {
@@ -318,18 +318,18 @@
 	changes := serverlist.Diff(old, set)
 	counts := map[string]int{}
 	for _, c := range changes {
-		counts[c.Verb]++
+		counts[c.Kind]++
 	}
 	s.opt.Log.Info("list").Uint64("generation", set.Generation).Int("servers", len(set.Servers)).
 		Interface("changes", counts).Msg("server list taken")
-	s.opt.Take(set)
+	s.opt.OnList(set)
 }
 
-func (s *Source) refuse(bad strictjson.Defects) {
+func (s *Watcher) refuse(bad strictjson.Defects) {
 	s.mu.Lock()
-	same := s.status.Refused.Error() == bad.Error()
-	s.status.Refused, s.status.RefusedMs = bad, s.opt.Clock.Now()
-	s.status.Refusals++
+	same := s.status.Defects.Error() == bad.Error()
+	s.status.Defects, s.status.RejectedMs = bad, s.opt.Clock.Now()
+	s.status.Rejected++
 	in := s.status.Generation
 	s.mu.Unlock()
 	if same {
@@ -341,7 +341,7 @@
 
 // follow watches the directories through which the path leads: a file that is renamed over, a link that is switched
 // and a directory that is made anew are all news of the directory around them, and not of the file.
-func (s *Source) follow() {
+func (s *Watcher) follow() {
 	if s.fs == nil {
 		return
 	}
@@ -395,9 +395,9 @@
 	s.dirs = want
 }
 
-// Read reads a list as it is now: one file, or a directory's files ending in .jsonc or .json. What changes while it
+// ReadFiles reads a list as it is now: one file, or a directory's files ending in .jsonc or .json. What changes while it
 // is read is an error, and so is whatever is no plain file.
-func Read(path string) ([]serverlist.File, error) {
+func ReadFiles(path string) ([]serverlist.File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
--- a/internal/source/filewatch/filewatch_test.go
+++ b/internal/source/filewatch/filewatch_test.go
@@ -30,7 +30,7 @@
 	dir  string
 	path string
 	clk  *clock.Clock
-	src  *filewatch.Source
+	src  *filewatch.Watcher
 
 	mu    sync.Mutex
 	taken []uint64
@@ -38,13 +38,13 @@
 
 func start(t *testing.T, path func(dir string) string) *rig { return startWith(t, path, nil) }
 
-func startWith(t *testing.T, path func(dir string) string, n resolver.Resolver) *rig {
+func startWith(t *testing.T, path func(dir string) string, n resolver.Backend) *rig {
 	r := &rig{t: t, dir: t.TempDir(), clk: clock.Manual(0)}
 	r.path = path(r.dir)
 	r.src = filewatch.New(filewatch.Options{
-		Path: r.path, Facts: serverlist.Facts{OriginKind: "origin", Writes: true}, Clock: r.clk,
-		Settle: debounce.Settings{Quiet: 100, Most: 1000, Poll: 2000}, Names: &resolver.Cache{Resolver: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
-		Take: func(s *serverlist.Set) {
+		Path: r.path, Requirements: serverlist.Requirements{OriginKind: "origin", Writes: true}, Clock: r.clk,
+		Debounce: debounce.Settings{Quiet: 100, MaxDelay: 1000, PollInterval: 2000}, Resolver: &resolver.Cache{Backend: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
+		OnList: func(s *serverlist.List) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.taken = append(r.taken, s.Generation)
@@ -90,7 +90,7 @@
 func (r *rig) refuses(why string) {
 	r.t.Helper()
 	in := r.src.Status().Generation
-	r.until("refused: "+why, func() bool { return strings.Contains(strings.Join(r.src.Status().Why, "\n"), why) })
+	r.until("refused: "+why, func() bool { return strings.Contains(strings.Join(r.src.Status().Reasons, "\n"), why) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	require.Empty(r.t, r.taken)
@@ -100,8 +100,8 @@
 // looked lets the source look a few times more.
 func (r *rig) looked() {
 	r.t.Helper()
-	n := r.src.Status().Looks
-	r.until("looks", func() bool { return r.src.Status().Looks >= n+3 })
+	n := r.src.Status().Reads
+	r.until("looks", func() bool { return r.src.Status().Reads >= n+3 })
 }
 
 func list(generation int, hosts ...int) []byte {
@@ -142,7 +142,7 @@
 		r.took(2)
 		r.over(r.path, list(2, 1, 2))
 		r.looked()
-		require.EqualValues(t, 2, r.src.Status().Taken)
+		require.EqualValues(t, 2, r.src.Status().Accepted)
 	})
 	t.Run("truncated, then written in steps of one byte", func(t *testing.T) {
 		r := start(t, inDir)
@@ -205,8 +205,8 @@
 		}
 		require.NoError(t, os.MkdirAll(filepath.Dir(r.path), 0o700))
 		r.write(r.path, list(3, 1, 4))
-		r.until("no longer refused", func() bool { return len(r.src.Status().Why) == 0 })
-		require.EqualValues(t, 3, r.src.Status().Taken, "the list that came back is the one in use")
+		r.until("no longer refused", func() bool { return len(r.src.Status().Reasons) == 0 })
+		require.EqualValues(t, 3, r.src.Status().Accepted, "the list that came back is the one in use")
 	})
 	t.Run("a directory filled part by part", func(t *testing.T) {
 		r := start(t, func(dir string) string { return dir })
@@ -290,13 +290,13 @@
 	path := inDir(dir)
 	require.NoError(t, os.WriteFile(path, list(4, 1), 0o600))
 	cache := &resolver.Cache{Clock: clock.Manual(0)}
-	set, err := filewatch.Load(path, serverlist.Facts{}, cache, nil)
+	set, err := filewatch.Load(path, serverlist.Requirements{}, cache, nil)
 	require.NoError(t, err)
 	require.EqualValues(t, 4, set.Generation)
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(list(4, 1)), "127.0.0.1:", "a.example.org:", 1)), 0o600))
-	_, err = filewatch.Load(path, serverlist.Facts{}, cache, nil)
+	_, err = filewatch.Load(path, serverlist.Requirements{}, cache, nil)
 	require.ErrorContains(t, err, "a.example.org is a name, and no names are resolved here")
-	_, err = filewatch.Load(filepath.Join(dir, "none"), serverlist.Facts{}, cache, nil)
+	_, err = filewatch.Load(filepath.Join(dir, "none"), serverlist.Requirements{}, cache, nil)
 	require.Error(t, err)
 }
 
--- a/internal/source/filewatch/golden_test.go
+++ b/internal/source/filewatch/golden_test.go
@@ -14,8 +14,8 @@
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
-			Path: "/etc/ravenwheel/servers.jsonc", Generation: 7, TakenMs: 1000.5, Why: []string{"servers.jsonc:1:1: end is missing"},
-			RefusedMs: 2000.25, Looks: 11, Taken: 3, Refusals: 2,
+			Path: "/etc/ravenwheel/servers.jsonc", Generation: 7, AcceptedMs: 1000.5, Reasons: []string{"servers.jsonc:1:1: end is missing"},
+			RejectedMs: 2000.25, Reads: 11, Accepted: 3, Rejected: 2,
 		},
 		"status-empty.json": {Path: "servers.jsonc"},
 	} {
@@ -26,7 +26,7 @@
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
 		require.Equal(t, status, decoded)
 	}
-	refused := Status{Refused: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
+	refused := Status{Defects: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
 	encoded, err := json.Marshal(refused)
 	require.NoError(t, err)
 	require.NotContains(t, string(encoded), "servers.jsonc", "defects are shown as their lines alone")
--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -14,8 +14,8 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// Resolver looks names up; *net.Resolver is one.
-type Resolver interface {
+// Backend looks names up; *net.Backend is one.
+type Backend interface {
 	LookupNetIP(ctx context.Context, network, host string) ([]netip.Addr, error)
 }
 
@@ -24,10 +24,10 @@
 
 // Cache answers for hosts.
 type Cache struct {
-	Resolver Resolver // nil: only literal addresses have an answer
-	Clock    *clock.Clock
-	TTL      float64 // ms for which an answer is good
-	Timeout  float64 // ms that whoever asks waits at most
+	Backend Backend // nil: only literal addresses have an answer
+	Clock   *clock.Clock
+	TTL     float64 // ms for which an answer is good
+	Timeout float64 // ms that whoever asks waits at most
 
 	mu    sync.Mutex
 	known map[string]*entry
@@ -35,16 +35,16 @@
 }
 
 type entry struct {
-	answer serverlist.Answer
+	answer serverlist.Resolution
 	good   bool // answer holds addresses
 	until  float64
 	asked  chan struct{} // closed once the look-up that is out has ended; nil: none is
 }
 
-// Answers are those of the hosts, each by its name as given. It takes Timeout at the most; a name that was not
+// Resolve are those of the hosts, each by its name as given. It takes Timeout at the most; a name that was not
 // answered by then has its last good answer, or says so.
-func (c *Cache) Answers(hosts []string) map[string]serverlist.Answer {
-	out := make(map[string]serverlist.Answer, len(hosts))
+func (c *Cache) Resolve(hosts []string) map[string]serverlist.Resolution {
+	out := make(map[string]serverlist.Resolution, len(hosts))
 	var wait []chan struct{}
 	c.mu.Lock()
 	if c.known == nil {
@@ -55,8 +55,8 @@
 			out[h] = a
 			continue
 		}
-		if c.Resolver == nil {
-			out[h] = serverlist.Answer{Err: "is a name, and no names are resolved here"}
+		if c.Backend == nil {
+			out[h] = serverlist.Resolution{Err: "is a name, and no names are resolved here"}
 			continue
 		}
 		e := c.known[h]
@@ -95,14 +95,14 @@
 		case e.good || e.asked == nil:
 			out[h] = e.answer
 		default:
-			out[h] = serverlist.Answer{Err: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
+			out[h] = serverlist.Resolution{Err: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
 		}
 	}
 	return out
 }
 
-// Forget drops the names that are not among the hosts: a list that changes for years would fill the memory.
-func (c *Cache) Forget(hosts []string) {
+// Retain drops the names that are not among the hosts: a list that changes for years would fill the memory.
+func (c *Cache) Retain(hosts []string) {
 	keep := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		keep[h] = true
@@ -116,8 +116,8 @@
 	}
 }
 
-// Names tells whether any of the hosts is one whose answer may change.
-func Names(hosts []string) bool {
+// HasNames tells whether any of the hosts is one whose answer may change.
+func HasNames(hosts []string) bool {
 	for _, h := range hosts {
 		if _, ok := literal(h); !ok {
 			return true
@@ -130,16 +130,16 @@
 	c.slots <- struct{}{}
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := c.Clock.After(c.Timeout, cancel)
-	ips, err := c.Resolver.LookupNetIP(ctx, "ip", host)
+	ips, err := c.Backend.LookupNetIP(ctx, "ip", host)
 	stop()
 	cancel()
 	<-c.slots
-	a := serverlist.Answer{}
+	a := serverlist.Resolution{}
 	for _, ip := range ips {
 		a.Addrs = append(a.Addrs, spelled(ip))
 	}
 	if err != nil {
-		a = serverlist.Answer{Err: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
+		a = serverlist.Resolution{Err: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,20 +155,20 @@
 }
 
 // literal reads a host that is an address, in any spelling that has one meaning.
-func literal(host string) (serverlist.Answer, bool) {
+func literal(host string) (serverlist.Resolution, bool) {
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err == nil && ip.Zone() != "":
-		return serverlist.Answer{Err: "has a zone index, which other machines do not share"}, true
+		return serverlist.Resolution{Err: "has a zone index, which other machines do not share"}, true
 	case err == nil && ip.IsUnspecified():
-		return serverlist.Answer{Err: "is the address of no machine"}, true
+		return serverlist.Resolution{Err: "is the address of no machine"}, true
 	case err == nil:
-		return serverlist.Answer{Addrs: []string{spelled(ip)}}, true
+		return serverlist.Resolution{Addrs: []string{spelled(ip)}}, true
 	case strings.Trim(host, "0123456789.") == "":
 		// Some resolvers take 127.1 or 010.0.0.1 for an address, each for another one.
-		return serverlist.Answer{Err: "is no IPv4 address that all read alike"}, true
+		return serverlist.Resolution{Err: "is no IPv4 address that all read alike"}, true
 	}
-	return serverlist.Answer{}, false
+	return serverlist.Resolution{}, false
 }
 
 func spelled(ip netip.Addr) string { return ip.Unmap().WithZone("").String() }
--- a/internal/source/resolver/resolver_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -49,12 +49,12 @@
 func newCache() (*resolver.Cache, *table, *clock.Clock) {
 	r := &table{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, asked: map[string]int{}}
 	clk := clock.Manual(0)
-	return &resolver.Cache{Resolver: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
+	return &resolver.Cache{Backend: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
 }
 
 func TestSpellings(t *testing.T) {
 	c, r, _ := newCache()
-	for host, want := range map[string]serverlist.Answer{
+	for host, want := range map[string]serverlist.Resolution{
 		"127.0.0.1":                  {Addrs: []string{"127.0.0.1"}},
 		"::ffff:127.0.0.1":           {Addrs: []string{"127.0.0.1"}},
 		"0:0:0:0:0:0:0:1":            {Addrs: []string{"::1"}},
@@ -64,19 +64,19 @@
 		"fe80::1%lo":                 {Err: "has a zone index, which other machines do not share"},
 		"nosuchhost.example.invalid": {Err: "can't be resolved: no such host"},
 	} {
-		require.Equal(t, want, c.Answers([]string{host})[host], host)
+		require.Equal(t, want, c.Resolve([]string{host})[host], host)
 	}
 	require.Len(t, r.asked, 1, "literal addresses are asked of nobody")
-	require.True(t, resolver.Names([]string{"127.0.0.1", "a.example.org"}))
-	require.False(t, resolver.Names([]string{"127.0.0.1"}))
+	require.True(t, resolver.HasNames([]string{"127.0.0.1", "a.example.org"}))
+	require.False(t, resolver.HasNames([]string{"127.0.0.1"}))
 }
 
 func TestLastGoodAnswer(t *testing.T) {
 	c, r, clk := newCache()
 	r.set("a", "127.0.0.1")
 	host := []string{"a"}
-	ask := func() serverlist.Answer { return c.Answers(host)["a"] }
-	good := serverlist.Answer{Addrs: []string{"127.0.0.1"}}
+	ask := func() serverlist.Resolution { return c.Resolve(host)["a"] }
+	good := serverlist.Resolution{Addrs: []string{"127.0.0.1"}}
 	require.Equal(t, good, ask())
 	require.Equal(t, good, ask())
 	require.Equal(t, 1, r.asked["a"], "kept for its time")
@@ -85,8 +85,8 @@
 	require.Equal(t, good, ask(), "the last good answer is kept")
 	clk.Advance(2_001)
 	r.set("a", "127.0.0.2")
-	require.Equal(t, serverlist.Answer{Addrs: []string{"127.0.0.2"}}, ask(), "asked again soon after it failed")
-	c.Forget(nil)
+	require.Equal(t, serverlist.Resolution{Addrs: []string{"127.0.0.2"}}, ask(), "asked again soon after it failed")
+	c.Retain(nil)
 	r.set("a")
 	require.Equal(t, "can't be resolved: no such host", ask().Err)
 }
@@ -100,9 +100,9 @@
 	r.set("h", "127.0.0.9")
 	r.set("a", "127.0.0.1")
 	for range 3 {
-		got := make(chan map[string]serverlist.Answer)
-		go func() { got <- c.Answers([]string{"h", "a"}) }()
-		var answers map[string]serverlist.Answer
+		got := make(chan map[string]serverlist.Resolution)
+		go func() { got <- c.Resolve([]string{"h", "a"}) }()
+		var answers map[string]serverlist.Resolution
 		for answers == nil {
 			select {
 			case answers = <-got:
@@ -117,5 +117,5 @@
 	require.Equal(t, 1, r.asked["h"])
 	r.mu.Unlock()
 	close(end)
-	require.Eventually(t, func() bool { return len(c.Answers([]string{"h"})["h"].Addrs) == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return len(c.Resolve([]string{"h"})["h"].Addrs) == 1 }, time.Minute, time.Millisecond)
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -24,7 +24,7 @@
 	o.Dir = dir
 	recorder, _, err := state.Open(o)
 	require.NoError(t, err)
-	list := &serverlist.Set{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100}}}
+	list := &serverlist.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100}}}
 	require.NoError(t, recorder.RecordList("file", list))
 	recorder.RecordPublish(published(1, policy.Ready))
 	recorder.RecordPublish(published(2, policy.Draining))
