--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -13,208 +13,180 @@
 	"ravenwheel/internal/resp"
 )
 
-// client is one connection. Its writer sends what answers have put into the one out buffer.
+// client is a connection that has sent its first frame. One goroutine reads commands and one writes answers; each request has a
+// goroutine of its own.
 type client struct {
 	front *Front
-	nc    *guard
-
-	mu     sync.Mutex
-	out    []byte
-	open   map[string]context.CancelFunc // by tag
-	calls  []call                        // of the reader alone: read, and not begun
-	since  float64                       // when the first of these was read
-	writes float64                       // since when the writer has been about what is written now; 0: it is not
-	closed bool
-	wake   chan struct{}
+	conn  *conn
+
+	// Of the reading goroutine alone.
+	pending      []pendingRequest
+	pendingSince float64 // when the first of pending was read
+
+	mu           sync.Mutex
+	out          []byte                        // answers to write
+	cancels      map[string]context.CancelFunc // of open requests, by tag
+	writingSince float64                       // since when the writer has had the same bytes to write; 0: it has none
+	closed       bool
+	wake         chan struct{} // wakes the writer
 }
 
-// live reads a connection's commands until it ends, which gives up all that is open on it.
-func (c *client) live(dc redcon.DetachedConn, cmd redcon.Command) {
-	ctx, leave := context.WithCancel(context.Background())
-	go c.write()
-	err := error(nil)
-	for err == nil {
-		if err = c.command(ctx, cmd.Args); err == nil {
-			if len(c.calls) > 0 && (len(c.calls) >= mostOpen || c.front.clock.Now()-c.since >= beginWithin) {
-				c.begin() // a client that never stops to send
-			}
-			cmd, err = dc.ReadCommand()
+// errBadTag is of a command under which no answer can be written, or a second one would be.
+var errBadTag = errors.New("tag is malformed or in use")
+
+// serve reads commands until the connection ends, which cancels all open requests.
+func (cl *client) serve(dc redcon.DetachedConn, cmd redcon.Command) {
+	ctx, cancelAll := context.WithCancel(context.Background())
+	go cl.writeLoop()
+	for {
+		if cl.handleCommand(ctx, cmd.Args) != nil {
+			break
+		}
+		if cl.mustStartPending() {
+			cl.startPending()
+		}
+		var err error
+		if cmd, err = dc.ReadCommand(); err != nil {
+			break
 		}
 	}
-	leave()
-	c.begin() // each has to end, as any whose client has left
-	c.nc.finish()
-	c.close()
+	cancelAll()
+	cl.startPending() // each ends as a request whose client has left
+	cl.conn.finishReading()
+	cl.close()
 }
 
-var errTag = errors.New("a tag that can't be answered")
+// mustStartPending tells whether pending requests are started although more has arrived: a client that never stops sending
+// would hold them up.
+func (cl *client) mustStartPending() bool {
+	if len(cl.pending) == 0 {
+		return false
+	}
+	return len(cl.pending) >= maxOpenPerConn || cl.front.clock.Now()-cl.pendingSince >= maxStartDelay
+}
 
-func (c *client) command(ctx context.Context, args [][]byte) error {
+// handleCommand carries out one command. Its error ends the connection.
+func (cl *client) handleCommand(ctx context.Context, args [][]byte) error {
 	if len(args) < 2 || !isTag(args[1]) {
-		return errTag
+		return errBadTag
 	}
 	tag := string(args[1])
 	switch string(args[0]) {
 	case "RPC.CALL":
-		return c.call(ctx, tag, args[2:])
+		return cl.openRequest(ctx, tag, args[2:])
 	case "RPC.CANCEL":
-		c.mu.Lock()
-		if cancel := c.open[tag]; cancel != nil {
-			cancel()
-		}
-		c.mu.Unlock()
+		cl.cancelRequest(tag)
 	case "RPC.HEALTH":
-		if c.front.takes.Load() {
-			c.send(word(tag, "yes"))
-		} else {
-			c.send(word(tag, "no"))
-		}
+		cl.sendWord(tag, cl.health())
 	default:
-		c.send(word(tag, "fault"))
+		cl.sendWord(tag, "fault")
 	}
 	return nil
 }
 
-// call opens a request, which begins once all that has come is read.
-func (c *client) call(ctx context.Context, tag string, args [][]byte) error {
-	now, plan := c.front.clock.Now(), c.front.plan.Load()
-	q, ok := readCall(args, now, c.front.core)
-	q.Deadline = plan.Deadline(q.Deadline)
-	ctx, cancel := context.WithCancel(ctx)
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
-		cancel()
-		return net.ErrClosed
+func (cl *client) health() string {
+	if cl.front.ready.Load() {
+		return "yes"
 	}
-	used, full := c.open[tag] != nil, len(c.open) >= mostOpen
-	if !used && !full && ok {
-		c.open[tag] = cancel
+	return "no"
+}
+
+func (cl *client) cancelRequest(tag string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cancel := cl.cancels[tag]; cancel != nil {
+		cancel()
 	}
-	c.mu.Unlock()
+}
+
+// openRequest opens a request, which is started once everything that has arrived is read. A request that is invalid, one too many
+// or too late is answered at once. Its error ends the connection.
+func (cl *client) openRequest(ctx context.Context, tag string, args [][]byte) error {
+	now, plan := cl.front.clock.Now(), cl.front.plan.Load()
+	request, valid := parseRequest(args, now, cl.front.handler)
+	request.Deadline = plan.Deadline(request.Deadline)
+	ctx, cancel := context.WithCancel(ctx)
+	reserved, err := cl.reserveTag(tag, valid, cancel)
 	switch {
-	case used: // an answer of ours would be a second one under this tag
+	case err != nil:
 		cancel()
-		return errTag
-	case full || !ok:
+		return err
+	case !reserved:
 		cancel()
-		c.send(word(tag, "fault"))
+		cl.sendWord(tag, "fault")
 		return nil
-	case !plan.AcceptsRequest(now) || q.Deadline <= now:
-		c.mu.Lock()
-		delete(c.open, tag)
-		c.mu.Unlock()
+	case !plan.AcceptsRequest(now) || request.Deadline <= now:
+		cl.releaseTag(tag)
 		cancel()
-		c.send(func(b []byte) []byte { return appendAnswer(b, tag, c.front.core.Reject()) })
+		cl.send(func(b []byte) []byte { return appendAnswer(b, tag, cl.front.handler.Reject()) })
 		return nil
 	}
-	c.front.busy.Add(1)
-	q.ClientGone = c.nc.left
-	if len(c.calls) == 0 {
-		c.since = now
+	cl.front.pendingWork.Add(1)
+	request.ClientGone = cl.conn.peerClosed
+	if len(cl.pending) == 0 {
+		cl.pendingSince = now
 	}
-	c.calls = append(c.calls, call{ctx, cancel, tag, q})
+	cl.pending = append(cl.pending, pendingRequest{ctx, cancel, tag, request})
 	return nil
 }
 
-// begin has the requests that were read live, each in a goroutine of its own. It is called once nothing more has come. Guards
-// against a leave that is right behind a request: an attempt would begin for a client that has gone.
-func (c *client) begin() {
-	for _, k := range c.calls {
-		go c.lives(k)
-	}
-	clear(c.calls)
-	c.calls = c.calls[:0]
-}
-
-// lives answers one request.
-func (c *client) lives(k call) {
-	defer c.front.busy.Add(-1)
-	defer k.cancel()
-	a := c.front.core.Do(k.ctx, k.q)
-	c.mu.Lock()
-	invariant.Check(c.open[k.tag] != nil, "a tag is answered once")
-	delete(c.open, k.tag)
-	c.mu.Unlock()
-	if a.Verdict != core.Abandoned {
-		c.send(func(b []byte) []byte { return appendAnswer(b, k.tag, a) })
+// reserveTag books a tag for a valid request. reserved is false if the request gets its answer at once: it is invalid, or too
+// many are open.
+func (cl *client) reserveTag(tag string, valid bool, cancel context.CancelFunc) (reserved bool, err error) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	switch {
+	case cl.closed:
+		return false, net.ErrClosed
+	case cl.cancels[tag] != nil: // an answer now would be a second one under this tag
+		return false, errBadTag
+	case !valid || len(cl.cancels) >= maxOpenPerConn:
+		return false, nil
 	}
+	cl.cancels[tag] = cancel
+	return true, nil
 }
 
-// word is an answer that is no more than that.
-func word(tag, w string) func([]byte) []byte {
-	return func(b []byte) []byte { return resp.AppendFrame(b, tag, w) }
+func (cl *client) releaseTag(tag string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	invariant.Check(cl.cancels[tag] != nil, "a tag is answered once")
+	delete(cl.cancels, tag)
 }
 
-// send adds one whole answer to the out buffer and wakes the writer.
-func (c *client) send(add func([]byte) []byte) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
-		return
-	}
-	before := len(c.out)
-	if before > mostOut {
-		go c.nc.shut() // reads nothing: the reader sees the end
-		return
-	}
-	c.out = add(c.out)
-	c.front.busy.Add(int64(len(c.out) - before))
-	select {
-	case c.wake <- struct{}{}:
-	default:
+// startPending starts the requests that were read, once nothing more has arrived. A client that closes right behind a request
+// has left by then, and no attempt begins for it.
+func (cl *client) startPending() {
+	for _, p := range cl.pending {
+		go cl.handleRequest(p)
 	}
+	clear(cl.pending)
+	cl.pending = cl.pending[:0]
 }
 
-// due is all that waits to be written, and notes since when it is. Called under the client's lock.
-func (c *client) due() []byte {
-	if c.writes = 0; len(c.out) > 0 {
-		c.writes = c.front.clock.Now()
+// handleRequest answers one request.
+func (cl *client) handleRequest(p pendingRequest) {
+	defer cl.front.pendingWork.Add(-1)
+	defer p.cancel()
+	answer := cl.front.handler.Do(p.ctx, p.request)
+	cl.releaseTag(p.tag)
+	if answer.Verdict != core.Abandoned {
+		cl.send(func(b []byte) []byte { return appendAnswer(b, p.tag, answer) })
 	}
-	return c.out[:len(c.out):len(c.out)]
-}
-
-// blocked tells whether what is written has not been taken for too long.
-func (c *client) blocked(now float64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.writes > 0 && now-c.writes >= takeWithin
 }
 
-func (c *client) write() {
-	for range c.wake {
-		c.mu.Lock()
-		b := c.due()
-		c.mu.Unlock()
-		for len(b) > 0 {
-			if _, err := c.nc.Write(b); err != nil {
-				c.nc.shut()
-				return
-			}
-			// Compacted in place: what came meanwhile moves to the front.
-			c.mu.Lock()
-			if c.closed {
-				c.mu.Unlock()
-				return
-			}
-			c.front.busy.Add(-int64(len(b)))
-			c.out = c.out[:copy(c.out, c.out[len(b):])]
-			b = c.due()
-			if len(b) == 0 && cap(c.out) > keepOut {
-				c.out = nil // a burst is over: its memory goes back
-			}
-			c.mu.Unlock()
-		}
-		c.front.answered(c)
-	}
+// sendWord sends an answer of one word.
+func (cl *client) sendWord(tag, word string) {
+	cl.send(func(b []byte) []byte { return resp.AppendFrame(b, tag, word) })
 }
 
-func (c *client) close() {
-	c.mu.Lock()
-	c.closed = true
-	c.front.busy.Add(-int64(len(c.out)))
-	c.out = nil
-	close(c.wake)
-	c.mu.Unlock()
-	c.nc.shut()
+// close ends the writer and drops what is not written.
+func (cl *client) close() {
+	cl.mu.Lock()
+	cl.closed = true
+	cl.front.pendingWork.Add(-int64(len(cl.out)))
+	cl.out = nil
+	close(cl.wake)
+	cl.mu.Unlock()
+	cl.conn.abort()
 }
--- a/internal/front/resp/gone_test.go
+++ b/internal/front/resp/client_left_test.go
@@ -12,10 +12,9 @@
 	"ravenwheel/internal/scenario"
 )
 
-// The process is held up, and what it finds as it goes on is a request with its client's leave right behind it: the end of the
-// connection, a reset, or a cancel. No attempt begins for a client that has left, and none further where an answer has come
-// meanwhile that asks for one.
-func TestLeaveBehindARequest(t *testing.T) {
+// The reader is held up, and finds a request with its client's end right behind it: a close, a reset, or a cancel. No attempt begins
+// for a client that has left, and no retry after a failed attempt.
+func TestNoAttemptForClientThatLeft(t *testing.T) {
 	call := frames.AppendFrame(nil, strings.Fields(asset)...)
 	for name, leave := range map[string]func(nc *net.TCPConn) error{
 		"closes": (*net.TCPConn).Close,
@@ -28,10 +27,10 @@
 		t.Run("first attempt, "+name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 10)
-			for range 50 { // the order of goroutines is chance
+			for range 50 { // the order of goroutines varies
 				nc, err := net.Dial("tcp", f.Addr())
 				require.NoError(t, err)
-				asked := gate.taken.Load()
+				asked := gate.read.Load()
 				_, err = nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", "9"))
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return gate.wanted.Load() > asked && f.Idle() }, time.Minute, time.Millisecond)
@@ -46,7 +45,7 @@
 					require.NoError(t, nc.Close())
 				}
 				require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
-				require.Zero(t, p.Core.Counters.Attempts.Load(), "its client had left by the time it was read")
+				require.Zero(t, p.Core.Counters.Attempts.Load(), "the client had left by the time its request was read")
 			}
 		})
 		if name == "cancels" {
--- a/internal/front/resp/ends_test.go
+++ b/internal/front/resp/closing_test.go
@@ -22,12 +22,12 @@
 	"ravenwheel/internal/scenario"
 )
 
-// gated accepts connections whose bytes stay unread, once the gate is shut, until it is opened again.
+// gated is a listener whose connections are not read while mu is held.
 type gated struct {
 	*net.TCPListener
 	mu     sync.RWMutex
-	taken  atomic.Int64 // bytes
-	wanted atomic.Int64 // of them, when more were last asked for
+	read   atomic.Int64 // bytes so far
+	wanted atomic.Int64 // read when the last call of Read began
 }
 
 type gatedConn struct {
@@ -43,9 +43,9 @@
 	return gatedConn{nc, g}, nil
 }
 
-// Read waits at the gate before it reads, and never takes bytes that came while the gate was shut.
+// Read polls the connection, and reads nothing while mu is held.
 func (c gatedConn) Read(p []byte) (int, error) {
-	c.by.wanted.Store(c.by.taken.Load())
+	c.by.wanted.Store(c.by.read.Load())
 	for {
 		c.by.mu.RLock()
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -54,23 +54,23 @@
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			continue
 		}
-		c.by.taken.Add(int64(n))
+		c.by.read.Add(int64(n))
 		return n, err
 	}
 }
 
-// In each case a request reaches a resting connection in the instant in which the front ends it, and is unread by then. It
-// is not sent on, and its client sees a proper end and no reset, which would also throw away what it has not taken yet.
-func TestRequestCrossesTheEnd(t *testing.T) {
+// In each case a request reaches an idle connection in the instant in which the front closes it, and is unread by then. It is not
+// forwarded, and its client sees an orderly end and no reset, which would drop what the client has not read yet.
+func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
 	const rests = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
 	for name, end := range map[string]func(t *testing.T, p *scenario.Proxy, f *resp.Front){
-		"a place is needed": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
+		"a slot is needed": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
 			t.Cleanup(func() { nc.Close() })
 		},
 		"half a frame, for too long": func(t *testing.T, p *scenario.Proxy, _ *resp.Front) { p.Clock.Advance(2750) },
-		"the proxy is emptied and the last request refused": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
+		"the proxy drains and rejects requests": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
 			f.SetDrainPlan(drain.Plan{Active: true})
 			p.Clock.Advance(20)
 		},
@@ -105,12 +105,12 @@
 			go func() { end(t, p, f); close(ended) }()
 			read := make([]byte, 1)
 			_, err = nc.Read(read)
-			require.ErrorIs(t, err, io.EOF, "our side is shut, not reset")
+			require.ErrorIs(t, err, io.EOF, "our side is closed, not reset")
 			<-ended
 			_, err = nc.Write(call)
 			require.NoError(t, err)
 			gate.mu.Unlock()
-			require.Eventually(t, func() bool { return gate.taken.Load() >= int64(len(rests)+len(call)) }, time.Minute, time.Millisecond)
+			require.Eventually(t, func() bool { return gate.read.Load() >= int64(len(rests)+len(call)) }, time.Minute, time.Millisecond)
 			_, err = nc.Write(call) // would meet a socket that is gone
 			require.NoError(t, err)
 			require.NoError(t, nc.(*net.TCPConn).CloseWrite())
@@ -123,9 +123,9 @@
 	}
 }
 
-// A client that was told that its connection ends, and goes on sending, is cut off after a while: none holds a place for good.
-func TestClientThatDoesNotEnd(t *testing.T) {
-	p, f, actors := emptied(t, "stays")
+// A client of which our side is closed, and which goes on sending, is disconnected after lingerTimeout.
+func TestLingeringClientIsDisconnected(t *testing.T) {
+	p, f, actors := newFront(t, "stays")
 	scenario.Run(t, p.Clock, actors, `
 		stays send RPC.HEALTH 1
 		stays expect 1 yes`)
@@ -137,11 +137,11 @@
 		stays send RPC.HEALTH 2`)
 	require.Equal(t, 1, f.OpenConns())
 	require.Eventually(t, func() bool { p.Clock.Advance(100); return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
-	require.NoError(t, actors["stays"].Close(), "not before: nobody but the front has ended it")
+	require.NoError(t, actors["stays"].Close(), "not before: only the front has closed it")
 }
 
-// A flood of connections that are told to end and do not: beyond the front's places they hold one in eight more.
-func TestEndingConnectionsAreBounded(t *testing.T) {
+// Lingering connections whose clients do not close hold at most one in eight slots beyond the front's limit.
+func TestLingeringConnectionsAreBounded(t *testing.T) {
 	const most = 16
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
@@ -154,19 +154,19 @@
 		require.NoError(t, c.Send([]string{"RPC.HEALTH", "1"}))
 		words, err := c.Receive()
 		require.NoError(t, err, i)
-		require.Equal(t, []string{"1", "yes"}, words, "a proper client gets in")
+		require.Equal(t, []string{"1", "yes"}, words, "each new client is served")
 		require.Eventually(t, func() bool { return f.Idle() && f.OpenConns() <= most+1+most/8 }, time.Minute, time.Millisecond)
 	}
 }
 
-// broke is a listener that is out of descriptors for a while.
-type broke struct {
+// exhausted is a listener that is out of descriptors for a while.
+type exhausted struct {
 	net.Listener
 	out    atomic.Bool
 	failed atomic.Int32
 }
 
-func (b *broke) Accept() (net.Conn, error) {
+func (b *exhausted) Accept() (net.Conn, error) {
 	if b.out.Load() {
 		b.failed.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -174,13 +174,12 @@
 	return b.Listener.Accept()
 }
 
-// Out of descriptors, accepting waits for some to come back. It once asked again at once, and took the core that those who
-// could give some back needed.
-func TestAcceptOutOfDescriptors(t *testing.T) {
+// Out of descriptors, the front waits before it accepts again: retrying at once would take the core that open connections need to end.
+func TestAcceptOutOfDescriptorsWaits(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	b := &broke{Listener: ln}
+	b := &exhausted{Listener: ln}
 	b.out.Store(true)
 	f := resp.New(b, 10, p.Clock, p.Core)
 	go func() { _ = f.Serve() }()
@@ -190,7 +189,7 @@
 	for moved := range 6 {
 		for range 50 {
 			time.Sleep(50 * time.Microsecond)
-			require.LessOrEqual(t, int(b.failed.Load()), moved+1, "asked again while the clock stands")
+			require.LessOrEqual(t, int(b.failed.Load()), moved+1, "no retry before the delay")
 		}
 		p.Clock.Advance(10)
 	}
@@ -201,10 +200,10 @@
 	require.Equal(t, []string{"1", "yes"}, words)
 }
 
-// A client sends all that it may have open at once, takes none of the answers until they are blocked here, and shuts its side:
-// while the clock stands all of its requests end, those answered and those out, and its connection.
-func TestFinBehindAPipeline(t *testing.T) {
-	p, f, actors := emptied(t)
+// A client sends as many requests as may be open at once, reads no answer until writing them blocks, and closes its side: all of its
+// requests and its connection end while the clock stands, those with an answer and those in flight.
+func TestFinBehindPipelineEndsAllRequests(t *testing.T) {
+	p, f, actors := newFront(t)
 	nc, err := net.Dial("tcp", f.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
@@ -228,7 +227,7 @@
 			s send $id served why=local,version=v1 `+body)
 	}
 	require.Eventually(t, func() bool { return p.Core.Counters.Served.Load() == int64(out-2) }, time.Minute, time.Millisecond)
-	require.False(t, f.Idle(), "answers wait for a reader that is none")
+	require.False(t, f.Idle(), "answers wait to be written")
 	require.NoError(t, nc.(*net.TCPConn).CloseWrite())
 	require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() && p.Core.Counters.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
 	require.EqualValues(t, 2, p.Core.Counters.Abandoned.Load())
@@ -242,13 +241,13 @@
 	}
 }
 
-// holds is a core whose requests stay open until their client has left.
-type holds struct {
+// stalled is a core whose requests stay open until their client has left.
+type stalled struct {
 	resp.RequestHandler
 	open, most atomic.Int64
 }
 
-func (h *holds) Do(ctx context.Context, _ core.Request) core.Answer {
+func (h *stalled) Do(ctx context.Context, _ core.Request) core.Answer {
 	if n := h.open.Add(1); n > h.most.Load() {
 		h.most.Store(n)
 	}
@@ -257,14 +256,14 @@
 	return core.Answer{Verdict: core.Abandoned}
 }
 
-// A client sends thousands of requests at once: 32 may be open, each further one gets its one answer, a fault, and none of
-// them reaches the core. Another client is answered meanwhile, and nothing is left once the first has gone.
-func TestFlood(t *testing.T) {
+// A client sends thousands of requests at once: 32 are open, each further one gets one answer, a fault, and never reaches the core.
+// Another client is answered meanwhile, and nothing stays open once the first has left.
+func TestFloodGetsOneAnswerPerRequest(t *testing.T) {
 	const calls, most = 5000, 32
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	h := &holds{RequestHandler: p.Core}
+	h := &stalled{RequestHandler: p.Core}
 	f := resp.New(ln, 20, p.Clock, h)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
@@ -292,10 +291,9 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// Whatever the first frame of a connection is, as long as it can be read, the place that it takes is given back: redcon's own
-// reader, which sees it after the guard, finds nothing in it to stumble over.
-func TestFirstFrames(t *testing.T) {
-	_, f, _ := emptied(t)
+// Whatever well-formed frame comes first on a connection, its slot is freed in the end: redcon's own reader can read the frame.
+func TestUnusualFirstFramesFreeTheirSlot(t *testing.T) {
+	_, f, _ := newFront(t)
 	empty := "$0\r\n\r\n"
 	for _, first := range []string{
 		"*1\r\n" + empty, "*1\r\n$4\r\nPING\r\n", "*01\r\n$01\r\nx\r\n", "*2\r\n" + empty + empty, "*8\r\n" + strings.Repeat(empty, 8),
@@ -306,7 +304,7 @@
 		_, err = nc.Write([]byte(first))
 		require.NoError(t, err)
 		_, err = io.ReadAll(nc)
-		require.NoError(t, err, "%q: its end, in order", first)
+		require.NoError(t, err, "%q: an orderly end", first)
 		require.NoError(t, nc.Close())
 	}
 	require.Eventually(t, func() bool { return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
--- a/internal/front/resp/empty_test.go
+++ b/internal/front/resp/drain_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-func emptied(t *testing.T, names ...string) (*scenario.Proxy, *resp.Front, map[string]scenario.Actor) {
+func newFront(t *testing.T, names ...string) (*scenario.Proxy, *resp.Front, map[string]scenario.Actor) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -28,10 +28,10 @@
 	return p, f, actors
 }
 
-// An emptied proxy says no, ends what is at rest once the front has stopped to send new clients, and answers what it owes;
-// a request that comes later than the plan hears is refused at once, so that its connection comes to rest.
-func TestEmpty(t *testing.T) {
-	p, f, actors := emptied(t, "rests", "waits", "busy", "half")
+// A draining proxy fails health checks, closes idle connections from CloseIdleFrom on, and answers open requests. A request that arrives
+// after RejectFrom is rejected at once, so that its connection becomes idle.
+func TestDrainClosesIdleAndRejectsNewRequests(t *testing.T) {
+	p, f, actors := newFront(t, "rests", "waits", "busy", "half")
 	scenario.Run(t, p.Clock, actors, `
 		rests send RPC.HEALTH 1
 		rests expect 1 yes
@@ -68,16 +68,16 @@
 	f.SetDrainPlan(drain.Plan{})
 	f.SetReady(true)
 	ends := p.Clock.Now() + 5000
-	for f.OpenConns() > 0 && p.Clock.Now() < ends { // those that were told to end have ended
+	for f.OpenConns() > 0 && p.Clock.Now() < ends { // the lingering connections end
 		p.Clock.Advance(10)
 		time.Sleep(time.Millisecond)
 	}
 	require.Zero(t, f.OpenConns())
 }
 
-// What a slow reader has not taken yet is not lost by the close: the connection ends after it.
-func TestEmptySlowReader(t *testing.T) {
-	p, f, actors := emptied(t)
+// A slow reader gets all of its answer before its connection ends.
+func TestDrainLosesNoBytesOfSlowReader(t *testing.T) {
+	p, f, actors := newFront(t)
 	nc, err := net.Dial("tcp", f.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
@@ -103,16 +103,16 @@
 	require.Greater(t, total, len(body))
 }
 
-// A front that leaves new connections to another process keeps those it has, and takes new ones again when told.
-func TestAccepting(t *testing.T) {
-	p, f, actors := emptied(t, "held")
+// A front that leaves new connections to another process keeps its open ones, and accepts new ones again afterwards.
+func TestSetAcceptingKeepsOpenConnections(t *testing.T) {
+	p, f, actors := newFront(t, "held")
 	held := `
 		held send RPC.HEALTH 1
 		held expect 1 yes`
 	scenario.Run(t, p.Clock, actors, held)
 	f.SetAccepting(false)
 	f.SetAccepting(false)
-	// One may slip in, where the accept was past the look at its deadline and not yet at the queue: it is served here.
+	// One more may be accepted, by an accept that had checked its deadline before it was set: it is served here.
 	actors["slips"] = scenario.Dial(t, f.Addr())
 	actors["queued"] = scenario.Dial(t, f.Addr())
 	scenario.Run(t, p.Clock, actors, `
@@ -122,5 +122,5 @@
 	scenario.Run(t, p.Clock, actors, `
 		queued expect 1 yes`)
 	f.SetAccepting(false)
-	require.NoError(t, f.Close(), "also one that does not accept ends")
+	require.NoError(t, f.Close(), "a front that does not accept can be closed")
 }
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -29,7 +29,7 @@
 		c expect 2 ok ok304=1 -
 		s send 00000000000000a1 served why=pulled,version=v1,stamp=1,took=3.5 BYTES
 		c expect 1 ok - BYTES`,
-	// A client that is told so keeps its copy: only a cache server may say which one is current.
+	// Only a cache server may say that the client's copy is current.
 	"a copy is called current only where a cache server names the very one": `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,got=v7
 		s expect fetch * *,holds=v7 -
@@ -69,8 +69,7 @@
 		c expect 9 fault
 		c send RPC.CALL 10 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,token=a\r\n
 		c expect 10 fault`,
-	// A class that a key makes safe to repeat was sent on without its key: a cache server could not tell the second from
-	// the first.
+	// Without the key a cache server could not tell a retry from another request.
 	"the client's idempotency key goes with every attempt": `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,acct=club,token=28ca688e,obj=7f3a9c21e0b4d655,nth=0,batch=17
 		s expect fetch 00000000000000a1 *,dedupe=28ca688e -
@@ -78,13 +77,13 @@
 		s expect fetch 00000000000000a1 *,dedupe=28ca688e -
 		s send $id served why=local,version=v1 BYTES
 		c expect 1 ok - BYTES`,
-	// redcon's reader panics on this length: the guard ends the connection, and the others go on.
+	// redcon's reader panics on this length: the connection ends before, and the others stay.
 	"a frame that can't be read ends its connection only": `
 		c send raw *2\r\n$9223372036854775807
 		c expect closed
 		d send RPC.HEALTH 8
 		d expect 8 yes`,
-	// Hundreds of those once held all places. One that was answered, or waits for an answer, may stay.
+	// They would hold all slots. A connection that was answered, or waits for an answer, may stay.
 	"silent, or half a frame: closed within 3 s; the others stay": `
 		d send half $
 		e send RPC.HEALTH 8
@@ -152,8 +151,9 @@
 		c expect 1 fault`,
 }
 
-// When all places are taken, the longest silent one makes room, then the longest idle, but none that waits.
-func TestFull(t *testing.T) {
+// When all slots are taken, the connection that has been silent for longest is closed, then the one idle for longest, but none that
+// waits for an answer.
+func TestFullFrontClosesLongestSilent(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -168,7 +168,7 @@
 		idle send RPC.HEALTH 1
 		idle expect 1 yes
 		wait 1`)
-	// The client has the answer a moment before the front's books say that it is written; until then it is not closed.
+	// The client may have the answer before the front knows that it is written; until then it is not closed.
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 	dial("silent")
 	dial("waits")
@@ -188,10 +188,10 @@
 		last expect 1 yes
 		s send 00000000000000a1 served why=local,version=v1 BYTES
 		waits expect 1 ok - BYTES`)
-	require.EqualValues(t, 1, p.Core.Counters.UnansweredConns.Load(), "the silent one; the idle one had been answered")
+	require.EqualValues(t, 1, p.Core.Counters.UnansweredConns.Load(), "the silent one; the idle one had an answer")
 }
 
-func TestFront(t *testing.T) {
+func TestFrontScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
@@ -213,8 +213,8 @@
 
 var _ resp.RequestHandler = (*core.Core)(nil)
 
-// A proxy that has just started knows of no copy: what its forerunner was told is asked for again.
-func TestCopyOverARestart(t *testing.T) {
+// A proxy that has just started knows of no copy, and forwards the client's tag as the one before it did.
+func TestClientTagIsSentAfterRestart(t *testing.T) {
 	script := `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,got=v7
 		s expect fetch 00000000000000a1 *,holds=v7 -
--- a/internal/front/resp/rest_test.go
+++ b/internal/front/resp/quiescence_test.go
@@ -17,48 +17,48 @@
 	"ravenwheel/internal/clock"
 )
 
-// rest tells when this whole process, the program and its stand-ins, has nothing left to do until the clock moves: every
+// quiescence tells when this whole process, the program and its stand-ins, has nothing left to do until the clock moves: every
 // other goroutine is parked, and no byte, connection or end of one is on the way between two of its sockets. It judges by
 // state alone, however busy the machine is.
-type rest struct {
+type quiescence struct {
 	t     *testing.T
 	stack []byte
 }
 
-func newRest(t *testing.T) *rest { return &rest{t: t, stack: make([]byte, 1<<20)} }
+func newQuiescence(t *testing.T) *quiescence { return &quiescence{t: t, stack: make([]byte, 1<<20)} }
 
-// restWithin bounds how long a state of rest is waited for; it is no measure of speed.
-const restWithin = 3 * time.Minute
+// quiescenceTimeout bounds how long quiescence is waited for; it is no measure of speed.
+const quiescenceTimeout = 3 * time.Minute
 
-// advance moves a clock in steps, each from a state of rest, so that all that a step has set off is over before the next.
-func (r *rest) advance(clk *clock.Clock, ms, step float64) {
+// advance moves a clock in steps, each once the process is quiescent, so that everything that a step has set off is over before the next.
+func (q *quiescence) advance(clk *clock.Clock, ms, step float64) {
 	for end := clk.Now() + ms; ; clk.Advance(min(step, end-clk.Now())) {
-		r.wait()
+		q.wait()
 		if clk.Now() >= end {
 			return
 		}
 	}
 }
 
-// wait returns at rest.
-func (r *rest) wait() {
+// wait returns once the process is quiescent.
+func (q *quiescence) wait() {
 	for began := time.Now(); ; time.Sleep(50 * time.Microsecond) {
-		why := r.busy()
+		why := q.busy()
 		if why == "" {
 			return
 		}
-		require.Less(r.t, time.Since(began), restWithin, "never at rest: %s", why)
+		require.Less(q.t, time.Since(began), quiescenceTimeout, "never quiescent: %s", why)
 	}
 }
 
-// busy is what is still under way; empty: nothing. The sockets are looked at before and after the goroutines: had one of
-// those moved a byte between, the counts would differ.
-func (r *rest) busy() (why string) {
+// busy names what is still under way; empty: nothing. The sockets are looked at before and after the goroutines: if one of
+// those moved a byte between, the counts differ.
+func (q *quiescence) busy() (why string) {
 	before, why := sockets()
 	if why != "" {
 		return why
 	}
-	if why = r.runs(); why != "" {
+	if why = q.runs(); why != "" {
 		return why
 	}
 	after, why := sockets()
@@ -75,13 +75,13 @@
 }
 
 // runs is a goroutine other than the one that asks which is not parked, or which waits for a connection to come up.
-func (r *rest) runs() (why string) {
-	n := runtime.Stack(r.stack, true)
-	for n == len(r.stack) {
-		r.stack = make([]byte, 2*n)
-		n = runtime.Stack(r.stack, true)
+func (q *quiescence) runs() (why string) {
+	n := runtime.Stack(q.stack, true)
+	for n == len(q.stack) {
+		q.stack = make([]byte, 2*n)
+		n = runtime.Stack(q.stack, true)
 	}
-	for i, one := range bytes.Split(r.stack[:n], []byte("\n\n")) {
+	for i, one := range bytes.Split(q.stack[:n], []byte("\n\n")) {
 		if i == 0 {
 			continue // it is this one's
 		}
--- /dev/null
+++ b/internal/front/resp/request.go
@@ -0,0 +1,123 @@
+package resp
+
+import (
+	"bytes"
+	"context"
+	"math"
+	"regexp"
+	"strconv"
+	"strings"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/resp"
+)
+
+// The bounds of a request's fields.
+const (
+	maxWriteBytes = 48_000
+	maxPart       = math.MaxUint16
+	maxGroup      = 255
+	maxSizeKB     = math.MaxInt32
+	noGroup       = -1
+)
+
+// opaqueValue is the form of values that are forwarded as they are: the tags of copies and idempotency keys. Any other bytes
+// could break the frame to a cache server, and with it a connection that other requests share.
+var opaqueValue = regexp.MustCompile(`^[0-9A-Za-z_-]{0,64}$`)
+
+// pendingRequest is a request that was read and is not yet started.
+type pendingRequest struct {
+	ctx     context.Context
+	cancel  context.CancelFunc
+	tag     string
+	request core.Request
+}
+
+// isTag tells whether an answer can be written under a tag: a whole number above 0.
+func isTag(b []byte) bool {
+	n, err := strconv.ParseUint(string(b), 10, 63)
+	return err == nil && n > 0
+}
+
+// isID tells whether s is an id of a request or an object: 16 hexadecimal digits.
+func isID(s string) bool {
+	if len(s) != 16 {
+		return false
+	}
+	_, err := strconv.ParseUint(s, 16, 64)
+	return err == nil
+}
+
+// parseRequest reads the class, the fields and the body of a call that arrived at now, in ms of the clock. ok is false if one of
+// them is invalid: such a request must reach neither the module nor a cache server.
+func parseRequest(args [][]byte, now float64, h RequestHandler) (q core.Request, ok bool) {
+	if len(args) < 2 {
+		return q, false
+	}
+	text, ok := resp.ParseFields(args[1])
+	if !ok {
+		return q, false
+	}
+	class := h.ClassIndex(string(args[0]))
+	if class < 0 {
+		return q, false
+	}
+	settings := h.Settings().Classes[class]
+	fields := fieldReader{text: text, valid: true}
+	q = core.Request{
+		ID:    text["rid"],
+		Class: class,
+		// The module remembers objects for long: a part of the fields' text would keep all of it in memory.
+		Object:         strings.Clone(text["obj"]),
+		ClientRetry:    text["again"] == "1",
+		CachedTag:      text["got"],
+		IdempotencyKey: text["token"],
+		Part:           int(fields.number("nth", 0, maxPart, 0)),
+		Group:          int(fields.number("batch", 0, maxGroup, noGroup)),
+		SizeKB:         fields.number("mem", 0, maxSizeKB, 0),
+		Deadline:       now + fields.number("budget", 1, clock.Ms(settings.Deadline), 0),
+	}
+	if len(args) > 2 {
+		q.Body = bytes.Clone(args[2])
+	}
+	maxBody := 0
+	if settings.Uncached {
+		maxBody = maxWriteBytes
+	}
+	ok = fields.valid && isID(q.ID) && isID(q.Object) && opaqueValue.MatchString(q.CachedTag) && opaqueValue.MatchString(q.IdempotencyKey)
+	return q, ok && len(q.Body) <= maxBody && q.Deadline > now
+}
+
+// fieldReader reads numbers from fields. valid is false once one is malformed or out of range.
+type fieldReader struct {
+	text  map[string]string
+	valid bool
+}
+
+// number reads a number with inclusive bounds, or returns absent where the field is not given.
+func (r *fieldReader) number(name string, least, most, absent float64) float64 {
+	text, given := r.text[name]
+	if !given {
+		return absent
+	}
+	value, err := strconv.ParseFloat(text, 64)
+	r.valid = r.valid && err == nil && value >= least && value <= most && !math.IsNaN(value)
+	return value
+}
+
+// appendAnswer appends a final answer, as clients read it, to b.
+func appendAnswer(b []byte, tag string, a core.Answer) []byte {
+	const minBackoffMs = 1 // less rounds to no advice
+	switch {
+	case a.Verdict == core.Rejected && a.RetryAfter >= minBackoffMs:
+		return resp.AppendFrame(b, tag, "full", "backoff="+strconv.Itoa(int(a.RetryAfter)))
+	case a.Verdict == core.Rejected:
+		return resp.AppendFrame(b, tag, "full")
+	case a.Verdict == core.Failed:
+		return resp.AppendFrame(b, tag, "fault")
+	case a.NotModified:
+		return resp.AppendFrame(b, tag, "ok", "ok304=1", "")
+	}
+	return resp.AppendFrameWithBody(b, a.Body, tag, "ok", "")
+}
--- a/internal/front/resp/unread_test.go
+++ b/internal/front/resp/slow_writer_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-// gatedFront is a front with so many places, and the gate before its reads.
+// gatedFront is a front with so many slots whose reads pass a gate.
 func gatedFront(t *testing.T, p *scenario.Proxy, most int) (*resp.Front, *gated) {
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -25,9 +25,9 @@
 	return f, gate
 }
 
-// Some clients write slowly: the bytes of a frame come a second apart, for several times as long as a silent client has. Its
-// request is served, the first one on a connection and a later one.
-func TestSlowWriter(t *testing.T) {
+// The bytes of a frame arrive a second apart, for several times as long as a silent client has. The request is served, the first one
+// on a connection and a later one.
+func TestSlowWriterIsServed(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
 	nc, err := net.Dial("tcp", f.Addr())
@@ -61,12 +61,12 @@
 	write([]byte("*4\r\n$8"))
 	p.Clock.Advance(3000)
 	_, err = nc.Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "half a frame of which no more comes ends its connection")
+	require.ErrorIs(t, err, io.EOF, "half a frame without more bytes ends its connection")
 }
 
-// A request comes in two halves, two seconds apart, on a new connection: it is served. Half a frame and no more is closed within
-// three seconds of connecting.
-func TestHalvesApart(t *testing.T) {
+// A request whose halves arrive two seconds apart on a new connection is served. A connection with half a frame and no more is closed
+// within three seconds of connecting.
+func TestHalfFrameTimesOut(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
 	call := frames.AppendFrame(nil, strings.Fields(asset)...)
@@ -74,7 +74,7 @@
 		nc, err := net.Dial("tcp", f.Addr())
 		require.NoError(t, err)
 		t.Cleanup(func() { nc.Close() })
-		before := gate.taken.Load()
+		before := gate.read.Load()
 		_, err = nc.Write(call[:40])
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return gate.wanted.Load() == before+40 }, 10*time.Second, time.Millisecond)
@@ -97,12 +97,11 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A request has reached a connection and nobody has read it yet, as the reader is held up. The connection is not at rest: it
-// is not ended for one that comes, nor as one on which half a frame came and no more; the request is served, and so is the one
-// that came for a place.
-func TestUnreadIsNotAtRest(t *testing.T) {
+// A request has reached a connection and is not read yet, as the reader is held up. The connection is closed neither for a new one nor
+// for its half frame; the request is served, and so is that of the new connection.
+func TestUnreadRequestKeepsConnectionOpen(t *testing.T) {
 	const rests = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
-	for name, half := range map[string]bool{"a place is needed": false, "half a frame, for too long": true} {
+	for name, half := range map[string]bool{"a slot is needed": false, "half a frame, for too long": true} {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 1)
@@ -134,7 +133,7 @@
 				require.NoError(t, actors["comes"].Send([]string{"RPC.HEALTH", "1"}))
 			}
 			for range 20 {
-				time.Sleep(time.Millisecond) // an end would be under way
+				time.Sleep(time.Millisecond) // a close would be in progress
 			}
 			gate.mu.Unlock()
 			scenario.Run(t, p.Clock, actors, `
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -21,7 +21,7 @@
 	"ravenwheel/policy"
 )
 
-// soak is how long it goes on: the minutes until the tables are full, those that are read early and late, and the rate.
+// soak is the length of a soak test: the minutes until the tables are full, those that are read early and late, and the rate.
 type soak struct {
 	fill, read, minutes int
 	fillPerS, perS      int
@@ -30,14 +30,14 @@
 // The clock of a soak moves on by so many ms at a time, while requests are open and once all are answered.
 const openStep, idleStep = 50, 250
 
-// atOnce: so many requests of a second come in one instant. Guards against what is chance: of a second's requests in one
-// instant, the module refuses those that find none of the others answered yet.
-const atOnce = 15
+// burstSize is how many requests are sent in one instant. Of a whole second's requests in one instant, the module would reject those
+// that find none of the others answered yet.
+const burstSize = 15
 
-// TestSoak plays minutes of churn: new objects all the time, caches are replaced, connections come and go, purges are told.
-// What may grow is bounded and full when the first heap is read: the module's memory of hit holders and of purges, 16,384
+// TestSoak plays minutes of churn: new objects all the time, caches are replaced, connections open and close, objects are purged.
+// What may grow is bounded and full when the first heap is read: the module's memory of cached copies and of purges, 16,384
 // entries each, and the caches' copies. From then on, at one rate, the heap after a collection stays within a twentieth.
-// In CI thirteen minutes, which find a table that keeps 100 bytes of each request; make soak plays 45.
+// CI plays thirteen minutes, which find a table that keeps 100 bytes of each request; make soak plays 45.
 func TestSoak(t *testing.T) {
 	s := soak{fill: 7, read: 3, minutes: 13, fillPerS: 90, perS: 60}
 	if os.Getenv("SOAK") != "" {
@@ -78,9 +78,9 @@
 
 	clients := make([]*scenario.Client, 3)
 	object, tag, served, asked, purged := 0, 0, 0, 0, 0
-	// ask sends n requests and has the clock move on for a second, each time from a state of rest. Guards against a busy machine,
-	// on which requests that were still under way ran out of the time that the clock was moved on by.
-	calm := newRest(t)
+	// ask sends n requests and has the clock move on for a second, each time once the process is quiescent: on a busy
+	// machine, requests that are still under way would run out of time otherwise.
+	idle := newQuiescence(t)
 	ask := func(n int) {
 		end := clk.Now() + 1000
 		got := make(chan []string, n)
@@ -100,7 +100,7 @@
 			go func() {
 				for range (n + len(clients) - 1 - i) / len(clients) {
 					words, err := c.Receive()
-					for began := time.Now(); err != nil && time.Since(began) < restWithin; {
+					for began := time.Now(); err != nil && time.Since(began) < quiescenceTimeout; {
 						words, err = c.Receive()
 					}
 					got <- words
@@ -117,17 +117,17 @@
 			}
 			require.NoError(t, clients[i%len(clients)].Send([]string{"RPC.CALL", fmt.Sprint(tag), "asset",
 				fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=%d", tag, obj, obj%256)}))
-			if (i+1)%atOnce == 0 {
-				calm.advance(clk, 1000*atOnce/float64(n), 1000)
+			if (i+1)%burstSize == 0 {
+				idle.advance(clk, 1000*burstSize/float64(n), 1000)
 			}
 		}
-		for calm.wait(); left > 0; calm.wait() {
+		for idle.wait(); left > 0; idle.wait() {
 			if take(); left > 0 {
 				require.Less(t, clk.Now(), end+5000, "%d are never answered", left) // twice the budget
 				clk.Advance(openStep)
 			}
 		}
-		calm.advance(clk, max(0, end-clk.Now()), idleStep)
+		idle.advance(clk, max(0, end-clk.Now()), idleStep)
 	}
 	heap := func() float64 {
 		servers.DiscardObservations()
--- /dev/null
+++ b/internal/front/resp/sweep.go
@@ -0,0 +1,57 @@
+package resp
+
+import "ravenwheel/internal/decide/drain"
+
+// sweep ends the connections whose clients have been silent for too long where they have to send, or have not read their answers
+// for too long. It runs every sweepInterval.
+func (f *Front) sweep() {
+	f.clock.After(sweepInterval, f.sweep)
+	defer f.closeEvicted()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.clock.Now()
+	for c := range f.conns {
+		switch {
+		case c.client != nil && c.client.writeTimedOut(now):
+			go c.abort() // its reader cancels the open requests
+		case c.readTimedOut(now) && !c.hasUnreadBytes() && c.beginLinger():
+			f.lingerUnanswered(c)
+		}
+	}
+}
+
+// drainSweep ends the connections that the drain plan ends. It runs every drainInterval while the plan is on.
+func (f *Front) drainSweep() {
+	plan := f.plan.Load()
+	if !plan.Active {
+		return
+	}
+	f.clock.After(drainInterval, f.drainSweep)
+	now := f.clock.Now()
+	defer f.closeEvicted()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
+		f.lingerIfDrained(c, now, plan)
+	}
+}
+
+// closeIfDrained checks a connection whose last answer was just written, once the plan rejects requests: a client that sends its
+// next request at once would be at rest in no sweep.
+func (f *Front) closeIfDrained(cl *client) {
+	plan, now := f.plan.Load(), f.clock.Now()
+	if plan.AcceptsRequest(now) {
+		return
+	}
+	defer f.closeEvicted()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lingerIfDrained(cl.conn, now, plan)
+}
+
+// lingerIfDrained ends a connection if the plan says so. Called under the front's lock.
+func (f *Front) lingerIfDrained(c *conn, now float64, plan *drain.Plan) {
+	if c.stage == stageServing && plan.ShouldClose(now, c.drainState(now)) && c.beginLinger() {
+		f.linger(c)
+	}
+}
--- /dev/null
+++ b/internal/front/resp/writer.go
@@ -0,0 +1,75 @@
+package resp
+
+// send appends one complete answer to the output and wakes the writer. A client that reads too little for too many answers is
+// disconnected.
+func (cl *client) send(appendTo func([]byte) []byte) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.closed {
+		return
+	}
+	before := len(cl.out)
+	if before > maxOutBytes {
+		go cl.conn.abort() // the reader sees the end, and closes the client
+		return
+	}
+	cl.out = appendTo(cl.out)
+	cl.front.pendingWork.Add(int64(len(cl.out) - before))
+	select {
+	case cl.wake <- struct{}{}:
+	default:
+	}
+}
+
+// writeLoop writes answers until the client is closed or writing fails.
+func (cl *client) writeLoop() {
+	for range cl.wake {
+		cl.mu.Lock()
+		bytes := cl.nextWrite()
+		cl.mu.Unlock()
+		for len(bytes) > 0 {
+			if _, err := cl.conn.Write(bytes); err != nil {
+				cl.conn.abort()
+				return
+			}
+			var open bool
+			if bytes, open = cl.written(len(bytes)); !open {
+				return
+			}
+		}
+		cl.front.closeIfDrained(cl)
+	}
+}
+
+// written removes n bytes from the front of the output, in place, and returns what is to write next. open is false once the
+// client is closed.
+func (cl *client) written(n int) (next []byte, open bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.closed {
+		return nil, false
+	}
+	cl.front.pendingWork.Add(-int64(n))
+	cl.out = cl.out[:copy(cl.out, cl.out[n:])]
+	next = cl.nextWrite()
+	if len(next) == 0 && cap(cl.out) > maxIdleOutBytes {
+		cl.out = nil
+	}
+	return next, true
+}
+
+// nextWrite returns the whole output, and notes since when it is being written. Called under the client's lock.
+func (cl *client) nextWrite() []byte {
+	cl.writingSince = 0
+	if len(cl.out) > 0 {
+		cl.writingSince = cl.front.clock.Now()
+	}
+	return cl.out[:len(cl.out):len(cl.out)]
+}
+
+// writeTimedOut tells whether the bytes that are being written have not been read for too long.
+func (cl *client) writeTimedOut(now float64) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.writingSince > 0 && now-cl.writingSince >= writeTimeout
+}
