--- a/cmd/ravenwheel/shared.go
+++ b/cmd/ravenwheel/shared.go
@@ -102,12 +102,12 @@
 const storeList = "servers"
 
 // hears says where facts of the store go.
-func (s *sources) hears(at int, conf *config.Config, log *logs.Log) *applier.Options {
-	o := &applier.Options{
-		Clock: s.clk, Log: log, Source: at, Entries: conf.Entries, Tell: s.roster.Handle, Drained: s.drained, Purged: s.core.Purged,
+func (s *sources) hears(at int, conf *config.Config, log *logs.Log) *applier.Applier {
+	o := &applier.Applier{
+		Clock: s.clk, Log: log, Source: at, ListEntries: conf.Entries, HandleEvent: s.roster.Handle, SetDrain: s.drained, HandlePurge: s.core.Purged,
 	}
 	if s.state != nil { // or the interface would hold a nil
-		o.Keeper = s.state
+		o.Recorder = s.state
 	}
 	return o
 }
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -1,7 +1,7 @@
-// Package applier takes in what the members of a store share, and has it come into force in this process: lists and drains
-// go to the server registry, purges to the request's path, and all of them to the journal. It is the same whether a member
-// of the store tells them or a distributor, and is told them in order by one goroutine. It decides nothing: what a change
-// is worth was decided by the store's state (decide/storestate), and what becomes of it is by the registry's ledger.
+// Package applier puts replicated changes into effect in this process: lists and drains go to the server registry, purges to
+// the request path, and all of them to the state recorder. It makes no difference whether the changes come from this
+// process's store or from a distributor. It decides nothing: decide/storestate decided what a change means for the store, and
+// decide/membership decides what becomes of the servers. Its tests check the effects and their order.
 package applier
 
 import (
@@ -15,76 +15,89 @@
 	"ravenwheel/policy"
 )
 
-// ListSource is the name under which the journal keeps the store's list.
+// ListSource is the source under which the store's list is recorded.
 const ListSource = "store"
 
-// Keeper is the journal's part.
-type Keeper interface {
-	RecordList(source string, set *serverlist.List) error
+// Recorder stores what must survive a restart. See state.Recorder.
+type Recorder interface {
+	RecordList(source string, list *serverlist.List) error
 	RecordPurgeAsync(recovery.Purge)
 }
 
-// Options say where facts go.
-type Options struct {
-	Clock   *clock.Clock
-	Log     *logs.Log
-	Source  int // the store's among the registry's sources
-	Entries func(*serverlist.List) []membership.Entry
-	Tell    func(membership.Event)                 // the registry
-	Drained func(id policy.CacheID, on bool) error // the registry and the journal
-	Purged  func(core.Purge)                       // the request's path
-	Keeper  Keeper                                 // nil: nothing is kept
+// Applier puts changes into effect. All fields but Log and Recorder must be set. It must be used by one goroutine.
+type Applier struct {
+	Clock       *clock.Clock
+	Log         *logs.Log
+	Source      int                                              // the store's index among the registry's sources
+	ListEntries func(*serverlist.List) []membership.Entry        // converts a list for the registry
+	HandleEvent func(membership.Event)                           // the registry's
+	SetDrain    func(server policy.CacheID, draining bool) error // in the registry, and recorded
+	HandlePurge func(core.Purge)                                 // the request path's
+	Recorder    Recorder                                         // nil: nothing is recorded
 }
 
-// Take has one fact come into force. A kind that is none of facts is passed over.
-func (o *Options) Take(c storestate.Change) {
+// Run applies changes until the channel is closed.
+func (a *Applier) Run(changes <-chan storestate.Change) {
+	for c := range changes {
+		a.Apply(c)
+	}
+}
+
+// Apply puts one change into effect. It ignores changes that are neither a list, a drain nor a purge, and drains of names
+// that are no server's.
+func (a *Applier) Apply(c storestate.Change) {
 	switch c.Kind {
 	case storestate.SetList:
-		o.list(c.List)
+		a.applyList(c.List)
 	case storestate.StartDrain, storestate.EndDrain:
 		if id, ok := serverlist.ParseID(c.Name); ok {
-			_ = o.Drained(id, c.Kind == storestate.StartDrain) // the store has it; the keeper says what it could not keep
+			_ = a.SetDrain(id, c.Kind == storestate.StartDrain) // the store has the drain, and the recorder logs its failures
 		}
 	case storestate.AddPurge:
-		o.purge(*c.Purge)
+		a.applyPurge(*c.Purge)
 	}
 }
 
-// Run takes facts in until there are no more.
-func (o *Options) Run(heard <-chan storestate.Change) {
-	for c := range heard {
-		o.Take(c)
+// applyList puts a list into effect, unless one of its servers has a zone or kind that this site does not have. The list is
+// recorded before it takes effect.
+func (a *Applier) applyList(l *storestate.List) {
+	list := serverlist.NewList(l.Generation, l.Servers)
+	entries := a.ListEntries(list)
+	if !a.knownHere(list, entries) {
+		return
+	}
+	if a.Recorder != nil {
+		_ = a.Recorder.RecordList(ListSource, list) // the recorder logs its failures
 	}
+	a.HandleEvent(membership.Snapshot{Source: a.Source, Generation: list.Generation, Entries: entries})
 }
 
-// list takes a list whole, or not at all where one of its servers is not of this site.
-func (o *Options) list(l *storestate.List) {
-	set := serverlist.NewList(l.Generation, l.Servers)
-	entries := o.Entries(set)
-	usable := true
+// knownHere reports whether this site has the zones and kinds of all entries, and logs those that it has not.
+func (a *Applier) knownHere(list *serverlist.List, entries []membership.Entry) bool {
+	known := true
 	for i, e := range entries {
 		if e.Zone < 0 || e.Kind < 0 {
-			o.Log.Error("list").Str("server", serverlist.FormatID(set.Servers[i].ID)).Msg("the store's list is not of this site: not used")
-			usable = false
+			a.Log.Error("list").Str("server", serverlist.FormatID(list.Servers[i].ID)).
+				Msg("list from the store rejected: zone or kind of a server is unknown at this site")
+			known = false
 		}
 	}
-	if !usable {
-		return
-	}
-	if o.Keeper != nil { // before it is in force, as a watched list is
-		_ = o.Keeper.RecordList(ListSource, set)
-	}
-	o.Tell(membership.Snapshot{Source: o.Source, Generation: set.Generation, Entries: entries})
+	return known
 }
 
-// purge has a purge in force before it is kept: its source tells it again after a crash in between.
-func (o *Options) purge(x storestate.Purge) {
+// applyPurge puts a purge into effect before it is recorded: after a crash in between, its source sends it again.
+func (a *Applier) applyPurge(x storestate.Purge) {
 	p := core.Purge{Object: x.Object, Group: x.Group, At: x.IssuedAt}
 	if p.Object != "" {
-		p.Group = -1
+		p.Group = noGroup
 	}
-	o.Purged(p)
-	if o.Keeper != nil {
-		o.Keeper.RecordPurgeAsync(recovery.Purge{Object: p.Object, Group: x.Group, IssuedAt: p.At, NotifiedAt: o.Clock.Now()})
+	a.HandlePurge(p)
+	if a.Recorder != nil {
+		a.Recorder.RecordPurgeAsync(recovery.Purge{
+			Object: p.Object, Group: x.Group, IssuedAt: x.IssuedAt, NotifiedAt: a.Clock.Now(),
+		})
 	}
 }
+
+// noGroup is the group of a purge of an object.
+const noGroup = -1
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -15,50 +15,53 @@
 	"ravenwheel/policy"
 )
 
-// heard keeps what facts come to, in order.
-type heard struct{ all []any }
+// effects records the effects of changes, in order.
+type effects struct{ all []any }
 
-type took struct {
+type recordedList struct {
 	source     string
 	generation uint64
 }
 
-type drained struct {
-	id policy.CacheID
-	on bool
+type drain struct {
+	id       policy.CacheID
+	draining bool
 }
 
-func (h *heard) RecordList(source string, set *serverlist.List) error {
-	h.all = append(h.all, took{source, set.Generation})
+func (e *effects) RecordList(source string, list *serverlist.List) error {
+	e.all = append(e.all, recordedList{source, list.Generation})
 	return nil
 }
 
-func (h *heard) RecordPurgeAsync(p recovery.Purge) { h.all = append(h.all, p) }
+func (e *effects) RecordPurgeAsync(p recovery.Purge) { e.all = append(e.all, p) }
 
-func options(h *heard) *applier.Options {
-	return &applier.Options{
-		Clock: clock.Manual(5000), Source: 1, Keeper: h,
-		Entries: func(set *serverlist.List) []membership.Entry {
-			out := make([]membership.Entry, len(set.Servers))
-			for i, s := range set.Servers {
-				if out[i].ID = s.ID; s.Zone != "here" {
-					out[i].Zone = -1
+// newApplier returns an applier at a site whose only zone is "here".
+func newApplier(e *effects) *applier.Applier {
+	return &applier.Applier{
+		Clock: clock.Manual(5000), Source: 1, Recorder: e,
+		ListEntries: func(list *serverlist.List) []membership.Entry {
+			entries := make([]membership.Entry, len(list.Servers))
+			for i, s := range list.Servers {
+				if entries[i].ID = s.ID; s.Zone != "here" {
+					entries[i].Zone = -1
 				}
 			}
-			return out
+			return entries
 		},
-		Tell:    func(e membership.Event) { h.all = append(h.all, e) },
-		Drained: func(id policy.CacheID, on bool) error { h.all = append(h.all, drained{id, on}); return nil },
-		Purged:  func(p core.Purge) { h.all = append(h.all, p) },
+		HandleEvent: func(event membership.Event) { e.all = append(e.all, event) },
+		SetDrain: func(id policy.CacheID, draining bool) error {
+			e.all = append(e.all, drain{id, draining})
+			return nil
+		},
+		HandlePurge: func(p core.Purge) { e.all = append(e.all, p) },
 	}
 }
 
-// Each fact comes into force once, in order: a list is kept before it is in force, a purge is in force before it is kept,
-// and a kind that is no fact is passed over.
-func TestTake(t *testing.T) {
-	h := &heard{}
-	o := options(h)
-	in := make(chan storestate.Change, 8)
+// Each fact takes effect once, in order: a list is recorded before it takes effect, a purge takes effect before it is
+// recorded, and other changes are ignored.
+func TestRunAppliesEachFactOnceInOrder(t *testing.T) {
+	e := &effects{}
+	changes := make(chan storestate.Change, 8)
 	for _, c := range []storestate.Change{
 		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
 		{Kind: storestate.StartDrain, Name: serverlist.FormatID(1)}, {Kind: storestate.EndDrain, Name: serverlist.FormatID(1)},
@@ -66,34 +69,34 @@
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 11}},
 	} {
-		in <- c
+		changes <- c
 	}
-	close(in)
-	o.Run(in)
+	close(changes)
+	newApplier(e).Run(changes)
 	entry := membership.Entry{}
 	entry.ID = 1
 	require.Equal(t, []any{
-		took{applier.ListSource, 3}, membership.Snapshot{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
-		drained{1, true}, drained{1, false},
+		recordedList{applier.ListSource, 3}, membership.Snapshot{Source: 1, Generation: 3, Entries: []membership.Entry{entry}},
+		drain{1, true}, drain{1, false},
 		core.Purge{Object: "o", Group: -1, At: 10}, recovery.Purge{Object: "o", IssuedAt: 10, NotifiedAt: 5000},
 		core.Purge{Group: 4, At: 11}, recovery.Purge{Group: 4, IssuedAt: 11, NotifiedAt: 5000},
-	}, h.all)
+	}, e.all)
 }
 
-// A list with a server that is not of this site is not taken, not by half either.
-func TestForeignList(t *testing.T) {
-	h := &heard{}
-	options(h).Take(storestate.Change{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{
+// A list with one server of an unknown zone is rejected completely.
+func TestListWithUnknownZoneIsRejected(t *testing.T) {
+	e := &effects{}
+	newApplier(e).Apply(storestate.Change{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Zone: "here"}, {ID: 2, Zone: "elsewhere"},
 	}}})
-	require.Empty(t, h.all)
+	require.Empty(t, e.all)
 }
 
-// Without a journal facts are in force all the same.
-func TestNothingKept(t *testing.T) {
-	h := &heard{}
-	o := options(h)
-	o.Keeper = nil
-	o.Take(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}})
-	require.Equal(t, []any{core.Purge{Object: "o", Group: -1, At: 10}}, h.all)
+// Without a recorder, changes take effect all the same.
+func TestChangesTakeEffectWithoutRecorder(t *testing.T) {
+	e := &effects{}
+	a := newApplier(e)
+	a.Recorder = nil
+	a.Apply(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}})
+	require.Equal(t, []any{core.Purge{Object: "o", Group: -1, At: 10}}, e.all)
 }
