--- a/cmd/ravenwheel/distribution.go
+++ b/cmd/ravenwheel/distribution.go
@@ -75,13 +75,13 @@
 func (s *shared) hear(opt *distribution.Options) {
 	heard, over, revisions := s.heard, make(chan struct{}), make(chan storestate.Revision, 1)
 	s.over, s.revisions = over, revisions
-	opt.Take = func(c storestate.Change) {
+	opt.ApplyChange = func(c storestate.Change) {
 		select {
 		case heard <- c:
 		case <-over:
 		}
 	}
-	opt.Revised = func(r storestate.Revision) { // by one goroutine: after the older one is out, there is room
+	opt.ApplyRevision = func(r storestate.Revision) { // by one goroutine: after the older one is out, there is room
 		select {
 		case <-revisions:
 		default:
@@ -110,10 +110,10 @@
 	}
 	set := pure.DefaultSettings(0, self)
 	set.Seed, set.HeartbeatInterval, set.SilenceTimeout, set.MaxLag, set.MaxClockSkew = conf.Seed, d.HeartbeatMs, d.SilenceTimeoutMs, d.MaxLagMs, d.MaxClockSkewMs
-	opt = distribution.Options{Settings: set, Clock: clk, Log: log, MostLinks: d.MaxLinks, Epoch: d.Epoch}
+	opt = distribution.Options{Settings: set, Clock: clk, Log: log, MaxLinks: d.MaxLinks, Epoch: d.Epoch}
 	for _, u := range d.Distributors {
 		opt.Candidates = append(opt.Candidates, distribution.Candidate{
-			Peer: pure.Peer{Name: u.Name, Rank: u.Rank, Region: u.Region, Zone: u.Zone, Site: u.Site}, Addr: u.Addr,
+			Peer: pure.Peer{Name: u.Name, Rank: u.Rank, Region: u.Region, Zone: u.Zone, Site: u.Site}, Address: u.Addr,
 		})
 	}
 	if opt.Identity, err = store.LoadIdentity(d.Identity, self.Name); err != nil {
@@ -143,7 +143,7 @@
 	cmd.AddCommand(
 		ask("show", "Show where each stream comes from, how far it is and who subscribes here", func(w *tabwriter.Writer, s distribution.Status) {
 			fmt.Fprintf(w, "%s\t%s\tepoch %d, sequence %d\t%d subscribers\t%d entries\t%d bytes waiting\n", s.Stream, from(s), s.Epoch, s.Sequence,
-				s.Subscribers, s.Entries, s.Waiting)
+				s.Subscribers, s.Entries, s.QueuedBytes)
 		}),
 		ask("lag", "Show how far each stream is behind, at most", func(w *tabwriter.Writer, s distribution.Status) {
 			fmt.Fprintf(w, "%s\t%s\n", s.Stream, lag(s))
@@ -157,20 +157,20 @@
 	switch {
 	case s.Root:
 		return "from the store"
-	case s.At == "":
+	case s.Parent == "":
 		return "subscribed nowhere"
 	default:
-		return "from " + s.At
+		return "from " + s.Parent
 	}
 }
 
 // lag is how far a stream is behind, in words.
 func lag(s distribution.Status) string {
-	if s.BehindMs < 0 {
+	if s.LagMs < 0 {
 		return "nothing whole yet"
 	}
-	words := fmt.Sprintf("%.0f ms behind at most", s.BehindMs)
-	if s.Held {
+	words := fmt.Sprintf("%.0f ms behind at most", s.LagMs)
+	if s.Restricted {
 		words += ", past its bound"
 	}
 	return words
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -121,7 +121,7 @@
 // from tells whether both streams of a process come from another one.
 func (f *levels) from(name, at string) bool {
 	all := f.streams(name)
-	return len(all) == 2 && all[0].At == at && all[1].At == at
+	return len(all) == 2 && all[0].Parent == at && all[1].Parent == at
 }
 
 func (f *levels) purges(name string) int {
@@ -186,7 +186,7 @@
 			want, have := f.streams(fleetMember), f.streams(n)
 			return f.purges(n) == purges && drains.MatchString(out) && strings.Contains(out, addr) &&
 				len(want) == 2 && len(have) == 2 && have[0].Sequence >= want[0].Sequence && have[1].Sequence >= want[1].Sequence &&
-				!have[0].Held && !have[1].Held
+				!have[0].Restricted && !have[1].Restricted
 		})
 	}
 }
@@ -271,14 +271,14 @@
 	s := shared{heard: make(chan storestate.Change, 1)}
 	var o distribution.Options
 	s.hear(&o)
-	o.Take(storestate.Change{Name: "first"})
+	o.ApplyChange(storestate.Change{Name: "first"})
 	waits := make(chan struct{})
 	go func() {
-		o.Take(storestate.Change{Name: "second"})
+		o.ApplyChange(storestate.Change{Name: "second"})
 		close(waits)
 	}()
-	o.Revised(storestate.Revision{Number: 1})
-	o.Revised(storestate.Revision{Number: 2})
+	o.ApplyRevision(storestate.Revision{Number: 1})
+	o.ApplyRevision(storestate.Revision{Number: 2})
 	require.Equal(t, uint64(2), (<-s.revisions).Number)
 	s.close()
 	<-waits
@@ -288,7 +288,7 @@
 // Both streams in words.
 func TestDistributionWords(t *testing.T) {
 	require.Equal(t, []string{"from the store", "subscribed nowhere", "from d1"},
-		[]string{from(distribution.Status{Root: true}), from(distribution.Status{}), from(distribution.Status{At: "d1"})})
+		[]string{from(distribution.Status{Root: true}), from(distribution.Status{}), from(distribution.Status{Parent: "d1"})})
 	require.Equal(t, []string{"nothing whole yet", "260 ms behind at most", "9000 ms behind at most, past its bound"},
-		[]string{lag(distribution.Status{BehindMs: -1}), lag(distribution.Status{BehindMs: 260}), lag(distribution.Status{BehindMs: 9000, Held: true})})
+		[]string{lag(distribution.Status{LagMs: -1}), lag(distribution.Status{LagMs: 260}), lag(distribution.Status{LagMs: 9000, Restricted: true})})
 }
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -17,25 +17,25 @@
 // A subscriber gets what was committed before it came and after, each fact once and in order.
 func TestStream(t *testing.T) {
 	tr := newTree(t)
-	a := tr.log.member()
-	tr.log.purge("before")
-	tr.start(peer("a", 0), a, true)
+	a := tr.log.newMember()
+	tr.log.commitPurge("before")
+	tr.start(newPeer("a", 0), a, true)
 	tr.log.commit(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
-	p := tr.start(peer("p", 9), nil, false, "a")
+	p := tr.start(newPeer("p", 9), nil, false, "a")
 	tr.caughtUp("p")
-	tr.log.purge("after")
+	tr.log.commitPurge("after")
 	tr.log.commit(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	a.apply()
 	tr.caughtUp("p")
 	eventually(t, "the drain's end", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.facts[len(p.facts)-1].Kind == storestate.EndDrain || len(p.facts) > 1 && p.facts[len(p.facts)-2].Kind == storestate.EndDrain
+		return p.changes[len(p.changes)-1].Kind == storestate.EndDrain || len(p.changes) > 1 && p.changes[len(p.changes)-2].Kind == storestate.EndDrain
 	})
 	var purges, drains []string
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.facts {
+	for _, c := range p.changes {
 		switch c.Kind {
 		case storestate.AddPurge:
 			purges = append(purges, c.Purge.Object)
@@ -50,15 +50,15 @@
 // levels starts two roots, two distributors and four proxies.
 func levels(t *testing.T) (*tree, *member, *member) {
 	tr := newTree(t)
-	a, b := tr.log.member(), tr.log.member()
-	tr.start(peer("a", 0), a, true)
-	tr.start(peer("b", 0), b, true)
-	tr.start(peer("d1", 1), nil, true, "a", "b")
-	tr.start(peer("d2", 1), nil, true, "a", "b")
+	a, b := tr.log.newMember(), tr.log.newMember()
+	tr.start(newPeer("a", 0), a, true)
+	tr.start(newPeer("b", 0), b, true)
+	tr.start(newPeer("d1", 1), nil, true, "a", "b")
+	tr.start(newPeer("d2", 1), nil, true, "a", "b")
 	for i := range 4 {
-		tr.start(peer(fmt.Sprint("p", i), 9), nil, false, "d1", "d2")
+		tr.start(newPeer(fmt.Sprint("p", i), 9), nil, false, "d1", "d2")
 	}
-	tr.log.purge("first")
+	tr.log.commitPurge("first")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
@@ -69,7 +69,7 @@
 func TestDistributorKilled(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 200 {
-		tr.log.purge(fmt.Sprint("burst-", i))
+		tr.log.commitPurge(fmt.Sprint("burst-", i))
 		a.apply()
 		b.apply()
 		if i == 100 {
@@ -80,10 +80,10 @@
 	for i := range 4 {
 		require.Equal(t, "d2", tr.nodes[fmt.Sprint("p", i)].at())
 	}
-	tr.start(peer("d1", 1), nil, true, "a", "b")
-	tr.nodes["d2"].node.Stop(60_000)
+	tr.start(newPeer("d1", 1), nil, true, "a", "b")
+	tr.nodes["d2"].node.Shutdown(60_000)
 	tr.nodes["d2"].node.Close()
-	tr.log.purge("later")
+	tr.log.commitPurge("later")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
@@ -93,7 +93,7 @@
 func TestLeaderKilledBeforeFanOut(t *testing.T) {
 	tr, a, b := levels(t)
 	tr.nodes["a"].node.Close() // it has the purge, in its log, and not a word of it has left
-	tr.log.purge("committed")
+	tr.log.commitPurge("committed")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
@@ -111,18 +111,18 @@
 	old := tr.log.clk.Now() - 60_000 // when the copy was made
 	eventually(t, "strict classes held", func() bool {
 		now := tr.log.clk.Now()
-		mark.At = p.node.Status()[0].MarkMs
+		mark.At = p.node.Status()[0].WatermarkMs
 		mark.Sequence = 1
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		v := p.gate.Decide(now, "strict", old)
-		if settled := p.node.Status()[0].MarkMs == mark.At; settled {
+		if settled := p.node.Status()[0].WatermarkMs == mark.At; settled {
 			require.NoError(t, check.CheckServed(settings(p.peer), mark, now, "strict", old, v))
 		}
 		require.NotContains(t, []pure.Verdict{pure.VerdictFetchOrigin, pure.VerdictReject}, p.gate.Decide(now, "other", old))
 		return v == pure.VerdictFetchOrigin || v == pure.VerdictReject
 	})
-	tr.log.purge("meanwhile")
+	tr.log.commitPurge("meanwhile")
 	a.apply()
 	b.apply()
 	for _, d := range []string{"d1", "d2"} {
@@ -140,13 +140,13 @@
 // A store without a quorum confirms nothing: its subscribers are held, though their links stand.
 func TestNoQuorum(t *testing.T) {
 	tr, a, b := levels(t)
-	a.cut(true)
-	b.cut(true)
+	a.setWithoutQuorum(true)
+	b.setWithoutQuorum(true)
 	p := tr.nodes["p0"]
-	held := func() bool { return p.node.Status()[0].Held }
+	held := func() bool { return p.node.Status()[0].Restricted }
 	eventually(t, "held", held)
-	a.cut(false)
-	b.cut(false)
+	a.setWithoutQuorum(false)
+	b.setWithoutQuorum(false)
 	eventually(t, "let go of", func() bool { return !held() })
 }
 
@@ -157,14 +157,14 @@
 		tr.nodes[fmt.Sprint("p", i)].node.Close()
 	}
 	for i := range 300 {
-		tr.log.purge(fmt.Sprint("while-away-", i))
+		tr.log.commitPurge(fmt.Sprint("while-away-", i))
 	}
 	a.apply()
 	b.apply()
 	for i := range 4 {
-		tr.start(peer(fmt.Sprint("p", i), 9), nil, false, "d1", "d2")
+		tr.start(newPeer(fmt.Sprint("p", i), 9), nil, false, "d1", "d2")
 	}
-	tr.log.purge("while they start")
+	tr.log.commitPurge("while they start")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
@@ -173,21 +173,21 @@
 // A distributor that still serves an old epoch is not heard by who has seen the new one; the sequence begins anew with it.
 func TestNewEpoch(t *testing.T) {
 	tr, a, b := levels(t)
-	a.cut(true)
-	b.cut(true)
+	a.setWithoutQuorum(true)
+	b.setWithoutQuorum(true)
 	tr.nodes["b"].node.Close()
 	old := tr.nodes["a"] // goes on
 	tr.log.mu.Lock()
 	tr.log.epoch, tr.log.changes = 2, nil
 	tr.log.mu.Unlock()
-	c := tr.log.member()
-	tr.start(peer("b", 0), c, true)
-	tr.log.purge("anew")
+	c := tr.log.newMember()
+	tr.start(newPeer("b", 0), c, true)
+	tr.log.commitPurge("anew")
 	c.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	// It is all there is, for a while: they would rather be held than go back.
 	tr.nodes["b"].node.Close()
-	eventually(t, "held", func() bool { return tr.nodes["p0"].node.Status()[0].Held })
+	eventually(t, "held", func() bool { return tr.nodes["p0"].node.Status()[0].Restricted })
 	require.Equal(t, uint64(2), tr.nodes["p0"].node.Status()[0].Epoch)
 	require.Equal(t, uint64(1), old.node.Status()[0].Epoch)
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
@@ -197,10 +197,10 @@
 func TestSlowSubscriber(t *testing.T) {
 	tr, a, b := levels(t)
 	tr.slow["slow"] = 1 << 10
-	p := tr.start(peer("slow", 9), nil, false, "d1")
+	p := tr.start(newPeer("slow", 9), nil, false, "d1")
 	eventually(t, "subscribed", func() bool { return p.at() == "d1" })
 	for i := range 4000 {
-		tr.log.purge(fmt.Sprintf("an object with a name that takes some room %d", i))
+		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		if i%100 == 0 {
 			a.apply()
 			b.apply()
@@ -211,22 +211,22 @@
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	require.NoError(t, p.broken)
+	require.NoError(t, p.violation)
 }
 
 // Who takes a snapshot while purges go on misses none of them.
 func TestSnapshotWhilePurging(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 3000 {
-		tr.log.purge(fmt.Sprint("held-", i))
+		tr.log.commitPurge(fmt.Sprint("held-", i))
 	}
 	a.apply()
 	b.apply()
 	for i := range 500 {
 		if i == 5 {
-			tr.start(peer("late", 9), nil, false, "d1", "d2")
+			tr.start(newPeer("late", 9), nil, false, "d1", "d2")
 		}
-		tr.log.purge(fmt.Sprint("meanwhile-", i))
+		tr.log.commitPurge(fmt.Sprint("meanwhile-", i))
 		a.apply()
 		b.apply()
 	}
@@ -238,7 +238,7 @@
 func TestDistributorStopped(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 200 {
-		tr.log.purge(fmt.Sprint("burst-", i))
+		tr.log.commitPurge(fmt.Sprint("burst-", i))
 		a.apply()
 		b.apply()
 		if i == 100 {
@@ -249,7 +249,7 @@
 	tr.stop("d1", false)
 	tr.caughtUp("d1")
 	tr.nodes["d2"].node.Close()
-	tr.log.purge("later")
+	tr.log.commitPurge("later")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
@@ -258,8 +258,8 @@
 // Who has a certificate of the cluster and asks in another's name is not heard, nor who begins with anything else.
 func TestNames(t *testing.T) {
 	tr := newTree(t)
-	tr.start(peer("a", 0), tr.log.member(), true)
-	p := tr.start(peer("p", 9), nil, false, "a")
+	tr.start(newPeer("a", 0), tr.log.newMember(), true)
+	p := tr.start(newPeer("p", 9), nil, false, "a")
 	tr.caughtUp("p")
 	eventually(t, "subscribed", func() bool { return p.at() == "a" })
 	id, err := store.LoadIdentity(tr.keys, "p")
@@ -275,7 +275,7 @@
 		require.ErrorIs(t, err, io.EOF)
 		l.Close()
 	}
-	_, err = distribution.Start(distribution.Options{Settings: settings(peer("q", 9)), Identity: id})
+	_, err = distribution.Start(distribution.Options{Settings: settings(newPeer("q", 9)), Identity: id})
 	require.Error(t, err, "another's identity")
 }
 
@@ -284,13 +284,13 @@
 	tr, a, b := levels(t)
 	tr.stop("p0", true)
 	for i := range 4000 {
-		tr.log.purge(fmt.Sprintf("an object with a name that takes some room %d", i))
+		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		a.apply()
 		b.apply()
 	}
 	tr.caughtUp("d1", "d2", "p1", "p2", "p3")
 	for _, d := range []string{"d1", "d2"} {
-		require.LessOrEqual(t, tr.nodes[d].node.Status()[0].Waiting, settings(peer("p0", 9)).Credit+4096)
+		require.LessOrEqual(t, tr.nodes[d].node.Status()[0].QueuedBytes, settings(newPeer("p0", 9)).Credit+4096)
 	}
 	tr.stop("p0", false)
 	tr.caughtUp("p0")
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -20,7 +20,7 @@
 	case storestate.AddPurge:
 		return distribution.Purges, purgeEntry(index, *c.Purge, c.ExpiresAt), nil
 	case storestate.StartDrain:
-		e.Kind, e.EffectiveAt = distribution.Drain, ceil(c.ProposedAt)
+		e.Kind, e.EffectiveAt = distribution.Drain, roundUp(c.ProposedAt)
 	case storestate.EndDrain:
 		e.Kind = distribution.DrainEnded
 	case storestate.SetList:
@@ -35,7 +35,7 @@
 
 func purgeEntry(index uint64, p storestate.Purge, until float64) distribution.Entry {
 	// An end of 0 would be none: such a purge ended long ago.
-	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: ceil(p.IssuedAt), ExpiresAt: max(1, ceil(until))}
+	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: roundUp(p.IssuedAt), ExpiresAt: max(1, roundUp(until))}
 	if p.Object == "" {
 		e.Kind, e.Group = distribution.PurgeGroup, int64(p.Group)
 	}
@@ -55,11 +55,11 @@
 }
 
 // ceil rounds a time up, to what an entry holds.
-func ceil(ms float64) int64 { return int64(min(math.Ceil(ms), math.MaxInt64/2)) }
+func roundUp(ms float64) int64 { return int64(min(math.Ceil(ms), math.MaxInt64/2)) }
 
 // whole are the entries of all that a state holds, by stream and in the order of the log. What came before the state kept
 // indexes comes first, under the lowest numbers: nobody has heard of a stream that long ago.
-func whole(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
+func snapshotEntries(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
 	out := map[distribution.Stream][]distribution.Entry{}
 	index := func(k storestate.Kind, name string) uint64 { return s.FactIndexes[storestate.FactKey(k, name)] }
 	for _, name := range slices.Sorted(maps.Keys(s.Purges)) {
@@ -83,7 +83,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Drains)) {
 		all = append(all, distribution.Entry{
-			Sequence: index(storestate.StartDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: ceil(s.Drains[name]),
+			Sequence: index(storestate.StartDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: roundUp(s.Drains[name]),
 		})
 	}
 	out[distribution.Configuration] = all
@@ -102,7 +102,7 @@
 }
 
 // bodies bounds what the body of an entry may claim.
-var bodies = func() cbor.DecMode {
+var bodyDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err)
@@ -111,25 +111,25 @@
 }()
 
 // held is what of the configuration is in force in this process, so that a snapshot is told as what differs from it.
-type held struct {
+type inForce struct {
 	revision uint64
 	lists    map[string]uint64
 	drains   map[string]bool
 }
 
 // sink is where entries come into force: the same as the store's facts of a member go to.
-type sink struct {
-	take    func(storestate.Change)
-	revised func(storestate.Revision)
-	held    held
+type entryApplier struct {
+	applyChange   func(storestate.Change)
+	applyRevision func(storestate.Revision)
+	inForce       inForce
 }
 
-func newSink(o *Options) *sink {
-	return &sink{take: o.Take, revised: o.Revised, held: held{lists: map[string]uint64{}, drains: map[string]bool{}}}
+func newEntryApplier(o *Options) *entryApplier {
+	return &entryApplier{applyChange: o.ApplyChange, applyRevision: o.ApplyRevision, inForce: inForce{lists: map[string]uint64{}, drains: map[string]bool{}}}
 }
 
 // put has one entry come into force. What this version can't read is an error, and passed over as the store does it.
-func (s *sink) put(e distribution.Entry) error {
+func (s *entryApplier) apply(e distribution.Entry) error {
 	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
 	switch e.Kind {
 	case distribution.PurgeObject, distribution.PurgeGroup:
@@ -140,50 +140,50 @@
 		}
 	case distribution.Drain:
 		c.Kind = storestate.StartDrain
-		s.held.drains[e.Name] = true
+		s.inForce.drains[e.Name] = true
 	case distribution.DrainEnded:
 		c.Kind = storestate.EndDrain
-		delete(s.held.drains, e.Name)
+		delete(s.inForce.drains, e.Name)
 	case distribution.List:
 		c.Kind, c.List = storestate.SetList, &storestate.List{}
-		if err := bodies.Unmarshal(e.Body, c.List); err != nil {
+		if err := bodyDecoder.Unmarshal(e.Body, c.List); err != nil {
 			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
 		}
-		s.held.lists[e.Name] = e.Version
+		s.inForce.lists[e.Name] = e.Version
 	case distribution.Revision:
 		var r storestate.Revision
-		if err := bodies.Unmarshal(e.Body, &r); err != nil {
+		if err := bodyDecoder.Unmarshal(e.Body, &r); err != nil {
 			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
 		}
-		s.held.revision = e.Version
-		s.revised(r)
+		s.inForce.revision = e.Version
+		s.applyRevision(r)
 		return nil
 	default:
 		return fmt.Errorf("distribution: an entry of kind %d", e.Kind)
 	}
-	s.take(c)
+	s.applyChange(c)
 	return nil
 }
 
 // whole has what a snapshot holds come into force where it is not yet, and ends the drains that it does not hold.
-func (s *sink) whole(entries []distribution.Entry, bad func(error)) {
+func (s *entryApplier) applySnapshot(entries []distribution.Entry, bad func(error)) {
 	drains := map[string]bool{}
 	for _, e := range entries {
 		drains[e.Name] = drains[e.Name] || e.Kind == distribution.Drain
 	}
-	for _, name := range slices.SortedFunc(maps.Keys(s.held.drains), cmp.Compare[string]) {
+	for _, name := range slices.SortedFunc(maps.Keys(s.inForce.drains), cmp.Compare[string]) {
 		if !drains[name] {
-			_ = s.put(distribution.Entry{Kind: distribution.DrainEnded, Name: name})
+			_ = s.apply(distribution.Entry{Kind: distribution.DrainEnded, Name: name})
 		}
 	}
 	for _, e := range entries {
-		number, listed := s.held.lists[e.Name]
+		number, listed := s.inForce.lists[e.Name]
 		switch {
-		case e.Kind == distribution.Drain && s.held.drains[e.Name]:
+		case e.Kind == distribution.Drain && s.inForce.drains[e.Name]:
 		case e.Kind == distribution.List && listed && number == e.Version:
-		case e.Kind == distribution.Revision && s.held.revision == e.Version:
+		case e.Kind == distribution.Revision && s.inForce.revision == e.Version:
 		default:
-			if err := s.put(e); err != nil {
+			if err := s.apply(e); err != nil {
 				bad(err)
 			}
 		}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -66,12 +66,12 @@
 
 	var changes []storestate.Change
 	var revisions []storestate.Revision
-	s := newSink(&Options{
-		Take:    func(c storestate.Change) { changes = append(changes, c) },
-		Revised: func(r storestate.Revision) { revisions = append(revisions, r) },
+	s := newEntryApplier(&Options{
+		ApplyChange:   func(c storestate.Change) { changes = append(changes, c) },
+		ApplyRevision: func(r storestate.Revision) { revisions = append(revisions, r) },
 	})
 	for _, entry := range entriesIn(t, "changes.bin") {
-		require.NoError(t, s.put(entry))
+		require.NoError(t, s.apply(entry))
 	}
 	require.Equal(t, []storestate.Revision{goldenRevision()}, revisions)
 	list := goldenList()
@@ -98,7 +98,7 @@
 		storestate.FactKey(storestate.AddPurge, "/a/b.webp"): 5, storestate.FactKey(storestate.AddPurge, "group 17"): 3, storestate.FactKey(storestate.SetConfig, ""): 30,
 		storestate.FactKey(storestate.SetList, "source-1"): 20, storestate.FactKey(storestate.StartDrain, "cache-7"): 25,
 	}
-	all, err := whole(state)
+	all, err := snapshotEntries(state)
 	require.NoError(t, err)
 	for name, entries := range map[string][]distribution.Entry{
 		"state_purges.bin": all[distribution.Purges], "state_configuration.bin": all[distribution.Configuration],
@@ -111,8 +111,8 @@
 // What operators see keeps its JSON keys.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
-		"status.json": {Stream: "purges", Epoch: 12, Sequence: 900, MarkMs: goldenTime, BehindMs: 751.5, At: "d1", Root: true, Held: true,
-			Subscribers: 75, Entries: 400, Backlog: 300, Waiting: 4096},
+		"status.json": {Stream: "purges", Epoch: 12, Sequence: 900, WatermarkMs: goldenTime, LagMs: 751.5, Parent: "d1", Root: true, Restricted: true,
+			Subscribers: 75, Entries: 400, Backlog: 300, QueuedBytes: 4096},
 		"status_empty.json": {},
 	} {
 		raw, err := json.MarshalIndent(status, "", "  ")
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -23,8 +23,8 @@
 
 // Candidate is a distributor that may be subscribed at, and its address.
 type Candidate struct {
-	Peer distribution.Peer
-	Addr string
+	Peer    distribution.Peer
+	Address string
 }
 
 // Source is a member of the store.
@@ -42,8 +42,8 @@
 	Log      *logs.Log
 
 	// Listen is where others subscribe, MostLinks how many links there may be at once, of both streams. nil: nowhere.
-	Listen    net.Listener
-	MostLinks int
+	Listen   net.Listener
+	MaxLinks int
 	// Source is the store that a tree begins at, Epoch the number of its history. nil: Candidates are subscribed at.
 	Source     Source
 	Epoch      uint64
@@ -51,9 +51,9 @@
 
 	// Take and Revised have facts and revisions come into force; Guard gets what strict classes go by, of a stream. Each
 	// stream calls them from a goroutine of its own, in order. Of no use with Source.
-	Take    func(storestate.Change)
-	Revised func(storestate.Revision)
-	Guard   func(distribution.Stream, distribution.Freshness)
+	ApplyChange   func(storestate.Change)
+	ApplyRevision func(storestate.Revision)
+	SetFreshness  func(distribution.Stream, distribution.Freshness)
 	// Observe gets each action of the subscribers before it is carried out. nil: nobody asks.
 	Observe func(distribution.Stream, distribution.Action)
 	// Dial opens connections. nil: TCP.
@@ -62,14 +62,14 @@
 
 // Node is one process in the tree.
 type Node struct {
-	opt     Options
-	streams map[distribution.Stream]*stream
-	addrs   map[string]string   // of candidates
-	links   *store.LinkListener // nil: nobody subscribes here
-	linked  atomic.Uint64       // numbers links from below
-	done    chan struct{}
-	closing sync.Once
-	wait    sync.WaitGroup // of all goroutines but the listener's
+	options       Options
+	streams       map[distribution.Stream]*stream
+	addresses     map[string]string   // of candidates
+	listener      *store.LinkListener // nil: nobody subscribes here
+	lastChildLink atomic.Uint64       // numbers links from below
+	done          chan struct{}
+	closeOnce     sync.Once
+	goroutines    sync.WaitGroup // of all goroutines but the listener's
 }
 
 // Streams are all that there are.
@@ -87,31 +87,31 @@
 	case o.Source != nil && o.Epoch == 0:
 		return nil, errors.New("distribution: epochs count from 1")
 	}
-	n := &Node{opt: o, streams: map[distribution.Stream]*stream{}, addrs: map[string]string{}, done: make(chan struct{})}
+	n := &Node{options: o, streams: map[distribution.Stream]*stream{}, addresses: map[string]string{}, done: make(chan struct{})}
 	for _, c := range o.Candidates {
-		n.addrs[c.Peer.Name] = c.Addr
+		n.addresses[c.Peer.Name] = c.Address
 	}
 	for _, at := range Streams {
 		n.streams[at] = newStream(n, at)
 	}
 	for _, s := range n.streams {
-		n.wait.Go(s.run)
+		n.goroutines.Go(s.run)
 	}
 	if o.Listen != nil {
-		n.links = store.ListenLinks(o.Identity, o.Listen, o.MostLinks, n.accept)
+		n.listener = store.ListenLinks(o.Identity, o.Listen, o.MaxLinks, n.accept)
 	}
 	if o.Source != nil {
-		n.wait.Go((&root{node: n}).run)
+		n.goroutines.Go((&storeFeed{node: n}).run)
 	}
 	return n, nil
 }
 
 // Stop has subscribers spread over other distributors, and returns when all have gone, or after so many ms.
-func (n *Node) Stop(wait float64) {
+func (n *Node) Shutdown(wait float64) {
 	for _, s := range n.streams {
-		s.post(input{below: true, event: distribution.Shutdown{}})
+		s.post(input{toDistributor: true, event: distribution.Shutdown{}})
 	}
-	for end := n.opt.Clock.Now() + wait; n.opt.Clock.Now() < end; n.pause(stopEvery) {
+	for end := n.options.Clock.Now() + wait; n.options.Clock.Now() < end; n.pause(shutdownPoll) {
 		left := 0
 		for _, s := range n.streams {
 			left += s.status.Load().Subscribers
@@ -123,12 +123,12 @@
 }
 
 // stopEvery ms it is looked whether subscribers have gone.
-const stopEvery = 10
+const shutdownPoll = 10
 
 // pause waits for so many ms, or until the node ends.
 func (n *Node) pause(ms float64) {
 	over := make(chan struct{})
-	stop := n.opt.Clock.After(ms, func() { close(over) })
+	stop := n.options.Clock.After(ms, func() { close(over) })
 	defer stop()
 	select {
 	case <-over:
@@ -138,25 +138,25 @@
 
 // Close ends all links and goroutines.
 func (n *Node) Close() {
-	n.closing.Do(func() {
+	n.closeOnce.Do(func() {
 		close(n.done)
-		if n.links != nil {
-			_ = n.links.Close()
+		if n.listener != nil {
+			_ = n.listener.Close()
 		}
 	})
-	n.wait.Wait()
+	n.goroutines.Wait()
 }
 
 const (
 	// mostAsked bytes has a message from below, and firstFor it is waited for the first.
-	mostAsked = 4 << 10
-	firstFor  = 5 * time.Second
+	maxChildMessage     = 4 << 10
+	firstMessageTimeout = 5 * time.Second
 )
 
 // accept serves a link from below, in a goroutine of the listener. It carries one stream, which the first message names;
 // who asks in another's name than that of its certificate gets no answer.
 func (n *Node) accept(l *store.Link) {
-	raw, err := l.Receive(mostAsked, firstFor)
+	raw, err := l.Receive(maxChildMessage, firstMessageTimeout)
 	if err != nil {
 		return
 	}
@@ -169,21 +169,21 @@
 	if s == nil {
 		return
 	}
-	number := distribution.Link(n.linked.Add(1))
-	out := newOutbox(l, &n.wait, n.done)
-	defer out.end()
-	if !s.post(input{below: true, link: number, opened: out}) {
+	number := distribution.Link(n.lastChildLink.Add(1))
+	out := newOutbox(l, &n.goroutines, n.done)
+	defer out.close()
+	if !s.post(input{toDistributor: true, link: number, opened: out}) {
 		return
 	}
 	for err == nil {
-		if !s.post(input{below: true, event: distribution.Received{Link: number, Message: m, Bytes: len(raw)}}) {
+		if !s.post(input{toDistributor: true, event: distribution.Received{Link: number, Message: m, Bytes: len(raw)}}) {
 			return
 		}
-		if raw, err = l.Receive(mostAsked, 0); err == nil {
+		if raw, err = l.Receive(maxChildMessage, 0); err == nil {
 			m, err = distribution.Decode(raw)
 		}
 	}
-	s.post(input{below: true, event: distribution.Disconnected{Link: number}})
+	s.post(input{toDistributor: true, event: distribution.Disconnected{Link: number}})
 }
 
 // Status is how a stream stands in a process.
@@ -191,28 +191,28 @@
 	Stream      string  `json:"stream"`
 	Epoch       uint64  `json:"epoch"`
 	Sequence    uint64  `json:"sequence"`
-	MarkMs      int64   `json:"watermark_ms"` // all that was committed before is in force
-	BehindMs    float64 `json:"behind_ms"`    // at most, the bound on clocks counted
-	At          string  `json:"at,omitempty"` // where it is subscribed
+	WatermarkMs int64   `json:"watermark_ms"` // all that was committed before is in force
+	LagMs       float64 `json:"behind_ms"`    // at most, the bound on clocks counted
+	Parent      string  `json:"at,omitempty"` // where it is subscribed
 	Root        bool    `json:"root"`
-	Held        bool    `json:"held"` // strict classes are
+	Restricted  bool    `json:"held"` // strict classes are
 	Subscribers int     `json:"subscribers"`
 	Entries     int     `json:"entries"` // that it could give to a new subscriber
 	Backlog     int     `json:"backlog"`
-	Waiting     int     `json:"waiting_bytes"` // to be written, on the link that has most
+	QueuedBytes int     `json:"waiting_bytes"` // to be written, on the link that has most
 }
 
 var streamNames = map[distribution.Stream]string{distribution.Purges: "purges", distribution.Configuration: "configuration"}
 
 // Status tells how both streams stand.
 func (n *Node) Status() []Status {
-	now := n.opt.Clock.Now()
+	now := n.options.Clock.Now()
 	var out []Status
 	for _, at := range Streams {
 		s := *n.streams[at].status.Load()
-		s.BehindMs = -1 // nothing whole yet
-		if s.MarkMs > 0 {
-			s.BehindMs = now - float64(s.MarkMs) + n.opt.Settings.MaxClockSkew
+		s.LagMs = -1 // nothing whole yet
+		if s.WatermarkMs > 0 {
+			s.LagMs = now - float64(s.WatermarkMs) + n.options.Settings.MaxClockSkew
 		}
 		out = append(out, s)
 	}
--- a/internal/distribution/outbox.go
+++ b/internal/distribution/outbox.go
@@ -10,12 +10,12 @@
 // Bounds of one link. The machines bound by credit what is under way in batches and chunks; what is beside that is small.
 const (
 	// mostWaiting frames and mostWaitingBytes wait on a link: a peer that reads nothing, and says that it lives, is given up.
-	mostWaiting      = 8192
-	mostWaitingBytes = 2 << 20
+	maxQueuedFrames = 8192
+	maxQueuedBytes  = 2 << 20
 	// sendFor is how long a peer may take to read a frame of 32 KB: 1 KB a second is enough.
-	sendFor = 40 * time.Second
+	writeTimeout = 40 * time.Second
 	// finishFor is how long what was sent may still take to leave on a link that is ended.
-	finishFor = time.Second
+	flushTimeout = time.Second
 )
 
 // outbox is the sending half of a link, with a goroutine that writes. It never has its caller wait.
@@ -24,8 +24,8 @@
 
 	mu     sync.Mutex
 	frames [][]byte
-	bytes  int
-	ended  bool
+	queued int
+	closed bool
 	wake   chan struct{}
 	done   <-chan struct{}
 }
@@ -35,13 +35,13 @@
 	o := &outbox{link: l, wake: make(chan struct{}, 1), done: done}
 	group.Go(func() {
 		defer l.Close()
-		for o.next() {
+		for o.wait() {
 			for {
-				frame, some := o.take()
+				frame, some := o.pop()
 				if !some {
 					break
 				}
-				o.wrote(len(frame), l.Send(frame, sendFor))
+				o.written(len(frame), l.Send(frame, writeTimeout))
 			}
 		}
 	})
@@ -52,36 +52,36 @@
 func (o *outbox) send(frame []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ended {
+	if o.closed {
 		return
 	}
-	if len(o.frames) >= mostWaiting || o.bytes > mostWaitingBytes {
-		o.ended, o.frames, o.bytes = true, nil, 0
+	if len(o.frames) >= maxQueuedFrames || o.queued > maxQueuedBytes {
+		o.closed, o.frames, o.queued = true, nil, 0
 		o.link.Close()
 	} else {
 		o.frames = append(o.frames, frame)
-		o.bytes += len(frame)
+		o.queued += len(frame)
 	}
 	o.signal()
 }
 
 // end ends the link after what was sent on it.
-func (o *outbox) end() {
+func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.ended {
+	if o.closed {
 		return
 	}
-	o.ended = true
-	time.AfterFunc(finishFor, o.link.Close) // of the socket, as its deadlines are
+	o.closed = true
+	time.AfterFunc(flushTimeout, o.link.Close) // of the socket, as its deadlines are
 	o.signal()
 }
 
 // waiting is how many bytes have not been written.
-func (o *outbox) waiting() int {
+func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.bytes
+	return o.queued
 }
 
 func (o *outbox) signal() {
@@ -92,9 +92,9 @@
 }
 
 // next waits for something to do; it returns false once the link is ended and all is written.
-func (o *outbox) next() bool {
+func (o *outbox) wait() bool {
 	o.mu.Lock()
-	over := o.ended && len(o.frames) == 0
+	over := o.closed && len(o.frames) == 0
 	o.mu.Unlock()
 	if over {
 		return false
@@ -107,7 +107,7 @@
 	}
 }
 
-func (o *outbox) take() (frame []byte, some bool) {
+func (o *outbox) pop() (frame []byte, some bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.frames) == 0 {
@@ -120,11 +120,11 @@
 }
 
 // wrote books that a frame has left, or that nothing does any more.
-func (o *outbox) wrote(bytes int, err error) {
+func (o *outbox) written(bytes int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.bytes = max(0, o.bytes-bytes)
+	o.queued = max(0, o.queued-bytes)
 	if err != nil {
-		o.ended, o.frames, o.bytes = true, nil, 0
+		o.closed, o.frames, o.queued = true, nil, 0
 	}
 }
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -32,10 +32,10 @@
 type member struct {
 	log *log
 
-	mu       sync.Mutex
-	state    *storestate.State
-	follower store.Observer
-	alone    bool // no quorum
+	mu            sync.Mutex
+	state         *storestate.State
+	follower      store.Observer
+	withoutQuorum bool // no quorum
 }
 
 // log is what the members of a store have committed, and what a checker holds processes against.
@@ -79,12 +79,12 @@
 	l.history[stream].Commit(l.epoch, e, int64(c.ProposedAt))
 }
 
-func (l *log) purge(object string) {
+func (l *log) commitPurge(object string) {
 	made := l.clk.Now()
 	l.commit(storestate.Change{Kind: storestate.AddPurge, ExpiresAt: float64(int64(made)) + 1e6, Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(made))}})
 }
 
-func (l *log) member() *member { return &member{log: l, state: storestate.New()} }
+func (l *log) newMember() *member { return &member{log: l, state: storestate.New()} }
 
 // apply has the member take in all that was committed.
 func (m *member) apply() {
@@ -111,7 +111,7 @@
 
 func (m *member) ReadIndex() (uint64, float64, error) {
 	m.mu.Lock()
-	alone := m.alone
+	alone := m.withoutQuorum
 	m.mu.Unlock()
 	if alone {
 		return 0, 0, store.ErrUnavailable
@@ -123,10 +123,10 @@
 	return m.state.AppliedIndex, at, nil
 }
 
-func (m *member) cut(alone bool) {
+func (m *member) setWithoutQuorum(alone bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.alone = alone
+	m.withoutQuorum = alone
 }
 
 // tree is nodes on loopback, whose links can be cut.
@@ -135,14 +135,14 @@
 	keys string
 	log  *log
 
-	mu    sync.Mutex
-	addrs map[string]string
-	nodes map[string]*process
-	cuts  map[[2]string]bool
-	conns map[[2]string][]net.Conn
-	names map[string]string // by address
-	slow  map[string]int    // bytes a second that a process reads
-	still map[string]bool   // processes that neither read what comes nor are heard, as when stopped by a signal
+	mu       sync.Mutex
+	addrs    map[string]string
+	nodes    map[string]*process
+	cutLinks map[[2]string]bool
+	conns    map[[2]string][]net.Conn
+	names    map[string]string // by address
+	slow     map[string]int    // bytes a second that a process reads
+	frozen   map[string]bool   // processes that neither read what comes nor are heard, as when stopped by a signal
 }
 
 // process is a node, and what the checker saw of it.
@@ -150,17 +150,17 @@
 	node *distribution.Node
 	peer pure.Peer
 
-	mu     sync.Mutex
-	seen   map[pure.Stream]*check.Process
-	gate   *pure.FreshnessGate
-	broken error
-	facts  []storestate.Change
+	mu        sync.Mutex
+	observed  map[pure.Stream]*check.Process
+	gate      *pure.FreshnessGate
+	violation error
+	changes   []storestate.Change
 }
 
 func newTree(t *testing.T) *tree {
 	tr := &tree{
 		t: t, keys: t.TempDir(), log: newLog(), addrs: map[string]string{}, nodes: map[string]*process{},
-		cuts: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{}, still: map[string]bool{},
+		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{}, frozen: map[string]bool{},
 	}
 	require.NoError(t, store.NewCluster(tr.keys, "th"))
 	t.Cleanup(func() {
@@ -183,7 +183,7 @@
 	return s
 }
 
-func peer(name string, rank int) pure.Peer {
+func newPeer(name string, rank int) pure.Peer {
 	return pure.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
 }
 
@@ -196,16 +196,16 @@
 	}
 	id, err := store.LoadIdentity(tr.keys, p.Name)
 	require.NoError(tr.t, err)
-	x := &process{peer: p, seen: map[pure.Stream]*check.Process{}}
+	x := &process{peer: p, observed: map[pure.Stream]*check.Process{}}
 	for _, s := range distribution.Streams {
-		x.seen[s] = check.NewProcess(tr.log.history[s])
+		x.observed[s] = check.NewProcess(tr.log.history[s])
 	}
 	set := settings(p)
 	x.gate = pure.NewFreshnessGate(set)
 	o := distribution.Options{
-		Settings: set, Identity: id, Clock: tr.log.clk, MostLinks: 256, Epoch: tr.log.epoch, Take: x.take, Revised: func(storestate.Revision) {},
+		Settings: set, Identity: id, Clock: tr.log.clk, MaxLinks: 256, Epoch: tr.log.epoch, ApplyChange: x.applyChange, ApplyRevision: func(storestate.Revision) {},
 		Observe: func(s pure.Stream, a pure.Action) { tr.observe(x, s, a) },
-		Guard: func(s pure.Stream, g pure.Freshness) {
+		SetFreshness: func(s pure.Stream, g pure.Freshness) {
 			if s == pure.Purges {
 				x.mu.Lock()
 				x.gate.Update(g)
@@ -218,7 +218,7 @@
 		o.Source = source
 	}
 	for _, name := range above {
-		o.Candidates = append(o.Candidates, distribution.Candidate{Peer: tr.nodes[name].peer, Addr: tr.addrs[name]})
+		o.Candidates = append(o.Candidates, distribution.Candidate{Peer: tr.nodes[name].peer, Address: tr.addrs[name]})
 	}
 	if serves {
 		ln, err := net.Listen("tcp", tr.addrs[p.Name])
@@ -235,10 +235,10 @@
 	return x
 }
 
-func (p *process) take(c storestate.Change) {
+func (p *process) applyChange(c storestate.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.facts = append(p.facts, c)
+	p.changes = append(p.changes, c)
 }
 
 // observe holds each action of a subscriber against what was committed.
@@ -247,19 +247,19 @@
 	defer tr.log.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	err := p.seen[s].Observe(a)
+	err := p.observed[s].Observe(a)
 	if advance, ok := a.(pure.AdvanceWatermark); ok && err == nil {
-		err = p.seen[s].CheckWatermark(advance.Watermark)
+		err = p.observed[s].CheckWatermark(advance.Watermark)
 	}
-	if err != nil && p.broken == nil {
-		p.broken = fmt.Errorf("%s: %w", p.peer.Name, err)
+	if err != nil && p.violation == nil {
+		p.violation = fmt.Errorf("%s: %w", p.peer.Name, err)
 	}
 }
 
 func (tr *tree) dial(from, addr string, wait time.Duration) (net.Conn, error) {
 	tr.mu.Lock()
 	link := [2]string{from, tr.names[addr]}
-	cut, slow := tr.cuts[link], tr.slow[from]
+	cut, slow := tr.cutLinks[link], tr.slow[from]
 	tr.mu.Unlock()
 	if cut {
 		return nil, fmt.Errorf("%s is cut off from %s", from, link[1])
@@ -294,7 +294,7 @@
 	}
 	n, err := c.Conn.Read(b)
 	c.read += n
-	for !c.closed.Load() && c.tree.stands(c.link) {
+	for !c.closed.Load() && c.tree.isFrozen(c.link) {
 		time.Sleep(time.Millisecond)
 	}
 	return n, err
@@ -305,16 +305,16 @@
 	return c.Conn.Close()
 }
 
-func (tr *tree) stands(link [2]string) bool {
+func (tr *tree) isFrozen(link [2]string) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	return tr.still[link[0]] || tr.still[link[1]]
+	return tr.frozen[link[0]] || tr.frozen[link[1]]
 }
 
 func (tr *tree) stop(name string, still bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.still[name] = still
+	tr.frozen[name] = still
 }
 
 // cut cuts one process off from another, or joins it again.
@@ -322,7 +322,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	link := [2]string{from, to}
-	tr.cuts[link] = cut
+	tr.cutLinks[link] = cut
 	for _, nc := range tr.conns[link] {
 		nc.Close()
 	}
@@ -345,18 +345,18 @@
 				if tr.log.history[s].Latest() == (pure.Position{}) {
 					continue // nothing was committed
 				}
-				last = errors.Join(last, p.seen[s].CheckCaughtUp(int64(tr.log.clk.Now())))
+				last = errors.Join(last, p.observed[s].CheckCaughtUp(int64(tr.log.clk.Now())))
 			}
-			return last == nil || p.broken != nil
+			return last == nil || p.violation != nil
 		}
 		if !assert.Eventually(tr.t, ok, patience, 5*time.Millisecond, "%s has all", name) {
 			require.NoError(tr.t, last)
 		}
 		p.mu.Lock()
-		require.NoError(tr.t, p.broken)
+		require.NoError(tr.t, p.violation)
 		p.mu.Unlock()
 	}
 }
 
 // at is where a process is subscribed for purges.
-func (p *process) at() string { return p.node.Status()[0].At }
+func (p *process) at() string { return p.node.Status()[0].Parent }
