--- /dev/null
+++ b/internal/front/signed/answer.go
@@ -0,0 +1,86 @@
+package signed
+
+import (
+	"errors"
+	"math"
+	"net/http"
+	"strconv"
+
+	"ravenwheel/internal/core"
+)
+
+const (
+	// timerSlackMs: a timer may fire so many ms before the time that it was set for.
+	timerSlackMs = 1
+	// spendRetryAfter is the advice in ms to a client whose token the store could not use up in time.
+	spendRetryAfter = 1000
+)
+
+// answerRead verifies the token again, as a copy is not served after its link's expiry, and writes the answer.
+func (f *Front) answerRead(w http.ResponseWriter, a core.Answer, q core.Request, t token) {
+	err := f.verifyAgain(t)
+	if a.Verdict != core.Served && f.clock.Now() >= t.validUntil-timerSlackMs {
+		err = errExpired // the request failed at its deadline, which was the token's expiry
+	}
+	switch {
+	case err != nil:
+		f.deny(w, err)
+	case a.Verdict == core.Served && a.NotModified:
+		w.WriteHeader(http.StatusNotModified)
+	case a.Verdict == core.Served:
+		writeObject(w, a)
+	case f.clock.Now() >= q.Deadline-timerSlackMs:
+		writeError(w, http.StatusGatewayTimeout, "timed out")
+	case a.Verdict == core.Rejected:
+		f.overloaded(w, a.RetryAfter)
+	default:
+		writeError(w, http.StatusBadGateway, "upstream failed")
+	}
+}
+
+// answerWrite writes the outcome as it is, whatever has become of the token since: the token's expiry can't undo a write that
+// ran.
+func (f *Front) answerWrite(w http.ResponseWriter, a core.Answer, q core.Request, t token) {
+	now := f.clock.Now()
+	switch {
+	case a.Verdict == core.Served:
+		writeObject(w, a)
+	case a.Verdict == core.Rejected && now >= t.validUntil: // it never ran
+		f.deny(w, errExpired)
+	case a.Verdict == core.Rejected:
+		f.overloaded(w, a.RetryAfter)
+	case now >= q.Deadline-timerSlackMs:
+		writeError(w, http.StatusGatewayTimeout, "timed out: effect unknown")
+	default:
+		writeError(w, http.StatusBadGateway, "upstream failed: effect unknown")
+	}
+}
+
+func writeObject(w http.ResponseWriter, a core.Answer) {
+	if a.Tag != "" {
+		w.Header().Set("ETag", strconv.Quote(a.Tag))
+	}
+	w.Header().Set("Content-Type", "application/octet-stream")
+	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
+	_, _ = w.Write(a.Body)
+}
+
+func writeError(w http.ResponseWriter, status int, text string) { http.Error(w, text, status) }
+
+// deny answers a request whose token is not accepted. Only an expired token is told apart from others.
+func (f *Front) deny(w http.ResponseWriter, err error) {
+	if errors.Is(err, errExpired) {
+		writeError(w, http.StatusForbidden, "expired")
+		return
+	}
+	w.Header().Set("WWW-Authenticate", "Bearer")
+	writeError(w, http.StatusUnauthorized, "unauthorised")
+}
+
+// overloaded answers a request that was rejected. retryAfter is in ms; clients are told whole seconds, 1 at least.
+func (f *Front) overloaded(w http.ResponseWriter, retryAfter float64) {
+	const msPerSecond = 1000
+	seconds := max(1, int(math.Ceil(retryAfter/msPerSecond)))
+	w.Header().Set("Retry-After", strconv.Itoa(seconds))
+	writeError(w, http.StatusServiceUnavailable, "overloaded")
+}
--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -30,7 +30,7 @@
 	leeway = 3000.0
 )
 
-// signer makes tokens by a clock that is skewed against the server's.
+// signer signs tokens by a clock that differs from the server's.
 type signer struct {
 	t    *testing.T
 	base string
@@ -38,7 +38,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// sign returns a JWT for a path, 10 s good, with the claims changed as asked (nil takes one out).
+// sign returns a JWT for a path, 10 s good, with some claims changed (nil: removed).
 func (s *signer) sign(path string, change jwt.MapClaims, method jwt.SigningMethod, kid string, key any) string {
 	sum := sha256.Sum256([]byte(s.base + path))
 	c := jwt.MapClaims{
@@ -54,7 +54,7 @@
 	return raw
 }
 
-// fill puts tokens where a script asks for them: {good}, {write} and so on.
+// fill replaces {good}, {write} and so on in a script by tokens.
 func (s *signer) fill(script string) string {
 	read, write := "/asset/"+object, "/seat-claim/"+object
 	es := func(path string, change jwt.MapClaims) string {
@@ -112,9 +112,9 @@
 		b expect 400 - bad request`,
 	"refused on arrival": deny("noexp", "aud", "other", "halfregex", "nouc", "crit", "v2", "ip", "early", "badkid",
 		"confused", "none", "oldaud") + link + "{old}\nb expect 403 - expired",
-	// A link that expires while its request waits: one 403, and the attempt is given up.
+	// A link that expires while its request waits: one 403, and the attempt is aborted.
 	"expiry in the queue": link + "{good} X-Budget-Ms:60000" + arrived + "wait {void}\nb expect 403 - expired\ns expect abort $id",
-	// The wall clock is stepped while it waits: what is left of the link's time is a span, and is neither cut short nor drawn out.
+	// A step of the wall clock while the request waits changes nothing of the time that the link has left.
 	"stepped back in the queue":    link + "{good} X-Budget-Ms:60000" + arrived + "step send -3600000\nwait {void}\nb expect 403 - expired\ns expect abort $id",
 	"stepped forward in the queue": link + "{good}" + arrived + "step send 3600000\n" + served,
 	"timed out":                    link + "{good} X-Budget-Ms:900" + arrived + "wait 900\nb expect 504 - timed out\ns expect abort $id",
@@ -129,7 +129,7 @@
 	"a replay": post + "{write} seat9" + claimed + served +
 		post + "{write} seat9\nb expect 409 - replayed",
 	"a write without jti": post + "{nojti} seat9\nb expect 401 - unauthorised",
-	// The claim's token expires, and its key is dropped, after it may have run: what ran stands.
+	// The token expires and its key is deleted after the write may have run: its outcome is answered all the same.
 	"expiry after a write may have run": post + "{write} X-Budget-Ms:60000 seat9" + claimed + `
 		drop send k1
 		wait 2900
@@ -170,7 +170,7 @@
 func (operator) Receive() ([]string, error)  { return nil, nil }
 func (o operator) Close() error              { return o("") }
 
-func TestSigned(t *testing.T) {
+func TestSignedScenarios(t *testing.T) {
 	for skewName, skew := range map[string]float64{"even": 0, "ahead": 2000, "behind": -2000} {
 		for name, script := range scenarios {
 			t.Run(skewName+"/"+name, func(t *testing.T) {
--- /dev/null
+++ b/internal/front/signed/request.go
@@ -0,0 +1,139 @@
+package signed
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"io"
+	"net/http"
+	"net/url"
+	"regexp"
+	"strconv"
+	"strings"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+)
+
+const (
+	// maxWriteBytes bounds the body of a write.
+	maxWriteBytes = 48_000
+	// budgetHeader carries how long the client waits, in ms from when it sent the request.
+	budgetHeader = "X-Budget-Ms"
+	// tokenParameter is the query parameter or cookie that carries a signed link's JWT (RFC 9246, section 2).
+	tokenParameter = "URISigningPackage"
+)
+
+var (
+	objectForm = regexp.MustCompile(`^[0-9a-f]{16}$`)
+	tagForm    = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
+)
+
+// parsedRequest is a request for the core, and whether it writes.
+type parsedRequest struct {
+	core.Request
+	write bool
+}
+
+// parseRequest makes a request for the core of one over HTTP that came at now, in ms of the clock. ok is false if it is
+// malformed.
+func (f *Front) parseRequest(r *http.Request, now float64) (p parsedRequest, ok bool) {
+	className, object, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class := f.handler.ClassIndex(className)
+	if class < 0 || !objectForm.MatchString(object) {
+		return p, false
+	}
+	settings := f.handler.Settings().Classes[class]
+	p.write = settings.Uncached
+	if r.Method != methodOf(p.write) {
+		return p, false
+	}
+	p.Request = core.Request{
+		ID: newRequestID(), Class: class, Object: object, Group: -1, Deadline: now + clock.Ms(settings.Deadline),
+	}
+	if !p.parseOptions(r, now) {
+		return p, false
+	}
+	p.Body, ok = readBody(r, p.write)
+	return p, ok
+}
+
+// parseOptions reads the part, the budget and the tag of the client's copy, where they are given.
+func (p *parsedRequest) parseOptions(r *http.Request, now float64) (ok bool) {
+	if part := r.URL.Query().Get("part"); part != "" {
+		number, err := strconv.ParseUint(part, 10, 31)
+		if err != nil {
+			return false
+		}
+		p.Part = int(number)
+	}
+	if budget := r.Header.Get(budgetHeader); budget != "" {
+		ms, err := strconv.ParseUint(budget, 10, 31)
+		if err != nil || ms == 0 {
+			return false
+		}
+		p.Deadline = min(p.Deadline, now+float64(ms))
+	}
+	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); tagForm.MatchString(tag) {
+		p.CachedTag = tag
+	}
+	return true
+}
+
+func methodOf(write bool) string {
+	if write {
+		return http.MethodPost
+	}
+	return http.MethodGet
+}
+
+// readBody reads the body, which only a write may have.
+func readBody(r *http.Request, write bool) (body []byte, ok bool) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxWriteBytes+1))
+	if err != nil || len(body) > maxWriteBytes || !write && len(body) > 0 {
+		return nil, false
+	}
+	return body, true
+}
+
+func newRequestID() string {
+	var id [8]byte
+	_, _ = rand.Read(id[:])
+	return hex.EncodeToString(id[:])
+}
+
+// splitToken returns the JWT of a signed link, and the URI that was signed: the request's without the JWT. The JWT is in the
+// query or in a cookie; empty: neither has one.
+func splitToken(r *http.Request) (raw, uri string) {
+	var query []string
+	for _, parameter := range strings.Split(r.URL.RawQuery, "&") {
+		if name, value, _ := strings.Cut(parameter, "="); name == tokenParameter {
+			raw, _ = url.QueryUnescape(value)
+		} else if parameter != "" {
+			query = append(query, parameter)
+		}
+	}
+	scheme := "http"
+	if r.TLS != nil {
+		scheme = "https"
+	}
+	uri = scheme + "://" + r.Host + r.URL.EscapedPath()
+	if len(query) > 0 {
+		uri += "?" + strings.Join(query, "&")
+	}
+	if raw != "" {
+		return raw, uri
+	}
+	if cookie, err := r.Cookie(tokenParameter); err == nil {
+		raw = cookie.Value
+	}
+	return raw, uri
+}
+
+// bearerToken is the token of the Authorization header; empty: there is none.
+func bearerToken(r *http.Request) string {
+	scheme, raw, _ := strings.Cut(r.Header.Get("Authorization"), " ")
+	if !strings.EqualFold(scheme, "Bearer") {
+		return ""
+	}
+	return strings.TrimSpace(raw)
+}
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -1,5 +1,3 @@
-// Package signed serves signed links and tokens over HTTP: URI Signing as in RFC 9246, and bearer
-// tokens for writes. What becomes of a request is the core's to say, as for every other front.
 package signed
 
 import (
@@ -9,8 +7,6 @@
 	"errors"
 	"fmt"
 	"math"
-	"net/http"
-	"net/url"
 	"regexp"
 	"slices"
 	"strings"
@@ -23,10 +19,7 @@
 	"ravenwheel/internal/store"
 )
 
-// packageName is the query parameter or cookie that carries a signed link's JWT.
-const packageName = "URISigningPackage"
-
-// Ways in which a token is turned away.
+// Why a token is rejected, as far as clients are told.
 var (
 	errUnauthorised = errors.New("unauthorised")
 	errExpired      = errors.New("expired")
@@ -41,17 +34,21 @@
 	ClientIP  string `json:"cdniip"`
 }
 
-// understood are the claims that may be listed as critical.
-var understood = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"}
+// supportedVersion is the version of URI Signing that this front implements.
+const supportedVersion = 1
+
+// supportedClaims may be listed as critical.
+var supportedClaims = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"}
 
-// token is an accepted JWT.
+// token is a JWT that was accepted.
 type token struct {
-	kid, jti string
-	expires  float64 // Unix ms from when on it is not accepted: its exp and the leeway
-	void     float64 // the same on this machine's clock, as of when it was read
+	keyID      string
+	id         string
+	expires    float64 // Unix ms: its exp and the leeway
+	validUntil float64 // the same in ms of this machine's clock, which wall-clock steps do not move
 }
 
-// verifier checks tokens against the keys in the store.
+// verifier verifies tokens against the keys and the revocations in the store.
 type verifier struct {
 	clock    *clock.Clock
 	store    *store.Store
@@ -59,92 +56,112 @@
 	leeway   atomic.Uint64 // the bits of a float64, ms
 }
 
-// verify checks a JWT for a URI. A write's token is used up, so it needs an id.
+func (v *verifier) leewayMs() float64 { return math.Float64frombits(v.leeway.Load()) }
+
+// verify verifies a JWT for a URI. The token of a write is used up later, so it needs an id. The error wraps errExpired or
+// errUnauthorised.
 func (v *verifier) verify(raw, uri string, write bool) (token, error) {
 	var c claims
-	parsed, err := jwt.ParseWithClaims(raw, &c, v.key,
-		jwt.WithValidMethods([]string{"HS256", "ES256", "EdDSA"}),
-		jwt.WithAudience(v.audience), jwt.WithExpirationRequired(), jwt.WithIssuedAt(),
-		jwt.WithLeeway(clock.Duration(math.Float64frombits(v.leeway.Load()))), jwt.WithTimeFunc(func() time.Time {
-			return time.UnixMicro(int64(v.clock.Wall() * 1e3))
-		}),
-	)
+	parsed, err := jwt.ParseWithClaims(raw, &c, v.signingKey, v.parserOptions()...)
+	if isOnlyExpired(err) {
+		return token{}, errExpired
+	}
+	if err == nil {
+		err = v.checkClaims(&c, parsed.Header, uri, write)
+	}
 	if err != nil {
-		// What is only too old was good; a forged token is never told apart by its age.
-		if errors.Is(err, jwt.ErrTokenExpired) && !errors.Is(err, jwt.ErrTokenNotValidYet) &&
-			!errors.Is(err, jwt.ErrTokenInvalidAudience) && !errors.Is(err, jwt.ErrTokenUsedBeforeIssued) {
-			return token{}, errExpired
-		}
 		return token{}, fmt.Errorf("%w: %v", errUnauthorised, err)
 	}
-	kid, _ := parsed.Header["kid"].(string)
-	t := token{kid: kid, jti: c.ID, expires: float64(c.ExpiresAt.UnixMicro())/1e3 + math.Float64frombits(v.leeway.Load())}
-	t.void = t.expires - v.clock.Wall() + v.clock.Now()
+	keyID, _ := parsed.Header["kid"].(string)
+	t := token{keyID: keyID, id: c.ID, expires: float64(c.ExpiresAt.UnixMicro())/1e3 + v.leewayMs()}
+	t.validUntil = t.expires - v.clock.Wall() + v.clock.Now()
+	return t, nil
+}
+
+func (v *verifier) parserOptions() []jwt.ParserOption {
+	now := func() time.Time { return time.UnixMicro(int64(v.clock.Wall() * 1e3)) }
+	return []jwt.ParserOption{
+		jwt.WithValidMethods([]string{"HS256", "ES256", "EdDSA"}),
+		jwt.WithAudience(v.audience),
+		jwt.WithExpirationRequired(),
+		jwt.WithIssuedAt(),
+		jwt.WithLeeway(clock.Duration(v.leewayMs())),
+		jwt.WithTimeFunc(now),
+	}
+}
+
+// isOnlyExpired tells whether a token is valid but for its age. A forged token is never told apart by its age: its signature
+// fails first.
+func isOnlyExpired(err error) bool {
+	return errors.Is(err, jwt.ErrTokenExpired) && !errors.Is(err, jwt.ErrTokenNotValidYet) &&
+		!errors.Is(err, jwt.ErrTokenInvalidAudience) && !errors.Is(err, jwt.ErrTokenUsedBeforeIssued)
+}
+
+// checkClaims checks what the JWT parser does not.
+func (v *verifier) checkClaims(c *claims, header map[string]any, uri string, write bool) error {
 	switch {
-	case c.Version != nil && *c.Version != 1:
-		err = errors.New("cdniv is not 1")
-	case c.ClientIP != "": // it is encrypted to a key that this front does not have
-		err = errors.New("cdniip is not supported")
+	case c.Version != nil && *c.Version != supportedVersion:
+		return errors.New("cdniv is not 1")
+	case c.ClientIP != "": // encrypted to a key that this front does not have
+		return errors.New("cdniip is not supported")
 	case write && c.ID == "":
-		err = errors.New("a write needs a jti")
+		return errors.New("a write needs a jti")
 	case c.ID != "" && v.store.IsRevoked(c.ID):
-		err = errors.New("revoked")
-	case parsed.Header["crit"] != nil:
-		err = errors.New("a critical header is not understood")
-	default:
-		err = critical(c.Critical)
+		return errors.New("revoked")
+	case header["crit"] != nil:
+		return errors.New("a critical header is not supported")
 	}
-	if err == nil {
-		err = contains(c.Container, uri)
+	if err := checkCritical(c.Critical); err != nil {
+		return err
 	}
-	if err != nil {
-		return token{}, fmt.Errorf("%w: %v", errUnauthorised, err)
-	}
-	return t, nil
+	return checkContainer(c.Container, uri)
 }
 
-// key finds the key that a token names, and pins the algorithm to the key's own.
-func (v *verifier) key(t *jwt.Token) (any, error) {
-	kid, _ := t.Header["kid"].(string)
-	k, ok := v.store.Key(kid)
+// signingKey returns the key that a token names. The token's algorithm must be the key's own: a public key must never verify
+// an HMAC.
+func (v *verifier) signingKey(t *jwt.Token) (any, error) {
+	keyID, _ := t.Header["kid"].(string)
+	key, ok := v.store.Key(keyID)
 	if !ok {
 		return nil, errors.New("unknown kid")
 	}
-	if k.Alg != t.Method.Alg() {
+	if key.Alg != t.Method.Alg() {
 		return nil, errors.New("the algorithm is not the key's")
 	}
-	if k.Alg == "HS256" {
-		return k.Data, nil
+	if key.Alg == "HS256" {
+		return key.Data, nil
 	}
-	return x509.ParsePKIXPublicKey(k.Data)
+	return x509.ParsePKIXPublicKey(key.Data)
 }
 
-// still tells whether a token that was accepted on arrival still is.
-func (v *verifier) still(t token) error {
-	if v.clock.Now() >= t.void {
+// verifyAgain verifies a token that was accepted on arrival: by its age, its key and the revocations.
+func (v *verifier) verifyAgain(t token) error {
+	if v.clock.Now() >= t.validUntil {
 		return errExpired
 	}
-	if _, ok := v.store.Key(t.kid); !ok || t.jti != "" && v.store.IsRevoked(t.jti) {
+	if _, ok := v.store.Key(t.keyID); !ok || t.id != "" && v.store.IsRevoked(t.id) {
 		return errUnauthorised
 	}
 	return nil
 }
 
-// critical turns away a list that names a claim which is not understood.
-func critical(list string) error {
+// checkCritical rejects a list that names a claim which is not supported.
+func checkCritical(list string) error {
 	if list == "" {
 		return nil
 	}
 	for _, name := range strings.Split(list, ",") {
-		if !slices.Contains(understood, strings.TrimSpace(name)) {
-			return fmt.Errorf("critical claim %q is not understood", name)
+		if !slices.Contains(supportedClaims, strings.TrimSpace(name)) {
+			return fmt.Errorf("critical claim %q is not supported", name)
 		}
 	}
 	return nil
 }
 
-// contains tells whether a URI container ("hash:" or "regex:") holds the URI.
-func contains(container, uri string) error {
+var errOutsideContainer = errors.New("cdniuc does not contain the URI")
+
+// checkContainer checks that a URI container ("hash:" or "regex:") contains the URI.
+func checkContainer(container, uri string) error {
 	kind, value, _ := strings.Cut(container, ":")
 	switch kind {
 	case "hash":
@@ -153,46 +170,10 @@
 			return nil
 		}
 	case "regex":
-		re, err := regexp.CompilePOSIX("^(" + value + ")$")
-		if err == nil && re.MatchString(uri) {
+		pattern, err := regexp.CompilePOSIX("^(" + value + ")$")
+		if err == nil && pattern.MatchString(uri) {
 			return nil
 		}
 	}
-	return errors.New("cdniuc does not hold the URI")
-}
-
-// split takes the package out of a request: its JWT, and the URI that was signed. A link's package is in
-// the query or, as a cookie, beside it; a bearer token may come in its place.
-func split(r *http.Request) (raw, uri string) {
-	var rest []string
-	for _, part := range strings.Split(r.URL.RawQuery, "&") {
-		if name, value, _ := strings.Cut(part, "="); name == packageName {
-			raw, _ = url.QueryUnescape(value)
-		} else if part != "" {
-			rest = append(rest, part)
-		}
-	}
-	scheme := "http"
-	if r.TLS != nil {
-		scheme = "https"
-	}
-	uri = scheme + "://" + r.Host + r.URL.EscapedPath()
-	if len(rest) > 0 {
-		uri += "?" + strings.Join(rest, "&")
-	}
-	if raw == "" {
-		if c, err := r.Cookie(packageName); err == nil {
-			raw = c.Value
-		}
-	}
-	return raw, uri
-}
-
-// bearer is the token of an Authorization header.
-func bearer(r *http.Request) string {
-	scheme, raw, _ := strings.Cut(r.Header.Get("Authorization"), " ")
-	if !strings.EqualFold(scheme, "Bearer") {
-		return ""
-	}
-	return strings.TrimSpace(raw)
+	return errOutsideContainer
 }
