--- a/internal/decide/membership/action.go
+++ b/internal/decide/membership/action.go
@@ -1,35 +1,36 @@
 package membership
 
-// Action is what the ledger wants done: Publish, Wake, Moved, Rejected or Silence. Actions come in order.
+// Action is an output of Table.Handle, to be carried out in order: Publish, Wake, Transition, Rejected or
+// SilenceChanged.
 type Action interface{ action() }
 
-// Publish is what has changed for the module and the connections, by id. Whole: there was nothing before it.
+// Publish brings the servers that have changed to the routing module and the connection pools, by id.
 type Publish struct {
-	Version  uint64
-	Complete bool
+	Version  uint64 // counts from 1
+	Complete bool   // the first one: the list was empty before
 	Members  []Member
 }
 
-// Wake asks for a Tick at a time, in place of any asked for before.
+// Wake requests a Tick at a time in ms, in place of any requested before.
 type Wake struct{ At float64 }
 
-// Transition tells of a step in a server's life, for logs and for whoever shows the ledger.
+// Transition reports a step in a server's life cycle, for logs and status.
 type Transition struct {
 	Member   Member
 	From, To Phase
 	Reason   string
 }
 
-// Rejected tells that a source's word was not taken.
+// Rejected reports a list that was not applied.
 type Rejected struct {
-	Source     int
+	Source     int // index in Settings.Sources, or the unknown one
 	Generation uint64
-	Reason     string
+	Err        error // ErrUnknownSource, a StaleGenerationError or a DuplicateServerError
 }
 
-// SilenceChanged tells that a source has fallen silent, or is heard again. Its last list stays.
+// SilenceChanged reports that a source has fallen silent, or is heard again. Its last list stays in use.
 type SilenceChanged struct {
-	Source int
+	Source int // index in Settings.Sources
 	Silent bool
 }
 
--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -6,64 +6,78 @@
 	"ravenwheel/policy"
 )
 
-// inTheWay is another server that is in use or drains at the address that one is listed with; nil: there is none. One
-// that drains is over if the newcomer was started after it began to: two processes can't listen at one address.
-func (l *Table) inTheWay(r *record, c *claim) *record {
+// addressConflict returns another server that is in use or draining at the address that the sources list for s, or nil.
+// Two processes can't listen at one address: a drain there is over if s was started after it began.
+func (t *Table) addressConflict(s *server, st *statement) *server {
 	for {
-		first := policy.CacheID(0)
-		found := false
-		for id := range l.at[c.Addr] {
-			if id != r.id && (!found || id < first) {
-				first, found = id, true
-			}
-		}
-		if !found {
+		other := t.reservedBy(st.Addr, s.id)
+		if other == nil {
 			return nil
 		}
-		other := l.records[first]
-		if at, _, _ := other.word(); at >= 0 || other.phase != Draining || float64(c.said.Started)/1e6 <= other.since {
+		startedMs := float64(st.reported.Started) / 1e6
+		if other.verdict().source >= 0 || other.phase != Draining || startedMs <= other.since {
 			return other
 		}
-		l.move(other, Gone, other.facts, fmt.Sprintf("server %d was started at its address", r.id))
+		t.transition(other, Gone, other.current, fmt.Sprintf("server %d was started at its address", s.id))
 	}
 }
 
-// occupy books a server at an address, and has those looked at again that waited for the one it leaves.
-func (l *Table) occupy(r *record, addr string) {
-	if r.holds == addr {
+// reservedBy returns the server with the lowest id, other than except, that holds an address, or nil.
+func (t *Table) reservedBy(addr string, except policy.CacheID) *server {
+	lowest, found := policy.CacheID(0), false
+	for id := range t.reservations[addr] {
+		if id != except && (!found || id < lowest) {
+			lowest, found = id, true
+		}
+	}
+	if !found {
+		return nil
+	}
+	return t.servers[lowest]
+}
+
+// reserveAddress makes addr ("": none) the address of s, and reconciles the servers that wait for the one it gives up.
+func (t *Table) reserveAddress(s *server, addr string) {
+	if s.addr == addr {
 		return
 	}
-	if left := r.holds; left != "" {
-		if delete(l.at[left], r.id); len(l.at[left]) == 0 {
-			delete(l.at, left)
-		}
-		for id := range l.queue[left] {
-			if l.records[id] != nil {
-				l.touched[id] = struct{}{}
-			}
-		}
-		delete(l.queue, left)
+	if s.addr != "" {
+		t.freeAddress(s)
 	}
-	if r.holds = addr; addr != "" {
-		book(l.at, addr, r.id)
+	if s.addr = addr; addr != "" {
+		insert(t.reservations, addr, s.id)
 	}
 }
 
-// vacate has a server that waits for an address let go of the one that it was in use at, its work there being over. Two
-// that swap their addresses would wait for one another for good.
-func (l *Table) vacate(r *record) {
-	l.occupy(r, "")
-	if r.before = false; r.told {
-		gone := r.facts
-		gone.State = policy.Gone
-		l.changed = append(l.changed, gone)
-		r.told = false
+func (t *Table) freeAddress(s *server) {
+	if delete(t.reservations[s.addr], s.id); len(t.reservations[s.addr]) == 0 {
+		delete(t.reservations, s.addr)
+	}
+	for id := range t.waiting[s.addr] {
+		if t.servers[id] != nil {
+			t.markDirty(id)
+		}
+	}
+	delete(t.waiting, s.addr)
+}
+
+// abandonAddress ends the use of a server at its old address while it waits for a new one: its drain there is over.
+// Without this, two servers that swap addresses would wait for each other for ever.
+func (t *Table) abandonAddress(s *server) {
+	t.reserveAddress(s, "")
+	s.restored = false
+	if !s.published {
+		return
 	}
+	gone := s.current
+	gone.State = policy.Gone
+	t.changed = append(t.changed, gone)
+	s.published = false
 }
 
-func book(m map[string]map[policy.CacheID]struct{}, addr string, id policy.CacheID) {
-	if m[addr] == nil {
-		m[addr] = map[policy.CacheID]struct{}{}
+func insert(sets map[string]map[policy.CacheID]struct{}, addr string, id policy.CacheID) {
+	if sets[addr] == nil {
+		sets[addr] = map[policy.CacheID]struct{}{}
 	}
-	m[addr][id] = struct{}{}
+	sets[addr][id] = struct{}{}
 }
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -2,19 +2,19 @@
 
 import "ravenwheel/policy"
 
-// Event is what the ledger is told: List, Changes, Heard, Drain, Back or Tick.
+// Event is an input of Table.Handle: Snapshot, Delta, Heartbeat, ManualDrain, ManualDrainEnded or Tick.
 type Event interface{ event() }
 
-// Snapshot is the whole list of a source. Its generation must be above those before it.
+// Snapshot is the complete list of a source. Its generation must be above all before it.
 type Snapshot struct {
-	Source     int // place in Settings.Sources
+	Source     int // index in Settings.Sources
 	Generation uint64
 	Entries    []Entry
 }
 
-// Delta are entries that are new or have changed.
+// Delta holds the entries of a source's list that are new or have changed. Its generation must be above all before it.
 type Delta struct {
-	Source     int
+	Source     int // index in Settings.Sources
 	Generation uint64
 	Entries    []Entry
 }
@@ -25,22 +25,22 @@
 	Warm bool // it holds its copies although it is new here: no slow start
 }
 
-// Heartbeat tells that a source is there and has nothing new.
+// Heartbeat reports that a source is alive and has nothing new. Source is an index in Settings.Sources.
 type Heartbeat struct{ Source int }
 
-// ManualDrain tells that a server is drained by hand, or no longer, whatever the sources say of it.
+// ManualDrain starts or ends an operator's drain of a server, whatever the sources say of it.
 type ManualDrain struct {
 	ID policy.CacheID
 	On bool
 }
 
-// ManualDrainEnded tells that a server was given back by hand before this ledger was made, and when, in ms.
+// ManualDrainEnded reports a manual drain that ended at a time, in ms, before this table was made.
 type ManualDrainEnded struct {
 	ID policy.CacheID
 	At float64
 }
 
-// Tick tells that a wake that was asked for is due.
+// Tick reports that a requested Wake is due.
 type Tick struct{}
 
 func (Snapshot) event()         {}
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -8,134 +8,181 @@
 	"ravenwheel/policy"
 )
 
-// settle brings every server that was touched to the phase that its sources and the addresses allow. Those that
-// leave come first: what they free is there for those that come.
-func (l *Table) settle() {
-	for len(l.touched) > 0 {
-		ids := make([]policy.CacheID, 0, len(l.touched))
-		for id := range l.touched {
+// Reasons of a phase, as operators are shown them. Others name the source and its generation.
+const (
+	reasonManualDrain = "drained by hand"
+	reasonUnlisted    = "no longer listed"
+	reasonDrained     = "drained"
+	reasonForgotten   = "forgotten"
+	reasonRestored    = "unchanged since the restart"
+)
+
+// reconcile moves each dirty server to the phase that the sources and the reserved addresses allow. Servers that leave
+// come first, so that the addresses they free are available to those that join.
+func (t *Table) reconcile() {
+	for len(t.dirty) > 0 {
+		ids := make([]policy.CacheID, 0, len(t.dirty))
+		for id := range t.dirty {
 			ids = append(ids, id)
 		}
-		clear(l.touched)
-		ids = slices.DeleteFunc(ids, func(id policy.CacheID) bool { return l.records[id] == nil })
-		rank := func(id policy.CacheID) int { _, state, _ := l.records[id].word(); return -int(state) }
+		clear(t.dirty)
+		ids = slices.DeleteFunc(ids, func(id policy.CacheID) bool { return t.servers[id] == nil })
+		rank := func(id policy.CacheID) int { return -int(t.servers[id].verdict().state) }
 		slices.SortFunc(ids, func(a, b policy.CacheID) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a, b)) })
 		for _, id := range ids {
-			l.settleOne(l.records[id])
+			t.reconcileServer(t.servers[id])
 		}
 	}
 }
 
-func (l *Table) settleOne(r *record) {
-	at, state, by := r.word()
-	if at < 0 {
-		l.dropped(r)
+func (t *Table) reconcileServer(s *server) {
+	v := s.verdict()
+	if v.source < 0 {
+		t.reconcileUnlisted(s)
 		return
 	}
-	c := r.claims[at]
-	r.direct = l.sources[at].Immediate
-	why := "drained by hand"
-	if by >= 0 {
-		why = fmt.Sprintf("%s %d", l.sources[by].Name, l.sources[by].generation)
+	st := s.statements[v.source]
+	s.immediate = t.sources[v.source].Immediate
+	reason := reasonManualDrain
+	if v.decider >= 0 {
+		reason = fmt.Sprintf("%s %d", t.sources[v.decider].Name, t.sources[v.decider].generation)
 	}
-	switch state {
+	switch v.state {
 	case policy.Gone:
-		l.move(r, Gone, c.Member, why)
-		for i, c := range r.claims { // the word is spent, or a fleet that replaces its machines would fill the memory
-			if c != nil {
-				l.unclaim(i, r.id)
-			}
-		}
-		delete(l.touched, r.id)
+		t.transition(s, Gone, st.Member, reason)
+		t.dropAllStatements(s)
 	case policy.Draining:
 		// A drain needs no address of its own: it runs where the server was used last.
-		m := c.Member
-		if r.told || r.before {
-			m.Addr = r.facts.Addr
+		m := st.Member
+		if s.published || s.restored {
+			m.Addr = s.current.Addr
 		}
-		l.move(r, Draining, m, why)
+		t.transition(s, Draining, m, reason)
 	case policy.Ready:
-		if !r.direct {
-			if r.phase == Joining && l.now >= r.since+l.set.DrainTimeout {
-				l.vacate(r)
-			}
-			if other := l.inTheWay(r, c); other != nil {
-				book(l.queue, c.Addr, r.id)
-				l.later(max(l.now, r.since)+max(1, l.set.DrainTimeout), r.id)
-				l.move(r, Joining, c.Member, fmt.Sprintf("%s is still held by server %d", c.Addr, other.id))
-				return
-			}
-		}
-		if back := l.back[r.id]; r.direct && float64(c.said.Started)/1e6 < back {
-			c.Started = policy.Time(back * 1e6) // given back by hand, and its source knows of no start since
-		}
-		if c.guessed && (r.phase != Ready || r.facts.Addr != c.Addr) {
-			c.Started = policy.Time(l.now * 1e6)
+		t.reconcileReady(s, st, reason)
+	}
+}
+
+// dropAllStatements forgets what the sources say of a server that all of them removed. Without this, a fleet that
+// replaces its machines would fill the memory.
+func (t *Table) dropAllStatements(s *server) {
+	for i, st := range s.statements {
+		if st != nil {
+			t.dropStatement(i, s.id)
 		}
-		l.move(r, Ready, c.Member, why)
 	}
+	delete(t.dirty, s.id)
 }
 
-// dropped is a server that no list names any more: what it still owes is let finish.
-func (l *Table) dropped(r *record) {
+// reconcileReady makes a server ready, or has it join and wait while another server holds its address. An immediate
+// source reports what runs, so that its servers never wait.
+func (t *Table) reconcileReady(s *server, st *statement, reason string) {
+	if !s.immediate && t.waitForAddress(s, st) {
+		return
+	}
+	drainEnded := t.manualDrainsEnded[s.id]
+	if s.immediate && float64(st.reported.Started)/1e6 < drainEnded {
+		st.Started = policy.Time(drainEnded * 1e6) // its source reports no start since
+	}
+	if st.coldOnReady && (s.phase != Ready || s.current.Addr != st.Addr) {
+		st.Started = policy.Time(t.now * 1e6)
+	}
+	t.transition(s, Ready, st.Member, reason)
+}
+
+// waitForAddress keeps a server joining while another one holds the address that the sources list for it. After
+// DrainTimeout it gives up the address that it was used at before.
+func (t *Table) waitForAddress(s *server, st *statement) (waits bool) {
+	if s.phase == Joining && t.now >= s.since+t.settings.DrainTimeout {
+		t.abandonAddress(s)
+	}
+	other := t.addressConflict(s, st)
+	if other == nil {
+		return false
+	}
+	insert(t.waiting, st.Addr, s.id)
+	t.schedule(max(t.now, s.since)+max(1, t.settings.DrainTimeout), s.id)
+	t.transition(s, Joining, st.Member, fmt.Sprintf("%s is still held by server %d", st.Addr, other.id))
+	return true
+}
+
+// reconcileUnlisted lets a server that no source lists any more drain, for DrainTimeout from when it began. A server of
+// an immediate source, or one that was never used, is gone at once.
+func (t *Table) reconcileUnlisted(s *server) {
 	switch {
-	case r.phase == Joining && !r.told, r.phase != Gone && (r.direct || l.set.DrainTimeout <= 0):
-		l.move(r, Gone, r.facts, "no longer listed")
-	case r.phase == Joining || r.phase == Ready || r.phase == Draining:
-		if r.phase != Draining {
-			l.move(r, Draining, r.facts, "no longer listed")
+	case s.phase == Joining && !s.published, s.phase != Gone && (s.immediate || t.settings.DrainTimeout <= 0):
+		t.transition(s, Gone, s.current, reasonUnlisted)
+	case s.phase == Joining || s.phase == Ready || s.phase == Draining:
+		if s.phase != Draining {
+			t.transition(s, Draining, s.current, reasonUnlisted)
 		}
-		r.until = r.since + l.set.DrainTimeout
-		r.why = "no longer listed"
-		if r.until <= l.now {
-			l.move(r, Gone, r.facts, "drained")
+		s.deadline = s.since + t.settings.DrainTimeout
+		s.reason = reasonUnlisted
+		if s.deadline <= t.now {
+			t.transition(s, Gone, s.current, reasonDrained)
 			return
 		}
-		l.later(r.until, r.id)
+		t.schedule(s.deadline, s.id)
 	}
 }
 
-// move takes a server to a phase with the facts that are to be published for it.
-func (l *Table) move(r *record, to Phase, m Member, why string) {
-	from, was := r.phase, r.facts
-	m.ID = r.id
+// transition moves a server to a phase, with the facts m that are to be published for it.
+func (t *Table) transition(s *server, to Phase, m Member, reason string) {
+	from, previous := s.phase, s.current
+	m = t.publishedFacts(s, to, m)
+	if to != Ready {
+		s.nextWeightStep = 0
+	}
+	if from != to {
+		s.phase, s.since, s.reason, s.restored = to, t.now, reason, false
+		t.emit(Transition{Member: m, From: from, To: to, Reason: reason})
+	}
+	t.updateReservation(s, m.Addr)
+	if s.current = m; m == previous && from == to {
+		return
+	}
+	// A server that was never published joins and goes unseen.
+	if !s.published && (to == Joining || to == Gone) {
+		return
+	}
+	s.published = to != Gone
+	t.changed = append(t.changed, m)
+}
+
+// publishedFacts returns the facts m of a server as they are published in a phase.
+func (t *Table) publishedFacts(s *server, to Phase, m Member) Member {
+	m.ID = s.id
 	switch to {
 	case Joining:
-		// Nothing new may go to where it was, if it was in use.
+		// Nothing new may go to its previous address, if it was in use there.
 		m.State = policy.Draining
-		if r.told || r.before {
-			m.Addr = was.Addr
+		if s.published || s.restored {
+			m.Addr = s.current.Addr
 		}
 	case Ready:
 		m.State = policy.Ready
-		m.Weight = l.step(r, from, m.Weight)
+		m.Weight = t.nextWeight(s, m.Weight)
 	case Draining:
 		m.State = policy.Draining
 	case Gone:
 		m.State = policy.Gone
 	}
-	if to != Ready {
-		r.step = 0
-	}
-	if from != to {
-		r.phase, r.since, r.why, r.before = to, l.now, why, false
-		l.do(Transition{Member: m, From: from, To: to, Reason: why})
-	}
-	switch {
-	case to == Ready || to == Draining || to == Joining && (r.told || r.holds != ""):
-		l.occupy(r, m.Addr)
-	case to == Gone:
-		l.occupy(r, "")
-		r.until = l.now + l.set.GoneRetention
-		l.later(r.until, r.id)
-	}
-	if r.facts = m; m == was && from == to {
-		return
-	}
-	// One that was never told of joins and goes unseen.
-	if !r.told && (to == Joining || to == Gone) {
-		return
+	return m
+}
+
+// updateReservation reserves the address of a server that is in use or draining there. A server that is gone holds
+// none, and is forgotten after GoneRetention.
+func (t *Table) updateReservation(s *server, addr string) {
+	switch s.phase {
+	case Ready, Draining:
+		t.reserveAddress(s, addr)
+	case Joining:
+		if s.published || s.addr != "" {
+			t.reserveAddress(s, addr)
+		}
+	case Gone:
+		t.reserveAddress(s, "")
+		s.deadline = t.now + t.settings.GoneRetention
+		t.schedule(s.deadline, s.id)
 	}
-	r.told = to != Gone
-	l.changed = append(l.changed, m)
 }
--- a/internal/decide/membership/manual_drain.go
+++ b/internal/decide/membership/manual_drain.go
@@ -1,34 +1,39 @@
 package membership
 
-import "ravenwheel/policy"
-
-// byHand books a drain by hand. It outlives the server's record: one that comes back is drained still.
-func (l *Table) byHand(e ManualDrain) {
-	if _, was := l.hand[e.ID]; e.On && !was {
-		l.hand[e.ID] = l.now
+// setManualDrain starts or ends an operator's drain. The drain outlives the server's entry in the table: a server that
+// comes back is still drained.
+func (t *Table) setManualDrain(e ManualDrain) {
+	if _, drained := t.manualDrains[e.ID]; e.On && !drained {
+		t.manualDrains[e.ID] = t.now
 	} else if !e.On {
-		delete(l.hand, e.ID)
+		delete(t.manualDrains, e.ID)
 	}
-	r := l.records[e.ID]
-	if r == nil || r.hand == e.On {
+	s := t.servers[e.ID]
+	if s == nil || s.manualDrain == e.On {
 		return
 	}
-	since := r.handAt
-	r.handAt, r.hand = l.handed(e.ID)
-	// Given back after a drain: most likely restarted meanwhile, as one that its list drained is, unless the list tells
-	// of the start.
-	if at, _, _ := r.word(); !e.On && at >= 0 && float64(r.claims[at].said.Started)/1e6 < since && !r.claims[at].Warm {
-		if l.sources[at].Immediate {
-			l.back[e.ID] = l.now
-		} else {
-			r.claims[at].guessed = true
-		}
+	began := s.manualDrainSince
+	s.manualDrainSince, s.manualDrain = t.manualDrains[e.ID]
+	if !e.On {
+		t.endManualDrain(s, began)
 	}
-	l.touched[e.ID] = struct{}{}
+	t.markDirty(e.ID)
 }
 
-// handed tells whether a server is drained by hand, and since when.
-func (l *Table) handed(id policy.CacheID) (since float64, on bool) {
-	since, on = l.hand[id]
-	return since, on
+// endManualDrain decides whether a server is warming up after a drain that began at a time in ms. It was most likely
+// restarted during the drain, unless its source reports a start since then, or that it is warm.
+func (t *Table) endManualDrain(s *server, began float64) {
+	i := s.verdict().source
+	if i < 0 {
+		return
+	}
+	st := s.statements[i]
+	if startedMs := float64(st.reported.Started) / 1e6; startedMs >= began || st.Warm {
+		return
+	}
+	if t.sources[i].Immediate {
+		t.manualDrainsEnded[s.id] = t.now
+	} else {
+		st.coldOnReady = true
+	}
 }
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -17,94 +17,95 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-const dropDrain, goneFor = 1000.0, 5000.0
+const drainTimeout, goneRetention = 1000.0, 5000.0
 
-// world drives a ledger and keeps, in the plainest way, what its sources said and what it published.
+// world drives a table and models, in the simplest way, what its sources list and what it may publish.
 type world struct {
-	t         *rapid.T
-	ledger    *membership.Table
-	now, wake float64
-	gens      [2]uint64
-	told      [2]bool
-	floor     uint64
-	claims    [2]map[policy.CacheID]membership.Entry
-	published map[policy.CacheID]membership.Member
-	phases    map[policy.CacheID]membership.Phase
-	drainFrom map[policy.CacheID]float64 // since when a server that was published drains
-	drainAt   map[policy.CacheID]string  // and where
-	leaves    map[policy.CacheID]leaving // who waits for an address, and was in use at another
-	kept      *recovery.State            // what would survive a crash
-	hand      map[policy.CacheID]bool
-	versions  uint64
+	t             *rapid.T
+	table         *membership.Table
+	now, wake     float64
+	generations   [2]uint64
+	received      [2]bool
+	minGeneration uint64
+	statements    [2]map[policy.CacheID]membership.Entry
+	published     map[policy.CacheID]membership.Member
+	phases        map[policy.CacheID]membership.Phase
+	drainFrom     map[policy.CacheID]float64 // start of a published server's drain, ms
+	drainAt       map[policy.CacheID]string  // and its address
+	waiting       map[policy.CacheID]waiter  // servers in use at an address that wait for another one
+	saved         *recovery.State            // what survives a crash
+	manualDrains  map[policy.CacheID]bool
+	versions      uint64
 }
 
-func newLedger(t *rapid.T) *membership.Table {
-	l, err := membership.New(membership.Settings{
-		Sources:      []membership.Source{{Name: "file"}, {Name: "board", Immediate: true}},
-		DrainTimeout: dropDrain, GoneRetention: goneFor, WeightStep: 2, WeightInterval: 100,
+func newTable(t *rapid.T) *membership.Table {
+	table, err := membership.New(membership.Settings{
+		Sources:      []membership.Source{{Name: "file"}, {Name: "discovery", Immediate: true}},
+		DrainTimeout: drainTimeout, GoneRetention: goneRetention, WeightStep: 2, WeightInterval: 100,
 	})
 	require.NoError(t, err)
-	return l
+	return table
 }
 
 func newWorld(t *rapid.T) *world {
-	l := newLedger(t)
+	table := newTable(t)
 	return &world{
-		t: t, ledger: l, published: map[policy.CacheID]membership.Member{}, phases: map[policy.CacheID]membership.Phase{},
-		claims:    [2]map[policy.CacheID]membership.Entry{{}, {}},
-		drainFrom: map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, leaves: map[policy.CacheID]leaving{}, kept: recovery.NewState(), hand: map[policy.CacheID]bool{},
+		t: t, table: table, published: map[policy.CacheID]membership.Member{}, phases: map[policy.CacheID]membership.Phase{},
+		statements: [2]map[policy.CacheID]membership.Entry{{}, {}},
+		drainFrom:  map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{}, saved: recovery.NewState(), manualDrains: map[policy.CacheID]bool{},
 	}
 }
 
-type leaving struct {
+// waiter is a server that was in use at an address and waits for another one.
+type waiter struct {
 	addr  string
 	since float64
 }
 
-// restart kills the proxy: what its sources said is forgotten, and what drains must not be.
+// restart kills the proxy: what its sources listed is forgotten, drains must survive.
 func (w *world) restart(t *rapid.T) {
-	raw, err := w.kept.Encode()
+	raw, err := w.saved.Encode()
 	require.NoError(t, err)
-	w.kept, err = recovery.DecodeState(raw)
+	w.saved, err = recovery.DecodeState(raw)
 	require.NoError(t, err)
-	plan := w.kept.Plan(w.now, recovery.Settings{GoneRetention: goneFor})
-	w.ledger = newLedger(t)
-	w.ledger.Restore(w.now, plan.Remembered, map[int]uint64{0: w.gens[0]})
-	w.versions, w.told, w.wake = 0, [2]bool{}, 0
-	w.gens[1] = 0 // the board counts anew
-	clear(w.claims[0])
-	clear(w.claims[1])
+	plan := w.saved.Plan(w.now, recovery.Settings{GoneRetention: goneRetention})
+	w.table = newTable(t)
+	w.table.Restore(w.now, plan.Remembered, map[int]uint64{0: w.generations[0]})
+	w.versions, w.received, w.wake = 0, [2]bool{}, 0
+	w.generations[1] = 0 // discovery counts from the start again
+	clear(w.statements[0])
+	clear(w.statements[1])
 	clear(w.published)
 	drained := w.drainFrom
-	clear(w.leaves)
+	clear(w.waiting)
 	w.phases, w.drainFrom, w.drainAt = map[policy.CacheID]membership.Phase{}, map[policy.CacheID]float64{}, map[policy.CacheID]string{}
 	for _, x := range plan.Remembered {
 		switch id := x.Member.ID; x.Phase {
 		case membership.Draining:
-			// Also one that waited for an address while it was still in use at another.
+			// Or it waited for an address while it was still in use at another one.
 			w.phases[id], w.drainFrom[id], w.drainAt[id] = x.Phase, x.Since, x.Member.Addr
 		case membership.Gone:
 			w.phases[id] = x.Phase
 		}
 	}
 	for id, since := range drained {
-		require.Equal(t, membership.Draining, w.phases[id], "%d drained before the restart", id)
-		require.LessOrEqual(t, w.drainFrom[id], since, "%d", id) // what waits for an address gets nothing new either
+		require.Equal(t, membership.Draining, w.phases[id], "server %d drained before the restart", id)
+		require.LessOrEqual(t, w.drainFrom[id], since, "%d", id) // a server that waits for an address gets no new requests either
 	}
-	w.floor = w.gens[0]
-	for id := range w.hand {
+	w.minGeneration = w.generations[0]
+	for id := range w.manualDrains {
 		w.handle(membership.ManualDrain{ID: id, On: true})
 	}
 	w.handle(membership.Tick{})
 }
 
 func (w *world) handle(e membership.Event) {
-	for _, a := range w.ledger.Handle(w.now, e, nil) {
+	for _, a := range w.table.Handle(w.now, e, nil) {
 		switch a := a.(type) {
 		case membership.Transition:
 			id := a.Member.ID
 			require.True(w.t, membership.ValidTransition(a.From, a.To), "%v to %v", a.From, a.To)
-			require.Equal(w.t, w.phases[id], a.From, "a life without gaps")
+			require.Equal(w.t, w.phases[id], a.From, "phases follow each other without gaps")
 			w.phases[id] = a.To
 			if a.To != membership.Draining {
 				delete(w.drainFrom, id)
@@ -112,13 +113,13 @@
 			} else {
 				w.drainFrom[id], w.drainAt[id] = w.now, a.Member.Addr
 			}
-			if delete(w.leaves, id); a.To == membership.Joining {
-				w.leaves[id] = leaving{a.Member.Addr, w.now}
+			if delete(w.waiting, id); a.To == membership.Joining {
+				w.waiting[id] = waiter{a.Member.Addr, w.now}
 			}
 			m := a.Member
 			m.State = map[membership.Phase]policy.State{membership.Draining: policy.Draining, membership.Gone: policy.Gone}[a.To]
 			if a.To == membership.Draining || a.To == membership.Gone {
-				w.kept.Apply(recovery.MemberEvent(m, w.now))
+				w.saved.Apply(recovery.MemberEvent(m, w.now))
 			}
 		case membership.Publish:
 			w.versions++
@@ -126,7 +127,7 @@
 			require.Equal(w.t, w.versions == 1, a.Complete)
 			require.True(w.t, slices.IsSortedFunc(a.Members, func(x, y membership.Member) int { return int(x.ID) - int(y.ID) }))
 			for _, m := range a.Members {
-				w.kept.Apply(recovery.MemberEvent(m, w.now))
+				w.saved.Apply(recovery.MemberEvent(m, w.now))
 				if w.published[m.ID] = m; m.State == policy.Gone {
 					delete(w.published, m.ID)
 				}
@@ -137,63 +138,63 @@
 	}
 }
 
-// say has a source tell a whole list, or changes, of a generation.
-func (w *world) say(at int, gen uint64, entries []membership.Entry, whole bool) {
+// report has a source send a snapshot (complete) or a delta of a generation.
+func (w *world) report(at int, gen uint64, entries []membership.Entry, complete bool) {
 	var e membership.Event = membership.Delta{Source: at, Generation: gen, Entries: entries}
-	if whole {
+	if complete {
 		e = membership.Snapshot{Source: at, Generation: gen, Entries: entries}
 	}
 	before := maps.Clone(w.published)
 	w.handle(e)
-	if w.told[at] && gen <= w.gens[at] || at == 0 && gen < w.floor {
-		require.Equal(w.t, before, w.published, "an old list changes nothing")
+	if w.received[at] && gen <= w.generations[at] || at == 0 && gen < w.minGeneration {
+		require.Equal(w.t, before, w.published, "a stale list changes nothing")
 		return
 	}
-	w.told[at], w.gens[at] = true, gen
-	if whole {
-		clear(w.claims[at])
+	w.received[at], w.generations[at] = true, gen
+	if complete {
+		clear(w.statements[at])
 	}
 	for _, x := range entries {
-		w.claims[at][x.ID] = x
+		w.statements[at][x.ID] = x
 	}
-	// A goodbye binds others that list the server; with nobody left it is spent.
+	// A removal binds other sources that list the server; once all removed it, it is forgotten.
 	for id := policy.CacheID(1); id <= 6; id++ {
 		if !w.wanted(id) {
-			delete(w.claims[0], id)
-			delete(w.claims[1], id)
+			delete(w.statements[0], id)
+			delete(w.statements[1], id)
 		}
 	}
 }
 
 func (w *world) wanted(id policy.CacheID) bool {
-	file, byFile := w.claims[0][id]
-	board, byBoard := w.claims[1][id]
-	return byFile && file.State != policy.Gone || byBoard && board.State != policy.Gone
+	file, byFile := w.statements[0][id]
+	discovery, byDiscovery := w.statements[1][id]
+	return byFile && file.State != policy.Gone || byDiscovery && discovery.State != policy.Gone
 }
 
-// check holds what was published against what the sources say.
+// check compares what is published with what the sources say.
 func (w *world) check() {
 	for id := policy.CacheID(1); id <= 6; id++ {
-		file, byFile := w.claims[0][id]
-		board, byBoard := w.claims[1][id]
+		file, byFile := w.statements[0][id]
+		discovery, byDiscovery := w.statements[1][id]
 		state := policy.Ready
-		for at, said := range []bool{byFile, byBoard} {
-			if said {
-				state = max(state, w.claims[at][id].State)
+		for at, listed := range []bool{byFile, byDiscovery} {
+			if listed {
+				state = max(state, w.statements[at][id].State)
 			}
 		}
-		if w.hand[id] {
+		if w.manualDrains[id] {
 			state = max(state, policy.Draining)
 		}
 		m, out := w.published[id]
 		wanted := w.wanted(id)
 		switch {
 		case out && m.State == policy.Ready:
-			require.True(w.t, wanted && state == policy.Ready, "%d is ready, and a source has not said so: %v %v", id, file, board)
-		case wanted && state == policy.Ready && byBoard && !byFile:
-			require.Fail(w.t, "what the board lists is used at once", "%d", id)
+			require.True(w.t, wanted && state == policy.Ready, "server %d is ready, though a source does not say so: %v %v", id, file, discovery)
+		case wanted && state == policy.Ready && byDiscovery && !byFile:
+			require.Fail(w.t, "what discovery lists is used at once", "%d", id)
 		case wanted && state == policy.Ready:
-			// Held back for its address alone, which another server has.
+			// It may only wait for its address, which another server holds.
 			taken := false
 			for other, x := range w.published {
 				taken = taken || other != id && x.Addr == file.Addr && w.phases[other] != membership.Joining
@@ -201,26 +202,26 @@
 			for other, addr := range w.drainAt {
 				taken = taken || other != id && addr == file.Addr
 			}
-			for other, x := range w.leaves {
-				taken = taken || other != id && x.addr == file.Addr && w.now-x.since < dropDrain
+			for other, x := range w.waiting {
+				taken = taken || other != id && x.addr == file.Addr && w.now-x.since < drainTimeout
 			}
-			require.True(w.t, taken, "%d waits for nothing", id)
+			require.True(w.t, taken, "server %d waits for nothing", id)
 		}
 		if since, drains := w.drainFrom[id]; drains && !wanted {
-			require.Less(w.t, w.now-since, dropDrain, "a server that no list names is gone after its drain")
+			require.Less(w.t, w.now-since, drainTimeout, "an unlisted server is gone after its drain")
 		}
 	}
 	at := map[string]policy.CacheID{}
 	for _, id := range slices.Sorted(maps.Keys(w.published)) {
 		m := w.published[id]
-		if _, byBoard := w.claims[1][id]; byBoard || m.State != policy.Ready {
-			continue // the board's word is passed on as it comes
+		if _, byDiscovery := w.statements[1][id]; byDiscovery || m.State != policy.Ready {
+			continue // what discovery reports takes effect at once
 		}
 		require.Zero(w.t, at[m.Addr], "two servers at %s", m.Addr)
 		at[m.Addr] = id
 		for other, addr := range w.drainAt {
-			_, board := w.claims[1][other]
-			require.False(w.t, other != id && addr == m.Addr && !board, "%d is used at %s, where %d drains", id, addr, other)
+			_, discovery := w.statements[1][other]
+			require.False(w.t, other != id && addr == m.Addr && !discovery, "server %d is used at %s, where %d drains", id, addr, other)
 		}
 	}
 }
@@ -238,7 +239,7 @@
 	return e
 }
 
-// distinct drops entries whose id or address came before, as the check of a list does.
+// distinct drops entries whose id or address occurred before, as the check of a list does.
 func distinct(entries []membership.Entry) (out []membership.Entry) {
 	ids, addrs := map[policy.CacheID]bool{}, map[string]bool{}
 	for _, e := range entries {
@@ -250,30 +251,30 @@
 	return out
 }
 
-// TestModel: whatever is told in whatever order, nothing is ready that a source does not list or that one drains,
-// nothing that drains comes back by an old list, and nothing waits without a reason.
-func TestModel(t *testing.T) {
+// TestTableMatchesModel sends random events in random order: no server is ready that no source lists or that one drains, no
+// drained server comes back by a stale list, and no server waits without a reason.
+func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		generation := func(at int) uint64 {
-			return uint64(max(0, int(w.gens[at])+rapid.SampledFrom([]int{1, 1, 1, 1, 5, 0, -1}).Draw(t, "step")))
+			return uint64(max(0, int(w.generations[at])+rapid.SampledFrom([]int{1, 1, 1, 1, 5, 0, -1}).Draw(t, "step")))
 		}
 		draw := func(states ...policy.State) []membership.Entry {
 			return distinct(rapid.SliceOfN(rapid.Custom(func(t *rapid.T) membership.Entry { return entry(t, states...) }), 0, 6).Draw(t, "list"))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"file": func(t *rapid.T) {
-				w.say(0, generation(0), draw(policy.Ready, policy.Ready, policy.Draining), true)
+				w.report(0, generation(0), draw(policy.Ready, policy.Ready, policy.Draining), true)
 			},
-			"board": func(t *rapid.T) {
-				w.say(1, generation(1), draw(policy.Ready, policy.Draining), true)
+			"discovery full list": func(t *rapid.T) {
+				w.report(1, generation(1), draw(policy.Ready, policy.Draining), true)
 			},
-			"changes": func(t *rapid.T) {
-				w.say(1, generation(1), draw(policy.Ready, policy.Draining, policy.Gone), false)
+			"discovery update": func(t *rapid.T) {
+				w.report(1, generation(1), draw(policy.Ready, policy.Draining, policy.Gone), false)
 			},
 			"wait": func(t *rapid.T) {
 				for end := w.now + float64(rapid.IntRange(1, 3000).Draw(t, "ms")); w.now < end; {
-					// The clock calls at each wake, and a little late.
+					// The clock fires at each wake, or a little later.
 					if w.wake > w.now {
 						w.now = min(end, w.wake)
 					} else {
@@ -282,25 +283,25 @@
 					w.handle(membership.Tick{})
 				}
 			},
-			"hand": func(t *rapid.T) {
+			"manual drain": func(t *rapid.T) {
 				id := policy.CacheID(rapid.IntRange(1, 6).Draw(t, "id"))
 				on := rapid.Bool().Draw(t, "on")
-				if delete(w.hand, id); on {
-					w.hand[id] = true
+				if delete(w.manualDrains, id); on {
+					w.manualDrains[id] = true
 				}
 				w.handle(membership.ManualDrain{ID: id, On: on})
 			},
 			"restart": func(t *rapid.T) { w.restart(t) },
 			"":        func(*rapid.T) { w.check() },
 		})
-		// With nothing listed and time passing, nothing is published and nothing remembered.
-		w.say(0, w.gens[0]+1, nil, true)
-		w.say(1, w.gens[1]+1, nil, true)
+		// With nothing listed, in time nothing is published and nothing remembered.
+		w.report(0, w.generations[0]+1, nil, true)
+		w.report(1, w.generations[1]+1, nil, true)
 		for range 50 {
 			w.now += 500
 			w.handle(membership.Tick{})
 		}
 		require.Empty(t, w.published)
-		require.Empty(t, w.ledger.Servers())
+		require.Empty(t, w.table.Servers())
 	})
 }
--- a/internal/decide/membership/phase.go
+++ b/internal/decide/membership/phase.go
@@ -1,26 +1,26 @@
 package membership
 
-// Phase is where a server stands in its life.
+// Phase is a stage of a server's life cycle. Its values are stored: they keep their numbers.
 type Phase int
 
-// The phases. A server that is joining is listed and gets nothing yet; one that drains gets nothing new; one that
-// is gone is remembered for a while and then forgotten (None).
+// The phases of a server.
 const (
-	None Phase = iota
-	Joining
-	Ready
-	Draining
-	Gone
+	None     Phase = iota // unknown, or forgotten
+	Joining               // listed, but it gets no requests yet: another server holds its address
+	Ready                 // in use
+	Draining              // gets no new requests
+	Gone                  // removed, and remembered for a while
 )
 
 var phaseNames = [...]string{"none", "joining", "ready", "draining", "gone"}
 
-// String names the phase as logs and the command line show it.
+// String returns the name of the phase as logs and the command line show it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// legal are the steps that a life may take. None or Gone to Ready is a server that nothing holds back; Ready to Joining is a server that moves to an address which another one
-// still holds; Joining to Gone one that was taken off the list before it was ever used.
-var legal = [...][len(phaseNames)]bool{
+// transitions holds the valid ones. A server becomes ready without joining if no other server holds its address, and
+// goes from ready to joining if it moves to an address that another one holds. One that is unlisted before it was used
+// goes from joining to gone.
+var transitions = [...][len(phaseNames)]bool{
 	None:     {Joining: true, Ready: true, Draining: true, Gone: true},
 	Joining:  {Ready: true, Draining: true, Gone: true},
 	Ready:    {Joining: true, Draining: true, Gone: true},
@@ -28,5 +28,5 @@
 	Gone:     {None: true, Joining: true, Ready: true, Draining: true},
 }
 
-// ValidTransition tells whether a life may step from one phase to another.
-func ValidTransition(from, to Phase) bool { return legal[from][to] }
+// ValidTransition reports whether a server may go from one phase to another.
+func ValidTransition(from, to Phase) bool { return transitions[from][to] }
--- a/internal/decide/membership/settings.go
+++ b/internal/decide/membership/settings.go
@@ -1,25 +1,27 @@
 package membership
 
-// Source is one who tells of servers.
+// Source is a source of servers.
 type Source struct {
 	Name string
-	// Immediate: its word is passed on as it comes. What it drops is gone at once, weights change at once, a new
-	// server is as warm as it says. The notice board is told of what runs; a list by hand says what is wanted.
+	// Immediate: the source reports what runs (discovery), rather than what is wanted (a list file). Its changes take
+	// effect at once: a server that it drops is gone without a drain, weights change without steps, and a server is as
+	// warm as the source says.
 	Immediate bool
-	// SilentAfter: with nothing heard for so many ms the source counts as silent; 0: never.
+	// SilentAfter is the time in ms without any event after which the source counts as silent; 0: never.
 	SilentAfter float64
 }
 
-// Settings are the ledger's figures. Times are in ms.
+// Settings configure a Table. Times are in ms.
 type Settings struct {
-	// Sources in the order of their precedence: the first that lists a server says what it is.
+	// Sources in the order of their precedence: the first that lists a server provides its facts.
 	Sources []Source
-	// DrainTimeout: a server that a list no longer names drains for so long before it is gone. Longer spares what
-	// still runs there, shorter frees its address sooner.
+	// DrainTimeout: a server that no source lists any more drains for so long before it is gone. Longer spares requests
+	// that still run there, shorter frees its address sooner.
 	DrainTimeout float64
-	// GoneRetention: how long one that is gone is remembered.
+	// GoneRetention is how long a server that is gone is remembered.
 	GoneRetention float64
-	// WeightStep is the largest factor by which a weight changes at once, every WeightInterval; 1 or less: at once.
-	// A weight that jumps moves as many objects to caches that do not hold them.
-	WeightStep, WeightInterval float64
+	// WeightStep is the largest factor by which a weight changes at once; 1 or less: no bound.
+	WeightStep float64
+	// WeightInterval is the time between two such changes.
+	WeightInterval float64
 }
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -1,143 +1,201 @@
 package membership
 
 import (
+	"errors"
 	"fmt"
 
 	"ravenwheel/policy"
 )
 
-// source is what the ledger holds of one.
+// source is a configured source and what was received from it.
 type source struct {
 	Source
+	received      bool   // at least one list was accepted
+	generation    uint64 // of the last list that was accepted
+	minGeneration uint64 // for the first list: the generation in use before a restart
+	lastHeard     float64
+	silent        bool
+	listed        map[policy.CacheID]bool
+}
+
+// statement is what one source says of one server.
+type statement struct {
+	Entry
+	reported    Entry // as the source sent it; Entry.Started may be the table's own estimate
+	coldOnReady bool  // the server counts as started when it next becomes ready
+	wanted      bool  // the state is not Gone
+}
+
+// list is a snapshot or a delta of one source.
+type list struct {
+	source     int
 	generation uint64
-	told       bool   // a list or a change came
-	floor      uint64 // of the first generation: what was taken before a restart
-	heard      float64
-	silent     bool
-	listed     map[policy.CacheID]bool
+	entries    []Entry
+	complete   bool // a snapshot: servers that it omits are no longer listed
+}
+
+// ErrUnknownSource is the cause of a rejected list whose source is not in Settings.Sources.
+var ErrUnknownSource = errors.New("unknown source")
+
+// StaleGenerationError is the cause of a rejected list whose generation is not newer than the last one accepted.
+type StaleGenerationError struct {
+	Generation, Last uint64
+}
+
+// Error implements error.
+func (e StaleGenerationError) Error() string {
+	return fmt.Sprintf("generation %d is not above %d", e.Generation, e.Last)
 }
 
-// take notes what a source says. Nothing becomes of it before settle.
-func (l *Table) take(at int, generation uint64, entries []Entry, whole bool) {
-	if at < 0 || at >= len(l.sources) {
-		l.do(Rejected{at, generation, "unknown source"})
+// DuplicateServerError is the cause of a rejected snapshot that lists a server twice.
+type DuplicateServerError struct{ ID policy.CacheID }
+
+// Error implements error.
+func (e DuplicateServerError) Error() string { return fmt.Sprintf("server %d is listed twice", e.ID) }
+
+// applyList records the statements of a list, or rejects it as a whole. The phases change in reconcile.
+func (t *Table) applyList(l list) {
+	listed, err := t.checkList(l)
+	if err != nil {
+		t.emit(Rejected{Source: l.source, Generation: l.generation, Err: err})
 		return
 	}
-	s := l.sources[at]
-	// Guards against a list that is older than what was taken: it would bring back what drains by now.
-	if s.told && generation <= s.generation || generation < s.floor {
-		l.do(Rejected{at, generation, fmt.Sprintf("generation %d is not above %d", generation, max(s.generation, s.floor))})
+	t.heartbeat(l.source)
+	src := t.sources[l.source]
+	first := !src.received
+	src.received, src.generation = true, l.generation
+	for _, e := range l.entries {
+		t.addStatement(l.source, e, first)
+	}
+	if !l.complete {
 		return
 	}
-	seen := make(map[policy.CacheID]bool, len(entries))
-	for _, e := range entries {
-		if seen[e.ID] && whole {
-			l.do(Rejected{at, generation, fmt.Sprintf("server %d is listed twice", e.ID)})
-			return
+	for id := range src.listed {
+		if !listed[id] {
+			t.dropStatement(l.source, id)
 		}
-		seen[e.ID] = true
 	}
-	l.hear(at)
-	first := !s.told
-	s.told, s.generation = true, generation
-	for _, e := range entries {
-		l.claim(at, e, first)
+}
+
+// checkList decides whether a list is accepted, and returns the servers that it lists. A generation that is not newer
+// is stale: applying it would bring back servers that are draining by now.
+func (t *Table) checkList(l list) (listed map[policy.CacheID]bool, err error) {
+	if !t.knownSource(l.source) {
+		return nil, ErrUnknownSource
 	}
-	if !whole {
-		return
+	src := t.sources[l.source]
+	if src.received && l.generation <= src.generation || l.generation < src.minGeneration {
+		return nil, StaleGenerationError{Generation: l.generation, Last: max(src.generation, src.minGeneration)}
 	}
-	for id := range s.listed {
-		if !seen[id] {
-			l.unclaim(at, id)
+	listed = make(map[policy.CacheID]bool, len(l.entries))
+	for _, e := range l.entries {
+		if listed[e.ID] && l.complete {
+			return nil, DuplicateServerError{ID: e.ID}
 		}
+		listed[e.ID] = true
 	}
+	return listed, nil
 }
 
-func (l *Table) hear(at int) {
-	if at < 0 || at >= len(l.sources) {
+func (t *Table) knownSource(i int) bool { return i >= 0 && i < len(t.sources) }
+
+// heartbeat notes that a source is alive.
+func (t *Table) heartbeat(i int) {
+	if !t.knownSource(i) {
 		return
 	}
-	s := l.sources[at]
-	s.heard = l.now
-	if s.silent {
-		s.silent = false
-		l.do(SilenceChanged{at, false})
+	src := t.sources[i]
+	src.lastHeard = t.now
+	if src.silent {
+		src.silent = false
+		t.emit(SilenceChanged{Source: i, Silent: false})
 	}
-	if s.SilentAfter > 0 {
-		l.later(l.now+s.SilentAfter, 0)
+	if src.SilentAfter > 0 {
+		t.schedule(t.now+src.SilentAfter, 0)
 	}
 }
 
-// claim books a source's word on one server.
-func (l *Table) claim(at int, e Entry, first bool) {
-	r := l.records[e.ID]
-	if r == nil {
-		r = &record{id: e.ID, claims: make([]*claim, len(l.sources))}
-		r.handAt, r.hand = l.handed(e.ID)
-		l.records[e.ID] = r
+// addStatement records what a source says of one server. first: it stands in the first list of the source.
+func (t *Table) addStatement(i int, e Entry, first bool) {
+	s := t.servers[e.ID]
+	if s == nil {
+		s = t.newServer(e.ID)
 	}
-	old := r.claims[at]
-	if old != nil && old.said == e {
+	previous := s.statements[i]
+	if previous != nil && previous.reported == e {
 		return
 	}
-	c := &claim{Entry: e, said: e, wanted: e.State != policy.Gone}
-	// A list by hand does not know when a server was started. One that it names anew is taken for cold, or the
-	// full share of its objects would push it over; in the first list all run already. One that comes back from
-	// a drain is the process that drained, unless the list says when it was started.
-	if s := l.sources[at]; !s.Immediate && e.Started == 0 {
-		switch {
-		case old != nil && old.State == policy.Draining && e.State == policy.Ready && !e.Warm:
-			c.guessed = true // drained by the list, as is done for a restart
-		case old != nil && old.Addr != e.Addr && !e.Warm:
-			c.guessed = true // another process
-		case old != nil:
-			c.Started, c.guessed = old.Started, old.guessed
-		case e.Warm || first && !l.restored || (r.phase == Ready || r.phase == Draining && !r.before) && r.facts.Addr == e.Addr:
-			c.Started = r.facts.Started
-		case r.phase == None && l.was[e.ID].Addr == e.Addr:
-			c.Started = l.was[e.ID].Started // in use before the restart of this proxy
-		default:
-			c.guessed = true
-		}
+	st := &statement{Entry: e, reported: e, wanted: e.State != policy.Gone}
+	if !t.sources[i].Immediate && e.Started == 0 {
+		t.estimateStart(s, st, previous, first)
+	}
+	s.statements[i] = st
+	t.sources[i].listed[e.ID] = true
+	t.markDirty(e.ID)
+}
+
+// estimateStart decides whether a server is warming up, where a list of wanted servers does not say when it was started.
+// A server that such a list names anew counts as just started, or its full share of the objects would overload it; in
+// the first list all servers run already. One that returns from a drain counts as restarted.
+func (t *Table) estimateStart(s *server, st, previous *statement, first bool) {
+	inUseHere := s.phase == Ready || s.phase == Draining && !s.restored
+	switch {
+	case previous != nil && previous.State == policy.Draining && st.State == policy.Ready && !st.Warm:
+		st.coldOnReady = true
+	case previous != nil && previous.Addr != st.Addr && !st.Warm: // another process
+		st.coldOnReady = true
+	case previous != nil:
+		st.Started, st.coldOnReady = previous.Started, previous.coldOnReady
+	case st.Warm || first && !t.restored || inUseHere && s.current.Addr == st.Addr:
+		st.Started = s.current.Started
+	case s.phase == None && t.inUse[st.ID].Addr == st.Addr:
+		st.Started = t.inUse[st.ID].Started
+	default:
+		st.coldOnReady = true
 	}
-	r.claims[at] = c
-	l.sources[at].listed[e.ID] = true
-	l.touched[e.ID] = struct{}{}
 }
 
-func (l *Table) unclaim(at int, id policy.CacheID) {
-	delete(l.sources[at].listed, id)
-	if r := l.records[id]; r != nil {
-		r.claims[at] = nil
-		l.touched[id] = struct{}{}
+// dropStatement notes that a source no longer lists a server.
+func (t *Table) dropStatement(i int, id policy.CacheID) {
+	delete(t.sources[i].listed, id)
+	if s := t.servers[id]; s != nil {
+		s.statements[i] = nil
+		t.markDirty(id)
 	}
 }
 
-// word is whose facts count for a server (-1: nobody lists it), what all of them together allow it, and who bars the
-// most. Facts go by precedence; a drain or a goodbye binds whoever tells it, as the rule asks no more than to have
-// been told.
-func (r *record) word() (at int, state policy.State, by int) {
-	at, by = -1, -1
+// verdict is what all sources together, and operators, allow a server.
+type verdict struct {
+	source  int          // the source whose facts apply; -1: none lists the server
+	state   policy.State // the most restrictive one that applies
+	decider int          // the source that set state; -1: none did
+}
+
+// verdict decides what a server may do. Facts come from the first source, by precedence, that wants the server. A
+// drain or a removal binds whichever source reports it, as a server must get no new requests once any source said so.
+// While some source still lists a server that another one removed, it drains.
+func (s *server) verdict() verdict {
+	v := verdict{source: -1, decider: -1}
 	least := policy.Gone
-	for i, c := range r.claims {
-		if c == nil {
+	for i, st := range s.statements {
+		if st == nil {
 			continue
 		}
-		if at < 0 || !r.claims[at].wanted && c.wanted {
-			at = i
+		if v.source < 0 || !s.statements[v.source].wanted && st.wanted {
+			v.source = i
 		}
-		if by < 0 || c.State > state {
-			state, by = c.State, i
+		if v.decider < 0 || st.State > v.state {
+			v.state, v.decider = st.State, i
 		}
-		least = min(least, c.State)
+		least = min(least, st.State)
 	}
 	switch {
-	case at < 0:
-		return at, policy.Gone, by
-	case state == policy.Gone && least != policy.Gone: // somebody lists it still
-		return at, policy.Draining, by
-	case r.hand && state == policy.Ready:
-		return at, policy.Draining, -1
-	}
-	return at, state, by
+	case v.source < 0:
+		v.state = policy.Gone
+	case v.state == policy.Gone && least != policy.Gone:
+		v.state = policy.Draining
+	case s.manualDrain && v.state == policy.Ready:
+		v.state, v.decider = policy.Draining, -1
+	}
+	return v
 }
--- /dev/null
+++ b/internal/decide/membership/table.go
@@ -0,0 +1,158 @@
+// Package membership decides which cache servers a proxy may use. Sources (discovery, a watched list file, the shared
+// store) report complete snapshots or deltas, each with generation numbers of its own. Table merges them into one
+// versioned list for the routing module and the connection pools.
+//
+// The package owns the life cycle of each server, which source decides where several list the same server, drains that
+// outlive the list that named the server, the reservation of addresses and the steps in which weights change. It does
+// no I/O and reads no clock: the caller passes the time with each event and carries out the returned actions in order.
+// The decisions are tested here, against a simple model and by the transcripts in testdata.
+//
+// Times are float64 milliseconds on the caller's clock throughout, unless a name or comment says otherwise.
+package membership
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+
+	"ravenwheel/policy"
+)
+
+// Member is a server and the address at which it listens.
+type Member struct {
+	policy.Member
+	Addr string // host:port, as it is dialled
+}
+
+// server is what the table knows of one server.
+type server struct {
+	id         policy.CacheID
+	statements []*statement // by source; nil: that source does not list the server
+	phase      Phase
+	since      float64 // start of the phase, ms
+	reason     string  // for the phase
+	current    Member  // as it was published last, or would be if it were published
+	published  bool    // published, and not as gone
+	immediate  bool    // the deciding source was an immediate one when the server was reconciled last
+
+	manualDrain      bool
+	manualDrainSince float64 // ms
+
+	restored bool    // in the phase of before a restart, whose cause is not known
+	addr     string  // address reserved for it; "": none
+	deadline float64 // ms. Draining: gone then, unless listed again. Gone: forgotten then
+
+	nextWeightStep float64 // ms; 0: the weight has reached its target
+}
+
+// Table is the state machine that merges the sources. It is not safe for concurrent use. See New.
+type Table struct {
+	settings Settings
+	sources  []*source
+	servers  map[policy.CacheID]*server
+	now      float64 // ms
+	version  uint64  // of the last Publish
+
+	reservations map[string]map[policy.CacheID]struct{} // by address: servers in use or draining there
+	waiting      map[string]map[policy.CacheID]struct{} // by address: servers that wait for it
+	timers       timers
+	wake         float64 // ms, the last Wake requested
+
+	manualDrains      map[policy.CacheID]float64 // start of the drain, ms
+	manualDrainsEnded map[policy.CacheID]float64 // end of the last drain, ms: the server is warming up from then on
+
+	restored bool                      // Restore was called
+	inUse    map[policy.CacheID]Member // servers in use before the restart
+
+	// Of the event that is being handled.
+	actions []Action
+	dirty   map[policy.CacheID]struct{} // servers to reconcile
+	changed []Member                    // to publish
+}
+
+// New returns an empty table. It fails if no source is configured, or if a setting is negative or not finite.
+func New(s Settings) (*Table, error) {
+	if len(s.Sources) == 0 {
+		return nil, errors.New("membership: no source")
+	}
+	for _, v := range []float64{s.DrainTimeout, s.GoneRetention, s.WeightStep, s.WeightInterval} {
+		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+			return nil, fmt.Errorf("membership: figure %v is not a time or factor of 0 or more", v)
+		}
+	}
+	t := &Table{
+		settings:          s,
+		servers:           map[policy.CacheID]*server{},
+		reservations:      map[string]map[policy.CacheID]struct{}{},
+		waiting:           map[string]map[policy.CacheID]struct{}{},
+		manualDrains:      map[policy.CacheID]float64{},
+		manualDrainsEnded: map[policy.CacheID]float64{},
+		dirty:             map[policy.CacheID]struct{}{},
+	}
+	for _, x := range s.Sources {
+		t.sources = append(t.sources, &source{Source: x, listed: map[policy.CacheID]bool{}})
+	}
+	return t, nil
+}
+
+// Handle processes one event at now and appends the resulting actions to actions. Time never goes back: an earlier now
+// counts as the latest one seen.
+func (t *Table) Handle(now float64, e Event, actions []Action) []Action {
+	t.now, t.actions = max(now, t.now), actions
+	switch e := e.(type) {
+	case Snapshot:
+		t.applyList(list{source: e.Source, generation: e.Generation, entries: e.Entries, complete: true})
+	case Delta:
+		t.applyList(list{source: e.Source, generation: e.Generation, entries: e.Entries})
+	case Heartbeat:
+		t.heartbeat(e.Source)
+	case ManualDrain:
+		t.setManualDrain(e)
+	case ManualDrainEnded:
+		t.manualDrainsEnded[e.ID] = min(e.At, t.now)
+		if t.servers[e.ID] != nil {
+			t.markDirty(e.ID)
+		}
+	}
+	t.expire()
+	t.reconcile()
+	t.publish()
+	t.requestWake()
+	actions, t.actions = t.actions, nil
+	return actions
+}
+
+func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
+
+func (t *Table) markDirty(id policy.CacheID) { t.dirty[id] = struct{}{} }
+
+// newServer adds a server in phase None.
+func (t *Table) newServer(id policy.CacheID) *server {
+	s := &server{id: id, statements: make([]*statement, len(t.sources))}
+	s.manualDrainSince, s.manualDrain = t.manualDrains[id]
+	t.servers[id] = s
+	return s
+}
+
+// publish emits the servers that have changed, each once and in its latest state, by id.
+func (t *Table) publish() {
+	if len(t.changed) == 0 {
+		return
+	}
+	latest := make(map[policy.CacheID]int, len(t.changed))
+	for i, m := range t.changed {
+		latest[m.ID] = i
+	}
+	members := make([]Member, 0, len(latest))
+	for i, m := range t.changed {
+		if latest[m.ID] == i {
+			members = append(members, m)
+		}
+	}
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+	t.changed = t.changed[:0]
+	t.version++
+	t.emit(Publish{Version: t.version, Complete: t.version == 1, Members: members})
+}
--- /dev/null
+++ b/internal/decide/membership/timers.go
@@ -0,0 +1,70 @@
+package membership
+
+import (
+	"container/heap"
+
+	"ravenwheel/policy"
+)
+
+// expire handles all timers that are due: drains that are over, servers to forget, steps of weights and silent sources.
+func (t *Table) expire() {
+	for len(t.timers) > 0 && t.timers[0].at <= t.now {
+		due := heap.Pop(&t.timers).(timer)
+		if s := t.servers[due.id]; s != nil {
+			t.expireServer(s)
+		}
+	}
+	for i, src := range t.sources {
+		if src.SilentAfter > 0 && src.received && !src.silent && t.now-src.lastHeard >= src.SilentAfter {
+			src.silent = true
+			t.emit(SilenceChanged{Source: i, Silent: true})
+		}
+	}
+}
+
+func (t *Table) expireServer(s *server) {
+	unlisted := s.verdict().source < 0
+	switch {
+	case s.phase == Gone && unlisted && s.deadline <= t.now:
+		t.emit(Transition{Member: s.current, From: Gone, To: None, Reason: reasonForgotten})
+		delete(t.servers, s.id)
+		delete(t.manualDrainsEnded, s.id)
+	case unlisted || s.nextWeightStep > 0 && s.nextWeightStep <= t.now || s.phase == Joining:
+		t.markDirty(s.id)
+	}
+}
+
+// requestWake asks the caller for a Tick when the next timer is due.
+func (t *Table) requestWake() {
+	if len(t.timers) == 0 || t.timers[0].at == t.wake && t.wake > t.now {
+		return
+	}
+	t.wake = t.timers[0].at
+	t.emit(Wake{At: t.wake})
+}
+
+// schedule has a server (0: none) looked at again at a time.
+func (t *Table) schedule(at float64, id policy.CacheID) { heap.Push(&t.timers, timer{at, id}) }
+
+// timer is a time at which a server may have to change. One that is no longer needed does no harm.
+type timer struct {
+	at float64 // ms
+	id policy.CacheID
+}
+
+// timers is a heap, the earliest first.
+type timers []timer
+
+func (h timers) Len() int           { return len(h) }
+func (h timers) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timers) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *timers) Push(x any) { *h = append(*h, x.(timer)) }
+
+// Pop implements heap.Interface.
+func (h *timers) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
--- a/internal/decide/membership/text_test.go
+++ b/internal/decide/membership/transcript_test.go
@@ -15,12 +15,18 @@
 	"ravenwheel/policy"
 )
 
-var update = flag.Bool("update", false, "write what the ledger does into testdata")
+var update = flag.Bool("update", false, "write the actions of the table into testdata")
 
-// TestText plays testdata/*.txt. A block is a command, a line of dashes, and what the ledger does; a blank line ends
-// it, and "new" starts over. Commands are "MS SOURCE GENERATION SERVER..." with SERVER as ID@ADDR[:state][*weight]
-// [+startedMs][!] (! is warm), "MS SOURCE heard" "MS hand out|in|was ID" (was: given back, before a restart) and "MS tick". The board's lists are changes.
-func TestText(t *testing.T) {
+// TestTranscripts plays testdata/*.txt. A block is a command, a line of dashes, and the actions that the table returns; a
+// blank line ends it, and "new" starts with an empty table. The commands are
+//
+//	MS SOURCE GENERATION SERVER...   a snapshot of source file, or a delta of source discovery
+//	MS SOURCE heartbeat
+//	MS manual-drain on|off|ended ID  ended: half a second ago, before a restart
+//	MS tick
+//
+// with SERVER as ID@ADDR[:state][*weight][+startedMs][!], where ! is warm.
+func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -28,7 +34,7 @@
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err)
 		var got strings.Builder
-		var l *membership.Table
+		var table *membership.Table
 		for i, block := range strings.Split(strings.TrimSpace(string(raw)), "\n\n") {
 			comment := ""
 			for strings.HasPrefix(block, "#") {
@@ -41,15 +47,15 @@
 			}
 			fmt.Fprintf(&got, "%s%s\n", comment, command)
 			if command == "new" {
-				l, err = membership.New(membership.Settings{
-					Sources:      []membership.Source{{Name: "file", SilentAfter: 30_000}, {Name: "board", Immediate: true}},
+				table, err = membership.New(membership.Settings{
+					Sources:      []membership.Source{{Name: "file", SilentAfter: 30_000}, {Name: "discovery", Immediate: true}},
 					DrainTimeout: 10_000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
 				})
 				require.NoError(t, err)
 				continue
 			}
 			got.WriteString("----\n")
-			for _, a := range play(t, l, strings.Fields(command)) {
+			for _, a := range play(t, table, strings.Fields(command)) {
 				fmt.Fprintln(&got, a)
 			}
 		}
@@ -60,19 +66,19 @@
 	}
 }
 
-func play(t *testing.T, l *membership.Table, words []string) (lines []string) {
+func play(t *testing.T, table *membership.Table, words []string) (lines []string) {
 	now, err := strconv.ParseFloat(words[0], 64)
 	require.NoError(t, err)
 	var e membership.Event = membership.Tick{}
-	if words[1] == "hand" {
+	if words[1] == "manual-drain" {
 		id, err := strconv.Atoi(words[3])
 		require.NoError(t, err)
-		if e = (membership.ManualDrain{ID: policy.CacheID(id), On: words[2] == "out"}); words[2] == "was" {
+		if e = (membership.ManualDrain{ID: policy.CacheID(id), On: words[2] == "on"}); words[2] == "ended" {
 			e = membership.ManualDrainEnded{ID: policy.CacheID(id), At: now - 500}
 		}
 	} else if words[1] != "tick" {
-		at := map[string]int{"file": 0, "board": 1}[words[1]]
-		if words[2] == "heard" {
+		at := map[string]int{"file": 0, "discovery": 1}[words[1]]
+		if words[2] == "heartbeat" {
 			e = membership.Heartbeat{Source: at}
 		} else {
 			gen, err := strconv.ParseUint(words[2], 10, 64)
@@ -86,7 +92,7 @@
 			}
 		}
 	}
-	for _, a := range l.Handle(now, e, nil) {
+	for _, a := range table.Handle(now, e, nil) {
 		switch a := a.(type) {
 		case membership.Publish:
 			line := fmt.Sprintf("publish %d", a.Version)
@@ -102,7 +108,7 @@
 		case membership.Transition:
 			lines = append(lines, fmt.Sprintf("%d %v -> %v: %s", a.Member.ID, a.From, a.To, a.Reason))
 		case membership.Rejected:
-			lines = append(lines, fmt.Sprintf("rejected: %s", a.Reason))
+			lines = append(lines, fmt.Sprintf("rejected: %s", a.Err))
 		case membership.SilenceChanged:
 			lines = append(lines, fmt.Sprintf("source %d silent: %v", a.Source, a.Silent))
 		}
--- a/internal/decide/membership/weight.go
+++ b/internal/decide/membership/weight.go
@@ -1,22 +1,24 @@
 package membership
 
-// step is the weight that is published now on the way to the wanted one.
-func (l *Table) step(r *record, from Phase, want float64) float64 {
-	at, _, _ := r.word()
-	if from != Ready || l.sources[at].Immediate || l.set.WeightStep <= 1 || want == r.facts.Weight || r.facts.Weight <= 0 {
-		return want
+// nextWeight decides the weight that is published now for a server whose sources want the weight target. A weight that
+// changes while the server is ready moves by at most the factor WeightStep every WeightInterval: a jump would move as
+// many objects at once to caches that do not hold them.
+func (t *Table) nextWeight(s *server, target float64) float64 {
+	current := s.current.Weight
+	immediate := t.sources[s.verdict().source].Immediate
+	if s.phase != Ready || immediate || t.settings.WeightStep <= 1 || target == current || current <= 0 {
+		return target
 	}
-	now := r.facts.Weight
-	if l.now < r.step {
-		return now
+	if t.now < s.nextWeightStep {
+		return current
 	}
-	next := min(want, now*l.set.WeightStep)
-	if want < now {
-		next = max(want, now/l.set.WeightStep)
+	next := min(target, current*t.settings.WeightStep)
+	if target < current {
+		next = max(target, current/t.settings.WeightStep)
 	}
-	if next != want {
-		r.step = l.now + max(1, l.set.WeightInterval)
-		l.later(r.step, r.id)
+	if next != target {
+		s.nextWeightStep = t.now + max(1, t.settings.WeightInterval)
+		t.schedule(s.nextWeightStep, s.id)
 	}
 	return next
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,10 @@
-// Package registry is the shell round the ledger of members (decide/membership): it brings the clock, takes the sources'
-// words in, and carries out what the ledger decides, in order and one word at a time.
+// Package registry holds the one list of cache servers of a process. It is the shell round decide/membership, which makes
+// all decisions: it adds the clock and its timer, admits one event at a time, and carries out the decider's actions in
+// their order. It reads no source itself: those pass their events to Handle. Wiring and publication are tested here.
 package registry
 
 import (
+	"strconv"
 	"sync"
 
 	"ravenwheel/internal/clock"
@@ -11,94 +13,109 @@
 	"ravenwheel/policy"
 )
 
-// Options set up a roster.
+// Options configure a Registry.
 type Options struct {
 	Membership membership.Settings
 	Clock      *clock.Clock
 	Log        *logs.Log
-	// Publish gets what has changed, in order.
+	// Publish gets each change of the list, in order. It must not call the registry.
 	Publish func(membership.Publish)
-	// OnTransition gets every step in a server's life, if it is set.
+	// OnTransition gets each step in a server's life cycle; nil: nobody does. It must not call the registry.
 	OnTransition func(membership.Transition)
 }
 
-// Registry holds the one ledger.
+// Registry is safe for concurrent use. See New.
 type Registry struct {
 	opt Options
 
-	mu      sync.Mutex
-	ledger  *membership.Table
-	acts    []membership.Action
-	unset   func() // of the one timer
-	version uint64
+	mu        sync.Mutex
+	table     *membership.Table
+	actions   []membership.Action // reused by each event
+	stopTimer func()
+	version   uint64 // published last
 }
 
-// New returns an empty roster.
+// New returns an empty registry. It fails if membership rejects its settings.
 func New(o Options) (*Registry, error) {
-	l, err := membership.New(o.Membership)
+	table, err := membership.New(o.Membership)
 	if err != nil {
 		return nil, err
 	}
-	r := &Registry{opt: o, ledger: l, unset: func() {}}
-	return r, nil
+	return &Registry{opt: o, table: table, stopTimer: func() {}}, nil
 }
 
-// Servers are all servers that the ledger remembers, and the version that is in use.
-func (r *Registry) Servers() (views []membership.ServerStatus, version uint64) {
+// Servers returns the status of all servers that are listed or still remembered, by id, and the published version.
+func (r *Registry) Servers() (servers []membership.ServerStatus, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Servers(), r.version
+	return r.table.Servers(), r.version
 }
 
-// Knows tells whether a server is listed, remembered or drained by hand.
+// Knows reports whether a server is listed, still remembered or drained by hand.
 func (r *Registry) Knows(id policy.CacheID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Knows(id)
+	return r.table.Knows(id)
 }
 
-// Restore has the ledger take up where one stood before a restart. It comes before the first Tell.
-func (r *Registry) Restore(list []membership.SavedMember, floors map[int]uint64) {
+// Restore continues from the state before a restart; see membership.Table.Restore. It must come before the first event.
+func (r *Registry) Restore(saved []membership.SavedMember, minGenerations map[int]uint64) {
 	r.mu.Lock()
-	r.ledger.Restore(r.opt.Clock.Now(), list, floors)
+	r.table.Restore(r.opt.Clock.Now(), saved, minGenerations)
 	r.mu.Unlock()
 	r.Handle(membership.Tick{})
 }
 
-// Handle takes in what a source says.
+// Handle processes an event. What it changes has been published when it returns.
 func (r *Registry) Handle(e membership.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.acts = r.ledger.Handle(r.opt.Clock.Now(), e, r.acts[:0])
-	first := r.version == 0
-	for _, a := range r.acts {
+	r.actions = r.table.Handle(r.opt.Clock.Now(), e, r.actions[:0])
+	initial := r.version == 0
+	for _, a := range r.actions {
 		switch a := a.(type) {
 		case membership.Publish:
 			r.opt.Publish(a)
 			r.version = a.Version
 		case membership.Wake:
-			r.unset()
-			r.unset = r.opt.Clock.After(a.At-r.opt.Clock.Now(), func() { r.Handle(membership.Tick{}) })
+			r.stopTimer()
+			r.stopTimer = r.opt.Clock.After(a.At-r.opt.Clock.Now(), func() { r.Handle(membership.Tick{}) })
 		case membership.Transition:
-			if r.opt.OnTransition != nil {
-				r.opt.OnTransition(a)
-			}
-			if !first { // at the start they come in hundreds, and nothing has happened to them
-				r.opt.Log.Debug("member").Uint64("id", uint64(a.Member.ID)).Str("addr", a.Member.Addr).
-					Stringer("from", a.From).Stringer("to", a.To).Str("why", a.Reason).Msg("member moved")
-			}
+			r.transition(a, initial)
 		case membership.Rejected:
-			r.opt.Log.Warn("source").Str("source", r.name(a.Source)).Uint64("generation", a.Generation).Str("why", a.Reason).
-				Msg("list not taken")
+			r.opt.Log.Warn("source").Str("source", r.sourceName(a.Source)).Uint64("generation", a.Generation).Err(a.Err).
+				Msg("server list rejected")
 		case membership.SilenceChanged:
-			r.opt.Log.Warn("source").Str("source", r.name(a.Source)).Bool("silent", a.Silent).Msg("source silent, or heard again")
+			r.logSilence(a)
 		}
 	}
 }
 
-func (r *Registry) name(at int) string {
-	if at < 0 || at >= len(r.opt.Membership.Sources) {
-		return "?"
+// transition reports a step in a server's life cycle. The first list is not logged: it has all servers at once.
+func (r *Registry) transition(a membership.Transition, initial bool) {
+	if r.opt.OnTransition != nil {
+		r.opt.OnTransition(a)
 	}
-	return r.opt.Membership.Sources[at].Name
+	if initial {
+		return
+	}
+	r.opt.Log.Debug("member").Uint64("id", uint64(a.Member.ID)).Str("addr", a.Member.Addr).
+		Stringer("from", a.From).Stringer("to", a.To).Str("reason", a.Reason).Msg("server changed phase")
+}
+
+func (r *Registry) logSilence(a membership.SilenceChanged) {
+	line := r.opt.Log.Warn("source").Str("source", r.sourceName(a.Source))
+	if a.Silent {
+		line.Msg("source is silent; its last list stays in use")
+	} else {
+		line.Msg("source is heard again")
+	}
+}
+
+// sourceName returns the configured name of a source, or its index if there is none.
+func (r *Registry) sourceName(i int) string {
+	if i < 0 || i >= len(r.opt.Membership.Sources) {
+		return strconv.Itoa(i)
+	}
+	return r.opt.Membership.Sources[i].Name
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -29,8 +29,8 @@
 	return membership.Settings{Sources: []membership.Source{{Name: "file"}}, DrainTimeout: 1000, GoneRetention: 1000, WeightStep: 2, WeightInterval: 100}
 }
 
-// What is due comes by the clock, in order, and each change is published once.
-func TestWakes(t *testing.T) {
+// Drains and weight steps that are due take effect by the clock, in order, and each change is published once.
+func TestTimedChangesArePublishedInOrder(t *testing.T) {
 	clk := clock.Manual(1000)
 	var got []string
 	r, err := registry.New(registry.Options{Membership: settings(), Clock: clk, Publish: func(p membership.Publish) {
@@ -50,12 +50,12 @@
 	require.EqualValues(t, 4, version)
 }
 
-// Sources that tell at once, and the clock with them: the ledger hears one at a time, and publishes in order.
-func TestManyTellers(t *testing.T) {
+// Two sources and the clock send events concurrently: versions are published one by one, in order.
+func TestConcurrentEventsPublishInOrder(t *testing.T) {
 	clk := clock.Manual(0)
 	var last uint64
 	set := settings()
-	set.Sources = append(set.Sources, membership.Source{Name: "board", Immediate: true})
+	set.Sources = append(set.Sources, membership.Source{Name: "discovery", Immediate: true})
 	r, err := registry.New(registry.Options{Membership: set, Clock: clk, Publish: func(p membership.Publish) {
 		require.Equal(t, last+1, p.Version)
 		last = p.Version
@@ -77,7 +77,7 @@
 	wait.Wait()
 }
 
-// newCore is a core with its pools, of 10,000 members.
+// newCore returns a core with its connection pools, fed by a registry of 10,000 servers.
 func newCore(b *testing.B) (*registry.Registry, *core.Core, []membership.Entry) {
 	clk := clock.System()
 	up := upstream.New(clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 4})
@@ -90,7 +90,7 @@
 	return r, c, list
 }
 
-// BenchmarkPublishChange is a change of one server in 10,000 by a source that tells changes: ledger, pools and module.
+// BenchmarkPublishChange measures a delta of one server in 10,000: registry, pools and routing module.
 func BenchmarkPublishChange(b *testing.B) {
 	r, _, list := newCore(b)
 	b.ReportAllocs()
@@ -101,7 +101,7 @@
 	}
 }
 
-// BenchmarkPublishList is the same by a source that tells whole lists.
+// BenchmarkPublishList measures the same change in a snapshot of all servers.
 func BenchmarkPublishList(b *testing.B) {
 	r, _, list := newCore(b)
 	b.ReportAllocs()
