--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,12 @@
+// Package fleet provides stand-ins for what a proxy balances over: cache servers, parents, an origin, and the discovery service.
+// They speak the platform's protocol on loopback sockets and record each attempt that they receive, so that tests check the
+// rules against what arrived and not against what the proxy reports of itself.
 package fleet
 
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"net"
 	"slices"
 	"strconv"
@@ -13,76 +17,76 @@
 	"ravenwheel/policy"
 )
 
-// Role is what a server is.
+// Role is the place of a server in the cache hierarchy.
 type Role int
 
-// The roles.
+// The roles: a cache near the clients, a parent that fills caches, and the origin that makes the content.
 const (
 	Cache Role = iota
 	Parent
 	Origin
 )
 
-// Options set up a fleet.
+// Options configure a Fleet.
 type Options struct {
 	Clock *clock.Clock
-	// TransferTime is how long a transfer to the proxy takes, FillTime how much longer one that must be fetched does, in ms. 0:
+	// TransferTime is how long, in ms, an answer takes; FillTime is added for each level from which a miss is filled. 0 answers
 	// at once.
 	TransferTime, FillTime float64
-	// PurgeDelay: caches and parents drop what was purged so many ms later.
+	// PurgeDelay is how long, in ms, caches and parents keep purged copies.
 	PurgeDelay float64
-	// MaxCopies bounds the copies of one cache or parent.
+	// MaxCopies bounds the copies of one cache or parent. 0 means defaultMaxCopies.
 	MaxCopies int
-	// IdempotencyWindow: the origin drops the repeat of a write with a key for so many ms.
+	// IdempotencyWindow is how long, in ms, the origin drops repeats of a write with the same idempotency key.
 	IdempotencyWindow float64
 }
 
-// Fleet is all servers.
+// Fleet is a set of stand-in servers with a common origin state.
 type Fleet struct {
 	options Options
 
 	mu           sync.Mutex
 	servers      map[policy.CacheID]*Server
-	objectPurges map[string]float64 // when purged last
-	groupPurges  map[int]float64
 	observations []Observation
-	discarded    int                // how many were seen before those
-	writeRuns    map[string]int     // of writes, by request id, and of those with a key by that
-	lastKeyedRun map[string]float64 // when a write with a key ran last
+	discarded    int                // number of observations dropped before those in the slice
+	writeRuns    map[string]int     // how often each write ran, by request id or idempotency key
+	lastKeyedRun map[string]float64 // when a write with this idempotency key last ran
 }
 
-// Observation is one attempt as a server saw it.
+// Observation is one attempt as a server received it.
 type Observation struct {
-	At            float64 // when it had come whole
+	At            float64 // ms at which it was completely received
 	Server        policy.CacheID
 	RequestID     string
 	Class         string
 	Object        string
 	Part          int
-	Source        policy.CacheID // where a miss was to be filled from; the server itself: nowhere
-	OldestAllowed float64        // the oldest copy that would do was made then; 0: any
-	RemainingMs   float64        // ms that were told to be left for it
+	Source        policy.CacheID // from which a miss was to be filled; the server itself means no fill
+	OldestAllowed float64        // creation time of the oldest acceptable copy; 0 accepts any
+	RemainingMs   float64        // time left to the client, as stated by the proxy
 	Probe         bool
 	Write         bool
-	Key           string // the idempotency key that came with it
+	Key           string // idempotency key; empty: none
 	Answer        string
-	Why           string  // how the answer came about, as it is told
-	Stamp         float64 // of the copy that was served
+	Why           string  // how the answer came about, in the protocol's words
+	Stamp         float64 // creation time of the copy that was served, in ms
 	Address       string
 }
 
+// defaultMaxCopies is the number of copies of a server where Options set none.
+const defaultMaxCopies = 4096
+
 // New returns a fleet without servers.
 func New(o Options) *Fleet {
 	if o.MaxCopies <= 0 {
-		o.MaxCopies = 4096
+		o.MaxCopies = defaultMaxCopies
 	}
 	return &Fleet{
-		options: o, servers: map[policy.CacheID]*Server{}, objectPurges: map[string]float64{}, groupPurges: map[int]float64{},
-		writeRuns: map[string]int{}, lastKeyedRun: map[string]float64{},
+		options: o, servers: map[policy.CacheID]*Server{}, writeRuns: map[string]int{}, lastKeyedRun: map[string]float64{},
 	}
 }
 
-// Start brings a server up at an address; port 0 is one from the kernel.
+// Start starts a server at an address. Port 0 lets the kernel choose one.
 func (f *Fleet) Start(id policy.CacheID, role Role, addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -96,7 +100,7 @@
 	return s, nil
 }
 
-// StartList brings up a server for each entry of a list, at its address.
+// StartList starts a server for each entry of a list that is not running yet, at the entry's address.
 func (f *Fleet) StartList(set *serverlist.List, parentKind, originKind string) error {
 	for _, x := range set.Servers {
 		if f.Server(x.ID) != nil {
@@ -116,67 +120,60 @@
 	return nil
 }
 
-// Server finds one; nil if there is none.
+// Server returns the server with an id, or nil.
 func (f *Fleet) Server(id policy.CacheID) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[id]
 }
 
-// Close ends all servers.
+// Close kills all servers.
 func (f *Fleet) Close() {
-	f.mu.Lock()
-	all := make([]*Server, 0, len(f.servers))
-	for _, s := range f.servers {
-		all = append(all, s)
-	}
-	f.mu.Unlock()
-	for _, s := range all {
-		s.Kill()
+	for _, server := range f.all() {
+		server.Kill()
 	}
 }
 
-// Purge voids what the origin made of an object, or of a group with no object, up to now. Copies lie about for a while.
+// Purge invalidates all copies of an object made up to now, or of a group where object is empty, and returns the time in ms.
+// Servers drop their copies after PurgeDelay.
 func (f *Fleet) Purge(object string, group int) (at float64) {
-	f.mu.Lock()
 	at = f.options.Clock.Now()
-	if object != "" {
-		f.objectPurges[object] = at
-	} else {
-		f.groupPurges[group] = at
+	purged := func(part partKey, cached *cachedCopy) bool {
+		if object != "" {
+			return cached.stamp <= at && part.object == object
+		}
+		return cached.stamp <= at && Group(part.object) == group
 	}
-	f.mu.Unlock()
 	f.options.Clock.After(f.options.PurgeDelay, func() {
-		f.mu.Lock()
-		all := make([]*Server, 0, len(f.servers))
-		for _, s := range f.servers {
-			all = append(all, s)
-		}
-		f.mu.Unlock()
-		for _, s := range all {
-			s.dropCopies(func(k partKey, c *cachedCopy) bool {
-				return c.stamp <= at && (object != "" && k.object == object || object == "" && Group(k.object) == group)
-			})
+		for _, server := range f.all() {
+			server.dropCopies(purged)
 		}
 	})
 	return at
 }
 
-// Observations is all that the servers saw so far, in the order in which it came.
+// all returns the servers in no particular order.
+func (f *Fleet) all() []*Server {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Collect(maps.Values(f.servers))
+}
+
+// Observations returns all attempts that the servers received so far, oldest first.
 func (f *Fleet) Observations() []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.observations)
 }
 
-// ObservationsAfter is what came after the first n.
+// ObservationsAfter returns the attempts after the first n.
 func (f *Fleet) ObservationsAfter(n int) []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.observations[min(n, len(f.observations)):])
 }
 
-// DiscardObservations drops what the servers saw so far: over a long day it would be the most that is held.
+// DiscardObservations frees the observations so far, which would take most of the memory of a long run.
 func (f *Fleet) DiscardObservations() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +181,7 @@
 	f.observations = nil
 }
 
-// DuplicateWrites are the requests that write and ran more than once.
+// DuplicateWrites returns the writes that ran more than once, as text.
 func (f *Fleet) DuplicateWrites() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,7 +194,7 @@
 	return ids
 }
 
-// runWrite runs a write at the origin, or drops it as the repeat of one with the same key.
+// runWrite runs a write at the origin, unless it repeats one with the same idempotency key within the window.
 func (f *Fleet) runWrite(id, key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,20 +210,22 @@
 	f.writeRuns["key "+key]++
 }
 
-// WritesRun is how many writes ran.
+// WritesRun returns the number of different writes that ran.
 func (f *Fleet) WritesRun() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.writeRuns)
 }
 
-func (f *Fleet) observe(s Observation) (at int) {
+// observe records an attempt and returns its number, for recordAnswer.
+func (f *Fleet) observe(observation Observation) (at int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observations = append(f.observations, s)
+	f.observations = append(f.observations, observation)
 	return f.discarded + len(f.observations) - 1
 }
 
+// recordAnswer completes an observation with the answer, unless it was discarded meanwhile.
 func (f *Fleet) recordAnswer(at int, word, why string, stamp float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,7 +234,7 @@
 	}
 }
 
-// Counts are how many attempts each server saw, by id.
+// Counts returns the number of attempts at each server, ordered by id.
 func (f *Fleet) Counts() []Count {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -264,7 +263,7 @@
 	return out
 }
 
-// Count is what one server saw.
+// Count is the number of attempts and probes that one server received, and how often others filled from it.
 type Count struct {
 	Server                                  policy.CacheID
 	Role                                    Role
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -9,55 +9,78 @@
 	"ravenwheel/policy"
 )
 
-// Notification is what a proxy was told, and when: for holding what the servers saw against the rules.
+// Notification is an event of which the proxy was notified, for checking what the servers received against the rules. Times are
+// in ms.
 type Notification struct {
 	At      float64
-	Drains  []policy.CacheID // from At on nothing new, after the grace
-	Returns []policy.CacheID // listed as ready again
-	Object  string           // purged, or with none the group
+	Drains  []policy.CacheID // draining from At on
+	Returns []policy.CacheID // ready again from At on
+	Object  string           // the purged object; empty: the group
 	Group   int
 	Purge   bool
-	Made    float64 // when it was purged, if it counts as told later than that; 0: At
+	Made    float64 // when it was purged, where the notification came later; 0: At
 }
 
-// Rules are the graces in ms.
-type Rules struct{ Drain, Purge, Slack float64 }
+// Rules are the grace periods after a notification, in ms.
+type Rules struct {
+	Drain float64 // until a draining server may no longer receive new work
+	Purge float64 // until a purged copy may no longer be served
+	Slack float64 // added to both, for the delay of the measurement
+}
 
-// Violations holds what the servers saw against what the proxy was told: new work to a server that drains, as request or
-// as source, and copies served that are older than a purge. It trusts nothing that the proxy says.
-func (r Rules) Violations(seen []Observation, told []Notification) (broken []string) {
-	for _, s := range seen {
-		if s.Probe {
+// Violations returns, as text, each use of a draining server (as target or as source of a fill) and each copy served that is
+// older than a purge. It relies only on what the servers received.
+func (r Rules) Violations(observations []Observation, notifications []Notification) (violations []string) {
+	for _, observation := range observations {
+		if observation.Probe {
 			continue
 		}
-		for _, id := range []policy.CacheID{s.Server, s.Source} {
-			if since, drains := drainsAt(told, id, s.At); drains && s.At > since+r.Drain+r.Slack {
-				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
-					serverlist.FormatID(s.Server), s.RequestID, s.At, serverlist.FormatID(id), since))
-			}
+		violations = append(violations, r.drainViolations(observation, notifications)...)
+		violations = append(violations, r.purgeViolations(observation, notifications)...)
+	}
+	return violations
+}
+
+func (r Rules) drainViolations(o Observation, notifications []Notification) (violations []string) {
+	for _, id := range []policy.CacheID{o.Server, o.Source} {
+		since, drains := drainsAt(notifications, id, o.At)
+		if drains && o.At > since+r.Drain+r.Slack {
+			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
+				serverlist.FormatID(o.Server), o.RequestID, o.At, serverlist.FormatID(id), since))
 		}
-		for _, t := range told {
-			if !t.Purge || s.Write || s.Answer != "served" || s.At <= t.At+r.Purge+r.Slack || s.Stamp > cmp.Or(t.Made, t.At) {
-				continue
-			}
-			if t.Object == s.Object || t.Object == "" && t.Group == Group(s.Object) {
-				broken = append(broken, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
-					serverlist.FormatID(s.Server), s.RequestID, s.At, s.Stamp, cmp.Or(t.Made, t.At)))
-			}
+	}
+	return violations
+}
+
+func (r Rules) purgeViolations(o Observation, notifications []Notification) (violations []string) {
+	if o.Write || o.Answer != "served" {
+		return nil
+	}
+	for _, n := range notifications {
+		purged := cmp.Or(n.Made, n.At)
+		inForce := o.At > n.At+r.Purge+r.Slack
+		if n.Purge && inForce && o.Stamp <= purged && n.covers(o.Object) {
+			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
+				serverlist.FormatID(o.Server), o.RequestID, o.At, o.Stamp, purged))
 		}
 	}
-	return broken
+	return violations
+}
+
+// covers reports whether a purge applies to an object.
+func (n Notification) covers(object string) bool {
+	return n.Object == object || n.Object == "" && n.Group == Group(object)
 }
 
-// drainsAt tells whether a server drains at a time, and since when.
-func drainsAt(told []Notification, id policy.CacheID, at float64) (since float64, drains bool) {
-	for _, t := range told {
+// drainsAt reports whether a server is draining at a time, and since when.
+func drainsAt(notifications []Notification, id policy.CacheID, at float64) (since float64, drains bool) {
+	for _, n := range notifications {
 		switch {
-		case t.At > at:
-		case slices.Contains(t.Returns, id):
+		case n.At > at:
+		case slices.Contains(n.Returns, id):
 			drains = false
-		case slices.Contains(t.Drains, id) && !drains:
-			since, drains = t.At, true
+		case slices.Contains(n.Drains, id) && !drains:
+			since, drains = n.At, true
 		}
 	}
 	return since, drains
