--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/endings_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/policy"
 )
 
-// narrow dials a connection that holds little of what its peer has not read.
+// narrow dials a connection with a small write buffer.
 func narrow(network, addr string, wait time.Duration) (net.Conn, error) {
 	nc, err := net.DialTimeout(network, addr, wait)
 	if err == nil {
@@ -29,7 +29,7 @@
 	return nc, err
 }
 
-// listen accepts one connection, of which it holds little, and reads nothing from it.
+// listen accepts one connection with a small read buffer and reads nothing from it.
 func listen(t *testing.T) (addr string, accepted chan *net.TCPConn) {
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -54,16 +54,16 @@
 	return pools
 }
 
-// blocked is a connection to a server that takes nothing, behind as much as the two sides hold.
+// blocked is a connection to a server that reads nothing, with both buffers full.
 type blocked struct {
 	clk      *clock.Clock
 	pools    *upstream.Pools
 	accepted chan *net.TCPConn // the server's side
-	ends     chan string       // id, whether it never ran, whether it was written whole
+	ends     chan string       // id, whether it was skipped, whether it was written completely
 	aborts   map[string]func() bool
 }
 
-// newBlocked fills a connection until it takes no more.
+// newBlocked fills a connection until it accepts no more.
 func newBlocked(t *testing.T, clk *clock.Clock) *blocked {
 	addr, accepted := listen(t)
 	b := &blocked{clk: clk, accepted: accepted, ends: make(chan string, 100), aborts: map[string]func() bool{}}
@@ -79,14 +79,14 @@
 		taken.Add(int64(max(0, n)))
 		return n, err
 	}})
-	for i := 0; !full.Load(); i++ { // 4 to a connection, else there would be a second one
+	for i := 0; !full.Load(); i++ { // a fifth attempt would open a second connection
 		require.Less(t, i, 4)
 		b.send(fmt.Sprint("fills", i), 60_000, 0, size)
 		for !full.Load() && !whole() {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	for still, last := 0, int64(0); still < 150; still++ { // until what the two sides hold is full
+	for still, last := 0, int64(0); still < 150; still++ { // until both buffers are full
 		time.Sleep(time.Millisecond)
 		if now := taken.Load(); now != last {
 			still, last = 0, now
@@ -95,7 +95,7 @@
 	return b
 }
 
-// send starts an attempt with so much time and a body of so many bytes, which may be written within sendBy ms (0: at any time).
+// send starts an attempt with the given time and body size, to be written within sendBy ms (0: at any time).
 func (b *blocked) send(id string, ttl, sendBy float64, size int) {
 	a := core.Attempt{ID: id, Server: scenario.CacheID, Deadline: b.clk.Now() + ttl, Body: []byte(strings.Repeat("x", size))}
 	if sendBy > 0 {
@@ -104,19 +104,19 @@
 	b.aborts[id] = b.pools.Send(a, func(e core.Outcome) { b.ends <- fmt.Sprint(id, " ", e.Result == policy.Skipped, " ", e.Written) })
 }
 
-// A server takes nothing for a while. What a client left, or what has become too old, before its first byte was out is not
-// written once the server reads again: it was decided on in time, and would have gone out late. The aborts of what was never
-// written are not sent either, and what is still wanted arrives whole.
-func TestBlockedConnection(t *testing.T) {
+// A server reads nothing for a while. Attempts whose client has left, or whose decision has become too old,
+// before their first byte was written are not written once the server reads again, nor are their aborts.
+// Attempts that are still wanted arrive completely.
+func TestBlockedConnectionSkipsOutdatedAttempts(t *testing.T) {
 	clk := clock.Manual(0)
 	b := newBlocked(t, clk)
 	b.send("left", 60_000, 0, 10)
 	b.send("old", 60_000, 500, 10)
-	require.False(t, b.aborts["left"](), "its client has left, and no byte of it was out")
+	require.False(t, b.aborts["left"](), "aborted before its first byte")
 	clk.Advance(499)
 	require.Empty(t, b.ends)
 	clk.Advance(2)
-	require.Equal(t, "old true false", <-b.ends, "it moves on at once, though the connection is still blocked")
+	require.Equal(t, "old true false", <-b.ends, "skipped at once, though the connection is still blocked")
 	b.send("wanted", 60_000, 0, 10)
 	nc := <-b.accepted
 	buf := resp.Buffer{MaxFrameSize: 4 << 20}
@@ -133,9 +133,9 @@
 	require.Empty(t, b.ends)
 }
 
-// A connection comes up so late that nobody waits for it any more: it carries none of the old attempts, serves the next one,
-// and is closed when its server leaves the list.
-func TestConnectionComesUpLate(t *testing.T) {
+// A connection is established after all that waited for it is over: it carries none of the old attempts,
+// carries the next one, and is closed when its server is no longer listed.
+func TestLateConnectionCarriesNoOldAttempts(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	up := make(chan struct{})
 	pools := newPools(clk, cache, upstream.Limits{Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -149,9 +149,9 @@
 	pools.Send(core.Attempt{ID: "over", Server: scenario.CacheID, Deadline: 800}, end)
 	require.False(t, left())
 	clk.Advance(1000)
-	require.Equal(t, policy.Skipped, <-ends, "over: its time is up, and it never ran")
+	require.Equal(t, policy.Skipped, <-ends, "over: past its deadline and not written")
 	close(up)
-	require.Equal(t, policy.Skipped, <-ends, "old: dropped as the connection comes up")
+	require.Equal(t, policy.Skipped, <-ends, "old: dropped when the connection is established")
 	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
 	scenario.Run(t, clk, actors, `
 		up send next
@@ -165,9 +165,9 @@
 	require.Empty(t, ends)
 }
 
-// A new connection never comes up. Where the server answers over another one meanwhile it is there, and nobody is blamed;
-// where it does not, or refuses, it can't be reached.
-func TestConnectionNeverComesUp(t *testing.T) {
+// If a new connection times out while the server answers over another one, the attempt is skipped. If the
+// server does not answer or refuses the connection, it is unreachable.
+func TestFailedConnectionBesideAnsweringOne(t *testing.T) {
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, c := range []struct {
@@ -204,7 +204,7 @@
 	}
 }
 
-// counted counts the bytes that were read of a connection.
+// counted counts the bytes that are read from a connection.
 type counted struct {
 	*net.TCPConn
 	n *atomic.Int64
@@ -216,9 +216,8 @@
 	return n, err
 }
 
-// An answer trickles and never ends. Each byte is taken for a sign of life, so that it never stops short; after a while it
-// is given up all the same, with what waits behind it.
-func TestAnswerThatNeverEnds(t *testing.T) {
+// An answer of which single bytes keep arriving is broken off after answerTimeout, with what waits behind it.
+func TestTrickledAnswerIsBrokenOff(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	var taken atomic.Int64
 	pools := newPools(clk, cache, upstream.Limits{Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
--- /dev/null
+++ b/internal/upstream/frame.go
@@ -0,0 +1,149 @@
+package upstream
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"strconv"
+	"strings"
+
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/resp"
+	"ravenwheel/policy"
+)
+
+// frameCapacity, in bytes, is enough for the fields of most attempts.
+const frameCapacity = 160
+
+// maxFigure bounds the figures of an answer; for times in ms that is half an hour.
+const maxFigure = 2e6
+
+// fillOptionWords are the words of the field "handle", in the order in which they are written.
+var fillOptionWords = []struct {
+	option policy.FillOptions
+	word   string
+}{
+	{policy.Coalesce, "coalesce"}, {policy.CachedOnly, "shallow"}, {policy.ParentPassThrough, "transit"},
+	{policy.RefreshInBackground, "freshen"},
+}
+
+// noteWords are the words of the field "why", in the order of policy.Note from NoteHit on.
+var noteWords = []string{
+	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there", "no_place", "far_fault",
+}
+
+// notModifiedWord is the word of an answer that calls the client's copy current.
+const notModifiedWord = "still_good"
+
+// resultWords maps the word of an answer. Any other word is policy.Unknown.
+var resultWords = map[string]policy.Result{
+	"served": policy.OK, notModifiedWord: policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
+	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
+}
+
+// loadFigures maps the names in the field "rep" to those of policy.LoadReport.
+var loadFigures = map[string]string{
+	"inflight": "inflight", "queue": "queue", "util": "util", "latency_ms": "latency", "qps": "served",
+	"eps": "errors", "x0": "hits", "x1": "link",
+}
+
+// serverName is a server's id in a frame.
+func serverName(id policy.CacheID) string {
+	return "s-" + hex.EncodeToString(binary.BigEndian.AppendUint32(nil, uint32(id)))
+}
+
+// appendFrame appends the frame of an attempt, with the time that is left at now, to b. Fields that do not apply are
+// absent.
+func appendFrame(b []byte, a *core.Attempt, now float64) []byte {
+	fields := append(make([]byte, 0, frameCapacity), "lane="...)
+	fields = append(fields, a.Class...)
+	add := func(name, value string) {
+		fields = append(fields, ',')
+		fields = append(fields, name...)
+		fields = append(fields, '=')
+		fields = append(fields, value...)
+	}
+	add("name", a.Object)
+	add("piece", strconv.Itoa(a.Part))
+	add("ttl", strconv.Itoa(max(1, int(a.Deadline-now))))
+	if a.Source != a.Server {
+		add("fetch", serverName(a.Source))
+	}
+	if a.RetainRank > 0 {
+		add("retain", strconv.Itoa(a.RetainRank))
+	}
+	if a.MaxAge > 0 {
+		// Rounded down, as an older copy would be too old, but not to 0, which stands for the class's own.
+		add("newer", strconv.Itoa(max(1, int(a.MaxAge))))
+	}
+	if words := optionWords(a.Options); len(words) > 0 {
+		add("handle", strings.Join(words, "+"))
+	}
+	if a.CachedTag != "" {
+		add("holds", a.CachedTag)
+	}
+	if a.IdempotencyKey != "" {
+		add("dedupe", a.IdempotencyKey)
+	}
+	return resp.AppendFrameWithBody(b, a.Body, "fetch", a.ID, string(fields))
+}
+
+func optionWords(options policy.FillOptions) (words []string) {
+	for _, o := range fillOptionWords {
+		if options&o.option != 0 {
+			words = append(words, o.word)
+		}
+	}
+	return words
+}
+
+// decodeAnswer decodes an answer: id, word, fields, body. The error is resp.ErrMalformed.
+func decodeAnswer(parts [][]byte) (id string, outcome core.Outcome, err error) {
+	if len(parts) < 2 {
+		return "", outcome, resp.ErrMalformed
+	}
+	word := string(parts[1])
+	fields := map[string]string{}
+	if len(parts) > 2 {
+		var ok bool
+		if fields, ok = resp.ParseFields(parts[2]); !ok {
+			return "", outcome, resp.ErrMalformed
+		}
+	}
+	outcome.Result, outcome.NotModified, outcome.Tag = resultWords[word], word == notModifiedWord, fields["version"]
+	for i, noteWord := range noteWords {
+		if fields["why"] == noteWord {
+			outcome.Note = policy.NoteHit + policy.Note(i)
+		}
+	}
+	outcome.SourceWait, _ = parseFigure(fields["took"])
+	if len(parts) > 3 && outcome.Result == policy.OK && !outcome.NotModified {
+		outcome.Body = bytes.Clone(parts[3])
+	}
+	outcome.Load = decodeLoadReport(fields["rep"])
+	return string(parts[0]), outcome, nil
+}
+
+// decodeLoadReport decodes "name:value;name:value". Unknown names and invalid figures are skipped; nil if none is left.
+func decodeLoadReport(text string) (report policy.LoadReport) {
+	for _, pair := range strings.Split(text, ";") {
+		name, value, _ := strings.Cut(pair, ":")
+		if figure, ok := parseFigure(value); ok && loadFigures[name] != "" {
+			if report == nil {
+				report = policy.LoadReport{}
+			}
+			report[loadFigures[name]] = figure
+		}
+	}
+	return report
+}
+
+// parseFigure parses a figure. ok is false for anything but a number between 0 and maxFigure, since the module computes
+// with the figures as they are.
+func parseFigure(text string) (figure float64, ok bool) {
+	figure, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(figure >= 0 && figure <= maxFigure) {
+		return 0, false
+	}
+	return figure, true
+}
--- a/internal/upstream/wire_test.go
+++ b/internal/upstream/frame_test.go
@@ -9,8 +9,8 @@
 	"ravenwheel/policy"
 )
 
-// Figures that a cache server tells are figures, or are not told: no arithmetic recovers from one that is no number.
-func TestFiguresOfAnswers(t *testing.T) {
+// Figures that are not numbers, negative or too large are ignored.
+func TestDecodeAnswerIgnoresInvalidFigures(t *testing.T) {
 	for text, want := range map[string]core.Outcome{
 		"why=far_fault,took=12.5,rep=util:0.61;inflight:7;x0:0.4;x1:1.2": {
 			Note: policy.NoteOriginFailed, SourceWait: 12.5, Load: policy.LoadReport{"util": 0.61, "inflight": 7, "hits": 0.4, "link": 1.2},
@@ -19,7 +19,7 @@
 		"took=-1,rep=x9:1;inflight":                    {},
 		"took=1e300":                                   {},
 	} {
-		id, e, err := readAnswer([][]byte{[]byte("r1"), []byte("overload"), []byte(text)})
+		id, e, err := decodeAnswer([][]byte{[]byte("r1"), []byte("overload"), []byte(text)})
 		require.NoError(t, err)
 		require.Equal(t, "r1", id)
 		want.Result = policy.Overloaded
@@ -27,9 +27,8 @@
 	}
 }
 
-// What a class or a deployment does not have is absent from the frame: no source, no rank, no age, no copy, no key. Where a
-// copy is good until it is purged nothing else bounds its age.
-func TestFrame(t *testing.T) {
+// Fields that do not apply are absent from the frame: source, rank, age, tag and key.
+func TestFrameOmitsAbsentFields(t *testing.T) {
 	a := core.Attempt{ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, Server: 20, Source: 20, Deadline: 2499.8}
 	frame := func(a core.Attempt) []byte { return appendFrame(nil, &a, 1000) }
 	require.Equal(t, "*4\r\n$5\r\nfetch\r\n$16\r\n00000000000000a1\r\n$49\r\nlane=tiles,name=7f3a9c21e0b4d655,piece=3,ttl=1499\r\n$0\r\n\r\n", string(frame(a)))
--- /dev/null
+++ b/internal/upstream/pool.go
@@ -0,0 +1,105 @@
+package upstream
+
+import (
+	"math"
+	"slices"
+	"sync"
+)
+
+// pool is the connections to one cache server at one address.
+type pool struct {
+	pools *Pools
+	addr  string
+
+	mu    sync.Mutex
+	conns []*conn
+}
+
+// assign adds a call to the least loaded connection that may carry it, or to a new one; nil if there is none. Idempotent
+// calls are spread over connections in small numbers and non-idempotent ones get connections of their own, since an
+// unreadable answer ends every call of its connection.
+func (pl *pool) assign(c *call) *conn {
+	limits := pl.pools.limits.Load()
+	threshold, maxConns := spreadThreshold, limits.ConnsPerServer-nonIdempotentConns
+	if c.attempt.NonIdempotent {
+		threshold, maxConns = 1, nonIdempotentConns
+	}
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	candidates, loads := pl.byLoad(c.attempt.NonIdempotent)
+	addBelow := func(load int) *conn {
+		for _, conn := range candidates {
+			if loads[conn] < load && conn.add(c) {
+				return conn
+			}
+		}
+		return nil
+	}
+	mayOpen := len(candidates) < maxConns && len(pl.conns) < 2*limits.ConnsPerServer
+	if mayOpen {
+		if conn := addBelow(threshold); conn != nil {
+			return conn
+		}
+	}
+	if !mayOpen || !pl.pools.reserveConn() {
+		return addBelow(math.MaxInt)
+	}
+	conn := newConn(pl, c.attempt.NonIdempotent)
+	conn.add(c)
+	pl.conns = append(pl.conns, conn)
+	go conn.run()
+	return conn
+}
+
+// byLoad returns the connections of one kind that accept calls, the least loaded first, and their loads.
+func (pl *pool) byLoad(nonIdempotent bool) ([]*conn, map[*conn]int) {
+	var conns []*conn
+	loads := map[*conn]int{}
+	for _, conn := range pl.conns {
+		if load, ok := conn.load(); ok && conn.nonIdempotent == nonIdempotent {
+			conns = append(conns, conn)
+			loads[conn] = load
+		}
+	}
+	slices.SortStableFunc(conns, func(a, b *conn) int { return loads[a] - loads[b] })
+	return conns, loads
+}
+
+func (pl *pool) remove(closed *conn) {
+	closed.release()
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	if i := slices.Index(pl.conns, closed); i >= 0 {
+		pl.conns = append(pl.conns[:i], pl.conns[i+1:]...)
+	}
+}
+
+// hasOpenConn reports whether a connection is established and accepts calls.
+func (pl *pool) hasOpenConn() bool {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	return slices.ContainsFunc(pl.conns, func(k *conn) bool {
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		return k.socket != nil && !k.closing
+	})
+}
+
+// answeredSince reports whether an answer has arrived since the given time, over any connection.
+func (pl *pool) answeredSince(since float64) bool {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	return slices.ContainsFunc(pl.conns, func(k *conn) bool {
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		return k.lastAnswer > since
+	})
+}
+
+func (pl *pool) retireConns() {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	for _, conn := range pl.conns {
+		conn.retire()
+	}
+}
--- /dev/null
+++ b/internal/upstream/pools.go
@@ -0,0 +1,166 @@
+// Package upstream carries attempts to cache servers over a few connections each, with many attempts on one connection
+// and answers in any order. It decides nothing about requests: it chooses a connection, and reports exactly how each
+// attempt ended, above all whether it was written. Its tests play scripts against a scripted server; write_test.go
+// checks the writer with arbitrary partial writes.
+package upstream
+
+import (
+	"encoding/binary"
+	"math"
+	"sync"
+	"sync/atomic"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/policy"
+)
+
+// Pools are the connections to all cache servers. They implement core.Upstream.
+type Pools struct {
+	LateAnswers atomic.Int64 // answers to attempts that had ended
+
+	clock  *clock.Clock
+	limits atomic.Pointer[Limits]
+	byID   atomic.Pointer[iradix.Tree[*pool]] // read without a lock on the path of requests
+	update sync.Mutex                         // held while byID is replaced
+	conns  atomic.Int64                       // connections that count against MaxConns
+}
+
+// New returns pools without a cache server.
+func New(c *clock.Clock, limits Limits) *Pools {
+	limits = limits.withDefaults()
+	p := &Pools{clock: c}
+	p.limits.Store(&limits)
+	p.byID.Store(iradix.New[*pool]())
+	return p
+}
+
+// SetLimits changes the attempts per connection and the timeouts, in ms. They apply to open connections too.
+func (p *Pools) SetLimits(requestsPerConn int, connectTimeout, idleTimeout float64) {
+	limits := *p.limits.Load()
+	limits.RequestsPerConn = max(1, requestsPerConn)
+	limits.ConnectTimeout, limits.IdleTimeout = connectTimeout, idleTimeout
+	p.limits.Store(&limits)
+}
+
+// Clock returns the clock to which the times of attempts refer.
+func (p *Pools) Clock() *clock.Clock { return p.clock }
+
+func key(id policy.CacheID) []byte { return binary.BigEndian.AppendUint64(nil, uint64(id)) }
+
+func idOf(key []byte) policy.CacheID { return policy.CacheID(binary.BigEndian.Uint64(key)) }
+
+// UpdateMembers implements core.Upstream. A server that is gone, or has another address now, gets nothing new on its
+// old connections: they end once they are idle.
+func (p *Pools) UpdateMembers(list []core.Member, full bool) {
+	p.update.Lock()
+	defer p.update.Unlock()
+	tree := p.byID.Load().Txn()
+	var retired []*pool
+	listed := map[policy.CacheID]bool{}
+	for _, member := range list {
+		gone := member.State == policy.Gone
+		listed[member.ID] = !gone
+		old, _ := tree.Get(key(member.ID))
+		if old != nil && (gone || old.addr != member.Addr) {
+			retired = append(retired, old)
+			tree.Delete(key(member.ID))
+			old = nil
+		}
+		if !gone && old == nil {
+			tree.Insert(key(member.ID), &pool{pools: p, addr: member.Addr})
+		}
+	}
+	if full {
+		p.byID.Load().Root().Walk(func(k []byte, old *pool) bool {
+			if !listed[idOf(k)] {
+				retired = append(retired, old)
+				tree.Delete(k)
+			}
+			return false
+		})
+	}
+	p.byID.Store(tree.Commit())
+	for _, old := range retired {
+		go old.retireConns()
+	}
+}
+
+func (p *Pools) pool(id policy.CacheID) *pool {
+	found, _ := p.byID.Load().Get(key(id))
+	return found
+}
+
+// Conns returns the number of connections to listed servers.
+func (p *Pools) Conns() (n int) {
+	p.byID.Load().Root().Walk(func(_ []byte, server *pool) bool {
+		server.mu.Lock()
+		n += len(server.conns)
+		server.mu.Unlock()
+		return false
+	})
+	return n
+}
+
+// Send implements core.Upstream.
+func (p *Pools) Send(a core.Attempt, end func(core.Outcome)) (abort func() (written bool)) {
+	return p.start(&call{attempt: a, onEnd: end})
+}
+
+// start puts a call on a connection and sets its timers. The call is skipped if its server is no longer listed or if all
+// its connections are full.
+func (p *Pools) start(c *call) (abort func() (written bool)) {
+	var conn *conn
+	if server := p.pool(c.attempt.Server); server != nil {
+		p.closeIdlest()
+		conn = server.assign(c)
+	}
+	if conn == nil {
+		go c.finish(core.Outcome{Result: policy.Skipped})
+		return func() bool { c.forget(); return false }
+	}
+	now, deadline, sendBy := p.clock.Now(), c.attempt.Deadline, c.attempt.SendBy
+	stopDeadline, stopSendBy := p.clock.After(deadline-now, func() { conn.abandon(c, true) }), func() {}
+	if sendBy > 0 && sendBy < deadline {
+		stopSendBy = p.clock.After(sendBy-now, func() { conn.expireDecision(c) })
+	}
+	return func() bool {
+		stopDeadline()
+		stopSendBy()
+		return conn.abandon(c, false)
+	}
+}
+
+// reserveConn counts one more connection, unless MaxConns is reached.
+func (p *Pools) reserveConn() bool {
+	limit := int64(p.limits.Load().MaxConns)
+	if n := p.conns.Add(1); limit > 0 && n > limit {
+		p.conns.Add(-1)
+		return false
+	}
+	return true
+}
+
+// closeIdlest closes the connection that has been idle for longest if MaxConns is reached.
+func (p *Pools) closeIdlest() {
+	if limit := int64(p.limits.Load().MaxConns); limit <= 0 || p.conns.Load() < limit {
+		return
+	}
+	var idlest *conn
+	since := math.Inf(1)
+	p.byID.Load().Root().Walk(func(_ []byte, server *pool) bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for _, conn := range server.conns {
+			if idleSince, idle := conn.idleSince(); idle && idleSince < since {
+				idlest, since = conn, idleSince
+			}
+		}
+		return false
+	})
+	if idlest != nil {
+		idlest.closeIdle()
+	}
+}
--- a/internal/upstream/written_test.go
+++ b/internal/upstream/time_left_test.go
@@ -22,23 +22,23 @@
 	"ravenwheel/policy"
 )
 
-var toldTime = regexp.MustCompile(`,ttl=(\d+)`)
+var timeLeftField = regexp.MustCompile(`,ttl=(\d+)`)
 
-// told is the time that an attempt's fields give its server, in ms.
-func told(t *testing.T, fields string) float64 {
-	m := toldTime.FindStringSubmatch(fields)
+// timeLeft is the time left in the fields of a frame, in ms.
+func timeLeft(t *testing.T, fields string) float64 {
+	m := timeLeftField.FindStringSubmatch(fields)
 	require.NotNil(t, m, fields)
 	ms, err := strconv.Atoi(m[1])
 	require.NoError(t, err)
 	return float64(ms)
 }
 
-// An attempt waits between its decision and its first byte, as its connection comes up late, is tried again, or takes nothing.
-// The time that its server is told is what its client has left as the first byte goes out, not as it was decided.
-func TestTimeLeftAsWritten(t *testing.T) {
+// An attempt waits for its connection to be established, redialled or unblocked. The time left in its frame
+// is that at its first byte, not that of the decision.
+func TestTimeLeftIsThatOfFirstByte(t *testing.T) {
 	const budget, waited = 1000, 420
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
-	for name, resets := range map[string]int{"comes up late": 0, "is tried again": 2} {
+	for name, resets := range map[string]int{"established late": 0, "redialled": 2} {
 		t.Run(name, func(t *testing.T) {
 			clk, cache := clock.Manual(1e12), scenario.Listen(t)
 			dials := make(chan int, 3)
@@ -71,12 +71,12 @@
 			}
 			words, err := cache.Receive()
 			require.NoError(t, err)
-			require.LessOrEqual(t, told(t, words[2]), float64(budget-waited))
+			require.LessOrEqual(t, timeLeft(t, words[2]), float64(budget-waited))
 			require.NoError(t, cache.Send([]string{words[1], "served", "why=local,version=v1", "BYTES"}))
 			require.Equal(t, core.Served, (<-answer).Verdict)
 		})
 	}
-	t.Run("takes nothing", func(t *testing.T) {
+	t.Run("blocked", func(t *testing.T) {
 		clk := clock.Manual(1e12)
 		b := newBlocked(t, clk)
 		b.send("waits", budget, 500, 10)
@@ -87,7 +87,7 @@
 			parts, _, err := buf.Next(nc)
 			require.NoError(t, err)
 			if string(parts[1]) == "waits" {
-				require.LessOrEqual(t, told(t, string(parts[2])), float64(budget-waited))
+				require.LessOrEqual(t, timeLeft(t, string(parts[2])), float64(budget-waited))
 				return
 			}
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 	"ravenwheel/policy"
 )
 
-// four reads on one connection, a fifth on another.
+// five starts four reads on one connection and a fifth one on another.
 const five = `
 	up send r1
 	s expect fetch r1 * -
@@ -34,10 +34,9 @@
 	up send r5
 	s expect fetch r5 * -`
 
-// each script is played against a stand-in of one cache server.
+// scenarios are played against a scripted cache server.
 var scenarios = map[string]string{
-	// Once all attempts to a cache shared a connection, and one bad answer ended up to fifteen.
-	"an answer that can't be read ends what shares its connection, never a write": `
+	"an unreadable answer ends the reads of its connection and no write": `
 		up send w1 once
 		s expect fetch w1 * -` + five + `
 		s send r4 served notafield
@@ -50,13 +49,12 @@
 		up expect r5 ok
 		s send w1 served -
 		up expect w1 ok`,
-	"a claim of 3 GB fails at its header": `
+	"an answer that announces 3 GB fails at its header": `
 		up send r1
 		s expect fetch r1 * -
 		s send raw *4\r\n$2\r\nr1\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000
 		up expect r1 reset`,
-	// Once those behind it waited until their clients gave up.
-	"an answer that stops short ends its connection's calls soon": `
+	"a stalled answer ends the calls of its connection soon": `
 		up send r1
 		s expect fetch r1 * -
 		up send r2
@@ -65,7 +63,7 @@
 		up expect r1 ok
 		s await closed
 		up expect r2 reset`,
-	"a connection that has gone quiet gets no more calls": `
+	"a connection without answers gets no more calls": `
 		up send r1
 		s expect fetch r1 * -
 		wait 500
@@ -76,7 +74,7 @@
 		s expect closed
 		s send r1 served -
 		up expect r1 ok`,
-	"a second copy and an unknown id do no harm": `
+	"a duplicate answer and an unknown id are ignored": `
 		up send r1
 		s expect fetch r1 * -
 		up send r2
@@ -87,8 +85,7 @@
 		s send r2 served -
 		up expect r1 ok
 		up expect r2 ok`,
-	// Once a call could still be put on it between its close and the books of who closed it.
-	"an idle connection that breaks off blames nobody": `
+	"an idle connection that breaks is not blamed on the server": `
 		up send r1
 		s expect fetch r1 * -
 		s send r1 served -
@@ -99,9 +96,7 @@
 		s expect fetch r2 * -
 		s send r2 served -
 		up expect r2 ok`,
-	// Once the retry went out on the same connection, and a second "overload" some milliseconds late was taken for its answer:
-	// a write that was running by then was sent elsewhere.
-	"a second answer that is late is not taken for the answer to the retry": `
+	"a late duplicate answer is not taken for the answer to a retry": `
 		up send w1 once
 		s expect fetch w1 * -
 		s send w1 overload
@@ -115,7 +110,7 @@
 		up expect r1 ok
 		s send w1 served -
 		up expect w1 ok`,
-	"silence: the attempt times out, and the next goes over a new connection": `
+	"after a timeout without answers the next attempt uses a new connection": `
 		up send r1
 		s expect fetch r1 * -
 		wait 1000
@@ -128,7 +123,8 @@
 		up expect r2 ok`,
 }
 
-func TestUpstream(t *testing.T) {
+// Attempts over a scripted server end as expected.
+func TestUpstreamScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
@@ -138,8 +134,8 @@
 	}
 }
 
-// An id that has moved, or that came back at another address, gets new connections there.
-func TestMove(t *testing.T) {
+// A server with a new address gets new connections there.
+func TestMovedServerGetsNewConnections(t *testing.T) {
 	p, next := scenario.NewProxy(t), scenario.Listen(t)
 	up := scenario.Attempt(p.Pools)
 	actors := map[string]scenario.Actor{"up": up, "s": p.Cache, "next": next}
@@ -154,7 +150,7 @@
 		up expect r1 ok`)
 }
 
-// newPools has one cache server, and one connection for reads.
+// newPools returns pools with one cache server and one connection for idempotent attempts.
 func newPools(clk *clock.Clock, cache *scenario.Server, l upstream.Limits) *upstream.Pools {
 	l.RequestsPerConn, l.ConnsPerServer, l.ConnectTimeout = 10, 3, 5000
 	pools := upstream.New(clk, l)
@@ -164,9 +160,8 @@
 	return pools
 }
 
-// Clients that leave by the hundred: a connection that has been told of too many gives way to another. Once it
-// kept its place, and attempts found no room.
-func TestManyAborts(t *testing.T) {
+// A connection with hundreds of aborted attempts is replaced by another one.
+func TestConnectionWithManyAbortsIsReplaced(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	pools := newPools(clk, cache, upstream.Limits{})
 	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
@@ -184,9 +179,9 @@
 	}
 }
 
-// What a broken connection took no whole frame of never came to anybody: a write that may not be repeated is not given up
-// for it. What it took whole may have run.
-func TestNotWritten(t *testing.T) {
+// An attempt that a broken connection has written in part was not executed and is skipped, also if it is not
+// idempotent. One that was written completely may have been executed.
+func TestPartlyWrittenAttemptHasNotRun(t *testing.T) {
 	for takes, want := range map[int]string{0: "moot", 5: "moot", 1 << 10: "reset"} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		broken := false
@@ -223,8 +218,9 @@
 	}
 }
 
-// A peer that resets a new connection is there: the attempt goes over the next. One that refuses is not.
-func TestResetWhenNew(t *testing.T) {
+// A server that resets a new connection is reachable and is dialled again; one that refuses connections is
+// not.
+func TestConnectionResetWhileNewIsRedialled(t *testing.T) {
 	errs := []error{syscall.ECONNRESET, nil, syscall.ECONNREFUSED}
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		err := errs[0]
@@ -245,8 +241,9 @@
 		up expect r1 ok`)
 }
 
-// Out of descriptors, ports or memory no connection can be made. What waited for it never ran, and the cache is not blamed.
-func TestOutOfDescriptors(t *testing.T) {
+// Without local descriptors, ports or memory no connection is established: attempts are skipped and the
+// server is not blamed.
+func TestLocalDialFailureSkipsAttempts(t *testing.T) {
 	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		var short atomic.Bool
 		dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -272,9 +269,8 @@
 	}
 }
 
-// Calls fail for a moment, in the ways that the system documents: for want of something of this machine's own, or of a way there.
-// The connection comes up all the same, its attempt is served, and nobody is blamed.
-func TestDialFailsForAMoment(t *testing.T) {
+// A dial that fails for a transient local reason is retried, and the attempt is answered.
+func TestTransientDialFailureIsRetried(t *testing.T) {
 	for _, why := range []error{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EINTR,
 	} {
@@ -293,13 +289,13 @@
 			s send r1 served -
 			up expect r1 ok`)
 		require.EqualValues(t, 4, dials.Load(), why)
-		require.LessOrEqual(t, clk.Now(), 900.0, "its time is not up")
+		require.LessOrEqual(t, clk.Now(), 900.0, "before its deadline")
 	}
 }
 
-// A cache that holds one connection of ours and resets the rest: what finds no place is told so and blames nobody, the
-// one connection serves on, and each attempt costs three dials at most.
-func TestFewConnections(t *testing.T) {
+// A server accepts one connection and resets all others: attempts without a slot are skipped, the one
+// connection goes on, and an attempt costs at most three dials.
+func TestServerWithOneConnection(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		if dials.Add(1) > 1 {
@@ -323,9 +319,9 @@
 	require.LessOrEqual(t, dials.Load(), int32(1+20*3))
 }
 
-// What a proxy holds at a cache goes by what is out there: hundreds that ask seldom have one connection each, and none
-// once they are silent; one that asks for hundreds at once keeps to its bound.
-func TestConnectionsGoByLoad(t *testing.T) {
+// The number of connections follows the load: one for rare requests, none when idle, and no more than the
+// limit for hundreds at once.
+func TestConnectionsFollowLoad(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		dials.Add(1)
@@ -352,12 +348,12 @@
 	for i := range 200 {
 		pools.Send(core.Attempt{ID: fmt.Sprint("r", i), Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(core.Outcome) {})
 	}
-	require.LessOrEqual(t, pools.Conns(), 6, "two more are for what may not be repeated")
+	require.LessOrEqual(t, pools.Conns(), 6, "two more are for non-idempotent attempts")
 }
 
-// Many servers, each with connections of its own: all together they stay within a bound. Those at rest for longest make room for
-// the next server; while none is at rest, an attempt that finds no room is told so, and blames nobody.
-func TestConnectionsOfAllServers(t *testing.T) {
+// The connections to many servers stay within MaxConns: the longest idle ones make room. With none idle, an
+// attempt is skipped.
+func TestMaxConnsOverAllServers(t *testing.T) {
 	const servers, most = 30, 8
 	clk := clock.Manual(0)
 	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
@@ -367,7 +363,7 @@
 	for i := range servers {
 		server := scenario.Listen(t)
 		list[i].Addr, list[i].ID = server.Addr(), policy.CacheID(i+1)
-		go func() { // whatever else comes, from a test before this one at whose port it listens, is answered too
+		go func() { // also answers what still arrives from an earlier test at the same port
 			for t.Context().Err() == nil {
 				words, err := server.Receive()
 				if err != nil || words[0] != "fetch" {
@@ -399,7 +395,7 @@
 		require.Equal(t, policy.Skipped, (<-ends).Result)
 	}
 	require.Eventually(t, func() bool { return pools.Conns() == most }, time.Minute, time.Millisecond)
-	for waits := 0; waits < most; { // none is still to be dialled as this test ends
+	for waits := 0; waits < most; { // until no connection is being dialled
 		if strings.HasPrefix(<-asked, "waits") {
 			waits++
 		}
