--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -83,7 +83,7 @@
 				if err != nil {
 					return err
 				}
-				bad := load.StartMisbehaving(o.Addr, habits, o.Clock)
+				bad := load.StartMisbehaving(o.Addr, habits)
 				defer func() {
 					bad.Stop()
 					fmt.Fprintf(cmd.OutOrStdout(), "misbehaved on %d connections, of which the proxy ended %d\n", bad.Opened.Load(), bad.Ended.Load())
--- /dev/null
+++ b/internal/lab/load/misbehaving.go
@@ -0,0 +1,117 @@
+package load
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"ravenwheel/internal/resp"
+)
+
+const (
+	// maxMisbehaving bounds the clients of one kind.
+	maxMisbehaving = 5000
+	// reconnectDelay is the pause between two connections of a misbehaving client.
+	reconnectDelay = 100 * time.Millisecond
+)
+
+// MisbehavingClients is a set of clients that break the protocol, each on a connection of its own, until Stop.
+type MisbehavingClients struct {
+	addr    string
+	stop    chan struct{}
+	running sync.WaitGroup
+	// Opened and Ended count connections: those that were established, and those that the proxy ended.
+	Opened, Ended atomic.Int64
+}
+
+// misbehaviour is what a misbehaving client sends, and whether it leaves right after that.
+type misbehaviour struct {
+	send  string
+	leave bool
+}
+
+var misbehaviours = map[string]misbehaviour{
+	"idle":  {},
+	"half":  {send: "*4\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$5\r\nas"},
+	"noise": {send: "\x00\xff GET / HTTP/1.1\r\n\r\n"},
+	"claim": {send: "*4\r\n$2147483647\r\n"},
+	"leave": {send: string(resp.AppendFrame(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), leave: true},
+}
+
+// ParseMisbehaving parses "idle=100,half=20": the number of clients by misbehaviour.
+func ParseMisbehaving(text string) (map[string]int, error) {
+	counts := map[string]int{}
+	for _, part := range strings.Split(text, ",") {
+		name, number, _ := strings.Cut(part, "=")
+		count, err := strconv.Atoi(number)
+		if _, known := misbehaviours[name]; !known || err != nil || count < 0 || count > maxMisbehaving {
+			return nil, fmt.Errorf("%q is not idle, half, noise, claim or leave with a number up to %d", part, maxMisbehaving)
+		}
+		counts[name] = count
+	}
+	return counts, nil
+}
+
+// StartMisbehaving starts the clients. Each reconnects a moment after its connection has ended.
+func StartMisbehaving(addr string, counts map[string]int) *MisbehavingClients {
+	m := &MisbehavingClients{addr: addr, stop: make(chan struct{})}
+	for name, count := range counts {
+		for range count {
+			m.running.Go(func() {
+				for m.connectOnce(misbehaviours[name]) {
+				}
+			})
+		}
+	}
+	return m
+}
+
+// connectOnce plays one connection. It is false once the client is to stop.
+func (m *MisbehavingClients) connectOnce(how misbehaviour) bool {
+	select {
+	case <-m.stop:
+		return false
+	case <-time.After(reconnectDelay):
+	}
+	nc, err := net.DialTimeout("tcp", m.addr, time.Second)
+	if err != nil {
+		return true
+	}
+	defer nc.Close()
+	m.Opened.Add(1)
+	_, _ = nc.Write([]byte(how.send))
+	if how.leave {
+		return true
+	}
+	select {
+	case <-endOf(nc):
+		m.Ended.Add(1)
+		return true
+	case <-m.stop:
+		return false
+	}
+}
+
+// endOf returns a channel that is closed once the connection has ended; what comes on it is dropped.
+func endOf(nc net.Conn) <-chan struct{} {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for buf := make([]byte, 256); ; {
+			if _, err := nc.Read(buf); err != nil {
+				return
+			}
+		}
+	}()
+	return ended
+}
+
+// Stop ends all clients and returns once they have ended.
+func (m *MisbehavingClients) Stop() {
+	close(m.stop)
+	m.running.Wait()
+}
--- a/internal/lab/load/schedule_test.go
+++ b/internal/lab/load/schedule_test.go
@@ -7,12 +7,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/clock"
 	"ravenwheel/internal/scenario"
 )
 
-// A course gives as many requests as the area under it, in order and within its time.
-func TestDue(t *testing.T) {
+// A schedule has as many requests due as the area under its rate, in order and within its time.
+func TestScheduleFollowsTheRate(t *testing.T) {
 	phases, err := ParsePhases("10:50-150, 5:400")
 	require.NoError(t, err)
 	var due []float64
@@ -35,12 +34,12 @@
 	require.Equal(t, 7, n)
 }
 
-// Clients that misbehave do so, and come again when they are turned out.
-func TestMisbehave(t *testing.T) {
+// Misbehaving clients connect again after the proxy has ended their connection.
+func TestMisbehavingClientsReconnect(t *testing.T) {
 	addr := scenario.ListenOnce(t, func(net.Conn) {})
 	crowd, err := ParseMisbehaving("idle=3,half=2,leave=1")
 	require.NoError(t, err)
-	b := StartMisbehaving(addr, crowd, clock.System())
+	b := StartMisbehaving(addr, crowd)
 	require.Eventually(t, func() bool { return b.Ended.Load() > 10 }, time.Minute, time.Millisecond)
 	b.Stop()
 	for _, bad := range []string{"idle", "idle=x", "idle=99999", "rude=1"} {
