--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -1,128 +1,136 @@
-// Package drain decides how a whole proxy is emptied and comes back: what it says when it is asked whether it takes work,
-// which connections of clients end when, and when it may end itself. It sees no socket and no clock. Its decisions are
-// tested here.
+// Package drain decides how a proxy drains and shuts down: what it answers to readiness probes, when it closes which
+// client connections, and from when it rejects requests. It knows no sockets and reads no clock. Its decisions are tested
+// here.
 //
-// Whoever sends clients here asks ten times a second, and stops 0.2 s after a no; clients go on using what they hold. So
-// a connection that is owed nothing ends from FrontAfter on; one that is never at rest gets its new requests refused from
-// RefuseAfter on, which harms nobody and lets it come to rest. A proxy that was told to end, with nobody to take over, does
-// the same from StopAfter on: what is still open when a process ends is reset, with whatever nobody has read there.
+// The load balancer in front probes ten times a second and sends no new connections from 0.2 s after a negative answer;
+// clients go on using their connections. An idle connection is therefore closed from CloseIdleAfterDrain on. New requests
+// on connections that are never idle are rejected from RejectAfter on, which is harmless and makes them idle. A proxy that
+// is stopped without a successor does the same from CloseIdleAfterStop on, because connections that are open when the
+// process ends are reset together with the data that nobody has read.
 package drain
 
-// Settings are in ms from the call that empties.
+// Settings are times in ms.
 type Settings struct {
-	// FrontAfter: until then new connections come, and one that was closed would come back at once.
+	// CloseIdleAfterDrain, from the begin of a drain: idle connections are closed afterwards. Before, the load balancer
+	// still sends new connections, and a closed one would be replaced at once.
 	CloseIdleAfterDrain float64
-	// StopAfter: told to end, it is sent new connections until then, and requests on those that stand.
+	// CloseIdleAfterStop, from a stop without a successor: as CloseIdleAfterDrain.
 	CloseIdleAfterStop float64
-	// RefuseAfter: no request that comes later is sent on. Later serves more, and leaves less time to end within.
+	// RejectAfter, from the begin of a drain or stop: new requests are rejected afterwards.
 	RejectAfter float64
-	// AnswerWithin: a proxy that was told to end is killed so long after, whatever it owes by then.
+	// KillAfter, from a stop: the process is killed then, whatever is unanswered.
 	KillAfter float64
-	// HeardFor: told to end, it is sent requests on connections that stand for so long, however soon it is killed.
+	// RequestsAfterStop, from a stop: open connections bring new requests for so long, and these are accepted even if the
+	// kill follows soon.
 	RequestsAfterStop float64
-	// RestWithin: so long before the kill requests are refused, where RefuseAfter is later. Longer ends more connections between
-	// two requests, and serves less.
+	// RejectBeforeKill: new requests are rejected at least so long before the kill, so that connections become idle.
 	RejectBeforeKill float64
-	// HalfFor: a client that writes a frame slowly has so long, where nothing is killed.
+	// PartialFrameTimeout, from the begin of a drain: a client may take so long to complete a frame, where no kill follows.
 	PartialFrameTimeout float64
 }
 
 // Phase is what the proxy does.
 type Phase int
 
-// The phases. Starting serves nobody yet; Yielding has another process take its clients; Stopping ends.
+// The phases.
 const (
-	Starting Phase = iota
+	Starting Phase = iota // serves nobody yet
 	Serving
 	Draining
-	HandingOver
-	Stopping
+	HandingOver // another process takes the new connections
+	Stopping    // shuts down
 )
 
 var phaseNames = [...]string{"starting", "serving", "draining", "yielding", "stopping"}
 
-// String names the phase as operators are shown it.
+// String returns the name that operators are shown.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Event is what happens to the proxy.
+// Event is an input of a State.
 type Event int
 
-// The events. Own: it owns its address. Yield: another process does. Pause and Resume are an operator's.
+// The events.
 const (
-	AddressOwned Event = iota
-	AddressYielded
-	Drain
-	Resume
-	Stop
+	AddressOwned   Event = iota // the proxy owns its address
+	AddressYielded              // another process owns the address
+	Drain                       // an operator drains the proxy
+	Resume                      // an operator ends the drain
+	Stop                        // the process is told to end
 )
 
-// State is the proxy as a whole. See New.
+// State is the state of the whole proxy. See New.
 type State struct {
 	settings       Settings
 	phase          Phase
-	drainRequested bool // an operator said so
-	since          float64
-	killAt         float64 // once it was told to end: when it is killed
+	drainRequested bool    // by an operator
+	since          float64 // begin of the phase, in ms
+	killAt         float64 // once stopped, in ms
 }
 
 // New returns the state of a proxy that has just started.
-func New(s Settings) *State { return &State{settings: s} }
+func New(settings Settings) *State { return &State{settings: settings} }
 
-// Handle takes an event at a time in ms; ok is false for a call that changes nothing here any more.
-func (s *State) Handle(now float64, e Event) (ok bool) {
-	to := s.phase
-	switch e {
+// Handle applies an event at a time in ms. ok is false for an operator's command that has no effect any more, because
+// the proxy hands over or stops.
+func (s *State) Handle(now float64, event Event) (ok bool) {
+	next := s.phase
+	switch event {
 	case AddressOwned:
-		if to != Stopping {
-			to = Serving
+		if next != Stopping {
+			next = Serving
 		}
 	case AddressYielded:
-		if to != Stopping {
-			to = HandingOver
+		if next != Stopping {
+			next = HandingOver
 		}
 	case Drain, Resume:
 		if s.phase >= HandingOver {
 			return false
 		}
-		s.drainRequested = e == Drain
+		s.drainRequested = event == Drain
 	case Stop:
-		if to != Stopping {
+		if next != Stopping {
 			s.killAt = now + s.settings.KillAfter
 		}
-		to = Stopping
+		next = Stopping
 	}
-	if to == Serving && s.drainRequested {
-		to = Draining
-	} else if to == Draining && !s.drainRequested {
-		to = Serving
-	}
-	if to != s.phase {
-		// A stop after another process took over goes on where that began.
-		if !(s.phase == HandingOver && to == Stopping) {
-			s.since = now
-		}
-		s.phase = to
+	if next == Serving && s.drainRequested {
+		next = Draining
+	} else if next == Draining && !s.drainRequested {
+		next = Serving
 	}
+	s.enter(next, now)
 	return true
 }
 
-// Phase is where it stands.
+func (s *State) enter(next Phase, now float64) {
+	if next == s.phase {
+		return
+	}
+	// A stop after a handover continues the drain that the handover began.
+	if s.phase != HandingOver || next != Stopping {
+		s.since = now
+	}
+	s.phase = next
+}
+
+// Phase returns the present phase.
 func (s *State) Phase() Phase { return s.phase }
 
-// Takes is the answer to whoever asks whether the proxy takes work. One whose clients another process takes answers for
-// both: they share an address.
+// Ready is the answer to readiness probes. A proxy that hands over answers for its successor too, since both share an
+// address.
 func (s *State) Ready() bool { return s.phase == Serving || s.phase == HandingOver }
 
-// Plan is how clients' connections are treated. The zero value leaves them alone.
+// Plan is how client connections are treated. Times are in ms. The zero value leaves connections open.
 type Plan struct {
 	Active            bool
-	CloseIdleFrom     float64 // Unix ms from which a connection at rest ends
-	RejectFrom        float64 // and from which new requests are refused
-	PartialFrameUntil float64 // until which a connection stays of whose next request a part has come
-	AnswerBy          float64 // by which all is answered, whatever a client would wait; 0: no such bound
+	CloseIdleFrom     float64 // idle connections are closed
+	RejectFrom        float64 // new requests are rejected
+	PartialFrameUntil float64 // a connection with a part of a frame stays open
+	AnswerBy          float64 // every request is answered, whatever its deadline; 0: no such bound
 }
 
-// Plan is what holds for connections until the next event.
+// Plan returns the plan that holds until the next event. successor says whether another process takes over.
 func (s *State) Plan(successor bool) Plan {
 	switch {
 	case s.phase == Draining:
@@ -135,35 +143,41 @@
 	return Plan{}
 }
 
-// emptied is the plan of a proxy whose connections end at rest from a time on. Guards against a kill that comes soon, as the
-// longest deadline is short: clients that are never at rest would be found waiting by it.
-func (s *State) drainPlan(closeFrom float64) Plan {
-	p := Plan{Active: true, CloseIdleFrom: closeFrom, RejectFrom: s.since + s.settings.RejectAfter, PartialFrameUntil: s.since + s.settings.PartialFrameTimeout}
+// drainPlan is the plan of a proxy that closes idle connections from a time on. If a kill follows, requests are rejected
+// early enough for busy connections to become idle before it.
+func (s *State) drainPlan(closeIdleFrom float64) Plan {
+	plan := Plan{
+		Active: true, CloseIdleFrom: closeIdleFrom, RejectFrom: s.since + s.settings.RejectAfter,
+		PartialFrameUntil: s.since + s.settings.PartialFrameTimeout,
+	}
 	if s.killAt > 0 {
-		told := s.killAt - s.settings.KillAfter
-		p.AnswerBy, p.PartialFrameUntil = s.killAt, s.killAt
-		p.RejectFrom = min(p.RejectFrom, max(told+s.settings.RequestsAfterStop, s.killAt-s.settings.RejectBeforeKill))
-		p.CloseIdleFrom = min(p.CloseIdleFrom, p.RejectFrom)
+		stoppedAt := s.killAt - s.settings.KillAfter
+		plan.AnswerBy, plan.PartialFrameUntil = s.killAt, s.killAt
+		rejectFrom := max(stoppedAt+s.settings.RequestsAfterStop, s.killAt-s.settings.RejectBeforeKill)
+		plan.RejectFrom = min(plan.RejectFrom, rejectFrom)
+		plan.CloseIdleFrom = min(plan.CloseIdleFrom, plan.RejectFrom)
 	}
-	return p
+	return plan
 }
 
-// Conn is what is known of a connection.
+// Conn is the state of a client connection.
 type Conn struct {
-	Pending      int  // requests, and answers not yet written
-	PartialFrame bool // a part of a frame has come
-	Unread       bool // bytes have come that nobody has read
+	Pending      int  // requests in flight, and answers that are not written
+	PartialFrame bool // a part of a frame has arrived
+	Unread       bool // bytes have arrived that are not read
 	New          bool // it was accepted a moment ago, and its first request may be on its way
 }
 
-// Ends tells whether a connection is closed now. Guards against a request that crosses the close: none is, of which a
-// byte has come.
+// ShouldClose reports whether a connection is closed now. No connection is closed of whose next request a byte has
+// arrived, except for a partial frame that has taken too long.
 func (p Plan) ShouldClose(now float64, c Conn) bool {
-	return p.Active && now >= p.CloseIdleFrom && c.Pending == 0 && !c.Unread && !c.New && (!c.PartialFrame || now >= max(p.RejectFrom, p.PartialFrameUntil))
+	if !p.Active || now < p.CloseIdleFrom || c.Pending > 0 || c.Unread || c.New {
+		return false
+	}
+	return !c.PartialFrame || now >= max(p.RejectFrom, p.PartialFrameUntil)
 }
 
-// Deadline is when a request that has just come has to be answered. Guards against one on a connection that its client
-// holds: it came 1.5 s after SIGTERM with 2.2 s to go, and SIGKILL found it unanswered.
+// Deadline returns when a new request must be answered: at its own deadline, but before a kill.
 func (p Plan) Deadline(own float64) float64 {
 	if p.AnswerBy > 0 {
 		return min(own, p.AnswerBy)
@@ -171,5 +185,5 @@
 	return own
 }
 
-// Hears tells whether a request that has just come is sent on.
+// AcceptsRequest reports whether a new request is forwarded; otherwise it is rejected.
 func (p Plan) AcceptsRequest(now float64) bool { return !p.Active || now < p.RejectFrom }
--- a/internal/decide/expiryqueue/expiryqueue.go
+++ b/internal/decide/expiryqueue/expiryqueue.go
@@ -1,6 +1,7 @@
-// Package expiryqueue finds, of what is held until a time, that whose time has come, without a walk through all of it. It owns
-// an order of times and none of what is held: its owner says when something ends, and drops it. An entry whose time was
-// moved stays where it is until it comes up, and is put back then. Its decisions are tested here against such a walk.
+// Package expiryqueue finds the entries of a map that have expired without a walk over the whole map. A Queue orders the
+// keys by their expiry time and holds nothing else: the owner keeps the entries, says when each expires, and removes it.
+// An entry whose expiry is moved to later stays in its place and is moved when it comes up. The tests compare a Queue with
+// a walk.
 package expiryqueue
 
 import (
@@ -8,10 +9,10 @@
 	"math"
 )
 
-// Queue orders keys by the time at which they end. The zero value is empty. Of each key that is held it has an entry
-// that is no later than the key's end; entries beyond that are passed over when they come up.
+// Queue orders keys by expiry time, in any unit. The zero value is empty. For each key of the owner it has an entry that
+// is no later than the key's expiry; superseded entries are dropped when they come up.
 type Queue[K comparable] struct {
-	heap []entry[K]
+	heap []entry[K] // a binary heap, the earliest first
 }
 
 type entry[K comparable] struct {
@@ -19,34 +20,36 @@
 	key K
 }
 
-// Bounds of what a queue has beyond one entry a key: ends that are moved forth and back leave entries behind, and a queue
-// with more than spareEntries and spareTimes as many as there are keys is built anew, at a cost that those have paid for.
+// Expiry times that are moved back and forth leave superseded entries. A queue with more than spareEntriesPerKey entries
+// for each key and spareEntries is to be rebuilt; the insertions since the last time have paid for that.
 const (
-	spareTimes   = 2
-	spareEntries = 64
+	spareEntriesPerKey = 2
+	spareEntries       = 64
 )
 
-// Set books that a key ends at a time; old is its end so far, and held whether it had one. An end that moves to later
-// needs no entry: the one that is there is put back when it comes up. An end that is NaN never comes, as it compares as
-// less with nothing.
-func (q *Queue[K]) Set(key K, at float64, old float64, held bool) {
-	if held && old <= at || math.IsNaN(at) {
+// Set records that a key expires at a time. exists says whether the owner had the key before, and old is its expiry so
+// far: a move to later needs no entry, since the present one is moved when it comes up. A key with expiry NaN never
+// expires.
+func (q *Queue[K]) Set(key K, at float64, old float64, exists bool) {
+	if exists && old <= at || math.IsNaN(at) {
 		return
 	}
 	q.push(entry[K]{at, key})
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries, superseded ones among them.
 func (q *Queue[K]) Len() int { return len(q.heap) }
 
-// Spare tells whether the queue of so many keys is to be built anew.
-func (q *Queue[K]) NeedsRebuild(keys int) bool { return len(q.heap) > spareTimes*keys+spareEntries }
+// NeedsRebuild reports whether the queue of an owner with this number of keys is to be rebuilt.
+func (q *Queue[K]) NeedsRebuild(keys int) bool {
+	return len(q.heap) > spareEntriesPerKey*keys+spareEntries
+}
 
-// Reset builds the queue from all keys and their ends.
-func (q *Queue[K]) Rebuild(ends iter.Seq2[K, float64]) {
-	clear(q.heap) // what it held is let go of
+// Rebuild replaces all entries by those of the given keys and expiry times.
+func (q *Queue[K]) Rebuild(expiries iter.Seq2[K, float64]) {
+	clear(q.heap) // releases the keys
 	q.heap = q.heap[:0]
-	for key, at := range ends {
+	for key, at := range expiries {
 		if !math.IsNaN(at) {
 			q.heap = append(q.heap, entry[K]{at, key})
 		}
@@ -56,18 +59,18 @@
 	}
 }
 
-// Expire calls drop with each key whose time has come. due says whether a time has, and must do so of all times before one
-// of which it does; ends is a key's end now, and whether it is held at all.
-func (q *Queue[K]) Expire(due func(at float64) bool, ends func(K) (float64, bool), drop func(K)) {
-	for len(q.heap) > 0 && due(q.heap[0].at) {
+// Expire calls remove for each key that has expired. expired reports whether a time has passed; if it does for a time it
+// must for all earlier ones. expiryOf returns a key's present expiry, and whether the owner has the key.
+func (q *Queue[K]) Expire(expired func(at float64) bool, expiryOf func(K) (at float64, exists bool), remove func(K)) {
+	for len(q.heap) > 0 && expired(q.heap[0].at) {
 		key := q.heap[0].key
-		at, held := ends(key)
+		at, exists := expiryOf(key)
 		switch {
-		case !held || math.IsNaN(at):
+		case !exists || math.IsNaN(at):
 			q.pop()
-		case due(at):
+		case expired(at):
 			q.pop()
-			drop(key)
+			remove(key)
 		default: // moved to later
 			q.heap[0].at = at
 			q.down(0)
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,68 +1,80 @@
-// Package retry decides whether and when something that failed is tried again: bounded attempts, decorrelated jitter, and
-// a budget that all callers share, so that a store or peer that is down is not buried under what its callers do about it.
-// It draws no randomness and reads no clock: the caller brings both. Its decisions are tested here.
+// Package retry decides whether and when a failed operation is tried again: with a bounded number of attempts, delays with
+// decorrelated jitter, and a budget that all callers share, so that retries do not overload a store or peer that is down.
+// It draws no random numbers and reads no clock: the caller passes both in. Its decisions are tested here.
 package retry
 
 import "math"
 
-// Settings bound what is tried again. Times are in ms.
+// Settings bound retries. Times are in ms.
 type Settings struct {
-	MaxAttempts int     // in all, the first among them
-	BaseDelay   float64 // the least wait
-	MaxDelay    float64 // the longest
-	// Budget is how many retries may be saved up, and Earn how much of one a success adds: over time at most Earn retries
-	// come on a success, whatever fails (the token bucket of "Addressing Cascading Failures", Google SRE book, ch. 22).
+	MaxAttempts int     // of one operation, the first among them
+	BaseDelay   float64 // lowest delay
+	MaxDelay    float64 // highest delay
+	// MaxRetries is how many retries the budget holds, and RetriesPerSuccess how much of one a success adds to it. Over
+	// time there are at most RetriesPerSuccess retries for each success (the token bucket of "Addressing Cascading
+	// Failures", Google SRE book, ch. 22).
 	MaxRetries, RetriesPerSuccess float64
 }
 
-// Outcome is what is known of an attempt.
+// Outcome is what is known about an attempt.
 type Outcome int
 
-// The outcomes. Refused: it surely did not happen. Unknown: it may have.
+// The outcomes.
 const (
-	Succeeded Outcome = iota
-	NotExecuted
-	Unknown
+	Succeeded   Outcome = iota
+	NotExecuted         // it certainly had no effect
+	Unknown             // it may have had its effect
 )
 
-// Budget is what all callers share.
+// Budget bounds the retries of all callers together. It is not safe for concurrent use.
 type Budget struct {
 	settings  Settings
 	remaining float64
 }
 
-// New returns a budget that is full.
-func New(s Settings) *Budget { return &Budget{settings: s, remaining: s.MaxRetries} }
+// New returns a full budget.
+func New(settings Settings) *Budget {
+	return &Budget{settings: settings, remaining: settings.MaxRetries}
+}
 
-// Left is how many retries are left.
+// Remaining returns how many retries the budget holds.
 func (b *Budget) Remaining() float64 { return b.remaining }
 
-// Call is one thing that is tried.
+// Operation is the state of one operation that is tried. The zero value has had no attempt.
 type Operation struct {
 	attempts int
-	delay    float64 // the last
-	// Unknown: an attempt may have happened. From then on only the same change may be sent, under the same id.
+	delay    float64 // the last one, in ms
+	// MayHaveRun reports that an attempt may have had its effect: only the same operation, with the same id, may be sent
+	// from then on.
 	MayHaveRun bool
 }
 
-// Ended books an attempt's outcome at a time, and says whether another is to be made, and in how many ms. luck is drawn
-// between 0 and 1; end is when the caller gives up.
-func (b *Budget) AttemptEnded(c *Operation, o Outcome, now, end, luck float64) (wait float64, again bool) {
-	c.attempts++
-	switch o {
+// AttemptEnded records the outcome of an attempt at a time and decides whether there is another, after a delay in ms.
+// Times are in ms; deadline is when the caller gives up. random is drawn between 0 and 1.
+func (b *Budget) AttemptEnded(op *Operation, outcome Outcome, now, deadline, random float64) (delay float64, again bool) {
+	op.attempts++
+	switch outcome {
 	case Succeeded:
 		b.remaining = min(b.settings.MaxRetries, b.remaining+b.settings.RetriesPerSuccess)
 		return 0, false
 	case Unknown:
-		c.MayHaveRun = true
-	}
-	// "Exponential Backoff And Jitter", AWS Architecture Blog, 2015: drawn between the base and three times the last wait.
-	if c.delay = min(b.settings.MaxDelay, b.settings.BaseDelay+luck*(3*max(c.delay, b.settings.BaseDelay)-b.settings.BaseDelay)); math.IsNaN(c.delay) {
-		c.delay = b.settings.BaseDelay
+		op.MayHaveRun = true
 	}
-	if c.attempts >= b.settings.MaxAttempts || b.remaining < 1 || now+c.delay >= end {
+	op.delay = b.nextDelay(op.delay, random)
+	if op.attempts >= b.settings.MaxAttempts || b.remaining < 1 || now+op.delay >= deadline {
 		return 0, false
 	}
 	b.remaining--
-	return c.delay, true
+	return op.delay, true
+}
+
+// nextDelay draws a delay between BaseDelay and three times the last one ("Exponential Backoff And Jitter", AWS
+// Architecture Blog, 2015).
+func (b *Budget) nextDelay(last, random float64) float64 {
+	base := b.settings.BaseDelay
+	delay := min(b.settings.MaxDelay, base+random*(3*max(last, base)-base))
+	if math.IsNaN(delay) {
+		return base
+	}
+	return delay
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -12,22 +12,22 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// Whatever fails: attempts are bounded, waits are within theirs, nothing is tried past the end, and over all callers
-// retries stay within what was saved up and earned.
-func TestBounds(t *testing.T) {
+// Whatever fails: attempts and delays stay within their bounds, nothing is tried after the deadline, and the
+// retries of all callers stay within the budget and what successes have added to it.
+func TestRetriesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := retry.Settings{MaxAttempts: 4, BaseDelay: 10, MaxDelay: 200, MaxRetries: 5, RetriesPerSuccess: 0.2}
 		b := retry.New(set)
 		successes, retries := 0, 0
-		for range rapid.IntRange(1, 50).Draw(t, "calls") {
-			var c retry.Operation
-			now, end := 0.0, float64(rapid.IntRange(0, 600).Draw(t, "end"))
+		for range rapid.IntRange(1, 50).Draw(t, "operations") {
+			var op retry.Operation
+			now, deadline := 0.0, float64(rapid.IntRange(0, 600).Draw(t, "deadline"))
 			unknown := false
-			for tries := 1; ; tries++ {
+			for attempts := 1; ; attempts++ {
 				o := retry.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
 				unknown = unknown || o == retry.Unknown
-				wait, again := b.AttemptEnded(&c, o, now, end, rapid.Float64Range(0, 1).Draw(t, "luck"))
-				require.Equal(t, unknown, c.MayHaveRun)
+				wait, again := b.AttemptEnded(&op, o, now, deadline, rapid.Float64Range(0, 1).Draw(t, "random"))
+				require.Equal(t, unknown, op.MayHaveRun)
 				if o == retry.Succeeded {
 					successes++
 					require.False(t, again)
@@ -36,11 +36,11 @@
 					break
 				}
 				retries++
-				require.Less(t, tries, set.MaxAttempts)
+				require.Less(t, attempts, set.MaxAttempts)
 				require.GreaterOrEqual(t, wait, set.BaseDelay)
 				require.LessOrEqual(t, wait, set.MaxDelay)
 				now += wait
-				require.Less(t, now, end)
+				require.Less(t, now, deadline)
 			}
 			require.LessOrEqual(t, float64(retries), set.MaxRetries+set.RetriesPerSuccess*float64(successes)+1e-9)
 		}
