--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,21 +1,21 @@
-// Package invariant asserts what must hold: a breach panics in builds with -tags debug and is counted in
-// all others.
+// Package invariant checks invariants at run time: a violation panics in builds with the tag debug and is counted in all
+// others.
 package invariant
 
 import "sync/atomic"
 
 var violations atomic.Int64
 
-// Check asserts that ok holds; what names the invariant.
-func Check(ok bool, what string) {
-	if ok {
+// Check checks that an invariant holds. description names it in the panic.
+func Check(holds bool, description string) {
+	if holds {
 		return
 	}
 	if debug {
-		panic("invariant broken: " + what)
+		panic("invariant violated: " + description)
 	}
 	violations.Add(1)
 }
 
-// Broken is how many breaches were counted since the start.
+// Violations returns how many violations were counted since the start.
 func Violations() int64 { return violations.Load() }
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// TestGoldenFrames: frames are written to the same bytes as before, and read back as the parts that they were made of.
+// Frames are encoded to the same bytes as before and parsed to the parts that they were made of.
 func TestGoldenFrames(t *testing.T) {
 	cases := [][]string{{"abort", "00000000000000a1"}, {"fetch", "id", "lane=tiles,name=ab", "body\r\n\x00\xff"}, {""}, {"a", "", ""}}
 	var frames []byte
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp reads and checks the RESP arrays of bulk strings that both sides of the platform speak,
-// and the name=value lists inside them.
+// Package resp reads and writes the frames of RESP that clients and cache servers use, arrays of bulk strings, and the
+// lists of fields in them. It bounds a frame before its bytes have arrived, and knows no commands. golden_test.go holds the
+// encoded forms; package front/resp tests it with arbitrary input.
 package resp
 
 import (
@@ -11,19 +12,22 @@
 	"github.com/tidwall/redcon"
 )
 
-// The bounds of a frame: in bytes by who sends it, as a client's write brings 48,000 at most and an object
-// holds 240,000; its parts; and the line that tells a length.
 const (
+	// MaxRequestSize and MaxResponseSize bound a frame of a client and of a cache server, in bytes. A write brings up to
+	// 48,000 bytes, and an object has up to 240,000.
 	MaxRequestSize  = 56 << 10
 	MaxResponseSize = 256 << 10
-	maxParts        = 8
-	maxLengthLine   = 16
+
+	maxParts      = 8    // of a frame
+	maxDigits     = 7    // of a number
+	maxLengthLine = 16   // bytes of a line with a number
+	minBufferSize = 4096 // bytes by which an empty buffer grows
 )
 
-// ErrMalformed says that the bytes can't be read as a frame, now or later.
+// ErrMalformed reports bytes that are not the beginning of a valid frame.
 var ErrMalformed = errors.New("malformed frame")
 
-// number reads the line "<mark>digits\r\n" at the start of b; n is 0 while the line is not whole.
+// parseNumber parses the line "<mark>digits\r\n" at the start of b. n is its length, 0 while the line is incomplete.
 func parseNumber(b []byte, mark byte) (value, n int, err error) {
 	if len(b) > 0 && b[0] != mark {
 		return 0, 0, ErrMalformed
@@ -35,7 +39,8 @@
 		}
 		return 0, 0, nil
 	}
-	if end < 3 || end > 9 || b[end-1] != '\r' {
+	digits := end - 2 // without the mark and the carriage return
+	if digits < 1 || digits > maxDigits || b[end-1] != '\r' {
 		return 0, 0, ErrMalformed
 	}
 	for _, c := range b[1 : end-1] {
@@ -47,9 +52,9 @@
 	return value, end + 1, nil
 }
 
-// Split cuts the first frame, of most bytes at the most, off b. Its parts point into b; n is 0 while the
-// frame is not whole. One that claims more fails as soon as its length is read, before its bytes have come.
-func ParseFrame(b []byte, most int) (parts [][]byte, n int, err error) {
+// ParseFrame parses the first frame of b, of at most maxSize bytes. Its parts point into b. n is its length, 0 while it is
+// incomplete. A frame that announces too much is malformed as soon as its length is read.
+func ParseFrame(b []byte, maxSize int) (parts [][]byte, n int, err error) {
 	count, n, err := parseNumber(b, '*')
 	if err != nil || n == 0 {
 		return nil, 0, err
@@ -63,7 +68,7 @@
 		if err != nil || head == 0 {
 			return nil, 0, err
 		}
-		if n += head; n+size+2 > most {
+		if n += head; n+size+2 > maxSize {
 			return nil, 0, ErrMalformed
 		}
 		if len(b) < n+size+2 {
@@ -78,39 +83,31 @@
 	return parts, n, nil
 }
 
-// Buffer is the one read buffer of a connection, grown and compacted in place.
+// Buffer is the read buffer of a connection. It grows as needed and is compacted in place.
 type Buffer struct {
-	MaxFrameSize int // bytes of a frame
-	MaxRetained  int // grown beyond this it is given back once it is empty; 0: never
+	MaxFrameSize int // in bytes
+	MaxRetained  int // size in bytes above which an empty buffer is released; 0: never
 	buf          []byte
-	start, end   int
+	start, end   int // of the bytes that are not parsed
 }
 
-// Held is how many bytes have come that are no whole frame yet.
+// Buffered returns the number of bytes that are not a complete frame yet.
 func (b *Buffer) Buffered() int { return b.end - b.start }
 
-// Next returns the next frame, reading from src as needed. Its parts, and raw, hold until the next call.
-func (b *Buffer) Next(src io.Reader) (parts [][]byte, raw []byte, err error) {
+// Next returns the parts of the next frame, and the whole frame, which are valid until the next call. It reads from src as
+// needed and returns its error, or ErrMalformed.
+func (b *Buffer) Next(src io.Reader) (parts [][]byte, frame []byte, err error) {
 	for {
 		parts, n, err := ParseFrame(b.buf[b.start:b.end], b.MaxFrameSize)
 		if err != nil {
 			return nil, nil, err
 		}
 		if n > 0 {
-			raw = b.buf[b.start : b.start+n]
+			frame = b.buf[b.start : b.start+n]
 			b.start += n
-			return parts, raw, nil
-		}
-		if b.start > 0 {
-			b.end = copy(b.buf, b.buf[b.start:b.end])
-			b.start = 0
-		}
-		if b.MaxRetained > 0 && b.end == 0 && len(b.buf) > b.MaxRetained {
-			b.buf = nil
-		}
-		if b.end == len(b.buf) {
-			b.buf = append(b.buf, make([]byte, max(4096, len(b.buf)))...)
+			return parts, frame, nil
 		}
+		b.makeRoom()
 		got, err := src.Read(b.buf[b.end:])
 		b.end += got
 		if got == 0 && err != nil {
@@ -119,29 +116,43 @@
 	}
 }
 
-// Append adds one frame of the given parts to b.
+// makeRoom makes room for at least one more byte.
+func (b *Buffer) makeRoom() {
+	if b.start > 0 {
+		b.end = copy(b.buf, b.buf[b.start:b.end])
+		b.start = 0
+	}
+	if b.MaxRetained > 0 && b.end == 0 && len(b.buf) > b.MaxRetained {
+		b.buf = nil
+	}
+	if b.end == len(b.buf) {
+		b.buf = append(b.buf, make([]byte, max(minBufferSize, len(b.buf)))...)
+	}
+}
+
+// AppendFrame appends a frame of the given parts, at least one, to b.
 func AppendFrame(b []byte, parts ...string) []byte {
 	last := len(parts) - 1
 	return AppendFrameWithBody(b, []byte(parts[last]), parts[:last]...)
 }
 
-// AppendBody adds one frame of the given parts and a body to b.
+// AppendFrameWithBody appends a frame of the given parts and a body to b.
 func AppendFrameWithBody(b, body []byte, parts ...string) []byte {
 	b = redcon.AppendArray(b, len(parts)+1)
-	for _, p := range parts {
-		b = redcon.AppendBulkString(b, p)
+	for _, part := range parts {
+		b = redcon.AppendBulkString(b, part)
 	}
 	return redcon.AppendBulk(b, body)
 }
 
-// Fields reads "name=value,name=value"; "-" and nothing are no fields. ok is false if a field has no name.
+// ParseFields parses "name=value,name=value". An empty list and "-" have no fields. ok is false for a field without a name.
 func ParseFields(list []byte) (fields map[string]string, ok bool) {
 	fields = map[string]string{}
 	if len(list) == 0 || string(list) == "-" {
 		return fields, true
 	}
-	for _, f := range strings.Split(string(list), ",") {
-		name, value, found := strings.Cut(f, "=")
+	for _, field := range strings.Split(string(list), ",") {
+		name, value, found := strings.Cut(field, "=")
 		if !found || name == "" {
 			return nil, false
 		}
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,50 +1,50 @@
-// Package transient tells failures of system calls that pass by themselves and are nobody else's doing: this machine is out of
-// descriptors, ports or memory, a call was interrupted, there is no way to the network for a moment. Who meets one asks again
-// after a pause, and blames no server for it.
+// Package transient recognises failures of system calls that pass by themselves and are not the peer's fault: this machine
+// is out of descriptors, ports or memory, a call was interrupted, or the network is unreachable for a moment. The caller
+// retries after a pause and does not count them against a server. The package also keeps listeners running through them.
 package transient
 
 import (
 	"errors"
 	"net"
 	"os"
+	"slices"
 	"syscall"
 	"time"
 )
 
-// errnos are the failures of socket, connect and accept that pass, as their manual pages tell.
-var errnos = []syscall.Errno{
+const (
+	// acceptPause is the wait after a failed accept. A shorter one would take processor time from what releases
+	// descriptors.
+	acceptPause = 10 * time.Millisecond
+	// A listener that cannot be opened is tried listenAttempts times, listenPause apart: for two seconds.
+	listenPause, listenAttempts = 50 * time.Millisecond, 40
+)
+
+// transientErrnos are the transient errors of socket, connect and accept, by their manual pages.
+var transientErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN,
 	syscall.ECONNABORTED, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// Is tells whether an error is of that kind.
-func IsTransient(err error) bool {
-	for _, errno := range errnos {
-		if errors.Is(err, errno) {
-			return true
-		}
-	}
-	return false
-}
+// storageErrnos are the errors of a directory that cannot be written for a while.
+var storageErrnos = []syscall.Errno{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT}
 
-// Full tells whether an error is of a folder that takes no writes for a while.
-func IsStorageUnavailable(err error) bool {
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EDQUOT)
-}
+// IsTransient reports whether an error is a transient one of this machine.
+func IsTransient(err error) bool { return isAny(err, transientErrnos) }
 
-const (
-	// acceptPause: after an accept that failed the next one waits so long. Shorter takes the core that others need to give
-	// descriptors back.
-	acceptPause = 10 * time.Millisecond
-	// listenPause, listenTries: a listener that can't be opened for the moment is tried again within two seconds.
-	listenPause, listenTries = 50 * time.Millisecond, 40
-)
+// IsStorageUnavailable reports whether an error says that a directory cannot be written for a while, for example because
+// the disk is full.
+func IsStorageUnavailable(err error) bool { return isAny(err, storageErrnos) }
+
+func isAny(err error, errnos []syscall.Errno) bool {
+	return slices.ContainsFunc(errnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
+}
 
-// listener accepts on after a failure.
+// listener retries failed accepts.
 type listener struct{ net.Listener }
 
-// Listener returns a listener whose Accept fails only once it is closed. Guards against servers that end for good with the first
-// accept that fails.
+// KeepAccepting returns a listener whose Accept fails only when it is closed or its deadline passes, for servers that
+// stop at the first failed accept.
 func KeepAccepting(ln net.Listener) net.Listener { return listener{ln} }
 
 // Accept implements net.Listener.
@@ -58,10 +58,9 @@
 	}
 }
 
-// Listen opens a listener, and tries again for a while where that fails for the moment. Guards against a process that refuses to
-// start for it.
+// ListenWithRetry opens a listener and retries transient failures for two seconds. It returns the last error.
 func ListenWithRetry(open func() (net.Listener, error)) (ln net.Listener, err error) {
-	for range listenTries {
+	for range listenAttempts {
 		if ln, err = open(); err == nil || !IsTransient(err) {
 			return ln, err
 		}
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -9,23 +9,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// failing is a listener whose first accepts fail.
+// failing is a listener whose first accepts fail with the listed errors.
 type failing struct {
 	net.Listener
-	left []error
+	errs []error
 }
 
 func (f *failing) Accept() (net.Conn, error) {
-	if len(f.left) == 0 {
+	if len(f.errs) == 0 {
 		return f.Listener.Accept()
 	}
-	err := f.left[0]
-	f.left = f.left[1:]
+	err := f.errs[0]
+	f.errs = f.errs[1:]
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 }
 
-// Accepting goes on after failures of every kind, and ends once the listener is closed.
-func TestAcceptGoesOn(t *testing.T) {
+// Accepting continues after failures of every kind and ends once the listener is closed.
+func TestAcceptContinuesAfterFailures(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := KeepAccepting(&failing{ln, []error{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM}})
@@ -40,19 +40,19 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// A listener that can't be opened for the moment is opened a little later; one that can't be for another reason is not waited
-// for.
-func TestListenTriesAgain(t *testing.T) {
-	for why, tries := range map[syscall.Errno]int{syscall.ENFILE: 3, syscall.EADDRINUSE: 1} {
-		tried := 0
+// A listener that cannot be opened for a transient reason is opened a little later; any other failure is
+// returned at once.
+func TestListenIsRetriedAfterTransientFailure(t *testing.T) {
+	for errno, wantAttempts := range map[syscall.Errno]int{syscall.ENFILE: 3, syscall.EADDRINUSE: 1} {
+		attempts := 0
 		ln, err := ListenWithRetry(func() (net.Listener, error) {
-			if tried++; tried < 3 {
-				return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", why)}
+			if attempts++; attempts < 3 {
+				return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", errno)}
 			}
 			return net.Listen("tcp", "127.0.0.1:0")
 		})
-		require.Equal(t, tries, tried)
-		require.Equal(t, tries == 3, err == nil)
+		require.Equal(t, wantAttempts, attempts)
+		require.Equal(t, wantAttempts == 3, err == nil)
 		if err == nil {
 			ln.Close()
 		}
