--- /dev/null
+++ b/internal/distribution/applier.go
@@ -0,0 +1,118 @@
+package distribution
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"ravenwheel/internal/decide/distribution"
+	"ravenwheel/internal/decide/storestate"
+)
+
+// bodyDecoder bounds what the body of an entry may announce.
+var bodyDecoder = func() cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
+	if err != nil {
+		panic(err)
+	}
+	return m
+}()
+
+// entryApplier puts entries into force, by the same functions as a member of the store does.
+type entryApplier struct {
+	applyChange   func(storestate.Change)
+	applyRevision func(storestate.Revision)
+
+	// What of the configuration is in force, so that of a snapshot only the differences are applied.
+	revision uint64
+	lists    map[string]uint64 // generations, by source
+	drains   map[string]bool   // by server
+}
+
+func newEntryApplier(o *Options) *entryApplier {
+	return &entryApplier{
+		applyChange: o.ApplyChange, applyRevision: o.ApplyRevision, lists: map[string]uint64{}, drains: map[string]bool{},
+	}
+}
+
+// apply puts one entry into force. It fails for an entry that this version cannot read, which is then left out, as the store does.
+func (a *entryApplier) apply(e distribution.Entry) error {
+	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
+	switch e.Kind {
+	case distribution.PurgeObject, distribution.PurgeGroup:
+		c.Kind, c.Name, c.Purge = storestate.AddPurge, "", purgeOf(e)
+	case distribution.Drain:
+		c.Kind = storestate.StartDrain
+		a.drains[e.Name] = true
+	case distribution.DrainEnded:
+		c.Kind = storestate.EndDrain
+		delete(a.drains, e.Name)
+	case distribution.List:
+		c.Kind, c.List = storestate.SetList, &storestate.List{}
+		if err := bodyDecoder.Unmarshal(e.Body, c.List); err != nil {
+			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
+		}
+		a.lists[e.Name] = e.Version
+	case distribution.Revision:
+		var r storestate.Revision
+		if err := bodyDecoder.Unmarshal(e.Body, &r); err != nil {
+			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
+		}
+		a.revision = e.Version
+		a.applyRevision(r)
+		return nil
+	default:
+		return fmt.Errorf("distribution: an entry of kind %d", e.Kind)
+	}
+	a.applyChange(c)
+	return nil
+}
+
+func purgeOf(e distribution.Entry) *storestate.Purge {
+	p := &storestate.Purge{IssuedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
+	if e.Kind == distribution.PurgeGroup {
+		p.Group = int(e.Group)
+	} else {
+		p.Object = e.Name
+	}
+	return p
+}
+
+// applySnapshot puts the entries of a snapshot into force that are not yet, and ends the drains that it does not hold. Errors of
+// entries are reported and skipped.
+func (a *entryApplier) applySnapshot(entries []distribution.Entry, report func(error)) {
+	drains := map[string]bool{}
+	for _, e := range entries {
+		drains[e.Name] = drains[e.Name] || e.Kind == distribution.Drain
+	}
+	for _, name := range slices.Sorted(maps.Keys(a.drains)) {
+		if !drains[name] {
+			_ = a.apply(distribution.Entry{Kind: distribution.DrainEnded, Name: name})
+		}
+	}
+	for _, e := range entries {
+		if a.inForce(e) {
+			continue
+		}
+		if err := a.apply(e); err != nil {
+			report(err)
+		}
+	}
+}
+
+// inForce reports whether an entry of the configuration is in force already.
+func (a *entryApplier) inForce(e distribution.Entry) bool {
+	switch e.Kind {
+	case distribution.Drain:
+		return a.drains[e.Name]
+	case distribution.List:
+		generation, known := a.lists[e.Name]
+		return known && generation == e.Version
+	case distribution.Revision:
+		return a.revision == e.Version
+	default:
+		return false
+	}
+}
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -14,8 +14,8 @@
 	"ravenwheel/internal/store"
 )
 
-// A subscriber gets what was committed before it came and after, each fact once and in order.
-func TestStream(t *testing.T) {
+// A subscriber gets what was committed before it subscribed and after, each fact once and in order.
+func TestSubscriberGetsEachFactOnceInOrder(t *testing.T) {
 	tr := newTree(t)
 	a := tr.log.newMember()
 	tr.log.commitPurge("before")
@@ -65,8 +65,8 @@
 	return tr, a, b
 }
 
-// A distributor that ends in mid-burst, at once with all its links, loses nobody anything; woken, it serves again.
-func TestDistributorKilled(t *testing.T) {
+// A distributor that closes during a burst, with all its links, loses no subscriber a fact; restarted, it serves again.
+func TestSubscribersMoveWhenDistributorCloses(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 200 {
 		tr.log.commitPurge(fmt.Sprint("burst-", i))
@@ -89,18 +89,18 @@
 	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
-// What the leader has committed when it dies, and told nobody, comes by another member.
-func TestLeaderKilledBeforeFanOut(t *testing.T) {
+// What a member has committed and sent to nobody when it fails arrives by another member.
+func TestCommittedFactArrivesByAnotherMember(t *testing.T) {
 	tr, a, b := levels(t)
-	tr.nodes["a"].node.Close() // it has the purge, in its log, and not a word of it has left
+	tr.nodes["a"].node.Close() // it has the purge in its log, and has sent nothing of it
 	tr.log.commitPurge("committed")
 	a.apply()
 	b.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A region that is cut off holds its strict classes past the bound, and has all soon after it is healed.
-func TestRegionCutOff(t *testing.T) {
+// A region that is cut off restricts its strict classes past MaxLag, and catches up after the cut is healed.
+func TestCutOffRegionRestrictsStrictClasses(t *testing.T) {
 	tr, a, b := levels(t)
 	for _, d := range []string{"d1", "d2"} {
 		tr.cut(d, "a", true)
@@ -109,14 +109,14 @@
 	p := tr.nodes["p0"]
 	mark := pure.Watermark{}
 	old := tr.log.clk.Now() - 60_000 // when the copy was made
-	eventually(t, "strict classes held", func() bool {
+	eventually(t, "strict classes are restricted", func() bool {
 		now := tr.log.clk.Now()
 		mark.At = p.node.Status()[0].WatermarkMs
 		mark.Sequence = 1
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		v := p.gate.Decide(now, "strict", old)
-		if settled := p.node.Status()[0].WatermarkMs == mark.At; settled {
+		if unchanged := p.node.Status()[0].WatermarkMs == mark.At; unchanged {
 			require.NoError(t, check.CheckServed(settings(p.peer), mark, now, "strict", old, v))
 		}
 		require.NotContains(t, []pure.Verdict{pure.VerdictFetchOrigin, pure.VerdictReject}, p.gate.Decide(now, "other", old))
@@ -130,28 +130,28 @@
 		tr.cut(d, "b", false)
 	}
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
-	eventually(t, "strict classes let go of", func() bool {
+	eventually(t, "the restriction ends", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.gate.Decide(tr.log.clk.Now(), "strict", old) == pure.VerdictServe
 	})
 }
 
-// A store without a quorum confirms nothing: its subscribers are held, though their links stand.
-func TestNoQuorum(t *testing.T) {
+// A store without a quorum confirms nothing: strict classes are restricted, although the links are open.
+func TestNoQuorumRestrictsStrictClasses(t *testing.T) {
 	tr, a, b := levels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
 	p := tr.nodes["p0"]
-	held := func() bool { return p.node.Status()[0].Restricted }
-	eventually(t, "held", held)
+	restricted := func() bool { return p.node.Status()[0].Restricted }
+	eventually(t, "restricted", restricted)
 	a.setWithoutQuorum(false)
 	b.setWithoutQuorum(false)
-	eventually(t, "let go of", func() bool { return !held() })
+	eventually(t, "the restriction ends", func() bool { return !restricted() })
 }
 
-// All subscribers of a distributor that are lost at once, and processes that start anew in a wave, get all that holds.
-func TestRestartWave(t *testing.T) {
+// Processes that restart all at once get the complete state.
+func TestAllGetStateAfterRestartWave(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 4 {
 		tr.nodes[fmt.Sprint("p", i)].node.Close()
@@ -170,13 +170,13 @@
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A distributor that still serves an old epoch is not heard by who has seen the new one; the sequence begins anew with it.
-func TestNewEpoch(t *testing.T) {
+// A distributor of an old epoch is fenced off by processes that have seen the new one, in which the sequence begins anew.
+func TestOldEpochIsFenced(t *testing.T) {
 	tr, a, b := levels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
 	tr.nodes["b"].node.Close()
-	old := tr.nodes["a"] // goes on
+	old := tr.nodes["a"] // it goes on serving
 	tr.log.mu.Lock()
 	tr.log.epoch, tr.log.changes = 2, nil
 	tr.log.mu.Unlock()
@@ -185,16 +185,16 @@
 	tr.log.commitPurge("anew")
 	c.apply()
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
-	// It is all there is, for a while: they would rather be held than go back.
+	// For a while only the old one is left: they rather stay restricted than go back.
 	tr.nodes["b"].node.Close()
-	eventually(t, "held", func() bool { return tr.nodes["p0"].node.Status()[0].Restricted })
+	eventually(t, "restricted", func() bool { return tr.nodes["p0"].node.Status()[0].Restricted })
 	require.Equal(t, uint64(2), tr.nodes["p0"].node.Status()[0].Epoch)
 	require.Equal(t, uint64(1), old.node.Status()[0].Epoch)
 	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A subscriber that reads 1 KB a second keeps nobody else waiting, and no more than its credit is under way to it.
-func TestSlowSubscriber(t *testing.T) {
+// A subscriber that reads 1 KB a second delays no other one.
+func TestSlowSubscriberDelaysNobody(t *testing.T) {
 	tr, a, b := levels(t)
 	tr.slow["slow"] = 1 << 10
 	p := tr.start(newPeer("slow", 9), nil, false, "d1")
@@ -214,8 +214,8 @@
 	require.NoError(t, p.violation)
 }
 
-// Who takes a snapshot while purges go on misses none of them.
-func TestSnapshotWhilePurging(t *testing.T) {
+// A subscriber that gets a snapshot while purges go on misses none of them.
+func TestSnapshotMissesNoConcurrentPurge(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 3000 {
 		tr.log.commitPurge(fmt.Sprint("held-", i))
@@ -233,20 +233,20 @@
 	tr.caughtUp("late", "p0", "p1", "p2", "p3")
 }
 
-// A distributor that stands still in mid-burst, its links open, is left for another; woken, it goes on from where it was,
-// and serves again.
-func TestDistributorStopped(t *testing.T) {
+// A distributor that freezes during a burst, its links open, is left for another; resumed, it continues from its position, and serves
+// again.
+func TestFrozenDistributorIsLeft(t *testing.T) {
 	tr, a, b := levels(t)
 	for i := range 200 {
 		tr.log.commitPurge(fmt.Sprint("burst-", i))
 		a.apply()
 		b.apply()
 		if i == 100 {
-			tr.stop("d1", true)
+			tr.freeze("d1", true)
 		}
 	}
 	tr.caughtUp("d2", "p0", "p1", "p2", "p3")
-	tr.stop("d1", false)
+	tr.freeze("d1", false)
 	tr.caughtUp("d1")
 	tr.nodes["d2"].node.Close()
 	tr.log.commitPurge("later")
@@ -255,8 +255,9 @@
 	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
-// Who has a certificate of the cluster and asks in another's name is not heard, nor who begins with anything else.
-func TestNames(t *testing.T) {
+// A process with a certificate of the cluster that subscribes under another name gets no answer, nor does one that begins with another
+// message.
+func TestSubscriberNameMustMatchCertificate(t *testing.T) {
 	tr := newTree(t)
 	tr.start(newPeer("a", 0), tr.log.newMember(), true)
 	p := tr.start(newPeer("p", 9), nil, false, "a")
@@ -279,10 +280,10 @@
 	require.Error(t, err, "another's identity")
 }
 
-// What a new subscriber's credit does not cover waits in the distributor's log, and not on the link.
-func TestUnderWay(t *testing.T) {
+// What a subscriber's credit does not cover waits in the distributor's backlog, and is not queued on the link.
+func TestCreditBoundsQueuedBytes(t *testing.T) {
 	tr, a, b := levels(t)
-	tr.stop("p0", true)
+	tr.freeze("p0", true)
 	for i := range 4000 {
 		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		a.apply()
@@ -292,6 +293,6 @@
 	for _, d := range []string{"d1", "d2"} {
 		require.LessOrEqual(t, tr.nodes[d].node.Status()[0].QueuedBytes, settings(newPeer("p0", 9)).Credit+4096)
 	}
-	tr.stop("p0", false)
+	tr.freeze("p0", false)
 	tr.caughtUp("p0")
 }
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -13,179 +13,121 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// entryOf is a change of the store as an entry of a stream; 0: it is of none.
+// noStream is the stream of changes that are not distributed.
+const noStream distribution.Stream = 0
+
+// entryOf returns a change of the store as an entry of a stream, or noStream. r is the revision of the configuration after the change.
 func entryOf(index uint64, c storestate.Change, r storestate.Revision) (distribution.Stream, distribution.Entry, error) {
-	e := distribution.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
 	case storestate.AddPurge:
 		return distribution.Purges, purgeEntry(index, *c.Purge, c.ExpiresAt), nil
 	case storestate.StartDrain:
-		e.Kind, e.EffectiveAt = distribution.Drain, roundUp(c.ProposedAt)
+		return distribution.Configuration, drainEntry(index, c.Name, c.ProposedAt), nil
 	case storestate.EndDrain:
-		e.Kind = distribution.DrainEnded
+		return distribution.Configuration, distribution.Entry{Sequence: index, Kind: distribution.DrainEnded, Name: c.Name}, nil
 	case storestate.SetList:
-		return listEntry(e, *c.List)
+		e, err := listEntry(index, c.Name, *c.List)
+		return distribution.Configuration, e, err
 	case storestate.SetConfig:
-		return revisionEntry(e, r)
+		e, err := revisionEntry(index, r)
+		return distribution.Configuration, e, err
 	default:
-		return 0, e, nil
+		return noStream, distribution.Entry{}, nil
 	}
-	return distribution.Configuration, e, nil
 }
 
-func purgeEntry(index uint64, p storestate.Purge, until float64) distribution.Entry {
-	// An end of 0 would be none: such a purge ended long ago.
-	e := distribution.Entry{Sequence: index, Kind: distribution.PurgeObject, Name: p.Object, EffectiveAt: roundUp(p.IssuedAt), ExpiresAt: max(1, roundUp(until))}
+// purgeEntry returns the entry of a purge. One that expired at 0 expires at 1, as 0 stands for never.
+func purgeEntry(index uint64, p storestate.Purge, expiresAt float64) distribution.Entry {
+	e := distribution.Entry{
+		Sequence: index, Kind: distribution.PurgeObject, Name: p.Object,
+		EffectiveAt: roundUp(p.IssuedAt), ExpiresAt: max(1, roundUp(expiresAt)),
+	}
 	if p.Object == "" {
 		e.Kind, e.Group = distribution.PurgeGroup, int64(p.Group)
 	}
 	return e
 }
 
-func listEntry(e distribution.Entry, l storestate.List) (_ distribution.Stream, _ distribution.Entry, err error) {
-	e.Kind, e.Version = distribution.List, l.Generation
-	e.Body, err = cbor.Marshal(l)
-	return distribution.Configuration, e, err
+func drainEntry(index uint64, server string, startedAt float64) distribution.Entry {
+	return distribution.Entry{Sequence: index, Kind: distribution.Drain, Name: server, EffectiveAt: roundUp(startedAt)}
 }
 
-func revisionEntry(e distribution.Entry, r storestate.Revision) (_ distribution.Stream, _ distribution.Entry, err error) {
-	e.Kind, e.Version, e.Name = distribution.Revision, r.Number, ""
-	e.Body, err = cbor.Marshal(r)
-	return distribution.Configuration, e, err
+func listEntry(index uint64, source string, l storestate.List) (distribution.Entry, error) {
+	body, err := cbor.Marshal(l)
+	return distribution.Entry{Sequence: index, Kind: distribution.List, Name: source, Version: l.Generation, Body: body}, err
 }
 
-// ceil rounds a time up, to what an entry holds.
+func revisionEntry(index uint64, r storestate.Revision) (distribution.Entry, error) {
+	body, err := cbor.Marshal(r)
+	return distribution.Entry{Sequence: index, Kind: distribution.Revision, Version: r.Number, Body: body}, err
+}
+
+// roundUp rounds a time up to whole ms, within what an entry can hold.
 func roundUp(ms float64) int64 { return int64(min(math.Ceil(ms), math.MaxInt64/2)) }
 
-// whole are the entries of all that a state holds, by stream and in the order of the log. What came before the state kept
-// indexes comes first, under the lowest numbers: nobody has heard of a stream that long ago.
+// snapshotEntries returns the entries of everything that a state holds, by stream and in the order of the log.
 func snapshotEntries(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
-	out := map[distribution.Stream][]distribution.Entry{}
-	index := func(k storestate.Kind, name string) uint64 { return s.FactIndexes[storestate.FactKey(k, name)] }
+	configuration, err := configurationEntries(s)
+	if err != nil {
+		return nil, err
+	}
+	out := map[distribution.Stream][]distribution.Entry{distribution.Configuration: configuration}
+	if purges := purgeEntries(s); len(purges) > 0 {
+		out[distribution.Purges] = purges
+	}
+	for _, entries := range out {
+		if err := orderEntries(entries); err != nil {
+			return nil, err
+		}
+	}
+	return out, nil
+}
+
+// indexOf returns the index in the log of the change that brought a fact; 0 if it came before the state had indexes.
+func indexOf(s *storestate.State, k storestate.Kind, name string) uint64 {
+	return s.FactIndexes[storestate.FactKey(k, name)]
+}
+
+func purgeEntries(s *storestate.State) (entries []distribution.Entry) {
 	for _, name := range slices.Sorted(maps.Keys(s.Purges)) {
 		p := s.Purges[name]
-		out[distribution.Purges] = append(out[distribution.Purges], purgeEntry(index(storestate.AddPurge, name), p, p.ExpiresAt))
+		entries = append(entries, purgeEntry(indexOf(s, storestate.AddPurge, name), p, p.ExpiresAt))
 	}
-	var all []distribution.Entry
+	return entries
+}
+
+func configurationEntries(s *storestate.State) (entries []distribution.Entry, err error) {
 	if r := s.Revision(); r.Number > 0 {
-		_, e, err := revisionEntry(distribution.Entry{Sequence: index(storestate.SetConfig, "")}, r)
+		e, err := revisionEntry(indexOf(s, storestate.SetConfig, ""), r)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, e)
+		entries = append(entries, e)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Lists)) {
-		_, e, err := listEntry(distribution.Entry{Sequence: index(storestate.SetList, name), Name: name}, s.Lists[name])
+		e, err := listEntry(indexOf(s, storestate.SetList, name), name, s.Lists[name])
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, e)
+		entries = append(entries, e)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Drains)) {
-		all = append(all, distribution.Entry{
-			Sequence: index(storestate.StartDrain, name), Kind: distribution.Drain, Name: name, EffectiveAt: roundUp(s.Drains[name]),
-		})
-	}
-	out[distribution.Configuration] = all
-	for _, entries := range out {
-		slices.SortStableFunc(entries, func(a, b distribution.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
-		for i := range entries {
-			if entries[i].Sequence == 0 {
-				entries[i].Sequence = uint64(i) + 1
-			}
-			if i > 0 && entries[i].Sequence <= entries[i-1].Sequence {
-				return nil, fmt.Errorf("distribution: a state whose indexes do not rise at %d", entries[i].Sequence)
-			}
-		}
-	}
-	return out, nil
-}
-
-// bodies bounds what the body of an entry may claim.
-var bodyDecoder = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
-	if err != nil {
-		panic(err)
+		entries = append(entries, drainEntry(indexOf(s, storestate.StartDrain, name), name, s.Drains[name]))
 	}
-	return m
-}()
-
-// held is what of the configuration is in force in this process, so that a snapshot is told as what differs from it.
-type inForce struct {
-	revision uint64
-	lists    map[string]uint64
-	drains   map[string]bool
-}
-
-// sink is where entries come into force: the same as the store's facts of a member go to.
-type entryApplier struct {
-	applyChange   func(storestate.Change)
-	applyRevision func(storestate.Revision)
-	inForce       inForce
-}
-
-func newEntryApplier(o *Options) *entryApplier {
-	return &entryApplier{applyChange: o.ApplyChange, applyRevision: o.ApplyRevision, inForce: inForce{lists: map[string]uint64{}, drains: map[string]bool{}}}
+	return entries, nil
 }
 
-// put has one entry come into force. What this version can't read is an error, and passed over as the store does it.
-func (s *entryApplier) apply(e distribution.Entry) error {
-	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
-	switch e.Kind {
-	case distribution.PurgeObject, distribution.PurgeGroup:
-		c.Kind, c.Name = storestate.AddPurge, ""
-		c.Purge = &storestate.Purge{IssuedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
-		if c.Purge.Object = e.Name; e.Kind == distribution.PurgeGroup {
-			c.Purge.Object, c.Purge.Group = "", int(e.Group)
-		}
-	case distribution.Drain:
-		c.Kind = storestate.StartDrain
-		s.inForce.drains[e.Name] = true
-	case distribution.DrainEnded:
-		c.Kind = storestate.EndDrain
-		delete(s.inForce.drains, e.Name)
-	case distribution.List:
-		c.Kind, c.List = storestate.SetList, &storestate.List{}
-		if err := bodyDecoder.Unmarshal(e.Body, c.List); err != nil {
-			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
+// orderEntries sorts entries by sequence. Those without an index come first, under the lowest sequences: no stream can be resumed from
+// that long ago. It fails if two entries have the same sequence.
+func orderEntries(entries []distribution.Entry) error {
+	slices.SortStableFunc(entries, func(a, b distribution.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
+	for i := range entries {
+		if entries[i].Sequence == 0 {
+			entries[i].Sequence = uint64(i) + 1
 		}
-		s.inForce.lists[e.Name] = e.Version
-	case distribution.Revision:
-		var r storestate.Revision
-		if err := bodyDecoder.Unmarshal(e.Body, &r); err != nil {
-			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
+		if i > 0 && entries[i].Sequence <= entries[i-1].Sequence {
+			return fmt.Errorf("distribution: the indexes of the state do not rise at %d", entries[i].Sequence)
 		}
-		s.inForce.revision = e.Version
-		s.applyRevision(r)
-		return nil
-	default:
-		return fmt.Errorf("distribution: an entry of kind %d", e.Kind)
 	}
-	s.applyChange(c)
 	return nil
 }
-
-// whole has what a snapshot holds come into force where it is not yet, and ends the drains that it does not hold.
-func (s *entryApplier) applySnapshot(entries []distribution.Entry, bad func(error)) {
-	drains := map[string]bool{}
-	for _, e := range entries {
-		drains[e.Name] = drains[e.Name] || e.Kind == distribution.Drain
-	}
-	for _, name := range slices.SortedFunc(maps.Keys(s.inForce.drains), cmp.Compare[string]) {
-		if !drains[name] {
-			_ = s.apply(distribution.Entry{Kind: distribution.DrainEnded, Name: name})
-		}
-	}
-	for _, e := range entries {
-		number, listed := s.inForce.lists[e.Name]
-		switch {
-		case e.Kind == distribution.Drain && s.inForce.drains[e.Name]:
-		case e.Kind == distribution.List && listed && number == e.Version:
-		case e.Kind == distribution.Revision && s.inForce.revision == e.Version:
-		default:
-			if err := s.apply(e); err != nil {
-				bad(err)
-			}
-		}
-	}
-}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -54,7 +54,7 @@
 	return message.(distribution.Batch).Entries
 }
 
-// A change of the store becomes the same bytes in every version, and another version's come into force as the same change.
+// A change of the store is encoded to the same bytes as by earlier versions, and theirs are applied as the same change.
 func TestGoldenChanges(t *testing.T) {
 	var entries []distribution.Entry
 	for i, change := range goldenChanges() {
@@ -85,7 +85,7 @@
 	}, changes)
 }
 
-// So it is with all that a state of the store holds.
+// The same holds for everything in a state of the store.
 func TestGoldenState(t *testing.T) {
 	state := storestate.New()
 	state.AppliedIndex = 500
@@ -108,7 +108,7 @@
 	}
 }
 
-// What operators see keeps its JSON keys.
+// What operators are shown keeps its JSON keys.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {Stream: "purges", Epoch: 12, Sequence: 900, WatermarkMs: goldenTime, LagMs: 751.5, Parent: "d1", Root: true, Restricted: true,
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -1,9 +1,3 @@
-// Package distribution is the shell round decide/distribution: it carries purges, revisions of the configuration, lists and
-// drains from the store's members to every process, through levels of distributors. A process subscribes at one above it,
-// passes on to those below it, or both; a member of the store begins a tree. It opens the links (the store's: mutual TLS of
-// the cluster), keeps the machines' time, and has what they decide come into force. It decides nothing: who subscribes
-// where, what may be left out and what a process does that may be behind is decided, and tested, in decide/distribution;
-// here it is run over sockets under faults.
 package distribution
 
 import (
@@ -21,7 +15,7 @@
 	"ravenwheel/internal/store"
 )
 
-// Candidate is a distributor that may be subscribed at, and its address.
+// Candidate is a distributor that a node may subscribe at, and its address.
 type Candidate struct {
 	Peer    distribution.Peer
 	Address string
@@ -33,66 +27,77 @@
 	ReadIndex() (index uint64, at float64, err error)
 }
 
-// Options set up a node.
+// Options configure a Node.
 type Options struct {
-	// Settings are those of both streams; Stream is set for each, and Seed drawn apart.
+	// Settings are those of both streams. Stream and Seed are set for each of them.
 	Settings distribution.Settings
 	Identity *store.Identity
 	Clock    *clock.Clock
 	Log      *logs.Log
 
-	// Listen is where others subscribe, MostLinks how many links there may be at once, of both streams. nil: nowhere.
+	// Listen is where processes of the level below subscribe; nil: nowhere. MaxLinks bounds their links, of both streams together.
 	Listen   net.Listener
 	MaxLinks int
-	// Source is the store that a tree begins at, Epoch the number of its history. nil: Candidates are subscribed at.
+	// Source is the member of the store that a tree begins at, and Epoch the number of the store's history. nil: the node subscribes
+	// at one of the Candidates.
 	Source     Source
 	Epoch      uint64
 	Candidates []Candidate
 
-	// Take and Revised have facts and revisions come into force; Guard gets what strict classes go by, of a stream. Each
-	// stream calls them from a goroutine of its own, in order. Of no use with Source.
+	// ApplyChange and ApplyRevision put facts and revisions into force, and SetFreshness gets what the request path goes by. Each
+	// stream calls them in a goroutine of its own, in order. They are not used with a Source.
 	ApplyChange   func(storestate.Change)
 	ApplyRevision func(storestate.Revision)
 	SetFreshness  func(distribution.Stream, distribution.Freshness)
-	// Observe gets each action of the subscribers before it is carried out. nil: nobody asks.
+	// Observe is called for each action of the subscribers before it is carried out; may be nil.
 	Observe func(distribution.Stream, distribution.Action)
-	// Dial opens connections. nil: TCP.
-	Dial func(addr string, wait time.Duration) (net.Conn, error)
+	// Dial opens connections; nil: TCP.
+	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// Node is one process in the tree.
+// validate checks that the options fit together.
+func (o *Options) validate() error {
+	switch {
+	case o.Identity == nil || o.Identity.Name != o.Settings.Self.Name:
+		return fmt.Errorf("distribution: %q needs an identity of that name", o.Settings.Self.Name)
+	case o.Source == nil && len(o.Candidates) == 0:
+		return errors.New("distribution: neither a store nor a distributor to subscribe at")
+	case o.Source != nil && o.Listen == nil:
+		return errors.New("distribution: a member of the store needs an address at which others subscribe")
+	case o.Source != nil && o.Epoch == 0:
+		return errors.New("distribution: epochs count from 1")
+	}
+	return nil
+}
+
+// Node is one process in the tree. Whoever starts a Node closes it.
 type Node struct {
 	options       Options
 	streams       map[distribution.Stream]*stream
-	addresses     map[string]string   // of candidates
+	addresses     map[string]string   // of the candidates, by name
 	listener      *store.LinkListener // nil: nobody subscribes here
-	lastChildLink atomic.Uint64       // numbers links from below
-	done          chan struct{}
+	lastChildLink atomic.Uint64       // numbers the links of the level below
+	done          chan struct{}       // closed when the node ends
 	closeOnce     sync.Once
-	goroutines    sync.WaitGroup // of all goroutines but the listener's
+	goroutines    sync.WaitGroup // all but those of the listener
 }
 
-// Streams are all that there are.
+// Streams are all streams.
 var Streams = []distribution.Stream{distribution.Purges, distribution.Configuration}
 
-// Start begins. Whoever starts a node closes it.
+var streamNames = map[distribution.Stream]string{distribution.Purges: "purges", distribution.Configuration: "configuration"}
+
+// Start starts a node. It fails if the options do not fit together.
 func Start(o Options) (*Node, error) {
-	switch {
-	case o.Identity == nil || o.Identity.Name != o.Settings.Self.Name:
-		return nil, fmt.Errorf("distribution: %q needs an identity of that name", o.Settings.Self.Name)
-	case o.Source == nil && len(o.Candidates) == 0:
-		return nil, errors.New("distribution: neither a store nor anyone to subscribe at")
-	case o.Source != nil && o.Listen == nil:
-		return nil, errors.New("distribution: a member of the store needs an address at which others subscribe")
-	case o.Source != nil && o.Epoch == 0:
-		return nil, errors.New("distribution: epochs count from 1")
+	if err := o.validate(); err != nil {
+		return nil, err
 	}
 	n := &Node{options: o, streams: map[distribution.Stream]*stream{}, addresses: map[string]string{}, done: make(chan struct{})}
 	for _, c := range o.Candidates {
 		n.addresses[c.Peer.Name] = c.Address
 	}
-	for _, at := range Streams {
-		n.streams[at] = newStream(n, at)
+	for _, id := range Streams {
+		n.streams[id] = newStream(n, id)
 	}
 	for _, s := range n.streams {
 		n.goroutines.Go(s.run)
@@ -106,37 +111,38 @@
 	return n, nil
 }
 
-// Stop has subscribers spread over other distributors, and returns when all have gone, or after so many ms.
-func (n *Node) Shutdown(wait float64) {
+// shutdownPoll is how often Shutdown checks whether all subscribers have left, in ms.
+const shutdownPoll = 10
+
+// Shutdown moves the subscribers to other distributors. It returns when all have left, or after timeout ms. The node still has to be
+// closed.
+func (n *Node) Shutdown(timeout float64) {
 	for _, s := range n.streams {
 		s.post(input{toDistributor: true, event: distribution.Shutdown{}})
 	}
-	for end := n.options.Clock.Now() + wait; n.options.Clock.Now() < end; n.pause(shutdownPoll) {
-		left := 0
+	for end := n.options.Clock.Now() + timeout; n.options.Clock.Now() < end; n.pause(shutdownPoll) {
+		subscribers := 0
 		for _, s := range n.streams {
-			left += s.status.Load().Subscribers
+			subscribers += s.status.Load().Subscribers
 		}
-		if left == 0 {
+		if subscribers == 0 {
 			return
 		}
 	}
 }
 
-// stopEvery ms it is looked whether subscribers have gone.
-const shutdownPoll = 10
-
 // pause waits for so many ms, or until the node ends.
 func (n *Node) pause(ms float64) {
-	over := make(chan struct{})
-	stop := n.options.Clock.After(ms, func() { close(over) })
-	defer stop()
+	elapsed := make(chan struct{})
+	cancel := n.options.Clock.After(ms, func() { close(elapsed) })
+	defer cancel()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-n.done:
 	}
 }
 
-// Close ends all links and goroutines.
+// Close ends all links and goroutines, and waits for them.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() {
 		close(n.done)
@@ -148,13 +154,14 @@
 }
 
 const (
-	// mostAsked bytes has a message from below, and firstFor it is waited for the first.
-	maxChildMessage     = 4 << 10
+	// maxChildMessage bounds a message of the level below, in bytes.
+	maxChildMessage = 4 << 10
+	// firstMessageTimeout bounds the time until the first one.
 	firstMessageTimeout = 5 * time.Second
 )
 
-// accept serves a link from below, in a goroutine of the listener. It carries one stream, which the first message names;
-// who asks in another's name than that of its certificate gets no answer.
+// accept serves a link of the level below, in a goroutine of the listener. A link carries one stream, which its first message names. A
+// subscriber under another name than that of its certificate gets no answer.
 func (n *Node) accept(l *store.Link) {
 	raw, err := l.Receive(maxChildMessage, firstMessageTimeout)
 	if err != nil {
@@ -169,52 +176,19 @@
 	if s == nil {
 		return
 	}
-	number := distribution.Link(n.lastChildLink.Add(1))
+	link := distribution.Link(n.lastChildLink.Add(1))
 	out := newOutbox(l, &n.goroutines, n.done)
 	defer out.close()
-	if !s.post(input{toDistributor: true, link: number, opened: out}) {
+	if !s.post(input{toDistributor: true, link: link, opened: out}) {
 		return
 	}
 	for err == nil {
-		if !s.post(input{toDistributor: true, event: distribution.Received{Link: number, Message: m, Bytes: len(raw)}}) {
+		if !s.post(input{toDistributor: true, event: distribution.Received{Link: link, Message: m, Bytes: len(raw)}}) {
 			return
 		}
 		if raw, err = l.Receive(maxChildMessage, 0); err == nil {
 			m, err = distribution.Decode(raw)
 		}
 	}
-	s.post(input{toDistributor: true, event: distribution.Disconnected{Link: number}})
-}
-
-// Status is how a stream stands in a process.
-type Status struct {
-	Stream      string  `json:"stream"`
-	Epoch       uint64  `json:"epoch"`
-	Sequence    uint64  `json:"sequence"`
-	WatermarkMs int64   `json:"watermark_ms"` // all that was committed before is in force
-	LagMs       float64 `json:"behind_ms"`    // at most, the bound on clocks counted
-	Parent      string  `json:"at,omitempty"` // where it is subscribed
-	Root        bool    `json:"root"`
-	Restricted  bool    `json:"held"` // strict classes are
-	Subscribers int     `json:"subscribers"`
-	Entries     int     `json:"entries"` // that it could give to a new subscriber
-	Backlog     int     `json:"backlog"`
-	QueuedBytes int     `json:"waiting_bytes"` // to be written, on the link that has most
-}
-
-var streamNames = map[distribution.Stream]string{distribution.Purges: "purges", distribution.Configuration: "configuration"}
-
-// Status tells how both streams stand.
-func (n *Node) Status() []Status {
-	now := n.options.Clock.Now()
-	var out []Status
-	for _, at := range Streams {
-		s := *n.streams[at].status.Load()
-		s.LagMs = -1 // nothing whole yet
-		if s.WatermarkMs > 0 {
-			s.LagMs = now - float64(s.WatermarkMs) + n.options.Settings.MaxClockSkew
-		}
-		out = append(out, s)
-	}
-	return out
+	s.post(input{toDistributor: true, event: distribution.Disconnected{Link: link}})
 }
--- a/internal/distribution/outbox.go
+++ b/internal/distribution/outbox.go
@@ -7,38 +7,39 @@
 	"ravenwheel/internal/store"
 )
 
-// Bounds of one link. The machines bound by credit what is under way in batches and chunks; what is beside that is small.
+// Bounds of one link. The machines bound by credit what is in flight in batches and chunks; other frames are small.
 const (
-	// mostWaiting frames and mostWaitingBytes wait on a link: a peer that reads nothing, and says that it lives, is given up.
+	// maxQueuedFrames and maxQueuedBytes bound what is queued on a link: a peer that sends keepalives and reads nothing is
+	// disconnected.
 	maxQueuedFrames = 8192
 	maxQueuedBytes  = 2 << 20
-	// sendFor is how long a peer may take to read a frame of 32 KB: 1 KB a second is enough.
+	// writeTimeout is how long a peer may take to read a frame of 32 KB: 1 KB a second is enough.
 	writeTimeout = 40 * time.Second
-	// finishFor is how long what was sent may still take to leave on a link that is ended.
+	// flushTimeout is how long the frames that are queued when a link is closed may take to be written.
 	flushTimeout = time.Second
 )
 
-// outbox is the sending half of a link, with a goroutine that writes. It never has its caller wait.
+// outbox is the sending half of a link, with a goroutine that writes. Its methods never block.
 type outbox struct {
 	link *store.Link
+	wake chan struct{}   // there may be something to do
+	done <-chan struct{} // closed when the node ends
 
 	mu     sync.Mutex
 	frames [][]byte
-	queued int
+	queued int // bytes of the frames, and of the one that is being written
 	closed bool
-	wake   chan struct{}
-	done   <-chan struct{}
 }
 
-// newOutbox starts to write, in a goroutine of a group, until the link is ended or done is closed.
+// newOutbox starts to write, in a goroutine of a group, until the outbox or done is closed.
 func newOutbox(l *store.Link, group *sync.WaitGroup, done <-chan struct{}) *outbox {
 	o := &outbox{link: l, wake: make(chan struct{}, 1), done: done}
 	group.Go(func() {
 		defer l.Close()
 		for o.wait() {
 			for {
-				frame, some := o.pop()
-				if !some {
+				frame, ok := o.pop()
+				if !ok {
 					break
 				}
 				o.written(len(frame), l.Send(frame, writeTimeout))
@@ -48,7 +49,7 @@
 	return o
 }
 
-// send has a frame written behind those before it. The frame is not changed and not kept any longer.
+// send queues a frame, which is not changed. A link whose queue is full is closed.
 func (o *outbox) send(frame []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,7 +57,7 @@
 		return
 	}
 	if len(o.frames) >= maxQueuedFrames || o.queued > maxQueuedBytes {
-		o.closed, o.frames, o.queued = true, nil, 0
+		o.drop()
 		o.link.Close()
 	} else {
 		o.frames = append(o.frames, frame)
@@ -65,7 +66,10 @@
 	o.signal()
 }
 
-// end ends the link after what was sent on it.
+// drop closes the queue and drops its frames. The caller holds the lock.
+func (o *outbox) drop() { o.closed, o.frames, o.queued = true, nil, 0 }
+
+// close closes the link after the frames that are queued, or after flushTimeout.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,11 +77,11 @@
 		return
 	}
 	o.closed = true
-	time.AfterFunc(flushTimeout, o.link.Close) // of the socket, as its deadlines are
+	time.AfterFunc(flushTimeout, o.link.Close) // by the system's clock, as the deadlines of sockets are
 	o.signal()
 }
 
-// waiting is how many bytes have not been written.
+// queuedBytes returns how many bytes have not been written.
 func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,12 +95,12 @@
 	}
 }
 
-// next waits for something to do; it returns false once the link is ended and all is written.
+// wait waits for something to do. It returns false once the link is closed and everything is written.
 func (o *outbox) wait() bool {
 	o.mu.Lock()
-	over := o.closed && len(o.frames) == 0
+	finished := o.closed && len(o.frames) == 0
 	o.mu.Unlock()
-	if over {
+	if finished {
 		return false
 	}
 	select {
@@ -107,24 +111,24 @@
 	}
 }
 
-func (o *outbox) pop() (frame []byte, some bool) {
+func (o *outbox) pop() (frame []byte, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.frames) == 0 {
 		return nil, false
 	}
 	frame = o.frames[0]
-	o.frames[0] = nil // let go of, though the slice goes on
+	o.frames[0] = nil // so that the frame can be freed while the array is in use
 	o.frames = o.frames[1:]
 	return frame, true
 }
 
-// wrote books that a frame has left, or that nothing does any more.
+// written records that a frame was written. After an error the queue is dropped.
 func (o *outbox) written(bytes int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.queued = max(0, o.queued-bytes)
 	if err != nil {
-		o.closed, o.frames, o.queued = true, nil, 0
+		o.drop()
 	}
 }
--- /dev/null
+++ b/internal/distribution/status.go
@@ -0,0 +1,59 @@
+package distribution
+
+// Status is the state of one stream in a process, as operators are shown it.
+type Status struct {
+	Stream      string  `json:"stream"`
+	Epoch       uint64  `json:"epoch"`
+	Sequence    uint64  `json:"sequence"`
+	WatermarkMs int64   `json:"watermark_ms"`  // Unix ms; everything that was committed before is in force
+	LagMs       float64 `json:"behind_ms"`     // at most, with the bound on the skew of clocks; -1: there is no watermark yet
+	Parent      string  `json:"at,omitempty"`  // the distributor that it is subscribed at
+	Root        bool    `json:"root"`          // it is a member of the store
+	Restricted  bool    `json:"held"`          // strict classes are
+	Subscribers int     `json:"subscribers"`   // of the level below
+	Entries     int     `json:"entries"`       // of a snapshot for a new subscriber
+	Backlog     int     `json:"backlog"`       // entries
+	QueuedBytes int     `json:"waiting_bytes"` // to be written, on the link that has most
+}
+
+// noLag is the LagMs of a stream without a watermark.
+const noLag = -1
+
+// Status returns the state of both streams.
+func (n *Node) Status() []Status {
+	now := n.options.Clock.Now()
+	var out []Status
+	for _, id := range Streams {
+		s := *n.streams[id].status.Load()
+		s.LagMs = noLag
+		if s.WatermarkMs > 0 {
+			s.LagMs = now - float64(s.WatermarkMs) + n.options.Settings.MaxClockSkew
+		}
+		out = append(out, s)
+	}
+	return out
+}
+
+// publishStatus publishes the present state of the stream.
+func (s *stream) publishStatus() {
+	root := s.node.options.Source != nil
+	sizes := s.relay.Distributor.Sizes()
+	st := &Status{
+		Stream: streamNames[s.id], Root: root, Subscribers: s.relay.Distributor.Subscribers(),
+		Entries: sizes.Entries, Backlog: sizes.BacklogEntries,
+	}
+	for _, out := range s.children {
+		st.QueuedBytes = max(st.QueuedBytes, out.queuedBytes())
+	}
+	position, watermark := s.relay.Subscriber.Position(), s.relay.Subscriber.Watermark()
+	if root {
+		position, watermark = s.relay.Distributor.Position(), s.rootWatermark
+	} else {
+		st.Restricted = s.freshness.Restricted || s.freshness.FreshUntil <= s.node.options.Clock.Now()
+	}
+	if parent, ok := s.relay.Subscriber.Parent(); ok {
+		st.Parent = parent.Name
+	}
+	st.Epoch, st.Sequence, st.WatermarkMs = position.Epoch, position.Sequence, watermark.At
+	s.status.Store(st)
+}
--- /dev/null
+++ b/internal/distribution/store_feed.go
@@ -0,0 +1,97 @@
+package distribution
+
+import (
+	"math"
+	"sync"
+
+	"ravenwheel/internal/decide/distribution"
+	"ravenwheel/internal/decide/storestate"
+)
+
+// storeFeed turns what a member of the store applies into events of the distributors of both streams. There are none before the
+// member's state was confirmed once by the store: a member that was away holds an outdated state.
+type storeFeed struct {
+	node *Node
+
+	mu          sync.Mutex
+	confirmedAt float64 // Unix ms; everything that was committed before is here
+
+	lastSequence map[distribution.Stream]uint64 // of the latest event of each stream
+}
+
+// run confirms the state each heartbeat interval, and advances the watermark of all processes with it.
+func (f *storeFeed) run() {
+	f.lastSequence = map[distribution.Stream]uint64{}
+	observing := false
+	for {
+		select {
+		case <-f.node.done:
+			return
+		default:
+		}
+		index, at, err := f.node.options.Source.ReadIndex()
+		if err == nil && math.Floor(at) > f.confirmedAt {
+			f.mu.Lock()
+			f.confirmedAt = math.Floor(at)
+			f.mu.Unlock()
+			if !observing {
+				observing = true
+				f.node.options.Source.Observe(f)
+			} else {
+				f.advanceWatermark(index)
+			}
+		}
+		f.node.pause(f.node.options.Settings.HeartbeatInterval)
+	}
+}
+
+func (f *storeFeed) advanceWatermark(index uint64) {
+	watermark := f.watermark(index)
+	for _, id := range Streams {
+		f.post(id, distribution.AdvanceWatermark{Epoch: f.node.options.Epoch, Watermark: watermark})
+	}
+}
+
+func (f *storeFeed) post(id distribution.Stream, e distribution.Event) {
+	f.node.streams[id].post(input{toDistributor: true, event: e})
+}
+
+func (f *storeFeed) watermark(index uint64) distribution.Watermark {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return distribution.Watermark{Sequence: index, At: int64(f.confirmedAt)}
+}
+
+// StateReplaced implements store.Observer.
+func (f *storeFeed) StateReplaced(s *storestate.State) {
+	entries, err := snapshotEntries(s)
+	if err != nil {
+		f.node.options.Log.Error("distribution").Err(err).Msg("state of the store not distributed")
+		return
+	}
+	watermark := f.watermark(s.AppliedIndex)
+	for _, id := range Streams {
+		f.lastSequence[id] = s.AppliedIndex
+		f.post(id, distribution.InstallSnapshot{
+			Epoch: f.node.options.Epoch, Through: s.AppliedIndex, Watermark: watermark, Entries: entries[id],
+		})
+	}
+}
+
+// ChangeApplied implements store.Observer.
+func (f *storeFeed) ChangeApplied(index uint64, c storestate.Change, r storestate.Revision) {
+	id, entry, err := entryOf(index, c, r)
+	if err != nil {
+		f.node.options.Log.Error("distribution").Err(err).Uint64("index", index).Msg("change not distributed")
+		return
+	}
+	if id == noStream {
+		return
+	}
+	after := f.lastSequence[id]
+	f.lastSequence[id] = index
+	f.post(id, distribution.Apply{
+		Epoch: f.node.options.Epoch, After: after, Through: index, Watermark: f.watermark(index),
+		Entries: []distribution.Entry{entry},
+	})
+}
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -4,63 +4,75 @@
 	"math/rand/v2"
 	"sync/atomic"
 
-	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/distribution"
-	"ravenwheel/internal/store"
 )
 
-// input is what the goroutine of a stream is told. An event, or a link that was opened.
+const (
+	// maxQueuedInputs is how many inputs wait for the goroutine of a stream; a sender of more blocks.
+	maxQueuedInputs = 256
+	// maxBody is the largest list or revision, in bytes: as large as the largest call of the store.
+	maxBody = 32 << 20
+)
+
+// machine is one of the two machines of a stream.
+type machine int
+
+// The machines of a stream.
+const (
+	subscriber machine = iota
+	distributor
+	machines
+)
+
+// input is an event of one of the machines, or a link that was opened.
 type input struct {
-	toDistributor bool // of the level below, or of the store: for the distributor
+	toDistributor bool // else to the subscriber
 	event         distribution.Event
 	link          distribution.Link
-	opened        *outbox
+	opened        *outbox // nil: it is an event
 }
 
-// mostInputs wait for the goroutine of a stream; who tells it more waits.
-const maxQueuedInputs = 256
+// stream is one stream in one process: its machines, and the goroutine that they run in, which owns the links.
+type stream struct {
+	node     *Node
+	id       distribution.Stream
+	settings distribution.Settings
+	relay    *distribution.Relay
+	applier  *entryApplier
 
-// mostBody is how large a list or a revision may be: as the largest call of the store.
-const maxBody = 32 << 20
+	inputs     chan input
+	ticks      [machines]chan struct{}
+	cancelWake [machines]func()
+
+	parentLink distribution.Link // the link to the level above that the subscriber wants; 0: none
+	parent     *outbox           // of that link; nil: it is not open
+	children   map[distribution.Link]*outbox
 
-// stream is one stream in one process: its machines, and the one goroutine that they run in, which owns the links.
-type stream struct {
-	node          *Node
-	id            distribution.Stream
-	settings      distribution.Settings
-	relay         *distribution.Relay
-	inputs        chan input
-	ticks         [2]chan struct{} // of subscriber and distributor
-	cancelWake    [2]func()
-	applier       *entryApplier
-	parentLink    distribution.Link // the link above that is wanted; 0: none
-	parent        *outbox           // nil: not open
-	children      map[distribution.Link]*outbox
 	freshness     distribution.Freshness
-	rootWatermark distribution.Watermark // at a root: the latest that was told
+	rootWatermark distribution.Watermark // at a root: the latest of the store
 	status        atomic.Pointer[Status]
 }
 
-func newStream(n *Node, name distribution.Stream) *stream {
-	set := n.options.Settings
-	set.Stream = name
-	if name == distribution.Configuration {
-		set.MaxEntry = maxBody
+func newStream(n *Node, id distribution.Stream) *stream {
+	settings := n.options.Settings
+	settings.Stream = id
+	if id == distribution.Configuration {
+		settings.MaxEntry = maxBody
 	}
-	// Two streams of one seed would draw alike, and do at one moment what is to be spread.
-	set.Seed = rand.New(rand.NewPCG(set.Seed, uint64(name))).Uint64()
+	// Both streams with one seed would draw alike, and do at one time what is to be spread.
+	settings.Seed = rand.New(rand.NewPCG(settings.Seed, uint64(id))).Uint64()
 	s := &stream{
-		node: n, id: name, settings: set, relay: distribution.NewRelay(set), inputs: make(chan input, maxQueuedInputs), applier: newEntryApplier(&n.options),
-		children: map[distribution.Link]*outbox{},
+		node: n, id: id, settings: settings, relay: distribution.NewRelay(settings), applier: newEntryApplier(&n.options),
+		inputs: make(chan input, maxQueuedInputs), children: map[distribution.Link]*outbox{},
 	}
 	for i := range s.ticks {
 		s.ticks[i], s.cancelWake[i] = make(chan struct{}, 1), func() {}
 	}
-	s.publish()
+	s.publishStatus()
 	return s
 }
 
-// post tells the stream; it returns false once the node ends.
+// post queues an input. It returns false once the node ends.
 func (s *stream) post(in input) bool {
 	select {
 	case s.inputs <- in:
@@ -70,7 +82,7 @@
 	}
 }
 
-// run is the goroutine of the stream. When the node ends it ends the links.
+// run is the goroutine of the stream. It closes the links when the node ends.
 func (s *stream) run() {
 	defer s.closeLinks()
 	if s.node.options.Source == nil {
@@ -84,20 +96,20 @@
 		select {
 		case <-s.node.done:
 			return
-		case <-s.ticks[0]:
+		case <-s.ticks[subscriber]:
 			s.handleSubscriber(distribution.Tick{})
-		case <-s.ticks[1]:
+		case <-s.ticks[distributor]:
 			s.handleDistributor(distribution.Tick{})
 		case in := <-s.inputs:
 			s.handleInput(in)
 		}
-		s.publish()
+		s.publishStatus()
 	}
 }
 
 func (s *stream) closeLinks() {
-	for _, unset := range s.cancelWake {
-		unset()
+	for _, cancel := range s.cancelWake {
+		cancel()
 	}
 	if s.parent != nil {
 		s.parent.close()
@@ -113,39 +125,40 @@
 		s.children[in.link] = in.opened
 	case in.toDistributor:
 		s.handleDistributor(in.event)
-		if lost, ok := in.event.(distribution.Disconnected); ok {
-			s.closeChild(lost.Link)
+		if e, ok := in.event.(distribution.Disconnected); ok {
+			s.closeChild(e.Link)
 		}
 	case in.opened != nil && in.link != s.parentLink:
-		in.opened.close() // it was given up meanwhile
+		in.opened.close() // the subscriber has given it up meanwhile
 	case in.opened != nil:
 		s.parent = in.opened
 		s.handleSubscriber(distribution.Connected{Link: in.link})
 	default:
-		if lost, ok := in.event.(distribution.Disconnected); ok && lost.Link == s.parentLink {
+		if e, ok := in.event.(distribution.Disconnected); ok && e.Link == s.parentLink {
 			s.parentLink, s.parent = 0, nil
 		}
 		s.handleSubscriber(in.event)
 	}
 }
 
-// above tells the subscriber, and the distributor what follows from it.
+// handleSubscriber has the subscriber handle an event, and the distributor the events that follow from it.
 func (s *stream) handleSubscriber(e distribution.Event) {
 	now := s.node.options.Clock.Now()
 	if s.node.options.Listen == nil {
-		s.carryOut(0, s.relay.Subscriber.Handle(now, e))
+		s.carryOut(subscriber, s.relay.Subscriber.Handle(now, e))
 		return
 	}
 	above, below := s.relay.HandleAbove(now, e)
-	s.carryOut(0, above)
-	s.carryOut(1, below)
+	s.carryOut(subscriber, above)
+	s.carryOut(distributor, below)
 }
 
+// handleDistributor has the distributor handle an event of the level below or of the store.
 func (s *stream) handleDistributor(e distribution.Event) {
 	if s.node.options.Listen == nil {
 		return
 	}
-	switch e := e.(type) { // of the store
+	switch e := e.(type) {
 	case distribution.InstallSnapshot:
 		s.rootWatermark = e.Watermark
 	case distribution.Apply:
@@ -153,48 +166,44 @@
 	case distribution.AdvanceWatermark:
 		s.rootWatermark = e.Watermark
 	}
-	s.carryOut(1, s.relay.Distributor.Handle(s.node.options.Clock.Now(), e))
+	s.carryOut(distributor, s.relay.Distributor.Handle(s.node.options.Clock.Now(), e))
 }
 
-// carry does what a machine (0: the subscriber, 1: the distributor) wants done, in order.
-func (s *stream) carryOut(machine int, actions []distribution.Action) {
+// carryOut carries out the actions of a machine, in order.
+func (s *stream) carryOut(m machine, actions []distribution.Action) {
 	for _, a := range actions {
-		if machine == 0 && s.node.options.Observe != nil {
+		if m == subscriber && s.node.options.Observe != nil {
 			s.node.options.Observe(s.id, a)
 		}
 		switch a := a.(type) {
 		case distribution.Apply:
 			for _, e := range a.Entries {
-				s.logUnusable(s.applier.apply(e))
+				s.logSkipped(s.applier.apply(e))
 			}
 		case distribution.InstallSnapshot:
-			s.applier.applySnapshot(a.Entries, s.logUnusable)
+			s.applier.applySnapshot(a.Entries, s.logSkipped)
 		case distribution.SetFreshness:
 			s.freshness = a.State
 			if s.node.options.SetFreshness != nil {
 				s.node.options.SetFreshness(s.id, a.State)
 			}
 		case distribution.Wake:
-			s.wake(machine, a.After)
+			s.wake(m, a.After)
 		default:
 			s.carryOutOnLink(a)
 		}
 	}
 }
 
-// link does what is to be done on a link.
+// carryOutOnLink carries out an action that concerns a link.
 func (s *stream) carryOutOnLink(a distribution.Action) {
 	switch a := a.(type) {
 	case distribution.Connect:
 		s.parentLink = a.Link
-		s.node.goroutines.Go(func() { s.dial(a) })
+		s.node.goroutines.Go(func() { s.connect(a) })
 	case distribution.Disconnect:
-		if s.parentLink != a.Link {
-			return
-		}
-		if s.parentLink = 0; s.parent != nil {
-			s.parent.close()
-			s.parent = nil
+		if s.parentLink == a.Link {
+			s.closeParent()
 		}
 	case distribution.SendMessage:
 		if s.parent != nil && a.Link == s.parentLink {
@@ -202,7 +211,7 @@
 		}
 	case distribution.Unsubscribed:
 		s.node.options.Log.Info("distribution").Str("stream", streamNames[s.id]).Str("distributor", a.Distributor.Name).
-			Stringer("why", a.Cause).Msg("distributor left")
+			Stringer("why", a.Cause).Msg("unsubscribed from distributor")
 	case distribution.SendFrame:
 		for _, link := range a.Links {
 			if out := s.children[link]; out != nil {
@@ -214,6 +223,14 @@
 	}
 }
 
+func (s *stream) closeParent() {
+	s.parentLink = 0
+	if s.parent != nil {
+		s.parent.close()
+		s.parent = nil
+	}
+}
+
 func (s *stream) closeChild(link distribution.Link) {
 	if out := s.children[link]; out != nil {
 		out.close()
@@ -221,93 +238,21 @@
 	}
 }
 
-func (s *stream) logUnusable(err error) {
+// logSkipped logs the error of an entry that could not be applied; nil: there is none.
+func (s *stream) logSkipped(err error) {
 	if err != nil {
-		s.node.options.Log.Error("distribution").Err(err).Msg("an entry that this version can't use is passed over")
+		s.node.options.Log.Error("distribution").Str("stream", streamNames[s.id]).Err(err).Msg("entry skipped: this version cannot use it")
 	}
 }
 
-// wake has a machine told Tick later, in place of when it was to be.
-func (s *stream) wake(machine int, after float64) {
-	s.cancelWake[machine]()
-	tick := s.ticks[machine]
-	s.cancelWake[machine] = s.node.options.Clock.After(after, func() {
+// wake has a machine handle a Tick later, in place of the one that was requested before.
+func (s *stream) wake(m machine, after float64) {
+	s.cancelWake[m]()
+	tick := s.ticks[m]
+	s.cancelWake[m] = s.node.options.Clock.After(after, func() {
 		select {
 		case tick <- struct{}{}:
 		default:
 		}
 	})
 }
-
-// dial opens a link above and reads it until its end.
-func (s *stream) dial(a distribution.Connect) {
-	set := s.settings
-	l, err := store.DialLink(s.node.options.Identity, s.node.addresses[a.To.Name], clock.Duration(set.ConnectTimeout), s.node.options.Dial)
-	if err == nil && l.Peer != a.To.Name {
-		l.Close()
-		s.node.options.Log.Warn("distribution").Str("wanted", a.To.Name).Str("found", l.Peer).Msg("another one listens at a distributor's address")
-		err = errUnexpectedPeer
-	}
-	if err == nil {
-		s.read(l, a.Link, max(set.Credit/2, set.MaxFrame, set.MaxEntry)+frameOverhead)
-	}
-	s.post(input{event: distribution.Disconnected{Link: a.Link}})
-}
-
-// frameSlack is what a frame has beside its entries.
-const frameOverhead = 4 << 10
-
-// read tells of a link above and of what comes on it. The node's end ends the link, whoever reads it then.
-func (s *stream) read(l *store.Link, link distribution.Link, most int) {
-	defer l.Close()
-	over := make(chan struct{})
-	defer close(over)
-	s.node.goroutines.Go(func() {
-		select {
-		case <-over:
-		case <-s.node.done:
-			l.Close()
-		}
-	})
-	out := newOutbox(l, &s.node.goroutines, s.node.done)
-	defer out.close()
-	if !s.post(input{link: link, opened: out}) {
-		return
-	}
-	for {
-		raw, err := l.Receive(most, 0)
-		if err != nil {
-			return
-		}
-		m, err := distribution.Decode(raw)
-		if err != nil {
-			s.node.options.Log.Warn("distribution").Err(err).Str("distributor", l.Peer).Msg("a frame that can't be read")
-			return
-		}
-		if !s.post(input{event: distribution.Received{Link: link, Message: m, Bytes: len(raw)}}) {
-			return
-		}
-	}
-}
-
-// publish has Status tell how the stream stands now.
-func (s *stream) publish() {
-	root := s.node.options.Source != nil
-	st := &Status{Stream: streamNames[s.id], Root: root, Subscribers: s.relay.Distributor.Subscribers()}
-	sizes := s.relay.Distributor.Sizes()
-	st.Entries, st.Backlog = sizes.Entries, sizes.BacklogEntries
-	for _, out := range s.children {
-		st.QueuedBytes = max(st.QueuedBytes, out.queuedBytes())
-	}
-	position, mark := s.relay.Subscriber.Position(), s.relay.Subscriber.Watermark()
-	if root {
-		position, mark = s.relay.Distributor.Position(), s.rootWatermark
-	} else {
-		st.Restricted = s.freshness.Restricted || s.freshness.FreshUntil <= s.node.options.Clock.Now()
-	}
-	if at, ok := s.relay.Subscriber.Parent(); ok {
-		st.Parent = at.Name
-	}
-	st.Epoch, st.Sequence, st.WatermarkMs = position.Epoch, position.Sequence, mark.At
-	s.status.Store(st)
-}
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -28,7 +28,7 @@
 	require.Eventually(t, ok, patience, 5*time.Millisecond, what)
 }
 
-// member is a member of a store as a tree begins at it: it applies what was committed up to a point that a test sets.
+// member is a member of a store that a tree begins at: it applies what was committed when a test has it do so.
 type member struct {
 	log *log
 
@@ -38,7 +38,7 @@
 	withoutQuorum bool // no quorum
 }
 
-// log is what the members of a store have committed, and what a checker holds processes against.
+// log is what the members of a store have committed, and what processes are checked against.
 type log struct {
 	clk *clock.Clock
 
@@ -86,7 +86,7 @@
 
 func (l *log) newMember() *member { return &member{log: l, state: storestate.New()} }
 
-// apply has the member take in all that was committed.
+// apply has the member apply everything that was committed.
 func (m *member) apply() {
 	m.log.mu.Lock()
 	changes := m.log.changes
@@ -142,10 +142,10 @@
 	conns    map[[2]string][]net.Conn
 	names    map[string]string // by address
 	slow     map[string]int    // bytes a second that a process reads
-	frozen   map[string]bool   // processes that neither read what comes nor are heard, as when stopped by a signal
+	frozen   map[string]bool   // processes that neither read nor are read from, as when stopped by a signal
 }
 
-// process is a node, and what the checker saw of it.
+// process is a node, and what the checker observed of it.
 type process struct {
 	node *distribution.Node
 	peer pure.Peer
@@ -171,7 +171,7 @@
 	return tr
 }
 
-// settings are short, so that failures are seen soon; a test waits for what follows and not for a time.
+// settings returns short timeouts, so that failures are noticed soon; a test waits for what follows and not for a time.
 func settings(self pure.Peer) pure.Settings {
 	s := pure.DefaultSettings(0, self)
 	s.Seed = uint64(len(self.Name)) + uint64(self.Name[len(self.Name)-1])
@@ -187,7 +187,7 @@
 	return pure.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
 }
 
-// start runs a node: of rank 0 with a member of the store, and with candidates else. serves has it listen.
+// start starts a node: of rank 0 with a member of the store, else with the candidates above. With serves it listens.
 func (tr *tree) start(p pure.Peer, source *member, serves bool, above ...string) *process {
 	tr.t.Helper()
 	if _, known := tr.addrs[p.Name]; !known {
@@ -241,7 +241,7 @@
 	p.changes = append(p.changes, c)
 }
 
-// observe holds each action of a subscriber against what was committed.
+// observe checks each action of a subscriber against what was committed.
 func (tr *tree) observe(p *process, s pure.Stream, a pure.Action) {
 	tr.log.mu.Lock()
 	defer tr.log.mu.Unlock()
@@ -278,7 +278,7 @@
 	return x, nil
 }
 
-// conn reads so many bytes a second (0: all), once the handshake is over, and nothing while either end stands still.
+// conn reads so many bytes a second (0: unlimited) after the handshake, and nothing while either end is frozen.
 type conn struct {
 	net.Conn
 	tree            *tree
@@ -311,13 +311,13 @@
 	return tr.frozen[link[0]] || tr.frozen[link[1]]
 }
 
-func (tr *tree) stop(name string, still bool) {
+func (tr *tree) freeze(name string, frozen bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.frozen[name] = still
+	tr.frozen[name] = frozen
 }
 
-// cut cuts one process off from another, or joins it again.
+// cut cuts one process off from another, or reconnects it.
 func (tr *tree) cut(from, to string, cut bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -329,7 +329,7 @@
 	delete(tr.conns, link)
 }
 
-// caughtUp waits until processes have in effect all that was committed, and no rule was broken on the way.
+// caughtUp waits until everything that was committed is in effect in some processes, and checks that no rule was violated.
 func (tr *tree) caughtUp(names ...string) {
 	tr.t.Helper()
 	for _, name := range names {
@@ -349,7 +349,7 @@
 			}
 			return last == nil || p.violation != nil
 		}
-		if !assert.Eventually(tr.t, ok, patience, 5*time.Millisecond, "%s has all", name) {
+		if !assert.Eventually(tr.t, ok, patience, 5*time.Millisecond, "%s has caught up", name) {
 			require.NoError(tr.t, last)
 		}
 		p.mu.Lock()
@@ -358,5 +358,5 @@
 	}
 }
 
-// at is where a process is subscribed for purges.
+// at returns the distributor at which a process is subscribed for purges.
 func (p *process) at() string { return p.node.Status()[0].Parent }
