--- a/cmd/ravenwheel/place.go
+++ b/cmd/ravenwheel/place.go
@@ -18,8 +18,8 @@
 // place is this process among those that may own its address, and the operators' way to it.
 type place struct {
 	desk    *control.Controller
-	hand    *handover.Hand   // nil: no console is named, and no other process is looked for
-	console *console.Console // nil: none is named
+	hand    *handover.Coordinator // nil: no console is named, and no other process is looked for
+	console *console.Console      // nil: none is named
 }
 
 // takePlace opens the console and finds the process that owns the address, if there is one. stop ends the program; ended is closed
@@ -36,8 +36,8 @@
 	go p.console.Serve()
 	if conf.HandoverDir != "" {
 		p.hand, err = handover.Start(handover.Options{
-			Dir: conf.HandoverDir, Listen: conf.Listen, Clock: clk, Log: log, Accept: d.SetAccepting, Owns: d.SetOwner, Shares: d.SetShared, Stop: d.Step,
-			Ended: ended,
+			Dir: conf.HandoverDir, Listen: conf.Listen, Clock: clk, Log: log, SetAccepting: d.SetAccepting, SetOwner: d.SetOwner, SetShared: d.SetShared, Stop: d.Step,
+			ShutdownRequested: ended,
 		})
 	}
 	if err != nil {
@@ -50,7 +50,7 @@
 // listen returns the clients' listener once it is this process's to use, and the core has what the owner before learned.
 func (p *place) listen(conf *config.Config, c *core.Core) (net.Listener, error) {
 	if p.hand != nil {
-		return p.hand.Ready(c)
+		return p.hand.WaitForOwnership(c)
 	}
 	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", conf.Listen) })
 	if err == nil {
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -144,7 +144,7 @@
 
 // unlessEnded is an error of a process that waits for its address, which is none where it was told to end meanwhile.
 func unlessEnded(err error) error {
-	if errors.Is(err, handover.ErrEnded) {
+	if errors.Is(err, handover.ErrShutdown) {
 		return nil
 	}
 	return err
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -103,7 +103,7 @@
 	}
 	kept := s.restore(plan, rank.file)
 	if at != nil && at.hand != nil {
-		at.hand.Follow(
+		at.hand.Subscribe(
 			func(id policy.CacheID, out bool) { _ = s.drained(id, out) }, // kept by the hand-over, as well as by the keeper
 			func(id policy.CacheID, at float64) { s.roster.Handle(membership.ManualDrainEnded{ID: id, At: at}) })
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -52,7 +52,7 @@
 	state     *drain.State
 	front     Front // nil: none yet
 	servers   Servers
-	hand      *handover.Hand // nil: no other process can take over
+	hand      *handover.Coordinator // nil: no other process can take over
 	accepting bool
 	shared    bool
 	passed    bool // another process has the clients
@@ -68,7 +68,7 @@
 }
 
 // Attach tells what the desk works with. The proxy serves once it owns its address.
-func (d *Controller) Attach(f Front, s Servers, h *handover.Hand) {
+func (d *Controller) Attach(f Front, s Servers, h *handover.Coordinator) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.front, d.servers, d.hand = f, s, h
@@ -161,7 +161,7 @@
 	h := d.hand
 	d.mu.Unlock()
 	if h != nil {
-		passed = h.Ending()
+		passed = h.BeginShutdown()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -210,7 +210,7 @@
 	}
 	err := servers.Drain(id, out)
 	if hand != nil {
-		err = errors.Join(err, hand.Take(id, out))
+		err = errors.Join(err, hand.SetManualDrain(id, out))
 	}
 	if err != nil {
 		return fmt.Errorf("in force here, but not kept: %w", err)
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -9,293 +9,294 @@
 	"pgregory.net/rapid"
 )
 
-var set = Settings{Retry: 50, Patience: 2000, Prepare: 8000}
+var settings = Settings{Retry: 50, Patience: 2000, Prepare: 8000}
 
-// node is a process of the model: its machine, and what a shell would hold for it.
-type node struct {
+// process is a process of the model: its machine, and what its shell would hold.
+type process struct {
 	*Machine
-	id       int
-	alive    bool
-	stopped  bool // by SIGSTOP: it hears nothing until it is woken
-	wake     float64
-	listener int // which queue it holds; 0: none
-	accepts  bool
-	over     bool
-	served   bool // until it was last told whether to accept
-	robbed   bool // it served, and stepped back
-	ready    bool // Prepare was asked for
-	owner    int  // whom it follows
-	inbox    []mail
+	id           int
+	alive        bool
+	suspended    bool // by SIGSTOP: it handles nothing until it is resumed
+	tickAt       float64
+	listener     int // number of its listener's accept queue; 0: none
+	accepting    bool
+	ending       bool // it was told to stop
+	wasAccepting bool // before it was last told whether to accept
+	preempted    bool // it was accepting when it was told to stop
+	preparing    bool // Prepare was asked for
+	owner        int  // whom it is connected to
+	inbox        []message
 }
 
-type mail struct {
-	from int
-	e    Event
-	fds  [2]int // listener, lock
+type message struct {
+	from        int
+	event       Event
+	descriptors [2]int // listener, lock
 }
 
-// model is a machine with processes that come, die, stop and wake; messages arrive late, in order.
+// model is a host with processes that start, die, are suspended and resumed. Messages arrive late, in order.
 type model struct {
-	t      require.TestingT
-	now    float64
-	nodes  []*node // by id - 1
-	met    int     // who is met at the socket; 0: nobody
-	lock   map[int]bool
-	kept   uint64
-	owned  map[uint64]bool // generations that somebody has owned under
-	queues int
-	// mutation is what the shells or the wire do wrong; empty: nothing.
+	t           require.TestingT
+	now         float64
+	processes   []*process // by id - 1
+	socketOwner int        // the process that is reached at the socket; 0: none
+	lockHolders map[int]bool
+	recorded    uint64          // generation in the owner's record
+	owned       map[uint64]bool // generations under which a process has owned
+	queues      int             // accept queues opened so far
+	// mutation is what the shells or the connections do wrong; empty: nothing.
 	mutation string
 }
 
 func newModel(t require.TestingT) *model {
-	return &model{t: t, lock: map[int]bool{}, owned: map[uint64]bool{}}
+	return &model{t: t, lockHolders: map[int]bool{}, owned: map[uint64]bool{}}
 }
 
-func (w *model) at(id int) *node {
+func (w *model) process(id int) *process {
 	if id == 0 {
 		return nil
 	}
-	return w.nodes[id-1]
+	return w.processes[id-1]
 }
 
-func (w *model) start() *node {
-	n := &node{Machine: New(set), id: len(w.nodes) + 1, alive: true}
-	w.nodes = append(w.nodes, n)
-	w.tell(n, Started{})
-	return n
+func (w *model) start() *process {
+	p := &process{Machine: New(settings), id: len(w.processes) + 1, alive: true}
+	w.processes = append(w.processes, p)
+	w.handle(p, Started{})
+	return p
 }
 
-func (w *model) tell(n *node, e Event) {
-	for events := []Event{e}; len(events) > 0 && n.alive; events = events[1:] {
-		for _, a := range n.Handle(w.now, events[0]) {
-			if next := w.do(n, a); next != nil {
+func (w *model) handle(p *process, e Event) {
+	for events := []Event{e}; len(events) > 0 && p.alive; events = events[1:] {
+		for _, a := range p.Handle(w.now, events[0]) {
+			if next := w.execute(p, a); next != nil {
 				events = append(events, next)
 			}
 		}
 	}
 }
 
-func (w *model) send(from *node, to int, e Event, fds [2]int) {
-	if n := w.at(to); n != nil && n.alive {
-		n.inbox = append(n.inbox, mail{from.id, e, fds})
+func (w *model) send(from *process, to int, e Event, descriptors [2]int) {
+	if p := w.process(to); p != nil && p.alive {
+		p.inbox = append(p.inbox, message{from.id, e, descriptors})
 	}
 }
 
-func (w *model) held() bool {
-	for id := range w.lock {
-		if w.at(id).alive {
+func (w *model) lockHeld() bool {
+	for id := range w.lockHolders {
+		if w.process(id).alive {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *model) do(n *node, a Action) Event {
+func (w *model) execute(p *process, a Action) Event {
 	switch a := a.(type) {
 	case TryLock:
-		if !w.held() || w.mutation == "takes the lock from who lives" {
-			w.lock[n.id] = true
+		if !w.lockHeld() || w.mutation == "takes the lock from a live process" {
+			w.lockHolders[p.id] = true
 		}
-		return Locked{OK: w.lock[n.id], Generation: w.kept}
-	case Meet:
-		o := w.at(w.met)
+		return LockResult{Acquired: w.lockHolders[p.id], Generation: w.recorded}
+	case ContactOwner:
+		o := w.process(w.socketOwner)
 		if o == nil || !o.alive {
-			return Met{}
+			return ContactResult{}
 		}
-		n.owner = o.id
-		w.send(n, o.id, Hello{From: n.id, Revision: Revision}, [2]int{})
-		return Met{OK: true}
+		p.owner = o.id
+		w.send(p, o.id, SuccessorHello{From: p.id, Revision: Revision}, [2]int{})
+		return ContactResult{OK: true}
 	case Listen:
-		if n.listener == 0 {
+		if p.listener == 0 {
 			w.queues++
-			n.listener = w.queues
+			p.listener = w.queues
 		}
 	case Prepare:
-		n.ready = true
-		if w.mutation == "is met though it does not own" {
-			w.met = n.id
+		p.preparing = true
+		if w.mutation == "opens the socket before it owns" {
+			w.socketOwner = p.id
 		}
-	case Ask:
-		w.send(n, n.owner, Take{From: n.id}, [2]int{})
+	case RequestTransfer:
+		w.send(p, p.owner, TransferRequested{From: p.id}, [2]int{})
 	case Claim:
-		if a.Generation <= w.kept && w.mutation != "claims without comparing" {
-			return Claimed{Generation: w.kept}
+		if a.Generation <= w.recorded && w.mutation != "claims without comparing" {
+			return ClaimResult{Generation: w.recorded}
 		}
-		w.kept = a.Generation
-		return Claimed{OK: true, Generation: w.kept}
-	case Own:
-		require.Equal(w.t, w.kept, a.Generation)
+		w.recorded = a.Generation
+		return ClaimResult{OK: true, Generation: w.recorded}
+	case BecomeOwner:
+		require.Equal(w.t, w.recorded, a.Generation)
 		require.NotContains(w.t, w.owned, a.Generation, "two own under one generation")
 		w.owned[a.Generation] = true
-		w.met = n.id
-	case Accept:
-		n.served = n.accepts
-		n.accepts = a.On || n.accepts && w.mutation == "goes on accepting"
-	case Say:
-		if w.mutation != "never says that it serves" {
-			w.send(n, n.owner, Serves{From: n.id}, [2]int{})
+		w.socketOwner = p.id
+	case SetAccepting:
+		p.wasAccepting = p.accepting
+		p.accepting = a.On || p.accepting && w.mutation == "goes on accepting"
+	case AnnounceServing:
+		if w.mutation != "never announces that it serves" {
+			w.send(p, p.owner, SuccessorServing{From: p.id}, [2]int{})
 		}
-	case Offer:
-		w.send(n, a.To, Told{Revision: Revision, Generation: n.Generation()}, [2]int{})
-	case Turn:
-		w.send(n, a.To, Turned{a.Busy}, [2]int{})
+	case SendState:
+		w.send(p, a.To, StateReceived{Revision: Revision, Generation: p.Generation()}, [2]int{})
+	case Reject:
+		w.send(p, a.To, Rejected{a.Busy}, [2]int{})
 	case Grant:
-		fds := [2]int{n.listener, 0}
-		if w.lock[n.id] && w.mutation != "grants without the lock" {
-			fds[1] = 1
+		descriptors := [2]int{p.listener, 0}
+		if w.lockHolders[p.id] && w.mutation != "grants without the lock" {
+			descriptors[1] = 1
 		}
 		if w.mutation == "grants without the listener" {
-			w.queues++ // it listens anew
-			fds[0] = w.queues
+			w.queues++ // the successor opens a listener of its own
+			descriptors[0] = w.queues
 		}
-		w.send(n, a.To, Given{}, fds)
+		w.send(p, a.To, GrantReceived{}, descriptors)
 	case Revoke:
-		w.send(n, a.To, Revoked{}, [2]int{})
+		w.send(p, a.To, GrantRevoked{}, [2]int{})
 	case Stop:
-		n.over, n.robbed = true, n.served
-	case Wake:
-		n.wake = w.now + a.After
+		p.ending, p.preempted = true, p.wasAccepting
+	case ScheduleTick:
+		p.tickAt = w.now + a.After
 	}
 	return nil
 }
 
-// die ends a process; those it was connected to see it.
-func (w *model) die(n *node) {
-	n.alive = false
-	for _, o := range w.nodes {
+// kill ends a process. Those that it was connected to are notified.
+func (w *model) kill(p *process) {
+	p.alive = false
+	for _, o := range w.processes {
 		if !o.alive {
 			continue
 		}
-		if o.owner == n.id && w.mutation != "never hears that the owner is lost" {
-			o.inbox = append(o.inbox, mail{n.id, OwnerLost{}, [2]int{}})
+		if o.owner == p.id && w.mutation != "never notices that the owner is lost" {
+			o.inbox = append(o.inbox, message{p.id, OwnerLost{}, [2]int{}})
 		}
-		if n.owner == o.id && w.mutation != "never hears that the successor left" {
-			o.inbox = append(o.inbox, mail{n.id, Left{From: n.id}, [2]int{}})
+		if p.owner == o.id && w.mutation != "never notices that the successor is lost" {
+			o.inbox = append(o.inbox, message{p.id, SuccessorLost{From: p.id}, [2]int{}})
 		}
 	}
 }
 
-// step delivers one message to a process, or has its timer come due.
-func (w *model) step(n *node) {
-	if !n.alive || n.stopped {
+// step delivers a message to a process, and lets its timer expire.
+func (w *model) step(p *process) {
+	if !p.alive || p.suspended {
 		return
 	}
-	if len(n.inbox) > 0 {
-		m := n.inbox[0]
-		n.inbox = n.inbox[1:]
-		if _, given := m.e.(Given); given {
-			if m.from != n.owner {
+	if len(p.inbox) > 0 {
+		m := p.inbox[0]
+		p.inbox = p.inbox[1:]
+		if _, granted := m.event.(GrantReceived); granted {
+			if m.from != p.owner {
 				return
 			}
-			n.listener = m.fds[0]
-			if m.fds[1] > 0 {
-				w.lock[n.id] = true
+			p.listener = m.descriptors[0]
+			if m.descriptors[1] > 0 {
+				w.lockHolders[p.id] = true
 			}
 		}
-		switch m.e.(type) {
-		case Told, Turned, Revoked, OwnerLost:
-			if m.from != n.owner {
+		switch m.event.(type) {
+		case StateReceived, Rejected, GrantRevoked, OwnerLost:
+			if m.from != p.owner {
 				return
 			}
 		}
-		w.tell(n, m.e)
+		w.handle(p, m.event)
 	}
-	if n.wake > 0 && w.now >= n.wake && w.mutation != "never wakes" {
-		n.wake = 0
-		w.tell(n, Tick{})
+	if p.tickAt > 0 && w.now >= p.tickAt && w.mutation != "never ticks" {
+		p.tickAt = 0
+		w.handle(p, Tick{})
 	}
-	if n.Phase() >= Owning && w.kept > 0 && w.mutation != "never finds a higher generation" {
-		w.tell(n, Superseded{Generation: w.kept})
+	if p.Phase() >= Owning && w.recorded > 0 && w.mutation != "never finds a higher generation" {
+		w.handle(p, Superseded{Generation: w.recorded})
 	}
-	if n.over { // what is open is answered, and it ends
-		w.die(n)
+	if p.ending { // its open requests are answered
+		w.kill(p)
 	}
 }
 
-// settle lets all that is left run on undisturbed.
-func (w *model) settle() {
+// runUndisturbed runs the model without faults for long enough that every time-out expires.
+func (w *model) runUndisturbed() {
 	for range 2000 {
 		w.now += 25
-		for _, n := range w.nodes {
-			if n.ready && n.Phase() == Preparing {
-				w.tell(n, Ready{})
+		for _, p := range w.processes {
+			if p.preparing && p.Phase() == Preparing {
+				w.handle(p, Ready{})
 			}
-			w.step(n)
+			w.step(p)
 		}
 	}
 }
 
+// accepting returns the processes that accept connections.
 func (w *model) accepting() (list []int) {
-	for _, n := range w.nodes {
-		if n.alive && n.accepts {
-			list = append(list, n.id)
+	for _, p := range w.processes {
+		if p.alive && p.accepting {
+			list = append(list, p.id)
 		}
 	}
 	return list
 }
 
-// play lives one drawn timeline: processes start, die, stop, wake and are slow. Gentle: they only start and end in order.
-// Once all is quiet one process accepts, and it is the one who is met.
+// play runs one drawn timeline: processes start, die, are suspended, resumed and slow, or, if gentle, only start and end in
+// order. Undisturbed at the end, exactly one process accepts, and it is the one that is reached at the socket.
 func (w *model) play(gentle bool, draw func(most int) int) {
 	w.start()
-	w.settle()
+	w.runUndisturbed()
 	require.Equal(w.t, []int{1}, w.accepting())
 	for range 1 + draw(60) {
-		n := w.nodes[draw(len(w.nodes)-1)]
+		p := w.processes[draw(len(w.processes)-1)]
 		switch what := draw(9); {
-		case what == 0 && len(w.nodes) < 4:
+		case what == 0 && len(w.processes) < 4:
 			w.start()
-		case what == 1 && !gentle && n.alive:
-			w.die(n)
-		case what == 2 && !gentle && n.alive:
-			n.stopped = !n.stopped
-		case what == 3 && n.ready && n.Phase() == Preparing && !n.stopped:
-			w.tell(n, Ready{})
-		case what == 4 && n.alive && n.Phase() == Granted && !n.stopped: // it is told to end once another serves
-			w.tell(n, Ending{})
-			if o := w.at(w.met); o != n && o.alive && o.accepts {
-				w.die(n)
+		case what == 1 && !gentle && p.alive:
+			w.kill(p)
+		case what == 2 && !gentle && p.alive:
+			p.suspended = !p.suspended
+		case what == 3 && p.preparing && p.Phase() == Preparing && !p.suspended:
+			w.handle(p, Ready{})
+		case what == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it is told to end once another process serves
+			w.handle(p, ShutdownRequested{})
+			if o := w.process(w.socketOwner); o != p && o.alive && o.accepting {
+				w.kill(p)
 			}
-		case what == 5 && gentle: // time goes on, and nobody is silent for long
+		case what == 5 && gentle: // time passes, and no process is silent for long
 			w.now += float64(draw(200))
-			for _, n := range w.nodes {
-				w.step(n)
-				w.step(n)
+			for _, p := range w.processes {
+				w.step(p)
+				w.step(p)
 			}
 		case what == 5:
 			w.now += float64(draw(3000))
 		default:
-			w.step(n)
+			w.step(p)
 		}
 		if gentle {
-			require.LessOrEqual(w.t, len(w.accepting()), 1, "two accept, and nobody died")
+			require.LessOrEqual(w.t, len(w.accepting()), 1, "two accept, and none has died")
 		}
 	}
-	for _, n := range w.nodes {
-		n.stopped = false
+	for _, p := range w.processes {
+		p.suspended = false
 	}
-	w.settle()
+	w.runUndisturbed()
 	alive := 0
-	for _, n := range w.nodes {
-		if n.alive {
+	for _, p := range w.processes {
+		if p.alive {
 			alive++
 		}
-		require.False(w.t, gentle && n.robbed, "one that serves steps back, and nobody hung: %v", w.phases())
+		require.False(w.t, gentle && p.preempted, "an accepting process was told to stop, and none hung: %v", w.phases())
 	}
 	if alive == 0 && len(w.accepting()) == 0 {
-		w.start() // all are gone: whoever starts then serves
-		w.settle()
+		w.start() // all have ended: a process that starts then serves
+		w.runUndisturbed()
 	}
-	own := w.accepting()
-	require.Len(w.t, own, 1, "one accepts: %v", w.phases())
-	require.Equal(w.t, w.met, own[0], "and it is the one who is met")
+	accepting := w.accepting()
+	require.Len(w.t, accepting, 1, "one accepts: %v", w.phases())
+	require.Equal(w.t, w.socketOwner, accepting[0], "and it is reached at the socket")
 	if gentle {
-		require.Equal(w.t, 1, w.queues, "one queue of connections, from the first process to the last")
+		require.Equal(w.t, 1, w.queues, "one accept queue, from the first process to the last")
 	}
 }
 
-func TestOneOwner(t *testing.T) {
+func TestExactlyOneProcessOwnsTheAddress(t *testing.T) {
 	for _, gentle := range []bool{true, false} {
 		t.Run(fmt.Sprintf("gentle %v", gentle), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
@@ -305,22 +306,23 @@
 	}
 }
 
-// verdict takes in that a timeline failed.
-type verdict struct{}
+// failure is a TestingT that panics with itself at the first failed check.
+type failure struct{}
 
-func (verdict) Errorf(string, ...any) {}
-func (verdict) FailNow()              { panic(verdict{}) }
+func (failure) Errorf(string, ...any) {}
+func (failure) FailNow()              { panic(failure{}) }
 
-// Each way to break the protocol is caught within some timelines: the model sees what it is there to see.
-func TestMutations(t *testing.T) {
+// Each mutation of the protocol is caught within some timelines, which shows that the model's checks are effective.
+func TestModelCatchesEachMutation(t *testing.T) {
 	for _, m := range []string{
-		"claims without comparing", "grants without the lock", "grants without the listener", "never hears that the successor left",
-		"never hears that the owner is lost", "never finds a higher generation", "never wakes", "goes on accepting",
-		"never says that it serves", "is met though it does not own", "takes the lock from who lives",
+		"claims without comparing", "grants without the lock", "grants without the listener",
+		"never notices that the successor is lost", "never notices that the owner is lost", "never finds a higher generation",
+		"never ticks", "goes on accepting", "never announces that it serves", "opens the socket before it owns",
+		"takes the lock from a live process",
 	} {
 		t.Run(m, func(t *testing.T) {
 			for seed := range uint64(3000) {
-				if breaks(m, seed) {
+				if caughtBy(m, seed) {
 					return
 				}
 			}
@@ -329,16 +331,17 @@
 	}
 }
 
-func breaks(mutation string, seed uint64) (caught bool) {
+// caughtBy reports whether the timeline of a seed fails a check under a mutation.
+func caughtBy(mutation string, seed uint64) (caught bool) {
 	defer func() {
 		if r := recover(); r != nil {
-			_, caught = r.(verdict)
+			_, caught = r.(failure)
 			if !caught {
 				panic(r)
 			}
 		}
 	}()
-	w := newModel(verdict{})
+	w := newModel(failure{})
 	w.mutation = mutation
 	r := rand.New(rand.NewPCG(seed, 1))
 	w.play(seed%2 == 0, func(most int) int { return r.IntN(most + 1) })
@@ -346,8 +349,9 @@
 }
 
 func (w *model) phases() (list []string) {
-	for _, n := range w.nodes {
-		list = append(list, fmt.Sprintf("%d %v alive=%v accepts=%v generation=%d kept=%d", n.id, n.Phase(), n.alive, n.accepts, n.Generation(), w.kept))
+	for _, p := range w.processes {
+		list = append(list, fmt.Sprintf(
+			"%d %v alive=%v accepting=%v generation=%d recorded=%d", p.id, p.Phase(), p.alive, p.accepting, p.Generation(), w.recorded))
 	}
 	return list
 }
--- /dev/null
+++ b/internal/handover/execute.go
@@ -0,0 +1,109 @@
+package handover
+
+import (
+	"errors"
+
+	decide "ravenwheel/internal/decide/handover"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/policy"
+)
+
+// execute carries out an action. It returns the event that answers it, or nil. The caller holds mu.
+func (c *Coordinator) execute(a decide.Action) decide.Event {
+	switch a := a.(type) {
+	case decide.TryLock:
+		return decide.LockResult{Acquired: c.tryLock(), Generation: c.recordedGeneration()}
+	case decide.ContactOwner:
+		return decide.ContactResult{OK: c.connectToOwner()}
+	case decide.Claim:
+		return c.claim(a.Generation)
+	case decide.Listen:
+		c.listenOnce()
+	case decide.Prepare:
+		c.opt.SetShared(!a.NoOwner)
+		closeOnce(c.prepared)
+	case decide.RequestTransfer:
+		sendOrClose(c.owner, message{Kind: kindTransferRequest})
+	case decide.BecomeOwner:
+		c.becomeOwner(a.Generation)
+	case decide.AnnounceServing:
+		sendOrClose(c.owner, message{Kind: kindServing})
+	case decide.SetAccepting:
+		c.opt.SetAccepting(a.On)
+	case decide.BecomeSole:
+		c.opt.SetShared(false)
+	case decide.Stop:
+		c.opt.Log.Warn("handover").Str("reason", a.Reason).Msg("stopping: this process no longer owns the address")
+		c.opt.Stop(a.Reason)
+	case decide.ScheduleTick:
+		c.cancelTick()
+		c.cancelTick = c.opt.Clock.After(a.After, func() { c.handle(decide.Tick{}) })
+	default:
+		c.executeForSuccessor(a)
+	}
+	return nil
+}
+
+// executeForSuccessor carries out an owner's action about a successor. The caller holds mu.
+func (c *Coordinator) executeForSuccessor(a decide.Action) {
+	switch a := a.(type) {
+	case decide.SendState:
+		c.opt.SetShared(true)
+		sendOrClose(c.successors[a.To], c.stateMessage())
+	case decide.Reject:
+		sendOrClose(c.successors[a.To], message{Kind: kindRejected, Busy: a.Busy})
+	case decide.Grant:
+		c.opt.SetOwner(false)
+		c.grant(c.successors[a.To])
+	case decide.Revoke:
+		sendOrClose(c.successors[a.To], message{Kind: kindRevoked})
+		c.dropSuccessor(a.To)
+	}
+}
+
+// claim records a generation as this process's. A record that can't be written, on a full disk for example, does not keep the
+// process from serving.
+func (c *Coordinator) claim(generation uint64) decide.ClaimResult {
+	recorded, err := c.record.claim(generation)
+	switch {
+	case errors.Is(err, errFenced), errors.Is(err, errBusy):
+		return decide.ClaimResult{Generation: recorded}
+	case err != nil:
+		c.opt.Log.Error("handover").Err(err).Msg("owner's record could not be written; manual drains are lost with this process")
+	}
+	return decide.ClaimResult{OK: true, Generation: generation}
+}
+
+func (c *Coordinator) becomeOwner(generation uint64) {
+	if err := c.openSocket(); err != nil {
+		c.opt.Log.Error("handover").Err(err).Msg("socket could not be opened; no process can take over from this one")
+	}
+	closeOnce(c.owns)
+	c.opt.SetOwner(true)
+	c.opt.Log.Info("handover").Uint64("generation", generation).Msg("this process owns the address")
+}
+
+func (c *Coordinator) listenOnce() {
+	if c.listener != nil {
+		return
+	}
+	if err := c.listen(); err != nil {
+		c.fail(err)
+	}
+}
+
+// stateMessage is what an owner sends to a successor.
+func (c *Coordinator) stateMessage() message {
+	epoch, _ := c.opt.Clock.Epoch()
+	return message{
+		Kind: kindState, Revision: decide.Revision, Generation: c.machine.Generation(), Drained: formatIDs(c.record.drainedServers()),
+		Restored: c.record.restoredNames(), Epoch: epoch,
+	}
+}
+
+func formatIDs(ids []policy.CacheID) (names []string) {
+	for _, id := range ids {
+		names = append(names, serverlist.FormatID(id))
+	}
+	return names
+}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -13,26 +13,26 @@
 	"ravenwheel/internal/golden"
 )
 
-// goldenMessages are one of each kind as it is sent, and one with each field set.
+// goldenMessages are messages of each kind as they are sent, and one with all fields set.
 var goldenMessages = map[string]message{
-	"message-hello.json":      {Kind: "hello", Revision: 1},
-	"message-take.json":       {Kind: "take"},
-	"message-serves.json":     {Kind: "serves"},
-	"message-state.json":      {Kind: "state", Revision: 1, Generation: 7, Out: []string{"s-00000001"}, Back: map[string]float64{"s-00000002": 1e12 + 0.5}, Epoch: 9e11},
-	"message-state-none.json": {Kind: "state", Revision: 1, Generation: 7},
-	"message-turn.json":       {Kind: "turn"},
-	"message-turn-busy.json":  {Kind: "turn", Busy: true},
-	"message-given.json":      {Kind: "given"},
-	"message-revoked.json":    {Kind: "revoked"},
-	"message-out.json":        {Kind: "out", ID: "s-00000003", On: true},
-	"message-out-off.json":    {Kind: "out", ID: "s-00000003"},
+	"message-hello.json":      {Kind: kindHello, Revision: 1},
+	"message-take.json":       {Kind: kindTransferRequest},
+	"message-serves.json":     {Kind: kindServing},
+	"message-state.json":      {Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"}, Restored: map[string]float64{"s-00000002": 1e12 + 0.5}, Epoch: 9e11},
+	"message-state-none.json": {Kind: kindState, Revision: 1, Generation: 7},
+	"message-turn.json":       {Kind: kindRejected},
+	"message-turn-busy.json":  {Kind: kindRejected, Busy: true},
+	"message-given.json":      {Kind: kindGrant},
+	"message-revoked.json":    {Kind: kindRevoked},
+	"message-out.json":        {Kind: kindDrain, ID: "s-00000003", Active: true},
+	"message-out-off.json":    {Kind: kindDrain, ID: "s-00000003"},
 	"message-full.json": {
-		Kind: "state", Revision: 1, Generation: 7, Out: []string{"s-00000001"}, Back: map[string]float64{"s-00000002": 1e12}, Epoch: 9e11,
-		ID: "s-00000003", On: true, Busy: true,
+		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"}, Restored: map[string]float64{"s-00000002": 1e12}, Epoch: 9e11,
+		ID: "s-00000003", Active: true, Busy: true,
 	},
 }
 
-// goldenPair are the two ends of a connection between processes.
+// goldenPair returns the two ends of a connection between processes.
 func goldenPair(t *testing.T) (one, two *net.UnixConn) {
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(t.TempDir(), "s")})
 	require.NoError(t, err)
@@ -45,10 +45,10 @@
 	return one, two
 }
 
-// What is sent for each message, and what is read of it.
+// Each message is sent as its golden file, and received from it.
 func TestGoldenMessages(t *testing.T) {
 	from, to := goldenPair(t)
-	packet := make([]byte, mostMessage)
+	packet := make([]byte, maxMessageSize)
 	for name, m := range goldenMessages {
 		require.NoError(t, send(from, m, nil))
 		n, err := to.Read(packet)
@@ -63,26 +63,26 @@
 	}
 }
 
-// The record of an owner as it is kept, and read by the next one.
+// An owner's record is written as its golden file, and loaded from it.
 func TestGoldenRecord(t *testing.T) {
-	for name, k := range map[string]kept{
+	for name, stored := range map[string]ownerRecord{
 		"record.json": {
-			Generation: 7, Out: []string{"s-00000001", "s-00000002"}, Back: map[string]float64{"s-00000003": 1e12 + 0.5, "s-00000004": 1e12}, Epoch: 9e11,
+			Generation: 7, Drained: []string{"s-00000001", "s-00000002"}, Restored: map[string]float64{"s-00000003": 1e12 + 0.5, "s-00000004": 1e12}, Epoch: 9e11,
 		},
 		"record-least.json": {Generation: 1},
 	} {
 		r := record{path: filepath.Join(t.TempDir(), "record.json"), clock: clock.Manual(0)}
-		require.NoError(t, r.replaceFile(k))
+		require.NoError(t, r.replaceFile(stored))
 		text, err := os.ReadFile(r.path)
 		require.NoError(t, err)
 		golden.Equal(t, name, text)
-		var read kept
+		var read ownerRecord
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &read))
-		require.Equal(t, k, read)
+		require.Equal(t, stored, read)
 	}
 	r := record{path: filepath.Join("testdata", "golden", "record.json"), clock: clock.Manual(0)}
 	require.NoError(t, r.load())
-	require.EqualValues(t, 7, r.kept.Generation)
-	require.Equal(t, []string{"s-00000001", "s-00000002"}, r.kept.Out)
-	require.Len(t, r.back(), 2)
+	require.EqualValues(t, 7, r.current.Generation)
+	require.Equal(t, []string{"s-00000001", "s-00000002"}, r.current.Drained)
+	require.Len(t, r.restoredServers(), 2)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,185 +16,190 @@
 	"ravenwheel/policy"
 )
 
-// process is one of several in a test, as far as its part in a hand-over goes.
+// process is one of several processes in a test: its coordinator, and what its callbacks received.
 type process struct {
-	*Hand
-	ln    net.Listener
-	knows string
-	mu    sync.Mutex
-	out   map[policy.CacheID]bool
-	back  map[policy.CacheID]float64
-	got   struct{ accepts, owns, shares, stopped bool }
+	*Coordinator
+	listener net.Listener
+	learned  string
+	restored map[policy.CacheID]float64
+
+	mu      sync.Mutex
+	drained map[policy.CacheID]bool
+	got     struct{ accepting, owner, shared, stopped bool }
 }
 
-func (p *process) LearnedState() ([]byte, error) { return []byte(p.knows), nil }
+func (p *process) LearnedState() ([]byte, error) { return []byte(p.learned), nil }
 
-func (p *process) RestoreLearnedState(text []byte) error { p.knows = string(text) + "+"; return nil }
+func (p *process) RestoreLearnedState(text []byte) error { p.learned = string(text) + "+"; return nil }
 
 func (p *process) phase() decide.Phase {
-	p.Hand.mu.Lock()
-	defer p.Hand.mu.Unlock()
+	p.Coordinator.mu.Lock()
+	defer p.Coordinator.mu.Unlock()
 	return p.machine.Phase()
 }
 
-type world struct {
+// host is where the processes of a test run: a directory and an address that they share.
+type host struct {
 	t   *testing.T
 	dir string
 	clk *clock.Clock
 	at  string
 }
 
-func newWorld(t *testing.T) *world {
+func newHost(t *testing.T) *host {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	return &world{t: t, dir: t.TempDir(), clk: clock.Manual(1000), at: ln.Addr().String()}
+	return &host{t: t, dir: t.TempDir(), clk: clock.Manual(1000), at: ln.Addr().String()}
 }
 
-// start returns a process that knows what was told.
-func (w *world) start() *process {
-	p := &process{out: map[policy.CacheID]bool{}, back: map[policy.CacheID]float64{}}
+// start starts a process, up to where it has the state of the owner before it.
+func (h *host) start() *process {
+	p := &process{drained: map[policy.CacheID]bool{}, restored: map[policy.CacheID]float64{}}
 	set := func(b *bool) func(bool) {
 		return func(on bool) { p.mu.Lock(); *b = on; p.mu.Unlock() }
 	}
-	h, err := Start(Options{
-		Dir: w.dir, Listen: w.at, Clock: w.clk, Accept: set(&p.got.accepts), Owns: set(&p.got.owns), Shares: set(&p.got.shares),
+	c, err := Start(Options{
+		Dir: h.dir, Listen: h.at, Clock: h.clk, SetAccepting: set(&p.got.accepting), SetOwner: set(&p.got.owner), SetShared: set(&p.got.shared),
 		Stop: func(string) { set(&p.got.stopped)(true) },
 	})
-	require.NoError(w.t, err)
-	p.Hand = h
-	h.Follow(func(id policy.CacheID, out bool) { p.mu.Lock(); p.out[id] = out; p.mu.Unlock() },
-		func(id policy.CacheID, at float64) { p.back[id] = at })
-	w.t.Cleanup(h.Close)
+	require.NoError(h.t, err)
+	p.Coordinator = c
+	c.Subscribe(func(id policy.CacheID, drained bool) { p.mu.Lock(); p.drained[id] = drained; p.mu.Unlock() },
+		func(id policy.CacheID, at float64) { p.restored[id] = at })
+	h.t.Cleanup(c.Close)
 	return p
 }
 
-func (w *world) own(p *process) *process {
+// own lets a started process take the address over.
+func (h *host) own(p *process) *process {
 	var err error
-	p.ln, err = p.Ready(p)
-	require.NoError(w.t, err)
+	p.listener, err = p.WaitForOwnership(p)
+	require.NoError(h.t, err)
 	return p
 }
 
-func (w *world) becomes(p *process, why string, is func() bool) {
-	w.t.Helper()
-	require.Eventually(w.t, func() bool {
+// eventually waits until a condition on a process holds, and lets time pass meanwhile.
+func (h *host) eventually(p *process, why string, is func() bool) {
+	h.t.Helper()
+	require.Eventually(h.t, func() bool {
 		p.mu.Lock()
 		ok := is()
 		p.mu.Unlock()
 		if !ok {
-			w.clk.Advance(10)
+			h.clk.Advance(10)
 		}
 		return ok
 	}, time.Minute, time.Millisecond, why)
 }
 
-// A chain of processes takes over one from the other: one queue of connections all the way, what operators told goes
-// along, and one that ends takes nothing back.
-func TestChain(t *testing.T) {
-	w := newWorld(t)
-	old := w.own(w.start())
-	old.knows = "x"
-	require.NoError(t, old.Take(7, true))
-	waits, err := net.Dial("tcp", w.at) // in the queue, and nobody has accepted it
+// Several processes take over one after the other. The accept queue, the manual drains and the learned state go along, and a
+// process that ends takes nothing back.
+func TestChainOfHandoversKeepsQueueAndState(t *testing.T) {
+	h := newHost(t)
+	old := h.own(h.start())
+	old.learned = "x"
+	require.NoError(t, old.SetManualDrain(7, true))
+	queued, err := net.Dial("tcp", h.at) // connected, and not accepted by any process
 	require.NoError(t, err)
-	defer waits.Close()
+	defer queued.Close()
 	for n := range 5 {
-		next := w.start()
-		require.True(t, next.out[7])
-		require.Equal(t, n > 0, next.back[8] > 0, "given back lately: cold for the next one too")
-		w.own(next)
-		w.becomes(old, "it leaves the clients", func() bool { return !old.got.accepts && !old.got.owns })
-		require.NoError(t, old.Take(policy.CacheID(100+n), true), "told to the old one")
-		w.becomes(next, "what is told to one binds both", func() bool { return next.out[policy.CacheID(100+n)] })
-		require.NoError(t, next.Take(7, n%2 == 1))
-		w.becomes(old, "and the other way", func() bool { return old.out[7] == (n%2 == 1) })
-		require.True(t, old.Ending())
+		next := h.start()
+		require.True(t, next.drained[7])
+		require.Equal(t, n > 0, next.restored[8] > 0, "restored lately: the next process warms it up too")
+		h.own(next)
+		h.eventually(old, "it stops accepting", func() bool { return !old.got.accepting && !old.got.owner })
+		require.NoError(t, old.SetManualDrain(policy.CacheID(100+n), true), "set through the old one")
+		h.eventually(next, "a drain set through one is in effect in both", func() bool { return next.drained[policy.CacheID(100+n)] })
+		require.NoError(t, next.SetManualDrain(7, n%2 == 1))
+		h.eventually(old, "and the other way round", func() bool { return old.drained[7] == (n%2 == 1) })
+		require.True(t, old.BeginShutdown())
 		old.Close()
-		require.NoError(t, old.ln.Close())
-		w.becomes(next, "alone", func() bool { return !next.got.shares })
-		require.NoError(t, next.Take(8, true))
-		require.NoError(t, next.Take(8, false))
-		require.NoError(t, next.Take(7, true))
-		require.EqualValues(t, n+2, next.generation(), "an end is not taken for the successor's: nothing was taken back")
+		require.NoError(t, old.listener.Close())
+		h.eventually(next, "alone", func() bool { return !next.got.shared })
+		require.NoError(t, next.SetManualDrain(8, true))
+		require.NoError(t, next.SetManualDrain(8, false))
+		require.NoError(t, next.SetManualDrain(7, true))
+		require.EqualValues(t, n+2, next.recordedGeneration(), "the end of the old process is not taken for the successor's: no address was taken back")
 		old = next
 	}
-	nc, err := old.ln.Accept()
+	nc, err := old.listener.Accept()
 	require.NoError(t, err)
-	require.Equal(t, waits.LocalAddr().String(), nc.RemoteAddr().String())
-	require.Len(t, old.record.out(), 6)
-	require.Equal(t, "x+++++", old.knows, "what each has learned, from the one before")
-	require.NoFileExists(t, old.base+".learned")
-	w.clk.Advance(backFor)
-	require.NoError(t, old.Take(9, true))
-	require.NoError(t, old.Take(9, false))
-	require.Len(t, old.record.back(), 1, "what is long warm is told no more")
+	require.Equal(t, queued.LocalAddr().String(), nc.RemoteAddr().String())
+	require.Len(t, old.record.drainedServers(), 6)
+	require.Equal(t, "x+++++", old.learned, "each restored what the one before has learned")
+	require.NoFileExists(t, old.basePath+".learned")
+	h.clk.Advance(restoredRetention)
+	require.NoError(t, old.SetManualDrain(9, true))
+	require.NoError(t, old.SetManualDrain(9, false))
+	require.Len(t, old.record.restoredServers(), 1, "servers that have long warmed up are forgotten")
 }
 
-// Successors that die: before they ask to own nothing has happened; after, the owner goes on with what it still holds.
-func TestSuccessorDies(t *testing.T) {
-	w := newWorld(t)
-	old := w.own(w.start())
-	w.start().Close()
-	w.becomes(old, "serving still", func() bool { return old.phase() == decide.Owning && old.got.accepts })
-	next := w.own(w.start())
-	w.becomes(old, "given", func() bool { return !old.got.accepts })
+// A successor that dies before it asked for the address changes nothing. After one that dies later, the owner takes the
+// address back.
+func TestOwnerTakesAddressBackFromDeadSuccessor(t *testing.T) {
+	h := newHost(t)
+	old := h.own(h.start())
+	h.start().Close()
+	h.eventually(old, "still serving", func() bool { return old.phase() == decide.Owning && old.got.accepting })
+	next := h.own(h.start())
+	h.eventually(old, "granted", func() bool { return !old.got.accepting })
 	next.Close()
-	w.becomes(old, "taken back", func() bool { return old.got.accepts && old.got.owns })
-	w.own(w.start())
-	w.becomes(old, "given once more", func() bool { return !old.got.accepts })
+	h.eventually(old, "taken back", func() bool { return old.got.accepting && old.got.owner })
+	h.own(h.start())
+	h.eventually(old, "granted once more", func() bool { return !old.got.accepting })
 }
 
-// An owner that lives and says nothing is passed over after its time; it finds who owns, and may keep nothing any more.
-func TestOwnerHangs(t *testing.T) {
-	w := newWorld(t)
-	old := w.own(w.start())
+// An owner that is alive but silent is passed over after a time-out. It notices the new owner, and can record nothing any more.
+func TestSilentOwnerIsPassedOver(t *testing.T) {
+	h := newHost(t)
+	old := h.own(h.start())
 	old.mu.Lock()
-	require.NoError(t, os.Remove(old.base+".sock")) // nobody comes through to it
+	require.NoError(t, os.Remove(old.basePath+".sock")) // no process can reach it
 	old.mu.Unlock()
 	started := make(chan *process)
-	go func() { started <- w.start() }()
+	go func() { started <- h.start() }()
 	var next *process
 	require.Eventually(t, func() bool {
 		select {
 		case next = <-started:
 			return true
 		default:
-			w.clk.Advance(10)
+			h.clk.Advance(10)
 			return false
 		}
 	}, time.Minute, time.Millisecond)
-	w.own(next)
-	require.NoError(t, next.Take(5, true))
-	require.ErrorIs(t, old.record.put(6, true, 0), errFenced)
-	// Its listener has a queue of its own, which it empties before it closes it.
-	w.becomes(old, "steps back", func() bool { return old.got.stopped && old.got.accepts })
-	require.Equal(t, []policy.CacheID{5}, next.record.out())
+	h.own(next)
+	require.NoError(t, next.SetManualDrain(5, true))
+	require.ErrorIs(t, old.record.setDrained(6, true, 0), errFenced)
+	// It goes on accepting, as its listener has a queue of its own.
+	h.eventually(old, "it stops", func() bool { return old.got.stopped && old.got.accepting })
+	require.Equal(t, []policy.CacheID{5}, next.record.drainedServers())
 	old.Close()
-	w.becomes(next, "and has the lock once that one is gone", func() bool { next.Hand.mu.Lock(); defer next.Hand.mu.Unlock(); return next.lock != nil })
+	h.eventually(next, "it gets the lock once the old process is gone", func() bool { next.Coordinator.mu.Lock(); defer next.Coordinator.mu.Unlock(); return next.lock != nil })
 }
 
-// What lies about from a process long gone, or was written by nobody of ours, does not keep one from starting.
-func TestStale(t *testing.T) {
-	for name, text := range map[string]string{"none": "", "rubbish": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", mostRecord+1)} {
+// Files left by a process long gone, and malformed ones, do not keep a process from starting.
+func TestStartIgnoresStaleAndMalformedFiles(t *testing.T) {
+	for name, text := range map[string]string{"none": "", "rubbish": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", maxRecordSize+1)} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			first := w.own(w.start())
-			require.NoError(t, first.ln.Close())
+			h := newHost(t)
+			first := h.own(h.start())
+			require.NoError(t, first.listener.Close())
 			first.Close()
 			if text != "" {
 				require.NoError(t, os.WriteFile(first.record.path, []byte(text), 0o600))
 			}
-			require.FileExists(t, first.base+".sock")
-			w.own(w.start())
+			require.FileExists(t, first.basePath+".sock")
+			h.own(h.start())
 		})
 	}
 	t.Run("a directory with a long name", func(t *testing.T) {
-		w := newWorld(t)
-		w.dir = filepath.Join(w.dir, strings.Repeat("d", 120))
-		require.NoError(t, os.Mkdir(w.dir, 0o700))
-		old := w.own(w.start())
-		w.own(w.start())
-		w.becomes(old, "given", func() bool { return !old.got.owns })
+		h := newHost(t)
+		h.dir = filepath.Join(h.dir, strings.Repeat("d", 120))
+		require.NoError(t, os.Mkdir(h.dir, 0o700))
+		old := h.own(h.start())
+		h.own(h.start())
+		h.eventually(old, "granted", func() bool { return !old.got.owner })
 	})
 }
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -12,16 +12,17 @@
 	"ravenwheel/internal/transient"
 )
 
-// tryLock takes the lock if nobody holds it. It is bound to the open file: passed on, two processes hold the one.
-func (h *Hand) tryLock() bool {
-	if h.lock != nil {
+// tryLock takes the owner's lock if it is free, and reports whether this process holds it. The lock belongs to the open file:
+// when its descriptor is passed on, both processes hold it. The caller holds mu.
+func (c *Coordinator) tryLock() bool {
+	if c.lock != nil {
 		return true
 	}
-	f, err := os.OpenFile(h.base+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(c.basePath+lockExtension, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		// Guards against a process that refuses to start as the folder takes nothing for a while: it is tried again.
+		// A transient fault of the directory must not end the start: the lock is tried again.
 		if !transient.IsTransient(err) && !transient.IsStorageUnavailable(err) {
-			h.fail(err)
+			c.fail(err)
 		}
 		return false
 	}
@@ -29,68 +30,76 @@
 		f.Close()
 		return false
 	}
-	h.lock = f
+	c.lock = f
 	return true
 }
 
-// listen opens the clients' address, beside another process's listener if there is one.
-func (h *Hand) listen() error {
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		cerr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(cerr, err)
-	}}
-	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return lc.Listen(context.Background(), "tcp", h.opt.Listen) })
+// listen opens a listener at the clients' address, beside another process's if there is one. The caller holds mu.
+func (c *Coordinator) listen() error {
+	config := net.ListenConfig{Control: reusePort}
+	listener, err := transient.ListenWithRetry(func() (net.Listener, error) {
+		return config.Listen(context.Background(), "tcp", c.opt.Listen)
+	})
 	if err != nil {
 		return err
 	}
-	h.ln = ln.(*net.TCPListener)
+	c.listener = listener.(*net.TCPListener)
 	return nil
 }
 
-// given takes the listener and the lock.
-func (h *Hand) given(fds []int) bool {
-	if len(fds) < 1 {
+// reusePort lets several listeners have one address.
+func reusePort(_, _ string, raw syscall.RawConn) (err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(controlErr, err)
+}
+
+// acceptGrant takes the listener and the lock, which come as descriptors in this order, and reports whether the grant is
+// usable.
+func (c *Coordinator) acceptGrant(descriptors []int) bool {
+	if len(descriptors) < 1 {
 		return false
 	}
-	f := os.NewFile(uintptr(fds[0]), "listener")
-	ln, err := net.FileListener(f)
+	f := os.NewFile(uintptr(descriptors[0]), "listener")
+	generic, err := net.FileListener(f)
 	f.Close()
-	tcp, ok := ln.(*net.TCPListener)
-	if err != nil || !ok || tcp.Addr().String() != h.opt.Listen {
-		h.opt.Log.Warn("handover").Msg("what the owner passed on is no listener at the clients' address")
-		shut(fds[1:])
+	listener, ok := generic.(*net.TCPListener)
+	if err != nil || !ok || listener.Addr().String() != c.opt.Listen {
+		c.opt.Log.Warn("handover").Msg("granted descriptor is no listener at the clients' address")
+		closeDescriptors(descriptors[1:])
 		return false
 	}
-	h.inherit()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.ln = tcp
-	if len(fds) > 1 && h.lock == nil {
-		h.lock = os.NewFile(uintptr(fds[1]), "lock")
-		fds = fds[1:]
+	c.restoreLearnedState()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.listener = listener
+	if len(descriptors) > 1 && c.lock == nil {
+		c.lock = os.NewFile(uintptr(descriptors[1]), "lock")
+		descriptors = descriptors[1:]
 	}
-	shut(fds[1:])
+	closeDescriptors(descriptors[1:])
 	return true
 }
 
-// grant passes on the listener and the lock.
-func (h *Hand) grant(to *net.UnixConn) {
+// grant sends the listener and the lock to a successor. The caller holds mu.
+func (c *Coordinator) grant(to *net.UnixConn) {
 	if to == nil {
 		return
 	}
-	raw, err := h.ln.SyscallConn()
+	raw, err := c.listener.SyscallConn()
 	if err != nil {
 		return
 	}
-	h.bequeath()
+	c.saveLearnedState()
 	_ = raw.Control(func(fd uintptr) {
-		fds := []int{int(fd)}
-		if h.lock != nil {
-			fds = append(fds, int(h.lock.Fd()))
+		descriptors := []int{int(fd)}
+		if c.lock != nil {
+			descriptors = append(descriptors, int(c.lock.Fd()))
 		}
-		err = send(to, message{Kind: "given"}, fds)
+		err = send(to, message{Kind: kindGrant}, descriptors)
 	})
 	if err != nil {
-		to.Close() // its reader tells that it is gone
+		to.Close() // its reader handles the loss
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -9,69 +9,102 @@
 	"golang.org/x/sys/unix"
 )
 
-// message is what two processes say to each other. Which fields count is the kind's.
+// messageKind says what a message is.
+type messageKind string
+
+const (
+	kindHello           messageKind = "hello"   // successor to owner: asks to follow, with its protocol revision
+	kindState           messageKind = "state"   // owner to successor: the generation, drains and restored servers
+	kindRejected        messageKind = "turn"    // owner to successor: no successor is accepted
+	kindTransferRequest messageKind = "take"    // successor to owner: it is prepared to own
+	kindGrant           messageKind = "given"   // owner to successor: with the listener and the lock as descriptors
+	kindRevoked         messageKind = "revoked" // owner to successor: they are taken back
+	kindServing         messageKind = "serves"  // successor to owner: it owns and serves
+	kindDrain           messageKind = "out"     // either way: an operator's drain of a server, or its end
+)
+
+// message is what two processes send each other. Which fields count depends on the kind.
 type message struct {
-	Kind       string             `json:"kind"`
-	Revision   int                `json:"revision,omitempty"`
+	Kind       messageKind        `json:"kind"`
+	Revision   int                `json:"revision,omitempty"` // of the protocol
 	Generation uint64             `json:"generation,omitempty"`
-	Out        []string           `json:"out,omitempty"`
-	Back       map[string]float64 `json:"back,omitempty"`
-	Epoch      float64            `json:"epoch,omitempty"` // of the clock that the times in Back are on
-	ID         string             `json:"id,omitempty"`
-	On         bool               `json:"on,omitempty"`
-	Busy       bool               `json:"busy,omitempty"`
+	Drained    []string           `json:"out,omitempty"`   // servers that operators drain
+	Restored   map[string]float64 `json:"back,omitempty"`  // servers restored lately, and when in ms
+	Epoch      float64            `json:"epoch,omitempty"` // of the clock that the times in Restored are on
+	ID         string             `json:"id,omitempty"`    // of a drain: the server
+	Active     bool               `json:"on,omitempty"`    // of a drain
+	Busy       bool               `json:"busy,omitempty"`  // of a rejection: only for now
 }
 
-func shut(fds []int) {
-	for _, fd := range fds {
-		_ = unix.Close(fd)
-	}
-}
+const (
+	maxMessageSize = 64 << 10 // bytes
+	maxDescriptors = 4        // in a message
+	descriptorSize = 4        // bytes
+	writeTimeout   = time.Second
+)
+
+// errMalformedMessage says that a message was truncated or is not JSON.
+var errMalformedMessage = errors.New("malformed message")
 
-func (h *Hand) say(to *net.UnixConn, m message) {
-	if to != nil && send(to, m, nil) != nil {
-		to.Close()
+// sendOrClose sends a message, and closes the connection if that fails: its reader then handles the loss.
+func sendOrClose(conn *net.UnixConn, m message) {
+	if conn != nil && send(conn, m, nil) != nil {
+		conn.Close()
 	}
 }
 
-func send(nc *net.UnixConn, m message, fds []int) error {
+// send sends a message as one packet, with descriptors.
+func send(conn *net.UnixConn, m message, descriptors []int) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	_ = nc.SetWriteDeadline(time.Now().Add(writeWait))
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var rights []byte
-	if len(fds) > 0 {
-		rights = unix.UnixRights(fds...)
+	if len(descriptors) > 0 {
+		rights = unix.UnixRights(descriptors...)
 	}
-	_, _, err = nc.WriteMsgUnix(text, rights, nil)
+	_, _, err = conn.WriteMsgUnix(text, rights, nil)
 	return err
 }
 
-var errMessage = errors.New("a message that can't be read")
-
-func receive(nc *net.UnixConn) (m message, fds []int, err error) {
-	text, rights := make([]byte, mostMessage), make([]byte, unix.CmsgSpace(4*4))
-	n, nr, flags, _, err := nc.ReadMsgUnix(text, rights)
+// receive reads a message. The caller owns the descriptors that came with it.
+func receive(conn *net.UnixConn) (m message, descriptors []int, err error) {
+	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*descriptorSize))
+	n, rightsSize, flags, _, err := conn.ReadMsgUnix(text, rights)
 	if err == nil && n == 0 {
 		err = net.ErrClosed
 	}
 	if err != nil {
 		return m, nil, err
 	}
-	if list, perr := unix.ParseSocketControlMessage(rights[:nr]); perr == nil {
-		for _, c := range list {
-			if got, rerr := unix.ParseUnixRights(&c); rerr == nil {
-				fds = append(fds, got...)
-			}
+	descriptors = parseDescriptors(rights[:rightsSize])
+	if flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 || json.Unmarshal(text[:n], &m) != nil {
+		closeDescriptors(descriptors)
+		return m, nil, errMalformedMessage
+	}
+	return m, descriptors, nil
+}
+
+// parseDescriptors returns the descriptors in a packet's control data, set to be closed on exec.
+func parseDescriptors(rights []byte) (descriptors []int) {
+	controls, err := unix.ParseSocketControlMessage(rights)
+	if err != nil {
+		return nil
+	}
+	for _, control := range controls {
+		if parsed, err := unix.ParseUnixRights(&control); err == nil {
+			descriptors = append(descriptors, parsed...)
 		}
 	}
-	for _, fd := range fds {
-		unix.CloseOnExec(fd)
+	for _, descriptor := range descriptors {
+		unix.CloseOnExec(descriptor)
 	}
-	if flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 || json.Unmarshal(text[:n], &m) != nil {
-		shut(fds)
-		return m, nil, errMessage
+	return descriptors
+}
+
+func closeDescriptors(descriptors []int) {
+	for _, descriptor := range descriptors {
+		_ = unix.Close(descriptor)
 	}
-	return m, fds, nil
 }
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -17,258 +17,272 @@
 	"ravenwheel/policy"
 )
 
-// errFenced says that another process owns by now: what this one would keep would undo what that one kept.
-var errFenced = errors.New("another process owns the address")
-
-// errHeld says that another process has been about to keep something for too long.
-var errHeld = errors.New("another process is keeping what it was told")
+var (
+	// errFenced says that another process owns the address by now, whose record this one must not overwrite.
+	errFenced = errors.New("another process owns the address")
+	// errBusy says that another process has had the record locked for too long.
+	errBusy = errors.New("another process is writing the record")
+	// errTooManyDrained says that maxDrained servers are drained already.
+	errTooManyDrained = fmt.Errorf("no more than %d servers can be out by hand", maxDrained)
+)
 
-// mostOut bounds what is taken out by hand, and what a record may say.
-const mostOut, mostRecord = 1024, 64 << 10
+const (
+	maxDrained    = 1024     // servers that operators drain
+	maxRecordSize = 64 << 10 // bytes
+	// restoredRetention is how many ms a restored server is remembered, which is long after it has warmed up.
+	restoredRetention = 600_000
 
-// record is what an owner keeps, under its generation: which servers are out by hand. It lies in the directory that
-// outlives the process. It is replaced whole; nothing is forced to the disk, as what a machine loses with its memory it
-// loses with its processes.
-type record struct {
-	path  string
-	clock *clock.Clock
-	mu    sync.Mutex
-	kept  kept
-	// behind: the file does not say yet what kept says, as it could not be written. See catchUp.
-	behind bool
-}
+	recordLockAttempts = 20
+	recordLockDelay    = 5 * time.Millisecond
+)
 
-type kept struct {
+// ownerRecord is what an owner stores for the next one.
+type ownerRecord struct {
 	Generation uint64   `json:"generation"`
-	Out        []string `json:"out"`
-	// Back are servers that were given back lately, and when in ms: cold from then on.
-	Back map[string]float64 `json:"back,omitempty"`
-	// Epoch is of the clock that these times are on; 0: not told.
+	Drained    []string `json:"out"` // servers that operators drain
+	// Restored are the servers whose manual drain ended lately, and when in ms: they warm up from then on.
+	Restored map[string]float64 `json:"back,omitempty"`
+	// Epoch is of the clock that these times are on; 0: unknown.
 	Epoch float64 `json:"epoch,omitempty"`
 }
 
-// dated returns the same with its times on another clock of this machine.
-func (k kept) dated(c *clock.Clock) kept {
-	shift := c.Shift(k.Epoch)
-	back := make(map[string]float64, len(k.Back))
-	for name, at := range k.Back {
-		back[name] = at + shift
+// onClock returns the record with its times on another clock of this machine.
+func (o ownerRecord) onClock(c *clock.Clock) ownerRecord {
+	shift := c.Shift(o.Epoch)
+	restored := make(map[string]float64, len(o.Restored))
+	for name, at := range o.Restored {
+		restored[name] = at + shift
 	}
-	k.Back = back
-	k.Epoch, _ = c.Epoch()
-	return k
+	o.Restored = restored
+	o.Epoch, _ = c.Epoch()
+	return o
 }
 
-// backFor: ms after which a server that was given back is no longer told of; it is warm long before.
-const backFor = 600_000
-
-// check holds what a file or a process tells to its form.
-func (k kept) check() error {
-	if _, err := ids(k.Out); err != nil {
+// validate checks a record that came from a file or a process, neither of which is trusted.
+func (o ownerRecord) validate() error {
+	if _, err := parseIDs(o.Drained); err != nil {
 		return err
 	}
-	_, err := ids(slices.Collect(maps.Keys(k.Back)))
+	_, err := parseIDs(slices.Collect(maps.Keys(o.Restored)))
 	return err
 }
 
-// load reads the record. One that can't be used counts as none: it is not worth a start.
+func parseIDs(names []string) (ids []policy.CacheID, err error) {
+	if len(names) > maxDrained {
+		return nil, fmt.Errorf("%d servers are more than %d", len(names), maxDrained)
+	}
+	for _, name := range names {
+		id, ok := serverlist.ParseID(name)
+		if !ok {
+			return nil, fmt.Errorf("%q is no server's id", name)
+		}
+		ids = append(ids, id)
+	}
+	return ids, nil
+}
+
+// record is the owner's record, in memory and in a file that outlives the process. The file is replaced atomically, and a
+// write is fenced: it fails once a higher generation is recorded. Nothing is synced, because what a crash of the machine would
+// lose concerns processes that it ends too.
+type record struct {
+	path  string
+	clock *clock.Clock
+
+	mu      sync.Mutex
+	current ownerRecord
+	dirty   bool // current has not been written to the file
+}
+
+// load reads the file. An unusable file counts as none.
 func (r *record) load() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, err := r.read()
+	stored, err := r.read()
 	if err == nil {
-		r.kept = k
+		r.current = stored
 	}
 	return err
 }
 
-func (r *record) read() (k kept, err error) {
+// read returns the file's content, empty if there is no file.
+func (r *record) read() (stored ownerRecord, err error) {
 	text, err := os.ReadFile(r.path)
 	if errors.Is(err, os.ErrNotExist) {
-		return k, nil
+		return stored, nil
 	}
-	if err == nil && len(text) > mostRecord {
-		err = fmt.Errorf("%s: larger than a record can be", r.path)
+	if err == nil && len(text) > maxRecordSize {
+		err = fmt.Errorf("%s: larger than %d bytes", r.path, maxRecordSize)
 	}
 	if err == nil {
-		if err = json.Unmarshal(text, &k); err != nil {
+		if err = json.Unmarshal(text, &stored); err != nil {
 			err = fmt.Errorf("%s: %w", r.path, err)
 		}
 	}
 	if err == nil {
-		err = k.check()
+		err = stored.validate()
 	}
 	if err != nil {
-		return kept{}, err
+		return ownerRecord{}, err
 	}
-	return k.dated(r.clock), nil
+	return stored.onClock(r.clock), nil
 }
 
-// ids reads names of servers, as untrusted as the file or process that they came from.
-func ids(names []string) (list []policy.CacheID, err error) {
-	if len(names) > mostOut {
-		return nil, fmt.Errorf("%d servers out by hand are more than %d", len(names), mostOut)
-	}
-	for _, n := range names {
-		id, ok := serverlist.ParseID(n)
-		if !ok {
-			return nil, fmt.Errorf("%q is no server's id", n)
+// drainedServers returns the servers that operators drain.
+func (r *record) drainedServers() []policy.CacheID {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ids, _ := parseIDs(r.current.Drained)
+	return ids
+}
+
+// restoredServers returns the servers whose manual drain ended lately, and when in ms.
+func (r *record) restoredServers() map[policy.CacheID]float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	servers := map[policy.CacheID]float64{}
+	for name, at := range r.current.Restored {
+		if id, ok := serverlist.ParseID(name); ok {
+			servers[id] = at
 		}
-		list = append(list, id)
 	}
-	return list, nil
+	return servers
 }
 
-// out are the servers that are out by hand.
-func (r *record) out() []policy.CacheID {
+// restoredNames returns the same by the servers' names.
+func (r *record) restoredNames() map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list, _ := ids(r.kept.Out)
-	return list
+	return maps.Clone(r.current.Restored)
 }
 
-// claim keeps what is known under a generation, unless one as high is kept; it returns the one that is.
-func (r *record) claim(generation uint64) (kept uint64, err error) {
+// claim writes the record under a generation, unless one as high is recorded: then it returns that one with errFenced. It
+// returns errBusy, or the error of a write that failed, too.
+func (r *record) claim(generation uint64) (recorded uint64, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	done, err := r.alone()
+	unlock, err := r.lockFile()
 	if err != nil {
 		return 0, err
 	}
-	defer done()
-	if now, rerr := r.read(); rerr == nil && now.Generation >= generation {
-		return now.Generation, errFenced
+	defer unlock()
+	if stored, readErr := r.read(); readErr == nil && stored.Generation >= generation {
+		return stored.Generation, errFenced
 	}
-	next := r.kept
+	next := r.current
 	next.Generation = generation
 	return generation, r.replaceFile(next)
 }
 
-// catchUp writes what could not be written when it was told.
-func (r *record) catchUp() error {
+// setDrained records that an operator drains a server, or no longer does, from now in ms on. Its errors are errFenced,
+// errBusy, errTooManyDrained and those of the write. After errBusy and a failed write the change is in effect in memory, and
+// is written later.
+func (r *record) setDrained(id policy.CacheID, drained bool, now float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.behind {
+	name := serverlist.FormatID(id)
+	if slices.Contains(r.current.Drained, name) == drained {
+		if r.dirty {
+			return r.write(r.current)
+		}
 		return nil
 	}
-	return r.write(r.kept)
-}
-
-const (
-	claimTries = 20
-	claimPause = 5 * time.Millisecond
-)
-
-// alone has one process at a time read and replace the record. Guards against an owner that is stopped between the two,
-// and would replace on waking what its successor kept: whoever comes meanwhile is told that it can't be done now.
-func (r *record) alone() (done func(), err error) {
-	f, err := os.OpenFile(r.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, err
+	next := r.current.without(name, now)
+	next.Epoch, _ = r.clock.Epoch()
+	if !drained && len(next.Restored) < maxDrained {
+		next.Restored[name] = now
 	}
-	for range claimTries {
-		if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
-			return func() { f.Close() }, nil
+	if drained {
+		if next.Drained = append(next.Drained, name); len(next.Drained) > maxDrained {
+			return errTooManyDrained
 		}
-		time.Sleep(claimPause)
 	}
-	f.Close()
-	return nil, errHeld
+	return r.write(next)
 }
 
-// back are the servers that were given back lately.
-func (r *record) back() map[policy.CacheID]float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	list := map[policy.CacheID]float64{}
-	for name, at := range r.kept.Back {
-		if id, ok := serverlist.ParseID(name); ok {
-			list[id] = at
+// without returns a copy of the record without a server, and without servers that were restored too long ago.
+func (o ownerRecord) without(server string, now float64) ownerRecord {
+	next := ownerRecord{Generation: o.Generation, Restored: map[string]float64{}}
+	next.Drained = slices.DeleteFunc(slices.Clone(o.Drained), func(name string) bool { return name == server })
+	for name, at := range o.Restored {
+		if name != server && now-at < restoredRetention {
+			next.Restored[name] = at
 		}
 	}
-	return list
+	return next
 }
 
-func (r *record) backNames() map[string]float64 {
+// noteDrained changes a drain in memory alone: the owner has recorded it.
+func (r *record) noteDrained(id policy.CacheID, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.kept.Back)
-}
-
-// put keeps that a server is out, or no longer, from now on.
-func (r *record) put(id policy.CacheID, out bool, now float64) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	name := serverlist.FormatID(id)
-	if slices.Contains(r.kept.Out, name) == out {
-		if r.behind {
-			return r.write(r.kept)
-		}
-		return nil
-	}
-	next := kept{Generation: r.kept.Generation, Back: map[string]float64{}}
-	next.Epoch, _ = r.clock.Epoch()
-	next.Out = slices.DeleteFunc(slices.Clone(r.kept.Out), func(n string) bool { return n == name })
-	for n, at := range r.kept.Back {
-		if n != name && now-at < backFor {
-			next.Back[n] = at
-		}
+	server := serverlist.FormatID(id)
+	r.current.Drained = slices.DeleteFunc(r.current.Drained, func(name string) bool { return name == server })
+	if drained && len(r.current.Drained) < maxDrained {
+		r.current.Drained = append(r.current.Drained, server)
 	}
-	if !out && len(next.Back) < mostOut {
-		next.Back[name] = now
-	}
-	if out {
-		if next.Out = append(next.Out, name); len(next.Out) > mostOut {
-			return fmt.Errorf("no more than %d servers can be out by hand", mostOut)
-		}
-	}
-	return r.write(next)
 }
 
-// note takes in what the owner has kept, in this process's memory alone.
-func (r *record) note(id policy.CacheID, out bool) {
+// replace takes over, in memory alone, all drains and restored servers that the owner has recorded.
+func (r *record) replace(received ownerRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := serverlist.FormatID(id)
-	r.kept.Out = slices.DeleteFunc(r.kept.Out, func(n string) bool { return n == name })
-	if out && len(r.kept.Out) < mostOut {
-		r.kept.Out = append(r.kept.Out, name)
-	}
+	received = received.onClock(r.clock)
+	r.current.Drained, r.current.Restored, r.current.Epoch = slices.Clone(received.Drained), received.Restored, received.Epoch
 }
 
-// replace takes in all that the owner has kept.
-func (r *record) replace(told kept) {
+// retryWrite writes the record if that failed before.
+func (r *record) retryWrite() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	told = told.dated(r.clock)
-	r.kept.Out, r.kept.Back, r.kept.Epoch = slices.Clone(told.Out), told.Back, told.Epoch
+	if !r.dirty {
+		return nil
+	}
+	return r.write(r.current)
 }
 
-// write replaces the record. Guards against an owner that was stopped and wakes up late: it finds a higher generation.
-// What can't be written is in force in this process's memory, and written later.
-func (r *record) write(next kept) error {
-	done, err := r.alone()
+// write replaces the record, unless a higher generation is recorded: an owner that was suspended and passed over may resume
+// late. What can't be written is in effect in memory, and is written later. The caller holds mu.
+func (r *record) write(next ownerRecord) error {
+	unlock, err := r.lockFile()
 	if err != nil {
-		r.kept, r.behind = next, true
+		r.current, r.dirty = next, true
 		return err
 	}
-	defer done()
-	if now, err := r.read(); err == nil && now.Generation > next.Generation {
-		r.behind = false // it is for the owner to keep
+	defer unlock()
+	if stored, err := r.read(); err == nil && stored.Generation > next.Generation {
+		r.dirty = false // the owner's record replaces it
 		return errFenced
 	}
 	return r.replaceFile(next)
 }
 
-func (r *record) replaceFile(next kept) error {
+// lockFile lets one process at a time read and replace the record. A process suspended in between holds the lock; it would
+// otherwise resume and replace what its successor has recorded. It returns errBusy if the lock does not become free.
+func (r *record) lockFile() (unlock func(), err error) {
+	f, err := os.OpenFile(r.path+lockExtension, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	for range recordLockAttempts {
+		if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
+			return func() { f.Close() }, nil
+		}
+		time.Sleep(recordLockDelay)
+	}
+	f.Close()
+	return nil, errBusy
+}
+
+// replaceFile writes a record and renames it into place. The caller holds the file's lock.
+func (r *record) replaceFile(next ownerRecord) error {
 	text, err := json.Marshal(next)
 	if err != nil {
 		return err
 	}
-	part := r.path + ".part" // written by one process at a time
-	if err = os.WriteFile(part, text, 0o600); err == nil {
-		err = os.Rename(part, r.path)
+	partial := r.path + ".part"
+	if err = os.WriteFile(partial, text, 0o600); err == nil {
+		err = os.Rename(partial, r.path)
 	}
-	r.kept, r.behind = next, err != nil
+	r.current, r.dirty = next, err != nil
 	return err
 }
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -14,195 +14,219 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// addr is a path as a socket's address takes it. Guards against a directory whose name is too long for one.
-func addr(path string) (_ string, done func(), err error) {
-	const most = 100
-	if len(path) <= most {
-		return path, func() {}, nil
+const (
+	// network keeps messages apart: each is one packet.
+	network = "unixpacket"
+	// maxSuccessors bounds the processes connected at once.
+	maxSuccessors = 4
+	// acceptRetryDelay is the pause after a failed accept.
+	acceptRetryDelay = 10 * time.Millisecond
+	// maxSocketPath is how many bytes of a path fit into a socket's address with certainty.
+	maxSocketPath = 100
+)
+
+// socketAddr returns a path as a socket's address. A path that is too long is reached through a descriptor of its directory,
+// which done closes.
+func socketAddr(path string) (addr *net.UnixAddr, done func(), err error) {
+	if len(path) <= maxSocketPath {
+		return &net.UnixAddr{Net: network, Name: path}, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return "", nil, err
+		return nil, nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { dir.Close() }, nil
+	name := fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
+	return &net.UnixAddr{Net: network, Name: name}, func() { dir.Close() }, nil
 }
 
-// publish opens the socket at which a successor finds this process, in place of whoever was met there before.
-func (h *Hand) publish() error {
-	part, path := fmt.Sprintf("%s.%d", h.base, os.Getpid()), h.base+".sock"
-	_ = os.Remove(part)
-	name, done, err := addr(part)
+// openSocket opens the socket at which a successor reaches this process, in place of the previous owner's. The caller holds
+// mu.
+func (c *Coordinator) openSocket() error {
+	partial := fmt.Sprintf("%s.%d", c.basePath, os.Getpid())
+	_ = os.Remove(partial)
+	addr, done, err := socketAddr(partial)
 	if err != nil {
 		return err
 	}
 	defer done()
-	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: name})
+	socket, err := net.ListenUnix(network, addr)
 	if err != nil {
 		return err
 	}
-	ln.SetUnlinkOnClose(false)
-	if err = os.Chmod(part, 0o600); err == nil {
-		err = os.Rename(part, path)
+	socket.SetUnlinkOnClose(false)
+	if err = os.Chmod(partial, 0o600); err == nil {
+		err = os.Rename(partial, c.basePath+socketExtension)
 	}
 	if err != nil {
-		ln.Close()
+		socket.Close()
 		return err
 	}
-	if h.meet != nil {
-		h.meet.Close()
+	if c.socket != nil {
+		c.socket.Close()
 	}
-	h.meet = ln
-	go h.welcome(ln)
+	c.socket = socket
+	go c.acceptSuccessors(socket)
 	return nil
 }
 
-// acceptPause: after an accept that failed the next one waits so long.
-const acceptPause = 10 * time.Millisecond
-
-// welcome takes in those that would follow.
-func (h *Hand) welcome(ln *net.UnixListener) {
+// acceptSuccessors accepts connections until the socket is closed.
+func (c *Coordinator) acceptSuccessors(socket *net.UnixListener) {
 	for {
-		nc, err := ln.AcceptUnix()
+		conn, err := socket.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, say: others are about to be given back
-			time.Sleep(acceptPause)
+		if err != nil { // for example out of descriptors, for a moment
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		h.mu.Lock()
-		if len(h.peers) >= mostFollow || !sameUser(nc) {
-			h.mu.Unlock()
-			nc.Close()
+		c.mu.Lock()
+		if len(c.successors) >= maxSuccessors || !isSameUser(conn) {
+			c.mu.Unlock()
+			conn.Close()
 			continue
 		}
-		h.last++
-		n := h.last
-		h.peers[n] = nc
-		h.mu.Unlock()
-		go h.hearFollower(n, nc)
+		c.lastNumber++
+		number := c.lastNumber
+		c.successors[number] = conn
+		c.mu.Unlock()
+		go c.readSuccessor(number, conn)
 	}
 }
 
-func sameUser(nc *net.UnixConn) (same bool) {
-	raw, err := nc.SyscallConn()
+// isSameUser reports whether the process at the other end runs as the same user.
+func isSameUser(conn *net.UnixConn) (same bool) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	err = raw.Control(func(fd uintptr) {
-		cred, cerr := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
-		same = cerr == nil && int(cred.Uid) == os.Getuid()
+		cred, credErr := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+		same = credErr == nil && int(cred.Uid) == os.Getuid()
 	})
 	return same && err == nil
 }
 
-func (h *Hand) drop(n int) {
-	if p := h.peers[n]; p != nil {
-		p.Close()
-		delete(h.peers, n)
+// dropSuccessor closes a successor's connection and forgets it. The caller holds mu.
+func (c *Coordinator) dropSuccessor(number int) {
+	if conn := c.successors[number]; conn != nil {
+		conn.Close()
+		delete(c.successors, number)
 	}
 }
 
-func (h *Hand) hearFollower(n int, nc *net.UnixConn) {
+// readSuccessor handles a successor's messages until its connection ends.
+func (c *Coordinator) readSuccessor(number int, conn *net.UnixConn) {
 	for {
-		m, _, err := receive(nc)
+		m, _, err := receive(conn)
 		if err != nil {
 			break
 		}
 		switch m.Kind {
-		case "hello":
-			h.tell(decide.Hello{From: n, Revision: m.Revision})
-		case "take":
-			h.tell(decide.Take{From: n})
-		case "serves":
-			h.tell(decide.Serves{From: n})
-		case "out":
-			h.heard(m)
+		case kindHello:
+			c.handle(decide.SuccessorHello{From: number, Revision: m.Revision})
+		case kindTransferRequest:
+			c.handle(decide.TransferRequested{From: number})
+		case kindServing:
+			c.handle(decide.SuccessorServing{From: number})
+		case kindDrain:
+			c.receiveDrain(m)
 		}
 	}
-	h.mu.Lock()
-	h.drop(n)
-	h.mu.Unlock()
-	h.tell(decide.Left{From: n})
+	c.mu.Lock()
+	c.dropSuccessor(number)
+	c.mu.Unlock()
+	c.handle(decide.SuccessorLost{From: number})
 }
 
-// heard takes in what an operator told the other process.
-func (h *Hand) heard(m message) {
+// receiveDrain applies a manual drain that was set through the other process.
+func (c *Coordinator) receiveDrain(m message) {
 	id, ok := serverlist.ParseID(m.ID)
 	if !ok {
 		return
 	}
-	h.orders.Lock()
-	defer h.orders.Unlock()
-	if err := h.record.put(id, m.On, h.opt.Clock.Now()); errors.Is(err, errFenced) {
-		h.record.note(id, m.On)
+	c.drains.Lock()
+	defer c.drains.Unlock()
+	if err := c.record.setDrained(id, m.Active, c.opt.Clock.Now()); errors.Is(err, errFenced) {
+		c.record.noteDrained(id, m.Active)
 	}
-	if h.out != nil {
-		h.out(id, m.On)
+	if c.onDrain != nil {
+		c.onDrain(id, m.Active)
 	}
 }
 
-// seek connects to the owner and says hello.
-func (h *Hand) seek() bool {
-	name, done, err := addr(h.base + ".sock")
+// connectToOwner connects to the owner and sends a hello. It reports whether an owner could be reached. The caller holds mu.
+func (c *Coordinator) connectToOwner() bool {
+	addr, done, err := socketAddr(c.basePath + socketExtension)
 	if err != nil {
 		return false
 	}
 	defer done()
-	nc, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Net: "unixpacket", Name: name})
+	conn, err := net.DialUnix(network, nil, addr)
 	if err != nil {
 		return false
 	}
-	if !sameUser(nc) || send(nc, message{Kind: "hello", Revision: decide.Revision}, nil) != nil {
-		nc.Close()
+	if !isSameUser(conn) || send(conn, message{Kind: kindHello, Revision: decide.Revision}, nil) != nil {
+		conn.Close()
 		return false
 	}
-	if h.owner != nil {
-		h.owner.Close()
+	if c.owner != nil {
+		c.owner.Close()
 	}
-	h.owner = nc
-	go h.hearOwner(nc)
+	c.owner = conn
+	go c.readOwner(conn)
 	return true
 }
 
-func (h *Hand) hearOwner(nc *net.UnixConn) {
+// readOwner handles the owner's messages until the connection ends or another one has replaced it.
+func (c *Coordinator) readOwner(conn *net.UnixConn) {
 	for {
-		m, fds, err := receive(nc)
-		h.mu.Lock()
-		current := h.owner == nc
-		h.mu.Unlock()
+		m, descriptors, err := receive(conn)
+		c.mu.Lock()
+		current := c.owner == conn
+		c.mu.Unlock()
 		if err != nil || !current {
-			shut(fds)
-			nc.Close()
+			closeDescriptors(descriptors)
+			conn.Close()
 			if current {
-				h.tell(decide.OwnerLost{})
+				c.handle(decide.OwnerLost{})
 			}
 			return
 		}
-		switch m.Kind {
-		case "state":
-			told := kept{Out: m.Out, Back: m.Back, Epoch: m.Epoch}
-			err := told.check()
-			if err != nil {
-				h.opt.Log.Warn("handover").Err(err).Msg("what the owner tells can't be used")
-				m.Revision = -1
-			}
-			if err == nil {
-				h.record.replace(told)
-			}
-			h.tell(decide.Told{Revision: m.Revision, Generation: m.Generation})
-		case "turn":
-			h.tell(decide.Turned{Busy: m.Busy})
-		case "given":
-			if h.given(fds) {
-				fds = nil
-				h.tell(decide.Given{})
-			}
-		case "revoked":
-			h.tell(decide.Revoked{})
-		case "out":
-			h.heard(m)
+		c.handleOwnerMessage(m, descriptors)
+	}
+}
+
+// handleOwnerMessage handles a message of the owner, and closes descriptors that it does not use.
+func (c *Coordinator) handleOwnerMessage(m message, descriptors []int) {
+	switch m.Kind {
+	case kindState:
+		c.receiveState(m)
+	case kindRejected:
+		c.handle(decide.Rejected{Busy: m.Busy})
+	case kindGrant:
+		if c.acceptGrant(descriptors) {
+			descriptors = nil
+			c.handle(decide.GrantReceived{})
 		}
-		shut(fds)
+	case kindRevoked:
+		c.handle(decide.GrantRevoked{})
+	case kindDrain:
+		c.receiveDrain(m)
 	}
+	closeDescriptors(descriptors)
+}
+
+// revisionUnusable stands for the protocol revision of a malformed state. No process has it.
+const revisionUnusable = -1
+
+func (c *Coordinator) receiveState(m message) {
+	received := ownerRecord{Drained: m.Drained, Restored: m.Restored, Epoch: m.Epoch}
+	if err := received.validate(); err != nil {
+		c.opt.Log.Warn("handover").Err(err).Msg("owner's state is unusable; treating the owner as silent")
+		m.Revision = revisionUnusable
+	} else {
+		c.record.replace(received)
+	}
+	c.handle(decide.StateReceived{Revision: m.Revision, Generation: m.Generation})
 }
