--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -76,7 +76,7 @@
 		Heavy: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Reporters: 2}},
 	})
 	goldenForm(t, "discovery.json", discoveryclient.Status{
-		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Broken: 5, Closed: 6, AddressChanges: 7, Frames: 8, EventsAfterSilence: 9,
+		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Disconnected: 5, Closed: 6, AddressChanges: 7, Frames: 8, EventsAfterSilence: 9,
 		Overdue: 10, SinceLastFrameMs: 11.5, LongestSilenceMs: 12,
 	})
 }
--- /dev/null
+++ b/internal/source/discoveryclient/call.go
@@ -0,0 +1,133 @@
+package discoveryclient
+
+import (
+	"context"
+	"encoding/binary"
+	"net"
+	"sync"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/decide/discovery"
+)
+
+// call is one connection to discovery, from its dial to its end.
+type call struct {
+	id     discovery.CallID
+	addr   string
+	began  float64 // ms
+	clock  *clock.Clock
+	cancel context.CancelFunc
+	frames int // complete ones; of the loop alone
+
+	mu      sync.Mutex
+	conn    net.Conn                // nil: not connected
+	frame   discovery.FrameProgress // of the frame that is being received
+	pending bool                    // a complete frame has not been applied yet
+}
+
+// run dials, requests the events after the last one received, and reports each frame and the end.
+func (c *call) run(ctx context.Context, l *loop) {
+	send := func(m message) {
+		m.from = c
+		select {
+		case l.messages <- m:
+		case <-ctx.Done():
+		}
+	}
+	dial := l.Dial
+	if dial == nil {
+		dial = dialTCP
+	}
+	conn, err := dial(ctx, c.addr)
+	if err != nil {
+		send(message{err: err})
+		return
+	}
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	c.connected(conn)
+	request := binary.BigEndian.AppendUint64(nil, l.last.Load())
+	if _, err := conn.Write(request); err != nil {
+		send(message{err: err})
+		return
+	}
+	in := meteredConn{conn, c}
+	for ctx.Err() == nil {
+		e, kind, err := readFrame(in, c.expect)
+		if err != nil {
+			send(message{err: err})
+			return
+		}
+		c.frameComplete()
+		send(message{event: e, kind: kind})
+	}
+}
+
+func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
+	var d net.Dialer
+	return d.DialContext(ctx, "tcp", addr)
+}
+
+// meteredConn notes how much is read of a call's frame, and when.
+type meteredConn struct {
+	net.Conn
+	call *call
+}
+
+// Read implements io.Reader.
+func (m meteredConn) Read(b []byte) (int, error) {
+	n, err := m.Conn.Read(b)
+	m.call.received(n)
+	return n, err
+}
+
+func (c *call) connected(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = conn
+}
+
+func (c *call) received(n int) {
+	now := c.clock.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.frame.Received == 0 {
+		c.frame.FirstByteAt = now
+	}
+	c.frame.Received, c.frame.LastByteAt = c.frame.Received+n, now
+}
+
+func (c *call) expect(size int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.frame.Size = size
+}
+
+func (c *call) frameComplete() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.frame, c.pending = discovery.FrameProgress{}, true
+}
+
+// applied notes that the frame that was complete is in force.
+func (c *call) applied() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending = false
+}
+
+func (c *call) progress() discovery.FrameProgress {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.frame
+}
+
+// endReason returns why a call ended that the client did not close.
+func (c *call) endReason() discovery.Reason {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn == nil {
+		return discovery.ReasonDialFailed
+	}
+	return discovery.ReasonDisconnected
+}
--- /dev/null
+++ b/internal/source/discoveryclient/client_test.go
@@ -0,0 +1,226 @@
+package discoveryclient
+
+import (
+	"context"
+	"encoding/binary"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/discovery"
+	"ravenwheel/internal/decide/timestamp"
+	"ravenwheel/policy"
+)
+
+func frame(rev uint64, kind byte, payload ...byte) []byte {
+	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
+	return append(append(binary.BigEndian.AppendUint64(b, rev), kind), payload...)
+}
+
+func group(n uint16, ms uint64) []byte {
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(nil, n), ms)
+}
+
+// harness is a client that has four events, and the discovery service that it follows. Time passes only as a test says.
+type harness struct {
+	t      *testing.T
+	clk    *clock.Clock
+	ln     net.Listener
+	client *Client
+	events chan Event // from the client
+}
+
+func newHarness(t *testing.T) *harness {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	f := &harness{t: t, clk: clock.Manual(1e12), ln: ln, events: make(chan Event, 10)}
+	f.client = &Client{
+		Addr: ln.Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: f.clk, OnEvent: func(n Event) { f.events <- n },
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(func() { cancel(); ln.Close() })
+	go f.client.Run(ctx)
+	return f
+}
+
+// accept returns the service's next connection, and checks the revision after which it requests events.
+func (f *harness) accept(want uint64) net.Conn {
+	nc, err := f.ln.Accept()
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { nc.Close() })
+	var last uint64
+	require.NoError(f.t, binary.Read(nc, binary.BigEndian, &last))
+	require.Equal(f.t, want, last)
+	return nc
+}
+
+// advanceUntil lets time pass, in steps, until the status is as wanted.
+func (f *harness) advanceUntil(done func(s Status) bool) {
+	require.Eventually(f.t, func() bool {
+		if done(f.client.Status()) {
+			return true
+		}
+		f.clk.Advance(25)
+		return false
+	}, time.Minute, 2*time.Millisecond)
+}
+
+// waitForCall lets time pass until the client makes another call.
+func (f *harness) waitForCall() {
+	before := f.client.Status().Calls
+	f.advanceUntil(func(s Status) bool { return s.Calls > before })
+}
+
+func (f *harness) write(nc net.Conn, b []byte) {
+	_, err := nc.Write(b)
+	require.NoError(f.t, err)
+}
+
+// expectClosed checks that the client has closed a connection.
+func (f *harness) expectClosed(nc net.Conn) {
+	_, err := nc.Read(make([]byte, 1))
+	require.ErrorIs(f.t, err, io.EOF)
+}
+
+// The service falls silent, sends malformed frames, or an event twice: the client calls again with the last revision it has, and
+// delivers each event once. A silent call stays open until another one receives a frame.
+func TestReconnectsAfterSilenceAndMalformedFrames(t *testing.T) {
+	f := newHarness(t)
+	first := f.accept(4)
+	f.write(first, append(frame(5, kindPurgeGroup, group(17, 1000)...), frame(5, kindPurgeGroup, group(17, 1000)...)...))
+	require.Equal(t, Event{Revision: 5, Purge: &core.Purge{Group: 17, At: 1001}}, <-f.events)
+	f.waitForCall() // the service has fallen silent
+	second := f.accept(5)
+	f.write(second, frame(6, kindPurgeObject, 1, 2, 3)) // malformed
+	f.waitForCall()
+	third := f.accept(5)
+	f.write(third, frame(6, kindPurgeGroup, group(18, 1000)...)[:9])
+	require.NoError(t, third.Close()) // closed within a frame: an incomplete one does not count
+	f.waitForCall()
+	fourth := f.accept(5)
+	require.Empty(t, f.events)
+	f.write(fourth, frame(6, kindPurgeGroup, group(18, 1000)...))
+	require.Equal(t, 18, (<-f.events).Purge.Group)
+	f.expectClosed(first)
+	s := f.client.Status()
+	require.EqualValues(t, 2, s.Disconnected)
+	require.EqualValues(t, 6, s.LastEvent)
+}
+
+// Two calls are open and both receive the same events: each is delivered once, and what the superseded call still receives is
+// dropped.
+func TestOverlappingCallsDeliverEachEventOnce(t *testing.T) {
+	f := newHarness(t)
+	first := f.accept(4)
+	f.waitForCall()
+	second := f.accept(4)
+	both := append(frame(5, kindPurgeGroup, group(17, 1000)...), frame(6, kindPurgeGroup, group(18, 1000)...)...)
+	f.write(second, both)
+	require.EqualValues(t, 5, (<-f.events).Revision)
+	require.EqualValues(t, 6, (<-f.events).Revision)
+	_, _ = first.Write(both)
+	f.write(second, frame(7, kindPurgeGroup, group(19, 1000)...))
+	require.EqualValues(t, 7, (<-f.events).Revision)
+	require.Empty(t, f.events)
+}
+
+// A call falls silent, and each one after it too, without a frame: the client calls again from the last revision, until one
+// call brings the events of the meantime.
+func TestReconnectsAfterEachSilence(t *testing.T) {
+	f := newHarness(t)
+	for asked := range 6 {
+		nc := f.accept(uint64(4 + min(asked, 1)))
+		if asked == 0 || asked == 5 {
+			f.write(nc, frame(uint64(5+asked), kindPurgeGroup, group(17, 1000)...))
+			require.EqualValues(t, 5+asked, (<-f.events).Revision)
+		}
+		if asked < 5 {
+			f.waitForCall()
+		}
+	}
+}
+
+// Once the last frame is as old as the grace period, CatchUp waits until frames that have arrived are applied, for a bounded
+// time.
+func TestCatchUpWaitsUntilFramesAreApplied(t *testing.T) {
+	f := newHarness(t)
+	nc := f.accept(4)
+	f.write(nc, frame(5, kindPurgeGroup, group(17, 1000)...))
+	require.EqualValues(t, 5, (<-f.events).Revision)
+	f.advanceUntil(func(s Status) bool { return s.SinceLastFrameMs >= 1100 })
+	require.False(t, f.client.CatchUp(), "nothing was written")
+	for rev := uint64(6); rev <= 20; rev++ { // more than the test receives
+		f.write(nc, frame(rev, kindPurgeGroup, group(17, 1000)...))
+	}
+	f.advanceUntil(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
+	require.True(t, f.client.CatchUp(), "frames have arrived that are not applied")
+	taken := make(chan bool)
+	go func() {
+		for rev := uint64(6); rev <= 20; rev++ {
+			<-f.events
+		}
+		close(taken)
+	}()
+	require.Eventually(t, func() bool { return !f.client.CatchUp() }, time.Minute, time.Millisecond)
+	<-taken
+}
+
+// Events may be in force that were not received: that is reported once, and so is its end.
+func TestOverdueAndCurrentAreReportedOnce(t *testing.T) {
+	f := newHarness(t)
+	reports := make(chan string, 10)
+	f.client.OnOverdue, f.client.OnCurrent = func(float64) { reports <- "overdue" }, func() { reports <- "current" }
+	nc := f.accept(4)
+	f.advanceUntil(func(s Status) bool { return s.Overdue == 1 })
+	require.Equal(t, "overdue", <-reports)
+	f.write(nc, frame(4, kindHeartbeat))
+	require.Equal(t, "current", <-reports)
+	require.Empty(t, reports)
+}
+
+func TestDecodeInitialEvents(t *testing.T) {
+	names := Names{Zones: []string{"east"}, Kinds: []string{"std"}}
+	notices, last, err := DecodeInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":false,"instances":[
+		{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:4100","zone":"east","machineType":"std","cell":2,
+		"lifecycle":"draining","weight":4,"startedAtMs":5}]}},{"rev":2,"flush":{"asset":"7f3a9c21e0b4d655","ms":7}}]}`), names)
+	require.NoError(t, err)
+	require.EqualValues(t, 2, last)
+	require.True(t, notices[0].Complete, "the first list is complete")
+	m := notices[0].Members[0]
+	require.Equal(t, policy.Member{ID: 0xc41f7a, Cell: 2, State: policy.Draining, Weight: 4, Started: 5e6}, m.Member)
+	require.Equal(t, &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}, notices[1].Purge)
+	for _, bad := range []string{`[`, `{"notices":[{"pool":{"instances":[{"instanceId":"x"}]}}]}`,
+		`{"notices":[{"pool":{"instances":[{"instanceId":"s-1","lifecycle":"up","zone":"west"}]}}]}`} {
+		_, _, err := DecodeInitialEvents([]byte(bad), names)
+		require.Error(t, err)
+	}
+}
+
+// Timestamps in events are translated to this machine's clock: unchanged while no clock steps, and to now where they can't be
+// right; a server keeps the start that was translated first.
+func TestTranslateAcrossClockSteps(t *testing.T) {
+	const now, hour = 1_764_576_000_000.0, 3_600_000.0
+	server := func(id policy.CacheID, started float64) core.Member {
+		m := core.Member{}
+		m.ID, m.Started = id, policy.Time(started*1e6)
+		return m
+	}
+	r := timestamp.New(now)
+	known := []Event{
+		{Revision: 1, Complete: true, Members: []core.Member{server(1, 0), server(2, now-hour), server(3, now-2000)}},
+		{Revision: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
+	}
+	require.Equal(t, known, TranslateInitialEvents(known, r, now, 6000))
+	r.Heartbeat(now + 1000)
+	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
+	require.Equal(t, now+1500+1, stepped.Translate(r, now+1500).Purge.At, "the sender's clock was stepped back: the purge counts as made now")
+	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(r, now+1600)
+	require.Equal(t, now-2000, toMs(list.Members[0].Started))
+	require.GreaterOrEqual(t, toMs(list.Members[1].Started), now+500)
+	require.LessOrEqual(t, toMs(list.Members[1].Started), now+1600)
+}
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -13,70 +13,86 @@
 	"ravenwheel/policy"
 )
 
-// The kinds of frame.
+// A frame is, in big-endian order: the length of what follows (4 bytes), the revision (8), the kind (1) and the payload.
+// The client itself sends only the last revision that it has, in 8 bytes, at the start of a connection.
+
+// The kinds of frame. Later versions may add others, which are skipped.
 const (
-	kindNothing = iota
-	kindWhole
-	kindChanges
-	kindObject
-	kindGroup
+	kindHeartbeat = iota
+	kindSnapshot  // the complete server list, as records
+	kindDelta     // the servers that have changed, as records
+	kindPurgeObject
+	kindPurgeGroup
 )
 
+// Lengths in bytes.
 const (
-	recordLen = 27
-	mostFrame = 1 << 20
+	lengthSize      = 4
+	frameHeaderSize = 13      // length, revision and kind
+	countedHeader   = 9       // revision and kind: the part of the header that the length counts
+	maxFrameSize    = 1 << 20 // as the length counts
+	recordSize      = 27
+	purgeObjectSize = 16 // object and time, 8 bytes each
+	purgeGroupSize  = 10 // group, 2 bytes, and time, 8 bytes
 )
 
-var errFrame = errors.New("board: a frame can't be read")
+// errMalformedFrame ends a call: the stream can't be followed any further.
+var errMalformedFrame = errors.New("malformed discovery frame")
 
-// frameHead is the length of what stands before a frame's payload, and numberLen that of what its length counts of it.
-const frameHead, numberLen = 13, 9
+// recordStates are the states by their number in a record.
+var recordStates = []policy.State{policy.Ready, policy.Draining, policy.Gone}
 
-// readFrame reads one frame. expect is told how long it is, once that is known.
-func readFrame(r io.Reader, expect func(size int)) (n Event, kind byte, err error) {
-	var head [frameHead]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return n, 0, err
+// readFrame reads one frame. onSize gets its total size in bytes, once that is known.
+func readFrame(r io.Reader, onSize func(size int)) (e Event, kind byte, err error) {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return e, 0, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	n.Revision, kind = binary.BigEndian.Uint64(head[4:]), head[12]
-	if size < numberLen || size > mostFrame {
-		return n, kind, errFrame
+	size := binary.BigEndian.Uint32(header[:])
+	e.Revision, kind = binary.BigEndian.Uint64(header[lengthSize:]), header[frameHeaderSize-1]
+	if size < countedHeader || size > maxFrameSize {
+		return e, kind, errMalformedFrame
 	}
-	expect(int(size) + frameHead - numberLen)
-	b := make([]byte, size-numberLen)
-	if _, err := io.ReadFull(r, b); err != nil {
-		return n, kind, err
+	onSize(int(size) + lengthSize)
+	payload := make([]byte, size-countedHeader)
+	if _, err := io.ReadFull(r, payload); err != nil {
+		return e, kind, err
 	}
+	return e, kind, e.decodePayload(kind, payload)
+}
+
+func (e *Event) decodePayload(kind byte, payload []byte) error {
 	u64 := binary.BigEndian.Uint64
 	switch {
-	case (kind == kindWhole || kind == kindChanges) && len(b)%recordLen == 0:
-		n.Complete = kind == kindWhole
-		for ; len(b) > 0; b = b[recordLen:] {
-			m, err := record(b)
+	case (kind == kindSnapshot || kind == kindDelta) && len(payload)%recordSize == 0:
+		e.Complete = kind == kindSnapshot
+		for ; len(payload) > 0; payload = payload[recordSize:] {
+			m, err := decodeRecord(payload)
 			if err != nil {
-				return n, kind, err
+				return err
 			}
-			n.Members = append(n.Members, m)
+			e.Members = append(e.Members, m)
 		}
-	case kind == kindObject && len(b) == 16:
-		n.Purge = &core.Purge{Object: fmt.Sprintf("%016x", u64(b)), Group: -1, At: float64(u64(b[8:])) + core.TimestampResolution}
-	case kind == kindGroup && len(b) == 10:
-		n.Purge = &core.Purge{Group: int(binary.BigEndian.Uint16(b)), At: float64(u64(b[2:])) + core.TimestampResolution}
-	case kind > kindGroup || kind == kindNothing: // of a later version, or nothing new
+	case kind == kindPurgeObject && len(payload) == purgeObjectSize:
+		e.Purge = &core.Purge{Object: fmt.Sprintf("%016x", u64(payload)), Group: -1, At: float64(u64(payload[8:])) + core.TimestampResolution}
+	case kind == kindPurgeGroup && len(payload) == purgeGroupSize:
+		e.Purge = &core.Purge{Group: int(binary.BigEndian.Uint16(payload)), At: float64(u64(payload[2:])) + core.TimestampResolution}
+	case kind == kindHeartbeat || kind > kindPurgeGroup:
 	default:
-		return n, kind, errFrame
+		return errMalformedFrame
 	}
-	return n, kind, nil
+	return nil
 }
 
-func record(b []byte) (m core.Member, err error) {
-	if int(b[10]) >= len(states) {
-		return m, errFrame
+// decodeRecord decodes a server: id (4 bytes), IPv4 address (4), port (2), state (1), zone (1), kind (1), cell (2),
+// weight in thousandths (4) and start in Unix ms (8).
+func decodeRecord(b []byte) (m core.Member, err error) {
+	if int(b[10]) >= len(recordStates) {
+		return m, errMalformedFrame
 	}
 	m.ID = policy.CacheID(binary.BigEndian.Uint32(b))
 	m.Addr = net.JoinHostPort(net.IP(b[4:8]).String(), strconv.Itoa(int(binary.BigEndian.Uint16(b[8:]))))
-	m.State, m.Zone, m.Kind = states[b[10]], int(b[11]), int(b[12])
+	m.State, m.Zone, m.Kind = recordStates[b[10]], int(b[11]), int(b[12])
 	m.Cell = int(binary.BigEndian.Uint16(b[13:]))
 	m.Weight = float64(binary.BigEndian.Uint32(b[15:])) / 1000
 	m.Started = policy.Time(binary.BigEndian.Uint64(b[19:])) * policy.Time(time.Millisecond)
--- /dev/null
+++ b/internal/source/discoveryclient/loop.go
@@ -0,0 +1,162 @@
+package discoveryclient
+
+import (
+	"context"
+	"maps"
+	"slices"
+
+	"ravenwheel/internal/decide/discovery"
+)
+
+// message is what a call reports to the loop: a frame or, with err set, its end.
+type message struct {
+	from  *call
+	event Event
+	kind  byte
+	err   error
+}
+
+// loop is the state of Client.Run. One goroutine runs it; each call has a goroutine of its own and sends messages.
+type loop struct {
+	*Client
+	ctx       context.Context
+	watcher   *discovery.Watcher
+	calls     map[discovery.CallID]*call // the open ones
+	messages  chan message
+	tick      chan struct{}
+	stopTimer func()
+	actions   []discovery.Action // reused by each event
+}
+
+func (l *loop) run() {
+	addrChanged := l.addrSignal()
+	l.counters.lastFrame.Store(int64(l.Clock.Now()))
+	l.current.Store(int64(l.Clock.Now()))
+	l.counters.setAddress(l.Addr)
+	l.handle(discovery.Start{Address: l.Addr})
+	for {
+		select {
+		case <-l.ctx.Done():
+			return
+		case m := <-l.messages:
+			l.receive(m)
+		case <-addrChanged:
+			for _, addr := range l.takeNewAddrs() {
+				l.counters.addressChanges.Add(1)
+				l.counters.setAddress(addr)
+				l.handle(discovery.Reload{Address: addr})
+			}
+		case <-l.tick:
+			l.reportProgress()
+			l.handle(discovery.Tick{})
+		}
+	}
+}
+
+// receive handles a message. One of a call that was closed in the meantime is dropped.
+func (l *loop) receive(m message) {
+	defer m.from.applied()
+	if l.calls[m.from.id] != m.from {
+		return
+	}
+	if m.err != nil {
+		l.callEnded(m.from, m.err)
+		return
+	}
+	defer func() { l.current.Store(int64(l.Clock.Now())) }()
+	l.reportFrame(m.from, m.event, l.last.Load())
+	l.handle(discovery.FrameReceived{Call: m.from.id})
+	if m.kind == kindHeartbeat {
+		if l.OnHeartbeat != nil {
+			l.OnHeartbeat()
+		}
+		return
+	}
+	if m.event.Revision <= l.last.Load() {
+		return
+	}
+	l.last.Store(m.event.Revision)
+	if m.event.hasEffect() {
+		l.OnEvent(m.event)
+	}
+}
+
+func (l *loop) callEnded(c *call, err error) {
+	delete(l.calls, c.id)
+	l.publishCalls()
+	c.cancel()
+	reason := c.endReason()
+	l.reportEnd(c, reason, err)
+	l.handle(discovery.Ended{Call: c.id, Connected: reason == discovery.ReasonDisconnected})
+}
+
+// reportProgress reports to the decider how far the frames are that are being received.
+func (l *loop) reportProgress() {
+	for id, c := range l.calls {
+		if p := c.progress(); p.Received > 0 {
+			p.Call = id
+			l.handle(p)
+		}
+	}
+}
+
+// handle passes an event to the decider and carries out its actions.
+func (l *loop) handle(e discovery.Event) {
+	l.actions = l.watcher.Handle(l.Clock.Now(), e, l.actions[:0])
+	for _, a := range l.actions {
+		switch a := a.(type) {
+		case discovery.Dial:
+			l.dial(a)
+		case discovery.Close:
+			l.close(a)
+		case discovery.Wake:
+			l.wake(a.At)
+		case discovery.Overdue:
+			l.reportOverdue(a.LastFrameAt)
+			if l.OnOverdue != nil {
+				l.OnOverdue(a.NotifiedUntil)
+			}
+		case discovery.CaughtUp:
+			if l.OnCurrent != nil {
+				l.OnCurrent()
+			}
+		}
+	}
+}
+
+func (l *loop) dial(d discovery.Dial) {
+	ctx, cancel := context.WithCancel(l.ctx)
+	c := &call{id: d.Call, addr: d.Address, began: l.Clock.Now(), clock: l.Clock, cancel: cancel}
+	l.calls[d.Call] = c
+	l.publishCalls()
+	l.reportCall(c, d.Reason)
+	go c.run(ctx, l)
+}
+
+func (l *loop) close(d discovery.Close) {
+	c, open := l.calls[d.Call]
+	if !open {
+		return
+	}
+	delete(l.calls, d.Call)
+	l.publishCalls()
+	c.cancel()
+	l.reportEnd(c, d.Reason, nil)
+}
+
+// publishCalls makes the open calls visible to CatchUp.
+func (l *loop) publishCalls() {
+	open := slices.Collect(maps.Values(l.calls))
+	l.open.Store(&open)
+}
+
+// wake sets the one timer. It only signals the loop: a clock that is set by hand runs it on the goroutine that does so.
+func (l *loop) wake(at float64) {
+	l.stopTimer()
+	l.stopTimer = l.Clock.After(at-l.Clock.Now(), func() {
+		select {
+		case l.tick <- struct{}{}:
+		default:
+		}
+	})
+}
--- /dev/null
+++ b/internal/source/discoveryclient/status.go
@@ -0,0 +1,111 @@
+package discoveryclient
+
+import (
+	"errors"
+	"net"
+	"sync/atomic"
+
+	"ravenwheel/internal/decide/discovery"
+)
+
+// logKind is the kind of the client's log lines, which bounds their rate.
+const logKind = "discovery"
+
+// lateAfter is the time in ms between two frames after which an event counts as late. Frames come each second.
+const lateAfter = 2000
+
+// counters count what became of a client's calls. All but lastFrame and address only rise.
+type counters struct {
+	calls, responded, failed, disconnected, closed, addressChanges, frames, late, overdue atomic.Int64
+
+	longestSilence atomic.Int64 // ms between two complete frames
+	lastFrame      atomic.Int64 // when the last complete frame came, or the start, in ms of the clock
+	address        atomic.Pointer[string]
+}
+
+func (n *counters) setAddress(addr string) { n.address.Store(&addr) }
+
+// Status is the state of a client as operators are shown it.
+type Status struct {
+	Address            string  `json:"address"`
+	LastEvent          uint64  `json:"last_event"` // revision
+	Calls              int64   `json:"calls"`
+	Responded          int64   `json:"calls_that_spoke"` // calls that brought at least one frame
+	Failed             int64   `json:"calls_that_never_came_up"`
+	Disconnected       int64   `json:"calls_broken_off"`
+	Closed             int64   `json:"calls_closed"` // by the client: see the reasons of decide/discovery
+	AddressChanges     int64   `json:"reloads"`
+	Frames             int64   `json:"frames"`
+	EventsAfterSilence int64   `json:"events_after_a_silence"`
+	Overdue            int64   `json:"times_overdue"`
+	SinceLastFrameMs   float64 `json:"since_last_frame_ms"`
+	LongestSilenceMs   int64   `json:"longest_silence_ms"`
+}
+
+// Status returns the state of the client. It may be called at any time.
+func (c *Client) Status() Status {
+	n := &c.counters
+	s := Status{
+		LastEvent: c.last.Load(), Calls: n.calls.Load(), Responded: n.responded.Load(), Failed: n.failed.Load(), Disconnected: n.disconnected.Load(),
+		Closed: n.closed.Load(), AddressChanges: n.addressChanges.Load(), Frames: n.frames.Load(), EventsAfterSilence: n.late.Load(),
+		Overdue: n.overdue.Load(), SinceLastFrameMs: c.Clock.Now() - float64(n.lastFrame.Load()), LongestSilenceMs: n.longestSilence.Load(),
+	}
+	if addr := n.address.Load(); addr != nil {
+		s.Address = *addr
+	}
+	return s
+}
+
+func (c *Client) reportCall(x *call, reason discovery.Reason) {
+	c.counters.calls.Add(1)
+	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.last.Load()).Str("reason", string(reason)).
+		Msg("connecting to discovery")
+}
+
+// reportFrame reports a complete frame. last is the revision of the last event before it.
+func (c *Client) reportFrame(x *call, e Event, last uint64) {
+	now, n := c.Clock.Now(), &c.counters
+	silence := now - float64(n.lastFrame.Swap(int64(now)))
+	n.frames.Add(1)
+	if int64(silence) > n.longestSilence.Load() {
+		n.longestSilence.Store(int64(silence))
+	}
+	if x.frames++; x.frames == 1 {
+		n.responded.Add(1)
+		c.Log.Info(logKind).Int("call", int(x.id)).Float64("latency_ms", now-x.began).Uint64("revision", e.Revision).
+			Msg("first frame received from discovery")
+	}
+	if silence > lateAfter && e.Revision > last && e.hasEffect() {
+		n.late.Add(1)
+		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("revision", e.Revision).Bool("purge", e.Purge != nil).Float64("silent_ms", silence).
+			Msg("event received after a silence")
+	}
+}
+
+// reportEnd reports that a call has ended by itself, with err, or was closed by the client.
+func (c *Client) reportEnd(x *call, reason discovery.Reason, err error) {
+	switch reason {
+	case discovery.ReasonDialFailed:
+		c.counters.failed.Add(1)
+	case discovery.ReasonDisconnected:
+		c.counters.disconnected.Add(1)
+	default:
+		c.counters.closed.Add(1)
+	}
+	c.Log.Info(logKind).Int("call", int(x.id)).Str("reason", string(reason)).Float64("duration_ms", c.Clock.Now()-x.began).
+		Int("frames", x.frames).Str("error", errorText(err)).Msg("discovery call ended")
+}
+
+// reportOverdue reports that events may be in force without having been received. lastFrame is in ms of the clock.
+func (c *Client) reportOverdue(lastFrame float64) {
+	c.counters.overdue.Add(1)
+	c.Log.Warn(logKind).Float64("silent_ms", c.Clock.Now()-lastFrame).Msg("discovery overdue: events may be in force that were not received")
+}
+
+// errorText returns the text of an error; "" for none, and for a connection that the client closed itself.
+func errorText(err error) string {
+	if err == nil || errors.Is(err, net.ErrClosed) {
+		return ""
+	}
+	return err.Error()
+}
--- /dev/null
+++ b/internal/source/discoveryclient/timestamps.go
@@ -0,0 +1,61 @@
+package discoveryclient
+
+import (
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/timestamp"
+	"ravenwheel/policy"
+)
+
+// Translate returns an event received at now, in ms, with its timestamps translated to this machine's clock.
+func (e Event) Translate(t *timestamp.Translator, now float64) Event {
+	start := t.Start
+	if e.Complete {
+		start = t.SnapshotStart
+	}
+	e = e.translateStarts(now, start)
+	e = e.translatePurge(now, t.Purge)
+	t.Heartbeat(now)
+	return e
+}
+
+// TranslateInitialEvents returns the events of the configuration with their timestamps translated. The purges among
+// them were made within the last span ms.
+func TranslateInitialEvents(events []Event, t *timestamp.Translator, now, span float64) []Event {
+	newest := 0.0
+	for _, e := range events {
+		if e.Purge != nil {
+			newest = max(newest, e.Purge.At)
+		}
+	}
+	if newest > 0 {
+		t.Calibrate(now, newest, span)
+	}
+	out := make([]Event, len(events))
+	for i, e := range events {
+		out[i] = e.translateStarts(now, t.SnapshotStart).translatePurge(now, t.InitialPurge)
+	}
+	return out
+}
+
+func (e Event) translatePurge(now float64, translate func(now, stamp float64) float64) Event {
+	if e.Purge == nil {
+		return e
+	}
+	p := *e.Purge
+	p.At = translate(now, p.At-core.TimestampResolution) + core.TimestampResolution
+	e.Purge = &p
+	return e
+}
+
+func (e Event) translateStarts(now float64, translate func(now float64, id policy.CacheID, stamp float64) float64) Event {
+	members := e.Members
+	e.Members = nil
+	for _, m := range members {
+		m.Started = policy.Time(translate(now, m.ID, toMs(m.Started)) * 1e6)
+		e.Members = append(e.Members, m)
+	}
+	return e
+}
+
+// toMs returns a time of the routing module in ms.
+func toMs(t policy.Time) float64 { return float64(t) / 1e6 }
