--- a/cmd/ravenwheel/alone_test.go
+++ b/cmd/ravenwheel/alone_test.go
@@ -134,11 +134,11 @@
 	}
 	c, err := core.New(conf.Settings, conf.Classes, 0, 7, clk, upstream.New(clk, upstream.Limits{}))
 	require.NoError(t, err)
-	src, err := startSources(o, conf, clk, nil, c, shared{}, nil, nil)
+	src, err := startSources(environment{file: o, conf: conf, clock: clk}, c, sharedState{}, sourceOptions{})
 	require.NoError(t, err)
 	t.Cleanup(src.close)
 	phases := func() string {
-		views, _ := src.roster.Servers()
+		views, _ := src.registry.Servers()
 		var out []string
 		for _, v := range views {
 			if v.Phase != membership.Gone {
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -8,37 +8,41 @@
 	"ravenwheel/internal/source/discoveryclient"
 )
 
-// discovery takes in what was known of discovery at the start, and returns the client that follows it. rank is its rank among the
-// ledger's sources.
-func (s *sources) discovery(rank int) *discoveryclient.Client {
-	reader := timestamp.New(s.clk.Now())
-	known := discoveryclient.TranslateInitialEvents(s.conf.InitialEvents, reader, s.clk.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
-	for _, n := range known {
-		n.Dispatch(rank, s.roster.Handle, s.purged)
+// newDiscoveryClient applies the events of discovery that the configuration holds, and returns the client that follows discovery
+// from there. rank is that of discovery among the sources.
+func (s *serverSources) newDiscoveryClient(rank int) *discoveryclient.Client {
+	reader := timestamp.New(s.clock.Now())
+	initial := discoveryclient.TranslateInitialEvents(s.conf.InitialEvents, reader, s.clock.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
+	for _, event := range initial {
+		event.Dispatch(rank, s.registry.Handle, s.handlePurge)
 	}
-	follow := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeGrace))
-	if s.conf.ConsoleAddr != "" { // it may take over from another process
-		follow.NotifiedAfterStart = discovery.NotifiedAfterTakeover
+	settings := discovery.DefaultSettings(s.conf.Seed, clock.Ms(s.conf.Settings.PurgeGrace))
+	if s.conf.ConsoleAddr != "" { // this process may take over from another one
+		settings.NotifiedAfterStart = discovery.NotifiedAfterTakeover
 	}
 	return &discoveryclient.Client{
-		Addr: s.conf.DiscoveryAddr, LastRevision: s.conf.InitialRevision, Clock: s.clk, Log: s.log, Settings: follow,
-		OnEvent: func(n discoveryclient.Event) {
-			n.Translate(reader, s.clk.Now()).Dispatch(rank, s.roster.Handle, s.purged)
+		Addr:         s.conf.DiscoveryAddr,
+		LastRevision: s.conf.InitialRevision,
+		Clock:        s.clock,
+		Log:          s.log,
+		Settings:     settings,
+		OnEvent: func(event discoveryclient.Event) {
+			event.Translate(reader, s.clock.Now()).Dispatch(rank, s.registry.Handle, s.handlePurge)
 		},
 		OnHeartbeat: func() {
-			reader.Heartbeat(s.clk.Now())
-			s.roster.Handle(membership.Heartbeat{Source: rank})
+			reader.Heartbeat(s.clock.Now())
+			s.registry.Handle(membership.Heartbeat{Source: rank})
 		},
-		OnOverdue: s.isOverdue,
+		OnOverdue: s.handleDiscoveryOverdue,
 		OnCurrent: func() { s.core.DiscoveryOverdue(false, 0) },
 	}
 }
 
-// isOverdue tells that discovery has not spoken for too long, and that what it held until a time counts as notified.
-func (s *sources) isOverdue(until float64) {
+// handleDiscoveryOverdue notes that discovery has been silent for too long: what it held until a time counts as notified.
+func (s *serverSources) handleDiscoveryOverdue(until float64) {
 	s.core.DiscoveryOverdue(true, until)
 	select {
-	case s.overdue <- struct{}{}:
+	case s.discoveryOverdue <- struct{}{}:
 	default:
 	}
 }
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -268,9 +268,9 @@
 
 // A start that fails ends, however much distributors tell meanwhile; of revisions the newest is kept.
 func TestHear(t *testing.T) {
-	s := shared{heard: make(chan storestate.Change, 1)}
+	s := sharedState{changes: make(chan storestate.Change, 1)}
 	var o distribution.Options
-	s.hear(&o)
+	s.subscribe(&o)
 	o.ApplyChange(storestate.Change{Name: "first"})
 	waits := make(chan struct{})
 	go func() {
@@ -282,13 +282,13 @@
 	require.Equal(t, uint64(2), (<-s.revisions).Number)
 	s.close()
 	<-waits
-	require.Equal(t, "first", (<-s.heard).Name)
+	require.Equal(t, "first", (<-s.changes).Name)
 }
 
 // Both streams in words.
 func TestDistributionWords(t *testing.T) {
 	require.Equal(t, []string{"from the store", "subscribed nowhere", "from d1"},
-		[]string{from(distribution.Status{Root: true}), from(distribution.Status{}), from(distribution.Status{Parent: "d1"})})
+		[]string{describeSource(distribution.Status{Root: true}), describeSource(distribution.Status{}), describeSource(distribution.Status{Parent: "d1"})})
 	require.Equal(t, []string{"nothing whole yet", "260 ms behind at most", "9000 ms behind at most, past its bound"},
-		[]string{lag(distribution.Status{LagMs: -1}), lag(distribution.Status{LagMs: 260}), lag(distribution.Status{LagMs: 9000, Restricted: true})})
+		[]string{describeLag(distribution.Status{LagMs: -1}), describeLag(distribution.Status{LagMs: 260}), describeLag(distribution.Status{LagMs: 9000, Restricted: true})})
 }
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/hang_test.go
@@ -41,7 +41,7 @@
 			go func() { _ = front.Serve() }()
 			defer front.Close()
 			conf := &config.Config{Settings: scenario.Settings()}
-			d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+			d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
 			d.Attach(front, nil, nil)
 			d.SetOwner(true)
 			d.SetAccepting(true)
@@ -70,7 +70,7 @@
 				ask(5000)
 				p.Clock.Advance(100)
 			}
-			kill := began + 3000 + killAfter
+			kill := began + 3000 + killGraceMs
 			got := make(chan []string)
 			go func() {
 				for range asked - 1 {
@@ -162,7 +162,7 @@
 				go func() { _ = front.Serve() }()
 				defer front.Close()
 				conf := &config.Config{Settings: set}
-				d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+				d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
 				d.Attach(front, nil, nil)
 				d.SetOwner(true)
 				d.SetAccepting(true)
--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/lists_test.go
@@ -48,7 +48,7 @@
 	path   string
 	fleet  *fleet.Fleet
 	client *load.Client
-	src    *sources
+	src    *serverSources
 	core   *core.Core
 
 	mu   sync.Mutex
@@ -102,7 +102,7 @@
 	r.core, err = core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, r.clk, up)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(r.path, []byte(r.fill(first)), 0o600))
-	r.src, err = startSources(o, conf, r.clk, nil, r.core, shared{}, nil, nil)
+	r.src, err = startSources(environment{file: o, conf: conf, clock: r.clk}, r.core, sharedState{}, sourceOptions{})
 	require.NoError(t, err)
 	t.Cleanup(r.src.close)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/ravenwheel/live_test.go
+++ b/cmd/ravenwheel/live_test.go
@@ -27,9 +27,9 @@
 	log, err := logs.New(&out, logs.Options{Level: "error"}, p.Clock)
 	require.NoError(t, err)
 	var used []uint64
-	l := &live{
-		store: st, log: log, core: p.Core, up: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
-		oper: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
+	l := &revisionApplier{
+		store: st, log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		file: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, onApplied: func(n uint64) { used = append(used, n) },
 	}
 	set := func(base uint64, text string) {
 		_, err := st.SetConfig(base, text, "ops")
@@ -76,14 +76,14 @@
 	log, err := logs.New(&out, logs.Options{Level: "error"}, p.Clock)
 	require.NoError(t, err)
 	var used []uint64
-	l := &live{
-		log: log, core: p.Core, up: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
-		oper: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, used: func(n uint64) { used = append(used, n) },
+	l := &revisionApplier{
+		log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		file: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, onApplied: func(n uint64) { used = append(used, n) },
 	}
 	good := `{"log": {"level": "info"}, "keys": {"k1": {"alg": "HS256", "key": "eA=="}}}`
 	l.apply(storestate.Revision{Number: 1, Text: good})
 	l.apply(storestate.Revision{Number: 2, Text: "{"})
-	require.Equal(t, good, l.good)
+	require.Equal(t, good, l.textInForce)
 	require.Equal(t, []uint64{1}, used)
-	require.Contains(t, out.String(), "a revision can't be used")
+	require.Contains(t, out.String(), "revision rejected")
 }
--- a/cmd/ravenwheel/main.go
+++ b/cmd/ravenwheel/main.go
@@ -1,5 +1,7 @@
-// Command ravenwheel is a steering proxy: it chooses, for each request, the cache server and the source of
-// a fill.
+// Command ravenwheel is a steering proxy: it chooses, for each request, the cache server and the source of a fill.
+//
+// This package reads the flags and the configuration, starts the parts of the proxy in their order and connects them, and holds the
+// operators' commands. It decides nothing about requests or servers.
 package main
 
 import (
@@ -12,15 +14,16 @@
 	"ravenwheel/internal/strictjson"
 )
 
+// version is the version that the version command prints.
 var version = "0.2.0"
 
 func main() {
 	root := &cobra.Command{
 		Use: "ravenwheel", Short: "A steering proxy in front of caches", SilenceUsage: true, SilenceErrors: true,
-		Args: cobra.NoArgs, RunE: serve, // plain run must serve
+		Args: cobra.NoArgs, RunE: serve, // the platform runs the program without a command
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&profile, "cpuprofile", "", "write a CPU profile of the first 20 s to this file")
+	flags.StringVar(&profilePath, "cpuprofile", "", "write a CPU profile of the first 20 s to this file")
 	flags.StringVar(&operatorFile, "operator", "", "the operator's file: what is off on the platform, or all there is to know")
 	flags.StringVar(&serversPath, "servers", "", "watch this server list in place of the one that the operator's file names")
 	root.AddCommand(
@@ -36,13 +39,13 @@
 	}
 }
 
-// fail ends the program with one plain line, or with none where the defects were printed.
+// fail ends the program with exit code 1 and one line on stderr, or none where the defects were printed.
 func fail(err error) {
-	var bad strictjson.Defects
+	var defects strictjson.Defects
 	switch {
 	case errors.Is(err, errDefects):
-	case errors.As(err, &bad) && len(bad) > 1:
-		fmt.Fprintf(os.Stderr, "ravenwheel: %v (and %d more: see 'servers check' and 'config check')\n", bad[0], len(bad)-1)
+	case errors.As(err, &defects) && len(defects) > 1:
+		fmt.Fprintf(os.Stderr, "ravenwheel: %v (and %d more: see 'servers check' and 'config check')\n", defects[0], len(defects)-1)
 	default:
 		fmt.Fprintln(os.Stderr, "ravenwheel:", err)
 	}
--- /dev/null
+++ b/cmd/ravenwheel/membership.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"path/filepath"
+
+	"ravenwheel/internal/decide/membership"
+)
+
+const (
+	// storeDrainMs is how long a server drains that the store's list drops, where no watched list says otherwise.
+	storeDrainMs = 10_000
+	// discoverySilenceMs is how long discovery may be silent before operators see it reported.
+	discoverySilenceMs = 10_000
+)
+
+// sourceRanks are the sources' places in the membership settings. Where several list a server, the lowest counts. -1: there is no
+// such source.
+type sourceRanks struct{ list, store, discovery int }
+
+// membershipSettings are the settings of the membership decider, by the sources that are configured.
+func (s *serverSources) membershipSettings() (settings membership.Settings, ranks sourceRanks) {
+	ranks = sourceRanks{-1, -1, -1}
+	add := func(source membership.Source) (rank int) {
+		settings.Sources = append(settings.Sources, source)
+		return len(settings.Sources) - 1
+	}
+	if list := s.file.Servers; list != nil {
+		ranks.list = add(membership.Source{Name: filepath.Base(list.Path)})
+		settings.DrainTimeout, settings.GoneRetention = list.DrainMs, list.RememberMs
+		settings.WeightStep, settings.WeightInterval = list.WeightStep, list.WeightIntervalMs
+	}
+	if s.shared.isMember(s.file) || s.shared.isSubscriber(s.file) {
+		ranks.store = add(membership.Source{Name: "store"})
+		if s.file.Servers == nil {
+			settings.DrainTimeout, settings.GoneRetention = storeDrainMs, storeDrainMs
+		}
+	}
+	if s.conf.DiscoveryAddr != "" {
+		source := membership.Source{Name: "board", Immediate: true} // the name that the admin address shows
+		if s.file.Path != "" {
+			source.SilentAfter = discoverySilenceMs
+		}
+		ranks.discovery = add(source)
+	}
+	return settings, ranks
+}
--- /dev/null
+++ b/cmd/ravenwheel/operations.go
@@ -0,0 +1,125 @@
+package main
+
+import (
+	"errors"
+
+	"ravenwheel/internal/admin"
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/recovery"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/decide/storestate"
+	"ravenwheel/policy"
+)
+
+// The operations of an operator apply to all members of the store or, without one, to this proxy and its recorded state. A
+// subscriber, which is no member, rejects them with admin.ErrNotMember.
+
+// storeList is the name of the one list that the store holds.
+const storeList = "servers"
+
+// errNoStore is the error of pushing a list to a proxy that is no member of a store.
+var errNoStore = errors.New("lists are pushed to a store, and none is set up")
+
+// Purge implements admin.Operations. The purge is in force here before it is recorded, and recorded before others are notified:
+// after a crash between, nobody else knows of it.
+func (s *serverSources) Purge(p core.Purge) error {
+	if s.isSubscriber() {
+		return admin.ErrNotMember
+	}
+	s.core.Purged(p)
+	var err error
+	if s.state != nil {
+		err = s.state.RecordPurge(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: p.At})
+	}
+	if s.isMember() {
+		err = errors.Join(err, s.proposePurge(p))
+	}
+	return err
+}
+
+// proposePurge puts a purge into the store, for as long as copies from before may be found.
+func (s *serverSources) proposePurge(p core.Purge) error {
+	settings := s.core.Settings()
+	expires := p.At + 2*clock.Ms(settings.PurgeDuration) + clock.Ms(settings.PurgeGrace)
+	_, err := s.shared.store.Propose(storestate.Change{
+		Kind: storestate.AddPurge, ExpiresAt: expires, Purge: &storestate.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At},
+	})
+	return err
+}
+
+// handlePurge puts a purge that a source notified in force, and records it.
+func (s *serverSources) handlePurge(p core.Purge) {
+	s.core.Purged(p)
+	if s.state != nil {
+		s.state.RecordPurgeAsync(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: s.clock.Now()})
+	}
+}
+
+// Knows implements control.Servers.
+func (s *serverSources) Knows(id policy.CacheID) bool { return s.registry.Knows(id) }
+
+// Drain implements admin.Operations.
+func (s *serverSources) Drain(id policy.CacheID, on bool) error {
+	switch {
+	case s.isSubscriber():
+		return admin.ErrNotMember
+	case !s.isMember():
+		return s.setManualDrain(id, on)
+	}
+	kind := storestate.EndDrain
+	if on {
+		kind = storestate.StartDrain
+	}
+	_, err := s.shared.store.Propose(storestate.Change{Kind: kind, Name: serverlist.FormatID(id)})
+	return err
+}
+
+// setManualDrain starts or ends the manual drain of a server in this process, and records it.
+func (s *serverSources) setManualDrain(id policy.CacheID, on bool) error {
+	s.registry.Handle(membership.ManualDrain{ID: id, On: on})
+	if s.state == nil {
+		return nil
+	}
+	return s.state.RecordManualDrain(uint64(id), on)
+}
+
+// PushList implements admin.Operations. The error is serverlist's defects for a list that can't be used.
+func (s *serverSources) PushList(file string, text []byte) (*serverlist.List, error) {
+	switch {
+	case s.isSubscriber():
+		return nil, admin.ErrNotMember
+	case !s.isMember():
+		return nil, errNoStore
+	}
+	parsed, defects := serverlist.Parse([]serverlist.File{{Name: file, Data: text}}, s.requirements)
+	if defects != nil {
+		return nil, defects
+	}
+	previous, err := s.storedList()
+	if err != nil {
+		return nil, err
+	}
+	list, defects := parsed.Resolve(s.resolver.Resolve(parsed.Hosts()), previous)
+	if defects != nil {
+		return nil, defects
+	}
+	_, err = s.shared.store.Propose(storestate.Change{
+		Kind: storestate.SetList, Name: storeList, List: &storestate.List{Generation: list.Generation, Servers: list.Servers},
+	})
+	return list, err
+}
+
+// storedList returns the list that the store holds; nil: none.
+func (s *serverSources) storedList() (list *serverlist.List, err error) {
+	err = s.shared.store.Read(true, func(st *storestate.State) {
+		if stored, ok := st.Lists[storeList]; ok {
+			list = serverlist.NewList(stored.Generation, stored.Servers)
+		}
+	})
+	return list, err
+}
+
+func (s *serverSources) isMember() bool     { return s.shared.isMember(s.file) }
+func (s *serverSources) isSubscriber() bool { return s.shared.isSubscriber(s.file) }
--- a/cmd/ravenwheel/reload.go
+++ b/cmd/ravenwheel/reload.go
@@ -11,32 +11,37 @@
 )
 
 const (
-	// reloadFor, reloadPause: a configuration that can't be used is read again for a while: it may be half written, or this machine
-	// out of descriptors. What discovery holds counts as notified 4 s after SIGHUP, and a call takes up to a second of that.
-	reloadFor, reloadPause = 2500 * time.Millisecond, 100 * time.Millisecond
+	// reloadRetryWindow: a configuration that can't be used is read again for so long, as it may be half written or this machine out
+	// of descriptors. What discovery holds counts as notified 4 s after SIGHUP, and a call takes up to a second of that.
+	reloadRetryWindow = 2500 * time.Millisecond
+	// reloadRetryDelay is the delay between two reads.
+	reloadRetryDelay = 100 * time.Millisecond
+	// maxReloadSignals may wait to be handled: one SIGHUP, as the next one says the same, and one overdueSignal.
+	maxReloadSignals = 2
 )
 
-// unchangedLooks are when a configuration that names the address of now is read again: it may be written only now.
-var unchangedLooks = []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, time.Second}
+// unchangedRereadDelays are the delays before a configuration whose address of discovery is unchanged is read again: it may not be
+// written yet.
+var unchangedRereadDelays = []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, time.Second}
 
-// errRestart is of a configuration that can't be followed without a restart. Guards against discovery whose numbers point into
-// other lists than those that this process was started with.
-var errRestart = errors.New("the file has other zones or kinds of machine, which takes a restart")
+// errRestartRequired is of a configuration with other lists of zones or kinds: discovery's indexes would point into lists that this
+// process does not have.
+var errRestartRequired = errors.New("the file has other zones or kinds of machine, which takes a restart")
 
-// reloader follows the configuration's file: at each signal it is read anew, and the address of discovery in it is followed. The
-// rest of it takes a restart. A file that can't be used leaves the old configuration in force.
+// reloader reads the platform's configuration again at each signal and follows the address of discovery in it. Anything else in it
+// takes a restart. A file that can't be used leaves the address in force.
 type reloader struct {
-	read    func() (*config.Config, error)
-	start   *config.Config    // of the start
-	at      string            // the address that is followed
-	follow  func(addr string) // discovery is there; also where it has been there before
-	signals <-chan os.Signal
-	log     *logs.Log
-	said    string // why a file was not used, as it was said last
+	read      func() (*config.Config, error)
+	initial   *config.Config    // of the start
+	addr      string            // that is followed
+	follow    func(addr string) // also called where the address is unchanged
+	signals   <-chan os.Signal
+	log       *logs.Log
+	lastError string // that was logged for a file that can't be used
 }
 
-// overdueSignal has the file read again as discovery has not spoken for too long: it may have moved while the signal went to a
-// process that is being replaced, or before this one heeded any.
+// overdueSignal has the file read as discovery has been silent for too long: it may have moved, and SIGHUP been sent to the process
+// that this one replaces.
 type overdueSignal struct{}
 
 // Signal implements os.Signal.
@@ -45,141 +50,141 @@
 // String implements os.Signal.
 func (overdueSignal) String() string { return "discovery overdue" }
 
-// run heeds the signals, one after another, for good.
+// run handles one signal after another, until the process ends.
 func (r *reloader) run() {
-	signalled := <-r.signals
-	for signalled != nil {
-		if signalled == (overdueSignal{}) {
-			signalled = r.lookAgain()
+	next := <-r.signals
+	for next != nil {
+		if next == (overdueSignal{}) {
+			next = r.awaitNewAddress()
 		} else {
-			signalled = r.reload()
+			next = r.reload()
 		}
-		if signalled == nil {
-			signalled = <-r.signals
+		if next == nil {
+			next = <-r.signals
 		}
 	}
 }
 
-// reload heeds one signal, and returns the next one if it has come meanwhile.
+// reload handles one signal, and returns the next one if it arrives meanwhile.
 func (r *reloader) reload() (next os.Signal) {
-	before := r.at
-	addr, next := r.usable()
+	previous := r.addr
+	addr, next := r.readUsable()
 	if next != nil {
 		return next
 	}
 	if addr != "" {
-		r.heed(addr)
+		r.followAddress(addr)
 	}
-	if addr == before {
-		return r.lookAgain()
+	if addr == previous {
+		return r.awaitNewAddress()
 	}
 	return nil
 }
 
-// usable reads the address of discovery until it can be used, for as long as there is time or until the next signal. Empty: it
-// can't be.
-func (r *reloader) usable() (addr string, next os.Signal) {
+// readUsable reads the address of discovery, again and again until it can be used, for reloadRetryWindow or until the next signal.
+// An empty address can't be used.
+func (r *reloader) readUsable() (addr string, next os.Signal) {
 	for began := time.Now(); ; {
-		addr, err := r.load()
+		addr, err := r.readAddress()
 		if err == nil {
 			return addr, nil
 		}
-		last := time.Since(began) >= reloadFor
-		r.refused(err, last)
+		last := time.Since(began) >= reloadRetryWindow
+		r.logRejected(err, last)
 		if last {
 			return "", nil
 		}
-		if next := r.pause(reloadPause); next != nil {
+		if next := r.wait(reloadRetryDelay); next != nil {
 			return "", next
 		}
 	}
 }
 
-// lookAgain reads a file that names the address of now a few times more, until it names another one.
-func (r *reloader) lookAgain() (next os.Signal) {
-	for _, wait := range unchangedLooks {
-		if next := r.pause(wait); next != nil {
+// awaitNewAddress reads the file a few more times, until it has another address.
+func (r *reloader) awaitNewAddress() (next os.Signal) {
+	for _, delay := range unchangedRereadDelays {
+		if next := r.wait(delay); next != nil {
 			return next
 		}
-		if addr, err := r.load(); err == nil && addr != r.at {
-			r.heed(addr)
+		if addr, err := r.readAddress(); err == nil && addr != r.addr {
+			r.followAddress(addr)
 			return nil
 		}
 	}
 	return nil
 }
 
-// pause waits, or until the next signal.
-func (r *reloader) pause(wait time.Duration) (next os.Signal) {
+// wait returns after a delay, or with the next signal.
+func (r *reloader) wait(delay time.Duration) (next os.Signal) {
 	select {
 	case next = <-r.signals:
 		return next
-	case <-time.After(wait):
+	case <-time.After(delay):
 		return nil
 	}
 }
 
-// refused says once why a file is not used, and that it is read no more.
-func (r *reloader) refused(err error, last bool) {
-	text := "reload: the old configuration stays, the file is read again for a while"
+// logRejected logs each reason once, and that the file is not read again.
+func (r *reloader) logRejected(err error, last bool) {
+	message := "configuration can't be used; the old one stays in force, retrying"
 	if last {
-		text = "reload: the old configuration stays"
+		message = "configuration can't be used; the old one stays in force"
 	}
-	if why := err.Error(); last || why != r.said {
-		r.said = why
-		r.log.Error("reload").Err(err).Msg(text)
+	if reason := err.Error(); last || reason != r.lastError {
+		r.lastError = reason
+		r.log.Error("reload").Err(err).Msg(message)
 	}
 }
 
-// heed follows an address.
-func (r *reloader) heed(addr string) {
-	r.at, r.said = addr, ""
+func (r *reloader) followAddress(addr string) {
+	r.addr, r.lastError = addr, ""
 	r.follow(addr)
-	r.log.Info("reload").Str("board", addr).Msg("reload: the notice board is followed there")
+	r.log.Info("reload").Str("discovery", addr).Msg("configuration reloaded; following discovery at its address")
 }
 
-// load reads the address of discovery.
-func (r *reloader) load() (addr string, err error) {
-	c, err := r.read()
+// readAddress reads the address of discovery.
+func (r *reloader) readAddress() (addr string, err error) {
+	conf, err := r.read()
 	if err != nil {
 		return "", err
 	}
-	if !extends(c.Names.Zones, r.start.Names.Zones) || !extends(c.Names.Kinds, r.start.Names.Kinds) {
-		return "", errRestart
+	if !hasPrefix(conf.Names.Zones, r.initial.Names.Zones) || !hasPrefix(conf.Names.Kinds, r.initial.Names.Kinds) {
+		return "", errRestartRequired
 	}
-	return c.DiscoveryAddr, nil
+	return conf.DiscoveryAddr, nil
 }
 
-// extends tells whether a list has the names of another one in the same places.
-func extends(list, other []string) bool {
-	return len(list) >= len(other) && slices.Equal(list[:len(other)], other)
+// hasPrefix tells whether a list begins with the names of another one.
+func hasPrefix(list, prefix []string) bool {
+	return len(list) >= len(prefix) && slices.Equal(list[:len(prefix)], prefix)
 }
 
-// reloads heeds SIGHUP, also while the process stops: discovery may move then too.
-func (s *sources) reloads(signals chan os.Signal, log *logs.Log) {
-	if s.board == nil {
+// followReloads handles SIGHUP, also while the process ends: discovery may move then too.
+func (s *serverSources) followReloads(signals chan os.Signal) {
+	if s.discovery == nil {
 		for range signals {
-			log.Info("reload").Msg("reload: nothing to read anew; lists are watched")
+			s.log.Info("reload").Msg("nothing to reload; server lists are watched")
 		}
 		return
 	}
 	r := &reloader{
-		read:  func() (*config.Config, error) { return config.Load(os.Getenv) },
-		start: s.conf, at: s.conf.DiscoveryAddr, follow: s.board.SetAddr, signals: signals, log: log,
+		read:    func() (*config.Config, error) { return config.Load(os.Getenv) },
+		initial: s.conf,
+		addr:    s.conf.DiscoveryAddr,
+		follow:  s.discovery.SetAddr,
+		signals: signals,
+		log:     s.log,
 	}
 	go func() {
-		for range s.overdue {
-			overdue(signals)
+		for range s.discoveryOverdue {
+			requestReload(signals)
 		}
 	}()
 	r.run()
 }
 
-// mostSignals wait to be heeded: one SIGHUP, as the next says the same, and one of this program's own.
-const mostSignals = 2
-
-// overdue has the configuration read again, unless a signal waits already, which has it read too.
-func overdue(signals chan os.Signal) {
+// requestReload has the configuration read again, unless a signal waits that has it read too.
+func requestReload(signals chan os.Signal) {
 	if len(signals) == 0 {
 		signals <- overdueSignal{}
 	}
--- a/cmd/ravenwheel/reload_test.go
+++ b/cmd/ravenwheel/reload_test.go
@@ -25,7 +25,7 @@
 const oldAddr, newAddr = "127.0.0.1:1001", "127.0.0.1:1002"
 
 func startReloading(t *testing.T) *reloading {
-	r := &reloading{t: t, path: configFile(t, "127.0.0.1:1", oldAddr, "127.0.0.1:1"), signals: make(chan os.Signal, mostSignals), followed: make(chan string, 100)}
+	r := &reloading{t: t, path: configFile(t, "127.0.0.1:1", oldAddr, "127.0.0.1:1"), signals: make(chan os.Signal, maxReloadSignals), followed: make(chan string, 100)}
 	var err error
 	r.good, err = os.ReadFile(r.path)
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	start, err := config.Load(getenv)
 	require.NoError(t, err)
 	x := &reloader{
-		read: func() (*config.Config, error) { return config.Load(getenv) }, start: start, at: start.DiscoveryAddr,
+		read: func() (*config.Config, error) { return config.Load(getenv) }, initial: start, addr: start.DiscoveryAddr,
 		follow: func(addr string) { r.followed <- addr }, signals: r.signals,
 	}
 	go x.run()
@@ -130,7 +130,7 @@
 // has not spoken for too long. One that names the address of now begins nothing anew.
 func TestReloadOnceOverdue(t *testing.T) {
 	r := startReloading(t)
-	overdue(r.signals)
+	requestReload(r.signals)
 	time.Sleep(50 * time.Millisecond)
 	require.Empty(t, r.followed)
 	r.write(r.at(newAddr))
--- /dev/null
+++ b/cmd/ravenwheel/shared_state.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"net"
+
+	"ravenwheel/internal/config"
+	decider "ravenwheel/internal/decide/distribution"
+	"ravenwheel/internal/decide/storestate"
+	"ravenwheel/internal/distribution"
+	"ravenwheel/internal/store"
+)
+
+// maxQueuedChanges wait while this proxy starts. The store or the distributor waits for room beyond that.
+const maxQueuedChanges = 1024
+
+// sharedState is the state that this process shares with others, as a member of the store or by distributors. The zero value is a
+// process that shares none.
+type sharedState struct {
+	store     *store.Store               // nil: not configured
+	node      *distribution.Node         // nil: in no tree of distributors
+	changes   chan storestate.Change     // in their order; nil: none arrive
+	revisions <-chan storestate.Revision // of the configuration; nil: none arrive
+	abandoned chan struct{}              // closed once nobody receives what distributors send; nil: none send
+}
+
+// isMember tells whether the process is a member of the store.
+func (s sharedState) isMember(file *config.OperatorFile) bool {
+	return s.store != nil && file.Store.Name != ""
+}
+
+// isSubscriber tells whether the process gets what the store holds from distributors, as it is no member.
+func (s sharedState) isSubscriber(file *config.OperatorFile) bool {
+	return s.node != nil && file.Store.Name == ""
+}
+
+// openSharedState opens the store and joins the tree of distributors, where the operator's file enables them.
+func openSharedState(env environment) (s sharedState, err error) {
+	defer func() {
+		if err != nil {
+			s.close()
+		}
+	}()
+	file := env.file
+	var onChange func(storestate.Change)
+	if file.Store.Name != "" || file.Distribution != nil {
+		// Before the store opens: what it applies while this proxy starts must not be lost.
+		changes := make(chan storestate.Change, maxQueuedChanges)
+		s.changes, onChange = changes, func(c storestate.Change) { changes <- c }
+	}
+	if file.Store.Name != "" || file.Signed != nil {
+		if s.store, err = file.Store.Open(env.clock, onChange); err != nil {
+			return s, err
+		}
+		s.revisions = s.store.Watch()
+	}
+	if file.Distribution == nil {
+		return s, nil
+	}
+	options, err := distributionOptions(env)
+	if err != nil {
+		return s, err
+	}
+	if s.store != nil {
+		options.Source = s.store
+	} else {
+		s.subscribe(&options)
+	}
+	if s.node, err = distribution.Start(options); err != nil && options.Listen != nil {
+		options.Listen.Close()
+	}
+	return s, err
+}
+
+// subscribe has changes and revisions of distributors arrive where those of a member do. After a start that fails nobody receives
+// them: they are dropped then, so that the node can end.
+func (s *sharedState) subscribe(options *distribution.Options) {
+	changes, abandoned := s.changes, make(chan struct{})
+	revisions := make(chan storestate.Revision, 1)
+	s.abandoned, s.revisions = abandoned, revisions
+	options.ApplyChange = func(c storestate.Change) {
+		select {
+		case changes <- c:
+		case <-abandoned:
+		}
+	}
+	// Only the newest revision counts. One goroutine sends: there is room once the older one is out.
+	options.ApplyRevision = func(r storestate.Revision) {
+		select {
+		case <-revisions:
+		default:
+		}
+		revisions <- r
+	}
+}
+
+func (s sharedState) close() {
+	if s.abandoned != nil {
+		close(s.abandoned)
+	}
+	if s.node != nil {
+		s.node.Close()
+	}
+	if s.store != nil {
+		_ = s.store.Close()
+	}
+}
+
+// distributionOptions returns the options of a node, with its listener open.
+func distributionOptions(env environment) (options distribution.Options, err error) {
+	d := env.file.Distribution
+	self := decider.Peer{Name: d.Name, Rank: d.Rank, Region: d.Region, Zone: d.Zone, Site: d.Site}
+	if self.Name == "" {
+		self.Name = env.conf.Name
+	}
+	settings := decider.DefaultSettings(0, self)
+	settings.Seed = env.conf.Seed
+	settings.HeartbeatInterval, settings.SilenceTimeout = d.HeartbeatMs, d.SilenceTimeoutMs
+	settings.MaxLag, settings.MaxClockSkew = d.MaxLagMs, d.MaxClockSkewMs
+	options = distribution.Options{Settings: settings, Clock: env.clock, Log: env.log, MaxLinks: d.MaxLinks, Epoch: d.Epoch}
+	for _, u := range d.Distributors {
+		options.Candidates = append(options.Candidates, distribution.Candidate{
+			Peer: decider.Peer{Name: u.Name, Rank: u.Rank, Region: u.Region, Zone: u.Zone, Site: u.Site}, Address: u.Addr,
+		})
+	}
+	if options.Identity, err = store.LoadIdentity(d.Identity, self.Name); err != nil {
+		return options, err
+	}
+	if d.Listen != "" {
+		options.Listen, err = net.Listen("tcp", d.Listen)
+	}
+	return options, err
+}
--- /dev/null
+++ b/cmd/ravenwheel/state_recovery.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"fmt"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/recovery"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/state"
+	"ravenwheel/policy"
+)
+
+// listSource is the name under which the watched list is recorded. There is one, whatever its file is called.
+const listSource = "list"
+
+// openState recovers the state from before a restart, and opens its directory for this process. Without a configured state the
+// plan is empty.
+func (s *serverSources) openState(settings membership.Settings) (plan recovery.Plan, err error) {
+	if s.file.State == nil {
+		return plan, nil
+	}
+	began := s.clock.Now()
+	s.state, plan, err = state.Open(state.Options{
+		Dir:        s.file.State.Dir,
+		Clock:      s.clock,
+		Log:        s.log,
+		BatchDelay: s.file.State.BatchDelayMs,
+		Settings: recovery.Settings{
+			PurgePropagation: clock.Ms(s.conf.Settings.PurgeDuration),
+			PurgeGrace:       clock.Ms(s.conf.Settings.PurgeGrace),
+			GoneRetention:    settings.GoneRetention,
+		},
+	})
+	if err != nil {
+		return plan, fmt.Errorf("state: %w", err)
+	}
+	if plan.ClockStepBack > 0 {
+		s.log.Warn("state").Float64("behind_ms", plan.ClockStepBack).
+			Msg("clock is behind its value before the restart; recovered graces start now")
+	}
+	s.log.Info("state").Int("boots", plan.Boots).Int("purges", len(plan.Purges)).Int("servers", len(plan.Remembered)).
+		Float64("took_ms", s.clock.Now()-began).Msg("state recovered")
+	return plan, nil
+}
+
+// restore applies the recovered state, before any source is followed and before the first request. It returns the watched list that
+// was recorded; nil: none. listRank is the list's rank among the sources.
+func (s *serverSources) restore(plan recovery.Plan, listRank int) (recorded *serverlist.List) {
+	for _, purge := range plan.Purges {
+		group := purge.Group
+		if purge.Object != "" {
+			group = noGroup
+		}
+		s.core.Purged(core.Purge{Object: purge.Object, Group: group, At: purge.IssuedAt})
+	}
+	if plan.Boots > 0 { // else nothing is known, which does not mean that every server is new
+		minGenerations := map[int]uint64{}
+		if list, ok := plan.List(listSource); ok {
+			minGenerations[listRank] = list.Generation
+			recorded = serverlist.NewList(list.Generation, list.Servers)
+		}
+		s.registry.Restore(plan.Remembered, minGenerations)
+	}
+	for _, id := range plan.ManualDrains {
+		s.registry.Handle(membership.ManualDrain{ID: policy.CacheID(id), On: true})
+	}
+	return recorded
+}
+
+// noGroup is the group of a purge of one object.
+const noGroup = -1
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -42,14 +42,14 @@
 	go func() { _ = front.Serve() }()
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
 	ended := make(chan struct{})
 	operatorStopped := false
 	go func() {
-		drain(p.Clock, front, conf, func(context.Context) { operatorStopped = true }, d.Stop)
+		shutDown(p.Clock, front, conf, func(context.Context) { operatorStopped = true }, d.Stop)
 		close(ended)
 	}()
 	var clients []*scenario.Client
@@ -80,7 +80,7 @@
 		}
 	}, time.Minute, time.Millisecond)
 	require.GreaterOrEqual(t, p.Clock.Now(), began+control.StopAfter)
-	require.Less(t, p.Clock.Now(), began+5000+killAfter, "before SIGKILL")
+	require.Less(t, p.Clock.Now(), began+5000+killGraceMs, "before SIGKILL")
 	require.True(t, operatorStopped)
 	require.Zero(t, front.OpenConns(), "what is open as the process ends is reset, with all that nobody has read there")
 	for c, n := range asked {
@@ -120,7 +120,7 @@
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: killed(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
@@ -128,7 +128,7 @@
 	require.NoError(t, c.Send([]string{"RPC.CALL", "1", "asset", "rid=00000000000000a1,budget=2500,obj=7f3a9c21e0b4d655,nth=0,batch=17"}))
 	ended := make(chan struct{})
 	go func() {
-		drain(p.Clock, front, conf, func(context.Context) {}, d.Stop)
+		shutDown(p.Clock, front, conf, func(context.Context) {}, d.Stop)
 		close(ended)
 	}()
 	for range 110 { // past the moment at which the listener is closed
