--- a/internal/decide/debounce/debounce.go
+++ b/internal/decide/debounce/debounce.go
@@ -1,101 +1,106 @@
-// Package debounce decides when a watched file has come to rest: when to look at it, and whether what was read may
-// count. It opens no file and reads no clock: whoever watches tells of touches and of what a look found, as a
-// fingerprint, and carries out what is returned. Its decisions are tested here.
+// Package debounce decides when to read a watched file, and when what was read may be used. A text is accepted once two
+// reads, Settings.Quiet apart and with no change notification between them, found the same. So half of a text is never
+// accepted from a writer that goes on, any number of notifications costs at most one read every Settings.MaxDelay, and a
+// file that is saved again unchanged is not accepted again.
 //
-// A text counts once two looks, Quiet apart and with no touch between them, found the same. So a writer that goes on
-// never gets half of its text taken, a storm of touches costs a look in every Most at the most, and a file that is
-// saved again as it was costs nothing.
+// The package opens no file and reads no clock: the caller reports notifications and, as a fingerprint, what each read
+// found, and carries out the returned Action. Its decisions are tested here, against random writers.
 package debounce
 
 import "math"
 
 // Settings are in ms.
 type Settings struct {
-	Quiet        float64 // how long a text must stay the same
-	MaxDelay     float64 // the longest that touches can put off a look
-	PollInterval float64 // between looks that nothing asked for, as a touch may have been missed
+	Quiet        float64 // how long a text must stay unchanged before it is accepted
+	MaxDelay     float64 // the longest time for which notifications can put off a read
+	PollInterval float64 // between reads without notifications, which may be missed
 }
 
-// Action is what to do next.
+// Action is what the caller does next.
 type Action struct {
-	Read   bool    // read it now, and tell what was found with Found
-	Accept bool    // what the last look found counts
-	WakeAt float64 // when to call Due next
+	Read   bool    // read the file now, and report it with ReadDone
+	Accept bool    // what the last read found is accepted
+	WakeAt float64 // call Tick then, in ms
 }
 
-// Debouncer is one thing that is watched.
+// Debouncer decides for one watched file. Times are in ms on the caller's clock. See New.
 type Debouncer struct {
-	set     Settings
-	touched float64 // last, since the last look
-	first   float64 // touched first since the last look; NaN: not at all
-	due     float64
-	seen    bool // a look came before, and found print
-	print   uint64
-	since   float64 // when print was found first
-	took    bool
-	taken   uint64
+	settings Settings
+	wakeAt   float64
+
+	changed      float64 // latest notification
+	firstChanged float64 // first notification since the last read was requested; NaN: none
+
+	found       bool // the last read succeeded, with fingerprint
+	fingerprint uint64
+	foundSince  float64 // start of the first read that found fingerprint
+
+	accepted            bool
+	acceptedFingerprint uint64
 }
 
-// New returns a watch that wants to look at once.
+// New returns a debouncer that requests the first read at now.
 func New(s Settings, now float64) *Debouncer {
-	return &Debouncer{set: s, first: math.NaN(), due: now}
+	return &Debouncer{settings: s, firstChanged: math.NaN(), wakeAt: now}
 }
 
-// Changed tells that the file may have changed.
-func (w *Debouncer) Changed(now float64) Action {
-	if math.IsNaN(w.first) {
-		w.first = now
+// Changed reports a notification that the file may have changed.
+func (d *Debouncer) Changed(now float64) Action {
+	if math.IsNaN(d.firstChanged) {
+		d.firstChanged = now
 	}
-	w.touched = now
-	w.due = min(now+w.set.Quiet, w.first+w.set.MaxDelay)
-	return Action{WakeAt: w.due}
+	d.changed = now
+	d.wakeAt = min(now+d.settings.Quiet, d.firstChanged+d.settings.MaxDelay)
+	return Action{WakeAt: d.wakeAt}
 }
 
-// Tick tells that the time that was asked for has come, or may have.
-func (w *Debouncer) Tick(now float64) Action {
-	if now < w.due {
-		return Action{WakeAt: w.due}
+// Tick reports that the requested time may have come.
+func (d *Debouncer) Tick(now float64) Action {
+	if now < d.wakeAt {
+		return Action{WakeAt: d.wakeAt}
 	}
-	w.first = math.NaN()
-	w.due = now + w.set.PollInterval
-	return Action{Read: true, WakeAt: w.due}
+	d.firstChanged = math.NaN()
+	d.wakeAt = now + d.settings.PollInterval
+	return Action{Read: true, WakeAt: d.wakeAt}
 }
 
-// ReadDone tells what a look that began at a time found, as a fingerprint of all of it. ok is false if nothing could be
-// read whole: what counted before goes on counting.
-func (w *Debouncer) ReadDone(began, now float64, print uint64, ok bool) Action {
+// ReadDone reports a read that began at began and ended now, and the fingerprint of all that it found. ok is false if
+// the file could not be read completely: what was accepted before stays so.
+func (d *Debouncer) ReadDone(began, now float64, fingerprint uint64, ok bool) Action {
 	if !ok {
-		w.seen = false
-		return w.again(now, w.set.PollInterval)
+		d.found = false
+		return d.readAgain(now, d.settings.PollInterval)
 	}
-	if !w.seen || w.print != print {
-		w.seen, w.print, w.since = true, print, began
+	if !d.found || d.fingerprint != fingerprint {
+		d.found, d.fingerprint, d.foundSince = true, fingerprint, began
 	}
-	if w.took && w.taken == print {
-		return w.again(now, w.set.PollInterval)
+	if d.accepted && d.acceptedFingerprint == fingerprint {
+		return d.readAgain(now, d.settings.PollInterval)
 	}
-	// A touch after the look began may be a write that the look saw half of.
-	if began-w.since < w.set.Quiet || w.touched > w.since && began-w.touched < w.set.Quiet {
-		return w.again(now, w.set.Quiet)
+	// A change after the read began may be a write of which the read saw half.
+	stable := began-d.foundSince >= d.settings.Quiet
+	quiet := d.changed <= d.foundSince || began-d.changed >= d.settings.Quiet
+	if !stable || !quiet {
+		return d.readAgain(now, d.settings.Quiet)
 	}
-	w.took, w.taken = true, print
-	a := w.again(now, w.set.PollInterval)
+	d.accepted, d.acceptedFingerprint = true, fingerprint
+	a := d.readAgain(now, d.settings.PollInterval)
 	a.Accept = true
 	return a
 }
 
-// again asks for the next look, sooner if a touch asked for that meanwhile.
-func (w *Debouncer) again(now, after float64) Action {
-	if math.IsNaN(w.first) {
-		w.due = now + after
+// readAgain requests the next read after a time, or sooner if a notification came in the meantime.
+func (d *Debouncer) readAgain(now, after float64) Action {
+	if math.IsNaN(d.firstChanged) {
+		d.wakeAt = now + after
 	} else {
-		w.due = min(w.due, now+after)
+		d.wakeAt = min(d.wakeAt, now+after)
 	}
-	return Action{WakeAt: w.due}
+	return Action{WakeAt: d.wakeAt}
 }
 
-// Invalidate has the next look count even if it finds what was taken last: what was made of it then may differ now.
-func (w *Debouncer) Invalidate(now float64) Action {
-	w.took = false
-	return w.again(now, 0)
+// Invalidate has the next text accepted even if it is the one accepted last, as that may not be in use any more.
+func (d *Debouncer) Invalidate(now float64) Action {
+	d.accepted = false
+	return d.readAgain(now, 0)
 }
--- a/internal/decide/debounce/debounce_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -12,80 +12,80 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var set = debounce.Settings{Quiet: 50, MaxDelay: 500, PollInterval: 2000}
+var settings = debounce.Settings{Quiet: 50, MaxDelay: 500, PollInterval: 2000}
 
-// play lets a watch run to a time over a file whose print changes at the given times. It returns when which print
-// was taken, and how many looks it took.
-func play(until float64, touches bool, changes map[float64]uint64) (taken map[float64]uint64, looks int) {
-	taken = map[float64]uint64{}
-	w := debounce.New(set, 0)
-	at, print := w.Tick(0).WakeAt, uint64(0)
-	look := func(now float64) {
-		looks++
-		a := w.ReadDone(now, now, print, print != 0)
+// play runs a debouncer until a time over a file whose fingerprint changes at the given times (0: it can't be read), with or
+// without notifications. It returns which fingerprint was accepted when, and the number of reads.
+func play(until float64, notify bool, changes map[float64]uint64) (accepted map[float64]uint64, reads int) {
+	accepted = map[float64]uint64{}
+	w := debounce.New(settings, 0)
+	at, fingerprint := w.Tick(0).WakeAt, uint64(0)
+	read := func(now float64) {
+		reads++
+		a := w.ReadDone(now, now, fingerprint, fingerprint != 0)
 		if a.Accept {
-			taken[now] = print
+			accepted[now] = fingerprint
 		}
 		at = a.WakeAt
 	}
-	look(0)
+	read(0)
 	for now := 0.0; now <= until; now++ {
 		if p, ok := changes[now]; ok {
-			if print = p; touches {
+			if fingerprint = p; notify {
 				at = w.Changed(now).WakeAt
 			}
 		}
 		if now >= at {
 			if a := w.Tick(now); a.Read {
-				look(now)
+				read(now)
 			} else {
 				at = a.WakeAt
 			}
 		}
 	}
-	return taken, looks
+	return accepted, reads
 }
 
-func TestSettle(t *testing.T) {
-	taken, looks := play(10_000, true, map[float64]uint64{100: 1})
-	require.Equal(t, map[float64]uint64{200: 1}, taken, "two looks, Quiet apart")
-	require.LessOrEqual(t, looks, 9)
-	taken, _ = play(10_000, false, map[float64]uint64{100: 1})
-	require.Equal(t, map[float64]uint64{2050: 1}, taken, "a touch that was missed is found by the next poll")
-	taken, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 2, 3020: 1})
-	require.Equal(t, map[float64]uint64{200: 1}, taken, "there and back: nothing new")
-	taken, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 0, 4000: 1, 6000: 2})
-	require.Equal(t, map[float64]uint64{200: 1, 6100: 2}, taken, "away and back as it was: nothing new")
+func TestAcceptsStableTextOnce(t *testing.T) {
+	accepted, reads := play(10_000, true, map[float64]uint64{100: 1})
+	require.Equal(t, map[float64]uint64{200: 1}, accepted, "two reads, Quiet apart")
+	require.LessOrEqual(t, reads, 9)
+	accepted, _ = play(10_000, false, map[float64]uint64{100: 1})
+	require.Equal(t, map[float64]uint64{2050: 1}, accepted, "a change without a notification is found by the next poll")
+	accepted, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 2, 3020: 1})
+	require.Equal(t, map[float64]uint64{200: 1}, accepted, "changed and changed back: nothing new")
+	accepted, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 0, 4000: 1, 6000: 2})
+	require.Equal(t, map[float64]uint64{200: 1, 6100: 2}, accepted, "removed and restored unchanged: nothing new")
 	storm := map[float64]uint64{}
 	for i := range 5000 {
 		storm[float64(i)] = uint64(i + 1)
 	}
-	taken, looks = play(10_000, true, storm)
-	require.Equal(t, map[float64]uint64{5059: 5000}, taken, "a writer that never stops gets nothing taken before it has")
-	require.LessOrEqual(t, looks, 30, "looks in a storm are bounded")
+	accepted, reads = play(10_000, true, storm)
+	require.Equal(t, map[float64]uint64{5059: 5000}, accepted, "nothing is accepted while the writer goes on")
+	require.LessOrEqual(t, reads, 30, "the number of reads is bounded")
 }
 
-// However a file changes, what is taken has stood for Quiet, and what stands at the end is taken in the end.
-func TestAnyWriter(t *testing.T) {
+// However a file changes, what is accepted has been there for Quiet, and the last text is accepted in the end.
+func TestAcceptsOnlyStableTextOfAnyWriter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		touches := rapid.Bool().Draw(t, "touches")
+		notify := rapid.Bool().Draw(t, "touches")
 		changes, now, last := map[float64]uint64{}, 0.0, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "n") {
 			now += float64(rapid.IntRange(1, 200).Draw(t, "after"))
 			last = uint64(rapid.IntRange(1, 5).Draw(t, "print"))
 			changes[now] = last
 		}
-		taken, _ := play(now+5000, touches, changes)
+		accepted, _ := play(now+5000, notify, changes)
 		var end uint64
 		for at := 0.0; at <= now+5000; at++ {
-			p, ok := taken[at]
+			p, ok := accepted[at]
 			if !ok {
 				continue
 			}
 			end = p
-			// The file read as it does now, Quiet ago.
+			// The file held the same text Quiet ago.
 			was := uint64(0)
-			for x := 0.0; x <= at-set.Quiet; x++ {
+			for x := 0.0; x <= at-settings.Quiet; x++ {
 				if v, ok := changes[x]; ok {
 					was = v
 				}
