--- a/internal/lab/capacity/finding.go
+++ b/internal/lab/capacity/finding.go
@@ -32,7 +32,7 @@
 		over.check(way.What, way.Takes(), way.Within, Figure.Milliseconds, "")
 		for _, fault := range way.Faults {
 			over.check(fmt.Sprintf("%s: %s", way.What, fault.What), way.Takes().Plus(fault.Adds()), way.Within, Figure.Milliseconds,
-				"past the bound strict classes hold (Gate, built here; the request path does not ask it yet); FailoverOver and SilentFor shorter, or two subscriptions a process")
+				"past the bound strict classes hold (FreshnessGate, built here; the request path does not ask it yet); FailoverSpread and SilenceTimeout shorter, or two subscriptions a process")
 		}
 	}
 	m.boundFindings(&over)
@@ -130,7 +130,7 @@
 	usual, burst := m.Ordinary(), m.Situations()[1].Load
 	over.check("members that one process can hear (peers.mostSenders): further ones are dropped", given(m.Proxies), mostSendersKnown, count,
 		"membership within a region, missing")
-	over.check("a whole list as one entry (distribution.MostEntry)", m.At("replica/list-entry", given(m.Caches)), mostEntryBytes, Figure.Bytes,
+	over.check("a whole list as one entry (distribution.MaxEntry)", m.At("replica/list-entry", given(m.Caches)), mostEntryBytes, Figure.Bytes,
 		"lists as changes, or by region, missing")
 	over.check("purges while two regions are apart, against what a distributor keeps to resume from", given(usual.Purges*m.ApartMs/1000), backlogEntries, count,
 		"a snapshot in their place, built here: it is smaller")
@@ -140,7 +140,7 @@
 		fmt.Sprintf("100 last for %s minutes at this rate; keep those of a week, missing", number(mostRevisions/usual.Revisions/minute)))
 	over.check("an election at worst, against the time after which the store gives a change up (ms)",
 		assumed(raftNotices+raftElects).Plus(m.RegionTrip.By(2)), storeGivesUp, Figure.Milliseconds, "who purges must ask again; a longer time-out")
-	over.check("processes of a region with one distributor (distribution.MostSubscribers, while no demand is told)", given(m.Proxies/m.Regions), mostSubscribers, count,
+	over.check("processes of a region with one distributor (distribution.MaxSubscribers, while no demand is told)", given(m.Proxies/m.Regions), mostSubscribers, count,
 		"a higher bound: a distributor of 531 is far from busy here")
 	over.check("purges held in a burst, against the module's memory of them (policy.memorySize)", held(m.Assumptions, burst.Purges), mostPurgesHeld, count, "")
 }
--- a/internal/lab/capacity/path.go
+++ b/internal/lab/capacity/path.go
@@ -38,7 +38,7 @@
 
 // Times of the program that the ways meet, ms. Each is a setting or a default: raft's heartbeat and election (each drawn
 // between once and twice 1 s) and how long until followers are told of a commit (between once and twice 50 ms); the
-// distribution's SilentFor, FailoverOver and ConnectFor.
+// distribution's SilenceTimeout, FailoverSpread and ConnectFor.
 const (
 	raftCommitTold = 100
 	raftNotices    = 2000
@@ -54,8 +54,8 @@
 	region, zone := m.RegionTrip, m.ZoneTrip
 	between := Hop{"a connection elsewhere: TCP, TLS and the subscription, three times there and back", region.By(6)}
 	moved := []Hop{
-		{"silence is noticed (SilentFor)", assumed(silentFor)},
-		{"its turn comes (FailoverOver, the last one's)", assumed(failoverOver)},
+		{"silence is noticed (SilenceTimeout)", assumed(silentFor)},
+		{"its turn comes (FailoverSpread, the last one's)", assumed(failoverOver)},
 		between,
 	}
 	elected := []Hop{
--- a/internal/lab/capacity/situation.go
+++ b/internal/lab/capacity/situation.go
@@ -70,7 +70,7 @@
 			{"distributors of another zone or region take its region's processes", "internal/decide/distribution", Built}}},
 		{"two regions apart for 5 minutes, and together again", usual, all, snapshot, []Mechanism{
 			{"a distributor hears another root; who was cut off gets a snapshot", "internal/decide/distribution", Built},
-			{"a process past its bound holds its strict classes", "internal/decide/distribution (Gate)", Built},
+			{"a process past its bound holds its strict classes", "internal/decide/distribution (FreshnessGate)", Built},
 			{"the request path asks the gate", "internal/core", Missing}}},
 		{"a wrong configuration rolled back", rollback, all, none, []Mechanism{
 			{"the text of an earlier revision as a new one", "internal/store, replica", Stands},
