--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -26,19 +26,19 @@
 	}
 	proxy.LoadCounter = core.NewLoadCounter()
 	return peers.Start(peers.Options{
-		Name:      name,
-		Listen:    p.Listen,
-		Advertise: p.Advertise,
-		Seeds:     p.Seeds,
-		Seen:      p.AddressesByName,
-		Zone:      zone,
-		Region:    p.Region,
-		Every:     p.DigestIntervalMs,
-		Dir:       p.Dir,
-		Identity:  identity,
-		Clock:     env.clock,
-		Log:       env.log,
-		Totals:    proxy.LoadCounter.Totals,
-		Objects:   proxy.LoadCounter.Objects,
+		Name:             name,
+		Listen:           p.Listen,
+		Advertise:        p.Advertise,
+		Seeds:            p.Seeds,
+		AddressOverrides: p.AddressesByName,
+		Zone:             zone,
+		Region:           p.Region,
+		DigestInterval:   p.DigestIntervalMs,
+		Dir:              p.Dir,
+		Identity:         identity,
+		Clock:            env.clock,
+		Log:              env.log,
+		Totals:           proxy.LoadCounter.Totals,
+		Objects:          proxy.LoadCounter.Objects,
 	})
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -145,7 +145,7 @@
 	if o.Peers != nil {
 		mux.HandleFunc("GET /v1/peers", func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Get("members") == "no" { // hundreds that are asked for hundreds are a load of their own
-				reply(w, o.Peers.Brief())
+				reply(w, o.Peers.Summary())
 				return
 			}
 			reply(w, o.Peers.Status())
--- a/internal/lab/capacity/finding.go
+++ b/internal/lab/capacity/finding.go
@@ -128,7 +128,7 @@
 
 func (m Fleet) boundFindings(over *findings) {
 	usual, burst := m.Ordinary(), m.Situations()[1].Load
-	over.check("members that one process can hear (peers.mostSenders): further ones are dropped", given(m.Proxies), mostSendersKnown, count,
+	over.check("members that one process can hear (peers.maxSenders): further ones are dropped", given(m.Proxies), maxSendersKnown, count,
 		"membership within a region, missing")
 	over.check("a whole list as one entry (distribution.MaxEntry)", m.At("replica/list-entry", given(m.Caches)), mostEntryBytes, Figure.Bytes,
 		"lists as changes, or by region, missing")
--- a/internal/lab/capacity/model.go
+++ b/internal/lab/capacity/model.go
@@ -80,7 +80,7 @@
 	resultsFor, mostResults = 600.0, 65_536 // replica: s, results
 	mostRevisions           = 100           // replica
 	trailingLog             = 10_240        // raft's default
-	mostSendersKnown        = 8192          // peers
+	maxSendersKnown         = 8192          // peers
 	mostPurgesHeld          = 16_384        // policy
 	mostEntryBytes          = 96 << 10      // distribution
 	backlogEntries          = 1 << 14       // distribution
--- a/internal/lab/multiprocess/full_test.go
+++ b/internal/lab/multiprocess/full_test.go
@@ -110,10 +110,10 @@
 	for _, p := range f.Processes {
 		s, err := p.Brief()
 		require.NoError(t, err)
-		x.sent += float64(s.Sent)
-		x.digests += float64(s.Digests)
-		x.streams += float64(s.Streams)
-		x.received += float64(s.Received)
+		x.sent += float64(s.SentBytes)
+		x.digests += float64(s.DigestBytes)
+		x.streams += float64(s.StreamBytes)
+		x.received += float64(s.ReceivedBytes)
 		x.cpu += processor(t, p.Pid())
 	}
 	return x
--- a/internal/lab/multiprocess/hard_test.go
+++ b/internal/lab/multiprocess/hard_test.go
@@ -51,7 +51,7 @@
 	agree(t, f.Processes[:n-1], f.Processes[:n-1])
 	require.Eventually(t, func() bool {
 		s, err := f.Processes[n-1].Brief()
-		return err == nil && s.Hears == 0
+		return err == nil && s.Heard == 0
 	}, multiprocess.ReadyWithin, asking)
 	off(multiprocess.Link{})
 	agree(t, f.Processes, f.Processes)
@@ -140,7 +140,7 @@
 		require.Eventually(t, func() bool {
 			s, err := p.Peers()
 			i := slices.IndexFunc(s.Members, func(m peers.Member) bool { return m.Name == moved.Name })
-			return err == nil && i >= 0 && s.Members[i].State == peers.Alive && s.Members[i].Addr == moved.PeerAddr
+			return err == nil && i >= 0 && s.Members[i].State == peers.StateAlive && s.Members[i].Addr == moved.PeerAddr
 		}, multiprocess.ReadyWithin, asking, "%s", p.Name)
 	}
 	agree(t, f.Processes, f.Processes)
@@ -158,7 +158,7 @@
 		require.NoError(t, err)
 		n := uint64(0)
 		s, err := peers.Start(peers.Options{
-			Name: p.Name, Listen: p.PeerAddr, Seeds: []string{f.Processes[0].PeerAddr}, Zone: "zone-0", Every: 500, Identity: id,
+			Name: p.Name, Listen: p.PeerAddr, Seeds: []string{f.Processes[0].PeerAddr}, Zone: "zone-0", DigestInterval: 500, Identity: id,
 			Clock: clock.Shifted(ahead), Objects: func() []uint64 { return nil },
 			Totals: func() (uint64, serverTotals) {
 				n += 50
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -173,10 +173,10 @@
 	for _, p := range alive {
 		names = append(names, p.Name+" "+p.PeerAddr)
 	}
-	want := peers.Set(names)
+	want := peers.MembersFingerprint(names)
 	return Each(ps, func(p *Process) error {
 		got, err := p.Brief()
-		if err == nil && got.Set != want {
+		if err == nil && got.Fingerprint != want {
 			return fmt.Errorf("%s takes %d for alive; %d are", p.Name, got.Alive, len(alive))
 		}
 		return err
--- a/internal/lab/multiprocess/peers_test.go
+++ b/internal/lab/multiprocess/peers_test.go
@@ -90,7 +90,7 @@
 	id, err := store.LoadIdentity(f.Keys(), p.Name)
 	require.NoError(t, err)
 	s, err := peers.Start(peers.Options{
-		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", Every: 200, Identity: id, Clock: f.Clock,
+		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", DigestInterval: 200, Identity: id, Clock: f.Clock,
 		Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, totals() },
 		Objects: func() []uint64 { return nil },
 	})
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -13,7 +13,7 @@
 type delegate struct{ p *Peers }
 
 func (d delegate) NodeMeta(limit int) []byte {
-	raw, err := cbor.Marshal(meta{Zone: d.p.opt.Zone, Region: d.p.opt.Region})
+	raw, err := cbor.Marshal(memberMeta{Zone: d.p.options.Zone, Region: d.p.options.Region})
 	if err != nil || len(raw) > limit {
 		return nil
 	}
@@ -29,24 +29,24 @@
 type events struct{ p *Peers }
 
 func (e events) NotifyJoin(n *memberlist.Node) {
-	e.p.post.introduceAgain(n.Name) // it may have started anew, and know nobody
-	e.p.note(n, Alive)
+	e.p.sealer.resendCertificate(n.Name) // it may have started anew, and know nobody
+	e.p.memberChanged(n, StateAlive)
 }
 
-func (e events) NotifyUpdate(n *memberlist.Node) { e.p.note(n, Alive) }
+func (e events) NotifyUpdate(n *memberlist.Node) { e.p.memberChanged(n, StateAlive) }
 
 func (e events) NotifyLeave(n *memberlist.Node) {
-	s := Gone
+	s := StateGone
 	if n.State == memberlist.StateLeft {
-		s = Left
+		s = StateLeft
 	}
-	e.p.note(n, s)
+	e.p.memberChanged(n, s)
 }
 
 // lines passes what memberlist logs on, as debug: what matters is said here.
-type lines struct{ log *logs.Log }
+type logWriter struct{ log *logs.Log }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	l.log.Debug("peers").Msg(strings.TrimSpace(string(b)))
 	return len(b), nil
 }
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -24,30 +24,30 @@
 // under a key that only the two can make; to others it is a signature (ECDSA over SHA-256 of the rest). A signature costs
 // thirty times as much, and 55 bytes more: 300 that join were held up by nothing but those.
 type envelope struct {
-	_     struct{} `cbor:",toarray"`
-	From  string
-	To    string
-	Start uint64 // of the sender: Unix ms, rising with each start
-	Seq   uint64
-	At    int64 // Unix ms
-	Cert  []byte
-	Body  []byte
+	_           struct{} `cbor:",toarray"`
+	From        string
+	To          string
+	Incarnation uint64 // of the sender: Unix ms, rising with each start
+	Sequence    uint64
+	SentAt      int64 // Unix ms
+	Certificate []byte
+	Body        []byte
 }
 
 // Bounds of datagrams. Times are in ms.
 const (
 	// mostDatagram is the largest that is read: memberlist keeps to 1,400 bytes, a certificate and the envelope come on top.
-	mostDatagram = 4096
+	maxDatagram = 4096
 	// mostSkew: clocks may be apart, and a datagram late; what is older can't be told from a replay to one that restarted.
-	mostSkew = 60_000
+	maxClockSkew = 60_000
 	// perSender, burst: datagrams a second that one address may send, before any signature is checked.
-	perSender, burst = 1000, 2000
+	ratePerSender, rateBurst = 1000, 2000
 	// mostSenders whose windows and rates are held.
-	mostSenders = 8192
+	maxSenders = 8192
 	// introduce: a sender brings its certificate with so many datagrams to each receiver, and with one in introduceEvery
 	// later. In what a member tells of itself it made its word, which gossip repeats, six times as long: a hundred that
 	// started together took twenty seconds to hear of each other.
-	introduce, introduceEvery = 3, 64
+	firstCertificates, certificateInterval = 3, 64
 )
 
 // macSize is no length of a signature: one of P-256 in ASN.1 has 8 bytes at least, 70 to 72 nearly always, and one that came
@@ -55,54 +55,54 @@
 const macSize = 16
 
 // Dropped counts datagrams that were not taken, by reason.
-type Dropped struct {
-	Malformed, Unknown, Forged, Replayed, Old, Misdirected, Flood atomic.Int64
+type DropCounters struct {
+	Malformed, UnknownSender, Forged, Replayed, Expired, Misdirected, RateLimited atomic.Int64
 }
 
 var (
-	errDropped = errors.New("dropped")
-	errUnknown = errors.New("dropped: the sender's key is not known")
+	errDropped       = errors.New("dropped")
+	errUnknownSender = errors.New("dropped: the sender's key is not known")
 )
 
 // post seals what goes out and opens what comes in.
-type post struct {
-	id      *store.Identity
-	clk     *clock.Clock
-	start   uint64
-	seq     atomic.Uint64
-	Dropped Dropped
+type sealer struct {
+	identity    *store.Identity
+	clock       *clock.Clock
+	incarnation uint64
+	sequence    atomic.Uint64
+	dropped     DropCounters
 
-	mu      sync.Mutex
-	known   map[string]*holder
-	met     map[string]int     // datagrams with the certificate, by receiver
-	asked   map[string]float64 // when senders that were not known were asked last
-	windows map[string]*starts
-	rates   map[string]*rate.Limiter
+	mu               sync.Mutex
+	peerKeys         map[string]*peerKeys
+	certificatesSent map[string]int     // datagrams with the certificate, by receiver
+	requestedAt      map[string]float64 // when senders that were not known were asked last
+	windows          map[string]*replayWindows
+	limiters         map[string]*rate.Limiter
 }
 
-func newPost(id *store.Identity, clk *clock.Clock, start uint64) *post {
-	return &post{
-		id: id, clk: clk, start: start, known: map[string]*holder{}, met: map[string]int{}, asked: map[string]float64{}, windows: map[string]*starts{},
-		rates: map[string]*rate.Limiter{},
+func newSealer(id *store.Identity, clk *clock.Clock, start uint64) *sealer {
+	return &sealer{
+		identity: id, clock: clk, incarnation: start, peerKeys: map[string]*peerKeys{}, certificatesSent: map[string]int{}, requestedAt: map[string]float64{}, windows: map[string]*replayWindows{},
+		limiters: map[string]*rate.Limiter{},
 	}
 }
 
 // seal makes a datagram for one receiver; to is empty where its name is not known yet.
-func (p *post) seal(to string, body []byte) ([]byte, error) {
-	e := envelope{From: p.id.Name, To: to, Start: p.start, Seq: p.seq.Add(1), At: int64(p.clk.Now()), Body: body}
-	if p.unmet(to) || e.Seq%introduceEvery == 0 {
-		e.Cert = p.id.Certificate()
+func (p *sealer) seal(to string, body []byte) ([]byte, error) {
+	e := envelope{From: p.identity.Name, To: to, Incarnation: p.incarnation, Sequence: p.sequence.Add(1), SentAt: int64(p.clock.Now()), Body: body}
+	if p.needsCertificate(to) || e.Sequence%certificateInterval == 0 {
+		e.Certificate = p.identity.Certificate()
 	}
 	raw, err := cbor.Marshal(e)
 	if err != nil {
 		return nil, err
 	}
 	var seal []byte
-	if h := p.holder(to); h != nil {
-		seal = mac(h.out, raw)
+	if h := p.keysOf(to); h != nil {
+		seal = mac(h.sendKey, raw)
 	} else {
 		sum := sha256.Sum256(raw)
-		if seal, err = p.id.Sign(sum[:]); err != nil {
+		if seal, err = p.identity.Sign(sum[:]); err != nil {
 			return nil, err
 		}
 	}
@@ -117,48 +117,48 @@
 }
 
 // unmet tells whether a receiver may not know the certificate yet, and counts that it comes now.
-func (p *post) unmet(to string) bool {
+func (p *sealer) needsCertificate(to string) bool {
 	if to == "" {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.met[to] >= introduce || len(p.met) >= mostSenders {
+	if p.certificatesSent[to] >= firstCertificates || len(p.certificatesSent) >= maxSenders {
 		return false
 	}
-	p.met[to]++
+	p.certificatesSent[to]++
 	return true
 }
 
 // introduceAgain has the next datagrams to a receiver bring the certificate again: it has started anew.
-func (p *post) introduceAgain(to string) {
+func (p *sealer) resendCertificate(to string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.met, to)
+	delete(p.certificatesSent, to)
 }
 
 // mayAsk tells whether a sender that is not known may be asked who it is: each once a second, as the name is not proven.
-func (p *post) mayAsk(name string) bool {
+func (p *sealer) mayRequestCertificate(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.clk.Now()
-	if last, known := p.asked[name]; known && now-last < askEvery {
+	now := p.clock.Now()
+	if last, known := p.requestedAt[name]; known && now-last < certificateRequestInterval {
 		return false
 	}
-	if len(p.asked) >= mostSenders {
-		clear(p.asked)
+	if len(p.requestedAt) >= maxSenders {
+		clear(p.requestedAt)
 	}
-	p.asked[name] = now
+	p.requestedAt[name] = now
 	return true
 }
 
 // askEvery ms at most.
-const askEvery = 1000
+const certificateRequestInterval = 1000
 
 // open checks a datagram from an address, and returns who sent it, in which of its starts, and what it says.
-func (p *post) open(addr string, b []byte) (from string, start uint64, body []byte, err error) {
-	if !p.allowed(addr) {
-		p.Dropped.Flood.Add(1)
+func (p *sealer) open(addr string, b []byte) (from string, start uint64, body []byte, err error) {
+	if !p.allow(addr) {
+		p.dropped.RateLimited.Add(1)
 		return "", 0, nil, errDropped
 	}
 	var e envelope
@@ -166,114 +166,114 @@
 	if len(b) > 0 {
 		n = 1 + int(b[0])
 	}
-	if n < 2 || len(b) <= n || cbor.Unmarshal(b[n:], &e) != nil || e.From == "" || e.From == p.id.Name {
-		p.Dropped.Malformed.Add(1)
+	if n < 2 || len(b) <= n || cbor.Unmarshal(b[n:], &e) != nil || e.From == "" || e.From == p.identity.Name {
+		p.dropped.Malformed.Add(1)
 		return "", 0, nil, errDropped
 	}
-	if e.To != "" && e.To != p.id.Name {
-		p.Dropped.Misdirected.Add(1)
+	if e.To != "" && e.To != p.identity.Name {
+		p.dropped.Misdirected.Add(1)
 		return "", 0, nil, errDropped
 	}
-	if age := int64(p.clk.Now()) - e.At; age > mostSkew || age < -mostSkew {
-		p.Dropped.Old.Add(1)
+	if age := int64(p.clock.Now()) - e.SentAt; age > maxClockSkew || age < -maxClockSkew {
+		p.dropped.Expired.Add(1)
 		return "", 0, nil, errDropped
 	}
-	h := p.holder(e.From)
-	if len(e.Cert) > 0 && (h == nil || !bytes.Equal(h.cert, e.Cert)) {
-		if met, err := p.check(e.Cert); err == nil && met.Name == e.From {
+	h := p.keysOf(e.From)
+	if len(e.Certificate) > 0 && (h == nil || !bytes.Equal(h.certificate, e.Certificate)) {
+		if met, err := p.verifyCertificate(e.Certificate); err == nil && met.Name == e.From {
 			h = met
 		}
 	}
 	if h == nil {
-		p.Dropped.Unknown.Add(1)
-		return e.From, 0, nil, errUnknown
+		p.dropped.UnknownSender.Add(1)
+		return e.From, 0, nil, errUnknownSender
 	}
 	sum := sha256.Sum256(b[n:])
-	if seal := b[1:n]; len(seal) == macSize && !hmac.Equal(seal, mac(h.in, b[n:])) || len(seal) != macSize && !ecdsa.VerifyASN1(h.Key, sum[:], seal) {
-		p.Dropped.Forged.Add(1)
+	if seal := b[1:n]; len(seal) == macSize && !hmac.Equal(seal, mac(h.receiveKey, b[n:])) || len(seal) != macSize && !ecdsa.VerifyASN1(h.Key, sum[:], seal) {
+		p.dropped.Forged.Add(1)
 		return "", 0, nil, errDropped
 	}
-	if !p.fresh(e, h) {
-		p.Dropped.Replayed.Add(1)
+	if !p.acceptNew(e, h) {
+		p.dropped.Replayed.Add(1)
 		return "", 0, nil, errDropped
 	}
-	return e.From, e.Start, e.Body, nil
+	return e.From, e.Incarnation, e.Body, nil
 }
 
 // holder is another whose certificate was checked, with the secrets shared with it.
-type holder struct {
+type peerKeys struct {
 	store.Peer
-	cert    []byte
-	out, in []byte
+	certificate         []byte
+	sendKey, receiveKey []byte
 }
 
-func (p *post) holder(name string) *holder {
+func (p *sealer) keysOf(name string) *peerKeys {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[name]
+	return p.peerKeys[name]
 }
 
 // check finds whose certificate it is. One that is known keeps its own unless the other was issued later: a key that leaked is
 // then of no more use, and who has a new one needs nobody else to start anew.
-func (p *post) check(cert []byte) (*holder, error) {
-	h, err := p.id.VerifyPeer(cert)
+func (p *sealer) verifyCertificate(cert []byte) (*peerKeys, error) {
+	h, err := p.identity.VerifyPeer(cert)
 	if err != nil {
 		return nil, err
 	}
-	if known := p.holder(h.Name); known != nil && !h.Issued.After(known.Issued) {
+	if known := p.keysOf(h.Name); known != nil && !h.Issued.After(known.Issued) {
 		return known, nil
 	}
-	out, in, err := p.id.SharedSecrets(h, "peers")
+	out, in, err := p.identity.SharedSecrets(h, "peers")
 	if err != nil {
 		return nil, err
 	}
-	return &holder{Peer: h, cert: bytes.Clone(cert), out: out, in: in}, nil
+	return &peerKeys{Peer: h, certificate: bytes.Clone(cert), sendKey: out, receiveKey: in}, nil
 }
 
 // learn takes the certificate of a stream's other end, which has shown that it holds the key; it returns whose it is.
-func (p *post) learn(cert []byte) (name string, err error) {
-	h, err := p.check(cert)
+func (p *sealer) learnCertificate(cert []byte) (name string, err error) {
+	h, err := p.verifyCertificate(cert)
 	if err != nil {
 		return "", err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keep(h)
+	p.remember(h)
 	return h.Name, nil
 }
 
-func (p *post) keep(h *holder) {
-	if p.known[h.Name] != nil || len(p.known) < mostSenders {
-		p.known[h.Name] = h
+func (p *sealer) remember(h *peerKeys) {
+	if p.peerKeys[h.Name] != nil || len(p.peerKeys) < maxSenders {
+		p.peerKeys[h.Name] = h
 	}
 }
 
 // fresh books a datagram whose seal holds.
-func (p *post) fresh(e envelope, h *holder) bool {
+func (p *sealer) acceptNew(e envelope, h *peerKeys) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keep(h)
+	p.remember(h)
 	w := p.windows[e.From]
 	if w == nil {
-		if len(p.windows) >= mostSenders {
+		if len(p.windows) >= maxSenders {
 			return false
 		}
-		w = &starts{by: map[uint64]*dedup.Window{}}
+		w = &replayWindows{byIncarnation: map[uint64]*dedup.Window{}}
 		p.windows[e.From] = w
 	}
-	if !w.take(e.Start, e.Seq) {
+	if !w.accept(e.Incarnation, e.Sequence) {
 		return false
 	}
-	w.heard = p.clk.Now()
+	w.lastAcceptedAt = p.clock.Now()
 	return true
 }
 
 // hears counts the others of which a datagram was taken in the last ms.
-func (p *post) hears(within float64) (n int) {
+func (p *sealer) heardWithin(within float64) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.windows {
-		if p.clk.Now()-w.heard <= within {
+		if p.clock.Now()-w.lastAcceptedAt <= within {
 			n++
 		}
 	}
@@ -282,45 +282,45 @@
 
 // starts are the windows of a sender's newest starts. Guards against two processes under one name: with one window, the
 // later start of the second would shut out the first, which the others know.
-type starts struct {
-	heard float64 // when the last datagram was taken
-	by    map[uint64]*dedup.Window
-	floor uint64 // starts up to this are forgotten, and taken no more
+type replayWindows struct {
+	lastAcceptedAt float64 // when the last datagram was taken
+	byIncarnation  map[uint64]*dedup.Window
+	floor          uint64 // starts up to this are forgotten, and taken no more
 }
 
-const mostStarts = 4
+const maxIncarnations = 4
 
-func (s *starts) take(start, seq uint64) bool {
-	w := s.by[start]
+func (s *replayWindows) accept(start, seq uint64) bool {
+	w := s.byIncarnation[start]
 	if w == nil {
 		if start <= s.floor {
 			return false
 		}
-		if len(s.by) >= mostStarts {
-			oldest := slices.Min(slices.Collect(maps.Keys(s.by)))
+		if len(s.byIncarnation) >= maxIncarnations {
+			oldest := slices.Min(slices.Collect(maps.Keys(s.byIncarnation)))
 			if start < oldest {
 				return false
 			}
-			delete(s.by, oldest)
+			delete(s.byIncarnation, oldest)
 			s.floor = oldest
 		}
 		w = &dedup.Window{}
-		s.by[start] = w
+		s.byIncarnation[start] = w
 	}
 	return w.Accept(start, seq)
 }
 
 // allowed keeps one address to its rate: signatures cost more to check than to make up.
-func (p *post) allowed(addr string) bool {
+func (p *sealer) allow(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.rates[addr]
+	l := p.limiters[addr]
 	if l == nil {
-		if len(p.rates) >= mostSenders {
-			clear(p.rates)
+		if len(p.limiters) >= maxSenders {
+			clear(p.limiters)
 		}
-		l = rate.NewLimiter(perSender, burst)
-		p.rates[addr] = l
+		l = rate.NewLimiter(ratePerSender, rateBurst)
+		p.limiters[addr] = l
 	}
 	return l.Allow()
 }
--- a/internal/peers/envelope_test.go
+++ b/internal/peers/envelope_test.go
@@ -26,16 +26,16 @@
 }
 
 // Whatever is not from whom it says, not for whom it comes to, repeated, old, or too much is dropped, and counted by why.
-func TestEnvelope(t *testing.T) {
+func TestOpenDropsInvalidDatagrams(t *testing.T) {
 	idA, idB, idOther := identities(t)
 	clk := clock.Manual(1e12)
-	a, b := newPost(idA, clk, uint64(clk.Now())), newPost(idB, clk, uint64(clk.Now()))
-	seal := func(p *post, to string) []byte {
+	a, b := newSealer(idA, clk, uint64(clk.Now())), newSealer(idB, clk, uint64(clk.Now()))
+	seal := func(p *sealer, to string) []byte {
 		raw, err := p.seal(to, []byte("hello"))
 		require.NoError(t, err)
 		return raw
 	}
-	d := &b.Dropped
+	d := &b.dropped
 	first := seal(a, "b")
 	from, _, body, err := b.open("x", first)
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	require.Error(t, err)
 	require.EqualValues(t, 1, d.Replayed.Load())
 
-	_, _, _, err = b.open("x", seal(newPost(idOther, clk, uint64(clk.Now())), "b"))
+	_, _, _, err = b.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
 	require.EqualValues(t, 1, d.Forged.Load(), "another cluster's a: its signature is not that of the a that is known")
 
@@ -64,46 +64,46 @@
 		require.Error(t, err, "cut at %d", n)
 	}
 	stale := seal(a, "b")
-	clk.Advance(mostSkew + 1)
-	before := d.Old.Load()
+	clk.Advance(maxClockSkew + 1)
+	before := d.Expired.Load()
 	_, _, _, err = b.open("x", stale)
 	require.Error(t, err)
-	require.Equal(t, before+1, d.Old.Load())
+	require.Equal(t, before+1, d.Expired.Load())
 
 	// Clocks 3 s apart talk; one that knows nobody takes a word only with a certificate of its own cluster.
-	ahead := newPost(idA, clock.Manual(clk.Now()+3000), uint64(clk.Now()))
+	ahead := newSealer(idA, clock.Manual(clk.Now()+3000), uint64(clk.Now()))
 	_, _, _, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err)
-	fresh := newPost(idB, clk, uint64(clk.Now()))
-	_, _, _, err = fresh.open("x", seal(newPost(idOther, clk, uint64(clk.Now())), "b"))
+	fresh := newSealer(idB, clk, uint64(clk.Now()))
+	_, _, _, err = fresh.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
-	require.EqualValues(t, 1, fresh.Dropped.Unknown.Load())
+	require.EqualValues(t, 1, fresh.dropped.UnknownSender.Load())
 
-	for range 2 * burst {
+	for range 2 * rateBurst {
 		_, _, _, _ = b.open("flooder", []byte{9})
 	}
-	require.Positive(t, d.Flood.Load())
+	require.Positive(t, d.RateLimited.Load())
 	_, _, _, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err, "others are not affected")
 }
 
 // One that started anew knows nobody: whoever brought it a certificate before is asked, and brings it again.
-func TestStartedAnew(t *testing.T) {
+func TestRestartedReceiverRequestsCertificate(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
-	a := newPost(idA, clk, uint64(clk.Now()))
-	for range introduce {
+	a := newSealer(idA, clk, uint64(clk.Now()))
+	for range firstCertificates {
 		_, err := a.seal("b", []byte("hello"))
 		require.NoError(t, err)
 	}
-	b := newPost(idB, clk, uint64(clk.Now()))
+	b := newSealer(idB, clk, uint64(clk.Now()))
 	raw, err := a.seal("b", []byte("hello"))
 	require.NoError(t, err)
 	from, _, _, err := b.open("x", raw)
-	require.ErrorIs(t, err, errUnknown)
-	require.True(t, b.mayAsk(from))
-	require.False(t, b.mayAsk(from), "once a second")
-	a.introduceAgain("b")
+	require.ErrorIs(t, err, errUnknownSender)
+	require.True(t, b.mayRequestCertificate(from))
+	require.False(t, b.mayRequestCertificate(from), "once a second")
+	a.resendCertificate("b")
 	raw, err = a.seal("b", []byte("hello"))
 	require.NoError(t, err)
 	from, _, _, err = b.open("x", raw)
@@ -112,11 +112,11 @@
 }
 
 // Once both know each other's certificate nothing is signed any more, and no third can make what either takes.
-func TestSealsBetweenTwo(t *testing.T) {
+func TestAcquaintedPeersUseMACs(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
-	a, b := newPost(idA, clk, uint64(clk.Now())), newPost(idB, clk, uint64(clk.Now()))
-	pass := func(from, to *post, name string) int {
+	a, b := newSealer(idA, clk, uint64(clk.Now())), newSealer(idB, clk, uint64(clk.Now()))
+	pass := func(from, to *sealer, name string) int {
 		raw, err := from.seal(name, []byte("hello"))
 		require.NoError(t, err)
 		_, _, body, err := to.open("x", raw)
@@ -143,13 +143,13 @@
 	e.From, e.To = "b", "a"
 	back, err := cbor.Marshal(e)
 	require.NoError(t, err)
-	_, _, _, err = a.open("x", append(append([]byte{macSize}, mac(a.known["b"].out, back)...), back...))
+	_, _, _, err = a.open("x", append(append([]byte{macSize}, mac(a.peerKeys["b"].sendKey, back)...), back...))
 	require.Error(t, err)
-	require.Positive(t, a.Dropped.Forged.Load())
+	require.Positive(t, a.dropped.Forged.Load())
 }
 
 // A member with a new certificate is taken in by those who know its old one; the old one is of no use from then on.
-func TestCertificateRenewed(t *testing.T) {
+func TestRenewedCertificateReplacesOld(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, store.NewCluster(dir, "th"))
 	load := func(name string) *store.Identity {
@@ -159,16 +159,16 @@
 		return id
 	}
 	clk := clock.Manual(1e12)
-	old, b := newPost(load("a"), clk, 1), newPost(load("b"), clk, 1)
+	old, b := newSealer(load("a"), clk, 1), newSealer(load("b"), clk, 1)
 	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // certificates have their time to the second
-	renewed := newPost(load("a"), clk, 2)
-	for i, p := range []*post{old, renewed, old, renewed} {
+	renewed := newSealer(load("a"), clk, 2)
+	for i, p := range []*sealer{old, renewed, old, renewed} {
 		raw, err := p.seal("b", []byte("hello"))
 		require.NoError(t, err)
 		_, _, _, err = b.open("x", raw)
 		if i == 2 {
 			require.Error(t, err)
-			require.EqualValues(t, 1, b.Dropped.Forged.Load())
+			require.EqualValues(t, 1, b.dropped.Forged.Load())
 		} else {
 			require.NoError(t, err, "%d", i)
 		}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -22,22 +22,22 @@
 const goldenTime = 1_780_000_000_000
 
 // goldenPosts are two members with keys that do not change, in testdata; their certificates are good until 2126.
-func goldenPosts(t *testing.T) (a, b *post) {
+func goldenSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
-	load := func(name string, start uint64) *post {
+	load := func(name string, start uint64) *sealer {
 		id, err := store.LoadIdentity("testdata/identities", name)
 		require.NoError(t, err)
-		return newPost(id, clock.Manual(goldenTime), start)
+		return newSealer(id, clock.Manual(goldenTime), start)
 	}
 	return load("a", goldenTime-5000), load("b", goldenTime-4000)
 }
 
 // introduced are two that know each other's certificate: what they send is sealed with a MAC, and the same each time.
-func introduced(t *testing.T) (a, b *post) {
+func acquaintedSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
-	a, b = goldenPosts(t)
-	for _, pair := range [][2]*post{{a, b}, {b, a}} {
-		_, err := pair[0].learn(pair[1].id.Certificate())
+	a, b = goldenSealers(t)
+	for _, pair := range [][2]*sealer{{a, b}, {b, a}} {
+		_, err := pair[0].learnCertificate(pair[1].identity.Certificate())
 		require.NoError(t, err)
 	}
 	return a, b
@@ -46,15 +46,15 @@
 // What a datagram is before it is sealed.
 func TestGoldenEnvelope(t *testing.T) {
 	for name, e := range map[string]envelope{
-		"envelope.cbor":                     {From: "a", To: "b", Start: goldenTime - 5000, Seq: 1 << 33, At: goldenTime, Cert: []byte{0x30, 1, 2}, Body: []byte{kindDigest, 9}},
-		"envelope_without_certificate.cbor": {From: "a", Start: 1, Seq: 1, At: goldenTime, Body: []byte{kindAsk}},
+		"envelope.cbor":                     {From: "a", To: "b", Incarnation: goldenTime - 5000, Sequence: 1 << 33, SentAt: goldenTime, Certificate: []byte{0x30, 1, 2}, Body: []byte{kindDigest, 9}},
+		"envelope_without_certificate.cbor": {From: "a", Incarnation: 1, Sequence: 1, SentAt: goldenTime, Body: []byte{kindCertificateRequest}},
 	} {
 		raw, err := cbor.Marshal(e)
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
 		var back envelope
 		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &back))
-		require.Equal(t, e.Cert == nil, back.Cert == nil)
+		require.Equal(t, e.Certificate == nil, back.Certificate == nil)
 		require.Equal(t, e, back)
 		again, err := cbor.Marshal(back)
 		require.NoError(t, err)
@@ -65,10 +65,10 @@
 // Datagrams of every kind between two who know each other: sealed to the same bytes, and opened.
 func TestGoldenDatagrams(t *testing.T) {
 	for name, body := range map[string][]byte{
-		"datagram_member.bin": {kindMember, 1, 2, 3}, "datagram_digest.bin": {kindDigest, 4}, "datagram_ask.bin": {kindAsk},
-		"datagram_twice.bin": append([]byte{kindTwice}, "127.0.0.1:7946"...),
+		"datagram_member.bin": {kindMembership, 1, 2, 3}, "datagram_digest.bin": {kindDigest, 4}, "datagram_ask.bin": {kindCertificateRequest},
+		"datagram_twice.bin": append([]byte{kindNameConflict}, "127.0.0.1:7946"...),
 	} {
-		a, b := introduced(t)
+		a, b := acquaintedSealers(t)
 		raw, err := a.seal("b", body)
 		require.NoError(t, err)
 		require.EqualValues(t, macSize, raw[0])
@@ -79,17 +79,17 @@
 		require.EqualValues(t, goldenTime-5000, start)
 		require.Equal(t, body, opened)
 	}
-	require.Equal(t, []byte{0, 1, 2, 3}, []byte{kindMember, kindDigest, kindTwice, kindAsk})
+	require.Equal(t, []byte{0, 1, 2, 3}, []byte{kindMembership, kindDigest, kindNameConflict, kindCertificateRequest})
 }
 
 // A signature is another one each time: one that an earlier version made is opened by one that knows nobody yet.
 func TestGoldenSignedDatagram(t *testing.T) {
-	_, b := goldenPosts(t)
+	_, b := goldenSealers(t)
 	from, start, body, err := b.open("x", golden.Read(t, "datagram_signed.bin"))
 	require.NoError(t, err)
 	require.Equal(t, "a", from)
 	require.EqualValues(t, goldenTime-5000, start)
-	require.Equal(t, []byte{kindMember, 1, 2, 3}, body)
+	require.Equal(t, []byte{kindMembership, 1, 2, 3}, body)
 }
 
 // goldenDigest has every field set that goes over the wire.
@@ -103,7 +103,7 @@
 
 // A digest as it leaves a process, with the mark of whom that takes for alive behind it, and as it is taken in.
 func TestGoldenDigestBody(t *testing.T) {
-	a, b := introduced(t)
+	a, b := acquaintedSealers(t)
 	out, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer out.Close()
@@ -111,12 +111,12 @@
 	require.NoError(t, err)
 	defer in.Close()
 
-	sender := &Peers{net: &transport{post: a, udp: out}, set: 0x0123456789abcdef}
+	sender := &Peers{transport: &transport{sealer: a, udp: out}, aliveSet: 0x0123456789abcdef}
 	addr := in.LocalAddr().(*net.UDPAddr)
 	d := goldenDigest()
 	d.From, d.Incarnation = "a", 5
-	sender.tell([]*memberlist.Node{{Name: "b", Addr: addr.IP, Port: uint16(addr.Port)}}, d)
-	raw := make([]byte, mostDatagram)
+	sender.sendDigest([]*memberlist.Node{{Name: "b", Addr: addr.IP, Port: uint16(addr.Port)}}, d)
+	raw := make([]byte, maxDatagram)
 	require.NoError(t, in.SetReadDeadline(time.Now().Add(10*time.Second)))
 	n, err := in.Read(raw)
 	require.NoError(t, err)
@@ -124,10 +124,10 @@
 	require.NoError(t, err)
 	golden.Equal(t, "digest_body.bin", body)
 
-	receiver := &Peers{opt: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()), set: 0x0123456789abcdef}
-	receiver.heard("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
-	require.Zero(t, receiver.Refused.Load())
-	require.Equal(t, 1, receiver.same)
+	receiver := &Peers{options: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()), aliveSet: 0x0123456789abcdef}
+	receiver.receiveDigest("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
+	require.Zero(t, receiver.RejectedDigests.Load())
+	require.Equal(t, 1, receiver.agreeing)
 	reporters := receiver.view.Reports(goldenTime, 7)
 	require.Len(t, reporters, 1)
 	require.Equal(t, "a", reporters[0].Name)
@@ -136,11 +136,11 @@
 
 // What a member tells of itself by gossip.
 func TestGoldenMeta(t *testing.T) {
-	p := &Peers{opt: Options{Zone: "zone-1", Region: "region-1"}}
+	p := &Peers{options: Options{Zone: "zone-1", Region: "region-1"}}
 	golden.Equal(t, "meta.cbor", delegate{p}.NodeMeta(512))
-	var m meta
+	var m memberMeta
 	require.NoError(t, cbor.Unmarshal(golden.Read(t, "meta.cbor"), &m))
-	require.Equal(t, meta{Zone: "zone-1", Region: "region-1"}, m)
+	require.Equal(t, memberMeta{Zone: "zone-1", Region: "region-1"}, m)
 }
 
 // The files in which members and starts are kept are read, and written as they were.
@@ -152,24 +152,24 @@
 		{Name: "proxy-a", Addr: "127.0.0.1:7001"}, {Name: "proxy-b", Addr: "[::1]:7002"}, {Name: "proxy-c", Addr: "10.0.0.3:7003"},
 	}
 	fresh := t.TempDir()
-	written := loadKnown(fresh)
-	require.NoError(t, written.keep("self", alive))
+	written := loadRemembered(fresh)
+	require.NoError(t, written.save("self", alive))
 	raw, err := os.ReadFile(filepath.Join(fresh, "peers.known"))
 	require.NoError(t, err)
 	golden.Equal(t, "peers.known", raw)
 	dir := t.TempDir()
 	put(dir, "peers.known")
-	require.Equal(t, written.list, loadKnown(dir).list)
-	require.Len(t, written.list, 3)
+	require.Equal(t, written.addresses, loadRemembered(dir).addresses)
+	require.Len(t, written.addresses, 3)
 
-	start, err := nextStart(fresh, goldenTime)
+	start, err := nextIncarnation(fresh, goldenTime)
 	require.NoError(t, err)
 	require.EqualValues(t, goldenTime, start)
 	raw, err = os.ReadFile(filepath.Join(fresh, "peers.start"))
 	require.NoError(t, err)
 	golden.Equal(t, "peers.start", raw)
 	put(dir, "peers.start")
-	start, err = nextStart(dir, goldenTime-1000)
+	start, err = nextIncarnation(dir, goldenTime-1000)
 	require.NoError(t, err)
 	require.EqualValues(t, goldenTime+1, start)
 }
@@ -178,12 +178,12 @@
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
-			Name: "a", Addr: "127.0.0.1:7001", Alive: 2, Set: Set([]string{"a 127.0.0.1:7001", "b 127.0.0.1:7002"}), Hears: 1,
+			Name: "a", Addr: "127.0.0.1:7001", Alive: 2, Fingerprint: MembersFingerprint([]string{"a 127.0.0.1:7001", "b 127.0.0.1:7002"}), Heard: 1,
 			Members: []Member{
-				{Name: "a", Addr: "127.0.0.1:7001", Zone: "zone-1", Region: "region-1", State: Alive, Since: goldenTime + 0.5},
-				{Name: "b", Addr: "127.0.0.1:7002", Zone: "zone-2", State: Gone}, {Name: "c", State: Left},
+				{Name: "a", Addr: "127.0.0.1:7001", Zone: "zone-1", Region: "region-1", State: StateAlive, Since: goldenTime + 0.5},
+				{Name: "b", Addr: "127.0.0.1:7002", Zone: "zone-2", State: StateGone}, {Name: "c", State: StateLeft},
 			},
-			Sent: 1, Digests: 2, Streams: 3, Received: 4, Dropped: map[string]int64{"forged": 5},
+			SentBytes: 1, DigestBytes: 2, StreamBytes: 3, ReceivedBytes: 4, Dropped: map[string]int64{"forged": 5},
 		},
 		"status_empty.json": {},
 	} {
@@ -194,8 +194,8 @@
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
 		require.Equal(t, status, back)
 	}
-	a, _ := goldenPosts(t)
-	brief := (&Peers{post: a, net: &transport{addr: netAddr{net.IPv4(127, 0, 0, 1), 7001}}}).Brief()
+	a, _ := goldenSealers(t)
+	brief := (&Peers{sealer: a, transport: &transport{advertised: advertisedAddress{net.IPv4(127, 0, 0, 1), 7001}}}).Summary()
 	raw, err := json.MarshalIndent(brief.Dropped, "", "  ")
 	require.NoError(t, err)
 	golden.Equal(t, "dropped.json", raw)
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -10,7 +10,7 @@
 )
 
 // nextStart numbers this start: by the clock, and above all before where they are kept.
-func nextStart(dir string, now uint64) (uint64, error) {
+func nextIncarnation(dir string, now uint64) (uint64, error) {
 	if dir == "" {
 		return now, nil
 	}
--- a/internal/peers/known.go
+++ b/internal/peers/known.go
@@ -13,39 +13,39 @@
 )
 
 // mostKnown members are remembered over a restart.
-const mostKnown = 16
+const maxRemembered = 16
 
 // known are members that were alive when this process ran last, for a start at which every seed is gone: name and address, as
 // memberlist joins them. Which of them is drawn by both names, so that the file changes only where those members do, and
 // hundreds that start together don't all ask the same ones.
-type known struct {
-	path string // empty: nowhere to keep them
-	list []string
+type rememberedMembers struct {
+	path      string // empty: nowhere to keep them
+	addresses []string
 }
 
-func loadKnown(dir string) (k known) {
+func loadRemembered(dir string) (k rememberedMembers) {
 	if dir == "" {
 		return k
 	}
 	k.path = filepath.Join(dir, "peers.known")
 	raw, err := os.ReadFile(k.path)
-	if err != nil || json.Unmarshal(raw, &k.list) != nil {
-		return known{path: k.path} // it is a help, and made anew
+	if err != nil || json.Unmarshal(raw, &k.addresses) != nil {
+		return rememberedMembers{path: k.path} // it is a help, and made anew
 	}
-	k.list = slices.DeleteFunc(k.list, func(s string) bool { return !joinable(s) })
-	k.list = k.list[:min(mostKnown, len(k.list))]
+	k.addresses = slices.DeleteFunc(k.addresses, func(s string) bool { return !validAddress(s) })
+	k.addresses = k.addresses[:min(maxRemembered, len(k.addresses))]
 	return k
 }
 
 // joinable tells whether a line is "name/host:port", with an address and no name of a host: nothing else was written.
-func joinable(s string) bool {
+func validAddress(s string) bool {
 	name, addr, _ := strings.Cut(s, "/")
 	host, _, err := net.SplitHostPort(addr)
 	return name != "" && err == nil && net.ParseIP(host) != nil
 }
 
 // keep writes the members of now, where they are others. One that is alone keeps what it has: it may be the one cut off.
-func (k *known) keep(self string, alive []Member) error {
+func (k *rememberedMembers) save(self string, alive []Member) error {
 	if k.path == "" || len(alive) == 0 {
 		return nil
 	}
@@ -55,17 +55,17 @@
 		return h.Sum64()
 	}
 	slices.SortFunc(alive, func(a, b Member) int { return cmp.Compare(rank(a), rank(b)) })
-	list := make([]string, 0, mostKnown)
-	for _, m := range alive[:min(mostKnown, len(alive))] {
+	list := make([]string, 0, maxRemembered)
+	for _, m := range alive[:min(maxRemembered, len(alive))] {
 		list = append(list, m.Name+"/"+m.Addr)
 	}
-	if slices.Equal(list, k.list) {
+	if slices.Equal(list, k.addresses) {
 		return nil
 	}
 	raw, err := json.Marshal(list)
 	if err != nil {
 		return err
 	}
-	k.list = list
+	k.addresses = list
 	return errors.Join(os.WriteFile(k.path+".new", raw, 0o600), os.Rename(k.path+".new", k.path))
 }
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -10,23 +10,23 @@
 )
 
 // State is what is known of a member.
-type State string
+type MemberState string
 
 // The states of members. Left said so itself.
 const (
-	Alive State = "alive"
-	Gone  State = "gone"
-	Left  State = "left"
+	StateAlive MemberState = "alive"
+	StateGone  MemberState = "gone"
+	StateLeft  MemberState = "left"
 )
 
 // Member is another process, or this one.
 type Member struct {
-	Name   string  `json:"name"`
-	Addr   string  `json:"addr"`
-	Zone   string  `json:"zone"`
-	Region string  `json:"region,omitempty"`
-	State  State   `json:"state"`
-	Since  float64 `json:"since_ms"` // when it came into that state, as seen here
+	Name   string      `json:"name"`
+	Addr   string      `json:"addr"`
+	Zone   string      `json:"zone"`
+	Region string      `json:"region,omitempty"`
+	State  MemberState `json:"state"`
+	Since  float64     `json:"since_ms"` // when it came into that state, as seen here
 }
 
 // Members are all that are known, by name, those that are gone among them.
@@ -46,7 +46,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[name]
-	if m == nil || m.State == Alive {
+	if m == nil || m.State == StateAlive {
 		return fmt.Errorf("no member %q is gone", name)
 	}
 	delete(p.members, name)
@@ -55,25 +55,25 @@
 }
 
 // note books what memberlist says of a member.
-func (p *Peers) note(n *memberlist.Node, s State) {
-	var m meta
+func (p *Peers) memberChanged(n *memberlist.Node, s MemberState) {
+	var m memberMeta
 	_ = cbor.Unmarshal(n.Meta, &m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.members[n.Name] == nil && len(p.members) >= mostGone {
+	if p.members[n.Name] == nil && len(p.members) >= maxMembers {
 		for name, x := range p.members {
-			if x.State != Alive {
+			if x.State != StateAlive {
 				delete(p.members, name)
 			}
 		}
 	}
-	if m := p.members[n.Name]; m != nil && m.State == Alive {
-		p.set ^= mark(m.Name + " " + m.Addr)
-		p.alive--
+	if m := p.members[n.Name]; m != nil && m.State == StateAlive {
+		p.aliveSet ^= memberHash(m.Name + " " + m.Addr)
+		p.aliveCount--
 	}
-	if s == Alive {
-		p.set ^= mark(n.Name + " " + n.Address())
-		p.alive++
+	if s == StateAlive {
+		p.aliveSet ^= memberHash(n.Name + " " + n.Address())
+		p.aliveCount++
 	}
-	p.members[n.Name] = &Member{Name: n.Name, Addr: n.Address(), Zone: m.Zone, Region: m.Region, State: s, Since: p.opt.Clock.Now()}
+	p.members[n.Name] = &Member{Name: n.Name, Addr: n.Address(), Zone: m.Zone, Region: m.Region, State: s, Since: p.options.Clock.Now()}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,7 +13,7 @@
 )
 
 // Two pairs that began apart, as each had a seed up that the other had not, find each other once the missing seed is there.
-func TestBeganApart(t *testing.T) {
+func TestSeparateGroupsMerge(t *testing.T) {
 	clk, dir := clock.Manual(1e12), t.TempDir()
 	require.NoError(t, store.NewCluster(dir, "th"))
 	all := map[string]*Peers{}
@@ -22,18 +22,18 @@
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
 		p, err := Start(Options{
-			Name: name, Listen: listen, Seeds: seeds, Zone: "z", Every: 1000, Identity: id, Clock: clk,
+			Name: name, Listen: listen, Seeds: seeds, Zone: "z", DigestInterval: 1000, Identity: id, Clock: clk,
 			Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, nil },
 			Objects: func() []uint64 { return nil },
 		})
 		require.NoError(t, err)
 		t.Cleanup(p.Close)
 		all[name] = p
-		return p.addr()
+		return p.address()
 	}
 	sees := func(name string, n int) {
 		t.Helper()
-		require.Eventually(t, func() bool { return all[name].list.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
+		require.Eventually(t, func() bool { return all[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
 	}
 	a := begin("a", "127.0.0.1:0")
 	c := begin("c", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 	begin("c", c)
 	begin("d", "127.0.0.1:0", c)
 	sees("d", 2)
-	clk.Advance(1.5 * rejoinEvery)
+	clk.Advance(1.5 * rejoinInterval)
 	for name := range all {
 		sees(name, 4)
 	}
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -18,53 +18,53 @@
 // transport carries memberlist's datagrams in envelopes and its streams over mutual TLS, so that no message is taken from
 // anybody who has no certificate of the cluster. It implements memberlist.NodeAwareTransport.
 type transport struct {
-	post    *post
-	id      *store.Identity
-	conf    *tls.Config
-	udp     *net.UDPConn
-	tcp     net.Listener
-	addr    netAddr
-	seen    map[string]string // addresses of others as they are seen from here, by name
-	packets chan *memberlist.Packet
-	streams chan net.Conn
+	sealer           *sealer
+	identity         *store.Identity
+	tlsConfig        *tls.Config
+	udp              *net.UDPConn
+	tcp              net.Listener
+	advertised       advertisedAddress
+	addressOverrides map[string]string // addresses of others as they are seen from here, by name
+	packets          chan *memberlist.Packet
+	streams          chan net.Conn
 	// digest takes the datagrams that are not memberlist's.
-	digest func(from string, start uint64, body []byte)
-	twice  func(other string)
+	onDigest       func(from string, start uint64, body []byte)
+	onNameConflict func(other string)
 
 	// Sent and Received count bytes of datagrams and, roughly, of streams; Digests and Streams are what of Sent they were.
-	Sent, Received, Digests, Streams atomic.Int64
+	sentBytes, receivedBytes, digestBytes, streamBytes atomic.Int64
 
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
 // netAddr is what others are told.
-type netAddr struct {
+type advertisedAddress struct {
 	ip   net.IP
 	port int
 }
 
 // The first byte of a body tells whose it is.
 const (
-	kindMember byte = iota
+	kindMembership byte = iota
 	kindDigest
-	kindTwice // the address of another under the receiver's name
-	kindAsk   // the receiver's certificate is wanted
+	kindNameConflict       // the address of another under the receiver's name
+	kindCertificateRequest // the receiver's certificate is wanted
 )
 
 // Bounds of streams.
 const (
-	handshakeWait   = 5 * time.Second
-	mostHandshakes  = 64
-	packetsWaiting  = 1024
-	datagramHeaders = 28 // of IP and UDP, counted with what is sent
+	handshakeTimeout    = 5 * time.Second
+	maxHandshakes       = 64
+	maxQueuedPackets    = 1024
+	datagramHeaderBytes = 28 // of IP and UDP, counted with what is sent
 )
 
-var errPeer = errors.New("peers: another answers there")
+var errUnexpectedPeer = errors.New("peers: another answers there")
 
-func listen(addr, advertise string, p *post, seen map[string]string) (*transport, error) {
+func listen(addr, advertise string, p *sealer, seen map[string]string) (*transport, error) {
 	t := &transport{
-		post: p, id: p.id, conf: p.id.TLS(), seen: seen, packets: make(chan *memberlist.Packet, packetsWaiting),
+		sealer: p, identity: p.identity, tlsConfig: p.identity.TLS(), addressOverrides: seen, packets: make(chan *memberlist.Packet, maxQueuedPackets),
 		streams: make(chan net.Conn),
 	}
 	ln, err := net.Listen("tcp", addr)
@@ -76,7 +76,7 @@
 		ln.Close()
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	t.tcp, t.addr = ln, netAddr{at.IP, at.Port}
+	t.tcp, t.advertised = ln, advertisedAddress{at.IP, at.Port}
 	if advertise != "" {
 		out, err := net.ResolveTCPAddr("tcp", advertise)
 		if err != nil {
@@ -84,7 +84,7 @@
 			ln.Close()
 			return nil, fmt.Errorf("peers: advertise: %w", err)
 		}
-		t.addr = netAddr{out.IP, out.Port}
+		t.advertised = advertisedAddress{out.IP, out.Port}
 	}
 	return t, nil
 }
@@ -100,7 +100,7 @@
 
 func (t *transport) readPackets(ctx context.Context) {
 	defer t.done.Done()
-	buf := make([]byte, mostDatagram)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
@@ -109,25 +109,25 @@
 		if err != nil {
 			continue
 		}
-		t.Received.Add(int64(n + datagramHeaders))
-		name, start, body, err := t.post.open(from.String(), buf[:n])
-		if errors.Is(err, errUnknown) && t.post.mayAsk(name) {
+		t.receivedBytes.Add(int64(n + datagramHeaderBytes))
+		name, start, body, err := t.sealer.open(from.String(), buf[:n])
+		if errors.Is(err, errUnknownSender) && t.sealer.mayRequestCertificate(name) {
 			// Guards against one that started anew and knows nobody's key: it dropped what those said who had brought their
 			// certificates to its forerunner, and gave them up as dead.
-			_ = t.send(memberlist.Address{Addr: from.String(), Name: name}, kindAsk, nil)
+			_ = t.send(memberlist.Address{Addr: from.String(), Name: name}, kindCertificateRequest, nil)
 		}
 		if err != nil || len(body) == 0 {
 			continue
 		}
 		switch body[0] {
-		case kindAsk:
-			t.post.introduceAgain(name)
+		case kindCertificateRequest:
+			t.sealer.resendCertificate(name)
 			continue
 		case kindDigest:
-			t.digest(name, start, body[1:])
+			t.onDigest(name, start, body[1:])
 			continue
-		case kindTwice:
-			t.twice(string(body[1:]))
+		case kindNameConflict:
+			t.onNameConflict(string(body[1:]))
 			continue
 		}
 		select {
@@ -140,7 +140,7 @@
 
 func (t *transport) accept(ctx context.Context) {
 	defer t.done.Done()
-	room := make(chan struct{}, mostHandshakes)
+	room := make(chan struct{}, maxHandshakes)
 	for {
 		nc, err := t.tcp.Accept()
 		if ctx.Err() != nil {
@@ -158,7 +158,7 @@
 		}
 		go func() {
 			defer func() { <-room }()
-			c, err := t.shake(ctx, tls.Server(nc, t.conf), "")
+			c, err := t.handshake(ctx, tls.Server(nc, t.tlsConfig), "")
 			if err != nil {
 				nc.Close()
 				return
@@ -173,69 +173,69 @@
 }
 
 // shake completes a handshake, learns who is there, and holds it to the name that was meant.
-func (t *transport) shake(ctx context.Context, c *tls.Conn, want string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, handshakeWait)
+func (t *transport) handshake(ctx context.Context, c *tls.Conn, want string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
-	name, err := t.post.learn(c.ConnectionState().PeerCertificates[0].Raw)
+	name, err := t.sealer.learnCertificate(c.ConnectionState().PeerCertificates[0].Raw)
 	if err != nil {
 		return nil, err
 	}
 	if want != "" && name != want {
-		return nil, fmt.Errorf("%w: %s, not %s", errPeer, name, want)
+		return nil, fmt.Errorf("%w: %s, not %s", errUnexpectedPeer, name, want)
 	}
-	return counted{c, t}, nil
+	return countingConn{c, t}, nil
 }
 
 // counted is a stream whose bytes are counted.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	t *transport
+	transport *transport
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.Received.Add(int64(n))
+	c.transport.receivedBytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.t.Sent.Add(int64(n))
-	c.t.Streams.Add(int64(n))
+	c.transport.sentBytes.Add(int64(n))
+	c.transport.streamBytes.Add(int64(n))
 	return n, err
 }
 
 // at is where a member is, as seen from here.
-func (t *transport) at(a memberlist.Address) string {
-	if addr, ok := t.seen[a.Name]; ok && a.Name != "" {
+func (t *transport) addressOf(a memberlist.Address) string {
+	if addr, ok := t.addressOverrides[a.Name]; ok && a.Name != "" {
 		return addr
 	}
 	return a.Addr
 }
 
 func (t *transport) send(a memberlist.Address, kind byte, b []byte) error {
-	raw, err := t.post.seal(a.Name, append([]byte{kind}, b...))
+	raw, err := t.sealer.seal(a.Name, append([]byte{kind}, b...))
 	if err != nil {
 		return err
 	}
-	to, err := net.ResolveUDPAddr("udp", t.at(a))
+	to, err := net.ResolveUDPAddr("udp", t.addressOf(a))
 	if err != nil {
 		return err
 	}
 	n, err := t.udp.WriteToUDP(raw, to)
-	t.Sent.Add(int64(n + datagramHeaders))
+	t.sentBytes.Add(int64(n + datagramHeaderBytes))
 	if kind == kindDigest {
-		t.Digests.Add(int64(n + datagramHeaders))
+		t.digestBytes.Add(int64(n + datagramHeaderBytes))
 	}
 	return err
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return t.addr.ip, t.addr.port, nil
+	return t.advertised.ip, t.advertised.port, nil
 }
 
 // WriteTo implements memberlist.Transport.
@@ -245,7 +245,7 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return time.Now(), t.send(a, kindMember, b)
+	return time.Now(), t.send(a, kindMembership, b)
 }
 
 // PacketCh implements memberlist.Transport.
@@ -261,11 +261,11 @@
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	nc, err := net.DialTimeout("tcp", t.at(a), timeout)
+	nc, err := net.DialTimeout("tcp", t.addressOf(a), timeout)
 	if err != nil {
 		return nil, err
 	}
-	c, err := t.shake(context.Background(), tls.Client(nc, t.conf), a.Name)
+	c, err := t.handshake(context.Background(), tls.Client(nc, t.tlsConfig), a.Name)
 	if err != nil {
 		nc.Close()
 		return nil, err
