--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -122,7 +122,7 @@
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 		for lines.Scan() { // lines of calls to discovery stand between
-			if strings.Contains(lines.Text(), "reload: ") {
+			if strings.Contains(lines.Text(), `"kind":"reload"`) {
 				return lines.Text()
 			}
 			require.Contains(t, lines.Text(), `"kind":"discovery"`)
