--- /dev/null
+++ b/internal/decide/serverlist/check.go
@@ -0,0 +1,55 @@
+package serverlist
+
+import (
+	"strconv"
+
+	"ravenwheel/policy"
+)
+
+// check compares the entries with one another, and the list with the requirements.
+func (d *Draft) check() {
+	d.checkDistinct()
+	d.checkCoverage()
+}
+
+// checkDistinct decides that no two servers have the same id, or the same host and port.
+func (d *Draft) checkDistinct() {
+	ids, addrs := map[policy.CacheID]*Server{}, map[string]*Server{}
+	for i := range d.Servers {
+		s := &d.Servers[i]
+		if other := ids[s.ID]; other != nil {
+			s.location.fail("id", "id %s is that of %s too", FormatID(s.ID), other.location)
+		} else {
+			ids[s.ID] = s
+		}
+		addr := s.Host + ":" + strconv.Itoa(s.Port)
+		if other := addrs[addr]; other != nil {
+			s.location.fail("addr", "%s is the address of %s at %s too", addr, FormatID(other.ID), other.location)
+		} else {
+			addrs[addr] = s
+		}
+	}
+}
+
+// checkCoverage decides that the ready servers suffice: an origin, if there are classes that write, and a cache in each
+// zone with clients.
+func (d *Draft) checkCoverage() {
+	caches, origins := map[string]int{}, 0
+	for _, s := range d.Servers {
+		switch {
+		case s.Draining:
+		case s.Kind == d.requirements.OriginKind:
+			origins++
+		case s.Kind != d.requirements.ParentKind:
+			caches[s.Zone]++
+		}
+	}
+	if d.requirements.Writes && origins == 0 {
+		d.header.doc.Fail("servers", "no ready server of kind %q, and there are classes that write", d.requirements.OriginKind)
+	}
+	for _, zone := range d.requirements.Clients {
+		if caches[zone] == 0 {
+			d.header.doc.Fail("servers", "no ready cache in zone %q, which has clients", zone)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decide/serverlist/entry.go
@@ -0,0 +1,110 @@
+package serverlist
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Bounds of an entry.
+const (
+	maxWeight      = 1e6
+	maxCell        = math.MaxUint16
+	maxStartedMs   = 1e15
+	maxHostLength  = 253 // RFC 1035
+	maxLabelLength = 63  // RFC 1035
+)
+
+// labelChars are the characters of a host name's labels, in lower case.
+const labelChars = "abcdefghijklmnopqrstuvwxyz0123456789-_"
+
+// checkEntry checks one entry by itself, and notes all of its defects.
+func checkEntry(at location, e serverJSON, r *Requirements) (s Server, ok bool) {
+	ok = true
+	fail := func(field, format string, args ...any) {
+		ok = false
+		at.fail(field, format, args...)
+	}
+	var valid bool
+	if s.ID, valid = ParseID(e.ID); !valid {
+		fail("id", "id %q is not of the form s-00c41f7a", e.ID)
+	}
+	var err error
+	if s.Host, s.Port, err = parseAddr(e.Addr); err != nil {
+		fail("addr", "addr %q %s", e.Addr, err)
+	}
+	if e.Zone == "" || len(r.Zones) > 0 && !slices.Contains(r.Zones, e.Zone) {
+		fail("zone", "unknown zone %q", e.Zone)
+	}
+	if e.Kind == "" || len(r.Kinds) > 0 && !slices.Contains(r.Kinds, e.Kind) {
+		fail("kind", "unknown kind %q", e.Kind)
+	}
+	if e.State != "" && e.State != "ready" && e.State != "draining" {
+		fail("state", "state %q is neither ready nor draining", e.State)
+	}
+	if !at.doc.Has(at.path + ".weight") {
+		fail("weight", "weight is missing")
+	} else if !(e.Weight > 0 && e.Weight <= maxWeight) {
+		fail("weight", "weight %v is not above 0 and at most %v", e.Weight, float64(maxWeight))
+	}
+	if e.Cell < 0 || e.Cell > maxCell {
+		fail("cell", "cell %d is not 0 to %d", e.Cell, maxCell)
+	}
+	if e.Started < 0 || e.Started > maxStartedMs {
+		fail("started_ms", "started_ms %v is no time in Unix milliseconds", e.Started)
+	}
+	if e.Warm && e.Started > 0 {
+		fail("warm", "warm contradicts started_ms")
+	}
+	s.Zone, s.Kind, s.Cell, s.Draining, s.Weight = e.Zone, e.Kind, e.Cell, e.State == "draining", e.Weight
+	s.StartedMs, s.Warm, s.location = e.Started, e.Warm, at
+	return s, ok
+}
+
+// parseAddr splits HOST:PORT, and returns the host in the one spelling in which hosts are compared.
+func parseAddr(text string) (host string, port int, err error) {
+	colon := strings.LastIndexByte(text, ':')
+	if colon < 0 {
+		return "", 0, errors.New("has no port")
+	}
+	host, digits := text[:colon], text[colon+1:]
+	n, err := strconv.ParseUint(digits, 10, 16)
+	if err != nil || n == 0 {
+		return "", 0, fmt.Errorf("has no port from 1 to 65535 but %q", digits)
+	}
+	if inner, ok := strings.CutPrefix(host, "["); ok {
+		if host, ok = strings.CutSuffix(inner, "]"); !ok || !strings.Contains(host, ":") {
+			return "", 0, errors.New("has brackets that hold no IPv6 address")
+		}
+		return strings.ToLower(host), int(n), nil
+	}
+	host = strings.TrimSuffix(strings.ToLower(host), ".")
+	if err := checkHost(host); err != nil {
+		return "", 0, err
+	}
+	return host, int(n), nil
+}
+
+// checkHost checks the form of an IPv4 address or a name in lower case.
+func checkHost(host string) error {
+	switch {
+	case host == "":
+		return errors.New("has no host")
+	case len(host) > maxHostLength:
+		return fmt.Errorf("has a host of more than %d characters", maxHostLength)
+	}
+	for _, label := range strings.Split(host, ".") {
+		if !validLabel(label) {
+			return errors.New("has no host that can be looked up")
+		}
+	}
+	return nil
+}
+
+func validLabel(label string) bool {
+	return label != "" && len(label) <= maxLabelLength && label[0] != '-' && label[len(label)-1] != '-' &&
+		strings.Trim(label, labelChars) == ""
+}
--- a/internal/decide/serverlist/format.go
+++ b/internal/decide/serverlist/format.go
@@ -4,35 +4,34 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"strconv"
-	"strings"
 )
 
-// Format writes a set as one list file, an entry a line. What it writes, Parse reads.
-func Format(s *List) []byte {
+// Format writes a list as one list file, an entry a line. Parse reads what it writes.
+func Format(l *List) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "{\n  \"generation\": %d,\n  \"servers\": [\n", s.Generation)
-	for i, x := range s.Servers {
-		e := entryForm{
-			ID: FormatID(x.ID), Addr: x.Host + ":" + strconv.Itoa(x.Port), Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, Weight: x.Weight,
-			Started: x.StartedMs, Warm: x.Warm,
-		}
-		if strings.Contains(x.Host, ":") {
-			e.Addr = "[" + x.Host + "]:" + strconv.Itoa(x.Port)
-		}
-		if x.Draining {
-			e.State = "draining"
-		}
-		raw, err := json.Marshal(e)
-		if err != nil {
-			raw = []byte("null") // a weight that is no number, which Parse refuses
-		}
-		fmt.Fprintf(&b, "    %s", raw)
-		if i < len(s.Servers)-1 {
+	fmt.Fprintf(&b, "{\n  \"generation\": %d,\n  \"servers\": [\n", l.Generation)
+	for i, s := range l.Servers {
+		fmt.Fprintf(&b, "    %s", formatServer(s))
+		if i < len(l.Servers)-1 {
 			b.WriteByte(',')
 		}
 		b.WriteByte('\n')
 	}
-	fmt.Fprintf(&b, "  ],\n  \"end\": %d\n}\n", s.Generation)
+	fmt.Fprintf(&b, "  ],\n  \"end\": %d\n}\n", l.Generation)
 	return b.Bytes()
 }
+
+func formatServer(s Server) []byte {
+	e := serverJSON{
+		ID: FormatID(s.ID), Addr: joinHostPort(s.Host, s.Port), Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight,
+		Started: s.StartedMs, Warm: s.Warm,
+	}
+	if s.Draining {
+		e.State = "draining"
+	}
+	raw, err := json.Marshal(e)
+	if err != nil {
+		return []byte("null") // the weight is not finite; Parse rejects the entry
+	}
+	return raw
+}
--- a/internal/decide/serverlist/golden_test.go
+++ b/internal/decide/serverlist/golden_test.go
@@ -41,8 +41,8 @@
 	require.Equal(t, goldenServers(), fromCBOR)
 }
 
-// goldenAnswers resolve the hosts of the golden lists.
-var goldenAnswers = map[string]serverlist.Resolution{
+// goldenResolutions resolve the hosts of the golden lists.
+var goldenResolutions = map[string]serverlist.Resolution{
 	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "::1": {Addrs: []string{"::1"}}, "127.0.0.20": {Addrs: []string{"127.0.0.20"}},
 }
 
@@ -51,7 +51,7 @@
 	golden.Equal(t, "list.json", serverlist.Format(&serverlist.List{Generation: 7, Servers: goldenServers()}))
 	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Requirements{})
 	require.NoError(t, defects.Err())
-	set, defects := draft.Resolve(goldenAnswers, nil)
+	set, defects := draft.Resolve(goldenResolutions, nil)
 	require.NoError(t, defects.Err())
 	require.EqualValues(t, 7, set.Generation)
 	require.Equal(t, goldenServers(), set.Servers)
@@ -64,10 +64,10 @@
 	for _, name := range []string{"manifest.jsonc", "hub.jsonc", "east.jsonc"} {
 		files = append(files, serverlist.File{Name: name, Data: golden.Read(t, name)})
 	}
-	draft, defects := serverlist.Parse(files, facts)
+	draft, defects := serverlist.Parse(files, requirements)
 	require.NoError(t, defects.Err())
 	require.True(t, draft.Force)
-	set, defects := draft.Resolve(goldenAnswers, nil)
+	set, defects := draft.Resolve(goldenResolutions, nil)
 	require.NoError(t, defects.Err())
 	golden.Equal(t, "parts-as-one.json", serverlist.Format(set))
 }
--- a/internal/decide/serverlist/list_test.go
+++ b/internal/decide/serverlist/list_test.go
@@ -12,7 +12,7 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-var facts = serverlist.Requirements{
+var requirements = serverlist.Requirements{
 	Zones: []string{"hub", "east", "west"}, Kinds: []string{"small", "parent", "origin"},
 	ParentKind: "parent", OriginKind: "origin", Clients: []string{"east"}, Writes: true, MaxDropped: 0.5,
 }
@@ -25,28 +25,28 @@
 	west4  = `{"id": "s-00000004", "addr": "[::1]:4100", "zone": "west", "kind": "small", "weight": 4}`
 )
 
-// list is a list file, an entry a line from line 2 on.
+// list returns a list file, an entry a line from line 2 on.
 func list(generation int, entries ...string) string {
 	return fmt.Sprintf("{\"generation\": %d, \"servers\": [\n%s],\n\"end\": %[1]d}", generation, strings.Join(entries, ",\n"))
 }
 
-var answers = map[string]serverlist.Resolution{
+var resolutions = map[string]serverlist.Resolution{
 	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "cache2.example.org": {Addrs: []string{"127.0.1.1"}},
 	"127.0.0.2": {Addrs: []string{"127.0.0.2"}}, "127.0.0.3": {Addrs: []string{"127.0.0.3"}},
 	"127.0.0.20": {Addrs: []string{"127.0.0.20"}}, "::1": {Addrs: []string{"::1"}}, "0:0:0:0:0:0:0:1": {Addrs: []string{"::1"}},
-	"::ffff:127.0.0.2": {Addrs: []string{"127.0.0.2"}}, "hangs.example.org": {Err: "can't be resolved: no answer in 2 s"},
+	"::ffff:127.0.0.2": {Addrs: []string{"127.0.0.2"}}, "hangs.example.org": {Failure: "can't be resolved: no answer in 2 s"},
 	"many.example.org": {Addrs: []string{"127.0.1.9", "127.0.1.8"}},
 }
 
-// take parses and settles one file; the defects are lines, "" for none.
-func take(text string, old *serverlist.List) (*serverlist.List, string) {
-	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: []byte(text)}}, facts)
-	if bad != nil {
-		return nil, bad.Error()
+// accept parses and resolves one file; the defects are lines, "" for none.
+func accept(text string, current *serverlist.List) (*serverlist.List, string) {
+	d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: []byte(text)}}, requirements)
+	if defects != nil {
+		return nil, defects.Error()
 	}
-	set, bad := d.Resolve(answers, old)
-	if bad != nil {
-		return nil, bad.Error()
+	set, defects := d.Resolve(resolutions, current)
+	if defects != nil {
+		return nil, defects.Error()
 	}
 	return set, ""
 }
@@ -58,8 +58,8 @@
 	return strings.Replace(entry, from, to, 1)
 }
 
-// Each list is refused with these lines.
-func TestRefused(t *testing.T) {
+// Each invalid list is rejected with these defects.
+func TestRejectsInvalidLists(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"truncated":        {list(1, origin, east1)[:80], "l:2:50: ends too early: parsing string: unexpected EOF"},
 		"an unknown field": {list(1, origin, with(east1, `"zone"`, `"Zone"`)), `l:3:57: unknown field "Zone"; did you mean "zone"?`},
@@ -98,19 +98,19 @@
 		"no cache for clients": {list(1, origin, with(east1, `"weight"`, `"state": "draining", "weight"`), west4),
 			`l:1:30: no ready cache in zone "east", which has clients`},
 	} {
-		set, got := take(c.text, nil)
+		set, got := accept(c.text, nil)
 		assert.Equal(t, c.want, got, name)
 		assert.Nil(t, set, name)
 	}
 }
 
-// What a list may make of the one before it.
-func TestAgainst(t *testing.T) {
-	old, bad := take(list(7, origin, east1, east2, east3, west4), nil)
-	require.Empty(t, bad)
-	same, bad := take("// saved again\n"+list(7, west4, east1, origin, east3, east2), old)
-	require.Empty(t, bad)
-	require.Same(t, old, same, "a file that is merely saved again changes nothing")
+// Which list may follow the one in use, and which addresses it gets.
+func TestAcceptsOnlyValidChanges(t *testing.T) {
+	old, defects := accept(list(7, origin, east1, east2, east3, west4), nil)
+	require.Empty(t, defects)
+	same, defects := accept("// saved again\n"+list(7, west4, east1, origin, east3, east2), old)
+	require.Empty(t, defects)
+	require.Same(t, old, same, "a file that is saved again unchanged changes nothing")
 	for text, want := range map[string]string{
 		list(6, origin, east1, east2, east3, west4): "l:1:16: generation goes back from 7 to 6",
 		list(7, origin, east1, east2, east3):        "l:1:16: generation 7 was used for another list: give a changed list the next one",
@@ -118,12 +118,12 @@
 		list(8, origin, east1, east2, with(east3, `"weight"`, `"state": "draining", "weight"`)): "",
 		strings.Replace(list(8, origin, east1), "{", `{"force": true, `, 1):                     "",
 	} {
-		_, got := take(text, old)
+		_, got := accept(text, old)
 		require.Equal(t, want, got, text)
 	}
-	next, bad := take(list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
+	next, defects := accept(list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
 		with(with(east3, "3\"", "5\""), "127.0.0.3", "many.example.org")), old)
-	require.Empty(t, bad)
+	require.Empty(t, defects)
 	var lines []string
 	for _, c := range serverlist.Diff(old, next) {
 		lines = append(lines, fmt.Sprintf("%s %s %s", serverlist.FormatID(c.ID), c.Kind, c.Text))
@@ -135,20 +135,20 @@
 		"s-00000005 added 127.0.1.8:4100 in east, small, weight 4",
 	}, lines)
 
-	// A name with many addresses stays at the one in use while it is among them, and then moves.
-	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7", "127.0.1.8"}}
+	// A name with several addresses keeps the one in use while it is among them, and moves then.
+	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7", "127.0.1.8"}}
 	text := list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
 		with(with(east3, "3\"", "5\""), "127.0.0.3", "many.example.org"))
-	again, bad := take(text, next)
-	require.Empty(t, bad)
+	again, defects := accept(text, next)
+	require.Empty(t, defects)
 	require.Same(t, next, again)
-	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7"}}
-	moved, bad := take(text, next)
-	require.Empty(t, bad)
-	require.Equal(t, "moved", serverlist.Diff(next, moved)[0].Kind)
-	// To an address that another server has: the list that was good stays.
-	answers["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.0.2"}}
-	_, got := take(text, next)
+	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7"}}
+	moved, defects := accept(text, next)
+	require.Empty(t, defects)
+	require.Equal(t, serverlist.ChangeMoved, serverlist.Diff(next, moved)[0].Kind)
+	// It moves to the address of another server: the list is rejected.
+	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.0.2"}}
+	_, got := accept(text, next)
 	require.Contains(t, got, "the address of s-00000002")
 }
 
@@ -165,8 +165,8 @@
 		generation, strings.Join(lines, ",\n"))}
 }
 
-// A directory counts only when every part is there as it was meant.
-func TestParts(t *testing.T) {
+// A directory is accepted only when every part is there, unchanged since its manifest.
+func TestAcceptsOnlyCompleteParts(t *testing.T) {
 	parts := map[string][]byte{"hub.jsonc": part(origin), "east.jsonc": part(east1, east2), "new.jsonc": part(east1, east3)}
 	files := func(m serverlist.File, names ...string) []serverlist.File {
 		out := []serverlist.File{m}
@@ -176,8 +176,8 @@
 		return out
 	}
 	good := manifest(3, parts, "hub.jsonc", "east.jsonc")
-	d, bad := serverlist.Parse(files(good, "hub.jsonc", "east.jsonc", "new.jsonc"), facts)
-	require.NoError(t, bad.Err())
+	d, defects := serverlist.Parse(files(good, "hub.jsonc", "east.jsonc", "new.jsonc"), requirements)
+	require.NoError(t, defects.Err())
 	require.Len(t, d.Servers, 3)
 	for name, c := range map[string]struct {
 		files []serverlist.File
@@ -193,25 +193,25 @@
 		"a path out of there": {files(manifest(3, parts, "../hub.jsonc"), "hub.jsonc"), "d/manifest.jsonc:2:10: \"../hub.jsonc\" is no part of this directory"},
 		"an id in two parts":  {files(manifest(3, parts, "hub.jsonc", "east.jsonc", "new.jsonc"), "hub.jsonc", "east.jsonc", "new.jsonc"), "d/new.jsonc:2:8: id s-00000001 is that of d/east.jsonc:2:1 too\nd/new.jsonc:2:30: cache1.example.org:4100 is the address of s-00000001 at d/east.jsonc:2:1 too"},
 	} {
-		_, bad := serverlist.Parse(c.files, facts)
-		require.EqualError(t, bad.Err(), c.want, name)
+		_, defects := serverlist.Parse(c.files, requirements)
+		require.EqualError(t, defects.Err(), c.want, name)
 	}
 }
 
 func sha256Head(b []byte) []byte { s := sha256.Sum256(b); return s[:6] }
 
-// A list written over another one byte by byte, with or without truncation, is never taken half way.
-func TestWrittenInPlace(t *testing.T) {
+// A list written over another one byte by byte, with or without truncation, is not accepted before it is complete.
+func TestListWrittenInPlaceIsRejectedUntilComplete(t *testing.T) {
 	before, after := list(7, origin, east1, east2), list(8, origin, east1, east3)
-	old, bad := take(before, nil)
-	require.Empty(t, bad)
+	old, defects := accept(before, nil)
+	require.Empty(t, defects)
 	for i := range len(after) {
-		if set, bad := take(after[:i], old); bad == "" {
+		if set, defects := accept(after[:i], old); defects == "" {
 			t.Fatalf("cut at %d: %v", i, set)
 		}
-		// Past the last digit only what both share is left to write.
+		// What is left to write may be the same in both.
 		if i < len(before) && after[:i]+before[i:] != after {
-			if set, bad := take(after[:i]+before[i:], old); bad == "" {
+			if set, defects := accept(after[:i]+before[i:], old); defects == "" {
 				require.Same(t, old, set, "%d", i)
 			}
 		}
@@ -222,15 +222,15 @@
 	f.Add([]byte(list(1, origin, east1, east2, west4)))
 	f.Add([]byte(list(1, origin, with(east1, "cache1.example.org", "[::1%lo]"))))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: text}}, facts)
-		require.Equal(t, bad == nil, d != nil)
+		d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: text}}, requirements)
+		require.Equal(t, defects == nil, d != nil)
 		if d != nil {
-			_, _ = d.Resolve(answers, nil)
+			_, _ = d.Resolve(resolutions, nil)
 		}
 	})
 }
 
-// 10,000 servers in one list.
+// large returns a list of n servers, an origin and a named one.
 func large(n int) []serverlist.File {
 	entries := []string{origin, east1}
 	for i := range n {
@@ -242,17 +242,17 @@
 func BenchmarkParse10k(b *testing.B) {
 	files := large(10_000)
 	known := map[string]serverlist.Resolution{}
-	d, bad := serverlist.Parse(files, facts)
-	require.NoError(b, bad.Err())
+	d, defects := serverlist.Parse(files, requirements)
+	require.NoError(b, defects.Err())
 	for _, h := range d.Hosts() {
 		known[h] = serverlist.Resolution{Addrs: []string{h}}
 	}
 	b.SetBytes(int64(len(files[0].Data)))
 	b.ReportAllocs()
 	for b.Loop() {
-		d, _ := serverlist.Parse(files, facts)
-		if _, bad := d.Resolve(known, nil); bad != nil {
-			b.Fatal(bad)
+		d, _ := serverlist.Parse(files, requirements)
+		if _, defects := d.Resolve(known, nil); defects != nil {
+			b.Fatal(defects)
 		}
 	}
 }
--- /dev/null
+++ b/internal/decide/serverlist/resolve.go
@@ -0,0 +1,140 @@
+package serverlist
+
+import (
+	"math"
+	"slices"
+
+	"ravenwheel/internal/strictjson"
+	"ravenwheel/policy"
+)
+
+// Resolution is the result of resolving a host: its addresses, or why there are none.
+type Resolution struct {
+	Addrs   []string // in the form in which they are dialled, IPv6 without brackets
+	Failure string   // "": none
+}
+
+// Hosts returns the hosts to resolve, each once.
+func (d *Draft) Hosts() []string {
+	seen := map[string]bool{}
+	var hosts []string
+	for _, s := range d.Servers {
+		if !seen[s.Host] {
+			seen[s.Host] = true
+			hosts = append(hosts, s.Host)
+		}
+	}
+	return hosts
+}
+
+// Resolve sets the addresses of the servers and compares the draft with the list in use (nil: none). It returns the list
+// to use from now on, which is current itself if nothing has changed, or all defects.
+func (d *Draft) Resolve(resolutions map[string]Resolution, current *List) (*List, strictjson.Defects) {
+	for _, doc := range d.docs {
+		doc.Defects = nil // of an earlier call
+	}
+	next := &List{Generation: d.Generation, Servers: slices.Clone(d.Servers)}
+	setAddrs(next.Servers, resolutions, current)
+	for i := range next.Servers {
+		next.Servers[i].location = location{} // or the list would keep its texts in memory
+	}
+	next.Sum = hashServers(next.Servers)
+	if current != nil && d.defects() == nil {
+		d.checkChange(next, current)
+	}
+	if defects := d.defects(); defects != nil {
+		return nil, defects
+	}
+	if current != nil && current.Sum == next.Sum && current.Generation == next.Generation {
+		return current, nil
+	}
+	return next, nil
+}
+
+// setAddrs sets the address of each server, and notes the defects of those without an address of their own.
+func setAddrs(servers []Server, resolutions map[string]Resolution, current *List) {
+	previous := indexByID(current)
+	taken := map[string]*Server{}
+	for i := range servers {
+		s := &servers[i]
+		ip, failure := chooseAddr(s, resolutions[s.Host], previous[s.ID])
+		if failure != "" {
+			s.location.fail("addr", "%s %s", s.Host, failure)
+			continue
+		}
+		s.Addr = joinHostPort(ip, s.Port)
+		if other := taken[s.Addr]; other != nil {
+			s.location.fail("addr", "%s is %s, the address of %s at %s too", s.Host, s.Addr, FormatID(other.ID), other.location)
+			continue
+		}
+		taken[s.Addr] = s
+	}
+}
+
+// chooseAddr decides which address of a host is used. The one in use stays as long as it is among the results: a name
+// with several addresses is answered in another order each time, and each change would cost the server its connections.
+func chooseAddr(s *Server, r Resolution, previous *Server) (ip, failure string) {
+	switch {
+	case len(r.Addrs) == 0 && r.Failure != "":
+		return "", r.Failure
+	case len(r.Addrs) == 0:
+		return "", "has no address"
+	}
+	if previous != nil && previous.Host == s.Host {
+		for _, ip := range r.Addrs {
+			if previous.Addr == joinHostPort(ip, previous.Port) {
+				return ip, ""
+			}
+		}
+	}
+	return slices.Min(r.Addrs), ""
+}
+
+// checkChange decides whether a list may follow the one in use: its generation must not go back, a generation belongs to
+// one list alone, and it may not drop more than MaxDropped of the ready servers. The second also rejects a file that is
+// being written in place over an older one.
+func (d *Draft) checkChange(next, current *List) {
+	fail := func(format string, args ...any) { d.header.doc.Fail(d.header.path, format, args...) }
+	switch {
+	case next.Generation < current.Generation:
+		fail("generation goes back from %d to %d", current.Generation, next.Generation)
+		return
+	case next.Generation == current.Generation && !equalExceptAddrs(next, current):
+		fail("generation %d was used for another list: give a changed list the next one", next.Generation)
+		return
+	}
+	bound := d.requirements.MaxDropped
+	if d.Force || bound <= 0 || bound >= 1 {
+		return
+	}
+	ready, dropped := countDropped(next, current)
+	if most := int(math.Floor(bound * float64(ready))); dropped > most {
+		fail("takes %d of %d ready servers out of use, %d at the most without \"force\": true", dropped, ready, most)
+	}
+}
+
+// countDropped returns how many servers of current are ready, and how many of those next takes out of use.
+func countDropped(next, current *List) (ready, dropped int) {
+	stillReady := map[policy.CacheID]bool{}
+	for _, s := range next.Servers {
+		stillReady[s.ID] = !s.Draining
+	}
+	for _, s := range current.Servers {
+		if s.Draining {
+			continue
+		}
+		ready++
+		if !stillReady[s.ID] {
+			dropped++
+		}
+	}
+	return ready, dropped
+}
+
+// equalExceptAddrs compares two lists without their addresses: names may be resolved anew under the same generation.
+func equalExceptAddrs(a, b *List) bool {
+	return slices.EqualFunc(a.Servers, b.Servers, func(x, y Server) bool {
+		x.Addr, y.Addr = "", ""
+		return x == y
+	})
+}
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -318,7 +318,7 @@
 	changes := serverlist.Diff(old, set)
 	counts := map[string]int{}
 	for _, c := range changes {
-		counts[c.Kind]++
+		counts[string(c.Kind)]++
 	}
 	s.opt.Log.Info("list").Uint64("generation", set.Generation).Int("servers", len(set.Servers)).
 		Interface("changes", counts).Msg("server list taken")
--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		if c.Backend == nil {
-			out[h] = serverlist.Resolution{Err: "is a name, and no names are resolved here"}
+			out[h] = serverlist.Resolution{Failure: "is a name, and no names are resolved here"}
 			continue
 		}
 		e := c.known[h]
@@ -95,7 +95,7 @@
 		case e.good || e.asked == nil:
 			out[h] = e.answer
 		default:
-			out[h] = serverlist.Resolution{Err: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
+			out[h] = serverlist.Resolution{Failure: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
 		}
 	}
 	return out
@@ -139,7 +139,7 @@
 		a.Addrs = append(a.Addrs, spelled(ip))
 	}
 	if err != nil {
-		a = serverlist.Resolution{Err: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
+		a = serverlist.Resolution{Failure: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,14 +159,14 @@
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err == nil && ip.Zone() != "":
-		return serverlist.Resolution{Err: "has a zone index, which other machines do not share"}, true
+		return serverlist.Resolution{Failure: "has a zone index, which other machines do not share"}, true
 	case err == nil && ip.IsUnspecified():
-		return serverlist.Resolution{Err: "is the address of no machine"}, true
+		return serverlist.Resolution{Failure: "is the address of no machine"}, true
 	case err == nil:
 		return serverlist.Resolution{Addrs: []string{spelled(ip)}}, true
 	case strings.Trim(host, "0123456789.") == "":
 		// Some resolvers take 127.1 or 010.0.0.1 for an address, each for another one.
-		return serverlist.Resolution{Err: "is no IPv4 address that all read alike"}, true
+		return serverlist.Resolution{Failure: "is no IPv4 address that all read alike"}, true
 	}
 	return serverlist.Resolution{}, false
 }
--- a/internal/source/resolver/resolver_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -58,11 +58,11 @@
 		"127.0.0.1":                  {Addrs: []string{"127.0.0.1"}},
 		"::ffff:127.0.0.1":           {Addrs: []string{"127.0.0.1"}},
 		"0:0:0:0:0:0:0:1":            {Addrs: []string{"::1"}},
-		"127.1":                      {Err: "is no IPv4 address that all read alike"},
-		"127.0.0.01":                 {Err: "is no IPv4 address that all read alike"},
-		"0.0.0.0":                    {Err: "is the address of no machine"},
-		"fe80::1%lo":                 {Err: "has a zone index, which other machines do not share"},
-		"nosuchhost.example.invalid": {Err: "can't be resolved: no such host"},
+		"127.1":                      {Failure: "is no IPv4 address that all read alike"},
+		"127.0.0.01":                 {Failure: "is no IPv4 address that all read alike"},
+		"0.0.0.0":                    {Failure: "is the address of no machine"},
+		"fe80::1%lo":                 {Failure: "has a zone index, which other machines do not share"},
+		"nosuchhost.example.invalid": {Failure: "can't be resolved: no such host"},
 	} {
 		require.Equal(t, want, c.Resolve([]string{host})[host], host)
 	}
@@ -88,7 +88,7 @@
 	require.Equal(t, serverlist.Resolution{Addrs: []string{"127.0.0.2"}}, ask(), "asked again soon after it failed")
 	c.Retain(nil)
 	r.set("a")
-	require.Equal(t, "can't be resolved: no such host", ask().Err)
+	require.Equal(t, "can't be resolved: no such host", ask().Failure)
 }
 
 // A resolver that hangs, whatever its context says, holds nobody up for longer than the time-out, and one look-up
@@ -110,7 +110,7 @@
 				clk.Advance(100)
 			}
 		}
-		require.Equal(t, "can't be resolved: no answer in 2000 ms", answers["h"].Err)
+		require.Equal(t, "can't be resolved: no answer in 2000 ms", answers["h"].Failure)
 		require.Equal(t, []string{"127.0.0.1"}, answers["a"].Addrs)
 	}
 	r.mu.Lock()
