--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -113,7 +113,7 @@
 
 // storedList returns the list that the store holds; nil: none.
 func (s *serverSources) storedList() (list *serverlist.List, err error) {
-	err = s.shared.store.Read(true, func(st *storestate.State) {
+	err = s.shared.store.ReadLinearizable(func(st *storestate.State) {
 		if stored, ok := st.Lists[storeList]; ok {
 			list = serverlist.NewList(stored.Generation, stored.Servers)
 		}
--- a/cmd/ravenwheel/revisions.go
+++ b/cmd/ravenwheel/revisions.go
@@ -108,7 +108,7 @@
 // revision.
 func (a *revisionApplier) replaceKeys(wanted config.KeyRing) {
 	stored := map[string]store.Key{}
-	_ = a.store.Read(false, func(s *storestate.State) { maps.Copy(stored, s.Keys) })
+	a.store.ReadLocal(func(s *storestate.State) { maps.Copy(stored, s.Keys) })
 	for id, key := range wanted {
 		if old, ok := stored[id]; ok && old.Alg == key.Alg && string(old.Data) == string(key.Data) {
 			continue
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -231,7 +231,7 @@
 	require.NoError(t, os.WriteFile(filepath.Join(empty, "notes.txt"), []byte("x"), 0o600))
 	out, err := exec.Command(bin, "state", "verify", empty).CombinedOutput()
 	require.Error(t, err)
-	require.Equal(t, "ravenwheel: journal: none here: "+empty+" holds no segment and no snapshot\n", string(out))
+	require.Equal(t, "ravenwheel: journal: empty directory: "+empty+" holds no segment and no snapshot\n", string(out))
 	out, err = exec.Command(bin, "version").Output()
 	require.NoError(t, err)
 	require.Contains(t, string(out), "ravenwheel")
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -358,7 +358,7 @@
 
 func (a *Admin) config(w http.ResponseWriter, _ *http.Request) {
 	out := ConfigResponse{StaleMs: a.opt.Store.Status().StaleMs}
-	_ = a.opt.Store.Read(false, func(s *storestate.State) {
+	a.opt.Store.ReadLocal(func(s *storestate.State) {
 		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Revisions)
 	})
 	reply(w, out)
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -52,14 +52,14 @@
 	phase      Phase
 	phaseSince float64
 	seekSince  float64 // when the process began to look for an owner
-	generation uint64  // of this process once it owns; before that, the highest it has heard of
+	generation uint64  // of this process once it owns; before that, the highest known to it
 	actions    []Action
 
 	ownerConnected bool // there is a connection to the owner
 	lockHeld       bool // this process holds the lock
 	prepared       bool // Ready has been received
 	ownListener    bool // no owner passes its listener on: this process has opened one
-	grantReceived  bool // the previous owner waits to hear that this process serves
+	grantReceived  bool // the previous owner waits for the announcement that this process serves
 
 	successor        int // number of its connection
 	successorServing bool
--- a/internal/decide/recovery/recovery.go
+++ b/internal/decide/recovery/recovery.go
@@ -1,4 +1,4 @@
-// Package recovery decides what a restarted proxy must honour before it has heard from its sources again. It owns the
+// Package recovery decides what a restarted proxy must honour before its sources answer again. It owns the
 // state that survives a crash: drains, departures, purges, the server lists last accepted, and the configuration revision.
 // Events go in through State.Apply; State.Encode produces the bytes to store; State.Plan says what to do at a start. It
 // performs no I/O and reads no clock: internal/state stores the events. Its decisions are tested in this package.
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -45,7 +45,7 @@
 }
 
 // ErrShutdown says that the process was told to end before it owned its address.
-var ErrShutdown = errors.New("handover: told to end")
+var ErrShutdown = errors.New("handover: shutdown requested")
 
 // LearnedState is what a process has learned, and the next one may start from.
 type LearnedState interface {
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -23,7 +23,7 @@
 	// errBusy says that another process has had the record locked for too long.
 	errBusy = errors.New("another process is writing the record")
 	// errTooManyDrained says that maxDrained servers are drained already.
-	errTooManyDrained = fmt.Errorf("no more than %d servers can be out by hand", maxDrained)
+	errTooManyDrained = fmt.Errorf("at most %d servers can be drained manually", maxDrained)
 )
 
 const (
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -35,7 +35,7 @@
 	// ErrClosed says that the journal is closed or read-only. Nothing was written.
 	ErrClosed = errors.New("journal: closed")
 	// ErrEmptyDirectory says that a directory opened read-only holds no segment and no snapshot.
-	ErrEmptyDirectory = errors.New("journal: none here")
+	ErrEmptyDirectory = errors.New("journal: empty directory")
 	// ErrRecordTooLarge says that a payload is larger than MaxRecordSize.
 	ErrRecordTooLarge = errors.New("journal: record too large")
 )
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -53,7 +53,7 @@
 	return state, nil
 }
 
-// maxInitialBuffer bounds the bytes allocated for a state on the word of a header.
+// maxInitialBuffer bounds the bytes allocated on the strength of a claimed size alone.
 const maxInitialBuffer = 1 << 20
 
 func encodeSnapshot(covers uint64, state []byte) ([]byte, error) {
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -48,7 +48,9 @@
 	back := c.open("a", Options{OnFact: recorder.onFact})
 	eventually(t, func() bool { return recorder.of("s-1") == storestate.EndDrain }, "the end of the drain is announced")
 	var draining bool
-	require.NoError(t, back.Read(false, func(s *storestate.State) { _, draining = s.Drains["s-1"] }))
+	var applied uint64
+	back.ReadLocal(func(s *storestate.State) { _, draining = s.Drains["s-1"]; applied = s.AppliedIndex })
+	require.NotZero(t, applied)
 	require.False(t, draining)
 }
 
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -201,7 +201,7 @@
 	defer s.Kill()
 	require.NotEqual(t, "0", s.raft.Stats()["last_snapshot_index"])
 	var raw []byte
-	require.NoError(t, s.Read(true, func(st *storestate.State) {
+	require.NoError(t, s.ReadLinearizable(func(st *storestate.State) {
 		raw, err = storestate.Encode(st)
 		require.NoError(t, err)
 	}))
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -21,7 +21,7 @@
 	memberPath = "/member/"
 )
 
-// ErrNotMember says that a certificate is not one of a member of this cluster.
+// ErrNotMember says that a certificate is not that of a member of this cluster.
 var ErrNotMember = errors.New("store: not a certificate of a member")
 
 // Identity is a member's certificate and key, and the authority of its cluster.
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -127,7 +127,7 @@
 				case 1:
 					record(client, op{read: true}, func() (outcome, bool) {
 						var rev uint64
-						err := s.Read(true, func(st *storestate.State) { rev = st.Revision().Number })
+						err := s.ReadLinearizable(func(st *storestate.State) { rev = st.Revision().Number })
 						return outcome{revision: rev}, err == nil
 					})
 				default:
--- a/internal/store/message.go
+++ b/internal/store/message.go
@@ -96,7 +96,7 @@
 	if int64(size) > int64(maxSize) {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, size)
 	}
-	// The buffer grows as bytes arrive, so that a claimed size alone costs no memory.
+	// The buffer grows as bytes arrive, so that a claimed size alone allocates nothing.
 	b, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil || len(b) < int(size) {
 		return nil, errors.Join(err, io.ErrUnexpectedEOF)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -52,7 +52,7 @@
 	var base uint64
 	var old storestate.Revision
 	var found bool
-	if err := s.Read(true, func(st *storestate.State) {
+	if err := s.ReadLinearizable(func(st *storestate.State) {
 		base = st.Revision().Number
 		old, found = st.RevisionByNumber(to)
 	}); err != nil {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -8,19 +8,24 @@
 // readPollInterval is how many ms a linearizable read waits before it looks again whether this member has caught up.
 const readPollInterval = 2
 
-// Read calls f with the state, which f must not retain. A linearizable read sees every change that was acknowledged anywhere
-// before the call, and returns ErrUnavailable without a quorum. Any other read sees what this member knows, which may be
-// older by Status.StaleMs.
-func (s *Store) Read(linearizable bool, f func(*storestate.State)) error {
-	if linearizable && s.raft != nil {
+// ReadLinearizable calls f with a state that includes every change acknowledged anywhere before the call. f must not retain
+// the state. It returns ErrUnavailable without a quorum.
+func (s *Store) ReadLinearizable(f func(*storestate.State)) error {
+	if s.raft != nil {
 		if err := s.catchUp(); err != nil {
 			return err
 		}
 	}
+	s.ReadLocal(f)
+	return nil
+}
+
+// ReadLocal calls f with the state as this member knows it, which may be older by Status.StaleMs. f must not retain the
+// state.
+func (s *Store) ReadLocal(f func(*storestate.State)) {
 	s.fsm.mu.RLock()
 	defer s.fsm.mu.RUnlock()
 	f(s.fsm.state)
-	return nil
 }
 
 // catchUp waits until this member has applied all entries that the leader had committed when it was asked, and the leader
@@ -52,7 +57,7 @@
 // appliedIndex returns the index of the last entry that the state includes. Raft's AppliedIndex also counts entries that
 // were handed to the state machine but not applied yet, and a linearizable read that relied on it could be stale.
 func (s *Store) appliedIndex() (index uint64) {
-	_ = s.Read(false, func(st *storestate.State) { index = st.AppliedIndex })
+	s.ReadLocal(func(st *storestate.State) { index = st.AppliedIndex })
 	return index
 }
 
@@ -70,25 +75,25 @@
 
 // Key returns a signing key as this member knows it, and whether there is one.
 func (s *Store) Key(kid string) (k Key, ok bool) {
-	_ = s.Read(false, func(st *storestate.State) { k, ok = st.Keys[kid] })
+	s.ReadLocal(func(st *storestate.State) { k, ok = st.Keys[kid] })
 	return k, ok
 }
 
 // IsRevoked reports whether a token id was revoked, as this member knows it.
 func (s *Store) IsRevoked(jti string) (revoked bool) {
-	_ = s.Read(false, func(st *storestate.State) { _, revoked = st.RevokedTokens[jti] })
+	s.ReadLocal(func(st *storestate.State) { _, revoked = st.RevokedTokens[jti] })
 	return revoked
 }
 
 // Config returns the configuration revision in force, as this member knows it.
 func (s *Store) Config() (r storestate.Revision) {
-	_ = s.Read(false, func(st *storestate.State) { r = st.Revision() })
+	s.ReadLocal(func(st *storestate.State) { r = st.Revision() })
 	return r
 }
 
 // TokenCounts returns how many spent and how many revoked token ids are stored.
 func (s *Store) TokenCounts() (spent, revoked int) {
-	_ = s.Read(false, func(st *storestate.State) { spent, revoked = len(st.SpentTokens), len(st.RevokedTokens) })
+	s.ReadLocal(func(st *storestate.State) { spent, revoked = len(st.SpentTokens), len(st.RevokedTokens) })
 	return spent, revoked
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -25,8 +25,8 @@
 var (
 	ErrTokenSpent     = errors.New("store: already spent")
 	ErrConflict       = errors.New("store: the configuration has another revision by now")
-	ErrStale          = errors.New("store: an older or other list")
-	ErrInvalid        = errors.New("store: a change that can't be applied")
+	ErrStale          = errors.New("store: stale list: an earlier generation, or other servers in the same")
+	ErrInvalid        = errors.New("store: invalid change")
 	ErrUnavailable    = errors.New("store: no quorum")
 	ErrOutcomeUnknown = fmt.Errorf("%w, and what became of the change is not known", ErrUnavailable)
 )
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -284,13 +284,13 @@
 	_, ok := c.members[lone].Key("k")
 	require.True(t, ok, "reads go on")
 	require.ErrorIs(t, c.members[lone].SpendToken("j", 9e15), ErrUnavailable)
-	require.ErrorIs(t, c.members[lone].Read(true, func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
+	require.ErrorIs(t, c.members[lone].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
 	require.NoError(t, c.members[lead].DeleteKey("k"))
 	_, ok = c.members[lone].Key("k")
 	require.True(t, ok, "stale, and said so")
 	c.isolate(lone, false)
 	eventually(t, func() bool {
-		return c.members[lone].Read(true, func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
+		return c.members[lone].ReadLinearizable(func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
 	}, "it caught up")
 
 	// The leader itself is cut off: it stops leading, the others go on.
@@ -329,7 +329,7 @@
 	require.NoError(t, c.members[lead].PutKey("two", Key{Alg: "HS256"}))
 	eventually(t, func() bool { return late.raft.AppliedIndex() >= c.members[lead].raft.AppliedIndex() }, "it was handed both")
 	done, seen := make(chan error, 1), false
-	go func() { done <- late.Read(true, func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
+	go func() { done <- late.ReadLinearizable(func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
 	time.Sleep(50 * time.Millisecond)
 	late.fsm.mu.Unlock()
 	require.NoError(t, <-done)
