--- a/cmd/ravenwheel/confined_test.go
+++ b/cmd/ravenwheel/confined_test.go
@@ -12,24 +12,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// confinedEnv names the program that TestConfine becomes.
+// confinedEnv names the program that TestConfinedProcess becomes.
 const confinedEnv = "RAVENWHEEL_CONFINED"
 
-// confined starts the program so that it dies at once where it would start another one or use a Unix socket, io_uring,
-// splice or sendfile, and has ENOSYS for clone3, which the C library tries first: what the larger fleet's platform refuses.
+// confined starts the program so that it is killed where it starts another program or uses a Unix socket, io_uring, splice or
+// sendfile, and gets ENOSYS for clone3, which the C library tries first: the calls that one platform forbids.
 func confined(t *testing.T, bin string) *exec.Cmd {
-	cmd := exec.Command(os.Args[0], "-test.run=^TestConfine$")
+	cmd := exec.Command(os.Args[0], "-test.run=^TestConfinedProcess$")
 	cmd.Env = append(os.Environ(), confinedEnv+"=/bin/true")
 	if err := cmd.Run(); err != nil {
 		t.Skipf("no system-call filters here: %v", err)
 	}
-	cmd = exec.Command(os.Args[0], "-test.run=^TestConfine$")
+	cmd = exec.Command(os.Args[0], "-test.run=^TestConfinedProcess$")
 	cmd.Env = append(os.Environ(), confinedEnv+"="+bin)
 	return cmd
 }
 
-// TestConfine is no test of itself: it sets the filter, and becomes the program it is told.
-func TestConfine(t *testing.T) {
+// TestConfinedProcess is a helper process of other tests: it installs the filter, and executes the program that confinedEnv names.
+func TestConfinedProcess(t *testing.T) {
 	bin := os.Getenv(confinedEnv)
 	if bin == "" {
 		return
@@ -43,7 +43,7 @@
 	require.NoError(t, syscall.Exec(bin, []string{bin}, os.Environ()))
 }
 
-// filter reads the call's number and, of two calls, the first argument. A jump skips as many steps as it says.
+// filter is a seccomp program. It reads the call's number and, of two calls, the first argument.
 func filter() (f []unix.SockFilter) {
 	const number, first = 0, 16 // offsets in struct seccomp_data
 	load := func(at uint32) {
--- a/cmd/ravenwheel/descriptors_test.go
+++ b/cmd/ravenwheel/descriptors_test.go
@@ -17,13 +17,13 @@
 	"ravenwheel/internal/scenario"
 )
 
-// descriptors is how many a process holds, of all kinds, as the kernel lists them.
+// descriptors is the number of descriptors of a process, of all kinds.
 func descriptors(pid int) int {
 	list, _ := os.ReadDir(filepath.Join("/proc", fmt.Sprint(pid), "fd"))
 	return len(list)
 }
 
-// watchDescriptors looks again and again, and once more as it is ended; it tells the most that were held at a look.
+// watchDescriptors counts descriptors again and again until it is ended, and returns the highest count.
 func watchDescriptors(pid int) (end func() (most, looks int)) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	most, looks := 0, 0
@@ -45,7 +45,7 @@
 	}
 }
 
-// crowd dials a proxy many times at once and leaves the connections be. Each says first what it is given, or nothing.
+// crowd dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
 func crowd(t *testing.T, listen string, first string, n, atOnce int) {
 	var all sync.WaitGroup
 	for range atOnce {
@@ -64,10 +64,9 @@
 	all.Wait()
 }
 
-// Idle clients come by the thousand, all at once, and never end a connection themselves. The process is given no limit by
-// the system that it would meet: it stays by itself under the one of its configuration, at each look while they come, with
-// half of the places for clients, one in eight more for those that leave, and the rest to spare. A proper client gets in.
-func TestCrowdStaysUnderTheLimit(t *testing.T) {
+// Thousands of idle clients connect at once, and none closes its connection. The system's limit is out of reach: the process itself
+// stays within the sockets of its configuration at each count, and a client with a request is served.
+func TestIdleCrowdStaysWithinSockets(t *testing.T) {
 	const sockets, clients = 640, 4000
 	const health = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
 	for name, first := range map[string]string{"silent": "", "asked once": health, "half a frame": health[:9]} {
@@ -114,5 +113,5 @@
 	}
 }
 
-// spare descriptors come and go beside those of clients: the notice board is dialled, the console is asked.
+// spare descriptors are used beside those of clients: for calls of discovery and of the console.
 const spare = 6
--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -15,16 +15,16 @@
 const (
 	// discoverySoakFirst, discoverySoakLast: the seeds in CI.
 	discoverySoakFirst, discoverySoakLast = 1, 6
-	// discoveryDoors is at how many addresses discovery may be.
+	// discoveryDoors is the number of addresses at which discovery may be.
 	discoveryDoors = 5
-	// lullFor: ms from a row of troubles to the next, in which what was held has to be heard.
+	// lullFor: ms from a row of faults to the next, in which withheld events have to arrive.
 	lullFor = 5500
 )
 
-// Discovery has troubles in a row, in an order that the seed draws: moves, reloads of the address of now, breaks, stops, trickles,
-// files that are written while they are read, and behind them callers that are kept waiting, broken off or told a byte a second.
-// Purges and drains go on meanwhile, and calls of the system fail. What the servers see is held against the sum of each trouble.
-func TestSoakOfDiscovery(t *testing.T) {
+// Discovery has faults in a row, in an order that the seed draws: moves, reloads without a change, resets, stops, slow connections, files
+// that are read while they are written, and callers that are kept waiting, reset or answered a byte a second. Purges and drains go on
+// meanwhile, and system calls fail. The servers' observations are checked against the time that each fault may cost.
+func TestSoakDiscoveryFaults(t *testing.T) {
 	soakSeeds(t, discoverySoakFirst, discoverySoakLast, newDiscoverySoak)
 }
 
@@ -41,11 +41,11 @@
 	return s
 }
 
-// The kinds of trouble that discovery tells of, as soak.trouble has them.
+// The kinds of fault that discovery notifies, as in soak.trouble.
 const restartKind, drainKind, purgeKind = 4, 5, 6
 
-// serverChange draws what discovery has to tell of next: mostly purges, and drains and restarts in turn, as with all servers out
-// there would be nothing to see. A restart waits for a lull: it is notified at once, and what was held would count before it.
+// serverChange draws the next event of discovery: mostly purges, and drains and restarts in turn, so that some servers stay in use. A
+// restart waits for a lull: it is notified at once, and withheld events would have to count before it.
 func (s *soak) serverChange(id policy.CacheID) (kind int) {
 	draining := s.list[id].State == policy.Draining
 	out := 0
@@ -64,7 +64,7 @@
 	return purgeKind
 }
 
-// troubleDiscovery has one to four troubles some tens of ms apart, and then none for a while.
+// troubleDiscovery causes one to four faults some tens of ms apart, and then none for a while.
 func (s *soak) troubleDiscovery() {
 	for range 1 + s.rng.IntN(4) {
 		s.discoveryFault()
@@ -73,7 +73,7 @@
 	s.lull = s.now() + lullFor
 }
 
-// discoveryFault is one trouble of discovery.
+// discoveryFault causes one fault of discovery.
 func (s *soak) discoveryFault() {
 	switch s.rng.IntN(6) {
 	case 0, 1: // it moves
@@ -112,7 +112,7 @@
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// hold has what discovery holds count as notified so many ms from now on, also what it told in this moment and nobody has read.
+// hold has the events of discovery count as notified so many ms from now on, also those that were sent just now and are not read.
 func (s *soak) hold(ms float64) {
 	const moment = 100
 	s.mu.Lock()
@@ -126,8 +126,7 @@
 	}
 }
 
-// treatCallers has those who have called the door of now treated so, and up to so many of the next ones badly, each in a way of its
-// own.
+// treatCallers sets how the current callers are treated, and up to so many of the next ones, each in its own way.
 func (s *soak) treatCallers(old fleet.CallerFault, most int) {
 	before := s.doors[s.at].Calls.Load()
 	var next []fleet.CallerFault
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -22,17 +22,17 @@
 	"ravenwheel/internal/source/discoveryclient"
 )
 
-// What discovery holds counts as notified so long after a fault, and a purge is to be heeded so long after that.
+// Events of discovery count as notified so long after a fault, and a purge has to be applied so long after that.
 const (
 	notifiedAfterSIGHUP = 4 * time.Second
 	notifiedAfterStop   = 4 * time.Second
 	purgeGrace          = time.Second
 )
 
-// purgedGroup is the group of all objects that ask asks for.
+// purgedGroup is the group of all objects that ask requests.
 const purgedGroup = 17
 
-// syncedBuffer takes what a process writes while a test reads it.
+// syncedBuffer collects the output of a process while a test reads it.
 type syncedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -50,7 +50,7 @@
 	return b.text.String()
 }
 
-// follower is a whole process that follows discovery at one of several doors, and a client that asks it all the time.
+// follower is a process that follows discovery at one of several addresses, and a client that sends requests all the time.
 type follower struct {
 	t       *testing.T
 	board   *fleet.DiscoveryService
@@ -64,7 +64,7 @@
 	asked   int
 }
 
-// startFollower starts a process with a seed and further arguments, at the first of so many doors.
+// startFollower starts a process with a seed and further arguments, at the first of so many addresses.
 func startFollower(t *testing.T, bin string, seed, doors int, args ...string) *follower {
 	f := &follower{t: t, answers: &replies{}, board: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range doors {
@@ -102,15 +102,15 @@
 	require.NoError(f.t, os.Rename(f.config+".part", f.config))
 }
 
-// move names another door in the configuration, and says so to the process. The door before tells nothing more.
+// move writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
 func (f *follower) move(from, to int) {
 	f.doors[from].Stall(true)
 	f.edit(func(c map[string]any) { c["board"] = f.doors[to].Addr() })
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// heedsWithin has the client ask until a request wants no copy from before the purge, and holds that against the time by which
-// every request has to.
+// heedsWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
+// the purge has to be applied.
 func (f *follower) heedsWithin(since time.Time, within time.Duration) {
 	for {
 		sent := time.Now()
@@ -128,12 +128,9 @@
 	}
 }
 
-// Discovery was moved three times within half a second, and copies from before a purge were served later than its grace. The
-// connection that was left by a move counted as one that had told nothing, so that the first word of the one after it was waited
-// for twice as long, up to 6 s, and the pauses between calls began long; and the last address kept its first caller waiting, or
-// broke it off. What settled it, of the program's own log: "discovery is called", "call":4, "why":"moved" at the last move, and
-// then no line in the 5 s after which every request has to heed the purge.
-func TestDiscoveryMovedInARow(t *testing.T) {
+// Discovery moves three times within half a second, and its last address keeps the first caller waiting, or resets it. A connection that
+// a move left must not lengthen the timeout or the backoff of the next one: no copy from before a purge is served after its grace.
+func TestPurgeIsAppliedAfterThreeDiscoveryMoves(t *testing.T) {
 	bin := build(t)
 	for _, name := range []string{"silent", "broken off"} {
 		for seed := range 5 {
@@ -159,11 +156,9 @@
 	}
 }
 
-// A connection to discovery began to trickle, a byte a second, as a purge was told over it: 33 bytes, and none of them counts
-// before the last. Each byte put off the moment at which the connection counted as silent, so that no other call was made, and
-// the purge was not heard in the 7 s after which all counts as told. What settled it: one "discovery is called" in the log, the
-// one of the start, and no end of it.
-func TestTrickledPurge(t *testing.T) {
+// A purge arrives over a connection to discovery at a byte a second. The bytes of an incomplete event must not put off the moment at
+// which the connection counts as silent and another call is made: the purge is applied in time.
+func TestPurgeIsAppliedWhenDiscoveryTrickles(t *testing.T) {
 	bin := build(t)
 	for seed := range 3 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -182,9 +177,9 @@
 	}
 }
 
-// Discovery says nothing more, at any call, and a purge is made that nobody is told. Once it counts as notified, no request is
-// content with a copy from before it.
-func TestDiscoverySilentForGood(t *testing.T) {
+// Discovery answers no call any more, and a purge is issued of which nobody is notified. Once it counts as notified, no request accepts a
+// copy from before it.
+func TestSilentDiscoveryCountsAsNotified(t *testing.T) {
 	bin := build(t)
 	for seed := range 2 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -203,8 +198,8 @@
 	}
 }
 
-// What became of the calls is counted, and shown at the operators' address.
-func TestDiscoveryIsShown(t *testing.T) {
+// The outcomes of calls to discovery are counted, and shown at the admin address.
+func TestAdminShowsDiscoveryCalls(t *testing.T) {
 	dir := t.TempDir()
 	sock, operator := "unix:"+filepath.Join(dir, "admin.sock"), filepath.Join(dir, "operator.jsonc")
 	require.NoError(t, os.WriteFile(operator, fmt.Appendf(nil, `{"admin": {"listen": %q}}`, sock), 0o600))
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/internal/state"
 )
 
-// levels are a member of the store, a distributor below it and two processes that subscribe, each a program of its own.
+// levels are a member of the store, a distributor below it and two subscribers, each a process of its own.
 type levels struct {
 	t     *testing.T
 	bin   string
@@ -110,7 +110,7 @@
 	require.Eventually(f.t, ok, time.Minute, 20*time.Millisecond, what)
 }
 
-// streams is how a process stands; nil while it does not answer.
+// streams is the status of a process's streams; nil while it does not answer.
 func (f *levels) streams(name string) (all []distribution.Status) {
 	if admin.Call(f.sock(name), "/v1/distribution", nil, &all) != nil {
 		return nil
@@ -141,8 +141,8 @@
 	}
 }
 
-// ready starts one level after the other: who finds a distributor that does not run yet goes to the member of the store, and
-// looks for a nearer one a minute later.
+// ready starts one level after the other: a process whose distributor does not run yet subscribes at the member of the store, and looks for
+// a nearer one only a minute later.
 func (f *levels) ready() {
 	f.start(fleetMember)
 	f.eventually("the member leads", func() bool {
@@ -159,11 +159,11 @@
 	}
 }
 
-// drains is how a server is shown that an operator drained. The words behind it are not looked at: a process that was killed
-// and started again shows others.
+// drains is how a server is shown that an operator drained. The reason behind it is not compared: a restarted process shows another
+// one.
 var drains = regexp.MustCompile(`s-00000001 .* draining `)
 
-// restored gives the server back at the member, and waits until it is in use in processes.
+// restored ends the server's drain at the member, and waits until processes use it.
 func (f *levels) restored(names ...string) {
 	f.t.Helper()
 	f.ok("servers", "restore", "s-00000001", "--admin", f.sock(fleetMember))
@@ -176,8 +176,8 @@
 
 var givenBack = regexp.MustCompile(`s-00000001 .* ready `)
 
-// has waits until processes hold all that the member holds: so many purges, the drain and the pushed list, both streams as
-// far as the member's.
+// has waits until processes have everything that the member has: so many purges, the drain and the pushed list, and both streams at
+// the member's sequence.
 func (f *levels) has(purges int, addr string, names ...string) {
 	f.t.Helper()
 	for _, n := range append(names, fleetMember) {
@@ -203,9 +203,9 @@
 	burst                   = beforeFault + afterFault
 )
 
-// A distributor is killed in the middle of a burst: those below it go to the member of the store, and miss nothing. Started
-// again, it has all, too. What only a member can do is refused elsewhere, and changes nothing there.
-func TestDistributorKilled(t *testing.T) {
+// A distributor is killed in the middle of a burst: its subscribers move to the member of the store, and miss nothing. Restarted, it
+// has everything, too. Operations of members are rejected elsewhere, and change nothing there.
+func TestKilledDistributorLosesNothing(t *testing.T) {
 	f := newLevels(t)
 	for _, args := range [][]string{
 		{"purge", "--group", "17"}, {"servers", "drain", "s-0000000a"}, {"servers", "push", filepath.Join(f.dir, "servers.jsonc")},
@@ -233,8 +233,8 @@
 	f.restored(fleetFirst, fleetSecond, fleetDistributor)
 }
 
-// A distributor is stopped in the middle of a burst, and woken once those below it have left it: it and they have all.
-func TestDistributorStopped(t *testing.T) {
+// A distributor is suspended in the middle of a burst, and resumed once its subscribers have left it: all have everything.
+func TestSuspendedDistributorLosesNothing(t *testing.T) {
 	f := newLevels(t)
 	f.purge(0, beforeFault)
 	p := f.procs[fleetDistributor]
@@ -247,8 +247,8 @@
 	f.restored(fleetFirst, fleetSecond, fleetDistributor)
 }
 
-// The operators' page on distribution is run as it stands.
-func TestDistributionPage(t *testing.T) {
+// The examples of the operators' page on distribution run as they stand.
+func TestDistributionPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/distribution.md")
 	require.NoError(t, err)
 	f := newLevels(t)
@@ -266,8 +266,8 @@
 	}})
 }
 
-// A start that fails ends, however much distributors tell meanwhile; of revisions the newest is kept.
-func TestHear(t *testing.T) {
+// After a start that failed, a distributor that sends is not blocked; of revisions the newest is kept.
+func TestClosedSubscriberReleasesDistributor(t *testing.T) {
 	s := sharedState{changes: make(chan storestate.Change, 1)}
 	var o distribution.Options
 	s.subscribe(&o)
@@ -285,8 +285,8 @@
 	require.Equal(t, "first", (<-s.changes).Name)
 }
 
-// Both streams in words.
-func TestDistributionWords(t *testing.T) {
+// The descriptions of a stream's source and lag.
+func TestStreamDescriptions(t *testing.T) {
 	require.Equal(t, []string{"from the store", "subscribed nowhere", "from d1"},
 		[]string{describeSource(distribution.Status{Root: true}), describeSource(distribution.Status{}), describeSource(distribution.Status{Parent: "d1"})})
 	require.Equal(t, []string{"nothing whole yet", "260 ms behind at most", "9000 ms behind at most, past its bound"},
--- a/cmd/ravenwheel/overlay_test.go
+++ b/cmd/ravenwheel/overlay_test.go
@@ -12,21 +12,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The environment of a program that was built by buildOverlaid.
+// The environment variables of a program that buildOverlaid built.
 const (
-	// Its wall clock steps by so many seconds, so many ms after its start.
+	// The wall clock steps by so many seconds, so many ms after the start.
 	steppedBy    = "RAVENWHEEL_TEST_STEP_S"
 	steppedAfter = "RAVENWHEEL_TEST_STEP_AFTER_MS"
-	// So many of 1,000 calls fail for a moment, as a seed draws them; reads are short, and broken connections show differently.
+	// So many of 1,000 system calls fail, as a seed draws them; reads are short, and errors of reset connections vary.
 	faultsOf1000 = "RAVENWHEEL_TEST_FAULTS"
 	faultSeed    = "RAVENWHEEL_TEST_FAULT_SEED"
 )
 
-// replacement is a place in a file of the toolchain's and what stands there in its copy.
+// replacement is a text in a file of the toolchain and what replaces it in the copy.
 type replacement struct{ file, old, new string }
 
-// overlaid are the places in which the program under test differs from the product: calls that the system may answer with a
-// failure, and the wall clock. The monotonic clock runs on.
+// overlaid are the differences between the program under test and the product: system calls that may fail, and the wall clock. The
+// monotonic clock is not changed.
 var overlaid = []replacement{
 	{"time/time.go", "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {",
 		"\tsec, nsec, mono := runtimeNow()\n\tif mono-startNano >= stepAfter {\n\t\tsec += stepBy\n\t}\n\tif mono == 0 {"},
@@ -120,8 +120,8 @@
 }
 `
 
-// buildOverlaid builds the program over copies of the toolchain's own files, made now, in which calls fail and the wall clock
-// steps as the environment says. Nothing of it is in the product.
+// buildOverlaid builds the program with copies of the toolchain's files in which system calls fail and the wall clock steps as the
+// environment says. The product contains none of it.
 func buildOverlaid(t *testing.T) string {
 	out, err := exec.Command("go", "env", "GOROOT").Output()
 	require.NoError(t, err)
--- a/cmd/ravenwheel/page_test.go
+++ b/cmd/ravenwheel/page_test.go
@@ -13,8 +13,8 @@
 	"ravenwheel/internal/scenario"
 )
 
-// script makes of a page's examples, the blocks of sh, a script: a line behind "$ " is run, and the lines below it are what
-// it prints. What an example defines holds for those after it.
+// script makes a testscript of a page's examples, the blocks of sh: a line behind "$ " is run, and the lines below it are its output.
+// Functions that an example defines hold for the examples after it.
 func script(page string) string {
 	var run, files strings.Builder
 	define, n := "", 0
@@ -42,8 +42,8 @@
 	return run.String() + files.String()
 }
 
-// The operators' page on what is done by hand is run as it stands.
-func TestPage(t *testing.T) {
+// The examples of the operators' page on manual operations run as they stand.
+func TestManualOperationsPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/hand.md")
 	require.NoError(t, err)
 	bin, listen, dir := build(t), freeAddr(t), t.TempDir()
--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -25,8 +25,7 @@
 	return ln.Addr().String()
 }
 
-// served asks a process that says that it takes work for an object at once: it is not ready before it can serve. It tells
-// whether the process was there.
+// served sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
 func served(listen string) (there bool, err error) {
 	nc, err := net.Dial("tcp", listen)
 	if err != nil {
@@ -50,9 +49,9 @@
 	return true, read("BYTES")
 }
 
-// Discovery is down, and all processes of a fleet are started at once, killed and started again: each serves from what its
-// configuration knows, and none says that it takes work before.
-func TestReadyWhileDiscoveryIsDown(t *testing.T) {
+// Discovery is down while all processes of a fleet are started at once, killed and restarted: each serves from its configuration, and
+// fails health checks until it can.
+func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	const processes = 12
 	bin, cache := build(t), scenario.Listen(t)
 	go func() {
@@ -94,9 +93,9 @@
 	all.Wait()
 }
 
-// Discovery is down while idle clients take all places that there are for clients, and go on coming: a proper request gets
-// in, goes to its server, and is answered; operators are answered; and discovery is followed once it is back.
-func TestIdleClientsFillDescriptors(t *testing.T) {
+// Discovery is down while idle clients take all slots for clients, and more connect: a request is served, operators are answered, and
+// discovery is followed once it is back.
+func TestRequestIsServedWhenIdleClientsFillSlots(t *testing.T) {
 	const sockets = 96
 	bin, cache := build(t), scenario.Listen(t)
 	listen, at := freeAddr(t), refuses(t)
--- a/cmd/ravenwheel/reload_test.go
+++ b/cmd/ravenwheel/reload_test.go
@@ -13,7 +13,7 @@
 	"ravenwheel/internal/config"
 )
 
-// reloading is a reloader of a file, and what it followed.
+// reloading is a reloader of a file, and the addresses that it followed.
 type reloading struct {
 	t        *testing.T
 	path     string
@@ -56,7 +56,7 @@
 	}
 }
 
-// follows is that an address is followed next, whatever was read again before.
+// follows waits until an address is followed.
 func (r *reloading) follows(addr string) {
 	for {
 		select {
@@ -71,9 +71,9 @@
 	}
 }
 
-// The file is read while it is written: empty, cut at any of many places, not there, or as it was before. What it says once it is
-// whole is followed, though no other signal comes. Read once, it left the process at the old address for good.
-func TestReloadOfAFileThatIsBeingWritten(t *testing.T) {
+// The file is read while it is written: empty, truncated at many places, missing, or unchanged. The address is followed once the file is
+// complete, without another signal.
+func TestReloadRetriesPartlyWrittenFile(t *testing.T) {
 	whole := len(startReloading(t).at(newAddr))
 	for cut := 0; cut < whole; cut += whole / 12 {
 		r := startReloading(t)
@@ -100,8 +100,8 @@
 	})
 }
 
-// Ten signals in a row, with whole and broken files between: the last whole file counts.
-func TestReloadsTenInARow(t *testing.T) {
+// Of ten signals in a row, with complete and truncated files, the last complete file is followed.
+func TestLastOfTenReloadsIsFollowed(t *testing.T) {
 	r := startReloading(t)
 	for n := range 10 {
 		text := r.at("127.0.0.1:" + []string{"2001", "2002"}[n%2])
@@ -126,9 +126,9 @@
 	}
 }
 
-// Discovery moved and this process was not told, as the signal went to one that it replaces: the file is read again once discovery
-// has not spoken for too long. One that names the address of now begins nothing anew.
-func TestReloadOnceOverdue(t *testing.T) {
+// Discovery moved and SIGHUP went to the process before this one: the file is read again once discovery has been silent for too long. An
+// unchanged address is not followed again.
+func TestReloadAfterDiscoverySilence(t *testing.T) {
 	r := startReloading(t)
 	requestReload(r.signals)
 	time.Sleep(50 * time.Millisecond)
@@ -137,7 +137,7 @@
 	r.follows(newAddr)
 }
 
-// replaceOnce replaces what stands in a text exactly once.
+// replaceOnce replaces a text that must occur exactly once.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	require.Equal(t, 1, strings.Count(text, from))
 	return strings.Replace(text, from, to, 1)
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -58,8 +58,8 @@
 	require.Eventually(t, func() bool { return strings.HasPrefix(r.call("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "never ready")
 }
 
-// steady asks one request after the other on a connection of its own. A request that crosses the close of a connection at
-// rest is asked once more, as clients do; anything else that gets no answer is lost.
+// steady sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
+// once more, as clients do; any other one without an answer is lost.
 type steady struct {
 	to             string
 	kills          *atomic.Int64 // of processes so far: what one had taken dies with it
@@ -129,10 +129,10 @@
 	}
 }
 
-// A proxy's process is replaced under load, in CI a few times and by make torture a hundred: successors that die before
-// and after their yes, an old one that is killed, and between them orderly ones. Nothing that was asked is lost, a server
-// that is out gets nothing, and one process owns in the end.
-func TestReplaced(t *testing.T) {
+// A proxy's process is replaced under load, a few times in CI and a hundred times by make torture: by successors that are killed before
+// and after they are ready, with an owner that is killed, and in order. No request is lost, a drained server gets none, and one process
+// owns the address in the end.
+func TestReplacedUnderLoadLosesNothing(t *testing.T) {
 	rounds := 6
 	if n, err := strconv.Atoi(os.Getenv("TORTURE")); err == nil {
 		rounds = n
--- a/cmd/ravenwheel/live_test.go
+++ b/cmd/ravenwheel/revisions_test.go
@@ -17,9 +17,9 @@
 	"ravenwheel/internal/store"
 )
 
-// A revision is in force whole; one that can't be used, which a member of another version may have let through, changes
-// nothing and has the one before it put back, unless a newer one is there by then.
-func TestRevisions(t *testing.T) {
+// A valid revision is in force completely. An invalid one, which a member of another version may have accepted, changes nothing, and the
+// one before it is restored unless there is a newer one by then.
+func TestRevisionAppliesCompletelyOrNotAtAll(t *testing.T) {
 	p := scenario.NewProxy(t)
 	st, err := store.Open(store.Options{Clock: p.Clock})
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 		_, ok = st.Key("k2")
 		require.False(t, ok, "nothing of it is in force")
 	}
-	// By the time that it is looked at, a newer one is there: that one stays.
+	// A newer revision is there before the invalid one is handled: the newer one stays.
 	_, err = st.SetConfig(st.Config().Number, "{", "ops")
 	require.NoError(t, err)
 	broken := st.Config()
@@ -68,9 +68,8 @@
 	require.Equal(t, []uint64{1, st.Config().Number}, used)
 }
 
-// Without a store a revision that came by distributors is in force all the same; one that can't be used changes nothing, and
-// nobody here puts another in its place.
-func TestRevisionsWithoutStore(t *testing.T) {
+// Without a store a valid revision from a distributor is in force; an invalid one changes nothing, and none is restored in its place.
+func TestRevisionWithoutStoreIsNotRestored(t *testing.T) {
 	p := scenario.NewProxy(t)
 	var out bytes.Buffer
 	log, err := logs.New(&out, logs.Options{Level: "error"}, p.Clock)
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -31,12 +31,11 @@
 	return bin
 }
 
-// given are the addresses that freeAddr has given out.
+// given are the addresses that freeAddr has returned.
 var given sync.Map
 
-// freeAddr is an address at which nothing listens, of this run's own and given out once. Guards against another run that takes the
-// port between its close and its use, and against the kernel, which may give the same one again meanwhile: two processes of one
-// test once had one address.
+// freeAddr returns an address at which nothing listens, each only once. It is on an IP address of this run's own, so that no other run
+// takes the port between its close and its use.
 func freeAddr(t *testing.T) string {
 	for {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()>>8&255, os.Getpid()&255))
@@ -73,8 +72,8 @@
 	return path
 }
 
-// TestProgram starts the program, speaks to it, moves its notice board and ends it; also with the calls refused that the
-// larger fleet's platform refuses.
+// TestProgram starts the program, sends requests, moves its discovery and ends it; also with the system calls forbidden that one platform
+// forbids.
 func TestProgram(t *testing.T) {
 	bin := build(t)
 	t.Run("free", func(t *testing.T) { program(t, exec.Command(bin)) })
@@ -91,7 +90,7 @@
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
 	nc := askedFrom(t, board, 1) // it asks for what comes after the events known
-	// Event 2: the cache has left, and in the same frame another, 2, has come at its address.
+	// Event 2: the cache has left, and in the same frame another one, 2, has its address.
 	_, err = nc.Write(changes(2, record(1, 2, cache.Addr()), record(2, 0, cache.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 2 has been taken in
@@ -114,7 +113,7 @@
 		s send 00000000000000a1 served why=local,version=v1 BYTES
 		c expect 2 ok - BYTES`)
 
-	// SIGHUP with a file that can't be read changes nothing; with a new address, the board is followed there.
+	// SIGHUP with an invalid file changes nothing; with a new address, discovery is followed there.
 	good, err := os.ReadFile(path)
 	require.NoError(t, err)
 	lines := bufio.NewScanner(logs)
@@ -131,7 +130,7 @@
 		return ""
 	}
 	hup(good[:len(good)/2])
-	// Nor does one of another deployment, on whose board the numbers of zones and kinds point elsewhere.
+	// Nor does a file of another deployment, whose indexes of zones and kinds mean others.
 	stray := listenBoard(t)
 	foreign := bytes.ReplaceAll(good, []byte(`["small","parent","origin"]`), []byte(`["parent","small","origin"]`))
 	require.NotEqual(t, good, foreign)
@@ -155,7 +154,7 @@
 	_, err = rests.Read(answer)
 	require.NoError(t, err)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM)) // what is open is answered first
-	// A connection at rest ends properly, and what its client sends in that instant neither resets it nor is sent on.
+	// An idle connection ends in order, and a request that its client sends in that instant neither resets it nor is forwarded.
 	_, err = rests.Read(answer)
 	require.ErrorIs(t, err, io.EOF)
 	_, err = rests.Write([]byte("*4\r\n$8\r\nRPC.CALL\r\n$1\r\n2\r\n$5\r\nasset\r\n$58\r\nrid=00000000000000a9,budget=60000,obj=7f3a9c21e0b4d655,nth=\r\n"))
@@ -170,8 +169,8 @@
 	require.NoError(t, cmd.Wait(), string(text))
 }
 
-// askedFrom is the call to a board that asks for what comes after a number. Calls that were made beside one that was silent, while
-// this machine was slow, may stand before it; none asks from later.
+// askedFrom returns the call to discovery that asks for the events after a number. Calls beside a silent one may come first on a slow
+// machine; none asks for later events.
 func askedFrom(t *testing.T, board net.Listener, want uint64) net.Conn {
 	for {
 		nc, err := board.Accept()
@@ -192,7 +191,7 @@
 	return ln
 }
 
-// changes is the board's event of changed members.
+// changes is an event of changed members.
 func changes(rev uint64, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
@@ -206,11 +205,11 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, 9000), 0)
 }
 
-// TestBadStart: what can't be used ends the start with one plain line and exit 1.
-func TestBadStart(t *testing.T) {
+// An invalid configuration ends the start with one line and exit code 1.
+func TestInvalidConfigurationEndsStart(t *testing.T) {
 	bin, bad := build(t), filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte(`{"seed":"xyz"}`), 0o600))
-	// A whole file whose settings can't be used: the place is named.
+	// A complete file with invalid settings: the place is named.
 	whole, err := os.ReadFile(configFile(t, freeAddr(t), freeAddr(t), freeAddr(t)))
 	require.NoError(t, err)
 	endless := filepath.Join(t.TempDir(), "endless.json")
@@ -226,7 +225,7 @@
 			require.Contains(t, string(out), "settings.Grades[0].DeadlineUs: 0 is not above 0")
 		}
 	}
-	// A directory without a journal is not called whole: it may be the wrong one.
+	// A directory without a journal is not reported as complete: it may be the wrong one.
 	empty := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(empty, "notes.txt"), []byte("x"), 0o600))
 	out, err := exec.Command(bin, "state", "verify", empty).CombinedOutput()
--- a/cmd/ravenwheel/lists_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -41,7 +41,7 @@
   "servers": {"path": "servers.jsonc", "quiet_ms": 30, "poll_ms": 500, "drain_ms": 3000, "most_dropped": 1, "weight_every_ms": 100}
 }`
 
-// rig is the whole program but for its process: real sockets and files under a clock that the test moves.
+// rig is the program without its process: real sockets and files under a clock that the test moves.
 type rig struct {
 	t      *testing.T
 	clk    *clock.Clock
@@ -120,7 +120,7 @@
 	return r
 }
 
-// fill puts the stand-ins' addresses where a text names them as @ID.
+// fill replaces @ID in a text by the address of a stand-in.
 func (r *rig) fill(text string) string {
 	for _, id := range []policy.CacheID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
 		text = strings.ReplaceAll(text, fmt.Sprintf("\"@%d\"", id), `"`+r.fleet.Server(id).Addr()+`"`)
@@ -144,7 +144,7 @@
 	}
 }
 
-// note writes down which servers are ready in a list that was taken.
+// note records which servers are ready in a list that was applied.
 func (r *rig) note(at float64, ids []policy.CacheID) {
 	u := use{at: at, ready: map[policy.CacheID]bool{}}
 	for _, id := range ids {
@@ -158,7 +158,7 @@
 // drainSlack: the clock of the test jumps while a request is in the kernel, so that it seems to come late.
 const drainGrace, drainSlack = 2000, 3000
 
-// check holds what the servers and the clients saw against the lists that were in use.
+// check compares what the servers and the clients saw with the lists that were in use.
 func (r *rig) check() {
 	r.t.Helper()
 	var told []fleet.Notification
@@ -189,10 +189,9 @@
 	}
 }
 
-// TestListsInRapidTurns writes broken, partial and valid lists in rapid turns, by writers of every habit, while
-// clients ask. No request may go by a list that is mixed or invalid, no write may be lost or run twice, and no server
-// may get new work after it drains.
-func TestListsInRapidTurns(t *testing.T) {
+// Invalid, partial and valid lists are written in quick succession, in every way of writing a file, under load. No request may be routed
+// by a partial or invalid list, no write may be lost or run twice, and no draining server may get new requests.
+func TestRapidListChangesApplyOnlyValidLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	caches := []policy.CacheID{1, 2, 3, 4, 5, 6, 7, 8}
 	first := []policy.CacheID{1, 2, 3, 10, 11, 20}
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -15,9 +15,9 @@
 	"ravenwheel/internal/scenario"
 )
 
-// An owner is stopped while another process takes its address, and steps back as it is woken. The SIGTERMs that follow, one
-// after the other, change nothing: what it owes is answered, and it ends by itself.
-func TestTerminatedAfterSteppingBack(t *testing.T) {
+// An owner is suspended while another process takes its address, and yields as it is resumed. The SIGTERMs that follow change nothing: its
+// open requests are answered, and it ends by itself.
+func TestTerminatedAfterTakeoverAnswersAll(t *testing.T) {
 	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	board := listenBoard(t)
 	go func() {
@@ -59,8 +59,8 @@
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 }
 
-// A process that is about to follow is told to end before it owns the address. It ends, and leaves the owner what it owns.
-func TestTerminatedWhileItWaits(t *testing.T) {
+// A successor gets SIGTERM before it owns the address. It ends, and the owner goes on.
+func TestTerminatedSuccessorLeavesOwner(t *testing.T) {
 	bin, listen, dir, cache, board := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenBoard(t)
 	config := configFile(t, listen, board.Addr().String(), cache.Addr())
 	owner := startBeside(t, bin, config, dir)
@@ -79,9 +79,9 @@
 	require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
 }
 
-// An owner is stopped, a client's connection waits in its queue with a request, and another process takes the address with a
-// queue of its own. Once the owner is woken it steps back: what waits in its queue is answered first.
-func TestQueueOfAStoppedOwner(t *testing.T) {
+// An owner is suspended with a connection and its request in the listener's queue, and another process takes the address with a queue
+// of its own. Resumed, the owner answers its queue before it yields.
+func TestStoppedOwnerAnswersItsQueue(t *testing.T) {
 	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	answers := &replies{}
 	go answers.serve(t, cache)
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -14,11 +14,11 @@
 	"ravenwheel/internal/resp"
 )
 
-// soakKind is how a client behaves.
+// soakKind is the behaviour of a client.
 type soakKind int
 
-// The kinds of client, by turns. Restless: never at rest, up to three requests open; resting: asks now and then on one connection;
-// fresh: a connection for each request; leaving: closes or cancels early; slow: writes in pieces.
+// The kinds of client, in turn. Restless: never idle, up to three open requests; resting: a request now and then on one connection; fresh: a
+// connection for each request; leaving: closes or cancels early; slow: writes in pieces.
 const (
 	restlessKind soakKind = iota
 	restingKind
@@ -49,7 +49,7 @@
 	return &soakClient{s: s, n: n, kind: soakKind(n) % soakKinds, rng: rng, some: make(chan struct{}, 1)}
 }
 
-// run asks until the process has ended, or takes no connections any more.
+// run sends requests until the process has ended, or accepts no connections any more.
 func (c *soakClient) run() {
 	for {
 		select {
@@ -76,7 +76,7 @@
 	}
 }
 
-// dial connects, while new connections come: until 0.3 s after SIGTERM.
+// dial connects, until 0.3 s after SIGTERM.
 func (c *soakClient) dial() bool {
 	if at := c.s.termAt.Load(); at > 0 && time.Since(time.UnixMicro(at)) > 300*time.Millisecond {
 		return false
@@ -90,7 +90,7 @@
 	return true
 }
 
-// read takes answers until the connection ends.
+// read reads answers until the connection ends.
 func (c *soakClient) read(nc *net.TCPConn, open map[string]*soakRequest, ended chan struct{}) {
 	defer close(ended)
 	defer nc.Close()
@@ -137,7 +137,7 @@
 	return len(c.open)
 }
 
-// turn asks once, and does then what the client's kind does.
+// turn sends one request, and does what the client's kind does after it.
 func (c *soakClient) turn() {
 	switch c.kind {
 	case restlessKind:
@@ -171,7 +171,7 @@
 	}
 }
 
-// await waits for an answer; it tells whether there may be more to wait for.
+// await waits for an answer, and returns whether there may be more.
 func (c *soakClient) await(most time.Duration) bool {
 	select {
 	case <-c.some:
@@ -238,7 +238,7 @@
 	delete(c.open, tag)
 }
 
-// cancel takes a request back.
+// cancel cancels a request.
 func (c *soakClient) cancel(q *soakRequest, tag string) {
 	c.mu.Lock()
 	_, open := c.open[tag]
@@ -252,7 +252,7 @@
 	q.left = c.s.now() // an answer may be on its way
 }
 
-// hangUp closes the connection, which gives up what is open on it.
+// hangUp closes the connection, which cancels its open requests.
 func (c *soakClient) hangUp() {
 	if c.nc == nil {
 		return
@@ -268,7 +268,7 @@
 	c.nc = nil
 }
 
-// idleClients come at once, in a crowd, ask for nothing and stay; end closes them.
+// idleClients connect all at once, send nothing and stay; end closes them.
 func (s *soak) idleClients() (end func()) {
 	var conns []net.Conn
 	for range s.plan.crowd {
@@ -288,7 +288,7 @@
 	}
 }
 
-// healthy asks whether the process takes work.
+// healthy sends a health check.
 func healthy(listen string) (there bool, err error) {
 	nc, err := net.DialTimeout("tcp", listen, time.Second)
 	if err != nil {
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -24,15 +24,15 @@
 	"ravenwheel/policy"
 )
 
-// The soak of whole processes: each seed draws deadlines, effects, faults, signals and clients, and what clients and servers saw
-// is held against the pages. In CI a few seeds are played; SOAK_SEEDS=FIRST-LAST plays those, by hand.
+// Soak tests of whole processes: each seed draws deadlines, effects, faults, signals and clients, and what clients and servers saw is checked
+// against the protocol. CI plays a few seeds; SOAK_SEEDS=FIRST-LAST plays others.
 const (
 	soakFirst, soakLast = 1, 8
 	// soakAtOnce processes are played at a time.
 	soakAtOnce = 6
 )
 
-func TestSoakOfProcesses(t *testing.T) {
+func TestSoakProcesses(t *testing.T) {
 	soakSeeds(t, soakFirst, soakLast, newSoak)
 }
 
@@ -156,7 +156,7 @@
 	return s
 }
 
-// start brings up a server: caches first, then a parent and the origin.
+// start starts a server: caches first, then a parent and the origin.
 func (s *soak) start(id policy.CacheID) core.Member {
 	role := fleet.Role(max(0, int(id)-soakCaches))
 	server, err := s.servers.Start(id, role, "127.0.0.1:0")
@@ -167,7 +167,7 @@
 	return m
 }
 
-// write writes the configuration with the board at a door.
+// write writes the configuration with one of discovery's addresses.
 func (s *soak) write(door int) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	grade := func(name, effect string, share float64) map[string]any {
@@ -200,7 +200,7 @@
 	require.NoError(s.t, os.Rename(part, s.config))
 }
 
-// play runs the process among clients and troubles, ends it as the page says, and judges.
+// play runs the process among clients and faults, ends it as the protocol says, and judges.
 func (s *soak) play() {
 	go s.measureLateness()
 	require.NoError(s.t, s.cmd.Start())
@@ -235,7 +235,7 @@
 
 func (s *soak) ready() bool { there, err := healthy(s.listen); return there && err == nil }
 
-// measureLateness notes by how much a short sleep is late: how far this machine's word on times can be trusted.
+// measureLateness measures by how much a short sleep is late: how precise this machine's times are.
 func (s *soak) measureLateness() {
 	const nap = 5 * time.Millisecond
 	for {
@@ -252,7 +252,7 @@
 	}
 }
 
-// terminate sends SIGTERM once or more, with SIGHUPs between, and kills at the page's earliest.
+// terminate sends SIGTERM once or more, with SIGHUPs between, and SIGKILL at the earliest time that the protocol allows.
 func (s *soak) terminate(exited chan error) {
 	began := time.Now()
 	s.termAt.Store(began.UnixMicro())
@@ -279,7 +279,7 @@
 	}
 }
 
-// tell books what the board tells now, as of when it counts as told.
+// tell records an event of discovery, with the time at which it counts as notified.
 func (s *soak) tell(t fleet.Notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -294,7 +294,7 @@
 	s.told = append(s.told, t)
 }
 
-// trouble makes something happen: to servers, to the board, or by a signal.
+// trouble causes a fault: of a server, of discovery, or by a signal.
 func (s *soak) trouble() {
 	if s.plan.discovery && s.now() >= s.lull {
 		s.troubleDiscovery()
@@ -356,7 +356,7 @@
 	s.broken = append(s.broken, fmt.Sprintf(format, args...))
 }
 
-// judge holds what was seen against the pages.
+// judge checks what was seen against the protocol.
 func (s *soak) judge() {
 	slack := 50 + 2*float64(s.late.Load())/1e6
 	s.judgeAnswers(slack)
@@ -374,8 +374,8 @@
 	}
 }
 
-// judgeAnswers: each request has one answer in time, but what crossed the end of its connection, and what came before 0.7 s after
-// SIGTERM and was found by the kill.
+// judgeAnswers checks that each request has one answer in time, but for those that crossed the close of their connection, and those of the
+// last 0.7 s before SIGKILL.
 func (s *soak) judgeAnswers(slack float64) {
 	term, kill := float64(s.termAt.Load())/1e3, float64(s.killedAt.Load())/1e3
 	offset := s.clk.Wall() - s.now()
@@ -394,8 +394,8 @@
 	}
 }
 
-// judgeAttempts: none begins for a client that has left, none is told more time than there is, none repeats a keyed request
-// after its window, and what was refused as harmless did not run.
+// judgeAttempts checks that no attempt begins for a client that has left, has more time than is left, or repeats a deduplicated request after
+// its window, and that rejected requests did not run.
 func (s *soak) judgeAttempts(slack float64) {
 	firsts := map[string]float64{} // by key
 	for _, a := range s.servers.Observations() {
--- a/cmd/ravenwheel/alone_test.go
+++ b/cmd/ravenwheel/standalone_test.go
@@ -24,9 +24,8 @@
 	"ravenwheel/policy"
 )
 
-// TestAlone starts the program without a platform, on a list that can't be used and then on one that can, asks it and
-// shows what it uses.
-func TestAlone(t *testing.T) {
+// The program starts without the platform, on an invalid list and then on a valid one, serves, and shows the servers that it uses.
+func TestStandaloneProxyServesFromList(t *testing.T) {
 	bin, listen, cache := build(t), freeAddr(t), scenario.Listen(t)
 	dir := t.TempDir()
 	operator, list := filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc")
@@ -106,9 +105,9 @@
 	require.Equal(t, 1, strings.Count(out, "\n"), out)
 }
 
-// A list and the notice board at once: what either drains gets nothing, what either adds is used, and the list's word
-// comes first on what a server is.
-func TestListAndBoard(t *testing.T) {
+// A server that the list or discovery drains gets no requests, one that either adds is used, and the list has precedence on a
+// server's properties.
+func TestListAndDiscoveryAreMerged(t *testing.T) {
 	clk := clock.Manual(1_764_576_000_000)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "servers.jsonc")
--- a/cmd/ravenwheel/hang_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -20,9 +20,9 @@
 	"ravenwheel/policy"
 )
 
-// Servers hang when the process is told to end, alone or with its clients passed to another one: whatever clients ask on
-// connections that they hold gets its one answer before SIGKILL can come, also what has more time than that.
-func TestStopWhileServersHang(t *testing.T) {
+// Servers hang when the process gets SIGTERM, with or without a process that takes over: each request on an open connection is answered
+// before SIGKILL can follow, also one with a longer budget.
+func TestStopAnswersRequestsOfHangingServers(t *testing.T) {
 	for _, passed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("passed %v", passed), func(t *testing.T) {
 			p := scenario.NewProxy(t)
@@ -95,8 +95,7 @@
 	}
 }
 
-// restless is a client that always waits for some answer: it asks again and again before the last one has come, on one connection,
-// until that ends.
+// restless is a client that always has an open request on its one connection, until that ends.
 type restless struct {
 	c             *scenario.Client
 	asked, served int
@@ -107,7 +106,7 @@
 // atOnce is how many requests such a client has open at most.
 const atOnce = 3
 
-// turn takes what came, and asks once more where asks.
+// turn reads the answers that have arrived, and sends another request where asks.
 func (r *restless) turn(t *testing.T, n int, asks bool) {
 	for !r.ended {
 		words, err := r.c.Poll()
@@ -132,10 +131,9 @@
 	}
 }
 
-// The longest deadline is short, so that SIGKILL comes soon: the longest deadline and 0.7 s after SIGTERM. Clients ask again at
-// once on the connections that they hold, some servers hang. By then all is answered and each connection has ended in between
-// two of its requests: what SIGKILL found unanswered would be lost.
-func TestStopWithShortDeadlines(t *testing.T) {
+// The longest deadline is short, so SIGKILL follows soon: 0.7 s and the longest deadline after SIGTERM. Clients send requests all the
+// time on their connections, and some servers hang. By then each request is answered and each connection closed between two requests.
+func TestStopWithShortDeadlinesAnswersAll(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second} {
 		for _, hangs := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v, servers hang %v", deadline, hangs), func(t *testing.T) {
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -22,10 +22,9 @@
 	"ravenwheel/policy"
 )
 
-// A stop under load: new connections come for 0.4 s after SIGTERM and requests on those that stand for 0.2 s more, and all
-// of them are answered before the program ends, though servers take their time. None is refused unsent, no connection
-// is closed with no answer.
-func TestStopUnderLoad(t *testing.T) {
+// New connections arrive for 0.4 s after SIGTERM and requests on open connections for 0.2 s more. All are answered before the program ends,
+// though servers are slow: none is rejected unsent, no connection is closed without an answer.
+func TestStopUnderLoadAnswersAll(t *testing.T) {
 	p := scenario.NewProxy(t)
 	servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 40, FillTime: 20})
 	defer servers.Close()
@@ -96,7 +95,7 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// heldUp is a listener whose accepts are held up while it is shut, as out of descriptors.
+// heldUp is a listener whose accepts block while it is shut, as out of descriptors.
 type heldUp struct {
 	*net.TCPListener
 	shut atomic.Bool
@@ -109,9 +108,9 @@
 	return h.TCPListener.Accept()
 }
 
-// Accepting is held up as the program is told to end. Connections wait in the listener's queue, with requests: they have been
-// taken, and each gets its answer before the listener is closed.
-func TestStopOverAQueue(t *testing.T) {
+// Accepting is held up as the program gets SIGTERM. The requests of the connections in the listener's queue are answered before the listener
+// is closed.
+func TestStopAnswersListenerQueue(t *testing.T) {
 	p := scenario.NewProxy(t)
 	tcp, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
--- a/cmd/ravenwheel/shared_test.go
+++ b/cmd/ravenwheel/store_members_test.go
@@ -16,9 +16,8 @@
 	"ravenwheel/internal/state"
 )
 
-// TestShared runs three proxies on one store: what an operator does at one is in force at all, survives kill -9, and is
-// all or nothing.
-func TestShared(t *testing.T) {
+// Three proxies share one store: an operation at one is in force at all, survives kill -9, and is atomic.
+func TestStoreMembersShareOperations(t *testing.T) {
 	bin, dir := build(t), t.TempDir()
 	run := func(args ...string) (string, int) {
 		cmd := exec.Command(bin, args...)
@@ -76,7 +75,7 @@
 		})
 	}
 
-	// A revision is in force everywhere; one that can't be used is refused with its line; a lost race is told.
+	// A revision is in force everywhere; an invalid one is rejected with its line; a conflict is reported.
 	rev := filepath.Join(dir, "rev.jsonc")
 	put := func(text string) { require.NoError(t, os.WriteFile(rev, []byte(text), 0o600)) }
 	put("{\"limits\": {\"requests\": 10}}\n")
@@ -105,7 +104,7 @@
 		return strings.Count(out, "\n") == 3 && strings.Contains(out, "as 1")
 	})
 
-	// A drain by hand, a purge and a list at one are in force at all, also at one that was killed meanwhile.
+	// A manual drain, a purge and a list at one are in force at all, also at one that was killed meanwhile.
 	require.NoError(t, procs["c"].Process.Signal(syscall.SIGKILL))
 	_ = procs["c"].Wait()
 	eventually("a quorum without c", func() bool { // which may have led
@@ -125,11 +124,11 @@
 			return strings.Contains(out, "drained by hand") && strings.Contains(out, "127.0.0.1:5") && err == nil && st.Purges == 1
 		})
 	}
-	// One directory is of one process: a second one is told so at once.
+	// A directory belongs to one process: a second one fails at once.
 	out, code = run("state", "compact", filepath.Join(dir, "state-a"))
 	require.Equal(t, 1, code)
 	require.Contains(t, out, "in use by another process")
-	// The member that leads is killed: the others go on. Back, it knows at once what was drained, and gets the rest.
+	// The leader is killed: the others go on. Restarted, it knows at once what was drained, and gets the rest.
 	lead := strings.TrimSuffix(strings.Fields(status("a")[strings.Index(status("a"), "leader ")+7:])[0], ",")
 	require.NoError(t, procs[lead].Process.Signal(syscall.SIGKILL))
 	_ = procs[lead].Wait()
--- a/cmd/ravenwheel/suspended_test.go
+++ b/cmd/ravenwheel/suspended_test.go
@@ -12,10 +12,9 @@
 	"ravenwheel/internal/scenario"
 )
 
-// A process is stopped, a purge is written to its open connection to discovery, clients ask, and it is woken after the time to heed
-// the purge is over. It read the clients' requests before what discovery had written as often as not, and sent them on content with
-// copies from before the purge: whichever socket came first.
-func TestPurgeWhileSuspended(t *testing.T) {
+// A process is suspended, a purge is written to its connection to discovery, clients send requests, and the process is resumed after the
+// purge's grace. Whichever socket is read first, no request accepts a copy from before the purge.
+func TestPurgeIsAppliedAfterSuspension(t *testing.T) {
 	const clients, wakes = 8, 6
 	f := startFollower(t, build(t), 1, 1)
 	var all []*scenario.Client
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -26,7 +26,7 @@
 	"ravenwheel/policy"
 )
 
-// kills is how often the process is killed: a few in CI, a hundred by "make torture".
+// kills is how often the process is killed: a few times in CI, a hundred times by "make torture".
 func kills() int {
 	if n, err := strconv.Atoi(os.Getenv("TORTURE")); err == nil {
 		return n
@@ -34,7 +34,7 @@
 	return 6
 }
 
-// tortured is the real program, killed and started again, under clients that never stop.
+// tortured is the program, killed and restarted under clients that never stop.
 type tortured struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -50,11 +50,11 @@
 	gen      int
 	told     []fleet.Notification
 	starts   []time.Duration // from the start to a request that can be taken
-	// names are the ids under which the boxes are listed: a box that drains is listed anew under another one.
+	// names are the ids under which the boxes are listed: a box that drains is listed again under another one.
 	names map[policy.CacheID]policy.CacheID
 }
 
-// safeBuffer takes what a process writes while a test reads it.
+// safeBuffer collects the output of a process while a test reads it.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -67,7 +67,7 @@
 }
 func (s *safeBuffer) String() string { s.mu.Lock(); defer s.mu.Unlock(); return s.b.String() }
 
-// box is a stand-in, by the id that it has for itself; the list may give it others.
+// box is a stand-in, by its own id; the list may give it others.
 const boxes = 6
 
 func (x *tortured) entry(box policy.CacheID) string {
@@ -111,7 +111,7 @@
 	_ = x.cmd.Wait()
 }
 
-// use renames a list into place and tells whether the proxy was seen to use it: only then it was told.
+// use renames a list into place, and returns whether the proxy was seen to use it.
 func (x *tortured) use(boxes []policy.CacheID, patience time.Duration) bool {
 	x.gen++
 	require.NoError(x.t, os.WriteFile(x.list+".new", []byte(x.text(boxes)), 0o600))
@@ -137,10 +137,9 @@
 	})
 }
 
-// TestTorture kills the real program at random moments, under traffic on sockets, with drains and purges going on, and
-// holds what the servers saw against what it had been told: no new work to a box that drains, under whatever id it is
-// listed by then, nothing served that is older than a purge, no write run twice.
-func TestTorture(t *testing.T) {
+// The program is killed at random moments under traffic, with drains and purges going on. A draining box gets no new requests, whatever id
+// it is listed by, nothing older than a purge is served, and no write runs twice.
+func TestTortureKillsLoseNothing(t *testing.T) {
 	seed := uint64(7)
 	if s, err := strconv.ParseUint(os.Getenv("TORTURE_SEED"), 10, 64); err == nil {
 		seed = s
@@ -243,7 +242,7 @@
 	<-stopped
 	client.WaitIdle()
 
-	// Stricter than the rule: a decision is written within half a second of it or not at all.
+	// Stricter than the protocol: an attempt is written within half a second of its decision or not at all.
 	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.told)
 	require.Empty(t, append(broken, x.fleet.DuplicateWrites()...))
 	for _, w := range client.Violations() { // a process that is killed loses what it holds, and nothing else
--- a/cmd/ravenwheel/stepped_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-// replies answers for a cache server and keeps what it was asked: everything is turned away while it is full.
+// replies answers for a cache server and records its requests: it rejects all while it is full.
 type replies struct {
 	full  atomic.Bool
 	mu    sync.Mutex
@@ -48,7 +48,7 @@
 
 var newerField = regexp.MustCompile(`,newer=(\d+)`)
 
-// newerOf is the age in ms of the oldest copy that a request is content with.
+// newerOf is the age in ms of the oldest copy that a request accepts.
 func newerOf(t *testing.T, fields string) int64 {
 	age := newerField.FindStringSubmatch(fields)
 	require.NotNil(t, age, "no purge is heeded: %s", fields)
@@ -57,7 +57,7 @@
 	return ms
 }
 
-// ask sends the n-th request of a client and returns the word of its answer.
+// ask sends the n-th request of a client and returns the status of its answer.
 func ask(t *testing.T, c *scenario.Client, n int) string {
 	require.NoError(t, c.Send([]string{"RPC.CALL", strconv.Itoa(n), "asset",
 		fmt.Sprintf("rid=%016x,budget=60000,obj=%016x,nth=0,batch=17", n, n)}))
@@ -67,10 +67,9 @@
 	return words[1]
 }
 
-// The machine's wall clock steps under a whole process, back and forward, by seconds and by an hour, just after a server has
-// said that it is full. What is served goes on as if nothing had happened, and a purge that is told then binds: the copy that
-// will do is younger than the purge.
-func TestWallClockStepped(t *testing.T) {
+// The machine's wall clock steps back and forward, by seconds and by an hour, just after a server was full. Requests are served as before, and
+// a purge that is notified then is applied: only copies younger than the purge are accepted.
+func TestWallClockStepsChangeNothing(t *testing.T) {
 	const after = 1500 * time.Millisecond
 	bin := buildOverlaid(t)
 	for _, by := range []int{-3600, 3600, -7, 7} {
