--- a/internal/source/filewatch/effect_test.go
+++ b/internal/source/filewatch/bench_test.go
@@ -17,15 +17,15 @@
 	"ravenwheel/policy"
 )
 
-// BenchmarkRenameToEffect is the time from a rename to the list's being in use, on the machine's clock, for a list of
-// three servers and for one of 10,000.
+// BenchmarkRenameToEffect measures the time from a rename until the list is in use, on the machine's clock, for lists of
+// three and of 10,000 servers.
 func BenchmarkRenameToEffect(b *testing.B) {
 	for _, c := range []struct {
 		servers int
 		quiet   float64
 	}{{3, 20}, {3, 200}, {10_000, 200}} {
 		b.Run(fmt.Sprintf("servers=%d/quiet=%.0fms", c.servers, c.quiet), func(b *testing.B) {
-			clk, took := clock.System(), hdrhistogram.New(1, 60_000_000, 3)
+			clk, latencies := clock.System(), hdrhistogram.New(1, 60_000_000, 3)
 			path := filepath.Join(b.TempDir(), "servers.jsonc")
 			text := func(generation int) []byte {
 				s := &serverlist.List{Generation: uint64(generation)}
@@ -36,10 +36,10 @@
 				}
 				return serverlist.Format(s)
 			}
-			taken := make(chan uint64, 1)
+			accepted := make(chan uint64, 1)
 			src := filewatch.New(filewatch.Options{
 				Path: path, Clock: clk, Resolver: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
-				Debounce: debounce.Settings{Quiet: c.quiet, MaxDelay: 5000, PollInterval: 5000}, OnList: func(s *serverlist.List) { taken <- s.Generation },
+				Debounce: debounce.Settings{Quiet: c.quiet, MaxDelay: 5000, PollInterval: 5000}, OnList: func(s *serverlist.List) { accepted <- s.Generation },
 			}, nil)
 			go src.Run()
 			defer src.Close()
@@ -47,11 +47,11 @@
 				require.NoError(b, os.WriteFile(path+".new", text(i), 0o600))
 				began := clk.Now()
 				require.NoError(b, os.Rename(path+".new", path))
-				require.EqualValues(b, i, <-taken)
-				_ = took.RecordValue(int64((clk.Now() - began) * 1000))
+				require.EqualValues(b, i, <-accepted)
+				_ = latencies.RecordValue(int64((clk.Now() - began) * 1000))
 			}
-			b.ReportMetric(float64(took.ValueAtQuantile(50))/1000, "p50-ms")
-			b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1000, "p50-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-ms")
 		})
 	}
 }
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -1,22 +1,13 @@
-// Package filewatch follows a server list on disk: one file, or a directory of parts bound by a manifest. It looks when
-// the file system tells of a touch (fsnotify) and, as such news can be missed, in a slow poll; when what was read
-// counts is said by decide/debounce, and whether it can be used by decide/serverlist. What can't be used leaves the
-// list before it in force.
+// Package filewatch follows a server list on disk: one file, or a directory of parts bound by a manifest. It reads the
+// list when the file system reports a change (fsnotify) and, as such events can be missed, in a slow poll. When a text
+// counts is decided by decide/debounce, whether it is a valid list by decide/serverlist; this package decides neither.
+// A list that can't be used leaves the one before it in use. Ways of writing, broken lists and names that move are
+// tested here on a real file system.
 package filewatch
 
 import (
-	"errors"
-	"fmt"
-	"io"
-	"io/fs"
-	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
-	"syscall"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/fsnotify/fsnotify"
 
 	"ravenwheel/internal/clock"
@@ -27,444 +18,165 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Options set up a watch.
+// Options configure a Watcher.
 type Options struct {
-	Path         string
+	Path         string // of a file or a directory
 	Requirements serverlist.Requirements
 	Debounce     debounce.Settings
 	Resolver     *resolver.Cache
 	Clock        *clock.Clock
 	Log          *logs.Log
-	// OnList gets each new set, in order, from one goroutine.
+	// OnList gets each new list, in order, from one goroutine.
 	OnList func(*serverlist.List)
 }
 
-// Status is how the watched list stands.
+// Status is the state of the watched list as operators are shown it.
 type Status struct {
 	Path       string             `json:"path"`
-	Generation uint64             `json:"generation"`         // in use; 0: none
+	Generation uint64             `json:"generation"`         // of the list in use; 0: none
 	AcceptedMs float64            `json:"taken_ms,omitempty"` // Unix ms
-	Defects    strictjson.Defects `json:"-"`                  // why what is there now is not in use
-	Reasons    []string           `json:"refused,omitempty"`
+	Defects    strictjson.Defects `json:"-"`                  // why the text there now is not in use
+	Reasons    []string           `json:"refused,omitempty"`  // Defects as lines
 	RejectedMs float64            `json:"refused_ms,omitempty"`
 	Reads      int64              `json:"looks"`
 	Accepted   int64              `json:"taken"`
 	Rejected   int64              `json:"refusals"`
 }
 
-// Watcher is one watched list.
+// Watcher follows one list. See New and Run.
 type Watcher struct {
 	opt    Options
-	events chan func() // what the loop does next
-	stop   chan struct{}
+	events chan func() // to be run by the loop
+	done   chan struct{}
 	once   sync.Once
 
-	// Of the loop alone.
-	watch   *debounce.Debouncer
-	fs      *fsnotify.Watcher
-	dirs    map[string]bool
-	looking bool
-	files   []serverlist.File // of the last look
-	draft   *serverlist.Draft // taken last, and sound in itself
-	asking  int               // number of the question to the resolver that is out, or was last
-	unset   func()            // of the timer
-	renew   func()            // of the names' timer
-	last    string            // how a look failed last
+	// Used by the goroutine of Run alone.
+	debouncer   *debounce.Debouncer
+	fs          *fsnotify.Watcher // nil: there are no notifications
+	dirs        map[string]bool   // the watched directories
+	reading     bool
+	files       []serverlist.File // of the last read
+	draft       *serverlist.Draft // the last valid one
+	resolution  int               // number of the last request to the resolver
+	stopTimer   func()            // of the debouncer
+	stopRefresh func()            // of the names' next resolution
+	readFailure string            // of the last read; "": it succeeded
 
 	mu     sync.Mutex
-	set    *serverlist.List
+	list   *serverlist.List // in use; nil: none
 	status Status
 }
 
-// Bounds of a look.
-const (
-	mostFiles = 1024
-	mostRead  = 2 * strictjson.MostBytes
-)
-
-// Load reads, resolves and checks a list once, as it is now, against the one taken before (nil: none).
-func Load(path string, facts serverlist.Requirements, cache *resolver.Cache, old *serverlist.List) (*serverlist.List, error) {
-	files, err := ReadFiles(path)
-	if err != nil {
-		return nil, err
+// New returns a watcher whose list (nil: none) is in use already.
+func New(o Options, list *serverlist.List) *Watcher {
+	w := &Watcher{
+		opt: o, events: make(chan func(), 64), done: make(chan struct{}), dirs: map[string]bool{}, list: list,
+		stopTimer: func() {}, stopRefresh: func() {},
 	}
-	d, bad := serverlist.Parse(files, facts)
-	if bad != nil {
-		return nil, bad
-	}
-	set, bad := d.Resolve(cache.Resolve(d.Hosts()), old)
-	return set, bad.Err()
-}
-
-// New returns a source whose set (nil: none) is in use already.
-func New(o Options, set *serverlist.List) *Watcher {
-	s := &Watcher{opt: o, events: make(chan func(), 64), stop: make(chan struct{}), dirs: map[string]bool{}, set: set}
-	s.status.Path = o.Path
-	if set != nil {
-		s.status.Generation, s.status.AcceptedMs = set.Generation, o.Clock.Now()
+	w.status.Path = o.Path
+	if list != nil {
+		w.status.Generation, w.status.AcceptedMs = list.Generation, o.Clock.Now()
 	}
-	return s
+	return w
 }
 
-// Close ends the watch.
-func (s *Watcher) Close() { s.once.Do(func() { close(s.stop) }) }
+// Close ends Run. It may be called more than once.
+func (w *Watcher) Close() { w.once.Do(func() { close(w.done) }) }
 
-// Status tells how the list stands.
-func (s *Watcher) Status() Status {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	st := s.status
-	for _, d := range st.Defects {
-		st.Reasons = append(st.Reasons, d.Error())
+// Status returns the state of the list. It may be called at any time.
+func (w *Watcher) Status() Status {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	status := w.status
+	for _, d := range status.Defects {
+		status.Reasons = append(status.Reasons, d.Error())
 	}
-	return st
+	return status
 }
 
 // Run follows the list until Close.
-func (s *Watcher) Run() {
-	var touched <-chan fsnotify.Event
-	var broken <-chan error
+func (w *Watcher) Run() {
+	var changes <-chan fsnotify.Event
+	var failures <-chan error
 	var err error
-	if s.fs, err = fsnotify.NewWatcher(); err != nil {
-		// Descriptors or watches may be used up: the poll goes on.
-		s.opt.Log.Warn("watch").Err(err).Msg("no news from the file system: the list is polled")
+	if w.fs, err = fsnotify.NewWatcher(); err != nil {
+		// Descriptors or watches may be used up.
+		w.opt.Log.Warn("watch").Err(err).Msg("no file system notifications; polling the server list")
 	} else {
-		touched, broken = s.fs.Events, s.fs.Errors
-		defer s.fs.Close()
+		changes, failures = w.fs.Events, w.fs.Errors
+		defer w.fs.Close()
 	}
-	s.watch = debounce.New(s.opt.Debounce, s.opt.Clock.Now())
-	s.follow()
-	s.act(s.watch.Tick(s.opt.Clock.Now()))
+	w.debouncer = debounce.New(w.opt.Debounce, w.opt.Clock.Now())
+	w.watchDirs()
+	w.act(w.debouncer.Tick(w.opt.Clock.Now()))
 	for {
 		select {
-		case <-s.stop:
-			s.clear()
+		case <-w.done:
+			w.stopTimer()
+			w.stopRefresh()
 			return
-		case f := <-s.events:
+		case f := <-w.events:
 			f()
-		case e := <-touched:
-			if s.concerns(e) {
-				s.act(s.watch.Changed(s.opt.Clock.Now()))
+		case e := <-changes:
+			if w.concerns(e) {
+				w.act(w.debouncer.Changed(w.opt.Clock.Now()))
 			}
-		case err := <-broken:
-			// The queue of news ran over: what it held is not known, so look.
-			s.opt.Log.Warn("watch").Err(err).Msg("news from the file system lost")
-			s.act(s.watch.Changed(s.opt.Clock.Now()))
+		case err := <-failures:
+			// The queue overflowed: any file may have changed.
+			w.opt.Log.Warn("watch").Err(err).Msg("file system notifications lost; reading the server list")
+			w.act(w.debouncer.Changed(w.opt.Clock.Now()))
 		}
 	}
 }
 
-func (s *Watcher) clear() {
-	if s.unset != nil {
-		s.unset()
-	}
-	if s.renew != nil {
-		s.renew()
-	}
-}
-
-// later has f done by the loop, unless the watch has ended.
-func (s *Watcher) later(f func()) {
+// post has the loop run f, unless the watcher is closed.
+func (w *Watcher) post(f func()) {
 	select {
-	case s.events <- f:
-	case <-s.stop:
+	case w.events <- f:
+	case <-w.done:
 	}
 }
 
-// concerns: in a directory that holds much else, most events are of other files.
-func (s *Watcher) concerns(e fsnotify.Event) bool {
-	if e.Op == fsnotify.Chmod {
-		return false
-	}
-	dir := filepath.Dir(e.Name)
-	// Links within the directory may be on the way to the list: anything there counts that is no common file.
-	return s.dirs[dir] || s.dirs[e.Name]
-}
-
-// act carries out what the decider wants.
-func (s *Watcher) act(a debounce.Action) {
+// act carries out the debouncer's decision.
+func (w *Watcher) act(a debounce.Action) {
 	if a.Accept {
-		s.take()
-	}
-	if a.Read && !s.looking {
-		s.look()
+		w.parse()
 	}
-	if s.unset != nil {
-		s.unset()
+	if a.Read && !w.reading {
+		w.read()
 	}
-	wait := a.WakeAt - s.opt.Clock.Now()
-	s.unset = s.opt.Clock.After(wait, func() {
-		go s.later(func() { s.act(s.watch.Tick(s.opt.Clock.Now())) })
+	w.stopTimer()
+	wait := a.WakeAt - w.opt.Clock.Now()
+	w.stopTimer = w.opt.Clock.After(wait, func() {
+		go w.post(func() { w.act(w.debouncer.Tick(w.opt.Clock.Now())) })
 	})
 }
 
-// look reads the list away from the loop: a file system that hangs must not hold up the drains of the list in use.
-func (s *Watcher) look() {
-	s.looking = true
-	s.follow()
-	began := s.opt.Clock.Now()
-	go func() {
-		files, err := ReadFiles(s.opt.Path)
-		s.later(func() {
-			s.looking = false
-			s.mu.Lock()
-			s.status.Reads++
-			s.mu.Unlock()
-			switch {
-			case err != nil:
-				s.fail(err)
-			case s.last != "":
-				// It is there again: what was refused or in use before is looked at anew.
-				s.last = ""
-				s.watch.Invalidate(s.opt.Clock.Now())
-				fallthrough
-			default:
-				s.files = files
-			}
-			s.act(s.watch.ReadDone(began, s.opt.Clock.Now(), fingerprint(files), err == nil))
-		})
-	}()
-}
-
-// fail notes a look that read nothing, once for each reason.
-func (s *Watcher) fail(err error) {
-	if s.last == err.Error() || errors.Is(err, errChanged) {
-		return
-	}
-	s.last = err.Error()
-	s.refuse(strictjson.Defects{{File: s.opt.Path, Reason: reason(err)}})
-}
-
-// reason is an error without the path that stands before it in the line anyway.
-func reason(err error) string {
-	var p *fs.PathError
-	if errors.As(err, &p) {
-		return p.Err.Error()
-	}
-	return err.Error()
-}
-
-func fingerprint(files []serverlist.File) uint64 {
-	h := xxhash.New()
-	for _, f := range files {
-		_, _ = fmt.Fprintf(h, "%s\x00%d\x00", f.Name, len(f.Data))
-		_, _ = h.Write(f.Data)
-	}
-	return h.Sum64()
-}
-
-// take checks what was read last, and uses it if it can be used.
-func (s *Watcher) take() {
-	d, bad := serverlist.Parse(s.files, s.opt.Requirements)
-	s.files = nil
-	if bad != nil {
-		// The draft before it stays: its names are still to be answered anew.
-		s.refuse(bad)
-		return
-	}
-	s.draft = d
-	s.settle()
-}
-
-// settle asks for the names of the draft, and holds it against the set in use.
-func (s *Watcher) settle() {
-	s.asking++
-	asked, d := s.asking, s.draft
+// read reads the list on a goroutine of its own: a file system that hangs must not delay the loop.
+func (w *Watcher) read() {
+	w.reading = true
+	w.watchDirs()
+	began := w.opt.Clock.Now()
 	go func() {
-		hosts := d.Hosts()
-		answers := s.opt.Resolver.Resolve(hosts)
-		s.later(func() {
-			if asked != s.asking {
-				return // a newer list has come meanwhile
-			}
-			s.opt.Resolver.Retain(hosts)
-			s.use(d, answers)
-			if s.renew != nil {
-				s.renew()
-			}
-			if resolver.HasNames(hosts) {
-				s.renew = s.opt.Clock.After(s.opt.Resolver.TTL, func() {
-					go s.later(func() {
-						if asked == s.asking {
-							s.settle()
-						}
-					})
-				})
-			}
-		})
+		files, err := ReadFiles(w.opt.Path)
+		w.post(func() { w.readDone(began, files, err) })
 	}()
 }
 
-func (s *Watcher) use(d *serverlist.Draft, answers map[string]serverlist.Resolution) {
-	s.mu.Lock()
-	old := s.set
-	s.mu.Unlock()
-	set, bad := d.Resolve(answers, old)
-	if bad != nil {
-		s.refuse(bad)
-		return
-	}
-	s.mu.Lock()
-	s.status.Defects, s.status.RejectedMs = nil, 0
-	if set != old {
-		s.set = set
-		s.status.Generation, s.status.AcceptedMs = set.Generation, s.opt.Clock.Now()
-		s.status.Accepted++
-	}
-	s.mu.Unlock()
-	if set == old {
-		return
-	}
-	changes := serverlist.Diff(old, set)
-	counts := map[string]int{}
-	for _, c := range changes {
-		counts[string(c.Kind)]++
-	}
-	s.opt.Log.Info("list").Uint64("generation", set.Generation).Int("servers", len(set.Servers)).
-		Interface("changes", counts).Msg("server list taken")
-	s.opt.OnList(set)
-}
-
-func (s *Watcher) refuse(bad strictjson.Defects) {
-	s.mu.Lock()
-	same := s.status.Defects.Error() == bad.Error()
-	s.status.Defects, s.status.RejectedMs = bad, s.opt.Clock.Now()
-	s.status.Rejected++
-	in := s.status.Generation
-	s.mu.Unlock()
-	if same {
-		return
-	}
-	s.opt.Log.Error("list").Str("reason", bad[0].Error()).Int("defects", len(bad)).Uint64("in_use", in).
-		Msg("server list refused: the one in use stays")
-}
-
-// follow watches the directories through which the path leads: a file that is renamed over, a link that is switched
-// and a directory that is made anew are all news of the directory around them, and not of the file.
-func (s *Watcher) follow() {
-	if s.fs == nil {
-		return
-	}
-	want := map[string]bool{}
-	path := s.opt.Path
-	for range 16 { // as many links as a path may lead through here
-		path, _ = filepath.Abs(path)
-		want[filepath.Dir(path)] = true
-		info, err := os.Lstat(path)
-		if err != nil {
-			break
-		}
-		if info.IsDir() {
-			want[path] = true
-		}
-		to, err := os.Readlink(path)
-		if err != nil {
-			break
-		}
-		if !filepath.IsAbs(to) {
-			to = filepath.Join(filepath.Dir(path), to)
-		}
-		path = to
-	}
-	if real, err := filepath.EvalSymlinks(s.opt.Path); err == nil {
-		want[filepath.Dir(real)] = true
-	}
-	// The nearest directory that is there, so that the news of its children being made anew comes.
-	for dir := range want {
-		for {
-			if _, err := os.Stat(dir); err == nil || dir == filepath.Dir(dir) {
-				break
-			}
-			dir = filepath.Dir(dir)
-			want[dir] = true
-		}
-	}
-	listed := s.fs.WatchList()
-	for dir := range want {
-		if !slices.Contains(listed, dir) {
-			if err := s.fs.Add(dir); err != nil && !errors.Is(err, fs.ErrNotExist) {
-				s.opt.Log.Warn("watch").Err(err).Str("dir", dir).Msg("a directory can't be watched: the list is polled")
-			}
-		}
-	}
-	for _, dir := range listed {
-		if !want[dir] {
-			_ = s.fs.Remove(dir)
-		}
-	}
-	s.dirs = want
-}
-
-// ReadFiles reads a list as it is now: one file, or a directory's files ending in .jsonc or .json. What changes while it
-// is read is an error, and so is whatever is no plain file.
-func ReadFiles(path string) ([]serverlist.File, error) {
-	info, err := os.Stat(path)
+func (w *Watcher) readDone(began float64, files []serverlist.File, err error) {
+	w.reading = false
+	w.mu.Lock()
+	w.status.Reads++
+	w.mu.Unlock()
 	if err != nil {
-		return nil, err
-	}
-	if !info.IsDir() {
-		f, err := readFile(path, mostRead)
-		if err != nil {
-			return nil, err
-		}
-		return []serverlist.File{f}, nil
-	}
-	entries, err := os.ReadDir(path)
-	if err != nil {
-		return nil, err
-	}
-	var files []serverlist.File
-	left := int64(mostRead)
-	for _, e := range entries {
-		name := e.Name()
-		if strings.HasPrefix(name, ".") || !strings.HasSuffix(name, ".jsonc") && !strings.HasSuffix(name, ".json") {
-			continue
-		}
-		if len(files) >= mostFiles {
-			return nil, fmt.Errorf("%s holds more than %d lists", path, mostFiles)
-		}
-		f, err := readFile(filepath.Join(path, name), left)
-		if err != nil {
-			return nil, err
+		w.readFailed(err)
+	} else {
+		if w.readFailure != "" {
+			// The list can be read again: it counts even if it is the one accepted last.
+			w.readFailure = ""
+			w.debouncer.Invalidate(w.opt.Clock.Now())
 		}
-		left -= int64(len(f.Data))
-		files = append(files, f)
-	}
-	if len(files) == 0 {
-		return nil, fmt.Errorf("%s holds no list", path)
-	}
-	return files, nil
-}
-
-var errChanged = errors.New("changed while it was read")
-
-func readFile(path string, most int64) (f serverlist.File, err error) {
-	// Guards against a pipe in place of the list, whose open would wait for a writer for good.
-	h, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
-	if err != nil {
-		return f, err
-	}
-	defer h.Close()
-	before, err := h.Stat()
-	if err != nil {
-		return f, err
-	}
-	if !before.Mode().IsRegular() {
-		return f, &fs.PathError{Op: "read", Path: path, Err: errors.New("not a plain file")}
-	}
-	data, err := io.ReadAll(io.LimitReader(h, most+1))
-	if err != nil {
-		return f, err
-	}
-	if int64(len(data)) > most {
-		return f, &fs.PathError{Op: "read", Path: path, Err: fmt.Errorf("larger than %d bytes", most)}
-	}
-	after, err := os.Stat(path)
-	if err != nil {
-		return f, err
-	}
-	if !os.SameFile(before, after) || after.Size() != int64(len(data)) || !after.ModTime().Equal(before.ModTime()) {
-		return f, &fs.PathError{Op: "read", Path: path, Err: errChanged}
+		w.files = files
 	}
-	return serverlist.File{Name: path, Data: data}, nil
+	w.act(w.debouncer.ReadDone(began, w.opt.Clock.Now(), fingerprint(files), err == nil))
 }
--- a/internal/source/filewatch/golden_test.go
+++ b/internal/source/filewatch/golden_test.go
@@ -26,8 +26,8 @@
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
 		require.Equal(t, status, decoded)
 	}
-	refused := Status{Defects: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
-	encoded, err := json.Marshal(refused)
+	rejected := Status{Defects: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
+	encoded, err := json.Marshal(rejected)
 	require.NoError(t, err)
 	require.NotContains(t, string(encoded), "servers.jsonc", "defects are shown as their lines alone")
 }
