--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -91,6 +91,7 @@
 	return false
 }
 
+// execute carries out an action of a process, and returns the event that answers it, or nil.
 func (w *model) execute(p *process, a Action) Event {
 	switch a := a.(type) {
 	case TryLock:
@@ -136,6 +137,19 @@
 		if w.mutation != "never announces that it serves" {
 			w.send(p, p.owner, SuccessorServing{From: p.id}, [2]int{})
 		}
+	case Stop:
+		p.ending, p.preempted = true, p.wasAccepting
+	case ScheduleTick:
+		p.tickAt = w.now + a.After
+	default:
+		w.executeForSuccessor(p, a)
+	}
+	return nil
+}
+
+// executeForSuccessor carries out an owner's action about a successor.
+func (w *model) executeForSuccessor(p *process, a Action) {
+	switch a := a.(type) {
 	case SendState:
 		w.send(p, a.To, StateReceived{Revision: Revision, Generation: p.Generation()}, [2]int{})
 	case Reject:
@@ -152,12 +166,7 @@
 		w.send(p, a.To, GrantReceived{}, descriptors)
 	case Revoke:
 		w.send(p, a.To, GrantRevoked{}, [2]int{})
-	case Stop:
-		p.ending, p.preempted = true, p.wasAccepting
-	case ScheduleTick:
-		p.tickAt = w.now + a.After
 	}
-	return nil
 }
 
 // kill ends a process. Those that it was connected to are notified.
--- a/internal/decide/recovery/bench_test.go
+++ b/internal/decide/recovery/bench_test.go
@@ -14,7 +14,7 @@
 // BenchmarkPrune applies one purge and one departure to a state that has n of each, and prunes one of each.
 func BenchmarkPrune(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
-		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			s := recovery.NewState()
 			set := recovery.Settings{PurgePropagation: float64(n) / 2, GoneRetention: float64(n)}
 			step := func(at int) {
@@ -43,7 +43,7 @@
 // BenchmarkEncode encodes the state, as is done after each pruning.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
-		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			s := recovery.NewState()
 			for i := range n {
 				s.Apply(recovery.Event{At: 1, Purge: &recovery.Purge{Object: strconv.Itoa(i), IssuedAt: 1, NotifiedAt: float64(i)}})
--- a/internal/decide/recovery/golden_test.go
+++ b/internal/decide/recovery/golden_test.go
@@ -31,17 +31,17 @@
 // goldenEvents returns one event of each kind, with all fields set and with the optional ones left out.
 func goldenEvents() map[string]recovery.Event {
 	return map[string]recovery.Event{
-		"event-purge-object.cbor": {At: 1e12, Purge: &recovery.Purge{Object: "o", IssuedAt: 1e12 - 10.5, NotifiedAt: 1e12}},
-		"event-purge-group.cbor":  {At: 1e12, Purge: &recovery.Purge{Group: 5, IssuedAt: 1e12 - 10, NotifiedAt: 1e12}},
-		"event-member.cbor":       {At: 1e12, Member: goldenMember()},
-		"event-member-least.cbor": {At: 1e12, Member: &recovery.Member{ID: 8, Addr: "x", Phase: membership.Gone, Since: 1e12}},
-		"event-list.cbor":         {At: 1e12, List: goldenList()},
-		"event-list-empty.cbor":   {At: 1e12, List: &recovery.List{Source: "f", Generation: 1}},
-		"event-revision.cbor":     {At: 1e12, Revision: 9},
-		"event-boot.cbor":         {At: 1e12, Boot: true, Epoch: 9e11, Shift: -3600000},
-		"event-boot-least.cbor":   {At: 1e12, Boot: true},
-		"event-hand-on.cbor":      {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9, Active: true}},
-		"event-hand-off.cbor":     {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9}},
+		"event-purge-object.cbor":     {At: 1e12, Purge: &recovery.Purge{Object: "o", IssuedAt: 1e12 - 10.5, NotifiedAt: 1e12}},
+		"event-purge-group.cbor":      {At: 1e12, Purge: &recovery.Purge{Group: 5, IssuedAt: 1e12 - 10, NotifiedAt: 1e12}},
+		"event-member.cbor":           {At: 1e12, Member: goldenMember()},
+		"event-member-least.cbor":     {At: 1e12, Member: &recovery.Member{ID: 8, Addr: "x", Phase: membership.Gone, Since: 1e12}},
+		"event-list.cbor":             {At: 1e12, List: goldenList()},
+		"event-list-empty.cbor":       {At: 1e12, List: &recovery.List{Source: "f", Generation: 1}},
+		"event-revision.cbor":         {At: 1e12, Revision: 9},
+		"event-boot.cbor":             {At: 1e12, Boot: true, Epoch: 9e11, Shift: -3600000},
+		"event-boot-least.cbor":       {At: 1e12, Boot: true},
+		"event-manual-drain-on.cbor":  {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9, Active: true}},
+		"event-manual-drain-off.cbor": {At: 1e12, ManualDrain: &recovery.ManualDrain{ID: 9}},
 	}
 }
 
@@ -61,7 +61,7 @@
 	s := recovery.NewState()
 	s.Apply(recovery.Event{At: 1e12, Boot: true, Epoch: 9e11})
 	for name, e := range goldenEvents() {
-		if !e.Boot && name != "event-hand-off.cbor" {
+		if !e.Boot && name != "event-manual-drain-off.cbor" {
 			s.Apply(e)
 		}
 	}
--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -37,7 +37,7 @@
 		kind storestate.Kind
 	}{{"purge", storestate.AddPurge}, {"spend", storestate.SpendToken}, {"revoke", storestate.RevokeToken}} {
 		for _, n := range stateSizes {
-			b.Run(fmt.Sprintf("%s/held=%d", kind.name, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/entries=%d", kind.name, n), func(b *testing.B) {
 				s := stateOf(b, n)
 				b.ReportAllocs()
 				at := 1
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -37,7 +37,7 @@
 		b.StopTimer()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB-held")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB-retained")
 		runtime.KeepAlive(plan)
 		require.NoError(b, recorder.Close())
 		b.StartTimer()
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -71,109 +71,141 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// Clients spend token ids, change the configuration and read it while members are cut off, killed and restarted. Their history
-// is linearizable.
-func TestLinearizable(t *testing.T) {
-	c := newCluster(t, "a", "b", "c")
-	c.leader()
-	names := []string{"a", "b", "c"}
-	began := time.Now()
-	var mu sync.Mutex
-	var history []porcupine.Operation
-	record := func(client int, in op, f func() (outcome, bool)) {
-		call := time.Since(began).Nanoseconds()
-		out, happened := f()
-		if !happened {
-			return // it had no effect, so there is nothing to order
+// recorder records the calls of all clients.
+type recorder struct {
+	began time.Time
+
+	mu      sync.Mutex
+	history []porcupine.Operation
+}
+
+// record makes a call and records it, unless the call is known to have had no effect: then there is nothing to order.
+func (r *recorder) record(client int, in op, call func() (out outcome, hadEffect bool)) {
+	start := time.Since(r.began).Nanoseconds()
+	out, hadEffect := call()
+	if !hadEffect {
+		return
+	}
+	end := time.Since(r.began).Nanoseconds()
+	if out.unknown {
+		end = math.MaxInt64
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: in, Call: start, Output: out, Return: end})
+}
+
+// client makes calls to random members, one after another.
+type client struct {
+	id       int
+	cluster  *cluster
+	recorder *recorder
+	rng      *rand.Rand
+	base     uint64 // the configuration revision that it knows
+}
+
+func (c *client) run(stop <-chan struct{}) {
+	for n := 0; ; n++ {
+		select {
+		case <-stop:
+			return
+		default:
 		}
-		end := time.Since(began).Nanoseconds()
-		if out.unknown {
-			end = math.MaxInt64
+		s := c.cluster.member(memberNames[c.rng.IntN(3)])
+		switch c.rng.IntN(4) {
+		case 0:
+			c.setConfig(s, fmt.Sprint(c.id, n))
+		case 1:
+			c.readRevision(s)
+		default:
+			c.spendToken(s, fmt.Sprint("j", time.Since(c.recorder.began).Milliseconds()/40)) // many clients spend the same ids
 		}
-		mu.Lock()
-		defer mu.Unlock()
-		history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
-	}
-	stop := make(chan struct{})
-	var wait sync.WaitGroup
-	for client := range 6 {
-		rng := rand.New(rand.NewPCG(7, uint64(client)))
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			var base uint64
-			for n := 0; ; n++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				c.mu.Lock()
-				s := c.members[names[rng.IntN(3)]]
-				c.mu.Unlock()
-				switch rng.IntN(4) {
-				case 0:
-					record(client, op{base: base}, func() (outcome, bool) {
-						rev, err := s.SetConfig(base, fmt.Sprint(client, n), "")
-						switch {
-						case err == nil || errors.Is(err, ErrConflict):
-							base = rev
-							return outcome{ok: err == nil, revision: rev}, true
-						case errors.Is(err, ErrOutcomeUnknown):
-							return outcome{unknown: true}, true
-						}
-						return outcome{}, false
-					})
-				case 1:
-					record(client, op{read: true}, func() (outcome, bool) {
-						var rev uint64
-						err := s.ReadLinearizable(func(st *storestate.State) { rev = st.Revision().Number })
-						return outcome{revision: rev}, err == nil
-					})
-				default:
-					jti := fmt.Sprint("j", time.Since(began).Milliseconds()/40) // many clients spend the same ids
-					record(client, op{key: jti}, func() (outcome, bool) {
-						err := s.SpendToken(jti, 9e15)
-						switch {
-						case err == nil || errors.Is(err, ErrTokenSpent):
-							return outcome{ok: err == nil}, true
-						case errors.Is(err, ErrOutcomeUnknown):
-							return outcome{unknown: true}, true
-						}
-						return outcome{}, false
-					})
-				}
-			}
-		}()
 	}
-	rng := rand.New(rand.NewPCG(7, 99))
+}
+
+func (c *client) setConfig(s *Store, text string) {
+	base := c.base
+	c.recorder.record(c.id, op{base: base}, func() (outcome, bool) {
+		revision, err := s.SetConfig(base, text, "")
+		switch {
+		case err == nil || errors.Is(err, ErrConflict):
+			c.base = revision
+			return outcome{ok: err == nil, revision: revision}, true
+		case errors.Is(err, ErrOutcomeUnknown):
+			return outcome{unknown: true}, true
+		}
+		return outcome{}, false
+	})
+}
+
+func (c *client) readRevision(s *Store) {
+	c.recorder.record(c.id, op{read: true}, func() (outcome, bool) {
+		var revision uint64
+		err := s.ReadLinearizable(func(st *storestate.State) { revision = st.Revision().Number })
+		return outcome{revision: revision}, err == nil
+	})
+}
+
+func (c *client) spendToken(s *Store, jti string) {
+	c.recorder.record(c.id, op{key: jti}, func() (outcome, bool) {
+		err := s.SpendToken(jti, 9e15)
+		switch {
+		case err == nil || errors.Is(err, ErrTokenSpent):
+			return outcome{ok: err == nil}, true
+		case errors.Is(err, ErrOutcomeUnknown):
+			return outcome{unknown: true}, true
+		}
+		return outcome{}, false
+	})
+}
+
+var memberNames = []string{"a", "b", "c"}
+
+// injectFaults cuts members off, and kills and restarts them, in turn.
+func injectFaults(c *cluster, rng *rand.Rand) {
 	for round := range 5 {
 		time.Sleep(250 * time.Millisecond)
-		name := names[rng.IntN(3)]
+		name := memberNames[rng.IntN(3)]
 		if round%2 == 0 {
 			c.isolate(name, true)
 			time.Sleep(400 * time.Millisecond)
 			c.isolate(name, false)
 			continue
 		}
-		c.mu.Lock()
-		s := c.members[name]
-		c.mu.Unlock()
-		s.Kill()
+		c.member(name).Kill()
 		time.Sleep(300 * time.Millisecond)
 		c.open(name, Options{})
 	}
 	time.Sleep(300 * time.Millisecond)
+}
+
+// Clients spend token ids, change the configuration and read it while members are cut off, killed and restarted. Their history
+// is linearizable.
+func TestLinearizable(t *testing.T) {
+	c := newCluster(t, memberNames...)
+	c.leader()
+	recorder := &recorder{began: time.Now()}
+	stop := make(chan struct{})
+	var wait sync.WaitGroup
+	for id := range 6 {
+		client := &client{id: id, cluster: c, recorder: recorder, rng: rand.New(rand.NewPCG(7, uint64(id)))}
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			client.run(stop)
+		}()
+	}
+	injectFaults(c, rand.New(rand.NewPCG(7, 99)))
 	close(stop)
 	wait.Wait()
 	done, unknown := 0, 0
-	for _, o := range history {
+	for _, o := range recorder.history {
 		if done++; o.Output.(outcome).unknown {
 			unknown++
 		}
 	}
 	require.Greater(t, done, 100)
-	verdict, info := porcupine.CheckOperationsVerbose(model.ToModel(), history, time.Minute)
+	verdict, info := porcupine.CheckOperationsVerbose(model.ToModel(), recorder.history, time.Minute)
 	if verdict != porcupine.Ok {
 		path := t.TempDir() + "/history.html"
 		_ = porcupine.VisualizePath(model.ToModel(), info, path)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -128,6 +128,12 @@
 	}
 }
 
+func (c *cluster) member(name string) *Store {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.members[name]
+}
+
 func (c *cluster) all() []*Store {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,13 +293,13 @@
 	require.ErrorIs(t, c.members[lone].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
 	require.NoError(t, c.members[lead].DeleteKey("k"))
 	_, ok = c.members[lone].Key("k")
-	require.True(t, ok, "stale, and said so")
+	require.True(t, ok, "a stale read")
 	c.isolate(lone, false)
 	eventually(t, func() bool {
 		return c.members[lone].ReadLinearizable(func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
 	}, "it caught up")
 
-	// The leader itself is cut off: it stops leading, the others go on.
+	// The leader itself is cut off: it steps down, and the others elect another one.
 	c.isolate(lead, true)
 	eventually(t, func() bool { return !c.members[lead].Leader() }, "it steps down")
 	next := ""
