--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -1,6 +1,7 @@
-// Package resolver gives the addresses of hosts. Literal addresses need nobody; names are asked of a resolver, which may
-// be slow, wrong for a while or hang: each answer is kept for a time, the last good one for as long as there is no
-// better, and whoever asks waits for a bounded time only. Which of several addresses is used is not decided here.
+// Package resolver resolves the hosts of server lists. Literal addresses need no look-up; names are looked up in a
+// Backend, which may be slow, wrong for a while or hang: each answer is cached for a time, the last good one for as long
+// as there is no better, and the caller waits for a bounded time. Which of several addresses is used is not decided here
+// but in decide/serverlist. Its timing is tested here with backends that fail and hang.
 package resolver
 
 import (
@@ -14,119 +15,140 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// Backend looks names up; *net.Backend is one.
+// Backend looks up names; *net.Resolver is one.
 type Backend interface {
 	LookupNetIP(ctx context.Context, network, host string) ([]netip.Addr, error)
 }
 
-// mostAsked bounds the look-ups out at once.
-const mostAsked = 16
+// maxLookups bounds the concurrent look-ups.
+const maxLookups = 16
 
-// Cache answers for hosts.
+// Cache resolves hosts. It is safe for concurrent use; its exported fields are not changed after the first call.
 type Cache struct {
-	Backend Backend // nil: only literal addresses have an answer
+	Backend Backend // nil: only literal addresses are resolved
 	Clock   *clock.Clock
-	TTL     float64 // ms for which an answer is good
-	Timeout float64 // ms that whoever asks waits at most
+	TTL     float64 // ms for which an answer is used without another look-up
+	Timeout float64 // ms for which a caller waits at most
 
-	mu    sync.Mutex
-	known map[string]*entry
-	slots chan struct{}
+	mu      sync.Mutex
+	entries map[string]*entry
+	slots   chan struct{} // one for each look-up in flight
 }
 
+// entry is what is known of a name.
 type entry struct {
 	answer serverlist.Resolution
-	good   bool // answer holds addresses
-	until  float64
-	asked  chan struct{} // closed once the look-up that is out has ended; nil: none is
+	good   bool          // answer holds addresses
+	until  float64       // ms, when answer expires
+	lookup chan struct{} // closed when the look-up in flight has ended; nil: none is
 }
 
-// Resolve are those of the hosts, each by its name as given. It takes Timeout at the most; a name that was not
-// answered by then has its last good answer, or says so.
+// Resolve returns the resolution of each host, by the host as given. It takes Timeout at most: a name whose look-up has
+// not ended by then has its last good answer, or a failure that says so.
 func (c *Cache) Resolve(hosts []string) map[string]serverlist.Resolution {
 	out := make(map[string]serverlist.Resolution, len(hosts))
-	var wait []chan struct{}
+	c.wait(c.start(hosts, out))
 	c.mu.Lock()
-	if c.known == nil {
-		c.known, c.slots = map[string]*entry{}, make(chan struct{}, mostAsked)
+	defer c.mu.Unlock()
+	for _, host := range hosts {
+		if _, done := out[host]; !done {
+			out[host] = c.answer(c.entries[host])
+		}
 	}
-	for _, h := range hosts {
-		if a, ok := literal(h); ok {
-			out[h] = a
+	return out
+}
+
+// start puts the hosts that need no look-up into out, begins the look-ups of names whose answer has expired, and returns
+// all look-ups to wait for.
+func (c *Cache) start(hosts []string, out map[string]serverlist.Resolution) (lookups []chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.entries == nil {
+		c.entries, c.slots = map[string]*entry{}, make(chan struct{}, maxLookups)
+	}
+	for _, host := range hosts {
+		if literal, ok := parseLiteral(host); ok {
+			out[host] = literal
 			continue
 		}
 		if c.Backend == nil {
-			out[h] = serverlist.Resolution{Failure: "is a name, and no names are resolved here"}
-			continue
-		}
-		e := c.known[h]
-		if e == nil {
-			e = &entry{}
-			c.known[h] = e
-		}
-		if e.until > c.Clock.Now() {
+			out[host] = serverlist.Resolution{Failure: "is a name, and no names are resolved here"}
 			continue
 		}
-		if e.asked == nil { // else an earlier look-up hangs: one is enough
-			e.asked = make(chan struct{})
-			go c.ask(h, e)
-		}
-		wait = append(wait, e.asked)
-	}
-	c.mu.Unlock()
-	if len(wait) > 0 {
-		late := make(chan struct{})
-		stop := c.Clock.After(c.Timeout, func() { close(late) })
-		for _, w := range wait {
-			select {
-			case <-w:
-			case <-late:
-			}
+		if lookup := c.refresh(host); lookup != nil {
+			lookups = append(lookups, lookup)
 		}
-		stop()
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, h := range hosts {
-		if _, ok := out[h]; ok {
-			continue
-		}
-		switch e := c.known[h]; {
-		case e.good || e.asked == nil:
-			out[h] = e.answer
-		default:
-			out[h] = serverlist.Resolution{Failure: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
+	return lookups
+}
+
+// refresh returns the look-up of a name that is in flight, which it begins if the answer has expired; nil: there is none.
+func (c *Cache) refresh(host string) chan struct{} {
+	e := c.entries[host]
+	if e == nil {
+		e = &entry{}
+		c.entries[host] = e
+	}
+	if e.until > c.Clock.Now() {
+		return nil
+	}
+	if e.lookup == nil { // an earlier one may hang: one for each name is enough
+		e.lookup = make(chan struct{})
+		go c.lookup(host, e)
+	}
+	return e.lookup
+}
+
+// wait waits until the look-ups have ended, for Timeout at most.
+func (c *Cache) wait(lookups []chan struct{}) {
+	if len(lookups) == 0 {
+		return
+	}
+	timedOut := make(chan struct{})
+	stop := c.Clock.After(c.Timeout, func() { close(timedOut) })
+	defer stop()
+	for _, lookup := range lookups {
+		select {
+		case <-lookup:
+		case <-timedOut:
 		}
 	}
-	return out
 }
 
-// Retain drops the names that are not among the hosts: a list that changes for years would fill the memory.
+func (c *Cache) answer(e *entry) serverlist.Resolution {
+	if e.good || e.lookup == nil {
+		return e.answer
+	}
+	return serverlist.Resolution{Failure: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
+}
+
+// Retain drops all names but those among the hosts: a list that changes for years would fill the memory.
 func (c *Cache) Retain(hosts []string) {
 	keep := make(map[string]bool, len(hosts))
-	for _, h := range hosts {
-		keep[h] = true
+	for _, host := range hosts {
+		keep[host] = true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for h, e := range c.known {
-		if !keep[h] && e.asked == nil {
-			delete(c.known, h)
+	for host, e := range c.entries {
+		if !keep[host] && e.lookup == nil {
+			delete(c.entries, host)
 		}
 	}
 }
 
-// HasNames tells whether any of the hosts is one whose answer may change.
+// HasNames reports whether any of the hosts is a name, whose addresses may change.
 func HasNames(hosts []string) bool {
-	for _, h := range hosts {
-		if _, ok := literal(h); !ok {
+	for _, host := range hosts {
+		if _, ok := parseLiteral(host); !ok {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Cache) ask(host string, e *entry) {
+// lookup looks up a name. The backend may ignore its context, and hang.
+func (c *Cache) lookup(host string, e *entry) {
 	c.slots <- struct{}{}
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := c.Clock.After(c.Timeout, cancel)
@@ -134,28 +156,39 @@
 	stop()
 	cancel()
 	<-c.slots
-	a := serverlist.Resolution{}
-	for _, ip := range ips {
-		a.Addrs = append(a.Addrs, spelled(ip))
-	}
+	c.store(e, toResolution(ips, err))
+}
+
+func toResolution(ips []netip.Addr, err error) serverlist.Resolution {
 	if err != nil {
-		a = serverlist.Resolution{Failure: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
+		return serverlist.Resolution{Failure: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
 	}
+	var r serverlist.Resolution
+	for _, ip := range ips {
+		r.Addrs = append(r.Addrs, format(ip))
+	}
+	return r
+}
+
+// store keeps an answer. One without addresses does not replace a good one, and expires sooner.
+func (c *Cache) store(e *entry, answer serverlist.Resolution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(a.Addrs) > 0 || !e.good {
-		e.answer, e.good = a, len(a.Addrs) > 0
+	good := len(answer.Addrs) > 0
+	if good || !e.good {
+		e.answer, e.good = answer, good
 	}
-	e.until = c.Clock.Now() + c.TTL
-	if len(a.Addrs) == 0 {
-		e.until = c.Clock.Now() + min(c.TTL, c.Timeout) // sooner again where it failed
+	ttl := c.TTL
+	if !good {
+		ttl = min(c.TTL, c.Timeout)
 	}
-	close(e.asked)
-	e.asked = nil
+	e.until = c.Clock.Now() + ttl
+	close(e.lookup)
+	e.lookup = nil
 }
 
-// literal reads a host that is an address, in any spelling that has one meaning.
-func literal(host string) (serverlist.Resolution, bool) {
+// parseLiteral reads a host that is an address, in any spelling that has just one meaning. ok is false for a name.
+func parseLiteral(host string) (r serverlist.Resolution, ok bool) {
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err == nil && ip.Zone() != "":
@@ -163,12 +196,13 @@
 	case err == nil && ip.IsUnspecified():
 		return serverlist.Resolution{Failure: "is the address of no machine"}, true
 	case err == nil:
-		return serverlist.Resolution{Addrs: []string{spelled(ip)}}, true
+		return serverlist.Resolution{Addrs: []string{format(ip)}}, true
 	case strings.Trim(host, "0123456789.") == "":
-		// Some resolvers take 127.1 or 010.0.0.1 for an address, each for another one.
+		// Some resolvers read 127.1 or 010.0.0.1 as an address, each as another one.
 		return serverlist.Resolution{Failure: "is no IPv4 address that all read alike"}, true
 	}
 	return serverlist.Resolution{}, false
 }
 
-func spelled(ip netip.Addr) string { return ip.Unmap().WithZone("").String() }
+// format returns the one spelling of an address in which addresses are compared.
+func format(ip netip.Addr) string { return ip.Unmap().WithZone("").String() }
--- a/internal/source/resolver/resolver_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -15,17 +15,17 @@
 	"ravenwheel/internal/source/resolver"
 )
 
-// table is a resolver that answers from a table, and hangs, deaf to its context, where the table says so.
+// table is a backend that answers from a table, and hangs, whatever its context says, where the table says so.
 type table struct {
-	mu    sync.Mutex
-	hosts map[string][]netip.Addr
-	hang  map[string]chan struct{}
-	asked map[string]int
+	mu      sync.Mutex
+	hosts   map[string][]netip.Addr
+	hang    map[string]chan struct{}
+	lookups map[string]int
 }
 
 func (r *table) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
 	r.mu.Lock()
-	r.asked[host]++
+	r.lookups[host]++
 	ips, hang := r.hosts[host], r.hang[host]
 	r.mu.Unlock()
 	if hang != nil {
@@ -47,12 +47,13 @@
 }
 
 func newCache() (*resolver.Cache, *table, *clock.Clock) {
-	r := &table{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, asked: map[string]int{}}
+	r := &table{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, lookups: map[string]int{}}
 	clk := clock.Manual(0)
 	return &resolver.Cache{Backend: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
 }
 
-func TestSpellings(t *testing.T) {
+// A literal address is resolved if all read it alike, to one spelling; a name is looked up.
+func TestResolvesUnambiguousLiterals(t *testing.T) {
 	c, r, _ := newCache()
 	for host, want := range map[string]serverlist.Resolution{
 		"127.0.0.1":                  {Addrs: []string{"127.0.0.1"}},
@@ -66,34 +67,35 @@
 	} {
 		require.Equal(t, want, c.Resolve([]string{host})[host], host)
 	}
-	require.Len(t, r.asked, 1, "literal addresses are asked of nobody")
+	require.Len(t, r.lookups, 1, "literal addresses are not looked up")
 	require.True(t, resolver.HasNames([]string{"127.0.0.1", "a.example.org"}))
 	require.False(t, resolver.HasNames([]string{"127.0.0.1"}))
 }
 
-func TestLastGoodAnswer(t *testing.T) {
+// An answer is cached for its time; a failed look-up leaves the last good answer, and is repeated sooner.
+func TestFailedLookupKeepsLastGoodAnswer(t *testing.T) {
 	c, r, clk := newCache()
 	r.set("a", "127.0.0.1")
 	host := []string{"a"}
-	ask := func() serverlist.Resolution { return c.Resolve(host)["a"] }
+	resolve := func() serverlist.Resolution { return c.Resolve(host)["a"] }
 	good := serverlist.Resolution{Addrs: []string{"127.0.0.1"}}
-	require.Equal(t, good, ask())
-	require.Equal(t, good, ask())
-	require.Equal(t, 1, r.asked["a"], "kept for its time")
+	require.Equal(t, good, resolve())
+	require.Equal(t, good, resolve())
+	require.Equal(t, 1, r.lookups["a"], "cached for its time")
 	clk.Advance(30_001)
 	r.set("a") // gone
-	require.Equal(t, good, ask(), "the last good answer is kept")
+	require.Equal(t, good, resolve(), "the last good answer is kept")
 	clk.Advance(2_001)
 	r.set("a", "127.0.0.2")
-	require.Equal(t, serverlist.Resolution{Addrs: []string{"127.0.0.2"}}, ask(), "asked again soon after it failed")
+	require.Equal(t, serverlist.Resolution{Addrs: []string{"127.0.0.2"}}, resolve(), "looked up again soon after the failure")
 	c.Retain(nil)
 	r.set("a")
-	require.Equal(t, "can't be resolved: no such host", ask().Failure)
+	require.Equal(t, "can't be resolved: no such host", resolve().Failure)
 }
 
-// A resolver that hangs, whatever its context says, holds nobody up for longer than the time-out, and one look-up
-// for a name is out at the most.
-func TestHang(t *testing.T) {
+// A backend that hangs, whatever its context says, delays a caller by the timeout at most, and a name has one look-up in flight
+// at most.
+func TestHangingBackendDelaysCallerByTimeoutAtMost(t *testing.T) {
 	c, r, clk := newCache()
 	end := make(chan struct{})
 	r.hang["h"] = end
@@ -114,7 +116,7 @@
 		require.Equal(t, []string{"127.0.0.1"}, answers["a"].Addrs)
 	}
 	r.mu.Lock()
-	require.Equal(t, 1, r.asked["h"])
+	require.Equal(t, 1, r.lookups["h"])
 	r.mu.Unlock()
 	close(end)
 	require.Eventually(t, func() bool { return len(c.Resolve([]string{"h"})["h"].Addrs) == 1 }, time.Minute, time.Millisecond)
