--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -10,66 +10,92 @@
 	"ravenwheel/internal/decide/fleetview"
 )
 
-// tick publishes what was counted since.
+const (
+	// rateWindow is the span over which rates are taken, in ms.
+	rateWindow = 3000
+	// maxZoneTargets members of this zone and maxRemoteTargets others are sent each digest, drawn anew: what one process sends does not
+	// grow with the fleet.
+	maxZoneTargets, maxRemoteTargets = 16, 2
+	// maxServersPerDatagram is how many servers of a digest fit into one datagram.
+	maxServersPerDatagram = 32
+	// sketchSize is how many objects are counted, maxObjects how many of them are published, and sketchDecay what is left of a count
+	// after each digest.
+	sketchSize, maxObjects, sketchDecay = 64, 4, 0.75
+	// minObjectRate is the rate, in requests a second of this process, below which an object is not published.
+	minObjectRate = 0.5
+	// fingerprintSize is the size of the fingerprint behind a digest, in bytes.
+	fingerprintSize = 8
+)
+
+// publishDigest sends what was counted since the last digest. Members of the zone get what has changed, others everything, as they are
+// drawn rarely.
 func (p *Peers) publishDigest() {
 	now := p.options.Clock.Now()
 	arrivals, totals := p.options.Totals()
-	nodes := p.memberlist.Members() // before the lock: memberlist holds its own while it tells of a member
+	nodes := p.memberlist.Members() // before the lock, as memberlist holds its own lock while it reports a member
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
 		return
 	}
 	p.cancelTick = p.options.Clock.After(p.options.DigestInterval, p.publishDigest)
-	for _, o := range p.options.Objects() {
-		p.sketch.Add(o)
-	}
-	// A count that loses a quarter each tick stands for 1/(1-0.75) ticks.
-	heavy := slices.DeleteFunc(p.sketch.Top(maxObjects, (1-sketchDecay)*1000/p.options.DigestInterval), func(h fleetview.ObjectRate) bool {
-		return h.Rate.Value() < minObjectRate
-	})
-	p.sketch.Decay(sketchDecay)
-	news := p.collector.Collect(now, arrivals, totals, heavy)
-	p.view.Merge(now, news)
+	changes := p.collector.Collect(now, arrivals, totals, p.heavyObjects())
+	p.view.Merge(now, changes)
 	p.view.Expire(now)
-	near, far := p.digestTargets(nodes)
-	var whole []fleetview.Digest
-	if len(far) > 0 {
-		whole = p.view.Snapshot(now, p.options.Name)
-		for i := range whole {
-			whole[i].Age = 0 // it is this process's own word, and holds as of now
+	zone, remote := p.digestTargets(nodes)
+	var complete []fleetview.Digest
+	if len(remote) > 0 {
+		complete = p.view.Snapshot(now, p.options.Name)
+		for i := range complete {
+			complete[i].Age = 0 // this process publishes it, as of now
 		}
 	}
 	p.mu.Unlock()
-	p.sendDigest(near, news)
-	for _, d := range whole {
-		p.sendDigest(far, d)
+	p.sendDigest(zone, changes)
+	for _, d := range complete {
+		p.sendDigest(remote, d)
 	}
 }
 
-// targets draws whom to tell.
-func (p *Peers) digestTargets(nodes []*memberlist.Node) (near, far []*memberlist.Node) {
+// heavyObjects counts the objects that were requested since the last call, and returns those requested most. The caller holds the lock.
+func (p *Peers) heavyObjects() []fleetview.ObjectRate {
+	for _, object := range p.options.Objects() {
+		p.sketch.Add(object)
+	}
+	// A count that keeps the fraction sketchDecay with each digest covers 1/(1-sketchDecay) digests.
+	perSecond := (1 - sketchDecay) * 1000 / p.options.DigestInterval
+	objects := slices.DeleteFunc(p.sketch.Top(maxObjects, perSecond), func(o fleetview.ObjectRate) bool {
+		return o.Rate.Value() < minObjectRate
+	})
+	p.sketch.Decay(sketchDecay)
+	return objects
+}
+
+// digestTargets draws the members that are sent a digest: some of this zone, and some others. The caller holds the lock.
+func (p *Peers) digestTargets(nodes []*memberlist.Node) (zone, remote []*memberlist.Node) {
 	for _, n := range nodes {
 		m := p.members[n.Name]
 		switch {
 		case n.Name == p.options.Name || m == nil || m.State != StateAlive:
 		case m.Zone == p.options.Zone:
-			near = append(near, n)
+			zone = append(zone, n)
 		default:
-			far = append(far, n)
+			remote = append(remote, n)
 		}
 	}
-	draw := func(nodes []*memberlist.Node, most int) []*memberlist.Node {
+	draw := func(nodes []*memberlist.Node, limit int) []*memberlist.Node {
 		p.rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-		return nodes[:min(most, len(nodes))]
+		return nodes[:min(limit, len(nodes))]
 	}
-	return draw(near, maxZoneTargets), draw(far, maxRemoteTargets)
+	return draw(zone, maxZoneTargets), draw(remote, maxRemoteTargets)
 }
 
+// sendDigest sends a digest, in as many datagrams as it takes. Behind each of them stands the fingerprint of the members that are alive
+// to this process. The publisher and its incarnation are left out, as the envelope has them.
 func (p *Peers) sendDigest(to []*memberlist.Node, d fleetview.Digest) {
-	d.From, d.Incarnation = "", 0 // the envelope tells
+	d.From, d.Incarnation = "", 0
 	p.mu.Lock()
-	set := p.aliveSet
+	fingerprint := p.aliveSet
 	p.mu.Unlock()
 	for first := true; first || len(d.Servers) > 0; first = false {
 		part := d
@@ -80,21 +106,21 @@
 			return
 		}
 		for _, n := range to {
-			_ = p.transport.send(n.FullAddress(), kindDigest, binary.BigEndian.AppendUint64(raw[:len(raw):len(raw)], set))
+			body := binary.BigEndian.AppendUint64(raw[:len(raw):len(raw)], fingerprint)
+			_ = p.transport.send(n.FullAddress(), kindDigest, body)
 		}
 	}
 }
 
-// heard takes in a digest of a sender that was checked, in one of its starts, and the mark of whom it takes for alive. Nobody
-// speaks for another.
-func (p *Peers) receiveDigest(from string, start uint64, body []byte) {
+// receiveDigest takes in a digest of a verified sender, in one of its incarnations. A digest in the name of another process is rejected.
+func (p *Peers) receiveDigest(from string, incarnation uint64, body []byte) {
 	var d fleetview.Digest
-	end := max(0, len(body)-8)
+	end := max(0, len(body)-fingerprintSize)
 	if err := cbor.Unmarshal(body[:end], &d); err != nil || d.From != "" || d.Incarnation != 0 || d.Age != 0 {
 		p.RejectedDigests.Add(1)
 		return
 	}
-	d.From, d.Incarnation = from, start
+	d.From, d.Incarnation = from, incarnation
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if binary.BigEndian.Uint64(body[end:]) == p.aliveSet {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -21,7 +21,7 @@
 // goldenTime is the time at which the golden datagrams were made, Unix ms.
 const goldenTime = 1_780_000_000_000
 
-// goldenPosts are two members with keys that do not change, in testdata; their certificates are good until 2126.
+// goldenSealers are two members with keys that do not change, in testdata; their certificates are valid until 2126.
 func goldenSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
 	load := func(name string, start uint64) *sealer {
@@ -32,7 +32,7 @@
 	return load("a", goldenTime-5000), load("b", goldenTime-4000)
 }
 
-// introduced are two that know each other's certificate: what they send is sealed with a MAC, and the same each time.
+// acquaintedSealers are two members that know each other's certificate: they seal with MACs, which are the same each time.
 func acquaintedSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
 	a, b = goldenSealers(t)
@@ -43,7 +43,7 @@
 	return a, b
 }
 
-// What a datagram is before it is sealed.
+// Envelopes are encoded, before they are sealed, as by earlier versions.
 func TestGoldenEnvelope(t *testing.T) {
 	for name, e := range map[string]envelope{
 		"envelope.cbor":                     {From: "a", To: "b", Incarnation: goldenTime - 5000, Sequence: 1 << 33, SentAt: goldenTime, Certificate: []byte{0x30, 1, 2}, Body: []byte{kindDigest, 9}},
@@ -62,7 +62,7 @@
 	}
 }
 
-// Datagrams of every kind between two who know each other: sealed to the same bytes, and opened.
+// Datagrams of every kind between two that know each other are sealed to the same bytes, and opened.
 func TestGoldenDatagrams(t *testing.T) {
 	for name, body := range map[string][]byte{
 		"datagram_member.bin": {kindMembership, 1, 2, 3}, "datagram_digest.bin": {kindDigest, 4}, "datagram_ask.bin": {kindCertificateRequest},
@@ -73,26 +73,26 @@
 		require.NoError(t, err)
 		require.EqualValues(t, macSize, raw[0])
 		golden.Equal(t, name, raw)
-		from, start, opened, err := b.open("x", golden.Read(t, name))
+		datagram, err := b.open("x", golden.Read(t, name))
 		require.NoError(t, err, name)
-		require.Equal(t, "a", from)
-		require.EqualValues(t, goldenTime-5000, start)
-		require.Equal(t, body, opened)
+		require.Equal(t, "a", datagram.from)
+		require.EqualValues(t, goldenTime-5000, datagram.incarnation)
+		require.Equal(t, body, datagram.body)
 	}
 	require.Equal(t, []byte{0, 1, 2, 3}, []byte{kindMembership, kindDigest, kindNameConflict, kindCertificateRequest})
 }
 
-// A signature is another one each time: one that an earlier version made is opened by one that knows nobody yet.
+// A signature is another one each time: a datagram that an earlier version has signed is opened by a process that knows nobody yet.
 func TestGoldenSignedDatagram(t *testing.T) {
 	_, b := goldenSealers(t)
-	from, start, body, err := b.open("x", golden.Read(t, "datagram_signed.bin"))
+	datagram, err := b.open("x", golden.Read(t, "datagram_signed.bin"))
 	require.NoError(t, err)
-	require.Equal(t, "a", from)
-	require.EqualValues(t, goldenTime-5000, start)
-	require.Equal(t, []byte{kindMembership, 1, 2, 3}, body)
+	require.Equal(t, "a", datagram.from)
+	require.EqualValues(t, goldenTime-5000, datagram.incarnation)
+	require.Equal(t, []byte{kindMembership, 1, 2, 3}, datagram.body)
 }
 
-// goldenDigest has every field set that goes over the wire.
+// goldenDigest has every field set that is sent.
 func goldenDigest() fleetview.Digest {
 	return fleetview.Digest{
 		Version: 42, Zone: "zone-1", Arrivals: fleetview.LevelOf(765),
@@ -101,7 +101,7 @@
 	}
 }
 
-// A digest as it leaves a process, with the mark of whom that takes for alive behind it, and as it is taken in.
+// A digest is sent, with the fingerprint of the members that are alive behind it, as by earlier versions, and theirs are taken in.
 func TestGoldenDigestBody(t *testing.T) {
 	a, b := acquaintedSealers(t)
 	out, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -120,9 +120,9 @@
 	require.NoError(t, in.SetReadDeadline(time.Now().Add(10*time.Second)))
 	n, err := in.Read(raw)
 	require.NoError(t, err)
-	_, _, body, err := b.open("x", raw[:n])
+	datagram, err := b.open("x", raw[:n])
 	require.NoError(t, err)
-	golden.Equal(t, "digest_body.bin", body)
+	golden.Equal(t, "digest_body.bin", datagram.body)
 
 	receiver := &Peers{options: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()), aliveSet: 0x0123456789abcdef}
 	receiver.receiveDigest("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
@@ -134,7 +134,7 @@
 	require.Equal(t, fleetview.Latency{200, 40}, reporters[0].Latency)
 }
 
-// What a member tells of itself by gossip.
+// The metadata of a member.
 func TestGoldenMeta(t *testing.T) {
 	p := &Peers{options: Options{Zone: "zone-1", Region: "region-1"}}
 	golden.Equal(t, "meta.cbor", delegate{p}.NodeMeta(512))
@@ -143,7 +143,7 @@
 	require.Equal(t, memberMeta{Zone: "zone-1", Region: "region-1"}, m)
 }
 
-// The files in which members and starts are kept are read, and written as they were.
+// The files of remembered members and of incarnations are read and written as by earlier versions.
 func TestGoldenFiles(t *testing.T) {
 	put := func(dir, name string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, name), 0o600))
@@ -174,7 +174,7 @@
 	require.EqualValues(t, goldenTime+1, start)
 }
 
-// What operators see keeps its JSON keys, and a set its mark.
+// What operators are shown keeps its JSON keys, and a set of members its fingerprint.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -9,24 +9,30 @@
 	"strings"
 )
 
-// nextStart numbers this start: by the clock, and above all before where they are kept.
+// incarnationFile is the file in which the number of the last incarnation is stored, in decimal.
+const incarnationFile = "peers.start"
+
+// nextIncarnation returns the number of this start: the time, Unix ms, or one above the number that is stored in a directory if that is
+// higher. It stores the number.
 func nextIncarnation(dir string, now uint64) (uint64, error) {
 	if dir == "" {
 		return now, nil
 	}
-	path := filepath.Join(dir, "peers.start")
+	path := filepath.Join(dir, incarnationFile)
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, fmt.Errorf("peers: %w", err)
 	}
+	next := now
 	if last, err := strconv.ParseUint(strings.TrimSpace(string(raw)), 10, 64); err == nil {
-		now = max(now, last+1)
+		next = max(next, last+1)
 	}
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path+".new", []byte(strconv.FormatUint(now, 10)+"\n"), 0o600)); err != nil {
+	text := strconv.FormatUint(next, 10) + "\n"
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path+".new", []byte(text), 0o600)); err != nil {
 		return 0, fmt.Errorf("peers: %w", err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
 		return 0, fmt.Errorf("peers: %w", err)
 	}
-	return now, nil
+	return next, nil
 }
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -2,6 +2,8 @@
 
 import (
 	"cmp"
+	"crypto/sha256"
+	"encoding/binary"
 	"fmt"
 	"slices"
 
@@ -9,14 +11,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// State is what is known of a member.
+// maxMembers is how many members are remembered, gone ones among them, for operators.
+const maxMembers = 1024
+
+// MemberState is what is known of a member. Its text is shown to operators.
 type MemberState string
 
-// The states of members. Left said so itself.
+// The states of a member.
 const (
 	StateAlive MemberState = "alive"
-	StateGone  MemberState = "gone"
-	StateLeft  MemberState = "left"
+	StateGone  MemberState = "gone" // it failed
+	StateLeft  MemberState = "left" // it has left by itself
 )
 
 // Member is another process, or this one.
@@ -26,10 +31,10 @@
 	Zone   string      `json:"zone"`
 	Region string      `json:"region,omitempty"`
 	State  MemberState `json:"state"`
-	Since  float64     `json:"since_ms"` // when it came into that state, as seen here
+	Since  float64     `json:"since_ms"` // Unix ms; when it came into that state, as observed here
 }
 
-// Members are all that are known, by name, those that are gone among them.
+// Members returns all members, by name, those that are gone or have left among them.
 func (p *Peers) Members() []Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +46,7 @@
 	return out
 }
 
-// Forget drops one that is gone from what operators see, and its word from the view.
+// Forget removes a member that is gone or has left, and its digests. It fails if there is no such member.
 func (p *Peers) Forget(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,15 +59,15 @@
 	return nil
 }
 
-// note books what memberlist says of a member.
-func (p *Peers) memberChanged(n *memberlist.Node, s MemberState) {
-	var m memberMeta
-	_ = cbor.Unmarshal(n.Meta, &m)
+// memberChanged records what memberlist reports of a member.
+func (p *Peers) memberChanged(n *memberlist.Node, state MemberState) {
+	var meta memberMeta
+	_ = cbor.Unmarshal(n.Meta, &meta)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.members[n.Name] == nil && len(p.members) >= maxMembers {
-		for name, x := range p.members {
-			if x.State != StateAlive {
+		for name, m := range p.members {
+			if m.State != StateAlive {
 				delete(p.members, name)
 			}
 		}
@@ -71,9 +76,29 @@
 		p.aliveSet ^= memberHash(m.Name + " " + m.Addr)
 		p.aliveCount--
 	}
-	if s == StateAlive {
+	if state == StateAlive {
 		p.aliveSet ^= memberHash(n.Name + " " + n.Address())
 		p.aliveCount++
 	}
-	p.members[n.Name] = &Member{Name: n.Name, Addr: n.Address(), Zone: m.Zone, Region: m.Region, State: s, Since: p.options.Clock.Now()}
+	p.members[n.Name] = &Member{
+		Name: n.Name, Addr: n.Address(), Zone: meta.Zone, Region: meta.Region, State: state, Since: p.options.Clock.Now(),
+	}
+}
+
+// MembersFingerprint returns the fingerprint of a set of members, each as "name address", whatever their order.
+func MembersFingerprint(members []string) string {
+	var set uint64
+	for _, m := range members {
+		set ^= memberHash(m)
+	}
+	return formatFingerprint(set)
+}
+
+func formatFingerprint(set uint64) string { return fmt.Sprintf("%016x", set) }
+
+// memberHash returns the hash of a member. The fingerprint of a set is the exclusive or of its members' hashes: a member is added and
+// removed alike.
+func memberHash(member string) uint64 {
+	sum := sha256.Sum256([]byte(member))
+	return binary.BigEndian.Uint64(sum[:])
 }
--- /dev/null
+++ b/internal/peers/name_conflict.go
@@ -0,0 +1,55 @@
+package peers
+
+import "github.com/hashicorp/memberlist"
+
+const (
+	// conflictReportInterval is the shortest time between two reports of a conflict about one name, in ms.
+	conflictReportInterval = 2000.0
+	// nameDoubtTime is how long a process whose name another one has, or had, requests the full state again, in ms. Within it the
+	// others give up the one that is gone, and nameReclaimTime passes.
+	nameDoubtTime = 30_000.0
+	// maxLoggedAddress is the longest address of another process that is logged, in bytes.
+	maxLoggedAddress = 64
+)
+
+// NotifyConflict implements memberlist.ConflictDelegate: two processes have one name. Each process that notices it tells both. The one
+// that is known would not notice it itself, as no process is sent gossip about its own name.
+func (e events) NotifyConflict(existing, other *memberlist.Node) {
+	if !e.peers.reportNameConflict(existing.Name, existing.Address(), other.Address()) {
+		return
+	}
+	if existing.Name != e.peers.options.Name {
+		_ = e.peers.transport.send(existing.FullAddress(), kindNameConflict, []byte(other.Address()))
+	}
+	// The second one by its address alone: its name resolves to the first.
+	_ = e.peers.transport.send(memberlist.Address{Addr: other.Address()}, kindNameConflict, []byte(existing.Address()))
+}
+
+// receiveNameConflict handles the report of another process that there is a second one with the name of this one.
+func (p *Peers) receiveNameConflict(otherAddress string) {
+	p.mu.Lock()
+	p.nameDoubtedUntil = p.options.Clock.Now() + nameDoubtTime
+	p.mu.Unlock()
+	p.reportNameConflict(p.options.Name, p.address(), otherAddress)
+}
+
+// reportNameConflict logs that two processes have one name. It returns false if that was reported lately: gossip repeats it.
+func (p *Peers) reportNameConflict(name, address, otherAddress string) bool {
+	now := p.options.Clock.Now()
+	p.mu.Lock()
+	last, reported := p.conflictReportedAt[name]
+	if len(p.conflictReportedAt) >= maxMembers {
+		clear(p.conflictReportedAt)
+	}
+	due := !reported || now-last >= conflictReportInterval
+	if due {
+		p.conflictReportedAt[name] = now
+	}
+	p.mu.Unlock()
+	if !due {
+		return false
+	}
+	p.options.Log.Error("peers").Str("name", name).Str("addr", address).
+		Str("other", otherAddress[:min(len(otherAddress), maxLoggedAddress)]).Msg("two processes have one name; the second is not a member")
+	return true
+}
--- /dev/null
+++ b/internal/peers/rejoin.go
@@ -0,0 +1,115 @@
+package peers
+
+import "math"
+
+const (
+	// rejoinInterval is the mean time between two rejoins, in ms.
+	rejoinInterval = 5000.0
+	// firstStateRequestDelay is the time after a first request of the full state until another one may follow, in ms. It doubles with
+	// each, maxDoublings times.
+	firstStateRequestDelay = 4000.0
+	maxDoublings           = 5
+	// earlyRejoins is how often a new process requests the full state without a sign that it lacks something: gossip that came before
+	// it knew the senders' certificates was dropped, and is not repeated.
+	earlyRejoins = 3
+)
+
+// rejoinState is what the decision to request the full state of another process goes by.
+type rejoinState struct {
+	remembered         rememberedMembers
+	rejoins            int
+	agreeing           int     // digests since the last rejoin, of processes to which the same members are alive
+	disagreeing        int     // of others
+	stateRequests      int     // since most processes agreed with this one
+	nextStateRequestAt float64 // ms; there is none before
+	nameDoubtedUntil   float64 // ms; until then the full state is requested, as another process has this one's name, or had it
+}
+
+// rejoin repairs a split membership, again and again, as gossip repeats each update a few times only. It joins each seed that is no
+// member: two halves that were cut off from each other, or that started apart, have given each other up or never knew each other. And
+// where stateRequestDue says so it requests the full state of another member.
+func (p *Peers) rejoin() {
+	present := map[string]bool{}
+	for _, n := range p.memberlist.Members() {
+		present[p.transport.addressOf(n.FullAddress())] = true
+	}
+	p.mu.Lock()
+	closed := p.closed
+	alive := p.othersAlive()
+	target := p.rejoinTarget(alive, p.stateRequestDue(len(present)))
+	err := p.remembered.save(p.options.Name, alive)
+	p.mu.Unlock()
+	if closed {
+		return
+	}
+	if err != nil {
+		p.options.Log.Error("peers").Err(err).Msg("present members not stored")
+	}
+	if target != "" {
+		_, _ = p.memberlist.Join([]string{target})
+	}
+	for _, seed := range p.options.Seeds {
+		if !present[seed] {
+			_, _ = p.memberlist.Join([]string{seed}) // one by one, so that a failed seed does not delay the others
+		}
+	}
+	// Spread, so that hundreds that lost each other at once do not rejoin at once.
+	p.mu.Lock()
+	delay := rejoinInterval * (0.5 + p.rng.Float64())
+	p.mu.Unlock()
+	p.options.Clock.After(delay, func() { go p.rejoin() })
+}
+
+// stateRequestDue decides whether the full state of another member is requested now. It is while members are missing (present is how
+// many there are), or while to most processes that send digests other members are alive than to this one. Once most agree with it there
+// is no more request, however many members have failed. A process that hears nobody may have been given up by the others, and one whose
+// name is in doubt may be in conflict with itself at an earlier address. Requests become rarer: full states of hundreds, requested by
+// hundreds that do not agree yet, would keep them from ever agreeing. The caller holds the lock.
+func (p *Peers) stateRequestDue(present int) bool {
+	now := p.options.Clock.Now()
+	agreed, differs := p.agreeing > p.disagreeing, p.disagreeing > p.agreeing
+	p.agreeing, p.disagreeing, p.rejoins = 0, 0, p.rejoins+1
+	if agreed {
+		p.stateRequests = 0
+	}
+	incomplete := p.rejoins <= earlyRejoins || present < p.expectedMembers() || differs
+	due := !agreed && incomplete || p.sealer.heardWithin(heardWindow) == 0
+	if due = due && now >= p.nextStateRequestAt; due {
+		p.nextStateRequestAt = now + firstStateRequestDelay*math.Exp2(min(float64(p.stateRequests), maxDoublings))
+		p.stateRequests++
+	}
+	return due || now < p.nameDoubtedUntil
+}
+
+// expectedMembers returns how many members there are, but for those that left. The caller holds the lock.
+func (p *Peers) expectedMembers() (n int) {
+	for _, m := range p.members {
+		if m.State != StateLeft {
+			n++
+		}
+	}
+	return n
+}
+
+// othersAlive returns the other members that are alive. The caller holds the lock.
+func (p *Peers) othersAlive() (alive []Member) {
+	for _, m := range p.members {
+		if m.State == StateAlive && m.Name != p.options.Name {
+			alive = append(alive, *m)
+		}
+	}
+	return alive
+}
+
+// rejoinTarget returns the process to join, as memberlist has it: any of those that are alive if the full state is requested, as the
+// seeds could not answer all, or a remembered one if there are none; empty: none. The caller holds the lock.
+func (p *Peers) rejoinTarget(alive []Member, requestState bool) string {
+	if n := len(alive); n > 0 && requestState {
+		m := alive[p.rng.IntN(n)]
+		return m.Name + "/" + m.Addr
+	}
+	if n := len(p.remembered.addresses); n > 0 && len(alive) == 0 {
+		return p.remembered.addresses[p.rng.IntN(n)]
+	}
+	return ""
+}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/rejoin_test.go
@@ -12,12 +12,12 @@
 	"ravenwheel/policy"
 )
 
-// Two pairs that began apart, as each had a seed up that the other had not, find each other once the missing seed is there.
+// Two pairs that started apart, as the seed of one was not running, become one once that seed is there.
 func TestSeparateGroupsMerge(t *testing.T) {
 	clk, dir := clock.Manual(1e12), t.TempDir()
 	require.NoError(t, store.NewCluster(dir, "th"))
 	all := map[string]*Peers{}
-	begin := func(name, listen string, seeds ...string) string {
+	start := func(name, listen string, seeds ...string) string {
 		require.NoError(t, store.Issue(dir, name))
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
@@ -35,13 +35,13 @@
 		t.Helper()
 		require.Eventually(t, func() bool { return all[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
 	}
-	a := begin("a", "127.0.0.1:0")
-	c := begin("c", "127.0.0.1:0")
+	a := start("a", "127.0.0.1:0")
+	c := start("c", "127.0.0.1:0")
 	all["c"].Close() // its address is known, and nobody is there yet
-	begin("b", "127.0.0.1:0", a, c)
+	start("b", "127.0.0.1:0", a, c)
 	sees("b", 2)
-	begin("c", c)
-	begin("d", "127.0.0.1:0", c)
+	start("c", c)
+	start("d", "127.0.0.1:0", c)
 	sees("d", 2)
 	clk.Advance(1.5 * rejoinInterval)
 	for name := range all {
--- a/internal/peers/envelope_test.go
+++ b/internal/peers/sealer_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/store"
 )
 
-// identities are members of one cluster, and one of another that calls itself a.
+// identities are members a and b of one cluster, and a member of another cluster under the name a.
 func identities(t *testing.T) (a, b, other *store.Identity) {
 	dir, foreign := t.TempDir(), t.TempDir()
 	require.NoError(t, store.NewCluster(dir, "th"))
@@ -25,7 +25,7 @@
 	return load(dir, "a"), load(dir, "b"), load(foreign, "a")
 }
 
-// Whatever is not from whom it says, not for whom it comes to, repeated, old, or too much is dropped, and counted by why.
+// A datagram that is forged, for another receiver, repeated, expired, or over the rate is dropped, and counted by reason.
 func TestOpenDropsInvalidDatagrams(t *testing.T) {
 	idA, idB, idOther := identities(t)
 	clk := clock.Manual(1e12)
@@ -37,57 +37,57 @@
 	}
 	d := &b.dropped
 	first := seal(a, "b")
-	from, _, body, err := b.open("x", first)
+	datagram, err := b.open("x", first)
 	require.NoError(t, err)
-	require.Equal(t, "a hello", from+" "+string(body), "its first datagrams bring its certificate")
+	require.Equal(t, "a hello", datagram.from+" "+string(datagram.body), "its first datagrams bring its certificate")
 
-	_, _, _, err = b.open("x", first)
+	_, err = b.open("x", first)
 	require.Error(t, err)
 	require.EqualValues(t, 1, d.Replayed.Load())
 
-	_, _, _, err = b.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
+	_, err = b.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
-	require.EqualValues(t, 1, d.Forged.Load(), "another cluster's a: its signature is not that of the a that is known")
+	require.EqualValues(t, 1, d.Forged.Load(), "the a of another cluster: its signature is not that of the a that is known")
 
-	_, _, _, err = b.open("x", seal(a, "c"))
+	_, err = b.open("x", seal(a, "c"))
 	require.Error(t, err)
 	require.EqualValues(t, 1, d.Misdirected.Load())
 
 	for at := range first {
-		bent := append([]byte(nil), first...)
-		bent[at] ^= 0x40
-		_, _, _, err = b.open("x", bent)
+		altered := append([]byte(nil), first...)
+		altered[at] ^= 0x40
+		_, err = b.open("x", altered)
 		require.Error(t, err, "byte %d", at)
 	}
 	for n := range first {
-		_, _, _, err = b.open("x", first[:n])
+		_, err = b.open("x", first[:n])
 		require.Error(t, err, "cut at %d", n)
 	}
 	stale := seal(a, "b")
 	clk.Advance(maxClockSkew + 1)
 	before := d.Expired.Load()
-	_, _, _, err = b.open("x", stale)
+	_, err = b.open("x", stale)
 	require.Error(t, err)
 	require.Equal(t, before+1, d.Expired.Load())
 
-	// Clocks 3 s apart talk; one that knows nobody takes a word only with a certificate of its own cluster.
+	// Clocks may be 3 s apart; a process that knows nobody accepts a datagram only with a certificate of its own cluster.
 	ahead := newSealer(idA, clock.Manual(clk.Now()+3000), uint64(clk.Now()))
-	_, _, _, err = b.open("x", seal(ahead, "b"))
+	_, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err)
 	fresh := newSealer(idB, clk, uint64(clk.Now()))
-	_, _, _, err = fresh.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
+	_, err = fresh.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
 	require.EqualValues(t, 1, fresh.dropped.UnknownSender.Load())
 
 	for range 2 * rateBurst {
-		_, _, _, _ = b.open("flooder", []byte{9})
+		_, _ = b.open("flooder", []byte{9})
 	}
 	require.Positive(t, d.RateLimited.Load())
-	_, _, _, err = b.open("x", seal(ahead, "b"))
+	_, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err, "others are not affected")
 }
 
-// One that started anew knows nobody: whoever brought it a certificate before is asked, and brings it again.
+// A process that has restarted knows nobody: it requests the certificate of a sender that had sent it before.
 func TestRestartedReceiverRequestsCertificate(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
@@ -99,19 +99,19 @@
 	b := newSealer(idB, clk, uint64(clk.Now()))
 	raw, err := a.seal("b", []byte("hello"))
 	require.NoError(t, err)
-	from, _, _, err := b.open("x", raw)
+	datagram, err := b.open("x", raw)
 	require.ErrorIs(t, err, errUnknownSender)
-	require.True(t, b.mayRequestCertificate(from))
-	require.False(t, b.mayRequestCertificate(from), "once a second")
+	require.True(t, b.mayRequestCertificate(datagram.from))
+	require.False(t, b.mayRequestCertificate(datagram.from), "once a second")
 	a.resendCertificate("b")
 	raw, err = a.seal("b", []byte("hello"))
 	require.NoError(t, err)
-	from, _, _, err = b.open("x", raw)
+	datagram, err = b.open("x", raw)
 	require.NoError(t, err)
-	require.Equal(t, "a", from)
+	require.Equal(t, "a", datagram.from)
 }
 
-// Once both know each other's certificate nothing is signed any more, and no third can make what either takes.
+// Two that know each other's certificate do not sign any more, and no third process can make what either accepts.
 func TestAcquaintedPeersUseMACs(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
@@ -119,36 +119,36 @@
 	pass := func(from, to *sealer, name string) int {
 		raw, err := from.seal(name, []byte("hello"))
 		require.NoError(t, err)
-		_, _, body, err := to.open("x", raw)
+		datagram, err := to.open("x", raw)
 		require.NoError(t, err)
-		require.Equal(t, "hello", string(body))
+		require.Equal(t, "hello", string(datagram.body))
 		return int(raw[0])
 	}
-	require.Greater(t, pass(a, b, "b"), macSize, "a signature, as a has not heard of b")
-	require.Equal(t, macSize, pass(b, a, "a"), "which b has of a")
+	require.Greater(t, pass(a, b, "b"), macSize, "a signature, as a does not know b")
+	require.Equal(t, macSize, pass(b, a, "a"), "as b knows a")
 	require.Equal(t, macSize, pass(a, b, "b"))
 
 	raw, err := a.seal("b", []byte("hello"))
 	require.NoError(t, err)
 	for _, at := range []int{1, macSize, macSize + 1, len(raw) - 1} {
-		bent := append([]byte(nil), raw...)
-		bent[at] ^= 1
-		_, _, _, err = b.open("x", bent)
+		altered := append([]byte(nil), raw...)
+		altered[at] ^= 1
+		_, err = b.open("x", altered)
 		require.Error(t, err, "byte %d", at)
 	}
-	// What a said comes back to it under b's name: the way has its own key.
+	// What a has sent is returned to it under b's name: each direction has a key of its own.
 	n := 1 + macSize
 	var e envelope
 	require.NoError(t, cbor.Unmarshal(raw[n:], &e))
 	e.From, e.To = "b", "a"
 	back, err := cbor.Marshal(e)
 	require.NoError(t, err)
-	_, _, _, err = a.open("x", append(append([]byte{macSize}, mac(a.peerKeys["b"].sendKey, back)...), back...))
+	_, err = a.open("x", append(append([]byte{macSize}, mac(a.peerKeys["b"].sendKey, back)...), back...))
 	require.Error(t, err)
 	require.Positive(t, a.dropped.Forged.Load())
 }
 
-// A member with a new certificate is taken in by those who know its old one; the old one is of no use from then on.
+// A member with a new certificate is accepted by those that know its old one, and the old one is useless from then on.
 func TestRenewedCertificateReplacesOld(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, store.NewCluster(dir, "th"))
@@ -165,7 +165,7 @@
 	for i, p := range []*sealer{old, renewed, old, renewed} {
 		raw, err := p.seal("b", []byte("hello"))
 		require.NoError(t, err)
-		_, _, _, err = b.open("x", raw)
+		_, err = b.open("x", raw)
 		if i == 2 {
 			require.Error(t, err)
 			require.EqualValues(t, 1, b.dropped.Forged.Load())
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,62 +1,48 @@
 package peers
 
-import (
-	"crypto/sha256"
-	"encoding/binary"
-	"fmt"
-)
+// heardWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before it has
+// given up all others, one probe after the other.
+const heardWindow = 10_000.0
 
-// Status is what operators see.
+// Status is the state of this process among its peers, as operators are shown it.
 type Status struct {
 	Name          string           `json:"name"`
 	Addr          string           `json:"addr"`
-	Alive         int              `json:"alive"`
-	Fingerprint   string           `json:"set"`   // of those that are alive, with their addresses: equal where two processes agree
-	Heard         int              `json:"hears"` // others of which a datagram was taken in the last hearFor
+	Alive         int              `json:"alive"` // members
+	Fingerprint   string           `json:"set"`   // of the members that are alive, with their addresses: equal if two processes agree
+	Heard         int              `json:"hears"` // other processes of which a datagram was accepted within heardWindow
 	Members       []Member         `json:"members,omitempty"`
 	SentBytes     int64            `json:"sent_bytes"`
-	DigestBytes   int64            `json:"digest_bytes"` // of these; the rest is membership
-	StreamBytes   int64            `json:"stream_bytes"` // of these
+	DigestBytes   int64            `json:"digest_bytes"` // of the bytes sent; the rest is membership
+	StreamBytes   int64            `json:"stream_bytes"` // of the bytes sent
 	ReceivedBytes int64            `json:"received_bytes"`
-	Dropped       map[string]int64 `json:"dropped"`
-}
-
-// hearFor ms: one that is cut off hears nobody long before it has given everybody up, one question after the other.
-const heardWindow = 10_000.0
-
-// Set names a set of members, each as "name address", whatever their order.
-func MembersFingerprint(members []string) string {
-	var x uint64
-	for _, m := range members {
-		x ^= memberHash(m)
-	}
-	return fmt.Sprintf("%016x", x)
+	Dropped       map[string]int64 `json:"dropped"` // datagrams, by reason
 }
 
-// mark of a member: the marks of a set, each taken in and out by exclusive or, tell it from others.
-func memberHash(member string) uint64 {
-	sum := sha256.Sum256([]byte(member))
-	return binary.BigEndian.Uint64(sum[:])
-}
-
-// Brief is how this process stands among its peers, without those that it knows.
+// Summary returns the status without the members.
 func (p *Peers) Summary() Status {
-	d := &p.sealer.dropped
 	s := Status{
-		Name: p.options.Name, Addr: p.address(), Heard: p.sealer.heardWithin(heardWindow), SentBytes: p.transport.sentBytes.Load(), ReceivedBytes: p.transport.receivedBytes.Load(),
-		DigestBytes: p.transport.digestBytes.Load(), StreamBytes: p.transport.streamBytes.Load(),
-		Dropped: map[string]int64{
-			"malformed": d.Malformed.Load(), "unknown": d.UnknownSender.Load(), "forged": d.Forged.Load(), "replayed": d.Replayed.Load(),
-			"old": d.Expired.Load(), "misdirected": d.Misdirected.Load(), "flood": d.RateLimited.Load(), "refused": p.RejectedDigests.Load(),
-		},
+		Name: p.options.Name, Addr: p.address(), Heard: p.sealer.heardWithin(heardWindow),
+		SentBytes: p.transport.sentBytes.Load(), DigestBytes: p.transport.digestBytes.Load(),
+		StreamBytes: p.transport.streamBytes.Load(), ReceivedBytes: p.transport.receivedBytes.Load(),
+		Dropped: p.sealer.dropped.byReason(),
 	}
+	s.Dropped["refused"] = p.RejectedDigests.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.Alive, s.Fingerprint = p.aliveCount, fmt.Sprintf("%016x", p.aliveSet)
+	s.Alive, s.Fingerprint = p.aliveCount, formatFingerprint(p.aliveSet)
 	return s
 }
 
-// Status is Brief and the members.
+// byReason returns the counters under the names that operators are shown.
+func (d *dropCounters) byReason() map[string]int64 {
+	return map[string]int64{
+		"malformed": d.Malformed.Load(), "unknown": d.UnknownSender.Load(), "forged": d.Forged.Load(), "replayed": d.Replayed.Load(),
+		"old": d.Expired.Load(), "misdirected": d.Misdirected.Load(), "flood": d.RateLimited.Load(),
+	}
+}
+
+// Status returns the status with the members.
 func (p *Peers) Status() Status {
 	s := p.Summary()
 	s.Members = p.Members()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -11,63 +11,58 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+)
 
-	"ravenwheel/internal/store"
+const (
+	handshakeTimeout = 5 * time.Second
+	maxHandshakes    = 64 // of incoming streams at once
+	// maxQueuedPackets is how many datagrams wait for memberlist.
+	maxQueuedPackets = 1024
+	// datagramHeaderBytes is the size of the headers of IP and UDP, which count with what is sent and received.
+	datagramHeaderBytes = 28
+	// acceptRetryDelay is the delay after a failed accept, which a process without free descriptors would otherwise repeat at once.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// transport carries memberlist's datagrams in envelopes and its streams over mutual TLS, so that no message is taken from
-// anybody who has no certificate of the cluster. It implements memberlist.NodeAwareTransport.
+// errUnexpectedPeer means that another process than the one that was meant has answered.
+var errUnexpectedPeer = errors.New("peers: unexpected peer")
+
+// advertisedAddress is the address that others are told.
+type advertisedAddress struct {
+	ip   net.IP
+	port int
+}
+
+// transport carries memberlist's datagrams in sealed envelopes and its streams over mutual TLS, so that no message is accepted from a
+// process without a certificate of the cluster. It implements memberlist.NodeAwareTransport.
 type transport struct {
 	sealer           *sealer
-	identity         *store.Identity
 	tlsConfig        *tls.Config
 	udp              *net.UDPConn
 	tcp              net.Listener
 	advertised       advertisedAddress
-	addressOverrides map[string]string // addresses of others as they are seen from here, by name
+	addressOverrides map[string]string // addresses of others as seen from here, by name
 	packets          chan *memberlist.Packet
 	streams          chan net.Conn
-	// digest takes the datagrams that are not memberlist's.
-	onDigest       func(from string, start uint64, body []byte)
-	onNameConflict func(other string)
 
-	// Sent and Received count bytes of datagrams and, roughly, of streams; Digests and Streams are what of Sent they were.
+	// The receivers of datagrams that are not memberlist's. They are set before run.
+	onDigest       func(from string, incarnation uint64, body []byte)
+	onNameConflict func(otherAddress string)
+
+	// Bytes of datagrams and, without the overhead of TLS, of streams; digestBytes and streamBytes are parts of sentBytes.
 	sentBytes, receivedBytes, digestBytes, streamBytes atomic.Int64
 
-	stop context.CancelFunc
-	done sync.WaitGroup
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// netAddr is what others are told.
-type advertisedAddress struct {
-	ip   net.IP
-	port int
-}
-
-// The first byte of a body tells whose it is.
-const (
-	kindMembership byte = iota
-	kindDigest
-	kindNameConflict       // the address of another under the receiver's name
-	kindCertificateRequest // the receiver's certificate is wanted
-)
-
-// Bounds of streams.
-const (
-	handshakeTimeout    = 5 * time.Second
-	maxHandshakes       = 64
-	maxQueuedPackets    = 1024
-	datagramHeaderBytes = 28 // of IP and UDP, counted with what is sent
-)
-
-var errUnexpectedPeer = errors.New("peers: another answers there")
-
-func listen(addr, advertise string, p *sealer, seen map[string]string) (*transport, error) {
+// listen opens the sockets at an address. advertise is the address that others are told; empty: the same.
+func listen(address, advertise string, s *sealer, overrides map[string]string) (*transport, error) {
 	t := &transport{
-		sealer: p, identity: p.identity, tlsConfig: p.identity.TLS(), addressOverrides: seen, packets: make(chan *memberlist.Packet, maxQueuedPackets),
-		streams: make(chan net.Conn),
+		sealer: s, tlsConfig: s.identity.TLS(), addressOverrides: overrides,
+		packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn),
 	}
-	ln, err := net.Listen("tcp", addr)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -78,28 +73,28 @@
 	}
 	t.tcp, t.advertised = ln, advertisedAddress{at.IP, at.Port}
 	if advertise != "" {
-		out, err := net.ResolveTCPAddr("tcp", advertise)
+		resolved, err := net.ResolveTCPAddr("tcp", advertise)
 		if err != nil {
 			_ = t.udp.Close()
 			ln.Close()
 			return nil, fmt.Errorf("peers: advertise: %w", err)
 		}
-		t.advertised = advertisedAddress{out.IP, out.Port}
+		t.advertised = advertisedAddress{resolved.IP, resolved.Port}
 	}
 	return t, nil
 }
 
-// run begins to take what comes.
+// run starts to receive datagrams and streams.
 func (t *transport) run() {
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
-	t.done.Add(2)
+	t.goroutines.Add(2)
 	go t.readPackets(ctx)
-	go t.accept(ctx)
+	go t.acceptStreams(ctx)
 }
 
 func (t *transport) readPackets(ctx context.Context) {
-	defer t.done.Done()
+	defer t.goroutines.Done()
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
@@ -110,97 +105,105 @@
 			continue
 		}
 		t.receivedBytes.Add(int64(n + datagramHeaderBytes))
-		name, start, body, err := t.sealer.open(from.String(), buf[:n])
-		if errors.Is(err, errUnknownSender) && t.sealer.mayRequestCertificate(name) {
-			// Guards against one that started anew and knows nobody's key: it dropped what those said who had brought their
-			// certificates to its forerunner, and gave them up as dead.
-			_ = t.send(memberlist.Address{Addr: from.String(), Name: name}, kindCertificateRequest, nil)
+		datagram, err := t.sealer.open(from.String(), buf[:n])
+		if errors.Is(err, errUnknownSender) && t.sealer.mayRequestCertificate(datagram.from) {
+			// The sender may have sent its certificate to an earlier incarnation of this process. Unless it sends it again, this
+			// process drops its answers and takes it for failed.
+			_ = t.send(memberlist.Address{Addr: from.String(), Name: datagram.from}, kindCertificateRequest, nil)
 		}
-		if err != nil || len(body) == 0 {
+		if err != nil || len(datagram.body) == 0 {
 			continue
 		}
-		switch body[0] {
+		kind, body := datagram.body[0], datagram.body[1:]
+		switch kind {
 		case kindCertificateRequest:
-			t.sealer.resendCertificate(name)
-			continue
+			t.sealer.resendCertificate(datagram.from)
 		case kindDigest:
-			t.onDigest(name, start, body[1:])
-			continue
+			t.onDigest(datagram.from, datagram.incarnation, body)
 		case kindNameConflict:
-			t.onNameConflict(string(body[1:]))
-			continue
-		}
-		select {
-		case t.packets <- &memberlist.Packet{Buf: append([]byte(nil), body[1:]...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}:
-		case <-ctx.Done():
-			return
+			t.onNameConflict(string(body))
+		default:
+			packet := &memberlist.Packet{Buf: append([]byte(nil), body...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
+			select {
+			case t.packets <- packet:
+			case <-ctx.Done():
+				return
+			}
 		}
 	}
 }
 
-func (t *transport) accept(ctx context.Context) {
-	defer t.done.Done()
-	room := make(chan struct{}, maxHandshakes)
+// acceptStreams accepts streams, and closes those over the limit of handshakes.
+func (t *transport) acceptStreams(ctx context.Context) {
+	defer t.goroutines.Done()
+	handshakes := make(chan struct{}, maxHandshakes)
 	for {
-		nc, err := t.tcp.Accept()
+		conn, err := t.tcp.Accept()
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case handshakes <- struct{}{}:
 		default:
-			nc.Close()
+			conn.Close()
 			continue
 		}
 		go func() {
-			defer func() { <-room }()
-			c, err := t.handshake(ctx, tls.Server(nc, t.tlsConfig), "")
-			if err != nil {
-				nc.Close()
-				return
-			}
-			select {
-			case t.streams <- c:
-			case <-ctx.Done():
-				c.Close()
-			}
+			defer func() { <-handshakes }()
+			t.acceptStream(ctx, conn)
 		}()
 	}
 }
 
-// shake completes a handshake, learns who is there, and holds it to the name that was meant.
-func (t *transport) handshake(ctx context.Context, c *tls.Conn, want string) (net.Conn, error) {
+// acceptStream completes the handshake of an incoming stream, and hands it to memberlist.
+func (t *transport) acceptStream(ctx context.Context, conn net.Conn) {
+	stream, err := t.handshake(ctx, tls.Server(conn, t.tlsConfig), "")
+	if err != nil {
+		conn.Close()
+		return
+	}
+	select {
+	case t.streams <- stream:
+	case <-ctx.Done():
+		stream.Close()
+	}
+}
+
+// handshake completes a handshake and learns the certificate of the other end, whose name must be wantName unless that is empty.
+func (t *transport) handshake(ctx context.Context, conn *tls.Conn, wantName string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	if err := c.HandshakeContext(ctx); err != nil {
+	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
-	name, err := t.sealer.learnCertificate(c.ConnectionState().PeerCertificates[0].Raw)
+	name, err := t.sealer.learnCertificate(conn.ConnectionState().PeerCertificates[0].Raw)
 	if err != nil {
 		return nil, err
 	}
-	if want != "" && name != want {
-		return nil, fmt.Errorf("%w: %s, not %s", errUnexpectedPeer, name, want)
+	if wantName != "" && name != wantName {
+		return nil, fmt.Errorf("%w: %s, not %s", errUnexpectedPeer, name, wantName)
 	}
-	return countingConn{c, t}, nil
+	return countingConn{conn, t}, nil
 }
 
-// counted is a stream whose bytes are counted.
+// countingConn is a stream whose bytes are counted.
 type countingConn struct {
 	net.Conn
 	transport *transport
 }
 
+// Read implements net.Conn.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.transport.receivedBytes.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.transport.sentBytes.Add(int64(n))
@@ -208,24 +211,25 @@
 	return n, err
 }
 
-// at is where a member is, as seen from here.
+// addressOf returns the address of a member as seen from here.
 func (t *transport) addressOf(a memberlist.Address) string {
-	if addr, ok := t.addressOverrides[a.Name]; ok && a.Name != "" {
-		return addr
+	if address, ok := t.addressOverrides[a.Name]; ok && a.Name != "" {
+		return address
 	}
 	return a.Addr
 }
 
-func (t *transport) send(a memberlist.Address, kind byte, b []byte) error {
-	raw, err := t.sealer.seal(a.Name, append([]byte{kind}, b...))
+// send sends a datagram of a kind.
+func (t *transport) send(to memberlist.Address, kind byte, body []byte) error {
+	raw, err := t.sealer.seal(to.Name, append([]byte{kind}, body...))
 	if err != nil {
 		return err
 	}
-	to, err := net.ResolveUDPAddr("udp", t.addressOf(a))
+	address, err := net.ResolveUDPAddr("udp", t.addressOf(to))
 	if err != nil {
 		return err
 	}
-	n, err := t.udp.WriteToUDP(raw, to)
+	n, err := t.udp.WriteToUDP(raw, address)
 	t.sentBytes.Add(int64(n + datagramHeaderBytes))
 	if kind == kindDigest {
 		t.digestBytes.Add(int64(n + datagramHeaderBytes))
@@ -261,22 +265,22 @@
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	nc, err := net.DialTimeout("tcp", t.addressOf(a), timeout)
+	conn, err := net.DialTimeout("tcp", t.addressOf(a), timeout)
 	if err != nil {
 		return nil, err
 	}
-	c, err := t.handshake(context.Background(), tls.Client(nc, t.tlsConfig), a.Name)
+	stream, err := t.handshake(context.Background(), tls.Client(conn, t.tlsConfig), a.Name)
 	if err != nil {
-		nc.Close()
+		conn.Close()
 		return nil, err
 	}
-	return c, nil
+	return stream, nil
 }
 
 // Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
 	t.stop()
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
-	t.done.Wait()
+	t.goroutines.Wait()
 	return err
 }
