--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -120,7 +120,7 @@
 // A fill that is late after an early first byte lowers the limit of the parent, or of the zone's link if all
 // fills are late. Bytes that the origin delivered in time do not lower the origin's limit.
 func TestLateFillAfterEarlyFirstByteLowersLinkLimit(t *testing.T) {
-	for _, late := range []average{0, 1} { // late rate of the link so far
+	for _, late := range []Fraction{0, 1} { // late rate of the link so far
 		s := startRouter(t, settings(), fleet())
 		g := s.fetch(s.handle(newRequest("a", "o")))
 		link, source, deep := s.r.link, s.r.servers[g.Source], s.r.origin
--- a/policy/containers.go
+++ b/policy/containers.go
@@ -35,14 +35,14 @@
 	b.values[key] = value
 }
 
-// average is the exponentially weighted fraction of cases that were true, between 0 and 1.
-type average float64
+// Fraction is the fraction of cases that were true, between 0 and 1, with exponentially decreasing weight.
+type Fraction float64
 
 // add includes one more case, whose weight is gain.
-func (a *average) add(isTrue bool, gain float64) {
-	*a -= average(gain) * *a
+func (f *Fraction) add(isTrue bool, gain float64) {
+	*f -= Fraction(gain) * *f
 	if isTrue {
-		*a += average(gain)
+		*f += Fraction(gain)
 	}
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -102,7 +102,8 @@
 	NoteOriginFailed        // the origin failed behind the source
 )
 
-// LoadReport is a server's load by the name of the figure. It may be late and inexact.
+// LoadReport is a server's load report: inflight and queue (requests), util (a fraction), latency (ms), served and errors
+// (per second), hits (a fraction) and link. Any figure may be missing, late or inexact; no rule reads them.
 type LoadReport map[string]float64
 
 // Outcome is how one attempt ended.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -22,11 +22,11 @@
 		for _, a := range r.Handle(now, e, nil) {
 			switch a := a.(type) {
 			case policy.Fetch:
-				fmt.Printf("get from cache %d, fill from %d\n", a.Cache, a.Source)
+				fmt.Printf("fetch from cache %d, fill from %d\n", a.Cache, a.Source)
 			case policy.SetTimer:
 				fmt.Printf("timer in %v\n", a.After)
 			case policy.Reject:
-				fmt.Printf("refuse %s\n", a.ID)
+				fmt.Printf("reject %s\n", a.ID)
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 	// Output:
 	// timer in 1s
 	// timer in 300ms
-	// get from cache 1, fill from 11
+	// fetch from cache 1, fill from 11
 	// timer in 300ms
-	// get from cache 1, fill from 20
+	// fetch from cache 1, fill from 20
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -20,6 +20,7 @@
 	purged     map[string][2]Time // object: time of the purge, time of its notice
 }
 
+// entry is a request as the checker sees it.
 type entry struct {
 	q     Request
 	due   Time
@@ -78,62 +79,78 @@
 	}
 }
 
+// action checks one action and applies it.
 func (b *ruleChecker) action(now Time, a Action) error {
-	final := func(id string, refuse bool) error {
-		q := b.reqs[id]
-		if q == nil || q.over {
-			return fmt.Errorf("second final answer for %s", id)
-		}
-		q.over = true
-		if c := b.set.Classes[q.q.Class]; refuse && c.Idempotency != Idempotent && !(c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll) {
-			for _, s := range q.sends {
-				if s.open || s.ran {
-					return fmt.Errorf("%s rejected though it may have been executed", id)
-				}
-			}
-		}
-		return nil
+	switch a := a.(type) {
+	case Reject:
+		return b.finalAnswer(a.ID, true)
+	case Fail:
+		return b.finalAnswer(a.ID, false)
+	case Lookup:
+		return b.send(now, a.ID, a.Cache, a.Cache, 0, b.members[a.Cache].Kind == b.set.OriginKind)
+	case Fetch:
+		return b.send(now, a.ID, a.Cache, a.Source, a.MaxAge, false)
 	}
-	send := func(id string, cache, source CacheID, age time.Duration, origin bool) error {
-		q := b.reqs[id]
-		if q == nil || q.over {
-			return fmt.Errorf("%s sent after its final answer", id)
-		}
-		for _, t := range []CacheID{cache, source} {
-			if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
-				return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
-			}
-		}
-		if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
-			return fmt.Errorf("%s exceeds the attempt limit", id)
-		}
-		c := b.set.Classes[q.q.Class]
+	return nil
+}
+
+// finalAnswer checks that there is one final answer, and that a rejection is harmless.
+func (b *ruleChecker) finalAnswer(id string, reject bool) error {
+	q := b.reqs[id]
+	if q == nil || q.over {
+		return fmt.Errorf("second final answer for %s", id)
+	}
+	q.over = true
+	c := b.set.Classes[q.q.Class]
+	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll
+	if reject && !harmless {
 		for _, s := range q.sends {
-			if s.open {
-				return fmt.Errorf("%s has two attempts in flight", id)
-			}
-			if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
-				c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
-				c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
-				return fmt.Errorf("%s retried though it may have been executed", id)
+			if s.open || s.ran {
+				return fmt.Errorf("%s rejected though it may have been executed", id)
 			}
 		}
-		if p, ok := b.purged[q.q.Object]; ok && !origin && !c.Uncached && now-p[1] > b.set.PurgeGrace &&
-			now-p[0] < b.set.PurgeDuration && (age == 0 || age > now-p[0]) && now > p[0] {
-			return fmt.Errorf("%s may be answered from before its purge: age %v", id, age)
+	}
+	return nil
+}
+
+// send checks an attempt with the given maximum age. origin says that it goes straight to the origin.
+func (b *ruleChecker) send(now Time, id string, cache, source CacheID, age time.Duration, origin bool) error {
+	q := b.reqs[id]
+	if q == nil || q.over {
+		return fmt.Errorf("%s sent after its final answer", id)
+	}
+	for _, t := range []CacheID{cache, source} {
+		if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
+			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
 		}
-		q.sends = append(q.sends, sent{cache: cache, at: now, open: true})
-		return nil
 	}
-	switch a := a.(type) {
-	case Reject:
-		return final(a.ID, true)
-	case Fail:
-		return final(a.ID, false)
-	case Lookup:
-		return send(a.ID, a.Cache, a.Cache, 0, b.members[a.Cache].Kind == b.set.OriginKind)
-	case Fetch:
-		return send(a.ID, a.Cache, a.Source, a.MaxAge, false)
+	if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
+		return fmt.Errorf("%s exceeds the attempt limit", id)
+	}
+	if err := b.retry(now, q, cache); err != nil {
+		return err
+	}
+	uncached := b.set.Classes[q.q.Class].Uncached
+	if p, ok := b.purged[q.q.Object]; ok && !origin && !uncached && now-p[1] > b.set.PurgeGrace &&
+		now-p[0] < b.set.PurgeDuration && (age == 0 || age > now-p[0]) && now > p[0] {
+		return fmt.Errorf("%s may be answered from before its purge: age %v", id, age)
+	}
+	q.sends = append(q.sends, sent{cache: cache, at: now, open: true})
+	return nil
+}
+
+// retry checks that another attempt at a cache can have no second effect.
+func (b *ruleChecker) retry(now Time, q *entry, cache CacheID) error {
+	c := b.set.Classes[q.q.Class]
+	for _, s := range q.sends {
+		if s.open {
+			return fmt.Errorf("%s has two attempts in flight", q.q.ID)
+		}
+		if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
+			c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
+			c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
+			return fmt.Errorf("%s retried though it may have been executed", q.q.ID)
+		}
 	}
 	return nil
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -137,8 +137,8 @@
 	transferTime        []float64 // by class, in seconds, without the effects of overload
 	recentTransferTime  []float64 // by class, in seconds
 	transferTimeUpdated []Time    // by class
-	fillRate            average   // fraction of answers that needed a fill
-	originRate          average   // fraction of answers that needed the origin
+	fillRate            Fraction  // fraction of answers that needed a fill
+	originRate          Fraction  // fraction of answers that needed the origin
 	servedRate          [roleForeign + 1]decayingRate
 	peakLoad            [roleForeign + 1]float64 // most that a server of the role did for this router, in transfers
 }
