--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -1,92 +1,103 @@
-// Package timestamp reads the times that other machines stamp on what they tell: when an object was purged, when a server was
-// started. A stamp is a reading of a wall clock, and wall clocks are stepped, this machine's as well as theirs. What is heard
-// on a watch that is followed all along is no newer than now, and not much older than the word before it: a stamp outside of
-// that tells of a step, and counts as now. Now is the safe side of both: a purge shuts out more copies than it has to, and a
-// server counts as cold for longer. Its decisions are tested here.
+// Package timestamp translates the times in events of other machines (when an object was purged, when a server was
+// started) to this machine's clock. A timestamp is a reading of a wall clock, and wall clocks are stepped, this machine's
+// as well as the others'. An event that arrives on a connection that is followed all along was made no later than now,
+// and not much earlier than the event before it: a timestamp outside of that range shows that a clock was stepped, and
+// counts as now. Now is safe for both kinds: a purge invalidates more copies than it has to, and a server warms up for
+// longer. The decisions are tested here with steps of both clocks.
+//
+// Times are in ms: timestamps in Unix ms of the sender, all others on the caller's clock.
 package timestamp
 
 import "ravenwheel/policy"
 
 const (
-	// purgeLag: so many ms before the word before it a purge may have been made. Purges are told within 0.4 s. Longer takes a small
-	// step for a delay, and a copy from before the purge for a newer one.
-	purgeLag = 2000
-	// startLag: the same of a server's start. Lists run some seconds late, and up to 10 s more while they are disturbed. Longer
-	// takes a step for a delay, and a cold server for one that is half warm.
-	startLag = 15_000
-	// knownLag: so many ms may pass from when a process is told what is known to when it reads it.
-	knownLag = 10_000
-	// early: other clocks may be so many ms ahead of this one without a step.
-	early = 500
-	// mostStarts bounds the servers whose starts are remembered.
-	mostStarts = 1 << 16
+	// maxPurgeDelay is the time in ms before the event before it in which a purge may have been made. Purges arrive within
+	// 0.4 s. A longer one would take a small step for a delay, and a copy of before the purge for a newer one.
+	maxPurgeDelay = 2000
+	// maxStartDelay is the same for a server's start. Lists arrive some seconds late, and up to 10 s more while discovery
+	// is disturbed. A longer one would take a step for a delay, and a server that warms up for one that has half done so.
+	maxStartDelay = 15_000
+	// maxInitialDelay is the time in ms from when the initial events are written until a process reads them.
+	maxInitialDelay = 10_000
+	// maxSkew is how far, in ms, other clocks may be ahead of this one without a step.
+	maxSkew = 500
+	// maxStarts bounds the servers whose starts are remembered.
+	maxStarts = 1 << 16
 )
 
-// Translator reads the stamps of one source. Times are in ms, on the clock of its caller; stamps are in Unix ms.
+// Translator translates the timestamps of one source. It is not safe for concurrent use. See New.
 type Translator struct {
-	word   float64 // when the source was heard last
-	ahead  float64 // what a stamp lacks for the time on this machine's clock
-	starts map[policy.CacheID]start
+	lastEvent float64 // when the source was heard last
+	offset    float64 // to add to a timestamp of the source
+	starts    map[policy.CacheID]start
 }
 
-// start is one server's, as it was stamped and as it was read. Guards against a stamp that is read anew after a step: a server
-// that was started once would count as started again.
-type start struct{ stamp, at float64 }
+// start is the start of a server, as the source sent it and as it was translated first. A translation must not change
+// after a step, or a server that was started once would count as started again.
+type start struct{ timestamp, translated float64 }
 
-// New returns a reader for a source that is followed from now on.
-func New(now float64) *Translator { return &Translator{word: now, starts: map[policy.CacheID]start{}} }
+// New returns a translator for a source that is followed from now on.
+func New(now float64) *Translator {
+	return &Translator{lastEvent: now, starts: map[policy.CacheID]start{}}
+}
 
-// Heartbeat notes that the source was heard now. It comes after the stamps of that word were read.
-func (r *Translator) Heartbeat(now float64) { r.word = max(r.word, now) }
+// Heartbeat notes that the source was heard at now, after the timestamps of that event have been translated.
+func (t *Translator) Heartbeat(now float64) { t.lastEvent = max(t.lastEvent, now) }
 
-// Calibrate takes from the newest purge that a process is told of at its start how far the clocks are apart: the purges of the
-// last span of so many ms are told again.
-func (r *Translator) Calibrate(now, newest, span float64) {
-	if r.apart(now, newest, now-span-knownLag) {
-		r.ahead = now - newest
+// Calibrate estimates how far the clocks are apart from the newest purge among the initial events, which hold the purges
+// of the last span ms.
+func (t *Translator) Calibrate(now, newest, span float64) {
+	if !t.plausible(now, newest, now-span-maxInitialDelay) {
+		t.offset = now - newest
 	}
 }
 
-// InitialPurge reads the stamp of a purge that was told at the start.
-func (r *Translator) InitialPurge(now, stamp float64) float64 { return min(now, stamp+r.ahead) }
+// InitialPurge translates the timestamp of a purge among the initial events.
+func (t *Translator) InitialPurge(now, timestamp float64) float64 {
+	return min(now, timestamp+t.offset)
+}
 
-// Purge reads the stamp of a purge that is heard now. As purges are told soon, it shows how far the clocks are apart.
-func (r *Translator) Purge(now, stamp float64) float64 {
-	if r.apart(now, stamp, r.word-purgeLag) {
-		r.ahead = now - stamp
+// Purge translates the timestamp of a purge that arrives at now. As purges arrive soon, it shows how far the clocks are
+// apart.
+func (t *Translator) Purge(now, timestamp float64) float64 {
+	if !t.plausible(now, timestamp, t.lastEvent-maxPurgeDelay) {
+		t.offset = now - timestamp
 	}
-	return min(now, stamp+r.ahead)
+	return min(now, timestamp+t.offset)
 }
 
-func (r *Translator) apart(now, stamp, oldest float64) bool {
-	at := stamp + r.ahead
-	return at > now+early || at < oldest
+// plausible reports whether a timestamp, translated with the present offset, is in the range from oldest to now.
+func (t *Translator) plausible(now, timestamp, oldest float64) bool {
+	at := timestamp + t.offset
+	return at <= now+maxSkew && at >= oldest
 }
 
-// SnapshotStart reads the stamp of a server's start in a whole list, which may be of any age. 0: long ago.
-func (r *Translator) SnapshotStart(now float64, id policy.CacheID, stamp float64) float64 {
-	return r.start(now, id, stamp, 0)
+// SnapshotStart translates the timestamp of a server's start in a complete list, which may be of any age. 0, in and out:
+// the server was started long ago.
+func (t *Translator) SnapshotStart(now float64, id policy.CacheID, timestamp float64) float64 {
+	return t.translateStart(now, id, timestamp, 0)
 }
 
-// Start reads the stamp of a server's start that is heard now as a change. 0: long ago.
-func (r *Translator) Start(now float64, id policy.CacheID, stamp float64) float64 {
-	return r.start(now, id, stamp, r.word-startLag)
+// Start translates the timestamp of a server's start that arrives at now as a change. 0, in and out: the server was
+// started long ago.
+func (t *Translator) Start(now float64, id policy.CacheID, timestamp float64) float64 {
+	return t.translateStart(now, id, timestamp, t.lastEvent-maxStartDelay)
 }
 
-func (r *Translator) start(now float64, id policy.CacheID, stamp, oldest float64) float64 {
-	if stamp <= 0 {
+func (t *Translator) translateStart(now float64, id policy.CacheID, timestamp, oldest float64) float64 {
+	if timestamp <= 0 {
 		return 0
 	}
-	if s, known := r.starts[id]; known && s.stamp == stamp {
-		return s.at
+	if s, known := t.starts[id]; known && s.timestamp == timestamp {
+		return s.translated
 	}
-	at := min(now, stamp+r.ahead)
-	if at < oldest {
-		at = now
+	translated := min(now, timestamp+t.offset)
+	if translated < oldest {
+		translated = now
 	}
-	if len(r.starts) >= mostStarts {
-		clear(r.starts) // of servers that are gone, nearly all
+	if len(t.starts) >= maxStarts {
+		clear(t.starts) // nearly all are of servers that are gone
 	}
-	r.starts[id] = start{stamp, at}
-	return at
+	t.starts[id] = start{timestamp, translated}
+	return translated
 }
