--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -164,7 +164,7 @@
 		mux.HandleFunc("POST /v1/config", a.configure)
 	}
 	a.srv = &http.Server{
-		Handler: mux, ErrorLog: log.New(o.Log.Lines("admin"), "", 0), ReadTimeout: callWait, WriteTimeout: callWait, IdleTimeout: callWait, MaxHeaderBytes: 8 << 10,
+		Handler: mux, ErrorLog: log.New(o.Log.Writer("admin"), "", 0), ReadTimeout: callWait, WriteTimeout: callWait, IdleTimeout: callWait, MaxHeaderBytes: 8 << 10,
 	}
 	return a, nil
 }
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -59,7 +59,7 @@
 	f.SetLeeway(o.Leeway)
 	f.server = &http.Server{
 		Handler:           f,
-		ErrorLog:          log.New(o.Log.Lines("signed"), "", 0),
+		ErrorLog:          log.New(o.Log.Writer("signed"), "", 0),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
--- a/internal/logs/golden_test.go
+++ b/internal/logs/golden_test.go
@@ -27,7 +27,7 @@
 		log.Info("state").Uint64("revision", 7).Str("by", "operator").Float64("took_ms", 1.5).Msg("a line of level info")
 		log.Warn("list").Strs("names", []string{"a", "b"}).Bool("on", true).Msg("a line of level warn")
 		log.Error("list").Err(errors.New("connection refused")).Msg("a line of level error")
-		_, _ = log.Lines("signed").Write([]byte("a line of a library\n"))
+		_, _ = log.Writer("signed").Write([]byte("a line of a library\n"))
 		for range 60 { // 50 of a kind may come at once
 			log.Info("storm").Msg("one of many")
 		}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,12 +1,15 @@
-// Package logs is the program's one log: structured lines on rs/zerolog, as text on a terminal and as JSON else. Every
-// line has a kind, and each kind has a rate of its own, so that a storm of one never drowns the others nor costs the
-// proxy its core. No line is written per request.
+// Package logs is the program's log: structured lines on rs/zerolog, as text on a terminal and as JSON elsewhere. It owns the form of a
+// line and the rate at which lines are written: every line has a kind, and each kind has a rate limit of its own, so that a storm of one
+// neither hides the others nor uses up the processor. No line is written for a single request.
+//
+// The form and the rate limit are tested here.
 package logs
 
 import (
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -19,120 +22,156 @@
 	"ravenwheel/internal/clock"
 )
 
-// The rate of one kind: lines a second when it goes on, and as many at once.
+// The rate limit of one kind.
 const (
-	perSecond = 2
-	burst     = 50
+	linesPerSecond = 2
+	burstLines     = 50
 )
 
-// Log is where lines go. A nil Log takes lines and drops them.
-type Log struct {
-	z     zerolog.Logger
-	clock *clock.Clock
-	level atomic.Int32
-
-	mu    sync.Mutex
-	kinds map[string]*kind
-}
+// The levels and formats that Options take; an empty one is the first of these defaults.
+const (
+	defaultLevel  = "info"
+	defaultFormat = "auto"
+)
 
-type kind struct {
-	limit   *rate.Limiter
-	dropped int
-}
+// levels are the names of the levels that a log may have.
+var levels = []string{"debug", "info", "warn", "error"}
 
-// Options set up a log. The zero value is what a program without settings wants.
+// Options configure a log. The zero value logs from level info on, in the format that suits the output.
 type Options struct {
 	Level  string // debug, info (or empty), warn, error
 	Format string // auto (or empty), text, json
 }
 
-// New returns a log on w.
+// Log writes lines. A nil Log drops them.
+type Log struct {
+	logger zerolog.Logger
+	clock  *clock.Clock
+	level  atomic.Int32 // a zerolog.Level
+
+	mu     sync.Mutex
+	limits map[string]*kindLimit
+}
+
+// kindLimit is the rate limit of one kind.
+type kindLimit struct {
+	limiter *rate.Limiter
+	dropped int // lines since the last one that was written
+}
+
+// New returns a log on w. The error names a level or a format that is none.
 func New(w io.Writer, o Options, c *clock.Clock) (*Log, error) {
-	level := zerolog.InfoLevel
-	if o.Level != "" {
-		var err error
-		if level, err = zerolog.ParseLevel(o.Level); err != nil || level < zerolog.DebugLevel || level > zerolog.ErrorLevel {
-			return nil, fmt.Errorf("log level %q is none of debug, info, warn, error", o.Level)
-		}
+	level, ok := parseLevel(o.Level)
+	if !ok {
+		return nil, fmt.Errorf("log level %q is none of debug, info, warn, error", o.Level)
 	}
-	switch o.Format {
-	case "", "auto":
-		if f, ok := w.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
-			w = text(w)
-		}
-	case "text":
-		w = text(w)
-	case "json":
-	default:
-		return nil, fmt.Errorf("log format %q is none of auto, text, json", o.Format)
+	w, err := formatted(w, o.Format)
+	if err != nil {
+		return nil, err
 	}
-	l := &Log{z: zerolog.New(w), clock: c, kinds: map[string]*kind{}}
+	l := &Log{logger: zerolog.New(w), clock: c, limits: map[string]*kindLimit{}}
 	l.level.Store(int32(level))
 	return l, nil
 }
 
-// SetLevel changes how loud the log is, to one of the levels that New takes.
-func (l *Log) SetLevel(level string) {
-	if x, err := zerolog.ParseLevel(level); l != nil && err == nil {
-		l.level.Store(int32(x))
+func parseLevel(name string) (level zerolog.Level, ok bool) {
+	if name == "" {
+		name = defaultLevel
+	}
+	if !slices.Contains(levels, name) {
+		return 0, false
+	}
+	level, err := zerolog.ParseLevel(name)
+	return level, err == nil
+}
+
+// formatted returns what lines in a format are written to. Lines are JSON unless they are formatted as text.
+func formatted(w io.Writer, format string) (io.Writer, error) {
+	switch format {
+	case "", defaultFormat:
+		if f, ok := w.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
+			return asText(w), nil
+		}
+		return w, nil
+	case "text":
+		return asText(w), nil
+	case "json":
+		return w, nil
 	}
+	return nil, fmt.Errorf("log format %q is none of auto, text, json", format)
 }
 
-func text(w io.Writer) io.Writer {
+func asText(w io.Writer) io.Writer {
 	return zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: true}
 }
 
-// Debug, Info, Warn and Error begin a line of a kind. It is nil, which takes all and writes nothing, if the level or
-// the kind's rate does not let it through; the next that passes tells how many did not.
+// SetLevel changes the lowest level that is logged. A name that is no level changes nothing.
+func (l *Log) SetLevel(name string) {
+	if level, ok := parseLevel(name); l != nil && ok {
+		l.level.Store(int32(level))
+	}
+}
+
+// Debug begins a line of a kind. It returns nil, on which fields and a message may be set as on any line, where the level or the rate
+// limit of the kind drops it. The next line of the kind that is written has the number of those dropped.
 func (l *Log) Debug(kind string) *zerolog.Event { return l.begin(zerolog.DebugLevel, kind) }
 
-// Info begins a line.
+// Info begins a line as Debug does.
 func (l *Log) Info(kind string) *zerolog.Event { return l.begin(zerolog.InfoLevel, kind) }
 
-// Warn begins a line.
+// Warn begins a line as Debug does.
 func (l *Log) Warn(kind string) *zerolog.Event { return l.begin(zerolog.WarnLevel, kind) }
 
-// Error begins a line.
+// Error begins a line as Debug does.
 func (l *Log) Error(kind string) *zerolog.Event { return l.begin(zerolog.ErrorLevel, kind) }
 
-func (l *Log) begin(level zerolog.Level, name string) *zerolog.Event {
+func (l *Log) begin(level zerolog.Level, kind string) *zerolog.Event {
 	if l == nil || int32(level) < l.level.Load() {
 		return nil
 	}
-	now := time.UnixMicro(int64(l.clock.Wall() * 1e3))
-	l.mu.Lock()
-	k := l.kinds[name]
-	if k == nil {
-		k = &kind{limit: rate.NewLimiter(perSecond, burst)}
-		l.kinds[name] = k
-	}
-	ok, dropped := k.limit.AllowN(now, 1), k.dropped
-	if k.dropped = 0; !ok {
-		k.dropped = dropped + 1
-	}
-	l.mu.Unlock()
-	if !ok {
+	const microsecondsPerMs = 1e3
+	now := time.UnixMicro(int64(l.clock.Wall() * microsecondsPerMs))
+	allowed, dropped := l.allow(kind, now)
+	if !allowed {
 		return nil
 	}
-	e := l.z.WithLevel(level).Time(zerolog.TimestampFieldName, now).Str("kind", name)
+	event := l.logger.WithLevel(level).Time(zerolog.TimestampFieldName, now).Str("kind", kind)
 	if dropped > 0 {
-		e = e.Int("dropped_before", dropped)
+		event = event.Int("dropped_before", dropped)
+	}
+	return event
+}
+
+// allow tells whether the rate limit of a kind allows a line at a time, and how many were dropped before this one.
+func (l *Log) allow(kind string, now time.Time) (allowed bool, dropped int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limit := l.limits[kind]
+	if limit == nil {
+		limit = &kindLimit{limiter: rate.NewLimiter(linesPerSecond, burstLines)}
+		l.limits[kind] = limit
+	}
+	if !limit.limiter.AllowN(now, 1) {
+		limit.dropped++
+		return false, 0
 	}
-	return e
+	dropped = limit.dropped
+	limit.dropped = 0
+	return true, dropped
 }
 
-// Lines is a writer that logs each line it is given, for libraries that write to one.
-func (l *Log) Lines(kind string) io.Writer { return lines{l, kind} }
+// Writer returns a writer that logs each write as a line of level warn, for libraries that log to one.
+func (l *Log) Writer(kind string) io.Writer { return lineWriter{l, kind} }
 
-type lines struct {
-	l    *Log
+type lineWriter struct {
+	log  *Log
 	kind string
 }
 
 // Write implements io.Writer.
-func (w lines) Write(p []byte) (int, error) {
-	if s := strings.TrimSpace(string(p)); s != "" {
-		w.l.Warn(w.kind).Msg(s)
+func (w lineWriter) Write(p []byte) (int, error) {
+	if line := strings.TrimSpace(string(p)); line != "" {
+		w.log.Warn(w.kind).Msg(line)
 	}
 	return len(p), nil
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/logs"
 )
 
-func TestStormOfOneKind(t *testing.T) {
+func TestRateLimitIsPerKind(t *testing.T) {
 	var out bytes.Buffer
 	clk := clock.Manual(1_764_576_000_000)
 	l, err := logs.New(&out, logs.Options{}, clk)
@@ -34,13 +34,13 @@
 	require.Equal(t, "warn peer breaks off", last.Level+" "+last.Kind+" "+last.Message)
 }
 
-func TestForms(t *testing.T) {
+func TestLevelsAndFormats(t *testing.T) {
 	var out bytes.Buffer
 	clk := clock.Manual(0)
 	l, err := logs.New(&out, logs.Options{Format: "text", Level: "error"}, clk)
 	require.NoError(t, err)
 	l.Warn("x").Msg("no")
-	_, _ = l.Lines("http").Write([]byte("no\n"))
+	_, _ = l.Writer("http").Write([]byte("no\n"))
 	l.Error("x").Msg("yes")
 	require.Contains(t, out.String(), "yes kind=x")
 	require.NotContains(t, out.String(), "no")
