--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,8 @@
-// Package clock is the program's one source of time, in float64 milliseconds. It tells two times apart. Now runs evenly, and
-// every deadline, window, wait and grace is a span between two readings of it. Wall is the machine's Unix time, which may be
-// stepped forward or back at any moment: it is for stamps that other machines give or get, and for printing.
+// Package clock is the program's source of time, in float64 milliseconds. It separates two times. Now runs evenly: every deadline,
+// timeout and delay is a span between two of its readings. Wall is the machine's Unix time, which may be stepped forward or back at any
+// moment: it is for timestamps that other machines send or receive, and for printing.
+//
+// Tests replace it by a manual clock, under which nothing happens until they advance it.
 package clock
 
 import (
@@ -11,84 +13,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time and runs timers. A manual one moves only when a test advances it.
+// Clock tells the time and runs timers.
 type Clock struct {
-	started time.Time // of the machine's clock, with its monotonic reading
-	begin   float64   // what Now was then
+	started time.Time // of a system clock, with its monotonic reading
+	origin  float64   // what Now was when it started
 
-	mu     sync.Mutex
 	manual bool
-	ahead  float64 // of the wall clock, ms: before the machine's, or before a manual clock's Now
-	now    float64
-	timers []*timer // of a manual clock
+
+	mu         sync.Mutex
+	wallOffset float64  // ms by which the wall clock is ahead of the machine's, or of a manual clock's Now
+	now        float64  // of a manual clock
+	timers     []*timer // of a manual clock
 }
 
+// timer is a function that a manual clock runs once.
 type timer struct {
 	due float64
-	f   func()
+	run func()
 }
 
-// System is the clock of the machine.
+// System returns the machine's clock.
 func System() *Clock { return Shifted(0) }
 
-// Shifted is the clock of a machine that is so many ms ahead of this one.
-func Shifted(ahead float64) *Clock {
+// Shifted returns the clock of a machine whose wall clock is so many ms ahead of this one's.
+func Shifted(aheadMs float64) *Clock {
 	started := time.Now()
-	return &Clock{started: started, begin: unixMs(started) + ahead, ahead: ahead}
+	return &Clock{started: started, origin: unixMs(started) + aheadMs, wallOffset: aheadMs}
 }
 
-// Manual is a clock that stands at a time until Advance moves it.
+// Manual returns a clock that stands at a time until Advance moves it.
 func Manual(now float64) *Clock { return &Clock{manual: true, now: now} }
 
-// Now is a point in time in ms. It starts at the machine's Unix time and runs evenly from there on, whatever becomes of the
-// wall clock.
+// Now is a point in time in ms. It starts at the machine's Unix time and runs evenly from there, whatever becomes of the wall clock.
 func (c *Clock) Now() float64 {
 	if !c.manual {
-		return c.begin + Ms(time.Since(c.started))
+		return c.origin + Ms(time.Since(c.started))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Wall is the machine's Unix time in ms. It may be stepped: the difference of two readings is no span of time.
+// Wall is the machine's Unix time in ms. It may be stepped: the difference of two readings is not a span of time.
 func (c *Clock) Wall() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.manual {
-		return c.now + c.ahead
+		return c.now + c.wallOffset
 	}
-	return unixMs(time.Now()) + c.ahead
+	return unixMs(time.Now()) + c.wallOffset
 }
 
-// StepWall sets the wall clock forward by so many ms, or back.
+// StepWall steps the wall clock forward by so many ms, or back.
 func (c *Clock) StepWall(ms float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ahead += ms
+	c.wallOffset += ms
 }
 
-// Epoch is what Now was when the machine's monotonic clock stood at 0: a time that one process tells another one of the same
-// machine counts from there, as each has a Now of its own. ok is false where the machine does not tell.
+// Epoch is what Now was when the machine's monotonic clock was 0. Processes of one machine, each of which has a Now of its own, compare
+// times by it. ok is false where the machine has no monotonic clock.
 func (c *Clock) Epoch() (ms float64, ok bool) {
 	if c.manual {
 		return 0, true
 	}
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
+	var monotonic unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, false
 	}
-	return c.Now() - float64(t.Nano())/1e6, true
+	const nanosecondsPerMs = 1e6
+	return c.Now() - float64(monotonic.Nano())/nanosecondsPerMs, true
 }
 
-// sameBegin: clocks of one machine that began less than this many ms apart differ by how they were read, and by no step.
-const sameBegin = 500
+// minShiftMs: epochs of one machine that differ by less were read at slightly different moments, and mean the same.
+const minShiftMs = 500
 
-// Shift is what to add to the times of another process of this machine, whose Epoch is told (0: it is not), for times on this
-// clock. They differ where the wall clock was stepped between their starts.
+// Shift is what to add to the times of another process of this machine for times of this clock: it is not 0 where the wall clock was
+// stepped between their starts. epoch is the other process's Epoch; 0: not known.
 func (c *Clock) Shift(epoch float64) float64 {
 	own, ok := c.Epoch()
-	if shift := own - epoch; ok && epoch != 0 && math.Abs(shift) >= sameBegin {
+	if shift := own - epoch; ok && epoch != 0 && math.Abs(shift) >= minShiftMs {
 		return shift
 	}
 	return 0
@@ -96,7 +100,7 @@
 
 func unixMs(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// After runs f once, ms from now, in a goroutine of its own or in Advance's. stop keeps it from starting.
+// After runs f once, ms from now: in a goroutine of its own, or on a manual clock in that of Advance. stop keeps it from starting.
 func (c *Clock) After(ms float64, f func()) (stop func()) {
 	if !c.manual {
 		t := time.AfterFunc(Duration(max(0, ms)), f)
@@ -104,7 +108,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := &timer{due: c.now + max(0, ms), f: f}
+	t := &timer{due: c.now + max(0, ms), run: f}
 	c.timers = append(c.timers, t)
 	return func() { c.remove(t) }
 }
@@ -112,40 +116,42 @@
 func (c *Clock) remove(t *timer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, o := range c.timers {
-		if o == t {
+	for i, other := range c.timers {
+		if other == t {
 			c.timers = append(c.timers[:i], c.timers[i+1:]...)
 			return
 		}
 	}
 }
 
-// Advance moves a manual clock and runs what falls due, in order of its time.
+// Advance moves a manual clock by so many ms and runs the timers that fall due, in the order of their times.
 func (c *Clock) Advance(ms float64) {
 	c.mu.Lock()
 	end := c.now + ms
-	for {
-		var next *timer
-		for _, t := range c.timers {
-			if t.due <= end && (next == nil || t.due < next.due) {
-				next = t
-			}
-		}
-		if next == nil {
-			break
-		}
+	for next := c.nextTimer(end); next != nil; next = c.nextTimer(end) {
 		c.now = max(c.now, next.due)
 		c.mu.Unlock()
 		c.remove(next)
-		next.f()
+		next.run()
 		c.mu.Lock()
 	}
 	c.now = end
 	c.mu.Unlock()
 }
 
-// Duration and Ms convert at the edge of what counts in time.Duration: the module and package net.
+// nextTimer is the timer that falls due first, not after end; nil: none. Of two at the same time it is the one set first. Called under
+// the lock.
+func (c *Clock) nextTimer(end float64) (next *timer) {
+	for _, t := range c.timers {
+		if t.due <= end && (next == nil || t.due < next.due) {
+			next = t
+		}
+	}
+	return next
+}
+
+// Duration converts ms for packages that count in time.Duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Ms is the reverse of Duration.
+// Ms converts a duration to ms.
 func Ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The wall clock is stepped while spans run on, on a manual clock and on the machine's.
-func TestStepWall(t *testing.T) {
+// A step of the wall clock leaves Now as it is, on a manual clock and on the machine's.
+func TestStepWallDoesNotMoveNow(t *testing.T) {
 	for _, c := range []*Clock{Manual(1e12), System()} {
 		began, wall := c.Now(), c.Wall()
-		require.InDelta(t, began, wall, sameBegin)
+		require.InDelta(t, began, wall, minShiftMs)
 		c.StepWall(-3_600_000)
 		require.GreaterOrEqual(t, c.Now(), began)
 		require.Less(t, c.Now(), began+60_000)
@@ -18,13 +18,13 @@
 	}
 }
 
-// Times of another process of this machine are moved only where the wall clock was stepped between their starts.
-func TestShift(t *testing.T) {
+// Times of another process of this machine are shifted only where the wall clock was stepped between the starts.
+func TestShiftFollowsStepsBetweenStarts(t *testing.T) {
 	here := System()
 	for ahead, want := range map[float64]float64{0: 0, 100: 0, 7000: -7000, -3_600_000: 3_600_000} {
 		epoch, ok := Shifted(ahead).Epoch()
 		require.True(t, ok)
 		require.InDelta(t, want, here.Shift(epoch), 100)
 	}
-	require.Zero(t, here.Shift(0), "it is not told")
+	require.Zero(t, here.Shift(0), "the epoch is not known")
 }
