--- a/cmd/ravenwheel/control.go
+++ b/cmd/ravenwheel/control.go
@@ -24,11 +24,11 @@
 func startOwnership(ended <-chan struct{}, env environment, stop context.CancelFunc) (o *ownership, err error) {
 	conf := env.conf
 	o = &ownership{controller: control.New(control.Options{
-		Clock:        env.clock,
-		MemoryMB:     conf.MemoryMB,
-		Conns:        conf.Sockets / clientSocketsFraction,
-		AnswerWithin: answerWithinMs(conf),
-		Stop:         stop,
+		Clock:       env.clock,
+		MemoryMB:    conf.MemoryMB,
+		MaxConns:    conf.Sockets / clientSocketsFraction,
+		KillAfterMs: answerWithinMs(conf),
+		Stop:        stop,
 	})}
 	if conf.ConsoleAddr == "" {
 		return o, nil
@@ -48,7 +48,7 @@
 		SetAccepting:      o.controller.SetAccepting,
 		SetOwner:          o.controller.SetOwner,
 		SetShared:         o.controller.SetShared,
-		Stop:              o.controller.Step,
+		Stop:              o.controller.StepDown,
 		ShutdownRequested: ended,
 	})
 	if err != nil {
--- a/cmd/ravenwheel/shutdown.go
+++ b/cmd/ravenwheel/shutdown.go
@@ -25,7 +25,7 @@
 	end := clk.Now() + clock.Ms(longestDeadline(conf)) + killGraceMs - exitMarginMs
 	takenOver := stopController()
 	if !takenOver {
-		sleep(clk, control.StopAfter)
+		sleep(clk, control.CloseIdleAfterStop)
 	}
 	// A process that took over with a listener of its own leaves this one's queue to this process.
 	if !takenOver || front.IsAccepting() {
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -41,7 +41,7 @@
 	go func() { _ = front.Serve() }()
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
@@ -78,7 +78,7 @@
 			return false
 		}
 	}, time.Minute, time.Millisecond)
-	require.GreaterOrEqual(t, p.Clock.Now(), began+control.StopAfter)
+	require.GreaterOrEqual(t, p.Clock.Now(), began+control.CloseIdleAfterStop)
 	require.Less(t, p.Clock.Now(), began+5000+killGraceMs, "before SIGKILL")
 	require.True(t, operatorStopped)
 	require.Zero(t, front.OpenConns(), "what is open as the process ends is reset, with all that nobody has read there")
@@ -119,7 +119,7 @@
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, Conns: 100, AnswerWithin: answerWithinMs(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -82,7 +82,7 @@
 // Controller is the proxy as a whole in operators' hands.
 type Controller interface {
 	Status() (text string, ready bool)
-	SetPaused(on bool) error
+	SetDraining(on bool) error
 	SetServerDrained(id policy.CacheID, out bool) error
 }
 
@@ -281,7 +281,7 @@
 	var p PauseRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&p)
 	if err == nil {
-		err = a.opt.Controller.SetPaused(p.On)
+		err = a.opt.Controller.SetDraining(p.On)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -22,7 +22,7 @@
 type Controller interface {
 	Status() (text string, ready bool)
 	SetServerDrained(id policy.CacheID, out bool) error
-	SetPaused(on bool) error
+	SetDraining(on bool) error
 }
 
 const (
@@ -132,7 +132,7 @@
 		}
 		return "SUCCESS " + text
 	case word == "PAUSE" && !named, word == "RESUME" && !named:
-		err = c.desk.SetPaused(word == "PAUSE")
+		err = c.desk.SetDraining(word == "PAUSE")
 	case word == "SUSPEND", word == "RESTORE":
 		id, ok := serverlist.ParseID(rest)
 		if err = fmt.Errorf("no such cache server"); ok {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (d *desk) SetPaused(on bool) error {
+func (d *desk) SetDraining(on bool) error {
 	d.note(map[bool]string{true: "pause", false: "resume"}[on])
 	return nil
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,7 @@
-// Package control is the proxy as a whole in operators' hands: it brings what the console and another process tell to the
-// deciders (drain, membership, handover) and carries out what they say at the clients' front. It decides nothing.
+// Package control applies to the whole proxy what operators and the hand-over between processes ask for. It passes
+// commands to the deciders (decide/drain for the proxy, decide/membership for one server) and the resulting state to the
+// clients' front. It decides nothing itself, and opens no address: console and admin bring the operators' commands.
+// What operators are shown is tested here, the life of a whole proxy in cmd/ravenwheel.
 package control
 
 import (
@@ -14,12 +16,40 @@
 	"ravenwheel/policy"
 )
 
-// In ms. frontAfter, refuseAfter: whoever sends clients asks ten times a second and stops 0.2 s after a no; after 2 s none may
-// come any more, and after 4 s none may be held that is not about to ask (halfFor). StopAfter, heardFor: after SIGTERM new
-// connections keep coming for 0.4 s, and requests on open ones for 0.2 s more. restWithin: a round trip of each client, twice.
-const frontAfter, StopAfter, refuseAfter, heardFor, restWithin, halfFor = 350, 800, 1600, 600, 400, 3000
+// Settings of decide/drain, in ms. The load balancer probes readiness ten times a second and stops sending new clients
+// 0.2 s after a negative answer.
+const (
+	closeIdleAfterDrain = 350
+	// CloseIdleAfterStop: after SIGTERM new connections keep coming for 0.4 s.
+	CloseIdleAfterStop = 800
+	// rejectAfter: clients that use a connection all the time have no other chance to leave it.
+	rejectAfter = 1600
+	// requestsAfterStop: after SIGTERM requests keep coming on open connections, 0.2 s longer than new connections.
+	requestsAfterStop = 600
+	// rejectBeforeKill: two round trips of each client.
+	rejectBeforeKill = 400
+	// partialFrameTimeout: together with closeIdleAfterDrain it ends within the 4 s after which the platform expects no
+	// connection that is not about to send a request.
+	partialFrameTimeout = 3000
+)
+
+// sharedConnsNumerator and sharedConnsDenominator: the fraction of its connections that a process may have while another one shares the limits. Clients
+// that behave hold a third of all descriptors, and move from one process to the other.
+const sharedConnsNumerator, sharedConnsDenominator = 3, 4
+
+// Errors of commands that are refused.
+var (
+	ErrNotReady      = errors.New("not ready")            // the proxy has no list of servers yet
+	ErrUnknownServer = errors.New("no such cache server") // the server is neither listed nor remembered
+)
 
-// Front is the clients' front, as far as it is told.
+// PhaseError is the error of a command that has no effect in the phase of the proxy.
+type PhaseError struct{ Phase drain.Phase }
+
+// Error implements error.
+func (e PhaseError) Error() string { return "this process is " + e.Phase.String() }
+
+// Front is the clients' front, as far as it is controlled.
 type Front interface {
 	SetReady(ready bool)
 	SetDrainPlan(drain.Plan)
@@ -28,23 +58,24 @@
 	OpenConns() int
 }
 
-// Servers are who carries out what operators say of one.
+// Servers carries out operators' commands on single cache servers.
 type Servers interface {
 	Knows(id policy.CacheID) bool
+	// Drain starts or ends a manual drain. It returns once that is in force and stored.
 	Drain(id policy.CacheID, on bool) error
 }
 
-// Options are what a desk is made of.
+// Options configure a Controller.
 type Options struct {
-	Clock    *clock.Clock
-	MemoryMB int // 0: not bounded
-	Conns    int // clients' connections, of all processes together
-	// AnswerWithin: in ms from SIGTERM on, until SIGKILL.
-	AnswerWithin float64
-	Stop         func()
+	Clock       *clock.Clock
+	MemoryMB    int     // 0: not bounded
+	MaxConns    int     // clients' connections, of all processes together
+	KillAfterMs float64 // from SIGTERM until SIGKILL
+	Stop        func()  // ends the process
 }
 
-// Controller is one proxy's. It is a console.Controller, and what handover.Options call on.
+// Controller controls one proxy. It is safe for concurrent use. It implements the interfaces of this name in console and
+// admin, and its methods are the callbacks of handover.Options.
 type Controller struct {
 	opt Options
 
@@ -52,165 +83,153 @@
 	state     *drain.State
 	front     Front // nil: none yet
 	servers   Servers
-	hand      *handover.Coordinator // nil: no other process can take over
+	handover  *handover.Coordinator // nil: no other process can take over
 	accepting bool
-	shared    bool
-	passed    bool // another process has the clients
+	shared    bool // another process runs beside this one
+	yielded   bool // another process owns the address
 }
 
-// New returns the desk of a proxy that has just started.
+// New returns the controller of a proxy that has just started.
 func New(o Options) *Controller {
-	set := drain.Settings{
-		CloseIdleAfterDrain: frontAfter, CloseIdleAfterStop: StopAfter, RejectAfter: refuseAfter, KillAfter: o.AnswerWithin,
-		RequestsAfterStop: heardFor, RejectBeforeKill: restWithin, PartialFrameTimeout: halfFor,
-	}
-	return &Controller{opt: o, state: drain.New(set)}
+	return &Controller{opt: o, state: drain.New(drain.Settings{
+		CloseIdleAfterDrain: closeIdleAfterDrain, CloseIdleAfterStop: CloseIdleAfterStop, RejectAfter: rejectAfter,
+		KillAfter: o.KillAfterMs, RequestsAfterStop: requestsAfterStop, RejectBeforeKill: rejectBeforeKill,
+		PartialFrameTimeout: partialFrameTimeout,
+	})}
 }
 
-// Attach tells what the desk works with. The proxy serves once it owns its address.
-func (d *Controller) Attach(f Front, s Servers, h *handover.Coordinator) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.front, d.servers, d.hand = f, s, h
-	d.apply()
+// Attach sets what the controller controls. The proxy serves once it owns its address as well. h may be nil.
+func (c *Controller) Attach(f Front, s Servers, h *handover.Coordinator) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.front, c.servers, c.handover = f, s, h
+	c.apply()
 }
 
-// apply has the front do as the state says.
-func (d *Controller) apply() {
-	if d.front == nil {
+// apply passes the state to the front.
+func (c *Controller) apply() {
+	if c.front == nil {
 		return
 	}
-	d.front.SetReady(d.state.Ready())
-	d.front.SetAccepting(d.accepting)
-	d.front.SetDrainPlan(d.state.Plan(d.passed))
-	most := d.opt.Conns
-	if d.shared { // honest clients hold a third of all descriptors, and move from one process to the other
-		most = most * 3 / 4
+	c.front.SetReady(c.state.Ready())
+	c.front.SetAccepting(c.accepting)
+	c.front.SetDrainPlan(c.state.Plan(c.yielded))
+	maxConns := c.opt.MaxConns
+	if c.shared {
+		maxConns = maxConns * sharedConnsNumerator / sharedConnsDenominator
 	}
-	d.front.SetMaxConns(most)
+	c.front.SetMaxConns(maxConns)
 }
 
-func (d *Controller) handle(e drain.Event) bool {
-	ok := d.state.Handle(d.opt.Clock.Now(), e)
-	d.apply()
+func (c *Controller) handle(e drain.Event) (ok bool) {
+	ok = c.state.Handle(c.opt.Clock.Now(), e)
+	c.apply()
 	return ok
 }
 
-// SetOwner tells whether this process owns the address, or another one does.
-func (d *Controller) SetOwner(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.passed = !on; on {
-		d.handle(drain.AddressOwned)
+// SetOwner notes whether this process owns the clients' address, or another one does.
+func (c *Controller) SetOwner(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.yielded = !on
+	if on {
+		c.handle(drain.AddressOwned)
 	} else {
-		d.handle(drain.AddressYielded)
+		c.handle(drain.AddressYielded)
 	}
 }
 
-// SetAccepting has new connections taken, or left.
-func (d *Controller) SetAccepting(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.accepting = on
-	d.apply()
+// SetAccepting has the front accept new connections, or leave them to another process.
+func (c *Controller) SetAccepting(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.accepting = on
+	c.apply()
 }
 
-// SetShared tells whether another process runs beside this one: the limits are for both together.
-func (d *Controller) SetShared(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.shared == on {
+// SetShared notes whether another process runs beside this one: the limits are for both together.
+func (c *Controller) SetShared(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.shared == on {
 		return
 	}
-	d.shared = on
-	LimitMemory(d.opt.MemoryMB, on)
+	c.shared = on
+	LimitMemory(c.opt.MemoryMB, on)
 	if on {
 		go debug.FreeOSMemory()
 	}
-	d.apply()
+	c.apply()
 }
 
-// gcPercent: collections on one core delay what waits for it, and memory is there to make them rarer. Shared, it is not.
-const gcPercent, gcShared = 400, 50
-
-// LimitMemory keeps the runtime within what the platform gives, less what the runtime does not count; shared: within half.
-func LimitMemory(mb int, shared bool) {
-	if mb <= 0 {
-		return
-	}
-	limit, percent := int64(mb)<<20*5/8, gcPercent
-	if shared {
-		limit, percent = limit/2, gcShared
-	}
-	debug.SetMemoryLimit(limit)
-	debug.SetGCPercent(percent)
+// StepDown ends the process, as another one owns its address. The argument is a reason for logs.
+func (c *Controller) StepDown(string) {
+	c.mu.Lock()
+	c.yielded = true
+	c.handle(drain.AddressYielded)
+	c.mu.Unlock()
+	c.opt.Stop()
 }
 
-// Step has the proxy end, as another process owns its address.
-func (d *Controller) Step(string) {
-	d.mu.Lock()
-	d.passed = true
-	d.handle(drain.AddressYielded)
-	d.mu.Unlock()
-	d.opt.Stop()
-}
-
-// Stop tells that the proxy was told to end; passed whether another process has its clients.
-func (d *Controller) Stop() (passed bool) {
-	d.mu.Lock()
-	h := d.hand
-	d.mu.Unlock()
+// Stop begins a graceful shutdown, and reports whether another process has taken over the clients' address.
+func (c *Controller) Stop() (takenOver bool) {
+	c.mu.Lock()
+	h := c.handover
+	c.mu.Unlock()
 	if h != nil {
-		passed = h.BeginShutdown()
+		takenOver = h.BeginShutdown()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.handle(drain.Stop)
-	return passed || d.passed
-}
-
-// Status implements console.Controller.
-func (d *Controller) Status() (text string, ready bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	p := d.state.Phase()
-	if p == drain.Draining && d.front != nil {
-		if n := d.front.OpenConns(); n > 0 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.handle(drain.Stop)
+	return takenOver || c.yielded
+}
+
+// Status returns the state of the proxy for operators, and whether it is ready for clients.
+func (c *Controller) Status() (text string, ready bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	phase := c.state.Phase()
+	if phase == drain.Draining && c.front != nil {
+		if n := c.front.OpenConns(); n > 0 {
 			return fmt.Sprintf("draining, %d connections left", n), false
 		}
 		return "drained", false
 	}
-	return p.String(), p == drain.Serving && d.front != nil
+	return phase.String(), phase == drain.Serving && c.front != nil
 }
 
-// SetPaused implements console.Controller.
-func (d *Controller) SetPaused(on bool) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// SetDraining starts or ends an operator's drain of the whole proxy. It fails with a PhaseError if the proxy hands over or
+// stops.
+func (c *Controller) SetDraining(on bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	e := drain.Resume
 	if on {
 		e = drain.Drain
 	}
-	if !d.handle(e) {
-		return fmt.Errorf("this process is %s", d.state.Phase())
+	if !c.handle(e) {
+		return PhaseError{c.state.Phase()}
 	}
 	return nil
 }
 
-// SetServerDrained implements console.Controller. What is asked is in force before it is kept, and kept before it is told.
-func (d *Controller) SetServerDrained(id policy.CacheID, out bool) error {
-	d.mu.Lock()
-	servers, hand := d.servers, d.hand
-	d.mu.Unlock()
+// SetServerDrained starts or ends an operator's drain of one cache server. It returns once the change is in force, stored
+// and passed to the process that may take over. It fails with ErrNotReady, ErrUnknownServer, or, in force but not
+// stored, with the cause.
+func (c *Controller) SetServerDrained(id policy.CacheID, on bool) error {
+	c.mu.Lock()
+	servers, h := c.servers, c.handover
+	c.mu.Unlock()
 	switch {
 	case servers == nil:
-		return errors.New("not ready")
+		return ErrNotReady
 	case !servers.Knows(id):
-		return errors.New("no such cache server")
+		return ErrUnknownServer
 	}
-	err := servers.Drain(id, out)
-	if hand != nil {
-		err = errors.Join(err, hand.SetManualDrain(id, out))
+	err := servers.Drain(id, on)
+	if h != nil {
+		err = errors.Join(err, h.SetManualDrain(id, on))
 	}
 	if err != nil {
 		return fmt.Errorf("in force here, but not kept: %w", err)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -29,7 +29,7 @@
 func TestGoldenStatus(t *testing.T) {
 	var transcript strings.Builder
 	front := &goldenFront{}
-	d := New(Options{Clock: clock.Manual(1000), AnswerWithin: 5000, Stop: func() {}})
+	d := New(Options{Clock: clock.Manual(1000), KillAfterMs: 5000, Stop: func() {}})
 	show := func(done string) {
 		text, ready := d.Status()
 		fmt.Fprintf(&transcript, "%s: %v %q\n", done, ready, text)
@@ -44,15 +44,15 @@
 	call("server 1 drained", d.SetServerDrained(1, true))
 	call("server 2 drained", d.SetServerDrained(2, true))
 	front.connections = 3
-	call("paused", d.SetPaused(true))
+	call("paused", d.SetDraining(true))
 	front.connections = 0
 	show("no connection left")
-	call("resumed", d.SetPaused(false))
+	call("resumed", d.SetDraining(false))
 	d.SetOwner(false)
 	show("another process owns its address")
-	call("paused", d.SetPaused(true))
+	call("paused", d.SetDraining(true))
 	d.Stop()
 	show("told to stop")
-	call("resumed", d.SetPaused(false))
+	call("resumed", d.SetDraining(false))
 	golden.Equal(t, "status.txt", []byte(transcript.String()))
 }
