--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -97,7 +97,7 @@
 type goldenOperations struct{ err error }
 
 func (g goldenOperations) Status() (string, bool)                      { return "draining, 3 connections left", false }
-func (g goldenOperations) SetDraining(bool) error                        { return g.err }
+func (g goldenOperations) SetDraining(bool) error                      { return g.err }
 func (g goldenOperations) SetServerDrained(policy.CacheID, bool) error { return g.err }
 func (g goldenOperations) Purge(core.Purge) error                      { return g.err }
 func (g goldenOperations) Drain(policy.CacheID, bool) error            { return g.err }
