--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -1,4 +1,7 @@
-// Package snmp is a read-only SNMP v2c agent over the counters that the proxy keeps. The codec is gosnmp's.
+// Package snmp is a read-only SNMP v2c agent over the counters of the proxy. It owns the order of the MIB's objects and the answers to
+// requests; the codec is gosnmp's. Nothing can be set.
+//
+// The objects and their answers are tested here, against mibs/RAVENWHEEL-MIB.txt.
 package snmp
 
 import (
@@ -15,29 +18,42 @@
 	"ravenwheel/internal/invariant"
 )
 
-// root is ravenwheelObjects of mibs/RAVENWHEEL-MIB.txt.
-const root = ".1.3.6.1.4.1.32473.1.1."
+// objectsOID is ravenwheelObjects of mibs/RAVENWHEEL-MIB.txt. Object i, from 1, has the OID objectsOID + "i.0".
+const objectsOID = ".1.3.6.1.4.1.32473.1.1."
 
-// mostRepeats bounds the answer to a GetBulk.
-const mostRepeats = 64
+// maxRepetitions bounds the answer to a GetBulk, for each of its variables.
+const maxRepetitions = 64
 
-// Scalar is one object: its value is read anew for each request.
+// Scalar is one object of the MIB.
 type Scalar struct {
-	Gauge bool
-	Read  func() int64
+	Gauge bool         // else it is a counter
+	Read  func() int64 // called for each request
 }
 
-// Scalars are the MIB's objects, in its order.
-func Scalars(n *core.Counters, late, conns func() int64) []Scalar {
+// Scalars returns the MIB's objects, in its order. lateAnswers counts answers that came after their attempt was over, and openConns is
+// the number of connections to servers.
+func Scalars(n *core.Counters, lateAnswers, openConns func() int64) []Scalar {
 	return []Scalar{
-		{Read: n.Requests.Load}, {Read: n.Served.Load}, {Read: n.Rejected.Load}, {Read: n.Failed.Load},
-		{Read: n.Abandoned.Load}, {Read: n.Attempts.Load}, {Read: n.Timeouts.Load}, {Read: n.Skipped.Load},
-		{Read: n.Notifications.Load}, {Gauge: true, Read: n.InFlight.Load}, {Read: late}, {Gauge: true, Read: conns},
-		{Read: invariant.Violations}, {Read: n.NeverSent.Load}, {Read: n.UnansweredConns.Load}, {Read: n.WrongTags.Load},
+		{Read: n.Requests.Load},
+		{Read: n.Served.Load},
+		{Read: n.Rejected.Load},
+		{Read: n.Failed.Load},
+		{Read: n.Abandoned.Load},
+		{Read: n.Attempts.Load},
+		{Read: n.Timeouts.Load},
+		{Read: n.Skipped.Load},
+		{Read: n.Notifications.Load},
+		{Read: n.InFlight.Load, Gauge: true},
+		{Read: lateAnswers},
+		{Read: openConns, Gauge: true},
+		{Read: invariant.Violations},
+		{Read: n.NeverSent.Load},
+		{Read: n.UnansweredConns.Load},
+		{Read: n.WrongTags.Load},
 	}
 }
 
-// Agent answers on one UDP socket.
+// Agent answers requests on one UDP socket.
 type Agent struct {
 	community string
 	scalars   []Scalar
@@ -46,110 +62,136 @@
 // New returns an agent for one community.
 func New(community string, scalars []Scalar) *Agent { return &Agent{community, scalars} }
 
-// readPause: after a read that failed the next one waits so long.
-const readPause = 10 * time.Millisecond
+const (
+	// maxDatagram is the largest UDP datagram, in bytes.
+	maxDatagram = 64 << 10
+	// readRetryDelay is the delay after a read that failed.
+	readRetryDelay = 10 * time.Millisecond
+)
 
-// Serve answers until the socket is closed. What can't be read, and what names another community, gets no
-// answer.
-func (a *Agent) Serve(pc net.PacketConn) error {
-	buf := make([]byte, 64<<10)
+// Serve answers until the socket is closed, and returns nil then. Datagrams that can't be decoded, and those of another community, get
+// no answer.
+func (a *Agent) Serve(socket net.PacketConn) error {
+	buf := make([]byte, maxDatagram)
 	for {
-		n, from, err := pc.ReadFrom(buf)
+		n, from, err := socket.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // of one datagram, or for want of memory: the agent goes on
-			time.Sleep(readPause)
+		if err != nil { // an error of one datagram, or a lack of memory
+			time.Sleep(readRetryDelay)
 			continue
 		}
-		if out := a.answer(buf[:n]); out != nil {
-			_, _ = pc.WriteTo(out, from)
+		if answer := a.answer(buf[:n]); answer != nil {
+			_, _ = socket.WriteTo(answer, from)
 		}
 	}
 }
 
-func (a *Agent) answer(raw []byte) (out []byte) {
-	// Guards against a datagram that the codec panics on: it gets no answer, as any that can't be read.
+// answer encodes the answer to a datagram; nil: it gets none. A datagram on which the codec panics gets none, as any that can't be
+// decoded.
+func (a *Agent) answer(datagram []byte) (answer []byte) {
 	defer func() {
 		if recover() != nil {
-			out = nil
+			answer = nil
 		}
 	}()
 	codec := gosnmp.GoSNMP{Version: gosnmp.Version2c, Logger: gosnmp.Logger{}}
-	q, err := codec.SnmpDecodePacket(raw)
-	if err != nil || q.Version != gosnmp.Version2c || q.Community != a.community {
+	request, err := codec.SnmpDecodePacket(datagram)
+	if err != nil || request.Version != gosnmp.Version2c || request.Community != a.community {
+		return nil
+	}
+	response := a.response(request)
+	if response == nil {
+		return nil
+	}
+	if answer, err = response.MarshalMsg(); err != nil {
 		return nil
 	}
-	r := &gosnmp.SnmpPacket{
-		Version: q.Version, Community: q.Community, PDUType: gosnmp.GetResponse, RequestID: q.RequestID,
-		Logger: gosnmp.Logger{},
+	return answer
+}
+
+// response is the response to a request; nil: there is none to its type.
+func (a *Agent) response(request *gosnmp.SnmpPacket) *gosnmp.SnmpPacket {
+	response := &gosnmp.SnmpPacket{
+		Version:   request.Version,
+		Community: request.Community,
+		PDUType:   gosnmp.GetResponse,
+		RequestID: request.RequestID,
+		Logger:    gosnmp.Logger{},
 	}
-	switch q.PDUType {
+	switch request.PDUType {
 	case gosnmp.GetRequest:
-		for _, v := range q.Variables {
-			r.Variables = append(r.Variables, a.get(v.Name))
+		for _, v := range request.Variables {
+			response.Variables = append(response.Variables, a.get(v.Name))
 		}
 	case gosnmp.GetNextRequest:
-		for _, v := range q.Variables {
-			r.Variables = append(r.Variables, a.next(v.Name))
+		for _, v := range request.Variables {
+			response.Variables = append(response.Variables, a.next(v.Name))
 		}
 	case gosnmp.GetBulkRequest:
-		for i, v := range q.Variables {
-			repeats := 1
-			if i >= int(q.NonRepeaters) {
-				repeats = min(int(q.MaxRepetitions), mostRepeats)
-			}
-			for range repeats {
-				v = a.next(v.Name)
-				r.Variables = append(r.Variables, v)
-				if v.Type == gosnmp.EndOfMibView {
-					break
-				}
-			}
-		}
+		response.Variables = a.bulk(request)
 	case gosnmp.SetRequest:
-		r.Error, r.ErrorIndex, r.Variables = gosnmp.NotWritable, 1, q.Variables
+		response.Error, response.ErrorIndex, response.Variables = gosnmp.NotWritable, 1, request.Variables
 	default:
 		return nil
 	}
-	if out, err = r.MarshalMsg(); err != nil {
-		return nil
+	return response
+}
+
+// bulk returns the objects behind each variable: one for the first NonRepeaters, up to MaxRepetitions for the others.
+func (a *Agent) bulk(request *gosnmp.SnmpPacket) (objects []gosnmp.SnmpPDU) {
+	for i, v := range request.Variables {
+		repetitions := 1
+		if i >= int(request.NonRepeaters) {
+			repetitions = min(int(request.MaxRepetitions), maxRepetitions)
+		}
+		for range repetitions {
+			v = a.next(v.Name)
+			objects = append(objects, v)
+			if v.Type == gosnmp.EndOfMibView {
+				break
+			}
+		}
 	}
-	return out
+	return objects
 }
 
-func (a *Agent) value(i int) gosnmp.SnmpPDU {
-	s, v := a.scalars[i], gosnmp.SnmpPDU{Name: fmt.Sprintf("%s%d.0", root, i+1)}
-	if s.Gauge {
-		v.Type, v.Value = gosnmp.Gauge32, uint32(s.Read())
+// value reads the object at an index, from 0.
+func (a *Agent) value(index int) gosnmp.SnmpPDU {
+	scalar := a.scalars[index]
+	object := gosnmp.SnmpPDU{Name: fmt.Sprintf("%s%d.0", objectsOID, index+1)}
+	if scalar.Gauge {
+		object.Type, object.Value = gosnmp.Gauge32, uint32(scalar.Read())
 	} else {
-		v.Type, v.Value = gosnmp.Counter64, uint64(s.Read())
+		object.Type, object.Value = gosnmp.Counter64, uint64(scalar.Read())
 	}
-	return v
+	return object
 }
 
-func (a *Agent) get(name string) gosnmp.SnmpPDU {
-	if rest, ok := strings.CutPrefix(name, root); ok {
+// get returns the object with an OID.
+func (a *Agent) get(oid string) gosnmp.SnmpPDU {
+	if rest, ok := strings.CutPrefix(oid, objectsOID); ok {
 		number, ok := strings.CutSuffix(rest, ".0")
 		if i, err := strconv.Atoi(number); ok && err == nil && i >= 1 && i <= len(a.scalars) {
 			return a.value(i - 1)
 		}
 	}
-	return gosnmp.SnmpPDU{Name: name, Type: gosnmp.NoSuchObject}
+	return gosnmp.SnmpPDU{Name: oid, Type: gosnmp.NoSuchObject}
 }
 
-// next returns the first object behind a name.
-func (a *Agent) next(name string) gosnmp.SnmpPDU {
+// next returns the first object behind an OID.
+func (a *Agent) next(oid string) gosnmp.SnmpPDU {
 	for i := range a.scalars {
-		if v := a.value(i); before(name, v.Name) {
-			return v
+		if object := a.value(i); oidBefore(oid, object.Name) {
+			return object
 		}
 	}
-	return gosnmp.SnmpPDU{Name: name, Type: gosnmp.EndOfMibView}
+	return gosnmp.SnmpPDU{Name: oid, Type: gosnmp.EndOfMibView}
 }
 
-// before tells whether one OID comes before another.
-func before(a, b string) bool {
+// oidBefore tells whether OID a comes before OID b: by the first number in which they differ, else the shorter one.
+func oidBefore(a, b string) bool {
 	as, bs := strings.Split(strings.Trim(a, "."), "."), strings.Split(strings.Trim(b, "."), ".")
 	for i := range min(len(as), len(bs)) {
 		x, _ := strconv.ParseUint(as[i], 10, 32)
--- a/internal/snmp/agent_test.go
+++ b/internal/snmp/agent_test.go
@@ -30,15 +30,15 @@
 	return c, &n, scalars
 }
 
-func TestAgent(t *testing.T) {
+func TestAgentAnswersGetWalkAndSet(t *testing.T) {
 	c, n, scalars := start(t)
 	n.Requests.Store(1 << 40)
 	n.InFlight.Store(5)
 
-	// What can't be read gets no answer and ends nothing.
+	// A datagram that can't be decoded gets no answer, and the agent goes on.
 	_, err := c.Conn.Write([]byte{0x30, 0x84, 0xff, 0xff, 0xff, 0xff})
 	require.NoError(t, err)
-	p, err := c.Get([]string{root + "1.0", root + "10.0", root + "99.0"})
+	p, err := c.Get([]string{objectsOID + "1.0", objectsOID + "10.0", objectsOID + "99.0"})
 	require.NoError(t, err)
 	require.Equal(t, uint64(1<<40), p.Variables[0].Value)
 	require.Equal(t, gosnmp.Gauge32, p.Variables[1].Type)
@@ -46,11 +46,11 @@
 	require.Equal(t, gosnmp.NoSuchObject, p.Variables[2].Type)
 
 	for name, walk := range map[string]func(string) ([]gosnmp.SnmpPDU, error){"next": c.WalkAll, "bulk": c.BulkWalkAll} {
-		all, err := walk(strings.TrimSuffix(root, "."))
+		all, err := walk(strings.TrimSuffix(objectsOID, "."))
 		require.NoError(t, err, name)
 		require.Len(t, all, len(scalars), name)
 	}
-	p, err = c.Set([]gosnmp.SnmpPDU{{Name: root + "1.0", Type: gosnmp.Integer, Value: 1}})
+	p, err = c.Set([]gosnmp.SnmpPDU{{Name: objectsOID + "1.0", Type: gosnmp.Integer, Value: 1}})
 	require.NoError(t, err)
 	require.Equal(t, gosnmp.NotWritable, p.Error)
 }
--- a/internal/snmp/golden_test.go
+++ b/internal/snmp/golden_test.go
@@ -30,7 +30,7 @@
 	counters.NeverSent.Store(114)
 	counters.UnansweredConns.Store(115)
 	counters.WrongTags.Store(116)
-	objects, err := client.WalkAll(strings.TrimSuffix(root, "."))
+	objects, err := client.WalkAll(strings.TrimSuffix(objectsOID, "."))
 	require.NoError(t, err)
 	mib, err := os.ReadFile("../../mibs/RAVENWHEEL-MIB.txt")
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	var out bytes.Buffer
 	for i, object := range objects {
 		name, syntax, number := described[i][1], described[i][2], described[i][3]
-		require.Equal(t, root+number+".0", object.Name)
+		require.Equal(t, objectsOID+number+".0", object.Name)
 		require.Equal(t, syntax, types[object.Type], name)
 		fmt.Fprintf(&out, "%s %s %s %v\n", object.Name, name, syntax, object.Value)
 	}
