--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -8,7 +8,7 @@
 	limit       int // of subscribers
 	tokens      float64
 	refilledAt  float64
-	nextRetryAt float64 // up to when rejected subscribers have been told to return
+	nextRetryAt float64 // when the subscriber that was rejected last is to return
 }
 
 func newAdmission(s Settings) admission {
@@ -19,13 +19,13 @@
 func (a *admission) setDemand(e Demand) {
 	a.limit = a.settings.MaxSubscribers
 	if e.Distributors > 0 {
-		share := math.Ceil(a.settings.LoadFactor * float64(e.Subscribers) / float64(e.Distributors))
-		a.limit = max(1, min(a.limit, int(share)))
+		quota := math.Ceil(a.settings.LoadFactor * float64(e.Subscribers) / float64(e.Distributors))
+		a.limit = max(1, min(a.limit, int(quota)))
 	}
 }
 
-// take takes a token. If there is none it returns how long to stay away, in ms: rejected subscribers are told times that follow each
-// other at the admitted rate.
+// take takes a token. If there is none it returns after how many ms the subscriber is to return: rejected subscribers return one after
+// the other at the admitted rate.
 func (a *admission) take(now float64) (retryAfter float64) {
 	if now > a.refilledAt {
 		if !math.IsInf(a.refilledAt, -1) {
--- a/internal/decide/distribution/check/history.go
+++ b/internal/decide/distribution/check/history.go
@@ -54,7 +54,7 @@
 		switch {
 		case f.Sequence > through, f.Kind != e.Kind, factKeyOf(f.Entry) != factKeyOf(e), f.Group != e.Group,
 			f.GroupKnown != e.GroupKnown, f.Version != e.Version, !bytes.Equal(f.Body, e.Body):
-		case isPurge(e.Kind) && (e.EffectiveAt < f.EffectiveAt || !outlasts(e.ExpiresAt, f.ExpiresAt)):
+		case isPurge(e.Kind) && !binds(e, f.Entry):
 		default:
 			found, known = f, true
 		}
@@ -84,6 +84,11 @@
 	return k == distribution.PurgeObject || k == distribution.PurgeGroup
 }
 
-// outlasts reports whether what expires at expiresAt (0: never) holds at least as long as what expires at other. It is written again
+// binds reports whether a purge voids every copy that another one voids, if both are of the same object or group. It is written again
 // here, as the checker trusts nothing of what it checks.
+func binds(purge, other distribution.Entry) bool {
+	return purge.EffectiveAt >= other.EffectiveAt && outlasts(purge.ExpiresAt, other.ExpiresAt)
+}
+
+// outlasts reports whether what expires at expiresAt (0: never) holds at least as long as what expires at other.
 func outlasts(expiresAt, other int64) bool { return expiresAt == 0 || other != 0 && expiresAt >= other }
--- a/internal/decide/distribution/fact_table.go
+++ b/internal/decide/distribution/fact_table.go
@@ -151,8 +151,8 @@
 	return exists && e.Sequence == x.sequence
 }
 
-// maxStaleExpiries is how many expiries of entries that are no longer in the table stay in the heap, besides one for each entry, before it is
-// cleaned up. The fewer, the more often it is.
+// maxStaleExpiries is how many expiries of entries that are no longer in the table may stay in the heap, beside one for each entry. The
+// fewer, the more often the heap is cleaned up.
 const maxStaleExpiries = 1024
 
 func (t *factTable) dropStaleExpiries() {
--- a/internal/decide/distribution/message.go
+++ b/internal/decide/distribution/message.go
@@ -47,7 +47,7 @@
 		Last      bool
 		Entries   []Entry // by rising sequence, over all chunks
 	}
-	// Heartbeat is a sign of life, and says up to when a subscriber that has everything is complete.
+	// Heartbeat shows that the distributor is alive, and brings its watermark.
 	Heartbeat struct {
 		Stream    Stream
 		Epoch     uint64
--- a/internal/decide/fleetview/collector.go
+++ b/internal/decide/fleetview/collector.go
@@ -40,7 +40,7 @@
 }
 
 // Collect takes the present totals, counted from the process's start, and returns the digest to publish. A server that is no longer
-// among the totals is published once as idle. now is in ms; the totals are kept and must not be changed.
+// among the totals is published once as idle. now is in ms. The totals are retained and must not be changed.
 func (c *Collector) Collect(now float64, arrivals uint64, totals map[policy.CacheID]Totals, objects []ObjectRate) Digest {
 	c.samples = append(c.samples, sample{now, arrivals, totals})
 	for len(c.samples) > 2 && c.samples[1].at <= now-c.Window {
--- a/internal/decide/fleetview/estimate.go
+++ b/internal/decide/fleetview/estimate.go
@@ -8,7 +8,7 @@
 	"ravenwheel/policy"
 )
 
-// Estimate is what the view says of one server.
+// Estimate is the view's estimate of the figures of one server.
 type Estimate struct {
 	Reporters int          `json:"Reporters"` // processes that reported lately
 	Load      BoundedValue `json:"Load"`      // attempts a second of all of them
--- a/internal/decide/fleetview/view.go
+++ b/internal/decide/fleetview/view.go
@@ -12,7 +12,7 @@
 	// FadeAfter and ExpireAfter: what was received longer ago than FadeAfter loses weight in proportion, and has none from
 	// ExpireAfter on, so that the estimates of a process that is cut off fade without a jump.
 	FadeAfter, ExpireAfter float64
-	// MaxPeers, MaxServers and MaxObjects bound what is held: processes, servers for each process, objects for each process.
+	// MaxPeers, MaxServers and MaxObjects bound the view: processes, servers of each process, and objects of each process.
 	MaxPeers, MaxServers, MaxObjects int
 	// FaultyFraction is the fraction of the reporters that may report anything while estimates stay within their stated bounds.
 	FaultyFraction float64
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -9,7 +9,7 @@
 	LagMs       float64 `json:"behind_ms"`     // at most, with the bound on the skew of clocks; -1: there is no watermark yet
 	Parent      string  `json:"at,omitempty"`  // the distributor that it is subscribed at
 	Root        bool    `json:"root"`          // it is a member of the store
-	Restricted  bool    `json:"held"`          // strict classes are
+	Restricted  bool    `json:"held"`          // strict classes are restricted, see distribution.Freshness
 	Subscribers int     `json:"subscribers"`   // of the level below
 	Entries     int     `json:"entries"`       // of a snapshot for a new subscriber
 	Backlog     int     `json:"backlog"`       // entries
