--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,13 +1,16 @@
-// Package console is the operators' address of the platform: a connection brings one line and gets one, which begins with
-// SUCCESS or FAILURE. It turns a line into a call and decides nothing. It has goroutines of its own, and nothing that it
-// waits for waits for a request. Off where none is named.
+// Package console is the operators' interface of the platform: a TCP address where a connection brings one line and gets
+// one back, which begins with SUCCESS or FAILURE. (The operators' own interface, JSON over HTTP, is package admin.) The
+// package turns a line into a call of a Controller and decides nothing. It runs on goroutines of its own, and no client's
+// request ever waits for it. The protocol, slow callers and floods of callers are tested here.
 package console
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -18,130 +21,166 @@
 	"ravenwheel/policy"
 )
 
-// Controller carries out what operators ask of a proxy. A call that is turned down returns why.
+// Controller carries out what operators ask of a proxy. The text of an error is the reason that they are shown.
 type Controller interface {
 	Status() (text string, ready bool)
-	SetServerDrained(id policy.CacheID, out bool) error
+	// SetServerDrained starts or ends a drain of one cache server.
+	SetServerDrained(id policy.CacheID, on bool) error
+	// SetDraining starts or ends a drain of the whole proxy.
 	SetDraining(on bool) error
 }
 
 const (
-	// mostLine bounds a call, in bytes.
-	mostLine = 128
-	// mostHeld callers are connected at once. Some finish no call: the one that has waited longest makes room.
-	mostHeld = 16
-	// mostDropped bytes behind a line are read before the close, within lineWait.
-	mostDropped = 1 << 20
-	// lineWait: a caller that has not finished its line by then gets no answer; callers wait for a second.
-	lineWait = 2 * time.Second
+	// maxLine bounds a line, in bytes.
+	maxLine = 128
+	// maxUnfinished bounds the connections whose line is not complete. One more closes the oldest.
+	maxUnfinished = 16
+	// maxTrailing bounds what is read behind a line, in bytes, within lineTimeout.
+	maxTrailing = 1 << 20
+	// lineTimeout is how long a caller may take to send its line; callers wait a second for the answer.
+	lineTimeout = 2 * time.Second
 )
 
-// Console serves operators on a listener.
+// The commands of the protocol.
+const (
+	commandStatus  = "STATUS"  // is the proxy ready?
+	commandPause   = "PAUSE"   // drain the proxy
+	commandResume  = "RESUME"  // end that
+	commandSuspend = "SUSPEND" // drain a cache server, named by its id
+	commandRestore = "RESTORE" // end that
+)
+
+// The answers of the protocol. A text may follow.
+const (
+	answerSuccess = "SUCCESS"
+	answerFailure = "FAILURE"
+)
+
+// Errors of lines that are no valid call.
+var (
+	errUnknownCall   = errors.New("unknown call")
+	errUnknownServer = errors.New("no such cache server")
+)
+
+// Console serves operators on a listener. See Listen and Serve.
 type Console struct {
-	ln   net.Listener
-	desk Controller
-	log  *logs.Log
+	ln         net.Listener
+	controller Controller
+	log        *logs.Log
 
-	mu   sync.Mutex
-	held []net.Conn // of those whose line is not whole, the oldest first
+	mu         sync.Mutex
+	unfinished []net.Conn // connections whose line is not complete, the oldest first
 }
 
-// Listen opens the address.
-func Listen(addr string, d Controller, log *logs.Log) (*Console, error) {
+// Listen opens a TCP address, host:port.
+func Listen(addr string, c Controller, log *logs.Log) (*Console, error) {
 	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Console{ln: transient.KeepAccepting(ln), desk: d, log: log}, nil
+	return &Console{ln: transient.KeepAccepting(ln), controller: c, log: log}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (c *Console) Addr() string { return c.ln.Addr().String() }
 
-// Close ends it; calls that are under way are answered.
+// Close ends Serve. Calls in flight are answered.
 func (c *Console) Close() { _ = c.ln.Close() }
 
-// Serve answers until Close.
+// Serve answers calls until Close.
 func (c *Console) Serve() {
 	for {
-		nc, err := c.ln.Accept()
+		conn, err := c.ln.Accept()
 		if err != nil {
 			return // closed
 		}
-		c.mu.Lock()
-		if len(c.held) >= mostHeld {
-			c.held[0].Close()
-			c.held = c.held[1:]
-		}
-		c.held = append(c.held, nc)
-		c.mu.Unlock()
-		go c.call(nc)
+		c.admit(conn)
+		go c.serveConn(conn)
 	}
 }
 
-// call reads one line and answers it.
-func (c *Console) call(nc net.Conn) {
-	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(lineWait))
-	line, ok := read(nc)
+// admit notes a new connection. If there are too many, it closes the one that has taken the longest to send its line.
+func (c *Console) admit(conn net.Conn) {
 	c.mu.Lock()
-	for i, h := range c.held {
-		if h == nc {
-			c.held = append(c.held[:i], c.held[i+1:]...)
-			break
-		}
+	defer c.mu.Unlock()
+	if len(c.unfinished) >= maxUnfinished {
+		c.unfinished[0].Close()
+		c.unfinished = c.unfinished[1:]
 	}
-	c.mu.Unlock()
-	if ok {
-		_, _ = nc.Write([]byte(c.Answer(line) + "\n"))
-		// Guards against a close over what the caller sent behind its line: it resets the connection, and the answer with it.
-		if half, is := nc.(*net.TCPConn); is && half.CloseWrite() == nil {
-			_, _ = io.Copy(io.Discard, io.LimitReader(nc, mostDropped))
-		}
+	c.unfinished = append(c.unfinished, conn)
+}
+
+// finished notes that the line of a connection is complete, or that its caller has left.
+func (c *Console) finished(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if i := slices.Index(c.unfinished, conn); i >= 0 {
+		c.unfinished = slices.Delete(c.unfinished, i, i+1)
 	}
 }
 
-// read returns a line, without its end; a caller that closes its side has ended it too.
-func read(nc net.Conn) (line string, ok bool) {
-	b, n := make([]byte, mostLine+1), 0
+// serveConn reads one line and answers it.
+func (c *Console) serveConn(conn net.Conn) {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(lineTimeout))
+	line, ok := readLine(conn)
+	c.finished(conn)
+	if !ok {
+		return
+	}
+	_, _ = conn.Write([]byte(c.Answer(line) + "\n"))
+	// A close with unread data would reset the connection, and the answer could be lost.
+	if tcp, ok := conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxTrailing))
+	}
+}
+
+// readLine returns a line without its end, which a caller may also send by closing its side. ok is false if the caller
+// left or took too long. A line that is too long is cut, and is no valid call.
+func readLine(conn net.Conn) (line string, ok bool) {
+	buf, n := make([]byte, maxLine+1), 0
 	for {
-		got, err := nc.Read(b[n:])
+		got, err := conn.Read(buf[n:])
 		n += got
-		if end := bytes.IndexByte(b[:n], '\n'); end >= 0 {
-			return string(bytes.TrimSuffix(b[:end], []byte("\r"))), true
+		if end := bytes.IndexByte(buf[:n], '\n'); end >= 0 {
+			return string(bytes.TrimSuffix(buf[:end], []byte("\r"))), true
 		}
-		if n > mostLine {
-			return string(b[:n]), true // too long to be any call
+		if n > maxLine {
+			return string(buf[:n]), true
 		}
 		if err != nil {
-			return string(b[:n]), n > 0 && err == io.EOF
+			return string(buf[:n]), n > 0 && err == io.EOF
 		}
 	}
 }
 
-// Answer is the answer to a line.
+// Answer carries out the call of a line, and returns the line to answer, without its end.
 func (c *Console) Answer(line string) string {
-	word, rest, named := strings.Cut(line, " ")
-	err := fmt.Errorf("unknown call")
-	text := ""
-	switch {
-	case word == "STATUS" && !named:
-		var ready bool
-		if text, ready = c.desk.Status(); !ready {
-			return "FAILURE " + text
-		}
-		return "SUCCESS " + text
-	case word == "PAUSE" && !named, word == "RESUME" && !named:
-		err = c.desk.SetDraining(word == "PAUSE")
-	case word == "SUSPEND", word == "RESTORE":
-		id, ok := serverlist.ParseID(rest)
-		if err = fmt.Errorf("no such cache server"); ok {
-			err = c.desk.SetServerDrained(id, word == "SUSPEND")
+	command, argument, hasArgument := strings.Cut(line, " ")
+	if command == commandStatus && !hasArgument {
+		text, ready := c.controller.Status()
+		if !ready {
+			return answerFailure + " " + text
 		}
+		return answerSuccess + " " + text
 	}
-	if err != nil {
-		return "FAILURE " + err.Error()
+	if err := c.execute(command, argument, hasArgument); err != nil {
+		return answerFailure + " " + err.Error()
+	}
+	c.log.Info("console").Str("call", line).Msg("call carried out")
+	return answerSuccess
+}
+
+func (c *Console) execute(command, argument string, hasArgument bool) error {
+	switch {
+	case command == commandPause && !hasArgument, command == commandResume && !hasArgument:
+		return c.controller.SetDraining(command == commandPause)
+	case command == commandSuspend, command == commandRestore:
+		id, ok := serverlist.ParseID(argument)
+		if !ok {
+			return errUnknownServer
+		}
+		return c.controller.SetServerDrained(id, command == commandSuspend)
 	}
-	c.log.Info("console").Str("call", line).Msg("carried out for an operator")
-	return "SUCCESS"
+	return errUnknownCall
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,32 +14,36 @@
 	"ravenwheel/policy"
 )
 
-// desk notes what it is asked, and turns down server 9.
-type desk struct {
+// fakeController records its calls, and rejects server 9.
+type fakeController struct {
 	mu    sync.Mutex
 	calls []string
 	ready bool
 }
 
-func (d *desk) note(s string) { d.mu.Lock(); d.calls = append(d.calls, s); d.mu.Unlock() }
+func (c *fakeController) record(s string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls = append(c.calls, s)
+}
 
-func (d *desk) Status() (string, bool) { return "serving", d.ready }
+func (c *fakeController) Status() (string, bool) { return "serving", c.ready }
 
-func (d *desk) SetServerDrained(id policy.CacheID, out bool) error {
+func (c *fakeController) SetServerDrained(id policy.CacheID, on bool) error {
 	if id == 9 {
 		return errors.New("no such cache server")
 	}
-	d.note(map[bool]string{true: "out", false: "in"}[out])
+	c.record(map[bool]string{true: "drain", false: "restore"}[on])
 	return nil
 }
 
-func (d *desk) SetDraining(on bool) error {
-	d.note(map[bool]string{true: "pause", false: "resume"}[on])
+func (c *fakeController) SetDraining(on bool) error {
+	c.record(map[bool]string{true: "pause", false: "resume"}[on])
 	return nil
 }
 
-func start(t *testing.T, d *desk) *Console {
-	c, err := Listen("127.0.0.1:0", d, nil)
+func start(t *testing.T, controller *fakeController) *Console {
+	c, err := Listen("127.0.0.1:0", controller, nil)
 	require.NoError(t, err)
 	go c.Serve()
 	t.Cleanup(c.Close)
@@ -53,7 +57,7 @@
 	return nc.(*net.TCPConn)
 }
 
-func ask(t *testing.T, c *Console, text string) string {
+func call(t *testing.T, c *Console, text string) string {
 	nc := dial(t, c)
 	_, _ = nc.Write([]byte(text)) // a line too long is answered before it has all been sent
 	_ = nc.CloseWrite()           // the answer, and the close behind it, may have come already
@@ -61,10 +65,10 @@
 	return string(answer)
 }
 
-// Each line gets one answer line and the close; nothing but a call that is known is carried out.
-func TestCalls(t *testing.T) {
-	d := &desk{ready: true}
-	c := start(t, d)
+// Each line gets one answer and the close. Only valid calls are carried out.
+func TestAnswersEachLineAndExecutesValidCalls(t *testing.T) {
+	controller := &fakeController{ready: true}
+	c := start(t, controller)
 	for line, want := range map[string]string{
 		"STATUS\n": "SUCCESS serving\n", "STATUS\r\n": "SUCCESS serving\n", "STATUS": "SUCCESS serving\n",
 		"SUSPEND s-00000001\n": "SUCCESS\n", "RESTORE s-00000001\n": "SUCCESS\n", "PAUSE\n": "SUCCESS\n", "RESUME\n": "SUCCESS\n",
@@ -74,51 +78,51 @@
 		"STATUS\nPAUSE\n": "SUCCESS serving\n", "\x00\xff\xfe\n": "FAILURE unknown call\n",
 		strings.Repeat("x", 5000): "FAILURE unknown call\n", "": "",
 	} {
-		got := ask(t, c, line)
-		if len(line) > mostLine && got == "" {
-			continue // the rest of it was under way when the answer was: a reset may take the answer along
+		got := call(t, c, line)
+		if len(line) > maxLine && got == "" {
+			continue // its rest was in flight with the answer: a reset may discard the answer
 		}
 		require.Equal(t, want, got, "%q", line)
 	}
-	require.ElementsMatch(t, []string{"out", "in", "pause", "resume"}, d.calls)
-	d.ready = false
-	require.Equal(t, "FAILURE serving\n", ask(t, c, "STATUS\n"))
+	require.ElementsMatch(t, []string{"drain", "restore", "pause", "resume"}, controller.calls)
+	controller.ready = false
+	require.Equal(t, "FAILURE serving\n", call(t, c, "STATUS\n"))
 }
 
-// Callers that connect and finish no call, many more than are held, keep nobody from an answer.
-func TestUnfinished(t *testing.T) {
-	c := start(t, &desk{ready: true})
-	for i := range 3 * mostHeld {
+// Many more callers than are admitted connect and do not finish their lines: others are still answered.
+func TestUnfinishedLinesDoNotBlockOthers(t *testing.T) {
+	c := start(t, &fakeController{ready: true})
+	for i := range 3 * maxUnfinished {
 		nc := dial(t, c)
 		if i%2 == 0 {
 			_, err := nc.Write([]byte("STAT"))
 			require.NoError(t, err)
 		}
 	}
-	for range mostHeld {
-		require.Equal(t, "SUCCESS serving\n", ask(t, c, "STATUS\n"))
+	for range maxUnfinished {
+		require.Equal(t, "SUCCESS serving\n", call(t, c, "STATUS\n"))
 	}
 	c.mu.Lock()
-	held := len(c.held)
+	unfinished := len(c.unfinished)
 	c.mu.Unlock()
-	require.LessOrEqual(t, held, mostHeld)
+	require.LessOrEqual(t, unfinished, maxUnfinished)
 	last := dial(t, c)
 	require.NoError(t, last.SetReadDeadline(time.Now().Add(time.Minute)))
 	text, err := io.ReadAll(last)
-	require.NoError(t, err, "one that says nothing is closed")
+	require.NoError(t, err, "a caller that sends nothing is closed")
 	require.Empty(t, text)
 }
 
-// Many calls at once are all answered.
-func TestMany(t *testing.T) {
-	c := start(t, &desk{ready: true})
+// Concurrent calls are all answered.
+func TestAnswersConcurrentCalls(t *testing.T) {
+	c := start(t, &fakeController{ready: true})
 	var wait sync.WaitGroup
-	for range mostHeld / 2 {
+	for range maxUnfinished / 2 {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for range 20 {
-				if got := ask(t, c, "SUSPEND s-00000001\n"); got != "SUCCESS\n" {
+				if got := call(t, c, "SUSPEND s-00000001\n"); got != "SUCCESS\n" {
 					t.Errorf("got %q", got)
 				}
 			}
@@ -127,9 +131,9 @@
 	wait.Wait()
 }
 
-// What comes behind a line is dropped, and the answer is not: a close over it would reset the connection.
-func TestMoreThanALine(t *testing.T) {
-	c := start(t, &desk{ready: true})
+// Data behind the line is dropped without a reset, which could discard the answer.
+func TestTrailingDataDoesNotResetAnswer(t *testing.T) {
+	c := start(t, &fakeController{ready: true})
 	for range 20 {
 		nc := dial(t, c)
 		_, err := nc.Write([]byte("STATUS\n" + strings.Repeat("STATUS\n", 30_000)))
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -11,7 +11,7 @@
 func TestGoldenLines(t *testing.T) {
 	var transcript strings.Builder
 	for _, ready := range []bool{true, false} {
-		c := &Console{desk: &desk{ready: ready}}
+		c := &Console{controller: &fakeController{ready: ready}}
 		for _, line := range []string{
 			"STATUS", "STATUS now", "PAUSE", "RESUME", "PAUSE now", "RESUME now", "SUSPEND s-00000001", "RESTORE s-00000001",
 			"SUSPEND s-00000009", "RESTORE s-00000009", "SUSPEND", "RESTORE", "SUSPEND s-0000000A", "status", "",
