--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -337,7 +337,7 @@
 
 func (a *Admin) push(w http.ResponseWriter, r *http.Request) {
 	var l PushListRequest
-	err := json.NewDecoder(io.LimitReader(r.Body, 2*strictjson.MostBytes)).Decode(&l)
+	err := json.NewDecoder(io.LimitReader(r.Body, 2*strictjson.MaxBytes)).Decode(&l)
 	var set *serverlist.List
 	if err == nil {
 		set, err = a.opt.Operations.PushList(l.File, []byte(l.Text))
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -34,7 +34,7 @@
 
 // checker applies defaults to the fields of one part of a file and reports the ones that are invalid.
 type checker struct {
-	doc  *strictjson.Doc
+	doc  *strictjson.Document
 	part string // path of the part; empty: the file as a whole
 }
 
@@ -49,7 +49,7 @@
 // required reports a text field that is empty.
 func (c checker) required(field, value string) {
 	if value == "" {
-		c.doc.Fail(c.path(field), "%s needs %s", c.part, field)
+		c.doc.Failf(c.path(field), "%s needs %s", c.part, field)
 	}
 }
 
@@ -59,7 +59,7 @@
 		*value = r.defaultValue
 	}
 	if *value < r.least || *value > r.most {
-		c.doc.Fail(c.path(field), "%s %.10g is not %.10g to %.10g", field, *value, r.least, r.most)
+		c.doc.Failf(c.path(field), "%s %.10g is not %.10g to %.10g", field, *value, r.least, r.most)
 	}
 }
 
@@ -76,23 +76,23 @@
 	ip, notIP := netip.ParseAddr(host)
 	switch {
 	case err != nil || port == "" || notIP != nil:
-		c.doc.Fail(c.path(field), "%s %q is not of the form 127.0.0.1:4100", field, value)
+		c.doc.Failf(c.path(field), "%s %q is not of the form 127.0.0.1:4100", field, value)
 	case loopback && !ip.IsLoopback():
-		c.doc.Fail(c.path(field), "%s %q is not on loopback", field, value)
+		c.doc.Failf(c.path(field), "%s %q is not on loopback", field, value)
 	}
 }
 
 // oneOf reports a value that is none of the words. An empty word, which comes first, is not named in the report.
 func (c checker) oneOf(field, value string, words ...string) {
 	if !slices.Contains(words, value) {
-		c.doc.Fail(c.path(field), "%s %q is none of %s", field, value, strings.TrimPrefix(strings.Join(words, ", "), ", "))
+		c.doc.Failf(c.path(field), "%s %q is none of %s", field, value, strings.TrimPrefix(strings.Join(words, ", "), ", "))
 	}
 }
 
 // knownName reports a name that is not in the list of all names of its kind.
 func (c checker) knownName(field, kind, name string, all []string) {
 	if !slices.Contains(all, name) {
-		c.doc.Fail(c.path(field), "unknown %s %q", kind, name)
+		c.doc.Failf(c.path(field), "unknown %s %q", kind, name)
 	}
 }
 
@@ -103,7 +103,7 @@
 		entry := checker{c.doc, c.path(id)}
 		data, err := base64.StdEncoding.DecodeString(key.Base64)
 		if err != nil || len(data) == 0 {
-			c.doc.Fail(entry.path("key"), "key %q is not base64", id)
+			c.doc.Failf(entry.path("key"), "key %q is not base64", id)
 		}
 		entry.oneOf("alg", key.Algorithm, signatureAlgorithms...)
 		ring[id] = store.Key{Alg: key.Algorithm, Data: data}
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -34,7 +34,7 @@
 func ParseLive(name, text string) (*Live, error) {
 	live := &Live{}
 	doc := strictjson.Decode(name, []byte(text), live)
-	if doc.Ok() {
+	if doc.Valid() {
 		live.check(doc)
 	} else {
 		reportRestartParts(doc, name, text)
@@ -47,21 +47,21 @@
 }
 
 // reportRestartParts adds a defect for each part that takes a restart, which is to the decoder an unknown field.
-func reportRestartParts(doc *strictjson.Doc, name, text string) {
+func reportRestartParts(doc *strictjson.Document, name, text string) {
 	var nothing struct{}
 	undecoded := strictjson.Decode(name, []byte(text), &nothing)
 	for _, part := range restartParts {
 		if undecoded.Has(part) {
-			doc.Fail("", "%s is not changed in service: it takes a restart", part)
+			doc.Failf("", "%s is not changed in service: it takes a restart", part)
 		}
 	}
 }
 
-func (l *Live) check(doc *strictjson.Doc) {
+func (l *Live) check(doc *strictjson.Document) {
 	if l.Log != nil {
 		checker{doc, "log"}.oneOf("level", l.Log.Level, "debug", "info", "warn", "error")
 		if l.Log.Format != "" {
-			doc.Fail("log.format", "the form of the log takes a restart")
+			doc.Failf("log.format", "the form of the log takes a restart")
 		}
 	}
 	if l.Limits != nil {
--- a/internal/config/operator_file.go
+++ b/internal/config/operator_file.go
@@ -52,7 +52,7 @@
 func ParseOperatorFile(path string, raw []byte) (*OperatorFile, error) {
 	file := &OperatorFile{Path: path, SigningKeys: KeyRing{}}
 	doc := strictjson.Decode(path, raw, file)
-	if doc.Ok() {
+	if doc.Valid() {
 		file.check(doc)
 	}
 	doc.Defects.Sort()
@@ -65,7 +65,7 @@
 
 // check validates the parts. Those of a proxy without the platform come first: the deadlines of its classes are the default of
 // other values.
-func (f *OperatorFile) check(doc *strictjson.Doc) {
+func (f *OperatorFile) check(doc *strictjson.Document) {
 	f.checkParts(doc)
 	if f.Proxy != nil && f.Limits != nil && f.Site != nil {
 		f.checkStandalone(doc)
@@ -82,7 +82,7 @@
 }
 
 // checkParts reports parts that are missing beside "proxy", and those that make no sense without it.
-func (f *OperatorFile) checkParts(doc *strictjson.Doc) {
+func (f *OperatorFile) checkParts(doc *strictjson.Document) {
 	standalone := f.Proxy != nil
 	for _, part := range []struct {
 		name  string
@@ -94,13 +94,13 @@
 	} {
 		switch {
 		case part.given && !standalone:
-			doc.Fail(part.name, "%s goes with proxy: without it the platform tells this", part.name)
+			doc.Failf(part.name, "%s goes with proxy: without it the platform tells this", part.name)
 		case !part.given && standalone:
-			doc.Fail("proxy", "proxy needs %s: the program is to run without the platform", part.name)
+			doc.Failf("proxy", "proxy needs %s: the program is to run without the platform", part.name)
 		}
 	}
 	if standalone && f.Servers == nil {
-		doc.Fail("proxy", "proxy needs servers: there is no notice board to tell them")
+		doc.Failf("proxy", "proxy needs servers: there is no notice board to tell them")
 	}
 }
 
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -32,7 +32,7 @@
 	drainMarginMs = 1000
 )
 
-func (f *OperatorFile) checkServers(doc *strictjson.Doc) {
+func (f *OperatorFile) checkServers(doc *strictjson.Document) {
 	s := f.Servers
 	if s == nil {
 		return
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -18,7 +18,7 @@
 // maxSocketPath is the length in bytes of the longest path of a unix socket.
 const maxSocketPath = 100
 
-func (f *OperatorFile) checkAdmin(doc *strictjson.Doc) {
+func (f *OperatorFile) checkAdmin(doc *strictjson.Document) {
 	if f.Admin == nil {
 		return
 	}
@@ -28,7 +28,7 @@
 		return
 	}
 	if path == "" || len(path) > maxSocketPath {
-		doc.Fail("admin.listen", "a unix socket needs a path of 1 to %d characters", maxSocketPath)
+		doc.Failf("admin.listen", "a unix socket needs a path of 1 to %d characters", maxSocketPath)
 	}
 }
 
@@ -38,7 +38,7 @@
 	BatchDelayMs float64 `json:"delay_ms"` // how long a write waits for others to be written with it
 }
 
-func (f *OperatorFile) checkState(doc *strictjson.Doc) {
+func (f *OperatorFile) checkState(doc *strictjson.Document) {
 	if f.State == nil {
 		return
 	}
@@ -53,7 +53,7 @@
 	Format string `json:"format"` // auto, text or json
 }
 
-func (f *OperatorFile) checkLog(doc *strictjson.Doc) {
+func (f *OperatorFile) checkLog(doc *strictjson.Document) {
 	f.LogOptions = logs.Options{Level: f.Log.Level, Format: f.Log.Format}
 	c := checker{doc, "log"}
 	c.oneOf("level", f.Log.Level, "", "debug", "info", "warn", "error")
@@ -74,7 +74,7 @@
 	Base64    string `json:"key"`
 }
 
-func (f *OperatorFile) checkSigned(doc *strictjson.Doc) {
+func (f *OperatorFile) checkSigned(doc *strictjson.Document) {
 	if f.Signed == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 	Community string `json:"community"`
 }
 
-func (f *OperatorFile) checkSNMP(doc *strictjson.Doc) {
+func (f *OperatorFile) checkSNMP(doc *strictjson.Document) {
 	if f.SNMP == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 	DigestIntervalMs float64           `json:"every_ms"`
 }
 
-func (f *OperatorFile) checkPeers(doc *strictjson.Doc) {
+func (f *OperatorFile) checkPeers(doc *strictjson.Document) {
 	p := f.Peers
 	if p == nil {
 		return
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -88,7 +88,7 @@
 }
 
 // checkStandalone validates the parts that take the place of the platform's configuration.
-func (f *OperatorFile) checkStandalone(doc *strictjson.Doc) {
+func (f *OperatorFile) checkStandalone(doc *strictjson.Document) {
 	c := checker{doc, "proxy"}
 	c.required("name", f.Proxy.Name)
 	c.address("listen", f.Proxy.Listen, false)
@@ -137,11 +137,11 @@
 // names reports a list that is empty or too long, and names that are empty or repeated.
 func (c checker) names(field string, list []string) {
 	if len(list) == 0 || len(list) > maxNames {
-		c.doc.Fail(c.path(field), "site needs 1 to %d %s", maxNames, field)
+		c.doc.Failf(c.path(field), "site needs 1 to %d %s", maxNames, field)
 	}
 	for i, name := range list {
 		if name == "" || slices.Index(list, name) != i {
-			c.doc.Fail(fmt.Sprintf("%s[%d]", c.path(field), i), "%q is empty or named twice", name)
+			c.doc.Failf(fmt.Sprintf("%s[%d]", c.path(field), i), "%q is empty or named twice", name)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	c.knownName("origin_kind", "kind", s.OriginKind, s.Kinds)
 	if s.ParentKind == s.OriginKind {
-		c.doc.Fail(c.path("origin_kind"), "parents and the origin are of kinds of their own")
+		c.doc.Failf(c.path("origin_kind"), "parents and the origin are of kinds of their own")
 	}
 }
 
@@ -165,16 +165,16 @@
 	for zone, count := range s.Proxies {
 		c.knownName("proxies."+zone, "zone", zone, s.Zones)
 		if count < 0 || count > maxProxies {
-			c.doc.Fail(c.path("proxies."+zone), "%d proxies are not 0 to %d", count, maxProxies)
+			c.doc.Failf(c.path("proxies."+zone), "%d proxies are not 0 to %d", count, maxProxies)
 		}
 	}
 	if s.Proxies[ownZone] < 1 && slices.Contains(s.Zones, ownZone) {
-		c.doc.Fail(c.path("proxies"), "zone %q has this proxy, and proxies counts none there", ownZone)
+		c.doc.Failf(c.path("proxies"), "zone %q has this proxy, and proxies counts none there", ownZone)
 	}
 	for zone, rate := range s.LinkKBPerSecond {
 		c.knownName("link_kb_per_s."+zone, "zone", zone, s.Zones)
 		if rate < 0 {
-			c.doc.Fail(c.path("link_kb_per_s."+zone), "a link of %v KB a second", rate)
+			c.doc.Failf(c.path("link_kb_per_s."+zone), "a link of %v KB a second", rate)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	return given
 }
 
-func (f *OperatorFile) checkClasses(doc *strictjson.Doc) {
+func (f *OperatorFile) checkClasses(doc *strictjson.Document) {
 	names := map[string]bool{}
 	for i := range f.Classes {
 		class := &f.Classes[i]
@@ -202,7 +202,7 @@
 
 func (k *Class) check(c checker, repeated bool) {
 	if !validClassName(k.Name, repeated) {
-		c.doc.Fail(c.path("name"), "class %q is empty, named twice or can't be written in a field", k.Name)
+		c.doc.Failf(c.path("name"), "class %q is empty, named twice or can't be written in a field", k.Name)
 	}
 	k.Effect = cmp.Or(k.Effect, effectIdempotent)
 	c.oneOf("effect", k.Effect, effects...)
@@ -214,12 +214,12 @@
 	c.number("late_value", &k.LateFraction, valueRange{0.1, 0, 1})
 	c.number("window_ms", &k.DedupWindowMs, valueRange{0, 0, day})
 	if k.Effect == effectDeduplicated && k.DedupWindowMs == 0 {
-		c.doc.Fail(c.path("window_ms"), "a deduplicated class needs window_ms: for how long repeats are discarded")
+		c.doc.Failf(c.path("window_ms"), "a deduplicated class needs window_ms: for how long repeats are discarded")
 	}
 	c.number("fresh_ms", &k.FreshMs, valueRange{0, 0, 365 * day})
 	c.number("stale_ms", &k.StaleMs, valueRange{0, 0, 365 * day})
 	c.number("stale_worth", &k.StaleFraction, valueRange{0.7, 0, 1})
 	if k.Uncached && k.FreshMs > 0 {
-		c.doc.Fail(c.path("fresh_ms"), "an uncached class keeps nothing that could be fresh")
+		c.doc.Failf(c.path("fresh_ms"), "an uncached class keeps nothing that could be fresh")
 	}
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -43,7 +43,7 @@
 	return store.Open(options)
 }
 
-func (f *OperatorFile) checkStore(doc *strictjson.Doc) {
+func (f *OperatorFile) checkStore(doc *strictjson.Document) {
 	c := checker{doc, "store"}
 	c.number("timeout_ms", &f.Store.TimeoutMs, valueRange{2000, 10, 60_000})
 	if f.Store.Name == "" {
@@ -57,7 +57,7 @@
 func (s *Store) checkUnnamed(c checker) {
 	for _, field := range []string{"listen", "peers", "join", "dir", "identity"} {
 		if c.doc.Has(c.path(field)) {
-			c.doc.Fail(c.path(field), "%s goes with name: a store without one is alone and in memory", field)
+			c.doc.Failf(c.path(field), "%s goes with name: a store without one is alone and in memory", field)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	c.required("dir", s.Dir)
 	c.required("identity", s.Identity)
 	if (len(s.Peers) == 0) == (s.Join == "") {
-		c.doc.Fail(c.part, "store needs peers, of a new cluster, or join, the address of a member of one")
+		c.doc.Failf(c.part, "store needs peers, of a new cluster, or join, the address of a member of one")
 	}
 	if s.Join != "" {
 		c.address("join", s.Join, false)
@@ -78,6 +78,6 @@
 		listed = listed || peer.Name == s.Name && peer.Addr == s.Listen
 	}
 	if !listed {
-		c.doc.Fail("store.peers", "peers do not hold %q at %s", s.Name, s.Listen)
+		c.doc.Failf("store.peers", "peers do not hold %q at %s", s.Name, s.Listen)
 	}
 }
--- a/internal/decide/serverlist/check.go
+++ b/internal/decide/serverlist/check.go
@@ -45,11 +45,11 @@
 		}
 	}
 	if d.requirements.Writes && origins == 0 {
-		d.header.doc.Fail("servers", "no ready server of kind %q, and there are classes that write", d.requirements.OriginKind)
+		d.header.doc.Failf("servers", "no ready server of kind %q, and there are classes that write", d.requirements.OriginKind)
 	}
 	for _, zone := range d.requirements.Clients {
 		if caches[zone] == 0 {
-			d.header.doc.Fail("servers", "no ready cache in zone %q, which has clients", zone)
+			d.header.doc.Failf("servers", "no ready cache in zone %q, which has clients", zone)
 		}
 	}
 }
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -48,22 +48,22 @@
 	Servers    []Server // by id
 
 	requirements Requirements
-	docs         []*strictjson.Doc
+	docs         []*strictjson.Document
 	header       location // of the generation
 }
 
 // location is where an entry or a field stands.
 type location struct {
-	doc  *strictjson.Doc
+	doc  *strictjson.Document
 	path string
 }
 
 // String names the location for the defect of another entry.
-func (l location) String() string { return l.doc.File + ":" + l.doc.Place(l.path) }
+func (l location) String() string { return l.doc.File + ":" + l.doc.Position(l.path) }
 
 // fail notes a defect of a field of the entry there.
 func (l location) fail(field, format string, args ...any) {
-	l.doc.Fail(l.path+"."+field, format, args...)
+	l.doc.Failf(l.path+"."+field, format, args...)
 }
 
 // The JSON forms of list files, parts and manifests.
@@ -126,7 +126,7 @@
 	return all
 }
 
-func (d *Draft) decode(f File, into any) *strictjson.Doc {
+func (d *Draft) decode(f File, into any) *strictjson.Document {
 	doc := strictjson.Decode(f.Name, f.Data, into)
 	d.docs = append(d.docs, doc)
 	return doc
@@ -146,25 +146,25 @@
 		d.decode(File{Name: "the list"}, &listJSON{})
 	default:
 		doc := d.decode(File{Name: path.Dir(files[0].Name), Data: []byte("{}")}, &listJSON{})
-		doc.Fail("?", "%d files and no %s to bind them", len(files), ManifestName)
+		doc.Failf("?", "%d files and no %s to bind them", len(files), ManifestName)
 	}
 }
 
 // readHeader reads the generation, and checks that the file is complete: its end must repeat the generation.
-func (d *Draft) readHeader(doc *strictjson.Doc, generation, end *uint64, force bool) {
+func (d *Draft) readHeader(doc *strictjson.Document, generation, end *uint64, force bool) {
 	d.header, d.Force = location{doc, "generation"}, force
-	if !doc.Ok() {
+	if !doc.Valid() {
 		return
 	}
 	switch {
 	case generation == nil:
-		doc.Fail("generation", "generation is missing")
+		doc.Failf("generation", "generation is missing")
 	case *generation == 0:
-		doc.Fail("generation", "generation counts from 1")
+		doc.Failf("generation", "generation counts from 1")
 	case end == nil:
-		doc.Fail("end", "end is missing: it gives the generation once more, behind all else")
+		doc.Failf("end", "end is missing: it gives the generation once more, behind all else")
 	case *end != *generation:
-		doc.Fail("end", "end says %d, generation %d: the file is half written", *end, *generation)
+		doc.Failf("end", "end says %d, generation %d: the file is half written", *end, *generation)
 	default:
 		d.Generation = *generation
 	}
@@ -175,11 +175,11 @@
 	var m manifestJSON
 	doc := d.decode(manifest, &m)
 	d.readHeader(doc, m.Generation, m.End, m.Force)
-	if !doc.Ok() {
+	if !doc.Valid() {
 		return
 	}
 	if len(m.Parts) == 0 || len(m.Parts) > maxParts {
-		doc.Fail("parts", "wants 1 to %d parts, not %d", maxParts, len(m.Parts))
+		doc.Failf("parts", "wants 1 to %d parts, not %d", maxParts, len(m.Parts))
 		return
 	}
 	named := map[string]bool{}
@@ -224,16 +224,16 @@
 }
 
 // addServers checks and adds the entries of one file.
-func (d *Draft) addServers(doc *strictjson.Doc, entries []serverJSON) {
-	if !doc.Ok() {
+func (d *Draft) addServers(doc *strictjson.Document, entries []serverJSON) {
+	if !doc.Valid() {
 		return
 	}
 	if !doc.Has("servers") {
-		doc.Fail("servers", "servers is missing")
+		doc.Failf("servers", "servers is missing")
 		return
 	}
 	if len(d.Servers)+len(entries) > maxServers {
-		doc.Fail("servers", "more than %d servers", maxServers)
+		doc.Failf("servers", "more than %d servers", maxServers)
 		return
 	}
 	for i, e := range entries {
--- a/internal/decide/serverlist/resolve.go
+++ b/internal/decide/serverlist/resolve.go
@@ -94,7 +94,7 @@
 // one list alone, and it may not drop more than MaxDropped of the ready servers. The second also rejects a file that is
 // being written in place over an older one.
 func (d *Draft) checkChange(next, current *List) {
-	fail := func(format string, args ...any) { d.header.doc.Fail(d.header.path, format, args...) }
+	fail := func(format string, args ...any) { d.header.doc.Failf(d.header.path, format, args...) }
 	switch {
 	case next.Generation < current.Generation:
 		fail("generation goes back from %d to %d", current.Generation, next.Generation)
--- a/internal/lab/hollow/spec.go
+++ b/internal/lab/hollow/spec.go
@@ -98,17 +98,17 @@
 	if len(s.Processes) == 0 {
 		s.Processes = Usual().Processes
 	}
-	if doc.Ok() {
+	if doc.Valid() {
 		s.check(doc)
 	}
 	doc.Defects.Sort()
 	return s, doc.Defects
 }
 
-func (s *Spec) check(doc *strictjson.Doc) {
+func (s *Spec) check(doc *strictjson.Document) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
+			doc.Failf(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
 		}
 	}
 	within("seconds", s.Seconds, 1, mostSeconds)
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *Spec) checkFault(doc *strictjson.Doc, at string, f Fault, within func(string, float64, float64, float64)) {
+func (s *Spec) checkFault(doc *strictjson.Document, at string, f Fault, within func(string, float64, float64, float64)) {
 	k, known := kinds[f.Kind]
 	if !known {
 		names := make([]string, 0, len(kinds))
@@ -153,14 +153,14 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		doc.Fail(at+".kind", "kind %q is none of %s", f.Kind, strings.Join(names, ", "))
+		doc.Failf(at+".kind", "kind %q is none of %s", f.Kind, strings.Join(names, ", "))
 		return
 	}
 	within(at+".at_s", f.At, 0, s.Seconds)
 	if k.lasts {
 		within(at+".for_s", f.For, 0.1, s.Seconds+s.Settle-f.At)
 	} else if f.For != 0 {
-		doc.Fail(at+".for_s", "%s has no duration", f.Kind)
+		doc.Failf(at+".for_s", "%s has no duration", f.Kind)
 	}
 	if k.share {
 		within(at+".share", f.Share, 0.0001, 1)
--- a/internal/lab/multiprocess/scenario.go
+++ b/internal/lab/multiprocess/scenario.go
@@ -83,17 +83,17 @@
 func ParseScenario(file string, text []byte) (Scenario, strictjson.Defects) {
 	s := Usual()
 	doc := strictjson.Decode(file, text, &s)
-	if doc.Ok() {
+	if doc.Valid() {
 		s.check(doc)
 	}
 	doc.Defects.Sort()
 	return s, doc.Defects
 }
 
-func (s *Scenario) check(doc *strictjson.Doc) {
+func (s *Scenario) check(doc *strictjson.Document) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
+			doc.Failf(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
 		}
 	}
 	within("seconds", s.Seconds, 1, mostSeconds)
@@ -115,7 +115,7 @@
 		at := fmt.Sprintf("faults[%d]", i)
 		k, known := kinds[f.Kind]
 		if !known {
-			doc.Fail(at+".kind", "kind %q is none of %s", f.Kind, strings.Join(names, ", "))
+			doc.Failf(at+".kind", "kind %q is none of %s", f.Kind, strings.Join(names, ", "))
 			continue
 		}
 		within(at+".at_s", f.At, 0, s.Seconds)
@@ -128,10 +128,10 @@
 			within(at+".from", float64(f.From), 0, float64(s.Zones-1))
 			within(at+".to", float64(f.To), 0, float64(s.Zones-1))
 			if f.From == f.To {
-				doc.Fail(at, "%s is between two zones, not within zone %d", f.Kind, f.From)
+				doc.Failf(at, "%s is between two zones, not within zone %d", f.Kind, f.From)
 			}
 			if !s.Peers {
-				doc.Fail(at+".kind", "%s needs peers: without them no process sends to another", f.Kind)
+				doc.Failf(at+".kind", "%s needs peers: without them no process sends to another", f.Kind)
 			}
 		}
 		if k.size > 0 {
--- a/internal/lab/sim/kinds.go
+++ b/internal/lab/sim/kinds.go
@@ -10,17 +10,17 @@
 )
 
 // checkKinds holds what settings of operators differ in to its bounds.
-func (s *Spec) checkKinds(doc *strictjson.Doc, within func(path string, v, least, most float64)) {
+func (s *Spec) checkKinds(doc *strictjson.Document, within func(path string, v, least, most float64)) {
 	f := s.Fleet
 	oneOf := func(path, value string, words []string) {
 		if !slices.Contains(words, value) {
-			doc.Fail(path, "%s %q is none of %s", path[strings.LastIndexByte(path, '.')+1:], value,
+			doc.Failf(path, "%s %q is none of %s", path[strings.LastIndexByte(path, '.')+1:], value,
 				strings.TrimPrefix(strings.Join(words, ", "), ", "))
 		}
 	}
 	perBranch := func(path string, list []int) {
 		if len(list) > 0 && len(list) != f.Branches {
-			doc.Fail(path, "%d numbers for %d branches", len(list), f.Branches)
+			doc.Failf(path, "%d numbers for %d branches", len(list), f.Branches)
 		}
 		for i, n := range list {
 			within(fmt.Sprintf("%s[%d]", path, i), float64(n), 1, 10_000)
@@ -50,13 +50,13 @@
 		case c.Effect == "keyed":
 			within(at+".window_ms", c.Window, 1, 1e7)
 		case c.Window != 0:
-			doc.Fail(at+".window_ms", "window_ms goes with effect keyed")
+			doc.Failf(at+".window_ms", "window_ms goes with effect keyed")
 		}
 	}
 	for i, t := range s.Troubles {
 		at := fmt.Sprintf("troubles[%d]", i)
 		if !slices.Contains(troubleKinds, t.Kind) {
-			doc.Fail(at+".kind", "kind %q is none of %s", t.Kind, strings.Join(troubleKinds, ", "))
+			doc.Failf(at+".kind", "kind %q is none of %s", t.Kind, strings.Join(troubleKinds, ", "))
 		}
 		within(at+".at_s", t.At, 0, s.Seconds)
 		within(at+".for_s", t.For, 0, s.Seconds)
--- a/internal/lab/sim/spec.go
+++ b/internal/lab/sim/spec.go
@@ -171,17 +171,17 @@
 func Parse(file string, text []byte) (Spec, strictjson.Defects) {
 	s := Default()
 	doc := strictjson.Decode(file, text, &s)
-	if doc.Ok() {
+	if doc.Valid() {
 		s.check(doc)
 	}
 	doc.Defects.Sort()
 	return s, doc.Defects
 }
 
-func (s *Spec) check(doc *strictjson.Doc) {
+func (s *Spec) check(doc *strictjson.Document) {
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			doc.Fail(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
+			doc.Failf(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], v, least, most)
 		}
 	}
 	count := func(path string, v, least, most int) { within(path, float64(v), float64(least), float64(most)) }
@@ -218,13 +218,13 @@
 	within("clients.honour", s.Clients.Honour, 0, 1)
 	count("clients.retries", s.Clients.Retries, 0, 20)
 	if len(s.Traffic.Classes) == 0 {
-		doc.Fail("traffic.classes", "classes is empty")
+		doc.Failf("traffic.classes", "classes is empty")
 	}
 	total := 0.0
 	for i, c := range s.Traffic.Classes {
 		at := fmt.Sprintf("traffic.classes[%d]", i)
 		if total += c.Share; c.Name == "" {
-			doc.Fail(at+".name", "a class needs a name")
+			doc.Failf(at+".name", "a class needs a name")
 		}
 		within(at+".share", c.Share, 0, 1e6)
 		within(at+".kb", c.KB, 0.001, 1e9)
@@ -236,10 +236,10 @@
 		within(at+".local", c.Local, 0, 1)
 	}
 	if len(s.Traffic.Classes) > 0 && !(total > 0) {
-		doc.Fail("traffic.classes", "no class has a share")
+		doc.Failf("traffic.classes", "no class has a share")
 	}
 	if math.IsNaN(total) {
-		doc.Fail("traffic.classes", "shares are no numbers")
+		doc.Failf("traffic.classes", "shares are no numbers")
 	}
 	s.checkKinds(doc, within)
 }
--- a/internal/source/filewatch/read.go
+++ b/internal/source/filewatch/read.go
@@ -17,7 +17,7 @@
 // Bounds of a read.
 const (
 	maxFiles = 1024
-	maxBytes = 2 * strictjson.MostBytes // of all files together
+	maxBytes = 2 * strictjson.MaxBytes // of all files together
 )
 
 // ErrChanged is the cause if a file changes while it is read.
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -65,7 +65,7 @@
 
 // Bounds of a text: deeper or larger ones are no configuration, and would only cost memory.
 const (
-	MostBytes = 32 << 20
+	MaxBytes  = 32 << 20
 	mostDepth = 32
 	// mostMembers of an object: names are compared in pairs.
 	mostMembers = 1000
@@ -73,8 +73,8 @@
 	mostDefects = 100
 )
 
-// Doc is one text that was read, with the places of its values.
-type Doc struct {
+// Document is one text that was read, with the places of its values.
+type Document struct {
 	File    string
 	Defects Defects
 
@@ -86,16 +86,16 @@
 
 // Decode reads text into target, a pointer to a struct with json tags. A nil Doc is never returned: its Defects
 // say what can't be used, and Fail adds what the caller finds.
-func Decode(file string, text []byte, target any) *Doc {
-	d := &Doc{File: file, starts: []int{0}, fields: map[reflect.Type]map[string]int{}}
+func Decode(file string, text []byte, target any) *Document {
+	d := &Document{File: file, starts: []int{0}, fields: map[reflect.Type]map[string]int{}}
 	for i, b := range text {
 		if b == '\n' {
 			d.starts = append(d.starts, i+1)
 		}
 	}
 	switch {
-	case len(text) > MostBytes:
-		d.fail(-1, fmt.Sprintf("larger than %d bytes", MostBytes))
+	case len(text) > MaxBytes:
+		d.fail(-1, fmt.Sprintf("larger than %d bytes", MaxBytes))
 		return d
 	case len(strings.TrimSpace(string(text))) == 0:
 		d.fail(-1, "empty")
@@ -149,7 +149,7 @@
 
 var syntaxPlace = regexp.MustCompile(`line (\d+), column (\d+): (.*)$`)
 
-func (d *Doc) syntax(err error) {
+func (d *Document) syntax(err error) {
 	m := syntaxPlace.FindStringSubmatch(strings.ReplaceAll(err.Error(), "\n", " "))
 	if m == nil {
 		d.fail(-1, err.Error())
@@ -165,10 +165,10 @@
 }
 
 // Has tells whether the text gives a value at this path.
-func (d *Doc) Has(path string) bool { _, ok := d.find(path); return ok }
+func (d *Document) Has(path string) bool { _, ok := d.find(path); return ok }
 
 // find is the offset of the value at a path, as in servers[3].addr.
-func (d *Doc) find(path string) (at int, ok bool) {
+func (d *Document) find(path string) (at int, ok bool) {
 	v, rest := &d.root, path
 	for rest != "" {
 		switch x := v.Value.(type) {
@@ -198,8 +198,8 @@
 	return v.StartOffset, v.Value != nil
 }
 
-// Fail adds a defect at the place of a path, or of the nearest value around it that the text holds.
-func (d *Doc) Fail(path, format string, args ...any) {
+// Failf adds a defect at the place of a path, or of the nearest value around it that the text holds.
+func (d *Document) Failf(path, format string, args ...any) {
 	for p := path; ; {
 		if at, ok := d.find(p); ok {
 			d.fail(at, fmt.Sprintf(format, args...))
@@ -213,8 +213,8 @@
 	d.fail(-1, fmt.Sprintf(format, args...))
 }
 
-// Place is where the value of a path begins, as line:column; "" if the text holds none.
-func (d *Doc) Place(path string) string {
+// Position is where the value of a path begins, as line:column; "" if the text holds none.
+func (d *Document) Position(path string) string {
 	at, ok := d.find(path)
 	if !ok {
 		return ""
@@ -223,10 +223,10 @@
 	return fmt.Sprintf("%d:%d", line, col)
 }
 
-// Ok tells whether no defect was found so far.
-func (d *Doc) Ok() bool { return len(d.Defects) == 0 }
+// Valid tells whether no defect was found so far.
+func (d *Document) Valid() bool { return len(d.Defects) == 0 }
 
-func (d *Doc) place(at int) (line, col int) {
+func (d *Document) place(at int) (line, col int) {
 	i, found := slices.BinarySearch(d.starts, at)
 	if !found {
 		i--
@@ -234,7 +234,7 @@
 	return i + 1, at - d.starts[i] + 1
 }
 
-func (d *Doc) fail(at int, reason string) {
+func (d *Document) fail(at int, reason string) {
 	if len(d.Defects) >= mostDefects {
 		d.more++
 		d.Defects[mostDefects-1] = Defect{File: d.File, Reason: fmt.Sprintf("%d more defects", d.more+1)}
@@ -248,7 +248,7 @@
 }
 
 // value puts one parsed value into the target.
-func (d *Doc) value(v *hujson.Value, into reflect.Value) {
+func (d *Document) value(v *hujson.Value, into reflect.Value) {
 	if lit, ok := v.Value.(hujson.Literal); ok && lit.Kind() == 'n' {
 		if into.Kind() != reflect.Pointer && into.Kind() != reflect.Map && into.Kind() != reflect.Slice {
 			d.fail(v.StartOffset, "null is no value here")
@@ -304,7 +304,7 @@
 }
 
 // members calls f for an object's members, each name once.
-func (d *Doc) members(o *hujson.Object, f func(name string, m *hujson.ObjectMember)) {
+func (d *Document) members(o *hujson.Object, f func(name string, m *hujson.ObjectMember)) {
 	for i := range o.Members {
 		m := &o.Members[i]
 		lit := m.Name.Value.(hujson.Literal)
@@ -322,7 +322,7 @@
 	}
 }
 
-func (d *Doc) object(o *hujson.Object, into reflect.Value) {
+func (d *Document) object(o *hujson.Object, into reflect.Value) {
 	fields := d.fieldsOf(into.Type())
 	if len(o.Members) > mostMembers {
 		d.fail(o.Members[0].Name.StartOffset, fmt.Sprintf("more than %d fields", mostMembers))
@@ -339,7 +339,7 @@
 }
 
 // fieldsOf maps the names in json tags to field numbers.
-func (d *Doc) fieldsOf(t reflect.Type) map[string]int {
+func (d *Document) fieldsOf(t reflect.Type) map[string]int {
 	if fields := d.fields[t]; fields != nil {
 		return fields
 	}
@@ -387,7 +387,7 @@
 	return a[i:] == b[i+1:]
 }
 
-func (d *Doc) scalar(v *hujson.Value, into reflect.Value) {
+func (d *Document) scalar(v *hujson.Value, into reflect.Value) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok {
 		d.wrong(v, wants(into.Kind()))
@@ -444,7 +444,7 @@
 }
 
 // wrong says what was wanted in place of what stands there.
-func (d *Doc) wrong(v *hujson.Value, want string) {
+func (d *Document) wrong(v *hujson.Value, want string) {
 	is := "an object"
 	switch x := v.Value.(type) {
 	case *hujson.Array:
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -60,10 +60,10 @@
 	require.NoError(t, d.Defects.Err())
 	require.Equal(t, form{Name: "a", Parts: []part{{"x"}}}, f)
 	require.True(t, d.Has("parts[0].file") && !d.Has("size"))
-	require.Equal(t, "4:14", d.Place("parts[0].file"))
-	d.Fail("parts[0].file", "no such file %q", "x")
-	d.Fail("parts[0].hash", "is missing")
-	d.Fail("size", "is missing")
+	require.Equal(t, "4:14", d.Position("parts[0].file"))
+	d.Failf("parts[0].file", "no such file %q", "x")
+	d.Failf("parts[0].hash", "is missing")
+	d.Failf("size", "is missing")
 	require.EqualError(t, d.Defects, "f:4:14: no such file \"x\"\nf:4:5: is missing\nf:1:1: is missing")
 }
 
@@ -73,7 +73,7 @@
 	for i := range text {
 		var f form
 		d := strictjson.Decode("f", []byte(text[:i]), &f)
-		require.Equal(t, i > strings.LastIndex(text, "}"), d.Ok(), text[:i])
+		require.Equal(t, i > strings.LastIndex(text, "}"), d.Valid(), text[:i])
 	}
 }
 
