--- a/cmd/ravenwheel/config_command.go
+++ b/cmd/ravenwheel/config_command.go
@@ -131,13 +131,13 @@
 	if _, err := fmt.Sscan(args[0], &revision); err != nil || revision == 0 {
 		return fmt.Errorf("%q is no revision", args[0])
 	}
-	return changeConfig(cmd, admin.ConfigRequest{Back: revision})
+	return changeConfig(cmd, admin.ConfigRequest{RollbackTo: revision})
 }
 
 // changeConfig proposes a revision in the name of the user, and prints its number.
 func changeConfig(cmd *cobra.Command, request admin.ConfigRequest) error {
 	if author, err := user.Current(); err == nil {
-		request.By = author.Username
+		request.Author = author.Username
 	}
 	var response struct {
 		Revision uint64 `json:"revision"`
--- a/cmd/ravenwheel/peers_command.go
+++ b/cmd/ravenwheel/peers_command.go
@@ -58,7 +58,7 @@
 	var response struct {
 		TookMs float64 `json:"took_ms"`
 	}
-	err = callAdmin(peersPath, admin.PeerRequest{Do: action, Name: name}, &response)
+	err = callAdmin(peersPath, admin.PeerRequest{Action: action, Name: name}, &response)
 	return response.TookMs, err
 }
 
@@ -100,12 +100,12 @@
 	for _, s := range response.Servers {
 		fmt.Fprintf(table, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\n", s.ID, s.Reporters, s.Load.Value, s.Load.Low, s.Load.High,
 			s.Failing.Value, s.Failing.Low, s.Failing.High, s.Overdue.Value, s.P50, s.P90, s.OwnWeight)
-		for _, r := range s.Said {
+		for _, r := range s.Reports {
 			fmt.Fprintf(table, "  %s\t%s\t%.1f\t\t\t%.2f\t\t\t\t%.0f\t%.0f\t%.1f s old\n", r.Name, r.Zone, r.Attempts, r.Failing, r.Latency.Quantile(0.5),
 				r.Latency.Quantile(0.9), r.Age/msPerSecond)
 		}
 	}
-	for _, h := range response.Heavy {
+	for _, h := range response.HeavyHitters {
 		fmt.Fprintf(table, "object %016x\t%d\t%.1f\t%.1f\t%.1f\n", h.Object, h.Reporters, h.Rate.Value, h.Rate.Low, h.Rate.High)
 	}
 }
--- a/cmd/ravenwheel/servers_command.go
+++ b/cmd/ravenwheel/servers_command.go
@@ -169,11 +169,11 @@
 	fmt.Fprintln(table, "ID\tADDR\tZONE\tKIND\tPHASE\tWEIGHT\tFOR\tWHY")
 	for _, s := range response.Servers {
 		weight := fmt.Sprintf("%.4g", s.Weight)
-		if s.Weight != s.Wanted {
-			weight += fmt.Sprintf(" (to %.4g)", s.Wanted)
+		if s.Weight != s.TargetWeight {
+			weight += fmt.Sprintf(" (to %.4g)", s.TargetWeight)
 		}
-		since := clock.Duration(response.NowMs - s.Since).Round(time.Second)
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.ID, s.Addr, s.Zone, s.Kind, s.Phase, weight, since, s.Why)
+		since := clock.Duration(response.NowMs - s.SinceMs).Round(time.Second)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.ID, s.Addr, s.Zone, s.Kind, s.Phase, weight, since, s.Reason)
 	}
 	_ = table.Flush()
 }
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -27,7 +27,7 @@
 	discovery *discoveryclient.Client // nil: none
 	list      *filewatch.Watcher      // nil: no list is watched
 	state     *state.Recorder         // nil: nothing survives a restart
-	admin     *admin.Admin            // nil: off
+	admin     *admin.Endpoint         // nil: off
 
 	// For lists that operators push to the store.
 	resolver     *resolver.Cache
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -132,7 +132,7 @@
 		id = named
 	}
 	var s admin.ServersResponse
-	return admin.Call(x.sock, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.Server) bool {
+	return admin.Call(x.sock, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.ServerStatus) bool {
 		return v.ID == serverlist.FormatID(id) && v.Phase == "ready"
 	})
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -37,25 +37,25 @@
 	"ravenwheel/policy"
 )
 
-// Server is one server as the proxy sees it. Times are Unix ms.
-type Server struct {
-	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
-	Zone   string  `json:"zone"`
-	Kind   string  `json:"kind"`
-	Phase  string  `json:"phase"`
-	Weight float64 `json:"weight"`
-	Wanted float64 `json:"wanted_weight"`
-	Since  float64 `json:"since_ms"`
-	Why    string  `json:"why"`
-	Source string  `json:"source,omitempty"`
+// ServerStatus is one server as the proxy sees it. Times are Unix ms.
+type ServerStatus struct {
+	ID           string  `json:"id"`
+	Addr         string  `json:"addr"`
+	Zone         string  `json:"zone"`
+	Kind         string  `json:"kind"`
+	Phase        string  `json:"phase"`
+	Weight       float64 `json:"weight"`
+	TargetWeight float64 `json:"wanted_weight"`
+	SinceMs      float64 `json:"since_ms"`
+	Reason       string  `json:"why"`
+	Source       string  `json:"source,omitempty"`
 }
 
 // ServersResponse is what "servers show" shows.
 type ServersResponse struct {
 	Version uint64            `json:"version"`
 	NowMs   float64           `json:"now_ms"`
-	Servers []Server          `json:"servers"`
+	Servers []ServerStatus    `json:"servers"`
 	List    *filewatch.Status `json:"list,omitempty"`
 }
 
@@ -96,8 +96,8 @@
 // ErrNotMember is the answer to what only a member of the store can do, in a process that subscribes: nothing was done.
 var ErrNotMember = errors.New("this process only hears what the store holds: tell a member of the store")
 
-// Admin serves operators.
-type Admin struct {
+// Endpoint serves operators.
+type Endpoint struct {
 	opt Options
 	srv *http.Server
 	ln  net.Listener
@@ -110,8 +110,8 @@
 )
 
 // Listen opens the address.
-func Listen(o Options) (*Admin, error) {
-	a := &Admin{opt: o}
+func Listen(o Options) (*Endpoint, error) {
+	a := &Endpoint{opt: o}
 	network, addr := split(o.Listen)
 	if network == "unix" {
 		// What a process that was killed left behind; one that listens keeps it.
@@ -177,7 +177,7 @@
 }
 
 // Addr is where it listens, as Options.Listen has it.
-func (a *Admin) Addr() string {
+func (a *Endpoint) Addr() string {
 	if network, _ := split(a.opt.Listen); network == "unix" {
 		return a.opt.Listen
 	}
@@ -185,18 +185,18 @@
 }
 
 // Serve answers until Close.
-func (a *Admin) Serve() {
+func (a *Endpoint) Serve() {
 	if err := a.srv.Serve(transient.KeepAccepting(a.ln)); !errors.Is(err, http.ErrServerClosed) {
 		a.opt.Log.Error("admin").Err(err).Msg("the operators' address is lost")
 	}
 }
 
 // Close ends it.
-func (a *Admin) Close() { _ = a.srv.Close() }
+func (a *Endpoint) Close() { _ = a.srv.Close() }
 
-func (a *Admin) servers(w http.ResponseWriter, _ *http.Request) {
+func (a *Endpoint) servers(w http.ResponseWriter, _ *http.Request) {
 	views, version := a.opt.Servers()
-	out := ServersResponse{Version: version, NowMs: a.opt.Clock.Now(), Servers: make([]Server, len(views))}
+	out := ServersResponse{Version: version, NowMs: a.opt.Clock.Now(), Servers: make([]ServerStatus, len(views))}
 	name := func(list []string, i int) string {
 		if i < 0 || i >= len(list) {
 			return strconv.Itoa(i)
@@ -205,9 +205,9 @@
 	}
 	for i, v := range views {
 		m := v.Member
-		out.Servers[i] = Server{
+		out.Servers[i] = ServerStatus{
 			ID: serverlist.FormatID(m.ID), Addr: m.Addr, Zone: name(a.opt.Names.Zones, m.Zone), Kind: name(a.opt.Names.Kinds, m.Kind),
-			Phase: v.Phase.String(), Weight: m.Weight, Wanted: v.TargetWeight, Since: v.Since, Why: v.Reason, Source: v.Source,
+			Phase: v.Phase.String(), Weight: m.Weight, TargetWeight: v.TargetWeight, SinceMs: v.Since, Reason: v.Reason, Source: v.Source,
 		}
 	}
 	if a.opt.ListStatus != nil {
@@ -217,7 +217,7 @@
 	reply(w, out)
 }
 
-func (a *Admin) counters(w http.ResponseWriter, _ *http.Request) {
+func (a *Endpoint) counters(w http.ResponseWriter, _ *http.Request) {
 	n := &a.opt.Core.Counters
 	reply(w, map[string]int64{
 		"requests": n.Requests.Load(), "served": n.Served.Load(), "refused": n.Rejected.Load(), "failed": n.Failed.Load(),
@@ -227,7 +227,7 @@
 	})
 }
 
-func (a *Admin) state(w http.ResponseWriter, _ *http.Request) {
+func (a *Endpoint) state(w http.ResponseWriter, _ *http.Request) {
 	if a.opt.State == nil {
 		http.Error(w, "no state is kept", http.StatusNotFound)
 		return
@@ -241,7 +241,7 @@
 	Group  *int   `json:"group,omitempty"`
 }
 
-func (a *Admin) purge(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) purge(w http.ResponseWriter, r *http.Request) {
 	var p PurgeRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&p)
 	// A copy made within the millisecond of its purge counts as older, as on the notice board.
@@ -267,7 +267,7 @@
 	Phase string `json:"phase"`
 }
 
-func (a *Admin) status(w http.ResponseWriter, _ *http.Request) {
+func (a *Endpoint) status(w http.ResponseWriter, _ *http.Request) {
 	text, ready := a.opt.Controller.Status()
 	reply(w, StatusResponse{Ready: ready, Phase: text})
 }
@@ -277,7 +277,7 @@
 	On bool `json:"on"`
 }
 
-func (a *Admin) pause(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) pause(w http.ResponseWriter, r *http.Request) {
 	var p PauseRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&p)
 	if err == nil {
@@ -297,7 +297,7 @@
 	On bool   `json:"on"`
 }
 
-func (a *Admin) drain(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) drain(w http.ResponseWriter, r *http.Request) {
 	var d DrainRequest
 	id, ok := policy.CacheID(0), false
 	if json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&d) == nil {
@@ -335,7 +335,7 @@
 	Text string `json:"text"`
 }
 
-func (a *Admin) push(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) push(w http.ResponseWriter, r *http.Request) {
 	var l PushListRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, 2*strictjson.MaxBytes)).Decode(&l)
 	var set *serverlist.List
@@ -356,7 +356,7 @@
 	StaleMs   float64               `json:"stale_ms"` // how long this member has heard of no leader
 }
 
-func (a *Admin) config(w http.ResponseWriter, _ *http.Request) {
+func (a *Endpoint) config(w http.ResponseWriter, _ *http.Request) {
 	out := ConfigResponse{StaleMs: a.opt.Store.Status().StaleMs}
 	a.opt.Store.ReadLocal(func(s *storestate.State) {
 		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Revisions)
@@ -366,23 +366,23 @@
 
 // ConfigRequest puts a text in place of a revision, or goes back to one.
 type ConfigRequest struct {
-	Base uint64 `json:"base"`
-	Text string `json:"text"`
-	By   string `json:"by"`
-	Back uint64 `json:"back"` // the revision to go back to; 0: Text
+	Base       uint64 `json:"base"`
+	Text       string `json:"text"`
+	Author     string `json:"by"`
+	RollbackTo uint64 `json:"back"` // the revision to go back to; 0: Text
 }
 
-func (a *Admin) configure(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) configure(w http.ResponseWriter, r *http.Request) {
 	var c ConfigRequest
 	err := json.NewDecoder(io.LimitReader(r.Body, mostSent)).Decode(&c)
 	var revision uint64
 	switch {
 	case err != nil:
-	case c.Back > 0:
-		revision, err = a.opt.Store.Rollback(c.Back, c.By)
+	case c.RollbackTo > 0:
+		revision, err = a.opt.Store.Rollback(c.RollbackTo, c.Author)
 	default:
 		if _, err = config.ParseLive("revision", c.Text); err == nil {
-			revision, err = a.opt.Store.SetConfig(c.Base, c.Text, c.By)
+			revision, err = a.opt.Store.SetConfig(c.Base, c.Text, c.Author)
 		}
 	}
 	if err != nil {
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -42,13 +42,13 @@
 
 func TestGoldenForms(t *testing.T) {
 	goldenForm(t, "servers.json", ServersResponse{
-		Version: 9, NowMs: 1000.5, Servers: []Server{{
-			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, Wanted: 8, Since: 900.25,
-			Why: "drained by hand", Source: "board",
+		Version: 9, NowMs: 1000.5, Servers: []ServerStatus{{
+			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, TargetWeight: 8, SinceMs: 900.25,
+			Reason: "drained by hand", Source: "board",
 		}},
 		List: &filewatch.Status{Path: "servers.jsonc", Generation: 7, AcceptedMs: 1, Reasons: []string{"torn"}, RejectedMs: 2, Reads: 3, Accepted: 4, Rejected: 5},
 	})
-	goldenForm(t, "servers-empty.json", ServersResponse{Servers: []Server{{ID: "s-00000001"}}})
+	goldenForm(t, "servers-empty.json", ServersResponse{Servers: []ServerStatus{{ID: "s-00000001"}}})
 	group, zero := 17, 0
 	goldenForm(t, "purge-object.json", PurgeRequest{Object: "7f3a9c21e0b4d655"})
 	goldenForm(t, "purge-group.json", PurgeRequest{Group: &group})
@@ -60,8 +60,8 @@
 	goldenForm(t, "config.json", ConfigResponse{
 		InForce: 2, StaleMs: 3.5, Revisions: []storestate.Revision{{Number: 1, CreatedAt: 10.5, Author: "ann", Text: "{}", RollbackOf: 4}, {Number: 2, CreatedAt: 11, Text: "{}"}},
 	})
-	goldenForm(t, "configure.json", ConfigRequest{Base: 1, Text: "{}", By: "ann", Back: 2})
-	goldenForm(t, "peer-call.json", PeerRequest{Do: "ping", Name: "proxy-1"})
+	goldenForm(t, "configure.json", ConfigRequest{Base: 1, Text: "{}", Author: "ann", RollbackTo: 2})
+	goldenForm(t, "peer-call.json", PeerRequest{Action: "ping", Name: "proxy-1"})
 	figure := fleetview.BoundedValue{Value: 1.5, Low: 1, High: 2}
 	goldenForm(t, "view.json", ViewResponse{
 		Peers: []fleetview.Peer{{Name: "proxy-1", Zone: "east", Incarnation: 5, Age: 100.5, Arrivals: 20, Servers: 3}},
@@ -69,11 +69,11 @@
 			{
 				ID:       "s-00c41f7a",
 				Estimate: fleetview.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnWeight: 0.5},
-				Said:     []fleetview.Report{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: fleetview.Latency{1, 2}}},
+				Reports:  []fleetview.Report{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: fleetview.Latency{1, 2}}},
 			},
 			{ID: "s-00000001"},
 		},
-		Heavy: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Reporters: 2}},
+		HeavyHitters: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Reporters: 2}},
 	})
 	goldenForm(t, "discovery.json", discoveryclient.Status{
 		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Disconnected: 5, Closed: 6, AddressChanges: 7, Frames: 8, EventsAfterSilence: 9,
@@ -105,7 +105,7 @@
 	return &serverlist.List{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
 }
 
-func goldenAdmin(t *testing.T, err error) *Admin {
+func goldenAdmin(t *testing.T, err error) *Endpoint {
 	ready := membership.ServerStatus{
 		Phase: membership.Ready, Since: 900.25, Reason: "board 7", Source: "board", TargetWeight: 8,
 		Member: membership.Member{Addr: "10.1.0.9:4100", Member: policy.Member{ID: 0x00c41f7a, Zone: 1, Kind: 0, Weight: 4}},
@@ -134,7 +134,7 @@
 }
 
 // goldenCall makes one call and writes down what was answered.
-func goldenCall(t *testing.T, a *Admin, transcript *bytes.Buffer, method, path, body string) {
+func goldenCall(t *testing.T, a *Endpoint, transcript *bytes.Buffer, method, path, body string) {
 	request, err := http.NewRequest(method, "http://"+a.Addr()+path, strings.NewReader(body))
 	require.NoError(t, err)
 	answer, err := http.DefaultClient.Do(request)
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -277,7 +277,7 @@
 		},
 		func(ctx context.Context) error {
 			if err := r.until(ctx, "the drain is over", func(s admin.ServersResponse) bool {
-				return slices.ContainsFunc(s.Servers, func(x admin.Server) bool { return x.ID == serverlist.FormatID(gone) && x.Phase == "gone" })
+				return slices.ContainsFunc(s.Servers, func(x admin.ServerStatus) bool { return x.ID == serverlist.FormatID(gone) && x.Phase == "gone" })
 			}); err != nil {
 				return err
 			}
--- a/internal/lab/multiprocess/hard_test.go
+++ b/internal/lab/multiprocess/hard_test.go
@@ -174,7 +174,7 @@
 		require.NoError(t, err)
 		n := 0
 		for _, x := range v.Servers {
-			for _, w := range x.Said {
+			for _, w := range x.Reports {
 				if w.Attempts > 50 && (w.Name == f.Processes[6].Name || w.Name == f.Processes[7].Name) {
 					n++
 				}
--- a/internal/lab/multiprocess/peers_test.go
+++ b/internal/lab/multiprocess/peers_test.go
@@ -142,7 +142,7 @@
 			if x.ID == serverlist.FormatID(caches[0]) {
 				said, err := p.View(x.ID)
 				require.NoError(t, err)
-				for _, r := range said.Servers[0].Said {
+				for _, r := range said.Servers[0].Reports {
 					if r.Name == liar.Name && r.Attempts > 1e4 {
 						byLiar++
 					}
