--- a/internal/decide/distribution/atomic_batch_test.go
+++ b/internal/decide/distribution/atomic_batch_test.go
@@ -43,7 +43,9 @@
 		return distribution.Watermark{Sequence: sequence, At: 1000}
 	}
 	relay := distribution.NewDistributor(set)
-	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeEntry(90, "early")}})
+	relay.Handle(1000, distribution.InstallSnapshot{
+		Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeEntry(90, "early")},
+	})
 	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
 
 	snapshot := []distribution.Entry{purgeEntry(139, "early"), purgeEntry(140, "late"), purgeEntry(200, "later")}
@@ -69,7 +71,9 @@
 	next := distribution.NewDistributor(set) // the level below must not split it either
 	next.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100)})
 	next.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
-	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: mark(200), Entries: bridge.Entries}))
+	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{
+		Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: mark(200), Entries: bridge.Entries,
+	}))
 	require.Len(t, got, 1)
 	require.True(t, got[0].(distribution.Batch).Atomic)
 }
@@ -78,10 +82,18 @@
 func TestBacklogContinuesBehindAtomicBatch(t *testing.T) {
 	relay := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
 	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: distribution.Watermark{Sequence: 100, At: 1000}})
-	relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: distribution.Watermark{Sequence: 200, At: 1001}, Entries: []distribution.Entry{purgeEntry(200, "x")}})
-	relay.Handle(1002, distribution.Apply{Epoch: 1, After: 200, Through: 205, Watermark: distribution.Watermark{Sequence: 205, At: 1002}, Entries: []distribution.Entry{purgeEntry(203, "y")}})
+	relay.Handle(1001, distribution.InstallSnapshot{
+		Epoch: 1, Through: 200, Watermark: distribution.Watermark{Sequence: 200, At: 1001},
+		Entries: []distribution.Entry{purgeEntry(200, "x")},
+	})
+	relay.Handle(1002, distribution.Apply{
+		Epoch: 1, After: 200, Through: 205, Watermark: distribution.Watermark{Sequence: 205, At: 1002},
+		Entries: []distribution.Entry{purgeEntry(203, "y")},
+	})
 	for _, from := range []uint64{200, 203} {
-		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{Link: distribution.Link(from), Message: subscribeFrom("s", from)}))
+		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{
+			Link: distribution.Link(from), Message: subscribeFrom("s", from),
+		}))
 		require.Len(t, got, 2)
 		batch := got[1].(distribution.Batch)
 		require.False(t, batch.Atomic)
--- a/internal/decide/distribution/drawn_faults_test.go
+++ b/internal/decide/distribution/drawn_faults_test.go
@@ -18,10 +18,15 @@
 		name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name")
 		made := rapid.Int64Range(100, 200).Draw(t, "made")
 		until := rapid.SampledFrom([]int64{0, 13_000, 20_000, 90_000}).Draw(t, "until")
-		e := distribution.Entry{Kind: distribution.PurgeObject, Name: name, Group: int64(name[0]) % 2, GroupKnown: name != "z", EffectiveAt: made, ExpiresAt: until}
+		e := distribution.Entry{
+			Kind: distribution.PurgeObject, Name: name, Group: int64(name[0]) % 2, GroupKnown: name != "z",
+			EffectiveAt: made, ExpiresAt: until,
+		}
 		switch {
 		case stream == distribution.Configuration:
-			kind := rapid.SampledFrom([]distribution.Kind{distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]distribution.Kind{
+				distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded,
+			}).Draw(t, "kind")
 			e = distribution.Entry{Kind: kind, Name: name, EffectiveAt: made}
 			if kind == distribution.Revision || kind == distribution.List {
 				e.Version, e.Body = uint64(i+1), []byte(name)
@@ -139,7 +144,10 @@
 		return c
 	default:
 		after := rapid.Uint64Range(0, through).Draw(t, "after")
-		return distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: validEntries(epoch, after, through)}
+		return distribution.Batch{
+			Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark,
+			Entries: validEntries(epoch, after, through),
+		}
 	}
 }
 
--- a/internal/decide/distribution/failover_test.go
+++ b/internal/decide/distribution/failover_test.go
@@ -149,7 +149,9 @@
 	}
 	for i, p := range peers {
 		z.distributors[p.Name] = distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, p))
-		z.handleDistributor(p.Name, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
+		z.handleDistributor(p.Name, distribution.InstallSnapshot{
+			Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)},
+		})
 		if i > 0 {
 			z.handleDistributor(p.Name, distribution.Demand{Subscribers: subscribers, Distributors: distributors})
 		}
--- a/internal/decide/distribution/golden_test.go
+++ b/internal/decide/distribution/golden_test.go
@@ -12,7 +12,10 @@
 // goldenEntries have every kind, with and without what is optional.
 func goldenEntries() []distribution.Entry {
 	return []distribution.Entry{
-		{Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true, EffectiveAt: timeInTests - 1500, ExpiresAt: timeInTests + 3_600_000},
+		{
+			Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true,
+			EffectiveAt: timeInTests - 1500, ExpiresAt: timeInTests + 3_600_000,
+		},
 		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: timeInTests + 5},
 		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: timeInTests - 2, ExpiresAt: timeInTests + 1},
 		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: timeInTests},
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -46,12 +46,18 @@
 	{name: "epoch", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, healEvery: 11},
 	{name: "behind", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts}, commits: 4, healEvery: 11},
 	{name: "restart", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts}, healEvery: 5},
-	{name: "far behind", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts}, prepare: leftCutOff, healEvery: 5},
+	{
+		name: "far behind", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts},
+		prepare: leftCutOff, healEvery: 5,
+	},
 	{name: "old", absent: atRight, depth: 6, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, prepare: leftRestoring, healEvery: 11},
 	{name: "old chunks", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochChunks, healEvery: 11},
 	{name: "old batch", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochBatch, healEvery: 11},
 	{name: "asleep", absent: atRight, depth: 6, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: leafPaused, healEvery: 11},
-	{name: "four", depth: 5, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23},
+	{
+		name: "four", depth: 5, faults: 1, breakages: 1,
+		breakageKinds: []breakage{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23,
+	},
 }
 
 // step is one step of the model; the text is for the path to a failure.
--- a/internal/decide/distribution/mutation_test.go
+++ b/internal/decide/distribution/mutation_test.go
@@ -66,125 +66,182 @@
 
 // mutations are what could be wrong. Each must be caught by one of the searches.
 var mutations = []mutation{
-	{name: "a gap is not noticed", search: "loss", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, b, ok := batchIn(s, e); ok && b.After > s.AppliedSequence() {
-			b.After = s.AppliedSequence()
-			r.Message = b
-			return r
-		}
-		return e
-	}},
-	{name: "a duplicate is applied again", search: "loss", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
-			s.RewindTo(b.After)
-		}
-		return e
-	}},
-	{name: "a batch of an old epoch passes the fence", search: "old batch", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, b, ok := batchIn(s, e); ok && b.Epoch < s.Position().Epoch {
-			b.Epoch = s.Position().Epoch
-			r.Message = b
-			return r
-		}
-		return e
-	}},
-	{name: "an old epoch is not fenced off", search: "old chunks", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
-				s.ForgetHigherEpochs(c.Epoch)
+	{
+		name: "a gap is not noticed", search: "loss",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if r, b, ok := batchIn(s, e); ok && b.After > s.AppliedSequence() {
+				b.After = s.AppliedSequence()
+				r.Message = b
+				return r
 			}
-		}
-		return e
-	}},
-	{name: "a watermark holds before its sequence is applied", search: "loss", onAfter: func(s *distribution.Subscriber) { s.TrustPendingWatermark() }},
-	{name: "a batch claims its own end, with gaps that later entries cover", search: "loss", onSend: func(w *world, m distribution.Message) distribution.Message {
-		if b, ok := m.(distribution.Batch); ok {
-			b.Watermark.Sequence = b.Through
-			return b
-		}
-		return m
-	}},
-	{name: "a relay passes on its own end as complete", search: "loss", onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
-		if x, ok := a.(distribution.Apply); ok {
-			x.Watermark.Sequence = x.Through
-			return x
-		}
-		return a
-	}},
-	{name: "the newest purge does not carry what it covers", search: "crash", onSend: func(w *world, m distribution.Message) distribution.Message {
-		if c, ok := m.(distribution.SnapshotChunk); ok {
-			for i, e := range c.Entries {
-				if e.Name == script[2].Name && e.Sequence > 4 { // effective before the one that it covers
-					c.Entries[i].EffectiveAt = script[2].EffectiveAt + int64(w.epoch)*1000
+			return e
+		},
+	},
+	{
+		name: "a duplicate is applied again", search: "loss",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
+				s.RewindTo(b.After)
+			}
+			return e
+		},
+	},
+	{
+		name: "a batch of an old epoch passes the fence", search: "old batch",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if r, b, ok := batchIn(s, e); ok && b.Epoch < s.Position().Epoch {
+				b.Epoch = s.Position().Epoch
+				r.Message = b
+				return r
+			}
+			return e
+		},
+	},
+	{
+		name: "an old epoch is not fenced off", search: "old chunks",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if r, isMessage := e.(distribution.Received); isMessage {
+				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
+					s.ForgetHigherEpochs(c.Epoch)
 				}
 			}
-		}
-		return m
-	}},
-	{name: "a group's purge covers what ends later", search: "loss", onSend: func(w *world, m distribution.Message) distribution.Message {
-		b, ok := m.(distribution.Batch)
-		for i, e := range b.Entries {
-			if ok && e.Name == "y" && e.ExpiresAt < 20_000 {
-				b.Entries = append(b.Entries[:i:i], b.Entries[i+1:]...)
+			return e
+		},
+	},
+	{
+		name: "a watermark holds before its sequence is applied", search: "loss",
+		onAfter: func(s *distribution.Subscriber) { s.TrustPendingWatermark() },
+	},
+	{
+		name: "a batch claims its own end, with gaps that later entries cover", search: "loss",
+		onSend: func(w *world, m distribution.Message) distribution.Message {
+			if b, ok := m.(distribution.Batch); ok {
+				b.Watermark.Sequence = b.Through
 				return b
 			}
-		}
-		return m
-	}},
-	{name: "a lost chunk is not noticed", search: "epoch", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
-				c.Index = s.NextChunk()
-				r.Message = c
-				return r
+			return m
+		},
+	},
+	{
+		name: "a relay passes on its own end as complete", search: "loss",
+		onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
+			if x, ok := a.(distribution.Apply); ok {
+				x.Watermark.Sequence = x.Through
+				return x
 			}
-		}
-		return e
-	}},
-	{name: "a snapshot ends a chunk early", search: "loss", onSend: func(w *world, m distribution.Message) distribution.Message {
-		if c, ok := m.(distribution.SnapshotChunk); ok && c.Index == 0 {
-			c.Last = true
-			return c
-		}
-		return m
-	}},
-	{name: "a snapshot of an earlier position is installed", search: "old", onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-		if r, isMessage := e.(distribution.Received); isMessage {
-			if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.AppliedSequence() {
-				s.RewindTo(c.Through)
+			return a
+		},
+	},
+	{
+		name: "the newest purge does not carry what it covers", search: "crash",
+		onSend: func(w *world, m distribution.Message) distribution.Message {
+			if c, ok := m.(distribution.SnapshotChunk); ok {
+				for i, e := range c.Entries {
+					if e.Name == script[2].Name && e.Sequence > 4 { // effective before the one that it covers
+						c.Entries[i].EffectiveAt = script[2].EffectiveAt + int64(w.epoch)*1000
+					}
+				}
 			}
-		}
-		return e
-	}},
-	{name: "a subscriber resumes behind entries that it lacks", search: "loss", onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
-		if x, ok := a.(distribution.SendMessage); ok {
-			if m, isSubscribe := x.Message.(distribution.Subscribe); isSubscribe && m.From.Epoch != 0 {
-				m.From.Sequence += 2
-				x.Message = m
-				return x
+			return m
+		},
+	},
+	{
+		name: "a group's purge covers what ends later", search: "loss",
+		onSend: func(w *world, m distribution.Message) distribution.Message {
+			b, ok := m.(distribution.Batch)
+			for i, e := range b.Entries {
+				if ok && e.Name == "y" && e.ExpiresAt < 20_000 {
+					b.Entries = append(b.Entries[:i:i], b.Entries[i+1:]...)
+					return b
+				}
 			}
-		}
-		return a
-	}},
-	{name: "a relay sends its own time as the store's", search: "loss", onSend: func(w *world, m distribution.Message) distribution.Message {
-		if h, ok := m.(distribution.Heartbeat); ok {
-			h.Watermark.At = int64(w.now)
-			return h
-		}
-		return m
-	}},
-	{name: "credit is not counted", search: "crash", onDistributor: func(d *distribution.Distributor) { d.ResetCredits() }},
-	{name: "the backlog is not trimmed", search: "loss", onDistributor: func(d *distribution.Distributor) { d.UnlimitBacklog() }},
-	{name: "a subscriber behind the backlog gets no snapshot", search: "cut", onDistributor: func(d *distribution.Distributor) { d.PretendFullBacklog() }},
-	{name: "MaxLag is checked by Ticks only", search: "asleep", onGuard: func(g distribution.Freshness) distribution.Freshness {
-		g.FreshUntil = 1e18
-		return g
-	}},
-	{name: "the oldest copy is raised to some time before the watermark", search: "asleep", onGuard: func(g distribution.Freshness) distribution.Freshness {
-		g.OldestCopy -= 500
-		g.WatermarkTime -= 500
-		return g
-	}},
+			return m
+		},
+	},
+	{
+		name: "a lost chunk is not noticed", search: "epoch",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if r, isMessage := e.(distribution.Received); isMessage {
+				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
+					c.Index = s.NextChunk()
+					r.Message = c
+					return r
+				}
+			}
+			return e
+		},
+	},
+	{
+		name: "a snapshot ends a chunk early", search: "loss",
+		onSend: func(w *world, m distribution.Message) distribution.Message {
+			if c, ok := m.(distribution.SnapshotChunk); ok && c.Index == 0 {
+				c.Last = true
+				return c
+			}
+			return m
+		},
+	},
+	{
+		name: "a snapshot of an earlier position is installed", search: "old",
+		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+			if r, isMessage := e.(distribution.Received); isMessage {
+				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.AppliedSequence() {
+					s.RewindTo(c.Through)
+				}
+			}
+			return e
+		},
+	},
+	{
+		name: "a subscriber resumes behind entries that it lacks", search: "loss",
+		onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
+			if x, ok := a.(distribution.SendMessage); ok {
+				if m, isSubscribe := x.Message.(distribution.Subscribe); isSubscribe && m.From.Epoch != 0 {
+					m.From.Sequence += 2
+					x.Message = m
+					return x
+				}
+			}
+			return a
+		},
+	},
+	{
+		name: "a relay sends its own time as the store's", search: "loss",
+		onSend: func(w *world, m distribution.Message) distribution.Message {
+			if h, ok := m.(distribution.Heartbeat); ok {
+				h.Watermark.At = int64(w.now)
+				return h
+			}
+			return m
+		},
+	},
+	{
+		name: "credit is not counted", search: "crash",
+		onDistributor: func(d *distribution.Distributor) { d.ResetCredits() },
+	},
+	{
+		name: "the backlog is not trimmed", search: "loss",
+		onDistributor: func(d *distribution.Distributor) { d.UnlimitBacklog() },
+	},
+	{
+		name: "a subscriber behind the backlog gets no snapshot", search: "cut",
+		onDistributor: func(d *distribution.Distributor) { d.PretendFullBacklog() },
+	},
+	{
+		name: "MaxLag is checked by Ticks only", search: "asleep",
+		onGuard: func(g distribution.Freshness) distribution.Freshness {
+			g.FreshUntil = 1e18
+			return g
+		},
+	},
+	{
+		name: "the oldest copy is raised to some time before the watermark", search: "asleep",
+		onGuard: func(g distribution.Freshness) distribution.Freshness {
+			g.OldestCopy -= 500
+			g.WatermarkTime -= 500
+			return g
+		},
+	},
 }
 
 // caught runs the search that is to catch a mutation.
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -47,7 +47,10 @@
 	d := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
 	d.Handle(0, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: 1}})
 	for rank, taken := range map[int]int{1: 0, 2: 0, 3: 1} {
-		d.Handle(1, distribution.Received{Link: distribution.Link(rank), Message: distribution.Subscribe{Stream: distribution.Purges, Name: fmt.Sprint(rank), Rank: rank, Credit: 1000}})
+		d.Handle(1, distribution.Received{
+			Link:    distribution.Link(rank),
+			Message: distribution.Subscribe{Stream: distribution.Purges, Name: fmt.Sprint(rank), Rank: rank, Credit: 1000},
+		})
 		if rank == 3 {
 			require.Equal(t, taken, d.Subscribers())
 		}
--- a/internal/decide/distribution/wire_test.go
+++ b/internal/decide/distribution/wire_test.go
@@ -15,8 +15,11 @@
 
 func drawEntry(t *rapid.T, sequence uint64) distribution.Entry {
 	e := distribution.Entry{
-		Sequence:    sequence,
-		Kind:        rapid.SampledFrom([]distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup, distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded}).Draw(t, "kind"),
+		Sequence: sequence,
+		Kind: rapid.SampledFrom([]distribution.Kind{
+			distribution.PurgeObject, distribution.PurgeGroup, distribution.Revision, distribution.List,
+			distribution.Drain, distribution.DrainEnded,
+		}).Draw(t, "kind"),
 		Name:        rapid.StringN(0, 40, 80).Draw(t, "name"),
 		EffectiveAt: timeInTests - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
 	}
@@ -51,11 +54,17 @@
 	entries := drawEntries(t, after)
 	through := after + 2000
 	return rapid.SampledFrom([]distribution.Message{
-		distribution.Subscribe{Stream: distribution.Purges, Name: "a name", Rank: 3, From: distribution.Position{Epoch: epoch, Sequence: after}, Credit: number, ReceivedBytes: epoch},
+		distribution.Subscribe{
+			Stream: distribution.Purges, Name: "a name", Rank: 3,
+			From: distribution.Position{Epoch: epoch, Sequence: after}, Credit: number, ReceivedBytes: epoch,
+		},
 		distribution.Credit{Stream: distribution.Configuration, Bytes: number},
 		distribution.Unsubscribe{Stream: distribution.Purges},
 		distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: entries},
-		distribution.SnapshotChunk{Stream: distribution.Configuration, Epoch: epoch, Through: through, Watermark: mark, Index: number / 2, Last: number%2 == 1, Entries: entries},
+		distribution.SnapshotChunk{
+			Stream: distribution.Configuration, Epoch: epoch, Through: through, Watermark: mark, Index: number / 2,
+			Last: number%2 == 1, Entries: entries,
+		},
 		distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: mark},
 		distribution.Rejected{Stream: distribution.Purges, Reason: distribution.RejectFull, RetryAfter: number},
 	}).Draw(t, "message")
@@ -82,7 +91,10 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: timeInTests}}).Bytes)
-	f.Add(distribution.Encode(distribution.Batch{Stream: 1, Epoch: 2, After: 3, Through: 9, Entries: []distribution.Entry{{Sequence: 5, Kind: distribution.PurgeObject, Name: "x"}}}).Bytes)
+	f.Add(distribution.Encode(distribution.Batch{
+		Stream: 1, Epoch: 2, After: 3, Through: 9,
+		Entries: []distribution.Entry{{Sequence: 5, Kind: distribution.PurgeObject, Name: "x"}},
+	}).Bytes)
 	f.Add([]byte{4, 1, 1, 1, 1, 1, 1, 0xff, 0xff, 0x3f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := distribution.Decode(b)
@@ -97,7 +109,10 @@
 
 func TestEncodedSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		with := distribution.Batch{Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000, Watermark: distribution.Watermark{Sequence: 1 << 33, At: timeInTests}}
+		with := distribution.Batch{
+			Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000,
+			Watermark: distribution.Watermark{Sequence: 1 << 33, At: timeInTests},
+		}
 		without := len(distribution.Encode(with).Bytes)
 		with.Entries = drawEntries(t, 1<<32)
 		bound := 0
@@ -125,5 +140,8 @@
 	}
 	together := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
 		Watermark: distribution.Watermark{Sequence: 1_000_086, At: timeInTests}, Entries: entries}
-	t.Logf("names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87, len(distribution.Encode(together).Bytes)/87)
+	t.Logf(
+		"names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87,
+		len(distribution.Encode(together).Bytes)/87,
+	)
 }
--- a/internal/decide/fleetview/view_test.go
+++ b/internal/decide/fleetview/view_test.go
@@ -155,7 +155,10 @@
 }
 
 func reportOf(from string, id policy.CacheID, attempts, failures float64) Digest {
-	return Digest{From: from, Incarnation: 1, Version: 1, Servers: []ServerLoad{{Server: id, Attempts: LevelOf(attempts), Failures: LevelOf(failures)}}}
+	return Digest{
+		From: from, Incarnation: 1, Version: 1,
+		Servers: []ServerLoad{{Server: id, Attempts: LevelOf(attempts), Failures: LevelOf(failures)}},
+	}
 }
 
 // Thirty that report a server as failing do not outweigh what a process sees itself; where it has seen too little, they stand alone.
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -30,7 +30,10 @@
 func goldenChanges() []storestate.Change {
 	list := goldenList()
 	return []storestate.Change{
-		{ID: "1", Kind: storestate.AddPurge, ExpiresAt: goldenTime + 3_600_000, Purge: &storestate.Purge{Object: "/a/b.webp", IssuedAt: goldenTime - 1.5, ExpiresAt: goldenTime + 3_600_000}},
+		{
+			ID: "1", Kind: storestate.AddPurge, ExpiresAt: goldenTime + 3_600_000,
+			Purge: &storestate.Purge{Object: "/a/b.webp", IssuedAt: goldenTime - 1.5, ExpiresAt: goldenTime + 3_600_000},
+		},
 		{ID: "2", Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 17, IssuedAt: goldenTime}},
 		{ID: "3", Kind: storestate.StartDrain, Name: "cache-7", ProposedAt: goldenTime + 0.25},
 		{ID: "4", Kind: storestate.EndDrain, Name: "cache-7", ProposedAt: goldenTime + 1},
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -81,7 +81,10 @@
 
 func (l *log) commitPurge(object string) {
 	made := l.clk.Now()
-	l.commit(storestate.Change{Kind: storestate.AddPurge, ExpiresAt: float64(int64(made)) + 1e6, Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(made))}})
+	l.commit(storestate.Change{
+		Kind: storestate.AddPurge, ExpiresAt: float64(int64(made)) + 1e6,
+		Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(made))},
+	})
 }
 
 func (l *log) newMember() *member { return &member{log: l, state: storestate.New()} }
@@ -160,7 +163,8 @@
 func newTree(t *testing.T) *tree {
 	tr := &tree{
 		t: t, keys: t.TempDir(), log: newLog(), addrs: map[string]string{}, nodes: map[string]*process{},
-		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{}, frozen: map[string]bool{},
+		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{},
+		frozen: map[string]bool{},
 	}
 	require.NoError(t, store.NewCluster(tr.keys, "th"))
 	t.Cleanup(func() {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -46,7 +46,10 @@
 // Envelopes are encoded, before they are sealed, as by earlier versions.
 func TestGoldenEnvelope(t *testing.T) {
 	for name, e := range map[string]envelope{
-		"envelope.cbor":                     {From: "a", To: "b", Incarnation: goldenTime - 5000, Sequence: 1 << 33, SentAt: goldenTime, Certificate: []byte{0x30, 1, 2}, Body: []byte{kindDigest, 9}},
+		"envelope.cbor": {
+			From: "a", To: "b", Incarnation: goldenTime - 5000, Sequence: 1 << 33, SentAt: goldenTime,
+			Certificate: []byte{0x30, 1, 2}, Body: []byte{kindDigest, 9},
+		},
 		"envelope_without_certificate.cbor": {From: "a", Incarnation: 1, Sequence: 1, SentAt: goldenTime, Body: []byte{kindCertificateRequest}},
 	} {
 		raw, err := cbor.Marshal(e)
@@ -96,7 +99,10 @@
 func goldenDigest() fleetview.Digest {
 	return fleetview.Digest{
 		Version: 42, Zone: "zone-1", Arrivals: fleetview.LevelOf(765),
-		Servers: []fleetview.ServerLoad{{Server: 7, Attempts: 60, Failures: 5, Rejections: 4, Overdue: 3, InFlight: 30, Latency: fleetview.Latency{200, 40}}, {Server: 300}},
+		Servers: []fleetview.ServerLoad{
+			{Server: 7, Attempts: 60, Failures: 5, Rejections: 4, Overdue: 3, InFlight: 30, Latency: fleetview.Latency{200, 40}},
+			{Server: 300},
+		},
 		Objects: []fleetview.ObjectRate{{Object: 1<<60 + 3, Rate: 40}}, Partial: true,
 	}
 }
@@ -124,7 +130,10 @@
 	require.NoError(t, err)
 	golden.Equal(t, "digest_body.bin", datagram.body)
 
-	receiver := &Peers{options: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()), aliveSet: 0x0123456789abcdef}
+	receiver := &Peers{
+		options: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()),
+		aliveSet: 0x0123456789abcdef,
+	}
 	receiver.receiveDigest("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
 	require.Zero(t, receiver.RejectedDigests.Load())
 	require.Equal(t, 1, receiver.agreeing)
