--- a/policy/state.go
+++ b/policy/state.go
@@ -140,7 +140,7 @@
 	fillRate            Fraction  // fraction of answers that needed a fill
 	originRate          Fraction  // fraction of answers that needed the origin
 	servedRate          [roleForeign + 1]decayingRate
-	peakLoad            [roleForeign + 1]float64 // most that a server of the role did for this router, in transfers
+	peakLoad            [roleForeign + 1]float64 // most transfers that a server of the role did for this router
 }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
@@ -176,7 +176,8 @@
 	req *openRequest, to, source *server, options FillOptions, probed *server,
 ) *attempt {
 	a := &attempt{
-		request: req, index: len(req.attempts), server: to, source: source, sentAt: r.now, open: true, probed: probed,
+		request: req, index: len(req.attempts), server: to, source: source, sentAt: r.now, open: true,
+		probed: probed,
 	}
 	req.attempts = append(req.attempts, a)
 	req.openAttempts++
