--- a/internal/decide/recovery/expiry_test.go
+++ b/internal/decide/recovery/expiry_test.go
@@ -11,7 +11,9 @@
 )
 
 // remaining returns what a scan of all purges and members would keep at a time.
-func remaining(purges []recovery.Purge, members []recovery.Member, now float64) (leftPurges []recovery.Purge, leftMembers []recovery.Member) {
+func remaining(purges []recovery.Purge, members []recovery.Member, now float64) (
+	leftPurges []recovery.Purge, leftMembers []recovery.Member,
+) {
 	for _, p := range purges {
 		if max(p.NotifiedAt, p.IssuedAt)+2*settings.PurgePropagation+settings.PurgeGrace >= now {
 			leftPurges = append(leftPurges, p)
--- a/internal/decide/recovery/state_test.go
+++ b/internal/decide/recovery/state_test.go
@@ -33,7 +33,9 @@
 			Phase: rapid.SampledFrom([]membership.Phase{membership.Ready, membership.Draining, membership.Gone}).Draw(t, "phase"),
 		}
 	case 2:
-		e.List = &recovery.List{Source: "f", Generation: uint64(rapid.IntRange(1, 9).Draw(t, "gen")), Servers: []serverlist.Server{{ID: 7, Host: "h", Port: 1}}}
+		e.List = &recovery.List{
+			Source: "f", Generation: uint64(rapid.IntRange(1, 9).Draw(t, "gen")), Servers: []serverlist.Server{{ID: 7, Host: "h", Port: 1}},
+		}
 	case 3:
 		e.Revision = uint64(rapid.IntRange(1, 9).Draw(t, "rev"))
 	case 4:
@@ -88,20 +90,26 @@
 	s.Apply(recovery.Event{At: 1000, Purge: &recovery.Purge{Object: "a", IssuedAt: 990, NotifiedAt: 1000}})
 	s.Apply(recovery.Event{At: 2000, Purge: &recovery.Purge{Object: "a", IssuedAt: 900, NotifiedAt: 2000}})
 	s.Apply(recovery.Event{At: 3000, Purge: &recovery.Purge{Group: 5, IssuedAt: 3000, NotifiedAt: 3000}})
-	require.Equal(t, []recovery.Purge{{Object: "a", IssuedAt: 990, NotifiedAt: 4000}, {Group: 5, IssuedAt: 3000, NotifiedAt: 4000}}, s.Plan(4000, settings).Purges)
+	require.Equal(t, []recovery.Purge{
+		{Object: "a", IssuedAt: 990, NotifiedAt: 4000}, {Group: 5, IssuedAt: 3000, NotifiedAt: 4000},
+	}, s.Plan(4000, settings).Purges)
 	require.Len(t, s.Plan(15_500, settings).Purges, 1, "the first expired at 2000 + 2*6000 + 1000")
 	require.Empty(t, s.Plan(16_500, settings).Purges)
 	// The clock was stepped back by 5 s: purges received at a time that is now in the future count as received now.
 	back := s.Plan(-2000, settings)
 	require.Equal(t, 5000.0, back.ClockStepBack)
-	require.Equal(t, []recovery.Purge{{Group: 5, IssuedAt: -2000, NotifiedAt: -2000}, {Object: "a", IssuedAt: -2000, NotifiedAt: -2000}}, back.Purges)
+	require.Equal(t, []recovery.Purge{
+		{Group: 5, IssuedAt: -2000, NotifiedAt: -2000}, {Object: "a", IssuedAt: -2000, NotifiedAt: -2000},
+	}, back.Purges)
 	require.Equal(t, 1, s.Prune(15_500, settings))
 }
 
 func TestDecodeRejectsInvalidBytes(t *testing.T) {
 	good, err := recovery.Event{At: 1, Member: &recovery.Member{ID: 1, Phase: membership.Ready}}.Encode()
 	require.NoError(t, err)
-	for _, e := range []recovery.Event{{At: math.NaN()}, {Member: &recovery.Member{Phase: 9}}, {Purge: &recovery.Purge{IssuedAt: math.Inf(1)}}} {
+	for _, e := range []recovery.Event{
+		{At: math.NaN()}, {Member: &recovery.Member{Phase: 9}}, {Purge: &recovery.Purge{IssuedAt: math.Inf(1)}},
+	} {
 		raw, err := e.Encode()
 		require.NoError(t, err)
 		_, err = recovery.DecodeEvent(raw)
@@ -134,7 +142,9 @@
 func BenchmarkPlan100k(b *testing.B) {
 	s := recovery.NewState()
 	for i := range 100_000 {
-		s.Apply(recovery.Event{At: 1000, Member: &recovery.Member{ID: uint64(i), Addr: "127.0.0.1:4100", Phase: membership.Draining, Since: 1000}})
+		s.Apply(recovery.Event{At: 1000, Member: &recovery.Member{
+			ID: uint64(i), Addr: "127.0.0.1:4100", Phase: membership.Draining, Since: 1000,
+		}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/decide/storestate/expiry_test.go
+++ b/internal/decide/storestate/expiry_test.go
@@ -59,9 +59,10 @@
 			at += rapid.OneOf(rapid.Float64Range(0, 50), rapid.Float64Range(-1e5, 1e5)).Draw(t, "step")
 			name := rapid.StringMatching(`[a-l]`).Draw(t, "name")
 			c := storestate.Change{
-				ProposedAt: at, Name: name, ExpiresAt: at + rapid.OneOf(rapid.Just(30.0), rapid.Float64Range(-100, 500), rapid.Float64Range(-1e5, 1e5)).Draw(t, "for"),
-				Kind:  rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind"),
-				Purge: &storestate.Purge{Object: name, IssuedAt: at},
+				ProposedAt: at, Name: name,
+				ExpiresAt: at + rapid.OneOf(rapid.Just(30.0), rapid.Float64Range(-100, 500), rapid.Float64Range(-1e5, 1e5)).Draw(t, "for"),
+				Kind:      rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind"),
+				Purge:     &storestate.Purge{Object: name, IssuedAt: at},
 			}
 			s.Apply(c)
 			m.apply(s.Time, c)
@@ -84,10 +85,13 @@
 			name := string(rune('A' + i))
 			until := float64(rapid.IntRange(500, 2000).Draw(t, "until"))
 			kind := rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind")
-			changes = append(changes, storestate.Change{Kind: kind, ProposedAt: 1000, ExpiresAt: until, Name: name, Purge: &storestate.Purge{Object: name, IssuedAt: 1000}})
+			changes = append(changes, storestate.Change{
+				Kind: kind, ProposedAt: 1000, ExpiresAt: until, Name: name, Purge: &storestate.Purge{Object: name, IssuedAt: 1000},
+			})
 		}
 		last := []storestate.Change{ // each expires entries of its kind
-			{Kind: storestate.SpendToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"}, {Kind: storestate.RevokeToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
+			{Kind: storestate.SpendToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
+			{Kind: storestate.RevokeToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
 			{Kind: storestate.AddPurge, ProposedAt: 1500, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "z", IssuedAt: 1500}},
 		}
 		var bytes [2][]byte
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -40,12 +40,18 @@
 		{"change-set-drain.cbor", storestate.Change{ID: "id-9", ProposedAt: 1e12, Kind: storestate.StartDrain, Name: "s-00000001"}},
 		{"change-end-drain.cbor", storestate.Change{ID: "id-10", ProposedAt: 1e12, Kind: storestate.EndDrain, Name: "s-00000002"}},
 		{"change-set-purge-object.cbor", storestate.Change{
-			ID: "id-11", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12 - 5, ExpiresAt: 1e12},
+			ID: "id-11", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000,
+			Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12 - 5, ExpiresAt: 1e12},
+		}},
+		{"change-set-purge-group.cbor", storestate.Change{
+			ID: "id-12", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000, Purge: &storestate.Purge{Group: 3, IssuedAt: 1e12},
+		}},
+		{"change-stale-list.cbor", storestate.Change{
+			ID: "id-13", ProposedAt: 1e12, Kind: storestate.SetList, Name: "main", List: &storestate.List{Generation: 1},
 		}},
-		{"change-set-purge-group.cbor", storestate.Change{ID: "id-12", ProposedAt: 1e12, Kind: storestate.AddPurge, ExpiresAt: 1e12 + 9000, Purge: &storestate.Purge{Group: 3, IssuedAt: 1e12}}},
-		{"change-stale-list.cbor", storestate.Change{ID: "id-13", ProposedAt: 1e12, Kind: storestate.SetList, Name: "main", List: &storestate.List{Generation: 1}}},
 		{"change-full.cbor", storestate.Change{
-			ID: "id-14", ProposedAt: 1e12, Kind: storestate.StartDrain, Name: "s-00000003", ExpiresAt: 1e12 + 1, Key: goldenKey(), BaseRevision: 4, Text: "t", Author: "b",
+			ID: "id-14", ProposedAt: 1e12, Kind: storestate.StartDrain, Name: "s-00000003", ExpiresAt: 1e12 + 1,
+			Key: goldenKey(), BaseRevision: 4, Text: "t", Author: "b",
 			List: goldenList(), Purge: &storestate.Purge{Object: "o", Group: 1, IssuedAt: 1e12, ExpiresAt: 1e12 + 2},
 		}},
 		{"change-least.cbor", storestate.Change{}},
@@ -92,7 +98,9 @@
 // A result is sent to the member that asked without its format version.
 func TestGoldenResults(t *testing.T) {
 	for name, r := range map[string]storestate.Result{
-		"result-ok.cbor": {}, "result-conflict.cbor": {Verdict: storestate.Conflict, Revision: 7}, "result-invalid.cbor": {Verdict: storestate.Invalid},
+		"result-ok.cbor":       {},
+		"result-conflict.cbor": {Verdict: storestate.Conflict, Revision: 7},
+		"result-invalid.cbor":  {Verdict: storestate.Invalid},
 	} {
 		raw, err := storestate.Encode(r)
 		require.NoError(t, err)
@@ -107,8 +115,8 @@
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	for name, v := range map[string]any{
-		"keys.json": s.Keys, "lists.json": s.Lists, "purges.json": s.Purges, "config.json": s.Revisions, "revision-empty.json": storestate.Revision{},
-		"purge-empty.json": storestate.Purge{},
+		"keys.json": s.Keys, "lists.json": s.Lists, "purges.json": s.Purges, "config.json": s.Revisions,
+		"revision-empty.json": storestate.Revision{}, "purge-empty.json": storestate.Purge{},
 	} {
 		raw, err := json.MarshalIndent(v, "", "  ")
 		require.NoError(t, err)
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -66,5 +66,9 @@
 	h.own(first)
 	require.Zero(t, first.recordedGeneration(), "it can't be recorded")
 	require.NoError(t, os.Remove(first.record.path+".part"))
-	require.Eventually(t, func() bool { h.clk.Advance(watchInterval); return first.recordedGeneration() == 1 }, 10*time.Second, time.Millisecond)
+	recorded := func() bool {
+		h.clk.Advance(watchInterval)
+		return first.recordedGeneration() == 1
+	}
+	require.Eventually(t, recorded, 10*time.Second, time.Millisecond)
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,10 +15,13 @@
 
 // goldenMessages are messages of each kind as they are sent, and one with all fields set.
 var goldenMessages = map[string]message{
-	"message-hello.json":      {Kind: kindHello, Revision: 1},
-	"message-take.json":       {Kind: kindTransferRequest},
-	"message-serves.json":     {Kind: kindServing},
-	"message-state.json":      {Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"}, Restored: map[string]float64{"s-00000002": 1e12 + 0.5}, Epoch: 9e11},
+	"message-hello.json":  {Kind: kindHello, Revision: 1},
+	"message-take.json":   {Kind: kindTransferRequest},
+	"message-serves.json": {Kind: kindServing},
+	"message-state.json": {
+		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"},
+		Restored: map[string]float64{"s-00000002": 1e12 + 0.5}, Epoch: 9e11,
+	},
 	"message-state-none.json": {Kind: kindState, Revision: 1, Generation: 7},
 	"message-turn.json":       {Kind: kindRejected},
 	"message-turn-busy.json":  {Kind: kindRejected, Busy: true},
@@ -27,7 +30,8 @@
 	"message-out.json":        {Kind: kindDrain, ID: "s-00000003", Active: true},
 	"message-out-off.json":    {Kind: kindDrain, ID: "s-00000003"},
 	"message-full.json": {
-		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"}, Restored: map[string]float64{"s-00000002": 1e12}, Epoch: 9e11,
+		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"},
+		Restored: map[string]float64{"s-00000002": 1e12}, Epoch: 9e11,
 		ID: "s-00000003", Active: true, Busy: true,
 	},
 }
@@ -67,7 +71,8 @@
 func TestGoldenRecord(t *testing.T) {
 	for name, stored := range map[string]ownerRecord{
 		"record.json": {
-			Generation: 7, Drained: []string{"s-00000001", "s-00000002"}, Restored: map[string]float64{"s-00000003": 1e12 + 0.5, "s-00000004": 1e12}, Epoch: 9e11,
+			Generation: 7, Drained: []string{"s-00000001", "s-00000002"},
+			Restored: map[string]float64{"s-00000003": 1e12 + 0.5, "s-00000004": 1e12}, Epoch: 9e11,
 		},
 		"record-least.json": {Generation: 1},
 	} {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -60,7 +60,8 @@
 		return func(on bool) { p.mu.Lock(); *b = on; p.mu.Unlock() }
 	}
 	c, err := Start(Options{
-		Dir: h.dir, Listen: h.at, Clock: h.clk, SetAccepting: set(&p.got.accepting), SetOwner: set(&p.got.owner), SetShared: set(&p.got.shared),
+		Dir: h.dir, Listen: h.at, Clock: h.clk,
+		SetAccepting: set(&p.got.accepting), SetOwner: set(&p.got.owner), SetShared: set(&p.got.shared),
 		Stop: func(string) { set(&p.got.stopped)(true) },
 	})
 	require.NoError(h.t, err)
@@ -120,7 +121,7 @@
 		require.NoError(t, next.SetManualDrain(8, true))
 		require.NoError(t, next.SetManualDrain(8, false))
 		require.NoError(t, next.SetManualDrain(7, true))
-		require.EqualValues(t, n+2, next.recordedGeneration(), "the end of the old process is not taken for the successor's: no address was taken back")
+		require.EqualValues(t, n+2, next.recordedGeneration(), "the end of the old process makes nobody take the address back")
 		old = next
 	}
 	nc, err := old.listener.Accept()
@@ -176,12 +177,18 @@
 	h.eventually(old, "it stops", func() bool { return old.got.stopped && old.got.accepting })
 	require.Equal(t, []policy.CacheID{5}, next.record.drainedServers())
 	old.Close()
-	h.eventually(next, "it gets the lock once the old process is gone", func() bool { next.Coordinator.mu.Lock(); defer next.Coordinator.mu.Unlock(); return next.lock != nil })
+	h.eventually(next, "it gets the lock once the old process is gone", func() bool {
+		next.Coordinator.mu.Lock()
+		defer next.Coordinator.mu.Unlock()
+		return next.lock != nil
+	})
 }
 
 // Files left by a process long gone, and malformed ones, do not keep a process from starting.
 func TestStartIgnoresStaleAndMalformedFiles(t *testing.T) {
-	for name, text := range map[string]string{"none": "", "rubbish": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", maxRecordSize+1)} {
+	for name, text := range map[string]string{
+		"none": "", "malformed": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", maxRecordSize+1),
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t)
 			first := h.own(h.start())
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -16,7 +16,10 @@
 
 // BenchmarkRestart100k opens a state of 100,000 drains from a snapshot, and reports the memory that they take.
 func BenchmarkRestart100k(b *testing.B) {
-	o := state.Options{Dir: b.TempDir(), Clock: clock.System(), SnapshotEvery: 1 << 30, Settings: recovery.Settings{PurgePropagation: 6e6, GoneRetention: 1e9}}
+	o := state.Options{
+		Dir: b.TempDir(), Clock: clock.System(), SnapshotEvery: 1 << 30,
+		Settings: recovery.Settings{PurgePropagation: 6e6, GoneRetention: 1e9},
+	}
 	recorder, _, err := state.Open(o)
 	require.NoError(b, err)
 	for id := range 100_000 {
@@ -48,7 +51,9 @@
 func BenchmarkRecover1M(b *testing.B) {
 	for _, snapshot := range []bool{false, true} {
 		b.Run(fmt.Sprintf("snapshot=%v", snapshot), func(b *testing.B) {
-			o := state.Options{Dir: b.TempDir(), Clock: clock.System(), SnapshotEvery: 1 << 30, Settings: recovery.Settings{PurgePropagation: 6e6}}
+			o := state.Options{
+				Dir: b.TempDir(), Clock: clock.System(), SnapshotEvery: 1 << 30, Settings: recovery.Settings{PurgePropagation: 6e6},
+			}
 			recorder, _, err := state.Open(o)
 			require.NoError(b, err)
 			for i := range 1_000_000 {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -24,7 +24,9 @@
 	o.Dir = dir
 	recorder, _, err := state.Open(o)
 	require.NoError(t, err)
-	list := &serverlist.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100}}}
+	list := &serverlist.List{Generation: 3, Servers: []serverlist.Server{
+		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100},
+	}}
 	require.NoError(t, recorder.RecordList("file", list))
 	recorder.RecordPublish(published(1, policy.Ready))
 	recorder.RecordPublish(published(2, policy.Draining))
@@ -56,7 +58,9 @@
 	require.NotZero(t, stats.Snapshot)
 	require.Greater(t, stats.Next-1, stats.Snapshot, "records behind the snapshot")
 	require.Equal(t, 1e12+100, read.LatestTime)
-	require.Equal(t, []recovery.Purge{{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}, {Group: 6, IssuedAt: 1e12 + 100, NotifiedAt: 1e12 + 100}}, read.Purges())
+	require.Equal(t, []recovery.Purge{
+		{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}, {Group: 6, IssuedAt: 1e12 + 100, NotifiedAt: 1e12 + 100},
+	}, read.Purges())
 	require.Equal(t, []recovery.Member{
 		{ID: 1, Addr: "a1", Phase: membership.Ready, Since: 1e12}, {ID: 2, Addr: "a2", Phase: membership.Draining, Since: 1e12},
 		{ID: 3, Addr: "a3", Phase: membership.Gone, Since: 1e12 + 100},
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -39,9 +39,9 @@
 
 // RecordList stores a list that was accepted from a source and returns once it is on disk. The list must take effect only
 // then, or a crash would forget which servers it drains. An error is one of journal.Append's.
-func (r *Recorder) RecordList(source string, set *serverlist.List) error {
+func (r *Recorder) RecordList(source string, list *serverlist.List) error {
 	return r.recordSync(recovery.Event{
-		At: r.opt.Clock.Now(), List: &recovery.List{Source: source, Generation: set.Generation, Servers: set.Servers},
+		At: r.opt.Clock.Now(), List: &recovery.List{Source: source, Generation: list.Generation, Servers: list.Servers},
 	})
 }
 
--- a/internal/state/recorder_test.go
+++ b/internal/state/recorder_test.go
@@ -18,7 +18,10 @@
 )
 
 func options(fs vfs.FS, clk *clock.Clock) state.Options {
-	return state.Options{Dir: "d", FS: fs, Clock: clk, SnapshotEvery: 20, Settings: recovery.Settings{PurgePropagation: 6000, PurgeGrace: 1000, GoneRetention: 9000}}
+	return state.Options{
+		Dir: "d", FS: fs, Clock: clk, SnapshotEvery: 20,
+		Settings: recovery.Settings{PurgePropagation: 6000, PurgeGrace: 1000, GoneRetention: 9000},
+	}
 }
 
 func published(id policy.CacheID, s policy.State) membership.Publish {
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -76,7 +76,9 @@
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
 	f := &fsm{state: storestate.New(), onFact: recorder.onFact}
 	for i, c := range []storestate.Change{
-		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"}, {ID: "2", Kind: storestate.EndDrain, Name: "s-1"}, {ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
+		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
+		{ID: "2", Kind: storestate.EndDrain, Name: "s-1"},
+		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
 	} {
 		raw, err := storestate.Encode(c)
 		require.NoError(t, err)
@@ -113,8 +115,10 @@
 	s.Observe(observer)
 	for i, c := range []storestate.Change{
 		{Kind: storestate.StartDrain, Name: "s-1"}, {Kind: storestate.StartDrain, Name: "s-2"}, {Kind: storestate.EndDrain, Name: "s-1"},
-		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 2}}, {Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 1}},
-		{Kind: storestate.SetConfig, Text: "x"}, {Kind: storestate.AddPurge, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1}},
+		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 2}},
+		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 1}},
+		{Kind: storestate.SetConfig, Text: "x"},
+		{Kind: storestate.AddPurge, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1}},
 		{Kind: storestate.AddPurge, ExpiresAt: 10, Purge: &storestate.Purge{Object: "over", IssuedAt: 1}},
 	} {
 		c.ProposedAt = 1000
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -158,7 +158,8 @@
 	require.NoError(t, err)
 	self := Member{Name: "a", Addr: "127.0.73.1:0"}
 	s, err := Open(Options{
-		Self: self, Peers: []Member{self}, Dir: dir, Identity: id, FastElections: true, SnapshotThreshold: 8, TrailingLogs: 2, Clock: clock.Manual(1e12),
+		Self: self, Peers: []Member{self}, Dir: dir, Identity: id, Clock: clock.Manual(1e12),
+		FastElections: true, SnapshotThreshold: 8, TrailingLogs: 2,
 	})
 	require.NoError(t, err)
 	eventually(t, s.Leader, "it leads")
@@ -171,7 +172,9 @@
 		_, err := s.Propose(c)
 		require.NoError(t, err)
 	}
-	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true}}}
+	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{
+		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
+	}}
 	do(storestate.Change{Kind: storestate.SpendToken, Name: "spent-1", ExpiresAt: 9e15})
 	do(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
 	do(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
@@ -210,7 +213,9 @@
 	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.SpentTokens)
 	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.RevokedTokens)
 	require.Equal(t, map[string]Key{"k1": {Alg: "HS256", Data: []byte("x")}}, st.Keys)
-	require.Equal(t, []storestate.Revision{{Number: 1, CreatedAt: 1e12, Author: "ops", Text: "{}"}, {Number: 2, CreatedAt: 1e12, Text: "{ }"}}, st.Revisions)
+	require.Equal(t, []storestate.Revision{
+		{Number: 1, CreatedAt: 1e12, Author: "ops", Text: "{}"}, {Number: 2, CreatedAt: 1e12, Text: "{ }"},
+	}, st.Revisions)
 	require.Equal(t, map[string]storestate.List{"list": {Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
 	}}}, st.Lists)
@@ -236,7 +241,8 @@
 		again, err := f.Snapshot()
 		require.NoError(t, err)
 		require.Equal(t, raw, []byte(again.(snapshot)))
-		require.Equal(t, storestate.Result{}, f.Apply(&raft.Log{Index: 99, Data: mustEncode(t, storestate.Change{Kind: storestate.EndDrain, Name: "s-00000001"})}))
+		change := mustEncode(t, storestate.Change{Kind: storestate.EndDrain, Name: "s-00000001"})
+		require.Equal(t, storestate.Result{}, f.Apply(&raft.Log{Index: 99, Data: change}))
 	}
 }
 
