--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -84,8 +84,8 @@
 // What calls answer that have a form of their own.
 func TestGoldenResults(t *testing.T) {
 	for name, result := range map[string]any{
-		"peer-result.json":      map[string]float64{"took_ms": 1.5},
-		"configure-result.json": map[string]uint64{"revision": 3},
+		"peer-result.json":      PeerResponse{TookMs: 1.5},
+		"configure-result.json": ConfigChangeResponse{Revision: 3},
 	} {
 		w := httptest.NewRecorder()
 		reply(w, result)
--- /dev/null
+++ b/internal/admin/proxy.go
@@ -0,0 +1,125 @@
+package admin
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+
+	"ravenwheel/internal/core"
+)
+
+// CountersResponse answers GET /v1/counters: the counters of core.Counters, which only rise but for Open.
+type CountersResponse struct {
+	Attempts   int64 `json:"attempts"`
+	Failed     int64 `json:"failed"`
+	Gone       int64 `json:"gone"` // abandoned by their clients
+	Misnamed   int64 `json:"misnamed"`
+	Notices    int64 `json:"notices"` // notifications of the routing module
+	Open       int64 `json:"open"`    // in flight
+	Refused    int64 `json:"refused"` // rejected
+	Requests   int64 `json:"requests"`
+	Served     int64 `json:"served"`
+	Stale      int64 `json:"stale"` // skipped
+	Timeouts   int64 `json:"timeouts"`
+	Unanswered int64 `json:"unanswered"` // connections closed without an answer
+	Unsent     int64 `json:"unsent"`
+}
+
+func (e *Endpoint) getCounters(w http.ResponseWriter, _ *http.Request) {
+	n := &e.opt.Core.Counters
+	reply(w, CountersResponse{
+		Attempts: n.Attempts.Load(), Failed: n.Failed.Load(), Gone: n.Abandoned.Load(), Misnamed: n.WrongTags.Load(),
+		Notices: n.Notifications.Load(), Open: n.InFlight.Load(), Refused: n.Rejected.Load(), Requests: n.Requests.Load(),
+		Served: n.Served.Load(), Stale: n.Skipped.Load(), Timeouts: n.Timeouts.Load(), Unanswered: n.UnansweredConns.Load(),
+		Unsent: n.NeverSent.Load(),
+	})
+}
+
+func (e *Endpoint) getState(w http.ResponseWriter, _ *http.Request) {
+	if e.opt.State == nil {
+		http.Error(w, "no state is kept", http.StatusNotFound)
+		return
+	}
+	reply(w, e.opt.State.Status())
+}
+
+// PurgeRequest is the body of POST /v1/purge: it names an object, in 16 hexadecimal digits, or a group.
+type PurgeRequest struct {
+	Object string `json:"object,omitempty"`
+	Group  *int   `json:"group,omitempty"`
+}
+
+// PurgeResponse answers POST /v1/purge.
+type PurgeResponse struct {
+	PurgedMs float64 `json:"purged_ms"` // Unix ms; copies of before are invalid
+}
+
+// maxGroup is the highest number of a purge group.
+const maxGroup = 255
+
+var errPurgeRequest = errors.New("wants an object of 16 hexadecimal digits, or a group from 0 to 255")
+
+// purge returns the purge of an object, or of a group. A copy made in the same millisecond counts as older.
+func (p PurgeRequest) purge(now float64) (core.Purge, error) {
+	q := core.Purge{Object: p.Object, Group: -1, At: now + core.TimestampResolution}
+	if p.Group == nil {
+		if _, err := strconv.ParseUint(p.Object, 16, 64); err != nil || len(p.Object) != 16 {
+			return q, errPurgeRequest
+		}
+		return q, nil
+	}
+	q.Group = *p.Group
+	if p.Object != "" || q.Group < 0 || q.Group > maxGroup {
+		return q, errPurgeRequest
+	}
+	return q, nil
+}
+
+func (e *Endpoint) postPurge(w http.ResponseWriter, r *http.Request) {
+	var request PurgeRequest
+	if err := decode(r, maxRequestBytes, &request); err != nil {
+		http.Error(w, errPurgeRequest.Error(), http.StatusBadRequest)
+		return
+	}
+	purge, err := request.purge(e.opt.Clock.Now())
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if err := e.opt.Operations.Purge(purge); err != nil {
+		replyFailure(w, "in force here, but not kept: ", err)
+		return
+	}
+	e.opt.Log.Info("purge").Str("object", purge.Object).Int("group", purge.Group).Msg("purged by an operator")
+	reply(w, PurgeResponse{PurgedMs: purge.At})
+}
+
+// StatusResponse answers GET /v1/status and POST /v1/pause.
+type StatusResponse struct {
+	Ready bool   `json:"ready"` // for clients
+	Phase string `json:"phase"` // as text, for people
+}
+
+func (e *Endpoint) getStatus(w http.ResponseWriter, _ *http.Request) {
+	text, ready := e.opt.Controller.Status()
+	reply(w, StatusResponse{Ready: ready, Phase: text})
+}
+
+// PauseRequest is the body of POST /v1/pause: it starts or ends a drain of the whole proxy.
+type PauseRequest struct {
+	On bool `json:"on"`
+}
+
+func (e *Endpoint) postPause(w http.ResponseWriter, r *http.Request) {
+	var request PauseRequest
+	err := decode(r, maxRequestBytes, &request)
+	if err == nil {
+		err = e.opt.Controller.SetDraining(request.On)
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusConflict)
+		return
+	}
+	e.opt.Log.Info("pause").Bool("on", request.On).Msg("manual drain of the proxy changed")
+	e.getStatus(w, r)
+}
--- /dev/null
+++ b/internal/admin/servers.go
@@ -0,0 +1,128 @@
+package admin
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/source/filewatch"
+	"ravenwheel/internal/strictjson"
+	"ravenwheel/policy"
+)
+
+// ServerStatus is one cache server in a ServersResponse.
+type ServerStatus struct {
+	ID           string  `json:"id"`
+	Addr         string  `json:"addr"`
+	Zone         string  `json:"zone"`
+	Kind         string  `json:"kind"`
+	Phase        string  `json:"phase"` // of membership.Phase
+	Weight       float64 `json:"weight"`
+	TargetWeight float64 `json:"wanted_weight"`
+	SinceMs      float64 `json:"since_ms"` // start of the phase, Unix ms
+	Reason       string  `json:"why"`      // for the phase
+	Source       string  `json:"source,omitempty"`
+}
+
+// ServersResponse answers GET /v1/servers.
+type ServersResponse struct {
+	Version uint64            `json:"version"` // of the list in use
+	NowMs   float64           `json:"now_ms"`  // Unix ms
+	Servers []ServerStatus    `json:"servers"`
+	List    *filewatch.Status `json:"list,omitempty"` // nil: no list is watched
+}
+
+func (e *Endpoint) getServers(w http.ResponseWriter, _ *http.Request) {
+	servers, version := e.opt.Servers()
+	out := ServersResponse{Version: version, NowMs: e.opt.Clock.Now(), Servers: make([]ServerStatus, len(servers))}
+	for i, s := range servers {
+		out.Servers[i] = e.serverStatus(s)
+	}
+	if e.opt.ListStatus != nil {
+		status := e.opt.ListStatus()
+		out.List = &status
+	}
+	reply(w, out)
+}
+
+func (e *Endpoint) serverStatus(s membership.ServerStatus) ServerStatus {
+	m := s.Member
+	return ServerStatus{
+		ID: serverlist.FormatID(m.ID), Addr: m.Addr, Zone: nameAt(e.opt.Names.Zones, m.Zone), Kind: nameAt(e.opt.Names.Kinds, m.Kind),
+		Phase: s.Phase.String(), Weight: m.Weight, TargetWeight: s.TargetWeight, SinceMs: s.Since, Reason: s.Reason, Source: s.Source,
+	}
+}
+
+// nameAt returns a name by its index, or the index if there is none.
+func nameAt(names []string, i int) string {
+	if i < 0 || i >= len(names) {
+		return strconv.Itoa(i)
+	}
+	return names[i]
+}
+
+// DrainRequest is the body of POST /v1/drain, and its answer: it starts or ends a drain of one cache server.
+type DrainRequest struct {
+	ID string `json:"id"`
+	On bool   `json:"on"`
+}
+
+// postDrain drains a server that is known, or ends the drain of any server.
+func (e *Endpoint) postDrain(w http.ResponseWriter, r *http.Request) {
+	var request DrainRequest
+	id, ok := policy.CacheID(0), false
+	if decode(r, maxRequestBytes, &request) == nil {
+		id, ok = serverlist.ParseID(request.ID)
+	}
+	if !ok || request.On && !e.listed(id) {
+		http.Error(w, fmt.Sprintf("no server %q", request.ID), http.StatusBadRequest)
+		return
+	}
+	drain := e.opt.Operations.Drain
+	if e.opt.Controller != nil {
+		drain = e.opt.Controller.SetServerDrained // which also passes it to a process that takes over
+	}
+	if err := drain(id, request.On); err != nil {
+		replyFailure(w, "not kept: ", err)
+		return
+	}
+	e.opt.Log.Info("drain").Str("id", request.ID).Bool("on", request.On).Msg("manual drain of a server changed")
+	reply(w, request)
+}
+
+func (e *Endpoint) listed(id policy.CacheID) bool {
+	servers, _ := e.opt.Servers()
+	return slices.ContainsFunc(servers, func(s membership.ServerStatus) bool { return s.Member.ID == id })
+}
+
+// PushListRequest is the body of POST /v1/list: it puts a server list in use at all members of the store.
+type PushListRequest struct {
+	File string `json:"file"` // the name that defects show
+	Text string `json:"text"`
+}
+
+// PushListResponse answers POST /v1/list.
+type PushListResponse struct {
+	Generation uint64 `json:"generation"`
+	Servers    int    `json:"servers"`
+}
+
+// maxListRequestBytes bounds a pushed list: its escapes may double its length.
+const maxListRequestBytes = 2 * strictjson.MaxBytes
+
+func (e *Endpoint) postList(w http.ResponseWriter, r *http.Request) {
+	var request PushListRequest
+	err := decode(r, maxListRequestBytes, &request)
+	var list *serverlist.List
+	if err == nil {
+		list, err = e.opt.Operations.PushList(request.File, []byte(request.Text))
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	reply(w, PushListResponse{Generation: list.Generation, Servers: len(list.Servers)})
+}
