--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -109,7 +109,7 @@
 // turn reads the answers that have arrived, and sends another request where asks.
 func (r *restless) turn(t *testing.T, n int, asks bool) {
 	for !r.ended {
-		words, err := r.c.Poll()
+		words, err := r.c.TryReceive()
 		require.NoError(t, err)
 		if words == nil {
 			break
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -138,7 +138,7 @@
 	var words []string
 	require.Eventually(t, func() bool {
 		p.Clock.Advance(10)
-		words, err = c.Poll()
+		words, err = c.TryReceive()
 		return err == nil && words != nil
 	}, time.Minute, time.Millisecond)
 	require.Equal(t, "1", words[0], "its own answer, and no end")
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -236,7 +236,7 @@
 // served all the same over another connection.
 func TestServerClosingAfterEachAnswer(t *testing.T) {
 	p := scenario.NewProxy(t)
-	m := core.Member{Addr: scenario.ListenOnce(t, func(nc net.Conn) {
+	m := core.Member{Addr: scenario.ServeConnsInTurn(t, func(nc net.Conn) {
 		buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 		if parts, _, err := buf.Next(nc); err == nil {
 			_, _ = nc.Write(resp.AppendFrame(nil, string(parts[1]), "served", "", "BYTES"))
--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -212,7 +212,7 @@
 	s := signer{t, base, (p.Clock.Now() + skew) / 1000, key}
 	script = s.fill(strings.ReplaceAll(script, "{void}", fmt.Sprint(10_000+skew+leeway)))
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{
-		"b": scenario.Browse(base), "s": p.Cache, "drop": operator(st.DeleteKey), "quorum": operator(shut),
+		"b": scenario.NewBrowser(base), "s": p.Cache, "drop": operator(st.DeleteKey), "quorum": operator(shut),
 		"step": operator(func(ms string) error {
 			by, err := strconv.ParseFloat(ms, 64)
 			p.Clock.StepWall(by)
--- a/internal/lab/load/schedule_test.go
+++ b/internal/lab/load/schedule_test.go
@@ -36,7 +36,7 @@
 
 // Misbehaving clients connect again after the proxy has ended their connection.
 func TestMisbehavingClientsReconnect(t *testing.T) {
-	addr := scenario.ListenOnce(t, func(net.Conn) {})
+	addr := scenario.ServeConnsInTurn(t, func(net.Conn) {})
 	crowd, err := ParseMisbehaving("idle=3,half=2,leave=1")
 	require.NoError(t, err)
 	b := StartMisbehaving(addr, crowd)
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -58,21 +58,23 @@
 	return p
 }
 
-// Attempts sends attempts to the cache without a core: "send ID [once]"; it expects "ID RESULT".
-type Attempts struct {
+// AttemptSender sends attempts to the cache without a core: "send ID [once]"; it expects "ID RESULT".
+type AttemptSender struct {
 	to   *upstream.Pools
 	in   inbox
 	sent atomic.Bool
 }
 
-// Attempt returns an actor over pools.
-func Attempt(to *upstream.Pools) *Attempts { return &Attempts{to: to, in: make(inbox, 100)} }
+// NewAttemptSender returns an actor over pools.
+func NewAttemptSender(to *upstream.Pools) *AttemptSender {
+	return &AttemptSender{to: to, in: make(inbox, 100)}
+}
 
-// Sent tells whether what ended last had been written whole.
-func (a *Attempts) Sent() bool { return a.sent.Load() }
+// WrittenCompletely tells whether what ended last had been written whole.
+func (a *AttemptSender) WrittenCompletely() bool { return a.sent.Load() }
 
 // Send implements Actor.
-func (a *Attempts) Send(words []string) error {
+func (a *AttemptSender) Send(words []string) error {
 	a.to.Send(core.Attempt{
 		ID: words[0], Class: "asset", Object: "o", Server: CacheID, Source: CacheID, Deadline: a.to.Clock().Now() + 1000, NonIdempotent: len(words) > 1,
 	}, func(e core.Outcome) {
@@ -88,7 +90,7 @@
 }
 
 // Receive implements Actor.
-func (a *Attempts) Receive() ([]string, error) { m, err := a.in.take(); return m.words, err }
+func (a *AttemptSender) Receive() ([]string, error) { m, err := a.in.take(); return m.words, err }
 
 // Close implements Actor; there is nothing to end.
-func (a *Attempts) Close() error { return nil }
+func (a *AttemptSender) Close() error { return nil }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -193,8 +193,8 @@
 // Receive implements Actor.
 func (c *Client) Receive() ([]string, error) { m, err := c.in.take(); return m.words, err }
 
-// Poll is Receive, but for a client that does not wait: without a message there are no words.
-func (c *Client) Poll() ([]string, error) {
+// TryReceive is Receive, but for a client that does not wait: without a message there are no words.
+func (c *Client) TryReceive() ([]string, error) {
 	select {
 	case m := <-c.in:
 		return m.words, nil
@@ -242,8 +242,8 @@
 	return s
 }
 
-// ListenOnce serves each connection once, closes it, and returns where it listens.
-func ListenOnce(t *testing.T, serve func(net.Conn)) string {
+// ServeConnsInTurn serves each connection once, closes it, and returns where it listens.
+func ServeConnsInTurn(t *testing.T, serve func(net.Conn)) string {
 	ln, err := net.Listen("tcp", Loopback())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -311,8 +311,8 @@
 	stop chan struct{}
 }
 
-// Browse returns an HTTP client of base.
-func Browse(base string) *Browser { return &Browser{base, make(inbox, 100), make(chan struct{})} }
+// NewBrowser returns an HTTP client of base.
+func NewBrowser(base string) *Browser { return &Browser{base, make(inbox, 100), make(chan struct{})} }
 
 // Send implements Actor; the answer comes with Receive.
 func (b *Browser) Send(words []string) error {
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -152,7 +152,7 @@
 	require.Equal(t, policy.Skipped, <-ends, "over: past its deadline and not written")
 	close(up)
 	require.Equal(t, policy.Skipped, <-ends, "old: dropped when the connection is established")
-	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
+	actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}
 	scenario.Run(t, clk, actors, `
 		up send next
 		s expect fetch next * -
@@ -185,7 +185,7 @@
 			}
 			return net.DialTimeout(network, addr, wait)
 		}})
-		actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
+		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}
 		scenario.Run(t, clk, actors, `
 			up send r1
 			s expect fetch r1 * -
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -128,7 +128,7 @@
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
-			scenario.Run(t, p.Clock, map[string]scenario.Actor{"up": scenario.Attempt(p.Pools), "s": p.Cache}, script)
+			scenario.Run(t, p.Clock, map[string]scenario.Actor{"up": scenario.NewAttemptSender(p.Pools), "s": p.Cache}, script)
 			require.Zero(t, invariant.Violations())
 		})
 	}
@@ -137,7 +137,7 @@
 // A server with a new address gets new connections there.
 func TestMovedServerGetsNewConnections(t *testing.T) {
 	p, next := scenario.NewProxy(t), scenario.Listen(t)
-	up := scenario.Attempt(p.Pools)
+	up := scenario.NewAttemptSender(p.Pools)
 	actors := map[string]scenario.Actor{"up": up, "s": p.Cache, "next": next}
 	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(five, "\n\t", "\n"))
 	m := core.Member{Addr: next.Addr()}
@@ -164,7 +164,7 @@
 func TestConnectionWithManyAbortsIsReplaced(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	pools := newPools(clk, cache, upstream.Limits{})
-	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
+	actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}
 	for i := range 300 {
 		id := fmt.Sprint("r", i)
 		abort := pools.Send(core.Attempt{ID: id, Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(e core.Outcome) {
@@ -195,7 +195,7 @@
 			}
 			return syscall.Write(fd, b[:min(limit, len(b))])
 		}})
-		up := scenario.Attempt(pools)
+		up := scenario.NewAttemptSender(pools)
 		actors := map[string]scenario.Actor{"up": up, "s": cache}
 		scenario.Run(t, clk, actors, `
 			up send r1`)
@@ -214,7 +214,7 @@
 		}
 		scenario.Run(t, clk, actors, `
 			up expect r1 `+want)
-		require.False(t, up.Sent())
+		require.False(t, up.WrittenCompletely())
 	}
 }
 
@@ -232,7 +232,7 @@
 	}
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	pools := newPools(clk, cache, upstream.Limits{Dial: dial})
-	scenario.Run(t, clk, map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}, `
+	scenario.Run(t, clk, map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}, `
 		up send r1
 		s expect fetch r1 * -
 		up send w1 once
@@ -253,7 +253,7 @@
 			return net.DialTimeout(network, addr, wait)
 		}
 		clk, cache := clock.Manual(0), scenario.Listen(t)
-		actors := map[string]scenario.Actor{"up": scenario.Attempt(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
+		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
 		short.Store(true)
 		scenario.Run(t, clk, actors, `
 			up send r1
@@ -282,7 +282,7 @@
 			return net.DialTimeout(network, addr, wait)
 		}
 		clk, cache := clock.Manual(0), scenario.Listen(t)
-		actors := map[string]scenario.Actor{"up": scenario.Attempt(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
+		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
 		scenario.Run(t, clk, actors, `
 			up send r1 once
 			s await fetch r1 * -
@@ -304,7 +304,7 @@
 		return net.DialTimeout(network, addr, wait)
 	}
 	clk, cache := clock.Manual(0), scenario.Listen(t)
-	actors := map[string]scenario.Actor{"up": scenario.Attempt(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
+	actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
 	scenario.Run(t, clk, actors, `
 		up send r1
 		s expect fetch r1 * -`)
@@ -332,7 +332,7 @@
 	m := core.Member{Addr: cache.Addr()}
 	m.ID = scenario.CacheID
 	pools.UpdateMembers([]core.Member{m}, true)
-	actors := map[string]scenario.Actor{"up": scenario.Attempt(pools), "s": cache}
+	actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}
 	for i := range 50 {
 		scenario.Run(t, clk, actors, strings.ReplaceAll(`
 			up send ID
