--- /dev/null
+++ b/internal/scenario/attempt_sender.go
@@ -0,0 +1,67 @@
+package scenario
+
+import (
+	"sync/atomic"
+
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/upstream"
+	"ravenwheel/policy"
+)
+
+// attemptTimeout is the time of an attempt, in ms.
+const attemptTimeout = 1000
+
+// resultWords are the results as a script has them.
+var resultWords = map[policy.Result]string{
+	policy.OK:            "ok",
+	policy.Failed:        "failed",
+	policy.Overloaded:    "full",
+	policy.TimedOut:      "timeout",
+	policy.ConnectFailed: "unconnected",
+	policy.Reset:         "reset",
+	policy.Skipped:       "moot",
+	policy.Miss:          "miss",
+}
+
+// AttemptSender sends attempts to the cache server without a core: "send ID [once]", with once for an attempt that may not be repeated. It
+// receives "ID RESULT".
+type AttemptSender struct {
+	pools   *upstream.Pools
+	inbox   inbox
+	written atomic.Bool
+}
+
+// NewAttemptSender returns an actor over pools.
+func NewAttemptSender(pools *upstream.Pools) *AttemptSender {
+	return &AttemptSender{pools: pools, inbox: newInbox()}
+}
+
+// WrittenCompletely tells whether the attempt that ended last had been written completely.
+func (a *AttemptSender) WrittenCompletely() bool { return a.written.Load() }
+
+// Send implements Actor.
+func (a *AttemptSender) Send(words []string) error {
+	attempt := core.Attempt{
+		ID:            words[0],
+		Class:         "asset",
+		Object:        "o",
+		Server:        CacheID,
+		Source:        CacheID,
+		Deadline:      a.pools.Clock().Now() + attemptTimeout,
+		NonIdempotent: len(words) > 1,
+	}
+	a.pools.Send(attempt, func(outcome core.Outcome) {
+		a.written.Store(outcome.Written)
+		a.inbox <- message{words: []string{words[0], resultWords[outcome.Result]}}
+	})
+	return nil
+}
+
+// Receive implements Actor.
+func (a *AttemptSender) Receive() ([]string, error) {
+	m, err := a.inbox.take()
+	return m.words, err
+}
+
+// Close implements Actor. It does nothing.
+func (a *AttemptSender) Close() error { return nil }
--- /dev/null
+++ b/internal/scenario/client.go
@@ -0,0 +1,48 @@
+package scenario
+
+import (
+	"net"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Client is a client of the RESP front.
+type Client struct {
+	conn  net.Conn
+	inbox inbox
+}
+
+// Dial connects a client.
+func Dial(t *testing.T, addr string) *Client {
+	conn, err := net.Dial("tcp", addr)
+	require.NoError(t, err)
+	c := &Client{conn, newInbox()}
+	go c.inbox.readFrames(conn)
+	return c
+}
+
+// Send writes the words as one frame, or their bytes; see encode.
+func (c *Client) Send(words []string) error {
+	_, err := c.conn.Write(encode(words))
+	return err
+}
+
+// Receive implements Actor.
+func (c *Client) Receive() ([]string, error) {
+	m, err := c.inbox.take()
+	return m.words, err
+}
+
+// TryReceive is Receive without waiting: there are no words if no message has arrived.
+func (c *Client) TryReceive() ([]string, error) {
+	select {
+	case m := <-c.inbox:
+		return m.words, nil
+	default:
+		return nil, nil
+	}
+}
+
+// Close implements Actor.
+func (c *Client) Close() error { return c.conn.Close() }
--- /dev/null
+++ b/internal/scenario/inbox.go
@@ -0,0 +1,74 @@
+package scenario
+
+import (
+	"errors"
+	"net"
+	"strings"
+	"time"
+
+	"ravenwheel/internal/resp"
+)
+
+const (
+	// receiveTimeout bounds how long a message is waited for; it is no measure of speed.
+	receiveTimeout = 10 * time.Second
+	// inboxSize is how many messages may wait to be received.
+	inboxSize = 100
+)
+
+// errNoMessage is of a message that did not arrive within receiveTimeout.
+var errNoMessage = errors.New("nothing came")
+
+// message is what an actor receives.
+type message struct {
+	words []string
+	from  net.Conn // nil: of no connection
+}
+
+// inbox holds messages in their order.
+type inbox chan message
+
+func newInbox() inbox { return make(inbox, inboxSize) }
+
+// take returns the next message.
+func (in inbox) take() (message, error) {
+	select {
+	case m := <-in:
+		return m, nil
+	case <-time.After(receiveTimeout):
+		return message{}, errNoMessage
+	}
+}
+
+// readFrames puts a connection's frames into the inbox, until it ends. Empty parts become "-".
+func (in inbox) readFrames(nc net.Conn) {
+	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
+	for {
+		parts, _, err := buf.Next(nc)
+		if err != nil {
+			in <- message{words: []string{"closed"}, from: nc}
+			return
+		}
+		m := message{from: nc}
+		for _, part := range parts {
+			if len(part) == 0 {
+				part = []byte("-")
+			}
+			m.words = append(m.words, string(part))
+		}
+		in <- m
+	}
+}
+
+// encode makes one frame of words. With "raw" first it is the bytes of the second word with a line's end behind them, and with "half" the
+// bytes alone.
+func encode(words []string) []byte {
+	if words[0] != "raw" && words[0] != "half" {
+		return resp.AppendFrame(nil, words...)
+	}
+	b := []byte(strings.ReplaceAll(words[1], `\r\n`, "\r\n"))
+	if words[0] == "raw" {
+		b = append(b, "\r\n"...)
+	}
+	return b
+}
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -14,14 +13,14 @@
 	"ravenwheel/policy"
 )
 
-// The ids of the stand-ins, as they are named on the sockets: s-00000001 and so on.
+// The ids of the servers. On the sockets they are s-00000001 and so on.
 const (
 	CacheID  policy.CacheID = 1
 	ParentID policy.CacheID = 11
 	OriginID policy.CacheID = 20
 )
 
-// Settings are those of a small deployment with two classes that read and one that writes.
+// Settings are those of a small deployment with two classes of reads and one of writes.
 func Settings() policy.Settings {
 	return policy.Settings{
 		Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: policy.DetailAll, MaxAttempts: 4, CanCancel: true,
@@ -35,7 +34,7 @@
 	}
 }
 
-// Proxy is a core on real sockets to stand-ins, under a clock that the test moves.
+// Proxy is a core with real sockets to a stand-in, under a manual clock.
 type Proxy struct {
 	Clock *clock.Clock
 	Core  *core.Core
@@ -43,7 +42,7 @@
 	Cache *Server
 }
 
-// NewProxy starts a core whose one cache, which fills from a parent and the origin, is a stand-in.
+// NewProxy starts a core with one cache server, a stand-in. Nobody listens at the addresses of its parent and of the origin.
 func NewProxy(t *testing.T) *Proxy {
 	p := &Proxy{Clock: clock.Manual(1_764_576_000_000), Cache: Listen(t)}
 	p.Pools = upstream.New(p.Clock, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
@@ -57,40 +56,3 @@
 	p.Core.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 	return p
 }
-
-// AttemptSender sends attempts to the cache without a core: "send ID [once]"; it expects "ID RESULT".
-type AttemptSender struct {
-	to   *upstream.Pools
-	in   inbox
-	sent atomic.Bool
-}
-
-// NewAttemptSender returns an actor over pools.
-func NewAttemptSender(to *upstream.Pools) *AttemptSender {
-	return &AttemptSender{to: to, in: make(inbox, 100)}
-}
-
-// WrittenCompletely tells whether what ended last had been written whole.
-func (a *AttemptSender) WrittenCompletely() bool { return a.sent.Load() }
-
-// Send implements Actor.
-func (a *AttemptSender) Send(words []string) error {
-	a.to.Send(core.Attempt{
-		ID: words[0], Class: "asset", Object: "o", Server: CacheID, Source: CacheID, Deadline: a.to.Clock().Now() + 1000, NonIdempotent: len(words) > 1,
-	}, func(e core.Outcome) {
-		a.sent.Store(e.Written)
-		a.in <- message{words: []string{words[0], results[e.Result]}}
-	})
-	return nil
-}
-
-var results = map[policy.Result]string{
-	policy.OK: "ok", policy.Failed: "failed", policy.Overloaded: "full", policy.TimedOut: "timeout",
-	policy.ConnectFailed: "unconnected", policy.Reset: "reset", policy.Skipped: "moot", policy.Miss: "miss",
-}
-
-// Receive implements Actor.
-func (a *AttemptSender) Receive() ([]string, error) { m, err := a.in.take(); return m.words, err }
-
-// Close implements Actor; there is nothing to end.
-func (a *AttemptSender) Close() error { return nil }
