--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -118,7 +118,7 @@
 	return all
 }
 
-// from tells whether both streams of a process come from another one.
+// from reports whether both streams of a process come from another one.
 func (f *levels) from(name, at string) bool {
 	all := f.streams(name)
 	return len(all) == 2 && all[0].Parent == at && all[1].Parent == at
--- a/cmd/ravenwheel/reload.go
+++ b/cmd/ravenwheel/reload.go
@@ -154,7 +154,7 @@
 	return conf.DiscoveryAddr, nil
 }
 
-// hasPrefix tells whether a list begins with the names of another one.
+// hasPrefix reports whether a list begins with the names of another one.
 func hasPrefix(list, prefix []string) bool {
 	return len(list) >= len(prefix) && slices.Equal(list[:len(prefix)], prefix)
 }
--- a/cmd/ravenwheel/server_list.go
+++ b/cmd/ravenwheel/server_list.go
@@ -11,7 +11,7 @@
 // startList loads the watched list and follows its changes. Where the list can't be used, the recorded one is. Without either,
 // the list is waited for if discovery lists servers too; else a proxy without servers does not start, with the list's error.
 func (s *serverSources) startList(options *config.Servers, rank int, recorded *serverlist.List) error {
-	s.requirements = s.conf.ListFacts(options.MaxDroppedFraction)
+	s.requirements = s.conf.ListRequirements(options.MaxDroppedFraction)
 	cache := &resolver.Cache{
 		Backend: systemResolver(), Clock: s.clock, TTL: options.ResolveTTLMs, Timeout: options.ResolveTimeoutMs,
 	}
--- a/cmd/ravenwheel/servers_command.go
+++ b/cmd/ravenwheel/servers_command.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return requirements, err
 	}
-	return conf.ListFacts(file.Servers.MaxDroppedFraction), nil
+	return conf.ListRequirements(file.Servers.MaxDroppedFraction), nil
 }
 
 const (
--- a/cmd/ravenwheel/shared_state.go
+++ b/cmd/ravenwheel/shared_state.go
@@ -23,12 +23,12 @@
 	abandoned chan struct{}              // closed once nobody receives what distributors send; nil: none send
 }
 
-// isMember tells whether the process is a member of the store.
+// isMember reports whether the process is a member of the store.
 func (s sharedState) isMember(file *config.OperatorFile) bool {
 	return s.store != nil && file.Store.Name != ""
 }
 
-// isSubscriber tells whether the process gets what the store holds from distributors, as it is no member.
+// isSubscriber reports whether the process gets what the store holds from distributors, as it is no member.
 func (s sharedState) isSubscriber(file *config.OperatorFile) bool {
 	return s.node != nil && file.Store.Name == ""
 }
--- a/cmd/ravenwheel/shutdown.go
+++ b/cmd/ravenwheel/shutdown.go
@@ -17,7 +17,7 @@
 )
 
 // shutDown drains the proxy: it answers the requests that are open or on their way, and closes all connections. stopController
-// has the front drain, and tells whether another process has taken over; then nothing arrives but on open connections.
+// has the front drain, and reports whether another process has taken over; then nothing arrives but on open connections.
 //
 // It waits until all connections are closed, and not for answers alone: a request between the last answer and the exit would be
 // reset, unread. Nor is the listener closed over connections in its queue.
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -57,7 +57,7 @@
 		core:             proxy,
 		shared:           shared,
 		resolver:         &resolver.Cache{Backend: systemResolver(), Clock: env.clock, TTL: pushResolveTTL, Timeout: pushResolveTimeout},
-		requirements:     env.conf.ListFacts(0),
+		requirements:     env.conf.ListRequirements(0),
 		discoveryOverdue: make(chan struct{}, 1),
 	}
 	defer func() {
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -26,15 +26,7 @@
 	for _, passed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("passed %v", passed), func(t *testing.T) {
 			p := scenario.NewProxy(t)
-			servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 5, FillTime: 5})
-			defer servers.Close()
-			list := make([]core.Member, 3)
-			for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
-				server, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
-				require.NoError(t, err)
-				list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
-			}
-			p.Core.UpdateMembers(membership.Publish{Version: 2, Complete: true, Members: list})
+			servers := startServers(t, p, fleet.Options{Clock: p.Clock, TransferTime: 5, FillTime: 5})
 			ln, err := net.Listen("tcp", scenario.Loopback())
 			require.NoError(t, err)
 			front := resp.New(ln, 100, p.Clock, p.Core)
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ravenwheel/internal/clock"
 	"ravenwheel/internal/config"
 	"ravenwheel/internal/control"
 	"ravenwheel/internal/core"
@@ -26,15 +27,7 @@
 // though servers are slow: none is rejected unsent, no connection is closed without an answer.
 func TestStopUnderLoadAnswersAll(t *testing.T) {
 	p := scenario.NewProxy(t)
-	servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 40, FillTime: 20})
-	defer servers.Close()
-	list := make([]core.Member, 3)
-	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
-		server, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
-		require.NoError(t, err)
-		list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
-	}
-	p.Core.UpdateMembers(membership.Publish{Version: 2, Complete: true, Members: list})
+	servers := startServers(t, p, fleet.Options{Clock: p.Clock, TransferTime: 40, FillTime: 20})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	front := resp.New(ln, 100, p.Clock, p.Core)
@@ -69,15 +62,7 @@
 		require.Eventually(t, func() bool { return p.Core.Counters.Requests.Load() == int64(at/10)+1 }, time.Minute, time.Millisecond)
 		p.Clock.Advance(10)
 	}
-	require.Eventually(t, func() bool {
-		select {
-		case <-ended:
-			return true
-		default:
-			p.Clock.Advance(10)
-			return false
-		}
-	}, time.Minute, time.Millisecond)
+	awaitEnd(t, p.Clock, ended)
 	require.GreaterOrEqual(t, p.Clock.Now(), began+control.CloseIdleAfterStop)
 	require.Less(t, p.Clock.Now(), began+5000+killGraceMs, "before SIGKILL")
 	require.True(t, operatorStopped)
@@ -142,12 +127,31 @@
 		return err == nil && words != nil
 	}, time.Minute, time.Millisecond)
 	require.Equal(t, "1", words[0], "its own answer, and no end")
+	awaitEnd(t, p.Clock, ended)
+}
+
+// startServers starts a cache server, a parent and the origin, of which the proxy's core is notified.
+func startServers(t *testing.T, p *scenario.Proxy, options fleet.Options) *fleet.Fleet {
+	servers := fleet.New(options)
+	t.Cleanup(servers.Close)
+	list := make([]core.Member, 3)
+	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+		server, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
+		require.NoError(t, err)
+		list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
+	}
+	p.Core.UpdateMembers(membership.Publish{Version: 2, Complete: true, Members: list})
+	return servers
+}
+
+// awaitEnd advances the clock until a channel is closed.
+func awaitEnd(t *testing.T, clk *clock.Clock, ended <-chan struct{}) {
 	require.Eventually(t, func() bool {
 		select {
 		case <-ended:
 			return true
 		default:
-			p.Clock.Advance(10)
+			clk.Advance(10)
 			return false
 		}
 	}, time.Minute, time.Millisecond)
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -125,7 +125,7 @@
 	return false
 }
 
-// ready tells whether a box is in use, under the id that it is listed by.
+// ready reports whether a box is in use, under the id that it is listed by.
 func (x *tortured) ready(box policy.CacheID) bool {
 	id := box
 	if named := x.names[box]; named != 0 {
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -40,7 +40,7 @@
 	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "a deployment whose requests may go straight up, or join a fill")
 	raw, err := os.ReadFile("../../deploy/servers.example.jsonc")
 	require.NoError(t, err)
-	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListFacts(0.34))
+	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
 	require.NoError(t, bad.Err())
 	answers := map[string]serverlist.Resolution{}
 	for _, h := range d.Hosts() {
@@ -48,7 +48,7 @@
 	}
 	set, bad := d.Resolve(answers, nil)
 	require.NoError(t, bad.Err())
-	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.ListFacts(0.34))
+	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.ListRequirements(0.34))
 	require.NoError(t, bad.Err())
 	written, bad := again.Resolve(answers, set)
 	require.NoError(t, bad.Err())
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// validClassName tells whether a class has a name of its own that can be written in a field of a frame.
+// validClassName reports whether a class has a name of its own that can be written in a field of a frame.
 func validClassName(name string, repeated bool) bool {
 	const separators = " ,=\r\n"
 	return name != "" && !repeated && !strings.ContainsAny(name, separators)
--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -8,10 +8,10 @@
 	"ravenwheel/policy"
 )
 
-// ListFacts returns what server lists are validated against. maxDroppedFraction is the fraction of the ready servers that one
+// ListRequirements returns what server lists are validated against. maxDroppedFraction is the fraction of the ready servers that one
 // list may remove.
-func (c *Config) ListFacts(maxDroppedFraction float64) serverlist.Requirements {
-	facts := serverlist.Requirements{
+func (c *Config) ListRequirements(maxDroppedFraction float64) serverlist.Requirements {
+	requirements := serverlist.Requirements{
 		Zones:      c.Names.Zones,
 		Kinds:      c.Names.Kinds,
 		ParentKind: c.kindName(c.Settings.ParentKind),
@@ -20,13 +20,13 @@
 	}
 	for zone, proxies := range c.Settings.ZoneRouters {
 		if proxies > 0 && zone < len(c.Names.Zones) {
-			facts.Clients = append(facts.Clients, c.Names.Zones[zone])
+			requirements.Clients = append(requirements.Clients, c.Names.Zones[zone])
 		}
 	}
 	for _, class := range c.Settings.Classes {
-		facts.Writes = facts.Writes || class.Uncached
+		requirements.Writes = requirements.Writes || class.Uncached
 	}
-	return facts
+	return requirements
 }
 
 // kindName is the name of a kind of server; empty: there is none with this index.
--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -56,7 +56,7 @@
 	cl.close()
 }
 
-// mustStartPending tells whether pending requests are started although more has arrived: a client that never stops sending
+// mustStartPending reports whether pending requests are started although more has arrived: a client that never stops sending
 // would hold them up.
 func (cl *client) mustStartPending() bool {
 	if len(cl.pending) == 0 {
--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -134,7 +134,7 @@
 	return true
 }
 
-// readTimedOut tells whether the client has been silent for too long where it has to send: at first, and within a frame. Called
+// readTimedOut reports whether the client has been silent for too long where it has to send: at first, and within a frame. Called
 // under the front's lock.
 func (c *conn) readTimedOut(now float64) bool {
 	if c.partialFrame {
@@ -143,7 +143,7 @@
 	return !c.hasFrame && now-c.lastRead >= firstFrameTimeout
 }
 
-// isNew tells whether the connection was accepted just now and its first request may be on the way. Called under the front's
+// isNew reports whether the connection was accepted just now and its first request may be on the way. Called under the front's
 // lock.
 func (c *conn) isNew(now float64) bool { return !c.hasFrame && now-c.lastRead < newConnGrace }
 
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -92,7 +92,7 @@
 	return len(f.conns)
 }
 
-// Idle tells whether no request is open and no answer waits to be written.
+// Idle reports whether no request is open and no answer waits to be written.
 func (f *Front) Idle() bool { return f.pendingWork.Load() == 0 }
 
 // SetReady sets the answer to health checks.
@@ -105,7 +105,7 @@
 	}
 }
 
-// IsAccepting tells whether this process accepts new connections.
+// IsAccepting reports whether this process accepts new connections.
 func (f *Front) IsAccepting() bool { return f.pausedAccept() == nil }
 
 // SetAccepting has new connections accepted here, or left to another process that shares the listener.
@@ -133,7 +133,7 @@
 	return f.resume
 }
 
-// HasQueuedConns tells whether connections wait in the listener's queue or for a slot. Their clients have been accepted by the
+// HasQueuedConns reports whether connections wait in the listener's queue or for a slot. Their clients have been accepted by the
 // system, and may have sent requests.
 func (f *Front) HasQueuedConns() (queued bool) {
 	if f.admitting.Load() {
--- a/internal/front/resp/request.go
+++ b/internal/front/resp/request.go
@@ -34,13 +34,13 @@
 	request core.Request
 }
 
-// isTag tells whether an answer can be written under a tag: a whole number above 0.
+// isTag reports whether an answer can be written under a tag: a whole number above 0.
 func isTag(b []byte) bool {
 	n, err := strconv.ParseUint(string(b), 10, 63)
 	return err == nil && n > 0
 }
 
-// isID tells whether s is an id of a request or an object: 16 hexadecimal digits.
+// isID reports whether s is an id of a request or an object: 16 hexadecimal digits.
 func isID(s string) bool {
 	if len(s) != 16 {
 		return false
--- a/internal/front/resp/socket.go
+++ b/internal/front/resp/socket.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnreadBytes tells whether the socket holds bytes that were not read.
+// hasUnreadBytes reports whether the socket holds bytes that were not read.
 func (c *conn) hasUnreadBytes() (unread bool) {
 	c.withSocket(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
@@ -15,7 +15,7 @@
 	return unread
 }
 
-// peerClosed tells whether the client has closed the connection, also where its end is behind bytes that were not read. No
+// peerClosed reports whether the client has closed the connection, also where its end is behind bytes that were not read. No
 // attempt begins for a client that has left.
 func (c *conn) peerClosed() (closed bool) {
 	isOpen := c.withSocket(func(fd int) {
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -67,7 +67,7 @@
 	return cl.out[:len(cl.out):len(cl.out)]
 }
 
-// writeTimedOut tells whether the bytes that are being written have not been read for too long.
+// writeTimedOut reports whether the bytes that are being written have not been read for too long.
 func (cl *client) writeTimedOut(now float64) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// isOnlyExpired tells whether a token is valid but for its age. A forged token is never told apart by its age: its signature
+// isOnlyExpired reports whether a token is valid but for its age. A forged token is never told apart by its age: its signature
 // fails first.
 func isOnlyExpired(err error) bool {
 	return errors.Is(err, jwt.ErrTokenExpired) && !errors.Is(err, jwt.ErrTokenNotValidYet) &&
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -75,7 +75,7 @@
 	if err := os.WriteFile(r.path, raw, 0o600); err != nil {
 		return err
 	}
-	set, err := filewatch.Load(r.path, r.conf.ListFacts(0), &resolver.Cache{Clock: r.clk}, nil)
+	set, err := filewatch.Load(r.path, r.conf.ListRequirements(0), &resolver.Cache{Clock: r.clk}, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -142,7 +142,7 @@
 	return event
 }
 
-// allow tells whether the rate limit of a kind allows a line at a time, and how many were dropped before this one.
+// allow reports whether the rate limit of a kind allows a line at a time, and how many were dropped before this one.
 func (l *Log) allow(kind string, now time.Time) (allowed bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scenario/attempt_sender.go
+++ b/internal/scenario/attempt_sender.go
@@ -36,7 +36,7 @@
 	return &AttemptSender{pools: pools, inbox: newInbox()}
 }
 
-// WrittenCompletely tells whether the attempt that ended last had been written completely.
+// WrittenCompletely reports whether the attempt that ended last had been written completely.
 func (a *AttemptSender) WrittenCompletely() bool { return a.written.Load() }
 
 // Send implements Actor.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -104,7 +104,7 @@
 	return func() { close(stopping); <-done }
 }
 
-// match tells whether a message is as expected, word by word.
+// match reports whether a message is as expected, word by word.
 func match(want, got []string) bool {
 	if len(want) != len(got) {
 		return false
--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -190,7 +190,7 @@
 	return gosnmp.SnmpPDU{Name: oid, Type: gosnmp.EndOfMibView}
 }
 
-// oidBefore tells whether OID a comes before OID b: by the first number in which they differ, else the shorter one.
+// oidBefore reports whether OID a comes before OID b: by the first number in which they differ, else the shorter one.
 func oidBefore(a, b string) bool {
 	as, bs := strings.Split(strings.Trim(a, "."), "."), strings.Split(strings.Trim(b, "."), ".")
 	for i := range min(len(as), len(bs)) {
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// nullable tells whether null is a value of a kind: it leaves the target as it is.
+// nullable reports whether null is a value of a kind: it leaves the target as it is.
 func nullable(kind reflect.Kind) bool {
 	return kind == reflect.Pointer || kind == reflect.Map || kind == reflect.Slice
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// repeated tells whether the name of a member is that of one before it. Objects are small: a map for each would cost more.
+// repeated reports whether the name of a member is that of one before it. Objects are small: a map for each would cost more.
 func repeated(o *hujson.Object, index int) bool {
 	name := string(o.Members[index].Name.Value.(hujson.Literal))
 	for i := range index {
@@ -158,7 +158,7 @@
 	return ""
 }
 
-// oneEdit tells whether inserting, deleting or changing one letter makes b of a.
+// oneEdit reports whether inserting, deleting or changing one letter makes b of a.
 func oneEdit(a, b string) bool {
 	if len(a) > len(b) {
 		a, b = b, a
--- a/internal/strictjson/document.go
+++ b/internal/strictjson/document.go
@@ -66,10 +66,10 @@
 	return d
 }
 
-// Valid tells whether no defect was found so far.
+// Valid reports whether no defect was found so far.
 func (d *Document) Valid() bool { return len(d.Defects) == 0 }
 
-// Has tells whether the text has a value at a path, as in servers[3].addr.
+// Has reports whether the text has a value at a path, as in servers[3].addr.
 func (d *Document) Has(path string) bool {
 	_, ok := d.find(path)
 	return ok
