--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -20,10 +20,10 @@
 // scaleMemory bounds the heap of a run: beyond, collections come more often. The machine has three times as much.
 const scaleMemory = 7 << 30
 
-func readScale(path string) (hollow.Spec, error) {
+func readScale(path string) (hollow.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return hollow.Spec{}, err
+		return hollow.Scenario{}, err
 	}
 	s, bad := hollow.Parse(path, text)
 	if s.Name == "" {
@@ -82,16 +82,16 @@
 	return cmd
 }
 
-func playScale(cmd *cobra.Command, s hollow.Spec, ways []string, loop bool, dir string) (runs []*hollow.Result, err error) {
+func playScale(cmd *cobra.Command, s hollow.Scenario, ways []string, loop bool, dir string) (runs []*hollow.Result, err error) {
 	broken := 0
 	for _, n := range s.Processes {
 		for _, way := range ways {
-			r, failed := hollow.Play(cmd.Context(), s, n, way == "direct", loop)
+			r, failed := hollow.Run(cmd.Context(), s, n, way == "direct", loop)
 			if failed != nil {
 				return runs, failed
 			}
 			runs = append(runs, r)
-			if broken += r.Broken; dir != "" {
+			if broken += r.Violations; dir != "" {
 				raw, _ := json.MarshalIndent(r, "", " ") // of plain values
 				if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("%s-%s-%d.json", s.Name, way, n)), append(raw, '\n'), 0o644); err != nil {
 					return runs, err
@@ -109,29 +109,29 @@
 }
 
 func printScale(out io.Writer, r *hollow.Result) error {
-	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Way, r.Virtual, r.Wall,
-		r.Processor, r.HeapMB)
-	if r.Harness >= 0 {
-		fmt.Fprintf(out, "the loop with empty machines: processor %.1f s (whole: %v)\n", r.Harness, r.HarnessEnded)
+	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds, r.WallSeconds,
+		r.CPUSeconds, r.HeapMB)
+	if r.HarnessCPUSeconds >= 0 {
+		fmt.Fprintf(out, "the loop with empty machines: processor %.1f s (whole: %v)\n", r.HarnessCPUSeconds, r.HarnessComplete)
 	}
 	for i, what := range []string{"purges", "lists, drains, revisions"} {
-		e, f := r.Everywhere[i], r.After[i]
+		e, f := r.Propagation[i], r.AfterFault[i]
 		fmt.Fprintf(out, "%s: %d, at the last process after p50 %.0f, p99 %.0f, at most %.0f ms; counted from a process's return p99 %.0f, at most %.0f\n",
-			what, e.Count, e.P50, e.P99, e.Last, f.P99, f.Last)
+			what, e.Count, e.P50, e.P99, e.Max, f.P99, f.Max)
 	}
-	for _, h := range r.Healed {
-		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", h.Fault.Kind, h.Fault.At, h.After, h.At)
+	for _, h := range r.Recoveries {
+		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", h.Fault.Kind, h.Fault.AtSeconds, h.AfterSeconds, h.CountedFromSeconds)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "role\tprocesses\tin KB/s\tout KB/s\tmost out\tin /s\tout /s\tus a call\tcore %\theap MB\tlight MB\t")
-	for _, c := range r.PerRole {
-		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", c.Role, c.Processes, c.InKBPerS, c.OutKBPerS, c.MostOut, c.InPerS,
-			c.OutPerS, c.MicrosCall, c.Percent, c.HeapMB, c.LightMB)
+	for _, c := range r.RoleCosts {
+		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", c.Role, c.Processes, c.InKBPerS, c.OutKBPerS, c.MaxOutKBPerS, c.MessagesInPerS,
+			c.MessagesOutPerS, c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, text := range append(r.Rules, r.Beyond...) {
+	for _, text := range append(r.ViolationTexts, r.ExceededLimits...) {
 		fmt.Fprintln(out, text)
 	}
 	return nil
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -10,226 +10,226 @@
 // direct is today's way: every process is a member of the store's cluster that does not vote, and its leader sends each of
 // them every entry, and heartbeats in between, as hashicorp/raft does. The algorithm is modelled; the bytes are those of the
 // real transport, see measureRaft; what followers do with an entry is the real code.
-type direct struct {
-	w     *world
-	sizes raftSizes
-	feeds []*feed // by process; nil: a member of the store
-	leads *process
-	term  int
-	rng   *rand.Rand // of the pauses between heartbeats
+type directPropagator struct {
+	sim           *simulation
+	sizes         raftSizes
+	replications  []*followerReplication // by process; nil: a member of the store
+	feedingLeader *process
+	feedingTerm   int
+	rand          *rand.Rand // of the pauses between heartbeats
 }
 
 // feed is what the leader knows of one follower.
-type feed struct {
-	to            *process
-	c             *conn // nil: none is open
-	next, acked   int   // places in the log of all
-	flight        int   // requests without an answer
-	fails         int
-	retry, silent float64 // when to try again, and when the answer is late; 0: neither
-	beat          float64
+type followerReplication struct {
+	follower             *process
+	conn                 *conn // nil: none is open
+	next, acked          int   // places in the log of all
+	inFlight             int   // requests without an answer
+	failures             int
+	retryAt, responseDue float64 // when to try again, and when the answer is late; 0: neither
+	heartbeatAt          float64
 }
 
 // follower is a process of today's way.
 type follower struct {
-	kept int // entries that it has, on its disk: a restart does not lose them
+	persisted int // entries that it has, on its disk: a restart does not lose them
 }
 
 // appended is a request of the leader, or with none a heartbeat.
-type appended struct {
-	from, to int
-	answer   bool
-	has      int // of an answer: what the follower has
+type appendMessage struct {
+	from, to   int
+	isResponse bool
+	persisted  int // of an answer: what the follower has
 }
 
 // What hashicorp/raft 1.6 does by itself: entries in a request, requests on their way to one follower, the pause after a
 // failure (doubling), the time that an answer may take, and the mean between two heartbeats.
 const (
-	raftMostEntries = 64
-	raftInFlight    = 2
-	raftPauseFrom   = 10.0
-	raftPauseMost   = 10_240.0
-	raftWait        = 2000.0
-	raftBeat        = 150.0
+	raftMaxEntries      = 64
+	raftMaxInFlight     = 2
+	raftMinBackoff      = 10.0
+	raftMaxBackoff      = 10_240.0
+	raftResponseTimeout = 2000.0
+	raftHeartbeatMean   = 150.0
 )
 
-func newDirect(w *world) *direct {
-	d := &direct{w: w, sizes: measureRaft(), rng: stream(w.spec.Seed, "raft"), feeds: make([]*feed, len(w.processes))}
+func newDirectPropagator(sim *simulation) *directPropagator {
+	d := &directPropagator{sim: sim, sizes: measureRaftSizes(), rand: newRand(sim.scenario.Seed, "raft"), replications: make([]*followerReplication, len(sim.processes))}
 	return d
 }
 
 // guards implements way: nothing in today's follower says that it may be behind.
-func (d *direct) guards() bool { return false }
+func (d *directPropagator) hasFreshnessGate() bool { return false }
 
 // begin implements way.
-func (d *direct) begin(p *process) {
-	if p.whole {
-		p.applier = newApplier(d.w, p, true)
+func (d *directPropagator) processStarted(p *process) {
+	if p.full {
+		p.applier = newApplier(d.sim, p, true)
 	}
 	if p.role == Store {
 		return
 	}
-	p.next = [2]int{}
-	for _, c := range d.w.history.all[:p.follow.kept] { // from its disk
-		p.next[c.stream]++
+	p.applied = [2]int{}
+	for _, c := range d.sim.log.entries[:p.follower.persisted] { // from its disk
+		p.applied[c.stream]++
 		if p.applier != nil {
-			p.applier.change(c.change)
+			p.applier.applyChange(c.encodedChange)
 		}
 	}
 }
 
 // committed implements way.
-func (d *direct) committed(p *process, batch []*committed, _ int64) {
+func (d *directPropagator) entriesApplied(p *process, batch []*logEntry, _ int64) {
 	for _, c := range batch {
-		p.next[c.stream]++
+		p.applied[c.stream]++
 	}
-	if p != d.w.leader {
+	if p != d.sim.leader {
 		return
 	}
-	d.lead(p)
-	for _, f := range d.feeds {
+	d.startReplication(p)
+	for _, f := range d.replications {
 		if f != nil {
-			d.pump(f)
+			d.sendMissing(f)
 		}
 	}
 }
 
 // lead begins to feed all, at the first entry of a leader.
-func (d *direct) lead(p *process) {
-	if d.leads == p && d.term == d.w.epochs {
+func (d *directPropagator) startReplication(p *process) {
+	if d.feedingLeader == p && d.feedingTerm == d.sim.term {
 		return
 	}
-	d.leads, d.term = p, d.w.epochs
-	d.feeds = make([]*feed, len(d.w.processes))
-	if d.w.spec.LeaderOutKBPerS > 0 {
-		p.outRate = d.w.spec.LeaderOutKBPerS
+	d.feedingLeader, d.feedingTerm = p, d.sim.term
+	d.replications = make([]*followerReplication, len(d.sim.processes))
+	if d.sim.scenario.LeaderOutKBPerS > 0 {
+		p.sendRate = d.sim.scenario.LeaderOutKBPerS
 	}
-	for _, q := range d.w.processes {
+	for _, q := range d.sim.processes {
 		if q.role != Store {
-			f := &feed{to: q, next: q.follow.kept, acked: q.follow.kept, beat: d.w.now + raftBeat*d.rng.Float64()}
-			d.feeds[q.id] = f
-			d.open(f)
+			f := &followerReplication{follower: q, next: q.follower.persisted, acked: q.follower.persisted, heartbeatAt: d.sim.now + raftHeartbeatMean*d.rand.Float64()}
+			d.replications[q.id] = f
+			d.connect(f)
 		}
 	}
-	d.w.wake(p, slotDirect, timerEvery)
+	d.sim.setTimer(p, slotDirect, leaderTimerInterval)
 }
 
 // timerEvery ms the leader looks at its timers.
-const timerEvery = 20.0
+const leaderTimerInterval = 20.0
 
-func (d *direct) open(f *feed) {
-	f.c, f.flight = nil, 0
+func (d *directPropagator) connect(f *followerReplication) {
+	f.conn, f.inFlight = nil, 0
 	f.next = f.acked
-	f.silent = d.w.now + raftWait
-	d.w.dial(d.w.leader, f.to, 0, distribution.Link(f.to.id+1))
+	f.responseDue = d.sim.now + raftResponseTimeout
+	d.sim.dial(d.sim.leader, f.follower, 0, distribution.Link(f.follower.id+1))
 }
 
 // pump sends what a follower lacks, as long as not too much is on its way to it.
-func (d *direct) pump(f *feed) {
-	all := d.w.history.all
-	for f.c != nil && f.flight < raftInFlight && f.next < len(all) {
-		to := min(len(all), f.next+raftMostEntries)
+func (d *directPropagator) sendMissing(f *followerReplication) {
+	all := d.sim.log.entries
+	for f.conn != nil && f.inFlight < raftMaxInFlight && f.next < len(all) {
+		to := min(len(all), f.next+raftMaxEntries)
 		size := d.sizes.request
 		for _, c := range all[f.next:to] {
-			size += d.sizes.entry + len(c.change)
+			size += d.sizes.entry + len(c.encodedChange)
 		}
-		d.w.send(f.c, true, &payload{size: size, direct: appended{from: f.next, to: to}})
+		d.sim.send(f.conn, true, &payload{size: size, appendMessage: appendMessage{from: f.next, to: to}})
 		f.next = to
-		if f.flight++; f.silent == 0 {
-			f.silent = d.w.now + raftWait
+		if f.inFlight++; f.responseDue == 0 {
+			f.responseDue = d.sim.now + raftResponseTimeout
 		}
 	}
 }
 
 // receive implements way.
-func (d *direct) receive(p *process, c *conn, up bool, load *payload) {
-	a := load.direct.(appended)
+func (d *directPropagator) messageReceived(p *process, c *conn, up bool, load *payload) {
+	a := load.appendMessage.(appendMessage)
 	if !up {
-		d.answered(p, c, a)
+		d.handleResponse(p, c, a)
 		return
 	}
-	if a.to > a.from && a.from <= p.follow.kept && a.to > p.follow.kept {
-		for _, x := range d.w.history.all[p.follow.kept:a.to] {
+	if a.to > a.from && a.from <= p.follower.persisted && a.to > p.follower.persisted {
+		for _, x := range d.sim.log.entries[p.follower.persisted:a.to] {
 			if p.applier != nil {
-				p.applier.change(x.change)
+				p.applier.applyChange(x.encodedChange)
 			}
-			d.w.tape.write(tapeReach, x.stream, p.id, 0, float64(x.entry.Sequence))
-			d.w.check.reached(p, x.stream, x.entry.Sequence)
+			d.sim.trace.record(traceApplied, x.stream, p.id, 0, float64(x.entry.Sequence))
+			d.sim.checker.advance(p, x.stream, x.entry.Sequence)
 		}
-		p.follow.kept = a.to
+		p.follower.persisted = a.to
 	}
-	d.w.send(c, false, &payload{size: d.sizes.answer, direct: appended{answer: true, has: p.follow.kept, to: a.to}})
+	d.sim.send(c, false, &payload{size: d.sizes.response, appendMessage: appendMessage{isResponse: true, persisted: p.follower.persisted, to: a.to}})
 }
 
-func (d *direct) answered(p *process, c *conn, a appended) {
-	f := d.feeds[c.to.id]
-	if p != d.w.leader || f == nil || f.c != c {
+func (d *directPropagator) handleResponse(p *process, c *conn, a appendMessage) {
+	f := d.replications[c.to.id]
+	if p != d.sim.leader || f == nil || f.conn != c {
 		return
 	}
-	f.fails, f.silent = 0, 0
-	f.acked = max(f.acked, a.has)
+	f.failures, f.responseDue = 0, 0
+	f.acked = max(f.acked, a.persisted)
 	if a.to > 0 {
-		f.flight = max(0, f.flight-1)
+		f.inFlight = max(0, f.inFlight-1)
 	}
-	if f.flight > 0 {
-		f.silent = d.w.now + raftWait
+	if f.inFlight > 0 {
+		f.responseDue = d.sim.now + raftResponseTimeout
 	}
-	d.pump(f)
+	d.sendMissing(f)
 }
 
 // connected implements way.
-func (d *direct) connected(p *process, c *conn) {
-	if f := d.feeds[c.to.id]; f != nil && p == d.w.leader {
-		f.c, f.silent, f.next = c, 0, c.to.follow.kept
+func (d *directPropagator) connected(p *process, c *conn) {
+	if f := d.replications[c.to.id]; f != nil && p == d.sim.leader {
+		f.conn, f.responseDue, f.next = c, 0, c.to.follower.persisted
 		f.acked = f.next
-		d.pump(f)
+		d.sendMissing(f)
 	}
 }
 
 // lost implements way.
-func (d *direct) lost(p *process, c *conn) {
-	if f := d.feeds[c.to.id]; f != nil && p == d.w.leader && (f.c == c || f.c == nil) {
-		d.fail(f)
+func (d *directPropagator) lost(p *process, c *conn) {
+	if f := d.replications[c.to.id]; f != nil && p == d.sim.leader && (f.conn == c || f.conn == nil) {
+		d.backOff(f)
 	}
 }
 
 // fail has the leader leave a follower alone for a while.
-func (d *direct) fail(f *feed) {
-	if f.c != nil {
-		d.w.leave(f.c, d.w.leader)
-		f.c = nil
+func (d *directPropagator) backOff(f *followerReplication) {
+	if f.conn != nil {
+		d.sim.disconnect(f.conn, d.sim.leader)
+		f.conn = nil
 	}
-	f.fails++
-	f.silent, f.flight = 0, 0
-	f.retry = d.w.now + min(raftPauseMost, raftPauseFrom*math.Pow(2, float64(min(f.fails, 12))))
+	f.failures++
+	f.responseDue, f.inFlight = 0, 0
+	f.retryAt = d.sim.now + min(raftMaxBackoff, raftMinBackoff*math.Pow(2, float64(min(f.failures, 12))))
 }
 
 // tick implements way.
-func (d *direct) tick(p *process, slot int) {
+func (d *directPropagator) timerFired(p *process, slot int) {
 	if slot == slotLedger {
-		p.applier.due()
+		p.applier.tick()
 		return
 	}
-	if p != d.w.leader {
+	if p != d.sim.leader {
 		return
 	}
-	d.w.wake(p, slotDirect, timerEvery)
-	for _, f := range d.feeds {
+	d.sim.setTimer(p, slotDirect, leaderTimerInterval)
+	for _, f := range d.replications {
 		if f == nil {
 			continue
 		}
-		switch now := d.w.now; {
-		case f.silent > 0 && now >= f.silent:
-			d.fail(f)
-		case f.retry > 0 && now >= f.retry:
-			f.retry = 0
-			d.open(f)
-		case f.c != nil && now >= f.beat:
-			f.beat = now + raftBeat*(2.0/3+d.rng.Float64()*2/3)
-			d.w.send(f.c, true, &payload{size: d.sizes.request, direct: appended{}})
+		switch now := d.sim.now; {
+		case f.responseDue > 0 && now >= f.responseDue:
+			d.backOff(f)
+		case f.retryAt > 0 && now >= f.retryAt:
+			f.retryAt = 0
+			d.connect(f)
+		case f.conn != nil && now >= f.heartbeatAt:
+			f.heartbeatAt = now + raftHeartbeatMean*(2.0/3+d.rand.Float64()*2/3)
+			d.sim.send(f.conn, true, &payload{size: d.sizes.request, appendMessage: appendMessage{}})
 		}
 	}
 }
 
 // marked implements way: followers hear of no watermark.
-func (d *direct) marked(*process, int64) {}
+func (d *directPropagator) watermarkAdvanced(*process, int64) {}
--- a/internal/lab/hollow/queue.go
+++ b/internal/lab/hollow/event_queue.go
@@ -10,39 +10,39 @@
 type eventKind uint8
 
 const (
-	atDeliver   eventKind = iota // a message is there
-	atConnected                  // the connection that a process asked for is open
-	atLost                       // a process learns that a connection has ended
-	atTick                       // a process's timer
-	atCall                       // anything else: few
+	eventDeliver        eventKind = iota // a message is there
+	eventConnected                       // the connection that a process asked for is open
+	eventConnectionLost                  // a process learns that a connection has ended
+	eventTimer                           // a process's timer
+	eventCall                            // anything else: few
 )
 
 // event is something that happens at a time. Of two at one instant the one that was asked for first comes first.
 type event struct {
-	at      float64 // ms
-	seq     uint64
-	c       *conn
-	load    *payload
-	call    func()
-	process *process
-	kind    eventKind
-	slot    uint8
-	up      bool // from the subscriber's side to the distributor's
-	life    uint32
+	at          float64 // ms
+	seq         uint64
+	conn        *conn
+	payload     *payload
+	call        func()
+	process     *process
+	kind        eventKind
+	slot        uint8
+	upward      bool // from the subscriber's side to the distributor's
+	incarnation uint32
 }
 
 func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
 // queue is a 4-ary heap of events by time and number, as that of internal/lab/sim, without a closure each: a run has
 // hundreds of millions.
-type queue struct {
-	heap []event
-	seq  uint64
-	now  float64
-	done uint64
+type eventQueue struct {
+	heap      []event
+	seq       uint64
+	now       float64
+	processed uint64
 }
 
-func (q *queue) push(e event) {
+func (q *eventQueue) push(e event) {
 	q.seq++
 	e.seq, e.at = q.seq, max(e.at, q.now)
 	q.heap = append(q.heap, e)
@@ -59,9 +59,11 @@
 }
 
 // after has f called so many ms from now.
-func (q *queue) after(ms float64, f func()) { q.push(event{at: q.now + ms, kind: atCall, call: f}) }
+func (q *eventQueue) after(ms float64, f func()) {
+	q.push(event{at: q.now + ms, kind: eventCall, call: f})
+}
 
-func (q *queue) next() (e event, ok bool) {
+func (q *eventQueue) pop() (e event, ok bool) {
 	n := len(q.heap)
 	if n == 0 {
 		return e, false
@@ -92,11 +94,11 @@
 		q.heap[i] = last
 	}
 	q.now = e.at
-	q.done++
+	q.processed++
 	return e, true
 }
 
 // stream is a generator of random numbers of its own, so that what one part draws changes nothing for another.
-func stream(seed uint64, name string) *rand.Rand {
+func newRand(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func read(t *testing.T, name string) Spec {
+func readScenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	path := filepath.Join("../../../lab/scale", name)
 	text, err := os.ReadFile(path)
@@ -22,9 +22,9 @@
 	return s
 }
 
-func play(t *testing.T, s Spec, direct, loop bool) *Result {
+func runScenario(t *testing.T, s Scenario, direct, loop bool) *Result {
 	t.Helper()
-	r, err := Play(context.Background(), s, s.Processes[0], direct, loop)
+	r, err := Run(context.Background(), s, s.Processes[0], direct, loop)
 	require.NoError(t, err)
 	return r
 }
@@ -32,70 +32,70 @@
 // Every fault on a small fleet: no committed purge, list, drain or revision is missed, all come in order and once, nobody is
 // behind its bound without saying so, the last process is in time, and bytes stay bounded in each phase.
 func TestEveryFault(t *testing.T) {
-	s := read(t, "small.jsonc")
-	r := play(t, s, false, false)
+	s := readScenario(t, "small.jsonc")
+	r := runScenario(t, s, false, false)
 	t.Logf("%s", summary(r))
-	require.Zero(t, r.Broken, "%v", r.Rules)
-	require.Len(t, r.Healed, len(s.Faults))
+	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
+	require.Len(t, r.Recoveries, len(s.Faults))
 }
 
 func summary(r *Result) string {
 	x := *r
-	x.Spec, x.Phases = Spec{}, nil
+	x.Scenario, x.Phases = Scenario{}, nil
 	raw, _ := json.Marshal(x)
 	return string(raw)
 }
 
 // tiny is the smallest fleet for a moment, with a fault of most kinds.
-func tiny() Spec {
-	s := Usual()
-	s.Name, s.Seconds, s.Settle, s.Processes, s.BatchMs, s.Whole = "tiny", 12, 10, []int{90}, 50, 3
+func tinyScenario() Scenario {
+	s := DefaultScenario()
+	s.Name, s.Seconds, s.SettleSeconds, s.Processes, s.BatchMs, s.FullProxies = "tiny", 12, 10, []int{90}, 50, 3
 	s.Faults = []Fault{
-		{At: 1, For: 3, Kind: "kill", Count: 1}, {At: 2, For: 2, Kind: "leader"}, {At: 5, For: 3, Kind: "cut", Region: 1},
-		{At: 9, Kind: "restart", Share: 0.5}, {At: 10, For: 1, Kind: "loss", Size: 0.1},
+		{AtSeconds: 1, ForSeconds: 3, Kind: "kill", Count: 1}, {AtSeconds: 2, ForSeconds: 2, Kind: "leader"}, {AtSeconds: 5, ForSeconds: 3, Kind: "cut", Region: 1},
+		{AtSeconds: 9, Kind: "restart", Fraction: 0.5}, {AtSeconds: 10, ForSeconds: 1, Kind: "loss", Magnitude: 0.1},
 	}
 	return s
 }
 
 // virtual is a result without what is measured in real time.
-func virtual(r *Result) *Result {
+func withoutMeasurements(r *Result) *Result {
 	x := *r
-	x.Processor, x.Wall, x.HeapMB, x.Harness, x.PerRole = 0, 0, 0, 0, nil
-	for _, c := range r.PerRole {
-		c.MicrosCall, c.Percent, c.HeapMB, c.LightMB = 0, 0, 0, 0
-		x.PerRole = append(x.PerRole, c)
+	x.CPUSeconds, x.WallSeconds, x.HeapMB, x.HarnessCPUSeconds, x.RoleCosts = 0, 0, 0, 0, nil
+	for _, c := range r.RoleCosts {
+		c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB = 0, 0, 0, 0
+		x.RoleCosts = append(x.RoleCosts, c)
 	}
 	return &x
 }
 
 // One seed gives one run to the byte, another gives another, and the loop with empty machines is the same loop.
 func TestDeterministic(t *testing.T) {
-	s := tiny()
-	one, err := json.Marshal(virtual(play(t, s, false, false)))
+	s := tinyScenario()
+	one, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
 	require.NoError(t, err)
-	two, err := json.Marshal(virtual(play(t, s, false, false)))
+	two, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
 	require.NoError(t, err)
 	require.JSONEq(t, string(one), string(two))
 	s.Seed = 2
-	other, err := json.Marshal(virtual(play(t, s, false, false)))
+	other, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
 	require.NoError(t, err)
 	require.NotEqual(t, string(one), string(other))
 }
 
 // The loop with empty machines has the same events as that with the machines, and brings the same entries at the same times.
 func TestEmptyMachines(t *testing.T) {
-	s := tiny()
+	s := tinyScenario()
 	for _, direct := range []bool{false, true} {
-		w := newWorld(s, 90, direct)
-		w.tape = &tape{}
-		require.NoError(t, w.run(context.Background()))
-		e := newWorld(s, 90, false)
-		e.way = &empty{w: e, tape: w.tape}
+		sim := newSimulation(s, 90, direct)
+		sim.trace = &callTrace{}
+		require.NoError(t, sim.run(context.Background()))
+		e := newSimulation(s, 90, false)
+		e.propagator = &replayer{sim: e, trace: sim.trace}
 		require.NoError(t, e.run(context.Background()))
-		require.Equal(t, w.done, e.done)
-		require.Equal(t, w.handshakes, e.handshakes)
-		require.Equal(t, w.everywhere(purges), e.everywhere(purges))
-		for i, p := range w.processes {
+		require.Equal(t, sim.processed, e.processed)
+		require.Equal(t, sim.handshakes, e.handshakes)
+		require.Equal(t, sim.propagation(purgeStream), e.propagation(purgeStream))
+		for i, p := range sim.processes {
 			require.Equal(t, p.in, e.processes[i].in, p.name)
 			require.Equal(t, p.out, e.processes[i].out, p.name)
 		}
@@ -104,14 +104,14 @@
 
 // Today's way brings everything everywhere too; what its leader sends grows with the processes, and the levels' does not.
 func TestDirect(t *testing.T) {
-	s := tiny()
+	s := tinyScenario()
 	s.Faults = nil
 	most := func(n int, direct bool) float64 {
-		r, err := Play(context.Background(), s, n, direct, false)
+		r, err := Run(context.Background(), s, n, direct, false)
 		require.NoError(t, err)
-		require.Zero(t, r.Broken, "%v", r.Rules)
-		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.Each[0].Count+r.Each[1].Count)/(n-s.Voters), "all entries reach all processes")
-		return r.row().StoreKB
+		require.Zero(t, r.Violations, "%v", r.ViolationTexts)
+		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "all entries reach all processes")
+		return r.summaryRow().StoreKB
 	}
 	require.InEpsilon(t, 3, most(270, true)/most(90, true), 0.2)
 	require.Less(t, most(270, false)/most(90, false), 1.5)
@@ -119,30 +119,30 @@
 
 // A follower of today's way keeps what it has on its disk, and a killed leader's place is taken.
 func TestDirectFaults(t *testing.T) {
-	r := play(t, tiny(), true, false)
-	require.Zero(t, r.Broken, "%v", r.Rules)
-	for _, b := range r.Beyond {
+	r := runScenario(t, tinyScenario(), true, false)
+	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
+	for _, b := range r.ExceededLimits {
 		require.NotContains(t, b, "lack", "all that was committed is everywhere by the end")
 	}
 }
 
 // The real transport's bytes: an entry costs something beside its data, and an answer less than a request.
 func TestRaftSizes(t *testing.T) {
-	s := measureRaft()
+	s := measureRaftSizes()
 	require.Greater(t, s.request, 50)
 	require.Greater(t, s.entry, 20)
-	require.Greater(t, s.answer, 20)
-	require.Less(t, s.answer, s.request+s.entry)
+	require.Greater(t, s.response, 20)
+	require.Less(t, s.response, s.request+s.entry)
 }
 
 // The page names both ways and draws what grows.
 func TestPage(t *testing.T) {
-	s := tiny()
+	s := tinyScenario()
 	s.Faults = s.Faults[:1]
 	var runs []*Result
 	for _, n := range []int{70, 100} {
 		for _, direct := range []bool{false, true} {
-			r, err := Play(context.Background(), s, n, direct, false)
+			r, err := Run(context.Background(), s, n, direct, false)
 			require.NoError(t, err)
 			runs = append(runs, r)
 		}
@@ -156,14 +156,14 @@
 
 // Of two events at one instant the one asked for first comes first, and time never goes back.
 func TestQueue(t *testing.T) {
-	q := &queue{}
-	rng := stream(1, "q")
+	q := &eventQueue{}
+	rng := newRand(1, "q")
 	var got []int
 	for i := range 3000 {
 		at := rng.IntN(50)
-		q.push(event{at: float64(at), kind: atCall, call: func() { got = append(got, at*10_000+i) }})
+		q.push(event{at: float64(at), kind: eventCall, call: func() { got = append(got, at*10_000+i) }})
 	}
-	for e, ok := q.next(); ok; e, ok = q.next() {
+	for e, ok := q.pop(); ok; e, ok = q.pop() {
 		e.call()
 	}
 	require.Len(t, got, 3000)
@@ -172,9 +172,9 @@
 
 // A slow process reads in order, and all that waits at once when it is slow no more.
 func TestSlow(t *testing.T) {
-	s := tiny()
-	s.Faults = []Fault{{At: 1, For: 8, Kind: "slow", Count: 2, Size: 1}}
-	r := play(t, s, false, false)
-	require.Zero(t, r.Broken, "%v", r.Rules)
-	require.Greater(t, r.HeldShare, 0.0, "those that read slowly say that they are behind")
+	s := tinyScenario()
+	s.Faults = []Fault{{AtSeconds: 1, ForSeconds: 8, Kind: "slow", Count: 2, Magnitude: 1}}
+	r := runScenario(t, s, false, false)
+	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
+	require.Greater(t, r.GatedFraction, 0.0, "those that read slowly say that they are behind")
 }
--- a/internal/lab/hollow/raftwire.go
+++ b/internal/lab/hollow/raft_sizes.go
@@ -11,38 +11,38 @@
 
 // raftSizes are bytes that hashicorp/raft's own transport writes.
 type raftSizes struct {
-	request int // of a request without entries: a heartbeat
-	entry   int // that an entry adds beside its data
-	answer  int
+	request  int // of a request without entries: a heartbeat
+	entry    int // that an entry adds beside its data
+	response int
 }
 
 // pipes is a stream layer without sockets: what is dialled comes out of Accept.
-type pipes struct {
-	conns   chan net.Conn
-	written *atomic.Int64 // by who dials
-	answers *atomic.Int64 // by who accepts
+type pipeLayer struct {
+	conns         chan net.Conn
+	requestBytes  *atomic.Int64 // by who dials
+	responseBytes *atomic.Int64 // by who accepts
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	written *atomic.Int64
 }
 
 // Write implements net.Conn.
-func (c counted) Write(b []byte) (int, error) {
-	c.n.Add(int64(len(b)))
+func (c countingConn) Write(b []byte) (int, error) {
+	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
 // Dial implements raft.StreamLayer.
-func (p pipes) Dial(raft.ServerAddress, time.Duration) (net.Conn, error) {
+func (p pipeLayer) Dial(raft.ServerAddress, time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
-	p.conns <- counted{b, p.answers}
-	return counted{a, p.written}, nil
+	p.conns <- countingConn{b, p.responseBytes}
+	return countingConn{a, p.requestBytes}, nil
 }
 
 // Accept implements net.Listener.
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeLayer) Accept() (net.Conn, error) {
 	c, ok := <-p.conns
 	if !ok {
 		return nil, net.ErrClosed
@@ -51,14 +51,14 @@
 }
 
 // Close implements net.Listener.
-func (p pipes) Close() error { close(p.conns); return nil }
+func (p pipeLayer) Close() error { close(p.conns); return nil }
 
 // Addr implements net.Listener.
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 11, 12, 13), Port: 7100} }
+func (p pipeLayer) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 11, 12, 13), Port: 7100} }
 
 // measureRaft has the real transport send requests through a pipe.
-func measureRaft() raftSizes {
-	layer := pipes{make(chan net.Conn, 4), &atomic.Int64{}, &atomic.Int64{}}
+func measureRaftSizes() raftSizes {
+	layer := pipeLayer{make(chan net.Conn, 4), &atomic.Int64{}, &atomic.Int64{}}
 	t := raft.NewNetworkTransport(layer, 1, time.Minute, io.Discard)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -74,7 +74,7 @@
 	}()
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("store-1"), Addr: []byte("10.11.12.13:7100")}
 	size := func(entries int) (int, int) {
-		wrote, answered := layer.written.Load(), layer.answers.Load()
+		wrote, answered := layer.requestBytes.Load(), layer.responseBytes.Load()
 		r := raft.AppendEntriesRequest{RPCHeader: header, Term: 7, PrevLogEntry: 1 << 30, PrevLogTerm: 7, LeaderCommitIndex: 1 << 30}
 		for range entries {
 			at := time.Unix(1_800_000_000, 123_456_789).UTC()
@@ -84,10 +84,10 @@
 		if err := t.AppendEntries("store-2", "10.11.12.14:7100", &r, &answer); err != nil {
 			panic(err) // through memory alone
 		}
-		return int(layer.written.Load() - wrote), int(layer.answers.Load() - answered)
+		return int(layer.requestBytes.Load() - wrote), int(layer.responseBytes.Load() - answered)
 	}
 	var s raftSizes
-	s.request, s.answer = size(0)
+	s.request, s.response = size(0)
 	one, _ := size(1)
 	s.entry = one - s.request - 40
 	close(stop)
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -8,28 +8,28 @@
 )
 
 // Play plays a scenario at one size, by one way, and then its loop once more with empty machines if loop is set.
-func Play(ctx context.Context, s Spec, n int, isDirect, loop bool) (*Result, error) {
+func Run(ctx context.Context, s Scenario, n int, isDirect, loop bool) (*Result, error) {
 	name := "levels"
 	if isDirect {
 		name = "direct"
 	}
-	base := heap()
-	w := newWorld(s, n, isDirect)
+	base := heapInUse()
+	sim := newSimulation(s, n, isDirect)
 	if loop {
-		w.tape = &tape{}
+		sim.trace = &callTrace{}
 	}
-	began, spent := time.Now(), processor()
-	err := w.run(ctx)
-	took, wall := processor()-spent, time.Since(began).Seconds()
-	r := w.result(n, name)
-	r.Processor, r.Wall = took, wall
+	began, spent := time.Now(), cpuSeconds()
+	err := sim.run(ctx)
+	took, wall := cpuSeconds()-spent, time.Since(began).Seconds()
+	r := sim.result(n, name)
+	r.CPUSeconds, r.WallSeconds = took, wall
 	if err != nil {
 		return r, err
 	}
-	w.judge(r)
-	kept := w.tape
-	w.tape = nil
-	w.weigh(r, base)
+	sim.judge(r)
+	kept := sim.trace
+	sim.trace = nil
+	sim.measureHeap(r, base)
 	if loop {
 		err = r.measureHarness(ctx, s, n, kept)
 	}
@@ -37,58 +37,58 @@
 }
 
 // measureHarness plays the loop with empty machines.
-func (r *Result) measureHarness(ctx context.Context, s Spec, n int, kept *tape) error {
-	w := newWorld(s, n, false)
-	w.way = &empty{w: w, tape: kept}
-	spent := processor()
+func (r *Result) measureHarness(ctx context.Context, s Scenario, n int, kept *callTrace) error {
+	sim := newSimulation(s, n, false)
+	sim.propagator = &replayer{sim: sim, trace: kept}
+	spent := cpuSeconds()
 	if kept.full { // what it held is played, and counted for the whole by its events
-		w.until = func() bool { return kept.at >= mostBlocks*blockNotes }
+		sim.stopEarly = func() bool { return kept.readPosition >= maxBlocks*blockRecords }
 	}
-	if err := w.run(ctx); err != nil {
+	if err := sim.run(ctx); err != nil {
 		return err
 	}
-	r.Harness = processor() - spent
-	if r.HarnessEnded = !kept.full; kept.full {
-		r.Harness *= float64(r.Events) / float64(w.done)
+	r.HarnessCPUSeconds = cpuSeconds() - spent
+	if r.HarnessComplete = !kept.full; kept.full {
+		r.HarnessCPUSeconds *= float64(r.Events) / float64(sim.processed)
 	}
 	return nil
 }
 
 // weigh tells the heap of the processes of each role: what a collection frees once they let go of it.
-func (w *world) weigh(r *Result, base uint64) {
-	before := heap()
+func (sim *simulation) measureHeap(r *Result, base uint64) {
+	before := heapInUse()
 	r.HeapMB = float64(before-min(base, before)) / 1e6
-	for _, e := range w.heap { // what is on its way belongs to the harness
-		if e.load != nil {
-			e.load.shared = nil
+	for _, e := range sim.heap { // what is on its way belongs to the harness
+		if e.payload != nil {
+			e.payload.decoded = nil
 		}
 	}
-	for role := range w.byRole {
+	for role := range sim.byRole {
 		for _, whole := range []bool{true, false} {
 			count := 0
-			before = heap()
-			for _, p := range w.byRole[role] {
-				if p.whole == whole {
-					p.sides, p.applier, p.inbox, p.owed = [2]side{}, nil, nil, nil
+			before = heapInUse()
+			for _, p := range sim.byRole[role] {
+				if p.full == whole {
+					p.streams, p.applier, p.inbox, p.omitted = [2]streamNode{}, nil, nil, nil
 					count++
 				}
 			}
 			if count == 0 {
 				continue
 			}
-			mb := float64(max(0, int64(before)-int64(heap()))) / float64(count) / 1e6
+			mb := float64(max(0, int64(before)-int64(heapInUse()))) / float64(count) / 1e6
 			if whole {
-				r.PerRole[role].HeapMB = mb
+				r.RoleCosts[role].HeapMB = mb
 			} else {
-				r.PerRole[role].LightMB = mb
+				r.RoleCosts[role].LightHeapMB = mb
 			}
 		}
 	}
-	runtime.KeepAlive(w)
+	runtime.KeepAlive(sim)
 }
 
 // heap is what is in use after a collection. Two, as what the first one finalises is freed by the next.
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -97,7 +97,7 @@
 }
 
 // processor is the processor time that this process has used, in seconds.
-func processor() float64 {
+func cpuSeconds() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/internal/lab/hollow/spec_test.go
+++ b/internal/lab/hollow/scenario_test.go
@@ -14,7 +14,7 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
 	for _, p := range paths {
-		s := read(t, filepath.Base(p))
+		s := readScenario(t, filepath.Base(p))
 		require.NoError(t, s.Valid(), p)
 		require.Equal(t, strings.TrimSuffix(filepath.Base(p), ".jsonc"), s.Name)
 	}
