--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -30,10 +30,12 @@
 	Agreed   []Agreed `json:"agreed,omitempty"`
 	Broken   []string `json:"broken"`
 	Missed   []string `json:"missed,omitempty"` // faults that could not be brought about
-	P50, P99 float64  // ms, of what was served
+	P50      float64  `json:"P50"` // ms, of what was served
+	P99      float64  `json:"P99"`
 	// Spread over windows of 1 s and 5 s: of the whole run, and of the time before the first fault.
-	Spread, Calm [2]loadmetrics.Spread
-	Reactions    []Reaction `json:"reactions,omitempty"`
+	Spread    [2]loadmetrics.Spread `json:"Spread"`
+	Calm      [2]loadmetrics.Spread `json:"Calm"`
+	Reactions []Reaction            `json:"reactions,omitempty"`
 }
 
 // Reaction is how the fleet answered a fault at a cache. Times in seconds from when it began, and from when it ended; -1: it
@@ -48,22 +50,28 @@
 
 // Window is one second.
 type Window struct {
-	Asked, Served, Refused, Failed, Lost int
-	Attempts, Filled                     int
-	Up                                   int // processes that run
+	Asked    int `json:"Asked"`
+	Served   int `json:"Served"`
+	Refused  int `json:"Refused"`
+	Failed   int `json:"Failed"`
+	Lost     int `json:"Lost"`
+	Attempts int `json:"Attempts"`
+	Filled   int `json:"Filled"`
+	Up       int `json:"Up"` // processes that run
 }
 
 // Cache is the attempts at one cache, by second.
 type Cache struct {
-	ID       string
-	Zone     int
-	Attempts []int
+	ID       string `json:"ID"`
+	Zone     int    `json:"Zone"`
+	Attempts []int  `json:"Attempts"`
 }
 
 // Agreed is who knew what when: at a second, the least and the most that any process took for alive.
 type Agreed struct {
-	Second      int
-	Least, Most int
+	Second int `json:"Second"`
+	Least  int `json:"Least"`
+	Most   int `json:"Most"`
 }
 
 // Play plays a scenario with a program, in a directory that is left as it is when a rule broke: scenario, timeline, result
