--- a/Makefile
+++ b/Makefile
@@ -77,7 +77,7 @@
 # Hundreds of processes with faults between them, at the sizes of FIELD; no part of CI. Its figures go to docs/measurements.
 FIELD = 30,100,300
 field:
-	FIELD=$(FIELD) FIELD_OFF=100 go test -count=1 -timeout 30m -v -run TestFull ./internal/lab/multiprocess
+	FIELD=$(FIELD) FIELD_OFF=100 go test -count=1 -timeout 30m -v -run TestMeasure ./internal/lab/multiprocess
 
 # Thousands of hollow processes in virtual time, at all sizes and both ways; some minutes, no part of CI (a small one is). Each
 # size is a run of its own, so that one's heap is not the next one's.
--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"os"
 	"os/signal"
+	"path/filepath"
+	"strings"
 	"syscall"
 	"text/tabwriter"
 
@@ -131,3 +133,8 @@
 	cmd.Flags().Float64Var(&o.PerS, "per-s", 150, "requests a second")
 	return cmd
 }
+
+// baseName returns the name of a file without directory and extension.
+func baseName(path string) string {
+	return strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
+}
--- a/internal/lab/multiprocess/lifecycle.go
+++ b/internal/lab/multiprocess/lifecycle.go
@@ -8,18 +8,23 @@
 	"time"
 )
 
-// Each does something for some processes, so many at once that the machine bears it, and returns the first error.
-func Each(ps []*Process, do func(*Process) error) error {
-	var first error
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	room := make(chan struct{}, startAtOnce*runtime.NumCPU())
-	for _, p := range ps {
+// concurrencyPerCore is how many processes ForEach handles at a time, for each core.
+const concurrencyPerCore = 4
+
+// ForEach calls do for each process, for several at a time, and returns the first error.
+func ForEach(processes []*Process, do func(*Process) error) error {
+	var (
+		first error
+		mu    sync.Mutex
+		wait  sync.WaitGroup
+	)
+	slots := make(chan struct{}, concurrencyPerCore*runtime.NumCPU())
+	for _, p := range processes {
 		wait.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wait.Done()
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			if err := do(p); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -33,85 +38,94 @@
 	return first
 }
 
-// Start starts processes that are not there, with the list as it is now, and waits until they are ready. Those that know each
-// other start in steps, each once those before it agree: with hundreds at once every pair checks each other's certificates in
-// the same seconds, and a machine that all of them share gives nobody an answer in time.
-func (f *Field) Start(ps ...*Process) error {
-	if !f.opt.Peers {
-		return f.start(ps)
+// With gossip, processes are started in batches of startBatch. Each batch waits until all processes agree on the members, or
+// until agreementTimeout, and checks that every agreementInterval.
+const (
+	startBatch        = 40
+	agreementTimeout  = 30 * time.Second
+	agreementInterval = 250 * time.Millisecond
+)
+
+// Start starts processes that do not run, with the endpoint list as it is now, and waits until they are ready. Processes that
+// gossip are started in batches: with hundreds at once, every pair would do its TLS handshakes in the same seconds, and the
+// machine that they share would be too slow for them to answer each other in time.
+func (c *Cluster) Start(processes ...*Process) error {
+	if !c.options.Peers {
+		return c.startBatch(processes)
 	}
-	for step := range slices.Chunk(ps, startStep) {
-		if err := f.start(step); err != nil {
+	for batch := range slices.Chunk(processes, startBatch) {
+		if err := c.startBatch(batch); err != nil {
 			return err
 		}
-		if len(ps) == len(step) {
+		if len(batch) == len(processes) {
 			return nil
 		}
-		var up []*Process
-		for _, p := range f.Processes {
-			if p.Running() {
-				up = append(up, p)
-			}
-		}
-		for end := time.Now().Add(stepWait); time.Now().Before(end) && Agree(up, up) != nil; time.Sleep(stepEvery) {
+		running := c.running()
+		deadline := time.Now().Add(agreementTimeout)
+		for time.Now().Before(deadline) && CheckAgreement(running, running) != nil {
+			time.Sleep(agreementInterval)
 		}
 	}
 	return nil
 }
 
-// startStep processes that know each other start at a time, and wait until they agree or stepWait is over.
-const (
-	startStep = 40
-	stepWait  = 30 * time.Second
-	stepEvery = 250 * time.Millisecond
-)
+// running returns the processes that run.
+func (c *Cluster) running() (running []*Process) {
+	for _, p := range c.Processes {
+		if p.Running() {
+			running = append(running, p)
+		}
+	}
+	return running
+}
 
-func (f *Field) start(ps []*Process) error {
-	return Each(ps, func(p *Process) error {
-		if err := f.configure(p, f.Door.Addr()); err != nil {
+func (c *Cluster) startBatch(processes []*Process) error {
+	return ForEach(processes, func(p *Process) error {
+		if err := c.configure(p, c.DiscoveryListener.Addr()); err != nil {
 			return err
 		}
 		if err := p.start(); err != nil {
 			return err
 		}
-		if err := p.Ready(ReadyWithin); err != nil {
+		if err := p.WaitReady(ReadyTimeout); err != nil {
 			return err
 		}
-		p.taken.Store(true)
+		p.inRotation.Store(true)
 		return nil
 	})
 }
 
-// leadAway is how long clients still come to a process that was told to end.
-const leadAway = 300 * time.Millisecond
+// rotationDelay is how long clients still send to a process after its SIGTERM.
+const rotationDelay = 300 * time.Millisecond
 
-// Stop ends processes by SIGTERM, leads their clients away a moment later, and waits for their end, which must be by exit 0.
-func (f *Field) Stop(ps ...*Process) error {
-	return Each(ps, func(p *Process) error {
+// Stop ends processes by SIGTERM, stops their clients shortly after, and waits until they exit. It returns an error if one
+// exits with another status than 0 or not within ReadyTimeout.
+func (c *Cluster) Stop(processes ...*Process) error {
+	return ForEach(processes, func(p *Process) error {
 		if err := p.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
-		time.Sleep(leadAway)
-		p.taken.Store(false)
-		return p.End(ReadyWithin)
+		time.Sleep(rotationDelay)
+		p.inRotation.Store(false)
+		return p.WaitExit(ReadyTimeout)
 	})
 }
 
-// Kill ends processes at one instant, as a power cut does. What they hold is lost with them.
-func (f *Field) Kill(ps ...*Process) {
-	for _, p := range ps {
-		p.taken.Store(false)
+// Kill ends processes by SIGKILL, all at the same time. Requests in flight at them are lost.
+func (c *Cluster) Kill(processes ...*Process) {
+	for _, p := range processes {
+		p.inRotation.Store(false)
 		_ = p.Signal(syscall.SIGKILL)
 	}
-	for _, p := range ps {
-		_ = p.End(ReadyWithin)
+	for _, p := range processes {
+		_ = p.WaitExit(ReadyTimeout)
 	}
 }
 
-// Reload tells processes of a new configuration by SIGHUP.
-func (f *Field) Reload(ps ...*Process) error {
-	return Each(ps, func(p *Process) error {
-		if err := f.configure(p, f.Door.Addr()); err != nil {
+// Reload writes the configurations of processes again and sends them SIGHUP.
+func (c *Cluster) Reload(processes ...*Process) error {
+	return ForEach(processes, func(p *Process) error {
+		if err := c.configure(p, c.DiscoveryListener.Addr()); err != nil {
 			return err
 		}
 		return p.Signal(syscall.SIGHUP)
--- /dev/null
+++ b/internal/lab/multiprocess/measure_test.go
@@ -0,0 +1,217 @@
+package multiprocess_test
+
+import (
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/lab/multiprocess"
+	"ravenwheel/policy"
+)
+
+// TestMeasureWithPeers measures what gossip costs and how fast it agrees, with the numbers of processes in FIELD, separated by
+// commas ("make field"). CI does not run it. Its figures go to docs/measurements/peers.md; it asserts only what must always hold.
+func TestMeasureWithPeers(t *testing.T) {
+	sizes := os.Getenv("FIELD")
+	if sizes == "" {
+		t.Skip("FIELD is not set")
+	}
+	for _, text := range strings.Split(sizes, ",") {
+		n, err := strconv.Atoi(text)
+		require.NoError(t, err)
+		t.Run(text, func(t *testing.T) { measureWithPeers(t, n) })
+	}
+}
+
+// measureInterval is how often hundreds of processes are queried: more often would be a load of its own.
+const measureInterval = 500 * time.Millisecond
+
+func measureWithPeers(t *testing.T, n int) {
+	zones := max(2, n/25)
+	cluster := start(t, multiprocess.Options{
+		Seed: 7, Zones: zones, ProcessesPerZone: n / zones, CachesPerZone: 4, Parents: 4, TransferTime: 5, FillTime: 20,
+		Peers: true, Objects: 2000,
+	})
+	agree := func(what string, processes, alive []*multiprocess.Process) {
+		began := time.Now()
+		var err error
+		if !assert.Eventually(t, func() bool {
+			err = multiprocess.CheckAgreement(processes, alive)
+			return err == nil
+		}, multiprocess.ReadyTimeout, measureInterval) {
+			t.Fatal(err)
+		}
+		t.Logf("%d processes, %d zones: %s after %.1f s", len(cluster.Processes), zones, what, time.Since(began).Seconds())
+	}
+	agree("all agree that all are alive, once the last was ready,", cluster.Processes, cluster.Processes)
+
+	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
+	time.Sleep(settleTime)
+	measureSteadyState(t, cluster)
+
+	var killed, left []*multiprocess.Process
+	for i, p := range cluster.Processes {
+		if i%3 == 0 {
+			killed = append(killed, p)
+		} else {
+			left = append(left, p)
+		}
+	}
+	cluster.Kill(killed...)
+	agree("a third was killed: all survivors agree on who is gone", left, left)
+	require.NoError(t, cluster.Start(killed...))
+	agree("they are back: all agree", cluster.Processes, cluster.Processes)
+	stop()
+	require.Empty(t, cluster.Violations())
+	for _, p := range left {
+		require.Empty(t, cluster.Client(p).Violations())
+	}
+}
+
+// measureSteadyState logs what each process uses, and how accurate its estimates of the caches' load are.
+func measureSteadyState(t *testing.T, cluster *multiprocess.Cluster) {
+	const span = 20.0 // seconds
+	before := usageOf(t, cluster)
+	var viewErrors []float64
+	for range 4 {
+		time.Sleep(span / 4 * time.Second)
+		viewErrors = append(viewErrors, loadEstimateErrors(t, cluster)...)
+	}
+	after := usageOf(t, cluster)
+	perProcess := func(value func(usage) float64) float64 {
+		return (value(after) - value(before)) / span / float64(len(cluster.Processes))
+	}
+	slices.Sort(viewErrors)
+	good := 0
+	for _, e := range viewErrors {
+		if e <= 0.2 {
+			good++
+		}
+	}
+	var resident []float64
+	for _, p := range cluster.Processes {
+		resident = append(resident, residentMemory(t, p.PID()))
+	}
+	slices.Sort(resident)
+	t.Logf("a process: %.1f KB/s sent, of them digests %.1f, streams %.1f, and %.1f received; %.2f %% of a core in all; %.1f MB resident (median)",
+		perProcess(func(u usage) float64 { return u.sent })/1000, perProcess(func(u usage) float64 { return u.digests })/1000,
+		perProcess(func(u usage) float64 { return u.streams })/1000, perProcess(func(u usage) float64 { return u.received })/1000,
+		100*perProcess(func(u usage) float64 { return u.cpu }), resident[len(resident)/2])
+	t.Logf("view of the caches of one's own zone against what the caches saw over the same 3 s: within 20 %% on %.0f %% of %d readings, median error %.2f, 95th percentile %.2f",
+		100*float64(good)/float64(len(viewErrors)), len(viewErrors), viewErrors[len(viewErrors)/2], viewErrors[len(viewErrors)*95/100])
+}
+
+// settleTime is how long processes that joined are given until gossip has levelled out: a start pulls complete states three
+// times.
+const settleTime = 45 * time.Second
+
+// usage is what all processes used since their starts.
+type usage struct {
+	sent, digests, streams, received float64 // bytes
+	cpu                              float64 // seconds
+}
+
+func usageOf(t *testing.T, cluster *multiprocess.Cluster) (sum usage) {
+	for _, p := range cluster.Processes {
+		s, err := p.PeerSummary()
+		require.NoError(t, err)
+		sum.sent += float64(s.SentBytes)
+		sum.digests += float64(s.DigestBytes)
+		sum.streams += float64(s.StreamBytes)
+		sum.received += float64(s.ReceivedBytes)
+		sum.cpu += cpuTime(t, p.PID())
+	}
+	return sum
+}
+
+// cpuTime returns the CPU time of a process in seconds.
+func cpuTime(t *testing.T, pid int) (seconds float64) {
+	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
+	require.NoError(t, err)
+	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
+	for _, i := range []int{11, 12} { // utime, stime in hundredths of a second
+		ticks, err := strconv.ParseFloat(fields[i], 64)
+		require.NoError(t, err)
+		seconds += ticks / 100
+	}
+	return seconds
+}
+
+// residentMemory returns the resident set of a process in MB.
+func residentMemory(t *testing.T, pid int) float64 {
+	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
+	require.NoError(t, err)
+	pages, err := strconv.ParseFloat(strings.Fields(string(raw))[1], 64)
+	require.NoError(t, err)
+	return pages * float64(os.Getpagesize()) / 1e6
+}
+
+// loadEstimateErrors returns the relative errors of the estimates that one process of each zone has of the load of the caches
+// in its zone, compared with what these caches received in the last three seconds.
+func loadEstimateErrors(t *testing.T, cluster *multiprocess.Cluster) (out []float64) {
+	byZone := map[int]*multiprocess.Process{}
+	for _, p := range cluster.Processes {
+		byZone[p.Zone] = p
+	}
+	now := cluster.Clock.Now()
+	received := map[policy.CacheID]float64{}
+	for _, s := range cluster.Fleet.Observations() {
+		if s.At > now-3000 && !s.Probe {
+			received[s.Server] += 1.0 / 3
+		}
+	}
+	for zone, p := range byZone {
+		v, err := p.FleetView("")
+		require.NoError(t, err)
+		estimates := map[string]float64{}
+		for _, s := range v.Servers {
+			estimates[s.ID] = s.Load.Value
+		}
+		for _, id := range cluster.ReadyCaches(zone) {
+			out = append(out, math.Abs(estimates[serverlist.FormatID(id)]-received[id])/max(received[id], 1))
+		}
+	}
+	return out
+}
+
+// TestMeasureWithoutPeers measures what a process costs at the same traffic without gossip, with the numbers of processes in
+// FIELD_OFF.
+func TestMeasureWithoutPeers(t *testing.T) {
+	sizes := os.Getenv("FIELD_OFF")
+	if sizes == "" {
+		t.Skip("FIELD_OFF is not set")
+	}
+	for _, text := range strings.Split(sizes, ",") {
+		n, err := strconv.Atoi(text)
+		require.NoError(t, err)
+		zones := max(2, n/25)
+		cluster := start(t, multiprocess.Options{
+			Seed: 7, Zones: zones, ProcessesPerZone: n / zones, CachesPerZone: 4, Parents: 4, TransferTime: 5, FillTime: 20,
+			Objects: 2000,
+		})
+		stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
+		time.Sleep(settleTime)
+		const span = 20.0
+		before, after, resident := 0.0, 0.0, []float64{}
+		for _, p := range cluster.Processes {
+			before += cpuTime(t, p.PID())
+		}
+		time.Sleep(span * time.Second)
+		for _, p := range cluster.Processes {
+			after += cpuTime(t, p.PID())
+			resident = append(resident, residentMemory(t, p.PID()))
+		}
+		stop()
+		slices.Sort(resident)
+		t.Logf("%d processes without peers: %.2f %% of a core each; %.1f MB resident (median)", n, 100*(after-before)/span/float64(len(cluster.Processes)), resident[len(resident)/2])
+	}
+}
--- a/internal/lab/multiprocess/page.go
+++ b/internal/lab/multiprocess/page.go
@@ -6,10 +6,8 @@
 	"html/template"
 	"image/color"
 	"io"
-	"math"
 
 	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/palette"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
@@ -19,15 +17,30 @@
 //go:embed page.html
 var page string
 
+// Colours of the curves, and of the bands that mark faults.
 var (
-	blue, red, green, grey = color.RGBA{0x1b, 0x6c, 0xa8, 0xff}, color.RGBA{0xc4, 0x4e, 0x2a, 0xff}, color.RGBA{0x2f, 0x7d, 0x4f, 0xff}, color.RGBA{0x55, 0x5f, 0x6b, 0xff}
-	band                   = color.NRGBA{0xc4, 0x4e, 0x2a, 0x22}
+	blue        = color.RGBA{0x1b, 0x6c, 0xa8, 0xff}
+	red         = color.RGBA{0xc4, 0x4e, 0x2a, 0xff}
+	green       = color.RGBA{0x2f, 0x7d, 0x4f, 0xff}
+	grey        = color.RGBA{0x55, 0x5f, 0x6b, 0xff}
+	faultColour = color.NRGBA{0xc4, 0x4e, 0x2a, 0x22}
 )
 
-// Plots are so many points wide; a heat map has a row a cache.
-const wide, high, perRow, leastHeat = 900, 230, 7, 160
+// Sizes of the plots, in points.
+const (
+	plotWidth     = 900
+	chartHeight   = 230
+	heatMapFrame  = 60 // height without the rows
+	heatMapRow    = 7  // one for each cache
+	minHeatMap    = 160
+	curveWidth    = 1.4
+	legendReserve = 1.35 // multiple of the highest value up to which the axis goes, so that the legend has room
+)
+
+// minMarkedDuration is how wide, in seconds, a fault is marked at least.
+const minMarkedDuration = 0.2
 
-// WritePage writes what a field showed as one page that needs nothing else.
+// WritePage writes a result as an HTML page without external resources.
 func WritePage(w io.Writer, r *Result) error {
 	plots, err := r.plots()
 	if err != nil {
@@ -42,22 +55,23 @@
 		title = "A field"
 	}
 	return t.Execute(w, struct {
-		Window
+		Second
 		Title string
 		Plots []template.HTML
 		R     *Result
-	}{r.total(), title, plots, r})
+	}{r.Totals(), title, plots, r})
 }
 
-// plots draws the heat map, if there is enough for one, and the charts.
+// plots draws the heat map, if there are enough caches and seconds for one, and the charts.
 func (r *Result) plots() ([]template.HTML, error) {
 	var plots []template.HTML
-	heat, err := r.heat()
+	heatMap, err := r.heatMap()
 	if err != nil {
 		return nil, err
 	}
-	if heat != nil {
-		drawn, err := report.SVG(heat, wide, max(leastHeat, 60+perRow*float64(len(r.Caches))))
+	if heatMap != nil {
+		height := max(minHeatMap, heatMapFrame+heatMapRow*float64(len(r.Caches)))
+		drawn, err := report.SVG(heatMap, plotWidth, height)
 		if err != nil {
 			return nil, err
 		}
@@ -68,7 +82,7 @@
 		if err != nil {
 			return nil, err
 		}
-		drawn, err := report.SVG(p, wide, high)
+		drawn, err := report.SVG(p, plotWidth, chartHeight)
 		if err != nil {
 			return nil, err
 		}
@@ -77,18 +91,6 @@
 	return plots, nil
 }
 
-// total is what became of all requests of all windows.
-func (r *Result) total() (all Window) {
-	for _, x := range r.Windows {
-		all.Asked += x.Asked
-		all.Served += x.Served
-		all.Refused += x.Refused
-		all.Failed += x.Failed
-		all.Lost += x.Lost
-	}
-	return all
-}
-
 // chart is a plot of curves over the seconds of a scenario.
 type chart struct {
 	title  string
@@ -102,42 +104,42 @@
 	points plotter.XYs
 }
 
-// charts are those of the page, in their order.
+// charts returns the charts of the page, in order.
 func (r *Result) charts() []chart {
 	return []chart{
 		{"Requests a second", []curve{
-			{"asked", grey, r.windowPoints(func(x Window) float64 { return float64(x.Asked) })},
-			{"served", green, r.windowPoints(func(x Window) float64 { return float64(x.Served) })},
-			{"refused, failed or lost", red, r.windowPoints(func(x Window) float64 { return float64(x.Refused + x.Failed + x.Lost) })},
+			{"asked", grey, r.points(func(s Second) int { return s.Requested })},
+			{"served", green, r.points(func(s Second) int { return s.Served })},
+			{"refused, failed or lost", red, r.points(func(s Second) int { return s.Rejected + s.Failed + s.Lost })},
 		}},
 		{"Attempts at caches a second", []curve{
-			{"attempts", blue, r.windowPoints(func(x Window) float64 { return float64(x.Attempts) })},
-			{"of them filled", red, r.windowPoints(func(x Window) float64 { return float64(x.Filled) })},
+			{"attempts", blue, r.points(func(s Second) int { return s.Attempts })},
+			{"of them filled", red, r.points(func(s Second) int { return s.Filled })},
 		}},
 		{"Processes: those that run, and how many others take for alive", []curve{
-			{"run", grey, r.windowPoints(func(x Window) float64 { return float64(x.Up) })},
-			{"least that any takes for alive", red, r.agreedPoints(func(x Agreed) int { return x.Least })},
-			{"most", blue, r.agreedPoints(func(x Agreed) int { return x.Most })},
+			{"run", grey, r.points(func(s Second) int { return s.Running })},
+			{"least that any takes for alive", red, r.alivePoints(func(a AliveCount) int { return a.Least })},
+			{"most", blue, r.alivePoints(func(a AliveCount) int { return a.Most })},
 		}},
 	}
 }
 
-// windowPoints are a figure of each window.
-func (r *Result) windowPoints(figure func(Window) float64) plotter.XYs {
-	out := make(plotter.XYs, len(r.Windows))
-	for i, x := range r.Windows {
-		out[i] = plotter.XY{X: float64(i), Y: figure(x)}
+// points returns a value of each second.
+func (r *Result) points(value func(Second) int) plotter.XYs {
+	points := make(plotter.XYs, len(r.Seconds))
+	for i, second := range r.Seconds {
+		points[i] = plotter.XY{X: float64(i), Y: float64(value(second))}
 	}
-	return out
+	return points
 }
 
-// agreedPoints are a figure of each second in which processes were asked whom they take for alive.
-func (r *Result) agreedPoints(figure func(Agreed) int) plotter.XYs {
-	out := make(plotter.XYs, len(r.Agreed))
-	for i, x := range r.Agreed {
-		out[i] = plotter.XY{X: float64(x.Second), Y: float64(figure(x))}
+// alivePoints returns a value of each second for which the numbers of alive members are known.
+func (r *Result) alivePoints(value func(AliveCount) int) plotter.XYs {
+	points := make(plotter.XYs, len(r.Alive))
+	for i, count := range r.Alive {
+		points[i] = plotter.XY{X: float64(count.Second), Y: float64(value(count))}
 	}
-	return out
+	return points
 }
 
 // draw makes the plot of a chart, with the faults marked behind its curves.
@@ -145,93 +147,46 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Min = c.title, "seconds", 0
 	p.Add(plotter.NewGrid())
-	most := 1.0
+	highest := 1.0
 	for _, curve := range c.curves {
-		for _, xy := range curve.points {
-			most = max(most, xy.Y)
+		for _, point := range curve.points {
+			highest = max(highest, point.Y)
 		}
 	}
-	if err := r.bands(p, 0, most); err != nil {
+	if err := r.markFaults(p, 0, highest); err != nil {
 		return nil, err
 	}
 	for _, curve := range c.curves {
 		if len(curve.points) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(curve.points)
+		line, err := plotter.NewLine(curve.points)
 		if err != nil {
 			return nil, err
 		}
-		l.Color, l.Width = curve.colour, vg.Points(1.4)
-		p.Add(l)
-		p.Legend.Add(curve.name, l)
+		line.Color, line.Width = curve.colour, vg.Points(curveWidth)
+		p.Add(line)
+		p.Legend.Add(curve.name, line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	p.Y.Max = most * 1.35 // room for the names
+	p.Y.Max = highest * legendReserve
 	return p, nil
 }
 
-// bands marks when each fault lasted, with its number above.
-func (r *Result) bands(p *plot.Plot, low, most float64) error {
+// markFaults marks the duration of each fault by a band from low to high, with the fault's number above it.
+func (r *Result) markFaults(p *plot.Plot, low, high float64) error {
 	for i, f := range r.Timeline {
-		end := f.At + max(f.For, 0.2)
-		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.At, Y: low}, {X: end, Y: low}, {X: end, Y: most}, {X: f.At, Y: most}})
+		end := f.At + max(f.Duration, minMarkedDuration)
+		band, err := plotter.NewPolygon(plotter.XYs{{X: f.At, Y: low}, {X: end, Y: low}, {X: end, Y: high}, {X: f.At, Y: high}})
 		if err != nil {
 			return err
 		}
-		poly.Color, poly.LineStyle.Width = band, 0
-		number, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.At, Y: most}}, Labels: []string{fmt.Sprint(i + 1)}})
+		band.Color, band.LineStyle.Width = faultColour, 0
+		number, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.At, Y: high}}, Labels: []string{fmt.Sprint(i + 1)}})
 		if err != nil {
 			return err
 		}
-		p.Add(poly, number)
+		p.Add(band, number)
 	}
 	return nil
 }
-
-// grid is the attempts at each cache by second, each row against the mean of its zone in that second: 1 is an even share.
-type grid struct{ r *Result }
-
-func (g grid) Dims() (columns, rows int) { return len(g.r.Windows), len(g.r.Caches) }
-func (g grid) X(c int) float64           { return float64(c) }
-func (g grid) Y(r int) float64           { return float64(r) }
-
-// Z is 0 to 3; a cache that nobody asked in a second in which its zone was idle has an even share.
-func (g grid) Z(c, row int) float64 {
-	sum, n := 0, 0
-	for _, x := range g.r.Caches {
-		if x.Zone == g.r.Caches[row].Zone {
-			sum += x.Attempts[c]
-			n++
-		}
-	}
-	if sum == 0 {
-		return 1
-	}
-	return math.Min(3, float64(g.r.Caches[row].Attempts[c])*float64(n)/float64(sum))
-}
-
-// heat is the load of each cache over time.
-func (r *Result) heat() (*plot.Plot, error) {
-	if len(r.Caches) < 2 || len(r.Windows) < 2 {
-		return nil, nil
-	}
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text = "Load of each cache against the mean of its zone (dark: none, light: three times)", "seconds"
-	h := plotter.NewHeatMap(grid{r}, palette.Heat(24, 1))
-	h.Min, h.Max = 0, 3
-	p.Add(h)
-	var ticks []plot.Tick
-	last := -2
-	for i, c := range r.Caches {
-		if c.Zone != last {
-			name := fmt.Sprintf("zone %d", c.Zone)
-			if c.Zone < 0 {
-				name = "left"
-			}
-			ticks, last = append(ticks, plot.Tick{Value: float64(i), Label: name}), c.Zone
-		}
-	}
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	return p, r.bands(p, -0.5, float64(len(r.Caches))-0.5)
-}
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -11,81 +11,107 @@
 	"ravenwheel/internal/store"
 )
 
-// seeds are how many processes the others are told of at their start.
-const seeds = 3
+// seedCount is the number of processes that every process contacts when it starts.
+const seedCount = 3
 
-// setPeers gives each process keys, an address for its peers and an admin address, and has it see those of other zones
-// through relays.
-func (f *Field) setPeers() error {
-	keys := f.Keys()
-	if err := store.NewCluster(keys, "field"); err != nil {
+// zonesPerRegion is the number of zones of a region.
+const zonesPerRegion = 4
+
+// operatorFile is the part of the operator's file that a process with gossip needs. Names in JSON are the operator's.
+type operatorFile struct {
+	Admin operatorAdmin `json:"admin"`
+	Peers operatorPeers `json:"peers"`
+}
+
+type operatorAdmin struct {
+	Listen string `json:"listen"`
+}
+
+type operatorPeers struct {
+	Listen            string            `json:"listen"`
+	Seeds             []string          `json:"seeds"`
+	AddressSubstitute map[string]string `json:"as_seen"` // by name of a process: the address at which this one reaches it
+	KeysDir           string            `json:"identity"`
+	Dir               string            `json:"dir"`
+	Region            string            `json:"region"`
+}
+
+// configurePeers gives each process keys, a gossip address and an admin address, and starts the relays through which it
+// reaches the processes of other zones.
+func (c *Cluster) configurePeers() error {
+	if err := c.issueKeys(); err != nil {
+		return err
+	}
+	if err := c.choosePeerAddresses(); err != nil {
+		return err
+	}
+	if err := c.startRelays(); err != nil {
 		return err
 	}
-	if err := Each(f.Processes, func(p *Process) error {
-		return store.Issue(keys, p.Name)
-	}); err != nil {
+	for _, p := range c.Processes {
+		if err := c.writeOperatorFile(p); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) issueKeys() error {
+	keys := c.KeysDir()
+	if err := store.NewCluster(keys, "field"); err != nil {
 		return err
 	}
-	for i, p := range f.Processes {
-		// Its other port is not held yet, and the kernel may give the same one again.
+	return ForEach(c.Processes, func(p *Process) error { return store.Issue(keys, p.Name) })
+}
+
+func (c *Cluster) choosePeerAddresses() (err error) {
+	for i, p := range c.Processes {
+		// The process does not listen yet, so the kernel may choose its client port again.
 		for p.PeerAddr = p.Listen; p.PeerAddr == p.Listen; {
-			var err error
-			if p.PeerAddr, err = freeAt(f.address(p.Zone, i%f.opt.Processes+1)); err != nil {
+			if p.PeerAddr, err = unusedPort(c.addresses.ip(p.Zone, i%c.options.ProcessesPerZone+1)); err != nil {
 				return err
 			}
 		}
 	}
-	f.relays = make([]map[string]*relay, f.opt.Zones)
-	for z := range f.relays {
-		f.relays[z] = map[string]*relay{}
-		for i, p := range f.Processes {
-			if p.Zone == z {
+	return nil
+}
+
+// startRelays starts, for each zone, a relay to every process of the other zones.
+func (c *Cluster) startRelays() error {
+	c.relays = make([]map[string]*relay, c.options.Zones)
+	for zone := range c.relays {
+		c.relays[zone] = map[string]*relay{}
+		for i, p := range c.Processes {
+			if p.Zone == zone {
 				continue
 			}
-			r, err := relayTo(f.address(100+z, 1+p.Zone), p.PeerAddr, f.opt.Seed*1000+uint64(i))
+			r, err := startRelay(c.addresses.ip(relayZone+zone, 1+p.Zone), p.PeerAddr, c.options.Seed*1000+uint64(i))
 			if err != nil {
 				return err
 			}
-			f.relays[z][p.Name] = r
-		}
-	}
-	for _, p := range f.Processes {
-		if err := f.writeOperator(p); err != nil {
-			return err
+			c.relays[zone][p.Name] = r
 		}
 	}
 	return nil
 }
 
-// Keys is the directory of all keys of a field with peers.
-func (f *Field) Keys() string { return filepath.Join(f.opt.Dir, "keys") }
+// KeysDir returns the directory with the keys of all processes that gossip.
+func (c *Cluster) KeysDir() string { return filepath.Join(c.options.Dir, "keys") }
 
-// seen is where processes of a zone find a process.
-func (f *Field) seen(zone int, p *Process) string {
-	if r := f.relays[zone][p.Name]; r != nil {
+// peerAddrFrom returns the address at which the processes of a zone reach a process.
+func (c *Cluster) peerAddrFrom(zone int, p *Process) string {
+	if r := c.relays[zone][p.Name]; r != nil {
 		return r.addr()
 	}
 	return p.PeerAddr
 }
 
-func (f *Field) writeOperator(p *Process) error {
-	seen, list := map[string]string{}, []string{}
-	for _, q := range f.Processes {
-		if q.Zone != p.Zone {
-			seen[q.Name] = f.seen(p.Zone, q)
-		}
-	}
-	for i := range seeds {
-		// Spread over the field, so that every zone has one when there are as many.
-		if q := f.Processes[i*len(f.Processes)/seeds]; q != p {
-			list = append(list, f.seen(p.Zone, q))
-		}
-	}
-	raw, err := json.Marshal(map[string]any{
-		"admin": map[string]any{"listen": p.Admin()},
-		"peers": map[string]any{
-			"listen": p.PeerAddr, "seeds": list, "as_seen": seen, "identity": f.Keys(), "dir": p.dir,
-			"region": fmt.Sprintf("region-%d", p.Zone/4),
+func (c *Cluster) writeOperatorFile(p *Process) error {
+	encoded, err := json.Marshal(operatorFile{
+		Admin: operatorAdmin{Listen: p.AdminAddr()},
+		Peers: operatorPeers{
+			Listen: p.PeerAddr, Seeds: c.seedsOf(p), AddressSubstitute: c.relayAddressesOf(p), KeysDir: c.KeysDir(), Dir: p.dir,
+			Region: fmt.Sprintf("region-%d", p.Zone/zonesPerRegion),
 		},
 	})
 	if err != nil {
@@ -93,92 +119,131 @@
 	}
 	path := filepath.Join(p.dir, "operator.json")
 	p.args = []string{"serve", "--operator", path}
-	return os.WriteFile(path, raw, 0o600)
+	return os.WriteFile(path, encoded, 0o600)
 }
 
-// Admin is where a process of a field with peers listens for operators.
-func (p *Process) Admin() string { return "unix:" + filepath.Join(p.dir, "admin.sock") }
+// seedsOf returns the addresses that a process contacts first. They are spread over the cluster, so that each zone has one if
+// there are enough.
+func (c *Cluster) seedsOf(p *Process) []string {
+	seeds := []string{}
+	for i := range seedCount {
+		if seed := c.Processes[i*len(c.Processes)/seedCount]; seed != p {
+			seeds = append(seeds, c.peerAddrFrom(p.Zone, seed))
+		}
+	}
+	return seeds
+}
 
-// Peers is what a process says of its peers.
-func (p *Process) Peers() (s peers.Status, err error) {
-	err = admin.Call(p.Admin(), "/v1/peers", nil, &s)
-	return s, err
+// relayAddressesOf returns, by name, the addresses at which a process reaches those of other zones.
+func (c *Cluster) relayAddressesOf(p *Process) map[string]string {
+	addresses := map[string]string{}
+	for _, other := range c.Processes {
+		if other.Zone != p.Zone {
+			addresses[other.Name] = c.peerAddrFrom(p.Zone, other)
+		}
+	}
+	return addresses
 }
 
-// Counters are a process's own counts since its start.
-func (p *Process) Counters() (n map[string]int64, err error) {
-	err = admin.Call(p.Admin(), "/v1/counters", nil, &n)
-	return n, err
+// SetLink sets the fault of what the processes of one zone send to those of another: their datagrams, and both the streams
+// that they open and their answers on streams that the other zone opened.
+func (c *Cluster) SetLink(from, to int, l Link) {
+	for _, p := range c.Processes {
+		if r := c.relays[from][p.Name]; r != nil && p.Zone == to {
+			r.setForward(l)
+		}
+		if r := c.relays[to][p.Name]; r != nil && p.Zone == from {
+			r.setBackward(l)
+		}
+	}
 }
 
-// View is what a process says that all know together; of one server, with who says what.
-func (p *Process) View(server string) (v admin.ViewResponse, err error) {
-	path := "/v1/view"
-	if server != "" {
-		path += "?server=" + server
+// ChangePeerAddress gives a process another gossip address for its next start. The relays of other zones lead there at once;
+// the processes of its own zone learn the address by gossip. It returns ErrRunning if the process runs.
+func (c *Cluster) ChangePeerAddress(p *Process) (err error) {
+	if p.Running() {
+		return fmt.Errorf("change the address of %s: %w", p.Name, ErrRunning)
 	}
-	err = admin.Call(p.Admin(), path, nil, &v)
-	return v, err
+	if p.PeerAddr, err = unusedPort(c.addresses.ip(p.Zone, movedHost)); err != nil {
+		return err
+	}
+	for _, relays := range c.relays {
+		if r := relays[p.Name]; r != nil {
+			r.setTarget(p.PeerAddr)
+		}
+	}
+	return c.writeOperatorFile(p)
 }
 
-// Brief is what a process says of its peers without naming them.
-func (p *Process) Brief() (s peers.Status, err error) {
-	err = admin.Call(p.Admin(), "/v1/peers?members=no", nil, &s)
+// AdminAddr returns where a process with gossip serves its admin API.
+func (p *Process) AdminAddr() string { return "unix:" + filepath.Join(p.dir, "admin.sock") }
+
+// PeerStatus returns a process's view of the members.
+func (p *Process) PeerStatus() (s peers.Status, err error) {
+	err = admin.Call(p.AdminAddr(), "/v1/peers", nil, &s)
 	return s, err
 }
 
-// Between sets what befalls what processes of one zone send to those of another: their datagrams, the streams they open, and
-// what they answer on streams that those have opened.
-func (f *Field) Between(from, to int, l Link) {
-	for _, p := range f.Processes {
-		if r := f.relays[from][p.Name]; r != nil && p.Zone == to {
-			r.set(false, l)
-		}
-		if r := f.relays[to][p.Name]; r != nil && p.Zone == from {
-			r.set(true, l)
-		}
+// PeerSummary returns the same as PeerStatus without the list of members.
+func (p *Process) PeerSummary() (s peers.Status, err error) {
+	err = admin.Call(p.AdminAddr(), "/v1/peers?members=no", nil, &s)
+	return s, err
+}
+
+// Counters returns a process's counters since its start, by name.
+func (p *Process) Counters() (counters map[string]int64, err error) {
+	err = admin.Call(p.AdminAddr(), "/v1/counters", nil, &counters)
+	return counters, err
+}
+
+// FleetView returns a process's estimates of the servers' health and load; for a single server with the reports behind them.
+// An empty server means all.
+func (p *Process) FleetView(server string) (v admin.ViewResponse, err error) {
+	path := "/v1/view"
+	if server != "" {
+		path += "?server=" + server
 	}
+	err = admin.Call(p.AdminAddr(), path, nil, &v)
+	return v, err
 }
 
-// Remembers is how many others a process would ask at its next start beside its seeds.
-func (p *Process) Remembers() int {
-	raw, err := os.ReadFile(filepath.Join(p.dir, "peers.known"))
-	var list []string
-	if err != nil || json.Unmarshal(raw, &list) != nil {
+// KnownPeers returns the number of processes that a process has stored, to contact them beside its seeds at its next start.
+func (p *Process) KnownPeers() int {
+	encoded, err := os.ReadFile(filepath.Join(p.dir, "peers.known"))
+	var known []string
+	if err != nil || json.Unmarshal(encoded, &known) != nil {
 		return 0
 	}
-	return len(list)
+	return len(known)
 }
 
-// Rehouse gives a process that does not run another address, where its next start listens for its peers. Those of its own zone
-// hear of it from the process alone; the relays of other zones lead there, as a translated address would.
-func (f *Field) Rehouse(p *Process) (err error) {
-	if p.Running() {
-		return fmt.Errorf("%s: %w", p.Name, errRunning)
-	}
-	if p.PeerAddr, err = freeAt(f.address(p.Zone, 200)); err != nil {
-		return err
-	}
-	for _, to := range f.relays {
-		if r := to[p.Name]; r != nil {
-			r.lead(p.PeerAddr)
-		}
-	}
-	return f.writeOperator(p)
+// MembershipMismatchError is returned where a process's view of the members differs from the expected one.
+type MembershipMismatchError struct {
+	Process         string
+	Alive, Expected int // numbers of members
 }
 
-// Agree tells whether all of some processes take exactly those for alive, at their addresses, and else what the first that does not says.
-func Agree(ps, alive []*Process) error {
-	names := make([]string, 0, len(alive))
+// Error implements error.
+func (e MembershipMismatchError) Error() string {
+	return fmt.Sprintf("%s has %d members alive, expected %d", e.Process, e.Alive, e.Expected)
+}
+
+// CheckAgreement returns nil if each of the processes has exactly the expected ones as alive members, at their present
+// addresses. Otherwise it returns the first MembershipMismatchError, or why a process could not be queried.
+func CheckAgreement(processes, alive []*Process) error {
+	members := make([]string, 0, len(alive))
 	for _, p := range alive {
-		names = append(names, p.Name+" "+p.PeerAddr)
+		members = append(members, p.Name+" "+p.PeerAddr)
 	}
-	want := peers.MembersFingerprint(names)
-	return Each(ps, func(p *Process) error {
-		got, err := p.Brief()
-		if err == nil && got.Fingerprint != want {
-			return fmt.Errorf("%s takes %d for alive; %d are", p.Name, got.Alive, len(alive))
+	expected := peers.MembersFingerprint(members)
+	return ForEach(processes, func(p *Process) error {
+		status, err := p.PeerSummary()
+		if err != nil {
+			return err
 		}
-		return err
+		if status.Fingerprint != expected {
+			return MembershipMismatchError{Process: p.Name, Alive: status.Alive, Expected: len(alive)}
+		}
+		return nil
 	})
 }
--- a/internal/lab/multiprocess/process.go
+++ b/internal/lab/multiprocess/process.go
@@ -1,7 +1,7 @@
 package multiprocess
 
 import (
-	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,152 +18,173 @@
 	"ravenwheel/internal/resp"
 )
 
-// Process is one process of the program under its name and address, over all its starts.
+// Process is one proxy process, over all its starts. Its name and client address stay the same.
 type Process struct {
-	Name, Listen string
-	PeerAddr     string // for other processes, where they know each other
-	Zone         int
-
-	bin, dir string
-	args     []string
-	taken    atomic.Bool // clients are led to it
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{} // closed once the process of now has ended
-	err    error         // how it ended
-	killed bool          // by us, so that its end is none of its own
-	starts int
-	log    *os.File
+	Name     string
+	Listen   string // address for clients
+	PeerAddr string // address for gossip; empty without it
+	Zone     int
+
+	program    string
+	dir        string // for its files
+	args       []string
+	inRotation atomic.Bool // clients send requests to it
+
+	mu      sync.Mutex
+	command *exec.Cmd     // nil while it does not run
+	exited  chan struct{} // closed when the last start has exited
+	err     error         // how the last start exited
+	killed  bool          // by a signal from here, so that its exit is no error
+	starts  int
+	log     *os.File
 }
 
-// errRunning: it runs already.
-var errRunning = errors.New("it runs already")
+// ErrRunning is returned where a process must not run, but does.
+var ErrRunning = errors.New("process is running")
 
-// start begins a process with the configuration that is in its directory. It becomes ready by itself; see Ready.
+// ErrNotRunning is returned where a process must run, but does not.
+var ErrNotRunning = errors.New("process is not running")
+
+// start starts the process with the configuration in its directory. WaitReady waits until it accepts clients.
 func (p *Process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil {
-		return fmt.Errorf("%s: %w", p.Name, errRunning)
+	if p.command != nil {
+		return fmt.Errorf("start %s: %w", p.Name, ErrRunning)
 	}
 	p.starts++
 	var err error
-	if p.log, err = os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
+	if p.log, err = os.OpenFile(p.logPath(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(p.bin, p.args...)
-	cmd.Env = []string{"LB_NAME=" + p.Name, "LB_LISTEN=" + p.Listen, "LB_CONFIG=" + filepath.Join(p.dir, "config.json"), "TMPDIR=" + p.dir}
-	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// A field that is killed itself leaves no process behind.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
+	command := exec.Command(p.program, p.args...)
+	command.Env = []string{"LB_NAME=" + p.Name, "LB_LISTEN=" + p.Listen, "LB_CONFIG=" + p.configurationPath(), "TMPDIR=" + p.dir}
+	command.Stdout, command.Stderr = p.log, p.log
+	// The kernel kills it when this process is killed.
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := command.Start(); err != nil {
 		p.log.Close()
-		return fmt.Errorf("%s: %w", p.Name, err)
+		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	p.cmd, p.ended, p.err, p.killed = cmd, make(chan struct{}), nil, false
-	go p.wait(cmd, p.ended)
+	p.command, p.exited, p.err, p.killed = command, make(chan struct{}), nil, false
+	go p.reap(command, p.exited)
 	return nil
 }
 
-func (p *Process) wait(cmd *exec.Cmd, ended chan struct{}) {
-	err := cmd.Wait()
+func (p *Process) configurationPath() string { return filepath.Join(p.dir, "config.json") }
+
+func (p *Process) logPath() string { return filepath.Join(p.dir, "log") }
+
+// reap waits for the exit of a start and records how it exited.
+func (p *Process) reap(command *exec.Cmd, exited chan struct{}) {
+	err := command.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.killed {
 		err = nil
 	}
-	p.cmd, p.err = nil, err
+	p.command, p.err = nil, err
 	p.log.Close()
-	close(ended)
+	close(exited)
+}
+
+// exitError returns how the last start exited: nil for status 0, while it runs, and if it was killed from here.
+func (p *Process) exitError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.err
 }
 
-// Running tells whether a process is there.
+// Running reports whether the process runs.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil
+	return p.command != nil
 }
 
-// Pid is the id of the process of now; 0: none.
-func (p *Process) Pid() int {
+// PID returns the process id, or 0 if the process does not run.
+func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil {
+	if p.command == nil {
 		return 0
 	}
-	return p.cmd.Process.Pid
+	return p.command.Process.Pid
 }
 
-// Signal sends a signal, by the id of the process that was started here and to no other.
+// Signal sends a signal to the process. It returns ErrNotRunning if it does not run.
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil {
-		return fmt.Errorf("%s: no process to signal", p.Name)
+	if p.command == nil {
+		return fmt.Errorf("signal %s: %w", p.Name, ErrNotRunning)
 	}
 	p.killed = p.killed || s == syscall.SIGKILL
-	return p.cmd.Process.Signal(s)
+	return p.command.Process.Signal(s)
 }
 
-// End waits until the process has ended, and tells how: nil for exit 0, and for one that was killed from here.
-func (p *Process) End(within time.Duration) error {
+// WaitExit waits until the process has exited. It returns an error if that takes longer than timeout or if the process exited
+// with another status than 0, unless it was killed from here.
+func (p *Process) WaitExit(timeout time.Duration) error {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return nil
 	}
 	select {
-	case <-ended:
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.err != nil {
-			return fmt.Errorf("%s: %w\n%s", p.Name, p.err, p.tail())
+	case <-exited:
+		if err := p.exitError(); err != nil {
+			return fmt.Errorf("%s exited: %w\n%s", p.Name, err, p.logTail())
 		}
 		return nil
-	case <-time.After(within):
-		return fmt.Errorf("%s: still there after %v", p.Name, within)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s did not exit within %v", p.Name, timeout)
 	}
 }
 
-// mostTail of a log is shown with a failure.
-const mostTail = 2000
+// maxLogTail is how many bytes of a log are shown in an error.
+const maxLogTail = 2000
 
-func (p *Process) tail() string {
-	raw, _ := os.ReadFile(filepath.Join(p.dir, "log"))
-	return string(raw[max(0, len(raw)-mostTail):])
+func (p *Process) logTail() string {
+	log := p.Log()
+	return log[max(0, len(log)-maxLogTail):]
 }
 
-// Log is what it has written, over all its starts.
+// Log returns what the process has logged, over all its starts.
 func (p *Process) Log() string {
-	raw, _ := os.ReadFile(filepath.Join(p.dir, "log"))
-	return string(raw)
+	content, _ := os.ReadFile(p.logPath()) // none before the first start
+	return string(content)
 }
 
-// readyEvery: pause between two questions whether a process is ready.
-const readyEvery = 20 * time.Millisecond
+// readinessInterval is the time between two health checks of a process that starts.
+const readinessInterval = 20 * time.Millisecond
 
-// Ready waits until the process answers RPC.HEALTH, as a front would that takes it in.
-func (p *Process) Ready(within time.Duration) error {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyEvery) {
+// WaitReady waits until the process answers a health check. It returns an error if the process exits or is not ready within
+// timeout.
+func (p *Process) WaitReady(timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(readinessInterval) {
 		if healthy(p.Listen) {
 			return nil
 		}
 		if !p.Running() {
-			return fmt.Errorf("%s: it did not start: %v\n%s", p.Name, p.err, p.tail())
+			return fmt.Errorf("%s did not start: %w\n%s", p.Name, cmp.Or(p.exitError(), ErrNotRunning), p.logTail())
 		}
 	}
-	return fmt.Errorf("%s: not ready after %v\n%s", p.Name, within, p.tail())
+	return fmt.Errorf("%s is not ready after %v\n%s", p.Name, timeout, p.logTail())
 }
 
+// healthTimeout bounds connecting for a health check, and then its answer.
+const healthTimeout = time.Second
+
+// healthy reports whether the proxy at an address answers RPC.HEALTH with yes.
 func healthy(addr string) bool {
-	nc, err := net.DialTimeout("tcp", addr, time.Second)
+	nc, err := net.DialTimeout("tcp", addr, healthTimeout)
 	if err != nil {
 		return false
 	}
 	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(time.Second))
+	_ = nc.SetDeadline(time.Now().Add(healthTimeout))
 	if _, err := nc.Write(resp.AppendFrame(nil, "RPC.HEALTH", "1")); err != nil {
 		return false
 	}
@@ -172,24 +193,25 @@
 	return err == nil && len(parts) == 2 && string(parts[1]) == "yes"
 }
 
-// Configure writes the configuration that the next start reads, and a SIGHUP.
-func (p *Process) Configure(c map[string]any) error {
-	raw, err := json.Marshal(c)
+// writeConfiguration replaces the configuration, which the process reads when it starts and at SIGHUP.
+func (p *Process) writeConfiguration(c configuration) error {
+	encoded, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(p.dir, "config.json")
-	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
+	temporary := p.configurationPath() + ".new"
+	if err := os.WriteFile(temporary, encoded, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(path+".new", path)
+	return os.Rename(temporary, p.configurationPath())
 }
 
-// Crashes are the lines of its log that a crash of Go's runtime leaves.
-func (p *Process) Crashes() (lines []string) {
-	for _, l := range strings.Split(p.Log(), "\n") {
-		if strings.HasPrefix(l, "panic:") || strings.HasPrefix(l, "fatal error:") || bytes.Contains([]byte(l), []byte("DATA RACE")) {
-			lines = append(lines, p.Name+": "+l)
+// crashLines returns the lines of the log in which Go's runtime reports a crash or a data race.
+func (p *Process) crashLines() (lines []string) {
+	for line := range strings.Lines(p.Log()) {
+		line = strings.TrimSuffix(line, "\n")
+		if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
+			lines = append(lines, p.Name+": "+line)
 		}
 	}
 	return lines
--- a/internal/lab/multiprocess/relay.go
+++ b/internal/lab/multiprocess/relay.go
@@ -8,208 +8,217 @@
 	"time"
 )
 
-// Link is what befalls what goes one way between two places. The zero value lets all of it pass at once.
+// Link is the fault of one direction between two zones. The zero value passes everything at once.
 type Link struct {
-	Cut    bool    // nothing passes and nobody is told: what is sent is lost, streams stand still
-	Loss   float64 // share of datagrams
-	Twice  float64 // share of datagrams that come twice
-	Delay  float64 // ms
-	Jitter float64 // ms more, drawn for each datagram: they overtake each other
-	Rate   float64 // KB a second that pass; what would wait for longer than mostQueued is lost. 0: all
-	Reset  bool    // streams are broken off, and new ones too
+	Blocked           bool    // datagrams are lost and streams stall; connections stay open
+	LossFraction      float64 // of datagrams
+	DuplicateFraction float64 // of datagrams
+	Delay             float64 // ms
+	Jitter            float64 // ms, at most, added at random for each datagram, which reorders them
+	Bandwidth         float64 // KB/s; datagrams that would queue for longer than maxQueueTime are lost. 0: unlimited
+	Reset             bool    // streams are reset, present and new ones
 }
 
-// mostQueued ms of datagrams wait where a link has a rate.
-const mostQueued = 1000.0
+// maxQueueTime bounds how long, in ms, datagrams queue on a link with limited bandwidth.
+const maxQueueTime = 1000.0
 
-// relay passes on what one place sends to one process: datagrams one way, streams there and back, each way with what befalls it.
+// Sizes of buffers, in bytes.
+const (
+	maxDatagram      = 64 << 10
+	streamBufferSize = 16 << 10
+)
+
+// dialTimeout bounds connecting to the target of a relay.
+const dialTimeout = time.Second
+
+// blockedInterval is how often a stalled stream checks whether the link is still blocked.
+const blockedInterval = 20 * time.Millisecond
+
+// relay forwards what one zone sends to one process: datagrams to the process, and streams in both directions.
 type relay struct {
 	udp *net.UDPConn
 	tcp net.Listener
 
-	mu   sync.Mutex
-	to   string
-	link Link
-	back Link    // for what streams bring back
-	free float64 // when the link with a rate has passed on what waits, ms of the process
-	rng  *rand.Rand
-	open map[net.Conn]struct{}
-	over bool
+	mu       sync.Mutex
+	target   string
+	forward  Link
+	backward Link      // of the target's answers on streams
+	idleAt   time.Time // when the queue of the link with limited bandwidth is empty
+	rng      *rand.Rand
+	conns    map[net.Conn]struct{}
+	closed   bool
 }
 
-const mostDatagram = 64 << 10
-
-// relayTo opens a relay at an address, with the same port for datagrams and streams.
-func relayTo(ip, to string, seed uint64) (*relay, error) {
+// startRelay opens a relay at an IP address, with the same port for datagrams and streams.
+func startRelay(ip, target string, seed uint64) (*relay, error) {
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		return nil, err
 	}
-	at := ln.Addr().(*net.TCPAddr)
-	pc, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port})
+	addr := ln.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	r := &relay{udp: pc, tcp: ln, to: to, rng: rand.New(rand.NewPCG(seed, 1)), open: map[net.Conn]struct{}{}}
-	go r.datagrams()
-	go r.streams()
+	r := &relay{udp: udp, tcp: ln, target: target, rng: rand.New(rand.NewPCG(seed, 1)), conns: map[net.Conn]struct{}{}}
+	go r.forwardDatagrams()
+	go r.acceptStreams()
 	return r, nil
 }
 
 func (r *relay) addr() string { return r.tcp.Addr().String() }
 
-// set changes what befalls one way.
-func (r *relay) set(back bool, l Link) {
+// setForward sets the fault towards the target.
+func (r *relay) setForward(l Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if back {
-		r.back = l
-	} else {
-		r.link = l
-	}
-	for nc := range r.open {
-		if l.Reset {
-			abort(nc)
-		}
+	r.forward = l
+	r.resetIf(l.Reset)
+}
+
+// setBackward sets the fault of the target's answers on streams.
+func (r *relay) setBackward(l Link) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.backward = l
+	r.resetIf(l.Reset)
+}
+
+// resetIf resets all connections if reset is set. The caller holds the lock.
+func (r *relay) resetIf(reset bool) {
+	if !reset {
+		return
+	}
+	for nc := range r.conns {
+		abort(nc)
 	}
 }
 
+// abort closes a connection with a TCP reset.
 func abort(nc net.Conn) {
 	_ = nc.(*net.TCPConn).SetLinger(0)
 	_ = nc.Close()
 }
 
-// lead has the relay pass on to another address from now on.
-func (r *relay) lead(to string) {
+// setTarget changes where datagrams and new streams are forwarded.
+func (r *relay) setTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.to = to
+	r.target = target
 }
 
-// now is the time in which relays keep their rates.
-func now() float64 { return float64(time.Since(began)) / float64(time.Millisecond) }
-
-var began = time.Now()
-
-// queue is for how many ms so many bytes wait where a link has a rate, and whether they are lost to the queue.
-func (r *relay) queue(l Link, bytes int) (wait float64, lost bool) {
-	if l.Rate <= 0 {
+// enqueue returns for how many ms a datagram queues on a link, and whether the queue is full. The caller holds the lock.
+func (r *relay) enqueue(l Link, bytes int) (wait float64, full bool) {
+	if l.Bandwidth <= 0 {
 		return 0, false
 	}
-	if wait = max(0, r.free-now()); wait > mostQueued {
+	if wait = max(0, milliseconds(time.Until(r.idleAt))); wait > maxQueueTime {
 		return 0, true
 	}
-	wait += float64(bytes) / l.Rate
-	r.free = now() + wait
+	wait += float64(bytes) / l.Bandwidth // a KB/s is a byte a ms
+	r.idleAt = time.Now().Add(duration(wait))
 	return wait, false
 }
 
-func (r *relay) datagrams() {
-	buf := make([]byte, mostDatagram)
+func (r *relay) forwardDatagrams() {
+	buf := make([]byte, maxDatagram)
 	for {
 		n, err := r.udp.Read(buf)
 		if err != nil {
 			return
 		}
-		r.mu.Lock()
-		l := r.link
-		lost, twice, wait := r.rng.Float64() < l.Loss, r.rng.Float64() < l.Twice, l.Delay+r.rng.Float64()*l.Jitter
-		queued, full := r.queue(l, n)
-		dest := r.to
-		r.mu.Unlock()
-		to, err := net.ResolveUDPAddr("udp", dest)
-		if err != nil || l.Cut || lost || full {
-			continue
-		}
-		wait += queued
-		b := append([]byte(nil), buf[:n]...)
-		pass := func() {
-			_, _ = r.udp.WriteToUDP(b, to)
-			if twice {
-				_, _ = r.udp.WriteToUDP(b, to)
-			}
-		}
-		if wait <= 0 {
-			pass()
-			continue
+		r.forwardDatagram(append([]byte(nil), buf[:n]...))
+	}
+}
+
+// forwardDatagram sends a datagram on, as the fault of the link says: not at all, later, or twice.
+func (r *relay) forwardDatagram(datagram []byte) {
+	r.mu.Lock()
+	link, target := r.forward, r.target
+	lost := r.rng.Float64() < link.LossFraction
+	twice := r.rng.Float64() < link.DuplicateFraction
+	wait := link.Delay + r.rng.Float64()*link.Jitter
+	queueTime, full := r.enqueue(link, len(datagram))
+	r.mu.Unlock()
+	to, err := net.ResolveUDPAddr("udp", target)
+	if err != nil || link.Blocked || lost || full {
+		return
+	}
+	send := func() {
+		_, _ = r.udp.WriteToUDP(datagram, to)
+		if twice {
+			_, _ = r.udp.WriteToUDP(datagram, to)
 		}
-		time.AfterFunc(time.Duration(wait*float64(time.Millisecond)), pass)
 	}
+	wait += queueTime
+	if wait <= 0 {
+		send()
+		return
+	}
+	time.AfterFunc(duration(wait), send)
 }
 
-func (r *relay) streams() {
+func (r *relay) acceptStreams() {
 	for {
 		nc, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			defer nc.Close()
-			if !r.hold(nc) {
-				return
-			}
-			defer r.drop(nc)
-			r.mu.Lock()
-			to := r.to
-			r.mu.Unlock()
-			out, err := net.DialTimeout("tcp", to, time.Second)
-			if err != nil {
-				return
-			}
-			defer out.Close()
-			if !r.hold(out) {
-				return
-			}
-			defer r.drop(out)
-			done := make(chan struct{}, 2)
-			go func() { r.copy(out, nc, &r.link); done <- struct{}{} }()
-			go func() { r.copy(nc, out, &r.back); done <- struct{}{} }()
-			<-done
-		}()
+		go r.serveStream(nc)
 	}
 }
 
-func (r *relay) hold(nc net.Conn) bool {
+// serveStream copies between a connection and a new one to the target, until one direction ends.
+func (r *relay) serveStream(nc net.Conn) {
+	defer nc.Close()
+	if !r.add(nc) {
+		return
+	}
+	defer r.remove(nc)
+	r.mu.Lock()
+	target := r.target
+	r.mu.Unlock()
+	out, err := net.DialTimeout("tcp", target, dialTimeout)
+	if err != nil {
+		return
+	}
+	defer out.Close()
+	if !r.add(out) {
+		return
+	}
+	defer r.remove(out)
+	done := make(chan struct{}, 2)
+	go func() { r.copy(out, nc, &r.forward); done <- struct{}{} }()
+	go func() { r.copy(nc, out, &r.backward); done <- struct{}{} }()
+	<-done
+}
+
+// add registers a connection. It resets the connection and returns false if streams are reset now or the relay is closed.
+func (r *relay) add(nc net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over || r.link.Reset || r.back.Reset {
+	if r.closed || r.forward.Reset || r.backward.Reset {
 		abort(nc)
 		return false
 	}
-	r.open[nc] = struct{}{}
+	r.conns[nc] = struct{}{}
 	return true
 }
 
-func (r *relay) drop(nc net.Conn) {
+func (r *relay) remove(nc net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.open, nc)
+	delete(r.conns, nc)
 }
 
-// cutEvery: how often a stream that stands still looks whether it may go on.
-const cutEvery = 20 * time.Millisecond
-
-func (r *relay) copy(to io.Writer, from io.Reader, way *Link) {
-	buf := make([]byte, 16<<10)
+// copy forwards one direction of a stream through a link, which may change meanwhile, until either end fails.
+func (r *relay) copy(to io.Writer, from io.Reader, link *Link) {
+	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := from.Read(buf)
-		for cut := true; cut && n > 0; {
-			r.mu.Lock()
-			l := *way
-			cut = l.Cut && !r.over
-			r.mu.Unlock()
-			wait := l.Delay
-			if l.Rate > 0 {
-				wait += float64(n) / l.Rate
-			}
-			if cut {
-				time.Sleep(cutEvery)
-			} else if wait > 0 {
-				time.Sleep(time.Duration(wait * float64(time.Millisecond)))
-			}
-		}
 		if n > 0 {
+			r.delayStream(link, n)
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -220,13 +229,44 @@
 	}
 }
 
+// delayStream waits until a link is not blocked, and then for as long as the bytes take on it.
+func (r *relay) delayStream(link *Link, bytes int) {
+	now := r.current(link)
+	for ; now.Blocked; now = r.current(link) {
+		time.Sleep(blockedInterval)
+	}
+	wait := now.Delay
+	if now.Bandwidth > 0 {
+		wait += float64(bytes) / now.Bandwidth
+	}
+	if wait > 0 {
+		time.Sleep(duration(wait))
+	}
+}
+
+// current returns the present fault of a link, which is never blocked once the relay is closed.
+func (r *relay) current(link *Link) Link {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	l := *link
+	l.Blocked = l.Blocked && !r.closed
+	return l
+}
+
+// close ends the relay and all its streams.
 func (r *relay) close() {
 	_ = r.udp.Close()
 	_ = r.tcp.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
-	for nc := range r.open {
+	r.closed = true
+	for nc := range r.conns {
 		_ = nc.Close()
 	}
 }
+
+// duration converts a time in ms.
+func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// milliseconds converts a duration to ms.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lab/multiprocess/servers.go
+++ b/internal/lab/multiprocess/servers.go
@@ -6,29 +6,39 @@
 
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/policy"
 )
 
-// Move opens the board at another address, to which the next start and the next SIGHUP lead.
-func (f *Field) Move() (old *fleet.DiscoveryListener, err error) {
-	old = f.Door
-	if f.Door, err = f.Board.Open("127.0.0.1:0"); err != nil {
+// UnknownServerError is returned for a server that is not a member.
+type UnknownServerError struct{ ID policy.CacheID }
+
+// Error implements error.
+func (e UnknownServerError) Error() string {
+	return fmt.Sprintf("server %s is not a member", serverlist.FormatID(e.ID))
+}
+
+// MoveDiscovery opens the discovery service at another address, which the next Start and Reload configure. It returns the
+// previous listener, which the caller closes.
+func (c *Cluster) MoveDiscovery() (previous *fleet.DiscoveryListener, err error) {
+	previous = c.DiscoveryListener
+	if c.DiscoveryListener, err = c.Discovery.Open("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	return old, nil
+	return previous, nil
 }
 
-// Members are the servers as the board has them.
-func (f *Field) Members() []membership.Member {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.members)
+// Members returns the servers as the discovery service lists them.
+func (c *Cluster) Members() []membership.Member {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.members)
 }
 
-// Caches are the ready caches of a zone.
-func (f *Field) Caches(zone int) (ids []policy.CacheID) {
-	for _, m := range f.Members() {
+// ReadyCaches returns the caches of a zone that are ready.
+func (c *Cluster) ReadyCaches(zone int) (ids []policy.CacheID) {
+	for _, m := range c.Members() {
 		if m.Kind == kindCache && m.Zone == zone && m.State == policy.Ready {
 			ids = append(ids, m.ID)
 		}
@@ -36,73 +46,84 @@
 	return ids
 }
 
-// Replace drains a cache and brings up another in its zone, cold, in its place.
-func (f *Field) Replace(id policy.CacheID) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	i := slices.IndexFunc(f.members, func(m membership.Member) bool { return m.ID == id })
-	if i < 0 {
-		return fmt.Errorf("no cache %d", id)
+// memberIndex returns the index of a server in the endpoint list. The caller holds the lock.
+func (c *Cluster) memberIndex(id policy.CacheID) (int, error) {
+	index := slices.IndexFunc(c.members, func(m membership.Member) bool { return m.ID == id })
+	if index < 0 {
+		return 0, UnknownServerError{id}
+	}
+	return index, nil
+}
+
+// ReplaceCache drains a cache and starts another one in its zone, which has no copies yet.
+func (c *Cluster) ReplaceCache(id policy.CacheID) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	index, err := c.memberIndex(id)
+	if err != nil {
+		return err
 	}
-	fresh, err := f.stand(f.next, fleet.Cache, f.members[i].Zone, f.Clock.Now())
+	successor, err := c.startServer(c.nextCache, fleet.Cache, c.members[index].Zone, c.Clock.Now())
 	if err != nil {
 		return err
 	}
-	f.next++
-	f.members[i].State = policy.Draining
-	f.told = append(f.told, fleet.Notification{At: f.Clock.Now() + toldWithin, Drains: []policy.CacheID{id}})
-	f.Board.Change(f.members[i], fresh)
-	f.members = append(f.members, fresh)
+	c.nextCache++
+	c.members[index].State = policy.Draining
+	c.notifications = append(c.notifications, fleet.Notification{At: c.Clock.Now() + notificationTimeout, Drains: []policy.CacheID{id}})
+	c.Discovery.Change(c.members[index], successor)
+	c.members = append(c.members, successor)
 	return nil
 }
 
-// Remove has a cache that drains leave, with its machine.
-func (f *Field) Remove(id policy.CacheID) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	i := slices.IndexFunc(f.members, func(m membership.Member) bool { return m.ID == id })
-	if i < 0 {
-		return fmt.Errorf("no cache %d", id)
+// RemoveCache removes a draining cache from the endpoint list and kills it.
+func (c *Cluster) RemoveCache(id policy.CacheID) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	index, err := c.memberIndex(id)
+	if err != nil {
+		return err
 	}
-	f.members[i].State = policy.Gone
-	f.Board.Change(f.members[i])
-	f.members = slices.Delete(f.members, i, i+1)
-	f.Fleet.Server(id).Kill()
+	c.members[index].State = policy.Gone
+	c.Discovery.Change(c.members[index])
+	c.members = slices.Delete(c.members, index, index+1)
+	c.Fleet.Server(id).Kill()
 	return nil
 }
 
-// Lose ends caches as a power cut does: nobody is told.
-func (f *Field) Lose(ids ...policy.CacheID) {
+// KillCaches kills caches. The discovery service still lists them as ready.
+func (c *Cluster) KillCaches(ids ...policy.CacheID) {
 	for _, id := range ids {
-		f.Fleet.Server(id).Kill()
+		c.Fleet.Server(id).Kill()
 	}
 }
 
-// Return brings caches back at their addresses, empty, and has the board tell when they started.
-func (f *Field) Return(ids ...policy.CacheID) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var back []membership.Member
-	for i := range f.members {
-		m := &f.members[i]
+// RestartCaches starts killed caches at their addresses, without copies, and publishes their start times.
+func (c *Cluster) RestartCaches(ids ...policy.CacheID) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var restarted []membership.Member
+	for i := range c.members {
+		m := &c.members[i]
 		if !slices.Contains(ids, m.ID) {
 			continue
 		}
-		if _, err := f.Fleet.Start(m.ID, fleet.Cache, m.Addr); err != nil {
+		if _, err := c.Fleet.Start(m.ID, fleet.Cache, m.Addr); err != nil {
 			return err
 		}
-		m.Started = clock.Duration(f.Clock.Now())
-		back = append(back, *m)
+		m.Started = clock.Duration(c.Clock.Now())
+		restarted = append(restarted, *m)
 	}
-	f.Board.Change(back...)
+	c.Discovery.Change(restarted...)
 	return nil
 }
 
-// Purge voids an object, or with none a group, and has the board tell of it.
-func (f *Field) Purge(object string, group int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at := f.Fleet.Purge(object, group)
-	f.Board.Purge(object, group, at)
-	f.told = append(f.told, fleet.Notification{At: at + toldWithin, Made: at, Purge: true, Object: object, Group: group})
+// Purge purges an object, or a group of objects where object is empty, and publishes the purge.
+func (c *Cluster) Purge(object string, group int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at := c.Fleet.Purge(object, group)
+	c.Discovery.Purge(object, group, at)
+	c.notifications = append(c.notifications, fleet.Notification{
+		At: at + notificationTimeout, Made: at, Purge: true, Object: object, Group: group,
+	})
 }
--- a/internal/lab/multiprocess/traffic.go
+++ b/internal/lab/multiprocess/traffic.go
@@ -9,75 +9,95 @@
 	"ravenwheel/internal/lab/load"
 )
 
-// Traffic sends requests to each process at a steady rate of its own for as long as clients are led to it, whatever becomes
-// of those before. stop ends it and waits for what is open.
-func (f *Field) Traffic(perS func(*Process) float64) (stop func()) {
-	end := make(chan struct{})
+// Settings of the client of a process.
+const (
+	clientConns   = 2
+	clientRetries = 2
+)
+
+// maxLatency is the longest latency that is recorded, in µs, with latencyDigits significant digits.
+const (
+	maxLatency    = 60_000_000
+	latencyDigits = 3
+)
+
+// StartTraffic sends requests to each process at a fixed rate in requests per second, while the process is in rotation. It is
+// an open loop: it does not wait for earlier requests. stop ends it and waits for the requests in flight.
+func (c *Cluster) StartTraffic(rate func(*Process) float64) (stop func()) {
+	stopped := make(chan struct{})
 	var wait sync.WaitGroup
-	for _, p := range f.Processes {
+	for _, p := range c.Processes {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			tick := time.NewTicker(time.Duration(float64(time.Second) / perS(p)))
-			defer tick.Stop()
-			for {
-				select {
-				case <-end:
-					f.Client(p).WaitIdle()
-					return
-				case <-tick.C:
-					if p.taken.Load() {
-						f.Client(p).Send()
-					}
-				}
-			}
+			c.sendRequests(p, rate(p), stopped)
 		}()
 	}
-	return func() { close(end); wait.Wait() }
+	return func() {
+		close(stopped)
+		wait.Wait()
+	}
 }
 
-// Took is how long what was served took, from when it was asked, in microseconds.
-func (f *Field) Took() *hdrhistogram.Histogram {
-	all := hdrhistogram.New(1, 60_000_000, 3)
-	for _, p := range f.Processes {
-		for _, s := range f.Client(p).Results() {
-			all.Merge(s.Latency)
+func (c *Cluster) sendRequests(p *Process, rate float64, stopped <-chan struct{}) {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stopped:
+			c.Client(p).WaitIdle()
+			return
+		case <-ticker.C:
+			if p.inRotation.Load() {
+				c.Client(p).Send()
+			}
+		}
+	}
+}
+
+// Latency returns the latencies of the requests that were served, in µs.
+func (c *Cluster) Latency() *hdrhistogram.Histogram {
+	all := hdrhistogram.New(1, maxLatency, latencyDigits)
+	for _, p := range c.Processes {
+		for _, result := range c.Client(p).Results() {
+			all.Merge(result.Latency)
 		}
 	}
 	return all
 }
 
-// Served is how much was served by a process.
-func (f *Field) Served(p *Process) (n int) {
-	for _, s := range f.Client(p).Results() {
-		n += s.Served
+// Served returns the number of requests that a process served.
+func (c *Cluster) Served(p *Process) (n int) {
+	for _, result := range c.Client(p).Results() {
+		n += result.Served
 	}
 	return n
 }
 
-// Sum is what became of all requests, of all classes and processes.
-func (f *Field) Sum() (all load.ClassResult) {
-	for _, p := range f.Processes {
-		for _, s := range f.Client(p).Results() {
-			all.Requested += s.Requested
-			all.Served += s.Served
-			all.Rejected += s.Rejected
-			all.Failed += s.Failed
-			all.Lost += s.Lost
-			all.Retried += s.Retried
+// Totals returns the outcomes of the requests of all classes at all processes, without latencies.
+func (c *Cluster) Totals() (totals load.ClassResult) {
+	for _, p := range c.Processes {
+		for _, result := range c.Client(p).Results() {
+			totals.Requested += result.Requested
+			totals.Served += result.Served
+			totals.Rejected += result.Rejected
+			totals.Failed += result.Failed
+			totals.Lost += result.Lost
+			totals.Retried += result.Retried
 		}
 	}
-	return all
+	return totals
 }
 
-// Client is the clients of a process; they are made when first asked for.
-func (f *Field) Client(p *Process) *load.Client {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.clients[p] == nil {
-		f.clients[p] = load.New(load.Options{
-			Addr: p.Listen, Clock: f.Clock, Seed: f.opt.Seed + hashName(p.Name), Conns: 2, Objects: f.opt.Objects, Classes: f.opt.Classes, Retries: 2,
+// Client returns the client of a process. It is created at the first call.
+func (c *Cluster) Client(p *Process) *load.Client {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.clients[p] == nil {
+		c.clients[p] = load.New(load.Options{
+			Addr: p.Listen, Clock: c.Clock, Seed: c.options.Seed + hashName(p.Name), Conns: clientConns, Objects: c.options.Objects,
+			Classes: c.options.Classes, Retries: clientRetries,
 		})
 	}
-	return f.clients[p]
+	return c.clients[p]
 }
