--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,11 +33,11 @@
 	partialFrameTimeout = 3000
 )
 
-// sharedConnsNumerator and sharedConnsDenominator: the fraction of its connections that a process may have while another one shares the limits. Clients
-// that behave hold a third of all descriptors, and move from one process to the other.
+// sharedConnsNumerator and sharedConnsDenominator: the fraction of Options.MaxConns that a process may have while another
+// one shares them. Clients that behave hold a third of all descriptors, and move from one process to the other.
 const sharedConnsNumerator, sharedConnsDenominator = 3, 4
 
-// Errors of commands that are refused.
+// Errors of commands that are rejected.
 var (
 	ErrNotReady      = errors.New("not ready")            // the proxy has no list of servers yet
 	ErrUnknownServer = errors.New("no such cache server") // the server is neither listed nor remembered
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -52,7 +52,8 @@
 	return &world{
 		t: t, table: table, published: map[policy.CacheID]membership.Member{}, phases: map[policy.CacheID]membership.Phase{},
 		statements: [2]map[policy.CacheID]membership.Entry{{}, {}},
-		drainFrom:  map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{}, saved: recovery.NewState(), manualDrains: map[policy.CacheID]bool{},
+		drainFrom:  map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{},
+		saved: recovery.NewState(), manualDrains: map[policy.CacheID]bool{},
 	}
 }
 
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -22,7 +22,7 @@
 type statement struct {
 	Entry
 	reported    Entry // as the source sent it; Entry.Started may be the table's own estimate
-	coldOnReady bool  // the server counts as started when it next becomes ready
+	coldOnReady bool  // the server warms up from when it next becomes ready
 	wanted      bool  // the state is not Gone
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// addStatement records what a source says of one server. first: it stands in the first list of the source.
+// addStatement records what a source says of one server. first: it is in the first list of the source.
 func (t *Table) addStatement(i int, e Entry, first bool) {
 	s := t.servers[e.ID]
 	if s == nil {
@@ -135,8 +135,8 @@
 }
 
 // estimateStart decides whether a server is warming up, where a list of wanted servers does not say when it was started.
-// A server that such a list names anew counts as just started, or its full share of the objects would overload it; in
-// the first list all servers run already. One that returns from a drain counts as restarted.
+// A server that such a list adds counts as just started, as its full load would overload an empty cache; those in the
+// first list run already. One that returns from a drain counts as restarted.
 func (t *Table) estimateStart(s *server, st, previous *statement, first bool) {
 	inUseHere := s.phase == Ready || s.phase == Draining && !s.restored
 	switch {
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -17,7 +17,8 @@
 	TargetWeight float64 `json:"Wanted"` // the weight that the source wants; Member.Weight approaches it in steps
 }
 
-// Knows reports whether a server is listed, still remembered or drained by hand.
+// Knows reports whether a server is listed, still known from a list, or drained by an operator. One that is gone is not
+// known.
 func (t *Table) Knows(id policy.CacheID) bool {
 	s := t.servers[id]
 	_, drained := t.manualDrains[id]
--- a/internal/decide/membership/timers.go
+++ b/internal/decide/membership/timers.go
@@ -43,7 +43,7 @@
 	t.emit(Wake{At: t.wake})
 }
 
-// schedule has a server (0: none) looked at again at a time.
+// schedule sets a timer, at a time in ms, for a server, or for the sources alone (id 0).
 func (t *Table) schedule(at float64, id policy.CacheID) { heap.Push(&t.timers, timer{at, id}) }
 
 // timer is a time at which a server may have to change. One that is no longer needed does no harm.
--- a/internal/decide/membership/transcript_test.go
+++ b/internal/decide/membership/transcript_test.go
@@ -66,57 +66,72 @@
 	}
 }
 
+// play has the table handle the event of a command, and returns its actions as lines.
 func play(t *testing.T, table *membership.Table, words []string) (lines []string) {
 	now, err := strconv.ParseFloat(words[0], 64)
 	require.NoError(t, err)
-	var e membership.Event = membership.Tick{}
-	if words[1] == "manual-drain" {
-		id, err := strconv.Atoi(words[3])
+	for _, a := range table.Handle(now, parseEvent(t, now, words[1:]), nil) {
+		lines = append(lines, format(a))
+	}
+	return lines
+}
+
+// parseEvent reads a command without its time.
+func parseEvent(t *testing.T, now float64, words []string) membership.Event {
+	switch {
+	case words[0] == "tick":
+		return membership.Tick{}
+	case words[0] == "manual-drain":
+		id, err := strconv.Atoi(words[2])
 		require.NoError(t, err)
-		if e = (membership.ManualDrain{ID: policy.CacheID(id), On: words[2] == "on"}); words[2] == "ended" {
-			e = membership.ManualDrainEnded{ID: policy.CacheID(id), At: now - 500}
-		}
-	} else if words[1] != "tick" {
-		at := map[string]int{"file": 0, "discovery": 1}[words[1]]
-		if words[2] == "heartbeat" {
-			e = membership.Heartbeat{Source: at}
-		} else {
-			gen, err := strconv.ParseUint(words[2], 10, 64)
-			require.NoError(t, err)
-			var entries []membership.Entry
-			for _, w := range words[3:] {
-				entries = append(entries, server(t, w))
-			}
-			if e = (membership.Snapshot{Source: at, Generation: gen, Entries: entries}); at == 1 {
-				e = membership.Delta{Source: at, Generation: gen, Entries: entries}
-			}
+		if words[1] == "ended" {
+			return membership.ManualDrainEnded{ID: policy.CacheID(id), At: now - 500}
 		}
+		return membership.ManualDrain{ID: policy.CacheID(id), On: words[1] == "on"}
+	case words[1] == "heartbeat":
+		return membership.Heartbeat{Source: sourceIndex[words[0]]}
 	}
-	for _, a := range table.Handle(now, e, nil) {
-		switch a := a.(type) {
-		case membership.Publish:
-			line := fmt.Sprintf("publish %d", a.Version)
-			for _, m := range a.Members {
-				line += fmt.Sprintf(" %d@%s:%s*%v", m.ID, m.Addr, []string{"ready", "draining", "gone"}[m.State], m.Weight)
-				if m.Started > 0 {
-					line += fmt.Sprintf("+%v", float64(m.Started)/1e6)
-				}
+	generation, err := strconv.ParseUint(words[1], 10, 64)
+	require.NoError(t, err)
+	var entries []membership.Entry
+	for _, w := range words[2:] {
+		entries = append(entries, parseServer(t, w))
+	}
+	source := sourceIndex[words[0]]
+	if words[0] == "discovery" {
+		return membership.Delta{Source: source, Generation: generation, Entries: entries}
+	}
+	return membership.Snapshot{Source: source, Generation: generation, Entries: entries}
+}
+
+var sourceIndex = map[string]int{"file": 0, "discovery": 1}
+
+// format returns an action as a line of a transcript.
+func format(a membership.Action) string {
+	switch a := a.(type) {
+	case membership.Publish:
+		line := fmt.Sprintf("publish %d", a.Version)
+		for _, m := range a.Members {
+			line += fmt.Sprintf(" %d@%s:%s*%v", m.ID, m.Addr, []string{"ready", "draining", "gone"}[m.State], m.Weight)
+			if m.Started > 0 {
+				line += fmt.Sprintf("+%v", float64(m.Started)/1e6)
 			}
-			lines = append(lines, line)
-		case membership.Wake:
-			lines = append(lines, fmt.Sprintf("wake %v", a.At))
-		case membership.Transition:
-			lines = append(lines, fmt.Sprintf("%d %v -> %v: %s", a.Member.ID, a.From, a.To, a.Reason))
-		case membership.Rejected:
-			lines = append(lines, fmt.Sprintf("rejected: %s", a.Err))
-		case membership.SilenceChanged:
-			lines = append(lines, fmt.Sprintf("source %d silent: %v", a.Source, a.Silent))
 		}
+		return line
+	case membership.Wake:
+		return fmt.Sprintf("wake %v", a.At)
+	case membership.Transition:
+		return fmt.Sprintf("%d %v -> %v: %s", a.Member.ID, a.From, a.To, a.Reason)
+	case membership.Rejected:
+		return fmt.Sprintf("rejected: %s", a.Err)
+	case membership.SilenceChanged:
+		return fmt.Sprintf("source %d silent: %v", a.Source, a.Silent)
 	}
-	return lines
+	return fmt.Sprintf("unknown action %T", a)
 }
 
-func server(t *testing.T, w string) (e membership.Entry) {
+// parseServer reads SERVER of a command.
+func parseServer(t *testing.T, w string) (e membership.Entry) {
 	w, e.Warm = strings.CutSuffix(w, "!")
 	w, started, _ := strings.Cut(w, "+")
 	w, weight, _ := strings.Cut(w, "*")
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -51,7 +51,7 @@
 	return r.table.Servers(), r.version
 }
 
-// Knows reports whether a server is listed, still remembered or drained by hand.
+// Knows reports whether a server is listed, still known from a list, or drained by an operator.
 func (r *Registry) Knows(id policy.CacheID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,7 +26,9 @@
 }
 
 func settings() membership.Settings {
-	return membership.Settings{Sources: []membership.Source{{Name: "file"}}, DrainTimeout: 1000, GoneRetention: 1000, WeightStep: 2, WeightInterval: 100}
+	return membership.Settings{
+		Sources: []membership.Source{{Name: "file"}}, DrainTimeout: 1000, GoneRetention: 1000, WeightStep: 2, WeightInterval: 100,
+	}
 }
 
 // Drains and weight steps that are due take effect by the clock, in order, and each change is published once.
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -133,13 +133,13 @@
 // call brings the events of the meantime.
 func TestReconnectsAfterEachSilence(t *testing.T) {
 	f := newHarness(t)
-	for asked := range 6 {
-		nc := f.accept(uint64(4 + min(asked, 1)))
-		if asked == 0 || asked == 5 {
-			f.write(nc, frame(uint64(5+asked), kindPurgeGroup, group(17, 1000)...))
-			require.EqualValues(t, 5+asked, (<-f.events).Revision)
+	for call := range 6 {
+		nc := f.accept(uint64(4 + min(call, 1)))
+		if call == 0 || call == 5 {
+			f.write(nc, frame(uint64(5+call), kindPurgeGroup, group(17, 1000)...))
+			require.EqualValues(t, 5+call, (<-f.events).Revision)
 		}
-		if asked < 5 {
+		if call < 5 {
 			f.waitForCall()
 		}
 	}
@@ -159,15 +159,15 @@
 	}
 	f.advanceUntil(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
 	require.True(t, f.client.CatchUp(), "frames have arrived that are not applied")
-	taken := make(chan bool)
+	received := make(chan bool)
 	go func() {
 		for rev := uint64(6); rev <= 20; rev++ {
 			<-f.events
 		}
-		close(taken)
+		close(received)
 	}()
 	require.Eventually(t, func() bool { return !f.client.CatchUp() }, time.Minute, time.Millisecond)
-	<-taken
+	<-received
 }
 
 // Events may be in force that were not received: that is reported once, and so is its end.
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -74,9 +74,11 @@
 			e.Members = append(e.Members, m)
 		}
 	case kind == kindPurgeObject && len(payload) == purgeObjectSize:
-		e.Purge = &core.Purge{Object: fmt.Sprintf("%016x", u64(payload)), Group: -1, At: float64(u64(payload[8:])) + core.TimestampResolution}
+		object, at := fmt.Sprintf("%016x", u64(payload)), float64(u64(payload[8:]))
+		e.Purge = &core.Purge{Object: object, Group: -1, At: at + core.TimestampResolution}
 	case kind == kindPurgeGroup && len(payload) == purgeGroupSize:
-		e.Purge = &core.Purge{Group: int(binary.BigEndian.Uint16(payload)), At: float64(u64(payload[2:])) + core.TimestampResolution}
+		group, at := binary.BigEndian.Uint16(payload), float64(u64(payload[2:]))
+		e.Purge = &core.Purge{Group: int(group), At: at + core.TimestampResolution}
 	case kind == kindHeartbeat || kind > kindPurgeGroup:
 	default:
 		return errMalformedFrame
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -150,7 +150,7 @@
 	l.open.Store(&open)
 }
 
-// wake sets the one timer. It only signals the loop: a clock that is set by hand runs it on the goroutine that does so.
+// wake sets the one timer. It only signals the loop: a manual clock runs it on the goroutine that advances it.
 func (l *loop) wake(at float64) {
 	l.stopTimer()
 	l.stopTimer = l.Clock.After(at-l.Clock.Now(), func() {
--- a/internal/source/discoveryclient/status.go
+++ b/internal/source/discoveryclient/status.go
@@ -46,9 +46,18 @@
 func (c *Client) Status() Status {
 	n := &c.counters
 	s := Status{
-		LastEvent: c.last.Load(), Calls: n.calls.Load(), Responded: n.responded.Load(), Failed: n.failed.Load(), Disconnected: n.disconnected.Load(),
-		Closed: n.closed.Load(), AddressChanges: n.addressChanges.Load(), Frames: n.frames.Load(), EventsAfterSilence: n.late.Load(),
-		Overdue: n.overdue.Load(), SinceLastFrameMs: c.Clock.Now() - float64(n.lastFrame.Load()), LongestSilenceMs: n.longestSilence.Load(),
+		LastEvent:          c.last.Load(),
+		Calls:              n.calls.Load(),
+		Responded:          n.responded.Load(),
+		Failed:             n.failed.Load(),
+		Disconnected:       n.disconnected.Load(),
+		Closed:             n.closed.Load(),
+		AddressChanges:     n.addressChanges.Load(),
+		Frames:             n.frames.Load(),
+		EventsAfterSilence: n.late.Load(),
+		Overdue:            n.overdue.Load(),
+		SinceLastFrameMs:   c.Clock.Now() - float64(n.lastFrame.Load()),
+		LongestSilenceMs:   n.longestSilence.Load(),
 	}
 	if addr := n.address.Load(); addr != nil {
 		s.Address = *addr
@@ -58,8 +67,8 @@
 
 func (c *Client) reportCall(x *call, reason discovery.Reason) {
 	c.counters.calls.Add(1)
-	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.last.Load()).Str("reason", string(reason)).
-		Msg("connecting to discovery")
+	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.last.Load()).
+		Str("reason", string(reason)).Msg("connecting to discovery")
 }
 
 // reportFrame reports a complete frame. last is the revision of the last event before it.
@@ -77,8 +86,8 @@
 	}
 	if silence > lateAfter && e.Revision > last && e.hasEffect() {
 		n.late.Add(1)
-		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("revision", e.Revision).Bool("purge", e.Purge != nil).Float64("silent_ms", silence).
-			Msg("event received after a silence")
+		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("revision", e.Revision).Bool("purge", e.Purge != nil).
+			Float64("silent_ms", silence).Msg("event received after a silence")
 	}
 }
 
@@ -99,7 +108,8 @@
 // reportOverdue reports that events may be in force without having been received. lastFrame is in ms of the clock.
 func (c *Client) reportOverdue(lastFrame float64) {
 	c.counters.overdue.Add(1)
-	c.Log.Warn(logKind).Float64("silent_ms", c.Clock.Now()-lastFrame).Msg("discovery overdue: events may be in force that were not received")
+	c.Log.Warn(logKind).Float64("silent_ms", c.Clock.Now()-lastFrame).
+		Msg("discovery overdue: events may be in force that were not received")
 }
 
 // errorText returns the text of an error; "" for none, and for a connection that the client closed itself.
--- a/internal/source/filewatch/list.go
+++ b/internal/source/filewatch/list.go
@@ -14,7 +14,9 @@
 
 // Load reads, checks and resolves a list once, and compares it with the list in use (nil: none). Defects are returned as
 // strictjson.Defects.
-func Load(path string, requirements serverlist.Requirements, cache *resolver.Cache, current *serverlist.List) (*serverlist.List, error) {
+func Load(
+	path string, requirements serverlist.Requirements, cache *resolver.Cache, current *serverlist.List,
+) (*serverlist.List, error) {
 	files, err := ReadFiles(path)
 	if err != nil {
 		return nil, err
