--- /dev/null
+++ b/internal/codecheck/pages_test.go
@@ -0,0 +1,125 @@
+package codecheck
+
+import (
+	"go/ast"
+	"go/token"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// pages describe the code; each name of the code that they put into backquotes has to exist.
+var pages = []string{"docs/GLOSSARY.md", "docs/ARCHITECTURE.md"}
+
+// reference is how the pages name code: a package's directory or a file from the root, and for a name in a package a dot, the
+// name and, for a member of a type, a dot and its name: `internal/core.Core.Do`.
+var reference = regexp.MustCompile("`((?:internal|policy|wire|cmd|deploy|lab|mibs)(?:/[A-Za-z0-9_./-]+)?(?:\\.[A-Za-z_][A-Za-z0-9_.]*)?)`")
+
+// packageNames holds the names that a package declares: "Core" for what stands at the top level, "Core.Do" for a method, a field
+// or a method of an interface.
+type packageNames map[string]bool
+
+func TestPagesNameOnlyWhatExists(t *testing.T) {
+	packages := declaredNames(t)
+	for _, page := range pages {
+		content, err := os.ReadFile(filepath.Join(root, page))
+		require.NoError(t, err)
+		references := reference.FindAllStringSubmatch(string(content), -1)
+		require.NotEmpty(t, references, page)
+		for _, match := range references {
+			if !exists(packages, match[1]) {
+				t.Errorf("%s names `%s`, which does not exist", page, match[1])
+			}
+		}
+	}
+}
+
+// TestEachRowOfTheGlossaryNamesAPlace holds each row of the glossary's tables to at least one reference to the code.
+func TestEachRowOfTheGlossaryNamesAPlace(t *testing.T) {
+	content, err := os.ReadFile(filepath.Join(root, "docs/GLOSSARY.md"))
+	require.NoError(t, err)
+	rows := 0
+	for _, line := range strings.Split(string(content), "\n") {
+		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| ---") || strings.HasPrefix(line, "| our word") {
+			continue
+		}
+		rows++
+		if !reference.MatchString(line) {
+			t.Errorf("no place in the code: %s", line)
+		}
+	}
+	require.NotZero(t, rows)
+}
+
+// exists tells whether a reference names a file, a directory, or a name that a package declares.
+func exists(packages map[string]packageNames, reference string) bool {
+	if _, err := os.Stat(filepath.Join(root, filepath.FromSlash(reference))); err == nil {
+		return true
+	}
+	base := path.Base(reference)
+	dot := strings.IndexByte(base, '.')
+	if dot < 0 {
+		return false
+	}
+	directory := path.Join(path.Dir(reference), base[:dot])
+	return packages[directory][base[dot+1:]]
+}
+
+func declaredNames(t *testing.T) map[string]packageNames {
+	packages := map[string]packageNames{}
+	for _, file := range sourceFiles(t, token.NewFileSet()) {
+		directory := path.Dir(file.path)
+		if packages[directory] == nil {
+			packages[directory] = packageNames{}
+		}
+		for _, declaration := range file.syntax.Decls {
+			packages[directory].add(declaration)
+		}
+	}
+	return packages
+}
+
+func (names packageNames) add(declaration ast.Decl) {
+	switch declaration := declaration.(type) {
+	case *ast.FuncDecl:
+		name := declaration.Name.Name
+		if declaration.Recv != nil {
+			name = receiverName(declaration) + "." + name
+		}
+		names[name] = true
+	case *ast.GenDecl:
+		for _, spec := range declaration.Specs {
+			names.addSpec(spec)
+		}
+	}
+}
+
+func (names packageNames) addSpec(spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			names[name.Name] = true
+		}
+	case *ast.TypeSpec:
+		names[spec.Name.Name] = true
+		switch definition := spec.Type.(type) {
+		case *ast.StructType:
+			names.addMembers(spec.Name.Name, definition.Fields)
+		case *ast.InterfaceType:
+			names.addMembers(spec.Name.Name, definition.Methods)
+		}
+	}
+}
+
+func (names packageNames) addMembers(typeName string, members *ast.FieldList) {
+	for _, member := range members.List {
+		for _, name := range member.Names {
+			names[typeName+"."+name.Name] = true
+		}
+	}
+}
