--- a/internal/decide/recovery/event.go
+++ b/internal/decide/recovery/event.go
@@ -37,7 +37,7 @@
 	return purgeKey{"", p.Group}
 }
 
-// Member is a server's last published state.
+// Member is a server's last published state. Zone, Kind, Cell and Weight are as in policy.Member.
 type Member struct {
 	ID      uint64           `cbor:"1,keyasint" json:"ID"`
 	Addr    string           `cbor:"2,keyasint" json:"Addr"`
