--- a/cmd/ravenlab/capacity.go
+++ b/cmd/ravenlab/capacity.go
@@ -11,12 +11,13 @@
 	"ravenwheel/internal/lab/capacity"
 )
 
-// capacityDir is where recordings are kept, capacityPage what is made of them.
+// Where recordings are, and the page that is made from them, relative to the root of the repository.
 const (
 	capacityDir  = "docs/measurements/capacity"
 	capacityPage = "docs/CAPACITY.md"
 )
 
+// capacityCommand writes and checks the page of internal/lab/capacity.
 func capacityCommand() *cobra.Command {
 	var write, dir string
 	var check bool
@@ -43,12 +44,13 @@
 	return cmd
 }
 
+// checkPage fails if the page in the repository differs from the one given.
 func checkPage(out io.Writer, page []byte) error {
-	have, err := os.ReadFile(capacityPage)
+	committed, err := os.ReadFile(capacityPage)
 	if err != nil {
 		return err
 	}
-	if line, differs := capacity.Differs(have, page); differs {
+	if line, differs := capacity.Differs(committed, page); differs {
 		return fmt.Errorf("%s differs from formulas and recordings at line %d: run 'ravenlab capacity --write %s'", capacityPage, line, capacityPage)
 	}
 	fmt.Fprintln(out, capacityPage, "is what formulas and recordings give")
@@ -58,28 +60,31 @@
 func capacityRecordCommand(dir *string) *cobra.Command {
 	return &cobra.Command{
 		Use: "record [NAME...]", Short: "Measure slopes in this process, some seconds each, and keep them", Args: cobra.ArbitraryArgs,
-		RunE: func(cmd *cobra.Command, names []string) error {
-			for _, name := range names {
-				if !slices.ContainsFunc(capacity.Recorders, func(r capacity.Recorder) bool { return r.Name == name }) {
-					return fmt.Errorf("no recorder %q", name)
-				}
-			}
-			for _, r := range capacity.Recorders {
-				if len(names) > 0 && !slices.Contains(names, r.Name) {
-					continue
-				}
-				f, err := r.Record(*dir, capacity.Machine())
-				if err != nil {
-					return err
-				}
-				for _, x := range f.Recordings {
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: %v %s, %g + %g x %s (%s), largest residual %.1f %%\n", x.Name, x.Points, x.Unit, x.Fixed, x.Slope, x.Driver,
-						x.Model, 100*x.Worst())
-				}
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, names []string) error { return recordCapacity(cmd.OutOrStdout(), *dir, names) },
+	}
+}
+
+// recordCapacity runs the recorders with these names, or all if there are none, and prints what they measured.
+func recordCapacity(out io.Writer, dir string, names []string) error {
+	for _, name := range names {
+		if !slices.ContainsFunc(capacity.Recorders, func(r capacity.Recorder) bool { return r.Name == name }) {
+			return fmt.Errorf("no recorder %q", name)
+		}
+	}
+	for _, recorder := range capacity.Recorders {
+		if len(names) > 0 && !slices.Contains(names, recorder.Name) {
+			continue
+		}
+		file, err := recorder.Record(dir, capacity.Machine())
+		if err != nil {
+			return err
+		}
+		for _, r := range file.Recordings {
+			fmt.Fprintf(out, "%s: %v %s, %g + %g x %s (%s), largest residual %.1f %%\n",
+				r.Name, r.Points, r.Unit, r.Fixed, r.Slope, r.Driver, r.Model, 100*r.Worst())
+		}
 	}
+	return nil
 }
 
 func capacityFitCommand() *cobra.Command {
@@ -87,11 +92,11 @@
 		Use: "fit FILE...", Short: "Fit the points of recordings that something else made", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
 			for _, path := range paths {
-				f, err := capacity.ReadFile(path)
+				file, err := capacity.ReadFile(path)
 				if err != nil {
 					return err
 				}
-				if err := capacity.Save(path, f); err != nil {
+				if err := capacity.Save(path, file); err != nil {
 					return err
 				}
 			}
--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"text/tabwriter"
 
 	"github.com/mattn/go-isatty"
@@ -19,160 +19,180 @@
 	"ravenwheel/internal/lab/sim"
 )
 
+// readExperiment reads an experiment. One without a name is named after its file.
 func readExperiment(path string) (*experiment.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	e, bad := experiment.Parse(path, text)
-	if bad != nil {
-		return nil, bad
+	e, defects := experiment.Parse(path, text)
+	if defects != nil {
+		return nil, defects
 	}
 	if e.Name == "" {
-		e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
+		e.Name = baseName(path)
 	}
 	return e, nil
 }
 
-// pick finds one scenario of an experiment.
-func pick(e *experiment.Experiment, variant string) (experiment.Variant, error) {
+// variantFlags select one variant and one seed of an experiment.
+type variantFlags struct {
+	variant string // empty: the first
+	seed    uint64
+}
+
+func (f *variantFlags) register(cmd *cobra.Command) {
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is drawn")
+	cmd.Flags().StringVar(&f.variant, "variant", "", "which (default: the first)")
+}
+
+// read returns the variant that the flags select from the experiment at a path.
+func (f *variantFlags) read(path string) (experiment.Variant, error) {
+	e, err := readExperiment(path)
+	if err != nil {
+		return experiment.Variant{}, err
+	}
 	for _, v := range e.Variants {
-		if variant == "" || v.Name == variant {
+		if f.variant == "" || v.Name == f.variant {
 			return v, nil
 		}
 	}
-	return experiment.Variant{}, fmt.Errorf("no variant %q", variant)
+	return experiment.Variant{}, fmt.Errorf("no variant %q", f.variant)
 }
 
-func table(cmd *cobra.Command, runs []experiment.Run) error {
-	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
+// printRuns prints a row for each variant. It returns an error if rules were broken, after printing which.
+func printRuns(out io.Writer, runs []experiment.Run) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "variant\tseeds\tworth\tworst 10 s\trecovery s\ttries\tattempts\thits\torigin\tbroken\t")
 	broken := 0
 	for _, r := range report.Rows(runs) {
 		broken += r.Broken
-		fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%d\t\n", r.Name, r.Seeds, r.Worth, r.Worst, r.Recovery, r.Tries, r.Attempts, r.Hits, r.Origin, r.Broken)
+		fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%d\t\n",
+			r.Name, r.Seeds, r.Worth, r.Worst, r.Recovery, r.Tries, r.Attempts, r.Hits, r.Origin, r.Broken)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if broken > 0 {
-		for _, r := range runs {
-			for _, text := range r.Result.Rules {
-				fmt.Fprintln(cmd.OutOrStdout(), text)
-			}
+	if broken == 0 {
+		return nil
+	}
+	for _, run := range runs {
+		for _, violation := range run.Result.Rules {
+			fmt.Fprintln(out, violation)
 		}
-		return fmt.Errorf("%d rules broken", broken)
 	}
-	return nil
+	return fmt.Errorf("%d rules broken", broken)
 }
 
+// runCommand plays one scenario of an experiment.
 func runCommand() *cobra.Command {
-	var seed uint64
-	var variant, out string
+	var flags variantFlags
+	var jsonPath string
 	cmd := &cobra.Command{
 		Use: "run FILE", Short: "Play one scenario of an experiment with one seed", Args: cobra.ExactArgs(1), Aliases: []string{"replay"},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := readExperiment(args[0])
-			if err != nil {
-				return err
-			}
-			v, err := pick(e, variant)
+			v, err := flags.read(args[0])
 			if err != nil {
 				return err
 			}
-			r, err := sim.Run(cmd.Context(), v.Spec, seed)
-			if r == nil {
+			result, err := sim.Run(cmd.Context(), v.Spec, flags.seed)
+			if result == nil {
 				return err
 			}
-			if out != "" {
-				raw, _ := json.MarshalIndent(r, "", " ")
-				if err := os.WriteFile(out, append(raw, '\n'), 0o644); err != nil {
+			if jsonPath != "" {
+				if err := writeIndentedJSON(jsonPath, result); err != nil {
 					return err
 				}
 			}
-			return errors.Join(err, table(cmd, []experiment.Run{{Variant: v.Name, Seed: seed, Result: r}}))
+			return errors.Join(err, printRuns(cmd.OutOrStdout(), []experiment.Run{{Variant: v.Name, Seed: flags.seed, Result: result}}))
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn")
-	cmd.Flags().StringVar(&variant, "variant", "", "which (default: the first)")
-	cmd.Flags().StringVar(&out, "json", "", "write all of the result to this file")
+	flags.register(cmd)
+	cmd.Flags().StringVar(&jsonPath, "json", "", "write all of the result to this file")
 	return cmd
 }
 
+// sweepOptions are the flags of "ravenlab sweep".
+type sweepOptions struct {
+	runsPath string // JSON lines; empty: runs are not stored
+	pagePath string // empty: no page
+	workers  int    // runs at a time; 0: one for each core
+}
+
+// sweepCommand plays all scenarios of an experiment.
 func sweepCommand() *cobra.Command {
-	var out, page string
-	var workers int
+	var o sweepOptions
 	cmd := &cobra.Command{
 		Use: "sweep FILE", Short: "Play all scenarios of an experiment with all their seeds; what --json holds already is not played again",
 		Args: cobra.ExactArgs(1), Aliases: []string{"compare"},
-		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := readExperiment(args[0])
-			if err != nil {
-				return err
-			}
-			var done []experiment.Run
-			if out != "" {
-				if done, err = experiment.Load(out); err != nil {
-					return err
-				}
-			}
-			runs := done
-			err = e.Do(cmd.Context(), done, workers, func(r experiment.Run, n, of int) {
-				runs = append(runs, r)
-				if out != "" {
-					if err := experiment.Append(out, r); err != nil {
-						fmt.Fprintln(os.Stderr, "ravenlab:", err)
-					}
-				}
-				if isatty.IsTerminal(os.Stderr.Fd()) {
-					fmt.Fprintf(os.Stderr, "\r%d of %d", n, of)
-				}
-			})
-			if errors.Is(err, context.Canceled) {
-				fmt.Fprintf(os.Stderr, "stopped: %d runs are done\n", len(runs))
-				err = nil
-			}
-			if err != nil || len(runs) == 0 {
-				return err
-			}
-			sorted := ordered(e, runs)
-			if page != "" {
-				if err := writeReport(page, e.Name, sorted); err != nil {
-					return err
-				}
-			}
-			return table(cmd, sorted)
-		},
+		RunE: func(cmd *cobra.Command, args []string) error { return sweep(cmd, args[0], o) },
 	}
-	cmd.Flags().StringVar(&out, "json", "", "append each run to this file, and go on from what it holds")
-	cmd.Flags().StringVar(&page, "html", "", "write a report to this file")
-	cmd.Flags().IntVar(&workers, "workers", 0, "runs at once (default: one a core)")
+	cmd.Flags().StringVar(&o.runsPath, "json", "", "append each run to this file, and go on from what it holds")
+	cmd.Flags().StringVar(&o.pagePath, "html", "", "write a report to this file")
+	cmd.Flags().IntVar(&o.workers, "workers", 0, "runs at once (default: one a core)")
 	return cmd
 }
 
-// ordered puts runs in the experiment's order, whatever order they ended in.
-func ordered(e *experiment.Experiment, runs []experiment.Run) (out []experiment.Run) {
+// sweep plays the runs of an experiment that are not stored yet, and reports all. A sweep that is cancelled reports the runs
+// that are done.
+func sweep(cmd *cobra.Command, path string, o sweepOptions) error {
+	e, err := readExperiment(path)
+	if err != nil {
+		return err
+	}
+	var runs []experiment.Run
+	if o.runsPath != "" {
+		if runs, err = experiment.Load(o.runsPath); err != nil {
+			return err
+		}
+	}
+	err = e.Do(cmd.Context(), runs, o.workers, func(r experiment.Run, done, total int) {
+		runs = append(runs, r)
+		if o.runsPath != "" {
+			if err := experiment.Append(o.runsPath, r); err != nil {
+				fmt.Fprintln(os.Stderr, "ravenlab:", err)
+			}
+		}
+		if isatty.IsTerminal(os.Stderr.Fd()) {
+			fmt.Fprintf(os.Stderr, "\r%d of %d", done, total)
+		}
+	})
+	if errors.Is(err, context.Canceled) {
+		fmt.Fprintf(os.Stderr, "stopped: %d runs are done\n", len(runs))
+		err = nil
+	}
+	if err != nil || len(runs) == 0 {
+		return err
+	}
+	sorted := inOrder(e, runs)
+	if o.pagePath != "" {
+		if err := writeReport(o.pagePath, e.Name, sorted); err != nil {
+			return err
+		}
+	}
+	return printRuns(cmd.OutOrStdout(), sorted)
+}
+
+// inOrder returns the experiment's runs ordered by variant and seed. It leaves out those that are not done.
+func inOrder(e *experiment.Experiment, runs []experiment.Run) (sorted []experiment.Run) {
 	for _, v := range e.Variants {
-		for seed := range uint64(e.Seeds) {
+		for seed := uint64(1); seed <= uint64(e.Seeds); seed++ {
 			for _, r := range runs {
-				if r.Variant == v.Name && r.Seed == seed+1 {
-					out = append(out, r)
+				if r.Variant == v.Name && r.Seed == seed {
+					sorted = append(sorted, r)
 					break
 				}
 			}
 		}
 	}
-	return out
+	return sorted
 }
 
 func writeReport(path, title string, runs []experiment.Run) error {
-	f, err := os.Create(path)
-	if err != nil {
-		return err
-	}
-	return errors.Join(report.Write(f, title, runs), f.Close())
+	return createFile(path, func(w io.Writer) error { return report.Write(w, title, runs) })
 }
 
+// reportCommand writes the page of stored runs.
 func reportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "report RUNS.jsonl OUT.html", Short: "Write a page from runs that were kept", Args: cobra.ExactArgs(2),
@@ -186,35 +206,34 @@
 	}
 }
 
+// shrinkCommand reduces a scenario that breaks a rule.
 func shrinkCommand() *cobra.Command {
-	var seed uint64
-	var variant string
+	var flags variantFlags
 	cmd := &cobra.Command{
 		Use: "shrink FILE", Short: "Make a scenario in which a rule breaks as small as it still does", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := readExperiment(args[0])
+			v, err := flags.read(args[0])
 			if err != nil {
 				return err
 			}
-			v, err := pick(e, variant)
+			played := 0
+			smallest, err := experiment.Shrink(cmd.Context(), v.Spec, flags.seed, func(sim.Spec, bool) { played++ })
 			if err != nil {
 				return err
 			}
-			tried := 0
-			small, err := experiment.Shrink(cmd.Context(), v.Spec, seed, func(sim.Spec, bool) { tried++ })
+			encoded, err := json.MarshalIndent(smallest, "", "  ")
 			if err != nil {
 				return err
 			}
-			raw, _ := json.MarshalIndent(small, "", "  ")
-			fmt.Fprintf(cmd.OutOrStdout(), "// seed %d, %d scenarios tried\n%s\n", seed, tried, raw)
+			fmt.Fprintf(cmd.OutOrStdout(), "// seed %d, %d scenarios tried\n%s\n", flags.seed, played, encoded)
 			return nil
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of all that is drawn")
-	cmd.Flags().StringVar(&variant, "variant", "", "which (default: the first)")
+	flags.register(cmd)
 	return cmd
 }
 
+// validateCommand compares the model with the proxy.
 func validateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "validate", Short: "Hold the lab's model against the real proxy on sockets: under a minute, on loopback", Args: cobra.NoArgs,
--- a/cmd/ravenlab/field.go
+++ b/cmd/ravenlab/field.go
@@ -83,11 +83,7 @@
 		return err
 	}
 	if o.page != "" {
-		page, pageErr := os.Create(o.page)
-		if pageErr != nil {
-			return pageErr
-		}
-		err = errors.Join(err, multiprocess.WritePage(page, result), page.Close())
+		err = errors.Join(err, createFile(o.page, func(w io.Writer) error { return multiprocess.WritePage(w, result) }))
 	}
 	printField(out, result)
 	if count := len(result.Violations); count > 0 {
--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
-	"strings"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -17,27 +16,27 @@
 	"ravenwheel/internal/lab/hollow"
 )
 
-// scaleMemory bounds the heap of a run: beyond, collections come more often. The machine has three times as much.
-const scaleMemory = 7 << 30
+// scaleMemoryLimit bounds the heap of a run, in bytes: near it, garbage is collected more often.
+const scaleMemoryLimit = 7 << 30
 
-func readScale(path string) (hollow.Scenario, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return hollow.Scenario{}, err
-	}
-	s, bad := hollow.Parse(path, text)
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	}
-	return s, bad.Err()
+// The ways in which control traffic is distributed, as --ways names them.
+const (
+	wayLevels = "levels" // over levels of relays
+	wayDirect = "direct" // to every process directly
+)
+
+// scaleOptions are the flags of "ravenlab scale".
+type scaleOptions struct {
+	seed          uint64
+	sizes         []int    // numbers of processes; empty: those of the file
+	ways          []string // empty: levels, and direct where the file says so
+	measureLoop   bool     // play once more with empty processes, to measure the event loop
+	dir, pagePath string   // empty: nothing is written there
 }
 
+// scaleCommand plays scenarios of internal/lab/hollow.
 func scaleCommand() *cobra.Command {
-	var dir, page string
-	var sizes []int
-	var ways []string
-	var seed uint64
-	var loop bool
+	var o scaleOptions
 	cmd := &cobra.Command{
 		Use: "scale FILE", Short: "Play the control traffic of thousands of hollow processes, with faults, in virtual time", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -46,58 +45,74 @@
 				return err
 			}
 			if cmd.Flags().Changed("seed") {
-				s.Seed = seed
-			}
-			if len(sizes) > 0 {
-				s.Processes = sizes
+				s.Seed = o.seed
 			}
-			if len(ways) == 0 {
-				ways = []string{"levels"}
-				if s.Direct {
-					ways = append(ways, "direct")
-				}
-			}
-			if bad := s.Valid(); bad != nil {
-				return bad
-			}
-			debug.SetMemoryLimit(scaleMemory)
-			runs, err := playScale(cmd, s, ways, loop, dir)
-			if page != "" && len(runs) > 0 {
-				f, failed := os.Create(page)
-				if failed != nil {
-					return errors.Join(err, failed)
-				}
-				err = errors.Join(err, hollow.WritePage(f, s.Name, runs), f.Close())
-			}
-			return err
+			return scale(cmd, s, o)
 		},
 	}
-	cmd.Flags().IntSliceVar(&sizes, "sizes", nil, "processes, in place of the file's")
-	cmd.Flags().StringSliceVar(&ways, "ways", nil, "levels, direct (default: levels, and direct where the file says so)")
-	cmd.Flags().Uint64Var(&seed, "seed", 0, "in place of the file's")
-	cmd.Flags().BoolVar(&loop, "loop", false, "play the loop once more with empty machines, to tell its own share; up to 3.4 GB more")
-	cmd.Flags().StringVar(&dir, "dir", "", "write a JSON file of each run into this directory")
-	cmd.Flags().StringVar(&page, "html", "", "write a page to this file")
-	cmd.AddCommand(scalePage(), scaleRecordings())
+	cmd.Flags().IntSliceVar(&o.sizes, "sizes", nil, "processes, in place of the file's")
+	cmd.Flags().StringSliceVar(&o.ways, "ways", nil, "levels, direct (default: levels, and direct where the file says so)")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "in place of the file's")
+	cmd.Flags().BoolVar(&o.measureLoop, "loop", false, "play the loop once more with empty machines, to tell its own share; up to 3.4 GB more")
+	cmd.Flags().StringVar(&o.dir, "dir", "", "write a JSON file of each run into this directory")
+	cmd.Flags().StringVar(&o.pagePath, "html", "", "write a page to this file")
+	cmd.AddCommand(scalePageCommand(), scaleRecordingsCommand())
 	return cmd
 }
 
-func playScale(cmd *cobra.Command, s hollow.Scenario, ways []string, loop bool, dir string) (runs []*hollow.Result, err error) {
+// readScale reads a scenario. One without a name is named after its file.
+func readScale(path string) (hollow.Scenario, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return hollow.Scenario{}, err
+	}
+	s, defects := hollow.Parse(path, text)
+	if s.Name == "" {
+		s.Name = baseName(path)
+	}
+	return s, defects.Err()
+}
+
+// scale plays a scenario in all sizes and ways, and writes a page of the runs, also of those before one that failed.
+func scale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) error {
+	if len(o.sizes) > 0 {
+		s.Processes = o.sizes
+	}
+	if len(o.ways) == 0 {
+		o.ways = []string{wayLevels}
+		if s.Direct {
+			o.ways = append(o.ways, wayDirect)
+		}
+	}
+	if err := s.Valid(); err != nil {
+		return err
+	}
+	debug.SetMemoryLimit(scaleMemoryLimit)
+	runs, err := playScale(cmd, s, o)
+	if o.pagePath != "" && len(runs) > 0 {
+		err = errors.Join(err, createFile(o.pagePath, func(w io.Writer) error { return hollow.WritePage(w, s.Name, runs) }))
+	}
+	return err
+}
+
+// playScale plays, prints and stores the runs. It returns an error at the end if rules were broken.
+func playScale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) (runs []*hollow.Result, err error) {
 	broken := 0
-	for _, n := range s.Processes {
-		for _, way := range ways {
-			r, failed := hollow.Run(cmd.Context(), s, n, way == "direct", loop)
-			if failed != nil {
-				return runs, failed
+	for _, size := range s.Processes {
+		for _, way := range o.ways {
+			result, err := hollow.Run(cmd.Context(), s, size, way == wayDirect, o.measureLoop)
+			if err != nil {
+				return runs, err
 			}
-			runs = append(runs, r)
-			if broken += r.Violations; dir != "" {
-				raw, _ := json.MarshalIndent(r, "", " ") // of plain values
-				if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("%s-%s-%d.json", s.Name, way, n)), append(raw, '\n'), 0o644); err != nil {
+			runs = append(runs, result)
+			broken += result.Violations
+			if o.dir != "" {
+				name := fmt.Sprintf("%s-%s-%d.json", s.Name, way, size)
+				if err := writeIndentedJSON(filepath.Join(o.dir, name), result); err != nil {
 					return runs, err
 				}
 			}
-			if err := printScale(cmd.OutOrStdout(), r); err != nil {
+			if err := printScale(cmd.OutOrStdout(), result); err != nil {
 				return runs, err
 			}
 		}
@@ -109,15 +124,15 @@
 }
 
 func printScale(out io.Writer, r *hollow.Result) error {
-	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds, r.WallSeconds,
-		r.CPUSeconds, r.HeapMB)
+	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds,
+		r.WallSeconds, r.CPUSeconds, r.HeapMB)
 	if r.HarnessCPUSeconds >= 0 {
 		fmt.Fprintf(out, "the loop with empty machines: processor %.1f s (whole: %v)\n", r.HarnessCPUSeconds, r.HarnessComplete)
 	}
-	for i, what := range []string{"purges", "lists, drains, revisions"} {
-		e, f := r.Propagation[i], r.AfterFault[i]
+	for i, kind := range []string{"purges", "lists, drains, revisions"} {
+		all, afterFault := r.Propagation[i], r.AfterFault[i]
 		fmt.Fprintf(out, "%s: %d, at the last process after p50 %.0f, p99 %.0f, at most %.0f ms; counted from a process's return p99 %.0f, at most %.0f\n",
-			what, e.Count, e.P50, e.P99, e.Max, f.P99, f.Max)
+			kind, all.Count, all.P50, all.P99, all.Max, afterFault.P99, afterFault.Max)
 	}
 	for _, h := range r.Recoveries {
 		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", h.Fault.Kind, h.Fault.AtSeconds, h.AfterSeconds, h.CountedFromSeconds)
@@ -125,8 +140,8 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "role\tprocesses\tin KB/s\tout KB/s\tmost out\tin /s\tout /s\tus a call\tcore %\theap MB\tlight MB\t")
 	for _, c := range r.RoleCosts {
-		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", c.Role, c.Processes, c.InKBPerS, c.OutKBPerS, c.MaxOutKBPerS, c.MessagesInPerS,
-			c.MessagesOutPerS, c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB)
+		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", c.Role, c.Processes, c.InKBPerS, c.OutKBPerS,
+			c.MaxOutKBPerS, c.MessagesInPerS, c.MessagesOutPerS, c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -137,47 +152,44 @@
 	return nil
 }
 
-// keptRuns reads runs that were kept.
-func keptRuns(paths []string) (runs []*hollow.Result, err error) {
+// loadScaleRuns reads runs that --dir stored.
+func loadScaleRuns(paths []string) (runs []*hollow.Result, err error) {
 	for _, path := range paths {
-		raw, err := os.ReadFile(path)
+		encoded, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		r := &hollow.Result{}
-		if err := json.Unmarshal(raw, r); err != nil {
+		result := &hollow.Result{}
+		if err := json.Unmarshal(encoded, result); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		runs = append(runs, r)
+		runs = append(runs, result)
 	}
 	return runs, nil
 }
 
-func fromRuns(use, short string, write func(io.Writer, []*hollow.Result) error) *cobra.Command {
+// storedRunsCommand returns a command that writes a file from stored runs.
+func storedRunsCommand(use, short string, write func(io.Writer, []*hollow.Result) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			runs, err := keptRuns(args[1:])
-			if err != nil {
-				return err
-			}
-			f, err := os.Create(args[0])
+			runs, err := loadScaleRuns(args[1:])
 			if err != nil {
 				return err
 			}
-			return errors.Join(write(f, runs), f.Close())
+			return createFile(args[0], func(w io.Writer) error { return write(w, runs) })
 		},
 	}
 }
 
-func scalePage() *cobra.Command {
-	return fromRuns("page OUT.html RUN.json...", "Write a page from runs that were kept", func(w io.Writer, runs []*hollow.Result) error {
+func scalePageCommand() *cobra.Command {
+	return storedRunsCommand("page OUT.html RUN.json...", "Write a page from runs that were kept", func(w io.Writer, runs []*hollow.Result) error {
 		return hollow.WritePage(w, "Scale", runs)
 	})
 }
 
-func scaleRecordings() *cobra.Command {
+func scaleRecordingsCommand() *cobra.Command {
 	machine := fmt.Sprintf("%d processors", runtime.NumCPU())
-	return fromRuns("recordings OUT.json RUN.json...", "Write what runs at several sizes measured as points for the capacity page",
+	return storedRunsCommand("recordings OUT.json RUN.json...", "Write what runs at several sizes measured as points for the capacity page",
 		func(w io.Writer, runs []*hollow.Result) error { return hollow.WriteRecordings(w, machine, runs) })
 }
