--- /dev/null
+++ b/internal/lab/demo/steps.go
@@ -0,0 +1,171 @@
+package demo
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"os"
+	"slices"
+
+	"ravenwheel/internal/admin"
+	"ravenwheel/internal/decide/serverlist"
+	"ravenwheel/internal/lab/fleet"
+	"ravenwheel/policy"
+)
+
+// Servers of the list in deploy/ that the steps use.
+const (
+	changedServer = policy.CacheID(1) // its weight is changed
+	removedServer = policy.CacheID(2)
+	addedServer   = policy.CacheID(6)
+	addedHost     = "127.0.20.6"
+	addedAddress  = "127.0.20.6:4100"
+	// changedZone loses its caches but changedServer in the list that drops too many servers.
+	changedZone = "bangkok"
+)
+
+// purgedGroup is the group of objects that is purged.
+const purgedGroup = 17
+
+// Pauses before each step and after the last one, in seconds.
+const (
+	pauseBefore = 1.5
+	pauseAfter  = 2
+)
+
+// drainNotificationTimeout is when, in ms, a drain counts as notified unless the proxy shows it earlier.
+const drainNotificationTimeout = 2000
+
+// step is one change that an operator makes.
+type step func(context.Context) error
+
+// lists are the versions of the server list that come into use one after the other.
+type lists struct {
+	initial  *serverlist.List
+	without  *serverlist.List // removedServer is missing
+	grown    *serverlist.List // addedServer is added, and changedServer has four times the weight
+	restored *serverlist.List // removedServer is listed again
+}
+
+func newLists(initial *serverlist.List) lists {
+	l := lists{initial: initial}
+	l.without = nextGeneration(initial, func(servers []serverlist.Server) []serverlist.Server {
+		return slices.DeleteFunc(servers, func(s serverlist.Server) bool { return s.ID == removedServer })
+	})
+	l.grown = nextGeneration(l.without, func(servers []serverlist.Server) []serverlist.Server {
+		changed := &servers[indexOf(servers, changedServer)]
+		added := *changed
+		added.ID, added.Host, added.Addr = addedServer, addedHost, addedAddress
+		changed.Weight *= 4
+		return append(servers, added)
+	})
+	l.restored = nextGeneration(l.grown, func(servers []serverlist.Server) []serverlist.Server {
+		return append(servers, initial.Servers[indexOf(initial.Servers, removedServer)])
+	})
+	return l
+}
+
+// tooFew returns a list that drops so many servers that the proxy must reject it.
+func (l lists) tooFew() *serverlist.List {
+	return nextGeneration(l.grown, func(servers []serverlist.Server) []serverlist.Server {
+		return slices.DeleteFunc(servers, func(s serverlist.Server) bool {
+			return s.Zone == changedZone && s.ID != changedServer || s.Kind == "parent"
+		})
+	})
+}
+
+// nextGeneration returns the next generation of a list, with its servers changed.
+func nextGeneration(list *serverlist.List, change func([]serverlist.Server) []serverlist.Server) *serverlist.List {
+	return &serverlist.List{Generation: list.Generation + 1, Servers: change(slices.Clone(list.Servers))}
+}
+
+func indexOf(servers []serverlist.Server, id policy.CacheID) int {
+	return slices.IndexFunc(servers, func(s serverlist.Server) bool { return s.ID == id })
+}
+
+// runSteps makes the changes, with a pause before each.
+func (d *demonstration) runSteps(ctx context.Context, initial *serverlist.List) error {
+	l := newLists(initial)
+	steps := []step{
+		func(ctx context.Context) error { return d.truncateList(ctx, l.without) },
+		func(ctx context.Context) error { return d.duplicateAddress(ctx, l.without) },
+		func(ctx context.Context) error { return d.removeServer(ctx, l.without) },
+		d.purge,
+		func(ctx context.Context) error { return d.addServer(ctx, l.grown) },
+		func(ctx context.Context) error {
+			return d.replaceRejected(ctx, serverlist.Format(l.tooFew()), "a list that drops half of the servers")
+		},
+		func(ctx context.Context) error { return d.restoreServer(ctx, l.restored) },
+	}
+	for _, step := range steps {
+		if err := d.pause(ctx, pauseBefore); err != nil {
+			return err
+		}
+		if err := step(ctx); err != nil {
+			return err
+		}
+	}
+	return d.pause(ctx, pauseAfter)
+}
+
+// truncateList overwrites the list in place with its first half, as an editor that is killed does.
+func (d *demonstration) truncateList(ctx context.Context, list *serverlist.List) error {
+	text := serverlist.Format(list)
+	if err := os.WriteFile(d.listPath, text[:len(text)/2], 0o600); err != nil {
+		return err
+	}
+	return d.awaitRejection(ctx, "a list that was cut half way")
+}
+
+// duplicateAddress replaces the list by one in which two servers have the same address.
+func (d *demonstration) duplicateAddress(ctx context.Context, list *serverlist.List) error {
+	text := bytes.Replace(serverlist.Format(list), []byte("127.0.20.3:"), []byte("127.0.20.1:"), 1)
+	return d.replaceRejected(ctx, text, "a list that names one address twice")
+}
+
+// removeServer replaces the list by one without removedServer, which then drains.
+func (d *demonstration) removeServer(ctx context.Context, list *serverlist.List) error {
+	d.notifications = append(d.notifications, fleet.Notification{
+		At: d.clock.Now() + drainNotificationTimeout, Drains: []policy.CacheID{removedServer},
+	})
+	if err := d.replaceAccepted(ctx, list, "a list without %s: it drains", serverlist.FormatID(removedServer)); err != nil {
+		return err
+	}
+	d.notifications[len(d.notifications)-1].At = d.clock.Now()
+	return nil
+}
+
+// purge purges a group of objects at the servers and notifies the proxy.
+func (d *demonstration) purge(context.Context) error {
+	group := purgedGroup
+	d.fleet.Purge("", group)
+	if err := admin.Call(d.operator.Admin.Listen, "/v1/purge", admin.PurgeRequest{Group: &group}, &map[string]float64{}); err != nil {
+		return fmt.Errorf("purge group %d: %w", group, err)
+	}
+	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Purge: true, Group: group})
+	d.printf("group %d of the objects is purged, and the proxy told of it", group)
+	return nil
+}
+
+// addServer starts addedServer and replaces the list by one with it.
+func (d *demonstration) addServer(ctx context.Context, list *serverlist.List) error {
+	if err := d.startServers(list); err != nil {
+		return err
+	}
+	return d.replaceAccepted(ctx, list, "a list with %s, switched on just now, and another weight for %s",
+		serverlist.FormatID(addedServer), serverlist.FormatID(changedServer))
+}
+
+// restoreServer waits until removedServer has drained, and lists it again.
+func (d *demonstration) restoreServer(ctx context.Context, list *serverlist.List) error {
+	id := serverlist.FormatID(removedServer)
+	drained := func(s admin.ServersResponse) bool {
+		return slices.ContainsFunc(s.Servers, func(x admin.ServerStatus) bool { return x.ID == id && x.Phase == "gone" })
+	}
+	if err := d.await(ctx, "the drain is over", drained); err != nil {
+		return err
+	}
+	d.printf("%s has drained and is gone", id)
+	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Returns: []policy.CacheID{removedServer}})
+	return d.replaceAccepted(ctx, list, "rolled back: %s is listed again, and taken for freshly started", id)
+}
--- /dev/null
+++ b/internal/lab/demo/traffic.go
@@ -0,0 +1,67 @@
+package demo
+
+import (
+	"sync"
+	"time"
+
+	"ravenwheel/internal/lab/load"
+)
+
+// classFractions are the fractions of the requests by class, in the order of the operator's file, and over again.
+var classFractions = []float64{0.53, 0.44, 0.03}
+
+// Settings of the client.
+const (
+	clientSeed     = 7
+	clientConns    = 8
+	clientObjects  = 400
+	clientRetries  = 3
+	partsPerObject = 12 // of classes whose objects are in parts
+)
+
+// startTraffic sends requests at a fixed rate until stop is called.
+func (d *demonstration) startTraffic() (stop func()) {
+	d.client = load.New(load.Options{
+		Addr: d.config.Listen, Clock: d.clock, Seed: clientSeed, Conns: clientConns, Objects: clientObjects, Classes: d.classes(),
+		Retries: clientRetries,
+	})
+	stopped := make(chan struct{})
+	var wait sync.WaitGroup
+	wait.Add(1)
+	go func() {
+		defer wait.Done()
+		d.sendRequests(stopped)
+	}()
+	d.printf("clients ask %.0f times a second: replays in parts, assets, seat claims", d.options.PerS)
+	return func() {
+		close(stopped)
+		wait.Wait()
+	}
+}
+
+func (d *demonstration) sendRequests(stopped <-chan struct{}) {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / d.options.PerS))
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stopped:
+			return
+		case <-ticker.C:
+			d.client.Send()
+		}
+	}
+}
+
+// classes returns the client's classes for those of the operator's file.
+func (d *demonstration) classes() (classes []load.Class) {
+	for i, class := range d.operator.Classes {
+		c := load.Class{
+			Name: class.Name, Fraction: classFractions[i%len(classFractions)], DeadlineMs: class.DeadlineMs, Write: class.Uncached, PartsPerObject: 1,
+		}
+		if class.InParts {
+			c.PartsPerObject = partsPerObject
+		}
+		classes = append(classes, c)
+	}
+	return classes
+}
