--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -55,8 +55,8 @@
 
 // applyList records the statements of a list, or rejects it as a whole. The phases change in reconcile.
 func (t *Table) applyList(l list) {
-	listed, err := t.checkList(l)
-	if err != nil {
+	listed := make(map[policy.CacheID]bool, len(l.entries))
+	if err := t.checkList(l, listed); err != nil {
 		t.emit(Rejected{Source: l.source, Generation: l.generation, Err: err})
 		return
 	}
@@ -77,24 +77,23 @@
 	}
 }
 
-// checkList decides whether a list is accepted, and returns the servers that it lists. A generation that is not newer
+// checkList decides whether a list is accepted, and adds the servers that it lists to listed. A generation that is not newer
 // is stale: applying it would bring back servers that are draining by now.
-func (t *Table) checkList(l list) (listed map[policy.CacheID]bool, err error) {
+func (t *Table) checkList(l list, listed map[policy.CacheID]bool) error {
 	if !t.knownSource(l.source) {
-		return nil, ErrUnknownSource
+		return ErrUnknownSource
 	}
 	src := t.sources[l.source]
 	if src.received && l.generation <= src.generation || l.generation < src.minGeneration {
-		return nil, StaleGenerationError{Generation: l.generation, Last: max(src.generation, src.minGeneration)}
+		return StaleGenerationError{Generation: l.generation, Last: max(src.generation, src.minGeneration)}
 	}
-	listed = make(map[policy.CacheID]bool, len(l.entries))
 	for _, e := range l.entries {
 		if listed[e.ID] && l.complete {
-			return nil, DuplicateServerError{ID: e.ID}
+			return DuplicateServerError{ID: e.ID}
 		}
 		listed[e.ID] = true
 	}
-	return listed, nil
+	return nil
 }
 
 func (t *Table) knownSource(i int) bool { return i >= 0 && i < len(t.sources) }
