--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -7,7 +7,8 @@
 	"ravenwheel/policy"
 )
 
-// ServerStatus is one server as operators are shown it.
+// ServerStatus is one server as operators are shown it. Package admin has a form of its own for that; the names in the tags
+// keep the sizes that the capacity recordings measure.
 type ServerStatus struct {
 	Member       Member  `json:"Member"` // as it was published last
 	Phase        Phase   `json:"Phase"`
--- a/internal/source/filewatch/filewatch_test.go
+++ b/internal/source/filewatch/filewatch_test.go
@@ -135,124 +135,139 @@
 
 func pathIn(dir string) string { return filepath.Join(dir, "servers.jsonc") }
 
+// Each way of writing a list: only complete ones are accepted, each once.
 func TestAcceptsCompleteListsOfAnyWriter(t *testing.T) {
-	t.Run("renamed over, and saved again unchanged", func(t *testing.T) {
-		r := start(t, pathIn)
-		r.expectRejected("no such file")
-		r.replace(r.path, list(1, 1))
-		r.expectAccepted(1)
-		r.replace(r.path, list(2, 1, 2))
-		r.expectAccepted(2)
-		r.replace(r.path, list(2, 1, 2))
-		r.waitForReads()
-		require.EqualValues(t, 2, r.src.Status().Accepted)
-	})
-	t.Run("truncated, then written in steps of one byte", func(t *testing.T) {
-		r := start(t, pathIn)
-		r.replace(r.path, list(1, 1))
-		r.expectAccepted(1)
-		text := list(2, 1, 2)
-		f, err := os.Create(r.path)
-		require.NoError(t, err)
-		for i := range text {
-			_, err := f.Write(text[i : i+1])
-			require.NoError(t, err)
-			if i%50 == 0 { // the writer stalls until the partial file is rejected
-				r.expectRejected("servers.jsonc")
-			}
-		}
-		require.NoError(t, f.Close())
-		r.expectAccepted(2)
-	})
-	t.Run("written in place over a longer one", func(t *testing.T) {
-		r := start(t, pathIn)
-		r.replace(r.path, list(1, 1, 2, 3))
-		r.expectAccepted(1)
-		f, err := os.OpenFile(r.path, os.O_WRONLY, 0)
-		require.NoError(t, err)
-		text := list(2, 1)
-		_, err = f.Write(text)
+	t.Run("renamed over, and saved again unchanged", testRenamedOver)
+	t.Run("truncated, then written in steps of one byte", testWrittenInSteps)
+	t.Run("written in place over a longer one", testWrittenInPlace)
+	t.Run("a link that is switched, in the way of a projected volume", testSwitchedLink)
+	t.Run("the directory is removed and made anew", testRemovedDirectory)
+	t.Run("a directory filled part by part", testDirectoryOfParts)
+	t.Run("many changes beside it, a pipe and a directory in its place", testOtherFilesAndTypes)
+}
+
+func testRenamedOver(t *testing.T) {
+	r := start(t, pathIn)
+	r.expectRejected("no such file")
+	r.replace(r.path, list(1, 1))
+	r.expectAccepted(1)
+	r.replace(r.path, list(2, 1, 2))
+	r.expectAccepted(2)
+	r.replace(r.path, list(2, 1, 2))
+	r.waitForReads()
+	require.EqualValues(t, 2, r.src.Status().Accepted)
+}
+
+func testWrittenInSteps(t *testing.T) {
+	r := start(t, pathIn)
+	r.replace(r.path, list(1, 1))
+	r.expectAccepted(1)
+	text := list(2, 1, 2)
+	f, err := os.Create(r.path)
+	require.NoError(t, err)
+	for i := range text {
+		_, err := f.Write(text[i : i+1])
 		require.NoError(t, err)
-		r.expectRejected("servers.jsonc") // the rest of the old one stands behind it
-		require.NoError(t, f.Truncate(int64(len(text))))
-		require.NoError(t, f.Close())
-		r.expectAccepted(2)
-	})
-	t.Run("a link that is switched, in the way of a projected volume", func(t *testing.T) {
-		r := start(t, pathIn)
-		volume := func(n int, data []byte) {
-			dir := fmt.Sprintf("..%d", n)
-			require.NoError(t, os.Mkdir(filepath.Join(r.dir, dir), 0o700))
-			r.write(filepath.Join(r.dir, dir, "servers.jsonc"), data)
-			require.NoError(t, os.Symlink(dir, filepath.Join(r.dir, "..tmp")))
-			require.NoError(t, os.Rename(filepath.Join(r.dir, "..tmp"), filepath.Join(r.dir, "..data")))
-		}
-		require.NoError(t, os.Symlink(filepath.Join("..data", "servers.jsonc"), r.path))
-		volume(1, list(1, 1))
-		r.expectAccepted(1)
-		volume(2, list(2, 1, 2))
-		r.expectAccepted(2)
-		volume(3, []byte("{"))
-		r.expectRejected("ends too early")
-		volume(4, list(4, 1, 2))
-		r.expectAccepted(4)
-	})
-	t.Run("the directory is removed and made anew", func(t *testing.T) {
-		r := start(t, func(dir string) string { return filepath.Join(dir, "a", "b", "servers.jsonc") })
-		for n := 1; n <= 3; n++ {
-			require.NoError(t, os.MkdirAll(filepath.Dir(r.path), 0o700))
-			r.write(r.path, list(n, 1, n+1))
-			r.expectAccepted(uint64(n))
-			require.NoError(t, os.RemoveAll(filepath.Join(r.dir, "a")))
-			r.expectRejected("no such file")
+		if i%50 == 0 { // the writer stalls until the partial file is rejected
+			r.expectRejected("servers.jsonc")
 		}
+	}
+	require.NoError(t, f.Close())
+	r.expectAccepted(2)
+}
+
+func testWrittenInPlace(t *testing.T) {
+	r := start(t, pathIn)
+	r.replace(r.path, list(1, 1, 2, 3))
+	r.expectAccepted(1)
+	f, err := os.OpenFile(r.path, os.O_WRONLY, 0)
+	require.NoError(t, err)
+	text := list(2, 1)
+	_, err = f.Write(text)
+	require.NoError(t, err)
+	r.expectRejected("servers.jsonc") // the rest of the old one stands behind it
+	require.NoError(t, f.Truncate(int64(len(text))))
+	require.NoError(t, f.Close())
+	r.expectAccepted(2)
+}
+
+func testSwitchedLink(t *testing.T) {
+	r := start(t, pathIn)
+	volume := func(n int, data []byte) {
+		dir := fmt.Sprintf("..%d", n)
+		require.NoError(t, os.Mkdir(filepath.Join(r.dir, dir), 0o700))
+		r.write(filepath.Join(r.dir, dir, "servers.jsonc"), data)
+		require.NoError(t, os.Symlink(dir, filepath.Join(r.dir, "..tmp")))
+		require.NoError(t, os.Rename(filepath.Join(r.dir, "..tmp"), filepath.Join(r.dir, "..data")))
+	}
+	require.NoError(t, os.Symlink(filepath.Join("..data", "servers.jsonc"), r.path))
+	volume(1, list(1, 1))
+	r.expectAccepted(1)
+	volume(2, list(2, 1, 2))
+	r.expectAccepted(2)
+	volume(3, []byte("{"))
+	r.expectRejected("ends too early")
+	volume(4, list(4, 1, 2))
+	r.expectAccepted(4)
+}
+
+func testRemovedDirectory(t *testing.T) {
+	r := start(t, func(dir string) string { return filepath.Join(dir, "a", "b", "servers.jsonc") })
+	for n := 1; n <= 3; n++ {
 		require.NoError(t, os.MkdirAll(filepath.Dir(r.path), 0o700))
-		r.write(r.path, list(3, 1, 4))
-		r.advanceUntil("no longer rejected", func() bool { return len(r.src.Status().Reasons) == 0 })
-		require.EqualValues(t, 3, r.src.Status().Accepted, "the list that came back is the one in use")
-	})
-	t.Run("a directory filled part by part", func(t *testing.T) {
-		r := start(t, func(dir string) string { return dir })
-		parts := map[string][]byte{
-			"hub.jsonc":  []byte(`{"servers": [` + entries(20) + `]}`),
-			"east.jsonc": []byte(`{"servers": [` + entries(1, 2) + `]}`),
-		}
-		manifest := func(n int) []byte {
-			return fmt.Appendf(nil, `{"generation": %d, "parts": [{"file": "hub.jsonc", "sha256": "%x"}, {"file": "east.jsonc", "sha256": "%x"}], "end": %[1]d}`,
-				n, sha256.Sum256(parts["hub.jsonc"]), sha256.Sum256(parts["east.jsonc"]))
-		}
-		r.expectRejected("holds no list")
-		r.write(filepath.Join(r.dir, "manifest.jsonc"), manifest(1))
-		r.expectRejected("hub.jsonc is not there")
-		r.write(filepath.Join(r.dir, "hub.jsonc"), parts["hub.jsonc"])
-		r.expectRejected("east.jsonc is not there")
-		r.write(filepath.Join(r.dir, "east.jsonc"), parts["east.jsonc"])
-		r.expectAccepted(1)
-		parts["east.jsonc"] = []byte(`{"servers": [` + entries(1, 3) + `]}`)
-		r.write(filepath.Join(r.dir, "east.jsonc"), parts["east.jsonc"])
-		r.expectRejected("it is not the part that was meant")
-		r.write(filepath.Join(r.dir, "manifest.jsonc"), manifest(2))
-		r.expectAccepted(2)
-	})
-	t.Run("many changes beside it, a pipe and a directory in its place", func(t *testing.T) {
-		r := start(t, pathIn)
-		r.replace(r.path, list(1, 1))
-		r.expectAccepted(1)
-		for i := range 300 {
-			r.write(filepath.Join(r.dir, fmt.Sprint("other", i%3)), []byte("noise"))
-		}
-		r.replace(r.path, list(2, 1))
-		r.expectAccepted(2)
-		require.NoError(t, os.Remove(r.path))
-		require.NoError(t, syscall.Mkfifo(r.path, 0o600))
-		r.expectRejected("not a plain file")
-		require.NoError(t, os.Remove(r.path))
-		require.NoError(t, os.Mkdir(r.path, 0o700))
-		r.expectRejected("holds no list")
-		require.NoError(t, os.Remove(r.path))
-		r.replace(r.path, list(3, 1))
-		r.expectAccepted(3)
-	})
+		r.write(r.path, list(n, 1, n+1))
+		r.expectAccepted(uint64(n))
+		require.NoError(t, os.RemoveAll(filepath.Join(r.dir, "a")))
+		r.expectRejected("no such file")
+	}
+	require.NoError(t, os.MkdirAll(filepath.Dir(r.path), 0o700))
+	r.write(r.path, list(3, 1, 4))
+	r.advanceUntil("no longer rejected", func() bool { return len(r.src.Status().Reasons) == 0 })
+	require.EqualValues(t, 3, r.src.Status().Accepted, "the list that came back is the one in use")
+}
+
+func testDirectoryOfParts(t *testing.T) {
+	r := start(t, func(dir string) string { return dir })
+	parts := map[string][]byte{
+		"hub.jsonc":  []byte(`{"servers": [` + entries(20) + `]}`),
+		"east.jsonc": []byte(`{"servers": [` + entries(1, 2) + `]}`),
+	}
+	manifest := func(n int) []byte {
+		return fmt.Appendf(nil, `{"generation": %d, "parts": [{"file": "hub.jsonc", "sha256": "%x"}, {"file": "east.jsonc", "sha256": "%x"}], "end": %[1]d}`,
+			n, sha256.Sum256(parts["hub.jsonc"]), sha256.Sum256(parts["east.jsonc"]))
+	}
+	r.expectRejected("holds no list")
+	r.write(filepath.Join(r.dir, "manifest.jsonc"), manifest(1))
+	r.expectRejected("hub.jsonc is not there")
+	r.write(filepath.Join(r.dir, "hub.jsonc"), parts["hub.jsonc"])
+	r.expectRejected("east.jsonc is not there")
+	r.write(filepath.Join(r.dir, "east.jsonc"), parts["east.jsonc"])
+	r.expectAccepted(1)
+	parts["east.jsonc"] = []byte(`{"servers": [` + entries(1, 3) + `]}`)
+	r.write(filepath.Join(r.dir, "east.jsonc"), parts["east.jsonc"])
+	r.expectRejected("it is not the part that was meant")
+	r.write(filepath.Join(r.dir, "manifest.jsonc"), manifest(2))
+	r.expectAccepted(2)
+}
+
+func testOtherFilesAndTypes(t *testing.T) {
+	r := start(t, pathIn)
+	r.replace(r.path, list(1, 1))
+	r.expectAccepted(1)
+	for i := range 300 {
+		r.write(filepath.Join(r.dir, fmt.Sprint("other", i%3)), []byte("noise"))
+	}
+	r.replace(r.path, list(2, 1))
+	r.expectAccepted(2)
+	require.NoError(t, os.Remove(r.path))
+	require.NoError(t, syscall.Mkfifo(r.path, 0o600))
+	r.expectRejected("not a plain file")
+	require.NoError(t, os.Remove(r.path))
+	require.NoError(t, os.Mkdir(r.path, 0o700))
+	r.expectRejected("holds no list")
+	require.NoError(t, os.Remove(r.path))
+	r.replace(r.path, list(3, 1))
+	r.expectAccepted(3)
 }
 
 // Broken, partial and valid lists in rapid succession: only complete ones are accepted, each at most once and in order.
