--- /dev/null
+++ b/internal/lab/crosscheck/sockets.go
@@ -0,0 +1,201 @@
+package crosscheck
+
+import (
+	"context"
+	"net"
+	"os"
+	"time"
+
+	"ravenwheel/internal/clock"
+	"ravenwheel/internal/config"
+	"ravenwheel/internal/core"
+	"ravenwheel/internal/decide/membership"
+	"ravenwheel/internal/front/resp"
+	"ravenwheel/internal/lab/fleet"
+	"ravenwheel/internal/lab/load"
+	"ravenwheel/internal/upstream"
+	"ravenwheel/policy"
+)
+
+// The site: one zone with caches, one parent and the origin. Its load is far below its capacity, so that stores, fills and
+// health show, and not the bandwidth of links. Times are in ms.
+const (
+	cacheCount       = 3
+	objectCount      = 300
+	partsPerObject   = 4
+	rate             = 300.0 // requests per second
+	transferTime     = 2.0
+	fillTime         = 12.0
+	purgeDelay       = 6000
+	latencyObjective = 100.0
+	deadline         = 2000.0
+	className        = "replay"
+)
+
+// The servers' ids, and their zones and kinds as indices in operatorFile.
+const (
+	firstCache policy.CacheID = 1
+	parentID   policy.CacheID = 10
+	originID   policy.CacheID = 20
+
+	zoneHub, zoneEast                 = 0, 1
+	kindCache, kindParent, kindOrigin = 0, 1, 2
+
+	serverWeight = 100
+)
+
+// operatorFile configures the proxy for the site.
+const operatorFile = `{
+  "proxy": {"name": "v", "listen": "127.0.0.1:1", "zone": "east", "seed": 7}, "limits": {"sockets": 1024},
+  "site": {"zones": ["hub", "east"], "proxies": {"east": 1}, "kinds": ["small", "parent", "origin"], "parent_kind": "parent",
+           "origin_kind": "origin", "flow_kb_per_s": 100000, "siblings": "none"},
+  "classes": [{"name": "replay", "target_ms": 100, "deadline_ms": 2000, "in_parts": true}], "servers": {"path": "none"}
+}`
+
+// Settings of the proxy and its client.
+const (
+	proxySeed     = 7
+	clientSeed    = 7
+	clientConns   = 8
+	clientRetries = 3
+	maxConns      = 500
+)
+
+// connectionLimits are those of the proxy's connections to servers.
+var connectionLimits = upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000}
+
+// socketRun is a run of the site on sockets.
+type socketRun struct {
+	seconds float64
+	copies  int // of each cache and parent, at most
+	// each is called at the start of every second, and may change the servers; nil does nothing.
+	each func(second int, servers *fleet.Fleet, c *core.Core)
+}
+
+// socketResult is what was observed in a socketRun.
+type socketResult struct {
+	seconds []secondCounts
+	slow    float64 // fraction of the requests that were not served within the latency objective
+}
+
+// secondCounts are the attempts that servers served in one second.
+type secondCounts struct{ served, hits, originFills int }
+
+// playOnSockets plays the site with the real proxy.
+func playOnSockets(ctx context.Context, run socketRun) (socketResult, error) {
+	clk := clock.System()
+	servers := fleet.New(fleet.Options{
+		Clock: clk, TransferTime: transferTime, FillTime: fillTime, PurgeDelay: purgeDelay, MaxCopies: run.copies,
+	})
+	defer servers.Close()
+	members, err := startServers(servers)
+	if err != nil {
+		return socketResult{}, err
+	}
+	c, err := newCore(clk, members)
+	if err != nil {
+		return socketResult{}, err
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return socketResult{}, err
+	}
+	front := resp.New(ln, maxConns, clk, c)
+	go func() { _ = front.Serve() }()
+	defer front.Close()
+	client := load.New(load.Options{
+		Addr: ln.Addr().String(), Clock: clk, Seed: clientSeed, Conns: clientConns, Objects: objectCount, Retries: clientRetries,
+		Classes: []load.Class{{Name: className, Fraction: 1, DeadlineMs: deadline, PartsPerObject: partsPerObject}},
+	})
+	defer client.Close()
+	began := clk.Now()
+	if run.each != nil {
+		go run.callEach(clk, began, servers, c)
+	}
+	client.FollowSchedule(ctx, []load.Phase{{Seconds: run.seconds, From: rate, To: rate}})
+	client.WaitIdle()
+	result := socketResult{
+		seconds: countBySecond(servers.Observations(), began, int(run.seconds)+1), slow: slowFraction(client.Results()[className]),
+	}
+	return result, ctx.Err()
+}
+
+// callEach calls each at the start of every second since began.
+func (r socketRun) callEach(clk *clock.Clock, began float64, servers *fleet.Fleet, c *core.Core) {
+	for second := range int(r.seconds) {
+		if wait := began + float64(second)*1000 - clk.Now(); wait > 0 {
+			time.Sleep(time.Duration(wait * float64(time.Millisecond)))
+		}
+		r.each(second, servers, c)
+	}
+}
+
+// startServers starts the site's servers and returns them as members.
+func startServers(servers *fleet.Fleet) (members []membership.Member, err error) {
+	start := func(id policy.CacheID, role fleet.Role, zone, kind int) {
+		if err != nil {
+			return
+		}
+		var server *fleet.Server
+		if server, err = servers.Start(id, role, "127.0.0.1:0"); err != nil {
+			return
+		}
+		m := membership.Member{Addr: server.Addr()}
+		m.ID, m.Zone, m.Kind, m.Weight = id, zone, kind, serverWeight
+		members = append(members, m)
+	}
+	for i := range policy.CacheID(cacheCount) {
+		start(firstCache+i, fleet.Cache, zoneEast, kindCache)
+	}
+	start(parentID, fleet.Parent, zoneHub, kindParent)
+	start(originID, fleet.Origin, zoneHub, kindOrigin)
+	return members, err
+}
+
+// newCore returns the proxy's core with the site's settings and members.
+func newCore(clk *clock.Clock, members []membership.Member) (*core.Core, error) {
+	operator, err := config.ParseOperatorFile("validate", []byte(operatorFile))
+	if err != nil {
+		return nil, err
+	}
+	settings, err := config.Read(os.Getenv, operator)
+	if err != nil {
+		return nil, err
+	}
+	c, err := core.New(settings.Settings, settings.Classes, 0, proxySeed, clk, upstream.New(clk, connectionLimits))
+	if err != nil {
+		return nil, err
+	}
+	c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: members})
+	return c, nil
+}
+
+// countBySecond counts the attempts that were served, by second since began.
+func countBySecond(observations []fleet.Observation, began float64, seconds int) []secondCounts {
+	counts := make([]secondCounts, seconds)
+	for _, o := range observations {
+		second := int((o.At - began) / 1000)
+		if o.Probe || o.Answer != "served" || second < 0 || second >= len(counts) {
+			continue
+		}
+		counts[second].served++
+		switch o.Why {
+		case "local":
+			counts[second].hits++
+		case "pulled_far":
+			counts[second].originFills++
+		}
+	}
+	return counts
+}
+
+// slowFraction returns the fraction of the requests that were not served within the latency objective.
+func slowFraction(result load.ClassResult) float64 {
+	quick := int64(0)
+	for _, bar := range result.Latency.Distribution() {
+		if bar.To <= latencyObjective*1000 {
+			quick += bar.Count
+		}
+	}
+	return 1 - float64(quick)/float64(max(1, result.Requested))
+}
