--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -21,8 +21,8 @@
 
 // The ways in which control traffic is distributed, as --ways names them.
 const (
-	wayLevels = "levels" // over levels of relays
-	wayDirect = "direct" // to every process directly
+	wayLevels = string(hollow.ModeLevels) // over levels of relays
+	wayDirect = string(hollow.ModeDirect) // to every process directly
 )
 
 // scaleOptions are the flags of "ravenlab scale".
@@ -100,7 +100,7 @@
 	broken := 0
 	for _, size := range s.Processes {
 		for _, way := range o.ways {
-			result, err := hollow.Run(cmd.Context(), s, size, way == wayDirect, o.measureLoop)
+			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(way), o.measureLoop)
 			if err != nil {
 				return runs, err
 			}
@@ -123,6 +123,14 @@
 	return runs, nil
 }
 
+// scaleMode is the mode that --ways names. Any other name than direct stands for levels.
+func scaleMode(way string) hollow.Mode {
+	if way == wayDirect {
+		return hollow.ModeDirect
+	}
+	return hollow.ModeLevels
+}
+
 func printScale(out io.Writer, r *hollow.Result) error {
 	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds,
 		r.WallSeconds, r.CPUSeconds, r.HeapMB)
--- a/internal/lab/hollow/applier.go
+++ b/internal/lab/hollow/applier.go
@@ -11,165 +11,185 @@
 	"ravenwheel/policy"
 )
 
-// applier is what control traffic touches in a process behind the receiver: the module's lists and purges, the ledger of
-// servers, the configuration as it is parsed, and in members of the store (and in every process of today's way) the
-// committed state.
+// moduleUptimeMs is how long the policy module has run by its own clock when a run begins. Its clock may not read 0, which means
+// "no time" there.
+const moduleUptimeMs = 3_600_000
+
+// membershipSource is the source that the membership table has server lists from.
+const membershipSource = "store"
+
+// applier is what entries change in a full process: the policy module's lists and purges, the membership table, the parsed
+// configuration and, where the process holds it, the committed state.
 type applier struct {
 	sim      *simulation
 	process  *process
 	router   *policy.Router
-	ledger   *membership.Table
-	state    *storestate.State // nil: not held
-	live     *config.Live
-	actions  []policy.Action
-	revision uint64
-	err      error
+	table    *membership.Table
+	state    *storestate.State // of members of the store and in ModeDirect; nil: not held
+	live     *config.Live      // kept, so that it counts as heap of the process
+	revision uint64            // number of live
+	actions  []policy.Action   // buffer of the router
+	err      error             // the last entry that could not be applied
 }
 
-func newApplier(sim *simulation, p *process, state bool) *applier {
-	ms := func(v int) time.Duration { return time.Duration(v) * time.Millisecond }
+func newApplier(sim *simulation, p *process, withState bool) *applier {
 	a := &applier{sim: sim, process: p}
 	var err error
-	a.router, err = policy.New(policy.Settings{
-		Routers: sim.scenario.ZoneProcesses, ZoneRouters: []int{sim.scenario.ZoneProcesses}, ParentKind: 1, OriginKind: 2, PurgeDuration: ms(6000),
-		PurgeGrace: ms(1000), WeightsKnown: true, MaxAttempts: 8, Classes: []policy.Class{
-			{LatencyObjective: ms(400), Deadline: ms(5000), PriorityWeight: 2, Multipart: true}, {LatencyObjective: ms(400), Deadline: ms(2500), PriorityWeight: 1},
-			{LatencyObjective: ms(600), Deadline: ms(3000), PriorityWeight: 3, Idempotency: policy.NotIdempotent, Uncached: true},
-		},
-	}, uint64(p.id)+1)
-	if err != nil {
-		panic(err) // of settings made here
+	if a.router, err = policy.New(moduleSettings(sim.scenario.ZoneProcesses), uint64(p.id)+1); err != nil {
+		panic(fmt.Sprintf("hollow: settings of the policy module: %v", err))
 	}
-	a.ledger, err = membership.New(membership.Settings{
-		Sources: []membership.Source{{Name: "store"}}, DrainTimeout: 2000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
+	a.table, err = membership.New(membership.Settings{
+		Sources: []membership.Source{{Name: membershipSource}}, DrainTimeout: 2000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
 	})
 	if err != nil {
-		panic(err) // of settings made here
+		panic(fmt.Sprintf("hollow: settings of the membership table: %v", err))
 	}
-	if state {
+	if withState {
 		a.state = storestate.New()
 	}
 	return a
 }
 
-// now is the process's own clock for its ledger, and for the module.
+// moduleSettings are the policy module's settings for a zone of so many processes, with three typical request classes.
+func moduleSettings(routers int) policy.Settings {
+	ms := func(v int) time.Duration { return time.Duration(v) * time.Millisecond }
+	return policy.Settings{
+		Routers: routers, ZoneRouters: []int{routers}, ParentKind: 1, OriginKind: 2,
+		PurgeDuration: ms(purgeDurationMs), PurgeGrace: ms(purgeGraceMs), WeightsKnown: true, MaxAttempts: 8,
+		Classes: []policy.Class{
+			{LatencyObjective: ms(400), Deadline: ms(5000), PriorityWeight: 2, Multipart: true},
+			{LatencyObjective: ms(400), Deadline: ms(2500), PriorityWeight: 1},
+			{LatencyObjective: ms(600), Deadline: ms(3000), PriorityWeight: 3, Idempotency: policy.NotIdempotent, Uncached: true},
+		},
+	}
+}
+
+// now is the time on the process's clock in Unix ms, and on the policy module's.
 func (a *applier) now() (float64, policy.Time) {
 	at := a.sim.clockOf(a.process)
 	return at, policy.Time((at - startUnixMs + moduleUptimeMs) * 1e6)
 }
 
-// hourMs is how long a process has run already, for the module: its clock has no origin, and 0 would be no time.
-const moduleUptimeMs = 3_600_000
-
-// entry puts one in force. again: it is of a whole state, and may be in force already.
-func (a *applier) applyEntry(e distribution.Entry) {
-	now, at := a.now()
-	switch e.Kind {
+// applyEntry applies an entry of the distribution. A revision that is not newer than the current one is ignored.
+func (a *applier) applyEntry(entry distribution.Entry) {
+	now, moduleNow := a.now()
+	switch entry.Kind {
 	case distribution.PurgeObject:
-		a.purge(at, policy.Purged{Object: e.Name, Group: int(e.Group), Age: age(now, e.EffectiveAt)})
+		a.purge(moduleNow, policy.Purged{Object: entry.Name, Group: int(entry.Group), Age: age(now, entry.EffectiveAt)})
 	case distribution.PurgeGroup:
-		a.purge(at, policy.Purged{Group: int(e.Group), Age: age(now, e.EffectiveAt)})
+		a.purge(moduleNow, policy.Purged{Group: int(entry.Group), Age: age(now, entry.EffectiveAt)})
 	case distribution.Revision:
-		if e.Version <= a.revision {
-			return
-		}
-		live, err := config.ParseLive("revision", string(e.Body))
-		if err != nil {
-			a.err = err
-			return
-		}
-		a.live, a.revision = live, e.Version
+		a.applyRevision(entry)
 	case distribution.List:
-		a.applyList(now, e)
+		a.applyList(now, entry)
 	case distribution.Drain, distribution.DrainEnded:
-		a.setDrain(now, e.Name, e.Kind == distribution.Drain)
+		a.setDrain(now, entry.Name, entry.Kind == distribution.Drain)
 	}
 }
 
-func age(now float64, made int64) time.Duration {
-	return time.Duration(max(0, now-float64(made)) * 1e6)
+// age is the time since a Unix time in ms, at the least 0.
+func age(now float64, since int64) time.Duration {
+	return time.Duration(max(0, now-float64(since)) * 1e6)
 }
 
-func (a *applier) purge(at policy.Time, p policy.Purged) {
-	a.actions = a.router.Handle(at, p, a.actions[:0])
+func (a *applier) purge(now policy.Time, purge policy.Purged) {
+	a.actions = a.router.Handle(now, purge, a.actions[:0])
 }
 
-// list takes that of the process's own zone; of others it only knows that they changed.
-func (a *applier) applyList(now float64, e distribution.Entry) {
-	if e.Name != sourceName(a.process.zone) {
+func (a *applier) applyRevision(entry distribution.Entry) {
+	if entry.Version <= a.revision {
 		return
 	}
-	c, err := storestate.DecodeChange(e.Body)
-	if err != nil || c.List == nil {
-		a.err = fmt.Errorf("list of %s: %v", e.Name, err)
+	live, err := config.ParseLive("revision", string(entry.Body))
+	if err != nil {
+		a.err = err
 		return
 	}
-	a.installList(now, c.List)
+	a.live, a.revision = live, entry.Version
+}
+
+// applyList applies the server list of the process's own zone, and ignores those of others.
+func (a *applier) applyList(now float64, entry distribution.Entry) {
+	if entry.Name != listName(a.process.zone) {
+		return
+	}
+	change, err := storestate.DecodeChange(entry.Body)
+	if err != nil || change.List == nil {
+		a.err = fmt.Errorf("list of %s: %v", entry.Name, err)
+		return
+	}
+	a.installList(now, change.List)
 }
 
 func (a *applier) installList(now float64, list *storestate.List) {
-	l := membership.Snapshot{Generation: list.Generation}
-	for _, s := range list.Servers {
-		m := membership.Member{Member: policy.Member{ID: s.ID, Weight: s.Weight}, Addr: s.Addr}
-		l.Entries = append(l.Entries, membership.Entry{Member: m})
+	snapshot := membership.Snapshot{Generation: list.Generation}
+	for _, server := range list.Servers {
+		member := membership.Member{Member: policy.Member{ID: server.ID, Weight: server.Weight}, Addr: server.Addr}
+		snapshot.Entries = append(snapshot.Entries, membership.Entry{Member: member})
 	}
-	a.handle(now, l)
+	a.updateTable(now, snapshot)
 }
 
-func (a *applier) setDrain(now float64, name string, on bool) {
-	if id, ok := a.sim.servers[name]; ok && a.sim.zoneOf(id) == a.process.zone {
-		a.handle(now, membership.ManualDrain{ID: id, On: on})
+func (a *applier) setDrain(now float64, server string, on bool) {
+	if id, ok := a.sim.servers[server]; ok && a.sim.zoneOf(id) == a.process.zone {
+		a.updateTable(now, membership.ManualDrain{ID: id, On: on})
 	}
 }
 
-// tell has the ledger take an event, and the module what it publishes.
-func (a *applier) handle(now float64, e membership.Event) {
-	for _, x := range a.ledger.Handle(now, e, nil) {
-		switch x := x.(type) {
+// tableTimerFired hands the membership table the tick that it asked for.
+func (a *applier) tableTimerFired() {
+	now, _ := a.now()
+	a.updateTable(now, membership.Tick{})
+}
+
+// updateTable hands the membership table an event, and carries out its actions.
+func (a *applier) updateTable(now float64, e membership.Event) {
+	for _, action := range a.table.Handle(now, e, nil) {
+		switch action := action.(type) {
 		case membership.Publish:
-			m := policy.Members{Kind: policy.ListChanges, Version: int64(x.Version)}
-			if x.Complete {
-				m.Kind = policy.ListFull
-			}
-			for _, y := range x.Members {
-				m.Entries = append(m.Entries, y.Member)
-			}
-			_, at := a.now()
-			a.actions = a.router.Handle(at, m, a.actions[:0])
+			a.publish(action)
 		case membership.Wake:
-			a.sim.setTimer(a.process, slotLedger, x.At-now)
+			a.sim.setTimer(a.process, slotMembership, action.At-now)
 		}
 	}
 }
 
-// due tells the ledger that a wake that it asked for is due.
-func (a *applier) tick() {
-	now, _ := a.now()
-	a.handle(now, membership.Tick{})
+// publish hands the policy module the members that the table publishes.
+func (a *applier) publish(published membership.Publish) {
+	members := policy.Members{Kind: policy.ListChanges, Version: int64(published.Version)}
+	if published.Complete {
+		members.Kind = policy.ListFull
+	}
+	for _, member := range published.Members {
+		members.Entries = append(members.Entries, member.Member)
+	}
+	_, now := a.now()
+	a.actions = a.router.Handle(now, members, a.actions[:0])
 }
 
-// change applies one of the store's log, as a member of the store or today's follower does.
-func (a *applier) applyChange(raw []byte) {
-	c, err := storestate.DecodeChange(raw)
+// applyChange applies an entry of the store's log, as a member of the store and a follower of ModeDirect do.
+func (a *applier) applyChange(encoded []byte) {
+	change, err := storestate.DecodeChange(encoded)
 	if err != nil {
 		a.err = err
 		return
 	}
-	if a.state.Apply(c).Verdict != storestate.OK {
+	if a.state.Apply(change).Verdict != storestate.OK {
 		return
 	}
-	now, at := a.now()
-	switch c.Kind {
+	now, moduleNow := a.now()
+	switch change.Kind {
 	case storestate.AddPurge:
-		a.purge(at, policy.Purged{Object: c.Purge.Object, Group: c.Purge.Group, Age: age(now, int64(c.Purge.IssuedAt))})
+		purge := change.Purge
+		a.purge(moduleNow, policy.Purged{Object: purge.Object, Group: purge.Group, Age: age(now, int64(purge.IssuedAt))})
 	case storestate.SetList:
-		if c.Name == sourceName(a.process.zone) {
-			a.installList(now, c.List)
+		if change.Name == listName(a.process.zone) {
+			a.installList(now, change.List)
 		}
 	case storestate.StartDrain, storestate.EndDrain:
-		a.setDrain(now, c.Name, c.Kind == storestate.StartDrain)
+		a.setDrain(now, change.Name, change.Kind == storestate.StartDrain)
 	case storestate.SetConfig:
-		if live, err := config.ParseLive("revision", c.Text); err == nil {
+		if live, err := config.ParseLive("revision", change.Text); err == nil {
 			a.live, a.revision = live, a.state.Revision().Number
 		}
 	}
--- a/internal/lab/hollow/call_meter.go
+++ b/internal/lab/hollow/call_meter.go
@@ -2,45 +2,48 @@
 
 import "time"
 
-// meter stands between the loop and the machines: it counts what the machines of each role are asked, and takes the time of
-// one call in sampledEach, of the processes that hold all.
+// callsPerSample is how many calls of a role's full processes pass for each that is timed. Reading the clock costs about as much as
+// a short call.
+const callsPerSample = 16
+
+// callMeter calls the propagator on behalf of the simulation. It counts the calls by role, and times a sample of them.
 type callMeter struct {
 	roles       [roleCount]CallStats
 	sinceSample [roleCount]int
 }
 
-// Spent is what machines of one role took.
+// CallStats counts the calls of a role's processes.
 type CallStats struct {
-	Calls      int64 `json:"calls"`   // of all processes of the role
-	FullCalls  int64 `json:"whole"`   // of those that hold all
-	TimedCalls int64 `json:"sampled"` // of them, timed
-	TimedNanos int64 `json:"nanos"`   // that those took, on the wall
+	Calls      int64 `json:"calls"`   // of all processes
+	FullCalls  int64 `json:"whole"`   // of full processes
+	TimedCalls int64 `json:"sampled"` // of these, timed
+	TimedNanos int64 `json:"nanos"`   // wall-clock time of the timed calls
 }
 
-// sampledEach call is timed: reading the clock costs about as much as a small call.
-const callsPerSample = 16
-
+// beginCall counts a call. It returns the current time if the call is to be timed, and else the zero Time.
 func (m *callMeter) beginCall(p *process) (began time.Time) {
-	s := &m.roles[p.role]
-	s.Calls++
+	stats := &m.roles[p.role]
+	stats.Calls++
 	if !p.full {
 		return began
 	}
-	s.FullCalls++
-	if m.sinceSample[p.role]++; m.sinceSample[p.role] == callsPerSample {
-		m.sinceSample[p.role] = 0
-		return time.Now()
+	stats.FullCalls++
+	m.sinceSample[p.role]++
+	if m.sinceSample[p.role] < callsPerSample {
+		return began
 	}
-	return began
+	m.sinceSample[p.role] = 0
+	return time.Now()
 }
 
+// endCall ends a call that beginCall began.
 func (m *callMeter) endCall(sim *simulation, p *process, began time.Time) {
 	if !began.IsZero() {
-		s := &m.roles[p.role]
-		s.TimedCalls++
-		s.TimedNanos += int64(time.Since(began))
+		stats := &m.roles[p.role]
+		stats.TimedCalls++
+		stats.TimedNanos += int64(time.Since(began))
 	}
-	sim.trace.record(traceCallEnd, 0, 0, 0, 0)
+	sim.trace.record(tracedCall{kind: traceCallEnd})
 }
 
 func (m *callMeter) processStarted(sim *simulation, p *process) {
@@ -49,26 +52,27 @@
 	m.endCall(sim, p, began)
 }
 
-func (m *callMeter) entriesApplied(sim *simulation, p *process, batch []*logEntry, at int64) {
-	began := m.beginCall(p)
-	if p.applier != nil {
-		for _, c := range batch {
-			p.applier.applyChange(c.encodedChange)
+// entriesApplied also has the member's applier apply the entries, as the store does in the program.
+func (m *callMeter) entriesApplied(sim *simulation, member *process, entries []*logEntry, watermarkAt int64) {
+	began := m.beginCall(member)
+	if member.applier != nil {
+		for _, entry := range entries {
+			member.applier.applyChange(entry.encodedChange)
 		}
 	}
-	sim.propagator.entriesApplied(p, batch, at)
-	m.endCall(sim, p, began)
+	sim.propagator.entriesApplied(member, entries, watermarkAt)
+	m.endCall(sim, member, began)
 }
 
-func (m *callMeter) watermarkAdvanced(sim *simulation, p *process, at int64) {
-	began := m.beginCall(p)
-	sim.propagator.watermarkAdvanced(p, at)
-	m.endCall(sim, p, began)
+func (m *callMeter) watermarkAdvanced(sim *simulation, member *process, watermarkAt int64) {
+	began := m.beginCall(member)
+	sim.propagator.watermarkAdvanced(member, watermarkAt)
+	m.endCall(sim, member, began)
 }
 
-func (m *callMeter) messageReceived(sim *simulation, p *process, c *conn, up bool, load *payload) {
+func (m *callMeter) messageReceived(sim *simulation, p *process, c *conn, upward bool, content *payload) {
 	began := m.beginCall(p)
-	sim.propagator.messageReceived(p, c, up, load)
+	sim.propagator.messageReceived(p, c, upward, content)
 	m.endCall(sim, p, began)
 }
 
@@ -78,13 +82,13 @@
 	m.endCall(sim, p, began)
 }
 
-func (m *callMeter) lost(sim *simulation, p *process, c *conn) {
+func (m *callMeter) connectionLost(sim *simulation, p *process, c *conn) {
 	began := m.beginCall(p)
-	sim.propagator.lost(p, c)
+	sim.propagator.connectionLost(p, c)
 	m.endCall(sim, p, began)
 }
 
-func (m *callMeter) timerFired(sim *simulation, p *process, slot int) {
+func (m *callMeter) timerFired(sim *simulation, p *process, slot timerSlot) {
 	began := m.beginCall(p)
 	sim.propagator.timerFired(p, slot)
 	m.endCall(sim, p, began)
--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -1,49 +1,64 @@
 package hollow
 
 import (
-	"bytes"
 	"fmt"
-	"maps"
 	"math"
-	"slices"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ravenwheel/internal/decide/distribution"
 )
 
-// checker holds what processes put in force against what was committed. It trusts only the history and what reaches a
-// process: no machine is asked.
+const (
+	// maxViolationTexts bounds the violations that are kept in words. All are counted.
+	maxViolationTexts = 50
+	// lagCheckInterval is the time in ms between two checks of all processes' lag.
+	lagCheckInterval = 200.0
+	// maxLatencyMicros and latencyDigits set the range and the precision of latency histograms.
+	maxLatencyMicros = 1_000_000_000
+	latencyDigits    = 3
+)
+
+// checker compares what processes apply with what was committed: every entry once, in order and unchanged; none that was not
+// committed; and no process that lags beyond MaxLagMs without its freshness gate saying so. It asks no decider.
 type checker struct {
-	sim                 *simulation
-	violations          int
-	late                int // entries that came into force at a process while it was slow
-	violationTexts      []string
-	incompleteProcesses int                        // processes of today's way that lack something at the end
-	maxMissing          int                        // the most that one does
-	latency             [2]*hdrhistogram.Histogram // of each entry at each process that was there all the time, µs
-	latencyAfterFault   [2]*hdrhistogram.Histogram // of each entry at each other process, from when it could follow, µs
-	needlesslyGatedMs   float64                    // ms of processes that were held without being behind
-	gatedMs             float64                    // ms of processes that were held
+	sim            *simulation
+	violations     int
+	violationTexts []string
+
+	incompleteProcesses int // ModeDirect: processes that lack entries at the end
+	maxMissing          int // ModeDirect: entries that the worst of them lacks
+
+	latency           [streamCount]*hdrhistogram.Histogram // µs from commit, at processes that were connectable all the time
+	latencyAfterFault [streamCount]*hdrhistogram.Histogram // µs from when the process became connectable, at the others
+	gatedMs           float64                              // over all processes and streams, time with the gate closed
+	needlesslyGatedMs float64                              // the part of it in which the process did not lag
 }
 
-// owed is an entry that was left out: what covers it comes with or before a watermark.
+// omittedEntry is an entry that a batch left out because a later one supersedes it. It counts as applied with that one.
 type omittedEntry struct {
-	stream, index int
+	stream, index int // place in the store's log
 	supersededBy  uint64
 }
 
-// mostTexts of what broke are kept.
-const maxViolationTexts = 50
-
 func newChecker(sim *simulation) *checker {
 	c := &checker{sim: sim}
-	for i := range c.latency {
-		c.latency[i], c.latencyAfterFault[i] = hdrhistogram.New(1, 1_000_000_000, 3), hdrhistogram.New(1, 1_000_000_000, 3)
+	for stream := range c.latency {
+		c.latency[stream], c.latencyAfterFault[stream] = newLatencyHistogram(), newLatencyHistogram()
 	}
 	return c
 }
 
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+}
+
+// recordLatency adds a latency in ms, rounded up to whole µs.
+func recordLatency[T float32 | float64](h *hdrhistogram.Histogram, ms T) {
+	_ = h.RecordValue(int64(ms*1000) + 1) // what is out of range is left out
+}
+
+// violation records a broken rule.
 func (c *checker) violation(format string, args ...any) {
 	c.violations++
 	if len(c.violationTexts) < maxViolationTexts {
@@ -51,26 +66,24 @@
 	}
 }
 
-// book counts an entry as in force at a process now.
-func (c *checker) recordApplied(p *process, x *logEntry) {
+// recordApplied records the latency of an entry that a process has applied now. A process that is slow or partitioned is
+// expected to be late.
+func (c *checker) recordApplied(p *process, entry *logEntry) {
 	if p.receiveRate > 0 || p.partitioned {
-		c.late++ // as its fault has it: only that it says so is asked of it
 		return
 	}
-	if p.followableSince > x.committedAt {
-		age := c.sim.now - p.followableSince
-		x.slow = max(x.slow, float32(age))
-		_ = c.latencyAfterFault[x.stream].RecordValue(int64(age*1000) + 1)
+	if p.connectableSince > entry.committedAt {
+		recordLatency(c.latencyAfterFault[entry.stream], c.sim.now-p.connectableSince)
 		return
 	}
-	age := float32(c.sim.now - x.committedAt)
-	if age >= x.maxLatencyMs {
-		x.maxLatencyMs, x.slowestProcess = age, p.id
+	latency := float32(c.sim.now - entry.committedAt)
+	if latency >= entry.maxLatencyMs {
+		entry.maxLatencyMs, entry.slowestProcess = latency, p.id
 	}
-	_ = c.latency[x.stream].RecordValue(int64(age*1000) + 1)
+	recordLatency(c.latency[entry.stream], latency)
 }
 
-// reached moves a process on: all of a stream up to a sequence is in force, but for what is owed.
+// advance records that a process has applied a stream up to a sequence number, but for omitted entries.
 func (c *checker) advance(p *process, stream int, through uint64) {
 	log := c.sim.log.streams[stream]
 	for p.applied[stream] < len(log) && log[p.applied[stream]].entry.Sequence <= through {
@@ -79,202 +92,139 @@
 	}
 }
 
-// applied is what a subscriber was told to put in force.
-func (c *checker) checkApply(p *process, stream int, a distribution.Apply) {
-	c.sim.trace.record(traceApplied, stream, p.id, 0, float64(a.Through))
-	log, at := c.sim.log.streams[stream], p.applied[stream]
-	if at < len(log) && log[at].entry.Sequence <= a.After {
-		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, a.After, log[at].entry.Sequence)
+// checkApply checks a batch that a subscriber has the process apply.
+func (c *checker) checkApply(p *process, stream int, batch distribution.Apply) {
+	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(batch.Through)})
+	log, next := c.sim.log.streams[stream], p.applied[stream]
+	if next < len(log) && log[next].entry.Sequence <= batch.After {
+		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].entry.Sequence)
 	}
-	entries := a.Entries
-	var said snapshotContents
-	if a.Atomic { // made of a snapshot: its numbers say only the order
-		said, entries = c.snapshotContents(p, stream, entries), nil
+	entries := batch.Entries
+	var contents snapshotContents
+	if batch.Atomic { // made of a snapshot, so that its sequence numbers say only the order
+		contents, entries = c.readSnapshot(p, stream, entries), nil
 	}
-	for at < len(log) && log[at].entry.Sequence <= a.Through {
-		x := log[at]
+	for ; next < len(log) && log[next].entry.Sequence <= batch.Through; next++ {
+		entry := log[next]
 		switch {
-		case said.match(x):
-			c.recordApplied(p, x)
-		case len(entries) > 0 && entries[0].Sequence == x.entry.Sequence:
-			if !matches(entries[0], x) {
-				c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(entries[0]), describe(x.entry))
-			}
+		case contents.match(entry):
+			c.recordApplied(p, entry)
+		case len(entries) > 0 && entries[0].Sequence == entry.entry.Sequence:
+			c.checkSame(p, stream, entries[0], entry)
 			entries = entries[1:]
-			c.recordApplied(p, x)
-		case x.supersededBy != 0 && x.supersededBy <= a.Watermark.Sequence:
-			if x.supersededBy > a.Through {
-				p.omitted = append(p.omitted, omittedEntry{stream, at, x.supersededBy})
-			} else {
-				c.recordApplied(p, x)
-			}
-		case x.entry.ExpiresAt > 0 && x.entry.ExpiresAt <= a.Watermark.At:
-			c.recordApplied(p, x) // it binds nothing any more
+			c.recordApplied(p, entry)
 		default:
-			c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, x.entry.Sequence, a.After, a.Through)
+			c.checkMayLack(p, stream, next, batch)
 		}
-		at++
 	}
 	if len(entries) > 0 {
 		c.violation("%s: stream %d: %d was never committed, or comes twice or out of order", p.name, stream, entries[0].Sequence)
 	}
-	c.checkNoneUnknown(p, stream, said)
-	p.applied[stream] = at
-	c.resolveOmitted(p, stream, a.Through)
+	c.checkNoneUnknown(p, stream, contents)
+	p.applied[stream] = next
+	c.resolveOmitted(p, stream, batch.Through)
 }
 
-// saying is what a snapshot says, by key. Its numbers are made up where a member of the store read its state back, so that
-// only what it says is held against what was committed, and that its numbers rise.
-type snapshotContents map[string]*snapshotEntry
-
-type snapshotEntry struct {
-	entry   distribution.Entry
-	matched bool
-}
-
-func (c *checker) snapshotContents(p *process, stream int, entries []distribution.Entry) snapshotContents {
-	if len(entries) == 0 {
-		return nil
-	}
-	s := make(snapshotContents, len(entries))
-	for i, e := range entries {
-		k := supersessionKey(e)
-		if s[k] != nil || i > 0 && entries[i-1].Sequence >= e.Sequence {
-			c.violation("%s: stream %d: a snapshot says %s twice or out of order", p.name, stream, describe(e))
-		}
-		s[k] = &snapshotEntry{entry: e}
+func (c *checker) checkSame(p *process, stream int, got distribution.Entry, want *logEntry) {
+	if !want.matches(got) {
+		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.entry))
 	}
-	return s
 }
 
-// has tells whether a snapshot says what was committed.
-func (s snapshotContents) match(x *logEntry) bool {
-	e := s[x.key]
-	if e == nil || !matches(e.entry, x) {
-		return false
-	}
-	e.matched = true
-	return true
-}
-
-// invented finds what a snapshot says and nobody committed.
-func (c *checker) checkNoneUnknown(p *process, stream int, s snapshotContents) {
-	for _, k := range slices.Sorted(maps.Keys(s)) {
-		if e := s[k]; !e.matched {
-			c.violation("%s: stream %d: a snapshot says what was never committed: %s", p.name, stream, describe(e.entry))
+// checkMayLack checks that a batch may lack an entry: because it has expired, or because a later entry up to the watermark
+// supersedes it.
+func (c *checker) checkMayLack(p *process, stream, index int, batch distribution.Apply) {
+	entry := c.sim.log.streams[stream][index]
+	switch {
+	case entry.supersededBy != 0 && entry.supersededBy <= batch.Watermark.Sequence:
+		if entry.supersededBy > batch.Through {
+			p.omitted = append(p.omitted, omittedEntry{stream, index, entry.supersededBy})
+			return
 		}
+		c.recordApplied(p, entry)
+	case entry.entry.ExpiresAt > 0 && entry.entry.ExpiresAt <= batch.Watermark.At:
+		c.recordApplied(p, entry)
+	default:
+		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.entry.Sequence, batch.After, batch.Through)
 	}
 }
 
-// settle books what was owed and is covered by now.
+// resolveOmitted records as applied what was omitted and is superseded by an entry up to a sequence number.
 func (c *checker) resolveOmitted(p *process, stream int, through uint64) {
-	kept := p.omitted[:0]
-	for _, o := range p.omitted {
-		if o.stream == stream && o.supersededBy <= through {
-			c.recordApplied(p, c.sim.log.streams[stream][o.index])
+	remaining := p.omitted[:0]
+	for _, omitted := range p.omitted {
+		if omitted.stream == stream && omitted.supersededBy <= through {
+			c.recordApplied(p, c.sim.log.streams[stream][omitted.index])
 			continue
 		}
-		kept = append(kept, o)
+		remaining = append(remaining, omitted)
 	}
-	p.omitted = kept
+	p.omitted = remaining
 }
 
-// replaced is a whole state that a subscriber was told to put in force.
-func (c *checker) checkSnapshot(p *process, stream int, r distribution.InstallSnapshot) {
-	c.sim.trace.record(traceApplied, stream, p.id, 0, float64(r.Through))
-	log, at := c.sim.log.streams[stream], 0
-	said := c.snapshotContents(p, stream, r.Entries)
-	for ; at < len(log) && log[at].entry.Sequence <= r.Through; at++ {
-		if x := log[at]; !said.match(x) && x.inEffect(max(r.Through, r.Watermark.Sequence), r.Watermark.At) {
-			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, x.entry.Sequence, r.Through)
-		}
-	}
-	c.checkNoneUnknown(p, stream, said)
-	if at < p.applied[stream] {
-		c.violation("%s: stream %d: a snapshot at %d leads back", p.name, stream, r.Through)
-	}
-	c.advance(p, stream, r.Through)
-	c.resolveOmitted(p, stream, r.Through)
-}
-
-// held tells whether strict classes are turned from copies by a time of the process's clock, also where its machine has had
-// no chance yet to say so.
+// gated reports whether the process's freshness gate keeps strict classes from copies, by the process's clock. It also holds
+// where the gate had no event since it closed.
 func (p *process) gated(stream int, now float64) bool {
 	return p.gates[stream] != nil && !math.IsInf(p.gates[stream].OldestCopy(now), -1)
 }
 
-// same tells whether an entry is what was committed. Times may be those of what it covers.
-func matches(got distribution.Entry, x *logEntry) bool {
-	want := x.entry
-	between := func(v, a, b int64) bool { return v >= min(a, b) && v <= max(a, b) }
-	return got.Kind == want.Kind && got.Name == want.Name && got.Group == want.Group && got.Version == want.Version &&
-		between(got.EffectiveAt, want.EffectiveAt, x.merged.EffectiveAt) && between(got.ExpiresAt, want.ExpiresAt, x.merged.ExpiresAt) && bytes.Equal(got.Body, want.Body)
-}
-
-// describe is an entry as a line, its body by its size.
-func describe(e distribution.Entry) string {
-	size := len(e.Body)
-	e.Body = nil
-	return fmt.Sprintf("%+v (%d bytes)", e, size)
-}
-
-// lag is how long a process has been without something that was committed; 0: it has all.
+// lag is for how many ms a process has lacked something that was committed. 0: it lacks nothing.
 func (c *checker) lag(p *process, stream int) float64 {
-	log, at := c.sim.log.streams[stream], p.applied[stream]
-	if at == len(log) {
+	log, next := c.sim.log.streams[stream], p.applied[stream]
+	if next == len(log) {
 		return 0
 	}
-	return c.sim.now - log[at].committedAt
+	return c.sim.now - log[next].committedAt
 }
 
-// sweepEvery ms all processes are looked at.
-const lagCheckInterval = 200.0
-
-// sweep looks at all that run: who lacks something for longer than the bound must have said so before.
+// checkLag checks that every running process that lags beyond MaxLagMs has its gate closed.
 func (c *checker) checkLag() {
-	worst := 0.0
+	maxLag := 0.0
 	for _, p := range c.sim.processes {
 		if !p.running() || p.role == Store {
 			continue
 		}
-		for stream := range streamNames {
+		for stream := range streamCount {
 			lag := c.lag(p, stream)
 			if !p.partitioned && p.receiveRate == 0 {
-				worst = max(worst, lag)
-			}
-			if p.gated(stream, c.sim.clockOf(p)) {
-				if c.gatedMs += lagCheckInterval; lag < c.sim.scenario.MaxLagMs-c.sim.scenario.MaxClockSkewMs*2 {
-					c.needlesslyGatedMs += lagCheckInterval
-				}
-			} else if lag > c.sim.scenario.MaxLagMs && c.sim.propagator.hasFreshnessGate() {
-				c.violation("%s: stream %d lacks what was committed %.0f ms ago, and does not say so", p.name, stream, lag)
+				maxLag = max(maxLag, lag)
 			}
+			c.checkGate(p, stream, lag)
 		}
 	}
-	if worst > c.sim.scenario.RecoveredLagMs {
+	if maxLag > c.sim.scenario.RecoveredLagMs {
 		c.sim.lastLaggedAt = c.sim.now
 	}
-	c.sim.maxLag = max(c.sim.maxLag, worst)
+	c.sim.maxLag = max(c.sim.maxLag, maxLag)
+}
+
+func (c *checker) checkGate(p *process, stream int, lag float64) {
+	scenario := c.sim.scenario
+	if !p.gated(stream, c.sim.clockOf(p)) {
+		if lag > scenario.MaxLagMs && c.sim.propagator.hasFreshnessGate() {
+			c.violation("%s: stream %d lacks what was committed %.0f ms ago, and does not say so", p.name, stream, lag)
+		}
+		return
+	}
+	c.gatedMs += lagCheckInterval
+	if lag < scenario.MaxLagMs-scenario.MaxClockSkewMs*2 {
+		c.needlesslyGatedMs += lagCheckInterval
+	}
 }
 
-// end looks whether anything is missing anywhere once all is over. Today's way is asked how much, as it says of no process
-// that it is behind.
+// checkComplete checks at the end of a run that no process lacks an entry. In ModeDirect it only counts them, as no process
+// there says that it lags.
 func (c *checker) checkComplete() {
 	if !c.sim.propagator.hasFreshnessGate() {
-		for _, p := range c.sim.processes {
-			if lacks := len(c.sim.log.entries) - p.applied[0] - p.applied[1]; p.up && lacks > 0 {
-				c.incompleteProcesses++
-				c.maxMissing = max(c.maxMissing, lacks)
-			}
-		}
+		c.countMissing()
 		return
 	}
 	for _, p := range c.sim.processes {
 		if !p.up || p.role == Store {
 			continue
 		}
-		for stream := range streamNames {
-			if log := c.sim.log.streams[stream]; p.applied[stream] < len(log) {
+		for stream, log := range c.sim.log.streams {
+			if p.applied[stream] < len(log) {
 				c.violation("%s: stream %d lacks %d of %d entries at the end", p.name, stream, len(log)-p.applied[stream], len(log))
 			}
 		}
@@ -283,3 +233,20 @@
 		}
 	}
 }
+
+func (c *checker) countMissing() {
+	for _, p := range c.sim.processes {
+		missing := len(c.sim.log.entries) - p.applied[purgeStream] - p.applied[changeStream]
+		if p.up && missing > 0 {
+			c.incompleteProcesses++
+			c.maxMissing = max(c.maxMissing, missing)
+		}
+	}
+}
+
+// describe formats an entry with the size of its body in place of the body.
+func describe(entry distribution.Entry) string {
+	size := len(entry.Body)
+	entry.Body = nil
+	return fmt.Sprintf("%+v (%d bytes)", entry, size)
+}
--- a/internal/lab/hollow/checker_test.go
+++ b/internal/lab/hollow/checker_test.go
@@ -11,12 +11,12 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// book is a world in which some purges are committed, and a proxy that has none of them.
+// checkerFixture returns a simulation in which n purges are committed, a proxy that has applied none, and the purges.
 func checkerFixture(t *testing.T, n int) (*simulation, *process, []distribution.Entry) {
 	t.Helper()
 	s := DefaultScenario()
 	s.GroupPurgeFraction = 0
-	sim := newSimulation(s, minProcesses(s), false)
+	sim := newSimulation(s, s.minProcesses(), ModeLevels)
 	sim.leader = sim.byRole[Store][0]
 	var entries []distribution.Entry
 	for range n {
@@ -32,8 +32,9 @@
 	return distribution.Apply{Epoch: 1, Through: through, Watermark: distribution.Watermark{Sequence: through, At: startUnixMs}, Entries: entries}
 }
 
-// The checker takes what is right, in one piece or in several, and what is left out as something later covers it.
-func TestCheckerTakes(t *testing.T) {
+// Batches that carry all that was committed are accepted, in one piece or in several, and also one without an entry that a later
+// entry supersedes.
+func TestCheckerAcceptsCompleteBatches(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 20)
 	first := applyAll(entries[:8])
 	sim.checker.checkApply(p, purgeStream, first)
@@ -61,8 +62,8 @@
 	require.Empty(t, p.omitted)
 }
 
-// The numbers in what was made of a snapshot are made up: that they rise is all that counts.
-func TestCheckerTakesMadeUpNumbers(t *testing.T) {
+// In a batch made of a snapshot sequence numbers need only increase. Other batches must have the store's.
+func TestCheckerAcceptsRenumberedSnapshot(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 9)
 	a := applyAll(entries)
 	a.Atomic, a.Entries = true, slices.Clone(entries)
@@ -74,10 +75,10 @@
 	require.Equal(t, 9, p.applied[purgeStream])
 	a.Atomic = false
 	sim.checker.checkApply(sim.byRole[Proxy][1], purgeStream, a)
-	require.NotZero(t, sim.checker.violations, "other batches have the store's numbers")
+	require.NotZero(t, sim.checker.violations, "other batches have the store's sequence numbers")
 }
 
-// lacking counts the complaints that other processes, which were told nothing, lack all.
+// untouchedProcesses counts the other processes, which have applied nothing and are violations at the end.
 func untouchedProcesses(sim *simulation, p *process) int {
 	n := 0
 	for _, x := range sim.processes {
@@ -88,9 +89,9 @@
 	return n
 }
 
-// Whatever a process may not be told is found: a gap, an entry that is missing, changed, new, repeated or out of order, a
-// snapshot that lacks something or leads back, what is owed and never comes, and a process that is behind and does not say so.
-func TestCheckerFinds(t *testing.T) {
+// Each way of breaking the rules is a violation: a gap; an entry that is missing, changed, unknown, repeated or out of order; a
+// snapshot that lacks something or is older; a superseding entry that never comes; a process that lags with its gate open.
+func TestCheckerReportsViolations(t *testing.T) {
 	for name, wrong := range map[string]func(sim *simulation, p *process, e []distribution.Entry){
 		"missing": func(sim *simulation, p *process, e []distribution.Entry) {
 			a := applyAll(e)
@@ -106,11 +107,11 @@
 			e[4].Name += "x"
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 		},
-		"made earlier": func(sim *simulation, p *process, e []distribution.Entry) {
+		"earlier time": func(sim *simulation, p *process, e []distribution.Entry) {
 			e[4].EffectiveAt--
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 		},
-		"order": func(sim *simulation, p *process, e []distribution.Entry) {
+		"out of order": func(sim *simulation, p *process, e []distribution.Entry) {
 			e[4], e[5] = e[5], e[4]
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 		},
@@ -118,7 +119,7 @@
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 		},
-		"invented": func(sim *simulation, p *process, e []distribution.Entry) {
+		"unknown": func(sim *simulation, p *process, e []distribution.Entry) {
 			a := applyAll(e)
 			a.Entries = append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
 			sim.checker.checkApply(p, purgeStream, a)
@@ -127,27 +128,31 @@
 			a := applyAll(e)
 			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: e[1:]})
 		},
-		"snapshot invents": func(sim *simulation, p *process, e []distribution.Entry) {
+		"snapshot has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
 			a := applyAll(e)
 			more := distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"}
-			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more)})
+			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
+				Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more),
+			})
 		},
-		"whole batch lacks": func(sim *simulation, p *process, e []distribution.Entry) {
+		"atomic batch lacks": func(sim *simulation, p *process, e []distribution.Entry) {
 			a := applyAll(e)
 			a.Atomic, a.Entries = true, e[1:]
 			sim.checker.checkApply(p, purgeStream, a)
 		},
-		"whole batch invents": func(sim *simulation, p *process, e []distribution.Entry) {
+		"atomic batch has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
 			a := applyAll(e)
 			a.Atomic, a.Entries = true, append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
 			sim.checker.checkApply(p, purgeStream, a)
 		},
-		"snapshot back": func(sim *simulation, p *process, e []distribution.Entry) {
+		"older snapshot": func(sim *simulation, p *process, e []distribution.Entry) {
 			sim.checker.checkApply(p, purgeStream, applyAll(e))
 			a := applyAll(e[:4])
-			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries})
+			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
+				Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries,
+			})
 		},
-		"owed": func(sim *simulation, p *process, e []distribution.Entry) {
+		"superseding entry never comes": func(sim *simulation, p *process, e []distribution.Entry) {
 			p.omitted = append(p.omitted, omittedEntry{purgeStream, 0, e[1].Sequence})
 			sim.checker.checkApply(p, purgeStream, distribution.Apply{Epoch: 1, Through: 0})
 			for _, x := range sim.processes {
@@ -155,14 +160,14 @@
 			}
 			sim.checker.checkComplete()
 		},
-		"silent": func(sim *simulation, p *process, _ []distribution.Entry) {
+		"lag with the gate open": func(sim *simulation, p *process, _ []distribution.Entry) {
 			for _, x := range sim.processes {
 				x.up = x == p
 			}
 			sim.now = sim.scenario.MaxLagMs + 1
 			p.gates[purgeStream] = distribution.NewFreshnessGate(distribution.DefaultSettings(distribution.Purges, p.peer()))
 			sim.checker.checkLag()
-			require.Zero(t, sim.checker.violations, "one that begins turns from copies")
+			require.Zero(t, sim.checker.violations, "the gate of a process that starts is closed")
 			p.gates[purgeStream] = nil
 			sim.checker.checkLag()
 		},
@@ -173,38 +178,41 @@
 	}
 }
 
-// Limits are held against what a run showed, and name what is beyond them.
-func TestJudge(t *testing.T) {
+// A violation of a limit names the process or the phase. A burst raises the limit of traffic.
+func TestLimitsAreChecked(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 3)
 	sim.now = warmUpMs + 9000
 	for _, c := range sim.log.streams[purgeStream] {
 		c.committedAt = warmUpMs
 	}
 	sim.checker.checkApply(p, purgeStream, applyAll(entries))
-	r := &Result{Roles: map[string]int{"proxy": 1}, Phases: []Phase{{ToSeconds: 10, PurgeRateFactor: 1}, {FromSeconds: 10, ToSeconds: 20, PurgeRateFactor: 10}}}
+	r := &Result{Roles: map[string]int{"proxy": 1}, Phases: []Phase{
+		{ToSeconds: 10, PurgeRateFactor: 1},
+		{FromSeconds: 10, ToSeconds: 20, PurgeRateFactor: 10},
+	}}
 	r.Propagation[purgeStream] = sim.propagation(purgeStream)
 	for i := range r.Phases {
 		r.Phases[i].Traffic[Proxy] = RoleTraffic{Role: "proxy", InKBPerS: 100}
 	}
-	sim.judge(r)
+	sim.checkLimits(r)
 	require.Len(t, r.ViolationTexts, 2, "%v", r.ViolationTexts)
 	require.Contains(t, r.ViolationTexts[0], "took 9000 ms to "+p.name)
-	require.True(t, strings.Contains(r.ViolationTexts[1], "from 0.0 to 10.0 s"), "the burst may pass ten times as much: %v", r.ViolationTexts)
+	require.True(t, strings.Contains(r.ViolationTexts[1], "from 0.0 to 10.0 s"), "the burst raises the limit tenfold: %v", r.ViolationTexts)
 }
 
-// Recordings have a point a size, in order, and none is made of fewer sizes than can be fitted.
-func TestRecordings(t *testing.T) {
+// A recording has a point for each size, in order. Quantities with too few sizes to fit are left out.
+func TestRecordingsHaveAPointForEachSize(t *testing.T) {
 	var runs []*Result
 	for _, n := range []int{300, 100, 3000, 1000} {
-		r := &Result{Name: "growth", Mode: "levels", Processes: n, RoleCosts: []RoleCost{{Role: "proxy", InKBPerS: 5}}}
+		r := &Result{Name: "growth", Mode: ModeLevels, Processes: n, RoleCosts: []RoleCost{{Role: "proxy", InKBPerS: 5}}}
 		runs = append(runs, r)
 	}
-	runs = append(runs, &Result{Mode: "direct", Processes: 100})
+	runs = append(runs, &Result{Mode: ModeDirect, Processes: 100})
 	var out strings.Builder
 	require.NoError(t, WriteRecordings(&out, "a machine", runs))
 	var got Recordings
 	require.NoError(t, json.Unmarshal([]byte(out.String()), &got))
-	require.Len(t, got.Recordings, len(recordedQuantities)-1, "one size of today's way is too few")
+	require.Len(t, got.Recordings, len(recordedQuantities)-1, "one size of ModeDirect is too few")
 	for _, x := range got.Recordings {
 		if x.Name == "scale/proxy-bytes-per-s" {
 			require.Equal(t, []Point{{100, 5000}, {300, 5000}, {1000, 5000}, {3000, 5000}}, x.Points)
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -7,61 +7,64 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// direct is today's way: every process is a member of the store's cluster that does not vote, and its leader sends each of
-// them every entry, and heartbeats in between, as hashicorp/raft does. The algorithm is modelled; the bytes are those of the
-// real transport, see measureRaft; what followers do with an entry is the real code.
+// Behaviour of hashicorp/raft 1.6, which ModeDirect models. Times are in ms.
+const (
+	raftMaxEntries      = 64 // in a request
+	raftMaxInFlight     = 2  // requests to one follower
+	raftMinBackoff      = 10.0
+	raftMaxBackoff      = 10_240.0
+	raftMaxDoublings    = 12 // of the backoff
+	raftResponseTimeout = 2000.0
+	raftHeartbeatMean   = 150.0
+	// leaderTimerInterval is the resolution of the leader's timers in the model.
+	leaderTimerInterval = 20.0
+)
+
+// directPropagator implements ModeDirect: every process is a non-voting member of the store's cluster, to which the leader
+// sends every entry and heartbeats, as hashicorp/raft does. The algorithm is a model with the message sizes of the real
+// transport (see measureRaftSizes); followers apply entries with the program's code.
 type directPropagator struct {
 	sim           *simulation
 	sizes         raftSizes
-	replications  []*followerReplication // by process; nil: a member of the store
-	feedingLeader *process
+	replications  []*followerReplication // by process id; nil for members of the store
+	feedingLeader *process               // that the replications belong to
 	feedingTerm   int
-	rand          *rand.Rand // of the pauses between heartbeats
+	rand          *rand.Rand // of heartbeats
 }
 
-// feed is what the leader knows of one follower.
+// followerReplication is the leader's state of one follower.
 type followerReplication struct {
-	follower             *process
-	conn                 *conn // nil: none is open
-	next, acked          int   // places in the log of all
-	inFlight             int   // requests without an answer
-	failures             int
-	retryAt, responseDue float64 // when to try again, and when the answer is late; 0: neither
-	heartbeatAt          float64
-}
-
-// follower is a process of today's way.
-type follower struct {
-	persisted int // entries that it has, on its disk: a restart does not lose them
-}
-
-// appended is a request of the leader, or with none a heartbeat.
+	follower    *process
+	conn        *conn // nil: not connected
+	next        int   // index in the store's log of the next entry to send
+	matched     int   // entries that the follower is known to have
+	inFlight    int   // requests without a response
+	failures    int
+	retryAt     float64 // when to connect again; 0: not waiting
+	responseDue float64 // when the follower counts as failed; 0: no response expected
+	heartbeatAt float64
+}
+
+// appendMessage is a request of the leader, or a follower's response. A request without entries is a heartbeat.
 type appendMessage struct {
-	from, to   int
+	from, to   int // range of the store's log
 	isResponse bool
-	persisted  int // of an answer: what the follower has
+	persisted  int // of a response: entries that the follower has
 }
 
-// What hashicorp/raft 1.6 does by itself: entries in a request, requests on their way to one follower, the pause after a
-// failure (doubling), the time that an answer may take, and the mean between two heartbeats.
-const (
-	raftMaxEntries      = 64
-	raftMaxInFlight     = 2
-	raftMinBackoff      = 10.0
-	raftMaxBackoff      = 10_240.0
-	raftResponseTimeout = 2000.0
-	raftHeartbeatMean   = 150.0
-)
-
 func newDirectPropagator(sim *simulation) *directPropagator {
-	d := &directPropagator{sim: sim, sizes: measureRaftSizes(), rand: newRand(sim.scenario.Seed, "raft"), replications: make([]*followerReplication, len(sim.processes))}
-	return d
+	return &directPropagator{
+		sim:          sim,
+		sizes:        measureRaftSizes(),
+		replications: make([]*followerReplication, len(sim.processes)),
+		rand:         newRand(sim.scenario.Seed, "raft"),
+	}
 }
 
-// guards implements way: nothing in today's follower says that it may be behind.
+// hasFreshnessGate implements propagator: a follower does not know that it lags.
 func (d *directPropagator) hasFreshnessGate() bool { return false }
 
-// begin implements way.
+// processStarted implements propagator. A follower applies the log that it has on disk.
 func (d *directPropagator) processStarted(p *process) {
 	if p.full {
 		p.applier = newApplier(d.sim, p, true)
@@ -69,167 +72,182 @@
 	if p.role == Store {
 		return
 	}
-	p.applied = [2]int{}
-	for _, c := range d.sim.log.entries[:p.follower.persisted] { // from its disk
-		p.applied[c.stream]++
+	p.applied = [streamCount]int{}
+	for _, entry := range d.sim.log.entries[:p.persisted] {
+		p.applied[entry.stream]++
 		if p.applier != nil {
-			p.applier.applyChange(c.encodedChange)
+			p.applier.applyChange(entry.encodedChange)
 		}
 	}
 }
 
-// committed implements way.
-func (d *directPropagator) entriesApplied(p *process, batch []*logEntry, _ int64) {
-	for _, c := range batch {
-		p.applied[c.stream]++
+// entriesApplied implements propagator.
+func (d *directPropagator) entriesApplied(member *process, entries []*logEntry, _ int64) {
+	for _, entry := range entries {
+		member.applied[entry.stream]++
 	}
-	if p != d.sim.leader {
+	if member != d.sim.leader {
 		return
 	}
-	d.startReplication(p)
-	for _, f := range d.replications {
-		if f != nil {
-			d.sendMissing(f)
+	d.startReplication(member)
+	for _, r := range d.replications {
+		if r != nil {
+			d.sendMissing(r)
 		}
 	}
 }
 
-// lead begins to feed all, at the first entry of a leader.
-func (d *directPropagator) startReplication(p *process) {
-	if d.feedingLeader == p && d.feedingTerm == d.sim.term {
+// watermarkAdvanced implements propagator: followers receive no watermarks.
+func (d *directPropagator) watermarkAdvanced(*process, int64) {}
+
+// startReplication has a new leader connect to all followers.
+func (d *directPropagator) startReplication(leader *process) {
+	if d.feedingLeader == leader && d.feedingTerm == d.sim.term {
 		return
 	}
-	d.feedingLeader, d.feedingTerm = p, d.sim.term
+	d.feedingLeader, d.feedingTerm = leader, d.sim.term
 	d.replications = make([]*followerReplication, len(d.sim.processes))
 	if d.sim.scenario.LeaderOutKBPerS > 0 {
-		p.sendRate = d.sim.scenario.LeaderOutKBPerS
+		leader.sendRate = d.sim.scenario.LeaderOutKBPerS // KB a second are bytes a ms
 	}
-	for _, q := range d.sim.processes {
-		if q.role != Store {
-			f := &followerReplication{follower: q, next: q.follower.persisted, acked: q.follower.persisted, heartbeatAt: d.sim.now + raftHeartbeatMean*d.rand.Float64()}
-			d.replications[q.id] = f
-			d.connect(f)
+	for _, p := range d.sim.processes {
+		if p.role == Store {
+			continue
+		}
+		r := &followerReplication{
+			follower: p, next: p.persisted, matched: p.persisted, heartbeatAt: d.sim.now + raftHeartbeatMean*d.rand.Float64(),
 		}
+		d.replications[p.id] = r
+		d.connect(r)
 	}
-	d.sim.setTimer(p, slotDirect, leaderTimerInterval)
+	d.sim.setTimer(leader, slotDirect, leaderTimerInterval)
 }
 
-// timerEvery ms the leader looks at its timers.
-const leaderTimerInterval = 20.0
-
-func (d *directPropagator) connect(f *followerReplication) {
-	f.conn, f.inFlight = nil, 0
-	f.next = f.acked
-	f.responseDue = d.sim.now + raftResponseTimeout
-	d.sim.dial(d.sim.leader, f.follower, 0, distribution.Link(f.follower.id+1))
+func (d *directPropagator) connect(r *followerReplication) {
+	r.conn, r.inFlight = nil, 0
+	r.next = r.matched
+	r.responseDue = d.sim.now + raftResponseTimeout
+	d.sim.dial(d.sim.leader, r.follower, 0, distribution.Link(r.follower.id+1))
 }
 
-// pump sends what a follower lacks, as long as not too much is on its way to it.
-func (d *directPropagator) sendMissing(f *followerReplication) {
-	all := d.sim.log.entries
-	for f.conn != nil && f.inFlight < raftMaxInFlight && f.next < len(all) {
-		to := min(len(all), f.next+raftMaxEntries)
+// sendMissing sends a follower the entries that it lacks, as far as the bound on requests in flight allows.
+func (d *directPropagator) sendMissing(r *followerReplication) {
+	entries := d.sim.log.entries
+	for r.conn != nil && r.inFlight < raftMaxInFlight && r.next < len(entries) {
+		to := min(len(entries), r.next+raftMaxEntries)
 		size := d.sizes.request
-		for _, c := range all[f.next:to] {
-			size += d.sizes.entry + len(c.encodedChange)
+		for _, entry := range entries[r.next:to] {
+			size += d.sizes.entry + len(entry.encodedChange)
 		}
-		d.sim.send(f.conn, true, &payload{size: size, appendMessage: appendMessage{from: f.next, to: to}})
-		f.next = to
-		if f.inFlight++; f.responseDue == 0 {
-			f.responseDue = d.sim.now + raftResponseTimeout
+		d.sim.send(r.conn, true, &payload{size: size, appendMessage: &appendMessage{from: r.next, to: to}})
+		r.next = to
+		r.inFlight++
+		if r.responseDue == 0 {
+			r.responseDue = d.sim.now + raftResponseTimeout
 		}
 	}
 }
 
-// receive implements way.
-func (d *directPropagator) messageReceived(p *process, c *conn, up bool, load *payload) {
-	a := load.appendMessage.(appendMessage)
-	if !up {
-		d.handleResponse(p, c, a)
+// messageReceived implements propagator.
+func (d *directPropagator) messageReceived(p *process, c *conn, upward bool, content *payload) {
+	if upward {
+		d.handleRequest(p, c, content.appendMessage)
 		return
 	}
-	if a.to > a.from && a.from <= p.follower.persisted && a.to > p.follower.persisted {
-		for _, x := range d.sim.log.entries[p.follower.persisted:a.to] {
+	d.handleResponse(p, c, content.appendMessage)
+}
+
+// handleRequest has a follower persist and apply the entries of a request that follow what it has.
+func (d *directPropagator) handleRequest(p *process, c *conn, request *appendMessage) {
+	if request.to > request.from && request.from <= p.persisted && request.to > p.persisted {
+		for _, entry := range d.sim.log.entries[p.persisted:request.to] {
 			if p.applier != nil {
-				p.applier.applyChange(x.encodedChange)
+				p.applier.applyChange(entry.encodedChange)
 			}
-			d.sim.trace.record(traceApplied, x.stream, p.id, 0, float64(x.entry.Sequence))
-			d.sim.checker.advance(p, x.stream, x.entry.Sequence)
+			d.sim.trace.record(tracedCall{kind: traceApplied, detail: entry.stream, id: p.id, value: float64(entry.entry.Sequence)})
+			d.sim.checker.advance(p, entry.stream, entry.entry.Sequence)
 		}
-		p.follower.persisted = a.to
+		p.persisted = request.to
 	}
-	d.sim.send(c, false, &payload{size: d.sizes.response, appendMessage: appendMessage{isResponse: true, persisted: p.follower.persisted, to: a.to}})
+	response := &appendMessage{isResponse: true, persisted: p.persisted, to: request.to}
+	d.sim.send(c, false, &payload{size: d.sizes.response, appendMessage: response})
 }
 
-func (d *directPropagator) handleResponse(p *process, c *conn, a appendMessage) {
-	f := d.replications[c.to.id]
-	if p != d.sim.leader || f == nil || f.conn != c {
+func (d *directPropagator) handleResponse(p *process, c *conn, response *appendMessage) {
+	r := d.replications[c.to.id]
+	if p != d.sim.leader || r == nil || r.conn != c {
 		return
 	}
-	f.failures, f.responseDue = 0, 0
-	f.acked = max(f.acked, a.persisted)
-	if a.to > 0 {
-		f.inFlight = max(0, f.inFlight-1)
+	r.failures, r.responseDue = 0, 0
+	r.matched = max(r.matched, response.persisted)
+	if response.to > 0 {
+		r.inFlight = max(0, r.inFlight-1)
 	}
-	if f.inFlight > 0 {
-		f.responseDue = d.sim.now + raftResponseTimeout
+	if r.inFlight > 0 {
+		r.responseDue = d.sim.now + raftResponseTimeout
 	}
-	d.sendMissing(f)
+	d.sendMissing(r)
 }
 
-// connected implements way.
+// connected implements propagator.
 func (d *directPropagator) connected(p *process, c *conn) {
-	if f := d.replications[c.to.id]; f != nil && p == d.sim.leader {
-		f.conn, f.responseDue, f.next = c, 0, c.to.follower.persisted
-		f.acked = f.next
-		d.sendMissing(f)
+	r := d.replications[c.to.id]
+	if r == nil || p != d.sim.leader {
+		return
 	}
+	r.conn, r.responseDue = c, 0
+	r.next, r.matched = c.to.persisted, c.to.persisted
+	d.sendMissing(r)
 }
 
-// lost implements way.
-func (d *directPropagator) lost(p *process, c *conn) {
-	if f := d.replications[c.to.id]; f != nil && p == d.sim.leader && (f.conn == c || f.conn == nil) {
-		d.backOff(f)
+// connectionLost implements propagator.
+func (d *directPropagator) connectionLost(p *process, c *conn) {
+	r := d.replications[c.to.id]
+	if r != nil && p == d.sim.leader && (r.conn == c || r.conn == nil) {
+		d.backOff(r)
 	}
 }
 
-// fail has the leader leave a follower alone for a while.
-func (d *directPropagator) backOff(f *followerReplication) {
-	if f.conn != nil {
-		d.sim.disconnect(f.conn, d.sim.leader)
-		f.conn = nil
+// backOff disconnects from a follower that failed, until the next attempt.
+func (d *directPropagator) backOff(r *followerReplication) {
+	if r.conn != nil {
+		d.sim.disconnect(r.conn, d.sim.leader)
+		r.conn = nil
 	}
-	f.failures++
-	f.responseDue, f.inFlight = 0, 0
-	f.retryAt = d.sim.now + min(raftMaxBackoff, raftMinBackoff*math.Pow(2, float64(min(f.failures, 12))))
+	r.failures++
+	r.responseDue, r.inFlight = 0, 0
+	doublings := float64(min(r.failures, raftMaxDoublings))
+	r.retryAt = d.sim.now + min(raftMaxBackoff, raftMinBackoff*math.Pow(2, doublings))
 }
 
-// tick implements way.
-func (d *directPropagator) timerFired(p *process, slot int) {
-	if slot == slotLedger {
-		p.applier.tick()
+// timerFired implements propagator.
+func (d *directPropagator) timerFired(p *process, slot timerSlot) {
+	if slot == slotMembership {
+		p.applier.tableTimerFired()
 		return
 	}
 	if p != d.sim.leader {
 		return
 	}
 	d.sim.setTimer(p, slotDirect, leaderTimerInterval)
-	for _, f := range d.replications {
-		if f == nil {
-			continue
-		}
-		switch now := d.sim.now; {
-		case f.responseDue > 0 && now >= f.responseDue:
-			d.backOff(f)
-		case f.retryAt > 0 && now >= f.retryAt:
-			f.retryAt = 0
-			d.connect(f)
-		case f.conn != nil && now >= f.heartbeatAt:
-			f.heartbeatAt = now + raftHeartbeatMean*(2.0/3+d.rand.Float64()*2/3)
-			d.sim.send(f.conn, true, &payload{size: d.sizes.request, appendMessage: appendMessage{}})
+	for _, r := range d.replications {
+		if r != nil {
+			d.checkFollower(r)
 		}
 	}
 }
 
-// marked implements way: followers hear of no watermark.
-func (d *directPropagator) watermarkAdvanced(*process, int64) {}
+// checkFollower does what is due for one follower: give it up, connect again, or send a heartbeat.
+func (d *directPropagator) checkFollower(r *followerReplication) {
+	now := d.sim.now
+	switch {
+	case r.responseDue > 0 && now >= r.responseDue:
+		d.backOff(r)
+	case r.retryAt > 0 && now >= r.retryAt:
+		r.retryAt = 0
+		d.connect(r)
+	case r.conn != nil && now >= r.heartbeatAt:
+		r.heartbeatAt = now + raftHeartbeatMean*(2.0/3+d.rand.Float64()*2/3)
+		d.sim.send(r.conn, true, &payload{size: d.sizes.request, appendMessage: &appendMessage{}})
+	}
+}
--- a/internal/lab/hollow/event_queue.go
+++ b/internal/lab/hollow/event_queue.go
@@ -6,49 +6,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// eventKind is what happens.
+// eventKind is what an event does.
 type eventKind uint8
 
 const (
-	eventDeliver        eventKind = iota // a message is there
-	eventConnected                       // the connection that a process asked for is open
+	eventDeliver        eventKind = iota // a message arrives
+	eventConnected                       // a handshake has ended
 	eventConnectionLost                  // a process learns that a connection has ended
 	eventTimer                           // a process's timer
-	eventCall                            // anything else: few
+	eventCall                            // anything else; these are few
 )
 
-// event is something that happens at a time. Of two at one instant the one that was asked for first comes first.
+// event happens at a virtual time. Events of one instant happen in the order in which they were pushed.
 type event struct {
 	at          float64 // ms
-	seq         uint64
+	sequence    uint64  // order of pushing
 	conn        *conn
 	payload     *payload
 	call        func()
-	process     *process
+	process     *process // that handles it
 	kind        eventKind
-	slot        uint8
-	upward      bool // from the subscriber's side to the distributor's
-	incarnation uint32
+	slot        timerSlot
+	upward      bool   // from the subscriber to the distributor
+	incarnation uint32 // of process
 }
 
-func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
+
+// heapArity is the number of children of a node in an eventQueue.
+const heapArity = 4
 
-// queue is a 4-ary heap of events by time and number, as that of internal/lab/sim, without a closure each: a run has
-// hundreds of millions.
+// eventQueue is a heap of events by time, and the virtual clock. Events are values and not closures, as a run has hundreds of
+// millions of them.
 type eventQueue struct {
-	heap      []event
-	seq       uint64
-	now       float64
-	processed uint64
+	heap         []event
+	lastSequence uint64
+	now          float64 // ms
+	processed    uint64
 }
 
+// push adds an event, at the earliest now.
 func (q *eventQueue) push(e event) {
-	q.seq++
-	e.seq, e.at = q.seq, max(e.at, q.now)
+	q.lastSequence++
+	e.sequence, e.at = q.lastSequence, max(e.at, q.now)
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
-		parent := (i - 1) / 4
+		parent := (i - 1) / heapArity
 		if !e.before(&q.heap[parent]) {
 			break
 		}
@@ -58,47 +64,53 @@
 	q.heap[i] = e
 }
 
-// after has f called so many ms from now.
-func (q *eventQueue) after(ms float64, f func()) {
-	q.push(event{at: q.now + ms, kind: eventCall, call: f})
+// after schedules a call so many ms from now.
+func (q *eventQueue) after(ms float64, call func()) {
+	q.push(event{at: q.now + ms, kind: eventCall, call: call})
 }
 
+// pop removes the next event and advances the clock to it. ok is false if there is none.
 func (q *eventQueue) pop() (e event, ok bool) {
-	n := len(q.heap)
-	if n == 0 {
+	if len(q.heap) == 0 {
 		return e, false
 	}
 	e = q.heap[0]
-	last := q.heap[n-1]
-	q.heap[n-1] = event{}
-	q.heap = q.heap[:n-1]
-	if n--; n > 0 {
-		i := 0
-		for {
-			first := 4*i + 1
-			if first >= n {
-				break
-			}
-			least := first
-			for c := first + 1; c < min(first+4, n); c++ {
-				if q.heap[c].before(&q.heap[least]) {
-					least = c
-				}
-			}
-			if !q.heap[least].before(&last) {
-				break
-			}
-			q.heap[i] = q.heap[least]
-			i = least
-		}
-		q.heap[i] = last
+	last := len(q.heap) - 1
+	moved := q.heap[last]
+	q.heap[last] = event{} // releases what it refers to
+	q.heap = q.heap[:last]
+	if last > 0 {
+		q.siftDown(moved)
 	}
 	q.now = e.at
 	q.processed++
 	return e, true
 }
 
-// stream is a generator of random numbers of its own, so that what one part draws changes nothing for another.
-func newRand(seed uint64, name string) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
+// siftDown puts an event into the heap whose root is free.
+func (q *eventQueue) siftDown(e event) {
+	n, i := len(q.heap), 0
+	for {
+		first := heapArity*i + 1
+		if first >= n {
+			break
+		}
+		least := first
+		for child := first + 1; child < min(first+heapArity, n); child++ {
+			if q.heap[child].before(&q.heap[least]) {
+				least = child
+			}
+		}
+		if !q.heap[least].before(&e) {
+			break
+		}
+		q.heap[i] = q.heap[least]
+		i = least
+	}
+	q.heap[i] = e
+}
+
+// newRand returns a generator for one purpose, so that what is drawn for another does not change its sequence.
+func newRand(seed uint64, purpose string) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -4,99 +4,89 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// One way, in ms, by how far two processes are apart; between regions it grows with the steps round a ring.
-const (
-	latencyWithinSite, latencyWithinZone, latencyWithinRegion = 0.2, 0.5, 2.0
-	latencyBetweenRegions, latencyPerRegionStep               = 12.0, 14.0
-	// retransmitted: what a lost segment costs, about the least time-out of TCP.
-	retransmissionTimeout = 200.0
-)
+// retransmissionTimeout is the delay in ms of a lost segment: about the least retransmission timeout of TCP.
+const retransmissionTimeout = 200.0
 
-// payload is what a message carries: a frame of the distribution, decoded once for those that do not hold everything, or
-// one of today's way.
+// payload is the content of a message: a frame of the distribution, or a message of ModeDirect.
 type payload struct {
-	size          int
+	size          int // bytes
 	frame         *distribution.Frame
-	decoded       distribution.Message
-	appendMessage any
+	decoded       distribution.Message // of frame, shared by the processes that only receive
+	appendMessage *appendMessage
 }
 
 // conn is a connection that one process opened to another.
 type conn struct {
-	id                             uint32
-	from, to                       *process
-	stream                         int
-	upstreamLink, subscriberLink   distribution.Link // its number at either end
-	closed                         bool              // one side ended it, or both processes know that it has
-	broken                         bool              // nothing passes, and nobody was told
-	lastUpArrival, lastDownArrival float64           // arrival of the last message each way: it stays in order
-}
-
-// distance is the time from one process to another.
-func (sim *simulation) latency(a, b *process) float64 {
-	switch {
-	case a.region != b.region:
-		d := a.region - b.region
-		if d < 0 {
-			d = -d
-		}
-		d = min(d, sim.scenario.Regions-d)
-		return latencyBetweenRegions + latencyPerRegionStep*float64(d)
-	case a.zone != b.zone:
-		return latencyWithinRegion
-	case a.site != b.site:
-		return latencyWithinZone
-	}
-	return latencyWithinSite
-}
-
-// passes tells whether anything gets from one process to another.
-func (sim *simulation) reachable(a, b *process) bool {
-	return a.region == b.region || a.region != sim.cutRegion && b.region != sim.cutRegion
-}
-
-// dial opens a connection: one round trip for TCP, one for TLS. Nothing answers from beyond a cut or in a process that
-// stands still; one that is gone refuses.
+	id              uint32
+	from, to        *process
+	stream          int
+	upstreamLink    distribution.Link // its number at from
+	subscriberLink  distribution.Link // its number at to; 0: none yet
+	closed          bool              // by one side, or known to both as ended
+	broken          bool              // carries nothing, and neither side knows
+	lastUpArrival   float64           // of messages to `to`, which arrive in order
+	lastDownArrival float64           // of messages to `from`
+}
+
+// dial opens a connection: one round trip for TCP and one for TLS. A stopped process or one beyond a partition does not
+// answer; one that is down refuses.
 func (sim *simulation) dial(from, to *process, stream int, link distribution.Link) *conn {
 	c := &conn{from: from, to: to, stream: stream, upstreamLink: link, id: uint32(len(sim.conns))}
 	sim.conns = append(sim.conns, c)
-	sim.trace.record(traceDial, stream, from.id, int(to.id), 0)
-	way := sim.latency(from, to)
+	sim.trace.record(tracedCall{kind: traceDial, detail: stream, id: from.id, size: int(to.id)})
+	roundTrip := 2 * sim.latency(from, to)
 	if !sim.reachable(from, to) || to.stopped {
 		c.broken = true
 		return c
 	}
 	if !to.up {
 		c.closed = true
-		sim.push(event{at: sim.now + 2*way, kind: eventConnectionLost, conn: c, process: from, incarnation: from.incarnation})
+		sim.push(event{at: sim.now + roundTrip, kind: eventConnectionLost, conn: c, process: from, incarnation: from.incarnation})
 		return c
 	}
-	sim.countBytes(&from.out, &to.in, from, to, sim.scenario.HandshakeBytes)
-	sim.countBytes(&to.out, &from.in, to, from, sim.scenario.HandshakeBytes)
+	sim.countBytes(from, to, sim.scenario.HandshakeBytes)
+	sim.countBytes(to, from, sim.scenario.HandshakeBytes)
 	sim.handshakes++
-	c.lastUpArrival, c.lastDownArrival = sim.now+4*way, sim.now+4*way
+	opened := sim.now + 2*roundTrip
+	c.lastUpArrival, c.lastDownArrival = opened, opened
 	from.conns = append(from.conns, c)
 	to.conns = append(to.conns, c)
-	sim.push(event{at: sim.now + 4*way, kind: eventConnected, conn: c, process: from, incarnation: from.incarnation})
+	sim.push(event{at: opened, kind: eventConnected, conn: c, process: from, incarnation: from.incarnation})
 	return c
 }
 
-func (sim *simulation) countBytes(out, in *flow, from, to *process, bytes int) {
-	out.Bytes, in.Bytes = out.Bytes+int64(bytes), in.Bytes+int64(bytes)
-	from.phaseOutBytes, to.phaseInBytes = from.phaseOutBytes+int64(bytes), to.phaseInBytes+int64(bytes)
+// connectionOpened handles the end of a handshake.
+func (sim *simulation) connectionOpened(e event) {
+	p := e.process
+	if p.stopped {
+		p.inbox = append(p.inbox, e)
+		return
+	}
+	if p.up && p.incarnation == e.incarnation && !e.conn.closed && !e.conn.broken {
+		sim.meter.connected(sim, p, e.conn)
+	}
 }
 
-// send puts a message on a connection: it leaves after what the process sends already, and comes in order.
-func (sim *simulation) send(c *conn, up bool, load *payload) {
-	from, to, last := c.from, c.to, &c.lastUpArrival
-	if !up {
-		from, to, last = c.to, c.from, &c.lastDownArrival
+// countBytes counts bytes that take no time on the sender's link.
+func (sim *simulation) countBytes(from, to *process, bytes int) {
+	from.out.Bytes += int64(bytes)
+	from.phaseOutBytes += int64(bytes)
+	to.in.Bytes += int64(bytes)
+	to.phaseInBytes += int64(bytes)
+}
+
+// send sends a message, upward to the distributor or down to the subscriber. It leaves after what the process sends already,
+// and arrives in order.
+func (sim *simulation) send(c *conn, upward bool, content *payload) {
+	from, to, lastArrival := c.from, c.to, &c.lastUpArrival
+	if !upward {
+		from, to, lastArrival = c.to, c.from, &c.lastDownArrival
 	}
-	sim.trace.record(traceSend, boolToInt(up), int32(c.id), load.size, 0)
+	sim.trace.record(tracedCall{kind: traceSend, detail: boolToInt(upward), id: int32(c.id), size: content.size})
 	if c.closed {
 		return
 	}
-	bytes := load.size + sim.scenario.RecordBytes
+	bytes := content.size + sim.scenario.RecordBytes
 	from.sendFreeAt = max(from.sendFreeAt, sim.now) + float64(bytes)/from.sendRate
 	from.out.Bytes += int64(bytes)
 	from.out.Messages++
@@ -104,15 +94,15 @@
 	if c.broken {
 		return
 	}
-	at := from.sendFreeAt + sim.latency(from, to)
+	arrival := from.sendFreeAt + sim.latency(from, to)
 	if sim.lossProbability > 0 && sim.networkRand.Float64() < sim.lossProbability {
-		at += retransmissionTimeout + 2*sim.latency(from, to)
+		arrival += retransmissionTimeout + 2*sim.latency(from, to)
 	}
-	*last = max(*last, at)
-	sim.push(event{at: *last, kind: eventDeliver, conn: c, upward: up, payload: load, process: to, incarnation: to.incarnation})
+	*lastArrival = max(*lastArrival, arrival)
+	sim.push(event{at: *lastArrival, kind: eventDeliver, conn: c, upward: upward, payload: content, process: to, incarnation: to.incarnation})
 }
 
-// deliver is a message's arrival.
+// deliver handles the arrival of a message, which a stopped or slow process reads later.
 func (sim *simulation) deliver(e event) {
 	p, c := e.process, e.conn
 	from := c.from
@@ -138,7 +128,7 @@
 	sim.readMessage(e)
 }
 
-// take is a message read by its receiver.
+// readMessage has the receiver handle a message.
 func (sim *simulation) readMessage(e event) {
 	p, c := e.process, e.conn
 	if c.closed || c.broken {
@@ -151,20 +141,14 @@
 	sim.meter.messageReceived(sim, p, c, e.upward, e.payload)
 }
 
-// leave is hangUp as a machine asks for it.
-func (sim *simulation) disconnect(c *conn, by *process) {
-	sim.trace.record(traceDisconnect, boolToInt(by == c.from), int32(c.id), 0, 0)
-	sim.closeConn(c, by)
-}
-
-// readLater has a slow process read its next message once it has the time for it, and all at once when it is slow no more.
+// scheduleRead schedules the next read of a slow process. Once it is slow no more it reads all that is left at once.
 func (sim *simulation) scheduleRead(p *process) {
-	life, wait := p.incarnation, 0.0
+	incarnation, wait := p.incarnation, 0.0
 	if p.receiveRate > 0 {
 		wait = float64(p.unread[0].payload.size+sim.scenario.RecordBytes) / p.receiveRate
 	}
 	sim.after(wait, func() {
-		if p.incarnation != life || len(p.unread) == 0 {
+		if p.incarnation != incarnation || len(p.unread) == 0 {
 			return
 		}
 		e := p.unread[0]
@@ -175,25 +159,31 @@
 	})
 }
 
-// hangUp ends a connection from one side. The other learns of it after all that was sent to it.
+// disconnect closes a connection on behalf of a decider. Unlike closeConn it is recorded in the trace.
+func (sim *simulation) disconnect(c *conn, by *process) {
+	sim.trace.record(tracedCall{kind: traceDisconnect, detail: boolToInt(by == c.from), id: int32(c.id)})
+	sim.closeConn(c, by)
+}
+
+// closeConn closes a connection from one side. The other side learns of it after all that was sent to it.
 func (sim *simulation) closeConn(c *conn, by *process) {
 	if c.closed {
 		return
 	}
-	other, last := c.to, c.lastUpArrival
+	other, lastArrival := c.to, c.lastUpArrival
 	if by == c.to {
-		other, last = c.from, c.lastDownArrival
+		other, lastArrival = c.from, c.lastDownArrival
 	}
-	sim.detach(c)
+	removeConn(c)
 	if c.broken || !sim.reachable(by, other) {
 		c.closed = true
 		return
 	}
-	at := max(last, max(sim.now, by.sendFreeAt)+sim.latency(by, other))
+	at := max(lastArrival, max(sim.now, by.sendFreeAt)+sim.latency(by, other))
 	sim.push(event{at: at, kind: eventConnectionLost, conn: c, process: other, incarnation: other.incarnation, upward: by == c.from})
 }
 
-// lost tells a process that a connection has ended.
+// connectionLost handles a process's notice of a connection that ended.
 func (sim *simulation) connectionLost(e event) {
 	if e.process.stopped {
 		e.process.inbox = append(e.process.inbox, e)
@@ -203,14 +193,14 @@
 		return
 	}
 	e.conn.closed = true
-	sim.meter.lost(sim, e.process, e.conn)
+	sim.meter.connectionLost(sim, e.process, e.conn)
 }
 
-// forget takes a connection out of both ends' lists.
-func (sim *simulation) detach(c *conn) {
+// removeConn removes a connection from the lists of both ends.
+func removeConn(c *conn) {
 	for _, p := range []*process{c.from, c.to} {
-		for i, x := range p.conns {
-			if x == c {
+		for i, other := range p.conns {
+			if other == c {
 				p.conns[i] = p.conns[len(p.conns)-1]
 				p.conns = p.conns[:len(p.conns)-1]
 				break
@@ -219,14 +209,14 @@
 	}
 }
 
-// breakAll has a process's connections end as its kernel ends them.
+// closeAll closes the connections of a process that ends, as its kernel does.
 func (sim *simulation) closeAll(p *process) {
 	for len(p.conns) > 0 {
 		sim.closeConn(p.conns[len(p.conns)-1], p)
 	}
 }
 
-// cutOff cuts a region from all others: connections that cross carry nothing any more, and stay dead.
+// partition separates a region from all others. Connections across the border break and stay broken after it has healed.
 func (sim *simulation) partition(region int) {
 	sim.cutRegion = region
 	for _, p := range sim.processes {
--- a/internal/lab/hollow/raft_sizes.go
+++ b/internal/lab/hollow/raft_sizes.go
@@ -1,6 +1,7 @@
 package hollow
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"sync/atomic"
@@ -9,18 +10,25 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftSizes are bytes that hashicorp/raft's own transport writes.
+// raftSizes are the bytes that hashicorp/raft's transport writes.
 type raftSizes struct {
-	request  int // of a request without entries: a heartbeat
-	entry    int // that an entry adds beside its data
+	request  int // without entries, which is a heartbeat
+	entry    int // that an entry adds to its data
 	response int
 }
 
-// pipes is a stream layer without sockets: what is dialled comes out of Accept.
+// Values of the measured messages. Their encoding depends on the size of the numbers, which are those of a store of some age.
+const (
+	sampleIndex = 1 << 30
+	sampleTerm  = 7
+	sampleData  = 40 // bytes of an entry
+)
+
+// pipeLayer is a raft.StreamLayer in memory: a dialled connection comes out of Accept. It counts the bytes written.
 type pipeLayer struct {
 	conns         chan net.Conn
-	requestBytes  *atomic.Int64 // by who dials
-	responseBytes *atomic.Int64 // by who accepts
+	requestBytes  *atomic.Int64 // by the side that dials
+	responseBytes *atomic.Int64 // by the side that accepts
 }
 
 type countingConn struct {
@@ -36,9 +44,9 @@
 
 // Dial implements raft.StreamLayer.
 func (p pipeLayer) Dial(raft.ServerAddress, time.Duration) (net.Conn, error) {
-	a, b := net.Pipe()
-	p.conns <- countingConn{b, p.responseBytes}
-	return countingConn{a, p.requestBytes}, nil
+	dialled, accepted := net.Pipe()
+	p.conns <- countingConn{accepted, p.responseBytes}
+	return countingConn{dialled, p.requestBytes}, nil
 }
 
 // Accept implements net.Listener.
@@ -56,42 +64,56 @@
 // Addr implements net.Listener.
 func (p pipeLayer) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 11, 12, 13), Port: 7100} }
 
-// measureRaft has the real transport send requests through a pipe.
+// measureRaftSizes sends requests through the real transport in memory.
 func measureRaftSizes() raftSizes {
 	layer := pipeLayer{make(chan net.Conn, 4), &atomic.Int64{}, &atomic.Int64{}}
-	t := raft.NewNetworkTransport(layer, 1, time.Minute, io.Discard)
+	transport := raft.NewNetworkTransport(layer, 1, time.Minute, io.Discard)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		for {
-			select {
-			case r := <-t.Consumer():
-				r.Respond(&raft.AppendEntriesResponse{Term: 7, LastLog: 1 << 30, Success: true}, nil)
-			case <-stop:
-				return
-			}
-		}
+		respond(transport, stop)
 	}()
-	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("store-1"), Addr: []byte("10.11.12.13:7100")}
-	size := func(entries int) (int, int) {
-		wrote, answered := layer.requestBytes.Load(), layer.responseBytes.Load()
-		r := raft.AppendEntriesRequest{RPCHeader: header, Term: 7, PrevLogEntry: 1 << 30, PrevLogTerm: 7, LeaderCommitIndex: 1 << 30}
-		for range entries {
-			at := time.Unix(1_800_000_000, 123_456_789).UTC()
-			r.Entries = append(r.Entries, &raft.Log{Index: 1 << 30, Term: 7, Type: raft.LogCommand, Data: make([]byte, 40), AppendedAt: at})
-		}
-		var answer raft.AppendEntriesResponse
-		if err := t.AppendEntries("store-2", "10.11.12.14:7100", &r, &answer); err != nil {
-			panic(err) // through memory alone
-		}
-		return int(layer.requestBytes.Load() - wrote), int(layer.responseBytes.Load() - answered)
-	}
-	var s raftSizes
-	s.request, s.response = size(0)
-	one, _ := size(1)
-	s.entry = one - s.request - 40
+	var sizes raftSizes
+	sizes.request, sizes.response = layer.measure(transport, 0)
+	withEntry, _ := layer.measure(transport, 1)
+	sizes.entry = withEntry - sizes.request - sampleData
 	close(stop)
 	<-done
-	_ = t.Close()
-	return s
+	_ = transport.Close() // nothing is left to send
+	return sizes
+}
+
+// respond answers every request, until stop is closed.
+func respond(transport *raft.NetworkTransport, stop <-chan struct{}) {
+	for {
+		select {
+		case request := <-transport.Consumer():
+			request.Respond(&raft.AppendEntriesResponse{Term: sampleTerm, LastLog: sampleIndex, Success: true}, nil)
+		case <-stop:
+			return
+		}
+	}
+}
+
+// measure sends one request with so many entries, and returns the bytes of the request and of its response.
+func (p pipeLayer) measure(transport *raft.NetworkTransport, entries int) (request, response int) {
+	requestBefore, responseBefore := p.requestBytes.Load(), p.responseBytes.Load()
+	message := raft.AppendEntriesRequest{
+		RPCHeader:         raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("store-1"), Addr: []byte("10.11.12.13:7100")},
+		Term:              sampleTerm,
+		PrevLogEntry:      sampleIndex,
+		PrevLogTerm:       sampleTerm,
+		LeaderCommitIndex: sampleIndex,
+	}
+	for range entries {
+		message.Entries = append(message.Entries, &raft.Log{
+			Index: sampleIndex, Term: sampleTerm, Type: raft.LogCommand, Data: make([]byte, sampleData),
+			AppendedAt: time.Unix(1_800_000_000, 123_456_789).UTC(),
+		})
+	}
+	var answer raft.AppendEntriesResponse
+	if err := transport.AppendEntries("store-2", "10.11.12.14:7100", &message, &answer); err != nil {
+		panic(fmt.Sprintf("hollow: raft over a pipe: %v", err))
+	}
+	return int(p.requestBytes.Load() - requestBefore), int(p.responseBytes.Load() - responseBefore)
 }
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -7,101 +7,113 @@
 	"time"
 )
 
-// Play plays a scenario at one size, by one way, and then its loop once more with empty machines if loop is set.
-func Run(ctx context.Context, s Scenario, n int, isDirect, loop bool) (*Result, error) {
-	name := "levels"
-	if isDirect {
-		name = "direct"
-	}
-	base := heapInUse()
-	sim := newSimulation(s, n, isDirect)
-	if loop {
+// Mode is how entries reach the processes.
+type Mode string
+
+// The modes.
+const (
+	// ModeLevels distributes entries through levels of distributors.
+	ModeLevels Mode = "levels"
+	// ModeDirect has the store's leader replicate every entry to every process, as the baseline to compare with.
+	ModeDirect Mode = "direct"
+)
+
+// Run plays a scenario with so many processes. With measureHarness it then plays the same events without the deciders, to
+// measure what the simulation itself costs. The error is that of a cancelled context; the result is what was played until then.
+func Run(ctx context.Context, scenario Scenario, size int, mode Mode, measureHarness bool) (*Result, error) {
+	heapBefore := heapInUse()
+	sim := newSimulation(scenario, size, mode)
+	if measureHarness {
 		sim.trace = &callTrace{}
 	}
-	began, spent := time.Now(), cpuSeconds()
+	began, cpuBefore := time.Now(), cpuSeconds()
 	err := sim.run(ctx)
-	took, wall := cpuSeconds()-spent, time.Since(began).Seconds()
-	r := sim.result(n, name)
-	r.CPUSeconds, r.WallSeconds = took, wall
+	cpu, wall := cpuSeconds()-cpuBefore, time.Since(began).Seconds()
+	result := sim.result(size, mode)
+	result.CPUSeconds, result.WallSeconds = cpu, wall
 	if err != nil {
-		return r, err
+		return result, err
 	}
-	sim.judge(r)
-	kept := sim.trace
+	sim.checkLimits(result)
+	trace := sim.trace
 	sim.trace = nil
-	sim.measureHeap(r, base)
-	if loop {
-		err = r.measureHarness(ctx, s, n, kept)
+	sim.measureHeap(result, heapBefore)
+	if measureHarness {
+		err = result.measureHarness(ctx, scenario, size, trace)
 	}
-	return r, err
+	return result, err
 }
 
-// measureHarness plays the loop with empty machines.
-func (r *Result) measureHarness(ctx context.Context, s Scenario, n int, kept *callTrace) error {
-	sim := newSimulation(s, n, false)
-	sim.propagator = &replayer{sim: sim, trace: kept}
-	spent := cpuSeconds()
-	if kept.full { // what it held is played, and counted for the whole by its events
-		sim.stopEarly = func() bool { return kept.readPosition >= maxBlocks*blockRecords }
+// measureHarness plays back a trace. If that is full, the time of the whole run is estimated from the number of events.
+func (r *Result) measureHarness(ctx context.Context, scenario Scenario, size int, trace *callTrace) error {
+	sim := newSimulation(scenario, size, ModeLevels)
+	sim.propagator = &replayer{sim: sim, trace: trace}
+	if trace.full {
+		sim.stopEarly = trace.atBound
 	}
+	cpuBefore := cpuSeconds()
 	if err := sim.run(ctx); err != nil {
 		return err
 	}
-	r.HarnessCPUSeconds = cpuSeconds() - spent
-	if r.HarnessComplete = !kept.full; kept.full {
+	r.HarnessCPUSeconds = cpuSeconds() - cpuBefore
+	r.HarnessComplete = !trace.full
+	if trace.full {
 		r.HarnessCPUSeconds *= float64(r.Events) / float64(sim.processed)
 	}
 	return nil
 }
 
-// weigh tells the heap of the processes of each role: what a collection frees once they let go of it.
-func (sim *simulation) measureHeap(r *Result, base uint64) {
-	before := heapInUse()
-	r.HeapMB = float64(before-min(base, before)) / 1e6
-	for _, e := range sim.heap { // what is on its way belongs to the harness
+// measureHeap measures the heap of each role's processes: what a collection frees once their state is dropped.
+func (sim *simulation) measureHeap(r *Result, heapBefore uint64) {
+	heap := heapInUse()
+	r.HeapMB = megabytes(heap - min(heapBefore, heap))
+	for _, e := range sim.heap {
 		if e.payload != nil {
-			e.payload.decoded = nil
+			e.payload.decoded = nil // messages on their way are not the processes'
 		}
 	}
 	for role := range sim.byRole {
-		for _, whole := range []bool{true, false} {
-			count := 0
-			before = heapInUse()
-			for _, p := range sim.byRole[role] {
-				if p.full == whole {
-					p.streams, p.applier, p.inbox, p.omitted = [2]streamNode{}, nil, nil, nil
-					count++
-				}
-			}
-			if count == 0 {
-				continue
-			}
-			mb := float64(max(0, int64(before)-int64(heapInUse()))) / float64(count) / 1e6
-			if whole {
-				r.RoleCosts[role].HeapMB = mb
-			} else {
-				r.RoleCosts[role].LightHeapMB = mb
-			}
-		}
+		r.RoleCosts[role].HeapMB = sim.heapPerProcess(Role(role), true)
+		r.RoleCosts[role].LightHeapMB = sim.heapPerProcess(Role(role), false)
 	}
 	runtime.KeepAlive(sim)
 }
 
-// heap is what is in use after a collection. Two, as what the first one finalises is freed by the next.
+// heapPerProcess drops the state of a role's full processes, or of its others, and returns the heap in MB that each of them
+// had. 0: there are none.
+func (sim *simulation) heapPerProcess(role Role, full bool) float64 {
+	before, count := heapInUse(), 0
+	for _, p := range sim.byRole[role] {
+		if p.full == full {
+			p.streams, p.applier, p.inbox, p.omitted = [streamCount]streamNode{}, nil, nil, nil
+			count++
+		}
+	}
+	if count == 0 {
+		return 0
+	}
+	after := heapInUse()
+	return megabytes(before-min(after, before)) / float64(count)
+}
+
+func megabytes(bytes uint64) float64 { return float64(bytes) / 1e6 }
+
+// heapInUse is the heap in bytes after two collections. The second one frees what the first one finalised.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
-// processor is the processor time that this process has used, in seconds.
+// cpuSeconds is the CPU time that this operating-system process has used.
 func cpuSeconds() float64 {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	at := func(t syscall.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
-	return at(u.Utime) + at(u.Stime)
+	return timevalSeconds(usage.Utime) + timevalSeconds(usage.Stime)
 }
+
+func timevalSeconds(t syscall.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
--- a/internal/lab/hollow/scenario_test.go
+++ b/internal/lab/hollow/scenario_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every file of lab/scale can be used.
-func TestFiles(t *testing.T) {
+// Every file of lab/scale is a valid scenario with the name of its file.
+func TestScenarioFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/scale/*.jsonc")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
@@ -20,8 +20,8 @@
 	}
 }
 
-// What can't be used is named with its place, all of it at once.
-func TestDefects(t *testing.T) {
+// All defects of a file are reported at once, with their positions.
+func TestParseReportsAllDefects(t *testing.T) {
 	_, bad := Parse("x.jsonc", []byte(`{
   "processes": [5, 100],
   "seconds": 0,
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/simulation_test.go
@@ -22,18 +22,17 @@
 	return s
 }
 
-func runScenario(t *testing.T, s Scenario, direct, loop bool) *Result {
+func runScenario(t *testing.T, s Scenario, mode Mode, measureHarness bool) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), s, s.Processes[0], direct, loop)
+	r, err := Run(context.Background(), s, s.Processes[0], mode, measureHarness)
 	require.NoError(t, err)
 	return r
 }
 
-// Every fault on a small fleet: no committed purge, list, drain or revision is missed, all come in order and once, nobody is
-// behind its bound without saying so, the last process is in time, and bytes stay bounded in each phase.
-func TestEveryFault(t *testing.T) {
+// Every kind of fault on a small fleet breaks no rule of the checker and exceeds no limit of latency or traffic.
+func TestEveryFaultBreaksNoRule(t *testing.T) {
 	s := readScenario(t, "small.jsonc")
-	r := runScenario(t, s, false, false)
+	r := runScenario(t, s, ModeLevels, false)
 	t.Logf("%s", summary(r))
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 	require.Len(t, r.Recoveries, len(s.Faults))
@@ -46,18 +45,21 @@
 	return string(raw)
 }
 
-// tiny is the smallest fleet for a moment, with a fault of most kinds.
+// tinyScenario is a short run of a small fleet with faults of several kinds.
 func tinyScenario() Scenario {
 	s := DefaultScenario()
 	s.Name, s.Seconds, s.SettleSeconds, s.Processes, s.BatchMs, s.FullProxies = "tiny", 12, 10, []int{90}, 50, 3
 	s.Faults = []Fault{
-		{AtSeconds: 1, ForSeconds: 3, Kind: "kill", Count: 1}, {AtSeconds: 2, ForSeconds: 2, Kind: "leader"}, {AtSeconds: 5, ForSeconds: 3, Kind: "cut", Region: 1},
-		{AtSeconds: 9, Kind: "restart", Fraction: 0.5}, {AtSeconds: 10, ForSeconds: 1, Kind: "loss", Magnitude: 0.1},
+		{AtSeconds: 1, ForSeconds: 3, Kind: FaultKill, Count: 1},
+		{AtSeconds: 2, ForSeconds: 2, Kind: FaultLeader},
+		{AtSeconds: 5, ForSeconds: 3, Kind: FaultCut, Region: 1},
+		{AtSeconds: 9, Kind: FaultRestart, Fraction: 0.5},
+		{AtSeconds: 10, ForSeconds: 1, Kind: FaultLoss, Magnitude: 0.1},
 	}
 	return s
 }
 
-// virtual is a result without what is measured in real time.
+// withoutMeasurements is a result without what is measured in real time.
 func withoutMeasurements(r *Result) *Result {
 	x := *r
 	x.CPUSeconds, x.WallSeconds, x.HeapMB, x.HarnessCPUSeconds, x.RoleCosts = 0, 0, 0, 0, nil
@@ -68,28 +70,28 @@
 	return &x
 }
 
-// One seed gives one run to the byte, another gives another, and the loop with empty machines is the same loop.
-func TestDeterministic(t *testing.T) {
+// The seed determines a run to the byte.
+func TestSeedDeterminesRun(t *testing.T) {
 	s := tinyScenario()
-	one, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
+	one, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	two, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
+	two, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
 	require.JSONEq(t, string(one), string(two))
 	s.Seed = 2
-	other, err := json.Marshal(withoutMeasurements(runScenario(t, s, false, false)))
+	other, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
 	require.NotEqual(t, string(one), string(other))
 }
 
-// The loop with empty machines has the same events as that with the machines, and brings the same entries at the same times.
-func TestEmptyMachines(t *testing.T) {
+// Played back without deciders, a run has the same events, traffic and latencies.
+func TestReplayHasSameEvents(t *testing.T) {
 	s := tinyScenario()
-	for _, direct := range []bool{false, true} {
-		sim := newSimulation(s, 90, direct)
+	for _, mode := range []Mode{ModeLevels, ModeDirect} {
+		sim := newSimulation(s, 90, mode)
 		sim.trace = &callTrace{}
 		require.NoError(t, sim.run(context.Background()))
-		e := newSimulation(s, 90, false)
+		e := newSimulation(s, 90, ModeLevels)
 		e.propagator = &replayer{sim: e, trace: sim.trace}
 		require.NoError(t, e.run(context.Background()))
 		require.Equal(t, sim.processed, e.processed)
@@ -102,32 +104,32 @@
 	}
 }
 
-// Today's way brings everything everywhere too; what its leader sends grows with the processes, and the levels' does not.
-func TestDirect(t *testing.T) {
+// In both modes every entry reaches every process. What the leader sends grows with the processes in ModeDirect only.
+func TestLeaderTrafficGrowsInDirectModeOnly(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = nil
-	most := func(n int, direct bool) float64 {
-		r, err := Run(context.Background(), s, n, direct, false)
+	storeKB := func(n int, mode Mode) float64 {
+		r, err := Run(context.Background(), s, n, mode, false)
 		require.NoError(t, err)
 		require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "all entries reach all processes")
 		return r.summaryRow().StoreKB
 	}
-	require.InEpsilon(t, 3, most(270, true)/most(90, true), 0.2)
-	require.Less(t, most(270, false)/most(90, false), 1.5)
+	require.InEpsilon(t, 3, storeKB(270, ModeDirect)/storeKB(90, ModeDirect), 0.2)
+	require.Less(t, storeKB(270, ModeLevels)/storeKB(90, ModeLevels), 1.5)
 }
 
-// A follower of today's way keeps what it has on its disk, and a killed leader's place is taken.
-func TestDirectFaults(t *testing.T) {
-	r := runScenario(t, tinyScenario(), true, false)
+// In ModeDirect all entries reach all processes in spite of restarted followers and a killed leader.
+func TestDirectModeSurvivesFaults(t *testing.T) {
+	r := runScenario(t, tinyScenario(), ModeDirect, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 	for _, b := range r.ExceededLimits {
 		require.NotContains(t, b, "lack", "all that was committed is everywhere by the end")
 	}
 }
 
-// The real transport's bytes: an entry costs something beside its data, and an answer less than a request.
-func TestRaftSizes(t *testing.T) {
+// An entry costs bytes beside its data, and a response fewer than a request with an entry.
+func TestRaftSizesArePlausible(t *testing.T) {
 	s := measureRaftSizes()
 	require.Greater(t, s.request, 50)
 	require.Greater(t, s.entry, 20)
@@ -135,14 +137,14 @@
 	require.Less(t, s.response, s.request+s.entry)
 }
 
-// The page names both ways and draws what grows.
-func TestPage(t *testing.T) {
+// The page names both modes and has all plots.
+func TestPageShowsBothModes(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = s.Faults[:1]
 	var runs []*Result
 	for _, n := range []int{70, 100} {
-		for _, direct := range []bool{false, true} {
-			r, err := Run(context.Background(), s, n, direct, false)
+		for _, mode := range []Mode{ModeLevels, ModeDirect} {
+			r, err := Run(context.Background(), s, n, mode, false)
 			require.NoError(t, err)
 			runs = append(runs, r)
 		}
@@ -154,8 +156,8 @@
 	require.Error(t, WritePage(&out, "none", nil))
 }
 
-// Of two events at one instant the one asked for first comes first, and time never goes back.
-func TestQueue(t *testing.T) {
+// Events are popped by time, and those of one instant in the order of pushing.
+func TestQueueOrdersEvents(t *testing.T) {
 	q := &eventQueue{}
 	rng := newRand(1, "q")
 	var got []int
@@ -170,11 +172,11 @@
 	require.True(t, slices.IsSorted(got))
 }
 
-// A slow process reads in order, and all that waits at once when it is slow no more.
-func TestSlow(t *testing.T) {
+// A slow process closes its gate while it lags, and breaks no rule.
+func TestSlowProcessClosesGate(t *testing.T) {
 	s := tinyScenario()
-	s.Faults = []Fault{{AtSeconds: 1, ForSeconds: 8, Kind: "slow", Count: 2, Magnitude: 1}}
-	r := runScenario(t, s, false, false)
+	s.Faults = []Fault{{AtSeconds: 1, ForSeconds: 8, Kind: FaultSlow, Count: 2, Magnitude: 1}}
+	r := runScenario(t, s, ModeLevels, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-	require.Greater(t, r.GatedFraction, 0.0, "those that read slowly say that they are behind")
+	require.Greater(t, r.GatedFraction, 0.0, "slow processes close their gates")
 }
--- /dev/null
+++ b/internal/lab/hollow/snapshot_check.go
@@ -0,0 +1,71 @@
+package hollow
+
+import (
+	"maps"
+	"slices"
+
+	"ravenwheel/internal/decide/distribution"
+)
+
+// snapshotContents are the entries of a snapshot by supersession key. A member of the store that read its state back from
+// disk numbers them anew, so that only their contents are compared with what was committed, and that their numbers increase.
+type snapshotContents map[string]*snapshotEntry
+
+type snapshotEntry struct {
+	entry   distribution.Entry
+	matched bool // with an entry of the log
+}
+
+// readSnapshot collects the entries of a snapshot, and checks that each key occurs once and that their numbers increase.
+func (c *checker) readSnapshot(p *process, stream int, entries []distribution.Entry) snapshotContents {
+	if len(entries) == 0 {
+		return nil
+	}
+	contents := make(snapshotContents, len(entries))
+	for i, entry := range entries {
+		key := supersessionKey(entry)
+		if contents[key] != nil || i > 0 && entries[i-1].Sequence >= entry.Sequence {
+			c.violation("%s: stream %d: a snapshot says %s twice or out of order", p.name, stream, describe(entry))
+		}
+		contents[key] = &snapshotEntry{entry: entry}
+	}
+	return contents
+}
+
+// match reports whether a snapshot has an entry of the log, and marks it as matched.
+func (s snapshotContents) match(want *logEntry) bool {
+	found := s[want.key]
+	if found == nil || !want.matches(found.entry) {
+		return false
+	}
+	found.matched = true
+	return true
+}
+
+// checkNoneUnknown checks that all entries of a snapshot have been matched.
+func (c *checker) checkNoneUnknown(p *process, stream int, contents snapshotContents) {
+	for _, key := range slices.Sorted(maps.Keys(contents)) {
+		if found := contents[key]; !found.matched {
+			c.violation("%s: stream %d: a snapshot says what was never committed: %s", p.name, stream, describe(found.entry))
+		}
+	}
+}
+
+// checkSnapshot checks a snapshot that a subscriber has the process install.
+func (c *checker) checkSnapshot(p *process, stream int, snapshot distribution.InstallSnapshot) {
+	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(snapshot.Through)})
+	log, next := c.sim.log.streams[stream], 0
+	contents := c.readSnapshot(p, stream, snapshot.Entries)
+	watermark := max(snapshot.Through, snapshot.Watermark.Sequence)
+	for ; next < len(log) && log[next].entry.Sequence <= snapshot.Through; next++ {
+		if entry := log[next]; !contents.match(entry) && entry.inEffect(watermark, snapshot.Watermark.At) {
+			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, entry.entry.Sequence, snapshot.Through)
+		}
+	}
+	c.checkNoneUnknown(p, stream, contents)
+	if next < p.applied[stream] {
+		c.violation("%s: stream %d: a snapshot at %d leads back", p.name, stream, snapshot.Through)
+	}
+	c.advance(p, stream, snapshot.Through)
+	c.resolveOmitted(p, stream, snapshot.Through)
+}
--- a/internal/lab/hollow/trace.go
+++ b/internal/lab/hollow/trace.go
@@ -1,22 +1,18 @@
 package hollow
 
-// tape keeps what machines asked the loop for, call by call, so that the same loop can be played once more with machines
-// that do nothing else but ask for it again: what that takes is the loop's own share.
+// callTrace records what a propagator asks of the simulation. Played back by a replayer, it tells what the simulation itself
+// costs without the deciders. A nil callTrace records nothing.
 type callTrace struct {
-	blocks       [][]traceRecord
-	readPosition int // when read
-	full         bool
+	blocks       [][]packedCall
+	readPosition int
+	full         bool // later calls were not recorded
 }
 
-// note is one thing that was asked for: kind, detail, a process or connection, and a size in the word.
-type traceRecord struct {
-	packed uint64
-	value  float64
-}
+// traceKind is what was asked for.
+type traceKind uint8
 
-// The kinds of notes.
 const (
-	traceCallEnd = iota
+	traceCallEnd traceKind = iota // the propagator has returned
 	traceSend
 	traceDial
 	traceDisconnect
@@ -24,88 +20,149 @@
 	traceApplied
 )
 
-// Bounds of a tape: notes in a block, and blocks, 3.2 GB in all.
+// tracedCall is one recorded call. What detail, id, size and value mean depends on the kind.
+type tracedCall struct {
+	kind   traceKind
+	detail int     // below 16: a stream, a timer slot or a direction
+	id     int32   // of a process or a connection
+	size   int     // below 1<<24: bytes, or the id of a second process
+	value  float64 // ms, or a sequence number
+}
+
+// packedCall is a tracedCall in 16 bytes. word holds kind (4 bits), detail (4), id (32) and size (24).
+type packedCall struct {
+	word  uint64
+	value float64
+}
+
+// Shifts of the fields of packedCall.word.
+const (
+	detailShift = 4
+	idShift     = 8
+	sizeShift   = 40
+	nibbleMask  = 15
+)
+
+func (c tracedCall) pack() packedCall {
+	word := uint64(c.kind) | uint64(c.detail)<<detailShift | uint64(uint32(c.id))<<idShift | uint64(c.size)<<sizeShift
+	return packedCall{word, c.value}
+}
+
+func (p packedCall) unpack() tracedCall {
+	return tracedCall{
+		kind:   traceKind(p.word & nibbleMask),
+		detail: int(p.word >> detailShift & nibbleMask),
+		id:     int32(uint32(p.word >> idShift)),
+		size:   int(p.word >> sizeShift),
+		value:  p.value,
+	}
+}
+
+// Bounds of a trace: 3.2 GB in all.
 const (
-	blockRecords = 1 << 20
-	maxBlocks    = 200
+	callsPerBlock = 1 << 20
+	maxBlocks     = 200
 )
 
-func (t *callTrace) record(kind, detail int, id int32, size int, number float64) {
+// record appends a call, unless the trace is full.
+func (t *callTrace) record(call tracedCall) {
 	if t == nil || t.full {
 		return
 	}
-	n := len(t.blocks) - 1
-	if n < 0 || len(t.blocks[n]) == blockRecords {
+	last := len(t.blocks) - 1
+	if last < 0 || len(t.blocks[last]) == callsPerBlock {
 		if len(t.blocks) == maxBlocks {
 			t.full = true
 			return
 		}
-		t.blocks = append(t.blocks, make([]traceRecord, 0, blockRecords))
-		n++
+		t.blocks = append(t.blocks, make([]packedCall, 0, callsPerBlock))
+		last++
 	}
-	word := uint64(kind) | uint64(detail)<<4 | uint64(uint32(id))<<8 | uint64(size)<<40
-	t.blocks[n] = append(t.blocks[n], traceRecord{word, number})
+	t.blocks[last] = append(t.blocks[last], call.pack())
 }
 
-func (t *callTrace) next() (kind, detail int, id int32, size int, number float64, ok bool) {
-	if t.readPosition/blockRecords >= len(t.blocks) || t.readPosition%blockRecords >= len(t.blocks[t.readPosition/blockRecords]) {
-		return 0, 0, 0, 0, 0, false
+// next reads the next call. ok is false at the end.
+func (t *callTrace) next() (call tracedCall, ok bool) {
+	block, index := t.readPosition/callsPerBlock, t.readPosition%callsPerBlock
+	if block >= len(t.blocks) || index >= len(t.blocks[block]) {
+		return tracedCall{}, false
 	}
-	x := t.blocks[t.readPosition/blockRecords][t.readPosition%blockRecords]
 	t.readPosition++
-	return int(x.packed & 15), int(x.packed >> 4 & 15), int32(uint32(x.packed >> 8)), int(x.packed >> 40), x.value, true
+	return t.blocks[block][index].unpack(), true
 }
 
-// empty is a way whose machines do nothing but ask for what is on a tape.
+// atBound reports whether all that fits into a trace has been read.
+func (t *callTrace) atBound() bool { return t.readPosition >= maxBlocks*callsPerBlock }
+
+// replayer is a propagator without deciders: each call plays back what the trace recorded for it.
 type replayer struct {
 	sim         *simulation
 	trace       *callTrace
-	lastPayload *payload
+	lastPayload *payload // reused for messages of one size
 }
 
-func (e *replayer) replayCall() {
-	sim := e.sim
+// replayCall plays back the calls up to the next traceCallEnd.
+func (r *replayer) replayCall() {
 	for {
-		kind, detail, id, size, number, ok := e.trace.next()
-		if !ok {
+		call, ok := r.trace.next()
+		if !ok || call.kind == traceCallEnd {
 			return
 		}
-		switch kind {
-		case traceCallEnd:
-			return
-		case traceSend:
-			if e.lastPayload == nil || e.lastPayload.size != size {
-				e.lastPayload = &payload{size: size}
-			}
-			sim.send(sim.conns[id], detail == 1, e.lastPayload)
-		case traceDial:
-			sim.dial(sim.processes[id], sim.processes[size], detail, 0)
-		case traceDisconnect:
-			c, by := sim.conns[id], sim.conns[id].to
-			if detail == 1 {
-				by = c.from
-			}
-			sim.closeConn(c, by)
-		case traceSetTimer:
-			sim.setTimer(sim.processes[id], detail, number)
-		case traceApplied:
-			sim.checker.advance(sim.processes[id], detail, uint64(number))
+		r.replay(call)
+	}
+}
+
+func (r *replayer) replay(call tracedCall) {
+	sim := r.sim
+	switch call.kind {
+	case traceSend:
+		if r.lastPayload == nil || r.lastPayload.size != call.size {
+			r.lastPayload = &payload{size: call.size}
+		}
+		sim.send(sim.conns[call.id], call.detail == 1, r.lastPayload)
+	case traceDial:
+		sim.dial(sim.processes[call.id], sim.processes[call.size], call.detail, 0)
+	case traceDisconnect:
+		c := sim.conns[call.id]
+		by := c.to
+		if call.detail == 1 {
+			by = c.from
 		}
+		sim.closeConn(c, by)
+	case traceSetTimer:
+		sim.setTimer(sim.processes[call.id], timerSlot(call.detail), call.value)
+	case traceApplied:
+		sim.checker.advance(sim.processes[call.id], call.detail, uint64(call.value))
 	}
 }
 
-func (e *replayer) processStarted(*process) { e.replayCall() }
-func (e *replayer) entriesApplied(p *process, batch []*logEntry, _ int64) {
-	if p.role == Store {
-		for _, c := range batch {
-			p.applied[c.stream]++
+// processStarted implements propagator.
+func (r *replayer) processStarted(*process) { r.replayCall() }
+
+// entriesApplied implements propagator.
+func (r *replayer) entriesApplied(member *process, entries []*logEntry, _ int64) {
+	if member.role == Store {
+		for _, entry := range entries {
+			member.applied[entry.stream]++
 		}
 	}
-	e.replayCall()
+	r.replayCall()
 }
-func (e *replayer) watermarkAdvanced(*process, int64)               { e.replayCall() }
-func (e *replayer) messageReceived(*process, *conn, bool, *payload) { e.replayCall() }
-func (e *replayer) connected(*process, *conn)                       { e.replayCall() }
-func (e *replayer) lost(*process, *conn)                            { e.replayCall() }
-func (e *replayer) timerFired(*process, int)                        { e.replayCall() }
-func (e *replayer) hasFreshnessGate() bool                          { return false }
+
+// watermarkAdvanced implements propagator.
+func (r *replayer) watermarkAdvanced(*process, int64) { r.replayCall() }
+
+// messageReceived implements propagator.
+func (r *replayer) messageReceived(*process, *conn, bool, *payload) { r.replayCall() }
+
+// connected implements propagator.
+func (r *replayer) connected(*process, *conn) { r.replayCall() }
+
+// connectionLost implements propagator.
+func (r *replayer) connectionLost(*process, *conn) { r.replayCall() }
+
+// timerFired implements propagator.
+func (r *replayer) timerFired(*process, timerSlot) { r.replayCall() }
+
+// hasFreshnessGate implements propagator.
+func (r *replayer) hasFreshnessGate() bool { return false }
--- a/internal/lab/hollow/tree.go
+++ b/internal/lab/hollow/tree.go
@@ -2,266 +2,279 @@
 
 import (
 	"bytes"
-	"fmt"
 
 	"ravenwheel/internal/decide/distribution"
 )
 
-// way is how what the store commits gets to the processes.
-type propagator interface {
-	processStarted(p *process)                              // a process starts, with nothing
-	entriesApplied(p *process, batch []*logEntry, at int64) // a member of the store has applied these
-	watermarkAdvanced(p *process, at int64)                 // a member of the store has learned how complete it is
-	messageReceived(p *process, c *conn, up bool, load *payload)
-	connected(p *process, c *conn)
-	lost(p *process, c *conn)
-	timerFired(p *process, slot int)
-	hasFreshnessGate() bool // processes say when they may be behind
-}
+// storeEpoch is the epoch of a store that was never restored from a backup.
+const storeEpoch = 1
 
-// levels is the way of internal/decide/distribution: the very machines, their messages encoded and decoded.
+// treePropagator implements ModeLevels with the deciders of internal/decide/distribution, whose messages are encoded and
+// decoded as on the wire.
 type treePropagator struct {
 	sim              *simulation
-	disconnectCauses map[string]int // why subscribers left distributors
+	disconnectCauses map[string]int // why subscribers left, and why distributors dropped them
 }
 
-// guards implements way.
-func (l *treePropagator) hasFreshnessGate() bool { return true }
+func newTreePropagator(sim *simulation) *treePropagator {
+	return &treePropagator{sim: sim, disconnectCauses: map[string]int{}}
+}
 
-// storeEpoch is that of a store that never began anew.
-const storeEpoch = 1
+// hasFreshnessGate implements propagator.
+func (t *treePropagator) hasFreshnessGate() bool { return true }
 
-func (l *treePropagator) settings(p *process, stream int) distribution.Settings {
-	s := distribution.DefaultSettings(streamNames[stream], p.peer())
-	s.Seed = l.sim.scenario.Seed<<32 ^ uint64(p.id)<<8 ^ uint64(p.incarnation)<<2 ^ uint64(stream)
-	s.MaxLag, s.MaxClockSkew = l.sim.scenario.MaxLagMs, l.sim.scenario.MaxClockSkewMs
+// settings are the distribution's defaults with the scenario's bounds, and a seed of the process's incarnation.
+func (t *treePropagator) settings(p *process, stream int) distribution.Settings {
+	s := distribution.DefaultSettings(streams[stream], p.peer())
+	s.Seed = t.sim.scenario.Seed<<32 ^ uint64(p.id)<<8 ^ uint64(p.incarnation)<<2 ^ uint64(stream)
+	s.MaxLag, s.MaxClockSkew = t.sim.scenario.MaxLagMs, t.sim.scenario.MaxClockSkewMs
 	return s
 }
 
-// begin implements way.
-func (l *treePropagator) processStarted(p *process) {
+// processStarted implements propagator.
+func (t *treePropagator) processStarted(p *process) {
 	if p.full {
-		p.applier = newApplier(l.sim, p, p.role == Store)
+		p.applier = newApplier(t.sim, p, p.role == Store)
 	}
-	for stream := range streamNames {
-		x := &p.streams[stream]
-		*x = streamNode{upstreamConns: map[distribution.Link]*conn{}, subscriberConns: map[distribution.Link]*conn{}}
-		s := l.settings(p, stream)
-		x.relay = &distribution.Relay{}
-		switch p.role {
-		case Store:
-			x.relay.Distributor = distribution.NewDistributor(s)
-		case Proxy:
-			x.relay.Subscriber = distribution.NewSubscriber(s)
-		default:
-			x.relay = distribution.NewRelay(s)
-		}
-		p.gates[stream] = distribution.NewFreshnessGate(s)
-		if p.role != Store {
-			l.handleFromAbove(p, stream, distribution.Candidates{Peers: l.sim.candidates(p)})
-		}
-		if p.role == Zone || p.role == Relay {
-			l.runDistributorActions(p, stream, x.relay.Distributor.Handle(l.sim.clockOf(p), l.sim.demand(p)))
-		}
+	for stream := range streamCount {
+		t.startStream(p, stream)
 	}
 }
 
-// root tells a member of the store's distributor the state that the member has.
-func (l *treePropagator) installRootSnapshot(p *process, stream int, markAt int64) {
-	h, at := l.sim.log, p.applied[stream]
-	now := l.sim.clockOf(p)
-	through := h.streams[stream][at-1].entry.Sequence
-	r := distribution.InstallSnapshot{
-		Epoch: storeEpoch, Through: through, Entries: h.snapshot(stream, at, int64(now)),
-		Watermark: distribution.Watermark{Sequence: through, At: markAt},
+func (t *treePropagator) startStream(p *process, stream int) {
+	settings := t.settings(p, stream)
+	p.streams[stream] = streamNode{
+		relay:           newRelay(p.role, settings),
+		upstreamConns:   map[distribution.Link]*conn{},
+		subscriberConns: map[distribution.Link]*conn{},
+	}
+	p.gates[stream] = distribution.NewFreshnessGate(settings)
+	if p.role != Store {
+		t.handleAtSubscriber(p, stream, distribution.Candidates{Peers: t.sim.candidates(p)})
+	}
+	if p.role == Zone || p.role == Relay {
+		t.handleAtDistributor(p, stream, t.sim.demand(p))
 	}
-	l.runDistributorActions(p, stream, p.streams[stream].relay.Distributor.Handle(now, r))
 }
 
-// committed implements way.
-func (l *treePropagator) entriesApplied(p *process, batch []*logEntry, at int64) {
-	var split [2][]distribution.Entry
-	for _, c := range batch {
-		split[c.stream] = append(split[c.stream], c.entry)
+// newRelay makes the parts of a relay that a role has.
+func newRelay(role Role, settings distribution.Settings) *distribution.Relay {
+	switch role {
+	case Store:
+		return &distribution.Relay{Distributor: distribution.NewDistributor(settings)}
+	case Proxy:
+		return &distribution.Relay{Subscriber: distribution.NewSubscriber(settings)}
 	}
-	log := l.sim.log.streams
-	for stream, entries := range split {
+	return distribution.NewRelay(settings)
+}
+
+// entriesApplied implements propagator.
+func (t *treePropagator) entriesApplied(member *process, applied []*logEntry, watermarkAt int64) {
+	var byStream [streamCount][]distribution.Entry
+	for _, entry := range applied {
+		byStream[entry.stream] = append(byStream[entry.stream], entry.entry)
+	}
+	for stream, entries := range byStream {
 		if len(entries) == 0 {
 			continue
 		}
-		through := entries[len(entries)-1].Sequence
-		mark := distribution.Watermark{Sequence: through, At: at}
-		if p.applied[stream] == 0 {
-			p.applied[stream] = len(entries)
-			l.installRootSnapshot(p, stream, at)
+		if member.applied[stream] == 0 {
+			member.applied[stream] = len(entries)
+			t.installAtRoot(member, stream, watermarkAt)
 			continue
 		}
-		a := distribution.Apply{Epoch: storeEpoch, After: log[stream][p.applied[stream]-1].entry.Sequence, Through: through, Watermark: mark, Entries: entries}
-		p.applied[stream] += len(entries)
-		l.runDistributorActions(p, stream, p.streams[stream].relay.Distributor.Handle(l.sim.clockOf(p), a))
+		through := entries[len(entries)-1].Sequence
+		last := t.sim.log.streams[stream][member.applied[stream]-1]
+		member.applied[stream] += len(entries)
+		t.handleAtDistributor(member, stream, distribution.Apply{
+			Epoch: storeEpoch, After: last.entry.Sequence, Through: through, Entries: entries,
+			Watermark: distribution.Watermark{Sequence: through, At: watermarkAt},
+		})
 	}
 }
 
-// marked implements way.
-func (l *treePropagator) watermarkAdvanced(p *process, at int64) {
-	for stream, log := range l.sim.log.streams {
-		if n := p.applied[stream]; n > 0 {
-			mark := distribution.Watermark{Sequence: log[n-1].entry.Sequence, At: at}
-			d := p.streams[stream].relay.Distributor
-			l.runDistributorActions(p, stream, d.Handle(l.sim.clockOf(p), distribution.AdvanceWatermark{Epoch: storeEpoch, Watermark: mark}))
+// installAtRoot hands the distributor of a member of the store the member's state.
+func (t *treePropagator) installAtRoot(member *process, stream int, watermarkAt int64) {
+	length := member.applied[stream]
+	through := t.sim.log.streams[stream][length-1].entry.Sequence
+	t.handleAtDistributor(member, stream, distribution.InstallSnapshot{
+		Epoch: storeEpoch, Through: through, Entries: t.sim.log.snapshot(stream, length, int64(t.sim.clockOf(member))),
+		Watermark: distribution.Watermark{Sequence: through, At: watermarkAt},
+	})
+}
+
+// watermarkAdvanced implements propagator.
+func (t *treePropagator) watermarkAdvanced(member *process, watermarkAt int64) {
+	for stream, log := range t.sim.log.streams {
+		if length := member.applied[stream]; length > 0 {
+			watermark := distribution.Watermark{Sequence: log[length-1].entry.Sequence, At: watermarkAt}
+			t.handleAtDistributor(member, stream, distribution.AdvanceWatermark{Epoch: storeEpoch, Watermark: watermark})
 		}
 	}
 }
 
-// receive implements way.
-func (l *treePropagator) messageReceived(p *process, c *conn, up bool, load *payload) {
-	m := load.decoded
-	if p.full {
-		// A process of its own would have these bytes in memory of its own.
-		var err error
-		if m, err = distribution.Decode(bytes.Clone(load.frame.Bytes)); err != nil {
-			l.sim.checker.violation("%s: a frame that can't be read: %v", p.name, err)
-			return
-		}
-	} else if m == nil {
-		m, _ = distribution.Decode(load.frame.Bytes)
-		load.decoded = m
+// messageReceived implements propagator.
+func (t *treePropagator) messageReceived(p *process, c *conn, upward bool, content *payload) {
+	message, ok := t.decode(p, content)
+	if !ok {
+		return
 	}
-	e := distribution.Received{Message: m, Bytes: load.size}
-	if up {
-		if c.subscriberLink == 0 {
-			x := &p.streams[c.stream]
-			x.lastLink++
-			c.subscriberLink = x.lastLink
-			x.subscriberConns[c.subscriberLink] = c
-		}
-		e.Link = c.subscriberLink
-		l.runDistributorActions(p, c.stream, p.streams[c.stream].relay.Distributor.Handle(l.sim.clockOf(p), e))
+	e := distribution.Received{Message: message, Bytes: content.size}
+	if upward {
+		e.Link = p.streams[c.stream].subscriberLink(c)
+		t.handleAtDistributor(p, c.stream, e)
 		return
 	}
 	e.Link = c.upstreamLink
-	l.handleFromAbove(p, c.stream, e)
+	t.handleAtSubscriber(p, c.stream, e)
 }
 
-// connected implements way.
-func (l *treePropagator) connected(p *process, c *conn) {
-	l.handleFromAbove(p, c.stream, distribution.Connected{Link: c.upstreamLink})
+// subscriberLink is the link of a subscriber's connection. The first message on it gives it one.
+func (n *streamNode) subscriberLink(c *conn) distribution.Link {
+	if c.subscriberLink == 0 {
+		n.lastLink++
+		c.subscriberLink = n.lastLink
+		n.subscriberConns[c.subscriberLink] = c
+	}
+	return c.subscriberLink
+}
+
+// decode decodes a frame. A full process decodes a copy of its own, as its memory is measured; the others share one.
+func (t *treePropagator) decode(p *process, content *payload) (message distribution.Message, ok bool) {
+	if !p.full {
+		if content.decoded == nil {
+			content.decoded, _ = distribution.Decode(content.frame.Bytes)
+		}
+		return content.decoded, true
+	}
+	message, err := distribution.Decode(bytes.Clone(content.frame.Bytes))
+	if err != nil {
+		t.sim.checker.violation("%s: a frame that can't be read: %v", p.name, err)
+		return nil, false
+	}
+	return message, true
 }
 
-// lost implements way.
-func (l *treePropagator) lost(p *process, c *conn) {
-	x := &p.streams[c.stream]
+// connected implements propagator.
+func (t *treePropagator) connected(p *process, c *conn) {
+	t.handleAtSubscriber(p, c.stream, distribution.Connected{Link: c.upstreamLink})
+}
+
+// connectionLost implements propagator.
+func (t *treePropagator) connectionLost(p *process, c *conn) {
+	node := &p.streams[c.stream]
 	if p == c.from {
-		delete(x.upstreamConns, c.upstreamLink)
-		l.handleFromAbove(p, c.stream, distribution.Disconnected{Link: c.upstreamLink})
+		delete(node.upstreamConns, c.upstreamLink)
+		t.handleAtSubscriber(p, c.stream, distribution.Disconnected{Link: c.upstreamLink})
 		return
 	}
 	if c.subscriberLink != 0 {
-		delete(x.subscriberConns, c.subscriberLink)
-		l.runDistributorActions(p, c.stream, x.relay.Distributor.Handle(l.sim.clockOf(p), distribution.Disconnected{Link: c.subscriberLink}))
+		delete(node.subscriberConns, c.subscriberLink)
+		t.handleAtDistributor(p, c.stream, distribution.Disconnected{Link: c.subscriberLink})
 	}
 }
 
-// tick implements way.
-func (l *treePropagator) timerFired(p *process, slot int) {
-	if slot == slotLedger {
-		p.applier.tick()
-		return
-	}
-	if slot >= slotDistributor {
-		stream := slot - slotDistributor
-		l.runDistributorActions(p, stream, p.streams[stream].relay.Distributor.Handle(l.sim.clockOf(p), distribution.Tick{}))
-		return
+// timerFired implements propagator.
+func (t *treePropagator) timerFired(p *process, slot timerSlot) {
+	switch {
+	case slot == slotMembership:
+		p.applier.tableTimerFired()
+	case slot >= slotDistributor:
+		t.handleAtDistributor(p, int(slot-slotDistributor), distribution.Tick{})
+	default:
+		t.handleAtSubscriber(p, int(slot-slotSubscriber), distribution.Tick{})
 	}
-	l.handleFromAbove(p, slot, distribution.Tick{})
 }
 
-// above has the subscriber of a process take an event, and what follows from it in the distributor.
-func (l *treePropagator) handleFromAbove(p *process, stream int, e distribution.Event) {
-	r := p.streams[stream].relay
-	if r.Distributor == nil {
-		for _, a := range r.Subscriber.Handle(l.sim.clockOf(p), e) {
-			l.runSubscriberAction(p, stream, a)
-		}
+// handleAtSubscriber hands an event to a process's subscriber, and its result to the distributor of a relay.
+func (t *treePropagator) handleAtSubscriber(p *process, stream int, e distribution.Event) {
+	relay := p.streams[stream].relay
+	if relay.Distributor == nil {
+		t.runSubscriberActions(p, stream, relay.Subscriber.Handle(t.sim.clockOf(p), e))
 		return
 	}
-	above, below := r.HandleAbove(l.sim.clockOf(p), e)
-	for _, a := range above {
-		l.runSubscriberAction(p, stream, a)
+	subscriberActions, distributorActions := relay.HandleAbove(t.sim.clockOf(p), e)
+	t.runSubscriberActions(p, stream, subscriberActions)
+	t.runDistributorActions(p, stream, distributorActions)
+}
+
+// handleAtDistributor hands an event to a process's distributor.
+func (t *treePropagator) handleAtDistributor(p *process, stream int, e distribution.Event) {
+	t.runDistributorActions(p, stream, p.streams[stream].relay.Distributor.Handle(t.sim.clockOf(p), e))
+}
+
+func (t *treePropagator) runSubscriberActions(p *process, stream int, actions []distribution.Action) {
+	for _, action := range actions {
+		t.runSubscriberAction(p, stream, action)
 	}
-	l.runDistributorActions(p, stream, below)
 }
 
-// carry carries out one action of a subscriber.
-func (l *treePropagator) runSubscriberAction(p *process, stream int, a distribution.Action) {
-	x := &p.streams[stream]
-	switch a := a.(type) {
+func (t *treePropagator) runSubscriberAction(p *process, stream int, action distribution.Action) {
+	node := &p.streams[stream]
+	switch action := action.(type) {
 	case distribution.Apply:
-		for _, e := range a.Entries {
-			l.applyEntry(p, e)
-		}
-		l.sim.checker.checkApply(p, stream, a)
+		p.applyEntries(action.Entries)
+		t.sim.checker.checkApply(p, stream, action)
 	case distribution.InstallSnapshot:
-		for _, e := range a.Entries {
-			l.applyEntry(p, e)
-		}
-		l.sim.checker.checkSnapshot(p, stream, a)
-		l.sim.snapshots++
+		p.applyEntries(action.Entries)
+		t.sim.checker.checkSnapshot(p, stream, action)
+		t.sim.snapshots++
 	case distribution.AdvanceWatermark:
-		l.sim.checker.resolveOmitted(p, stream, a.Watermark.Sequence)
+		t.sim.checker.resolveOmitted(p, stream, action.Watermark.Sequence)
 	case distribution.SetFreshness:
-		p.gates[stream].Update(a.State)
+		p.gates[stream].Update(action.State)
 	case distribution.Connect:
-		to := l.sim.byName[a.To.Name]
-		x.upstreamConns[a.Link] = l.sim.dial(p, to, stream, a.Link)
+		node.upstreamConns[action.Link] = t.sim.dial(p, t.sim.byName[action.To.Name], stream, action.Link)
 	case distribution.Disconnect:
-		if c := x.upstreamConns[a.Link]; c != nil {
-			delete(x.upstreamConns, a.Link)
-			l.sim.disconnect(c, p)
+		if c := node.upstreamConns[action.Link]; c != nil {
+			delete(node.upstreamConns, action.Link)
+			t.sim.disconnect(c, p)
 		}
 	case distribution.SendMessage:
-		if c := x.upstreamConns[a.Link]; c != nil {
-			f := distribution.Encode(a.Message)
-			l.sim.send(c, true, &payload{size: len(f.Bytes), frame: f})
+		if c := node.upstreamConns[action.Link]; c != nil {
+			frame := distribution.Encode(action.Message)
+			t.sim.send(c, true, &payload{size: len(frame.Bytes), frame: frame})
 		}
 	case distribution.Unsubscribed:
-		l.disconnectCauses[a.Cause.String()]++
+		t.disconnectCauses[action.Cause.String()]++
 	case distribution.Wake:
-		l.sim.setTimer(p, slotSubscriber+stream, a.After)
+		t.sim.setTimer(p, slotSubscriber+timerSlot(stream), action.After)
 	default:
-		l.sim.checker.violation("%s: a subscriber wants %T", p.name, a)
+		t.sim.checker.violation("%s: a subscriber wants %T", p.name, action)
 	}
 }
 
-// enforce puts an entry in force, as the process's shell does.
-func (l *treePropagator) applyEntry(p *process, e distribution.Entry) {
-	if p.applier != nil {
-		p.applier.applyEntry(e)
+// applyEntries applies entries in a full process.
+func (p *process) applyEntries(entries []distribution.Entry) {
+	if p.applier == nil {
+		return
+	}
+	for _, entry := range entries {
+		p.applier.applyEntry(entry)
 	}
 }
 
-// below carries out the actions of a distributor.
-func (l *treePropagator) runDistributorActions(p *process, stream int, actions []distribution.Action) {
-	x := &p.streams[stream]
-	for _, a := range actions {
-		switch a := a.(type) {
+func (t *treePropagator) runDistributorActions(p *process, stream int, actions []distribution.Action) {
+	node := &p.streams[stream]
+	for _, action := range actions {
+		switch action := action.(type) {
 		case distribution.SendFrame:
-			load := &payload{size: len(a.Frame.Bytes), frame: a.Frame}
-			for _, link := range a.Links {
-				if c := x.subscriberConns[link]; c != nil {
-					l.sim.send(c, false, load)
+			content := &payload{size: len(action.Frame.Bytes), frame: action.Frame}
+			for _, link := range action.Links {
+				if c := node.subscriberConns[link]; c != nil {
+					t.sim.send(c, false, content)
 				}
 			}
 		case distribution.CloseLink:
-			if c := x.subscriberConns[a.Link]; c != nil {
-				delete(x.subscriberConns, a.Link)
-				l.sim.disconnect(c, p)
+			if c := node.subscriberConns[action.Link]; c != nil {
+				delete(node.subscriberConns, action.Link)
+				t.sim.disconnect(c, p)
 			}
-			l.disconnectCauses["dropped: "+a.Cause.String()]++
+			t.disconnectCauses["dropped: "+action.Cause.String()]++
 		case distribution.Wake:
-			l.sim.setTimer(p, slotDistributor+stream, a.After)
+			t.sim.setTimer(p, slotDistributor+timerSlot(stream), action.After)
 		default:
-			l.sim.checker.violation("%s: a distributor wants %s", p.name, fmt.Sprintf("%T", a))
+			t.sim.checker.violation("%s: a distributor wants %T", p.name, action)
 		}
 	}
 }
