--- a/cmd/ravenwheel/descriptors_test.go
+++ b/cmd/ravenwheel/descriptors_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// crowd dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
-func crowd(t *testing.T, listen string, first string, n, atOnce int) {
+// connectCrowd dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
+func connectCrowd(t *testing.T, listen string, first string, n, atOnce int) {
 	var all sync.WaitGroup
 	for range atOnce {
 		all.Go(func() {
@@ -80,12 +80,12 @@
 				}
 			}()
 			listen := freeAddr(t)
-			path := configFile(t, listen, refuses(t), cache.Addr())
+			path := configFile(t, listen, refusingAddr(t), cache.Addr())
 			text, err := os.ReadFile(path)
 			require.NoError(t, err)
 			text = bytes.ReplaceAll(text, []byte(`"sockets":1024`), fmt.Appendf(nil, `"sockets":%d`, sockets))
 			require.NoError(t, os.WriteFile(path, text, 0o600))
-			r := &running{cmd: exec.Command(bin), console: freeAddr(t), logs: &strings.Builder{}}
+			r := &proxyProcess{cmd: exec.Command(bin), console: freeAddr(t), logs: &strings.Builder{}}
 			r.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_CONSOLE="+r.console, "TMPDIR="+t.TempDir())
 			r.cmd.Stderr = r.logs
 			require.NoError(t, r.cmd.Start())
@@ -93,10 +93,10 @@
 			r.ready(t)
 			alone := descriptors(r.cmd.Process.Pid)
 			look := watchDescriptors(r.cmd.Process.Pid)
-			crowd(t, listen, first, clients, 20)
+			connectCrowd(t, listen, first, clients, 20)
 			// It is accepted behind the whole crowd; as any client, it comes again if its connection is shut.
 			for until := time.Now().Add(time.Minute); ; {
-				there, err := served(listen)
+				there, err := servedOnceReady(listen)
 				if there && err == nil {
 					break
 				}
--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -15,10 +15,10 @@
 const (
 	// discoverySoakFirst, discoverySoakLast: the seeds in CI.
 	discoverySoakFirst, discoverySoakLast = 1, 6
-	// discoveryDoors is the number of addresses at which discovery may be.
-	discoveryDoors = 5
-	// lullFor: ms from a row of faults to the next, in which withheld events have to arrive.
-	lullFor = 5500
+	// discoveryAddrs is the number of addresses at which discovery may be.
+	discoveryAddrs = 5
+	// lullMs: ms from a row of faults to the next, in which withheld events have to arrive.
+	lullMs = 5500
 )
 
 // Discovery has faults in a row, in an order that the seed draws: moves, reloads without a change, resets, stops, slow connections, files
@@ -32,7 +32,7 @@
 	s := newSoak(t, bin, seed)
 	s.plan.discovery = true
 	s.plan.runs = time.Duration(9000+s.rng.IntN(5000)) * time.Millisecond
-	for len(s.doors) < discoveryDoors {
+	for len(s.doors) < discoveryAddrs {
 		d, err := s.board.Open("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
@@ -41,7 +41,7 @@
 	return s
 }
 
-// The kinds of fault that discovery notifies, as in soak.trouble.
+// The kinds of fault that discovery notifies, as in soak.causeFault.
 const restartKind, drainKind, purgeKind = 4, 5, 6
 
 // serverChange draws the next event of discovery: mostly purges, and drains and restarts in turn, so that some servers stay in use. A
@@ -64,13 +64,13 @@
 	return purgeKind
 }
 
-// troubleDiscovery causes one to four faults some tens of ms apart, and then none for a while.
-func (s *soak) troubleDiscovery() {
+// causeDiscoveryFaults causes one to four faults some tens of ms apart, and then none for a while.
+func (s *soak) causeDiscoveryFaults() {
 	for range 1 + s.rng.IntN(4) {
 		s.discoveryFault()
 		time.Sleep(time.Duration(10+s.rng.IntN(190)) * time.Millisecond)
 	}
-	s.lull = s.now() + lullFor
+	s.lull = s.now() + lullMs
 }
 
 // discoveryFault causes one fault of discovery.
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -55,7 +55,7 @@
 	t       *testing.T
 	board   *fleet.DiscoveryService
 	doors   []*fleet.DiscoveryListener
-	answers *replies
+	answers *recordingCache
 	config  string
 	listen  string
 	cmd     *exec.Cmd
@@ -66,7 +66,7 @@
 
 // startFollower starts a process with a seed and further arguments, at the first of so many addresses.
 func startFollower(t *testing.T, bin string, seed, doors int, args ...string) *follower {
-	f := &follower{t: t, answers: &replies{}, board: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
+	f := &follower{t: t, answers: &recordingCache{}, board: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range doors {
 		d, err := f.board.Open("127.0.0.1:0")
 		require.NoError(t, err)
@@ -83,7 +83,7 @@
 	f.cmd.Stderr = &f.logs
 	require.NoError(t, f.cmd.Start())
 	t.Cleanup(func() { _ = f.cmd.Process.Kill(); _ = f.cmd.Wait() })
-	require.Eventually(t, func() bool { there, err := served(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { there, err := servedOnceReady(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return f.doors[0].Calls.Load() == 1 }, time.Minute, 5*time.Millisecond)
 	f.client = scenario.Dial(t, listen)
 	return f
@@ -109,9 +109,9 @@
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// heedsWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
+// appliesPurgeWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
 // the purge has to be applied.
-func (f *follower) heedsWithin(since time.Time, within time.Duration) {
+func (f *follower) appliesPurgeWithin(since time.Time, within time.Duration) {
 	for {
 		sent := time.Now()
 		f.asked++
@@ -150,7 +150,7 @@
 					f.move(to-1, to)
 					time.Sleep(200 * time.Millisecond)
 				}
-				f.heedsWithin(last, notifiedAfterSIGHUP+purgeGrace)
+				f.appliesPurgeWithin(last, notifiedAfterSIGHUP+purgeGrace)
 			})
 		}
 	}
@@ -172,7 +172,7 @@
 			})
 			since := time.Now()
 			f.board.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
-			f.heedsWithin(since, notifiedAfterStop+purgeGrace)
+			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
 		})
 	}
 }
@@ -189,7 +189,7 @@
 			f.doors[0].Stall(true)
 			since := time.Now()
 			purged := since.UnixMilli()
-			f.heedsWithin(since, notifiedAfterStop+purgeGrace)
+			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
 			f.answers.mu.Lock()
 			defer f.answers.mu.Unlock()
 			id := fmt.Sprintf("%016x", f.asked)
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -20,8 +20,8 @@
 	"ravenwheel/internal/state"
 )
 
-// levels are a member of the store, a distributor below it and two subscribers, each a process of its own.
-type levels struct {
+// distributionTree is a member of the store, a distributor below it and two subscribers, each a process of its own.
+type distributionTree struct {
 	t     *testing.T
 	bin   string
 	dir   string
@@ -38,8 +38,8 @@
 	fleetList   = []string{entryText(1, "127.0.0.1:2", `, "weight": 4`), entryText(10, "127.0.0.1:3", `, "weight": 4`), entryText(20, "127.0.0.1:4", `, "weight": 4`)}
 )
 
-func newLevels(t *testing.T) *levels {
-	f := &levels{t: t, bin: build(t), dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
+func newDistributionTree(t *testing.T) *distributionTree {
+	f := &distributionTree{t: t, bin: build(t), dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
 	names := append([]string{fleetMember, fleetDistributor}, fleetLeaves...)
 	f.ok(append([]string{"cluster", "keys", filepath.Join(f.dir, "keys"), "th"}, names...)...)
 	f.write("servers.jsonc", listText(1, fleetList))
@@ -77,41 +77,41 @@
 	return f
 }
 
-func (f *levels) write(file, text string) string {
+func (f *distributionTree) write(file, text string) string {
 	path := filepath.Join(f.dir, file)
 	require.NoError(f.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func (f *levels) start(name string) {
+func (f *distributionTree) start(name string) {
 	cmd := exec.Command(f.bin, "serve", "--operator", filepath.Join(f.dir, name+".jsonc"))
 	cmd.Stderr = os.Stderr
 	require.NoError(f.t, cmd.Start())
 	f.procs[name] = cmd
 }
 
-func (f *levels) run(args ...string) (string, int) {
+func (f *distributionTree) run(args ...string) (string, int) {
 	cmd := exec.Command(f.bin, args...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-func (f *levels) ok(args ...string) string {
+func (f *distributionTree) ok(args ...string) string {
 	f.t.Helper()
 	out, code := f.run(args...)
 	require.Zero(f.t, code, "%v: %s", args, out)
 	return out
 }
 
-func (f *levels) sock(name string) string { return "unix:" + f.dir + "/" + name + ".sock" }
+func (f *distributionTree) sock(name string) string { return "unix:" + f.dir + "/" + name + ".sock" }
 
-func (f *levels) eventually(what string, ok func() bool) {
+func (f *distributionTree) eventually(what string, ok func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, ok, time.Minute, 20*time.Millisecond, what)
 }
 
 // streams is the status of a process's streams; nil while it does not answer.
-func (f *levels) streams(name string) (all []distribution.Status) {
+func (f *distributionTree) streams(name string) (all []distribution.Status) {
 	if admin.Call(f.sock(name), "/v1/distribution", nil, &all) != nil {
 		return nil
 	}
@@ -119,12 +119,12 @@
 }
 
 // from reports whether both streams of a process come from another one.
-func (f *levels) from(name, at string) bool {
+func (f *distributionTree) from(name, at string) bool {
 	all := f.streams(name)
 	return len(all) == 2 && all[0].Parent == at && all[1].Parent == at
 }
 
-func (f *levels) purges(name string) int {
+func (f *distributionTree) purges(name string) int {
 	var st state.Status
 	if admin.Call(f.sock(name), "/v1/state", nil, &st) != nil {
 		return -1
@@ -133,7 +133,7 @@
 }
 
 // purge purges some objects at the member of the store, from one number on.
-func (f *levels) purge(from, n int) {
+func (f *distributionTree) purge(from, n int) {
 	f.t.Helper()
 	for i := from; i < from+n; i++ {
 		var out map[string]float64
@@ -143,7 +143,7 @@
 
 // ready starts one level after the other: a process whose distributor does not run yet subscribes at the member of the store, and looks for
 // a nearer one only a minute later.
-func (f *levels) ready() {
+func (f *distributionTree) ready() {
 	f.start(fleetMember)
 	f.eventually("the member leads", func() bool {
 		_, code := f.run("servers", "drain", "s-00000001", "--admin", f.sock(fleetMember))
@@ -164,7 +164,7 @@
 var drains = regexp.MustCompile(`s-00000001 .* draining `)
 
 // restored ends the server's drain at the member, and waits until processes use it.
-func (f *levels) restored(names ...string) {
+func (f *distributionTree) restored(names ...string) {
 	f.t.Helper()
 	f.ok("servers", "restore", "s-00000001", "--admin", f.sock(fleetMember))
 	for _, n := range names {
@@ -178,7 +178,7 @@
 
 // has waits until processes have everything that the member has: so many purges, the drain and the pushed list, and both streams at
 // the member's sequence.
-func (f *levels) has(purges int, addr string, names ...string) {
+func (f *distributionTree) has(purges int, addr string, names ...string) {
 	f.t.Helper()
 	for _, n := range append(names, fleetMember) {
 		f.eventually(n+" has all", func() bool {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (f *levels) push(addr string) {
+func (f *distributionTree) push(addr string) {
 	f.t.Helper()
 	next := f.write("next.jsonc", listText(1, append(fleetList[:3:3], entryText(2, addr, `, "weight": 4`))))
 	require.Equal(f.t, "generation 1, 4 servers\n", f.ok("servers", "push", next, "--admin", f.sock(fleetMember)))
@@ -206,7 +206,7 @@
 // A distributor is killed in the middle of a burst: its subscribers move to the member of the store, and miss nothing. Restarted, it
 // has everything, too. Operations of members are rejected elsewhere, and change nothing there.
 func TestKilledDistributorLosesNothing(t *testing.T) {
-	f := newLevels(t)
+	f := newDistributionTree(t)
 	for _, args := range [][]string{
 		{"purge", "--group", "17"}, {"servers", "drain", "s-0000000a"}, {"servers", "push", filepath.Join(f.dir, "servers.jsonc")},
 	} {
@@ -235,7 +235,7 @@
 
 // A distributor is suspended in the middle of a burst, and resumed once its subscribers have left it: all have everything.
 func TestSuspendedDistributorLosesNothing(t *testing.T) {
-	f := newLevels(t)
+	f := newDistributionTree(t)
 	f.purge(0, beforeFault)
 	p := f.procs[fleetDistributor]
 	require.NoError(t, p.Process.Signal(syscall.SIGSTOP))
@@ -251,7 +251,7 @@
 func TestDistributionPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/distribution.md")
 	require.NoError(t, err)
-	f := newLevels(t)
+	f := newDistributionTree(t)
 	f.purge(0, 1)
 	f.push("127.0.0.1:5")
 	f.has(1, "127.0.0.1:5", fleetDistributor, fleetFirst, fleetSecond)
--- a/cmd/ravenwheel/page_test.go
+++ b/cmd/ravenwheel/page_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	bin, listen, dir := build(t), freeAddr(t), t.TempDir()
 	config := configFile(t, listen, "127.0.0.1:1", scenario.Listen(t).Addr())
-	first := startBeside(t, bin, config, dir)
+	first := startProcess(t, bin, config, dir)
 	first.ready(t)
 	next := freeAddr(t)
 	scripts := t.TempDir()
--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -18,15 +18,15 @@
 	"ravenwheel/internal/scenario"
 )
 
-// refuses is an address at which nobody listens.
-func refuses(t *testing.T) string {
-	ln := listenBoard(t)
+// refusingAddr returns an address at which nobody listens.
+func refusingAddr(t *testing.T) string {
+	ln := listenDiscovery(t)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// served sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
-func served(listen string) (there bool, err error) {
+// servedOnceReady sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
+func servedOnceReady(listen string) (there bool, err error) {
 	nc, err := net.Dial("tcp", listen)
 	if err != nil {
 		return false, nil
@@ -61,7 +61,7 @@
 			}
 		}
 	}()
-	down := refuses(t)
+	down := refusingAddr(t)
 	var all sync.WaitGroup
 	for range processes {
 		listen := freeAddr(t)
@@ -77,7 +77,7 @@
 					return
 				}
 				for until := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
-					there, err := served(listen)
+					there, err := servedOnceReady(listen)
 					if err != nil || time.Now().After(until) {
 						t.Errorf("life %d: %v", life, err)
 					}
@@ -98,13 +98,13 @@
 func TestRequestIsServedWhenIdleClientsFillSlots(t *testing.T) {
 	const sockets = 96
 	bin, cache := build(t), scenario.Listen(t)
-	listen, at := freeAddr(t), refuses(t)
+	listen, at := freeAddr(t), refusingAddr(t)
 	path := configFile(t, listen, at, cache.Addr())
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	text = bytes.ReplaceAll(text, []byte(`"sockets":1024`), fmt.Appendf(nil, `"sockets":%d`, sockets))
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	r := &running{cmd: exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, bin)), console: freeAddr(t), logs: &strings.Builder{}}
+	r := &proxyProcess{cmd: exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, bin)), console: freeAddr(t), logs: &strings.Builder{}}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_CONSOLE="+r.console, "TMPDIR="+t.TempDir())
 	r.cmd.Stderr = r.logs
 	require.NoError(t, r.cmd.Start())
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -26,15 +26,15 @@
 	"ravenwheel/policy"
 )
 
-// running is one process of a proxy that is replaced again and again.
-type running struct {
+// proxyProcess is one process of a proxy that is replaced again and again.
+type proxyProcess struct {
 	cmd     *exec.Cmd
 	console string
 	logs    *strings.Builder
 }
 
-func startBeside(t *testing.T, bin, config, dir string) *running {
-	r := &running{cmd: exec.Command(bin), console: freeAddr(t), logs: &strings.Builder{}}
+func startProcess(t *testing.T, bin, config, dir string) *proxyProcess {
+	r := &proxyProcess{cmd: exec.Command(bin), console: freeAddr(t), logs: &strings.Builder{}}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "LB_CONSOLE="+r.console, "TMPDIR="+dir)
 	r.cmd.Stderr = r.logs
 	require.NoError(t, r.cmd.Start())
@@ -42,7 +42,7 @@
 	return r
 }
 
-func (r *running) call(line string) string {
+func (r *proxyProcess) call(line string) string {
 	nc, err := net.Dial("tcp", r.console)
 	if err != nil {
 		return err.Error()
@@ -53,14 +53,14 @@
 	return strings.TrimSpace(string(text))
 }
 
-func (r *running) ready(t *testing.T) {
+func (r *proxyProcess) ready(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool { return strings.HasPrefix(r.call("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "never ready")
 }
 
-// steady sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
+// steadyClient sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
 // once more, as clients do; any other one without an answer is lost.
-type steady struct {
+type steadyClient struct {
 	to             string
 	kills          *atomic.Int64 // of processes so far: what one had taken dies with it
 	stop           atomic.Bool
@@ -69,7 +69,7 @@
 	err            error
 }
 
-func (a *steady) run(n int) {
+func (a *steadyClient) run(n int) {
 	var nc net.Conn
 	var in resp.Buffer
 	in.MaxFrameSize = resp.MaxResponseSize
@@ -146,7 +146,7 @@
 		require.NoError(t, err)
 		addrs = append(addrs, s.Addr())
 	}
-	board := listenBoard(t)
+	board := listenDiscovery(t)
 	go func() {
 		for {
 			nc, err := board.Accept()
@@ -163,13 +163,13 @@
 		text = bytes.Replace(text, []byte(`"127.0.0.1:1"`), []byte(strconv.Quote(a)), 1)
 	}
 	require.NoError(t, os.WriteFile(config, text, 0o600))
-	now := startBeside(t, bin, config, dir)
+	now := startProcess(t, bin, config, dir)
 	now.ready(t)
-	var followers []*steady
+	var followers []*steadyClient
 	var wait sync.WaitGroup
 	var kills atomic.Int64
 	for n := range 8 {
-		a := &steady{to: listen, kills: &kills}
+		a := &steadyClient{to: listen, kills: &kills}
 		followers = append(followers, a)
 		wait.Add(1)
 		go func() { defer wait.Done(); a.run(n) }()
@@ -177,7 +177,7 @@
 	for round := range rounds {
 		out := fmt.Sprintf("s-%08x", uint64(scenario.ParentID))
 		require.Equal(t, "SUCCESS", now.call("SUSPEND "+out), now.logs)
-		next := startBeside(t, bin, config, dir)
+		next := startProcess(t, bin, config, dir)
 		switch round % 3 {
 		case 1: // it dies at some moment of its start, before or after its yes
 			time.Sleep(time.Duration(round*7%60) * time.Millisecond)
@@ -185,7 +185,7 @@
 			require.NoError(t, next.cmd.Process.Kill())
 			_ = next.cmd.Wait()
 			now.ready(t)
-			next = startBeside(t, bin, config, dir)
+			next = startProcess(t, bin, config, dir)
 		}
 		next.ready(t)
 		require.Equal(t, "SUCCESS", next.call("SUSPEND "+out))
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -31,8 +31,8 @@
 	return bin
 }
 
-// given are the addresses that freeAddr has returned.
-var given sync.Map
+// usedAddrs are the addresses that freeAddr has returned.
+var usedAddrs sync.Map
 
 // freeAddr returns an address at which nothing listens, each only once. It is on an IP address of this run's own, so that no other run
 // takes the port between its close and its use.
@@ -42,7 +42,7 @@
 		require.NoError(t, err)
 		addr := ln.Addr().String()
 		require.NoError(t, ln.Close())
-		if _, known := given.LoadOrStore(addr, true); !known {
+		if _, known := usedAddrs.LoadOrStore(addr, true); !known {
 			return addr
 		}
 	}
@@ -82,19 +82,19 @@
 
 func program(t *testing.T, cmd *exec.Cmd) {
 	listen, cache := freeAddr(t), scenario.Listen(t)
-	board := listenBoard(t)
+	board := listenDiscovery(t)
 	path := configFile(t, listen, board.Addr().String(), cache.Addr())
 	cmd.Env = append(cmd.Environ(), "LB_CONFIG="+path)
 	logs, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	nc := askedFrom(t, board, 1) // it asks for what comes after the events known
+	nc := acceptDiscoveryCall(t, board, 1) // it asks for what comes after the events known
 	// Event 2: the cache has left, and in the same frame another one, 2, has its address.
 	_, err = nc.Write(changes(2, record(1, 2, cache.Addr()), record(2, 0, cache.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 2 has been taken in
-	askedFrom(t, board, 2)
+	acceptDiscoveryCall(t, board, 2)
 	var c *scenario.Client
 	require.Eventually(t, func() bool {
 		probe, err := net.Dial("tcp", listen)
@@ -131,17 +131,17 @@
 	}
 	hup(good[:len(good)/2])
 	// Nor does a file of another deployment, whose indexes of zones and kinds mean others.
-	stray := listenBoard(t)
+	stray := listenDiscovery(t)
 	foreign := bytes.ReplaceAll(good, []byte(`["small","parent","origin"]`), []byte(`["parent","small","origin"]`))
 	require.NotEqual(t, good, foreign)
 	require.Contains(t, hup(bytes.ReplaceAll(foreign, []byte(board.Addr().String()), []byte(stray.Addr().String()))), "takes a restart")
-	other, moved := scenario.Listen(t), listenBoard(t)
+	other, moved := scenario.Listen(t), listenDiscovery(t)
 	hup(bytes.ReplaceAll(good, []byte(board.Addr().String()), []byte(moved.Addr().String())))
-	nc = askedFrom(t, moved, 2) // the numbers go on at the new address
+	nc = acceptDiscoveryCall(t, moved, 2) // the numbers go on at the new address
 	_, err = nc.Write(changes(3, record(2, 2, cache.Addr()), record(3, 0, other.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 3 has been taken in
-	askedFrom(t, moved, 3)
+	acceptDiscoveryCall(t, moved, 3)
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"c": c, "s": other}, `
 		c send RPC.CALL 3 asset rid=00000000000000a2,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17
 		s expect fetch 00000000000000a2 lane=asset,* -`)
@@ -169,9 +169,9 @@
 	require.NoError(t, cmd.Wait(), string(text))
 }
 
-// askedFrom returns the call to discovery that asks for the events after a number. Calls beside a silent one may come first on a slow
+// acceptDiscoveryCall returns the call to discovery that asks for the events after a number. Calls beside a silent one may come first on a slow
 // machine; none asks for later events.
-func askedFrom(t *testing.T, board net.Listener, want uint64) net.Conn {
+func acceptDiscoveryCall(t *testing.T, board net.Listener, want uint64) net.Conn {
 	for {
 		nc, err := board.Accept()
 		require.NoError(t, err)
@@ -184,7 +184,7 @@
 	}
 }
 
-func listenBoard(t *testing.T) net.Listener {
+func listenDiscovery(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -41,8 +41,8 @@
   "servers": {"path": "servers.jsonc", "quiet_ms": 30, "poll_ms": 500, "drain_ms": 3000, "most_dropped": 1, "weight_every_ms": 100}
 }`
 
-// rig is the program without its process: real sockets and files under a clock that the test moves.
-type rig struct {
+// inProcessProxy is the program without its process: real sockets and files under a clock that the test moves.
+type inProcessProxy struct {
 	t      *testing.T
 	clk    *clock.Clock
 	path   string
@@ -75,8 +75,8 @@
 	return fmt.Sprintf("{\"generation\": %d, \"servers\": [\n%s\n],\n\"end\": %[1]d}", generation, strings.Join(entries, ",\n"))
 }
 
-func newRig(t *testing.T, first string) *rig {
-	r := &rig{t: t, clk: clock.Manual(1_764_576_000_000)}
+func newInProcessProxy(t *testing.T, first string) *inProcessProxy {
+	r := &inProcessProxy{t: t, clk: clock.Manual(1_764_576_000_000)}
 	dir := t.TempDir()
 	r.path = filepath.Join(dir, "servers.jsonc")
 	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 5, FillTime: 20, PurgeDelay: 6000})
@@ -121,7 +121,7 @@
 }
 
 // fill replaces @ID in a text by the address of a stand-in.
-func (r *rig) fill(text string) string {
+func (r *inProcessProxy) fill(text string) string {
 	for _, id := range []policy.CacheID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
 		text = strings.ReplaceAll(text, fmt.Sprintf("\"@%d\"", id), `"`+r.fleet.Server(id).Addr()+`"`)
 	}
@@ -129,7 +129,7 @@
 }
 
 // run lets time pass in small steps, with real time for the sockets in between.
-func (r *rig) run(ms float64) {
+func (r *inProcessProxy) run(ms float64) {
 	for end := r.clk.Now() + ms; r.clk.Now() < end; {
 		r.clk.Advance(10)
 		time.Sleep(2 * time.Millisecond)
@@ -137,7 +137,7 @@
 }
 
 // quiet lets time pass until no request is open and the list's generation is the one awaited.
-func (r *rig) quiet(generation uint64) {
+func (r *inProcessProxy) quiet(generation uint64) {
 	r.t.Helper()
 	for end := time.Now().Add(time.Minute); r.client.Open() > 0 || r.src.list.Status().Generation != generation; r.run(10) {
 		require.True(r.t, time.Now().Before(end), "open %d, list %+v", r.client.Open(), r.src.list.Status())
@@ -145,7 +145,7 @@
 }
 
 // note records which servers are ready in a list that was applied.
-func (r *rig) note(at float64, ids []policy.CacheID) {
+func (r *inProcessProxy) note(at float64, ids []policy.CacheID) {
 	u := use{at: at, ready: map[policy.CacheID]bool{}}
 	for _, id := range ids {
 		u.ready[id] = true
@@ -159,7 +159,7 @@
 const drainGrace, drainSlack = 2000, 3000
 
 // check compares what the servers and the clients saw with the lists that were in use.
-func (r *rig) check() {
+func (r *inProcessProxy) check() {
 	r.t.Helper()
 	var told []fleet.Notification
 	for i, u := range r.used {
@@ -206,7 +206,7 @@
 		}
 		return listText(generation, lines)
 	}
-	r := newRig(t, text(1, first))
+	r := newInProcessProxy(t, text(1, first))
 	r.note(r.clk.Now(), first)
 	generation := 1
 	for turn := range 240 {
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -19,7 +19,7 @@
 // open requests are answered, and it ends by itself.
 func TestTerminatedAfterTakeoverAnswersAll(t *testing.T) {
 	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
-	board := listenBoard(t)
+	board := listenDiscovery(t)
 	go func() {
 		for {
 			nc, err := board.Accept()
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	text = bytes.ReplaceAll(text, []byte(strconv.Quote("127.0.0.1:1")), []byte(strconv.Quote(cache.Addr())))
 	require.NoError(t, os.WriteFile(config, text, 0o600))
-	old := startBeside(t, bin, config, dir)
+	old := startProcess(t, bin, config, dir)
 	old.ready(t)
 	c := scenario.Dial(t, listen)
 	actors := map[string]scenario.Actor{"c": c, "s": cache}
@@ -42,7 +42,7 @@
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17
 		s expect fetch 00000000000000a1 lane=asset,* -`)
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
-	next := startBeside(t, bin, config, dir)
+	next := startProcess(t, bin, config, dir)
 	next.ready(t)
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool { return old.call("STATUS") == "FAILURE stopping" }, time.Minute, 5*time.Millisecond, "it steps back")
@@ -61,12 +61,12 @@
 
 // A successor gets SIGTERM before it owns the address. It ends, and the owner goes on.
 func TestTerminatedSuccessorLeavesOwner(t *testing.T) {
-	bin, listen, dir, cache, board := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenBoard(t)
+	bin, listen, dir, cache, board := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
 	config := configFile(t, listen, board.Addr().String(), cache.Addr())
-	owner := startBeside(t, bin, config, dir)
+	owner := startProcess(t, bin, config, dir)
 	owner.ready(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
-	next := startBeside(t, bin, config, dir)
+	next := startProcess(t, bin, config, dir)
 	require.Eventually(t, func() bool { return next.call("STATUS") == "FAILURE starting" }, time.Minute, time.Millisecond)
 	time.Sleep(100 * time.Millisecond) // it has asked the owner by now, which says nothing
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
@@ -83,15 +83,15 @@
 // of its own. Resumed, the owner answers its queue before it yields.
 func TestStoppedOwnerAnswersItsQueue(t *testing.T) {
 	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
-	answers := &replies{}
+	answers := &recordingCache{}
 	go answers.serve(t, cache)
-	config := configFile(t, listen, listenBoard(t).Addr().String(), cache.Addr())
-	owner := startBeside(t, bin, config, dir)
+	config := configFile(t, listen, listenDiscovery(t).Addr().String(), cache.Addr())
+	owner := startProcess(t, bin, config, dir)
 	owner.ready(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
 	waits := scenario.Dial(t, listen)
 	require.NoError(t, waits.Send([]string{"RPC.CALL", "1", "asset", "rid=00000000000000a1,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17"}))
-	next := startBeside(t, bin, config, dir)
+	next := startProcess(t, bin, config, dir)
 	next.ready(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGCONT))
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"waits": waits}, `
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -81,7 +81,7 @@
 	asked    map[string]*soakRequest
 	told     []fleet.Notification
 	stalled  float64 // until when the board tells nothing
-	lull     float64 // until when discovery has no further trouble; see troubleDiscovery
+	lull     float64 // until when discovery has no further trouble; see causeDiscoveryFaults
 	at       int     // the door that the configuration names
 	broken   []string
 	termAt   atomic.Int64 // Unix µs of the first SIGTERM; 0: not yet
@@ -218,7 +218,7 @@
 	end := time.Now().Add(s.plan.runs)
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(50+s.rng.IntN(400)) * time.Millisecond)
-		s.trouble()
+		s.causeFault()
 	}
 	select {
 	case err := <-exited:
@@ -228,7 +228,7 @@
 	s.terminate(exited)
 	close(s.over)
 	clients.Wait()
-	s.judge()
+	s.check()
 }
 
 func (s *soak) now() float64 { return s.clk.Now() }
@@ -279,8 +279,8 @@
 	}
 }
 
-// tell records an event of discovery, with the time at which it counts as notified.
-func (s *soak) tell(t fleet.Notification) {
+// recordNotification records an event of discovery, with the time at which it counts as notified.
+func (s *soak) recordNotification(t fleet.Notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Made = s.now()
@@ -294,10 +294,10 @@
 	s.told = append(s.told, t)
 }
 
-// trouble causes a fault: of a server, of discovery, or by a signal.
-func (s *soak) trouble() {
+// causeFault causes a fault: of a server, of discovery, or by a signal.
+func (s *soak) causeFault() {
 	if s.plan.discovery && s.now() >= s.lull {
-		s.troubleDiscovery()
+		s.causeDiscoveryFaults()
 		return
 	}
 	id := policy.CacheID(1 + s.rng.IntN(soakCaches))
@@ -322,17 +322,17 @@
 		m := s.start(id)
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
 		s.list[id] = m
-		s.tell(fleet.Notification{Returns: []policy.CacheID{id}})
+		s.recordNotification(fleet.Notification{Returns: []policy.CacheID{id}})
 		s.board.Change(m)
 	case 5:
 		m := s.list[id]
 		m.State = policy.Draining
 		s.list[id] = m
-		s.tell(fleet.Notification{Drains: []policy.CacheID{id}})
+		s.recordNotification(fleet.Notification{Drains: []policy.CacheID{id}})
 		s.board.Change(m)
 	case 6:
 		group := s.rng.IntN(fleet.Groups)
-		s.tell(fleet.Notification{Purge: true, Group: group})
+		s.recordNotification(fleet.Notification{Purge: true, Group: group})
 		s.board.Purge("", group, s.servers.Purge("", group))
 	case 7: // a stop counts as told 4 s later
 		s.mu.Lock()
@@ -356,11 +356,11 @@
 	s.broken = append(s.broken, fmt.Sprintf(format, args...))
 }
 
-// judge checks what was seen against the protocol.
-func (s *soak) judge() {
+// check checks what was seen against the protocol.
+func (s *soak) check() {
 	slack := 50 + 2*float64(s.late.Load())/1e6
-	s.judgeAnswers(slack)
-	s.judgeAttempts(slack)
+	s.checkAnswers(slack)
+	s.checkAttempts(slack)
 	s.broken = append(s.broken, s.servers.DuplicateWrites()...)
 	s.broken = append(s.broken, fleet.Rules{Drain: 2000, Purge: 1000, Slack: slack}.Violations(s.servers.Observations(), s.told)...)
 	words := map[string]int{}
@@ -374,9 +374,9 @@
 	}
 }
 
-// judgeAnswers checks that each request has one answer in time, but for those that crossed the close of their connection, and those of the
+// checkAnswers checks that each request has one answer in time, but for those that crossed the close of their connection, and those of the
 // last 0.7 s before SIGKILL.
-func (s *soak) judgeAnswers(slack float64) {
+func (s *soak) checkAnswers(slack float64) {
 	term, kill := float64(s.termAt.Load())/1e3, float64(s.killedAt.Load())/1e3
 	offset := s.clk.Wall() - s.now()
 	for id, q := range s.asked {
@@ -394,9 +394,9 @@
 	}
 }
 
-// judgeAttempts checks that no attempt begins for a client that has left, has more time than is left, or repeats a deduplicated request after
+// checkAttempts checks that no attempt begins for a client that has left, has more time than is left, or repeats a deduplicated request after
 // its window, and that rejected requests did not run.
-func (s *soak) judgeAttempts(slack float64) {
+func (s *soak) checkAttempts(slack float64) {
 	firsts := map[string]float64{} // by key
 	for _, a := range s.servers.Observations() {
 		q := s.asked[a.RequestID]
--- a/cmd/ravenwheel/standalone_test.go
+++ b/cmd/ravenwheel/standalone_test.go
@@ -119,7 +119,7 @@
 	put(listText(1, []string{server(1), server(20)}))
 	o, err := config.ParseOperatorFile(filepath.Join(dir, "o.jsonc"), []byte(`{"servers": {"path": "servers.jsonc", "quiet_ms": 30, "most_dropped": 1}}`))
 	require.NoError(t, err)
-	ln := listenBoard(t)
+	ln := listenDiscovery(t)
 	member := func(id policy.CacheID, state policy.State) core.Member {
 		m := core.Member{Addr: fmt.Sprintf("127.0.0.%d:9", id)}
 		m.ID, m.Zone, m.State, m.Weight = id, 1, state, 9
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// restless is a client that always has an open request on its one connection, until that ends.
-type restless struct {
+// restlessClient is a client that always has an open request on its one connection, until that ends.
+type restlessClient struct {
 	c             *scenario.Client
 	asked, served int
 	open          int // requests without an answer
@@ -99,7 +99,7 @@
 const atOnce = 3
 
 // turn reads the answers that have arrived, and sends another request where asks.
-func (r *restless) turn(t *testing.T, n int, asks bool) {
+func (r *restlessClient) turn(t *testing.T, n int, asks bool) {
 	for !r.ended {
 		words, err := r.c.TryReceive()
 		require.NoError(t, err)
@@ -156,9 +156,9 @@
 				d.Attach(front, nil, nil)
 				d.SetOwner(true)
 				d.SetAccepting(true)
-				var clients []*restless
+				var clients []*restlessClient
 				for range 6 {
-					clients = append(clients, &restless{c: scenario.Dial(t, front.Addr())})
+					clients = append(clients, &restlessClient{c: scenario.Dial(t, front.Addr())})
 				}
 				// A moment is so many ms of the clock, in which whatever is on its way in the process comes.
 				moment := func() {
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -11,7 +10,6 @@
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -34,8 +32,8 @@
 	return 6
 }
 
-// tortured is the program, killed and restarted under clients that never stop.
-type tortured struct {
+// killedProxy is the program, killed and restarted under clients that never stop.
+type killedProxy struct {
 	t        *testing.T
 	rng      *rand.Rand
 	clk      *clock.Clock
@@ -46,7 +44,7 @@
 	sock     string
 	listen   string
 	cmd      *exec.Cmd
-	logs     safeBuffer
+	logs     syncedBuffer
 	gen      int
 	told     []fleet.Notification
 	starts   []time.Duration // from the start to a request that can be taken
@@ -54,23 +52,10 @@
 	names map[policy.CacheID]policy.CacheID
 }
 
-// safeBuffer collects the output of a process while a test reads it.
-type safeBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (s *safeBuffer) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.b.Write(p)
-}
-func (s *safeBuffer) String() string { s.mu.Lock(); defer s.mu.Unlock(); return s.b.String() }
-
-// box is a stand-in, by its own id; the list may give it others.
+// boxes is the number of stand-ins. Each has an id of its own, and the list may give it others.
 const boxes = 6
 
-func (x *tortured) entry(box policy.CacheID) string {
+func (x *killedProxy) entry(box policy.CacheID) string {
 	e := entryText(box, x.fleet.Server(box).Addr(), `, "weight": 6`)
 	if id := x.names[box]; id != 0 {
 		// The kind goes by the box, the id does not.
@@ -79,7 +64,7 @@
 	return e
 }
 
-func (x *tortured) text(boxes []policy.CacheID) string {
+func (x *killedProxy) text(boxes []policy.CacheID) string {
 	var lines []string
 	for _, b := range append(slices.Clone(boxes), 10, 20) {
 		lines = append(lines, x.entry(b))
@@ -87,7 +72,7 @@
 	return listText(x.gen, lines)
 }
 
-func (x *tortured) start() {
+func (x *killedProxy) start() {
 	x.cmd = exec.Command(x.bin, "serve", "--operator", x.operator)
 	x.cmd.Stderr = &x.logs
 	began := time.Now()
@@ -106,13 +91,13 @@
 	}
 }
 
-func (x *tortured) kill() {
+func (x *killedProxy) kill() {
 	require.NoError(x.t, x.cmd.Process.Signal(syscall.SIGKILL))
 	_ = x.cmd.Wait()
 }
 
 // use renames a list into place, and returns whether the proxy was seen to use it.
-func (x *tortured) use(boxes []policy.CacheID, patience time.Duration) bool {
+func (x *killedProxy) use(boxes []policy.CacheID, patience time.Duration) bool {
 	x.gen++
 	require.NoError(x.t, os.WriteFile(x.list+".new", []byte(x.text(boxes)), 0o600))
 	require.NoError(x.t, os.Rename(x.list+".new", x.list))
@@ -126,7 +111,7 @@
 }
 
 // ready reports whether a box is in use, under the id that it is listed by.
-func (x *tortured) ready(box policy.CacheID) bool {
+func (x *killedProxy) ready(box policy.CacheID) bool {
 	id := box
 	if named := x.names[box]; named != 0 {
 		id = named
@@ -145,7 +130,7 @@
 		seed = s
 	}
 	const drain = 2500.0
-	x := &tortured{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: build(t), listen: freeAddr(t), names: map[policy.CacheID]policy.CacheID{}}
+	x := &killedProxy{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: build(t), listen: freeAddr(t), names: map[policy.CacheID]policy.CacheID{}}
 	dir := t.TempDir()
 	x.operator, x.list, x.sock = filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc"), "unix:"+filepath.Join(dir, "a.sock")
 	text := strings.Replace(operatorText, "127.0.0.1:1", x.listen, 1)
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -20,15 +20,15 @@
 	"ravenwheel/internal/scenario"
 )
 
-// replies answers for a cache server and records its requests: it rejects all while it is full.
-type replies struct {
+// recordingCache answers for a cache server and records its requests: it rejects all while it is full.
+type recordingCache struct {
 	full  atomic.Bool
 	mu    sync.Mutex
 	asked map[string]string // fields by id
 	came  map[string]time.Time
 }
 
-func (r *replies) serve(t *testing.T, cache *scenario.Server) {
+func (r *recordingCache) serve(t *testing.T, cache *scenario.Server) {
 	r.asked, r.came = map[string]string{}, map[string]time.Time{}
 	for t.Context().Err() == nil {
 		words, err := cache.Receive()
@@ -81,7 +81,7 @@
 			door, err := board.Open("127.0.0.1:0")
 			require.NoError(t, err)
 			defer door.Close()
-			answers := &replies{}
+			answers := &recordingCache{}
 			go answers.serve(t, cache)
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), "LB_CONFIG="+configFile(t, listen, door.Addr(), cache.Addr()),
@@ -91,7 +91,7 @@
 			require.NoError(t, cmd.Start())
 			started := time.Now()
 			defer func() { _ = cmd.Process.Kill() }()
-			require.Eventually(t, func() bool { there, err := served(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+			require.Eventually(t, func() bool { there, err := servedOnceReady(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
 			c := scenario.Dial(t, listen)
 			n := 0
 			answers.full.Store(true)
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -11,8 +11,8 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// day is the upper bound of most durations, in ms: a longer one is a mistake.
-const day = 24 * 3600 * 1000
+// dayMs is the upper bound of most durations, in ms: a longer one is a mistake.
+const dayMs = 24 * 3600 * 1000
 
 // maxCount bounds sizes and counts that the machine limits.
 const maxCount = 1 << 20
@@ -25,8 +25,8 @@
 	openRequestsRange     = valueRange{4096, 1, maxCount}
 	streamsPerConnRange   = valueRange{defaultStreamsPerConn, 1, 1000}
 	connectTimeoutMsRange = valueRange{defaultConnectTimeoutMs, 1, 60_000}
-	idleTimeoutMsRange    = valueRange{30_000, 0, day}
-	tokenLeewayMsRange    = valueRange{0, 0, day}
+	idleTimeoutMsRange    = valueRange{30_000, 0, dayMs}
+	tokenLeewayMsRange    = valueRange{0, 0, dayMs}
 )
 
 // signatureAlgorithms are the JWT algorithms that a signing key may have.
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -77,8 +77,8 @@
 func (d *Distribution) checkTimes(c checker) {
 	c.number("heartbeat_ms", &d.HeartbeatMs, valueRange{500, 10, 60_000})
 	minSilence := minMissedHeartbeats * d.HeartbeatMs
-	c.number("silent_ms", &d.SilenceTimeoutMs, valueRange{max(defaultSilenceTimeoutMs, minSilence), minSilence, day})
-	c.number("bound_ms", &d.MaxLagMs, valueRange{max(defaultMaxLagMs, d.SilenceTimeoutMs), d.SilenceTimeoutMs, day})
+	c.number("silent_ms", &d.SilenceTimeoutMs, valueRange{max(defaultSilenceTimeoutMs, minSilence), minSilence, dayMs})
+	c.number("bound_ms", &d.MaxLagMs, valueRange{max(defaultMaxLagMs, d.SilenceTimeoutMs), d.SilenceTimeoutMs, dayMs})
 	c.number("clock_bound_ms", &d.MaxClockSkewMs, valueRange{250, 0, 60_000})
 }
 
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -41,14 +41,14 @@
 	c.required("path", s.Path)
 	c.number("quiet_ms", &s.QuietMs, valueRange{200, 10, 60_000})
 	c.number("most_wait_ms", &s.MaxWaitMs, valueRange{5000, s.QuietMs, 600_000})
-	c.number("poll_ms", &s.PollMs, valueRange{5000, 100, day})
-	c.number("drain_ms", &s.DrainMs, valueRange{f.longestDeadlineMs() + drainMarginMs, 0, day})
-	c.number("remember_ms", &s.RememberMs, valueRange{600_000, 0, day})
+	c.number("poll_ms", &s.PollMs, valueRange{5000, 100, dayMs})
+	c.number("drain_ms", &s.DrainMs, valueRange{f.longestDeadlineMs() + drainMarginMs, 0, dayMs})
+	c.number("remember_ms", &s.RememberMs, valueRange{600_000, 0, dayMs})
 	c.number("most_dropped", &s.MaxDroppedFraction, valueRange{0.34, 0, 1})
 	c.number("weight_step", &s.WeightStep, valueRange{2, 1, 1000})
-	c.number("weight_every_ms", &s.WeightIntervalMs, valueRange{2000, 1, day})
+	c.number("weight_every_ms", &s.WeightIntervalMs, valueRange{2000, 1, dayMs})
 	c.number("resolve_ms", &s.ResolveTimeoutMs, valueRange{2000, 10, 60_000})
-	c.number("ttl_ms", &s.ResolveTTLMs, valueRange{30_000, 100, day})
+	c.number("ttl_ms", &s.ResolveTTLMs, valueRange{30_000, 100, dayMs})
 }
 
 func (f *OperatorFile) longestDeadlineMs() float64 {
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -126,9 +126,9 @@
 	s.SiblingFills = cmp.Or(s.SiblingFills, "location")
 	c.oneOf("siblings", s.SiblingFills, "none", "location", "any")
 	c.number("flow_kb_per_s", &s.FlowKBPerSecond, valueRange{0, 0, 1e9})
-	c.number("drain_grace_ms", &s.DrainGraceMs, valueRange{2000, 0, day})
-	c.number("purge_grace_ms", &s.PurgeGraceMs, valueRange{1000, 0, day})
-	c.number("purge_takes_ms", &s.PurgePropagationMs, valueRange{6000, 0, day})
+	c.number("drain_grace_ms", &s.DrainGraceMs, valueRange{2000, 0, dayMs})
+	c.number("purge_grace_ms", &s.PurgeGraceMs, valueRange{1000, 0, dayMs})
+	c.number("purge_takes_ms", &s.PurgePropagationMs, valueRange{6000, 0, dayMs})
 	c.number("answer_slack_ms", &s.AnswerSlackMs, valueRange{50, 0, 60_000})
 	s.SlowStart = checkSlowStart(checker{c.doc, "site.cold"}, s.SlowStart, SlowStart{0.15, 18_000, 3, 3000})
 	s.ParentSlowStart = checkSlowStart(checker{c.doc, "site.parent_cold"}, s.ParentSlowStart, SlowStart{0.06, 22_000, 2, 3000})
@@ -185,9 +185,9 @@
 		given = &SlowStart{}
 	}
 	c.number("from", &given.InitialCapacity, valueRange{defaults.InitialCapacity, 0.001, 1})
-	c.number("warm_within_ms", &given.WarmUpMs, valueRange{defaults.WarmUpMs, 0, day})
+	c.number("warm_within_ms", &given.WarmUpMs, valueRange{defaults.WarmUpMs, 0, dayMs})
 	c.number("falls_at", &given.OverloadFactor, valueRange{defaults.OverloadFactor, 1, 1000})
-	c.number("falls_within_ms", &given.OverloadWithinMs, valueRange{defaults.OverloadWithinMs, 1, day})
+	c.number("falls_within_ms", &given.OverloadWithinMs, valueRange{defaults.OverloadWithinMs, 1, dayMs})
 	return given
 }
 
@@ -207,17 +207,17 @@
 	k.Effect = cmp.Or(k.Effect, effectIdempotent)
 	c.oneOf("effect", k.Effect, effects...)
 	c.oneOf("group", k.DedupScope, "", "all", "zone", "cell")
-	c.number("deadline_ms", &k.DeadlineMs, valueRange{0, 1, day})
+	c.number("deadline_ms", &k.DeadlineMs, valueRange{0, 1, dayMs})
 	c.number("target_ms", &k.TargetMs, valueRange{k.DeadlineMs, 1, k.DeadlineMs})
 	c.number("stretch", &k.TargetStretch, valueRange{0, 0, 1000})
 	c.number("worth", &k.PriorityWeight, valueRange{1, 0, 1e6})
 	c.number("late_value", &k.LateFraction, valueRange{0.1, 0, 1})
-	c.number("window_ms", &k.DedupWindowMs, valueRange{0, 0, day})
+	c.number("window_ms", &k.DedupWindowMs, valueRange{0, 0, dayMs})
 	if k.Effect == effectDeduplicated && k.DedupWindowMs == 0 {
 		c.doc.Failf(c.path("window_ms"), "a deduplicated class needs window_ms: for how long repeats are discarded")
 	}
-	c.number("fresh_ms", &k.FreshMs, valueRange{0, 0, 365 * day})
-	c.number("stale_ms", &k.StaleMs, valueRange{0, 0, 365 * day})
+	c.number("fresh_ms", &k.FreshMs, valueRange{0, 0, 365 * dayMs})
+	c.number("stale_ms", &k.StaleMs, valueRange{0, 0, 365 * dayMs})
 	c.number("stale_worth", &k.StaleFraction, valueRange{0.7, 0, 1})
 	if k.Uncached && k.FreshMs > 0 {
 		c.doc.Failf(c.path("fresh_ms"), "an uncached class keeps nothing that could be fresh")
