--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -146,7 +146,7 @@
 			return err
 		}
 	}
-	err = e.Do(cmd.Context(), runs, o.workers, func(r experiment.Run, done, total int) {
+	err = e.Play(cmd.Context(), runs, o.workers, func(r experiment.Run, done, total int) {
 		runs = append(runs, r)
 		if o.runsPath != "" {
 			if err := experiment.Append(o.runsPath, r); err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,16 +14,18 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-const small = `{
+// smallExperiment has two scenarios with two values each.
+const smallExperiment = `{
   // ten seconds, three scenarios, two values each
   "name": "small", "seconds": 4, "seeds": 2,
   "variants": {"more": {"/fleet/caches": 5, "/troubles": [{"at_s": 1, "for_s": 1, "kind": "hang", "size": 0.1}]}},
   "sweep": {"/traffic/per_s": [20, 40]},
 }`
 
-func TestParse(t *testing.T) {
-	e, bad := experiment.Parse("f", []byte(small))
-	require.NoError(t, bad.Err())
+// The variants and the sweep are expanded to scenarios, and each defect is reported.
+func TestParseExpandsVariantsAndReportsDefects(t *testing.T) {
+	e, defects := experiment.Parse("f", []byte(smallExperiment))
+	require.NoError(t, defects.Err())
 	require.Equal(t, 2, e.Seeds)
 	var names []string
 	for _, v := range e.Variants {
@@ -40,60 +42,59 @@
 		`{"variants": {"a": {"/nothing/x": 1}}}`: `f:1:2: unknown field "nothing"`,
 		`{"variants": []}`:                       "f: variants wants an object",
 	} {
-		_, bad := experiment.Parse("f", []byte(text))
-		require.Error(t, bad.Err(), text)
-		require.Contains(t, bad.Error(), want[:min(len(want), 30)], text)
+		_, defects := experiment.Parse("f", []byte(text))
+		require.Error(t, defects.Err(), text)
+		require.Contains(t, defects.Error(), want[:min(len(want), 30)], text)
 	}
 }
 
-// The files of the library can be used, all of them.
-func TestLibrary(t *testing.T) {
+// Every experiment in lab/ is valid.
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.jsonc")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(files), 9)
 	for _, path := range files {
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		_, bad := experiment.Parse(path, text)
-		require.NoError(t, bad.Err())
+		_, defects := experiment.Parse(path, text)
+		require.NoError(t, defects.Err())
 	}
 }
 
-// A sweep that was stopped goes on where it was, and ends with what it would have had at once; the report of equal runs
-// is equal.
-func TestResume(t *testing.T) {
-	e, bad := experiment.Parse("f", []byte(small))
-	require.NoError(t, bad.Err())
+// A sweep that was interrupted resumes, with the same results as an uninterrupted one, and they can be reported.
+func TestInterruptedSweepResumes(t *testing.T) {
+	e, defects := experiment.Parse("f", []byte(smallExperiment))
+	require.NoError(t, defects.Err())
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	ctx, stop := context.WithCancel(context.Background())
-	err := e.Do(ctx, nil, 2, func(r experiment.Run, n, of int) {
-		require.Equal(t, 8, of)
+	err := e.Play(ctx, nil, 2, func(r experiment.Run, played, total int) {
+		require.Equal(t, 8, total)
 		require.NoError(t, experiment.Append(path, r))
-		if n == 3 {
+		if played == 3 {
 			stop()
 		}
 	})
 	require.ErrorIs(t, err, context.Canceled)
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	require.NoError(t, err)
-	_, err = f.WriteString(`{"variant": "base, /traf`) // and was cut off in the middle of a line
+	_, err = f.WriteString(`{"variant": "base, /traf`) // an incomplete line
 	require.NoError(t, err)
 	require.NoError(t, f.Close())
 	done, err := experiment.Load(path)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(done), 3)
 	runs := done
-	require.NoError(t, e.Do(context.Background(), done, 3, func(r experiment.Run, _, _ int) { runs = append(runs, r) }))
+	require.NoError(t, e.Play(context.Background(), done, 3, func(r experiment.Run, _, _ int) { runs = append(runs, r) }))
 	require.Len(t, runs, 8)
-	whole := map[string]string{}
-	require.NoError(t, e.Do(context.Background(), nil, 1, func(r experiment.Run, _, _ int) {
-		raw, _ := json.Marshal(r.Result)
-		whole[r.Variant+string(rune(r.Seed))] = string(raw)
+	uninterrupted := map[string]string{}
+	require.NoError(t, e.Play(context.Background(), nil, 1, func(r experiment.Run, _, _ int) {
+		encoded, _ := json.Marshal(r.Result)
+		uninterrupted[r.Variant+string(rune(r.Seed))] = string(encoded)
 	}))
 	for _, r := range runs {
-		raw, err := json.Marshal(r.Result)
+		encoded, err := json.Marshal(r.Result)
 		require.NoError(t, err)
-		require.Equal(t, whole[r.Variant+string(rune(r.Seed))], string(raw), "whatever runs beside it")
+		require.Equal(t, uninterrupted[r.Variant+string(rune(r.Seed))], string(encoded), "a result does not depend on what runs at the same time")
 	}
 	page := filepath.Join(t.TempDir(), "r.html")
 	w, err := os.Create(page)
@@ -106,22 +107,22 @@
 	require.Contains(t, string(text), "<svg")
 }
 
-// A scenario in which a rule breaks is made smaller while it does: a cold cache that bears next to nothing is pushed over.
-func TestShrink(t *testing.T) {
+// A scenario in which caches without copies are overloaded at once is reduced, and still breaks a rule.
+func TestShrinkKeepsTheViolation(t *testing.T) {
 	s := sim.Default()
 	s.Seconds, s.Fleet.FallsAt, s.Fleet.FallsIn, s.Fleet.ColdFrom = 24, 1, 50, 0.05
 	s.Troubles = []sim.Trouble{{At: 1, For: 2, Kind: "burst", Size: 2}, {At: 2, For: 2, Kind: "branch_lost"}, {At: 5, For: 2, Kind: "hang"}}
-	tried := 0
-	got, err := experiment.Shrink(context.Background(), s, 2, func(sim.Spec, bool) { tried++ })
+	played := 0
+	smallest, err := experiment.Shrink(context.Background(), s, 2, func(sim.Spec, bool) { played++ })
 	require.NoError(t, err)
-	require.Less(t, len(got.Troubles), 3)
-	require.Equal(t, "branch_lost", got.Troubles[len(got.Troubles)-1].Kind)
-	require.Greater(t, tried, 3)
+	require.Less(t, len(smallest.Troubles), 3)
+	require.Equal(t, "branch_lost", smallest.Troubles[len(smallest.Troubles)-1].Kind)
+	require.Greater(t, played, 3)
 	_, err = experiment.Shrink(context.Background(), sim.Spec{Seconds: 1, Traffic: sim.Default().Traffic, Fleet: sim.Default().Fleet}, 1, func(sim.Spec, bool) {})
 	require.ErrorContains(t, err, "no rule breaks")
 }
 
-func TestBootstrap(t *testing.T) {
+func TestBootstrapInterval(t *testing.T) {
 	f := report.Bootstrap([]float64{1, 2, 3, 4, 5, 6, 7, 8})
 	require.Equal(t, 4.5, f.Mean)
 	require.InDelta(t, 4.5-1.96*0.81, f.Low, 0.25)
--- a/internal/lab/experiment/floors_test.go
+++ b/internal/lab/experiment/policy_floors_test.go
@@ -13,17 +13,17 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// seenLate: ms by which the late-seeing baseline sees the fleet late.
-const seenLate = 300
+// viewDelay is how old, in ms, the late-seeing baseline's view of the fleet is.
+const viewDelay = 300
 
-// floors are, with some room, what the module was measured to serve (docs/measurements/lab.md). They are what the module must serve of a class, as a share of the worth that a baseline serves of the same requests in the
-// same third of the run.
+// floors are what the module must serve of a class in each third of a run: multiples of the value that a baseline serves of
+// the same requests. docs/measurements/lab.md has the figures behind them.
 type floors struct{ random, late [3]float64 }
 
-// thirds are the worth asked and served of one class, in thirds of the run, over all seeds.
+// thirds are the value requested and served of one class in each third of the run, over all seeds.
 type thirds [3]sim.Part
 
-// playAll plays the first scenario of a file by a player with each of its seeds, and adds up what became of each class.
+// playAll plays the first scenario of a file with each of its seeds and sums the results by class.
 func playAll(t *testing.T, e *experiment.Experiment, p sim.Player) map[string]*thirds {
 	t.Helper()
 	sums := map[string]*thirds{}
@@ -46,19 +46,19 @@
 	return sums
 }
 
-func load(t *testing.T, name string) *experiment.Experiment {
+func readFile(t *testing.T, name string) *experiment.Experiment {
 	t.Helper()
 	path := "../../../lab/" + name + ".jsonc"
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	e, bad := experiment.Parse(path, text)
-	require.NoError(t, bad.Err())
+	e, defects := experiment.Parse(path, text)
+	require.NoError(t, defects.Err())
 	return e
 }
 
-// Under either kind of settings, in each third of the run and for each class, the module serves what it should against random
-// choice and against one who sees the fleet, late.
-func TestFloors(t *testing.T) {
+// With the settings of both files, in each third of the run and for each class, the module serves enough compared with random
+// choice and with a player that sees the state of the fleet with a delay.
+func TestModuleServesItsFloors(t *testing.T) {
 	for name, want := range map[string]map[string]floors{
 		"terminal-maps": {
 			"tiles":   {random: [3]float64{0.97, 1.04, 1.40}, late: [3]float64{0.97, 1.02, 1.18}},
@@ -72,15 +72,15 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := load(t, name)
+			e := readFile(t, name)
 			module := playAll(t, e, sim.Module)
-			random, late := playAll(t, e, sim.Random), playAll(t, e, sim.LateSeeing(seenLate))
+			random, late := playAll(t, e, sim.Random), playAll(t, e, sim.LateSeeing(viewDelay))
 			require.Len(t, module, len(want))
 			for class, f := range want {
 				for i, m := range module[class] {
 					r, l := random[class][i], late[class][i]
-					require.Equal(t, m.Asked, r.Asked, "all players are asked for the same")
-					require.Equal(t, m.Asked, l.Asked, "all players are asked for the same")
+					require.Equal(t, m.Asked, r.Asked, "all players get the same requests")
+					require.Equal(t, m.Asked, l.Asked, "all players get the same requests")
 					at := fmt.Sprintf("%s, third %d", class, i+1)
 					t.Logf("%-22s served %.3f of what was asked, random %.3f, late-seeing %.3f: ratios %.3f, %.3f",
 						at, m.Got/m.Asked, r.Got/r.Asked, l.Got/l.Asked, m.Got/r.Got, m.Got/l.Got)
@@ -93,10 +93,10 @@
 	}
 }
 
-// The module breaks no rule under either kind of settings, nor in the variants of both files.
-func TestNoRuleIsBroken(t *testing.T) {
+// The module breaks no rule in any variant of both files.
+func TestModuleBreaksNoRule(t *testing.T) {
 	for _, name := range []string{"terminal-maps", "tabletop"} {
-		for _, v := range load(t, name).Variants {
+		for _, v := range readFile(t, name).Variants {
 			for seed := range uint64(4) {
 				r, err := sim.Run(context.Background(), v.Spec, seed+1)
 				require.NoError(t, err)
--- /dev/null
+++ b/internal/lab/experiment/shrink.go
@@ -0,0 +1,61 @@
+package experiment
+
+import (
+	"context"
+	"errors"
+	"slices"
+
+	"ravenwheel/internal/lab/sim"
+)
+
+// ErrNoViolation is returned by Shrink for a scenario that breaks no rule.
+var ErrNoViolation = errors.New("no rule breaks with this seed")
+
+// Shrink reduces a scenario that breaks a rule for as long as it still breaks one: fewer faults, less time, a smaller fleet,
+// less traffic. It returns the smallest scenario found, and calls played for each scenario with whether a rule was broken.
+func Shrink(ctx context.Context, s sim.Spec, seed uint64, played func(s sim.Spec, violates bool)) (sim.Spec, error) {
+	violates := func(candidate sim.Spec) bool {
+		result, err := sim.Run(ctx, candidate, seed)
+		violated := err == nil && result.Broken > 0
+		played(candidate, violated)
+		return violated
+	}
+	if !violates(s) {
+		return s, ErrNoViolation
+	}
+	for ctx.Err() == nil {
+		candidates := reductions(s)
+		smaller := slices.IndexFunc(candidates, violates)
+		if smaller < 0 {
+			break
+		}
+		s = candidates[smaller]
+	}
+	return s, ctx.Err()
+}
+
+// reductions returns scenarios that are one step smaller: one without each of the faults, and one with each of the sizes halved.
+func reductions(s sim.Spec) (smaller []sim.Spec) {
+	for i := range s.Troubles {
+		candidate := s
+		candidate.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+		smaller = append(smaller, candidate)
+	}
+	for _, size := range []*int{&s.Fleet.Branches, &s.Fleet.Caches, &s.Fleet.Proxies, &s.Fleet.Hubs, &s.Traffic.Objects} {
+		if original := *size; original > 1 {
+			*size = original / 2
+			smaller = append(smaller, s)
+			*size = original
+		}
+	}
+	for _, size := range []*float64{&s.Seconds, &s.Traffic.PerS} {
+		if original := *size; original > 1 {
+			*size = original / 2
+			candidate := s
+			candidate.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t sim.Trouble) bool { return t.At > candidate.Seconds })
+			smaller = append(smaller, candidate)
+			*size = original
+		}
+	}
+	return smaller
+}
--- /dev/null
+++ b/internal/lab/experiment/variants.go
@@ -0,0 +1,152 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/tailscale/hujson"
+
+	"ravenwheel/internal/lab/sim"
+)
+
+// change sets the value at a JSON pointer.
+type change struct {
+	pointer string
+	value   string // JSON
+}
+
+// plan is how a variant's scenario is made from the base.
+type plan struct {
+	name       string
+	sweepValue float64
+	changes    []change
+}
+
+// expand makes the scenarios: the base and its variants, each with every value of the sweep. Defects of a scenario are returned
+// as strictjson.Defects.
+func (d document) expand(file string) ([]Variant, error) {
+	plans, err := variantPlans(d.variants)
+	if err != nil {
+		return nil, err
+	}
+	if plans, err = sweepPlans(plans, d.sweep); err != nil {
+		return nil, err
+	}
+	if len(plans) > maxVariants {
+		return nil, fmt.Errorf("%d variants, %d at the most", len(plans), maxVariants)
+	}
+	var variants []Variant
+	for _, p := range plans {
+		scenario, err := p.apply(d.base)
+		if err != nil {
+			return nil, err
+		}
+		spec, defects := sim.Parse(file, scenario.Pack())
+		if defects != nil {
+			return nil, defects
+		}
+		variants = append(variants, Variant{Name: p.name, SweepValue: p.sweepValue, Spec: spec})
+	}
+	return variants, nil
+}
+
+// variantPlans returns the plan of the base, which changes nothing, and those of the variants.
+func variantPlans(variants hujson.Value) ([]plan, error) {
+	plans := []plan{{name: "base"}}
+	if variants.Value == nil {
+		return plans, nil
+	}
+	object, ok := variants.Value.(*hujson.Object)
+	if !ok {
+		return nil, errors.New("variants wants an object")
+	}
+	for _, member := range object.Members {
+		changes, err := parseChanges(member.Value)
+		if err != nil {
+			return nil, fmt.Errorf("variant %q: %w", name(member), err)
+		}
+		plans = append(plans, plan{name: name(member), changes: changes})
+	}
+	return plans, nil
+}
+
+// parseChanges reads an object of pointers with the values to set there.
+func parseChanges(value hujson.Value) (changes []change, err error) {
+	object, ok := value.Value.(*hujson.Object)
+	if !ok {
+		return nil, errors.New("wants pointers and values")
+	}
+	for _, member := range object.Members {
+		standard := member.Value.Clone()
+		standard.Standardize()
+		changes = append(changes, change{pointer: name(member), value: string(standard.Pack())})
+	}
+	return changes, nil
+}
+
+// sweepPlans returns each of the plans with every value of the sweep, or the plans as they are if there is no sweep.
+func sweepPlans(plans []plan, sweep hujson.Value) (swept []plan, err error) {
+	if sweep.Value == nil {
+		return plans, nil
+	}
+	object, ok := sweep.Value.(*hujson.Object)
+	if !ok {
+		return nil, errors.New("sweep wants an object")
+	}
+	for _, member := range object.Members {
+		values, ok := member.Value.Value.(*hujson.Array)
+		if !ok || len(object.Members) != 1 {
+			return nil, errors.New("sweep wants one pointer with a list of values")
+		}
+		for _, p := range plans {
+			for _, value := range values.Elements {
+				number, ok := value.Value.(hujson.Literal)
+				if !ok || number.Kind() != '0' {
+					return nil, errors.New("sweep wants numbers")
+				}
+				swept = append(swept, p.withSweepValue(name(member), number))
+			}
+		}
+	}
+	return swept, nil
+}
+
+// withSweepValue returns the plan with one more change, which its name states.
+func (p plan) withSweepValue(pointer string, number hujson.Literal) plan {
+	value := number.Float()
+	return plan{
+		name:       fmt.Sprintf("%s, %s %v", p.name, pointer, value),
+		sweepValue: value,
+		changes:    append(slices.Clone(p.changes), change{pointer, string(number)}),
+	}
+}
+
+// apply returns the base with the plan's changes.
+func (p plan) apply(base hujson.Value) (hujson.Value, error) {
+	scenario := base.Clone()
+	for _, c := range p.changes {
+		if err := c.apply(&scenario); err != nil {
+			return scenario, fmt.Errorf("%s: %s: %w", p.name, c.pointer, err)
+		}
+	}
+	return scenario, nil
+}
+
+// apply makes the change. Objects on the way that the scenario leaves out are added, empty, so that their other keys keep their
+// defaults.
+func (c change) apply(scenario *hujson.Value) error {
+	for i, char := range c.pointer {
+		if parent := c.pointer[:i]; char == '/' && i > 0 && scenario.Find(parent) == nil {
+			if err := set(scenario, parent, "{}"); err != nil {
+				return err
+			}
+		}
+	}
+	return set(scenario, c.pointer, c.value)
+}
+
+// set sets the value at a pointer by a JSON patch (RFC 6902).
+func set(scenario *hujson.Value, pointer, value string) error {
+	return scenario.Patch([]byte(fmt.Sprintf(`[{"op": "add", "path": %q, "value": %s}]`, pointer, value)))
+}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -211,7 +211,7 @@
 func sweepPlot(title string, runs []experiment.Run, f func(*sim.Result) float64) (template.HTML, error) {
 	by := map[float64][]float64{}
 	for _, r := range runs {
-		by[r.At] = append(by[r.At], f(r.Result))
+		by[r.SweepValue] = append(by[r.SweepValue], f(r.Result))
 	}
 	if len(by) < 2 {
 		return "", nil
@@ -219,11 +219,11 @@
 	var points plotter.XYs
 	var bars plotter.YErrors
 	for _, r := range runs {
-		if v := by[r.At]; v != nil {
+		if v := by[r.SweepValue]; v != nil {
 			x := Bootstrap(v)
-			points = append(points, plotter.XY{X: r.At, Y: x.Mean})
+			points = append(points, plotter.XY{X: r.SweepValue, Y: x.Mean})
 			bars = append(bars, struct{ Low, High float64 }{x.Mean - x.Low, x.High - x.Mean})
-			delete(by, r.At)
+			delete(by, r.SweepValue)
 		}
 	}
 	p := plot.New()
