--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -5,6 +5,7 @@
 	"encoding/binary"
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
 	"os/exec"
 	"strings"
@@ -25,8 +26,22 @@
 	return ln.Addr().String()
 }
 
+// listening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is under way
+// may be reset by the kernel before the process can accept it.
+func listening(listen string) (bool, error) {
+	addr := netip.MustParseAddrPort(listen)
+	ip := addr.Addr().As4()
+	const anyPeer, stateListen = "00000000:0000", "0A"
+	entry := fmt.Sprintf(" %02X%02X%02X%02X:%04X %s %s ", ip[3], ip[2], ip[1], ip[0], addr.Port(), anyPeer, stateListen)
+	table, err := os.ReadFile("/proc/net/tcp")
+	return strings.Contains(string(table), entry), err
+}
+
 // servedOnceReady sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
 func servedOnceReady(listen string) (there bool, err error) {
+	if up, err := listening(listen); !up {
+		return false, err
+	}
 	nc, err := net.Dial("tcp", listen)
 	if err != nil {
 		return false, nil
@@ -72,6 +87,8 @@
 			for life := range 2 {
 				cmd := exec.Command(bin)
 				cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
+				logs := &syncedBuffer{}
+				cmd.Stderr = logs
 				if err := cmd.Start(); err != nil {
 					t.Error(err)
 					return
@@ -79,7 +96,7 @@
 				for until := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
 					there, err := servedOnceReady(listen)
 					if err != nil || time.Now().After(until) {
-						t.Errorf("life %d: %v", life, err)
+						t.Errorf("life %d: up %v, %v; log:\n%s", life, there, err, logs.String())
 					}
 					if there || t.Failed() {
 						break
