--- a/cmd/ravenlab/capacity.go
+++ b/cmd/ravenlab/capacity.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if line, differs := capacity.Differs(committed, page); differs {
+	if line, differs := capacity.FirstDifference(committed, page); differs {
 		return fmt.Errorf("%s differs from formulas and recordings at line %d: run 'ravenlab capacity --write %s'", capacityPage, line, capacityPage)
 	}
 	fmt.Fprintln(out, capacityPage, "is what formulas and recordings give")
@@ -81,7 +81,7 @@
 		}
 		for _, r := range file.Recordings {
 			fmt.Fprintf(out, "%s: %v %s, %g + %g x %s (%s), largest residual %.1f %%\n",
-				r.Name, r.Points, r.Unit, r.Fixed, r.Slope, r.Driver, r.Model, 100*r.Worst())
+				r.Name, r.Points, r.Unit, r.Fixed, r.Slope, r.Driver, r.Model, 100*r.MaxResidual())
 		}
 	}
 	return nil
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -20,10 +20,10 @@
 
 // linearEnough: a linear fit that is nowhere further than this share from what was measured stands. Timings of one machine
 // differ by as much from run to run, so a steeper model that came a little closer would be fitted to noise.
-const linearEnough = 0.15
+const maxLinearResidual = 0.15
 
 // muchBetter: another model must have at most this part of the linear fit's largest residual to be taken in its place.
-const muchBetter = 0.5
+const maxResidualRatio = 0.5
 
 // Fit is a least-squares fit of fixed + slope x f(driver).
 type Fit struct {
@@ -48,7 +48,7 @@
 func (f Fit) At(driver float64) float64 { return f.Fixed + f.Slope*f.Model.term(driver) }
 
 // Worst is the largest residual, as a share of what was measured.
-func (f Fit) Worst() (worst float64) {
+func (f Fit) MaxResidual() (worst float64) {
 	for _, r := range f.Residuals {
 		worst = max(worst, math.Abs(r))
 	}
@@ -56,14 +56,14 @@
 }
 
 // FitOf fits points: linear where its residuals say so, else the model with the smallest.
-func FitOf(points []Point) Fit {
-	linear := fitAs(Linear, points)
-	if linear.Worst() <= linearEnough {
+func FitPoints(points []Point) Fit {
+	linear := fitModel(Linear, points)
+	if linear.MaxResidual() <= maxLinearResidual {
 		return linear
 	}
 	best := linear
 	for _, m := range Models[1:] {
-		if f := fitAs(m, points); f.Worst() <= muchBetter*linear.Worst() && f.Worst() < best.Worst() {
+		if f := fitModel(m, points); f.MaxResidual() <= maxResidualRatio*linear.MaxResidual() && f.MaxResidual() < best.MaxResidual() {
 			best = f
 		}
 	}
@@ -72,7 +72,7 @@
 
 // fitAs is the least-squares fit of one model. Points weigh by the square of what was measured there, inversely: sizes
 // span a factor of 30, and unweighted the largest would be the only one heard.
-func fitAs(m Model, points []Point) Fit {
+func fitModel(m Model, points []Point) Fit {
 	floor := 0.0
 	for _, p := range points {
 		floor = max(floor, math.Abs(p.Measured))
@@ -80,7 +80,7 @@
 	floor *= 1e-4
 	var sw, sx, sy, sxx, sxy float64
 	for _, p := range points {
-		weight := weightOf(p.Measured, floor)
+		weight := pointWeight(p.Measured, floor)
 		x := m.term(p.Driver)
 		sw += weight
 		sx += weight * x
@@ -93,7 +93,7 @@
 		f.Slope = (sw*sxy - sx*sy) / det
 		f.Fixed = (sy - f.Slope*sx) / sw
 	}
-	f.Fixed, f.Slope = rounded(f.Fixed), rounded(f.Slope)
+	f.Fixed, f.Slope = roundSignificant(f.Fixed), roundSignificant(f.Slope)
 	for _, p := range points {
 		r := 0.0
 		if by := max(math.Abs(p.Measured), floor); by > 0 {
@@ -104,7 +104,7 @@
 	return f
 }
 
-func weightOf(measured, floor float64) float64 {
+func pointWeight(measured, floor float64) float64 {
 	by := max(math.Abs(measured), floor)
 	if by == 0 {
 		return 1
@@ -113,7 +113,7 @@
 }
 
 // rounded keeps six figures: what a file holds is what a reader can check.
-func rounded(v float64) float64 {
+func roundSignificant(v float64) float64 {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return v
 	}
@@ -125,7 +125,7 @@
 }
 
 // same tells whether two fits are one, but for the last figure: machines round sums differently.
-func (f Fit) same(o Fit) bool {
+func (f Fit) equal(o Fit) bool {
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b), 1e-12) }
 	return f.Model == o.Model && near(f.Fixed, o.Fixed) && near(f.Slope, o.Slope) && len(f.Residuals) == len(o.Residuals) &&
 		slices.EqualFunc(f.Residuals, o.Residuals, func(a, b float64) bool { return math.Abs(a-b) <= 2e-4 })
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func drawn(f func(float64) float64, noise float64, seed uint64) (out []Point) {
+func noisyPoints(f func(float64) float64, noise float64, seed uint64) (out []Point) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for _, n := range []float64{100, 300, 1000, 3000} {
 		out = append(out, Point{n, f(n) * (1 + noise*(2*random.Float64()-1))})
@@ -29,7 +29,7 @@
 		{Quadratic, func(n float64) float64 { return 200 + 0.5*n*n }},
 	} {
 		for seed := range uint64(50) {
-			fit := FitOf(drawn(c.f, 0.02, seed))
+			fit := FitPoints(noisyPoints(c.f, 0.02, seed))
 			want := c.f(17000)
 			if c.model != NLogN && fit.Model != c.model {
 				t.Errorf("seed %d: %s was taken for %s", seed, c.model, fit.Model)
@@ -42,8 +42,8 @@
 }
 
 func TestFitIsExactWithoutNoise(t *testing.T) {
-	fit := FitOf(drawn(func(n float64) float64 { return 5000 + 70*n }, 0, 1))
-	if math.Abs(fit.Fixed-5000) > 1e-3 || math.Abs(fit.Slope-70) > 1e-3 || fit.Worst() > 1e-4 {
+	fit := FitPoints(noisyPoints(func(n float64) float64 { return 5000 + 70*n }, 0, 1))
+	if math.Abs(fit.Fixed-5000) > 1e-3 || math.Abs(fit.Slope-70) > 1e-3 || fit.MaxResidual() > 1e-4 {
 		t.Errorf("fit %+v", fit)
 	}
 }
@@ -51,26 +51,26 @@
 // Noise of a timing must not turn a linear cost into a steeper one.
 func TestFitStaysLinearWithinNoise(t *testing.T) {
 	for seed := range uint64(200) {
-		if fit := FitOf(drawn(func(n float64) float64 { return 2 * n }, 0.08, seed)); fit.Model != Linear {
+		if fit := FitPoints(noisyPoints(func(n float64) float64 { return 2 * n }, 0.08, seed)); fit.Model != Linear {
 			t.Errorf("seed %d: %s with residuals %v", seed, fit.Model, fit.Residuals)
 		}
 	}
 }
 
-func sample() Recording {
+func sampleRecording() Recording {
 	return Recording{
 		Name: "x/y", Role: Proxy, Driver: "servers", Quantity: "memory", Unit: "bytes", Command: "ravenlab capacity record",
-		Points: drawn(func(n float64) float64 { return 5000 + 70*n }, 0, 1),
+		Points: noisyPoints(func(n float64) float64 { return 5000 + 70*n }, 0, 1),
 	}
 }
 
 func TestBookRefusesAFitThatIsNotThePoints(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
-	if err := Save(path, File{About: "a", Machine: "m", Recordings: []Recording{sample()}}); err != nil {
+	if err := Save(path, File{About: "a", Machine: "m", Recordings: []Recording{sampleRecording()}}); err != nil {
 		t.Fatal(err)
 	}
-	book, err := ReadBook(dir)
+	book, err := ReadRecordings(dir)
 	if err != nil || len(book) != 1 || book["x/y"].Slope != 70 {
 		t.Fatalf("%v, %v", book, err)
 	}
@@ -82,7 +82,7 @@
 	if err := os.WriteFile(path, []byte(other), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadBook(dir); err == nil {
+	if _, err := ReadRecordings(dir); err == nil {
 		t.Error("a slope that was changed by hand was taken")
 	}
 }
@@ -97,13 +97,13 @@
 		"no number":      func(r *Recording) { r.Points[2].Measured = math.NaN() },
 		"out of order":   func(r *Recording) { r.Points[0], r.Points[1] = r.Points[1], r.Points[0] },
 	} {
-		r := sample()
+		r := sampleRecording()
 		change(&r)
 		if r.Valid() == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if err := sample().Valid(); err != nil {
+	if err := sampleRecording().Valid(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -12,9 +12,9 @@
 
 const capacityPage = "../../../docs/CAPACITY.md"
 
-func loaded(t *testing.T) Fleet {
+func loadFleet(t *testing.T) Fleet {
 	t.Helper()
-	f, err := LoadFleet(recordings)
+	f, err := LoadFleet(recordingsDir)
 	require.NoError(t, err)
 	return f
 }
@@ -23,33 +23,33 @@
 func TestPageIsWhatFormulasAndRecordingsGive(t *testing.T) {
 	have, err := os.ReadFile(capacityPage)
 	require.NoError(t, err)
-	want, err := Page(recordings)
+	want, err := Page(recordingsDir)
 	require.NoError(t, err)
-	if line, differs := Differs(have, want); differs {
+	if line, differs := FirstDifference(have, want); differs {
 		t.Errorf("docs/CAPACITY.md differs at line %d: run 'ravenlab capacity --write docs/CAPACITY.md'", line)
 	}
 }
 
 func TestPageChangesWithARecording(t *testing.T) {
-	f := loaded(t)
+	f := loadFleet(t)
 	before := f.Page()
-	f.Book = maps.Clone(f.Book)
-	r := f.Book["raft/leader-bytes"]
+	f.RecordingSet = maps.Clone(f.RecordingSet)
+	r := f.RecordingSet["raft/leader-bytes"]
 	r.Slope *= 2
-	f.Book["raft/leader-bytes"] = r
-	_, differs := Differs(before, f.Page())
+	f.RecordingSet["raft/leader-bytes"] = r
+	_, differs := FirstDifference(before, f.Page())
 	require.True(t, differs)
-	f = loaded(t)
-	f.FrameMs = assumed(50)
-	_, differs = Differs(before, f.Page())
+	f = loadFleet(t)
+	f.FrameIntervalMs = assumed(50)
+	_, differs = FirstDifference(before, f.Page())
 	require.True(t, differs)
 }
 
 func TestDiffersNamesTheLine(t *testing.T) {
-	_, differs := Differs([]byte("a\nb\n"), []byte("a\nb\n"))
+	_, differs := FirstDifference([]byte("a\nb\n"), []byte("a\nb\n"))
 	require.False(t, differs)
 	for have, want := range map[string]int{"a\nx\nc\n": 2, "a\nb\nc": 4, "a\nb\nc\nd\n": 4, "": 1} {
-		line, differs := Differs([]byte(have), []byte("a\nb\nc\n"))
+		line, differs := FirstDifference([]byte(have), []byte("a\nb\nc\n"))
 		require.True(t, differs, "%q", have)
 		require.Equal(t, want, line, "%q", have)
 	}
@@ -62,28 +62,28 @@
 
 // The page must say first what is over: a budget that is passed in a table below and not in the first one is hidden.
 func TestNothingThatIsOverIsLeftOut(t *testing.T) {
-	f := loaded(t)
+	f := loadFleet(t)
 	first := strings.Split(string(f.Page()), "\n## ")[1]
 	require.True(t, strings.HasPrefix(first, "Over budget"))
 	for _, d := range Designs {
 		for _, b := range f.budgets() {
 			for _, s := range f.Situations() {
-				is := b.get(s, d)
-				if is.Value <= b.of {
+				is := b.spent(s, d)
+				if is.Value <= b.limit {
 					continue
 				}
 				found := false
 				for line := range strings.Lines(first) {
-					found = found || strings.HasPrefix(line, "| "+s.Name+" |") && strings.Contains(line, share(is, b.of))
+					found = found || strings.HasPrefix(line, "| "+s.Name+" |") && strings.Contains(line, formatShare(is, b.limit))
 				}
-				require.True(t, found, "%s, %s, %s: %s", d, b.name, s.Name, b.text(is))
+				require.True(t, found, "%s, %s, %s: %s", d, b.name, s.Name, b.format(is))
 			}
 		}
 	}
-	for _, way := range f.Ways() {
+	for _, way := range f.Paths() {
 		for _, fault := range way.Faults {
-			if way.Takes().Plus(fault.Adds()).Value > way.Within {
-				require.Contains(t, first, way.What+": "+fault.What)
+			if way.Total().Plus(fault.Total()).Value > way.WithinMs {
+				require.Contains(t, first, way.Name+": "+fault.Name)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 // The cells of every table are as many as its head's.
 func TestTablesAreWhole(t *testing.T) {
 	cells := 0
-	for n, line := range strings.Split(string(loaded(t).Page()), "\n") {
+	for n, line := range strings.Split(string(loadFleet(t).Page()), "\n") {
 		if !strings.HasPrefix(line, "|") {
 			cells = 0
 			continue
@@ -108,9 +108,9 @@
 }
 
 func TestIssuesFiguresHold(t *testing.T) {
-	for _, d := range Operators.Derivations() {
-		if math.Abs(d.Value-d.Named) > 0.011*d.Named {
-			t.Errorf("%s: %v, the issue has %v", d.What, d.Value, d.Named)
+	for _, d := range OperatorTarget.Derivations() {
+		if math.Abs(d.Value-d.Stated) > 0.011*d.Stated {
+			t.Errorf("%s: %v, the issue has %v", d.Name, d.Value, d.Stated)
 		}
 	}
 }
--- a/internal/lab/capacity/record_journal.go
+++ b/internal/lab/capacity/record_journal.go
@@ -8,13 +8,13 @@
 )
 
 // nothing is a journal's target where nothing is read.
-type nothing struct{}
+type discardTarget struct{}
 
 // Restore implements journal.Target.
-func (nothing) Restore([]byte) error { return nil }
+func (discardTarget) Restore([]byte) error { return nil }
 
 // Replay implements journal.Target.
-func (nothing) Replay(uint64, []byte) error { return nil }
+func (discardTarget) Replay(uint64, []byte) error { return nil }
 
 func purgeEvent(n int) recovery.Event {
 	at := 1.8e12 + float64(n)
@@ -22,9 +22,9 @@
 }
 
 // journalled is how many bytes a journal holds after so many purges, each synced on its own.
-func journalled(purges int) (float64, error) {
+func journalSize(purges int) (float64, error) {
 	disk := vfs.NewSim(1 << 30)
-	j, err := journal.Open("state", journal.Options{FS: disk, Clock: clock.System()}, nothing{})
+	j, err := journal.Open("state", journal.Options{FS: disk, Clock: clock.System()}, discardTarget{})
 	if err != nil {
 		return 0, err
 	}
@@ -54,7 +54,7 @@
 func recordJournal() ([]Recording, error) {
 	var points []Point
 	for _, n := range []int{100, 300, 1000, 3000} {
-		bytes, err := journalled(n)
+		bytes, err := journalSize(n)
 		if err != nil {
 			return nil, err
 		}
@@ -70,11 +70,11 @@
 	return []Recording{
 		{Name: "journal/purges", Role: Proxy, Driver: "purges", Quantity: "the journal on disk", Unit: "bytes", Points: points},
 		{Name: "journal/memory", Role: Proxy, Driver: "purges", Quantity: "memory of what the journal adds up to", Unit: "bytes",
-			Points: over(sizes, func(n int) float64 { return heap(func() any { return state(n) }) })},
+			Points: measureSizes(defaultSizes, func(n int) float64 { return heapBytes(func() any { return state(n) }) })},
 		{Name: "journal/purge", Role: Proxy, Driver: "purges", Quantity: "processor of writing and taking in one purge, without the disk", Unit: "us",
-			Points: over(sizes, func(n int) float64 {
+			Points: measureSizes(defaultSizes, func(n int) float64 {
 				s := state(n)
-				return cost(func(i int) {
+				return cpuCost(func(i int) {
 					e := purgeEvent(i % n)
 					if _, err := e.Encode(); err != nil {
 						panic(err) // of plain values
--- a/internal/lab/capacity/record_policy.go
+++ b/internal/lab/capacity/record_policy.go
@@ -9,11 +9,11 @@
 )
 
 // cachesAZone of the target, so that drawn lists look like the fleet's.
-const cachesAZone = 82
+const cachesPerZone = 82
 
 // serverAt is the server of a number, in zones as large as the target's.
 func serverAt(n int) policy.Member {
-	return policy.Member{ID: policy.CacheID(n + 1), Zone: n / cachesAZone, Cell: n % 7, Weight: 4}
+	return policy.Member{ID: policy.CacheID(n + 1), Zone: n / cachesPerZone, Cell: n % 7, Weight: 4}
 }
 
 func newRouter() *policy.Router {
@@ -26,7 +26,7 @@
 	return r
 }
 
-func routerOf(servers int) *policy.Router {
+func routerWithServers(servers int) *policy.Router {
 	r := newRouter()
 	list := make([]policy.Member, servers)
 	for n := range list {
@@ -39,7 +39,7 @@
 // objectName is one of the length that is assumed for the fleet's objects.
 func objectName(n int) string { return fmt.Sprintf("%0*x", nameBytes, n) }
 
-func routerPurged(purges int) *policy.Router {
+func routerWithPurges(purges int) *policy.Router {
 	r := newRouter()
 	for n := range purges {
 		r.Handle(policy.Time(n), policy.Purged{Object: objectName(n), Group: -1}, nil)
@@ -56,26 +56,26 @@
 	}
 	return []Recording{
 		make("policy/memory", "servers", "memory of the module", "bytes",
-			over(sizes, func(n int) float64 { return heap(func() any { return routerOf(n) }) })),
-		make("policy/change", "servers", "processor of a change of one server", "us", over(sizes, func(n int) float64 {
-			r := routerOf(n)
-			return cost(func(i int) {
+			measureSizes(defaultSizes, func(n int) float64 { return heapBytes(func() any { return routerWithServers(n) }) })),
+		make("policy/change", "servers", "processor of a change of one server", "us", measureSizes(defaultSizes, func(n int) float64 {
+			r := routerWithServers(n)
+			return cpuCost(func(i int) {
 				m := serverAt(i * 37 % n)
 				m.State = policy.State(i % 3)
 				r.Handle(policy.Time(i+2), policy.Members{Entries: []policy.Member{m}}, nil)
 			})
 		})),
 		make("policy/purge-memory", "purges", "memory of the module", "bytes",
-			over(sizes, func(n int) float64 { return heap(func() any { return routerPurged(n) }) })),
-		make("policy/purge", "purges", "processor of one purge more", "us", over(sizes, func(n int) float64 {
-			r := routerPurged(n)
-			return cost(func(i int) { r.Handle(policy.Time(n+i), policy.Purged{Object: objectName(n + i), Group: -1}, nil) })
+			measureSizes(defaultSizes, func(n int) float64 { return heapBytes(func() any { return routerWithPurges(n) }) })),
+		make("policy/purge", "purges", "processor of one purge more", "us", measureSizes(defaultSizes, func(n int) float64 {
+			r := routerWithPurges(n)
+			return cpuCost(func(i int) { r.Handle(policy.Time(n+i), policy.Purged{Object: objectName(n + i), Group: -1}, nil) })
 		})),
 	}, nil
 }
 
 // entries are those of a source that lists so many servers.
-func entries(servers int) []membership.Entry {
+func serverEntries(servers int) []membership.Entry {
 	list := make([]membership.Entry, servers)
 	for n := range list {
 		list[n].Member = membership.Member{Member: serverAt(n), Addr: serverAddr(n)}
@@ -85,32 +85,32 @@
 
 func serverAddr(n int) string { return fmt.Sprintf("10.%d.%d.%d:4100", n>>16, n>>8&255, n&255) }
 
-func ledgerOf(servers int) *membership.Table {
+func tableWithServers(servers int) *membership.Table {
 	l, err := membership.New(membership.Settings{Sources: []membership.Source{{Name: "store"}}, DrainTimeout: 10_000, GoneRetention: 10_000})
 	if err != nil {
 		panic(err) // of fixed settings
 	}
-	l.Handle(1, membership.Snapshot{Generation: 1, Entries: entries(servers)}, nil)
+	l.Handle(1, membership.Snapshot{Generation: 1, Entries: serverEntries(servers)}, nil)
 	return l
 }
 
-func recordLedger() ([]Recording, error) {
+func recordMembership() ([]Recording, error) {
 	return []Recording{
 		{Name: "ledger/memory", Role: Proxy, Driver: "servers", Quantity: "memory of the ledger", Unit: "bytes",
-			Points: over(sizes, func(n int) float64 { return heap(func() any { return ledgerOf(n) }) })},
+			Points: measureSizes(defaultSizes, func(n int) float64 { return heapBytes(func() any { return tableWithServers(n) }) })},
 		{Name: "ledger/change", Role: Proxy, Driver: "servers", Quantity: "processor of a change of one server, told as a change", Unit: "us",
-			Points: over(sizes, func(n int) float64 {
-				l, list := ledgerOf(n), entries(n)
-				return cost(func(i int) {
+			Points: measureSizes(defaultSizes, func(n int) float64 {
+				l, list := tableWithServers(n), serverEntries(n)
+				return cpuCost(func(i int) {
 					e := list[i*37%n]
 					e.Weight = float64(1 + i%4)
 					l.Handle(float64(i+2), membership.Delta{Generation: uint64(i + 2), Entries: []membership.Entry{e}}, nil)
 				})
 			})},
 		{Name: "ledger/list", Role: Proxy, Driver: "servers", Quantity: "processor of a change of one server, told as a whole list", Unit: "us",
-			Points: over(sizes, func(n int) float64 {
-				l, list := ledgerOf(n), entries(n)
-				return cost(func(i int) {
+			Points: measureSizes(defaultSizes, func(n int) float64 {
+				l, list := tableWithServers(n), serverEntries(n)
+				return cpuCost(func(i int) {
 					list[i*37%n].Weight = float64(1 + i%4)
 					l.Handle(float64(i+2), membership.Snapshot{Generation: uint64(i + 2), Entries: list}, nil)
 				})
--- a/internal/lab/capacity/record_replica.go
+++ b/internal/lab/capacity/record_storestate.go
@@ -21,7 +21,7 @@
 }
 
 // purgedState holds so many purges, and the results of none: what they cost is recorded apart.
-func purgedState(purges int) *storestate.State {
+func stateWithPurges(purges int) *storestate.State {
 	s := storestate.New()
 	for n := range purges {
 		c := purgeChange(n, objectName(n))
@@ -32,7 +32,7 @@
 }
 
 // rememberingState holds nothing but the results of so many changes.
-func rememberingState(changes int) *storestate.State {
+func stateWithResults(changes int) *storestate.State {
 	s := storestate.New()
 	for n := range changes {
 		s.Apply(storestate.Change{ID: changeID(n), ProposedAt: 1.8e12, Kind: storestate.EndDrain, Name: "none"})
@@ -59,7 +59,7 @@
 	return storestate.Change{ID: changeID(generation), ProposedAt: 1.8e12, Kind: storestate.SetList, Name: "servers", List: list}
 }
 
-func listedState(servers int) *storestate.State {
+func stateWithList(servers int) *storestate.State {
 	s := storestate.New()
 	c := listChange(1, servers)
 	c.ID = ""
@@ -67,7 +67,7 @@
 	return s
 }
 
-func revisedState(revisions int) *storestate.State {
+func stateWithRevisions(revisions int) *storestate.State {
 	s := storestate.New()
 	for n := range revisions {
 		text := fmt.Sprintf("%0*d", revisionBytes, n)
@@ -77,7 +77,7 @@
 }
 
 // encoded is how many bytes a change or a state comes to.
-func encoded(v any) float64 {
+func encodedSize(v any) float64 {
 	raw, err := storestate.Encode(v)
 	if err != nil {
 		panic(err) // of plain values
@@ -86,7 +86,7 @@
 }
 
 // taking is the processor of reading an entry of the log and taking it in.
-func taking(s *storestate.State, change func(i int) storestate.Change) float64 {
+func applyCost(s *storestate.State, change func(i int) storestate.Change) float64 {
 	var raws [][]byte
 	for i := range 64 {
 		raw, err := storestate.Encode(change(i))
@@ -95,7 +95,7 @@
 		}
 		raws = append(raws, raw)
 	}
-	return cost(func(i int) {
+	return cpuCost(func(i int) {
 		c, err := storestate.DecodeChange(raws[i%len(raws)])
 		if err != nil {
 			panic(err) // it was written above
@@ -105,40 +105,40 @@
 	})
 }
 
-func recordReplica() ([]Recording, error) {
+func recordStoreState() ([]Recording, error) {
 	var out []Recording
 	add := func(name, driver, quantity, unit string, sizes []int, measure func(n int) float64) {
 		out = append(out, Recording{
-			Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: over(sizes, measure),
+			Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: measureSizes(sizes, measure),
 		})
 	}
 	state := func(make func(int) *storestate.State) func(int) float64 {
-		return func(n int) float64 { return heap(func() any { return make(n) }) }
+		return func(n int) float64 { return heapBytes(func() any { return make(n) }) }
 	}
 	whole := func(make func(int) *storestate.State) func(int) float64 {
-		return func(n int) float64 { return encoded(make(n)) }
+		return func(n int) float64 { return encodedSize(make(n)) }
 	}
-	add("purge-memory", "purges", "memory of the state", "bytes", sizes, state(purgedState))
-	add("purge-snapshot", "purges", "snapshot", "bytes", sizes, whole(purgedState))
-	add("purge-apply", "purges", "processor of reading and taking in one purge", "us", sizes, func(n int) float64 {
-		return taking(purgedState(n), func(i int) storestate.Change { return purgeChange(i%n, objectName(i%n)) })
+	add("purge-memory", "purges", "memory of the state", "bytes", defaultSizes, state(stateWithPurges))
+	add("purge-snapshot", "purges", "snapshot", "bytes", defaultSizes, whole(stateWithPurges))
+	add("purge-apply", "purges", "processor of reading and taking in one purge", "us", defaultSizes, func(n int) float64 {
+		return applyCost(stateWithPurges(n), func(i int) storestate.Change { return purgeChange(i%n, objectName(i%n)) })
 	})
 	add("purge-entry", "bytes of the name", "one purge in the log", "bytes", []int{10, 30, 100, 300}, func(n int) float64 {
-		return encoded(purgeChange(1, strings.Repeat("a", n)))
+		return encodedSize(purgeChange(1, strings.Repeat("a", n)))
 	})
-	add("results-memory", "changes", "memory of the results of changes, kept for 10 minutes", "bytes", sizes, state(rememberingState))
-	add("results-snapshot", "changes", "snapshot of the results of changes", "bytes", sizes, whole(rememberingState))
-	add("list-memory", "servers", "memory of the state", "bytes", sizes, state(listedState))
-	add("list-entry", "servers", "a change of one server in the log, which holds the whole list", "bytes", sizes, func(n int) float64 {
-		return encoded(listChange(1, n))
+	add("results-memory", "changes", "memory of the results of changes, kept for 10 minutes", "bytes", defaultSizes, state(stateWithResults))
+	add("results-snapshot", "changes", "snapshot of the results of changes", "bytes", defaultSizes, whole(stateWithResults))
+	add("list-memory", "servers", "memory of the state", "bytes", defaultSizes, state(stateWithList))
+	add("list-entry", "servers", "a change of one server in the log, which holds the whole list", "bytes", defaultSizes, func(n int) float64 {
+		return encodedSize(listChange(1, n))
 	})
-	add("list-apply", "servers", "processor of reading and taking in such a change", "us", sizes, func(n int) float64 {
-		s, generation := listedState(n), 1
+	add("list-apply", "servers", "processor of reading and taking in such a change", "us", defaultSizes, func(n int) float64 {
+		s, generation := stateWithList(n), 1
 		raw, err := storestate.Encode(listChange(1, n))
 		if err != nil {
 			panic(err) // of plain values
 		}
-		return cost(func(int) {
+		return cpuCost(func(int) {
 			c, err := storestate.DecodeChange(raw)
 			if err != nil {
 				panic(err) // it was written above
@@ -148,18 +148,18 @@
 			s.Apply(c)
 		})
 	})
-	add("revision-memory", "revisions", "memory of the state, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, state(revisedState))
-	add("revision-snapshot", "revisions", "snapshot, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, whole(revisedState))
-	add("snapshot-write", "purges", "processor of writing the snapshot", "us", sizes, func(n int) float64 {
-		s := purgedState(n)
-		return cost(func(int) { encoded(s) })
+	add("revision-memory", "revisions", "memory of the state, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, state(stateWithRevisions))
+	add("revision-snapshot", "revisions", "snapshot, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, whole(stateWithRevisions))
+	add("snapshot-write", "purges", "processor of writing the snapshot", "us", defaultSizes, func(n int) float64 {
+		s := stateWithPurges(n)
+		return cpuCost(func(int) { encodedSize(s) })
 	})
-	add("snapshot-read", "purges", "processor of reading the snapshot", "us", sizes, func(n int) float64 {
-		raw, err := storestate.Encode(purgedState(n))
+	add("snapshot-read", "purges", "processor of reading the snapshot", "us", defaultSizes, func(n int) float64 {
+		raw, err := storestate.Encode(stateWithPurges(n))
 		if err != nil {
 			panic(err) // of plain values
 		}
-		return cost(func(int) {
+		return cpuCost(func(int) {
 			if _, err := storestate.DecodeState(raw); err != nil {
 				panic(err) // it was written above
 			}
--- a/internal/lab/capacity/record_test.go
+++ b/internal/lab/capacity/record_test.go
@@ -8,35 +8,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-const recordings = "../../../docs/measurements/capacity"
+const recordingsDir = "../../../docs/measurements/capacity"
 
 // A form on the wire or on disk that has changed leaves the page with the sizes of the one before. A quarter is let pass:
 // the page's figures are no finer.
 func TestRecordedSizesAreThoseOfTheCode(t *testing.T) {
-	book, err := ReadBook(recordings)
+	book, err := ReadRecordings(recordingsDir)
 	require.NoError(t, err)
 	journal := func(n int) float64 {
-		bytes, err := journalled(n)
+		bytes, err := journalSize(n)
 		require.NoError(t, err)
 		return bytes
 	}
 	state := func(n int) float64 {
-		bytes, err := wholeState(n)
+		bytes, err := measureStateExchange(n)
 		require.NoError(t, err)
 		return float64(bytes)
 	}
 	digest := func(n int) float64 {
-		raw, err := cbor.Marshal(digestOf(1, n, 1000))
+		raw, err := cbor.Marshal(newDigest(1, n, 1000))
 		require.NoError(t, err)
 		return float64(len(raw))
 	}
 	for name, now := range map[string]func(n int) float64{
-		"replica/purge-snapshot":    func(n int) float64 { return encoded(purgedState(n)) },
-		"replica/results-snapshot":  func(n int) float64 { return encoded(rememberingState(n)) },
-		"replica/list-entry":        func(n int) float64 { return encoded(listChange(1, n)) },
-		"replica/revision-snapshot": func(n int) float64 { return encoded(revisedState(n)) },
-		"lists/board":               func(n int) float64 { return float64(len(boardList(n))) },
-		"tools/servers":             func(n int) float64 { return asJSON(ledgerOf(n).Servers()) },
+		"replica/purge-snapshot":    func(n int) float64 { return encodedSize(stateWithPurges(n)) },
+		"replica/results-snapshot":  func(n int) float64 { return encodedSize(stateWithResults(n)) },
+		"replica/list-entry":        func(n int) float64 { return encodedSize(listChange(1, n)) },
+		"replica/revision-snapshot": func(n int) float64 { return encodedSize(stateWithRevisions(n)) },
+		"lists/board":               func(n int) float64 { return float64(len(initialEvents(n))) },
+		"tools/servers":             func(n int) float64 { return jsonSize(tableWithServers(n).Servers()) },
 		"view/digest":               digest,
 		"journal/purges":            journal,
 		"membership/whole-state":    state,
@@ -56,10 +56,10 @@
 	for _, r := range Recorders {
 		require.False(t, seen[r.Name], r.Name)
 		seen[r.Name] = true
-		f, err := ReadFile(recordings + "/" + r.Name + ".json")
+		f, err := ReadFile(recordingsDir + "/" + r.Name + ".json")
 		require.NoError(t, err)
 		for _, x := range f.Recordings {
-			require.Equal(t, command(r.Name), x.Command, x.Name)
+			require.Equal(t, recordCommand(r.Name), x.Command, x.Name)
 		}
 	}
 }
@@ -67,12 +67,12 @@
 // With a median of one round a collection of garbage would count as the cost of a call.
 func TestCostCountsCalls(t *testing.T) {
 	calls := 0
-	cost(func(i int) {
+	cpuCost(func(i int) {
 		require.Equal(t, calls, i)
 		calls++
 		for range 1000 {
-			processor()
+			cpuMicros()
 		}
 	})
-	require.Greater(t, calls, costRounds)
+	require.Greater(t, calls, cpuRounds)
 }
--- a/internal/lab/capacity/meter.go
+++ b/internal/lab/capacity/recorder.go
@@ -12,33 +12,33 @@
 
 // Recorder makes one file of recordings.
 type Recorder struct {
-	Name  string // of the file, without .json
-	About string
-	Make  func() ([]Recording, error)
+	Name    string // of the file, without .json
+	About   string
+	Measure func() ([]Recording, error)
 }
 
 // Recorders are all of them. Each takes some seconds, runs in this process and opens no socket.
 var Recorders = []Recorder{
 	{"policy", "The module alone: its memory, and the processor that one change or purge takes.", recordPolicy},
-	{"ledger", "The ledger of servers (decide/membership) alone, told by one source.", recordLedger},
-	{"replica", "What the store's log adds up to (decide/storestate): its memory, its snapshot, the cost of taking in an entry.", recordReplica},
-	{"view", "The view in common (decide/fleetview) and the whole state that two members exchange (memberlist, in memory).", recordView},
+	{"ledger", "The ledger of servers (decide/membership) alone, told by one source.", recordMembership},
+	{"replica", "What the store's log adds up to (decide/storestate): its memory, its snapshot, the cost of taking in an entry.", recordStoreState},
+	{"view", "The view in common (decide/fleetview) and the whole state that two members exchange (memberlist, in memory).", recordFleetView},
 	{"journal", "What a proxy's journal writes for purges, on a file system in memory.", recordJournal},
 	{"raft", "One leader and 1 to 8 non-voting followers of hashicorp/raft in one process, over pipes, without TLS and without a disk.", recordRaft},
 	{"lists", "Lists as they are told and shown: the notice board's, a list file, the tables of the operators' tools.", recordLists},
 }
 
 // command makes a recording again.
-func command(name string) string { return "ravenlab capacity record " + name }
+func recordCommand(name string) string { return "ravenlab capacity record " + name }
 
 // Record runs a recorder and writes its file.
 func (r Recorder) Record(dir, machine string) (File, error) {
-	made, err := r.Make()
+	made, err := r.Measure()
 	if err != nil {
 		return File{}, fmt.Errorf("%s: %w", r.Name, err)
 	}
 	for i := range made {
-		made[i].Command = command(r.Name)
+		made[i].Command = recordCommand(r.Name)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return File{}, err
@@ -57,10 +57,10 @@
 }
 
 // sizes span a factor of 30 and more: what grows faster than it should shows.
-var sizes = []int{100, 300, 1000, 3000, 10_000}
+var defaultSizes = []int{100, 300, 1000, 3000, 10_000}
 
 // heap is what a value that make returns keeps alive, in bytes.
-func heap(make func() any) float64 {
+func heapBytes(make func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -75,7 +75,7 @@
 
 // processor is what this process has used so far, in us. Collections of garbage are in it; time spent waiting for a busy
 // machine is not.
-func processor() float64 {
+func cpuMicros() float64 {
 	var usage unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &usage) // can't fail with these arguments
 	us := func(t unix.Timeval) float64 { return float64(t.Sec)*1e6 + float64(t.Usec) }
@@ -83,24 +83,24 @@
 }
 
 // costRounds: the median of so many is taken, each of at least costRound us.
-const costRounds, costRound = 5, 40_000
+const cpuRounds, minRoundMicros = 5, 40_000
 
 // cost is the processor time of one call of do, in us: the median of some rounds.
-func cost(do func(i int)) float64 {
+func cpuCost(do func(i int)) float64 {
 	i, calls := 0, 1
 	once := func() float64 {
-		start := processor()
+		start := cpuMicros()
 		for range calls {
 			do(i)
 			i++
 		}
-		return processor() - start
+		return cpuMicros() - start
 	}
-	for once() < costRound && calls < 1<<24 {
+	for once() < minRoundMicros && calls < 1<<24 {
 		calls *= 2
 	}
 	var took []float64
-	for range costRounds {
+	for range cpuRounds {
 		took = append(took, once()/float64(calls))
 	}
 	slices.Sort(took)
@@ -108,9 +108,9 @@
 }
 
 // over measures at each size.
-func over(sizes []int, measure func(n int) float64) (points []Point) {
+func measureSizes(sizes []int, measure func(n int) float64) (points []Point) {
 	for _, n := range sizes {
-		points = append(points, Point{float64(n), rounded(measure(n))})
+		points = append(points, Point{float64(n), roundSignificant(measure(n))})
 	}
 	return points
 }
--- a/internal/lab/capacity/recording.go
+++ b/internal/lab/capacity/recording.go
@@ -25,14 +25,14 @@
 	Proxy       Role = "steering proxy"
 	Voter       Role = "voting store member"
 	Distributor Role = "distributor"
-	View        Role = "membership and view"
+	Membership  Role = "membership and view"
 	Prober      Role = "prober"
 	ListSource  Role = "list source"
 	Tools       Role = "operators' tools"
 )
 
 // Roles are all of them, in the page's order.
-var Roles = []Role{Proxy, Voter, Distributor, View, Prober, ListSource, Tools}
+var Roles = []Role{Proxy, Voter, Distributor, Membership, Prober, ListSource, Tools}
 
 // Point is one measurement: what was driven, and what came of it.
 type Point struct {
@@ -63,8 +63,8 @@
 // leastPoints and leastSpan bound what a recording may be fitted from: fewer sizes, or sizes closer together, say nothing
 // about growth. Recordings of things that exist only in small numbers say so with a note and may span less.
 const (
-	leastPoints = 4
-	leastSpan   = 10.0
+	minPoints = 4
+	minSpan   = 10.0
 )
 
 // Span is the largest driver of a recording by its smallest.
@@ -88,8 +88,8 @@
 		return fmt.Errorf("recording %q: name, driver, quantity, unit and command are all needed", r.Name)
 	case !slices.Contains(Roles, r.Role):
 		return fmt.Errorf("recording %q: no role %q", r.Name, r.Role)
-	case len(r.Points) < leastPoints:
-		return fmt.Errorf("recording %q: %d points, %d are needed", r.Name, len(r.Points), leastPoints)
+	case len(r.Points) < minPoints:
+		return fmt.Errorf("recording %q: %d points, %d are needed", r.Name, len(r.Points), minPoints)
 	}
 	for _, p := range r.Points {
 		if !(p.Driver > 0) || math.IsInf(p.Driver, 0) || math.IsNaN(p.Measured) || math.IsInf(p.Measured, 0) {
@@ -99,7 +99,7 @@
 	if !slices.IsSortedFunc(r.Points, func(a, b Point) int { return cmp.Compare(a.Driver, b.Driver) }) {
 		return fmt.Errorf("recording %q: its points are not in order", r.Name)
 	}
-	if r.Span() < leastSpan && r.Note == "" {
+	if r.Span() < minSpan && r.Note == "" {
 		return fmt.Errorf("recording %q: sizes within a factor of %.3g, and no note that says why", r.Name, r.Span())
 	}
 	return nil
@@ -107,7 +107,7 @@
 
 // Fitted is the recording with the fit of its points.
 func (r Recording) Fitted() Recording {
-	r.Fit = FitOf(r.Points)
+	r.Fit = FitPoints(r.Points)
 	return r
 }
 
@@ -145,15 +145,15 @@
 }
 
 // Book is all recordings, by name.
-type Book map[string]Recording
+type RecordingSet map[string]Recording
 
 // ReadBook reads a directory of recordings. It refuses one whose fit is not that of its points.
-func ReadBook(dir string) (Book, error) {
+func ReadRecordings(dir string) (RecordingSet, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
 	}
-	book := Book{}
+	book := RecordingSet{}
 	var wrong []error
 	for _, path := range paths {
 		f, err := ReadFile(path)
@@ -167,14 +167,14 @@
 	return book, errors.Join(wrong...)
 }
 
-func (b Book) add(path string, r Recording) error {
+func (b RecordingSet) add(path string, r Recording) error {
 	if err := r.Valid(); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if _, twice := b[r.Name]; twice {
 		return fmt.Errorf("%s: recording %q is told twice", path, r.Name)
 	}
-	if !r.same(FitOf(r.Points)) {
+	if !r.equal(FitPoints(r.Points)) {
 		return fmt.Errorf("%s: recording %q: its fit is not that of its points: run 'ravenlab capacity fit %s'", path, r.Name, path)
 	}
 	b[r.Name] = r
