--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -66,9 +66,10 @@
 	fmt.Fprintln(w, "variant\tseeds\tworth\tworst 10 s\trecovery s\ttries\tattempts\thits\torigin\tbroken\t")
 	broken := 0
 	for _, r := range report.Rows(runs) {
-		broken += r.Broken
+		broken += r.Violations
 		fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%d\t\n",
-			r.Name, r.Seeds, r.Worth, r.Worst, r.Recovery, r.Tries, r.Attempts, r.Hits, r.Origin, r.Broken)
+			r.Name, r.Seeds, r.ServedValue, r.WorstServedValue, r.RecoverySeconds, r.ClientAttempts, r.UpstreamAttempts, r.HitRatio,
+			r.OriginFills, r.Violations)
 	}
 	if err := w.Flush(); err != nil {
 		return err
