--- a/internal/distribution/applier.go
+++ b/internal/distribution/applier.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/storestate"
 )
 
@@ -38,24 +38,24 @@
 }
 
 // apply puts one entry into force. It fails for an entry that this version cannot read, which is then left out, as the store does.
-func (a *entryApplier) apply(e distribution.Entry) error {
+func (a *entryApplier) apply(e decider.Entry) error {
 	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
 	switch e.Kind {
-	case distribution.PurgeObject, distribution.PurgeGroup:
+	case decider.PurgeObject, decider.PurgeGroup:
 		c.Kind, c.Name, c.Purge = storestate.AddPurge, "", purgeOf(e)
-	case distribution.Drain:
+	case decider.Drain:
 		c.Kind = storestate.StartDrain
 		a.drains[e.Name] = true
-	case distribution.DrainEnded:
+	case decider.DrainEnded:
 		c.Kind = storestate.EndDrain
 		delete(a.drains, e.Name)
-	case distribution.List:
+	case decider.List:
 		c.Kind, c.List = storestate.SetList, &storestate.List{}
 		if err := bodyDecoder.Unmarshal(e.Body, c.List); err != nil {
 			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
 		}
 		a.lists[e.Name] = e.Version
-	case distribution.Revision:
+	case decider.Revision:
 		var r storestate.Revision
 		if err := bodyDecoder.Unmarshal(e.Body, &r); err != nil {
 			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
@@ -70,9 +70,9 @@
 	return nil
 }
 
-func purgeOf(e distribution.Entry) *storestate.Purge {
+func purgeOf(e decider.Entry) *storestate.Purge {
 	p := &storestate.Purge{IssuedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
-	if e.Kind == distribution.PurgeGroup {
+	if e.Kind == decider.PurgeGroup {
 		p.Group = int(e.Group)
 	} else {
 		p.Object = e.Name
@@ -82,14 +82,14 @@
 
 // applySnapshot puts the entries of a snapshot into force that are not yet, and ends the drains that it does not hold. Errors of
 // entries are reported and skipped.
-func (a *entryApplier) applySnapshot(entries []distribution.Entry, report func(error)) {
+func (a *entryApplier) applySnapshot(entries []decider.Entry, report func(error)) {
 	drains := map[string]bool{}
 	for _, e := range entries {
-		drains[e.Name] = drains[e.Name] || e.Kind == distribution.Drain
+		drains[e.Name] = drains[e.Name] || e.Kind == decider.Drain
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.drains)) {
 		if !drains[name] {
-			_ = a.apply(distribution.Entry{Kind: distribution.DrainEnded, Name: name})
+			_ = a.apply(decider.Entry{Kind: decider.DrainEnded, Name: name})
 		}
 	}
 	for _, e := range entries {
@@ -103,14 +103,14 @@
 }
 
 // inForce reports whether an entry of the configuration is in force already.
-func (a *entryApplier) inForce(e distribution.Entry) bool {
+func (a *entryApplier) inForce(e decider.Entry) bool {
 	switch e.Kind {
-	case distribution.Drain:
+	case decider.Drain:
 		return a.drains[e.Name]
-	case distribution.List:
+	case decider.List:
 		generation, known := a.lists[e.Name]
 		return known && generation == e.Version
-	case distribution.Revision:
+	case decider.Revision:
 		return a.revision == e.Version
 	default:
 		return false
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	pure "ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/distribution/check"
 	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
@@ -107,7 +107,7 @@
 		tr.cut(d, "b", true)
 	}
 	p := tr.nodes["p0"]
-	mark := pure.Watermark{}
+	mark := decider.Watermark{}
 	old := tr.log.clk.Now() - 60_000 // when the copy was made
 	eventually(t, "strict classes are restricted", func() bool {
 		now := tr.log.clk.Now()
@@ -119,8 +119,8 @@
 		if unchanged := p.node.Status()[0].WatermarkMs == mark.At; unchanged {
 			require.NoError(t, check.CheckServed(settings(p.peer), mark, now, "strict", old, v))
 		}
-		require.NotContains(t, []pure.Verdict{pure.VerdictFetchOrigin, pure.VerdictReject}, p.gate.Decide(now, "other", old))
-		return v == pure.VerdictFetchOrigin || v == pure.VerdictReject
+		require.NotContains(t, []decider.Verdict{decider.VerdictFetchOrigin, decider.VerdictReject}, p.gate.Decide(now, "other", old))
+		return v == decider.VerdictFetchOrigin || v == decider.VerdictReject
 	})
 	tr.log.commitPurge("meanwhile")
 	a.apply()
@@ -133,7 +133,7 @@
 	eventually(t, "the restriction ends", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.gate.Decide(tr.log.clk.Now(), "strict", old) == pure.VerdictServe
+		return p.gate.Decide(tr.log.clk.Now(), "strict", old) == decider.VerdictServe
 	})
 }
 
@@ -265,13 +265,13 @@
 	eventually(t, "subscribed", func() bool { return p.at() == "a" })
 	id, err := store.LoadIdentity(tr.keys, "p")
 	require.NoError(t, err)
-	for _, m := range []pure.Message{
-		pure.Subscribe{Stream: pure.Purges, Name: "q", Rank: 9, Credit: 1 << 20}, pure.Credit{Stream: pure.Purges},
-		pure.Subscribe{Stream: 7, Name: "p", Rank: 9, Credit: 1 << 20},
+	for _, m := range []decider.Message{
+		decider.Subscribe{Stream: decider.Purges, Name: "q", Rank: 9, Credit: 1 << 20}, decider.Credit{Stream: decider.Purges},
+		decider.Subscribe{Stream: 7, Name: "p", Rank: 9, Credit: 1 << 20},
 	} {
 		l, err := store.DialLink(id, tr.addrs["a"], patience, nil)
 		require.NoError(t, err)
-		require.NoError(t, l.Send(pure.Encode(m).Bytes, patience))
+		require.NoError(t, l.Send(decider.Encode(m).Bytes, patience))
 		_, err = l.Receive(1<<20, patience)
 		require.ErrorIs(t, err, io.EOF)
 		l.Close()
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -9,71 +9,71 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/storestate"
 )
 
 // noStream is the stream of changes that are not distributed.
-const noStream distribution.Stream = 0
+const noStream decider.Stream = 0
 
 // entryOf returns a change of the store as an entry of a stream, or noStream. r is the revision of the configuration after the change.
-func entryOf(index uint64, c storestate.Change, r storestate.Revision) (distribution.Stream, distribution.Entry, error) {
+func entryOf(index uint64, c storestate.Change, r storestate.Revision) (decider.Stream, decider.Entry, error) {
 	switch c.Kind {
 	case storestate.AddPurge:
-		return distribution.Purges, purgeEntry(index, *c.Purge, c.ExpiresAt), nil
+		return decider.Purges, purgeEntry(index, *c.Purge, c.ExpiresAt), nil
 	case storestate.StartDrain:
-		return distribution.Configuration, drainEntry(index, c.Name, c.ProposedAt), nil
+		return decider.Configuration, drainEntry(index, c.Name, c.ProposedAt), nil
 	case storestate.EndDrain:
-		return distribution.Configuration, distribution.Entry{Sequence: index, Kind: distribution.DrainEnded, Name: c.Name}, nil
+		return decider.Configuration, decider.Entry{Sequence: index, Kind: decider.DrainEnded, Name: c.Name}, nil
 	case storestate.SetList:
 		e, err := listEntry(index, c.Name, *c.List)
-		return distribution.Configuration, e, err
+		return decider.Configuration, e, err
 	case storestate.SetConfig:
 		e, err := revisionEntry(index, r)
-		return distribution.Configuration, e, err
+		return decider.Configuration, e, err
 	default:
-		return noStream, distribution.Entry{}, nil
+		return noStream, decider.Entry{}, nil
 	}
 }
 
 // purgeEntry returns the entry of a purge. One that expired at 0 expires at 1, as 0 stands for never.
-func purgeEntry(index uint64, p storestate.Purge, expiresAt float64) distribution.Entry {
-	e := distribution.Entry{
-		Sequence: index, Kind: distribution.PurgeObject, Name: p.Object,
+func purgeEntry(index uint64, p storestate.Purge, expiresAt float64) decider.Entry {
+	e := decider.Entry{
+		Sequence: index, Kind: decider.PurgeObject, Name: p.Object,
 		EffectiveAt: roundUp(p.IssuedAt), ExpiresAt: max(1, roundUp(expiresAt)),
 	}
 	if p.Object == "" {
-		e.Kind, e.Group = distribution.PurgeGroup, int64(p.Group)
+		e.Kind, e.Group = decider.PurgeGroup, int64(p.Group)
 	}
 	return e
 }
 
-func drainEntry(index uint64, server string, startedAt float64) distribution.Entry {
-	return distribution.Entry{Sequence: index, Kind: distribution.Drain, Name: server, EffectiveAt: roundUp(startedAt)}
+func drainEntry(index uint64, server string, startedAt float64) decider.Entry {
+	return decider.Entry{Sequence: index, Kind: decider.Drain, Name: server, EffectiveAt: roundUp(startedAt)}
 }
 
-func listEntry(index uint64, source string, l storestate.List) (distribution.Entry, error) {
+func listEntry(index uint64, source string, l storestate.List) (decider.Entry, error) {
 	body, err := cbor.Marshal(l)
-	return distribution.Entry{Sequence: index, Kind: distribution.List, Name: source, Version: l.Generation, Body: body}, err
+	return decider.Entry{Sequence: index, Kind: decider.List, Name: source, Version: l.Generation, Body: body}, err
 }
 
-func revisionEntry(index uint64, r storestate.Revision) (distribution.Entry, error) {
+func revisionEntry(index uint64, r storestate.Revision) (decider.Entry, error) {
 	body, err := cbor.Marshal(r)
-	return distribution.Entry{Sequence: index, Kind: distribution.Revision, Version: r.Number, Body: body}, err
+	return decider.Entry{Sequence: index, Kind: decider.Revision, Version: r.Number, Body: body}, err
 }
 
 // roundUp rounds a time up to whole ms, within what an entry can hold.
 func roundUp(ms float64) int64 { return int64(min(math.Ceil(ms), math.MaxInt64/2)) }
 
 // snapshotEntries returns the entries of everything that a state holds, by stream and in the order of the log.
-func snapshotEntries(s *storestate.State) (map[distribution.Stream][]distribution.Entry, error) {
+func snapshotEntries(s *storestate.State) (map[decider.Stream][]decider.Entry, error) {
 	configuration, err := configurationEntries(s)
 	if err != nil {
 		return nil, err
 	}
-	out := map[distribution.Stream][]distribution.Entry{distribution.Configuration: configuration}
+	out := map[decider.Stream][]decider.Entry{decider.Configuration: configuration}
 	if purges := purgeEntries(s); len(purges) > 0 {
-		out[distribution.Purges] = purges
+		out[decider.Purges] = purges
 	}
 	for _, entries := range out {
 		if err := orderEntries(entries); err != nil {
@@ -88,7 +88,7 @@
 	return s.FactIndexes[storestate.FactKey(k, name)]
 }
 
-func purgeEntries(s *storestate.State) (entries []distribution.Entry) {
+func purgeEntries(s *storestate.State) (entries []decider.Entry) {
 	for _, name := range slices.Sorted(maps.Keys(s.Purges)) {
 		p := s.Purges[name]
 		entries = append(entries, purgeEntry(indexOf(s, storestate.AddPurge, name), p, p.ExpiresAt))
@@ -96,7 +96,7 @@
 	return entries
 }
 
-func configurationEntries(s *storestate.State) (entries []distribution.Entry, err error) {
+func configurationEntries(s *storestate.State) (entries []decider.Entry, err error) {
 	if r := s.Revision(); r.Number > 0 {
 		e, err := revisionEntry(indexOf(s, storestate.SetConfig, ""), r)
 		if err != nil {
@@ -119,8 +119,8 @@
 
 // orderEntries sorts entries by sequence. Those without an index come first, under the lowest sequences: no stream can be resumed from
 // that long ago. It fails if two entries have the same sequence.
-func orderEntries(entries []distribution.Entry) error {
-	slices.SortStableFunc(entries, func(a, b distribution.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
+func orderEntries(entries []decider.Entry) error {
+	slices.SortStableFunc(entries, func(a, b decider.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for i := range entries {
 		if entries[i].Sequence == 0 {
 			entries[i].Sequence = uint64(i) + 1
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/golden"
@@ -43,23 +43,23 @@
 }
 
 // frame is entries as they are sent.
-func frame(entries []distribution.Entry) []byte {
-	return distribution.Encode(distribution.Batch{
-		Stream: distribution.Purges, Epoch: 1, Through: 1000, Watermark: distribution.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
+func frame(entries []decider.Entry) []byte {
+	return decider.Encode(decider.Batch{
+		Stream: decider.Purges, Epoch: 1, Through: 1000, Watermark: decider.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
 	}).Bytes
 }
 
 // entriesIn decodes what another version has sent.
-func entriesIn(t *testing.T, name string) []distribution.Entry {
+func entriesIn(t *testing.T, name string) []decider.Entry {
 	t.Helper()
-	message, err := distribution.Decode(golden.Read(t, name))
+	message, err := decider.Decode(golden.Read(t, name))
 	require.NoError(t, err)
-	return message.(distribution.Batch).Entries
+	return message.(decider.Batch).Entries
 }
 
 // A change of the store is encoded to the same bytes as by earlier versions, and theirs are applied as the same change.
 func TestGoldenChanges(t *testing.T) {
-	var entries []distribution.Entry
+	var entries []decider.Entry
 	for i, change := range goldenChanges() {
 		_, entry, err := entryOf(uint64(i)+100, change, goldenRevision())
 		require.NoError(t, err)
@@ -103,8 +103,8 @@
 	}
 	all, err := snapshotEntries(state)
 	require.NoError(t, err)
-	for name, entries := range map[string][]distribution.Entry{
-		"state_purges.bin": all[distribution.Purges], "state_configuration.bin": all[distribution.Configuration],
+	for name, entries := range map[string][]decider.Entry{
+		"state_purges.bin": all[decider.Purges], "state_configuration.bin": all[decider.Configuration],
 	} {
 		golden.Equal(t, name, frame(entries))
 		require.Equal(t, entries, entriesIn(t, name))
@@ -125,5 +125,5 @@
 		require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
 		require.Equal(t, status, back)
 	}
-	require.Equal(t, map[distribution.Stream]string{1: "purges", 2: "configuration"}, streamNames)
+	require.Equal(t, map[decider.Stream]string{1: "purges", 2: "configuration"}, streamNames)
 }
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/logs"
 	"ravenwheel/internal/store"
@@ -17,7 +17,7 @@
 
 // Candidate is a distributor that a node may subscribe at, and its address.
 type Candidate struct {
-	Peer    distribution.Peer
+	Peer    decider.Peer
 	Address string
 }
 
@@ -30,7 +30,7 @@
 // Options configure a Node.
 type Options struct {
 	// Settings are those of both streams. Stream and Seed are set for each of them.
-	Settings distribution.Settings
+	Settings decider.Settings
 	Identity *store.Identity
 	Clock    *clock.Clock
 	Log      *logs.Log
@@ -48,9 +48,9 @@
 	// stream calls them in a goroutine of its own, in order. They are not used with a Source.
 	ApplyChange   func(storestate.Change)
 	ApplyRevision func(storestate.Revision)
-	SetFreshness  func(distribution.Stream, distribution.Freshness)
+	SetFreshness  func(decider.Stream, decider.Freshness)
 	// Observe is called for each action of the subscribers before it is carried out; may be nil.
-	Observe func(distribution.Stream, distribution.Action)
+	Observe func(decider.Stream, decider.Action)
 	// Dial opens connections; nil: TCP.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
@@ -73,7 +73,7 @@
 // Node is one process in the tree. Whoever starts a Node closes it.
 type Node struct {
 	options       Options
-	streams       map[distribution.Stream]*stream
+	streams       map[decider.Stream]*stream
 	addresses     map[string]string   // of the candidates, by name
 	listener      *store.LinkListener // nil: nobody subscribes here
 	lastChildLink atomic.Uint64       // numbers the links of the level below
@@ -83,16 +83,16 @@
 }
 
 // Streams are all streams.
-var Streams = []distribution.Stream{distribution.Purges, distribution.Configuration}
+var Streams = []decider.Stream{decider.Purges, decider.Configuration}
 
-var streamNames = map[distribution.Stream]string{distribution.Purges: "purges", distribution.Configuration: "configuration"}
+var streamNames = map[decider.Stream]string{decider.Purges: "purges", decider.Configuration: "configuration"}
 
 // Start starts a node. It fails if the options do not fit together.
 func Start(o Options) (*Node, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	n := &Node{options: o, streams: map[distribution.Stream]*stream{}, addresses: map[string]string{}, done: make(chan struct{})}
+	n := &Node{options: o, streams: map[decider.Stream]*stream{}, addresses: map[string]string{}, done: make(chan struct{})}
 	for _, c := range o.Candidates {
 		n.addresses[c.Peer.Name] = c.Address
 	}
@@ -118,7 +118,7 @@
 // closed.
 func (n *Node) Shutdown(timeout float64) {
 	for _, s := range n.streams {
-		s.post(input{toDistributor: true, event: distribution.Shutdown{}})
+		s.post(input{toDistributor: true, event: decider.Shutdown{}})
 	}
 	for end := n.options.Clock.Now() + timeout; n.options.Clock.Now() < end; n.pause(shutdownPoll) {
 		subscribers := 0
@@ -167,8 +167,8 @@
 	if err != nil {
 		return
 	}
-	m, err := distribution.Decode(raw)
-	first, ok := m.(distribution.Subscribe)
+	m, err := decider.Decode(raw)
+	first, ok := m.(decider.Subscribe)
 	if err != nil || !ok || first.Name != l.Peer {
 		return
 	}
@@ -176,19 +176,19 @@
 	if s == nil {
 		return
 	}
-	link := distribution.Link(n.lastChildLink.Add(1))
+	link := decider.Link(n.lastChildLink.Add(1))
 	out := newOutbox(l, &n.goroutines, n.done)
 	defer out.close()
 	if !s.post(input{toDistributor: true, link: link, opened: out}) {
 		return
 	}
 	for err == nil {
-		if !s.post(input{toDistributor: true, event: distribution.Received{Link: link, Message: m, Bytes: len(raw)}}) {
+		if !s.post(input{toDistributor: true, event: decider.Received{Link: link, Message: m, Bytes: len(raw)}}) {
 			return
 		}
 		if raw, err = l.Receive(maxChildMessage, 0); err == nil {
-			m, err = distribution.Decode(raw)
+			m, err = decider.Decode(raw)
 		}
 	}
-	s.post(input{toDistributor: true, event: distribution.Disconnected{Link: link}})
+	s.post(input{toDistributor: true, event: decider.Disconnected{Link: link}})
 }
--- a/internal/distribution/parent_link.go
+++ b/internal/distribution/parent_link.go
@@ -4,7 +4,7 @@
 	"errors"
 
 	"ravenwheel/internal/clock"
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/store"
 )
 
@@ -15,11 +15,11 @@
 var errUnexpectedPeer = errors.New("distribution: unexpected peer")
 
 // connect opens a link to a distributor and reads it until its end.
-func (s *stream) connect(a distribution.Connect) {
+func (s *stream) connect(a decider.Connect) {
 	if l, err := s.dial(a.To.Name); err == nil {
 		s.read(l, a.Link)
 	}
-	s.post(input{event: distribution.Disconnected{Link: a.Link}})
+	s.post(input{event: decider.Disconnected{Link: a.Link}})
 }
 
 // dial opens a link to a distributor. It fails with errUnexpectedPeer if another one answers.
@@ -38,7 +38,7 @@
 }
 
 // read reports a link to the level above, and what is received on it. The node's end closes the link.
-func (s *stream) read(l *store.Link, link distribution.Link) {
+func (s *stream) read(l *store.Link, link decider.Link) {
 	defer l.Close()
 	finished := make(chan struct{})
 	defer close(finished)
@@ -60,12 +60,12 @@
 		if err != nil {
 			return
 		}
-		m, err := distribution.Decode(raw)
+		m, err := decider.Decode(raw)
 		if err != nil {
 			s.node.options.Log.Warn("distribution").Err(err).Str("distributor", l.Peer).Msg("malformed frame received")
 			return
 		}
-		if !s.post(input{event: distribution.Received{Link: link, Message: m, Bytes: len(raw)}}) {
+		if !s.post(input{event: decider.Received{Link: link, Message: m, Bytes: len(raw)}}) {
 			return
 		}
 	}
--- a/internal/distribution/store_feed.go
+++ b/internal/distribution/store_feed.go
@@ -4,7 +4,7 @@
 	"math"
 	"sync"
 
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/storestate"
 )
 
@@ -16,12 +16,12 @@
 	mu          sync.Mutex
 	confirmedAt float64 // Unix ms; everything that was committed before is here
 
-	lastSequence map[distribution.Stream]uint64 // of the latest event of each stream
+	lastSequence map[decider.Stream]uint64 // of the latest event of each stream
 }
 
 // run confirms the state each heartbeat interval, and advances the watermark of all processes with it.
 func (f *storeFeed) run() {
-	f.lastSequence = map[distribution.Stream]uint64{}
+	f.lastSequence = map[decider.Stream]uint64{}
 	observing := false
 	for {
 		select {
@@ -48,18 +48,18 @@
 func (f *storeFeed) advanceWatermark(index uint64) {
 	watermark := f.watermark(index)
 	for _, id := range Streams {
-		f.post(id, distribution.AdvanceWatermark{Epoch: f.node.options.Epoch, Watermark: watermark})
+		f.post(id, decider.AdvanceWatermark{Epoch: f.node.options.Epoch, Watermark: watermark})
 	}
 }
 
-func (f *storeFeed) post(id distribution.Stream, e distribution.Event) {
+func (f *storeFeed) post(id decider.Stream, e decider.Event) {
 	f.node.streams[id].post(input{toDistributor: true, event: e})
 }
 
-func (f *storeFeed) watermark(index uint64) distribution.Watermark {
+func (f *storeFeed) watermark(index uint64) decider.Watermark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return distribution.Watermark{Sequence: index, At: int64(f.confirmedAt)}
+	return decider.Watermark{Sequence: index, At: int64(f.confirmedAt)}
 }
 
 // StateReplaced implements store.Observer.
@@ -72,7 +72,7 @@
 	watermark := f.watermark(s.AppliedIndex)
 	for _, id := range Streams {
 		f.lastSequence[id] = s.AppliedIndex
-		f.post(id, distribution.InstallSnapshot{
+		f.post(id, decider.InstallSnapshot{
 			Epoch: f.node.options.Epoch, Through: s.AppliedIndex, Watermark: watermark, Entries: entries[id],
 		})
 	}
@@ -90,8 +90,8 @@
 	}
 	after := f.lastSequence[id]
 	f.lastSequence[id] = index
-	f.post(id, distribution.Apply{
+	f.post(id, decider.Apply{
 		Epoch: f.node.options.Epoch, After: after, Through: index, Watermark: f.watermark(index),
-		Entries: []distribution.Entry{entry},
+		Entries: []decider.Entry{entry},
 	})
 }
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"sync/atomic"
 
-	"ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 )
 
 const (
@@ -27,43 +27,43 @@
 // input is an event of one of the machines, or a link that was opened.
 type input struct {
 	toDistributor bool // else to the subscriber
-	event         distribution.Event
-	link          distribution.Link
+	event         decider.Event
+	link          decider.Link
 	opened        *outbox // nil: it is an event
 }
 
 // stream is one stream in one process: its machines, and the goroutine that they run in, which owns the links.
 type stream struct {
 	node     *Node
-	id       distribution.Stream
-	settings distribution.Settings
-	relay    *distribution.Relay
+	id       decider.Stream
+	settings decider.Settings
+	relay    *decider.Relay
 	applier  *entryApplier
 
 	inputs     chan input
 	ticks      [machines]chan struct{}
 	cancelWake [machines]func()
 
-	parentLink distribution.Link // the link to the level above that the subscriber wants; 0: none
-	parent     *outbox           // of that link; nil: it is not open
-	children   map[distribution.Link]*outbox
+	parentLink decider.Link // the link to the level above that the subscriber wants; 0: none
+	parent     *outbox      // of that link; nil: it is not open
+	children   map[decider.Link]*outbox
 
-	freshness     distribution.Freshness
-	rootWatermark distribution.Watermark // at a root: the latest of the store
+	freshness     decider.Freshness
+	rootWatermark decider.Watermark // at a root: the latest of the store
 	status        atomic.Pointer[Status]
 }
 
-func newStream(n *Node, id distribution.Stream) *stream {
+func newStream(n *Node, id decider.Stream) *stream {
 	settings := n.options.Settings
 	settings.Stream = id
-	if id == distribution.Configuration {
+	if id == decider.Configuration {
 		settings.MaxEntry = maxBody
 	}
 	// Both streams with one seed would draw alike, and do at one time what is to be spread.
 	settings.Seed = rand.New(rand.NewPCG(settings.Seed, uint64(id))).Uint64()
 	s := &stream{
-		node: n, id: id, settings: settings, relay: distribution.NewRelay(settings), applier: newEntryApplier(&n.options),
-		inputs: make(chan input, maxQueuedInputs), children: map[distribution.Link]*outbox{},
+		node: n, id: id, settings: settings, relay: decider.NewRelay(settings), applier: newEntryApplier(&n.options),
+		inputs: make(chan input, maxQueuedInputs), children: map[decider.Link]*outbox{},
 	}
 	for i := range s.ticks {
 		s.ticks[i], s.cancelWake[i] = make(chan struct{}, 1), func() {}
@@ -86,20 +86,20 @@
 func (s *stream) run() {
 	defer s.closeLinks()
 	if s.node.options.Source == nil {
-		var peers []distribution.Peer
+		var peers []decider.Peer
 		for _, c := range s.node.options.Candidates {
 			peers = append(peers, c.Peer)
 		}
-		s.handleSubscriber(distribution.Candidates{Peers: peers})
+		s.handleSubscriber(decider.Candidates{Peers: peers})
 	}
 	for {
 		select {
 		case <-s.node.done:
 			return
 		case <-s.ticks[subscriber]:
-			s.handleSubscriber(distribution.Tick{})
+			s.handleSubscriber(decider.Tick{})
 		case <-s.ticks[distributor]:
-			s.handleDistributor(distribution.Tick{})
+			s.handleDistributor(decider.Tick{})
 		case in := <-s.inputs:
 			s.handleInput(in)
 		}
@@ -125,16 +125,16 @@
 		s.children[in.link] = in.opened
 	case in.toDistributor:
 		s.handleDistributor(in.event)
-		if e, ok := in.event.(distribution.Disconnected); ok {
+		if e, ok := in.event.(decider.Disconnected); ok {
 			s.closeChild(e.Link)
 		}
 	case in.opened != nil && in.link != s.parentLink:
 		in.opened.close() // the subscriber has given it up meanwhile
 	case in.opened != nil:
 		s.parent = in.opened
-		s.handleSubscriber(distribution.Connected{Link: in.link})
+		s.handleSubscriber(decider.Connected{Link: in.link})
 	default:
-		if e, ok := in.event.(distribution.Disconnected); ok && e.Link == s.parentLink {
+		if e, ok := in.event.(decider.Disconnected); ok && e.Link == s.parentLink {
 			s.parentLink, s.parent = 0, nil
 		}
 		s.handleSubscriber(in.event)
@@ -142,7 +142,7 @@
 }
 
 // handleSubscriber has the subscriber handle an event, and the distributor the events that follow from it.
-func (s *stream) handleSubscriber(e distribution.Event) {
+func (s *stream) handleSubscriber(e decider.Event) {
 	now := s.node.options.Clock.Now()
 	if s.node.options.Listen == nil {
 		s.carryOut(subscriber, s.relay.Subscriber.Handle(now, e))
@@ -154,40 +154,40 @@
 }
 
 // handleDistributor has the distributor handle an event of the level below or of the store.
-func (s *stream) handleDistributor(e distribution.Event) {
+func (s *stream) handleDistributor(e decider.Event) {
 	if s.node.options.Listen == nil {
 		return
 	}
 	switch e := e.(type) {
-	case distribution.InstallSnapshot:
+	case decider.InstallSnapshot:
 		s.rootWatermark = e.Watermark
-	case distribution.Apply:
+	case decider.Apply:
 		s.rootWatermark = e.Watermark
-	case distribution.AdvanceWatermark:
+	case decider.AdvanceWatermark:
 		s.rootWatermark = e.Watermark
 	}
 	s.carryOut(distributor, s.relay.Distributor.Handle(s.node.options.Clock.Now(), e))
 }
 
 // carryOut carries out the actions of a machine, in order.
-func (s *stream) carryOut(m machine, actions []distribution.Action) {
+func (s *stream) carryOut(m machine, actions []decider.Action) {
 	for _, a := range actions {
 		if m == subscriber && s.node.options.Observe != nil {
 			s.node.options.Observe(s.id, a)
 		}
 		switch a := a.(type) {
-		case distribution.Apply:
+		case decider.Apply:
 			for _, e := range a.Entries {
 				s.logSkipped(s.applier.apply(e))
 			}
-		case distribution.InstallSnapshot:
+		case decider.InstallSnapshot:
 			s.applier.applySnapshot(a.Entries, s.logSkipped)
-		case distribution.SetFreshness:
+		case decider.SetFreshness:
 			s.freshness = a.State
 			if s.node.options.SetFreshness != nil {
 				s.node.options.SetFreshness(s.id, a.State)
 			}
-		case distribution.Wake:
+		case decider.Wake:
 			s.wake(m, a.After)
 		default:
 			s.carryOutOnLink(a)
@@ -196,29 +196,29 @@
 }
 
 // carryOutOnLink carries out an action that concerns a link.
-func (s *stream) carryOutOnLink(a distribution.Action) {
+func (s *stream) carryOutOnLink(a decider.Action) {
 	switch a := a.(type) {
-	case distribution.Connect:
+	case decider.Connect:
 		s.parentLink = a.Link
 		s.node.goroutines.Go(func() { s.connect(a) })
-	case distribution.Disconnect:
+	case decider.Disconnect:
 		if s.parentLink == a.Link {
 			s.closeParent()
 		}
-	case distribution.SendMessage:
+	case decider.SendMessage:
 		if s.parent != nil && a.Link == s.parentLink {
-			s.parent.send(distribution.Encode(a.Message).Bytes)
+			s.parent.send(decider.Encode(a.Message).Bytes)
 		}
-	case distribution.Unsubscribed:
+	case decider.Unsubscribed:
 		s.node.options.Log.Info("distribution").Str("stream", streamNames[s.id]).Str("distributor", a.Distributor.Name).
 			Stringer("why", a.Cause).Msg("unsubscribed from distributor")
-	case distribution.SendFrame:
+	case decider.SendFrame:
 		for _, link := range a.Links {
 			if out := s.children[link]; out != nil {
 				out.send(a.Frame.Bytes)
 			}
 		}
-	case distribution.CloseLink:
+	case decider.CloseLink:
 		s.closeChild(a.Link)
 	}
 }
@@ -231,7 +231,7 @@
 	}
 }
 
-func (s *stream) closeChild(link distribution.Link) {
+func (s *stream) closeChild(link decider.Link) {
 	if out := s.children[link]; out != nil {
 		out.close()
 		delete(s.children, link)
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	pure "ravenwheel/internal/decide/distribution"
+	decider "ravenwheel/internal/decide/distribution"
 	"ravenwheel/internal/decide/distribution/check"
 	"ravenwheel/internal/decide/storestate"
 	"ravenwheel/internal/distribution"
@@ -45,11 +45,11 @@
 	mu      sync.Mutex
 	epoch   uint64
 	changes []storestate.Change
-	history map[pure.Stream]*check.History
+	history map[decider.Stream]*check.History
 }
 
 func newLog() *log {
-	l := &log{clk: clock.System(), epoch: 1, history: map[pure.Stream]*check.History{}}
+	l := &log{clk: clock.System(), epoch: 1, history: map[decider.Stream]*check.History{}}
 	for _, s := range distribution.Streams {
 		l.history[s] = &check.History{}
 	}
@@ -63,18 +63,18 @@
 	c.ProposedAt = l.clk.Now()
 	l.changes = append(l.changes, c)
 	index := uint64(len(l.changes))
-	e := pure.Entry{Sequence: index, Name: c.Name}
+	e := decider.Entry{Sequence: index, Name: c.Name}
 	switch c.Kind {
 	case storestate.AddPurge:
-		e.Kind, e.Name, e.EffectiveAt, e.ExpiresAt = pure.PurgeObject, c.Purge.Object, int64(c.Purge.IssuedAt), int64(c.ExpiresAt)
+		e.Kind, e.Name, e.EffectiveAt, e.ExpiresAt = decider.PurgeObject, c.Purge.Object, int64(c.Purge.IssuedAt), int64(c.ExpiresAt)
 	case storestate.StartDrain:
-		e.Kind = pure.Drain
+		e.Kind = decider.Drain
 	case storestate.EndDrain:
-		e.Kind = pure.DrainEnded
+		e.Kind = decider.DrainEnded
 	}
-	stream := pure.Configuration
+	stream := decider.Configuration
 	if c.Kind == storestate.AddPurge {
-		stream = pure.Purges
+		stream = decider.Purges
 	}
 	l.history[stream].Commit(l.epoch, e, int64(c.ProposedAt))
 }
@@ -151,11 +151,11 @@
 // process is a node, and what the checker observed of it.
 type process struct {
 	node *distribution.Node
-	peer pure.Peer
+	peer decider.Peer
 
 	mu        sync.Mutex
-	observed  map[pure.Stream]*check.Process
-	gate      *pure.FreshnessGate
+	observed  map[decider.Stream]*check.Process
+	gate      *decider.FreshnessGate
 	violation error
 	changes   []storestate.Change
 }
@@ -176,23 +176,23 @@
 }
 
 // settings returns short timeouts, so that failures are noticed soon; a test waits for what follows and not for a time.
-func settings(self pure.Peer) pure.Settings {
-	s := pure.DefaultSettings(0, self)
+func settings(self decider.Peer) decider.Settings {
+	s := decider.DefaultSettings(0, self)
 	s.Seed = uint64(len(self.Name)) + uint64(self.Name[len(self.Name)-1])
 	s.HeartbeatInterval, s.SilenceTimeout, s.KeepaliveInterval, s.FailoverSpread = 50, 600, 500, 100
 	s.MinBackoff, s.MaxBackoff = 20, 200
 	s.MaxLag, s.MaxClockSkew, s.RelaxSpread = 1500, 10, 50
 	s.AdmitPerSecond, s.AdmitBurst = 500, 500
-	s.Classes = map[string]pure.Policy{"strict": pure.PolicyStrict}
+	s.Classes = map[string]decider.Policy{"strict": decider.PolicyStrict}
 	return s
 }
 
-func newPeer(name string, rank int) pure.Peer {
-	return pure.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
+func newPeer(name string, rank int) decider.Peer {
+	return decider.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
 }
 
 // start starts a node: of rank 0 with a member of the store, else with the candidates above. With serves it listens.
-func (tr *tree) start(p pure.Peer, source *member, serves bool, above ...string) *process {
+func (tr *tree) start(p decider.Peer, source *member, serves bool, above ...string) *process {
 	tr.t.Helper()
 	if _, known := tr.addrs[p.Name]; !known {
 		require.NoError(tr.t, store.Issue(tr.keys, p.Name))
@@ -200,17 +200,17 @@
 	}
 	id, err := store.LoadIdentity(tr.keys, p.Name)
 	require.NoError(tr.t, err)
-	x := &process{peer: p, observed: map[pure.Stream]*check.Process{}}
+	x := &process{peer: p, observed: map[decider.Stream]*check.Process{}}
 	for _, s := range distribution.Streams {
 		x.observed[s] = check.NewProcess(tr.log.history[s])
 	}
 	set := settings(p)
-	x.gate = pure.NewFreshnessGate(set)
+	x.gate = decider.NewFreshnessGate(set)
 	o := distribution.Options{
 		Settings: set, Identity: id, Clock: tr.log.clk, MaxLinks: 256, Epoch: tr.log.epoch, ApplyChange: x.applyChange, ApplyRevision: func(storestate.Revision) {},
-		Observe: func(s pure.Stream, a pure.Action) { tr.observe(x, s, a) },
-		SetFreshness: func(s pure.Stream, g pure.Freshness) {
-			if s == pure.Purges {
+		Observe: func(s decider.Stream, a decider.Action) { tr.observe(x, s, a) },
+		SetFreshness: func(s decider.Stream, g decider.Freshness) {
+			if s == decider.Purges {
 				x.mu.Lock()
 				x.gate.Update(g)
 				x.mu.Unlock()
@@ -246,13 +246,13 @@
 }
 
 // observe checks each action of a subscriber against what was committed.
-func (tr *tree) observe(p *process, s pure.Stream, a pure.Action) {
+func (tr *tree) observe(p *process, s decider.Stream, a decider.Action) {
 	tr.log.mu.Lock()
 	defer tr.log.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	err := p.observed[s].Observe(a)
-	if advance, ok := a.(pure.AdvanceWatermark); ok && err == nil {
+	if advance, ok := a.(decider.AdvanceWatermark); ok && err == nil {
 		err = p.observed[s].CheckWatermark(advance.Watermark)
 	}
 	if err != nil && p.violation == nil {
@@ -346,7 +346,7 @@
 			defer p.mu.Unlock()
 			last = nil
 			for _, s := range distribution.Streams {
-				if tr.log.history[s].Latest() == (pure.Position{}) {
+				if tr.log.history[s].Latest() == (decider.Position{}) {
 					continue // nothing was committed
 				}
 				last = errors.Join(last, p.observed[s].CheckCaughtUp(int64(tr.log.clk.Now())))
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -16,14 +16,14 @@
 	"sync"
 
 	"ravenwheel/internal/clock"
-	decide "ravenwheel/internal/decide/handover"
+	decider "ravenwheel/internal/decide/handover"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/internal/logs"
 	"ravenwheel/policy"
 )
 
 // settings: an operator waits 6 s for a new process, so that one that finds a hanging owner must be there well before.
-var settings = decide.Settings{Retry: 50, Patience: 2000, Prepare: 8000}
+var settings = decider.Settings{Retry: 50, Patience: 2000, Prepare: 8000}
 
 // watchInterval is how many ms pass between two looks at which process is recorded as the owner.
 const watchInterval = 250
@@ -60,7 +60,7 @@
 	record   record
 
 	mu         sync.Mutex
-	machine    *decide.Machine
+	machine    *decider.Machine
 	successors map[int]*net.UnixConn // connections of processes that would follow, by number
 	lastNumber int
 	owner      *net.UnixConn // connection to the owner that this process follows
@@ -82,7 +82,7 @@
 // that there is none. It returns ErrShutdown if the process is told to end before.
 func Start(o Options) (*Coordinator, error) {
 	c := &Coordinator{
-		opt: o, basePath: filepath.Join(o.Dir, fileName(o.Listen)), machine: decide.New(settings),
+		opt: o, basePath: filepath.Join(o.Dir, fileName(o.Listen)), machine: decider.New(settings),
 		successors: map[int]*net.UnixConn{}, prepared: make(chan struct{}), owns: make(chan struct{}), failed: make(chan error, 1),
 		cancelTick: func() {},
 	}
@@ -90,7 +90,7 @@
 	if err := c.record.load(); err != nil {
 		o.Log.Warn("handover").Err(err).Msg("owner's record is unusable; starting without it")
 	}
-	c.handle(decide.Started{})
+	c.handle(decider.Started{})
 	select {
 	case <-c.prepared:
 		return c, nil
@@ -120,7 +120,7 @@
 // abandon ends this process's part with ErrShutdown, unless it owns the address by now.
 func (c *Coordinator) abandon() error {
 	c.mu.Lock()
-	owns := c.machine.Phase() >= decide.Owning
+	owns := c.machine.Phase() >= decider.Owning
 	c.closed = c.closed || !owns
 	c.mu.Unlock()
 	if owns {
@@ -149,7 +149,7 @@
 	c.mu.Lock()
 	c.learned = learned
 	c.mu.Unlock()
-	c.handle(decide.Ready{})
+	c.handle(decider.Ready{})
 	select {
 	case <-c.owns:
 	case err := <-c.failed:
@@ -188,10 +188,10 @@
 
 // BeginShutdown says that this process was told to end. It reports whether another process has its clients.
 func (c *Coordinator) BeginShutdown() (handedOver bool) {
-	c.handle(decide.ShutdownRequested{})
+	c.handle(decider.ShutdownRequested{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Phase() == decide.Granting || c.machine.Phase() == decide.Stopped
+	return c.machine.Phase() == decider.Granting || c.machine.Phase() == decider.Stopped
 }
 
 // Close ends this process's part. It releases the lock, unless another process has a copy.
@@ -216,13 +216,13 @@
 
 // handle hands an event to the machine and executes its actions in order. Once closed it ignores events: to the machine, the
 // connections that Close ends would look as if the other process had gone, and it would take back what it has granted.
-func (c *Coordinator) handle(e decide.Event) {
+func (c *Coordinator) handle(e decider.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	for events := []decide.Event{e}; len(events) > 0; events = events[1:] {
+	for events := []decider.Event{e}; len(events) > 0; events = events[1:] {
 		for _, a := range c.machine.Handle(c.opt.Clock.Now(), events[0]) {
 			if result := c.execute(a); result != nil {
 				events = append(events, result)
@@ -251,7 +251,7 @@
 func (c *Coordinator) scheduleWatch() {
 	c.opt.Clock.After(watchInterval, func() {
 		if g := c.recordedGeneration(); g > 0 {
-			c.handle(decide.Superseded{Generation: g})
+			c.handle(decider.Superseded{Generation: g})
 		}
 		c.retryWrites()
 		c.scheduleWatch()
@@ -263,7 +263,7 @@
 	_ = c.record.retryWrite() // retried again later
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.machine.Phase() == decide.Owning && c.socket == nil && !c.closed {
+	if c.machine.Phase() == decider.Owning && c.socket == nil && !c.closed {
 		_ = c.openSocket()
 	}
 }
--- a/internal/handover/execute.go
+++ b/internal/handover/execute.go
@@ -3,41 +3,41 @@
 import (
 	"errors"
 
-	decide "ravenwheel/internal/decide/handover"
+	decider "ravenwheel/internal/decide/handover"
 	"ravenwheel/internal/decide/serverlist"
 	"ravenwheel/policy"
 )
 
 // execute carries out an action. It returns the event that answers it, or nil. The caller holds mu.
-func (c *Coordinator) execute(a decide.Action) decide.Event {
+func (c *Coordinator) execute(a decider.Action) decider.Event {
 	switch a := a.(type) {
-	case decide.TryLock:
-		return decide.LockResult{Acquired: c.tryLock(), Generation: c.recordedGeneration()}
-	case decide.ContactOwner:
-		return decide.ContactResult{OK: c.connectToOwner()}
-	case decide.Claim:
+	case decider.TryLock:
+		return decider.LockResult{Acquired: c.tryLock(), Generation: c.recordedGeneration()}
+	case decider.ContactOwner:
+		return decider.ContactResult{OK: c.connectToOwner()}
+	case decider.Claim:
 		return c.claim(a.Generation)
-	case decide.Listen:
+	case decider.Listen:
 		c.listenOnce()
-	case decide.Prepare:
+	case decider.Prepare:
 		c.opt.SetShared(!a.NoOwner)
 		closeOnce(c.prepared)
-	case decide.RequestTransfer:
+	case decider.RequestTransfer:
 		sendOrClose(c.owner, message{Kind: kindTransferRequest})
-	case decide.BecomeOwner:
+	case decider.BecomeOwner:
 		c.becomeOwner(a.Generation)
-	case decide.AnnounceServing:
+	case decider.AnnounceServing:
 		sendOrClose(c.owner, message{Kind: kindServing})
-	case decide.SetAccepting:
+	case decider.SetAccepting:
 		c.opt.SetAccepting(a.On)
-	case decide.BecomeSole:
+	case decider.BecomeSole:
 		c.opt.SetShared(false)
-	case decide.Stop:
+	case decider.Stop:
 		c.opt.Log.Warn("handover").Str("reason", a.Reason).Msg("stopping: this process no longer owns the address")
 		c.opt.Stop(a.Reason)
-	case decide.ScheduleTick:
+	case decider.ScheduleTick:
 		c.cancelTick()
-		c.cancelTick = c.opt.Clock.After(a.After, func() { c.handle(decide.Tick{}) })
+		c.cancelTick = c.opt.Clock.After(a.After, func() { c.handle(decider.Tick{}) })
 	default:
 		c.executeForSuccessor(a)
 	}
@@ -45,17 +45,17 @@
 }
 
 // executeForSuccessor carries out an owner's action about a successor. The caller holds mu.
-func (c *Coordinator) executeForSuccessor(a decide.Action) {
+func (c *Coordinator) executeForSuccessor(a decider.Action) {
 	switch a := a.(type) {
-	case decide.SendState:
+	case decider.SendState:
 		c.opt.SetShared(true)
 		sendOrClose(c.successors[a.To], c.stateMessage())
-	case decide.Reject:
+	case decider.Reject:
 		sendOrClose(c.successors[a.To], message{Kind: kindRejected, Busy: a.Busy})
-	case decide.Grant:
+	case decider.Grant:
 		c.opt.SetOwner(false)
 		c.grant(c.successors[a.To])
-	case decide.Revoke:
+	case decider.Revoke:
 		sendOrClose(c.successors[a.To], message{Kind: kindRevoked})
 		c.dropSuccessor(a.To)
 	}
@@ -63,15 +63,15 @@
 
 // claim records a generation as this process's. A record that can't be written, on a full disk for example, does not keep the
 // process from serving.
-func (c *Coordinator) claim(generation uint64) decide.ClaimResult {
+func (c *Coordinator) claim(generation uint64) decider.ClaimResult {
 	recorded, err := c.record.claim(generation)
 	switch {
 	case errors.Is(err, errFenced), errors.Is(err, errBusy):
-		return decide.ClaimResult{Generation: recorded}
+		return decider.ClaimResult{Generation: recorded}
 	case err != nil:
 		c.opt.Log.Error("handover").Err(err).Msg("owner's record could not be written; manual drains are lost with this process")
 	}
-	return decide.ClaimResult{OK: true, Generation: generation}
+	return decider.ClaimResult{OK: true, Generation: generation}
 }
 
 func (c *Coordinator) becomeOwner(generation uint64) {
@@ -96,7 +96,7 @@
 func (c *Coordinator) stateMessage() message {
 	epoch, _ := c.opt.Clock.Epoch()
 	return message{
-		Kind: kindState, Revision: decide.Revision, Generation: c.machine.Generation(), Drained: formatIDs(c.record.drainedServers()),
+		Kind: kindState, Revision: decider.Revision, Generation: c.machine.Generation(), Drained: formatIDs(c.record.drainedServers()),
 		Restored: c.record.restoredNames(), Epoch: epoch,
 	}
 }
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	decide "ravenwheel/internal/decide/handover"
+	decider "ravenwheel/internal/decide/handover"
 	"ravenwheel/policy"
 )
 
@@ -28,7 +28,7 @@
 	select {
 	case next := <-started:
 		require.True(t, next.drained[7])
-		require.Equal(t, decide.Offering, first.phase())
+		require.Equal(t, decider.Offering, first.phase())
 	case <-time.After(10 * time.Second):
 		require.Fail(t, "the successor was not accepted")
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravenwheel/internal/clock"
-	decide "ravenwheel/internal/decide/handover"
+	decider "ravenwheel/internal/decide/handover"
 	"ravenwheel/policy"
 )
 
@@ -32,7 +32,7 @@
 
 func (p *process) RestoreLearnedState(text []byte) error { p.learned = string(text) + "+"; return nil }
 
-func (p *process) phase() decide.Phase {
+func (p *process) phase() decider.Phase {
 	p.Coordinator.mu.Lock()
 	defer p.Coordinator.mu.Unlock()
 	return p.machine.Phase()
@@ -142,7 +142,7 @@
 	h := newHost(t)
 	old := h.own(h.start())
 	h.start().Close()
-	h.eventually(old, "still serving", func() bool { return old.phase() == decide.Owning && old.got.accepting })
+	h.eventually(old, "still serving", func() bool { return old.phase() == decider.Owning && old.got.accepting })
 	next := h.own(h.start())
 	h.eventually(old, "granted", func() bool { return !old.got.accepting })
 	next.Close()
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	decide "ravenwheel/internal/decide/handover"
+	decider "ravenwheel/internal/decide/handover"
 	"ravenwheel/internal/decide/serverlist"
 )
 
@@ -124,11 +124,11 @@
 		}
 		switch m.Kind {
 		case kindHello:
-			c.handle(decide.SuccessorHello{From: number, Revision: m.Revision})
+			c.handle(decider.SuccessorHello{From: number, Revision: m.Revision})
 		case kindTransferRequest:
-			c.handle(decide.TransferRequested{From: number})
+			c.handle(decider.TransferRequested{From: number})
 		case kindServing:
-			c.handle(decide.SuccessorServing{From: number})
+			c.handle(decider.SuccessorServing{From: number})
 		case kindDrain:
 			c.receiveDrain(m)
 		}
@@ -136,7 +136,7 @@
 	c.mu.Lock()
 	c.dropSuccessor(number)
 	c.mu.Unlock()
-	c.handle(decide.SuccessorLost{From: number})
+	c.handle(decider.SuccessorLost{From: number})
 }
 
 // receiveDrain applies a manual drain that was set through the other process.
@@ -166,7 +166,7 @@
 	if err != nil {
 		return false
 	}
-	if !isSameUser(conn) || send(conn, message{Kind: kindHello, Revision: decide.Revision}, nil) != nil {
+	if !isSameUser(conn) || send(conn, message{Kind: kindHello, Revision: decider.Revision}, nil) != nil {
 		conn.Close()
 		return false
 	}
@@ -189,7 +189,7 @@
 			closeDescriptors(descriptors)
 			conn.Close()
 			if current {
-				c.handle(decide.OwnerLost{})
+				c.handle(decider.OwnerLost{})
 			}
 			return
 		}
@@ -203,14 +203,14 @@
 	case kindState:
 		c.receiveState(m)
 	case kindRejected:
-		c.handle(decide.Rejected{Busy: m.Busy})
+		c.handle(decider.Rejected{Busy: m.Busy})
 	case kindGrant:
 		if c.acceptGrant(descriptors) {
 			descriptors = nil
-			c.handle(decide.GrantReceived{})
+			c.handle(decider.GrantReceived{})
 		}
 	case kindRevoked:
-		c.handle(decide.GrantRevoked{})
+		c.handle(decider.GrantRevoked{})
 	case kindDrain:
 		c.receiveDrain(m)
 	}
@@ -228,5 +228,5 @@
 	} else {
 		c.record.replace(received)
 	}
-	c.handle(decide.StateReceived{Revision: m.Revision, Generation: m.Generation})
+	c.handle(decider.StateReceived{Revision: m.Revision, Generation: m.Generation})
 }
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -21,7 +21,7 @@
 	"ravenwheel/internal/lab/experiment"
 	"ravenwheel/internal/lab/fleet"
 	"ravenwheel/internal/lab/sim"
-	wire "ravenwheel/internal/resp"
+	frames "ravenwheel/internal/resp"
 	"ravenwheel/internal/upstream"
 	"ravenwheel/policy"
 )
@@ -172,7 +172,7 @@
 		c.mu.Lock()
 		c.byTag[tag] = q
 		c.mu.Unlock()
-		_, err := nc.Write(wire.AppendFrame(nil, "RPC.HEALTH", tag))
+		_, err := nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", tag))
 		require.NoError(c.t, err)
 	}
 	c.wait(requests)
@@ -190,7 +190,7 @@
 }
 
 func (c *clients) read(nc net.Conn) {
-	buf := wire.Buffer{MaxFrameSize: wire.MaxResponseSize}
+	buf := frames.Buffer{MaxFrameSize: frames.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(nc)
 		if err != nil {
@@ -241,7 +241,7 @@
 	if class.Write {
 		words = append(words, "what is written")
 	}
-	_, err := c.conns[conn].Write(wire.AppendFrame(nil, words...))
+	_, err := c.conns[conn].Write(frames.AppendFrame(nil, words...))
 	require.NoError(c.t, err)
 	return q
 }
