--- a/cmd/ravenwheel/descriptors_test.go
+++ b/cmd/ravenwheel/descriptors_test.go
@@ -94,7 +94,7 @@
 			alone := descriptors(r.cmd.Process.Pid)
 			look := watchDescriptors(r.cmd.Process.Pid)
 			connectCrowd(t, listen, first, clients, 20)
-			// It is accepted behind the whole crowd; as any client, it comes again if its connection is shut.
+			// It is accepted after the crowd. Like any client, it connects again if its connection is closed.
 			for until := time.Now().Add(time.Minute); ; {
 				there, err := servedOnceReady(listen)
 				if there && err == nil {
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -120,10 +120,10 @@
 		fields := f.answers.asked[fmt.Sprintf("%016x", f.asked)]
 		f.answers.mu.Unlock()
 		if strings.Contains(fields, ",newer=") {
-			f.t.Logf("the purge is heeded after %v", sent.Sub(since).Round(10*time.Millisecond))
+			f.t.Logf("the purge is applied after %v", sent.Sub(since).Round(10*time.Millisecond))
 			return
 		}
-		require.LessOrEqual(f.t, sent.Sub(since), within, "the purge is not heeded in time:\n%s", f.logs.String())
+		require.LessOrEqual(f.t, sent.Sub(since), within, "the purge is not applied in time:\n%s", f.logs.String())
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -78,7 +78,7 @@
 		a.asked++
 		kills := a.kills.Load()
 		for try := 0; ; try++ {
-			if nc != nil { // it was told meanwhile that this one ends
+			if nc != nil { // the proxy has closed this one meanwhile
 				_ = nc.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
 				if _, err := nc.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 					nc.Close()
@@ -90,7 +90,7 @@
 			if nc == nil {
 				var err error
 				if nc, err = net.Dial("tcp", a.to); err != nil {
-					a.err = fmt.Errorf("turned away: %w", err)
+					a.err = fmt.Errorf("rejected: %w", err)
 					return
 				}
 				in = resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -68,7 +68,7 @@
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
 	next := startProcess(t, bin, config, dir)
 	require.Eventually(t, func() bool { return next.call("STATUS") == "FAILURE starting" }, time.Minute, time.Millisecond)
-	time.Sleep(100 * time.Millisecond) // it has asked the owner by now, which says nothing
+	time.Sleep(100 * time.Millisecond) // by now it has sent its request to the owner, which does not answer
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 	require.NotContains(t, next.logs.String(), "owns the address")
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -120,7 +120,7 @@
 				c.s.fail("client %d: %v", c.n, err)
 			}
 		}
-		if q.word == "full" && q.object[15]%4 > 0 { // one in four clients does not heed it
+		if q.word == "full" && q.object[15]%4 > 0 { // one in four clients does not wait for the backoff
 			time.Sleep(5 * time.Millisecond)
 		}
 		select {
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -81,8 +81,8 @@
 	asked    map[string]*soakRequest
 	told     []fleet.Notification
 	stalled  float64 // until when the board tells nothing
-	lull     float64 // until when discovery has no further trouble; see causeDiscoveryFaults
-	at       int     // the door that the configuration names
+	lull     float64 // until when discovery has no further fault; see causeDiscoveryFaults
+	at       int     // index of the address of discovery that the configuration names
 	broken   []string
 	termAt   atomic.Int64 // Unix µs of the first SIGTERM; 0: not yet
 	killedAt atomic.Int64 // and of the kill, or of the process's own end
@@ -101,7 +101,7 @@
 	terms    int // SIGTERMs
 	runs     time.Duration
 
-	discovery bool // it has troubles of discovery in a row, and runs for long enough to see what follows
+	discovery bool // it has faults of discovery in a row, and runs for long enough to see their effects
 }
 
 // soakRequest is one request as its client knows it. Times are in ms on the soak's clock.
@@ -334,7 +334,7 @@
 		group := s.rng.IntN(fleet.Groups)
 		s.recordNotification(fleet.Notification{Purge: true, Group: group})
 		s.board.Purge("", group, s.servers.Purge("", group))
-	case 7: // a stop counts as told 4 s later
+	case 7: // an event during a stop counts as notified 4 s later
 		s.mu.Lock()
 		s.stalled = s.now() + 4000
 		s.mu.Unlock()
@@ -407,7 +407,7 @@
 			s.fail("%s %s: an attempt came %.0f ms after its client had left", q.class, a.RequestID, a.At-q.left)
 		}
 		if left := q.sent + q.budget - a.At; a.RemainingMs > left+150+slack {
-			s.fail("%s %s: told %.0f ms, of which %.0f were left", q.class, a.RequestID, a.RemainingMs, left)
+			s.fail("%s %s: given %.0f ms, of which %.0f were left", q.class, a.RequestID, a.RemainingMs, left)
 		}
 		if q.class == "claim" && q.word == "full" && a.Answer == "served" {
 			s.fail("claim %s: refused as harmless, and it ran", a.RequestID)
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -58,7 +58,7 @@
 			}
 			require.Equal(t, passed, d.Stop())
 			began := p.Clock.Now()
-			for range 6 { // the connection owes an answer all the time, and stays; each could wait for 5 s
+			for range 6 { // the connection always has an open request, and stays open; each could wait for 5 s
 				ask(5000)
 				p.Clock.Advance(100)
 			}
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -181,7 +181,7 @@
 		rest := slices.DeleteFunc(slices.Clone(all), func(b policy.CacheID) bool { return b == box })
 		patience := time.Second
 		switch n % 3 {
-		case 0: // told of a drain, killed, and the box is listed anew while it drains
+		case 0: // notified of a drain and killed, and the box is listed again while it drains
 			// One that waits for a drain to end, under the id that it was given for that, is not in use and can't drain.
 			if inUse := x.ready(box); x.use(rest, patience) && inUse {
 				// Until the drain is over. Its end is counted from the latest that it can have begun.
@@ -193,7 +193,7 @@
 			x.names[box] = policy.CacheID(100 + n)
 			x.gen++
 			require.NoError(t, os.WriteFile(x.list, []byte(x.text(all)), 0o600))
-		case 1: // told of a purge, and killed at once
+		case 1: // notified of a purge, and killed at once
 			group := x.rng.IntN(fleet.Groups)
 			object := load.Object(uint64(x.rng.IntN(5)))
 			x.fleet.Purge(object, group)
@@ -238,6 +238,6 @@
 	out, err := exec.Command(x.bin, "state", "verify", filepath.Join(dir, "state")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	slices.Sort(x.starts)
-	t.Logf("up after %v (median) to %v (most); killed %d times: told of %d things; %d attempts seen, %d writes ran; %s",
+	t.Logf("up after %v (median) to %v (most); killed %d times: notified of %d changes; %d attempts seen, %d writes ran; %s",
 		x.starts[len(x.starts)/2].Round(time.Millisecond), x.starts[len(x.starts)-1].Round(time.Millisecond), kills(), len(x.told), len(x.fleet.Observations()), x.fleet.WritesRun(), out)
 }
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -51,7 +51,7 @@
 // newerOf is the age in ms of the oldest copy that a request accepts.
 func newerOf(t *testing.T, fields string) int64 {
 	age := newerField.FindStringSubmatch(fields)
-	require.NotNil(t, age, "no purge is heeded: %s", fields)
+	require.NotNil(t, age, "no purge is applied: %s", fields)
 	ms, err := strconv.ParseInt(age[1], 10, 64)
 	require.NoError(t, err)
 	return ms
@@ -113,7 +113,7 @@
 
 			purged := time.Now().UnixMilli()
 			board.Purge("", 17, float64(purged))
-			time.Sleep(1100 * time.Millisecond) // the time to heed it
+			time.Sleep(1100 * time.Millisecond) // the purge's grace
 			n++
 			require.Equal(t, "ok", ask(t, c, n))
 			id := fmt.Sprintf("%016x", n)
--- a/internal/front/resp/quiescence_test.go
+++ b/internal/front/resp/quiescence_test.go
@@ -17,7 +17,7 @@
 	"ravenwheel/internal/clock"
 )
 
-// quiescence tells when this whole process, the program and its stand-ins, has nothing left to do until the clock moves: every
+// quiescence reports when this whole process, the program and its stand-ins, has nothing left to do until the clock moves: every
 // other goroutine is parked, and no byte, connection or end of one is on the way between two of its sockets. It judges by
 // state alone, however busy the machine is.
 type quiescence struct {
