--- /dev/null
+++ b/internal/lab/capacity/assumptions.go
@@ -0,0 +1,109 @@
+package capacity
+
+// Assumption is an assumed figure as the page lists it.
+type Assumption struct {
+	Name   string
+	Figure Figure
+	Text   string // the figure, formatted
+	Reason string
+}
+
+// nameBytes and revisionBytes are the assumed sizes of an object's name and of a revision. Recordings use the same.
+const (
+	nameBytes     = 32
+	revisionBytes = 4096
+)
+
+// Assumptions are the figures that formulas need and that were not measured at the target's size.
+type Assumptions struct {
+	RegionLatencyMs Figure // one way between regions
+	ZoneLatencyMs   Figure // one way within a region
+	SyncMs          Figure // of a write to disk
+
+	PacketHeaderBytes Figure // of TCP/IP
+	RecordHeaderBytes Figure // of TLS
+	EntryBytes        Figure // of a purge in the distribution's encoding
+	FrameBytes        Figure // of a frame there, beside its entries
+
+	FrameIntervalMs         Figure
+	ProposedFrameIntervalMs Figure
+	SendMicros              Figure // of a frame
+	ReceiveMicros           Figure // of a frame
+
+	ConnectionMemory Figure // bytes
+	MemberMemory     Figure // bytes of a member in membership
+	ProbeBytes       Figure // of a probe or its response
+	PeersMicrosPerS  Figure // of sending and receiving digests
+	ProcessMemory    Figure // bytes of a proxy without what the formulas count
+	DigestFraction   Figure // of its servers that a process includes in a digest
+
+	// Of a control machine.
+	MachineCores     Figure
+	MachineBytesPerS Figure // of its network
+	MachineMemory    Figure // bytes
+
+	PurgeDurationMs Figure // in which caches drop purged copies
+	PurgeGraceMs    Figure // by which caches may be notified late
+}
+
+// DefaultAssumptions are those of the page.
+var DefaultAssumptions = Assumptions{
+	RegionLatencyMs: assumed(75), ZoneLatencyMs: assumed(5), SyncMs: assumed(5),
+	PacketHeaderBytes: assumed(52), RecordHeaderBytes: assumed(22),
+	EntryBytes: assumed(8 + nameBytes), FrameBytes: assumed(25),
+	FrameIntervalMs: assumed(20), ProposedFrameIntervalMs: assumed(100),
+	SendMicros: assumed(10), ReceiveMicros: assumed(20),
+	ConnectionMemory: assumed(64e3), MemberMemory: assumed(4e3),
+	ProbeBytes: assumed(160), PeersMicrosPerS: extrapolated(2500, 17_000/60.0),
+	ProcessMemory: extrapolated(35e6, 17_000/300.0),
+	MachineCores:  assumed(8), MachineBytesPerS: assumed(1.25e8), MachineMemory: assumed(16e9),
+	PurgeDurationMs: assumed(6800), PurgeGraceMs: assumed(1000),
+	DigestFraction: assumed(0.25),
+}
+
+// Rows are the assumptions in the order of the page.
+func (a Assumptions) Rows() []Assumption {
+	return []Assumption{
+		{"one way between regions", a.RegionLatencyMs,
+			a.RegionLatencyMs.FormatMilliseconds(),
+			"150 ms there and back is a long way round the world; not told by the operators"},
+		{"one way within a region", a.ZoneLatencyMs,
+			a.ZoneLatencyMs.FormatMilliseconds(),
+			"zones of one region, sites at the edge among them"},
+		{"a write that is on disk", a.SyncMs, a.SyncMs.FormatMilliseconds(), "a disk of flash, busy"},
+		{"head of a TCP/IP packet, of a TLS record", a.PacketHeaderBytes,
+			a.PacketHeaderBytes.FormatBytes() + ", " + a.RecordHeaderBytes.FormatBytes(),
+			"IPv4 with timestamps; TLS 1.3"},
+		{"a purge's name, a revision's text", assumed(nameBytes),
+			assumed(nameBytes).FormatBytes() + ", " + assumed(revisionBytes).FormatBytes(),
+			"recordings use the same"},
+		{"a purge, a frame's own bytes in the distribution", a.EntryBytes,
+			a.EntryBytes.FormatBytes() + ", " + a.FrameBytes.FormatBytes(),
+			"read off its encoding, not run here"},
+		{"between two frames", a.FrameIntervalMs,
+			a.FrameIntervalMs.FormatMilliseconds() + ", proposed " + a.ProposedFrameIntervalMs.FormatMilliseconds(),
+			"the distribution's note for its roots"},
+		{"processor of sending, of receiving a frame", a.SendMicros,
+			formatNumber(a.SendMicros.Value) + " us, " + a.ReceiveMicros.FormatMicroseconds(),
+			"one system call, TLS and what wakes up"},
+		{"memory of a connection, of a member in membership", a.ConnectionMemory,
+			a.ConnectionMemory.FormatBytes() + ", " + a.MemberMemory.FormatBytes(),
+			"TLS buffers of both ways; certificate, keys, window"},
+		{"a probe or its answer", a.ProbeBytes, a.ProbeBytes.FormatBytes(), "envelope, MAC and UDP head; one of each way in 700 ms"},
+		{"processor of peers with digests", a.PeersMicrosPerS,
+			a.PeersMicrosPerS.FormatCPU(),
+			"measured with 60 members in one process (docs/measurements/peers.md)"},
+		{"a process beside what is told apart here", a.ProcessMemory,
+			a.ProcessMemory.FormatBytes(),
+			"measured in the field at 300 (docs/measurements/peers.md)"},
+		{"a control machine", a.MachineCores,
+			formatNumber(a.MachineCores.Value) + " cores, 1 Gbit/s, 16 GB a",
+			"not told by the operators"},
+		{"a purge binds for", a.PurgeDurationMs,
+			a.purgesInEffect(1).withBasis("14.6 s"),
+			"twice 6.8 s and 1 s of grace, as the proxy keeps it (default: twice 6 s and 1 s)"},
+		{"of its servers a digest tells", a.DigestFraction,
+			a.DigestFraction.FormatPercent(),
+			"a sixth in turn and what has changed by three steps"},
+	}
+}
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -8,32 +8,43 @@
 // Model is how a quantity grows with its driver.
 type Model string
 
-// The models: fixed + slope x the driver, x driver log2(driver), x driver squared.
+// The models: fixed + slope times the driver, driver log2(driver) or driver squared.
 const (
 	Linear    Model = "linear"
 	NLogN     Model = "n log n"
 	Quadratic Model = "quadratic"
 )
 
-// Models in the order in which they are tried: the first that explains the points is taken.
+// Models are all of them, in the order of preference.
 var Models = []Model{Linear, NLogN, Quadratic}
 
-// linearEnough: a linear fit that is nowhere further than this share from what was measured stands. Timings of one machine
-// differ by as much from run to run, so a steeper model that came a little closer would be fitted to noise.
-const maxLinearResidual = 0.15
+const (
+	// maxLinearResidual is the residual up to which a linear fit is taken without a look at the others. Timings differ by as much
+	// between runs, so that a steeper model that fits better would fit noise.
+	maxLinearResidual = 0.15
+	// maxResidualRatio is the part of the linear fit's largest residual that another model must stay within to be taken.
+	maxResidualRatio = 0.5
+	// residualFloor is the fraction of the largest measured value below which residuals are no longer relative to the point's own.
+	residualFloor = 1e-4
+	// significantFigures is the precision of fixed and slope, so that a reader can check what a file holds.
+	significantFigures = 6
+)
 
-// muchBetter: another model must have at most this part of the linear fit's largest residual to be taken in its place.
-const maxResidualRatio = 0.5
+// Tolerances of equal: fits that were computed on different processors differ in the last digit.
+const (
+	fitTolerance      = 1e-4 // relative
+	residualTolerance = 2e-4
+)
 
-// Fit is a least-squares fit of fixed + slope x f(driver).
+// Fit is a least-squares fit of a model.
 type Fit struct {
 	Fixed     float64   `json:"fixed"`
 	Slope     float64   `json:"slope"`
 	Model     Model     `json:"model"`
-	Residuals []float64 `json:"residuals"` // (measured - fitted) / measured, one a point
+	Residuals []float64 `json:"residuals"` // (measured - fitted) / measured, by point
 }
 
-// term is what a model makes of a driver.
+// term is what a model multiplies the slope with.
 func (m Model) term(driver float64) float64 {
 	switch m {
 	case NLogN:
@@ -47,86 +58,97 @@
 // At is the fitted value at a driver.
 func (f Fit) At(driver float64) float64 { return f.Fixed + f.Slope*f.Model.term(driver) }
 
-// Worst is the largest residual, as a share of what was measured.
-func (f Fit) MaxResidual() (worst float64) {
+// MaxResidual is the largest residual, as a fraction of the measured value.
+func (f Fit) MaxResidual() (largest float64) {
 	for _, r := range f.Residuals {
-		worst = max(worst, math.Abs(r))
+		largest = max(largest, math.Abs(r))
 	}
-	return worst
+	return largest
 }
 
-// FitOf fits points: linear where its residuals say so, else the model with the smallest.
+// FitPoints fits points: linearly, unless that fits badly and another model fits much better.
 func FitPoints(points []Point) Fit {
 	linear := fitModel(Linear, points)
 	if linear.MaxResidual() <= maxLinearResidual {
 		return linear
 	}
 	best := linear
-	for _, m := range Models[1:] {
-		if f := fitModel(m, points); f.MaxResidual() <= maxResidualRatio*linear.MaxResidual() && f.MaxResidual() < best.MaxResidual() {
-			best = f
+	for _, model := range Models[1:] {
+		fit := fitModel(model, points)
+		if fit.MaxResidual() <= maxResidualRatio*linear.MaxResidual() && fit.MaxResidual() < best.MaxResidual() {
+			best = fit
 		}
 	}
 	return best
 }
 
-// fitAs is the least-squares fit of one model. Points weigh by the square of what was measured there, inversely: sizes
-// span a factor of 30, and unweighted the largest would be the only one heard.
-func fitModel(m Model, points []Point) Fit {
-	floor := 0.0
+// fitModel is the least-squares fit of one model, weighted by the inverse square of the measured values. Unweighted, the
+// largest point would decide the fit alone, as sizes span a factor of 30.
+func fitModel(model Model, points []Point) Fit {
+	floor := residualFloor * maxMeasured(points)
+	var sumW, sumX, sumY, sumXX, sumXY float64
 	for _, p := range points {
-		floor = max(floor, math.Abs(p.Measured))
+		weight, x := pointWeight(p.Measured, floor), model.term(p.Driver)
+		sumW += weight
+		sumX += weight * x
+		sumY += weight * p.Measured
+		sumXX += weight * x * x
+		sumXY += weight * x * p.Measured
 	}
-	floor *= 1e-4
-	var sw, sx, sy, sxx, sxy float64
-	for _, p := range points {
-		weight := pointWeight(p.Measured, floor)
-		x := m.term(p.Driver)
-		sw += weight
-		sx += weight * x
-		sy += weight * p.Measured
-		sxx += weight * x * x
-		sxy += weight * x * p.Measured
+	fit := Fit{Model: model}
+	if determinant := sumW*sumXX - sumX*sumX; determinant > 0 {
+		fit.Slope = (sumW*sumXY - sumX*sumY) / determinant
+		fit.Fixed = (sumY - fit.Slope*sumX) / sumW
 	}
-	f := Fit{Model: m}
-	if det := sw*sxx - sx*sx; det > 0 {
-		f.Slope = (sw*sxy - sx*sy) / det
-		f.Fixed = (sy - f.Slope*sx) / sw
+	fit.Fixed, fit.Slope = roundSignificant(fit.Fixed), roundSignificant(fit.Slope)
+	for _, p := range points {
+		fit.Residuals = append(fit.Residuals, fit.residual(p, floor))
 	}
-	f.Fixed, f.Slope = roundSignificant(f.Fixed), roundSignificant(f.Slope)
+	return fit
+}
+
+func maxMeasured(points []Point) (largest float64) {
 	for _, p := range points {
-		r := 0.0
-		if by := max(math.Abs(p.Measured), floor); by > 0 {
-			r = (p.Measured - f.At(p.Driver)) / by
-		}
-		f.Residuals = append(f.Residuals, math.Round(r*1e4)/1e4+0) // + 0: no minus zero in a file
+		largest = max(largest, math.Abs(p.Measured))
 	}
-	return f
+	return largest
 }
 
 func pointWeight(measured, floor float64) float64 {
-	by := max(math.Abs(measured), floor)
-	if by == 0 {
+	scale := max(math.Abs(measured), floor)
+	if scale == 0 {
 		return 1
 	}
-	return 1 / (by * by)
+	return 1 / (scale * scale)
+}
+
+// residual is that of a point, rounded to four decimals.
+func (f Fit) residual(p Point, floor float64) float64 {
+	scale := max(math.Abs(p.Measured), floor)
+	if scale == 0 {
+		return 0
+	}
+	r := (p.Measured - f.At(p.Driver)) / scale
+	return math.Round(r*1e4)/1e4 + 0 // + 0 makes a 0 of -0
 }
 
-// rounded keeps six figures: what a file holds is what a reader can check.
 func roundSignificant(v float64) float64 {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return v
 	}
-	scale := math.Pow(10, 5-math.Floor(math.Log10(math.Abs(v))))
+	scale := math.Pow(10, significantFigures-1-math.Floor(math.Log10(math.Abs(v))))
 	if math.IsInf(scale, 0) || scale == 0 {
 		return v
 	}
 	return math.Round(v*scale) / scale
 }
 
-// same tells whether two fits are one, but for the last figure: machines round sums differently.
-func (f Fit) equal(o Fit) bool {
-	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b), 1e-12) }
-	return f.Model == o.Model && near(f.Fixed, o.Fixed) && near(f.Slope, o.Slope) && len(f.Residuals) == len(o.Residuals) &&
-		slices.EqualFunc(f.Residuals, o.Residuals, func(a, b float64) bool { return math.Abs(a-b) <= 2e-4 })
+// equal reports whether two fits are the same but for rounding.
+func (f Fit) equal(other Fit) bool {
+	return f.Model == other.Model && nearlyEqual(f.Fixed, other.Fixed) && nearlyEqual(f.Slope, other.Slope) &&
+		slices.EqualFunc(f.Residuals, other.Residuals, func(a, b float64) bool { return math.Abs(a-b) <= residualTolerance })
+}
+
+func nearlyEqual(a, b float64) bool {
+	return math.Abs(a-b) <= fitTolerance*max(math.Abs(a), math.Abs(b), 1e-12)
 }
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// noisyPoints are the values of f at four sizes, each changed by up to a fraction of it.
 func noisyPoints(f func(float64) float64, noise float64, seed uint64) (out []Point) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for _, n := range []float64{100, 300, 1000, 3000} {
@@ -17,8 +18,8 @@
 	return out
 }
 
-// A model that is taken for another one is wrong by orders at six times the measured range.
-func TestFitFindsTheModelThatMadeThePoints(t *testing.T) {
+// At six times the measured range a wrong model is off by orders of magnitude.
+func TestFitFindsModelOfNoisyPoints(t *testing.T) {
 	for _, c := range []struct {
 		model Model
 		f     func(float64) float64
@@ -41,6 +42,7 @@
 	}
 }
 
+// Without noise the fit has the parameters of the points.
 func TestFitIsExactWithoutNoise(t *testing.T) {
 	fit := FitPoints(noisyPoints(func(n float64) float64 { return 5000 + 70*n }, 0, 1))
 	if math.Abs(fit.Fixed-5000) > 1e-3 || math.Abs(fit.Slope-70) > 1e-3 || fit.MaxResidual() > 1e-4 {
@@ -48,7 +50,7 @@
 	}
 }
 
-// Noise of a timing must not turn a linear cost into a steeper one.
+// The noise of timings does not make a linear cost a steeper one.
 func TestFitStaysLinearWithinNoise(t *testing.T) {
 	for seed := range uint64(200) {
 		if fit := FitPoints(noisyPoints(func(n float64) float64 { return 2 * n }, 0.08, seed)); fit.Model != Linear {
@@ -57,6 +59,7 @@
 	}
 }
 
+// sampleRecording is a valid recording.
 func sampleRecording() Recording {
 	return Recording{
 		Name: "x/y", Role: Proxy, Driver: "servers", Quantity: "memory", Unit: "bytes", Command: "ravenlab capacity record",
@@ -64,15 +67,16 @@
 	}
 }
 
-func TestBookRefusesAFitThatIsNotThePoints(t *testing.T) {
+// A fit that was edited in a file is an error.
+func TestReadRecordingsRejectsWrongFit(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
 	if err := Save(path, File{About: "a", Machine: "m", Recordings: []Recording{sampleRecording()}}); err != nil {
 		t.Fatal(err)
 	}
-	book, err := ReadRecordings(dir)
-	if err != nil || len(book) != 1 || book["x/y"].Slope != 70 {
-		t.Fatalf("%v, %v", book, err)
+	recordings, err := ReadRecordings(dir)
+	if err != nil || len(recordings) != 1 || recordings["x/y"].Slope != 70 {
+		t.Fatalf("%v, %v", recordings, err)
 	}
 	raw, _ := os.ReadFile(path)
 	other := strings.Replace(string(raw), `"slope": 70`, `"slope": 60`, 1)
@@ -83,11 +87,12 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadRecordings(dir); err == nil {
-		t.Error("a slope that was changed by hand was taken")
+		t.Error("a slope that was changed by hand was accepted")
 	}
 }
 
-func TestRecordingsThatSayTooLittleAreRefused(t *testing.T) {
+// A recording that is not complete or cannot be fitted is not valid.
+func TestIncompleteRecordingIsNotValid(t *testing.T) {
 	for name, change := range map[string]func(*Recording){
 		"no name":        func(r *Recording) { r.Name = "" },
 		"no command":     func(r *Recording) { r.Command = "" },
@@ -100,7 +105,7 @@
 		r := sampleRecording()
 		change(&r)
 		if r.Valid() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	if err := sampleRecording().Valid(); err != nil {
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -12,6 +12,7 @@
 
 const capacityPage = "../../../docs/CAPACITY.md"
 
+// loadFleet is the fleet of the stored recordings.
 func loadFleet(t *testing.T) Fleet {
 	t.Helper()
 	f, err := LoadFleet(recordingsDir)
@@ -19,8 +20,8 @@
 	return f
 }
 
-// A page that was not written again after a formula or a recording changed says what nobody worked out.
-func TestPageIsWhatFormulasAndRecordingsGive(t *testing.T) {
+// The page in docs is that of the formulas and the recordings.
+func TestPageIsUpToDate(t *testing.T) {
 	have, err := os.ReadFile(capacityPage)
 	require.NoError(t, err)
 	want, err := Page(recordingsDir)
@@ -30,7 +31,8 @@
 	}
 }
 
-func TestPageChangesWithARecording(t *testing.T) {
+// The page depends on recordings and on assumptions.
+func TestPageChangesWithRecordingsAndAssumptions(t *testing.T) {
 	f := loadFleet(t)
 	before := f.Page()
 	f.RecordingSet = maps.Clone(f.RecordingSet)
@@ -45,7 +47,7 @@
 	require.True(t, differs)
 }
 
-func TestDiffersNamesTheLine(t *testing.T) {
+func TestFirstDifferenceNamesTheLine(t *testing.T) {
 	_, differs := FirstDifference([]byte("a\nb\n"), []byte("a\nb\n"))
 	require.False(t, differs)
 	for have, want := range map[string]int{"a\nx\nc\n": 2, "a\nb\nc": 4, "a\nb\nc\nd\n": 4, "": 1} {
@@ -55,13 +57,13 @@
 	}
 }
 
-func TestAMissingRecordingIsNamed(t *testing.T) {
+func TestMissingRecordingIsNamed(t *testing.T) {
 	_, err := Page(t.TempDir())
 	require.ErrorContains(t, err, `no recording "raft/leader-bytes"`)
 }
 
-// The page must say first what is over: a budget that is passed in a table below and not in the first one is hidden.
-func TestNothingThatIsOverIsLeftOut(t *testing.T) {
+// What exceeds a budget or a time in any table of the page is in its first section.
+func TestAllExceededLimitsAreFindings(t *testing.T) {
 	f := loadFleet(t)
 	first := strings.Split(string(f.Page()), "\n## ")[1]
 	require.True(t, strings.HasPrefix(first, "Over budget"))
@@ -80,17 +82,17 @@
 			}
 		}
 	}
-	for _, way := range f.Paths() {
-		for _, fault := range way.Faults {
-			if way.Total().Plus(fault.Total()).Value > way.WithinMs {
-				require.Contains(t, first, way.Name+": "+fault.Name)
+	for _, path := range f.Paths() {
+		for _, fault := range path.Faults {
+			if path.Total().Plus(fault.Total()).Value > path.WithinMs {
+				require.Contains(t, first, path.Name+": "+fault.Name)
 			}
 		}
 	}
 }
 
-// The cells of every table are as many as its head's.
-func TestTablesAreWhole(t *testing.T) {
+// All rows of a table have as many cells as its head, and all cells are formatted.
+func TestTablesAreComplete(t *testing.T) {
 	cells := 0
 	for n, line := range strings.Split(string(loadFleet(t).Page()), "\n") {
 		if !strings.HasPrefix(line, "|") {
@@ -107,7 +109,8 @@
 	}
 }
 
-func TestIssuesFiguresHold(t *testing.T) {
+// The figures that the issue states agree with those worked out from the target.
+func TestStatedFiguresHold(t *testing.T) {
 	for _, d := range OperatorTarget.Derivations() {
 		if math.Abs(d.Value-d.Stated) > 0.011*d.Stated {
 			t.Errorf("%s: %v, the issue has %v", d.Name, d.Value, d.Stated)
--- a/internal/lab/capacity/paths.go
+++ b/internal/lab/capacity/paths.go
@@ -1,78 +1,83 @@
 package capacity
 
-// Hop is a part of the way that a change takes.
+import "slices"
+
+// Hop is a part of the path of a change.
 type Hop struct {
-	Name         string
-	Milliseconds Figure // ms
+	Name     string
+	Duration Figure // ms
+}
+
+// hops is consecutive parts of a path.
+type hops []Hop
+
+// total is the duration of all of them in ms.
+func (h hops) total() (total Figure) {
+	for _, hop := range h {
+		total = total.Plus(hop.Duration)
+	}
+	return total
 }
 
-// Fault is what stands in the way, and what it adds at worst.
+// Fault is what may delay a change, with what it adds at worst.
 type Fault struct {
 	Name string
 	Hops []Hop
 }
 
-// Adds is what a fault adds, ms.
-func (f Fault) Total() (total Figure) {
-	for _, h := range f.Hops {
-		total = total.Plus(h.Milliseconds)
-	}
-	return total
-}
+// Total is the delay in ms.
+func (f Fault) Total() Figure { return hops(f.Hops).total() }
 
-// Path is the way of a purge or a revision from who makes it to the last process.
+// Path is the path of a change from its author to the last process that applies it.
 type Path struct {
 	Name     string
-	WithinMs float64 // ms
+	WithinMs float64 // that the operators allow
 	Hops     []Hop
 	Faults   []Fault
 }
 
-// Takes is the whole way without a fault, ms.
-func (p Path) Total() (total Figure) {
-	for _, h := range p.Hops {
-		total = total.Plus(h.Milliseconds)
-	}
-	return total
-}
+// Total is the duration in ms without a fault.
+func (p Path) Total() Figure { return hops(p.Hops).total() }
 
-// Times of the program that the ways meet, ms. Each is a setting or a default: raft's heartbeat and election (each drawn
-// between once and twice 1 s) and how long until followers are told of a commit (between once and twice 50 ms); the
-// distribution's SilenceTimeout, FailoverSpread and ConnectFor.
+// Timeouts of the program in ms, at their largest where they are drawn: raft draws between once and twice the configured value.
 const (
-	raftCommitMs           = 100
+	raftCommitMs           = 100 // until a follower learns of a commit
 	raftHeartbeatTimeoutMs = 2000
 	raftElectionTimeoutMs  = 2000
-	silenceTimeoutMs       = 1800
-	failoverSpreadMs       = 2000
-	connectTimeoutMs       = 1000
-	storeTimeoutMs         = 2000 // store.Options.Timeout, where nothing else is said
+	silenceTimeoutMs       = 1800 // distribution.Settings.SilenceTimeout
+	failoverSpreadMs       = 2000 // distribution.Settings.FailoverSpread
+	connectTimeoutMs       = 1000 // distribution.Settings.ConnectTimeout
+	storeTimeoutMs         = 2000 // the default of store.Options.Timeout
+)
+
+// Durations in ms that were not measured.
+const (
+	distributorQueueMs = 5  // that a frame waits at a distributor
+	revisionApplyMs    = 50 // checking and applying a revision
 )
 
-// Ways are those of a purge and of a revision, by the distribution.
+// Rates at which a distributor admits subscribers.
+const (
+	admitBurst = 50
+	admitPerS  = 50
+)
+
+// Paths are those of a purge, a revision and a server list in DesignDistribution.
 func (f Fleet) Paths() []Path {
-	region, zone := f.RegionLatencyMs, f.ZoneLatencyMs
-	between := Hop{"a connection elsewhere: TCP, TLS and the subscription, three times there and back", region.Scale(6)}
-	moved := []Hop{
-		{"silence is noticed (SilenceTimeout)", assumed(silenceTimeoutMs)},
-		{"its turn comes (FailoverSpread, the last one's)", assumed(failoverSpreadMs)},
-		between,
-	}
-	elected := []Hop{
-		{"silence is noticed (raft, twice 1 s at worst)", assumed(raftHeartbeatTimeoutMs)},
-		{"a candidate's turn (raft, once more up to 2 s)", assumed(raftElectionTimeoutMs)},
-		{"votes, there and back", region.Scale(2)},
-	}
-	dead := Hop{"the next one is dead too (ConnectFor)", assumed(connectTimeoutMs)}
-	faults := []Fault{
-		{"the leader is lost", elected},
-		{"the distributor is lost, or falls silent", moved},
-		{"a root is lost under the distributor", moved},
-		{"the distributor and the next one are lost", append(append([]Hop{}, moved...), dead)},
-		{"the leader and the distributor at once", append(append([]Hop{}, elected...), moved...)},
-		{"root and distributor at once", append(append([]Hop{}, moved...), moved...)},
+	propagation, faults := f.propagationHops(), f.pathFaults()
+	revision := slices.Concat(propagation, hops{{"checked whole and put in force", assumed(revisionApplyMs)}})
+	list := slices.Concat(propagation, f.listHops())
+	return []Path{
+		{"a purge, done everywhere", f.PurgeWithinMs, propagation, faults},
+		{"a revision, in force everywhere", f.ConfigWithinMs, revision, faults},
+		{"a list of 6,000 servers, told whole, in force everywhere", f.ConfigWithinMs, list, faults},
 	}
-	hops := []Hop{
+}
+
+// propagationHops are those of an entry from its author to the last process.
+func (f Fleet) propagationHops() hops {
+	region, zone := f.RegionLatencyMs, f.ZoneLatencyMs
+	return hops{
 		{"from who makes it to the nearest member of the store", zone},
 		{"to the leader", region},
 		{"on the leader's disk", f.SyncMs},
@@ -80,32 +85,55 @@
 		{"until a root that does not lead is told (raft, twice 50 ms at worst)", assumed(raftCommitMs).Plus(region)},
 		{"gathered at the root", f.FrameIntervalMs},
 		{"to the distributor of another region", region},
-		{"gathered and queued there", f.FrameIntervalMs.Plus(assumed(5))},
+		{"gathered and queued there", f.FrameIntervalMs.Plus(assumed(distributorQueueMs))},
 		{"to the process", zone},
 		{"taken in by store, module and journal", f.applyMs()},
 	}
-	revision := append(append([]Hop{}, hops...), Hop{"checked whole and put in force", assumed(50)})
+}
+
+// listHops are those that a server list adds.
+func (f Fleet) listHops() hops {
 	servers := given(f.Caches)
-	bulk := f.Estimate("replica/list-entry", servers).Times(f.subscribersPerDistributor(f.Distributors() - 1)).DividedBy(f.MachineBytesPerS).Scale(1000)
-	list := append(append([]Hop{}, hops...),
-		Hop{"6,000 servers to each subscriber of one distributor, over its 1 Gbit/s", bulk},
-		Hop{"read, compared with the list before, put in force", sum(f.Estimate("replica/list-apply", servers), f.Estimate("ledger/list", servers)).Scale(1e-3)})
-	return []Path{
-		{"a purge, done everywhere", f.PurgeWithinMs, hops, faults},
-		{"a revision, in force everywhere", f.ConfigWithinMs, revision, faults},
-		{"a list of 6,000 servers, told whole, in force everywhere", f.ConfigWithinMs, list, faults},
+	subscribers := f.subscribersPerDistributor(f.Distributors() - 1)
+	sendMs := f.Estimate("replica/list-entry", servers).Times(subscribers).DividedBy(f.MachineBytesPerS).Scale(1000)
+	applyMs := f.Estimate("replica/list-apply", servers).Plus(f.Estimate("ledger/list", servers)).Scale(1e-3)
+	return hops{
+		{"6,000 servers to each subscriber of one distributor, over its 1 Gbit/s", sendMs},
+		{"read, compared with the list before, put in force", applyMs},
+	}
+}
+
+// pathFaults are the faults that may delay an entry.
+func (f Fleet) pathFaults() []Fault {
+	failover := hops{
+		{"silence is noticed (SilenceTimeout)", assumed(silenceTimeoutMs)},
+		{"its turn comes (FailoverSpread, the last one's)", assumed(failoverSpreadMs)},
+		{"a connection elsewhere: TCP, TLS and the subscription, three times there and back", f.RegionLatencyMs.Scale(6)},
+	}
+	election := hops{
+		{"silence is noticed (raft, twice 1 s at worst)", assumed(raftHeartbeatTimeoutMs)},
+		{"a candidate's turn (raft, once more up to 2 s)", assumed(raftElectionTimeoutMs)},
+		{"votes, there and back", f.RegionLatencyMs.Scale(2)},
+	}
+	connectTimeout := hops{{"the next one is dead too (ConnectTimeout)", assumed(connectTimeoutMs)}}
+	return []Fault{
+		{"the leader is lost", election},
+		{"the distributor is lost, or falls silent", failover},
+		{"a root is lost under the distributor", failover},
+		{"the distributor and the next one are lost", slices.Concat(failover, connectTimeout)},
+		{"the leader and the distributor at once", slices.Concat(election, failover)},
+		{"root and distributor at once", slices.Concat(failover, failover)},
 	}
 }
 
-// applyMs is what one purge more takes at a process that holds those of an ordinary day.
+// applyMs is the time in ms in which a process applies a purge, with those of an ordinary day in effect.
 func (f Fleet) applyMs() Figure {
-	l := f.OrdinaryLoad()
-	return f.purgeCost(DesignDistribution, l).CPUMicrosPerS.Scale(1 / l.PurgesPerS / 1000)
+	load := f.OrdinaryLoad()
+	return f.purgeCost(DesignDistribution, load).CPUMicrosPerS.Scale(1 / load.PurgesPerS / 1000)
 }
 
-// Failover is how many distributors the subscribers of a lost one must be spread over, so that all are admitted within
-// the span over which they are drawn: each admits 50 at once and 50 a second.
+// FailoverDistributors is how many distributors must take the subscribers of a lost one, for all to be admitted within
+// FailoverSpread.
 func (f Fleet) FailoverDistributors() Figure {
-	const burst, perS = 50, 50
-	return f.subscribersPerDistributor(f.Distributors()).Scale(1 / (burst + perS*failoverSpreadMs/1000.0))
+	return f.subscribersPerDistributor(f.Distributors()).Scale(1 / (admitBurst + admitPerS*failoverSpreadMs/1000.0))
 }
--- a/internal/lab/capacity/proxy_cost.go
+++ b/internal/lab/capacity/proxy_cost.go
@@ -2,204 +2,161 @@
 
 import "math"
 
-// Design is a way in which control reaches the processes.
-type Design int
+// minMeasuredPurges is the least number of purges at which recordings measured the cost of one.
+const minMeasuredPurges = 100
 
-// The designs. AsIs: every process follows the store as a raft member without a vote, lists are told whole, membership is
-// flat. Tree: purges, revisions, lists and drains come through distributors (decide/distribution), the rest as it is. Lean:
-// Tree with what this page proposes: frames each 100 ms, purges that don't look through all others, lists as changes within
-// a region, members and digests within one.
+// Sizes in bytes beside the recorded ones.
 const (
-	DesignCurrent Design = iota
-	DesignDistribution
-	DesignProposed
+	revisionHeaderBytes   = 200 // of a revision, beside its text
+	listChangeHeaderBytes = 100 // of a change of a list, beside the server
 )
 
-var designNames = [...]string{"as it is", "distribution", "proposed"}
-
-// String names the design as the page does.
-func (d Design) String() string { return designNames[d] }
-
-// Designs are all of them.
-var Designs = []Design{DesignCurrent, DesignDistribution, DesignProposed}
+// measuredPeerMessages is the number of messages a second at which PeersMicrosPerS was measured.
+const measuredPeerMessages = 18
 
-// Load is what the whole fleet meets, a second.
-type Load struct {
-	PurgesPerS, RevisionsPerS, ListChangesPerS, StartsPerS float64
+// ProxyCost is what control traffic costs a proxy.
+func (f Fleet) ProxyCost(d Design, load Load) Cost {
+	cost := Cost{f.followCost(d, load), f.purgeCost(d, load)}
+	if d == DesignCurrent {
+		cost = append(cost, f.resultCost(load))
+	}
+	cost = append(cost, f.revisionCost(load), f.listCost(d, load), f.membershipCost(d, load), f.digestCost(d), probeCost())
+	live := cost.Total().MemoryBytes
+	return append(cost,
+		CostItem{Name: "room for the collector, as much as lives", MemoryBytes: live.Times(assumed(1))},
+		CostItem{Name: "the process beside these", MemoryBytes: f.ProcessMemory})
 }
 
-// Ordinary is the load of a minute of an ordinary day. Each machine that fails or is replaced goes and comes, which are
-// two changes of a list if it is a cache; the other changes of the day are taken for revisions.
-func (t Target) OrdinaryLoad() Load {
-	turned, all := t.FailuresPerDay+t.ReplacementsPerDay, t.Proxies+t.Caches+t.ControlMachines
-	lists := 2 * turned * t.Caches / all / secondsPerDay
-	return Load{PurgesPerS: t.PurgesPerS, ListChangesPerS: lists, RevisionsPerS: t.ConfigPerDay/secondsPerDay - lists, StartsPerS: turned * t.Proxies / all / secondsPerDay}
+// followCost is the cost of receiving entries: by raft in DesignCurrent, and else from a distributor.
+func (f Fleet) followCost(d Design, load Load) CostItem {
+	switch d {
+	case DesignCurrent:
+		return f.raftFollowerCost(load)
+	case DesignProposed:
+		return f.subscriberCost(load, f.ProposedFrameIntervalMs)
+	}
+	return f.subscriberCost(load, f.FrameIntervalMs)
 }
 
-// Line is one thing that a role spends on: what it holds, and what it sends, receives and computes each second.
-type CostItem struct {
-	Name                            string
-	StateBytes                      Figure // bytes, encoded
-	MessagesInPerS, MessagesOutPerS Figure
-	BytesInPerS, BytesOutPerS       Figure
-	CPUMicrosPerS                   Figure // us
-	MemoryBytes                     Figure // bytes
+// raftFollowerCost is that of a raft follower. It is taken to use half of the CPU time that a leader and a follower use together.
+func (f Fleet) raftFollowerCost(load Load) CostItem {
+	rate := load.PurgesPerS / raftPurgesPerS
+	messages := given(load.PurgesPerS)
+	headers := f.PacketHeaderBytes.Plus(f.RecordHeaderBytes).Times(messages)
+	logBytes := f.Estimate("replica/purge-entry", given(nameBytes)).Scale(raftTrailingLogs)
+	return CostItem{
+		Name:            "follow the store through raft",
+		StateBytes:      logBytes,
+		MessagesInPerS:  messages,
+		MessagesOutPerS: messages,
+		BytesInPerS:     f.UnitCost("raft/leader-bytes").Scale(rate).Plus(headers),
+		BytesOutPerS:    f.UnitCost("raft/follower-bytes").Scale(rate).Plus(headers),
+		CPUMicrosPerS:   f.UnitCost("raft/processor").Scale(rate / 2).Times(assumed(1)),
+		MemoryBytes:     logBytes.Times(assumed(1)),
+	}
 }
 
-// Bytes are those of both ways.
-func (l CostItem) BytesPerS() Figure { return l.BytesInPerS.Plus(l.BytesOutPerS) }
-
-// Cost is all that a role spends.
-type Cost []CostItem
-
-// Sum is the total of a cost.
-func (c Cost) Total() CostItem {
-	total := CostItem{Name: "together"}
-	for _, l := range c {
-		total.StateBytes = total.StateBytes.Plus(l.StateBytes)
-		total.MessagesInPerS, total.MessagesOutPerS = total.MessagesInPerS.Plus(l.MessagesInPerS), total.MessagesOutPerS.Plus(l.MessagesOutPerS)
-		total.BytesInPerS, total.BytesOutPerS = total.BytesInPerS.Plus(l.BytesInPerS), total.BytesOutPerS.Plus(l.BytesOutPerS)
-		total.CPUMicrosPerS, total.MemoryBytes = total.CPUMicrosPerS.Plus(l.CPUMicrosPerS), total.MemoryBytes.Plus(l.MemoryBytes)
+// subscriberCost is that of a distributor's subscriber, with frames sent at an interval in ms. Every second packet is acknowledged.
+func (f Fleet) subscriberCost(load Load, frameInterval Figure) CostItem {
+	heartbeats := assumed(2) // a second, of two streams
+	frames := framesPerS(load.PurgesPerS, frameInterval).Plus(heartbeats)
+	acknowledged := frames.Scale(0.5)
+	frameBytes := sum(f.FrameBytes, f.PacketHeaderBytes, f.RecordHeaderBytes)
+	return CostItem{
+		Name:            "subscribe at a distributor",
+		MessagesInPerS:  frames,
+		MessagesOutPerS: acknowledged,
+		BytesInPerS:     f.EntryBytes.Scale(load.PurgesPerS).Plus(frames.Times(frameBytes)),
+		BytesOutPerS:    acknowledged.Times(f.PacketHeaderBytes),
+		CPUMicrosPerS:   frames.Times(f.ReceiveMicros),
+		MemoryBytes:     f.ConnectionMemory,
 	}
-	return total
 }
 
-// Fleet is a target, what is taken for granted, and what was measured.
-type Fleet struct {
-	Target
-	Assumptions
-	RecordingSet
+// framesPerS is how many frames with purges are sent a second, if one is sent in each interval of so many ms in which there was a
+// purge.
+func framesPerS(purgesPerS float64, interval Figure) Figure {
+	rate := 1000 / interval.Value
+	return interval.combine(rate*(1-math.Exp(-purgesPerS/rate)), interval)
 }
 
-// voters of the store, on machines of their own; the other control machines are distributors.
-const voters = 5
-
-// Bounds of the program that the formulas meet. They are copies of unexported constants, held to them by no test: the
-// page names where each stands.
-const (
-	resultRetentionS, maxResults    = 600.0, 65_536 // replica: s, results
-	maxRevisions                    = 100           // replica
-	raftTrailingLogs                = 10_240        // raft's default
-	maxSenders                      = 8192          // peers
-	maxPurges                       = 16_384        // policy
-	maxEntryBytes                   = 96 << 10      // distribution
-	backlogEntries                  = 1 << 14       // distribution
-	originRequestsPerS              = 20.0          // distribution: to the origin, a process
-	nearDigestsPerS, farDigestsPerS = 16.0, 2.0     // peers, each second
-	probeIntervalS                  = 0.7           // peers
-	stateRequestsPerStart           = 3.0           // peers: whole states that a start asks for
-	maxSubscribers                  = 512           // distribution
-	proxiesPerDistributor           = 75            // distribution: processes of one distributor that its settings reckon with
-	gossipMultiplier                = 4.0           // peers: retransmissions, times the decades of the fleet's size
-)
-
-// Distributors are the control machines that are none of the store's voters.
-func (f Fleet) Distributors() float64 { return f.ControlMachines - voters }
-
-// frames a second that hold a purge, when one is sent at most so often.
-func framesPerS(purgesPerS float64, every Figure) Figure {
-	rate := 1000 / every.Value
-	return every.combine(rate*(1-math.Exp(-purgesPerS/rate)), every)
+// purgesInEffect is how many purges are in effect at a rate.
+func (a Assumptions) purgesInEffect(purgesPerS float64) Figure {
+	return a.PurgeDurationMs.Scale(2).Plus(a.PurgeGraceMs).Scale(purgesPerS / 1000)
 }
 
-// listServers is how many servers one process's list has.
-func (f Fleet) listServers(d Design) Figure {
+// purgeCost is that of the purges in effect, in the store's state, the policy module and the journal. In DesignProposed applying one
+// costs what it costs with few others.
+func (f Fleet) purgeCost(d Design, load Load) CostItem {
+	purges := f.purgesInEffect(load.PurgesPerS)
+	scanned := purges
 	if d == DesignProposed {
-		return given(f.Caches / f.Regions)
+		scanned = assumed(minMeasuredPurges)
 	}
-	return given(f.Caches)
-}
-
-// Proxy is what control costs one steering proxy.
-func (f Fleet) ProxyCost(d Design, l Load) Cost {
-	cost := Cost{f.followCost(d, l), f.purgeCost(d, l)}
-	if d == DesignCurrent {
-		cost = append(cost, f.resultCost(l))
+	micros := sum(f.Estimate("replica/purge-apply", scanned), f.Estimate("policy/purge", purges), f.Estimate("journal/purge", purges))
+	return CostItem{
+		Name:          "take purges in, hold them",
+		StateBytes:    f.Estimate("replica/purge-snapshot", purges),
+		CPUMicrosPerS: micros.Scale(load.PurgesPerS),
+		MemoryBytes: sum(f.Estimate("replica/purge-memory", purges), f.Estimate("policy/purge-memory", purges),
+			f.Estimate("journal/memory", purges)),
 	}
-	cost = append(cost, f.revisionCost(l), f.listCost(d, l), f.membershipCost(d, l), f.digestCost(d), f.probeCost())
-	live := cost.Total().MemoryBytes
-	return append(cost,
-		CostItem{Name: "room for the collector, as much as lives", MemoryBytes: assumed(live.Value).combine(live.Value, live)},
-		CostItem{Name: "the process beside these", MemoryBytes: f.ProcessMemory})
 }
 
-// follow is the way by which entries come. AsIs: raft's, with what its own messages take; a follower is taken to bear
-// half of the processor that leader and follower use together.
-func (f Fleet) followCost(d Design, l Load) CostItem {
-	share := l.PurgesPerS / raftPurgesPerS
-	if d == DesignCurrent {
-		heads := f.PacketHeaderBytes.Plus(f.RecordHeaderBytes)
-		messages := given(l.PurgesPerS)
-		return CostItem{
-			Name: "follow the store through raft", MessagesInPerS: messages, MessagesOutPerS: messages,
-			BytesInPerS:   f.UnitCost("raft/leader-bytes").Scale(share).Plus(heads.Times(messages)),
-			BytesOutPerS:  f.UnitCost("raft/follower-bytes").Scale(share).Plus(heads.Times(messages)),
-			CPUMicrosPerS: f.UnitCost("raft/processor").Scale(share / 2).Times(assumed(1)),
-			StateBytes:    f.Estimate("replica/purge-entry", given(nameBytes)).Scale(raftTrailingLogs),
-			MemoryBytes:   f.Estimate("replica/purge-entry", given(nameBytes)).Scale(raftTrailingLogs).Times(assumed(1)),
-		}
-	}
-	every := f.FrameIntervalMs
-	if d == DesignProposed {
-		every = f.ProposedFrameIntervalMs
-	}
-	n := framesPerS(l.PurgesPerS, every).Plus(assumed(2)) // two streams with a heartbeat each second or oftener
+// resultCost is that of the results of changes, which the store keeps to recognise a change that is proposed again.
+func (f Fleet) resultCost(load Load) CostItem {
+	results := given(min(maxResults, resultRetentionS*(load.PurgesPerS+load.RevisionsPerS+load.ListChangesPerS)))
 	return CostItem{
-		Name: "subscribe at a distributor", MessagesInPerS: n, MessagesOutPerS: n.Scale(0.5),
-		BytesInPerS:   f.EntryBytes.Scale(l.PurgesPerS).Plus(n.Times(sum(f.FrameBytes, f.PacketHeaderBytes, f.RecordHeaderBytes))),
-		BytesOutPerS:  n.Scale(0.5).Times(f.PacketHeaderBytes), // every second packet is acknowledged
-		CPUMicrosPerS: n.Times(f.ReceiveMicros), MemoryBytes: f.ConnectionMemory,
+		Name:        "hold the results of changes",
+		StateBytes:  f.Estimate("replica/results-snapshot", results),
+		MemoryBytes: f.Estimate("replica/results-memory", results),
 	}
 }
 
-// purges are those that bind, in the store's state, the module and the journal. As proposed, a purge does not look through
-// all others: it then costs what it was measured to cost with few held.
-func (f Fleet) purgeCost(d Design, l Load) CostItem {
-	n := purgesInEffect(f.Assumptions, l.PurgesPerS)
-	looked := n
-	if d == DesignProposed {
-		looked = assumed(minMeasuredPurges)
-	}
-	each := sum(f.Estimate("replica/purge-apply", looked), f.Estimate("policy/purge", n), f.Estimate("journal/purge", n))
+func (f Fleet) revisionCost(load Load) CostItem {
+	revisions := given(maxRevisions)
 	return CostItem{
-		Name: "take purges in, hold them", StateBytes: f.Estimate("replica/purge-snapshot", n),
-		CPUMicrosPerS: each.Scale(l.PurgesPerS),
-		MemoryBytes:   sum(f.Estimate("replica/purge-memory", n), f.Estimate("policy/purge-memory", n), f.Estimate("journal/memory", n)),
+		Name:           "revisions of the configuration",
+		StateBytes:     f.Estimate("replica/revision-snapshot", revisions),
+		MessagesInPerS: given(load.RevisionsPerS),
+		BytesInPerS:    assumed(revisionBytes + revisionHeaderBytes).Scale(load.RevisionsPerS),
+		MemoryBytes:    f.Estimate("replica/revision-memory", revisions),
 	}
 }
 
-// results of changes are kept for ten minutes, so that one that comes again counts once.
-func (f Fleet) resultCost(l Load) CostItem {
-	n := given(min(maxResults, resultRetentionS*(l.PurgesPerS+l.RevisionsPerS+l.ListChangesPerS)))
-	return CostItem{Name: "hold the results of changes", StateBytes: f.Estimate("replica/results-snapshot", n), MemoryBytes: f.Estimate("replica/results-memory", n)}
-}
-
-func (f Fleet) revisionCost(l Load) CostItem {
-	kept := given(maxRevisions)
-	return CostItem{
-		Name: "revisions of the configuration", StateBytes: f.Estimate("replica/revision-snapshot", kept), MemoryBytes: f.Estimate("replica/revision-memory", kept),
-		MessagesInPerS: given(l.RevisionsPerS), BytesInPerS: assumed(revisionBytes + 200).Scale(l.RevisionsPerS),
+// listServers is the number of servers in the lists of a process.
+func (f Fleet) listServers(d Design) Figure {
+	if d == DesignProposed {
+		return given(f.Caches / f.Regions)
 	}
+	return given(f.Caches)
 }
 
-// lists of servers. Whole: a change of one server brings the list, which is compared and written to the journal.
-func (f Fleet) listCost(d Design, l Load) CostItem {
-	n := f.listServers(d)
-	memory := sum(f.Estimate("replica/list-memory", n), f.Estimate("ledger/memory", n), f.Estimate("policy/memory", n))
-	line := CostItem{Name: "lists of servers, told whole", StateBytes: f.Estimate("replica/list-entry", n), MemoryBytes: memory, MessagesInPerS: given(l.ListChangesPerS)}
+// listCost is that of server lists. A change of one server sends the whole list, but in DesignProposed only the server.
+func (f Fleet) listCost(d Design, load Load) CostItem {
+	servers := f.listServers(d)
+	item := CostItem{
+		StateBytes:  f.Estimate("replica/list-entry", servers),
+		MemoryBytes: sum(f.Estimate("replica/list-memory", servers), f.Estimate("ledger/memory", servers), f.Estimate("policy/memory", servers)),
+	}
+	moduleMicros := f.Estimate("policy/change", servers)
 	if d == DesignProposed {
-		rate := l.ListChangesPerS / f.Regions
-		line.Name, line.MessagesInPerS = "changes of servers of its region", given(rate)
-		line.BytesInPerS = f.UnitCost("replica/list-entry").Plus(assumed(100)).Scale(rate)
-		line.CPUMicrosPerS = sum(f.Estimate("ledger/change", n), f.Estimate("policy/change", n)).Scale(rate)
-		return line
+		changes := load.ListChangesPerS / f.Regions
+		item.Name = "changes of servers of its region"
+		item.MessagesInPerS = given(changes)
+		item.BytesInPerS = f.UnitCost("replica/list-entry").Plus(assumed(listChangeHeaderBytes)).Scale(changes)
+		item.CPUMicrosPerS = f.Estimate("ledger/change", servers).Plus(moduleMicros).Scale(changes)
+		return item
 	}
-	line.BytesInPerS = f.Estimate("replica/list-entry", n).Scale(l.ListChangesPerS)
-	line.CPUMicrosPerS = sum(f.Estimate("replica/list-apply", n), f.Estimate("ledger/list", n), f.Estimate("policy/change", n)).Scale(l.ListChangesPerS)
-	return line
+	changes := load.ListChangesPerS
+	item.Name = "lists of servers, told whole"
+	item.MessagesInPerS = given(changes)
+	item.BytesInPerS = f.Estimate("replica/list-entry", servers).Scale(changes)
+	item.CPUMicrosPerS = sum(f.Estimate("replica/list-apply", servers), f.Estimate("ledger/list", servers), moduleMicros).Scale(changes)
+	return item
 }
 
-// memberCount is how many processes one knows.
+// memberCount is the number of members that a process knows.
 func (f Fleet) memberCount(d Design) float64 {
 	if d == DesignProposed {
 		return math.Ceil(f.Proxies / f.Regions)
@@ -207,58 +164,69 @@
 	return f.Proxies
 }
 
-// fewHeld is the least number of purges held that was measured.
-const minMeasuredPurges = 100
-
-// repeats is how often each member tells a piece of news on.
+// gossipRepeats is how often each member passes an update on.
 func gossipRepeats(members float64) float64 {
 	return gossipMultiplier * math.Ceil(math.Log10(members+1))
 }
 
-// gone is what a member sends and receives as so many others go at once, a second over a minute.
-func (f Fleet) departureBytesPerS(d Design, members float64) Figure {
-	n := f.memberCount(d)
-	return f.UnitCost("membership/whole-state").Scale(2 * members * gossipRepeats(n) / secondsPerMinute).Times(assumed(1))
+// departureBytesPerS is what a member sends and receives when so many others leave at once, over a minute.
+func (f Fleet) departureBytesPerS(d Design, departed float64) Figure {
+	updates := 2 * departed * gossipRepeats(f.memberCount(d)) / secondsPerMinute
+	return f.UnitCost("membership/whole-state").Scale(updates).Times(assumed(1))
+}
+
+// stateExchangeIntervalS is the interval at which memberlist exchanges the whole state with another member. It grows with the
+// logarithm of the number of members.
+func stateExchangeIntervalS(members float64) float64 {
+	return 60 * (math.Ceil(math.Log2(members)-5) + 1)
 }
 
-// members is SWIM's part: probes, news, and whole states exchanged at intervals that memberlist stretches with the size.
-func (f Fleet) membershipCost(d Design, l Load) CostItem {
-	n := f.memberCount(d)
-	whole := f.Estimate("membership/whole-state", given(n))
-	each := f.UnitCost("membership/whole-state")
-	news := 2 * l.StartsPerS * n / f.Proxies * gossipRepeats(n)
-	every := 60 * (math.Ceil(math.Log2(n)-5) + 1) // s
-	// A start asks for the whole state three times, and others are asked by those that start.
-	wholes := 2/every + 2*stateRequestsPerStart*l.StartsPerS/f.Proxies
+// membershipCost is that of SWIM: probes, updates and exchanges of the whole state. A member that starts asks others for that.
+func (f Fleet) membershipCost(d Design, load Load) CostItem {
+	members := f.memberCount(d)
+	stateBytes, memberBytes := f.Estimate("membership/whole-state", given(members)), f.UnitCost("membership/whole-state")
+	updates := 2 * load.StartsPerS * members / f.Proxies * gossipRepeats(members)
+	exchanges := 2/stateExchangeIntervalS(members) + 2*stateRequestsPerStart*load.StartsPerS/f.Proxies
 	probes := assumed(2 / probeIntervalS)
-	oneWay := sum(probes.Times(f.ProbeBytes), each.Scale(news).Times(assumed(1)), whole.Scale(wholes))
-	messages := probes.Plus(assumed(news))
+	bytesPerS := sum(probes.Times(f.ProbeBytes), memberBytes.Scale(updates).Times(assumed(1)), stateBytes.Scale(exchanges))
+	messages := probes.Plus(assumed(updates))
 	return CostItem{
-		Name: "membership of " + formatNumber(n), StateBytes: whole, MessagesInPerS: messages, MessagesOutPerS: messages, BytesInPerS: oneWay, BytesOutPerS: oneWay,
-		CPUMicrosPerS: messages.Times(f.SendMicros.Plus(f.ReceiveMicros)), MemoryBytes: f.MemberMemory.Scale(n),
+		Name:            "membership of " + formatNumber(members),
+		StateBytes:      stateBytes,
+		MessagesInPerS:  messages,
+		MessagesOutPerS: messages,
+		BytesInPerS:     bytesPerS,
+		BytesOutPerS:    bytesPerS,
+		CPUMicrosPerS:   messages.Times(f.SendMicros.Plus(f.ReceiveMicros)),
+		MemoryBytes:     f.MemberMemory.Scale(members),
 	}
 }
 
-// digests: near ones tell what has changed of a zone's caches, far ones all of them.
+// digestCost is that of digests and the fleet view. Digests to processes nearby say what has changed of a zone's caches, those to
+// distant ones are complete.
 func (f Fleet) digestCost(d Design) CostItem {
-	near, far, perS := nearDigestsPerS, farDigestsPerS, 1.0
+	near, far, roundsPerS := nearDigestsPerS, farDigestsPerS, 1.0
 	if d == DesignProposed {
-		near, far, perS = 4, 1, 0.5
+		near, far, roundsPerS = 4, 1, 0.5
 	}
-	caches := given(f.Caches / f.Zones)
-	envelope := f.ProbeBytes
-	told := f.Estimate("view/digest", caches.Times(f.DigestFraction)).Plus(envelope)
-	whole := f.Estimate("view/digest", caches).Plus(envelope.Scale(6)) // entries of six versions, a datagram each
-	sent := told.Scale(near * perS).Plus(whole.Scale(far * perS))
-	messages := assumed((near + 6*far) * perS)
-	heard := given(f.Proxies/f.Zones + 15*far*perS) // what is older than 15 s is dropped
-	memory := f.Estimate("view/memory", heard).Scale(f.Caches / f.Zones / serversPerDigest).Times(assumed(1))
+	cachesPerZone := f.Caches / f.Zones
+	changed := f.Estimate("view/digest", given(cachesPerZone).Times(f.DigestFraction)).Plus(f.ProbeBytes)
+	complete := f.Estimate("view/digest", given(cachesPerZone)).Plus(f.ProbeBytes.Scale(datagramsPerDigest))
+	sent := changed.Scale(near * roundsPerS).Plus(complete.Scale(far * roundsPerS))
+	messages := assumed((near + datagramsPerDigest*far) * roundsPerS)
+	peers := given(f.Proxies/f.Zones + digestMaxAgeS*far*roundsPerS)
 	return CostItem{
-		Name: "digests and the view", StateBytes: sent, MessagesInPerS: messages, MessagesOutPerS: messages, BytesInPerS: sent, BytesOutPerS: sent,
-		CPUMicrosPerS: f.PeersMicrosPerS.Scale(messages.Value / 18).Plus(f.Estimate("view/merge", heard).Scale(messages.Value)), MemoryBytes: memory,
+		Name:            "digests and the view",
+		StateBytes:      sent,
+		MessagesInPerS:  messages,
+		MessagesOutPerS: messages,
+		BytesInPerS:     sent,
+		BytesOutPerS:    sent,
+		CPUMicrosPerS: f.PeersMicrosPerS.Scale(messages.Value / measuredPeerMessages).
+			Plus(f.Estimate("view/merge", peers).Scale(messages.Value)),
+		MemoryBytes: f.Estimate("view/memory", peers).Scale(cachesPerZone / serversPerDigest).Times(assumed(1)),
 	}
 }
 
-// probing is what the program does today: a proxy tries a cache that it holds for down each 5 s by a request's own attempt,
-// so that nothing is sent for it. Probers of their own are counted apart.
-func (f Fleet) probeCost() CostItem { return CostItem{Name: "probes of caches: none of its own"} }
+// probeCost is nothing: a proxy probes a cache that it considers down with a client's request. ProberCost is that of probers.
+func probeCost() CostItem { return CostItem{Name: "probes of caches: none of its own"} }
--- a/internal/lab/capacity/record_journal.go
+++ b/internal/lab/capacity/record_journal.go
@@ -1,13 +1,18 @@
 package capacity
 
 import (
+	"fmt"
+
 	"ravenwheel/internal/clock"
 	"ravenwheel/internal/decide/recovery"
 	"ravenwheel/internal/journal"
 	"ravenwheel/internal/journal/vfs"
 )
 
-// nothing is a journal's target where nothing is read.
+// journalSizes are the numbers of purges at which the journal is measured. Each of these is synced on its own.
+var journalSizes = []int{100, 300, 1000, 3000}
+
+// discardTarget is the target of a journal that is not read.
 type discardTarget struct{}
 
 // Restore implements journal.Target.
@@ -17,14 +22,15 @@
 func (discardTarget) Replay(uint64, []byte) error { return nil }
 
 func purgeEvent(n int) recovery.Event {
-	at := 1.8e12 + float64(n)
+	at := generatedAt + float64(n)
 	return recovery.Event{At: at, Purge: &recovery.Purge{Object: objectName(n), IssuedAt: at, NotifiedAt: at}}
 }
 
-// journalled is how many bytes a journal holds after so many purges, each synced on its own.
+// journalSize is the bytes of a journal of so many purges.
 func journalSize(purges int) (float64, error) {
+	const dir = "state"
 	disk := vfs.NewSim(1 << 30)
-	j, err := journal.Open("state", journal.Options{FS: disk, Clock: clock.System()}, discardTarget{})
+	j, err := journal.Open(dir, journal.Options{FS: disk, Clock: clock.System()}, discardTarget{})
 	if err != nil {
 		return 0, err
 	}
@@ -40,47 +46,57 @@
 	if err := j.Close(); err != nil {
 		return 0, err
 	}
-	names, err := disk.List("state")
+	names, err := disk.List(dir)
 	if err != nil {
 		return 0, err
 	}
 	total := 0
 	for _, name := range names {
-		total += len(disk.Contents("state/" + name))
+		total += len(disk.Contents(dir + "/" + name))
 	}
 	return float64(total), nil
 }
 
+// recoveryState is the state that a journal of so many purges restores.
+func recoveryState(purges int) *recovery.State {
+	s := recovery.NewState()
+	for n := range purges {
+		s.Apply(purgeEvent(n))
+	}
+	return s
+}
+
+// journalPurgeCost is the CPU time in µs of encoding and applying a purge.
+func journalPurgeCost(purges int) float64 {
+	s := recoveryState(purges)
+	return cpuCost(func(i int) {
+		event := purgeEvent(i % purges)
+		if _, err := event.Encode(); err != nil {
+			panic(fmt.Sprintf("capacity: encoding a generated event: %v", err))
+		}
+		s.Apply(event)
+	})
+}
+
 func recordJournal() ([]Recording, error) {
 	var points []Point
-	for _, n := range []int{100, 300, 1000, 3000} {
-		bytes, err := journalSize(n)
+	for _, n := range journalSizes {
+		size, err := journalSize(n)
 		if err != nil {
 			return nil, err
 		}
-		points = append(points, Point{float64(n), bytes})
-	}
-	state := func(n int) *recovery.State {
-		s := recovery.NewState()
-		for i := range n {
-			s.Apply(purgeEvent(i))
-		}
-		return s
+		points = append(points, Point{float64(n), size})
 	}
 	return []Recording{
 		{Name: "journal/purges", Role: Proxy, Driver: "purges", Quantity: "the journal on disk", Unit: "bytes", Points: points},
-		{Name: "journal/memory", Role: Proxy, Driver: "purges", Quantity: "memory of what the journal adds up to", Unit: "bytes",
-			Points: measureSizes(defaultSizes, func(n int) float64 { return heapBytes(func() any { return state(n) }) })},
-		{Name: "journal/purge", Role: Proxy, Driver: "purges", Quantity: "processor of writing and taking in one purge, without the disk", Unit: "us",
-			Points: measureSizes(defaultSizes, func(n int) float64 {
-				s := state(n)
-				return cpuCost(func(i int) {
-					e := purgeEvent(i % n)
-					if _, err := e.Encode(); err != nil {
-						panic(err) // of plain values
-					}
-					s.Apply(e)
-				})
-			})},
+		{
+			Name: "journal/memory", Role: Proxy, Driver: "purges", Quantity: "memory of what the journal adds up to", Unit: "bytes",
+			Points: measureHeap(recoveryState),
+		},
+		{
+			Name: "journal/purge", Role: Proxy, Driver: "purges", Unit: "us",
+			Quantity: "processor of writing and taking in one purge, without the disk",
+			Points:   measureSizes(defaultSizes, journalPurgeCost),
+		},
 	}, nil
 }
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -1,7 +1,6 @@
 package capacity
 
 import (
-	"encoding/json"
 	"fmt"
 
 	"ravenwheel/internal/clock"
@@ -14,57 +13,76 @@
 
 var serverKinds = []string{"cache", "parent", "origin"}
 
+func zoneName(n int) string { return fmt.Sprintf("zone-%02d", n) }
+
+// zoneNames are those of the zones of so many servers.
 func zoneNames(servers int) []string {
-	var out []string
+	var names []string
 	for n := range servers/cachesPerZone + 1 {
-		out = append(out, fmt.Sprintf("zone-%02d", n))
+		names = append(names, zoneName(n))
 	}
-	return out
+	return names
 }
 
-// boardList is what the notice board tells a process that starts.
+// initialEvents are what the discovery service sends to a process that starts.
 func initialEvents(servers int) []byte {
 	list := make([]membership.Member, servers)
-	for n, e := range serverEntries(servers) {
-		list[n] = e.Member
+	for n, entry := range serverEntries(servers) {
+		list[n] = entry.Member
 	}
 	return fleet.NewDiscoveryService(clock.System(), zoneNames(servers), serverKinds, list).InitialEvents()
 }
 
-func jsonSize(v any) float64 {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // of plain values
+// initialEventsCost is the CPU time in µs of decoding them.
+func initialEventsCost(servers int) float64 {
+	raw, names := initialEvents(servers), discoveryclient.Names{Zones: zoneNames(servers), Kinds: serverKinds}
+	return cpuCost(func(int) {
+		if _, _, err := discoveryclient.DecodeInitialEvents(raw, names); err != nil {
+			panic(fmt.Sprintf("capacity: decoding generated events: %v", err))
+		}
+	})
+}
+
+// listFileSize is the bytes of a server list file.
+func listFileSize(servers int) float64 {
+	return float64(len(serverlist.Format(&serverlist.List{Generation: 1, Servers: newStoreList(servers).Servers})))
+}
+
+// peerTableSize is the bytes of a process's table of members as JSON.
+func peerTableSize(members int) float64 {
+	peers := make([]fleetview.Peer, members)
+	for i := range peers {
+		peers[i] = fleetview.Peer{
+			Name: memberName(i), Zone: "zone-17", Incarnation: 1_800_000_000_000, Age: 812, Arrivals: 765, Servers: serversPerDigest,
+		}
 	}
-	return float64(len(raw))
+	return jsonSize(peers)
 }
 
 func recordLists() ([]Recording, error) {
 	return []Recording{
-		{Name: "lists/board", Role: ListSource, Driver: "servers", Quantity: "the whole list as the notice board tells it at a start", Unit: "bytes",
-			Points: measureSizes(defaultSizes, func(n int) float64 { return float64(len(initialEvents(n))) })},
-		{Name: "lists/board-read", Role: ListSource, Driver: "servers", Quantity: "processor of reading it", Unit: "us",
-			Points: measureSizes(defaultSizes, func(n int) float64 {
-				raw, names := initialEvents(n), discoveryclient.Names{Zones: zoneNames(n), Kinds: serverKinds}
-				return cpuCost(func(int) {
-					if _, _, err := discoveryclient.DecodeInitialEvents(raw, names); err != nil {
-						panic(err) // it was written above
-					}
-				})
-			})},
-		{Name: "lists/file", Role: ListSource, Driver: "servers", Quantity: "a list file", Unit: "bytes",
-			Points: measureSizes(defaultSizes, func(n int) float64 {
-				return float64(len(serverlist.Format(&serverlist.List{Generation: 1, Servers: storeList(n).Servers})))
-			})},
-		{Name: "tools/servers", Role: Tools, Driver: "servers", Quantity: "the table of servers that a tool asks one proxy for", Unit: "bytes",
-			Points: measureSizes(defaultSizes, func(n int) float64 { return jsonSize(tableWithServers(n).Servers()) })},
-		{Name: "tools/members", Role: Tools, Driver: "members", Quantity: "the table of members that a tool asks one proxy for", Unit: "bytes",
-			Points: measureSizes(defaultSizes, func(n int) float64 {
-				out := make([]fleetview.Peer, n)
-				for i := range out {
-					out[i] = fleetview.Peer{Name: memberName(i), Zone: "zone-17", Incarnation: 1_800_000_000_000, Age: 812, Arrivals: 765, Servers: serversPerDigest}
-				}
-				return jsonSize(out)
-			})},
+		{
+			Name: "lists/board", Role: ListSource, Driver: "servers", Unit: "bytes",
+			Quantity: "the whole list as the notice board tells it at a start",
+			Points:   measureSizes(defaultSizes, func(n int) float64 { return float64(len(initialEvents(n))) }),
+		},
+		{
+			Name: "lists/board-read", Role: ListSource, Driver: "servers", Quantity: "processor of reading it", Unit: "us",
+			Points: measureSizes(defaultSizes, initialEventsCost),
+		},
+		{
+			Name: "lists/file", Role: ListSource, Driver: "servers", Quantity: "a list file", Unit: "bytes",
+			Points: measureSizes(defaultSizes, listFileSize),
+		},
+		{
+			Name: "tools/servers", Role: Tools, Driver: "servers", Unit: "bytes",
+			Quantity: "the table of servers that a tool asks one proxy for",
+			Points:   measureSizes(defaultSizes, func(n int) float64 { return jsonSize(tableWithServers(n).Servers()) }),
+		},
+		{
+			Name: "tools/members", Role: Tools, Driver: "members", Unit: "bytes",
+			Quantity: "the table of members that a tool asks one proxy for",
+			Points:   measureSizes(defaultSizes, peerTableSize),
+		},
 	}, nil
 }
--- a/internal/lab/capacity/record_storestate.go
+++ b/internal/lab/capacity/record_storestate.go
@@ -8,162 +8,167 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// nameBytes and revisionBytes are assumed of the fleet: see assumptions.
-const nameBytes, revisionBytes = 32, 4096
+// generatedAt is the Unix time in ms of generated changes.
+const generatedAt = 1.8e12
 
-// changeID is as long as those that the store draws.
+// purgeLifetimeMs keeps generated purges in effect for as long as a recording takes.
+const purgeLifetimeMs = 1e9
+
+// encodedChanges is how many changes applyCost encodes in advance.
+const encodedChanges = 64
+
+// Sizes at which parts of the state are measured that are few or short.
+var (
+	nameSizes     = []int{10, 30, 100, 300} // bytes
+	revisionSizes = []int{3, 10, 30, 100}   // revisions
+)
+
+// changeID is an id as long as those of the store.
 func changeID(n int) string { return fmt.Sprintf("%032x", n) }
 
-// purgeChange is one purge as the store proposes it, and binds for long after the time at which a recording looks.
-func purgeChange(n int, name string) storestate.Change {
-	at := 1.8e12 + float64(n)
-	return storestate.Change{ID: changeID(n), ProposedAt: at, Kind: storestate.AddPurge, ExpiresAt: at + 1e9, Purge: &storestate.Purge{Object: name, IssuedAt: at}}
+// purgeChange is a purge as the store proposes it.
+func purgeChange(n int, object string) storestate.Change {
+	at := generatedAt + float64(n)
+	return storestate.Change{
+		ID: changeID(n), ProposedAt: at, Kind: storestate.AddPurge, ExpiresAt: at + purgeLifetimeMs,
+		Purge: &storestate.Purge{Object: object, IssuedAt: at},
+	}
+}
+
+// listChange is a server list in which one server differs from the generation before.
+func listChange(generation, servers int) storestate.Change {
+	list := newStoreList(servers)
+	list.Generation = uint64(generation)
+	list.Servers[changedServer(generation, servers)].Weight = float64(1 + generation%4)
+	return storestate.Change{ID: changeID(generation), ProposedAt: generatedAt, Kind: storestate.SetList, Name: "servers", List: list}
 }
 
-// purgedState holds so many purges, and the results of none: what they cost is recorded apart.
+func newStoreList(servers int) *storestate.List {
+	list := &storestate.List{Generation: 1, Servers: make([]serverlist.Server, servers)}
+	for n := range list.Servers {
+		server := serverAt(n)
+		list.Servers[n] = serverlist.Server{
+			ID: server.ID, Host: serverHost(n), Port: serverPort, Addr: serverAddr(n), Zone: zoneName(server.Zone),
+			Kind: "cache", Cell: server.Cell, Weight: server.Weight, StartedMs: generatedAt,
+		}
+	}
+	return list
+}
+
+// stateWithPurges holds so many purges. They have no ids, so that no results are kept for them.
 func stateWithPurges(purges int) *storestate.State {
 	s := storestate.New()
 	for n := range purges {
-		c := purgeChange(n, objectName(n))
-		c.ID = ""
-		s.Apply(c)
+		change := purgeChange(n, objectName(n))
+		change.ID = ""
+		s.Apply(change)
 	}
 	return s
 }
 
-// rememberingState holds nothing but the results of so many changes.
+// stateWithResults holds the results of so many changes, and nothing else.
 func stateWithResults(changes int) *storestate.State {
 	s := storestate.New()
 	for n := range changes {
-		s.Apply(storestate.Change{ID: changeID(n), ProposedAt: 1.8e12, Kind: storestate.EndDrain, Name: "none"})
+		s.Apply(storestate.Change{ID: changeID(n), ProposedAt: generatedAt, Kind: storestate.EndDrain, Name: "none"})
 	}
 	return s
 }
 
-func storeList(servers int) *storestate.List {
-	list := &storestate.List{Generation: 1, Servers: make([]serverlist.Server, servers)}
-	for n := range list.Servers {
-		m := serverAt(n)
-		list.Servers[n] = serverlist.Server{
-			ID: m.ID, Host: serverAddr(n)[:len(serverAddr(n))-5], Port: 4100, Addr: serverAddr(n), Zone: fmt.Sprintf("zone-%02d", m.Zone),
-			Kind: "cache", Cell: m.Cell, Weight: m.Weight, StartedMs: 1.8e12,
-		}
-	}
-	return list
-}
-
-func listChange(generation, servers int) storestate.Change {
-	list := storeList(servers)
-	list.Generation = uint64(generation)
-	list.Servers[generation*37%servers].Weight = float64(1 + generation%4)
-	return storestate.Change{ID: changeID(generation), ProposedAt: 1.8e12, Kind: storestate.SetList, Name: "servers", List: list}
-}
-
+// stateWithList holds a list of so many servers.
 func stateWithList(servers int) *storestate.State {
 	s := storestate.New()
-	c := listChange(1, servers)
-	c.ID = ""
-	s.Apply(c)
+	change := listChange(1, servers)
+	change.ID = ""
+	s.Apply(change)
 	return s
 }
 
+// stateWithRevisions holds so many revisions of revisionBytes, as far as the state retains them.
 func stateWithRevisions(revisions int) *storestate.State {
 	s := storestate.New()
 	for n := range revisions {
 		text := fmt.Sprintf("%0*d", revisionBytes, n)
-		s.Apply(storestate.Change{ProposedAt: 1.8e12, Kind: storestate.SetConfig, BaseRevision: uint64(n), Text: text, Author: "operator"})
+		s.Apply(storestate.Change{ProposedAt: generatedAt, Kind: storestate.SetConfig, BaseRevision: uint64(n), Text: text, Author: "operator"})
 	}
 	return s
 }
 
-// encoded is how many bytes a change or a state comes to.
-func encodedSize(v any) float64 {
-	raw, err := storestate.Encode(v)
-	if err != nil {
-		panic(err) // of plain values
-	}
-	return float64(len(raw))
-}
-
-// taking is the processor of reading an entry of the log and taking it in.
-func applyCost(s *storestate.State, change func(i int) storestate.Change) float64 {
-	var raws [][]byte
-	for i := range 64 {
-		raw, err := storestate.Encode(change(i))
-		if err != nil {
-			panic(err) // of plain values
-		}
-		raws = append(raws, raw)
+// applyCost is the CPU time in µs of decoding a purge and applying it to a state with so many.
+func applyCost(purges int) float64 {
+	s := stateWithPurges(purges)
+	var encoded [][]byte
+	for i := range encodedChanges {
+		encoded = append(encoded, mustEncode(purgeChange(i%purges, objectName(i%purges))))
 	}
 	return cpuCost(func(i int) {
-		c, err := storestate.DecodeChange(raws[i%len(raws)])
-		if err != nil {
-			panic(err) // it was written above
-		}
-		c.ID = "" // else the second time is none
-		s.Apply(c)
+		change := mustDecodeChange(encoded[i%len(encoded)])
+		change.ID = "" // a change with an id is applied once only
+		s.Apply(change)
 	})
 }
 
-func recordStoreState() ([]Recording, error) {
-	var out []Recording
-	add := func(name, driver, quantity, unit string, sizes []int, measure func(n int) float64) {
-		out = append(out, Recording{
-			Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: measureSizes(sizes, measure),
-		})
-	}
-	state := func(make func(int) *storestate.State) func(int) float64 {
-		return func(n int) float64 { return heapBytes(func() any { return make(n) }) }
-	}
-	whole := func(make func(int) *storestate.State) func(int) float64 {
-		return func(n int) float64 { return encodedSize(make(n)) }
-	}
-	add("purge-memory", "purges", "memory of the state", "bytes", defaultSizes, state(stateWithPurges))
-	add("purge-snapshot", "purges", "snapshot", "bytes", defaultSizes, whole(stateWithPurges))
-	add("purge-apply", "purges", "processor of reading and taking in one purge", "us", defaultSizes, func(n int) float64 {
-		return applyCost(stateWithPurges(n), func(i int) storestate.Change { return purgeChange(i%n, objectName(i%n)) })
+// listApplyCost is the CPU time in µs of decoding a server list and applying it.
+func listApplyCost(servers int) float64 {
+	s, generation := stateWithList(servers), 1
+	encoded := mustEncode(listChange(1, servers))
+	return cpuCost(func(int) {
+		change := mustDecodeChange(encoded)
+		generation++
+		change.ID, change.List.Generation = "", uint64(generation)
+		s.Apply(change)
 	})
-	add("purge-entry", "bytes of the name", "one purge in the log", "bytes", []int{10, 30, 100, 300}, func(n int) float64 {
-		return encodedSize(purgeChange(1, strings.Repeat("a", n)))
-	})
-	add("results-memory", "changes", "memory of the results of changes, kept for 10 minutes", "bytes", defaultSizes, state(stateWithResults))
-	add("results-snapshot", "changes", "snapshot of the results of changes", "bytes", defaultSizes, whole(stateWithResults))
-	add("list-memory", "servers", "memory of the state", "bytes", defaultSizes, state(stateWithList))
-	add("list-entry", "servers", "a change of one server in the log, which holds the whole list", "bytes", defaultSizes, func(n int) float64 {
-		return encodedSize(listChange(1, n))
-	})
-	add("list-apply", "servers", "processor of reading and taking in such a change", "us", defaultSizes, func(n int) float64 {
-		s, generation := stateWithList(n), 1
-		raw, err := storestate.Encode(listChange(1, n))
-		if err != nil {
-			panic(err) // of plain values
-		}
-		return cpuCost(func(int) {
-			c, err := storestate.DecodeChange(raw)
-			if err != nil {
-				panic(err) // it was written above
-			}
-			generation++
-			c.ID, c.List.Generation = "", uint64(generation)
-			s.Apply(c)
-		})
-	})
-	add("revision-memory", "revisions", "memory of the state, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, state(stateWithRevisions))
-	add("revision-snapshot", "revisions", "snapshot, each of 4,096 bytes", "bytes", []int{3, 10, 30, 100}, whole(stateWithRevisions))
-	add("snapshot-write", "purges", "processor of writing the snapshot", "us", defaultSizes, func(n int) float64 {
-		s := stateWithPurges(n)
-		return cpuCost(func(int) { encodedSize(s) })
-	})
-	add("snapshot-read", "purges", "processor of reading the snapshot", "us", defaultSizes, func(n int) float64 {
-		raw, err := storestate.Encode(stateWithPurges(n))
-		if err != nil {
-			panic(err) // of plain values
+}
+
+// snapshotWriteCost is the CPU time in µs of encoding a state.
+func snapshotWriteCost(purges int) float64 {
+	s := stateWithPurges(purges)
+	return cpuCost(func(int) { encodedSize(s) })
+}
+
+// snapshotReadCost is the CPU time in µs of decoding a state.
+func snapshotReadCost(purges int) float64 {
+	encoded := mustEncode(stateWithPurges(purges))
+	return cpuCost(func(int) {
+		if _, err := storestate.DecodeState(encoded); err != nil {
+			panic(fmt.Sprintf("capacity: decoding an encoded state: %v", err))
 		}
-		return cpuCost(func(int) {
-			if _, err := storestate.DecodeState(raw); err != nil {
-				panic(err) // it was written above
-			}
-		})
 	})
-	return out, nil
+}
+
+// stateRecording is a recording of the store's state.
+func stateRecording(name, driver, quantity, unit string, points []Point) Recording {
+	return Recording{Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: points}
+}
+
+// measureSnapshot measures the encoded states that build returns.
+func measureSnapshot(sizes []int, build func(n int) *storestate.State) []Point {
+	return measureSizes(sizes, func(n int) float64 { return encodedSize(build(n)) })
+}
+
+func recordStoreState() ([]Recording, error) {
+	revisionMemory := func(n int) float64 { return heapBytes(func() any { return stateWithRevisions(n) }) }
+	purgeEntrySize := func(n int) float64 { return encodedSize(purgeChange(1, strings.Repeat("a", n))) }
+	listEntrySize := func(n int) float64 { return encodedSize(listChange(1, n)) }
+	return []Recording{
+		stateRecording("purge-memory", "purges", "memory of the state", "bytes", measureHeap(stateWithPurges)),
+		stateRecording("purge-snapshot", "purges", "snapshot", "bytes", measureSnapshot(defaultSizes, stateWithPurges)),
+		stateRecording("purge-apply", "purges", "processor of reading and taking in one purge", "us", measureSizes(defaultSizes, applyCost)),
+		stateRecording("purge-entry", "bytes of the name", "one purge in the log", "bytes", measureSizes(nameSizes, purgeEntrySize)),
+		stateRecording("results-memory", "changes", "memory of the results of changes, kept for 10 minutes", "bytes",
+			measureHeap(stateWithResults)),
+		stateRecording("results-snapshot", "changes", "snapshot of the results of changes", "bytes",
+			measureSnapshot(defaultSizes, stateWithResults)),
+		stateRecording("list-memory", "servers", "memory of the state", "bytes", measureHeap(stateWithList)),
+		stateRecording("list-entry", "servers", "a change of one server in the log, which holds the whole list", "bytes",
+			measureSizes(defaultSizes, listEntrySize)),
+		stateRecording("list-apply", "servers", "processor of reading and taking in such a change", "us",
+			measureSizes(defaultSizes, listApplyCost)),
+		stateRecording("revision-memory", "revisions", "memory of the state, each of 4,096 bytes", "bytes",
+			measureSizes(revisionSizes, revisionMemory)),
+		stateRecording("revision-snapshot", "revisions", "snapshot, each of 4,096 bytes", "bytes",
+			measureSnapshot(revisionSizes, stateWithRevisions)),
+		stateRecording("snapshot-write", "purges", "processor of writing the snapshot", "us", measureSizes(defaultSizes, snapshotWriteCost)),
+		stateRecording("snapshot-read", "purges", "processor of reading the snapshot", "us", measureSizes(defaultSizes, snapshotReadCost)),
+	}, nil
 }
--- a/internal/lab/capacity/record_test.go
+++ b/internal/lab/capacity/record_test.go
@@ -10,10 +10,9 @@
 
 const recordingsDir = "../../../docs/measurements/capacity"
 
-// A form on the wire or on disk that has changed leaves the page with the sizes of the one before. A quarter is let pass:
-// the page's figures are no finer.
-func TestRecordedSizesAreThoseOfTheCode(t *testing.T) {
-	book, err := ReadRecordings(recordingsDir)
+// Recorded sizes are those of the present encodings, but for a quarter: the page's figures are no finer.
+func TestRecordedSizesAreUpToDate(t *testing.T) {
+	recordings, err := ReadRecordings(recordingsDir)
 	require.NoError(t, err)
 	journal := func(n int) float64 {
 		bytes, err := journalSize(n)
@@ -41,7 +40,7 @@
 		"journal/purges":            journal,
 		"membership/whole-state":    state,
 	} {
-		r, known := book[name]
+		r, known := recordings[name]
 		require.True(t, known, name)
 		p := r.Points[1]
 		if got := now(int(p.Driver)); math.Abs(got-p.Measured) > 0.25*p.Measured {
@@ -50,8 +49,8 @@
 	}
 }
 
-// A recording that no recorder makes any more can't be made again by the command that it names.
-func TestRecordersHaveNamesOfTheirOwn(t *testing.T) {
+// Recorders have different names, and each recording names the command that records it again.
+func TestRecordingsNameTheirRecorder(t *testing.T) {
 	seen := map[string]bool{}
 	for _, r := range Recorders {
 		require.False(t, seen[r.Name], r.Name)
@@ -64,8 +63,8 @@
 	}
 }
 
-// With a median of one round a collection of garbage would count as the cost of a call.
-func TestCostCountsCalls(t *testing.T) {
+// The cost of a call is measured over several rounds of calls, which are counted from 0.
+func TestCPUCostCountsCalls(t *testing.T) {
 	calls := 0
 	cpuCost(func(i int) {
 		require.Equal(t, calls, i)
--- a/internal/lab/capacity/recording.go
+++ b/internal/lab/capacity/recording.go
@@ -1,19 +1,16 @@
-// Package capacity works out what the fleet costs at a size that nobody here can run: recordings of measured slopes, a
-// least-squares fit of each, formulas a role, and the page docs/CAPACITY.md made of them. Every figure it gives says
-// whether it was measured, extrapolated (and how far beyond the measurements) or assumed. Formulas and the page are pure;
-// only the recorders in record*.go run anything, in process and without sockets. Tested here: fits against drawn data,
-// formulas against sums by hand, and the page against the recordings in docs/measurements/capacity.
+// Package capacity works out what the fleet costs at a size that cannot be run here: from recordings of costs at several sizes, a
+// least-squares fit of each, and formulas for each role. The result is the page docs/CAPACITY.md. Every figure says whether it
+// was measured, extrapolated (and how far beyond the measurements) or assumed.
+//
+// Formulas and page are pure. Only the recorders in record_*.go run code, in this process and without sockets. The tests in this
+// package compare fits with generated data, formulas with sums worked out by hand, and the page with the recordings in
+// docs/measurements/capacity.
 package capacity
 
 import (
-	"bytes"
 	"cmp"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
 )
 
@@ -31,152 +28,90 @@
 	Tools       Role = "operators' tools"
 )
 
-// Roles are all of them, in the page's order.
+// Roles are all of them, in the order of the page.
 var Roles = []Role{Proxy, Voter, Distributor, Membership, Prober, ListSource, Tools}
 
-// Point is one measurement: what was driven, and what came of it.
+// Point is what was measured at one size.
 type Point struct {
 	Driver   float64 `json:"driver"`
 	Measured float64 `json:"measured"`
 }
 
-// Recording is one quantity measured at several sizes of one driver, with its fit.
+// Recording is one quantity, measured at several sizes of its driver, with the fit of the points.
 type Recording struct {
-	Name     string  `json:"name"` // unique over all files, e.g. "replica/bytes-per-purge"; formulas refer to it
+	Name     string  `json:"name"` // unique over all files; formulas refer to it
 	Role     Role    `json:"role"`
-	Driver   string  `json:"driver"`   // what the points' driver counts, e.g. "purges"
+	Driver   string  `json:"driver"`   // what sizes count, e.g. "purges"
 	Quantity string  `json:"quantity"` // what was measured, e.g. "snapshot"
-	Unit     string  `json:"unit"`     // of measured: bytes, us, us/change, bytes/s, ...
-	Command  string  `json:"command"`  // that makes it again
+	Unit     string  `json:"unit"`     // of the measured values, e.g. "bytes"
+	Command  string  `json:"command"`  // that records it again
 	Note     string  `json:"note,omitempty"`
 	Points   []Point `json:"points"`
 	Fit
 }
 
-// File is what one recorder writes: docs/measurements/capacity/NAME.json.
-type File struct {
-	About      string      `json:"about"` // one sentence: what was run
-	Machine    string      `json:"machine"`
-	Recordings []Recording `json:"recordings"`
-}
-
-// leastPoints and leastSpan bound what a recording may be fitted from: fewer sizes, or sizes closer together, say nothing
-// about growth. Recordings of things that exist only in small numbers say so with a note and may span less.
 const (
+	// minPoints is the least number of sizes in a recording. Fewer say nothing about growth.
 	minPoints = 4
-	minSpan   = 10.0
+	// minSpan is the least factor between the largest and the smallest size. A note may explain a smaller one.
+	minSpan = 10.0
 )
 
-// Span is the largest driver of a recording by its smallest.
+// Span is the largest size by the smallest.
 func (r Recording) Span() float64 {
-	least, most := r.bounds()
-	return most / least
+	smallest, largest := r.bounds()
+	return largest / smallest
 }
 
-func (r Recording) bounds() (least, most float64) {
-	least, most = math.Inf(1), math.Inf(-1)
+func (r Recording) bounds() (smallest, largest float64) {
+	smallest, largest = math.Inf(1), math.Inf(-1)
 	for _, p := range r.Points {
-		least, most = min(least, p.Driver), max(most, p.Driver)
+		smallest, largest = min(smallest, p.Driver), max(largest, p.Driver)
 	}
-	return least, most
+	return smallest, largest
+}
+
+// RecordingError says what is wrong with a recording.
+type RecordingError struct {
+	Name   string // of the recording
+	Reason string
 }
 
-// Valid tells what is wrong with a recording.
+// Error implements error.
+func (e *RecordingError) Error() string { return fmt.Sprintf("recording %q: %s", e.Name, e.Reason) }
+
+func (r Recording) errorf(format string, args ...any) error {
+	return &RecordingError{Name: r.Name, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Valid returns a *RecordingError if a recording is not complete, or says too little to be fitted.
 func (r Recording) Valid() error {
 	switch {
 	case r.Name == "" || r.Driver == "" || r.Quantity == "" || r.Unit == "" || r.Command == "":
-		return fmt.Errorf("recording %q: name, driver, quantity, unit and command are all needed", r.Name)
+		return r.errorf("name, driver, quantity, unit and command are all needed")
 	case !slices.Contains(Roles, r.Role):
-		return fmt.Errorf("recording %q: no role %q", r.Name, r.Role)
+		return r.errorf("no role %q", r.Role)
 	case len(r.Points) < minPoints:
-		return fmt.Errorf("recording %q: %d points, %d are needed", r.Name, len(r.Points), minPoints)
-	}
-	for _, p := range r.Points {
-		if !(p.Driver > 0) || math.IsInf(p.Driver, 0) || math.IsNaN(p.Measured) || math.IsInf(p.Measured, 0) {
-			return fmt.Errorf("recording %q: a point that is no number, or of no size", r.Name)
-		}
+		return r.errorf("%d points, %d are needed", len(r.Points), minPoints)
+	case slices.ContainsFunc(r.Points, Point.invalid):
+		return r.errorf("a point that is no number, or of no size")
 	}
 	if !slices.IsSortedFunc(r.Points, func(a, b Point) int { return cmp.Compare(a.Driver, b.Driver) }) {
-		return fmt.Errorf("recording %q: its points are not in order", r.Name)
+		return r.errorf("its points are not in order")
 	}
 	if r.Span() < minSpan && r.Note == "" {
-		return fmt.Errorf("recording %q: sizes within a factor of %.3g, and no note that says why", r.Name, r.Span())
+		return r.errorf("sizes within a factor of %.3g, and no note that says why", r.Span())
 	}
 	return nil
 }
 
+// invalid reports whether a point is no pair of a size above 0 and a finite number.
+func (p Point) invalid() bool {
+	return !(p.Driver > 0) || math.IsInf(p.Driver, 0) || math.IsNaN(p.Measured) || math.IsInf(p.Measured, 0)
+}
+
 // Fitted is the recording with the fit of its points.
 func (r Recording) Fitted() Recording {
 	r.Fit = FitPoints(r.Points)
 	return r
 }
-
-// Save fits every recording of a file and writes it.
-func Save(path string, f File) error {
-	f.Recordings = slices.Clone(f.Recordings)
-	for i, r := range f.Recordings {
-		if err := r.Valid(); err != nil {
-			return err
-		}
-		f.Recordings[i] = r.Fitted()
-	}
-	var out bytes.Buffer
-	encoder := json.NewEncoder(&out)
-	encoder.SetEscapeHTML(false)
-	encoder.SetIndent("", " ")
-	if err := encoder.Encode(f); err != nil {
-		return err
-	}
-	return os.WriteFile(path, out.Bytes(), 0o644)
-}
-
-// ReadFile reads one file as it stands, its fits unchecked.
-func ReadFile(path string) (f File, err error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return f, err
-	}
-	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&f); err != nil {
-		return f, fmt.Errorf("%s: %w", path, err)
-	}
-	return f, nil
-}
-
-// Book is all recordings, by name.
-type RecordingSet map[string]Recording
-
-// ReadBook reads a directory of recordings. It refuses one whose fit is not that of its points.
-func ReadRecordings(dir string) (RecordingSet, error) {
-	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
-	if err != nil {
-		return nil, err
-	}
-	book := RecordingSet{}
-	var wrong []error
-	for _, path := range paths {
-		f, err := ReadFile(path)
-		if err != nil {
-			return nil, err
-		}
-		for _, r := range f.Recordings {
-			wrong = append(wrong, book.add(path, r))
-		}
-	}
-	return book, errors.Join(wrong...)
-}
-
-func (b RecordingSet) add(path string, r Recording) error {
-	if err := r.Valid(); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	if _, twice := b[r.Name]; twice {
-		return fmt.Errorf("%s: recording %q is told twice", path, r.Name)
-	}
-	if !r.equal(FitPoints(r.Points)) {
-		return fmt.Errorf("%s: recording %q: its fit is not that of its points: run 'ravenlab capacity fit %s'", path, r.Name, path)
-	}
-	b[r.Name] = r
-	return nil
-}
--- a/internal/lab/capacity/role_costs.go
+++ b/internal/lab/capacity/role_costs.go
@@ -1,101 +1,189 @@
 package capacity
 
-// Subscribers of one distributor, where so many stand.
+const (
+	// maxMeasuredFollowers is the largest number of raft followers that was measured.
+	maxMeasuredFollowers = 8
+	// distributorBufferBytes is what a distributor holds beside two snapshots.
+	distributorBufferBytes = 4 << 20
+	// logWriteMicros is the CPU time of writing an entry to the store's log.
+	logWriteMicros = 100
+	// probeStateBytes is what a prober holds of a cache.
+	probeStateBytes = 64
+	// Frames of the discovery service: a change of one server, and a heartbeat.
+	discoveryChangeBytes    = 4 + 9 + 27
+	discoveryHeartbeatBytes = 13
+)
+
+// subscribersPerDistributor is the mean with so many distributors.
 func (f Fleet) subscribersPerDistributor(distributors float64) Figure {
 	return given(f.Proxies / distributors)
 }
 
-// DistributorCost is what one of so many distributors spends: each subscriber gets what a proxy receives.
-func (f Fleet) DistributorCost(d Design, l Load, distributors float64) Cost {
-	n := f.subscribersPerDistributor(distributors)
-	one := f.followCost(d, l)
-	text := sum(f.revisionCost(l).BytesInPerS, f.listCost(d, l).BytesInPerS)
-	starts := given(l.StartsPerS / distributors)
-	snapshot := f.SnapshotBytes(d, l)
+// DistributorCost is that of one of so many distributors, which sends each subscriber what a proxy receives.
+func (f Fleet) DistributorCost(d Design, load Load, distributors float64) Cost {
+	subscribers := f.subscribersPerDistributor(distributors)
+	received := f.followCost(d, load)
+	textBytes := f.textBytesPerS(d, load)
+	snapshot := f.SnapshotBytes(d, load)
 	return Cost{
-		{Name: "hear a root", MessagesInPerS: one.MessagesInPerS, MessagesOutPerS: one.MessagesOutPerS, BytesInPerS: one.BytesInPerS.Plus(text), BytesOutPerS: one.BytesOutPerS,
-			CPUMicrosPerS: one.CPUMicrosPerS, StateBytes: snapshot, MemoryBytes: snapshot.Scale(2).Plus(assumed(4 << 20))},
-		{Name: "send to " + formatNumber(n.Value) + " subscribers", MessagesInPerS: one.MessagesOutPerS.Times(n), MessagesOutPerS: one.MessagesInPerS.Times(n),
-			BytesInPerS: one.BytesOutPerS.Times(n), BytesOutPerS: one.BytesInPerS.Plus(text).Times(n), CPUMicrosPerS: one.MessagesInPerS.Times(n).Times(f.SendMicros),
-			MemoryBytes: f.ConnectionMemory.Times(n)},
-		{Name: "snapshots for those that start", MessagesOutPerS: starts, BytesOutPerS: snapshot.Times(starts),
-			CPUMicrosPerS: f.Estimate("replica/snapshot-write", purgesInEffect(f.Assumptions, l.PurgesPerS)).Times(starts)},
+		{
+			Name:            "hear a root",
+			StateBytes:      snapshot,
+			MessagesInPerS:  received.MessagesInPerS,
+			MessagesOutPerS: received.MessagesOutPerS,
+			BytesInPerS:     received.BytesInPerS.Plus(textBytes),
+			BytesOutPerS:    received.BytesOutPerS,
+			CPUMicrosPerS:   received.CPUMicrosPerS,
+			MemoryBytes:     snapshot.Scale(2).Plus(assumed(distributorBufferBytes)),
+		},
+		f.sendCost("send to "+formatNumber(subscribers.Value)+" subscribers", received, textBytes, subscribers),
+		f.snapshotCost(d, load, given(load.StartsPerS/distributors)),
+	}
+}
+
+// textBytesPerS is the traffic of revisions and lists to one subscriber.
+func (f Fleet) textBytesPerS(d Design, load Load) Figure {
+	return f.revisionCost(load).BytesInPerS.Plus(f.listCost(d, load).BytesInPerS)
+}
+
+// sendCost is that of sending so many subscribers what one receives.
+func (f Fleet) sendCost(name string, received CostItem, textBytes, subscribers Figure) CostItem {
+	return CostItem{
+		Name:            name,
+		MessagesInPerS:  received.MessagesOutPerS.Times(subscribers),
+		MessagesOutPerS: received.MessagesInPerS.Times(subscribers),
+		BytesInPerS:     received.BytesOutPerS.Times(subscribers),
+		BytesOutPerS:    received.BytesInPerS.Plus(textBytes).Times(subscribers),
+		CPUMicrosPerS:   received.MessagesInPerS.Times(subscribers).Times(f.SendMicros),
+		MemoryBytes:     f.ConnectionMemory.Times(subscribers),
+	}
+}
+
+// snapshotCost is that of the snapshots for processes that start.
+func (f Fleet) snapshotCost(d Design, load Load, startsPerS Figure) CostItem {
+	return CostItem{
+		Name:            "snapshots for those that start",
+		MessagesOutPerS: startsPerS,
+		BytesOutPerS:    f.SnapshotBytes(d, load).Times(startsPerS),
+		CPUMicrosPerS:   f.Estimate("replica/snapshot-write", f.purgesInEffect(load.PurgesPerS)).Times(startsPerS),
 	}
 }
 
-// Snapshot is what a process that starts asks for.
-func (f Fleet) SnapshotBytes(d Design, l Load) Figure {
-	n := purgesInEffect(f.Assumptions, l.PurgesPerS)
+// SnapshotBytes is the size of the snapshot that a process receives when it starts.
+func (f Fleet) SnapshotBytes(d Design, load Load) Figure {
 	if d == DesignCurrent {
-		return sum(f.purgeCost(DesignCurrent, l).StateBytes, f.resultCost(l).StateBytes, f.revisionCost(l).StateBytes, f.listCost(d, l).StateBytes)
+		return sum(f.purgeCost(d, load).StateBytes, f.resultCost(load).StateBytes, f.revisionCost(load).StateBytes, f.listCost(d, load).StateBytes)
 	}
-	return sum(f.EntryBytes.Times(n), assumed(revisionBytes), f.listCost(d, l).StateBytes)
+	return sum(f.EntryBytes.Times(f.purgesInEffect(load.PurgesPerS)), assumed(revisionBytes), f.listCost(d, load).StateBytes)
 }
 
-// LeaderCost is what the store's leader spends. AsIs it feeds every process; else the other voters, and its part of the
-// distributors.
-func (f Fleet) LeaderCost(d Design, l Load) Cost {
-	share := l.PurgesPerS / raftPurgesPerS
-	followers := given(voters - 1)
+// LeaderCost is that of the store's leader. In DesignCurrent it replicates to every process and sends their snapshots; else to the
+// other voters, and it is the root of its part of the distributors.
+func (f Fleet) LeaderCost(d Design, load Load) Cost {
 	if d == DesignCurrent {
-		followers = given(f.Proxies + voters - 1)
+		return Cost{
+			f.replicationCost(load, given(f.Proxies+voters-1)),
+			f.storeStateCost(load),
+			f.snapshotCost(d, load, given(load.StartsPerS)),
+		}
+	}
+	distributors := given(f.Distributors() / voters)
+	name := "send to " + formatNumber(distributors.Value) + " distributors"
+	return Cost{
+		f.replicationCost(load, given(voters-1)),
+		f.storeStateCost(load),
+		f.sendCost(name, f.followCost(d, load), f.textBytesPerS(d, load), distributors),
 	}
-	beyond := followers.Value / 8 // the most that were measured
-	feed := extrapolated(1, beyond)
-	if beyond <= 1 {
-		feed = Figure{Value: 1, Basis: Measured}
+}
+
+// replicationCost is a raft leader's cost of so many followers.
+func (f Fleet) replicationCost(load Load, followers Figure) CostItem {
+	rate := load.PurgesPerS / raftPurgesPerS
+	messages := followers.Scale(load.PurgesPerS)
+	measured := Figure{Value: 1, Basis: Measured}
+	if factor := followers.Value / maxMeasuredFollowers; factor > 1 {
+		measured = extrapolated(1, factor)
 	}
-	n := purgesInEffect(f.Assumptions, l.PurgesPerS)
-	messages := followers.Scale(l.PurgesPerS)
-	cost := Cost{
-		{Name: "feed " + formatNumber(followers.Value) + " followers through raft", MessagesInPerS: messages, MessagesOutPerS: messages,
-			BytesOutPerS:  f.UnitCost("raft/leader-bytes").Times(followers).Times(feed).Scale(share),
-			BytesInPerS:   f.UnitCost("raft/follower-bytes").Times(followers).Times(feed).Scale(share),
-			CPUMicrosPerS: f.UnitCost("raft/processor").Times(followers).Times(feed).Scale(share / 2).Times(assumed(1))},
-		{Name: "take entries in, write them", CPUMicrosPerS: sum(f.Estimate("replica/purge-apply", n).Scale(l.PurgesPerS), assumed(100).Scale(l.PurgesPerS)),
-			StateBytes: f.SnapshotBytes(DesignCurrent, l), MemoryBytes: sum(f.purgeCost(DesignCurrent, l).MemoryBytes, f.resultCost(l).MemoryBytes, f.revisionCost(l).MemoryBytes, f.listCost(DesignCurrent, l).MemoryBytes)},
+	perFollower := func(name string) Figure { return f.UnitCost(name).Times(followers).Times(measured) }
+	return CostItem{
+		Name:            "feed " + formatNumber(followers.Value) + " followers through raft",
+		MessagesInPerS:  messages,
+		MessagesOutPerS: messages,
+		BytesInPerS:     perFollower("raft/follower-bytes").Scale(rate),
+		BytesOutPerS:    perFollower("raft/leader-bytes").Scale(rate),
+		CPUMicrosPerS:   perFollower("raft/processor").Scale(rate / 2).Times(assumed(1)),
 	}
-	snapshot := f.SnapshotBytes(DesignCurrent, l)
-	if d == DesignCurrent {
-		starts := given(l.StartsPerS)
-		return append(cost, CostItem{Name: "snapshots for those that start", MessagesOutPerS: starts, BytesOutPerS: snapshot.Times(starts),
-			CPUMicrosPerS: f.Estimate("replica/snapshot-write", n).Times(starts)})
+}
+
+// storeStateCost is a store member's cost of applying, writing and holding entries.
+func (f Fleet) storeStateCost(load Load) CostItem {
+	applyMicros := f.Estimate("replica/purge-apply", f.purgesInEffect(load.PurgesPerS))
+	return CostItem{
+		Name:          "take entries in, write them",
+		StateBytes:    f.SnapshotBytes(DesignCurrent, load),
+		CPUMicrosPerS: sum(applyMicros.Scale(load.PurgesPerS), assumed(logWriteMicros).Scale(load.PurgesPerS)),
+		MemoryBytes: sum(f.purgeCost(DesignCurrent, load).MemoryBytes, f.resultCost(load).MemoryBytes,
+			f.revisionCost(load).MemoryBytes, f.listCost(DesignCurrent, load).MemoryBytes),
 	}
-	one, roots := f.followCost(d, l), given(f.Distributors()/voters)
-	return append(cost, CostItem{Name: "send to " + formatNumber(roots.Value) + " distributors", MessagesOutPerS: one.MessagesInPerS.Times(roots),
-		MessagesInPerS: one.MessagesOutPerS.Times(roots), BytesOutPerS: sum(one.BytesInPerS, f.revisionCost(l).BytesInPerS, f.listCost(d, l).BytesInPerS).Times(roots),
-		BytesInPerS: one.BytesOutPerS.Times(roots), CPUMicrosPerS: one.MessagesInPerS.Times(roots).Times(f.SendMicros), MemoryBytes: f.ConnectionMemory.Times(roots)})
 }
 
-// ProberCost is what one proxy of a site would spend that asks the site's caches each second: nothing of it is built.
+// ProberCost is that of a proxy that probes each cache of its site once a second, which is not built.
 func (f Fleet) ProberCost() Cost {
 	caches := given(f.Caches / f.Sites)
 	messages := caches.Times(assumed(1))
-	return Cost{{Name: "ask each cache of the site once a second", MessagesInPerS: messages, MessagesOutPerS: messages,
-		BytesInPerS: messages.Times(f.ProbeBytes), BytesOutPerS: messages.Times(f.ProbeBytes),
-		CPUMicrosPerS: messages.Times(f.SendMicros.Plus(f.ReceiveMicros)), MemoryBytes: f.ConnectionMemory.Times(caches), StateBytes: assumed(64).Times(caches)}}
+	return Cost{{
+		Name:            "ask each cache of the site once a second",
+		StateBytes:      assumed(probeStateBytes).Times(caches),
+		MessagesInPerS:  messages,
+		MessagesOutPerS: messages,
+		BytesInPerS:     messages.Times(f.ProbeBytes),
+		BytesOutPerS:    messages.Times(f.ProbeBytes),
+		CPUMicrosPerS:   messages.Times(f.SendMicros.Plus(f.ReceiveMicros)),
+		MemoryBytes:     f.ConnectionMemory.Times(caches),
+	}}
 }
 
-// ListSourceCost is what a notice board spends that tells every process the whole list at its start, and changes later.
-func (f Fleet) ListSourceCost(l Load) Cost {
-	whole := f.Estimate("lists/board", given(f.Caches))
-	const change = 4 + 9 + 27 // a frame with one record, as the wire has it
-	changes := given(l.ListChangesPerS * f.Proxies)
-	beats := given(f.Proxies)
+// ListSourceCost is that of a discovery service for all processes: a complete list at the start of each, then changes and a heartbeat a
+// second.
+func (f Fleet) ListSourceCost(load Load) Cost {
+	list := f.Estimate("lists/board", given(f.Caches))
+	changes, heartbeats := given(load.ListChangesPerS*f.Proxies), given(f.Proxies)
+	messages := changes.Plus(heartbeats)
 	return Cost{
-		{Name: "the whole list, at a start", StateBytes: whole, MessagesOutPerS: given(l.StartsPerS), BytesOutPerS: whole.Scale(l.StartsPerS)},
-		{Name: "changes, and a beat each second, to 17,000", MessagesOutPerS: changes.Plus(beats),
-			BytesOutPerS:  changes.Scale(change).Plus(beats.Scale(13)).Plus(changes.Plus(beats).Times(f.PacketHeaderBytes)),
-			CPUMicrosPerS: changes.Plus(beats).Times(f.SendMicros), MemoryBytes: f.ConnectionMemory.Scale(f.Proxies)},
+		{
+			Name:            "the whole list, at a start",
+			StateBytes:      list,
+			MessagesOutPerS: given(load.StartsPerS),
+			BytesOutPerS:    list.Scale(load.StartsPerS),
+		},
+		{
+			Name:            "changes, and a beat each second, to 17,000",
+			MessagesOutPerS: messages,
+			BytesOutPerS: changes.Scale(discoveryChangeBytes).Plus(heartbeats.Scale(discoveryHeartbeatBytes)).
+				Plus(messages.Times(f.PacketHeaderBytes)),
+			CPUMicrosPerS: messages.Times(f.SendMicros),
+			MemoryBytes:   f.ConnectionMemory.Scale(f.Proxies),
+		},
 	}
 }
 
-// ToolsCost is what one question to every proxy brings an operator's machine.
+// ToolsCost is an operator's machine's cost of one request a second to every proxy for its servers, and to one for its members.
 func (f Fleet) ToolsCost() Cost {
-	servers := f.Estimate("tools/servers", given(f.Caches))
-	members := f.Estimate("tools/members", given(f.Proxies))
+	servers, members := f.Estimate("tools/servers", given(f.Caches)), f.Estimate("tools/members", given(f.Proxies))
 	return Cost{
-		{Name: "the table of servers, from every proxy", StateBytes: servers, MessagesOutPerS: given(f.Proxies), MessagesInPerS: given(f.Proxies), BytesInPerS: servers.Scale(f.Proxies)},
-		{Name: "the table of members, from one", StateBytes: members, MessagesOutPerS: given(1), MessagesInPerS: given(1), BytesInPerS: members},
+		{
+			Name:            "the table of servers, from every proxy",
+			StateBytes:      servers,
+			MessagesInPerS:  given(f.Proxies),
+			MessagesOutPerS: given(f.Proxies),
+			BytesInPerS:     servers.Scale(f.Proxies),
+		},
+		{
+			Name:            "the table of members, from one",
+			StateBytes:      members,
+			MessagesInPerS:  given(1),
+			MessagesOutPerS: given(1),
+			BytesInPerS:     members,
+		},
 	}
 }
