--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	for _, run := range runs {
-		for _, violation := range run.Result.Rules {
+		for _, violation := range run.Result.ViolationTexts {
 			fmt.Fprintln(out, violation)
 		}
 	}
@@ -96,7 +96,7 @@
 			if err != nil {
 				return err
 			}
-			result, err := sim.Run(cmd.Context(), v.Spec, flags.seed)
+			result, err := sim.Run(cmd.Context(), v.Scenario, flags.seed)
 			if result == nil {
 				return err
 			}
@@ -218,7 +218,7 @@
 				return err
 			}
 			played := 0
-			smallest, err := experiment.Shrink(cmd.Context(), v.Spec, flags.seed, func(sim.Spec, bool) { played++ })
+			smallest, err := experiment.Shrink(cmd.Context(), v.Scenario, flags.seed, func(sim.Scenario, bool) { played++ })
 			if err != nil {
 				return err
 			}
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	model, err := playModel(modelSpec(to, copies))
+	model, err := playModel(modelScenario(to, copies))
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 		socketHits += second.hits
 		socketServed += second.served
 	}
-	for _, second := range model.Windows[from:to] {
+	for _, second := range model.Seconds[from:to] {
 		modelHits += second.Hits
 		modelServed += second.Served
 	}
@@ -108,16 +108,16 @@
 	if err != nil {
 		return nil, err
 	}
-	spec := modelSpec(seconds, ampleCopies)
-	spec.Troubles = []sim.Trouble{{At: eventAt, Kind: "purge", Size: 1}}
-	model, err := playModel(spec)
+	scenario := modelScenario(seconds, ampleCopies)
+	scenario.Faults = []sim.Fault{{At: eventAt, Kind: sim.PurgeObjects, Magnitude: 1}}
+	model, err := playModel(scenario)
 	if err != nil {
 		return nil, err
 	}
 	originFills := func(name string, second int) Relation {
 		return Relation{
 			name, fraction(sockets.seconds[second].originFills, sockets.seconds[second].served),
-			fraction(model.Windows[second].Origin, model.Windows[second].Served),
+			fraction(model.Seconds[second].OriginFills, model.Seconds[second].Served),
 		}
 	}
 	return []Relation{
@@ -137,13 +137,13 @@
 	if err != nil {
 		return nil, err
 	}
-	spec := modelSpec(seconds, ampleCopies)
-	spec.Troubles = []sim.Trouble{{At: from, For: to - from, Kind: "hang", Size: 0.3}}
-	model, err := playModel(spec)
+	scenario := modelScenario(seconds, ampleCopies)
+	scenario.Faults = []sim.Fault{{At: from, Duration: to - from, Kind: sim.HangCaches, Magnitude: 0.3}}
+	model, err := playModel(scenario)
 	if err != nil {
 		return nil, err
 	}
-	return []Relation{{"wants not served within 100 ms, one cache of three hanging for 4 s of 8", sockets.slow, model.Slow}}, nil
+	return []Relation{{"wants not served within 100 ms, one cache of three hanging for 4 s of 8", sockets.slow, model.SlowFraction}}, nil
 }
 
 // compareLostCopies compares the hit ratio after all caches have lost their copies.
@@ -160,9 +160,9 @@
 	if err != nil {
 		return nil, err
 	}
-	spec := modelSpec(seconds, ampleCopies)
-	spec.Troubles = []sim.Trouble{{At: eventAt, Kind: "empty"}}
-	model, err := playModel(spec)
+	scenario := modelScenario(seconds, ampleCopies)
+	scenario.Faults = []sim.Fault{{At: eventAt, Kind: sim.DropCopies}}
+	model, err := playModel(scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 		relations = append(relations, Relation{
 			fmt.Sprintf("share of hits in second %d after a branch lost its copies", after+1),
 			fraction(sockets.seconds[second].hits, sockets.seconds[second].served),
-			fraction(model.Windows[second].Hits, model.Windows[second].Served),
+			fraction(model.Seconds[second].Hits, model.Seconds[second].Served),
 		})
 	}
 	return relations, nil
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -30,7 +30,7 @@
 type site struct {
 	t             *testing.T
 	clock         *clock.Clock
-	spec          sim.Spec
+	scenario      sim.Scenario
 	settings      policy.Settings
 	fleet         *fleet.Fleet
 	core          *core.Core
@@ -58,14 +58,14 @@
 	require.NoError(t, err)
 	e, defects := experiment.Parse(path, text)
 	require.NoError(t, defects.Err())
-	spec := e.Variants[0].Spec
-	spec.Rules.Drain, spec.Rules.Purge, spec.Fleet.PurgeTakes = gracePeriod, gracePeriod, 4*gracePeriod
-	s := &site{t: t, clock: clock.System(), spec: spec, settings: spec.Settings(0, 0)}
+	scenario := e.Variants[0].Scenario
+	scenario.Rules.DrainGrace, scenario.Rules.PurgeGrace, scenario.Fleet.PurgeDuration = gracePeriod, gracePeriod, 4*gracePeriod
+	s := &site{t: t, clock: clock.System(), scenario: scenario, settings: scenario.Settings(0, 0)}
 	window := 0.0
 	var names []string
-	for _, c := range spec.Traffic.Classes {
+	for _, c := range scenario.Traffic.Classes {
 		names = append(names, c.Name)
-		window = max(window, c.Window)
+		window = max(window, c.DedupWindow)
 	}
 	s.fleet = fleet.New(fleet.Options{Clock: s.clock, TransferTime: 1, FillTime: 3, PurgeDelay: 4 * gracePeriod, MaxCopies: 200, IdempotencyWindow: window})
 	t.Cleanup(s.fleet.Close)
@@ -85,7 +85,7 @@
 	s.front = resp.New(ln, 500, s.clock, s.core)
 	go func() { _ = s.front.Serve() }()
 	t.Cleanup(func() { s.front.Close() })
-	s.clients = newClients(t, ln.Addr().String(), spec.Traffic.Classes)
+	s.clients = newClients(t, ln.Addr().String(), scenario.Traffic.Classes)
 	return s
 }
 
@@ -268,7 +268,7 @@
 			if class.Write {
 				object = fmt.Sprintf("%016x", c.rng.Uint64()|1)
 			}
-			if class.Effect == "keyed" {
+			if class.Effect == sim.IdempotentByKey {
 				key = fmt.Sprintf("%032x", c.rng.Uint64()|1)
 			}
 			requests = append(requests, c.send(class, object, key, false))
@@ -277,7 +277,7 @@
 	c.wait(requests)
 	var retries []*request
 	for _, q := range requests {
-		if len(q.answers) > 0 && (q.answers[0] == "full" || q.answers[0] == "fault" && q.class.Effect != "unsafe") {
+		if len(q.answers) > 0 && (q.answers[0] == "full" || q.answers[0] == "fault" && q.class.Effect != sim.NotIdempotent) {
 			retries = append(retries, c.send(q.class, q.object, q.key, true))
 		}
 	}
@@ -360,7 +360,7 @@
 		require.Equal(t, q.class.Name, x.Class)
 		require.Equal(t, q.object, x.Object)
 		require.Equal(t, q.key, x.Key, "%s of %s", x.RequestID, x.Class)
-		require.Equal(t, q.class.Effect == "keyed", x.Key != "")
+		require.Equal(t, q.class.Effect == sim.IdempotentByKey, x.Key != "")
 		require.Equal(t, q.class.Write, x.Write)
 		require.NotEqual(t, otherZone, x.Server, "a cache of another zone")
 		require.NotEqual(t, otherZone, x.Source, "a cache of another zone")
@@ -368,7 +368,7 @@
 			require.Less(t, x.Server, otherZone, "no request bypasses the caches")
 		}
 		attempts[x.RequestID] = append(attempts[x.RequestID], x)
-		if x.Write && x.Answer == "served" && q.class.Effect == "unsafe" {
+		if x.Write && x.Answer == "served" && q.class.Effect == sim.NotIdempotent {
 			writes[x.Object]++
 		}
 	}
@@ -377,7 +377,7 @@
 	}
 	for id, list := range attempts {
 		require.LessOrEqual(t, len(list), s.settings.MaxAttempts)
-		if byID[id].class.Effect != "unsafe" {
+		if byID[id].class.Effect != sim.NotIdempotent {
 			continue
 		}
 		slices.SortStableFunc(list, func(a, b fleet.Observation) int { return cmp.Compare(a.At, b.At) })
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -27,7 +27,7 @@
 type Variant struct {
 	Name       string
 	SweepValue float64 // of the parameter that is swept; 0 without a sweep
-	Spec       sim.Spec
+	Scenario   sim.Scenario
 }
 
 // Bounds of an experiment.
@@ -64,7 +64,7 @@
 	case err != nil:
 		return nil, strictjson.Defects{{File: file, Reason: err.Error()}}
 	}
-	return &Experiment{Name: variants[0].Spec.Name, Seeds: doc.seeds, Variants: variants}, nil
+	return &Experiment{Name: variants[0].Scenario.Name, Seeds: doc.seeds, Variants: variants}, nil
 }
 
 // parseDocument separates the experiment's keys from the scenario's.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -32,8 +32,8 @@
 		names = append(names, v.Name)
 	}
 	require.Equal(t, []string{"base, /traffic/per_s 20", "base, /traffic/per_s 40", "more, /traffic/per_s 20", "more, /traffic/per_s 40"}, names)
-	require.Equal(t, 5, e.Variants[2].Spec.Fleet.Caches)
-	require.Equal(t, "hang", e.Variants[3].Spec.Troubles[0].Kind)
+	require.Equal(t, 5, e.Variants[2].Scenario.Fleet.CachesPerBranch)
+	require.Equal(t, sim.HangCaches, e.Variants[3].Scenario.Faults[0].Kind)
 	for text, want := range map[string]string{
 		`{`:                                      "f:1:2: ends too early: parsing value: unexpected EOF",
 		`{"seeds": 0}`:                           "f: seeds is not 1 to 1000",
@@ -109,16 +109,18 @@
 
 // A scenario in which caches without copies are overloaded at once is reduced, and still breaks a rule.
 func TestShrinkKeepsTheViolation(t *testing.T) {
-	s := sim.Default()
-	s.Seconds, s.Fleet.FallsAt, s.Fleet.FallsIn, s.Fleet.ColdFrom = 24, 1, 50, 0.05
-	s.Troubles = []sim.Trouble{{At: 1, For: 2, Kind: "burst", Size: 2}, {At: 2, For: 2, Kind: "branch_lost"}, {At: 5, For: 2, Kind: "hang"}}
+	s := sim.DefaultScenario()
+	s.Seconds, s.Fleet.OverloadMultiple, s.Fleet.OverloadWindow, s.Fleet.InitialCapacity = 24, 1, 50, 0.05
+	s.Faults = []sim.Fault{
+		{At: 1, Duration: 2, Kind: sim.Burst, Magnitude: 2}, {At: 2, Duration: 2, Kind: sim.LoseBranch}, {At: 5, Duration: 2, Kind: sim.HangCaches},
+	}
 	played := 0
-	smallest, err := experiment.Shrink(context.Background(), s, 2, func(sim.Spec, bool) { played++ })
+	smallest, err := experiment.Shrink(context.Background(), s, 2, func(sim.Scenario, bool) { played++ })
 	require.NoError(t, err)
-	require.Less(t, len(smallest.Troubles), 3)
-	require.Equal(t, "branch_lost", smallest.Troubles[len(smallest.Troubles)-1].Kind)
+	require.Less(t, len(smallest.Faults), 3)
+	require.Equal(t, sim.LoseBranch, smallest.Faults[len(smallest.Faults)-1].Kind)
 	require.Greater(t, played, 3)
-	_, err = experiment.Shrink(context.Background(), sim.Spec{Seconds: 1, Traffic: sim.Default().Traffic, Fleet: sim.Default().Fleet}, 1, func(sim.Spec, bool) {})
+	_, err = experiment.Shrink(context.Background(), sim.Scenario{Seconds: 1, Traffic: sim.DefaultScenario().Traffic, Fleet: sim.DefaultScenario().Fleet}, 1, func(sim.Scenario, bool) {})
 	require.ErrorContains(t, err, "no rule breaks")
 }
 
--- a/internal/lab/experiment/policy_floors_test.go
+++ b/internal/lab/experiment/policy_floors_test.go
@@ -21,27 +21,27 @@
 type floors struct{ random, late [3]float64 }
 
 // thirds are the value requested and served of one class in each third of the run, over all seeds.
-type thirds [3]sim.Part
+type thirds [3]sim.Period
 
 // playAll plays the first scenario of a file with each of its seeds and sums the results by class.
 func playAll(t *testing.T, e *experiment.Experiment, p sim.Player) map[string]*thirds {
 	t.Helper()
 	sums := map[string]*thirds{}
 	for seed := range uint64(e.Seeds) {
-		r, err := sim.Play(context.Background(), e.Variants[0].Spec, seed+1, p)
+		r, err := sim.Play(context.Background(), e.Variants[0].Scenario, seed+1, p)
 		require.NoError(t, err)
 		for _, c := range r.Classes {
-			require.Equal(t, c.Wants, c.Served+c.Lost, "%s, seed %d, %s: every want ends", p.Name, seed+1, c.Name)
+			require.Equal(t, c.Requests, c.Served+c.Abandoned, "%s, seed %d, %s: every request ends", p.Name, seed+1, c.Name)
 			if sums[c.Name] == nil {
 				sums[c.Name] = &thirds{}
 			}
 			for i, x := range c.Thirds {
-				sums[c.Name][i].Asked += x.Asked
-				sums[c.Name][i].Got += x.Got
+				sums[c.Name][i].RequestedValue += x.RequestedValue
+				sums[c.Name][i].ServedValue += x.ServedValue
 			}
 		}
 		t.Logf("%s, %s, seed %d: worth %.3f, worst 10 s %.3f, hits %.3f, %.2f tries, %.2f attempts, origin %d, broken %d",
-			e.Name, p.Name, seed+1, r.Worth, r.Worst10s, r.HitShare, r.Tries, r.Attempts, r.Origin, r.Broken)
+			e.Name, p.Name, seed+1, r.ServedValue, r.WorstServedValue, r.HitRatio, r.ClientAttempts, r.UpstreamAttempts, r.OriginFills, r.Violations)
 	}
 	return sums
 }
@@ -79,12 +79,13 @@
 			for class, f := range want {
 				for i, m := range module[class] {
 					r, l := random[class][i], late[class][i]
-					require.Equal(t, m.Asked, r.Asked, "all players get the same requests")
-					require.Equal(t, m.Asked, l.Asked, "all players get the same requests")
+					require.Equal(t, m.RequestedValue, r.RequestedValue, "all players get the same requests")
+					require.Equal(t, m.RequestedValue, l.RequestedValue, "all players get the same requests")
 					at := fmt.Sprintf("%s, third %d", class, i+1)
 					t.Logf("%-22s served %.3f of what was asked, random %.3f, late-seeing %.3f: ratios %.3f, %.3f",
-						at, m.Got/m.Asked, r.Got/r.Asked, l.Got/l.Asked, m.Got/r.Got, m.Got/l.Got)
-					if m.Got < f.random[i]*r.Got || m.Got < f.late[i]*l.Got {
+						at, m.ServedValue/m.RequestedValue, r.ServedValue/r.RequestedValue, l.ServedValue/l.RequestedValue,
+						m.ServedValue/r.ServedValue, m.ServedValue/l.ServedValue)
+					if m.ServedValue < f.random[i]*r.ServedValue || m.ServedValue < f.late[i]*l.ServedValue {
 						t.Errorf("%s: below its floors of %.2f and %.2f", at, f.random[i], f.late[i])
 					}
 				}
@@ -98,9 +99,9 @@
 	for _, name := range []string{"terminal-maps", "tabletop"} {
 		for _, v := range readFile(t, name).Variants {
 			for seed := range uint64(4) {
-				r, err := sim.Run(context.Background(), v.Spec, seed+1)
+				r, err := sim.Run(context.Background(), v.Scenario, seed+1)
 				require.NoError(t, err)
-				for _, text := range r.Rules {
+				for _, text := range r.ViolationTexts {
 					first, _, _ := strings.Cut(text, "\n")
 					t.Errorf("%s, %s: %s", name, v.Name, first)
 				}
--- a/internal/lab/experiment/runs.go
+++ b/internal/lab/experiment/runs.go
@@ -97,7 +97,7 @@
 		go func() {
 			defer wait.Done()
 			for j := range queue {
-				result, err := sim.Run(ctx, j.variant.Spec, j.seed)
+				result, err := sim.Run(ctx, j.variant.Scenario, j.seed)
 				mu.Lock()
 				if err != nil && first == nil {
 					first = err
--- a/internal/lab/experiment/shrink.go
+++ b/internal/lab/experiment/shrink.go
@@ -13,10 +13,10 @@
 
 // Shrink reduces a scenario that breaks a rule for as long as it still breaks one: fewer faults, less time, a smaller fleet,
 // less traffic. It returns the smallest scenario found, and calls played for each scenario with whether a rule was broken.
-func Shrink(ctx context.Context, s sim.Spec, seed uint64, played func(s sim.Spec, violates bool)) (sim.Spec, error) {
-	violates := func(candidate sim.Spec) bool {
+func Shrink(ctx context.Context, s sim.Scenario, seed uint64, played func(s sim.Scenario, violates bool)) (sim.Scenario, error) {
+	violates := func(candidate sim.Scenario) bool {
 		result, err := sim.Run(ctx, candidate, seed)
-		violated := err == nil && result.Broken > 0
+		violated := err == nil && result.Violations > 0
 		played(candidate, violated)
 		return violated
 	}
@@ -35,24 +35,24 @@
 }
 
 // reductions returns scenarios that are one step smaller: one without each of the faults, and one with each of the sizes halved.
-func reductions(s sim.Spec) (smaller []sim.Spec) {
-	for i := range s.Troubles {
+func reductions(s sim.Scenario) (smaller []sim.Scenario) {
+	for i := range s.Faults {
 		candidate := s
-		candidate.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+		candidate.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
 		smaller = append(smaller, candidate)
 	}
-	for _, size := range []*int{&s.Fleet.Branches, &s.Fleet.Caches, &s.Fleet.Proxies, &s.Fleet.Hubs, &s.Traffic.Objects} {
+	for _, size := range []*int{&s.Fleet.Branches, &s.Fleet.CachesPerBranch, &s.Fleet.ProxiesPerBranch, &s.Fleet.Hubs, &s.Traffic.Objects} {
 		if original := *size; original > 1 {
 			*size = original / 2
 			smaller = append(smaller, s)
 			*size = original
 		}
 	}
-	for _, size := range []*float64{&s.Seconds, &s.Traffic.PerS} {
+	for _, size := range []*float64{&s.Seconds, &s.Traffic.Rate} {
 		if original := *size; original > 1 {
 			*size = original / 2
 			candidate := s
-			candidate.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t sim.Trouble) bool { return t.At > candidate.Seconds })
+			candidate.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f sim.Fault) bool { return f.At > candidate.Seconds })
 			smaller = append(smaller, candidate)
 			*size = original
 		}
--- a/internal/lab/experiment/variants.go
+++ b/internal/lab/experiment/variants.go
@@ -42,11 +42,11 @@
 		if err != nil {
 			return nil, err
 		}
-		spec, defects := sim.Parse(file, scenario.Pack())
+		parsed, defects := sim.Parse(file, scenario.Pack())
 		if defects != nil {
 			return nil, defects
 		}
-		variants = append(variants, Variant{Name: p.name, SweepValue: p.sweepValue, Spec: spec})
+		variants = append(variants, Variant{Name: p.name, SweepValue: p.sweepValue, Scenario: parsed})
 	}
 	return variants, nil
 }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -32,7 +32,7 @@
 )
 
 // plotBySecond plots a value of each second, averaged over seeds, with a line for each variant.
-func plotBySecond(title, unit string, runs []experiment.Run, value func(sim.Window) float64) (template.HTML, error) {
+func plotBySecond(title, unit string, runs []experiment.Run, value func(sim.Second) float64) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.Y.Min = 0
@@ -54,14 +54,14 @@
 }
 
 // meanBySecond returns the mean of a value over results, for each second but the last one, which is incomplete.
-func meanBySecond(results []*sim.Result, value func(sim.Window) float64) plotter.XYs {
+func meanBySecond(results []*sim.Result, value func(sim.Second) float64) plotter.XYs {
 	var sums []float64
 	for _, r := range results {
-		for second, window := range r.Windows {
-			if second == len(sums) {
+		for i, second := range r.Seconds {
+			if i == len(sums) {
 				sums = append(sums, 0)
 			}
-			sums[second] += value(window)
+			sums[i] += value(second)
 		}
 	}
 	points := make(plotter.XYs, 0, len(sums))
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -29,7 +29,7 @@
 	}
 	var violations []string
 	for _, run := range runs {
-		violations = append(violations, run.Result.Rules...)
+		violations = append(violations, run.Result.ViolationTexts...)
 	}
 	t, err := template.New("page").Parse(page)
 	if err != nil {
@@ -52,9 +52,9 @@
 		}
 	}
 	add(plotBySecond("Worth served of what was asked", "share", runs, servedValue))
-	add(plotBySecond("Fills that the origin gave", "a second", runs, func(second sim.Window) float64 { return float64(second.Origin) }))
-	add(plotBySecond("Worth asked", "a second", runs, func(second sim.Window) float64 { return second.Asked }))
-	add(plotSweep("Worth served, by what was swept", runs, func(r *sim.Result) float64 { return r.Worth }))
-	add(plotSweep("Tries of clients a want, by what was swept", runs, func(r *sim.Result) float64 { return r.Tries }))
+	add(plotBySecond("Fills that the origin gave", "a second", runs, func(second sim.Second) float64 { return float64(second.OriginFills) }))
+	add(plotBySecond("Worth asked", "a second", runs, func(second sim.Second) float64 { return second.RequestedValue }))
+	add(plotSweep("Worth served, by what was swept", runs, func(r *sim.Result) float64 { return r.ServedValue }))
+	add(plotSweep("Tries of clients a want, by what was swept", runs, func(r *sim.Result) float64 { return r.ClientAttempts }))
 	return plots, err
 }
--- a/internal/lab/report/rows.go
+++ b/internal/lab/report/rows.go
@@ -40,17 +40,17 @@
 	}
 	row := Row{
 		Name: name, Seeds: len(results),
-		ServedValue:       estimate(func(r *sim.Result) float64 { return r.Worth }),
-		WorstServedValue:  estimate(func(r *sim.Result) float64 { return r.Worst10s }),
+		ServedValue:       estimate(func(r *sim.Result) float64 { return r.ServedValue }),
+		WorstServedValue:  estimate(func(r *sim.Result) float64 { return r.WorstServedValue }),
 		RecoverySeconds:   estimate(Recovery),
-		ClientAttempts:    estimate(func(r *sim.Result) float64 { return r.Tries }),
-		UpstreamAttempts:  estimate(func(r *sim.Result) float64 { return r.Attempts }),
-		HitRatio:          estimate(func(r *sim.Result) float64 { return r.HitShare }),
-		OriginFills:       estimate(func(r *sim.Result) float64 { return float64(r.Origin) }),
+		ClientAttempts:    estimate(func(r *sim.Result) float64 { return r.ClientAttempts }),
+		UpstreamAttempts:  estimate(func(r *sim.Result) float64 { return r.UpstreamAttempts }),
+		HitRatio:          estimate(func(r *sim.Result) float64 { return r.HitRatio }),
+		OriginFills:       estimate(func(r *sim.Result) float64 { return float64(r.OriginFills) }),
 		SlowestClassP99Ms: estimate(slowestClassP99),
 	}
 	for _, r := range results {
-		row.Violations += r.Broken
+		row.Violations += r.Violations
 	}
 	return row
 }
@@ -93,31 +93,31 @@
 // the rest of the run if it did not recover.
 func Recovery(r *sim.Result) float64 {
 	worst := 0
-	for i, second := range r.Windows {
-		if second.Asked > 0 && servedValue(second) < servedValue(r.Windows[worst]) {
+	for i, second := range r.Seconds {
+		if second.RequestedValue > 0 && servedValue(second) < servedValue(r.Seconds[worst]) {
 			worst = i
 		}
 	}
-	if servedValue(r.Windows[worst]) >= recoveredAt {
+	if servedValue(r.Seconds[worst]) >= recoveredAt {
 		return 0
 	}
 	inRow := 0
-	for i := worst; i < len(r.Windows); i++ {
+	for i := worst; i < len(r.Seconds); i++ {
 		inRow++
-		if servedValue(r.Windows[i]) < recoveredAt {
+		if servedValue(r.Seconds[i]) < recoveredAt {
 			inRow = 0
 		}
 		if inRow == recoverySpan {
 			return float64(i - (recoverySpan - 1) - worst)
 		}
 	}
-	return float64(len(r.Windows) - worst)
+	return float64(len(r.Seconds) - worst)
 }
 
 // servedValue returns the value served over the value requested in a second; 1 if nothing was requested.
-func servedValue(second sim.Window) float64 {
-	if second.Asked == 0 {
+func servedValue(second sim.Second) float64 {
+	if second.RequestedValue == 0 {
 		return 1
 	}
-	return second.Got / second.Asked
+	return second.ServedValue / second.RequestedValue
 }
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -9,98 +9,105 @@
 	"ravenwheel/policy"
 )
 
-// Random asks any cache of its branch that the list calls ready, fills from any parent, and tries again elsewhere while that
-// is allowed and time is left. It learns nothing.
-var Random = Player{Name: "random", Make: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
+// Random is a player that sends requests to any ready cache of its branch, fills from any parent, and retries elsewhere while
+// that is allowed and time is left. It learns nothing.
+var Random = Player{Name: "random", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
 	return newBaseline(s, seed, nil), nil
 }}
 
-// LateSeeing sees the fleet as it truly was so many ms ago: it asks the least busy cache that held the object or, where none
-// did, the least busy of all, and fills from the least busy that held it, else from the least busy parent.
-func LateSeeing(ms float64) Player {
-	return Player{Name: "late-seeing", Late: ms, Make: func(s policy.Settings, seed uint64, v View) (Decider, error) {
+// LateSeeing returns a player that sees the true state of the fleet with a delay in ms. It sends requests to the least utilized
+// cache that has the object or, if none has it, to the least utilized one, and fills from parents in the same way.
+func LateSeeing(delay float64) Player {
+	return Player{Name: "late-seeing", ViewDelay: delay, New: func(s policy.Settings, seed uint64, v View) (Decider, error) {
 		return newBaseline(s, seed, v), nil
 	}}
 }
 
-// baseline is a decider that keeps the rules on drains, repeats and purges, and leaves out all else: limits, ramps, budgets,
-// and judgement.
+// baseline is a decider that keeps the rules on drains, retries and purges, and does nothing else: it has no limits, warm-up,
+// retry budget or outlier detection.
 type baseline struct {
-	set     policy.Settings
-	rng     *rand.Rand
-	view    View // nil: it sees nothing
-	members []policy.Member
-	open    map[string]*baselineRequest
-	timers  map[uint64]string
-	token   uint64
-	purged  map[string]policy.Time
+	settings  policy.Settings
+	rng       *rand.Rand
+	view      View            // nil: servers are chosen at random
+	members   []policy.Member // ready ones, by id
+	requests  map[string]*baselineRequest
+	timers    map[uint64]string // ids of requests, by token
+	lastToken uint64
+	purges    map[string]policy.Time // by object
 }
 
 type baselineRequest struct {
 	policy.Request
-	due   policy.Time
-	tried []baselineTry
+	due      policy.Time
+	attempts []baselineAttempt
 }
 
-type baselineTry struct {
-	to   policy.CacheID
-	src  policy.CacheID
-	sent policy.Time
-	ran  bool // or may have
+type baselineAttempt struct {
+	target, source policy.CacheID
+	sent           policy.Time
+	mayHaveRun     bool
 }
 
-// baselineTries: attempts for a request at the most.
-const baselineTries = 4
+// maxBaselineAttempts bounds the attempts for a request.
+const maxBaselineAttempts = 4
 
 func newBaseline(s policy.Settings, seed uint64, v View) *baseline {
 	return &baseline{
-		set: s, rng: rand.New(rand.NewPCG(seed, 1)), view: v, open: map[string]*baselineRequest{}, timers: map[uint64]string{},
-		purged: map[string]policy.Time{},
+		settings: s, rng: rand.New(rand.NewPCG(seed, 1)), view: v, requests: map[string]*baselineRequest{}, timers: map[uint64]string{},
+		purges: map[string]policy.Time{},
 	}
 }
 
 // Handle implements Decider.
-func (b *baseline) Handle(now policy.Time, e policy.Event, acts []policy.Action) []policy.Action {
+func (b *baseline) Handle(now policy.Time, e policy.Event, actions []policy.Action) []policy.Action {
 	switch e := e.(type) {
 	case policy.Members:
-		b.list(e)
+		b.updateMembers(e)
 	case policy.Purged:
-		b.purged[e.Object] = max(b.purged[e.Object], now-e.Age)
+		b.purges[e.Object] = max(b.purges[e.Object], now-e.Age)
 	case policy.Request:
-		q := &baselineRequest{Request: e, due: now + e.TimeLeft}
-		b.open[e.ID] = q
-		b.token++
-		b.timers[b.token] = e.ID
-		acts = append(acts, policy.SetTimer{Token: b.token, After: e.TimeLeft})
-		return b.send(now, q, acts)
+		return b.handleRequest(now, e, actions)
 	case policy.Timer:
 		id := b.timers[e.Token]
 		delete(b.timers, e.Token)
-		if q := b.open[id]; q != nil {
-			return b.giveUp(q, acts)
+		if r := b.requests[id]; r != nil {
+			return b.giveUp(r, actions)
 		}
 	case policy.Outcome:
-		q := b.open[e.ID]
-		if q == nil {
-			break
-		}
-		if e.Final || e.Result == policy.OK {
-			delete(b.open, e.ID)
-			break
-		}
-		never := []policy.Result{policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss}
-		q.tried[e.Attempt].ran = !slices.Contains(never, e.Result)
-		return b.send(now, q, acts)
+		return b.handleOutcome(now, e, actions)
+	}
+	return actions
+}
+
+func (b *baseline) handleRequest(now policy.Time, e policy.Request, actions []policy.Action) []policy.Action {
+	r := &baselineRequest{Request: e, due: now + e.TimeLeft}
+	b.requests[e.ID] = r
+	b.lastToken++
+	b.timers[b.lastToken] = e.ID
+	actions = append(actions, policy.SetTimer{Token: b.lastToken, After: e.TimeLeft})
+	return b.send(now, r, actions)
+}
+
+func (b *baseline) handleOutcome(now policy.Time, e policy.Outcome, actions []policy.Action) []policy.Action {
+	r := b.requests[e.ID]
+	if r == nil {
+		return actions
 	}
-	return acts
+	if e.Final || e.Result == policy.OK {
+		delete(b.requests, e.ID)
+		return actions
+	}
+	neverRan := []policy.Result{policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss}
+	r.attempts[e.Attempt].mayHaveRun = !slices.Contains(neverRan, e.Result)
+	return b.send(now, r, actions)
 }
 
-func (b *baseline) list(e policy.Members) {
+func (b *baseline) updateMembers(e policy.Members) {
 	if e.Kind == policy.ListFull {
 		b.members = nil
 	}
 	for _, m := range e.Entries {
-		b.members = slices.DeleteFunc(b.members, func(x policy.Member) bool { return x.ID == m.ID })
+		b.members = slices.DeleteFunc(b.members, func(known policy.Member) bool { return known.ID == m.ID })
 		if m.State == policy.Ready {
 			b.members = append(b.members, m)
 		}
@@ -108,91 +115,104 @@
 	slices.SortFunc(b.members, func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// mayRepeat tells whether a request may go out again: the module's own rule.
-func (b *baseline) mayRepeat(now policy.Time, q *baselineRequest) bool {
-	c := b.set.Classes[q.Class]
-	for _, t := range q.tried {
-		if t.ran && (c.Idempotency == policy.NotIdempotent || c.Idempotency == policy.IdempotentByKey && now-t.sent >= c.DedupWindow) {
+// mayRetry reports whether another attempt can have no second effect: the same rule as the module's.
+func (b *baseline) mayRetry(now policy.Time, r *baselineRequest) bool {
+	class := b.settings.Classes[r.Class]
+	for _, a := range r.attempts {
+		if !a.mayHaveRun {
+			continue
+		}
+		forgotten := class.Idempotency == policy.IdempotentByKey && now-a.sent >= class.DedupWindow
+		if class.Idempotency == policy.NotIdempotent || forgotten {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *baseline) send(now policy.Time, q *baselineRequest, acts []policy.Action) []policy.Action {
-	c := b.set.Classes[q.Class]
-	if now >= q.due || len(q.tried) >= baselineTries || !b.mayRepeat(now, q) {
-		return b.giveUp(q, acts)
+// send sends an attempt, or gives the request up if that is not allowed or there is no server for it.
+func (b *baseline) send(now policy.Time, r *baselineRequest, actions []policy.Action) []policy.Action {
+	if now >= r.due || len(r.attempts) >= maxBaselineAttempts || !b.mayRetry(now, r) {
+		return b.giveUp(r, actions)
 	}
-	to, ok := b.choose(q, func(m policy.Member) bool {
-		return m.Zone == b.set.Zone && m.Kind != b.set.ParentKind && m.Kind != b.set.OriginKind
+	target, ok := b.choose(r, func(m policy.Member) bool {
+		return m.Zone == b.settings.Zone && m.Kind != b.settings.ParentKind && m.Kind != b.settings.OriginKind
 	})
 	if !ok {
-		return b.giveUp(q, acts)
+		return b.giveUp(r, actions)
 	}
-	src, ok := b.source(q, to)
+	source, ok := b.chooseSource(r)
 	if !ok {
-		return b.giveUp(q, acts)
-	}
-	q.tried = append(q.tried, baselineTry{to: to, src: src, sent: now, ran: true})
-	g := policy.Fetch{ID: q.ID, Cache: to, Source: src, Timeout: q.due - now, RetainRank: 1}
-	if at, purged := b.purged[q.Object]; c.Uncached {
-		g.RetainRank = 0
-	} else if purged && now-at <= 2*b.set.PurgeDuration {
-		g.MaxAge = max(now-at, time.Microsecond)
-	} else if b.set.CoalescesFills {
-		g.Options = policy.Coalesce
-	}
-	return append(acts, g)
+		return b.giveUp(r, actions)
+	}
+	r.attempts = append(r.attempts, baselineAttempt{target: target, source: source, sent: now, mayHaveRun: true})
+	fetch := policy.Fetch{ID: r.ID, Cache: target, Source: source, Timeout: r.due - now, RetainRank: 1}
+	purged, known := b.purges[r.Object]
+	switch {
+	case b.settings.Classes[r.Class].Uncached:
+		fetch.RetainRank = 0
+	case known && now-purged <= 2*b.settings.PurgeDuration:
+		fetch.MaxAge = max(now-purged, time.Microsecond)
+	case b.settings.CoalescesFills:
+		fetch.Options = policy.Coalesce
+	}
+	return append(actions, fetch)
 }
 
-func (b *baseline) giveUp(q *baselineRequest, acts []policy.Action) []policy.Action {
-	delete(b.open, q.ID)
-	for _, t := range q.tried {
-		if t.ran && b.set.Classes[q.Class].Idempotency == policy.NotIdempotent {
-			return append(acts, policy.Fail{ID: q.ID})
+// giveUp answers a request that is not served. It is rejected unless it may have run and must not run twice.
+func (b *baseline) giveUp(r *baselineRequest, actions []policy.Action) []policy.Action {
+	delete(b.requests, r.ID)
+	for _, a := range r.attempts {
+		if a.mayHaveRun && b.settings.Classes[r.Class].Idempotency == policy.NotIdempotent {
+			return append(actions, policy.Fail{ID: r.ID})
 		}
 	}
-	return append(acts, policy.Reject{ID: q.ID})
+	return append(actions, policy.Reject{ID: r.ID})
 }
 
-// source is where a miss is filled from.
-func (b *baseline) source(q *baselineRequest, to policy.CacheID) (policy.CacheID, bool) {
-	origin := func(m policy.Member) bool { return m.Kind == b.set.OriginKind }
-	if !b.set.Classes[q.Class].Uncached {
-		parent := func(m policy.Member) bool { return m.Kind == b.set.ParentKind }
-		if id, ok := b.choose(q, parent); ok {
+// chooseSource chooses where a miss is filled from: a parent for what is cached, else the origin.
+func (b *baseline) chooseSource(r *baselineRequest) (policy.CacheID, bool) {
+	if !b.settings.Classes[r.Class].Uncached {
+		parent := func(m policy.Member) bool { return m.Kind == b.settings.ParentKind }
+		if id, ok := b.choose(r, parent); ok {
 			return id, true
 		}
 	}
-	return b.choose(q, origin)
+	return b.choose(r, func(m policy.Member) bool { return m.Kind == b.settings.OriginKind })
 }
 
-// choose picks of the members that are fit, and were not tried, the best that it can see; without a view any.
-func (b *baseline) choose(q *baselineRequest, fit func(policy.Member) bool) (best policy.CacheID, ok bool) {
-	var list []policy.Member
+// choose chooses one of the eligible members that the request has not used: the best one in the view, or any without a view.
+func (b *baseline) choose(r *baselineRequest, eligible func(policy.Member) bool) (best policy.CacheID, ok bool) {
+	var candidates []policy.Member
 	for _, m := range b.members {
-		tried := slices.ContainsFunc(q.tried, func(t baselineTry) bool { return t.to == m.ID || t.src == m.ID && m.Kind == b.set.ParentKind })
-		if fit(m) && !tried {
-			list = append(list, m)
+		used := slices.ContainsFunc(r.attempts, func(a baselineAttempt) bool {
+			return a.target == m.ID || a.source == m.ID && m.Kind == b.settings.ParentKind
+		})
+		if eligible(m) && !used {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return 0, false
 	}
 	if b.view == nil {
-		return list[b.rng.IntN(len(list))].ID, true
+		return candidates[b.rng.IntN(len(candidates))].ID, true
 	}
-	least, held := 0.0, false
-	for _, m := range list {
-		busy, up := b.view.Busy(m.ID)
+	return b.chooseByView(r, candidates)
+}
+
+// chooseByView chooses the least utilized server of those that hold the part; if none holds it, of all. A holder that is fully
+// utilized counts as any other: it would serve late what another one can fill in time.
+func (b *baseline) chooseByView(r *baselineRequest, candidates []policy.Member) (best policy.CacheID, ok bool) {
+	lowest, bestHolds := 0.0, false
+	for _, m := range candidates {
+		utilization, up := b.view.Utilization(m.ID)
 		if !up {
 			continue
 		}
-		// A holder that is full is no better than another: it would serve late what could be filled in time.
-		holds := busy < 1 && b.view.Holds(m.ID, q.Object, q.Part)
-		if !ok || holds && !held || holds == held && busy < least {
-			best, least, held, ok = m.ID, busy, holds, true
+		holds := utilization < 1 && b.view.Holds(m.ID, r.Object, r.Part)
+		if !ok || holds && !bestHolds || holds == bestHolds && utilization < lowest {
+			best, lowest, bestHolds, ok = m.ID, utilization, holds, true
 		}
 	}
 	return best, ok
--- a/internal/lab/sim/fill.go
+++ b/internal/lab/sim/fill.go
@@ -6,233 +6,234 @@
 	"ravenwheel/policy"
 )
 
-// fill is one at a cache or a parent, with the attempts that wait for it.
+// fill is a transfer of a part from a source to a cache or a parent, for the attempts that wait for it.
 type fill struct {
-	w       *world
-	to, src *server
-	key     key
-	kb      float64
-	mean    float64 // KB of its class, on average
-	keep    int
-	how     policy.FillOptions
-	oldest  float64
-	began   float64
-	epoch   int // of the process that fills
-	waits   []*attempt
-	on      []*transfer
-	left    int  // transfers that are not over
-	given   bool // the copy is on its way
-	over    bool
-	made    float64
-	note    policy.Note
+	sim            *simulation
+	target, source *server
+	key            partKey
+	kb             float64
+	classMeanKB    float64
+	retainRank     int
+	options        policy.FillOptions
+	oldest         float64 // ms; the oldest acceptable creation time
+	began          float64 // ms
+	epoch          int     // of the target's process
+	waiting        []*attempt
+	transfers      []*transfer
+	pending        int  // transfers that have not ended
+	found          bool // the source has the part, and transfers it
+	ended          bool
+	created        float64 // ms at which the origin served the part
 }
 
-// fill has an attempt's server fill what it lacks, or joins a fill that is under way there.
-func (a *attempt) fill(g policy.Fetch, oldest float64) {
-	w, x := a.r.p.w, a.r.want
-	if w.spec.Fleet.Joins && g.Options&policy.Coalesce != 0 {
-		for _, f := range a.to.under {
-			if f.key == x.key && !f.over && f.oldest >= oldest {
+// startFill has the attempt's target fill the part from the source, or join a fill in progress there.
+func (a *attempt) startFill(fetch policy.Fetch, oldest float64) {
+	s, client := a.request.proxy.sim, a.request.client
+	if s.scenario.Fleet.CoalescesFills && fetch.Options&policy.Coalesce != 0 {
+		for _, f := range a.target.fills {
+			if f.key == client.key && !f.ended && f.oldest >= oldest {
 				f.join(a)
 				return
 			}
 		}
 	}
-	if most := w.spec.Fleet.Fills; most > 0 && a.to.role == w.kinds.cache && len(a.to.under) >= most {
-		a.miss(policy.NoteNoFillSlot)
+	limit := s.scenario.Fleet.MaxFills
+	if limit > 0 && a.target.kind == kindCache && len(a.target.fills) >= limit {
+		a.respond(policy.Miss, policy.NoteNoFillSlot)
 		return
 	}
 	f := &fill{
-		w: w, to: a.to, src: a.src, key: x.key, kb: x.kb, keep: g.RetainRank, how: g.Options, oldest: oldest, began: w.now, epoch: a.to.epoch,
-		waits: []*attempt{a}, mean: w.spec.Traffic.Classes[x.class].KB,
+		sim: s, target: a.target, source: a.source, key: client.key, kb: client.kb, retainRank: fetch.RetainRank, options: fetch.Options,
+		oldest: oldest, began: s.now, epoch: a.target.epoch, waiting: []*attempt{a},
+		classMeanKB: s.scenario.Traffic.Classes[client.class].MeanKB,
 	}
-	a.from = f
-	a.to.under = append(a.to.under, f)
-	w.after(f.way(a.r.p.branch), f.ask)
+	a.fill = f
+	a.target.fills = append(a.target.fills, f)
+	s.after(f.roundTrip(a.request.proxy.branch), f.request)
 }
 
-// way is how long the question and the first of the answer take.
-func (f *fill) way(b *branch) float64 {
+// roundTrip returns the latency of the request to the source and of the first byte of its answer.
+func (f *fill) roundTrip(b *branch) float64 {
 	switch {
-	case f.to.role != f.w.kinds.cache:
-		return 2 * f.w.spec.Fleet.ToHub
-	case f.src.role == f.w.kinds.cache:
-		return 2 * f.w.spec.Fleet.Near
+	case f.target.kind != kindCache:
+		return 2 * f.sim.scenario.Fleet.HubLatency
+	case f.source.kind == kindCache:
+		return 2 * f.sim.scenario.Fleet.BranchLatency
 	}
-	return 2 * f.w.far(b, f.src.zone)
+	return 2 * f.sim.hubLatency(b, f.source.zone)
 }
 
-// alive: still wanted, at a process that is still the same.
-func (f *fill) alive() bool { return !f.over && f.epoch == f.to.epoch }
+// alive reports whether the fill is in progress at a process that still runs.
+func (f *fill) alive() bool { return !f.ended && f.epoch == f.target.epoch }
 
-// ask is a fill as it reaches its source.
-func (f *fill) ask() {
-	w, src := f.w, f.src
+// request handles the fill when it reaches its source.
+func (f *fill) request() {
+	s, source := f.sim, f.source
 	if !f.alive() {
 		return
 	}
-	switch {
-	case src.state == lost:
+	switch source.state {
+	case serverKilled:
 		f.fail(policy.NoteSourceLost, 0)
 		return
-	case src.state == hung:
-		w.after(w.spec.Fleet.FillWait, func() { f.fail(policy.NoteSourceLost, w.now-f.began) })
+	case serverHung:
+		s.after(s.scenario.Fleet.FillTimeout, func() { f.fail(policy.NoteSourceLost, s.now-f.began) })
 		return
 	}
-	src.load(f.mean)
-	if src.role == w.kinds.origin {
-		w.line.ask(func(ok bool) {
+	source.addLoad(f.classMeanKB)
+	if source.kind == kindOrigin {
+		s.originServer.request(func(ok bool) {
 			if !ok {
 				f.fail(policy.NoteSourceRejected, 0)
 				return
 			}
-			f.got(w.now, policy.NoteFilledOrigin)
+			f.begin(s.now, policy.NoteFilledOrigin)
 		})
 		return
 	}
-	if h := src.store.get(f.key, f.oldest, 0); h != nil {
-		f.got(h.made, policy.NoteFilled)
+	if cached := source.store.get(f.key, f.oldest, 0); cached != nil {
+		f.begin(cached.created, policy.NoteFilled)
 		return
 	}
-	if src.role != w.kinds.parent || f.how&policy.CachedOnly != 0 {
+	if source.kind != kindParent || f.options&policy.CachedOnly != 0 {
 		f.fail(policy.NoteSourceMiss, 0)
 		return
 	}
-	src.fetch(f)
+	source.fetchFromOrigin(f)
 }
 
-// asked is what a parent fetches from the origin, with the fills that wait for it.
-type asked struct{ fills []*fill }
+// originFetch is a parent's fetch from the origin, for the fills that wait for it.
+type originFetch struct{ fills []*fill }
 
-// fetch is a parent that fetches what it lacks: where parents join, once for all who wait.
-func (s *server) fetch(f *fill) {
-	w := s.w
-	q := &asked{[]*fill{f}}
-	if w.spec.Fleet.ParentsJoin {
-		if under := s.asking[f.key]; under != nil {
-			under.fills = append(under.fills, f)
+// fetchFromOrigin has a parent fetch a part that it lacks. Where parents coalesce, fills share a fetch in progress.
+func (s *server) fetchFromOrigin(f *fill) {
+	fetch := &originFetch{[]*fill{f}}
+	if s.sim.scenario.Fleet.ParentsCoalesce {
+		if inProgress := s.originFetches[f.key]; inProgress != nil {
+			inProgress.fills = append(inProgress.fills, f)
 			return
 		}
-		s.asking[f.key] = q
+		s.originFetches[f.key] = fetch
 	}
-	w.after(2*w.spec.Fleet.ToHub, func() {
-		w.line.ask(func(ok bool) {
-			if s.asking[f.key] == q {
-				delete(s.asking, f.key)
-			}
-			kept := false
-			for _, f := range q.fills {
-				switch {
-				case !f.alive():
-				case !ok:
-					f.fail(policy.NoteOriginFailed, 0)
-				default:
-					if !kept {
-						w.out.filled(w.kinds.origin, f.kb)
-					}
-					if !kept && f.how&policy.ParentPassThrough == 0 {
-						s.keep(f.key, f.kb, w.now, 1)
-					}
-					kept = true
-					f.got(w.now, policy.NoteFilledOrigin)
-				}
+	s.sim.after(2*s.sim.scenario.Fleet.HubLatency, func() {
+		s.sim.originServer.request(func(ok bool) {
+			if s.originFetches[f.key] == fetch {
+				delete(s.originFetches, f.key)
 			}
+			s.endOriginFetch(fetch, ok)
 		})
 	})
 }
 
-// got is the copy's first byte. A fill passes on what it gets: it holds its source's link, the branch's and those of its
-// answers at once.
-func (f *fill) got(made float64, note policy.Note) {
+// endOriginFetch gives the fills what the origin answered. The parent stores the part once.
+func (s *server) endOriginFetch(fetch *originFetch, ok bool) {
+	stored := false
+	for _, f := range fetch.fills {
+		switch {
+		case !f.alive():
+		case !ok:
+			f.fail(policy.NoteOriginFailed, 0)
+		default:
+			if !stored {
+				s.sim.result.originFill(s.sim.now)
+				if f.options&policy.ParentPassThrough == 0 {
+					s.keep(f.key, f.kb, s.sim.now, 1)
+				}
+			}
+			stored = true
+			f.begin(s.sim.now, policy.NoteFilledOrigin)
+		}
+	}
+}
+
+// begin handles the first byte of the part. The fill forwards what it receives: its transfers over the source's link and the
+// branch's and those of its answers run at the same time.
+func (f *fill) begin(created float64, note policy.Note) {
 	if !f.alive() {
 		return
 	}
-	w := f.w
-	f.given, f.made, f.note = true, made, note
-	f.to.keep(f.key, f.kb, made, f.keep)
-	w.out.filled(f.src.role, f.kb)
-	if f.src.role != w.kinds.origin {
-		f.transfer(f.src.out)
+	f.found, f.created = true, created
+	f.target.keep(f.key, f.kb, created, f.retainRank)
+	if f.source.kind == kindOrigin {
+		f.sim.result.originFill(f.sim.now)
+	} else {
+		f.transfer(f.source.outbound)
 	}
-	if f.src.role != w.kinds.cache && f.to.role == w.kinds.cache {
-		f.transfer(f.to.branch.in)
+	if f.source.kind != kindCache && f.target.kind == kindCache {
+		f.transfer(f.target.branch.inbound)
 	}
-	for _, a := range slices.Clone(f.waits) {
+	for _, a := range slices.Clone(f.waiting) {
 		f.answer(a, note)
 	}
-	if f.left == 0 {
+	if f.pending == 0 {
 		f.end()
 	}
 }
 
+// transfer transfers the part over a link. When the last transfer has ended, so has the fill.
 func (f *fill) transfer(l *link) {
-	f.left++
-	f.on = append(f.on, l.start(f.kb, func() {
-		if f.left--; f.left > 0 {
+	f.pending++
+	f.transfers = append(f.transfers, l.start(f.kb, func() {
+		f.pending--
+		if f.pending > 0 {
 			return
 		}
-		waits := slices.Clone(f.waits)
+		waiting := slices.Clone(f.waiting)
 		f.end()
-		for _, a := range waits {
-			a.over()
+		for _, a := range waiting {
+			a.completeIfTransferred()
 		}
 	}))
 }
 
+// answer begins the answer to an attempt that waits.
 func (f *fill) answer(a *attempt, note policy.Note) {
-	a.waited, a.made = f.w.now-f.began, f.made
+	a.sourceWait, a.created = f.sim.now-f.began, f.created
 	a.serve(note)
 }
 
-// join has one more attempt wait for a fill.
+// join has an attempt share the fill.
 func (f *fill) join(a *attempt) {
-	a.from = f
-	f.waits = append(f.waits, a)
-	if f.given {
+	a.fill = f
+	f.waiting = append(f.waiting, a)
+	if f.found {
 		f.answer(a, policy.NoteCoalesced)
 	}
 }
 
-// fail tells all who wait why there is no copy.
-func (f *fill) fail(note policy.Note, waited float64) {
+// fail ends the fill without the part, and has the attempts that wait answered with a miss.
+func (f *fill) fail(note policy.Note, sourceWait float64) {
 	if !f.alive() {
 		return
 	}
-	waits := slices.Clone(f.waits)
+	waiting := slices.Clone(f.waiting)
 	f.end()
-	for _, a := range waits {
+	for _, a := range waiting {
 		if a.alive() {
-			a.waited = waited
-			a.miss(note)
+			a.sourceWait = sourceWait
+			a.respond(policy.Miss, note)
 		}
 	}
 }
 
-// drop takes an attempt off that no longer waits. The last one ends a fill that does not run on without clients.
-func (f *fill) drop(a *attempt) {
-	f.waits = slices.DeleteFunc(f.waits, func(x *attempt) bool { return x == a })
-	if f.over || len(f.waits) > 0 || f.w.spec.Fleet.FillsRunOn {
+// leave removes an attempt that does not wait any more. The last one ends the fill, unless fills outlive their clients.
+func (f *fill) leave(a *attempt) {
+	f.waiting = slices.DeleteFunc(f.waiting, func(waiting *attempt) bool { return waiting == a })
+	if f.ended || len(f.waiting) > 0 || f.sim.scenario.Fleet.FillsOutliveClients {
 		return
 	}
-	f.stop()
+	f.stopTransfers()
 	f.end()
 }
 
-func (f *fill) stop() {
-	for _, t := range f.on {
+func (f *fill) stopTransfers() {
+	for _, t := range f.transfers {
 		t.stop()
 	}
-	f.on = nil
+	f.transfers = nil
 }
 
 func (f *fill) end() {
-	f.over = true
-	f.to.under = slices.DeleteFunc(f.to.under, func(x *fill) bool { return x == f })
-}
-
-// keep puts a copy into a server's store.
-func (s *server) keep(k key, kb, made float64, rank int) {
-	if s.store.put(k, kb, made, rank) {
-		s.store.held[k].since = s.w.now
-	}
+	f.ended = true
+	f.target.fills = slices.DeleteFunc(f.target.fills, func(other *fill) bool { return other == f })
 }
--- a/internal/lab/sim/link.go
+++ b/internal/lab/sim/link.go
@@ -2,131 +2,137 @@
 
 import "container/heap"
 
-// link shares its bandwidth fairly among its transfers (processor sharing), each at most at the pace of one. It keeps one
-// virtual time, what each transfer has got so far, so that an arrival costs a logarithm and not a pass over all.
+// link shares its bandwidth equally among its transfers (processor sharing), up to the rate of a single transfer. It counts what
+// each transfer has received since the start, as all receive the same; so starting and ending one costs O(log n).
 type link struct {
-	q     *queue
-	rate  float64 // KB a ms
-	pace  float64 // KB a ms, of one transfer at most
-	got   float64 // KB that each transfer that is on has got since the start
-	since float64 // when got was brought up to date
-	on    transfers
-	timer uint64  // number of the wake that counts
-	moved float64 // KB in all
+	queue     *eventQueue
+	bandwidth float64 // KB/ms
+	maxRate   float64 // KB/ms of one transfer; 0: unlimited
+	received  float64 // KB that a transfer has received if it is active since the start
+	updated   float64 // ms at which received was brought up to date
+	active    transferHeap
+	wakeUp    uint64  // number of the scheduled wake-up that counts
+	totalKB   float64 // transferred
 }
 
-// transfer is one on a link.
+// transfer is a transfer on a link.
 type transfer struct {
-	l     *link
-	until float64 // of got
-	index int     // in the heap; -1: it is not on
-	seq   uint64
-	size  float64
-	done  func()
+	link     *link
+	end      float64 // value of link.received at which it ends
+	index    int     // in the heap; -1: not active
+	sequence uint64
+	done     func()
 }
 
-type transfers []*transfer
+// transferHeap orders transfers by their end. It implements heap.Interface.
+type transferHeap []*transfer
 
-func (t transfers) Len() int { return len(t) }
-func (t transfers) Less(i, j int) bool {
-	return t[i].until < t[j].until || t[i].until == t[j].until && t[i].seq < t[j].seq
+func (h transferHeap) Len() int { return len(h) }
+
+func (h transferHeap) Less(i, j int) bool {
+	return h[i].end < h[j].end || h[i].end == h[j].end && h[i].sequence < h[j].sequence
+}
+
+func (h transferHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (t transfers) Swap(i, j int) { t[i], t[j] = t[j], t[i]; t[i].index, t[j].index = i, j }
 
 // Push implements heap.Interface.
-func (t *transfers) Push(x any) {
-	x.(*transfer).index = len(*t)
-	*t = append(*t, x.(*transfer))
+func (h *transferHeap) Push(x any) {
+	x.(*transfer).index = len(*h)
+	*h = append(*h, x.(*transfer))
 }
 
 // Pop implements heap.Interface.
-func (t *transfers) Pop() any {
-	old := *t
-	x := old[len(old)-1]
+func (h *transferHeap) Pop() any {
+	old := *h
+	t := old[len(old)-1]
 	old[len(old)-1] = nil
-	*t = old[:len(old)-1]
-	x.index = -1
-	return x
+	*h = old[:len(old)-1]
+	t.index = -1
+	return t
 }
 
-// share is what one transfer gets now.
-func (l *link) share() float64 {
-	if len(l.on) == 0 {
+// rate returns the present rate of one transfer, in KB/ms.
+func (l *link) rate() float64 {
+	if len(l.active) == 0 {
 		return 0
 	}
-	s := l.rate / float64(len(l.on))
-	if l.pace > 0 {
-		s = min(s, l.pace)
+	rate := l.bandwidth / float64(len(l.active))
+	if l.maxRate > 0 {
+		rate = min(rate, l.maxRate)
 	}
-	return s
+	return rate
 }
 
-// advance brings what was got up to now.
-func (l *link) advance() {
-	d := l.share() * (l.q.now - l.since)
-	l.got += d
-	l.moved += d * float64(len(l.on))
-	l.since = l.q.now
-	if len(l.on) == 0 {
-		l.got = 0 // or it would lose its last digits over a long run
+// update brings the counts up to now.
+func (l *link) update() {
+	received := l.rate() * (l.queue.now - l.updated)
+	l.received += received
+	l.totalKB += received * float64(len(l.active))
+	l.updated = l.queue.now
+	if len(l.active) == 0 {
+		l.received = 0 // keeps it small, so that it stays precise over a long run
 	}
 }
 
-// start puts a transfer of so many KB on the link, and calls done when it is over.
+// start starts a transfer and calls done when it has ended.
 func (l *link) start(kb float64, done func()) *transfer {
-	l.advance()
-	t := &transfer{l: l, until: l.got + kb, size: kb, done: done, seq: l.q.seq}
-	l.q.seq++
-	heap.Push(&l.on, t)
-	l.arm()
+	l.update()
+	t := &transfer{link: l, end: l.received + kb, done: done, sequence: l.queue.sequence}
+	l.queue.sequence++
+	heap.Push(&l.active, t)
+	l.schedule()
 	return t
 }
 
-// stop takes a transfer off before it is over.
+// stop stops a transfer that has not ended. done is not called.
 func (t *transfer) stop() {
 	if t == nil || t.index < 0 {
 		return
 	}
-	t.l.advance()
-	heap.Remove(&t.l.on, t.index)
-	t.l.arm()
+	t.link.update()
+	heap.Remove(&t.link.active, t.index)
+	t.link.schedule()
 }
 
-// set changes the link's rate: a cold server warms, a hurt one slows.
-func (l *link) set(rate float64) {
-	l.advance()
-	l.rate = rate
-	l.arm()
+// setBandwidth changes the bandwidth, in KB/ms.
+func (l *link) setBandwidth(bandwidth float64) {
+	l.update()
+	l.bandwidth = bandwidth
+	l.schedule()
 }
 
-// arm asks to be woken when the next transfer is over.
-func (l *link) arm() {
-	l.timer++
-	s := l.share()
-	if len(l.on) == 0 || s <= 0 {
-		return // nothing moves: a link of no capacity ends nothing, and its transfers time out elsewhere
+// schedule schedules a wake-up for the end of the next transfer, in place of the one before. Without bandwidth no transfer ends.
+func (l *link) schedule() {
+	l.wakeUp++
+	rate := l.rate()
+	if len(l.active) == 0 || rate <= 0 {
+		return
 	}
-	mine := l.timer
-	l.q.after(max(0, l.on[0].until-l.got)/s, func() {
-		if mine == l.timer {
-			l.wake()
+	number := l.wakeUp
+	l.queue.after(max(0, l.active[0].end-l.received)/rate, func() {
+		if number == l.wakeUp {
+			l.endTransfers()
 		}
 	})
 }
 
-// instant ms are no time: what is due within them is due now. Guards against a transfer that rounding leaves a hair short:
-// late in a long run the time until it is over can be too small to move the clock, and it would be woken for for ever.
-const instant = 1e-6
+// timeResolution is the time, in ms, within which a transfer counts as ended. Late in a long run, the time until its end may be
+// too small to advance the clock, which would schedule wake-ups forever.
+const timeResolution = 1e-6
 
-func (l *link) wake() {
-	l.advance()
-	var over []*transfer
-	short := l.share() * instant
-	for len(l.on) > 0 && l.on[0].until <= l.got+short {
-		over = append(over, heap.Pop(&l.on).(*transfer))
+// endTransfers ends the transfers that are due.
+func (l *link) endTransfers() {
+	l.update()
+	var ended []*transfer
+	tolerance := l.rate() * timeResolution
+	for len(l.active) > 0 && l.active[0].end <= l.received+tolerance {
+		ended = append(ended, heap.Pop(&l.active).(*transfer))
 	}
-	l.arm()
-	for _, t := range over {
+	l.schedule()
+	for _, t := range ended {
 		t.done()
 	}
 }
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -6,240 +6,262 @@
 	"slices"
 	"strconv"
 	"strings"
-	"time"
 
 	"ravenwheel/policy"
 )
 
-// proxy is one instance: the module, and what it has under way. It knows nothing of the others.
+// proxy is one proxy, over all its starts.
 type proxy struct {
-	w      *world
-	no     int
-	branch *branch
-	router Decider
-	lives  int                 // processes that it was before
-	down   bool                // between two of them
-	list   []policy.Member     // as told last
-	live   map[string]*request // never ranged over
-	inbox  []policy.Event
-	busy   bool
-	acts   []policy.Action
+	sim     *simulation
+	number  int // among all
+	branch  *branch
+	decider Decider
+	starts  int
+	down    bool
+	members []policy.Member     // as notified last; a process that restarts begins with them
+	live    map[string]*request // by id; iterated only where the result is sorted
 
-	// Of the checker: what it was told, and when.
-	drained map[policy.CacheID]float64
-	purges  map[int32][2]float64 // made, told
+	inbox    []policy.Event
+	handling bool
+	actions  []policy.Action
+
+	// For the checker: when the proxy was notified of drains, and of purges by object.
+	drains map[policy.CacheID]float64
+	purges map[int32]purgeNotification
 }
 
-// request is one try of a client at a proxy.
+// request is one attempt of a client at a proxy.
 type request struct {
 	id       string
-	want     *want
-	p        *proxy
-	due      float64
+	client   *clientRequest
+	proxy    *proxy
+	due      float64 // ms
 	attempts []*attempt
 	answered bool
-	dead     bool // its proxy's process ended under it: nothing is owed
-}
-
-// attempt is one at a server.
-type attempt struct {
-	r       *request
-	no      int
-	to, src *server
-	sent    float64
-	open    bool // its outcome is not told
-	ran     bool
-	on      []*transfer
-	left    int   // transfers that are not over
-	from    *fill // that it waits for, or waited
-	note    policy.Note
-	result  policy.Result // once it is not open
-	made    float64
-	epoch   int // of the server's process
-	placed  bool
-	waited  float64
+	dead     bool // the proxy's process ended, so no answer is due
 }
 
-func ns(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+// outcome is the final answer to a client's attempt, or that there was none.
+type outcome int
 
-func inMs(d time.Duration) float64 { return float64(d) / 1e6 }
+const (
+	outcomeServed outcome = iota
+	outcomeRejected
+	outcomeFailed
+	outcomeUnanswered
+)
 
-// begin starts its process: with a decider that has learned nothing.
-func (p *proxy) begin() (err error) {
-	w := p.w
-	name := fmt.Sprint("proxy ", p.no)
-	if p.lives > 0 {
-		name += fmt.Sprint(" again ", p.lives)
+// start starts the proxy's process with a new decider.
+func (p *proxy) start() (err error) {
+	s := p.sim
+	name := fmt.Sprint("proxy ", p.number)
+	if p.starts > 0 {
+		name += fmt.Sprint(" again ", p.starts)
 	}
-	p.router, err = w.player.Make(w.spec.Settings(p.branch.no, p.no), stream(w.seed, name).Uint64(), w.late)
-	p.lives++
+	var view View
+	if s.view != nil {
+		view = s.view
+	}
+	p.decider, err = s.player.New(s.scenario.Settings(p.branch.number, p.number), stream(s.seed, name).Uint64(), view)
+	p.starts++
 	return err
 }
 
-// keepList notes what the list says now, for the process that comes next.
-func (p *proxy) keepList(changes []policy.Member) {
+// rememberMembers keeps the members for the next start of the process.
+func (p *proxy) rememberMembers(changes []policy.Member) {
 	for _, m := range changes {
-		i := slices.IndexFunc(p.list, func(x policy.Member) bool { return x.ID == m.ID })
-		switch {
-		case i < 0:
-			p.list = append(p.list, m)
-		default:
-			p.list[i] = m
+		i := slices.IndexFunc(p.members, func(known policy.Member) bool { return known.ID == m.ID })
+		if i < 0 {
+			p.members = append(p.members, m)
+		} else {
+			p.members[i] = m
 		}
 	}
 }
 
-// restart ends its process and starts one anew some ms later, which knows nothing but the last list.
-func (p *proxy) restart(after float64) {
-	w := p.w
-	var open []*attempt
-	var ended []*request
-	for _, r := range p.live {
-		ended = append(ended, r)
-		for _, a := range r.attempts {
-			if a.open {
-				open = append(open, a)
-			}
-		}
-	}
-	sortAttempts(open) // the map has no order of its own, and a run must have one
-	for _, a := range open {
-		a.leave()
+// restart ends the proxy's process, with all it has in flight, and starts it after a downtime in ms with the last members.
+func (p *proxy) restart(downtime float64) {
+	s := p.sim
+	for _, a := range p.openAttempts(func(*attempt) bool { return true }) {
+		a.release()
 		a.open = false
 	}
-	slices.SortFunc(ended, func(a, b *request) int { return cmp.Or(len(a.id)-len(b.id), strings.Compare(a.id, b.id)) })
-	for _, r := range ended {
+	for _, r := range p.liveRequests() {
 		if !r.answered {
 			r.dead = true
-			w.after(w.spec.Fleet.Near, func() { r.want.got(r, missed, 0) }) // its connection ended
+			p.closeConnection(r)
 		}
 	}
 	p.live, p.inbox, p.down, p.purges = map[string]*request{}, nil, true, nil
-	w.after(after, func() {
-		if err := p.begin(); err != nil {
-			w.check.broke("restart", err.Error())
+	s.after(downtime, func() {
+		if err := p.start(); err != nil {
+			s.checker.violation("restart", err.Error())
 			return
 		}
 		p.down = false
-		p.handle(policy.Members{Kind: policy.ListFull, Version: int64(w.seq), Entries: slices.DeleteFunc(slices.Clone(p.list),
-			func(m policy.Member) bool { return m.State == policy.Gone })})
+		present := slices.DeleteFunc(slices.Clone(p.members), func(m policy.Member) bool { return m.State == policy.Gone })
+		p.handle(policy.Members{Kind: policy.ListFull, Version: int64(s.sequence), Entries: present})
+	})
+}
+
+// closeConnection has the client of a request notice that its connection ended.
+func (p *proxy) closeConnection(r *request) {
+	p.sim.after(p.sim.scenario.Fleet.BranchLatency, func() { r.client.attemptEnded(r, outcomeUnanswered, 0) })
+}
+
+// liveRequests returns the requests in flight, ordered by when they arrived.
+func (p *proxy) liveRequests() (requests []*request) {
+	for _, r := range p.live {
+		requests = append(requests, r)
+	}
+	slices.SortFunc(requests, compareIDs)
+	return requests
+}
+
+// compareIDs orders requests by when they arrived: ids are increasing numbers.
+func compareIDs(a, b *request) int {
+	return cmp.Or(len(a.id)-len(b.id), strings.Compare(a.id, b.id))
+}
+
+// openAttempts returns the attempts in flight that are selected, ordered by when they were sent.
+func (p *proxy) openAttempts(selected func(*attempt) bool) (attempts []*attempt) {
+	for _, r := range p.live {
+		for _, a := range r.attempts {
+			if a.open && selected(a) {
+				attempts = append(attempts, a)
+			}
+		}
+	}
+	slices.SortFunc(attempts, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.sent, b.sent), compareIDs(a.request, b.request), a.number-b.number)
 	})
+	return attempts
 }
 
-// handle gives the module one event after another: what its actions bring about at once comes behind.
+// handle gives the decider an event. Events that its actions cause are handled after it.
 func (p *proxy) handle(e policy.Event) {
 	if p.down {
 		return
 	}
 	p.inbox = append(p.inbox, e)
-	if p.busy {
+	if p.handling {
 		return
 	}
-	p.busy = true
+	p.handling = true
 	for i := 0; i < len(p.inbox); i++ {
-		p.acts = p.router.Handle(ns(p.w.now), p.inbox[i], p.acts[:0])
-		for _, a := range p.acts {
-			p.act(a)
+		p.actions = p.decider.Handle(duration(p.sim.now), p.inbox[i], p.actions[:0])
+		for _, action := range p.actions {
+			p.execute(action)
 		}
 	}
-	p.inbox, p.busy = p.inbox[:0], false
+	p.inbox, p.handling = p.inbox[:0], false
 }
 
-func (p *proxy) act(a policy.Action) {
-	switch x := a.(type) {
+// execute carries out an action of the decider.
+func (p *proxy) execute(action policy.Action) {
+	switch x := action.(type) {
 	case policy.Lookup:
 		p.send(x.ID, policy.Fetch{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
 	case policy.Fetch:
 		p.send(x.ID, x)
 	case policy.Cancel:
-		if r := p.live[x.ID]; r != nil && x.Attempt < len(r.attempts) {
-			if a := r.attempts[x.Attempt]; a.open {
-				a.abort()
-				p.outcome(a, policy.Cancelled, false)
-			}
-		}
+		p.cancel(x)
 	case policy.Reject:
-		p.final(x.ID, refused, float64(x.RetryAfter)/1e6)
+		p.answer(x.ID, outcomeRejected, float64(x.RetryAfter)/1e6)
 	case policy.Fail:
-		p.final(x.ID, failed, 0)
+		p.answer(x.ID, outcomeFailed, 0)
 	case policy.SetTimer:
-		life := p.lives
-		p.w.after(float64(x.After)/1e6, func() {
-			if life == p.lives {
+		start := p.starts
+		p.sim.after(float64(x.After)/1e6, func() {
+			if start == p.starts {
 				p.handle(policy.Timer{Token: x.Token})
 			}
 		})
 	}
 }
 
-// take takes a client's request in.
-func (p *proxy) take(x *want) {
-	w := p.w
-	w.nextID++
-	r := &request{id: strconv.FormatUint(w.nextID, 36), want: x, p: p, due: w.now + x.budget}
-	x.try = r
+// receive receives an attempt of a client. A proxy that is down does not listen.
+func (p *proxy) receive(client *clientRequest) {
+	s := p.sim
+	s.requestIDs++
+	r := &request{
+		id: strconv.FormatUint(s.requestIDs, 36), client: client, proxy: p, due: s.now + client.attemptTimeout,
+	}
+	client.current = r
 	if p.down {
 		r.dead = true
-		w.after(w.spec.Fleet.Near, func() { x.got(r, missed, 0) }) // nobody listens
+		p.closeConnection(r)
 		return
 	}
 	p.live[r.id] = r
-	w.check.took(r)
-	c := w.spec.Traffic.Classes[x.class]
+	s.checker.received(r)
 	p.handle(policy.Request{
-		ID: r.id, TimeLeft: ns(x.budget), Class: x.class, Object: w.name(x.key.object), Part: int(x.key.part), Group: -1,
-		SizeKB: x.kb, ClientRetry: x.tries > 1, Write: c.Write,
+		ID: r.id, TimeLeft: duration(client.attemptTimeout), Class: client.class, Object: s.objectName(client.key.object),
+		Part: int(client.key.part), Group: -1, SizeKB: client.kb, ClientRetry: client.attempts > 1,
+		Write: s.scenario.Traffic.Classes[client.class].Write,
 	})
 }
 
-func (w *world) name(object int32) string {
-	if int(object) < len(w.names) {
-		return w.names[object]
+// objectName returns an object in the form that proxies know.
+func (s *simulation) objectName(object int32) string {
+	if int(object) < len(s.objectNames) {
+		return s.objectNames[object]
 	}
 	return strconv.FormatInt(int64(object), 16)
 }
 
-func (p *proxy) send(id string, g policy.Fetch) {
+// send sends an attempt for a request to a server.
+func (p *proxy) send(id string, fetch policy.Fetch) {
+	s := p.sim
 	r := p.live[id]
 	if r == nil || r.answered {
-		p.w.check.broke("an attempt for a request that is over", id)
+		s.checker.violation("an attempt for a request that is over", id)
 		return
 	}
-	w := p.w
-	a := &attempt{r: r, no: len(r.attempts), to: w.servers[g.Cache], src: w.servers[g.Source], sent: w.now, open: true}
+	a := &attempt{request: r, number: len(r.attempts), target: s.server(fetch.Cache), source: s.server(fetch.Source), sent: s.now, open: true}
 	r.attempts = append(r.attempts, a)
-	if w.out.counts(r.want.first) {
-		w.out.attempts++
+	s.result.upstreamAttempt(r.client.first)
+	s.checker.sent(a)
+	timeout := r.due - s.now
+	if fetch.Timeout > 0 {
+		timeout = min(timeout, float64(fetch.Timeout)/1e6)
 	}
-	w.check.sent(a)
-	timeout := r.due - w.now
-	if g.Timeout > 0 {
-		timeout = min(timeout, float64(g.Timeout)/1e6)
-	}
-	w.after(timeout, func() {
+	s.after(timeout, func() {
 		if a.open {
-			a.abort()
-			p.outcome(a, policy.TimedOut, false)
+			a.release()
+			p.attemptEnded(a, policy.TimedOut, false)
 		}
 	})
 	oldest := 0.0
-	if g.MaxAge > 0 {
-		oldest = w.now - float64(g.MaxAge)/1e6
+	if fetch.MaxAge > 0 {
+		oldest = s.now - float64(fetch.MaxAge)/1e6
+	}
+	s.after(a.latency(), func() { a.arrive(fetch, oldest) })
+}
+
+// cancel cancels an attempt that is in flight.
+func (p *proxy) cancel(c policy.Cancel) {
+	r := p.live[c.ID]
+	if r == nil || c.Attempt >= len(r.attempts) {
+		return
+	}
+	if a := r.attempts[c.Attempt]; a.open {
+		a.release()
+		p.attemptEnded(a, policy.Cancelled, false)
 	}
-	w.after(a.way(), func() { a.arrive(g, oldest) })
 }
 
-// outcome tells the module how an attempt ended.
-func (p *proxy) outcome(a *attempt, result policy.Result, closed bool) {
+// attemptEnded notifies the decider of the outcome of an attempt.
+func (p *proxy) attemptEnded(a *attempt, result policy.Result, final bool) {
 	a.open, a.result = false, result
 	p.handle(policy.Outcome{
-		ID: a.r.id, Attempt: a.no, Cache: a.to.id, Result: result, Note: a.note, Final: closed,
-		Latency: ns(p.w.now - a.sent), SourceWait: ns(a.waited),
+		ID: a.request.id, Attempt: a.number, Cache: a.target.id, Result: result, Note: a.note, Final: final,
+		Latency: duration(p.sim.now - a.sent), SourceWait: duration(a.sourceWait),
 	})
-	p.forget(a.r)
+	p.forget(a.request)
 }
 
-// forget drops a request once nothing of it is out.
+// forget drops a request that is answered and has no attempt in flight.
 func (p *proxy) forget(r *request) {
 	if !r.answered {
 		return
@@ -252,24 +274,16 @@
 	delete(p.live, r.id)
 }
 
-type verdict int
-
-const (
-	served verdict = iota
-	refused
-	failed
-	missed // no answer before the client gave up
-)
-
-// final is the one final answer of a request.
-func (p *proxy) final(id string, v verdict, backoff float64) {
+// answer sends the final answer of a request.
+func (p *proxy) answer(id string, o outcome, retryAfter float64) {
+	s := p.sim
 	r := p.live[id]
 	if r == nil {
-		p.w.check.broke("an answer to nothing", id)
+		s.checker.violation("an answer to nothing", id)
 		return
 	}
-	p.w.check.answered(r, v)
+	s.checker.answered(r, o)
 	r.answered = true
 	p.forget(r)
-	p.w.after(p.w.spec.Fleet.Near, func() { r.want.got(r, v, backoff) })
+	s.after(s.scenario.Fleet.BranchLatency, func() { r.client.attemptEnded(r, o, retryAfter) })
 }
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -2,99 +2,101 @@
 
 import "container/list"
 
-// key is a part of an object.
-type key struct {
+// partKey identifies a part of an object.
+type partKey struct {
 	object int32
 	part   int32
 }
 
-// held is a copy.
-type held struct {
-	key   key
-	kb    float64
-	made  float64 // when the origin gave it out
-	since float64 // when it came here
-	rank  int8
-	place *list.Element
+// cachedCopy is a copy of a part in a store.
+type cachedCopy struct {
+	key     partKey
+	kb      float64
+	created float64 // ms at which the origin served it
+	stored  float64 // ms at which it was put into this store
+	rank    int8
+	element *list.Element // in the list of its rank
 }
 
-const ranks = 4
+// retainRanks is the number of ranks of copies; the lowest one is not used.
+const retainRanks = 4
 
-// store keeps copies: the lowest rank goes first, in a rank what was used longest ago. A new copy pushes out only its own
-// rank or lower, else it is not kept.
+// store is a cache with a limited size. It evicts copies of lower ranks first, and within a rank the least recently used one. A
+// new copy evicts only copies of its own or a lower rank.
 type store struct {
-	room  float64 // KB
-	used  float64
-	held  map[key]*held
-	ranks [ranks]list.List // most recently used in front
+	capacity float64 // KB
+	used     float64 // KB
+	copies   map[partKey]*cachedCopy
+	ranks    [retainRanks]list.List // most recently used first
 }
 
 func newStore(kb float64) *store {
-	return &store{room: kb, held: map[key]*held{}}
+	return &store{capacity: kb, copies: map[partKey]*cachedCopy{}}
 }
 
-// get finds a copy that was made at oldest or later. A hit sets its rank anew, where one is given.
-func (s *store) get(k key, oldest float64, rank int) *held {
-	h := s.held[k]
-	if h == nil || h.made < oldest {
+// get returns a copy that was created at oldest or later, or nil. It changes the copy's rank unless rank is 0.
+func (s *store) get(key partKey, oldest float64, rank int) *cachedCopy {
+	c := s.copies[key]
+	if c == nil || c.created < oldest {
 		return nil
 	}
-	s.ranks[h.rank].Remove(h.place)
+	s.ranks[c.rank].Remove(c.element)
 	if rank > 0 {
-		h.rank = int8(rank)
+		c.rank = int8(rank)
 	}
-	h.place = s.ranks[h.rank].PushFront(h)
-	return h
+	c.element = s.ranks[c.rank].PushFront(c)
+	return c
 }
 
-// put keeps a copy, if there is room for it at its rank.
-func (s *store) put(k key, kb, made float64, rank int) bool {
-	if rank <= 0 || kb > s.room {
+// put stores a copy, at the time now, and evicts others for it. It does nothing if the rank is 0 or there is no room.
+func (s *store) put(key partKey, kb, created, now float64, rank int) (stored bool) {
+	if rank <= 0 || kb > s.capacity {
 		return false
 	}
-	if old := s.held[k]; old != nil {
-		s.drop(old)
+	if old := s.copies[key]; old != nil {
+		s.remove(old)
 	}
-	for r := 0; r <= rank && s.used+kb > s.room; r++ {
-		for s.used+kb > s.room && s.ranks[r].Len() > 0 {
-			s.drop(s.ranks[r].Back().Value.(*held))
+	for r := 0; r <= rank && s.used+kb > s.capacity; r++ {
+		for s.used+kb > s.capacity && s.ranks[r].Len() > 0 {
+			s.remove(s.ranks[r].Back().Value.(*cachedCopy))
 		}
 	}
-	if s.used+kb > s.room {
+	if s.used+kb > s.capacity {
 		return false
 	}
-	h := &held{key: k, kb: kb, made: made, rank: int8(rank)}
-	h.place = s.ranks[rank].PushFront(h)
-	s.held[k] = h
+	c := &cachedCopy{key: key, kb: kb, created: created, stored: now, rank: int8(rank)}
+	c.element = s.ranks[rank].PushFront(c)
+	s.copies[key] = c
 	s.used += kb
 	return true
 }
 
-func (s *store) drop(h *held) {
-	s.ranks[h.rank].Remove(h.place)
-	delete(s.held, h.key)
-	s.used -= h.kb
+func (s *store) remove(c *cachedCopy) {
+	s.ranks[c.rank].Remove(c.element)
+	delete(s.copies, c.key)
+	s.used -= c.kb
 }
 
-// purge drops what was made before a time, of the objects that which names; list are the same, and parts how many each
-// has at the most. The order does not matter: all go. A few objects are looked up, as most purges are of one, and a pass
-// over all copies of thousands of servers for each would be most of a run.
-func (s *store) purge(before float64, which func(object int32) bool, list []int32, parts int) {
-	if len(list)*parts < len(s.held) {
-		for _, o := range list {
-			for p := range int32(parts) {
-				if h := s.held[key{o, p}]; h != nil && h.made < before {
-					s.drop(h)
+// purge removes the copies of some objects that were created before a time. purged has the same objects as the list, which have
+// at most some parts each. A few objects are looked up one by one, as most purges are of one object, and iterating over all
+// copies of all stores would take most of the time of a run.
+func (s *store) purge(before float64, purged map[int32]bool, objects []int32, parts int) {
+	if len(objects)*parts < len(s.copies) {
+		for _, object := range objects {
+			for part := range int32(parts) {
+				if c := s.copies[partKey{object, part}]; c != nil && c.created < before {
+					s.remove(c)
 				}
 			}
 		}
 		return
 	}
-	for k, h := range s.held {
-		if h.made < before && which(k.object) {
-			s.drop(h)
+	for key, c := range s.copies {
+		if c.created < before && purged[key.object] {
+			s.remove(c)
 		}
 	}
 }
 
-func (s *store) empty() { *s = *newStore(s.room) }
+// clear removes all copies.
+func (s *store) clear() { *s = *newStore(s.capacity) }
