--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -86,7 +86,7 @@
 // advance records that a process has applied a stream up to a sequence number, but for omitted entries.
 func (c *checker) advance(p *process, stream int, through uint64) {
 	log := c.sim.log.streams[stream]
-	for p.applied[stream] < len(log) && log[p.applied[stream]].entry.Sequence <= through {
+	for p.applied[stream] < len(log) && log[p.applied[stream]].published.Sequence <= through {
 		c.recordApplied(p, log[p.applied[stream]])
 		p.applied[stream]++
 	}
@@ -96,20 +96,20 @@
 func (c *checker) checkApply(p *process, stream int, batch distribution.Apply) {
 	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(batch.Through)})
 	log, next := c.sim.log.streams[stream], p.applied[stream]
-	if next < len(log) && log[next].entry.Sequence <= batch.After {
-		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].entry.Sequence)
+	if next < len(log) && log[next].published.Sequence <= batch.After {
+		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].published.Sequence)
 	}
 	entries := batch.Entries
 	var contents snapshotContents
 	if batch.Atomic { // made of a snapshot, so that its sequence numbers say only the order
 		contents, entries = c.readSnapshot(p, stream, entries), nil
 	}
-	for ; next < len(log) && log[next].entry.Sequence <= batch.Through; next++ {
+	for ; next < len(log) && log[next].published.Sequence <= batch.Through; next++ {
 		entry := log[next]
 		switch {
 		case contents.match(entry):
 			c.recordApplied(p, entry)
-		case len(entries) > 0 && entries[0].Sequence == entry.entry.Sequence:
+		case len(entries) > 0 && entries[0].Sequence == entry.published.Sequence:
 			c.checkSame(p, stream, entries[0], entry)
 			entries = entries[1:]
 			c.recordApplied(p, entry)
@@ -127,7 +127,7 @@
 
 func (c *checker) checkSame(p *process, stream int, got distribution.Entry, want *logEntry) {
 	if !want.matches(got) {
-		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.entry))
+		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.published))
 	}
 }
 
@@ -142,10 +142,10 @@
 			return
 		}
 		c.recordApplied(p, entry)
-	case entry.entry.ExpiresAt > 0 && entry.entry.ExpiresAt <= batch.Watermark.At:
+	case entry.published.ExpiresAt > 0 && entry.published.ExpiresAt <= batch.Watermark.At:
 		c.recordApplied(p, entry)
 	default:
-		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.entry.Sequence, batch.After, batch.Through)
+		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.published.Sequence, batch.After, batch.Through)
 	}
 }
 
--- a/internal/lab/hollow/checker_test.go
+++ b/internal/lab/hollow/checker_test.go
@@ -22,7 +22,7 @@
 	for range n {
 		c := sim.log.newPurge(sim, sim.leader)
 		sim.log.commit(0, c)
-		entries = append(entries, c.entry)
+		entries = append(entries, c.published)
 	}
 	return sim, sim.byRole[Proxy][0], entries
 }
@@ -46,17 +46,17 @@
 
 	sim, p, entries = checkerFixture(t, 20)
 	again := sim.log.newPurge(sim, sim.leader)
-	again.entry.Name = entries[3].Name
+	again.published.Name = entries[3].Name
 	sim.log.commit(0, again)
 	left := slices.Concat(entries[:3], entries[4:])
 	a := applyAll(left)
-	a.Watermark.Sequence = again.entry.Sequence
+	a.Watermark.Sequence = again.published.Sequence
 	sim.checker.checkApply(p, purgeStream, a)
 	require.Zero(t, sim.checker.violations, "%v", sim.checker.violationTexts)
 	require.Len(t, p.omitted, 1)
 	sim.checker.checkApply(p, purgeStream, distribution.Apply{
-		Epoch: 1, After: a.Through, Through: again.entry.Sequence, Watermark: distribution.Watermark{Sequence: again.entry.Sequence, At: startUnixMs},
-		Entries: []distribution.Entry{again.entry},
+		Epoch: 1, After: a.Through, Through: again.published.Sequence, Watermark: distribution.Watermark{Sequence: again.published.Sequence, At: startUnixMs},
+		Entries: []distribution.Entry{again.published},
 	})
 	require.Zero(t, sim.checker.violations, "%v", sim.checker.violationTexts)
 	require.Empty(t, p.omitted)
@@ -89,95 +89,126 @@
 	return n
 }
 
-// Each way of breaking the rules is a violation: a gap; an entry that is missing, changed, unknown, repeated or out of order; a
-// snapshot that lacks something or is older; a superseding entry that never comes; a process that lags with its gate open.
-func TestCheckerReportsViolations(t *testing.T) {
-	for name, wrong := range map[string]func(sim *simulation, p *process, e []distribution.Entry){
-		"missing": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			a.Entries = slices.Concat(e[:4], e[5:])
-			sim.checker.checkApply(p, purgeStream, a)
-		},
-		"gap": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			a.After, a.Entries = e[2].Sequence, e[3:]
-			sim.checker.checkApply(p, purgeStream, a)
-		},
-		"changed": func(sim *simulation, p *process, e []distribution.Entry) {
-			e[4].Name += "x"
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-		},
-		"earlier time": func(sim *simulation, p *process, e []distribution.Entry) {
-			e[4].EffectiveAt--
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-		},
-		"out of order": func(sim *simulation, p *process, e []distribution.Entry) {
-			e[4], e[5] = e[5], e[4]
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-		},
-		"twice": func(sim *simulation, p *process, e []distribution.Entry) {
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-		},
-		"unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			a.Entries = append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
-			sim.checker.checkApply(p, purgeStream, a)
-		},
-		"snapshot lacks": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: e[1:]})
-		},
-		"snapshot has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			more := distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"}
-			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
-				Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more),
-			})
-		},
-		"atomic batch lacks": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			a.Atomic, a.Entries = true, e[1:]
-			sim.checker.checkApply(p, purgeStream, a)
-		},
-		"atomic batch has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-			a := applyAll(e)
-			a.Atomic, a.Entries = true, append(slices.Clone(e), distribution.Entry{Sequence: a.Through + 1, Kind: distribution.PurgeObject, Name: "x"})
-			sim.checker.checkApply(p, purgeStream, a)
-		},
-		"older snapshot": func(sim *simulation, p *process, e []distribution.Entry) {
-			sim.checker.checkApply(p, purgeStream, applyAll(e))
-			a := applyAll(e[:4])
-			sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
-				Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries,
-			})
-		},
-		"superseding entry never comes": func(sim *simulation, p *process, e []distribution.Entry) {
-			p.omitted = append(p.omitted, omittedEntry{purgeStream, 0, e[1].Sequence})
-			sim.checker.checkApply(p, purgeStream, distribution.Apply{Epoch: 1, Through: 0})
-			for _, x := range sim.processes {
-				x.applied[purgeStream] = len(e)
-			}
-			sim.checker.checkComplete()
-		},
-		"lag with the gate open": func(sim *simulation, p *process, _ []distribution.Entry) {
-			for _, x := range sim.processes {
-				x.up = x == p
-			}
-			sim.now = sim.scenario.MaxLagMs + 1
-			p.gates[purgeStream] = distribution.NewFreshnessGate(distribution.DefaultSettings(distribution.Purges, p.peer()))
-			sim.checker.checkLag()
-			require.Zero(t, sim.checker.violations, "the gate of a process that starts is closed")
-			p.gates[purgeStream] = nil
-			sim.checker.checkLag()
-		},
-	} {
+// breach breaks a rule of the checker at a process that has applied none of the entries.
+type breach func(sim *simulation, p *process, e []distribution.Entry)
+
+// unknownEntry is an entry that was not committed.
+func unknownEntry(through uint64) distribution.Entry {
+	return distribution.Entry{Sequence: through + 1, Kind: distribution.PurgeObject, Name: "x"}
+}
+
+var batchBreaches = map[string]breach{
+	"missing": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		a.Entries = slices.Concat(e[:4], e[5:])
+		sim.checker.checkApply(p, purgeStream, a)
+	},
+	"gap": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		a.After, a.Entries = e[2].Sequence, e[3:]
+		sim.checker.checkApply(p, purgeStream, a)
+	},
+	"changed": func(sim *simulation, p *process, e []distribution.Entry) {
+		e[4].Name += "x"
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	},
+	"earlier time": func(sim *simulation, p *process, e []distribution.Entry) {
+		e[4].EffectiveAt--
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	},
+	"out of order": func(sim *simulation, p *process, e []distribution.Entry) {
+		e[4], e[5] = e[5], e[4]
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	},
+	"twice": func(sim *simulation, p *process, e []distribution.Entry) {
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	},
+	"unknown": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		a.Entries = append(slices.Clone(e), unknownEntry(a.Through))
+		sim.checker.checkApply(p, purgeStream, a)
+	},
+	"atomic batch lacks": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		a.Atomic, a.Entries = true, e[1:]
+		sim.checker.checkApply(p, purgeStream, a)
+	},
+	"atomic batch has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		a.Atomic, a.Entries = true, append(slices.Clone(e), unknownEntry(a.Through))
+		sim.checker.checkApply(p, purgeStream, a)
+	},
+}
+
+var snapshotBreaches = map[string]breach{
+	"snapshot lacks": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: e[1:]})
+	},
+	"snapshot has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
+		a := applyAll(e)
+		more := unknownEntry(a.Through)
+		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
+			Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more),
+		})
+	},
+	"older snapshot": func(sim *simulation, p *process, e []distribution.Entry) {
+		sim.checker.checkApply(p, purgeStream, applyAll(e))
+		a := applyAll(e[:4])
+		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
+			Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries,
+		})
+	},
+}
+
+// requireViolations requires that each breach is a violation.
+func requireViolations(t *testing.T, breaches map[string]breach) {
+	t.Helper()
+	for name, breakRule := range breaches {
 		sim, p, entries := checkerFixture(t, 9)
-		wrong(sim, p, entries)
+		breakRule(sim, p, entries)
 		require.NotZero(t, sim.checker.violations, name)
 	}
 }
 
+// A gap, and an entry that is missing, changed, unknown, repeated or out of order, are violations.
+func TestCheckerReportsBatchViolations(t *testing.T) {
+	requireViolations(t, batchBreaches)
+}
+
+// A snapshot that lacks an entry, has an unknown one, or is older than what was applied is a violation.
+func TestCheckerReportsSnapshotViolations(t *testing.T) {
+	requireViolations(t, snapshotBreaches)
+}
+
+// An omitted entry is a violation if the one that supersedes it never comes.
+func TestCheckerReportsOmittedEntry(t *testing.T) {
+	sim, p, entries := checkerFixture(t, 9)
+	p.omitted = append(p.omitted, omittedEntry{purgeStream, 0, entries[1].Sequence})
+	sim.checker.checkApply(p, purgeStream, distribution.Apply{Epoch: 1, Through: 0})
+	for _, x := range sim.processes {
+		x.applied[purgeStream] = len(entries)
+	}
+	sim.checker.checkComplete()
+	require.NotZero(t, sim.checker.violations)
+}
+
+// A process that lags with its gate open is a violation. The gate of one that starts is closed.
+func TestCheckerReportsLagWithOpenGate(t *testing.T) {
+	sim, p, _ := checkerFixture(t, 9)
+	for _, x := range sim.processes {
+		x.up = x == p
+	}
+	sim.now = sim.scenario.MaxLagMs + 1
+	p.gates[purgeStream] = distribution.NewFreshnessGate(distribution.DefaultSettings(distribution.Purges, p.peer()))
+	sim.checker.checkLag()
+	require.Zero(t, sim.checker.violations, "the gate of a process that starts is closed")
+	p.gates[purgeStream] = nil
+	sim.checker.checkLag()
+	require.NotZero(t, sim.checker.violations)
+}
+
 // A violation of a limit names the process or the phase. A burst raises the limit of traffic.
 func TestLimitsAreChecked(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 3)
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -164,8 +164,8 @@
 			if p.applier != nil {
 				p.applier.applyChange(entry.encodedChange)
 			}
-			d.sim.trace.record(tracedCall{kind: traceApplied, detail: entry.stream, id: p.id, value: float64(entry.entry.Sequence)})
-			d.sim.checker.advance(p, entry.stream, entry.entry.Sequence)
+			d.sim.trace.record(tracedCall{kind: traceApplied, detail: entry.stream, id: p.id, value: float64(entry.published.Sequence)})
+			d.sim.checker.advance(p, entry.stream, entry.published.Sequence)
 		}
 		p.persisted = request.to
 	}
--- a/internal/lab/hollow/snapshot_check.go
+++ b/internal/lab/hollow/snapshot_check.go
@@ -57,9 +57,9 @@
 	log, next := c.sim.log.streams[stream], 0
 	contents := c.readSnapshot(p, stream, snapshot.Entries)
 	watermark := max(snapshot.Through, snapshot.Watermark.Sequence)
-	for ; next < len(log) && log[next].entry.Sequence <= snapshot.Through; next++ {
+	for ; next < len(log) && log[next].published.Sequence <= snapshot.Through; next++ {
 		if entry := log[next]; !contents.match(entry) && entry.inEffect(watermark, snapshot.Watermark.At) {
-			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, entry.entry.Sequence, snapshot.Through)
+			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, entry.published.Sequence, snapshot.Through)
 		}
 	}
 	c.checkNoneUnknown(p, stream, contents)
