--- a/internal/lab/capacity/losses.go
+++ b/internal/lab/capacity/losses.go
@@ -13,31 +13,51 @@
 	MayBeLostNext         string
 }
 
+// votersNeeded is a quorum of the store.
+const votersNeeded = voters/2 + 1
+
+// Texts that several losses have in common.
+const (
+	everywhere      = "everywhere"
+	afterMove       = "everywhere, after the move"
+	oneVoterMore    = "one voter more"
+	unservedNone    = "none"
+	unservedRegion  = "one region's 531, in 27 of 32 regions"
+	sameAsBefore    = "the same"
+	commitsAsBefore = "yes"
+)
+
 // Losses are those of machines, zones and regions. Voters stand in five regions and no two control machines in one zone. Each region
 // has a distributor; the other five stand in a second zone of the five largest regions.
 func (f Fleet) Losses() []Loss {
-	all := f.Distributors()
-	const (
-		oneRegion = "one region's 531, in 27 of 32 regions"
-		oneVoter  = "one voter more"
-	)
-	losses := []Loss{
-		{"none", voters, 0, all, Figure{}, "none", "yes", "everywhere", "two voters may go; any distributor"},
-		{"a distributor's machine", voters, 0, all - 1, Figure{}, oneRegion, "yes", "everywhere, after the move", "the same"},
-		{"a voter's machine", voters - 1, 0, all, Figure{}, "none", "yes", "everywhere", oneVoter},
-		{"the leader's machine", voters - 1, 0, all, Figure{}, "none", "after an election", "everywhere", oneVoter},
-		{"a rack or a zone with a distributor", voters, 0, all - 1, Figure{}, oneRegion, "yes", "everywhere, after the move", "the same"},
-		{"a zone with a voter", voters - 1, 0, all, Figure{}, "none", "yes, after an election where it led", "everywhere", oneVoter},
-		{"a region with a voter and a distributor", voters - 1, 0, all - 1, Figure{}, "none: they are gone too", "yes", "everywhere else", oneVoter},
-		{"two regions apart, of any other path", voters, 0, all, Figure{}, "none", "yes: each voter reaches three others",
-			"everywhere, over a root of a third region", "the same"},
-		{"a region cut off from all others", voters - 1, 0, all - 1, Figure{}, "none", "yes, outside it",
-			"everywhere else; inside it the bound is passed", oneVoter},
-		{"three voters", voters - 3, 0, all, Figure{}, "none", "no: no quorum", "nothing new; all pass the bound", "nothing until one is back"},
+	return []Loss{
+		f.loss("none", 0, 0, unservedNone, commitsAsBefore, everywhere, "two voters may go; any distributor"),
+		f.loss("a distributor's machine", 0, 1, unservedRegion, commitsAsBefore, afterMove, sameAsBefore),
+		f.loss("a voter's machine", 1, 0, unservedNone, commitsAsBefore, everywhere, oneVoterMore),
+		f.loss("the leader's machine", 1, 0, unservedNone, "after an election", everywhere, oneVoterMore),
+		f.loss("a rack or a zone with a distributor", 0, 1, unservedRegion, commitsAsBefore, afterMove, sameAsBefore),
+		f.loss("a zone with a voter", 1, 0, unservedNone, "yes, after an election where it led", everywhere, oneVoterMore),
+		f.loss("a region with a voter and a distributor", 1, 1, "none: they are gone too", commitsAsBefore, "everywhere else", oneVoterMore),
+		f.loss("two regions apart, of any other path", 0, 0, unservedNone, "yes: each voter reaches three others",
+			"everywhere, over a root of a third region", sameAsBefore),
+		f.loss("a region cut off from all others", 1, 1, unservedNone, "yes, outside it",
+			"everywhere else; inside it the bound is passed", oneVoterMore),
+		f.loss("three voters", 3, 0, unservedNone, "no: no quorum", "nothing new; all pass the bound", "nothing until one is back"),
 	}
-	for i := range losses {
-		losses[i].VotersNeeded = voters/2 + 1
-		losses[i].ProxiesPerDistributor = f.subscribersPerDistributor(losses[i].DistributorsLeft)
+}
+
+// loss is one of so many voters and distributors.
+func (f Fleet) loss(name string, lostVoters, lostDistributors int, unserved, commits, delivers, mayBeLostNext string) Loss {
+	left := f.Distributors() - float64(lostDistributors)
+	return Loss{
+		Name:                  name,
+		VotersLeft:            voters - lostVoters,
+		VotersNeeded:          votersNeeded,
+		DistributorsLeft:      left,
+		ProxiesPerDistributor: f.subscribersPerDistributor(left),
+		Unserved:              unserved,
+		Commits:               commits,
+		Delivers:              delivers,
+		MayBeLostNext:         mayBeLostNext,
 	}
-	return losses
 }
