--- a/internal/lab/capacity/page_sections.go
+++ b/internal/lab/capacity/page_sections.go
@@ -13,14 +13,14 @@
 	p.line("Made by `ravenlab capacity --write docs/CAPACITY.md` from the formulas in `internal/lab/capacity` and the recordings in")
 	p.line("`docs/measurements/capacity`; a test fails where they differ. Nobody has run 17,000 processes here: no figure on this page is a")
 	p.line("measurement of the whole fleet.\n")
-	p.line("Each figure says what it rests on: m, measured at that size, or the fit between sizes that were; x and a factor, extrapolated so many")
-	p.line("times beyond the largest size that was measured; a, assumed, with a factor where a part of it was extrapolated too; nothing, the")
-	p.line("operators' letter or arithmetic on it. What is made of several has the weakest mark. KB are 1,000 bytes. Bytes are those on the")
-	p.line("wire, with heads of packets, sent and received together: the letter does not say which way its 17 KB/s count.\n")
-	p.line("Three designs: **as it is**, every process a member of the store without a vote, lists told whole, membership of all; **distribution**,")
-	p.line("levels of distributors between (built here), the rest as it is; **proposed**, the same with frames each 100 ms, a purge that does not")
-	p.line("look through all others, lists as changes of one's own region, members of one's own region, and digests to four of the zone and one")
-	p.line("elsewhere each 2 s.\n")
+	p.line("Each figure is marked with its basis: m, measured at that size or interpolated between measured sizes; x and a factor, extrapolated")
+	p.line("to that many times the largest measured size; a, assumed, with a factor if a part of it was also extrapolated; no mark, stated by")
+	p.line("the operators or derived from that. A figure made of several has the weakest mark. 1 KB is 1,000 bytes. Bytes are counted on the")
+	p.line("wire with packet headers, sent and received together, as the operators do not say which direction their 17 KB/s mean.\n")
+	p.line("Three designs are compared. **as it is**: every process is a non-voting member of the store, server lists are sent whole, and")
+	p.line("membership spans the fleet. **distribution**: levels of distributors in between (built here), the rest as it is. **proposed**:")
+	p.line("distribution with a frame each 100 ms, a purge that does not scan all others, lists as changes within a region, membership within")
+	p.line("a region, and digests each 2 s to four processes of the zone and one elsewhere.\n")
 }
 
 // findings comes first, so that nothing that exceeds a limit is overlooked.
@@ -43,20 +43,20 @@
 	changedCaches := (p.FailuresPerDay + p.ReplacementsPerDay) * p.Caches / (p.Proxies + p.Caches + p.ControlMachines)
 	toFollower := p.UnitCost("raft/leader-bytes").Scale(1.0 / raftPurgesPerS)
 	fromFollower := p.UnitCost("raft/follower-bytes").Scale(1.0 / raftPurgesPerS)
-	p.line("\nOf the day's 9,100 changes %s are taken for changes of a list: 2,500 machines fail or are replaced, %s of them caches, and each goes and",
+	p.line("\nOf the day's 9,100 changes %s count as changes of a list: 2,500 machines fail or are replaced, %s of them caches, and each of these",
 		formatNumber(load.ListChangesPerS*secondsPerDay), formatNumber(changedCaches))
-	p.line("comes. The others are taken for revisions. %s purges bind at a time.\n", p.purgesInEffect(load.PurgesPerS))
-	p.line("A purge through raft is %s to a follower and %s back, before heads of packets, against 195 B for all control. A change of one of",
+	p.line("leaves and joins. The others count as revisions. %s purges are in effect at a time.\n", p.purgesInEffect(load.PurgesPerS))
+	p.line("A purge through raft takes %s to a follower and %s back, without packet headers, of 195 B for all control. A change of one of",
 		toFollower.FormatBytes(), fromFollower.FormatBytes())
-	p.line("10,000 servers holds the module for %s here (the issue: 170 us); of 6,000, for %s by the fit. Peers send 6 KB/s at 300",
+	p.line("10,000 servers takes the module %s here (the issue: 170 us), and of 6,000 %s by the fit. Peers send 6 KB/s at 300",
 		p.Estimate("policy/change", given(10_000)).FormatMicroseconds(), p.Estimate("policy/change", given(6000)).FormatMicroseconds())
-	p.line("with four caches a zone; with 82 a zone the formulas give %s each way for digests alone.\n",
+	p.line("with four caches a zone; with 82 a zone the formulas give %s in each direction for digests alone.\n",
 		p.digestCost(DesignDistribution).BytesOutPerS.FormatRate())
 }
 
 func (p *pageWriter) budgetTables() {
 	p.line("### What a proxy spends of its budgets, in every situation\n")
-	p.line("Mean over the worst minute of a process that is hit. Bold: over.\n")
+	p.line("Mean over the worst minute of a process concerned. Bold: over budget.\n")
 	for _, b := range p.budgets() {
 		p.tableHead(b.name, DesignCurrent.String(), DesignDistribution.String(), DesignProposed.String())
 		for _, s := range p.Situations() {
@@ -80,7 +80,7 @@
 		direction.Value = max(direction.Value, total.BytesOutPerS.Value)
 		larger = append(larger, direction.FormatRate()+" "+d.String())
 	}
-	p.line("Of an ordinary minute's bytes the larger of the two ways alone: %s.", strings.Join(larger, ", "))
+	p.line("The larger of the two directions alone, in an ordinary minute: %s.", strings.Join(larger, ", "))
 	situations := p.Situations()
 	ordinary, burst := p.SituationBytesPerS(situations[0], DesignProposed), p.SituationBytesPerS(situations[1], DesignProposed)
 	p.line("An hour with one minute of the burst, as proposed: %s.\n", ordinary.Scale(59.0/60).Plus(burst.Scale(1.0/60)).FormatRate())
@@ -88,8 +88,8 @@
 
 func (p *pageWriter) machines() {
 	p.line("## What the 42 machines spend\n")
-	p.line("Of one machine's 8 cores, 1 Gbit/s and 16 GB, all assumed. The leader is that of the store. The last column is what distributors and")
-	p.line("voters use together of the processor of all 42.\n")
+	p.line("Of one machine's 8 cores, 1 Gbit/s and 16 GB, all assumed. The leader is the store's. The last column is the processor time of all")
+	p.line("distributors and voters, of that of all 42 machines.\n")
 	p.tableHead("situation", "leader as it is: processor", "sent", "leader with distribution: processor", "sent", "distributors",
 		"busiest, distribution: processor", "sent", "memory", "sent, proposed", "of all 42")
 	for _, s := range p.Situations() {
@@ -131,12 +131,12 @@
 	}
 	p.tableEnd()
 	load := p.OrdinaryLoad()
-	p.line("Some counts behind them. A process that starts is sent %s as it is, %s with distribution, %s as proposed. While two regions are apart for",
+	p.line("A process that starts receives a snapshot of %s as it is, %s with distribution, %s as proposed. While two regions are apart for",
 		p.SnapshotBytes(DesignCurrent, load).FormatBytes(), p.SnapshotBytes(DesignDistribution, load).FormatBytes(),
 		p.SnapshotBytes(DesignProposed, load).FormatBytes())
-	p.line("5 minutes %s purges are made; a distributor keeps 16,384 to resume from, so who heard nothing gets a snapshot, which is smaller: only",
+	p.line("5 minutes, %s purges are made. A distributor keeps 16,384 to resume from, so that a subscriber without any of them gets a snapshot.",
 		formatNumber(p.PurgesPerS*p.PartitionMs/1000))
-	p.line("purges that still bind are in it. Seventeen thousand starts in an hour are %s a second for the fleet and one in %s s for a distributor.\n",
+	p.line("That is smaller, as only purges in effect are in it. 17,000 starts in an hour are %s a second in the fleet, and one in %s s at a distributor.\n",
 		formatNumber(p.RestartsPerHour/secondsPerHour), formatNumber(secondsPerHour*p.Distributors()/p.RestartsPerHour))
 }
 
@@ -153,14 +153,15 @@
 	for _, path := range paths {
 		p.path(path)
 	}
-	p.line("Each part is taken at its worst, and parts are added: two worst cases seldom meet. Neither the ways nor the faults were played: the")
-	p.line("times are settings, defaults and assumed distances. A purge is done once every process refuses copies that are older; copies in caches")
-	p.line("may stay until they are dropped.\n")
-	p.line("A proxy that can't hear for longer than the bound (6.8 s and 0.25 s for clocks that differ): classes that are strict serve nothing that")
-	p.line("could be older than the last watermark, others go on and are counted. Of the requests that need it 5 %% go to the origin, 20 a second")
-	p.line("for a process at most: %s a second from a region that is cut off, %s from the fleet while the store has no quorum. Whether an origin",
+	p.line("Each part is taken at its worst and the parts are added, although two worst cases rarely coincide. Neither paths nor faults were run:")
+	p.line("the times are settings, defaults and assumed latencies. A purge is done once every process rejects older copies; the copies may stay")
+	p.line("in caches until these drop them.\n")
+	p.line("A proxy that receives no watermark for longer than the bound (6.8 s, and 0.25 s for clock skew) serves requests of strict classes from")
+	p.line("no copy that could be older than the last watermark; other classes go on and are counted. Of the requests that need it 5 %% go to the")
+	p.line("origin, at most 20 a second for a process: %s a second from a region that is cut off, and %s from the fleet while the store has no",
 		formatNumber(originRequestsPerS*p.Proxies/p.Regions), formatNumber(originRequestsPerS*p.Proxies))
-	p.line("bears that is not told: the bound has to be one for the fleet, missing. Both deciders are built here; the request path does not ask them yet.\n")
+	p.line("quorum. Whether an origin bears that is not known: a bound for the whole fleet is missing. Both deciders are built here; the request")
+	p.line("path does not ask them yet.\n")
 }
 
 func (p *pageWriter) path(path Path) {
@@ -191,12 +192,13 @@
 
 func (p *pageWriter) placement() {
 	p.line("## Where the 42 machines stand, and what remains\n")
-	p.line("Five hold the store's voters, in five regions on different continents where there are so many, so that no zone, region or single cut takes")
-	p.line("two. %s are distributors: one in each of the 32 regions, five more in the five largest, in another zone of theirs. No two control",
+	p.line("Five machines are the store's voters. They stand in five regions, on different continents as far as possible, so that no loss of a")
+	p.line("zone, a region or a single connection takes two of them. %s are distributors: one in each of the 32 regions, and five more in a second",
 		formatNumber(p.Distributors()))
-	p.line("machines share a rack or a zone. Voters feed distributors and no proxies, so that a storm of starts does not meet the store. Two")
-	p.line("distributors a region would take %s machines. Seven voters would bear three losses for two distributors fewer and a slower quorum.\n",
+	p.line("zone of the five largest. No two control machines share a rack or a zone. Voters feed distributors and no proxies, so that many starts")
+	p.line("at once do not reach the store. Two distributors a region would take %s machines. Seven voters would bear three losses, for two",
 		formatNumber(2*p.Regions+voters))
+	p.line("distributors fewer and a slower quorum.\n")
 	p.tableHead("lost", "voters left, needed", "distributors left", "proxies each, on average", "without one in their region",
 		"the store commits", "changes are delivered", "may be lost on top")
 	for _, loss := range p.Losses() {
@@ -204,10 +206,10 @@
 		p.tableRow(loss.Name, quorum, formatNumber(loss.DistributorsLeft), loss.ProxiesPerDistributor.String(), loss.Unserved,
 			loss.Commits, loss.Delivers, loss.MayBeLostNext)
 	}
-	p.line("\nBy the order in which decide/distribution tries them (site, zone, region, the store's members, elsewhere) the processes of a region that")
-	p.line("loses its one distributor go to the store's five, %s each, before another region's: that is against the rule above, and has to be",
+	p.line("\ndecide/distribution prefers distributors by site, zone, region, the store's members and then elsewhere. By that order the processes of")
+	p.line("a region that loses its only distributor go to the store's five, %s each, before another region's. This contradicts the rule above, and",
 		formatNumber(p.Proxies/p.Regions/voters))
-	p.line("decided there. They must be spread over at least %s machines: each admits 50 at once and 50 a second, and they come within 2 s.\n",
+	p.line("has to be decided there. They must be spread over at least %s machines: each admits 50 at once and 50 a second, and they come within 2 s.\n",
 		formatNumber(math.Ceil(p.FailoverDistributors().Value)))
 }
 
@@ -262,15 +264,15 @@
 	for _, a := range p.Rows() {
 		p.tableRow(a.Name, a.Text, a.Reason)
 	}
-	p.line("\nNot counted: signing keys, revocations and spent token ids (the letter names none), the signed front, SNMP, logs, and what a")
-	p.line("collection of garbage costs beside its room.\n")
+	p.line("\nNot counted: signing keys, revocations and spent token ids (the operators name none), the signed front, SNMP, logs, and the processor")
+	p.line("time of garbage collection.\n")
 }
 
 func (p *pageWriter) recordings() {
 	p.line("## Recorded slopes\n")
-	p.line("Least squares, weighted by the inverse square of the measured value; linear unless that is off by more than 15 %% somewhere and")
-	p.line("another model by at most half as much. The residual is the largest, as a share of what was measured. All in one process on a machine that")
-	p.line("was shared with other work; processor is that of the process, not time passed.\n")
+	p.line("Least-squares fits, weighted by the inverse square of the measured value: linear, unless a point is off by more than 15 %% and another")
+	p.line("model is off by at most half as much. The residual is the largest one, as a part of the measured value. All was measured in one process")
+	p.line("on a machine that was shared with other work; processor time is that of the process.\n")
 	p.tableHead("recording", "what", "unit", "sizes", "fixed", "slope", "model", "residual", "command")
 	for _, name := range slices.Sorted(maps.Keys(p.RecordingSet)) {
 		r := p.RecordingSet[name]
