--- a/Makefile
+++ b/Makefile
@@ -80,8 +80,8 @@
 field:
 	FIELD=$(FIELD) FIELD_OFF=100 go test -count=1 -timeout 30m -v -run TestMeasure ./internal/lab/multiprocess
 
-# Thousands of hollow processes in virtual time, at all sizes and both ways; some minutes, no part of CI (a small one is). Each
-# size is a run of its own, so that one's heap is not the next one's.
+# Thousands of hollow processes in virtual time, at all sizes and in both modes: some minutes, and not part of CI (a small run is). Each
+# size is a process of its own, so that its heap does not include that of the size before.
 SCALE = 100 300 1000 3000 17000
 SCALE_OUT = bin/scale
 SCALE_RUNS = $(foreach n,$(SCALE),$(foreach way,levels direct,$(SCALE_OUT)/growth-$(way)-$(n).json))
