--- a/internal/lab/multiprocess/gossip_test.go
+++ b/internal/lab/multiprocess/gossip_test.go
@@ -98,41 +98,31 @@
 	return s
 }
 
-// One process of eight reports millions of attempts per second, all failing, at every cache, and successes at a cache that does
-// not exist; forged datagrams arrive, too many of them. The other processes' estimates stay correct, every cache keeps its
-// traffic, the one that does not exist gets none, and all members stay alive.
-func TestFalseReportsAreOutvoted(t *testing.T) {
-	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 4, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	liar, honest := cluster.Processes[7], cluster.Processes[:7]
-	cluster.Kill(liar)
-	caches := cluster.ReadyCaches(0)
-	n := 0
-	s := startImpostor(t, cluster, liar, liar.PeerAddr, honest[0].PeerAddr, func() map[policy.CacheID]fleetview.Totals {
-		n++
-		out := map[policy.CacheID]fleetview.Totals{}
-		for _, id := range append(caches, 99) {
-			x := fleetview.Totals{Attempts: uint64(n) * 200_000}
-			if id != 99 {
-				x.Failures = x.Attempts
+// unknownCache is a cache that does not exist.
+const unknownCache = 99
+
+// falseTotals returns a function that reports, at each call, 200,000 more failed attempts at every cache, and as many successful
+// ones at a cache that does not exist.
+func falseTotals(caches []policy.CacheID) func() map[policy.CacheID]fleetview.Totals {
+	calls := 0
+	return func() map[policy.CacheID]fleetview.Totals {
+		calls++
+		reported := map[policy.CacheID]fleetview.Totals{}
+		for _, id := range append(caches, unknownCache) {
+			totals := fleetview.Totals{Attempts: uint64(calls) * 200_000}
+			if id != unknownCache {
+				totals.Failures = totals.Attempts
 			}
-			out[id] = x
+			reported[id] = totals
 		}
-		return out
-	})
-	agree(t, honest, cluster.Processes)
-	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 20 })
-	defer stop()
-
-	nc, err := net.Dial("udp", honest[0].PeerAddr)
-	require.NoError(t, err)
-	defer nc.Close()
-	for i := range 3000 {
-		_, _ = nc.Write([]byte(fmt.Sprint("\x48 not a datagram of ours ", i)))
+		return reported
 	}
-	seen := len(cluster.Fleet.Observations())
-	require.Eventually(t, func() bool { return len(cluster.Fleet.Observations()) > seen+1000 }, multiprocess.ReadyTimeout, 10*time.Millisecond)
+}
+
+// requireCorrectEstimates checks that processes received the false reports of another one, and that their estimates of the caches
+// do not follow them.
+func requireCorrectEstimates(t *testing.T, honest []*multiprocess.Process, liar *multiprocess.Process, caches []policy.CacheID) {
+	t.Helper()
 	lies := 0
 	for _, p := range honest {
 		v, err := p.FleetView("")
@@ -154,6 +144,32 @@
 		}
 	}
 	require.Positive(t, lies, "the false reports were received")
+}
+
+// One process of eight reports millions of attempts per second, all failing, at every cache, and successes at a cache that does
+// not exist; forged datagrams arrive, too many of them. The other processes' estimates stay correct, every cache keeps its
+// traffic, the one that does not exist gets none, and all members stay alive.
+func TestFalseReportsAreOutvoted(t *testing.T) {
+	t.Parallel()
+	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 4, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
+	agree(t, cluster.Processes, cluster.Processes)
+	liar, honest := cluster.Processes[7], cluster.Processes[:7]
+	cluster.Kill(liar)
+	caches := cluster.ReadyCaches(0)
+	impostor := startImpostor(t, cluster, liar, liar.PeerAddr, honest[0].PeerAddr, falseTotals(caches))
+	agree(t, honest, cluster.Processes)
+	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 20 })
+	defer stop()
+
+	nc, err := net.Dial("udp", honest[0].PeerAddr)
+	require.NoError(t, err)
+	defer nc.Close()
+	for i := range 3000 {
+		_, _ = nc.Write([]byte(fmt.Sprint("\x48 not a datagram of ours ", i)))
+	}
+	seen := len(cluster.Fleet.Observations())
+	require.Eventually(t, func() bool { return len(cluster.Fleet.Observations()) > seen+1000 }, multiprocess.ReadyTimeout, 10*time.Millisecond)
+	requireCorrectEstimates(t, honest, liar, caches)
 	used := map[policy.CacheID]int{}
 	for _, x := range cluster.Fleet.ObservationsAfter(seen) {
 		used[x.Server]++
@@ -161,13 +177,13 @@
 	for _, id := range caches {
 		require.Positive(t, used[id])
 	}
-	require.Zero(t, used[99])
+	require.Zero(t, used[unknownCache])
 	status, err := honest[0].PeerStatus()
 	require.NoError(t, err)
 	require.Positive(t, status.Dropped["malformed"]+status.Dropped["flood"])
 	agree(t, honest, cluster.Processes)
 	require.Empty(t, cluster.Violations())
-	s.Close()
+	impostor.Close()
 	agree(t, honest, honest)
 }
 
--- a/internal/lab/multiprocess/scenario.go
+++ b/internal/lab/multiprocess/scenario.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strings"
 
+	"ravenwheel/internal/lab/bounds"
 	"ravenwheel/internal/strictjson"
 )
 
@@ -58,55 +59,45 @@
 	s := DefaultScenario()
 	doc := strictjson.Decode(file, text, &s)
 	if doc.Valid() {
-		s.check(checker{doc})
+		s.check(bounds.Checker{Document: doc})
 	}
 	doc.Defects.Sort()
 	return s, doc.Defects
 }
 
-// checker reports values of a document that are out of bounds.
-type checker struct{ *strictjson.Document }
-
-// within reports a defect unless the value at a path lies within bounds.
-func (c checker) within(path string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		c.Failf(path, "%s %.10g is not %.10g to %.10g", path[strings.LastIndexByte(path, '.')+1:], value, least, most)
-	}
-}
-
-func (s *Scenario) check(c checker) {
+func (s *Scenario) check(c bounds.Checker) {
 	zones := max(1, s.Zones)
-	c.within("seconds", s.Seconds, 1, maxSeconds)
-	c.within("zones", float64(s.Zones), 1, maxZones)
-	c.within("processes", float64(s.ProcessesPerZone), 1, float64(maxProcesses/zones))
-	c.within("caches", float64(s.CachesPerZone), 1, float64(maxCaches/zones))
-	c.within("parents", float64(s.Parents), 0, maxParents)
-	c.within("serve_ms", s.TransferTime, 0, maxServerTime)
-	c.within("fill_ms", s.FillTime, 0, maxServerTime)
-	c.within("rate", s.Rate, minRate, maxRate)
-	c.within("objects", float64(s.Objects), 1, maxObjects)
-	c.within("draw", float64(s.RandomFaults), 0, maxRandomFaults)
+	c.Within("seconds", s.Seconds, 1, maxSeconds)
+	c.CountWithin("zones", s.Zones, 1, maxZones)
+	c.CountWithin("processes", s.ProcessesPerZone, 1, maxProcesses/zones)
+	c.CountWithin("caches", s.CachesPerZone, 1, maxCaches/zones)
+	c.CountWithin("parents", s.Parents, 0, maxParents)
+	c.Within("serve_ms", s.TransferTime, 0, maxServerTime)
+	c.Within("fill_ms", s.FillTime, 0, maxServerTime)
+	c.Within("rate", s.Rate, minRate, maxRate)
+	c.CountWithin("objects", s.Objects, 1, maxObjects)
+	c.CountWithin("draw", s.RandomFaults, 0, maxRandomFaults)
 	for i, fault := range s.Faults {
 		s.checkFault(c, fmt.Sprintf("faults[%d]", i), fault)
 	}
 }
 
-func (s *Scenario) checkFault(c checker, path string, f Fault) {
+func (s *Scenario) checkFault(c bounds.Checker, path string, f Fault) {
 	traits, known := faultKinds[f.Kind]
 	if !known {
 		c.Failf(path+".kind", "kind %q is none of %s", f.Kind, kindNames())
 		return
 	}
-	lastZone := float64(s.Zones - 1)
-	c.within(path+".at_s", f.At, 0, s.Seconds)
-	c.within(path+".for_s", f.Duration, 0, s.Seconds)
-	c.within(path+".zone", float64(f.Zone), AllZones, lastZone)
+	lastZone := s.Zones - 1
+	c.Within(path+".at_s", f.At, 0, s.Seconds)
+	c.Within(path+".for_s", f.Duration, 0, s.Seconds)
+	c.CountWithin(path+".zone", f.Zone, AllZones, lastZone)
 	if traits.fraction {
-		c.within(path+".share", f.Fraction, minPositive, 1)
+		c.Within(path+".share", f.Fraction, minPositive, 1)
 	}
 	if traits.link {
-		c.within(path+".from", float64(f.From), 0, lastZone)
-		c.within(path+".to", float64(f.To), 0, lastZone)
+		c.CountWithin(path+".from", f.From, 0, lastZone)
+		c.CountWithin(path+".to", f.To, 0, lastZone)
 		if f.From == f.To {
 			c.Failf(path, "%s is between two zones, not within zone %d", f.Kind, f.From)
 		}
@@ -115,7 +106,7 @@
 		}
 	}
 	if traits.maxMagnitude > 0 {
-		c.within(path+".size", f.Magnitude, minPositive, traits.maxMagnitude)
+		c.Within(path+".size", f.Magnitude, minPositive, traits.maxMagnitude)
 	}
 }
 
