--- a/internal/lab/capacity/cost.go
+++ b/internal/lab/capacity/cost.go
@@ -62,7 +62,7 @@
 
 // Total is the sum of the items.
 func (c Cost) Total() CostItem {
-	total := CostItem{Name: "together"}
+	total := CostItem{Name: "total"}
 	for _, item := range c {
 		total.StateBytes = total.StateBytes.Plus(item.StateBytes)
 		total.MessagesInPerS = total.MessagesInPerS.Plus(item.MessagesInPerS)
--- a/internal/lab/capacity/findings.go
+++ b/internal/lab/capacity/findings.go
@@ -25,16 +25,16 @@
 // Remedies that several findings have in common.
 const (
 	remedyDistributors = "distributors in between (built here)"
-	remedyPurge        = "a purge that does not look through all others (decide/storestate, built here)"
-	remedyFault        = "past the bound strict classes hold (FreshnessGate, built here; the request path does not ask it yet); " +
-		"FailoverSpread and SilenceTimeout shorter, or two subscriptions a process"
+	remedyPurge        = "a purge that does not scan all others (decide/storestate, built here)"
+	remedyFault        = "beyond the bound strict classes use no copies (FreshnessGate, built here; the request path does not ask it yet); " +
+		"a shorter FailoverSpread and SilenceTimeout, or two subscriptions a process"
 )
 
 // byteRemedies are what reduces the bytes of a proxy, by design.
 var byteRemedies = [...]string{
 	DesignCurrent:      "distributors in place of raft to every process (built here)",
 	DesignDistribution: "members and digests of one region, lists as changes (missing)",
-	DesignProposed:     "of a minute's burst nothing here: 870 purges a second are 34.8 KB/s by themselves",
+	DesignProposed:     "none here for a minute's burst: 870 purges a second are 34.8 KB/s by themselves",
 }
 
 // Findings are all that exceeds a limit, in the order of the page: a proxy's budgets, those of control machines, the times of
@@ -130,8 +130,8 @@
 	relayed := f.followCost(DesignDistribution, f.OrdinaryLoad()).BytesInPerS.Scale(proxiesPerDistributor)
 	found.add("a proxy that is a distributor for 75 others: bytes sent for them", relayed, f.ProxyBytesPerS,
 		Figure.FormatRate, "distributors on the control machines alone")
-	found.add("one question of a tool to every proxy, a second on 1 Gbit/s", f.ToolsCost().Total().BytesInPerS, network,
-		Figure.FormatRate, "tools ask distributors for sums, missing")
+	found.add("one request of a tool to every proxy, in a second on 1 Gbit/s", f.ToolsCost().Total().BytesInPerS, network,
+		Figure.FormatRate, "tools request sums from distributors, missing")
 	found.add("control machines for two distributors in each region and five voters", given(2*f.Regions+voters), f.ControlMachines,
 		formatCount, "none: 27 of 32 regions have one, whose processes move out of the region when it is lost")
 }
@@ -150,23 +150,23 @@
 // addBoundFindings checks bounds of the program.
 func (f Fleet) addBoundFindings(found *findings) {
 	ordinary, burst := f.OrdinaryLoad(), f.Situations()[1].Load
-	found.add("members that one process can hear (peers.maxSenders): further ones are dropped", given(f.Proxies), maxSenders,
+	found.add("members that a process can receive from (peers.maxSenders): others are dropped", given(f.Proxies), maxSenders,
 		formatCount, "membership within a region, missing")
 	found.add("a whole list as one entry (distribution.MaxEntry)", f.Estimate("replica/list-entry", given(f.Caches)), maxEntryBytes,
 		Figure.FormatBytes, "lists as changes, or by region, missing")
-	found.add("purges while two regions are apart, against what a distributor keeps to resume from",
-		given(ordinary.PurgesPerS*f.PartitionMs/1000), backlogEntries, formatCount, "a snapshot in their place, built here: it is smaller")
+	found.add("purges while two regions are apart, against those that a distributor keeps to resume from",
+		given(ordinary.PurgesPerS*f.PartitionMs/1000), backlogEntries, formatCount, "a snapshot instead, built here: it is smaller")
 	found.add("results of changes in 10 minutes of a burst (storestate.maxResults)", given(burst.PurgesPerS*resultRetentionS), maxResults,
-		formatCount, fmt.Sprintf("a change that comes again after %s s counts twice; purges need no result, as they are idempotent: missing",
+		formatCount, fmt.Sprintf("a change that is proposed again after %s s counts twice; purges need no result, as they are idempotent: missing",
 			formatNumber(maxResults/burst.PurgesPerS)))
 	found.add("revisions of a day, against those kept for a rollback (storestate.maxRevisions)", given(ordinary.RevisionsPerS*secondsPerDay),
 		maxRevisions, formatCount, fmt.Sprintf("100 last for %s minutes at this rate; keep those of a week, missing",
 			formatNumber(maxRevisions/ordinary.RevisionsPerS/secondsPerMinute)))
-	found.add("an election at worst, against the time after which the store gives a change up (ms)",
+	found.add("an election at worst, against the store's timeout of a change",
 		assumed(raftHeartbeatTimeoutMs+raftElectionTimeoutMs).Plus(f.RegionLatencyMs.Scale(2)), storeTimeoutMs,
-		Figure.FormatMilliseconds, "who purges must ask again; a longer time-out")
-	found.add("processes of a region with one distributor (distribution.MaxSubscribers, while no demand is told)",
-		given(f.Proxies/f.Regions), maxSubscribers, formatCount, "a higher bound: a distributor of 531 is far from busy here")
-	found.add("purges held in a burst, against the module's memory of them (policy.recentHitsMaxEntries)",
+		Figure.FormatMilliseconds, "the author of a purge retries; a longer timeout")
+	found.add("processes of a region with one distributor (distribution.MaxSubscribers, where the demand is not known)",
+		given(f.Proxies/f.Regions), maxSubscribers, formatCount, "a higher bound: a distributor of 531 has little load here")
+	found.add("purges in effect in a burst, against those that the module keeps (policy.recentHitsMaxEntries)",
 		f.purgesInEffect(burst.PurgesPerS), maxPurges, formatCount, "")
 }
--- a/internal/lab/capacity/page_sections.go
+++ b/internal/lab/capacity/page_sections.go
@@ -26,7 +26,7 @@
 // findings comes first, so that nothing that exceeds a limit is overlooked.
 func (p *pageWriter) findings() {
 	p.line("## Over budget\n")
-	p.tableHead("what", "is", "allowed", "times", "what would mend it")
+	p.tableHead("what", "value", "limit", "times", "remedy")
 	for _, f := range p.Findings() {
 		p.tableRow(f.Subject, f.Value, f.Limit, formatFactor(f.Ratio), f.Remedy)
 	}
@@ -34,8 +34,8 @@
 }
 
 func (p *pageWriter) derivations() {
-	p.line("## The letter's figures, checked\n")
-	p.tableHead("what", "sum", "worked out here", "named by the issue")
+	p.line("## The operators' figures, checked\n")
+	p.tableHead("what", "formula", "worked out here", "stated by the issue")
 	for _, d := range p.Derivations() {
 		p.tableRow(d.Name, d.Formula, d.format(d.Value), d.format(d.Stated))
 	}
@@ -122,7 +122,7 @@
 }
 
 func (p *pageWriter) mechanisms() {
-	p.line("## What carries each situation\n")
+	p.line("## Mechanisms of each situation\n")
 	p.tableHead("situation", "mechanism", "package", "")
 	for _, s := range p.Situations() {
 		for _, m := range s.Mechanisms {
@@ -141,9 +141,9 @@
 }
 
 func (p *pageWriter) paths() {
-	p.line("## The times, hop by hop\n")
+	p.line("## Times of propagation, hop by hop\n")
 	paths := p.Paths()
-	p.tableHead("a fault", "its parts", "ms")
+	p.tableHead("fault", "part", "ms")
 	for _, fault := range paths[0].Faults {
 		for _, hop := range fault.Hops {
 			p.tableRow(fault.Name, hop.Name, hop.Duration.FormatMilliseconds())
@@ -166,14 +166,14 @@
 
 func (p *pageWriter) path(path Path) {
 	p.line("### %s: within %s\n", capitalize(path.Name), given(path.WithinMs).FormatMilliseconds())
-	p.tableHead("hop", "takes", "since the start")
+	p.tableHead("hop", "duration", "since the start")
 	elapsed := Figure{}
 	for _, hop := range path.Hops {
 		elapsed = elapsed.Plus(hop.Duration)
 		p.tableRow(hop.Name, hop.Duration.FormatMilliseconds(), elapsed.FormatMilliseconds())
 	}
 	p.tableEnd()
-	p.tableHead("in the way", "adds at worst", "done after", "left")
+	p.tableHead("fault", "adds at worst", "done after", "left")
 	for _, fault := range path.Faults {
 		total := elapsed.Plus(fault.Total())
 		p.tableRow(fault.Name, fault.Total().FormatMilliseconds(), total.FormatMilliseconds(), formatRemaining(total, path.WithinMs))
@@ -200,7 +200,7 @@
 		formatNumber(2*p.Regions+voters))
 	p.line("distributors fewer and a slower quorum.\n")
 	p.tableHead("lost", "voters left, needed", "distributors left", "proxies each, on average", "without one in their region",
-		"the store commits", "changes are delivered", "may be lost on top")
+		"the store commits", "changes are delivered", "may be lost next")
 	for _, loss := range p.Losses() {
 		quorum := fmt.Sprintf("%d, %d", loss.VotersLeft, loss.VotersNeeded)
 		p.tableRow(loss.Name, quorum, formatNumber(loss.DistributorsLeft), loss.ProxiesPerDistributor.String(), loss.Unserved,
@@ -228,8 +228,8 @@
 		p.costTable(fmt.Sprintf("%s, %s", Membership, d), Cost{p.membershipCost(d, load), p.digestCost(d)})
 	}
 	p.costTable(fmt.Sprintf("%s of a site (nothing of it is built)", Prober), p.ProberCost())
-	p.costTable(string(ListSource)+" (the notice board), for the fleet", p.ListSourceCost(load))
-	p.costTable(string(Tools)+", one such question a second", p.ToolsCost())
+	p.costTable(string(ListSource)+" (the discovery service), for the fleet", p.ListSourceCost(load))
+	p.costTable(string(Tools)+", one such request a second", p.ToolsCost())
 }
 
 func (p *pageWriter) costTable(name string, cost Cost) {
@@ -259,7 +259,7 @@
 }
 
 func (p *pageWriter) assumptions() {
-	p.line("## Taken for granted\n")
+	p.line("## Assumptions\n")
 	p.tableHead("what", "figure", "why")
 	for _, a := range p.Rows() {
 		p.tableRow(a.Name, a.Text, a.Reason)
@@ -269,7 +269,7 @@
 }
 
 func (p *pageWriter) recordings() {
-	p.line("## Recorded slopes\n")
+	p.line("## Recordings and their fits\n")
 	p.line("Least-squares fits, weighted by the inverse square of the measured value: linear, unless a point is off by more than 15 %% and another")
 	p.line("model is off by at most half as much. The residual is the largest one, as a part of the measured value. All was measured in one process")
 	p.line("on a machine that was shared with other work; processor time is that of the process.\n")
--- a/internal/lab/capacity/paths.go
+++ b/internal/lab/capacity/paths.go
@@ -65,12 +65,12 @@
 // Paths are those of a purge, a revision and a server list in DesignDistribution.
 func (f Fleet) Paths() []Path {
 	propagation, faults := f.propagationHops(), f.pathFaults()
-	revision := slices.Concat(propagation, hops{{"checked whole and put in force", assumed(revisionApplyMs)}})
+	revision := slices.Concat(propagation, hops{{"validated and applied", assumed(revisionApplyMs)}})
 	list := slices.Concat(propagation, f.listHops())
 	return []Path{
-		{"a purge, done everywhere", f.PurgeWithinMs, propagation, faults},
-		{"a revision, in force everywhere", f.ConfigWithinMs, revision, faults},
-		{"a list of 6,000 servers, told whole, in force everywhere", f.ConfigWithinMs, list, faults},
+		{"a purge, applied everywhere", f.PurgeWithinMs, propagation, faults},
+		{"a revision, applied everywhere", f.ConfigWithinMs, revision, faults},
+		{"a list of 6,000 servers, sent whole, applied everywhere", f.ConfigWithinMs, list, faults},
 	}
 }
 
@@ -78,16 +78,16 @@
 func (f Fleet) propagationHops() hops {
 	region, zone := f.RegionLatencyMs, f.ZoneLatencyMs
 	return hops{
-		{"from who makes it to the nearest member of the store", zone},
+		{"from the author to the nearest member of the store", zone},
 		{"to the leader", region},
 		{"on the leader's disk", f.SyncMs},
-		{"to a quorum and back, on their disks", region.Scale(2).Plus(f.SyncMs)},
-		{"until a root that does not lead is told (raft, twice 50 ms at worst)", assumed(raftCommitMs).Plus(region)},
-		{"gathered at the root", f.FrameIntervalMs},
+		{"to a quorum and back, with writes to disk", region.Scale(2).Plus(f.SyncMs)},
+		{"until a root that does not lead learns of the commit (raft, twice 50 ms at worst)", assumed(raftCommitMs).Plus(region)},
+		{"batched at the root", f.FrameIntervalMs},
 		{"to the distributor of another region", region},
-		{"gathered and queued there", f.FrameIntervalMs.Plus(assumed(distributorQueueMs))},
+		{"batched and queued there", f.FrameIntervalMs.Plus(assumed(distributorQueueMs))},
 		{"to the process", zone},
-		{"taken in by store, module and journal", f.applyMs()},
+		{"applied by store, module and journal", f.applyMs()},
 	}
 }
 
@@ -99,7 +99,7 @@
 	applyMs := f.Estimate("replica/list-apply", servers).Plus(f.Estimate("ledger/list", servers)).Scale(1e-3)
 	return hops{
 		{"6,000 servers to each subscriber of one distributor, over its 1 Gbit/s", sendMs},
-		{"read, compared with the list before, put in force", applyMs},
+		{"decoded, compared with the previous list, applied", applyMs},
 	}
 }
 
@@ -107,15 +107,15 @@
 func (f Fleet) pathFaults() []Fault {
 	failover := hops{
 		{"silence is noticed (SilenceTimeout)", assumed(silenceTimeoutMs)},
-		{"its turn comes (FailoverSpread, the last one's)", assumed(failoverSpreadMs)},
-		{"a connection elsewhere: TCP, TLS and the subscription, three times there and back", f.RegionLatencyMs.Scale(6)},
+		{"the last one reconnects (FailoverSpread)", assumed(failoverSpreadMs)},
+		{"a connection to another one: TCP, TLS and subscription, three round trips", f.RegionLatencyMs.Scale(6)},
 	}
 	election := hops{
 		{"silence is noticed (raft, twice 1 s at worst)", assumed(raftHeartbeatTimeoutMs)},
-		{"a candidate's turn (raft, once more up to 2 s)", assumed(raftElectionTimeoutMs)},
-		{"votes, there and back", f.RegionLatencyMs.Scale(2)},
+		{"a candidate stands for election (raft, up to 2 s more)", assumed(raftElectionTimeoutMs)},
+		{"votes, one round trip", f.RegionLatencyMs.Scale(2)},
 	}
-	connectTimeout := hops{{"the next one is dead too (ConnectTimeout)", assumed(connectTimeoutMs)}}
+	connectTimeout := hops{{"the next one is down too (ConnectTimeout)", assumed(connectTimeoutMs)}}
 	return []Fault{
 		{"the leader is lost", election},
 		{"the distributor is lost, or falls silent", failover},
--- a/internal/lab/capacity/proxy_cost.go
+++ b/internal/lab/capacity/proxy_cost.go
@@ -23,8 +23,8 @@
 	cost = append(cost, f.revisionCost(load), f.listCost(d, load), f.membershipCost(d, load), f.digestCost(d), probeCost())
 	live := cost.Total().MemoryBytes
 	return append(cost,
-		CostItem{Name: "room for the collector, as much as lives", MemoryBytes: live.Times(assumed(1))},
-		CostItem{Name: "the process beside these", MemoryBytes: f.ProcessMemory})
+		CostItem{Name: "room for the garbage collector, as much as the live heap", MemoryBytes: live.Times(assumed(1))},
+		CostItem{Name: "the rest of the process", MemoryBytes: f.ProcessMemory})
 }
 
 // followCost is the cost of receiving entries: by raft in DesignCurrent, and else from a distributor.
@@ -45,7 +45,7 @@
 	headers := f.PacketHeaderBytes.Plus(f.RecordHeaderBytes).Times(messages)
 	logBytes := f.Estimate("replica/purge-entry", given(nameBytes)).Scale(raftTrailingLogs)
 	return CostItem{
-		Name:            "follow the store through raft",
+		Name:            "follow the store by raft",
 		StateBytes:      logBytes,
 		MessagesInPerS:  messages,
 		MessagesOutPerS: messages,
@@ -95,7 +95,7 @@
 	}
 	micros := sum(f.Estimate("replica/purge-apply", scanned), f.Estimate("policy/purge", purges), f.Estimate("journal/purge", purges))
 	return CostItem{
-		Name:          "take purges in, hold them",
+		Name:          "apply and hold purges",
 		StateBytes:    f.Estimate("replica/purge-snapshot", purges),
 		CPUMicrosPerS: micros.Scale(load.PurgesPerS),
 		MemoryBytes: sum(f.Estimate("replica/purge-memory", purges), f.Estimate("policy/purge-memory", purges),
@@ -107,7 +107,7 @@
 func (f Fleet) resultCost(load Load) CostItem {
 	results := given(min(maxResults, resultRetentionS*(load.PurgesPerS+load.RevisionsPerS+load.ListChangesPerS)))
 	return CostItem{
-		Name:        "hold the results of changes",
+		Name:        "results of changes",
 		StateBytes:  f.Estimate("replica/results-snapshot", results),
 		MemoryBytes: f.Estimate("replica/results-memory", results),
 	}
@@ -149,7 +149,7 @@
 		return item
 	}
 	changes := load.ListChangesPerS
-	item.Name = "lists of servers, told whole"
+	item.Name = "server lists, sent whole"
 	item.MessagesInPerS = given(changes)
 	item.BytesInPerS = f.Estimate("replica/list-entry", servers).Scale(changes)
 	item.CPUMicrosPerS = sum(f.Estimate("replica/list-apply", servers), f.Estimate("ledger/list", servers), moduleMicros).Scale(changes)
--- a/internal/lab/capacity/role_costs.go
+++ b/internal/lab/capacity/role_costs.go
@@ -27,7 +27,7 @@
 	snapshot := f.SnapshotBytes(d, load)
 	return Cost{
 		{
-			Name:            "hear a root",
+			Name:            "receive from a root",
 			StateBytes:      snapshot,
 			MessagesInPerS:  received.MessagesInPerS,
 			MessagesOutPerS: received.MessagesOutPerS,
@@ -62,7 +62,7 @@
 // snapshotCost is that of the snapshots for processes that start.
 func (f Fleet) snapshotCost(d Design, load Load, startsPerS Figure) CostItem {
 	return CostItem{
-		Name:            "snapshots for those that start",
+		Name:            "snapshots for processes that start",
 		MessagesOutPerS: startsPerS,
 		BytesOutPerS:    f.SnapshotBytes(d, load).Times(startsPerS),
 		CPUMicrosPerS:   f.Estimate("replica/snapshot-write", f.purgesInEffect(load.PurgesPerS)).Times(startsPerS),
@@ -106,7 +106,7 @@
 	}
 	perFollower := func(name string) Figure { return f.UnitCost(name).Times(followers).Times(measured) }
 	return CostItem{
-		Name:            "feed " + formatNumber(followers.Value) + " followers through raft",
+		Name:            "replicate to " + formatNumber(followers.Value) + " followers by raft",
 		MessagesInPerS:  messages,
 		MessagesOutPerS: messages,
 		BytesInPerS:     perFollower("raft/follower-bytes").Scale(rate),
@@ -119,7 +119,7 @@
 func (f Fleet) storeStateCost(load Load) CostItem {
 	applyMicros := f.Estimate("replica/purge-apply", f.purgesInEffect(load.PurgesPerS))
 	return CostItem{
-		Name:          "take entries in, write them",
+		Name:          "apply and write entries",
 		StateBytes:    f.SnapshotBytes(DesignCurrent, load),
 		CPUMicrosPerS: sum(applyMicros.Scale(load.PurgesPerS), assumed(logWriteMicros).Scale(load.PurgesPerS)),
 		MemoryBytes: sum(f.purgeCost(DesignCurrent, load).MemoryBytes, f.resultCost(load).MemoryBytes,
@@ -132,7 +132,7 @@
 	caches := given(f.Caches / f.Sites)
 	messages := caches.Times(assumed(1))
 	return Cost{{
-		Name:            "ask each cache of the site once a second",
+		Name:            "probe each cache of the site once a second",
 		StateBytes:      assumed(probeStateBytes).Times(caches),
 		MessagesInPerS:  messages,
 		MessagesOutPerS: messages,
@@ -151,13 +151,13 @@
 	messages := changes.Plus(heartbeats)
 	return Cost{
 		{
-			Name:            "the whole list, at a start",
+			Name:            "the whole list, at the start of a process",
 			StateBytes:      list,
 			MessagesOutPerS: given(load.StartsPerS),
 			BytesOutPerS:    list.Scale(load.StartsPerS),
 		},
 		{
-			Name:            "changes, and a beat each second, to 17,000",
+			Name:            "changes, and a heartbeat each second, to 17,000",
 			MessagesOutPerS: messages,
 			BytesOutPerS: changes.Scale(discoveryChangeBytes).Plus(heartbeats.Scale(discoveryHeartbeatBytes)).
 				Plus(messages.Times(f.PacketHeaderBytes)),
--- a/internal/lab/capacity/situations.go
+++ b/internal/lab/capacity/situations.go
@@ -64,7 +64,7 @@
 func (f Fleet) ordinaryMinute() Situation {
 	return Situation{"an ordinary minute", f.OrdinaryLoad(), f.Distributors(), noExtraBytes, []Mechanism{
 		{"levels of distributors, frames encoded once", packageDistribution, Built},
-		{"state that the log adds up to", "internal/decide/storestate", Existing},
+		{"state that the log produces", "internal/decide/storestate", Existing},
 		{"lists as changes, of one's own region", packageDistribution + ", storestate", Missing},
 	}}
 }
@@ -73,8 +73,8 @@
 	load := f.OrdinaryLoad()
 	load.PurgesPerS *= f.BurstFactor
 	return Situation{"a burst of ten times the purges", load, f.Distributors(), noExtraBytes, []Mechanism{
-		{"a purge without a look through all others", "internal/decide/storestate", Built},
-		{"frames that gather purges for longer under load", packageDistribution, Missing},
+		{"a purge that does not scan all others", "internal/decide/storestate", Built},
+		{"frames that batch purges for longer under load", packageDistribution, Missing},
 		{"results kept for 10 minutes at ten times the rate", "internal/decide/storestate", Missing},
 	}}
 }
@@ -91,7 +91,7 @@
 func (f Fleet) machineLoss() Situation {
 	return Situation{"a control machine lost", f.OrdinaryLoad(), f.Distributors() - 1, f.snapshotBytesPerS, []Mechanism{
 		{"subscribers move to another distributor, and resume", packageDistribution, Built},
-		{"members of the store that vote take over", "internal/store", Existing},
+		{"the other voters of the store take over", "internal/store", Existing},
 	}}
 }
 
@@ -109,7 +109,7 @@
 	load := f.OrdinaryLoad()
 	load.ListChangesPerS += 1 / secondsPerMinute
 	return Situation{name, load, f.Distributors() - 1, f.lossBytesPerS(f.Proxies / f.Zones), []Mechanism{
-		{"the zone's servers go by one list, without a jump in weights", "internal/decide/membership", Existing},
+		{"one list drains the zone's servers, without a jump in weights", "internal/decide/membership", Existing},
 		{"distributors of another zone or region take its region's processes", packageDistribution, Built},
 	}}
 }
@@ -117,8 +117,8 @@
 func (f Fleet) regionsApart() Situation {
 	const name = "two regions apart for 5 minutes, and together again"
 	return Situation{name, f.OrdinaryLoad(), f.Distributors(), f.snapshotBytesPerS, []Mechanism{
-		{"a distributor hears another root; who was cut off gets a snapshot", packageDistribution, Built},
-		{"a process past its bound holds its strict classes", packageDistribution + " (FreshnessGate)", Built},
+		{"a distributor subscribes to another root; processes that were cut off get a snapshot", packageDistribution, Built},
+		{"a process beyond its bound serves strict classes from no copy", packageDistribution + " (FreshnessGate)", Built},
 		{"the request path asks the gate", "internal/core", Missing},
 	}}
 }
