--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -32,11 +32,11 @@
 	s := newSoak(t, bin, seed)
 	s.plan.discovery = true
 	s.plan.runs = time.Duration(9000+s.rng.IntN(5000)) * time.Millisecond
-	for len(s.doors) < discoveryAddrs {
-		d, err := s.board.Open("127.0.0.1:0")
+	for len(s.listeners) < discoveryAddrs {
+		d, err := s.service.Open("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
-		s.doors = append(s.doors, d)
+		s.listeners = append(s.listeners, d)
 	}
 	return s
 }
@@ -77,9 +77,9 @@
 func (s *soak) discoveryFault() {
 	switch s.rng.IntN(6) {
 	case 0, 1: // it moves
-		s.doors[s.at].Stall(true)
-		s.at = (s.at + 1 + s.rng.IntN(len(s.doors)-1)) % len(s.doors)
-		s.doors[s.at].Stall(false)
+		s.listeners[s.at].Stall(true)
+		s.at = (s.at + 1 + s.rng.IntN(len(s.listeners)-1)) % len(s.listeners)
+		s.listeners[s.at].Stall(false)
 		s.treatCallers(fleet.CallerFault{Unresponsive: true}, 2)
 		s.write(s.at)
 		s.reload()
@@ -89,7 +89,7 @@
 	case 3:
 		s.treatCallers(fleet.CallerFault{}, 2)
 		s.hold(2000)
-		s.doors[s.at].ResetConnections()
+		s.listeners[s.at].ResetConnections()
 	case 4: // it stops, or trickles
 		told := fleet.CallerFault{Unresponsive: true}
 		if s.rng.IntN(2) == 0 {
@@ -128,12 +128,12 @@
 
 // treatCallers sets how the current callers are treated, and up to so many of the next ones, each in its own way.
 func (s *soak) treatCallers(old fleet.CallerFault, most int) {
-	before := s.doors[s.at].Calls.Load()
+	before := s.listeners[s.at].Calls.Load()
 	var next []fleet.CallerFault
 	for range s.rng.IntN(most + 1) {
 		next = append(next, []fleet.CallerFault{{Unresponsive: true}, {Disconnect: true}, {ByteInterval: 1000}}[s.rng.IntN(3)])
 	}
-	s.doors[s.at].SetCallerFault(func(caller int64) fleet.CallerFault {
+	s.listeners[s.at].SetCallerFault(func(caller int64) fleet.CallerFault {
 		switch n := caller - before; {
 		case n <= 0:
 			return old
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -52,31 +52,31 @@
 
 // follower is a process that follows discovery at one of several addresses, and a client that sends requests all the time.
 type follower struct {
-	t       *testing.T
-	board   *fleet.DiscoveryService
-	doors   []*fleet.DiscoveryListener
-	answers *recordingCache
-	config  string
-	listen  string
-	cmd     *exec.Cmd
-	logs    syncedBuffer
-	client  *scenario.Client
-	asked   int
+	t         *testing.T
+	service   *fleet.DiscoveryService
+	listeners []*fleet.DiscoveryListener
+	answers   *recordingCache
+	config    string
+	listen    string
+	cmd       *exec.Cmd
+	logs      syncedBuffer
+	client    *scenario.Client
+	asked     int
 }
 
 // startFollower starts a process with a seed and further arguments, at the first of so many addresses.
-func startFollower(t *testing.T, bin string, seed, doors int, args ...string) *follower {
-	f := &follower{t: t, answers: &recordingCache{}, board: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
-	for range doors {
-		d, err := f.board.Open("127.0.0.1:0")
+func startFollower(t *testing.T, bin string, seed, listeners int, args ...string) *follower {
+	f := &follower{t: t, answers: &recordingCache{}, service: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
+	for range listeners {
+		d, err := f.service.Open("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
-		f.doors = append(f.doors, d)
+		f.listeners = append(f.listeners, d)
 	}
 	cache, listen := scenario.Listen(t), freeAddr(t)
 	go f.answers.serve(t, cache)
 	f.listen = listen
-	f.config = configFile(t, listen, f.doors[0].Addr(), cache.Addr())
+	f.config = configFile(t, listen, f.listeners[0].Addr(), cache.Addr())
 	f.edit(func(c map[string]any) { c["seed"] = fmt.Sprintf("%016x", seed) })
 	f.cmd = exec.Command(bin, args...)
 	f.cmd.Env = append(os.Environ(), "LB_CONFIG="+f.config)
@@ -84,7 +84,7 @@
 	require.NoError(t, f.cmd.Start())
 	t.Cleanup(func() { _ = f.cmd.Process.Kill(); _ = f.cmd.Wait() })
 	require.Eventually(t, func() bool { there, err := servedOnceReady(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
-	require.Eventually(t, func() bool { return f.doors[0].Calls.Load() == 1 }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return f.listeners[0].Calls.Load() == 1 }, time.Minute, 5*time.Millisecond)
 	f.client = scenario.Dial(t, listen)
 	return f
 }
@@ -104,8 +104,8 @@
 
 // move writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
 func (f *follower) move(from, to int) {
-	f.doors[from].Stall(true)
-	f.edit(func(c map[string]any) { c["board"] = f.doors[to].Addr() })
+	f.listeners[from].Stall(true)
+	f.edit(func(c map[string]any) { c["board"] = f.listeners[to].Addr() })
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
 
@@ -137,13 +137,13 @@
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				f := startFollower(t, bin, seed, 4)
-				f.doors[1].Stall(true)
-				f.doors[2].Stall(true)
-				f.doors[3].SetCallerFault(func(caller int64) fleet.CallerFault {
+				f.listeners[1].Stall(true)
+				f.listeners[2].Stall(true)
+				f.listeners[3].SetCallerFault(func(caller int64) fleet.CallerFault {
 					return fleet.CallerFault{Unresponsive: name == "silent" && caller == 1, Disconnect: name == "broken off" && caller <= 5}
 				})
-				f.doors[0].Stall(true)
-				f.board.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
+				f.listeners[0].Stall(true)
+				f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
 				var last time.Time
 				for to := 1; to <= 3; to++ {
 					last = time.Now()
@@ -164,14 +164,14 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			f := startFollower(t, bin, seed, 1)
-			f.doors[0].SetCallerFault(func(caller int64) fleet.CallerFault {
+			f.listeners[0].SetCallerFault(func(caller int64) fleet.CallerFault {
 				if caller == 1 {
 					return fleet.CallerFault{ByteInterval: 1000}
 				}
 				return fleet.CallerFault{}
 			})
 			since := time.Now()
-			f.board.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
+			f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
 			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
 		})
 	}
@@ -186,7 +186,7 @@
 			t.Parallel()
 			f := startFollower(t, bin, seed, 1)
 			time.Sleep(500 * time.Millisecond) // between two frames
-			f.doors[0].Stall(true)
+			f.listeners[0].Stall(true)
 			since := time.Now()
 			purged := since.UnixMilli()
 			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
@@ -208,6 +208,6 @@
 	require.Eventually(t, func() bool {
 		var s discoveryclient.Status
 		err := admin.Call(sock, "/v1/discovery", nil, &s)
-		return err == nil && s.Address == f.doors[1].Addr() && s.AddressChanges == 1 && s.Calls >= 2 && s.Responded >= 2 && s.Closed >= 1 && s.Frames >= 2 && s.LastEvent == 1
+		return err == nil && s.Address == f.listeners[1].Addr() && s.AddressChanges == 1 && s.Calls >= 2 && s.Responded >= 2 && s.Closed >= 1 && s.Frames >= 2 && s.LastEvent == 1
 	}, time.Minute, 10*time.Millisecond)
 }
--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -144,10 +144,10 @@
 		require.Equal(t, "SUCCESS serving", r.call("STATUS"))
 		idle(10)
 	}
-	board, err := net.Listen("tcp", at)
+	service, err := net.Listen("tcp", at)
 	require.NoError(t, err)
-	defer board.Close()
-	nc, err := board.Accept()
+	defer service.Close()
+	nc, err := service.Accept()
 	require.NoError(t, err)
 	defer nc.Close()
 	var last uint64
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -146,17 +146,17 @@
 		require.NoError(t, err)
 		addrs = append(addrs, s.Addr())
 	}
-	board := listenDiscovery(t)
+	service := listenDiscovery(t)
 	go func() {
 		for {
-			nc, err := board.Accept()
+			nc, err := service.Accept()
 			if err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(io.Discard, bufio.NewReader(nc)) }()
 		}
 	}()
-	config := configFile(t, listen, board.Addr().String(), addrs[0])
+	config := configFile(t, listen, service.Addr().String(), addrs[0])
 	text, err := os.ReadFile(config)
 	require.NoError(t, err)
 	for _, a := range addrs[1:] {
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -48,12 +48,12 @@
 	}
 }
 
-func configFile(t *testing.T, listen, board, cache string) string {
+func configFile(t *testing.T, listen, service, cache string) string {
 	member := func(id, kind, addr string) map[string]any {
 		return map[string]any{"instanceId": id, "hostPort": addr, "zone": "z", "machineType": kind, "lifecycle": "up", "weight": 9}
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": listen, "seed": "8c1f30d27a5be964", "board": board,
+		"name": "n0", "listen": listen, "seed": "8c1f30d27a5be964", "board": service,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": map[string]any{
 			"reset": true, "instances": []any{
@@ -82,19 +82,19 @@
 
 func program(t *testing.T, cmd *exec.Cmd) {
 	listen, cache := freeAddr(t), scenario.Listen(t)
-	board := listenDiscovery(t)
-	path := configFile(t, listen, board.Addr().String(), cache.Addr())
+	service := listenDiscovery(t)
+	path := configFile(t, listen, service.Addr().String(), cache.Addr())
 	cmd.Env = append(cmd.Environ(), "LB_CONFIG="+path)
 	logs, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	nc := acceptDiscoveryCall(t, board, 1) // it asks for what comes after the events known
+	nc := acceptDiscoveryCall(t, service, 1) // it asks for what comes after the events known
 	// Event 2: the cache has left, and in the same frame another one, 2, has its address.
 	_, err = nc.Write(changes(2, record(1, 2, cache.Addr()), record(2, 0, cache.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 2 has been taken in
-	acceptDiscoveryCall(t, board, 2)
+	acceptDiscoveryCall(t, service, 2)
 	var c *scenario.Client
 	require.Eventually(t, func() bool {
 		probe, err := net.Dial("tcp", listen)
@@ -134,9 +134,9 @@
 	stray := listenDiscovery(t)
 	foreign := bytes.ReplaceAll(good, []byte(`["small","parent","origin"]`), []byte(`["parent","small","origin"]`))
 	require.NotEqual(t, good, foreign)
-	require.Contains(t, hup(bytes.ReplaceAll(foreign, []byte(board.Addr().String()), []byte(stray.Addr().String()))), "takes a restart")
+	require.Contains(t, hup(bytes.ReplaceAll(foreign, []byte(service.Addr().String()), []byte(stray.Addr().String()))), "takes a restart")
 	other, moved := scenario.Listen(t), listenDiscovery(t)
-	hup(bytes.ReplaceAll(good, []byte(board.Addr().String()), []byte(moved.Addr().String())))
+	hup(bytes.ReplaceAll(good, []byte(service.Addr().String()), []byte(moved.Addr().String())))
 	nc = acceptDiscoveryCall(t, moved, 2) // the numbers go on at the new address
 	_, err = nc.Write(changes(3, record(2, 2, cache.Addr()), record(3, 0, other.Addr())))
 	require.NoError(t, err)
@@ -171,9 +171,9 @@
 
 // acceptDiscoveryCall returns the call to discovery that asks for the events after a number. Calls beside a silent one may come first on a slow
 // machine; none asks for later events.
-func acceptDiscoveryCall(t *testing.T, board net.Listener, want uint64) net.Conn {
+func acceptDiscoveryCall(t *testing.T, service net.Listener, want uint64) net.Conn {
 	for {
-		nc, err := board.Accept()
+		nc, err := service.Accept()
 		require.NoError(t, err)
 		var last uint64
 		err = binary.Read(nc, binary.BigEndian, &last)
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -19,17 +19,17 @@
 // open requests are answered, and it ends by itself.
 func TestTerminatedAfterTakeoverAnswersAll(t *testing.T) {
 	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
-	board := listenDiscovery(t)
+	service := listenDiscovery(t)
 	go func() {
 		for {
-			nc, err := board.Accept()
+			nc, err := service.Accept()
 			if err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(io.Discard, nc) }()
 		}
 	}()
-	config := configFile(t, listen, board.Addr().String(), cache.Addr())
+	config := configFile(t, listen, service.Addr().String(), cache.Addr())
 	text, err := os.ReadFile(config)
 	require.NoError(t, err)
 	text = bytes.ReplaceAll(text, []byte(strconv.Quote("127.0.0.1:1")), []byte(strconv.Quote(cache.Addr())))
@@ -61,8 +61,8 @@
 
 // A successor gets SIGTERM before it owns the address. It ends, and the owner goes on.
 func TestTerminatedSuccessorLeavesOwner(t *testing.T) {
-	bin, listen, dir, cache, board := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
-	config := configFile(t, listen, board.Addr().String(), cache.Addr())
+	bin, listen, dir, cache, service := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
+	config := configFile(t, listen, service.Addr().String(), cache.Addr())
 	owner := startProcess(t, bin, config, dir)
 	owner.ready(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -66,21 +66,21 @@
 	rng  *rand.Rand
 	plan soakPlan
 
-	servers *fleet.Fleet
-	board   *fleet.DiscoveryService
-	doors   []*fleet.DiscoveryListener
-	list    map[policy.CacheID]core.Member
-	config  string
-	listen  string
-	cmd     *exec.Cmd
-	logs    strings.Builder
+	servers   *fleet.Fleet
+	service   *fleet.DiscoveryService
+	listeners []*fleet.DiscoveryListener
+	list      map[policy.CacheID]core.Member
+	config    string
+	listen    string
+	cmd       *exec.Cmd
+	logs      strings.Builder
 
 	clk      *clock.Clock
 	late     atomic.Int64 // ns by which this machine was late at the worst
 	mu       sync.Mutex
 	asked    map[string]*soakRequest
 	told     []fleet.Notification
-	stalled  float64 // until when the board tells nothing
+	stalled  float64 // until when the service tells nothing
 	lull     float64 // until when discovery has no further fault; see causeDiscoveryFaults
 	at       int     // index of the address of discovery that the configuration names
 	broken   []string
@@ -138,12 +138,12 @@
 	for id := range soakCaches + 2 {
 		members = append(members, s.start(policy.CacheID(id+1)))
 	}
-	s.board = fleet.NewDiscoveryService(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
+	s.service = fleet.NewDiscoveryService(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
 	for range 2 {
-		d, err := s.board.Open("127.0.0.1:0")
+		d, err := s.service.Open("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
-		s.doors = append(s.doors, d)
+		s.listeners = append(s.listeners, d)
 	}
 	s.listen = freeAddr(t)
 	s.config = filepath.Join(t.TempDir(), "config.json")
@@ -168,7 +168,7 @@
 }
 
 // write writes the configuration with one of discovery's addresses.
-func (s *soak) write(door int) {
+func (s *soak) write(listener int) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	grade := func(name, effect string, share float64) map[string]any {
 		return map[string]any{
@@ -177,7 +177,7 @@
 		}
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": s.listen, "seed": "8c1f30d27a5be964", "board": s.doors[door].Addr(), "known": s.board.InitialEvents(),
+		"name": "n0", "listen": s.listen, "seed": "8c1f30d27a5be964", "board": s.listeners[listener].Addr(), "known": s.service.InitialEvents(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": soakSockets},
 		"settings": map[string]any{
 			"NInstances": 1, "Zones": []string{"z"}, "Kinds": []string{"small", "parent", "origin"}, "Weights": "nominal",
@@ -323,26 +323,26 @@
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
 		s.list[id] = m
 		s.recordNotification(fleet.Notification{Returns: []policy.CacheID{id}})
-		s.board.Change(m)
+		s.service.Change(m)
 	case 5:
 		m := s.list[id]
 		m.State = policy.Draining
 		s.list[id] = m
 		s.recordNotification(fleet.Notification{Drains: []policy.CacheID{id}})
-		s.board.Change(m)
+		s.service.Change(m)
 	case 6:
 		group := s.rng.IntN(fleet.Groups)
 		s.recordNotification(fleet.Notification{Purge: true, Group: group})
-		s.board.Purge("", group, s.servers.Purge("", group))
+		s.service.Purge("", group, s.servers.Purge("", group))
 	case 7: // an event during a stop counts as notified 4 s later
 		s.mu.Lock()
 		s.stalled = s.now() + 4000
 		s.mu.Unlock()
-		door := s.doors[s.rng.IntN(len(s.doors))]
-		door.Stall(true)
-		time.AfterFunc(time.Second, func() { door.Stall(false) })
+		listener := s.listeners[s.rng.IntN(len(s.listeners))]
+		listener.Stall(true)
+		time.AfterFunc(time.Second, func() { listener.Stall(false) })
 	case 8:
-		s.write(s.rng.IntN(len(s.doors)))
+		s.write(s.rng.IntN(len(s.listeners)))
 		s.mu.Lock()
 		s.stalled = max(s.stalled, s.now()+4000)
 		s.mu.Unlock()
--- a/cmd/ravenwheel/suspended_test.go
+++ b/cmd/ravenwheel/suspended_test.go
@@ -27,7 +27,7 @@
 	tag := clients
 	for wake := range wakes {
 		require.NoError(t, f.cmd.Process.Signal(syscall.SIGSTOP))
-		f.board.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
+		f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
 		purged := time.Now().UnixMilli()
 		time.Sleep(purgeGrace + 200*time.Millisecond)
 		first := tag + 1
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -77,14 +77,14 @@
 			t.Parallel()
 			cache, listen := scenario.Listen(t), freeAddr(t)
 			// Its first event is the one that the configuration knows, and it says each second that it is there.
-			board := fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
-			door, err := board.Open("127.0.0.1:0")
+			service := fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
+			listener, err := service.Open("127.0.0.1:0")
 			require.NoError(t, err)
-			defer door.Close()
+			defer listener.Close()
 			answers := &recordingCache{}
 			go answers.serve(t, cache)
 			cmd := exec.Command(bin)
-			cmd.Env = append(os.Environ(), "LB_CONFIG="+configFile(t, listen, door.Addr(), cache.Addr()),
+			cmd.Env = append(os.Environ(), "LB_CONFIG="+configFile(t, listen, listener.Addr(), cache.Addr()),
 				fmt.Sprintf("%s=%d", steppedBy, by), fmt.Sprintf("%s=%d", steppedAfter, after.Milliseconds()))
 			logs := &strings.Builder{}
 			cmd.Stderr = logs
@@ -112,7 +112,7 @@
 			require.Zero(t, refused, "of 200 requests after the step")
 
 			purged := time.Now().UnixMilli()
-			board.Purge("", 17, float64(purged))
+			service.Purge("", 17, float64(purged))
 			time.Sleep(1100 * time.Millisecond) // the purge's grace
 			n++
 			require.Equal(t, "ok", ask(t, c, n))
