--- a/cmd/ravenwheel/suspended_test.go
+++ b/cmd/ravenwheel/suspended_test.go
@@ -27,8 +27,8 @@
 	tag := clients
 	for wake := range wakes {
 		require.NoError(t, f.cmd.Process.Signal(syscall.SIGSTOP))
-		f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
 		purged := time.Now().UnixMilli()
+		f.service.Purge("", purgedGroup, float64(purged))
 		time.Sleep(purgeGrace + 200*time.Millisecond)
 		first := tag + 1
 		for _, c := range all {
