--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -39,7 +39,7 @@
 // everyStatistic has a value in each field.
 func everyStatistic(limit float64) policy.ServerStats {
 	return policy.ServerStats{
-		Down: true, Unreachable: true, ConsecutiveOverdue: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
+		Down: true, Unreachable: true, ConsecutiveUnanswered: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
 		LastAnswer: 4 * time.Second, NextProbe: 5 * time.Second, Limit: limit, LimitUpdated: 6 * time.Second, RampStart: 7 * time.Second,
 		Ramping: true, WarmUpStart: 8 * time.Second, WarmingUp: true, Credit: -9.5, CreditUpdated: 10 * time.Second,
 	}
--- a/internal/core/learned_state.go
+++ b/internal/core/learned_state.go
@@ -49,7 +49,7 @@
 	Epoch    float64             `cbor:"Epoch"`   // of the clock that its times refer to; 0: unknown
 }
 
-// LearnedState encodes what the module has learned, and the counters, for a successor process.
+// LearnedState encodes what the router has learned, and the counters, for a successor process.
 func (c *Core) LearnedState() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	for _, counter := range c.Counters.monotonic() {
 		m.Counters = append(m.Counters, counter.Load())
 	}
-	return cbor.Marshal(m) // under the lock, as its slices are the module's
+	return cbor.Marshal(m) // under the lock, as its slices are the router's
 }
 
 // RestoreLearnedState starts from what another process has learned, and continues its counters. It is called after the
@@ -96,8 +96,8 @@
 	return sha256.Sum256(encoded), err
 }
 
-// plausible reports whether a module with these classes can have learned the state by now. A value that is not a number
-// would spread through the module's arithmetic, and a time in the future would judge a server by what has not happened.
+// plausible reports whether a router with these classes can have learned the state by now. A value that is not a number
+// would spread through the router's arithmetic, and a time in the future would judge a server by what has not happened.
 func (m *learnedMessage) plausible(classes []string, now policy.Time) bool {
 	state := &m.State
 	if !slices.Equal(m.Classes, classes) || len(m.Counters) != len((&Counters{}).monotonic()) {
@@ -128,7 +128,7 @@
 	}
 	rates := inRange(0, float64(stats.FailureRate), float64(stats.LateRate)) && stats.FailureRate <= 1 && stats.LateRate <= 1
 	return rates && inRange(0, stats.Limit) && inRange(-maxLearnedValue, stats.Credit) &&
-		stats.ConsecutiveOverdue >= 0 && stats.NextProbe >= 0 && stats.WarmUpStart >= 0
+		stats.ConsecutiveUnanswered >= 0 && stats.NextProbe >= 0 && stats.WarmUpStart >= 0
 }
 
 // inRange reports whether all values are numbers between lowest and maxLearnedValue.
--- a/internal/core/learned_state_test.go
+++ b/internal/core/learned_state_test.go
@@ -92,7 +92,7 @@
 		},
 		"negative": func(f *form) {
 			j := f.Learned.Servers[scenario.CacheID]
-			j.ConsecutiveOverdue = -5
+			j.ConsecutiveUnanswered = -5
 			f.Learned.Servers[scenario.CacheID] = j
 		},
 	}
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -17,8 +17,8 @@
 type Fetch struct {
 	ID         string
 	Cache      CacheID
-	Source     CacheID // equal to Cache: no fill
-	Timeout    time.Duration
+	Source     CacheID       // equal to Cache: no fill
+	Timeout    time.Duration // 0: until the client's deadline
 	MaxAge     time.Duration // oldest copy that may be served; 0: the class's FreshFor
 	RetainRank int           // 1 to 3, the lowest is evicted first; 0: the copy's rank stays, a new copy is not retained
 	Options    FillOptions
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -18,11 +18,12 @@
 	// A source's limit rises only while no more than this is free beyond twice what is in flight, so that
 	// many routers with few fills do not all raise theirs.
 	sourceLimitSpare = 0.5
-	// A late answer multiplies a limit by limitDecrease. One in time adds limitIncreaseFraction of it, but at
-	// most limitIncreaseMax slots for as many answers as it has slots.
+	// Additive increase, multiplicative decrease: a late answer multiplies a limit by limitDecrease. One in
+	// time adds limitIncreaseFraction of the limit, but at most limitIncreaseMax divided by the limit: that
+	// is limitIncreaseMax slots after one answer for each slot.
 	limitDecrease, limitIncreaseFraction, limitIncreaseMax = 0.9, 0.1, 2.0
-	// An outcome counts once for each limitUpdateInterval since the last one, limitMaxUpdateWeight times at
-	// most, so that the limit of a rarely used server adapts as quickly.
+	// The weight of an outcome is the number of limitUpdateIntervals since the last one, from 1 to
+	// limitMaxUpdateWeight, so that the limit of a rarely used server adapts as quickly.
 	limitUpdateInterval, limitMaxUpdateWeight = 100 * time.Millisecond, 8.0
 	// Capacity, in transfers, of a cache link for which a slot stands for one attempt; more on larger links.
 	referenceLinkTransfers = 8.0
@@ -63,37 +64,39 @@
 // expected fraction of the fills that name the server as their source.
 func (r *Router) occupied(server *server) float64 {
 	fills := float64(r.fillRate)*float64(server.openFills) + float64(r.originRate)*float64(server.originFills)
-	if server.role == roleOrigin {
+	if server.role == roleOrigin { // which executes uncached requests, so none is exempt
 		return float64(len(server.inFlight)) + fills
 	}
-	return float64(len(server.inFlight)-server.passThrough) + fills
+	return float64(len(server.inFlight)-server.limitExempt) + fills
 }
 
 // adjustLimits lowers or raises the limits of the servers and the link that an outcome says something about.
 func (r *Router) adjustLimits(attempt *attempt, outcome Outcome) {
-	bottleneck := r.bottleneck(attempt, outcome)
+	slowest := r.attributeLatency(attempt, outcome)
 	sourceRejected := outcome.Note == NoteSourceRejected || outcome.Note == NoteOriginFailed
 	switch {
 	case outcome.Note == NoteNoFillSlot:
 		r.adjustLimit(r.link, true)
-	case outcome.Result == OK && attempt.request.class.Uncached && !attempt.late: // the limits don't bind it
+	case outcome.Result == OK && attempt.request.class.Uncached && !attempt.late:
+		// It occupied no slot: that it was in time does not show that there is room for more.
 	case outcome.Result == OK:
 		attempt.server.LateRate.add(attempt.late, outcomeGain)
-		r.adjustLimit(bottleneck, attempt.late)
+		r.adjustLimit(slowest, attempt.late)
 	case sourceRejected && attempt.source != nil:
 		r.adjustLimit(attempt.source, true)
 		if attempt.origin != nil {
 			r.adjustLimit(attempt.origin, true) // the reason may be the origin behind the source
 		}
-	case attempt.server.overloadedUntil > r.now:
+	case attempt.server.overloadedUntil > r.now: // by this outcome, or by one shortly before
 		r.adjustLimit(attempt.server, true)
 	}
 }
 
-// bottleneck is the server or link that determined how long an answer took, and updates the late rates: for a
-// fill the source, or the zone's link if the first byte came soon and the link's fills are late more often
-// than the source's, or the origin if it was asked and the first byte came late.
-func (r *Router) bottleneck(attempt *attempt, outcome Outcome) *server {
+// attributeLatency returns the server or link that determined how long an answer took: for a fill the source,
+// or the zone's link if the first byte came soon and the link's fills are late more often than the source's,
+// or the origin if it was asked and the first byte came late. It also updates their late rates, and raises
+// the limits of the link and the origin where they were not late.
+func (r *Router) attributeLatency(attempt *attempt, outcome Outcome) *server {
 	found := attempt.server
 	firstByteSoon := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
 	if outcome.filled() && attempt.source != nil {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -242,8 +242,8 @@
 		t.Errorf("%v slots occupied while it waits", s.r.occupied(c))
 	}
 	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: TimedOut})
-	if c.passThrough != 0 {
-		t.Errorf("%d still counted as passing through", c.passThrough)
+	if c.limitExempt != 0 {
+		t.Errorf("%d still counted as exempt from the limit", c.limitExempt)
 	}
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -23,8 +23,8 @@
 	Kind    int // Settings.ParentKind, Settings.OriginKind or any other for a cache
 	Cell    int // see DedupCell
 	State   State
-	Weight  float64
-	Started Time // when it started; 0: long ago
+	Weight  float64 // capacity of its link, in transfers at once; see Settings.WeightsKnown
+	Started Time    // when it started; 0: long ago
 }
 
 // ListKind says how a Members event relates to the list that the router has.
@@ -64,7 +64,7 @@
 	ID      string
 	Attempt int
 	Cache   CacheID
-	Latency time.Duration
+	Latency time.Duration // since the attempt was made
 }
 
 // Result is how an attempt ended.
@@ -113,8 +113,8 @@
 	Cache      CacheID
 	Result     Result
 	Note       Note
-	Final      bool // the request has its final answer
-	Latency    time.Duration
+	Final      bool          // the request has its final answer
+	Latency    time.Duration // since the attempt was made
 	SourceWait time.Duration // until the source's first byte or failure; 0: unknown
 	Load       LoadReport
 }
@@ -122,6 +122,17 @@
 // filled reports whether the answer needed a fill.
 func (o Outcome) filled() bool { return o.Note == NoteFilled || o.Note == NoteFilledOrigin }
 
+// sourceFailed reports whether the source is why the attempt failed.
+func (o Outcome) sourceFailed() bool {
+	return o.Note == NoteSourceRejected || o.Note == NoteSourceLost || o.Note == NoteSourceMiss
+}
+
+// overloaded reports whether the server or the source rejected the attempt. The other notes of Overloaded name
+// another reason.
+func (o Outcome) overloaded() bool {
+	return o.Result == Overloaded && (o.Note == NoteNone || o.Note == NoteSourceRejected)
+}
+
 // ClientLeft reports that a request needs no answer any more.
 type ClientLeft struct{ ID string }
 
@@ -131,8 +142,8 @@
 // Purged reports that an object or, if Object is empty, a whole group was purged at the origin.
 type Purged struct {
 	Object string
-	Group  int // -1: unknown
-	Age    time.Duration
+	Group  int           // -1: unknown
+	Age    time.Duration // time since the purge; below 0: copies made shortly after now are outdated too
 }
 
 // DiscoveryOverdue reports that discovery has been silent for too long: purges made until Age ago may exist
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -5,22 +5,22 @@
 // ServerStats is what a router has learned about one server or link. The names in the tags are those of the
 // encoded form that processes hand over; they must stay.
 type ServerStats struct {
-	Down               bool     `cbor:"Down"`
-	Unreachable        bool     `cbor:"Lost"`       // a connection failed since it was last up
-	ConsecutiveOverdue int      `cbor:"Unanswered"` // attempts past their objective since the last answer
-	LastFailure        Time     `cbor:"FailedAt"`
-	FailureRate        Fraction `cbor:"FailShare"` // fraction of recent attempts that failed
-	LateRate           Fraction `cbor:"LateShare"` // fraction of recent answers and timeouts past their objective
-	LastAnswer         Time     `cbor:"LastAnswer"`
-	NextProbe          Time     `cbor:"TrialAt"` // earliest time of the next probe while it is down
-	Limit              float64  `cbor:"Limit"`   // of this router's attempts or fills in flight, in slots
-	LimitUpdated       Time     `cbor:"Heard"`   // when an outcome last adjusted the limit; 0: never
-	RampStart          Time     `cbor:"Ramped"`  // see inRampedFraction
-	Ramping            bool     `cbor:"Ramps"`
-	WarmUpStart        Time     `cbor:"Cold"` // see withinWarmUpBudget
-	WarmingUp          bool     `cbor:"Colds"`
-	Credit             float64  `cbor:"Credit"` // of the warm-up budget, in seconds of transfer time; below 0: overdrawn
-	CreditUpdated      Time     `cbor:"CreditAt"`
+	Down                  bool     `cbor:"Down"`
+	Unreachable           bool     `cbor:"Lost"`       // a connection failed since it was last up
+	ConsecutiveUnanswered int      `cbor:"Unanswered"` // attempts past their objective since the last answer
+	LastFailure           Time     `cbor:"FailedAt"`
+	FailureRate           Fraction `cbor:"FailShare"` // fraction of recent attempts that failed
+	LateRate              Fraction `cbor:"LateShare"` // fraction of recent answers and timeouts past their objective
+	LastAnswer            Time     `cbor:"LastAnswer"`
+	NextProbe             Time     `cbor:"TrialAt"` // earliest time of the next probe while it is down
+	Limit                 float64  `cbor:"Limit"`   // of this router's attempts or fills in flight, in slots
+	LimitUpdated          Time     `cbor:"Heard"`   // when an outcome last adjusted the limit; 0: never
+	RampStart             Time     `cbor:"Ramped"`  // see inRampedFraction
+	Ramping               bool     `cbor:"Ramps"`
+	WarmUpStart           Time     `cbor:"Cold"` // see withinWarmUpBudget
+	WarmingUp             bool     `cbor:"Colds"`
+	Credit                float64  `cbor:"Credit"` // of the warm-up budget, in seconds of transfer time; below 0: overdrawn
+	CreditUpdated         Time     `cbor:"CreditAt"`
 }
 
 // LearnedState is what a router has learned about servers and requests. See ServerStats for the tags.
--- a/policy/members.go
+++ b/policy/members.go
@@ -5,8 +5,8 @@
 // watchRetryDelay is the wait before discovery is watched again after a failure.
 const watchRetryDelay = time.Second
 
-// handleMembers applies a list of servers, or changes to it. What a full list does not name is no longer
-// used.
+// handleMembers applies a list of servers, or changes to it. A server that is missing from a full or cached
+// list is no longer used.
 func (r *Router) handleMembers(e Members) {
 	if r.settings.WatchDiscovery && !r.watching {
 		r.watching = true
@@ -58,7 +58,7 @@
 		from := min(member.Started, r.now) // the server's clock may be ahead
 		r.startWarmUp(server, from)
 		server.RampStart, server.Ramping = from, true
-		server.Down, server.ConsecutiveOverdue, server.FailureRate, server.probing = false, 0, 0, false
+		server.Down, server.ConsecutiveUnanswered, server.FailureRate, server.probing = false, 0, 0, false
 	}
 }
 
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -10,9 +10,11 @@
 	maxFailureRate = 0.5             // fraction of recent attempts that failed above which a server is down
 	outcomeGain    = 1.0 / 8         // weight of the newest outcome in a failure rate or late rate
 	probeInterval  = 5 * time.Second // between two probes of a server that is down
-	// maxConsecutiveOverdue attempts past their objective, with no answer between them, mark a server down;
-	// silentMinOverdue are enough after silentPeriod without an answer, for servers that are rarely used.
-	maxConsecutiveOverdue, silentMinOverdue, silentPeriod = 20, 3, 5 * time.Second
+	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down.
+	maxConsecutiveUnanswered = 20
+	// silentMinUnanswered of them are enough if the server, which may be rarely used, has not answered for
+	// silentPeriod.
+	silentMinUnanswered, silentPeriod = 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
 	// overloadPause is how long a server that was overloaded, or a cache without a fill slot, is not asked.
@@ -20,7 +22,7 @@
 )
 
 // probeDue reports whether a request may probe a server that is down: the first attempt of an idempotent
-// request may, since a probe can end in a timeout.
+// request may, as a probe can end in a timeout, if none is in flight and the last one is probeInterval ago.
 func (r *Router) probeDue(server *server, req *openRequest) bool {
 	firstAttempt := req.class.Idempotency == Idempotent && len(req.attempts) == 0
 	return !server.probing && r.now >= server.NextProbe && firstAttempt
@@ -45,16 +47,17 @@
 		r.recordUnanswered(attempt.server)
 	} else if attempt.hasSource() && attempt.source.LastAnswer < attempt.sentAt {
 		// An attempt that waits for its source must not take up the slots that hits need at the cache.
-		r.markPassThrough(attempt, true)
+		r.exemptFromLimit(attempt)
 		r.recordUnanswered(attempt.source)
 	}
 }
 
-// recordUnanswered counts an overdue attempt against a server, and marks it down if there are too many.
+// recordUnanswered counts an attempt that a server has not answered within its objective, and marks the
+// server down if there are too many.
 func (r *Router) recordUnanswered(server *server) {
-	server.ConsecutiveOverdue++
-	silent := server.ConsecutiveOverdue >= silentMinOverdue && r.now-server.LastAnswer >= silentPeriod
-	if server.ConsecutiveOverdue >= maxConsecutiveOverdue || silent {
+	server.ConsecutiveUnanswered++
+	silent := server.ConsecutiveUnanswered >= silentMinUnanswered && r.now-server.LastAnswer >= silentPeriod
+	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || silent {
 		r.markDown(server, "silent")
 	}
 }
@@ -83,7 +86,7 @@
 
 // recordAnswer notes that a server has answered, whatever it said.
 func (r *Router) recordAnswer(server *server) {
-	server.ConsecutiveOverdue, server.LastAnswer = 0, r.now
+	server.ConsecutiveUnanswered, server.LastAnswer = 0, r.now
 	server.FailureRate.add(false, outcomeGain)
 }
 
@@ -96,9 +99,10 @@
 	down.Down, down.NextProbe = true, r.now+probeInterval
 	for _, cache := range r.caches {
 		for _, attempt := range cache.inFlight {
-			waits := r.settings.CanCancel && (cache == down || attempt.source == down && attempt.late)
+			waits := cache == down || attempt.source == down && attempt.late
 			req := attempt.request
-			if waits && req.class.Idempotency == Idempotent && !req.done && !req.streaming {
+			mayCancel := r.settings.CanCancel && req.class.Idempotency == Idempotent
+			if waits && mayCancel && !req.done && !req.streaming {
 				r.emit(Cancel{ID: req.ID, Attempt: attempt.index})
 			}
 		}
@@ -109,7 +113,7 @@
 // markUp puts a server back into use with a slow start. One that was unreachable may have restarted with an
 // empty cache, even if discovery has not reported it yet, so its warm-up begins too.
 func (r *Router) markUp(server *server) {
-	server.Down, server.ConsecutiveOverdue, server.FailureRate = false, 0, 0
+	server.Down, server.ConsecutiveUnanswered, server.FailureRate = false, 0, 0
 	server.RampStart, server.Ramping = r.now, true
 	if server.Unreachable {
 		server.Unreachable = false
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -26,7 +26,7 @@
 	g := s.fetch(s.handle(newRequest("a", "o")))
 	c := s.r.servers[g.Cache]
 	c.Limit = 100
-	for i := range maxConsecutiveOverdue - 1 {
+	for i := range maxConsecutiveUnanswered - 1 {
 		s.handle(newRequest(string(rune('A'+i)), "o"))
 	}
 	s.now += time.Second
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	if !c.Down || cancelled != maxConsecutiveOverdue {
+	if !c.Down || cancelled != maxConsecutiveUnanswered {
 		t.Fatalf("down %v, %d cancelled", c.Down, cancelled)
 	}
 	// It was silent, not unreachable: after a successful probe it is in its ramp but not in a warm-up.
@@ -63,7 +63,7 @@
 	g := s.fetch(s.handle(newRequest("first", "o")))
 	s.answer("first", g, NoteHit, 10*ms)
 	c, lost := s.r.servers[g.Cache], 0
-	for ; !c.Down && lost < maxConsecutiveOverdue; lost++ {
+	for ; !c.Down && lost < maxConsecutiveUnanswered; lost++ {
 		s.now += 20 * time.Second
 		id := fmt.Sprint(lost)
 		s.handle(newRequest(id, "o"))
@@ -71,7 +71,7 @@
 		s.r.objectiveMissed(a)
 		s.handle(Outcome{ID: id, Cache: g.Cache, Result: TimedOut, Final: true})
 	}
-	if lost != silentMinOverdue {
+	if lost != silentMinUnanswered {
 		t.Errorf("down after %d", lost)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	typicalSizeFraction = 0.7 // typical size of an object, as a fraction of its class's mean size
-	retainOnce          = 1   // rank at which a cache retains a new object
-	retainRepeated      = 2   // rank of an object that was a hit before
+	// typicalSizeFraction is the typical size of an object, as a fraction of its class's mean size. It stands in
+	// for a size that is unknown.
+	typicalSizeFraction = 0.7
+	newObjectRank       = 1 // Fetch.RetainRank of an object without a recent hit
+	repeatedObjectRank  = 2 // Fetch.RetainRank of an object with one
 )
 
 // handleRequest makes a request's first attempt. One of unknown class or with no time left is rejected, and
@@ -64,15 +66,13 @@
 	r.finish(req)
 }
 
-// dispatch makes the next attempt of a request, or gives it up. A request that has an open attempt, is being
-// streamed or waits for its retry is left alone.
+// dispatch makes the next attempt of a request, lets it wait for a retry, or gives it up. A request that has
+// an open attempt, is being streamed or waits for its retry already is left alone.
 func (r *Router) dispatch(req *openRequest) {
 	if req.done || req.streaming || req.openAttempts > 0 || req.awaitingRetry {
 		return
 	}
-	tooLarge := r.knownTransferTime(req) > (req.deadline - r.now).Seconds()
-	lastAttempt := r.settings.MaxAttempts > 0 && len(req.attempts) >= r.settings.MaxAttempts
-	if tooLarge || r.now >= req.deadline || lastAttempt {
+	if !r.mayAttempt(req) {
 		r.giveUp(req)
 		return
 	}
@@ -88,15 +88,23 @@
 	source, options, probedSource := r.chooseSource(req, to)
 	noFills := r.now < to.noFillsUntil || r.overLimit(req, r.link, r.occupied(r.link))
 	if source == nil || noFills && !req.class.Uncached {
+		// No fill is possible. A first attempt may still find a copy at its cache.
 		if req.class.Uncached || to.role != roleCache || len(req.attempts) > 0 {
 			r.retryLater(req)
 			return
 		}
-		source = to // no fill is possible, but a cached copy can still be served
+		source = to
 	}
 	r.send(req, to, source, options, cmp.Or(probed, probedSource))
 }
 
+// mayAttempt reports whether a request has an attempt and enough time left for another one.
+func (r *Router) mayAttempt(req *openRequest) bool {
+	tooLarge := r.knownTransferTime(req) > (req.deadline - r.now).Seconds()
+	attemptsUsedUp := r.settings.MaxAttempts > 0 && len(req.attempts) >= r.settings.MaxAttempts
+	return !tooLarge && r.now < req.deadline && !attemptsUsedUp
+}
+
 // chooseServer returns the server of the next attempt, nil if there is none, and the server that it probes,
 // if any. Uncached requests go straight to the origin where the topology allows it.
 func (r *Router) chooseServer(req *openRequest) (to, probed *server) {
@@ -139,9 +147,9 @@
 		return
 	}
 	if _, hit := r.recentHits.get(objectPart{req.Object, req.Part}); to.role == roleCache && hit {
-		fetch.RetainRank = retainRepeated
+		fetch.RetainRank = repeatedObjectRank
 	} else if to.role == roleCache {
-		fetch.RetainRank = retainOnce
+		fetch.RetainRank = newObjectRank
 	}
 	if age, purged := r.maxAge(req); purged {
 		fetch.MaxAge = age
@@ -155,8 +163,8 @@
 	}
 }
 
-// latencyObjective is the time within which an answer earns the request's full priority weight. It grows with
-// the request's own transfer time.
+// latencyObjective is the time within which an answer earns the request's full priority weight: that of the
+// class, extended in proportion to the request's own transfer time. Each attempt may take all of it.
 func (r *Router) latencyObjective(req *openRequest) time.Duration {
 	transfer := cmp.Or(r.knownTransferTime(req), typicalSizeFraction*r.classTransferTime(req))
 	stretch := req.class.ObjectiveStretch * transfer * float64(time.Second)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,7 +8,7 @@
 const (
 	maxRequestErrors     = 2                     // after which a request is taken to be at fault itself
 	maxRequestRejections = 2                     // after which retries would only add to the overload
-	retryPause           = 50 * time.Millisecond // before a retry, times 1 + the attempts made
+	retryPause           = 50 * time.Millisecond // before a retry, multiplied by 1 + the attempts made
 )
 
 // handleOutcome closes an attempt, learns from its outcome and decides what becomes of the request.
@@ -32,11 +32,8 @@
 		r.finish(req)
 		return
 	}
-	// A parent that was asked only for its copies lacks one: the origin behind it is at its limit.
-	parentMiss := outcome.Note == NoteSourceMiss && attempt.source != nil && attempt.source.role == roleParent
-	originOverloaded := outcome.Note == NoteNoFillSlot || parentMiss
-	rejected := outcome.Note == NoteNone || outcome.Note == NoteSourceRejected
-	if originOverloaded || outcome.Result == Overloaded && rejected {
+	noFill := attempt.fillImpossible(outcome)
+	if noFill || outcome.overloaded() {
 		req.rejections++
 	}
 	if req.errors >= maxRequestErrors || req.rejections >= maxRequestRejections {
@@ -44,31 +41,39 @@
 		return
 	}
 	r.excludeFailed(req, attempt, outcome)
-	if originOverloaded {
+	if noFill {
 		r.retryLater(req) // the next parent would lack the object too, the next cache have no slot for a fill
 		return
 	}
 	r.dispatch(req)
 }
 
-// excludeFailed keeps the next attempts away from what failed: the source, the source and the origin, or the
-// attempt's server.
+// fillImpossible reports whether an attempt failed for want of a fill: the cache had no slot for one, or the
+// parent had no copy. A parent reports that only of a CachedOnly fill, which is made while the origin is over
+// its limit.
+func (a *attempt) fillImpossible(outcome Outcome) bool {
+	parentMiss := outcome.Note == NoteSourceMiss && a.source != nil && a.source.role == roleParent
+	return outcome.Note == NoteNoFillSlot || parentMiss
+}
+
+// excludeFailed keeps the next attempts, until retryLater, away from what failed: the source, the source and
+// the origin, or the attempt's server.
 func (r *Router) excludeFailed(req *openRequest, attempt *attempt, outcome Outcome) {
 	switch {
-	case attempt.source != nil && outcome.Note >= NoteSourceRejected && outcome.Note <= NoteSourceMiss:
+	case attempt.source != nil && outcome.sourceFailed():
 		req.failedSources = append(req.failedSources, attempt.source)
 	case attempt.source != nil && outcome.Note == NoteOriginFailed:
 		req.failedSources = append(req.failedSources, attempt.source, r.origin)
 	default:
-		req.triedCaches = append(req.triedCaches, attempt.server)
+		req.failedServers = append(req.failedServers, attempt.server)
 		if attempt.server.role != roleCache {
 			req.failedSources = append(req.failedSources, attempt.server)
 		}
 	}
 }
 
-// retryLater lets a request wait before a retry with all caches and sources. It gives up a request that would
-// miss its class's latency objective by then, or that had no attempt yet.
+// retryLater lets a request wait before a retry, for which no server or source is excluded any more. It gives
+// up a request that would miss its class's latency objective by then, or that had no attempt yet.
 func (r *Router) retryLater(req *openRequest) {
 	wait := retryPause * time.Duration(1+len(req.attempts))
 	arrival := req.deadline - req.TimeLeft
@@ -76,6 +81,6 @@
 		r.giveUp(req)
 		return
 	}
-	req.failedSources, req.triedCaches, req.awaitingRetry = nil, nil, true
+	req.failedSources, req.failedServers, req.awaitingRetry = nil, nil, true
 	r.setTimer(wait, timer{kind: retryTimer, request: req})
 }
--- a/policy/server_pick.go
+++ b/policy/server_pick.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// yieldOccupancyFactor: a cache over its limit yields only to one that is within its limit with so many times
-// its occupied slots. Load that moves between busy caches would lower their hit rates.
-const yieldOccupancyFactor = 2
+// spilloverOccupancyFactor: a request that is passed on by a cache over its limit goes only to one that would
+// be within its own limit with so many times the slots that are occupied there. Load that moves between busy
+// caches would lower their hit rates.
+const spilloverOccupancyFactor = 2
 
 // pickCache returns the cache for the next attempt, nil if there is none, and the cache that it probes, if
-// any. It goes through the caches in rendezvous order: first those that the request has not tried and that
-// serve the object in their slow start, then all. A cache over its limit is passed over even if all are.
+// any. It goes through the caches in rendezvous order: first through those that have not failed this request
+// and that serve the object by now in their slow start, then through all. A cache over its limit is passed
+// over even if all are, except that the second time it takes an uncached request.
 func (r *Router) pickCache(req *openRequest) (cache, probed *server) {
 	order := rendezvousOrder(r.caches, req.cacheHash, r.settings.WeightsKnown)
 	for _, preferred := range []bool{true, false} {
-		yielded := false
+		spillsOver := false
 		for _, c := range order {
 			if c.State != Ready || !req.maySendTo(r.now, c) || !r.withinWarmUpBudget(c) {
 				continue
@@ -24,14 +26,14 @@
 				continue
 			}
 			occupied := r.occupied(c)
-			if yielded {
-				occupied *= yieldOccupancyFactor
+			if spillsOver {
+				occupied *= spilloverOccupancyFactor
 			}
 			if r.overLimit(req, c, occupied) && (preferred || !req.class.Uncached) {
-				yielded = true
+				spillsOver = true
 				continue
 			}
-			if preferred && (slices.Contains(req.triedCaches, c) || !r.inRampedFraction(c, req.cacheHash)) {
+			if preferred && (slices.Contains(req.failedServers, c) || !r.inRampedFraction(c, req.cacheHash)) {
 				continue
 			}
 			return c, nil
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,5 +1,9 @@
 package policy
 
+// A server that has started, or is up again, has an empty or outdated cache. Two rules protect it: the ramp
+// (slow start) gives it a growing fraction of the objects, and the warm-up budget bounds the work, in seconds
+// of transfer time, that all routers together send to it while its capacity grows.
+
 import (
 	"cmp"
 	"math"
@@ -32,10 +36,10 @@
 	return uniform(mix(mix(objectHash)+uint64(server.ID))) < fraction
 }
 
-// withinWarmUpBudget reports whether a warming server can take another attempt. All routers together are
-// bound to its capacity; this one keeps to its part, a credit in seconds of transfer time that accrues with
-// time and that one attempt may overdraw. Where a part is far below one attempt the routers take turns: each
-// starts with a random debt, and an unused turn expires.
+// withinWarmUpBudget reports whether a server that is warming up can take another attempt. All routers
+// together are bound to its capacity; this one keeps to its part, a credit in seconds of transfer time that
+// accrues with time and that one attempt may overdraw. Where a part is far below one attempt the routers take
+// turns: each starts with a random debt, and a turn that is not used expires. It ends a warm-up that is over.
 func (r *Router) withinWarmUpBudget(server *server) bool {
 	if !server.WarmingUp || server.role == roleOrigin {
 		return true
@@ -46,15 +50,20 @@
 		server.WarmingUp = false
 		return true
 	}
-	rate := r.warmUpRate(server, warmUp, elapsed)
-	maxCredit := rate * warmUp.OverloadWindow.Seconds() * warmUpBudgetBurst
+	r.accrueCredit(server, r.warmUpRate(server, warmUp, elapsed), warmUp.OverloadWindow)
+	return server.Credit >= 0
+}
+
+// accrueCredit adds the credit that has accrued since the last call, at a rate in seconds of transfer time
+// per second, and bounds it.
+func (r *Router) accrueCredit(server *server, rate float64, window time.Duration) {
+	maxCredit := rate * window.Seconds() * warmUpBudgetBurst
 	server.Credit += rate * (r.now - server.CreditUpdated).Seconds()
 	server.CreditUpdated = r.now
 	if turn := slices.Max(r.transferTime); maxCredit < turn && server.Credit > maxCredit {
 		server.Credit -= turn * math.Ceil((server.Credit-maxCredit)/turn)
 	}
 	server.Credit = min(server.Credit, maxCredit)
-	return server.Credit >= 0
 }
 
 // warmUpRate is the work that this router may give to a warming server, in seconds of transfer time per
@@ -73,8 +82,9 @@
 	server.Credit, server.CreditUpdated = -debt, r.now
 }
 
-// linkPortion is this router's part of a server's link, in transfers: from the weight of the server where
-// weights are known, otherwise the most work that servers of its role have done for this router.
+// linkPortion is this router's part of the capacity of a server's link, in transfers at once: from the weight
+// of the server where weights are known, otherwise the most work that servers of its role have done for this
+// router.
 func (r *Router) linkPortion(server *server) float64 {
 	if r.settings.WeightsKnown && server.Weight > 0 {
 		return server.Weight / float64(r.routersSharing(server))
--- a/policy/source_chain.go
+++ b/policy/source_chain.go
@@ -3,9 +3,12 @@
 import "slices"
 
 // chooseSource returns the source that a miss at the given server is filled from, nil if there is none, the
-// options of the fill, and the parent that it probes, if any. Uncached requests, and requests that a parent
-// serves directly (to is nil, or a parent), have the origin as their only source.
-func (r *Router) chooseSource(req *openRequest, to *server) (*server, FillOptions, *server) {
+// options of the fill, and the parent that it probes, if any. If to is nil the source is to serve the request
+// itself, without a cache. An uncached request, or one that is sent to a parent, has the origin as its only
+// source.
+func (r *Router) chooseSource(
+	req *openRequest, to *server,
+) (source *server, options FillOptions, probed *server) {
 	if req.class.Uncached || to != nil && to.role == roleParent {
 		if r.origin.usable() && !slices.Contains(req.failedSources, r.origin) {
 			return r.origin, 0, nil
@@ -19,7 +22,6 @@
 		return hit, CachedOnly, nil
 	}
 	originOverLimit := r.origin != nil && r.overLimit(req, r.origin, r.occupied(r.origin))
-	options := FillOptions(0)
 	if originOverLimit {
 		options = CachedOnly // a fill that needs the origin would time out there
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -16,7 +16,8 @@
 	roleForeign // a cache of another zone
 )
 
-// server is a cache, a parent or the origin. The zone's link is one too, for its limit and rates.
+// server is a cache, a parent or the origin. The zone's link is one too, for its limit and rates: its role is
+// roleCache, so that its limit has the bounds of a cache's.
 type server struct {
 	Member
 	ServerStats
@@ -30,7 +31,7 @@
 	noFillsUntil    Time // it gets no request that may need a fill until then
 	openFills       int  // open attempts that name it as their source
 	originFills     int  // of the origin: open fills at parents that may reach it
-	passThrough     int  // open attempts that occupy no slot here
+	limitExempt     int  // open attempts here that occupy no slot
 
 	inFlight []*attempt // attempts sent here, oldest first
 }
@@ -54,7 +55,7 @@
 	fillCost    float64 // charged to the source's warm-up budget, in seconds of transfer time
 	probed      *server // the server that it probes; nil: none
 	late        bool    // its latency objective has passed
-	passThrough bool    // it occupies no slot at its server
+	limitExempt bool    // it occupies no slot at its server, see occupied
 	failed      bool    // it ended in an error: the server's fault, or the request's
 	origin      *server // the origin, if its fill at a parent may reach it
 }
@@ -77,7 +78,7 @@
 	draw          float64   // random, between 0 and 1; see overLimit
 	errors        int       // attempts that ended in an error
 	rejections    int       // attempts that ended in an overload
-	triedCaches   []*server // caches that failed this request
+	failedServers []*server // servers that failed this request, of any role
 	failedSources []*server // sources that failed this request
 }
 
@@ -140,7 +141,7 @@
 	fillRate            Fraction  // fraction of answers that needed a fill
 	originRate          Fraction  // fraction of answers that needed the origin
 	servedRate          [roleForeign + 1]decayingRate
-	peakLoad            [roleForeign + 1]float64 // most transfers that a server of the role did for this router
+	peakLoad            [roleForeign + 1]float64 // most transfers at once that a server of the role did here
 }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
@@ -162,11 +163,11 @@
 	}
 }
 
-// markPassThrough counts an open attempt as one that occupies no slot at its server, if it is one.
-func (r *Router) markPassThrough(attempt *attempt, passThrough bool) {
-	if passThrough && !attempt.passThrough && attempt.open {
-		attempt.passThrough = true
-		attempt.server.passThrough++
+// exemptFromLimit lets an open attempt occupy no slot at its server any more.
+func (r *Router) exemptFromLimit(attempt *attempt) {
+	if !attempt.limitExempt && attempt.open {
+		attempt.limitExempt = true
+		attempt.server.limitExempt++
 	}
 }
 
@@ -183,7 +184,9 @@
 	req.openAttempts++
 	to.inFlight = append(to.inFlight, a)
 	to.Credit -= r.classTransferTime(req)
-	r.markPassThrough(a, req.class.Uncached)
+	if req.class.Uncached {
+		r.exemptFromLimit(a)
+	}
 	if !a.hasSource() {
 		return a
 	}
@@ -205,8 +208,8 @@
 	}
 	attempt.open = false
 	attempt.request.openAttempts--
-	if attempt.passThrough {
-		attempt.server.passThrough--
+	if attempt.limitExempt {
+		attempt.server.limitExempt--
 	}
 	if attempt.hasSource() {
 		attempt.source.openFills--
