--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core runs the requests of one proxy, from their arrival to their final answer, through the module in package
+// Package core runs the requests of one proxy, from their arrival to their final answer, through the router of package
 // policy. Fronts pass requests to Do, and an Upstream carries the attempts. The package knows no wire format and decides
-// nothing that the module decides; its own rules are how long a decision is valid (decisionLifetime, retryDeadline) and
+// nothing that the router decides; its own rules are how long a decision is valid (decisionLifetime, retryDeadline) and
 // how many requests are open (SetMaxRequests). core_test.go and its neighbours test it over scripted upstreams.
 package core
 
@@ -21,8 +21,8 @@
 	maxAttempts = 64
 	// defaultMaxRequests is the number of requests that are open at once where New is given none.
 	defaultMaxRequests = 4096
-	// maxModuleLogLines bounds the module's messages over the life of the process.
-	maxModuleLogLines = 500
+	// maxRouterLogLines bounds the router's messages over the life of the process.
+	maxRouterLogLines = 500
 	// maxDecisionLifetime, in ms, bounds how long a decision may wait for its first byte to be written.
 	maxDecisionLifetime = 500
 	// TimestampResolution is the resolution of timestamps in ms. A copy with the timestamp of a purge may be older than it.
@@ -42,7 +42,7 @@
 // Core runs the requests of one proxy. Its exported fields are set before the first event.
 type Core struct {
 	Counters    Counters
-	Log         func(text string) // receives the module's messages; nil: they are dropped
+	Log         func(text string) // receives the router's messages; nil: they are dropped
 	LoadCounter *LoadCounter      // counts for the fleet's view; nil: off
 	// CatchUp waits until events that discovery has sent are processed, and reports whether there were any. It may be nil.
 	CatchUp func() (behind bool)
@@ -130,7 +130,7 @@
 	c.notify(policy.DiscoveryOverdue{Overdue: overdue, Age: clock.Duration(max(0, now-until))})
 }
 
-// UpdateMembers applies an update of the list of servers. The upstream gets it before the module, which must not choose
+// UpdateMembers applies an update of the list of servers. The upstream gets it before the router, which must not choose
 // a server that the upstream does not know.
 func (c *Core) UpdateMembers(update membership.Publish) {
 	c.Counters.Notifications.Add(1)
@@ -148,7 +148,7 @@
 	c.notify(event)
 }
 
-// notify passes an event to the module and carries out its actions in order: those of a request are delivered to its
+// notify passes an event to the router and carries out its actions in order: those of a request are delivered to its
 // goroutine.
 func (c *Core) notify(event policy.Event) {
 	c.mu.Lock()
@@ -169,7 +169,7 @@
 		case policy.SetTimer:
 			c.clock.After(clock.Ms(a.After), func() { c.notify(policy.Timer{Token: a.Token}) })
 		case policy.Log:
-			if c.loggedLines++; c.loggedLines <= maxModuleLogLines && c.Log != nil {
+			if c.loggedLines++; c.loggedLines <= maxRouterLogLines && c.Log != nil {
 				c.Log(a.Text)
 			}
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -105,7 +105,7 @@
 }
 
 // With the maximum number of requests open, the next one is rejected with a Retry-After and never reaches the
-// module.
+// router.
 func TestRequestsBeyondMaxAreRejected(t *testing.T) {
 	p := scenario.NewProxy(t)
 	small, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 1, 7, p.Clock, p.Pools)
--- a/internal/core/dedup_window.go
+++ b/internal/core/dedup_window.go
@@ -7,7 +7,7 @@
 )
 
 // retryDeadline is the time, in ms of the clock, until which a retry with an idempotency key may be written. Servers
-// discard duplicates for window ms from the first attempt that may have been executed. The module checks this when it
+// discard duplicates for window ms from the first attempt that may have been executed. The router checks this when it
 // decides; the retry may still have to wait for its connection.
 func (o *openRequest) retryDeadline(window float64) float64 {
 	for _, a := range o.attempts {
@@ -18,7 +18,8 @@
 	return math.Inf(1)
 }
 
-// mayHaveRun reports whether an attempt with this result may have been executed.
+// mayHaveRun reports whether an attempt with this result may have been executed. The router judges results alike: see
+// policy.Result.
 func mayHaveRun(result policy.Result) bool {
 	switch result {
 	case policy.Overloaded, policy.ConnectFailed, policy.Skipped, policy.Miss:
--- a/internal/core/open_request.go
+++ b/internal/core/open_request.go
@@ -40,7 +40,8 @@
 // final answer. A larger inbox would cost the garbage collector time at thousands of requests a second.
 func (c *Core) inboxSize() int { return 3*c.settings.MaxAttempts + 2 }
 
-// Do runs one request to its final answer. The end of ctx means that the client has left.
+// Do runs one request to its final answer. The end of ctx means that the client has left. What discovery has sent by
+// then is applied first, so that the first decision is made with it.
 func (c *Core) Do(ctx context.Context, request Request) Answer {
 	o, rejected := c.admit(request)
 	if o == nil {
@@ -66,14 +67,14 @@
 		if ctx.Err() != nil || startsAttempt(message) && request.clientGone() {
 			o.deferred = message
 			c.notify(policy.ClientLeft{ID: request.ID})
-			return c.answer(o, Answer{Verdict: Abandoned})
+			return c.conclude(o, Answer{Verdict: Abandoned})
 		}
 		if startsAttempt(message) && c.catchUpWithDiscovery() {
-			c.skipAttempt(o, serverOf(message)) // the module decides again with the events since
+			c.skipAttempt(o, serverOf(message)) // the router decides again with the events since
 			continue
 		}
 		if answer, final := c.handle(o, message); final {
-			return c.answer(o, answer)
+			return c.conclude(o, answer)
 		}
 	}
 }
@@ -167,8 +168,8 @@
 	return o, Answer{}
 }
 
-// release ends a request. It aborts open attempts and reports to the module every outcome that it does not know yet,
-// also of attempts that were decided on and not sent: the module would count them as in flight until long after the
+// release ends a request. It aborts open attempts and reports to the router every outcome that it does not know yet,
+// also of attempts that were decided on and not sent: the router would count them as in flight until long after the
 // deadline.
 func (c *Core) release(o *openRequest) {
 	for message := o.nextPending(); message != nil; message = o.nextPending() {
@@ -196,7 +197,7 @@
 }
 
 // abortAttempt ends an open attempt of a request that is over. At the attempt's deadline it counts as timed out: the
-// module's deadline timer and the attempt's are due at the same time, in either order.
+// router's deadline timer and the attempt's are due at the same time, in either order.
 func (c *Core) abortAttempt(o *openRequest, index int) {
 	a := o.attempts[index]
 	written, result := a.abort(), policy.Cancelled
@@ -230,7 +231,8 @@
 	c.endAttempt(o, attemptEnded{len(o.attempts) - 1, Outcome{Result: policy.Skipped}})
 }
 
-func (c *Core) answer(o *openRequest, answer Answer) Answer {
+// conclude records the final answer of a request and returns it.
+func (c *Core) conclude(o *openRequest, answer Answer) Answer {
 	o.verdict = answer.Verdict
 	c.Counters.countAnswer(answer.Verdict)
 	return answer
@@ -268,7 +270,7 @@
 	}, func(outcome Outcome) { o.inbox <- attemptEnded{index, outcome} })
 }
 
-// endAttempt records the outcome of an attempt and reports it to the module.
+// endAttempt records the outcome of an attempt and reports it to the router.
 func (c *Core) endAttempt(o *openRequest, ended attemptEnded) {
 	a := o.attempts[ended.index]
 	invariant.Check(a.open, "an attempt ends once")
@@ -300,7 +302,7 @@
 func (c *Core) deliver(id string, action policy.Action) {
 	o := c.requests[id]
 	if o == nil {
-		return // it ended while the module decided
+		return // it ended while the router decided
 	}
 	select {
 	case o.inbox <- action:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -95,7 +95,7 @@
 	return c.rejection()
 }
 
-// rejection is the answer to a request that the module has not seen.
+// rejection is the answer to a request that the router has not seen.
 func (c *Core) rejection() Answer {
 	if !c.settings.SendsRetryAfter {
 		return Answer{Verdict: Rejected}
