--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// abandon ends a call that has timed out, or forgets one that was aborted, and reports whether it was written. A call
-// that was not written counts as skipped.
+// abandon ends a call whose deadline has passed (timeout) and reports its outcome: timed out, or skipped if it was not
+// written. Otherwise it forgets the call, which its caller has aborted. It returns whether the call was written.
 func (k *conn) abandon(c *call, timeout bool) (written bool) {
 	k.mu.Lock()
 	written = c.written
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// dialFailure is the result for calls that waited for a connection, dialled at the given time, that failed. The server is
-// reachable, and the calls are skipped, if the failure is local, if it resets new connections while others are open, or
-// if it answered over another one while this one timed out.
+// dialFailure is the result for calls that waited for a connection, dialled at the given time in ms, that failed. The
+// server is reachable, and the calls are skipped, if the failure is local, if it resets new connections while others are
+// open, or if it answered over another one while this one timed out.
 func (k *conn) dialFailure(err error, dialledAt float64) policy.Result {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -35,7 +35,7 @@
 // notModifiedWord is the word of an answer that calls the client's copy current.
 const notModifiedWord = "still_good"
 
-// resultWords maps the word of an answer. Any other word is policy.Unknown.
+// resultWords maps the word of an answer; "green" and "red" answer a health check. Any other word is policy.Unknown.
 var resultWords = map[string]policy.Result{
 	"served": policy.OK, notModifiedWord: policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
 	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -15,6 +15,13 @@
 	spreadThreshold = 4
 	// nonIdempotentConns is the number of a server's connections that are reserved for non-idempotent attempts.
 	nonIdempotentConns = 2
+	// closingConnsFactor times ConnsPerServer is the number of a server's connections with those that accept no more calls
+	// and wait for their last answers.
+	closingConnsFactor = 2
+	// idleCloseFraction of the time after which the server closes an idle connection, this side closes it.
+	idleCloseFraction = 0.5
+	// idleTimerMargin, in ms, makes the timer for an idle connection fire after that time and not at it.
+	idleTimerMargin = 1
 )
 
 // Limits bound the connections. Times are in ms.
@@ -24,7 +31,7 @@
 	MaxConns        int     // connections to all servers; 0: no bound
 	ConnectTimeout  float64 // until a connection must be established
 	IdleTimeout     float64 // after which the server closes an idle connection; 0: never
-	RequestLifetime float64 // for which the id of a request may be used again; 0: 20 s
+	RequestLifetime float64 // time for which attempts with the same request id may follow one another; 0: 20 s
 	// Dial opens a connection; nil: net.DialTimeout. The connection must be a syscall.Conn.
 	Dial func(network, addr string, timeout time.Duration) (net.Conn, error)
 	// Write writes to a socket what it accepts now; nil: syscall.Write.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}
-	mayOpen := len(candidates) < maxConns && len(pl.conns) < 2*limits.ConnsPerServer
+	mayOpen := len(candidates) < maxConns && len(pl.conns) < closingConnsFactor*limits.ConnsPerServer
 	if mayOpen {
 		if conn := addBelow(threshold); conn != nil {
 			return conn
@@ -85,7 +85,7 @@
 	})
 }
 
-// answeredSince reports whether an answer has arrived since the given time, over any connection.
+// answeredSince reports whether an answer has arrived since the given time, in ms of the clock, over any connection.
 func (pl *pool) answeredSince(since float64) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -59,7 +59,7 @@
 			return
 		}
 		if idleTimeout > 0 {
-			stopIdleTimer = k.pool.pools.clock.After(idleTimeout/2+1, k.signal)
+			stopIdleTimer = k.pool.pools.clock.After(idleTimeout*idleCloseFraction+idleTimerMargin, k.signal)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	now := k.now()
 	if len(k.calls) > 0 {
 		k.lastUsed = now
-	} else if idleTimeout := k.limits().IdleTimeout; idleTimeout > 0 && now-k.lastUsed >= idleTimeout/2 {
+	} else if idleTimeout := k.limits().IdleTimeout; idleTimeout > 0 && now-k.lastUsed >= idleTimeout*idleCloseFraction {
 		k.closing = true // before the server closes it under a new call
 	}
 	return true, k.closing && len(k.calls) == 0, nil
