--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -10,11 +10,9 @@
 	maxFailureRate = 0.5             // fraction of recent attempts that failed above which a server is down
 	outcomeGain    = 1.0 / 8         // weight of the newest outcome in a failure rate or late rate
 	probeInterval  = 5 * time.Second // between two probes of a server that is down
-	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down.
-	maxConsecutiveUnanswered = 20
-	// silentMinUnanswered of them are enough if the server, which may be rarely used, has not answered for
-	// silentPeriod.
-	silentMinUnanswered, silentPeriod = 3, 5 * time.Second
+	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down. For
+	// rarely used servers silentMinUnanswered are enough, if they have not answered for silentPeriod.
+	maxConsecutiveUnanswered, silentMinUnanswered, silentPeriod = 20, 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
 	// overloadPause is how long a server that was overloaded, or a cache without a fill slot, is not asked.
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,11 +7,9 @@
 )
 
 const (
-	// typicalSizeFraction is the typical size of an object, as a fraction of its class's mean size. It stands in
-	// for a size that is unknown.
-	typicalSizeFraction = 0.7
-	newObjectRank       = 1 // Fetch.RetainRank of an object without a recent hit
-	repeatedObjectRank  = 2 // Fetch.RetainRank of an object with one
+	typicalSizeFraction = 0.7 // size of an object where it is unknown, as a fraction of its class's mean
+	newObjectRank       = 1   // Fetch.RetainRank of an object without a recent hit
+	repeatedObjectRank  = 2   // Fetch.RetainRank of an object with one
 )
 
 // handleRequest makes a request's first attempt. One of unknown class or with no time left is rejected, and
@@ -72,7 +70,9 @@
 	if req.done || req.streaming || req.openAttempts > 0 || req.awaitingRetry {
 		return
 	}
-	if !r.mayAttempt(req) {
+	tooLarge := r.knownTransferTime(req) > (req.deadline - r.now).Seconds()
+	attemptsUsedUp := r.settings.MaxAttempts > 0 && len(req.attempts) >= r.settings.MaxAttempts
+	if tooLarge || r.now >= req.deadline || attemptsUsedUp {
 		r.giveUp(req)
 		return
 	}
@@ -88,23 +88,15 @@
 	source, options, probedSource := r.chooseSource(req, to)
 	noFills := r.now < to.noFillsUntil || r.overLimit(req, r.link, r.occupied(r.link))
 	if source == nil || noFills && !req.class.Uncached {
-		// No fill is possible. A first attempt may still find a copy at its cache.
 		if req.class.Uncached || to.role != roleCache || len(req.attempts) > 0 {
 			r.retryLater(req)
 			return
 		}
-		source = to
+		source = to // no fill is possible, but a first attempt may still find a copy at its cache
 	}
 	r.send(req, to, source, options, cmp.Or(probed, probedSource))
 }
 
-// mayAttempt reports whether a request has an attempt and enough time left for another one.
-func (r *Router) mayAttempt(req *openRequest) bool {
-	tooLarge := r.knownTransferTime(req) > (req.deadline - r.now).Seconds()
-	attemptsUsedUp := r.settings.MaxAttempts > 0 && len(req.attempts) >= r.settings.MaxAttempts
-	return !tooLarge && r.now < req.deadline && !attemptsUsedUp
-}
-
 // chooseServer returns the server of the next attempt, nil if there is none, and the server that it probes,
 // if any. Uncached requests go straight to the origin where the topology allows it.
 func (r *Router) chooseServer(req *openRequest) (to, probed *server) {
--- a/policy/source_chain.go
+++ b/policy/source_chain.go
@@ -3,9 +3,8 @@
 import "slices"
 
 // chooseSource returns the source that a miss at the given server is filled from, nil if there is none, the
-// options of the fill, and the parent that it probes, if any. If to is nil the source is to serve the request
-// itself, without a cache. An uncached request, or one that is sent to a parent, has the origin as its only
-// source.
+// options of the fill, and the parent that it probes, if any. If to is nil the source serves the request
+// itself. An uncached request, or one that is sent to a parent, has the origin as its only source.
 func (r *Router) chooseSource(
 	req *openRequest, to *server,
 ) (source *server, options FillOptions, probed *server) {
