--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -8,14 +8,14 @@
 
 // addressConflict returns another server that is in use or draining at the address that the sources list for s, or nil.
 // Two processes can't listen at one address: a drain there is over if s was started after it began.
-func (t *Table) addressConflict(s *server, st *statement) *server {
+func (t *Table) addressConflict(s *server, entry *sourceEntry) *server {
 	for {
-		other := t.reservedBy(st.Addr, s.id)
+		other := t.reservedBy(entry.Addr, s.id)
 		if other == nil {
 			return nil
 		}
-		startedMs := float64(st.reported.Started) / 1e6
-		if other.verdict().source >= 0 || other.phase != Draining || startedMs <= other.since {
+		startedMs := toMs(entry.reported.Started)
+		if other.merge().factsSource >= 0 || other.phase != Draining || startedMs <= other.since {
 			return other
 		}
 		t.transition(other, Gone, other.current, fmt.Sprintf("server %d was started at its address", s.id))
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -27,7 +27,7 @@
 		}
 		clear(t.dirty)
 		ids = slices.DeleteFunc(ids, func(id policy.CacheID) bool { return t.servers[id] == nil })
-		rank := func(id policy.CacheID) int { return -int(t.servers[id].verdict().state) }
+		rank := func(id policy.CacheID) int { return -int(t.servers[id].merge().state) }
 		slices.SortFunc(ids, func(a, b policy.CacheID) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a, b)) })
 		for _, id := range ids {
 			t.reconcileServer(t.servers[id])
@@ -35,40 +35,41 @@
 	}
 }
 
+// reconcileServer moves one server to the phase that its merged state and the reserved addresses allow.
 func (t *Table) reconcileServer(s *server) {
-	v := s.verdict()
-	if v.source < 0 {
+	merged := s.merge()
+	if merged.factsSource < 0 {
 		t.reconcileUnlisted(s)
 		return
 	}
-	st := s.statements[v.source]
-	s.immediate = t.sources[v.source].Immediate
+	entry := s.entries[merged.factsSource]
+	s.immediate = t.sources[merged.factsSource].Immediate
 	reason := reasonManualDrain
-	if v.decider >= 0 {
-		reason = fmt.Sprintf("%s %d", t.sources[v.decider].Name, t.sources[v.decider].generation)
+	if merged.stateSource >= 0 {
+		reason = fmt.Sprintf("%s %d", t.sources[merged.stateSource].Name, t.sources[merged.stateSource].generation)
 	}
-	switch v.state {
+	switch merged.state {
 	case policy.Gone:
-		t.transition(s, Gone, st.Member, reason)
-		t.dropAllStatements(s)
+		t.transition(s, Gone, entry.Member, reason)
+		t.dropAllEntries(s)
 	case policy.Draining:
 		// A drain needs no address of its own: it runs where the server was used last.
-		m := st.Member
+		m := entry.Member
 		if s.published || s.restored {
 			m.Addr = s.current.Addr
 		}
 		t.transition(s, Draining, m, reason)
 	case policy.Ready:
-		t.reconcileReady(s, st, reason)
+		t.reconcileReady(s, entry, reason)
 	}
 }
 
-// dropAllStatements forgets what the sources say of a server that all of them removed. Without this, a fleet that
+// dropAllEntries forgets what the sources say of a server that all of them removed. Without this, a fleet that
 // replaces its machines would fill the memory.
-func (t *Table) dropAllStatements(s *server) {
-	for i, st := range s.statements {
-		if st != nil {
-			t.dropStatement(i, s.id)
+func (t *Table) dropAllEntries(s *server) {
+	for i, entry := range s.entries {
+		if entry != nil {
+			t.dropEntry(i, s.id)
 		}
 	}
 	delete(t.dirty, s.id)
@@ -76,33 +77,33 @@
 
 // reconcileReady makes a server ready, or has it join and wait while another server holds its address. An immediate
 // source reports what runs, so that its servers never wait.
-func (t *Table) reconcileReady(s *server, st *statement, reason string) {
-	if !s.immediate && t.waitForAddress(s, st) {
+func (t *Table) reconcileReady(s *server, entry *sourceEntry, reason string) {
+	if !s.immediate && t.waitForAddress(s, entry) {
 		return
 	}
 	drainEnded := t.manualDrainsEnded[s.id]
-	if s.immediate && float64(st.reported.Started)/1e6 < drainEnded {
-		st.Started = policy.Time(drainEnded * 1e6) // its source reports no start since
+	if s.immediate && toMs(entry.reported.Started) < drainEnded {
+		entry.Started = fromMs(drainEnded) // its source reports no start since
 	}
-	if st.coldOnReady && (s.phase != Ready || s.current.Addr != st.Addr) {
-		st.Started = policy.Time(t.now * 1e6)
+	if entry.warmUpOnReady && (s.phase != Ready || s.current.Addr != entry.Addr) {
+		entry.Started = fromMs(t.now)
 	}
-	t.transition(s, Ready, st.Member, reason)
+	t.transition(s, Ready, entry.Member, reason)
 }
 
 // waitForAddress keeps a server joining while another one holds the address that the sources list for it. After
 // DrainTimeout it gives up the address that it was used at before.
-func (t *Table) waitForAddress(s *server, st *statement) (waits bool) {
+func (t *Table) waitForAddress(s *server, entry *sourceEntry) (waits bool) {
 	if s.phase == Joining && t.now >= s.since+t.settings.DrainTimeout {
 		t.abandonAddress(s)
 	}
-	other := t.addressConflict(s, st)
+	other := t.addressConflict(s, entry)
 	if other == nil {
 		return false
 	}
-	insert(t.waiting, st.Addr, s.id)
-	t.schedule(max(t.now, s.since)+max(1, t.settings.DrainTimeout), s.id)
-	t.transition(s, Joining, st.Member, fmt.Sprintf("%s is still held by server %d", st.Addr, other.id))
+	insert(t.waiting, entry.Addr, s.id)
+	t.schedule(max(t.now, s.since)+max(minTimerDelay, t.settings.DrainTimeout), s.id)
+	t.transition(s, Joining, entry.Member, fmt.Sprintf("%s is still held by server %d", entry.Addr, other.id))
 	return true
 }
 
--- a/internal/decide/membership/manual_drain.go
+++ b/internal/decide/membership/manual_drain.go
@@ -23,17 +23,17 @@
 // endManualDrain decides whether a server is warming up after a drain that began at a time in ms. It was most likely
 // restarted during the drain, unless its source reports a start since then, or that it is warm.
 func (t *Table) endManualDrain(s *server, began float64) {
-	i := s.verdict().source
+	i := s.merge().factsSource
 	if i < 0 {
 		return
 	}
-	st := s.statements[i]
-	if startedMs := float64(st.reported.Started) / 1e6; startedMs >= began || st.Warm {
+	entry := s.entries[i]
+	if toMs(entry.reported.Started) >= began || entry.Warm {
 		return
 	}
 	if t.sources[i].Immediate {
 		t.manualDrainsEnded[s.id] = t.now
 	} else {
-		st.coldOnReady = true
+		entry.warmUpOnReady = true
 	}
 }
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -18,12 +18,12 @@
 	listed        map[policy.CacheID]bool
 }
 
-// statement is what one source says of one server.
-type statement struct {
+// sourceEntry is the entry of one server in the list of one source, as the table uses it.
+type sourceEntry struct {
 	Entry
-	reported    Entry // as the source sent it; Entry.Started may be the table's own estimate
-	coldOnReady bool  // the server warms up from when it next becomes ready
-	wanted      bool  // the state is not Gone
+	reported      Entry // as the source sent it; Entry.Started may be the table's own estimate
+	warmUpOnReady bool  // the server warms up from when it next becomes ready
+	wanted        bool  // the state is not Gone
 }
 
 // list is a snapshot or a delta of one source.
@@ -53,7 +53,7 @@
 // Error implements error.
 func (e DuplicateServerError) Error() string { return fmt.Sprintf("server %d is listed twice", e.ID) }
 
-// applyList records the statements of a list, or rejects it as a whole. The phases change in reconcile.
+// applyList records the entries of a list, or rejects it as a whole. The phases change in reconcile.
 func (t *Table) applyList(l list) {
 	listed := make(map[policy.CacheID]bool, len(l.entries))
 	if err := t.checkList(l, listed); err != nil {
@@ -65,14 +65,14 @@
 	first := !src.received
 	src.received, src.generation = true, l.generation
 	for _, e := range l.entries {
-		t.addStatement(l.source, e, first)
+		t.addEntry(l.source, e, first)
 	}
 	if !l.complete {
 		return
 	}
 	for id := range src.listed {
 		if !listed[id] {
-			t.dropStatement(l.source, id)
+			t.dropEntry(l.source, id)
 		}
 	}
 }
@@ -114,21 +114,21 @@
 	}
 }
 
-// addStatement records what a source says of one server. first: it is in the first list of the source.
-func (t *Table) addStatement(i int, e Entry, first bool) {
+// addEntry records what a source says of one server. first: it is in the first list of the source.
+func (t *Table) addEntry(i int, e Entry, first bool) {
 	s := t.servers[e.ID]
 	if s == nil {
 		s = t.newServer(e.ID)
 	}
-	previous := s.statements[i]
+	previous := s.entries[i]
 	if previous != nil && previous.reported == e {
 		return
 	}
-	st := &statement{Entry: e, reported: e, wanted: e.State != policy.Gone}
+	entry := &sourceEntry{Entry: e, reported: e, wanted: e.State != policy.Gone}
 	if !t.sources[i].Immediate && e.Started == 0 {
-		t.estimateStart(s, st, previous, first)
+		t.estimateStart(s, entry, previous, first)
 	}
-	s.statements[i] = st
+	s.entries[i] = entry
 	t.sources[i].listed[e.ID] = true
 	t.markDirty(e.ID)
 }
@@ -136,65 +136,66 @@
 // estimateStart decides whether a server is warming up, where a list of wanted servers does not say when it was started.
 // A server that such a list adds counts as just started, as its full load would overload an empty cache; those in the
 // first list run already. One that returns from a drain counts as restarted.
-func (t *Table) estimateStart(s *server, st, previous *statement, first bool) {
+func (t *Table) estimateStart(s *server, entry, previous *sourceEntry, first bool) {
 	inUseHere := s.phase == Ready || s.phase == Draining && !s.restored
 	switch {
-	case previous != nil && previous.State == policy.Draining && st.State == policy.Ready && !st.Warm:
-		st.coldOnReady = true
-	case previous != nil && previous.Addr != st.Addr && !st.Warm: // another process
-		st.coldOnReady = true
+	case previous != nil && previous.State == policy.Draining && entry.State == policy.Ready && !entry.Warm:
+		entry.warmUpOnReady = true
+	case previous != nil && previous.Addr != entry.Addr && !entry.Warm: // another process
+		entry.warmUpOnReady = true
 	case previous != nil:
-		st.Started, st.coldOnReady = previous.Started, previous.coldOnReady
-	case st.Warm || first && !t.restored || inUseHere && s.current.Addr == st.Addr:
-		st.Started = s.current.Started
-	case s.phase == None && t.inUse[st.ID].Addr == st.Addr:
-		st.Started = t.inUse[st.ID].Started
+		entry.Started, entry.warmUpOnReady = previous.Started, previous.warmUpOnReady
+	case entry.Warm || first && !t.restored || inUseHere && s.current.Addr == entry.Addr:
+		entry.Started = s.current.Started
+	case s.phase == None && t.inUse[entry.ID].Addr == entry.Addr:
+		entry.Started = t.inUse[entry.ID].Started
 	default:
-		st.coldOnReady = true
+		entry.warmUpOnReady = true
 	}
 }
 
-// dropStatement notes that a source no longer lists a server.
-func (t *Table) dropStatement(i int, id policy.CacheID) {
+// dropEntry notes that a source no longer lists a server.
+func (t *Table) dropEntry(i int, id policy.CacheID) {
 	delete(t.sources[i].listed, id)
 	if s := t.servers[id]; s != nil {
-		s.statements[i] = nil
+		s.entries[i] = nil
 		t.markDirty(id)
 	}
 }
 
-// verdict is what all sources together, and operators, allow a server.
-type verdict struct {
-	source  int          // the source whose facts apply; -1: none lists the server
-	state   policy.State // the most restrictive one that applies
-	decider int          // the source that set state; -1: none did
+// mergedState is what all sources together, and operators, allow a server.
+type mergedState struct {
+	factsSource int          // the source whose facts apply; -1: none lists the server
+	state       policy.State // the most restrictive one that applies
+	stateSource int          // the source that set state; -1: none did
 }
 
-// verdict decides what a server may do. Facts come from the first source, by precedence, that wants the server. A
-// drain or a removal binds whichever source reports it, as a server must get no new requests once any source said so.
-// While some source still lists a server that another one removed, it drains.
-func (s *server) verdict() verdict {
-	v := verdict{source: -1, decider: -1}
+// merge decides what a server may do, and which source's facts (address, weight, start) apply. Facts come from the first
+// source, by precedence, that wants the server. A drain or a removal binds whichever source reports it, as a server must
+// get no new requests once any source said so. While some source still lists a server that another one removed, it
+// drains.
+func (s *server) merge() mergedState {
+	merged := mergedState{factsSource: -1, stateSource: -1}
 	least := policy.Gone
-	for i, st := range s.statements {
-		if st == nil {
+	for i, entry := range s.entries {
+		if entry == nil {
 			continue
 		}
-		if v.source < 0 || !s.statements[v.source].wanted && st.wanted {
-			v.source = i
+		if merged.factsSource < 0 || !s.entries[merged.factsSource].wanted && entry.wanted {
+			merged.factsSource = i
 		}
-		if v.decider < 0 || st.State > v.state {
-			v.state, v.decider = st.State, i
+		if merged.stateSource < 0 || entry.State > merged.state {
+			merged.state, merged.stateSource = entry.State, i
 		}
-		least = min(least, st.State)
+		least = min(least, entry.State)
 	}
 	switch {
-	case v.source < 0:
-		v.state = policy.Gone
-	case v.state == policy.Gone && least != policy.Gone:
-		v.state = policy.Draining
-	case s.manualDrain && v.state == policy.Ready:
-		v.state, v.decider = policy.Draining, -1
-	}
-	return v
+	case merged.factsSource < 0:
+		merged.state = policy.Gone
+	case merged.state == policy.Gone && least != policy.Gone:
+		merged.state = policy.Draining
+	case s.manualDrain && merged.state == policy.Ready:
+		merged.state, merged.stateSource = policy.Draining, -1
+	}
+	return merged
 }
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -18,8 +18,7 @@
 	TargetWeight float64 `json:"Wanted"` // the weight that the source wants; Member.Weight approaches it in steps
 }
 
-// Knows reports whether a server is listed, still known from a list, or drained by an operator. One that is gone is not
-// known.
+// Knows reports whether the table has a server that is not gone, or an operator drains one with this id.
 func (t *Table) Knows(id policy.CacheID) bool {
 	s := t.servers[id]
 	_, drained := t.manualDrains[id]
@@ -31,8 +30,8 @@
 	out := make([]ServerStatus, 0, len(t.servers))
 	for _, s := range t.servers {
 		status := ServerStatus{Member: s.current, Phase: s.phase, Since: s.since, Reason: s.reason, TargetWeight: s.current.Weight}
-		if i := s.verdict().source; i >= 0 {
-			status.Source, status.TargetWeight = t.sources[i].Name, s.statements[i].Weight
+		if i := s.merge().factsSource; i >= 0 {
+			status.Source, status.TargetWeight = t.sources[i].Name, s.entries[i].Weight
 		}
 		out = append(out, status)
 	}
--- a/internal/decide/membership/table.go
+++ b/internal/decide/membership/table.go
@@ -25,19 +25,19 @@
 
 // server is what the table knows of one server.
 type server struct {
-	id         policy.CacheID
-	statements []*statement // by source; nil: that source does not list the server
-	phase      Phase
-	since      float64 // start of the phase, ms
-	reason     string  // for the phase
-	current    Member  // as it was published last, or would be if it were published
-	published  bool    // published, and not as gone
-	immediate  bool    // the deciding source was an immediate one when the server was reconciled last
+	id        policy.CacheID
+	entries   []*sourceEntry // by source; nil: that source does not list the server
+	phase     Phase
+	since     float64 // start of the phase, ms
+	reason    string  // for the phase
+	current   Member  // as it was published last, or would be if it were published
+	published bool    // published, and not as gone
+	immediate bool    // the source whose facts applied when the server was reconciled last is an immediate one
 
 	manualDrain      bool
 	manualDrainSince float64 // ms
 
-	restored bool    // in the phase of before a restart, whose cause is not known
+	restored bool    // it has not changed phase since Restore: why it is in this phase is not known
 	addr     string  // address reserved for it; "": none
 	deadline float64 // ms. Draining: gone then, unless listed again. Gone: forgotten then
 
@@ -122,7 +122,7 @@
 
 // newServer adds a server in phase None.
 func (t *Table) newServer(id policy.CacheID) *server {
-	s := &server{id: id, statements: make([]*statement, len(t.sources))}
+	s := &server{id: id, entries: make([]*sourceEntry, len(t.sources))}
 	s.manualDrainSince, s.manualDrain = t.manualDrains[id]
 	t.servers[id] = s
 	return s
--- a/internal/decide/membership/timers.go
+++ b/internal/decide/membership/timers.go
@@ -6,6 +6,18 @@
 	"ravenwheel/policy"
 )
 
+// minTimerDelay, in ms, keeps a setting of 0 from waking the table again at the same time for ever.
+const minTimerDelay = 1
+
+// nsPerMs converts between policy.Time and the package's times.
+const nsPerMs = 1e6
+
+// toMs returns a time of the router in ms.
+func toMs(t policy.Time) float64 { return float64(t) / nsPerMs }
+
+// fromMs returns a time in ms as one of the router.
+func fromMs(ms float64) policy.Time { return policy.Time(ms * nsPerMs) }
+
 // expire handles all timers that are due: drains that are over, servers to forget, steps of weights and silent sources.
 func (t *Table) expire() {
 	for len(t.timers) > 0 && t.timers[0].at <= t.now {
@@ -23,7 +35,7 @@
 }
 
 func (t *Table) expireServer(s *server) {
-	unlisted := s.verdict().source < 0
+	unlisted := s.merge().factsSource < 0
 	switch {
 	case s.phase == Gone && unlisted && s.deadline <= t.now:
 		t.emit(Transition{Member: s.current, From: Gone, To: None, Reason: reasonForgotten})
--- a/internal/decide/membership/weight.go
+++ b/internal/decide/membership/weight.go
@@ -5,7 +5,7 @@
 // many objects at once to caches that do not hold them.
 func (t *Table) nextWeight(s *server, target float64) float64 {
 	current := s.current.Weight
-	immediate := t.sources[s.verdict().source].Immediate
+	immediate := t.sources[s.merge().factsSource].Immediate
 	if s.phase != Ready || immediate || t.settings.WeightStep <= 1 || target == current || current <= 0 {
 		return target
 	}
@@ -17,7 +17,7 @@
 		next = max(target, current/t.settings.WeightStep)
 	}
 	if next != target {
-		s.nextWeightStep = t.now + max(1, t.settings.WeightInterval)
+		s.nextWeightStep = t.now + max(minTimerDelay, t.settings.WeightInterval)
 		t.schedule(s.nextWeightStep, s.id)
 	}
 	return next
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,5 +1,5 @@
 // Package registry holds the one list of cache servers of a process. It is the shell round decide/membership, which makes
-// all decisions: it adds the clock and its timer, admits one event at a time, and carries out the decider's actions in
+// all decisions: it adds the clock and its timer, admits one event at a time, and carries out the table's actions in
 // their order. It reads no source itself: those pass their events to Handle. Wiring and publication are tested here.
 package registry
 
@@ -35,7 +35,7 @@
 	version   uint64 // published last
 }
 
-// New returns an empty registry. It fails if membership rejects its settings.
+// New returns an empty registry. The error is that of membership.New.
 func New(o Options) (*Registry, error) {
 	table, err := membership.New(o.Membership)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return r.table.Servers(), r.version
 }
 
-// Knows reports whether a server is listed, still known from a list, or drained by an operator.
+// Knows reports what membership.Table.Knows does.
 func (r *Registry) Knows(id policy.CacheID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
