--- a/internal/decide/discovery/event.go
+++ b/internal/decide/discovery/event.go
@@ -74,8 +74,8 @@
 // Wake requests a Tick at a time, in ms. It replaces the Wake before it.
 type Wake struct{ At float64 }
 
-// Overdue reports that everything the service holds should have been received by now: what it held until NotifiedUntil may be
-// binding without having been received. Times are in ms.
+// Overdue reports that everything the service holds should have been received by now: what it held until NotifiedUntil may have
+// to be applied without having been received. Times are in ms.
 type Overdue struct{ LastFrameAt, NotifiedUntil float64 }
 
 // CaughtUp reports, after Overdue, that everything has been received again.
--- a/internal/decide/discovery/settings.go
+++ b/internal/decide/discovery/settings.go
@@ -7,7 +7,7 @@
 
 	// HedgeDelay is the mean time to wait for the first complete frame of a call before another call is opened beside it. Each
 	// consecutive delay is HedgeGrowth times as long, up to MaxHedgeDelay. A healthy service answers within milliseconds: a shorter
-	// delay adds load to an overloaded service, a longer one leaves fewer calls before what it holds is binding.
+	// delay adds load to an overloaded service, a longer one leaves time for fewer calls before what it holds must be applied.
 	HedgeDelay, HedgeGrowth, MaxHedgeDelay float64
 	// SilenceTimeout is how long a call that has brought a frame may bring no other before another call is opened beside it, and
 	// SilenceJitter the most that is drawn on top of it. Frames come each second, and one may be a second late.
@@ -21,8 +21,9 @@
 	// MaxCalls is how many calls may be open at once, two at least.
 	MaxCalls int
 
-	// What the service holds counts as notified so long after the start of the process, after a reload of the configuration, after
-	// a call that was disconnected, and after the last frame before a silence.
+	// A purge or drain that the service holds and that has not been received counts as notified, so that its grace period begins,
+	// so long after the start of the process, after a reload of the configuration, after a call that was disconnected, and after
+	// the last frame before a silence.
 	NotifiedAfterStart, NotifiedAfterReload, NotifiedAfterDisconnect, NotifiedAfterSilence float64
 	// GracePeriod is the time from the notification until what was notified must be applied: the shortest of the deployment.
 	GracePeriod float64
--- a/internal/decide/discovery/watcher.go
+++ b/internal/decide/discovery/watcher.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// ended schedules a retry for a call that ended by itself, whatever other calls are open.
+// ended schedules a retry for a call that ended by itself, whatever other calls are open. The delays between hedged calls start
+// from their shortest again.
 func (w *Watcher) ended(now float64, event Ended) {
 	c := w.find(event.Call)
 	if c == nil {
--- a/internal/source/discoveryclient/call.go
+++ b/internal/source/discoveryclient/call.go
@@ -46,7 +46,7 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	c.connected(conn)
-	request := binary.BigEndian.AppendUint64(nil, l.last.Load())
+	request := binary.BigEndian.AppendUint64(nil, l.receivedRevision.Load())
 	if _, err := conn.Write(request); err != nil {
 		send(message{err: err})
 		return
@@ -97,6 +97,7 @@
 	c.frame.Received, c.frame.LastByteAt = c.frame.Received+n, now
 }
 
+// expect records the size, in bytes, of the frame that is being received.
 func (c *call) expect(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/source/discoveryclient/catch_up.go
+++ b/internal/source/discoveryclient/catch_up.go
@@ -20,7 +20,7 @@
 // published after it is in force yet, and after catchUpTries pauses at the latest. It protects a process that was
 // stopped and resumed from deciding requests before it has read the purges of the meantime.
 func (c *Client) CatchUp() (behind bool) {
-	if c.Clock.Now()-float64(c.current.Load()) < c.Settings.GracePeriod {
+	if c.Clock.Now()-float64(c.appliedAt.Load()) < c.Settings.GracePeriod {
 		return false
 	}
 	for range catchUpTries {
@@ -36,7 +36,7 @@
 // hasUnapplied reports whether something has arrived that is not applied yet. A part of a frame that was read does not
 // count: the rest may never come.
 func (c *Client) hasUnapplied() bool {
-	open := c.open.Load()
+	open := c.openCalls.Load()
 	if open == nil {
 		return false
 	}
--- a/internal/source/discoveryclient/client.go
+++ b/internal/source/discoveryclient/client.go
@@ -29,10 +29,10 @@
 	Clock *clock.Clock
 	Log   *logs.Log // nil: off
 
-	counters counters
-	last     atomic.Uint64           // revision of the last event received
-	current  atomic.Int64            // ms of the clock, when the last complete frame was applied
-	open     atomic.Pointer[[]*call] // the open calls, for CatchUp
+	counters         counters
+	receivedRevision atomic.Uint64           // revision of the last event received
+	appliedAt        atomic.Int64            // ms of the clock, when the last complete frame was applied
+	openCalls        atomic.Pointer[[]*call] // the open calls, for CatchUp
 
 	mu          sync.Mutex
 	newAddrs    []string      // from SetAddr, in order, not yet applied
@@ -69,7 +69,7 @@
 
 // Run follows discovery until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	c.last.Store(c.LastRevision)
+	c.receivedRevision.Store(c.LastRevision)
 	l := &loop{
 		Client: c, ctx: ctx, watcher: discovery.New(c.Settings), calls: map[discovery.CallID]*call{},
 		messages: make(chan message), tick: make(chan struct{}, 1), stopTimer: func() {},
--- a/internal/source/discoveryclient/event.go
+++ b/internal/source/discoveryclient/event.go
@@ -22,7 +22,7 @@
 // hasEffect reports whether the event changes anything.
 func (e Event) hasEffect() bool { return e.Purge != nil || e.Complete || e.Members != nil }
 
-// Dispatch passes a purge to purge, and anything else to list, as the statement of a source: an index in
+// Dispatch passes a purge to purge, and anything else to list, as a snapshot or delta of the source with this index in
 // membership.Settings.Sources.
 func (e Event) Dispatch(source int, list func(membership.Event), purge func(core.Purge)) {
 	if e.Purge != nil {
--- a/internal/source/discoveryclient/initial.go
+++ b/internal/source/discoveryclient/initial.go
@@ -48,8 +48,8 @@
 
 var stateNames = map[string]policy.State{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
 
-// DecodeInitialEvents decodes the events in the configuration, and the revision of the last one. The first list among
-// them is complete.
+// DecodeInitialEvents decodes the events in the configuration, and the revision of the last one. If the first of them is
+// a list, it is complete; of later ones the field reset says so. The error says which event cannot be decoded, and why.
 func DecodeInitialEvents(raw []byte, names Names) (events []Event, last uint64, err error) {
 	var in jsonEvents
 	if err := json.Unmarshal(raw, &in); err != nil {
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -31,7 +31,7 @@
 func (l *loop) run() {
 	addrChanged := l.addrSignal()
 	l.counters.lastFrame.Store(int64(l.Clock.Now()))
-	l.current.Store(int64(l.Clock.Now()))
+	l.appliedAt.Store(int64(l.Clock.Now()))
 	l.counters.setAddress(l.Addr)
 	l.handle(discovery.Start{Address: l.Addr})
 	for {
@@ -63,8 +63,8 @@
 		l.callEnded(m.from, m.err)
 		return
 	}
-	defer func() { l.current.Store(int64(l.Clock.Now())) }()
-	l.reportFrame(m.from, m.event, l.last.Load())
+	defer func() { l.appliedAt.Store(int64(l.Clock.Now())) }()
+	l.reportFrame(m.from, m.event, l.receivedRevision.Load())
 	l.handle(discovery.FrameReceived{Call: m.from.id})
 	if m.kind == kindHeartbeat {
 		if l.OnHeartbeat != nil {
@@ -72,15 +72,16 @@
 		}
 		return
 	}
-	if m.event.Revision <= l.last.Load() {
+	if m.event.Revision <= l.receivedRevision.Load() {
 		return
 	}
-	l.last.Store(m.event.Revision)
+	l.receivedRevision.Store(m.event.Revision)
 	if m.event.hasEffect() {
 		l.OnEvent(m.event)
 	}
 }
 
+// callEnded handles the end of a call that the client did not close.
 func (l *loop) callEnded(c *call, err error) {
 	delete(l.calls, c.id)
 	l.publishCalls()
@@ -90,7 +91,7 @@
 	l.handle(discovery.Ended{Call: c.id, Connected: reason == discovery.ReasonDisconnected})
 }
 
-// reportProgress reports to the decider how far the frames are that are being received.
+// reportProgress reports to the watcher how much of each frame that is being received has arrived.
 func (l *loop) reportProgress() {
 	for id, c := range l.calls {
 		if p := c.progress(); p.Received > 0 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// handle passes an event to the decider and carries out its actions.
+// handle passes an event to the watcher and carries out its actions.
 func (l *loop) handle(e discovery.Event) {
 	l.actions = l.watcher.Handle(l.Clock.Now(), e, l.actions[:0])
 	for _, a := range l.actions {
@@ -147,7 +148,7 @@
 // publishCalls makes the open calls visible to CatchUp.
 func (l *loop) publishCalls() {
 	open := slices.Collect(maps.Values(l.calls))
-	l.open.Store(&open)
+	l.openCalls.Store(&open)
 }
 
 // wake sets the one timer. It only signals the loop: a manual clock runs it on the goroutine that advances it.
--- a/internal/source/discoveryclient/status.go
+++ b/internal/source/discoveryclient/status.go
@@ -46,7 +46,7 @@
 func (c *Client) Status() Status {
 	n := &c.counters
 	s := Status{
-		LastEvent:          c.last.Load(),
+		LastEvent:          c.receivedRevision.Load(),
 		Calls:              n.calls.Load(),
 		Responded:          n.responded.Load(),
 		Failed:             n.failed.Load(),
@@ -67,7 +67,7 @@
 
 func (c *Client) reportCall(x *call, reason discovery.Reason) {
 	c.counters.calls.Add(1)
-	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.last.Load()).
+	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.receivedRevision.Load()).
 		Str("reason", string(reason)).Msg("connecting to discovery")
 }
 
--- a/internal/source/discoveryclient/timestamps.go
+++ b/internal/source/discoveryclient/timestamps.go
@@ -57,5 +57,5 @@
 	return e
 }
 
-// toMs returns a time of the routing module in ms.
+// toMs returns a time of the router in ms.
 func toMs(t policy.Time) float64 { return float64(t) / 1e6 }
