--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -20,7 +20,7 @@
 	}
 	for zone, proxies := range c.Settings.ZoneRouters {
 		if proxies > 0 && zone < len(c.Names.Zones) {
-			requirements.Clients = append(requirements.Clients, c.Names.Zones[zone])
+			requirements.ClientZones = append(requirements.ClientZones, c.Names.Zones[zone])
 		}
 	}
 	for _, class := range c.Settings.Classes {
--- a/internal/decide/debounce/debounce.go
+++ b/internal/decide/debounce/debounce.go
@@ -28,8 +28,8 @@
 	settings Settings
 	wakeAt   float64
 
-	changed      float64 // latest notification
-	firstChanged float64 // first notification since the last read was requested; NaN: none
+	lastChangeAt        float64 // latest notification
+	firstUnreadChangeAt float64 // first notification since the last read was requested; NaN: none
 
 	found       bool // the last read succeeded, with fingerprint
 	fingerprint uint64
@@ -41,16 +41,16 @@
 
 // New returns a debouncer that requests the first read at now.
 func New(s Settings, now float64) *Debouncer {
-	return &Debouncer{settings: s, firstChanged: math.NaN(), wakeAt: now}
+	return &Debouncer{settings: s, firstUnreadChangeAt: math.NaN(), wakeAt: now}
 }
 
 // Changed reports a notification that the file may have changed.
 func (d *Debouncer) Changed(now float64) Action {
-	if math.IsNaN(d.firstChanged) {
-		d.firstChanged = now
+	if math.IsNaN(d.firstUnreadChangeAt) {
+		d.firstUnreadChangeAt = now
 	}
-	d.changed = now
-	d.wakeAt = min(now+d.settings.Quiet, d.firstChanged+d.settings.MaxDelay)
+	d.lastChangeAt = now
+	d.wakeAt = min(now+d.settings.Quiet, d.firstUnreadChangeAt+d.settings.MaxDelay)
 	return Action{WakeAt: d.wakeAt}
 }
 
@@ -59,7 +59,7 @@
 	if now < d.wakeAt {
 		return Action{WakeAt: d.wakeAt}
 	}
-	d.firstChanged = math.NaN()
+	d.firstUnreadChangeAt = math.NaN()
 	d.wakeAt = now + d.settings.PollInterval
 	return Action{Read: true, WakeAt: d.wakeAt}
 }
@@ -79,7 +79,7 @@
 	}
 	// A change after the read began may be a write of which the read saw half.
 	stable := began-d.foundSince >= d.settings.Quiet
-	quiet := d.changed <= d.foundSince || began-d.changed >= d.settings.Quiet
+	quiet := d.lastChangeAt <= d.foundSince || began-d.lastChangeAt >= d.settings.Quiet
 	if !stable || !quiet {
 		return d.readAgain(now, d.settings.Quiet)
 	}
@@ -91,7 +91,7 @@
 
 // readAgain requests the next read after a time, or sooner if a notification came in the meantime.
 func (d *Debouncer) readAgain(now, after float64) Action {
-	if math.IsNaN(d.firstChanged) {
+	if math.IsNaN(d.firstUnreadChangeAt) {
 		d.wakeAt = now + after
 	} else {
 		d.wakeAt = min(d.wakeAt, now+after)
--- a/internal/decide/serverlist/check.go
+++ b/internal/decide/serverlist/check.go
@@ -47,7 +47,7 @@
 	if d.requirements.Writes && origins == 0 {
 		d.header.doc.Failf("servers", "no ready server of kind %q, and there are classes that write", d.requirements.OriginKind)
 	}
-	for _, zone := range d.requirements.Clients {
+	for _, zone := range d.requirements.ClientZones {
 		if caches[zone] == 0 {
 			d.header.doc.Failf("servers", "no ready cache in zone %q, which has clients", zone)
 		}
--- a/internal/decide/serverlist/diff.go
+++ b/internal/decide/serverlist/diff.go
@@ -86,7 +86,7 @@
 // dialAddr returns the address, or host and port if the host is not resolved.
 func (s *Server) dialAddr() string { return cmp.Or(s.Addr, s.Host+":"+strconv.Itoa(s.Port)) }
 
-// condition returns whether the server drains, is warm or was started late, to be appended to a text.
+// condition returns whether the server drains, is warm, or when it was started (Unix ms), to be appended to a text.
 func (s *Server) condition() string {
 	switch {
 	case s.Draining:
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -31,8 +31,8 @@
 type Requirements struct {
 	Zones, Kinds           []string
 	ParentKind, OriginKind string
-	// Clients are the zones with clients: each needs a ready cache.
-	Clients []string
+	// ClientZones are the zones with clients: each needs a ready cache.
+	ClientZones []string
 	// Writes: there are classes of requests that run at the origin, so that one is needed.
 	Writes bool
 	// MaxDropped is the fraction of the ready servers that one list may take out of use, unless it says "force": true.
