--- a/internal/admin/config.go
+++ b/internal/admin/config.go
@@ -36,6 +36,8 @@
 	Revision uint64 `json:"revision"`
 }
 
+// postConfig changes the shared configuration. It answers 409 with the reason if that is not accepted, or cannot
+// be read.
 func (e *Endpoint) postConfig(w http.ResponseWriter, r *http.Request) {
 	var request ConfigRequest
 	err := decode(r, maxRequestBytes, &request)
--- a/internal/admin/proxy.go
+++ b/internal/admin/proxy.go
@@ -75,6 +75,8 @@
 	return q, nil
 }
 
+// postPurge purges an object or a group. It answers 400 for a request that names neither, 409 in a process that is no
+// member of the store, and 507 if the purge is in force but not stored.
 func (e *Endpoint) postPurge(w http.ResponseWriter, r *http.Request) {
 	var request PurgeRequest
 	if err := decode(r, maxRequestBytes, &request); err != nil {
@@ -110,6 +112,8 @@
 	On bool `json:"on"`
 }
 
+// postPause drains this proxy, or ends its drain. It answers 409 in a phase in which that has no
+// effect, and for a request that cannot be read.
 func (e *Endpoint) postPause(w http.ResponseWriter, r *http.Request) {
 	var request PauseRequest
 	err := decode(r, maxRequestBytes, &request)
--- a/internal/admin/servers.go
+++ b/internal/admin/servers.go
@@ -70,14 +70,15 @@
 	On bool   `json:"on"`
 }
 
-// postDrain drains a server that is known, or ends the drain of any server.
+// postDrain drains a server that is listed or still remembered, or ends the drain of any server. It answers 400 for
+// another server, 409 in a process that is no member of the store, and 507 with the reason for any other failure.
 func (e *Endpoint) postDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
 	id, ok := policy.CacheID(0), false
 	if decode(r, maxRequestBytes, &request) == nil {
 		id, ok = serverlist.ParseID(request.ID)
 	}
-	if !ok || request.On && !e.listed(id) {
+	if !ok || request.On && !e.known(id) {
 		http.Error(w, fmt.Sprintf("no server %q", request.ID), http.StatusBadRequest)
 		return
 	}
@@ -93,7 +94,8 @@
 	reply(w, request)
 }
 
-func (e *Endpoint) listed(id policy.CacheID) bool {
+// known reports whether a server is listed or still remembered.
+func (e *Endpoint) known(id policy.CacheID) bool {
 	servers, _ := e.opt.Servers()
 	return slices.ContainsFunc(servers, func(s membership.ServerStatus) bool { return s.Member.ID == id })
 }
@@ -113,6 +115,7 @@
 // maxListRequestBytes bounds a pushed list: its escapes may double its length.
 const maxListRequestBytes = 2 * strictjson.MaxBytes
 
+// postList puts a list in use. It answers 400 for one that is not accepted, with its defects.
 func (e *Endpoint) postList(w http.ResponseWriter, r *http.Request) {
 	var request PushListRequest
 	err := decode(r, maxListRequestBytes, &request)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
 // Package control applies to the whole proxy what operators and the hand-over between processes ask for. It passes
-// commands to the deciders (decide/drain for the proxy, decide/membership for one server) and the resulting state to the
+// commands to decide/drain (for the proxy) and decide/membership (for one server) and the resulting state to the
 // clients' front. It decides nothing itself, and opens no address: console and admin bring the operators' commands.
 // What operators are shown is tested here, the life of a whole proxy in cmd/ravenwheel.
 package control
@@ -37,7 +37,7 @@
 // one shares them. Clients that behave hold a third of all descriptors, and move from one process to the other.
 const sharedConnsNumerator, sharedConnsDenominator = 3, 4
 
-// Errors of commands that are rejected.
+// Errors of commands that are rejected. Nothing was changed.
 var (
 	ErrNotReady      = errors.New("not ready")            // the proxy has no list of servers yet
 	ErrUnknownServer = errors.New("no such cache server") // the server is neither listed nor remembered
