--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,8 +28,8 @@
 	requestsAfterStop = 600
 	// rejectBeforeKill: two round trips of each client.
 	rejectBeforeKill = 400
-	// partialFrameTimeout: together with closeIdleAfterDrain it ends within the 4 s after which the platform expects no
-	// connection that is not about to send a request.
+	// partialFrameTimeout: it ends within the 4 s after which the platform expects no connection that is not about to send
+	// a request.
 	partialFrameTimeout = 3000
 )
 
@@ -162,7 +162,7 @@
 	c.apply()
 }
 
-// StepDown ends the process, as another one owns its address. The argument is a reason for logs.
+// StepDown ends the process, as another one owns its address. The argument, a reason for logs, is not used here.
 func (c *Controller) StepDown(string) {
 	c.mu.Lock()
 	c.yielded = true
@@ -185,7 +185,8 @@
 	return takenOver || c.yielded
 }
 
-// Status returns the state of the proxy for operators, and whether it is ready for clients.
+// Status returns the state of the proxy for operators, and whether it serves clients itself: while it hands over it does
+// not, though it answers readiness probes for its successor (see drain.State.Ready).
 func (c *Controller) Status() (text string, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -70,8 +70,8 @@
 // New returns the state of a proxy that has just started.
 func New(settings Settings) *State { return &State{settings: settings} }
 
-// Handle applies an event at a time in ms. ok is false for an operator's command that has no effect any more, because
-// the proxy hands over or stops.
+// Handle applies an event at a time in ms. A drain that is requested before the proxy serves begins when it would serve.
+// ok is false for an operator's command that has no effect any more, because the proxy hands over or stops.
 func (s *State) Handle(now float64, event Event) (ok bool) {
 	next := s.phase
 	switch event {
@@ -84,7 +84,7 @@
 			next = HandingOver
 		}
 	case Drain, Resume:
-		if s.phase >= HandingOver {
+		if s.phase == HandingOver || s.phase == Stopping {
 			return false
 		}
 		s.drainRequested = event == Drain
@@ -103,6 +103,7 @@
 	return true
 }
 
+// enter begins a phase at a time in ms, unless it is the present one.
 func (s *State) enter(next Phase, now float64) {
 	if next == s.phase {
 		return
@@ -177,7 +178,7 @@
 	return !c.PartialFrame || now >= max(p.RejectFrom, p.PartialFrameUntil)
 }
 
-// Deadline returns when a new request must be answered: at its own deadline, but before a kill.
+// Deadline returns when a new request must be answered, in ms: at its own deadline, but no later than a kill.
 func (p Plan) Deadline(own float64) float64 {
 	if p.AnswerBy > 0 {
 		return min(own, p.AnswerBy)
