--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -94,8 +94,8 @@
 
 // attributeLatency returns the server or link that determined how long an answer took: for a fill the source,
 // or the zone's link if the first byte came soon and the link's fills are late more often than the source's,
-// or the origin if it was asked and the first byte came late. It also updates their late rates, and raises
-// the limits of the link and the origin where they were not late.
+// or the origin if the fill reached it and the first byte came late. It also updates their late rates, and
+// raises the limits of the link and the origin where they were not late.
 func (r *Router) attributeLatency(attempt *attempt, outcome Outcome) *server {
 	found := attempt.server
 	firstByteSoon := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
--- a/policy/events.go
+++ b/policy/events.go
@@ -92,7 +92,7 @@
 	NoteNone           Note = iota
 	NoteHit                 // from a cached copy
 	NoteFilled              // after a fill
-	NoteFilledOrigin        // after a fill for which the origin was asked
+	NoteFilledOrigin        // after a fill that reached the origin
 	NoteCoalesced           // after joining a fill in progress
 	NoteStale               // from a copy past its freshness
 	NoteSourceRejected      // the source was overloaded
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -15,7 +15,8 @@
 	maxConsecutiveUnanswered, silentMinUnanswered, silentPeriod = 20, 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
-	// overloadPause is how long a server that was overloaded, or a cache without a fill slot, is not asked.
+	// overloadPause is how long a server that was overloaded gets no attempt, and a cache without a slot none
+	// that may need a fill.
 	overloadPause = 100 * time.Millisecond
 )
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -81,7 +81,8 @@
 	OverloadWindow   time.Duration `cbor:"Within"`     // when it lasts for this time
 }
 
-// Settings are the facts with which a router is started. See Class for the tags.
+// Settings are the facts with which a router is started. See Class for the tags. No rule of this package reads
+// some of them, such as PollInterval, the overload of the origin and MinBatchInterval.
 type Settings struct {
 	Rank            int           `cbor:"Rank"`        // index of this router, from 0
 	Routers         int           `cbor:"Routers"`     // number of routers
