--- a/internal/admin/proxy.go
+++ b/internal/admin/proxy.go
@@ -14,7 +14,7 @@
 	Failed     int64 `json:"failed"`
 	Gone       int64 `json:"gone"` // abandoned by their clients
 	Misnamed   int64 `json:"misnamed"`
-	Notices    int64 `json:"notices"` // notifications of the routing module
+	Notices    int64 `json:"notices"` // of purges and of members, to the router
 	Open       int64 `json:"open"`    // in flight
 	Refused    int64 `json:"refused"` // rejected
 	Requests   int64 `json:"requests"`
--- a/internal/decide/discovery/watcher.go
+++ b/internal/decide/discovery/watcher.go
@@ -114,7 +114,7 @@
 			w.emit(Close{Call: other.id, Reason: ReasonSuperseded})
 		}
 	}
-	w.forgiveFailures(now, c)
+	w.resetFailures(now, c)
 	c.frame = FrameProgress{}
 	w.calls = []call{*c}
 	w.unanswered, w.lastFrameAt = 0, now
@@ -126,8 +126,8 @@
 	}
 }
 
-// forgiveFailures resets the backoff if a call has lasted for a frame interval.
-func (w *Watcher) forgiveFailures(now float64, c *call) {
+// resetFailures has the backoff start again from its shortest if a call has lasted for a frame interval.
+func (w *Watcher) resetFailures(now float64, c *call) {
 	if now-c.openedAt >= w.settings.FrameInterval {
 		w.failures = 0
 	}
@@ -140,7 +140,7 @@
 	if c == nil {
 		return
 	}
-	w.forgiveFailures(now, c)
+	w.resetFailures(now, c)
 	w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return c.id == event.Call })
 	if event.Connected {
 		w.deadline = min(w.deadline, now+w.settings.NotifiedAfterDisconnect+w.settings.GracePeriod)
--- a/internal/decide/membership/action.go
+++ b/internal/decide/membership/action.go
@@ -4,7 +4,7 @@
 // SilenceChanged.
 type Action interface{ action() }
 
-// Publish brings the servers that have changed to the routing module and the connection pools, by id.
+// Publish brings the servers that have changed to the router and the connection pools, by id.
 type Publish struct {
 	Version  uint64 // counts from 1
 	Complete bool   // the first one: the list was empty before
--- a/internal/decide/membership/table.go
+++ b/internal/decide/membership/table.go
@@ -1,6 +1,6 @@
 // Package membership decides which cache servers a proxy may use. Sources (discovery, a watched list file, the shared
 // store) report complete snapshots or deltas, each with generation numbers of its own. Table merges them into one
-// versioned list for the routing module and the connection pools.
+// versioned list for the router and the connection pools.
 //
 // The package owns the life cycle of each server, which source decides where several list the same server, drains that
 // outlive the list that named the server, the reservation of addresses and the steps in which weights change. It does
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -221,7 +221,7 @@
 	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
 	require.Equal(t, now+1500+1, stepped.Translate(r, now+1500).Purge.At, "the sender's clock was stepped back: the purge counts as made now")
 	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(r, now+1600)
-	require.Equal(t, now-2000, toMs(list.Members[0].Started))
-	require.GreaterOrEqual(t, toMs(list.Members[1].Started), now+500)
-	require.LessOrEqual(t, toMs(list.Members[1].Started), now+1600)
+	require.Equal(t, now-2000, clock.Ms(list.Members[0].Started))
+	require.GreaterOrEqual(t, clock.Ms(list.Members[1].Started), now+500)
+	require.LessOrEqual(t, clock.Ms(list.Members[1].Started), now+1600)
 }
--- a/internal/source/discoveryclient/initial.go
+++ b/internal/source/discoveryclient/initial.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"strings"
 
+	"ravenwheel/internal/clock"
 	"ravenwheel/internal/core"
 	"ravenwheel/policy"
 )
@@ -103,6 +104,6 @@
 	}
 	m.Addr = j.HostPort
 	m.ID, m.Zone, m.Kind, m.Cell, m.State = policy.CacheID(id), zone, kind, j.Cell, state
-	m.Weight, m.Started = j.Weight, policy.Time(j.StartedAtMs*1e6)
+	m.Weight, m.Started = j.Weight, clock.Duration(j.StartedAtMs)
 	return m, nil
 }
--- a/internal/source/discoveryclient/timestamps.go
+++ b/internal/source/discoveryclient/timestamps.go
@@ -1,6 +1,7 @@
 package discoveryclient
 
 import (
+	"ravenwheel/internal/clock"
 	"ravenwheel/internal/core"
 	"ravenwheel/internal/decide/timestamp"
 	"ravenwheel/policy"
@@ -51,11 +52,8 @@
 	members := e.Members
 	e.Members = nil
 	for _, m := range members {
-		m.Started = policy.Time(translate(now, m.ID, toMs(m.Started)) * 1e6)
+		m.Started = clock.Duration(translate(now, m.ID, clock.Ms(m.Started)))
 		e.Members = append(e.Members, m)
 	}
 	return e
 }
-
-// toMs returns a time of the router in ms.
-func toMs(t policy.Time) float64 { return float64(t) / 1e6 }
