--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -98,7 +98,7 @@
 	require.NoError(t, err)
 	conf, err := config.Read(os.Getenv, o)
 	require.NoError(t, err)
-	up := upstream.New(r.clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 60_000})
+	up := upstream.New(r.clk, upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 60_000})
 	r.core, err = core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, r.clk, up)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(r.path, []byte(r.fill(first)), 0o600))
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -142,7 +142,7 @@
 					require.NoError(t, err)
 					list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
 				}
-				pools := upstream.New(p.Clock, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 400, IdleTimeout: 30_000})
+				pools := upstream.New(p.Clock, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 400, IdleTimeout: 30_000})
 				c, err := core.New(set, []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, pools)
 				require.NoError(t, err)
 				c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -74,14 +74,16 @@
 	Tag         string
 	Body        []byte
 	NotModified bool // the client's copy, which Tag names, is current
-	Written     bool // the attempt was written completely; otherwise it has not reached a cache server
-	Load        policy.LoadReport
+	// Written: its first byte was written, and its connection did not break before its last. Otherwise no cache server has
+	// executed it.
+	Written bool
+	Load    policy.LoadReport
 }
 
 // Upstream carries attempts to cache servers.
 type Upstream interface {
 	// Send starts an attempt. It calls end exactly once, from any goroutine, unless abort is called first. abort ends the
-	// attempt without a call of end and reports whether it was written completely.
+	// attempt without a call of end and returns what Outcome.Written would be.
 	Send(a Attempt, end func(Outcome)) (abort func() (written bool))
 	// UpdateMembers passes on the servers' addresses: all servers if full, otherwise those that have changed.
 	UpdateMembers(list []Member, full bool)
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -52,7 +52,7 @@
 	clk := clock.Manual(1_764_576_000_000)
 	servers := fleet.New(fleet.Options{Clock: clk, MaxCopies: 256})
 	defer servers.Close()
-	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
+	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, pools)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", scenario.Loopback())
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -76,7 +76,7 @@
 	s.start(parentID, fleet.Parent, 0, s.settings.ParentKind)
 	s.start(parentID+1, fleet.Parent, 1, s.settings.ParentKind)
 	s.start(originID, fleet.Origin, 0, s.settings.OriginKind)
-	up := upstream.New(s.clock, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000})
+	up := upstream.New(s.clock, upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000})
 	s.core, err = core.New(s.settings, names, 0, 7, s.clock, up)
 	require.NoError(t, err)
 	s.publish(true, s.members...)
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -62,7 +62,7 @@
 )
 
 // connectionLimits are those of the proxy's connections to servers.
-var connectionLimits = upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000}
+var connectionLimits = upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000}
 
 // socketRun is a run of the site on sockets.
 type socketRun struct {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -82,7 +82,7 @@
 // newCore returns a core with its connection pools, fed by a registry of 10,000 servers.
 func newCore(b *testing.B) (*registry.Registry, *core.Core, []membership.Entry) {
 	clk := clock.System()
-	up := upstream.New(clk, upstream.Limits{RequestsPerConn: 32, ConnsPerServer: 4})
+	up := upstream.New(clk, upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 4})
 	routing := policy.Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []policy.Class{{Deadline: time.Second}}}
 	c, err := core.New(routing, []string{"a"}, 0, 7, clk, up)
 	require.NoError(b, err)
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -45,7 +45,7 @@
 // NewProxy starts a core with one cache server, a stand-in. Nobody listens at the addresses of its parent and of the origin.
 func NewProxy(t *testing.T) *Proxy {
 	p := &Proxy{Clock: clock.Manual(1_764_576_000_000), Cache: Listen(t)}
-	p.Pools = upstream.New(p.Clock, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
+	p.Pools = upstream.New(p.Clock, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
 	var err error
 	p.Core, err = core.New(Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, p.Pools)
 	require.NoError(t, err)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -14,7 +14,7 @@
 
 	once    sync.Once // of onEnd
 	done    bool
-	written bool    // its first byte is written; after its connection has broken: it was written completely
+	written bool    // see core.Outcome.Written
 	sentAt  float64 // ms of the clock
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -72,7 +72,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if n = len(k.calls); n > 0 && k.now()-k.unansweredSince >= unansweredTimeout {
-		n += k.limits().RequestsPerConn
+		n += k.limits().AttemptsPerConn
 	}
 	return n, !k.closing
 }
@@ -83,7 +83,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	limits, now := k.limits(), k.now()
-	full := len(k.calls) >= limits.RequestsPerConn
+	full := len(k.calls) >= limits.AttemptsPerConn
 	if k.closing || full || !k.usedIDs.add(c.attempt.ID, now, limits.RequestLifetime) {
 		return false
 	}
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -46,7 +46,7 @@
 }
 
 func poolsAt(clk *clock.Clock, addr string, l upstream.Limits) *upstream.Pools {
-	l.RequestsPerConn, l.ConnsPerServer, l.ConnectTimeout = 50, 3, 5000
+	l.AttemptsPerConn, l.ConnsPerServer, l.ConnectTimeout = 50, 3, 5000
 	pools := upstream.New(clk, l)
 	m := core.Member{Addr: addr}
 	m.ID = scenario.CacheID
--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -138,7 +138,7 @@
 	return report
 }
 
-// parseFigure parses a figure. ok is false for anything but a number between 0 and maxFigure, since the module computes
+// parseFigure parses a figure. ok is false for anything but a number between 0 and maxFigure, since the router computes
 // with the figures as they are.
 func parseFigure(text string) (figure float64, ok bool) {
 	figure, err := strconv.ParseFloat(text, 64)
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -26,7 +26,7 @@
 
 // Limits bound the connections. Times are in ms.
 type Limits struct {
-	RequestsPerConn int     // attempts in flight on one connection
+	AttemptsPerConn int     // attempts in flight on one connection
 	ConnsPerServer  int     // connections to one cache server
 	MaxConns        int     // connections to all servers; 0: no bound
 	ConnectTimeout  float64 // until a connection must be established
@@ -40,7 +40,7 @@
 
 // withDefaults returns limits with every field that New fills in.
 func (l Limits) withDefaults() Limits {
-	l.RequestsPerConn, l.ConnsPerServer = max(1, l.RequestsPerConn), max(nonIdempotentConns+1, l.ConnsPerServer)
+	l.AttemptsPerConn, l.ConnsPerServer = max(1, l.AttemptsPerConn), max(nonIdempotentConns+1, l.ConnsPerServer)
 	if l.Dial == nil {
 		l.Dial = net.DialTimeout
 	}
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -38,9 +38,9 @@
 }
 
 // SetLimits changes the attempts per connection and the timeouts, in ms. They apply to open connections too.
-func (p *Pools) SetLimits(requestsPerConn int, connectTimeout, idleTimeout float64) {
+func (p *Pools) SetLimits(attemptsPerConn int, connectTimeout, idleTimeout float64) {
 	limits := *p.limits.Load()
-	limits.RequestsPerConn = max(1, requestsPerConn)
+	limits.AttemptsPerConn = max(1, attemptsPerConn)
 	limits.ConnectTimeout, limits.IdleTimeout = connectTimeout, idleTimeout
 	p.limits.Store(&limits)
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -44,7 +44,7 @@
 			dials := make(chan int, 3)
 			var dialled atomic.Int32
 			goOn := make(chan struct{})
-			pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 50, ConnsPerServer: 3, ConnectTimeout: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
+			pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 50, ConnsPerServer: 3, ConnectTimeout: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
 				n := int(dialled.Add(1))
 				dials <- n
 				<-goOn
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -152,7 +152,7 @@
 
 // newPools returns pools with one cache server and one connection for idempotent attempts.
 func newPools(clk *clock.Clock, cache *scenario.Server, l upstream.Limits) *upstream.Pools {
-	l.RequestsPerConn, l.ConnsPerServer, l.ConnectTimeout = 10, 3, 5000
+	l.AttemptsPerConn, l.ConnsPerServer, l.ConnectTimeout = 10, 3, 5000
 	pools := upstream.New(clk, l)
 	m := core.Member{Addr: cache.Addr()}
 	m.ID = scenario.CacheID
@@ -337,7 +337,7 @@
 		return net.DialTimeout(network, addr, wait)
 	}
 	clk, cache := clock.Manual(0), scenario.Listen(t)
-	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 10, ConnsPerServer: 8, ConnectTimeout: 5000, IdleTimeout: 4000, Dial: dial})
+	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 10, ConnsPerServer: 8, ConnectTimeout: 5000, IdleTimeout: 4000, Dial: dial})
 	m := core.Member{Addr: cache.Addr()}
 	m.ID = scenario.CacheID
 	pools.UpdateMembers([]core.Member{m}, true)
@@ -365,7 +365,7 @@
 func TestMaxConnsOverAllServers(t *testing.T) {
 	const servers, most = 30, 8
 	clk := clock.Manual(0)
-	pools := upstream.New(clk, upstream.Limits{RequestsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
+	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
 	list := make([]core.Member, servers)
 	var silent atomic.Bool
 	fetched := make(chan string, 2*servers)
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -35,7 +35,7 @@
 		clk := clock.Manual(0)
 		var wire []byte
 		capacity := 0
-		p := New(clk, Limits{RequestsPerConn: 100, ConnsPerServer: 3, Write: func(_ int, b []byte) (int, error) {
+		p := New(clk, Limits{AttemptsPerConn: 100, ConnsPerServer: 3, Write: func(_ int, b []byte) (int, error) {
 			n := min(capacity, len(b), rapid.IntRange(1, 40).Draw(t, "taken"))
 			if n == 0 {
 				return -1, syscall.EAGAIN
@@ -145,7 +145,7 @@
 func TestOutdatedCallIsSkippedOnBlockedConnection(t *testing.T) {
 	for _, up := range []bool{true, false} {
 		clk := clock.Manual(0)
-		p := New(clk, Limits{RequestsPerConn: 100, ConnsPerServer: 3})
+		p := New(clk, Limits{AttemptsPerConn: 100, ConnsPerServer: 3})
 		m := core.Member{Addr: "127.0.0.1:1"}
 		m.ID = 1
 		p.UpdateMembers([]core.Member{m}, true)
