--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -6,9 +6,10 @@
 	"ravenwheel/policy"
 )
 
-// addressConflict returns another server that is in use or draining at the address that the sources list for s, or nil.
-// Two processes can't listen at one address: a drain there is over if s was started after it began.
-func (t *Table) addressConflict(s *server, entry *sourceEntry) *server {
+// resolveAddressConflict returns another server that is in use or draining at the address that the sources list for s, or
+// nil. Two processes can't listen at one address: if s was started after a drain there began, that drain is over, and the
+// server that drained is gone from now on.
+func (t *Table) resolveAddressConflict(s *server, entry *sourceEntry) *server {
 	for {
 		other := t.reservedBy(entry.Addr, s.id)
 		if other == nil {
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -97,7 +97,7 @@
 	if s.phase == Joining && t.now >= s.since+t.settings.DrainTimeout {
 		t.abandonAddress(s)
 	}
-	other := t.addressConflict(s, entry)
+	other := t.resolveAddressConflict(s, entry)
 	if other == nil {
 		return false
 	}
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -145,10 +145,10 @@
 		entry.warmUpOnReady = true
 	case previous != nil:
 		entry.Started, entry.warmUpOnReady = previous.Started, previous.warmUpOnReady
-	case entry.Warm || first && !t.restored || inUseHere && s.current.Addr == entry.Addr:
+	case entry.Warm || first && !t.restoreCalled || inUseHere && s.current.Addr == entry.Addr:
 		entry.Started = s.current.Started
-	case s.phase == None && t.inUse[entry.ID].Addr == entry.Addr:
-		entry.Started = t.inUse[entry.ID].Started
+	case s.phase == None && t.inUseBeforeRestart[entry.ID].Addr == entry.Addr:
+		entry.Started = t.inUseBeforeRestart[entry.ID].Started
 	default:
 		entry.warmUpOnReady = true
 	}
--- a/internal/decide/membership/table.go
+++ b/internal/decide/membership/table.go
@@ -60,8 +60,8 @@
 	manualDrains      map[policy.CacheID]float64 // start of the drain, ms
 	manualDrainsEnded map[policy.CacheID]float64 // end of the last drain, ms: the server is warming up from then on
 
-	restored bool                      // Restore was called
-	inUse    map[policy.CacheID]Member // servers in use before the restart
+	restoreCalled      bool                      // Restore was called
+	inUseBeforeRestart map[policy.CacheID]Member // servers in use before the restart
 
 	// Of the event that is being handled.
 	actions []Action
