--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,7 +36,7 @@
 type Purge struct {
 	Object string
 	Group  int
-	At     float64 // ms of the clock; copies from before are invalid. A time in the future counts as now
+	At     float64 // ms of the clock; copies from before are invalid
 }
 
 // Core runs the requests of one proxy. Its exported fields are set before the first event.
@@ -116,7 +116,7 @@
 // ClassIndex returns the index of the class with this name; -1 if there is none.
 func (c *Core) ClassIndex(name string) int { return slices.Index(c.classes, name) }
 
-// Purged applies a purge.
+// Purged applies a purge. A time further in the future than TimestampResolution counts as that far.
 func (c *Core) Purged(p Purge) {
 	c.Counters.Notifications.Add(1)
 	now := c.clock.Now()
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -114,7 +114,7 @@
 func (p *Pools) start(c *call) (abort func() (written bool)) {
 	var conn *conn
 	if server := p.pool(c.attempt.Server); server != nil {
-		p.closeIdlest()
+		p.closeLongestIdle()
 		conn = server.assign(c)
 	}
 	if conn == nil {
@@ -143,24 +143,24 @@
 	return true
 }
 
-// closeIdlest closes the connection that has been idle for longest if MaxConns is reached.
-func (p *Pools) closeIdlest() {
+// closeLongestIdle closes the connection that has been idle for longest if MaxConns is reached.
+func (p *Pools) closeLongestIdle() {
 	if limit := int64(p.limits.Load().MaxConns); limit <= 0 || p.conns.Load() < limit {
 		return
 	}
-	var idlest *conn
+	var longestIdle *conn
 	since := math.Inf(1)
 	p.byID.Load().Root().Walk(func(_ []byte, server *pool) bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		for _, conn := range server.conns {
 			if idleSince, idle := conn.idleSince(); idle && idleSince < since {
-				idlest, since = conn, idleSince
+				longestIdle, since = conn, idleSince
 			}
 		}
 		return false
 	})
-	if idlest != nil {
-		idlest.closeIdle()
+	if longestIdle != nil {
+		longestIdle.closeIdle()
 	}
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -120,7 +120,8 @@
 }
 
 // adjustLimit lowers a limit after a late answer and raises it after one in time. It stays while less than
-// half of its slots are occupied, as single large objects are late without an overload.
+// half of its slots are occupied, as single large objects are late without an overload. An outcome counts
+// 1/limitScale, as that many attempts share a slot.
 func (r *Router) adjustLimit(server *server, late bool) {
 	lowest, routers := sourceLimitMin, 1.0
 	if server.role == roleCache { // routers that share a cache raise their limits together
