--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// recover reads the newest intact snapshot into a target, and the records behind it.
+// recover reads the newest intact snapshot into a target, and the records after it.
 func (j *Journal) recover(into Target) error {
 	snapshots, err := j.listFiles()
 	if err != nil {
@@ -68,7 +68,8 @@
 }
 
 // restoreSnapshot reads the newest intact snapshot. A snapshot is renamed into place only once it is synced, so one that
-// can't be read is damaged; the one before it serves as long as the records behind that are there.
+// can't be read is damaged; the one before it is used instead if all records after
+// that one are still there. It returns a DamageError if no snapshot can be used that way.
 func (j *Journal) restoreSnapshot(snapshots []uint64, into Target) error {
 	var damage error
 	for i := len(snapshots) - 1; i >= 0; i-- {
@@ -111,7 +112,7 @@
 	return b, nil
 }
 
-// replaySegment reads a segment's records into a target, and truncates the last segment behind its last intact record.
+// replaySegment reads a segment's records into a target, and truncates the last segment after its last intact record.
 func (j *Journal) replaySegment(i int, into Target) error {
 	name, last := segmentName(j.segments[i]), i == len(j.segments)-1
 	b, err := j.readFile(name)
@@ -158,8 +159,8 @@
 }
 
 // rewriteSegment replaces the last segment by a new file of its intact part. After a failed sync and a restart of the
-// process alone, the page cache shows bytes that are not on disk and counts them as clean, so that another sync does not
-// write them. Records read from them, and all behind them, would be lost with the power.
+// process alone, the page cache may hold bytes that are not on disk but are marked clean, so that another sync does not write
+// them. A power failure would then lose the records read from these bytes, and all records after them.
 func (j *Journal) rewriteSegment(name string, intact []byte) error {
 	partial := j.path(partialName(name))
 	f, err := j.opt.FS.Create(partial)
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -80,8 +80,8 @@
 // Is reports whether err is ErrDamaged.
 func (e *DamageError) Is(err error) bool { return err == ErrDamaged }
 
-// scan calls each for every record of a segment. It returns the offset behind the last intact record, and the number that
-// is due after it. Unreadable bytes at the end of the last segment are a torn write, which was never acknowledged. Anywhere
+// scan calls each for every record of a segment. It returns the offset just after the last intact record, and the number that
+// the next record must have. Unreadable bytes at the end of the last segment are a torn write, which was never acknowledged. Anywhere
 // else, or where a later batch proves that they were synced, they are damage.
 func scan(name string, b []byte, last bool, each func(number uint64, payload []byte) error) (end int, next uint64, err error) {
 	first, ok := readHeader(b)
@@ -111,8 +111,8 @@
 	return end, next, nil
 }
 
-// findLaterBatch looks behind an unreadable place for an intact record of a batch after the one that record next belongs
-// to. A batch is started only once the one before it is synced, so such a record proves that the place was intact.
+// findLaterBatch searches the bytes after the unreadable record next, which is at offset end, for an intact record of a later
+// batch. A batch is written only after the batch before it was synced, so such a record proves that record next was on disk.
 func findLaterBatch(b []byte, end int, next uint64) (number uint64, found bool) {
 	for at := end + 1; at+recordHeaderSize <= len(b); at++ {
 		number := binary.LittleEndian.Uint64(b[at+8:])
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -72,7 +72,8 @@
 }
 
 // Compact stores a snapshot of the state after all records up to covers, which must have been acknowledged, and removes the
-// files that are no longer needed. The previous snapshot stays, with the records behind it, in case the new one is damaged.
+// files that are no longer needed. The previous snapshot is kept, with the records after it, in case the new one is damaged.
+// It returns ErrClosed, ErrDiskFull, ErrFailed or the error of a file operation.
 func (j *Journal) Compact(covers uint64, state []byte) error {
 	b, err := encodeSnapshot(covers, state)
 	if err != nil {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,7 +17,7 @@
 	"ravenwheel/policy"
 )
 
-// writeState fills a directory with a snapshot and with records behind it, of each kind of event.
+// writeState fills a directory with a snapshot and with records after it, of each kind of event.
 func writeState(t *testing.T, dir string) {
 	clk := clock.Manual(1e12)
 	o := options(nil, clk)
@@ -73,7 +73,7 @@
 	require.EqualValues(t, 5, plan.Revision)
 	require.Equal(t, []uint64{8}, plan.ManualDrains)
 	require.Len(t, plan.Purges, 2)
-	require.Len(t, plan.Remembered, 3)
+	require.Len(t, plan.Members, 3)
 	require.Equal(t, []recovery.List{{Source: "file", Generation: 4, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100},
 	}}}, plan.Lists)
