--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -5,9 +5,9 @@
 // admission decides whether a subscription may begin: up to a limit of subscribers, and at a bounded rate (a token bucket).
 type admission struct {
 	settings    Settings
-	limit       int // of subscribers
-	tokens      float64
-	refilledAt  float64
+	limit       int     // of subscribers
+	tokens      float64 // subscriptions that may begin now
+	refilledAt  float64 // when tokens were added last; minus infinity: never
 	nextRetryAt float64 // when the subscriber that was rejected last is to return
 }
 
@@ -24,9 +24,9 @@
 	}
 }
 
-// take takes a token. If there is none it returns after how many ms the subscriber is to return: rejected subscribers return one after
-// the other at the admitted rate.
-func (a *admission) take(now float64) (retryAfter float64) {
+// takeToken takes a token and returns 0. If there is none it returns after how many ms the subscriber is to return: rejected
+// subscribers return one after the other at the admitted rate, and after MaxBackoff at the latest.
+func (a *admission) takeToken(now float64) (retryAfter float64) {
 	if now > a.refilledAt {
 		if !math.IsInf(a.refilledAt, -1) {
 			a.tokens = min(a.settings.AdmitBurst, a.tokens+(now-a.refilledAt)/1000*a.settings.AdmitPerSecond)
@@ -53,12 +53,12 @@
 		return RejectWrongRank, d.settings.MaxBackoff
 	case !isNew:
 		return 0, 0
-	case d.shutdownAt != 0:
+	case d.shutdownStartedAt != 0:
 		return RejectShutdown, d.settings.MaxBackoff
 	case len(d.subscriptions) >= d.admission.limit && d.find(m.Name) == nil:
 		return RejectFull, d.settings.MaxBackoff
 	}
-	if retryAfter := d.admission.take(d.now); retryAfter > 0 {
+	if retryAfter := d.admission.takeToken(d.now); retryAfter > 0 {
 		return RejectBusy, retryAfter
 	}
 	return 0, 0
@@ -66,12 +66,12 @@
 
 // nextDismissalAt is when the next subscriber is dismissed during a shutdown: one after the other over FailoverSpread.
 func (d *Distributor) nextDismissalAt() float64 {
-	return d.shutdownAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.toDismiss))
+	return d.shutdownStartedAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.toDismiss))
 }
 
 // dismissDue sends subscribers to other distributors while the process shuts down.
 func (d *Distributor) dismissDue() {
-	for d.shutdownAt != 0 && len(d.subscriptions) > 0 && d.now >= d.nextDismissalAt() {
+	for d.shutdownStartedAt != 0 && len(d.subscriptions) > 0 && d.now >= d.nextDismissalAt() {
 		d.dismissed++
 		d.reject(d.subscriptions[0].link, RejectShutdown, d.settings.MaxBackoff)
 	}
--- a/internal/decide/distribution/backlog.go
+++ b/internal/decide/distribution/backlog.go
@@ -17,11 +17,11 @@
 // backlog is the latest part of the stream, which subscribers resume from. Its segments follow each other without a gap.
 type backlog struct {
 	segments       []*segment
-	floor          uint64 // the sequence behind which the first segment begins
+	floor          uint64 // the sequence after which the first segment begins: a subscriber below it needs a snapshot
 	entries, bytes int    // of all segments
 }
 
-// reset drops all segments: the stream goes on behind a sequence.
+// reset drops all segments: the stream continues after the sequence floor.
 func (b *backlog) reset(floor uint64) { *b = backlog{floor: floor} }
 
 // append adds a range, split into segments of at most maxBytes. An entry that is larger is alone in its segment.
@@ -65,12 +65,13 @@
 	b.bytes += s.bytes
 }
 
-// find returns the index of the first segment that ends behind a sequence.
+// find returns the index of the first segment that ends after the sequence cursor; the number of segments if none does.
 func (b *backlog) find(cursor uint64) int {
 	return sort.Search(len(b.segments), func(i int) bool { return b.segments[i].through > cursor })
 }
 
-// drop removes an entry that something later covers, or that has expired. A segment that becomes empty is merged into the next.
+// drop removes an entry that a later entry covers (see the package comment), or that has expired. A segment that becomes empty is
+// merged into the next.
 func (b *backlog) drop(sequence uint64) {
 	if sequence <= b.floor {
 		return
@@ -107,7 +108,7 @@
 	}
 }
 
-// middle returns the sequence that half of the segments are behind.
+// middle returns the sequence after which the second half of the segments begins.
 func (b *backlog) middle() uint64 {
 	if len(b.segments) == 0 {
 		return b.floor
--- a/internal/decide/distribution/check/history.go
+++ b/internal/decide/distribution/check/history.go
@@ -54,7 +54,7 @@
 		switch {
 		case f.Sequence > through, f.Kind != e.Kind, factKeyOf(f.Entry) != factKeyOf(e), f.Group != e.Group,
 			f.GroupKnown != e.GroupKnown, f.Version != e.Version, !bytes.Equal(f.Body, e.Body):
-		case isPurge(e.Kind) && !binds(e, f.Entry):
+		case isPurge(e.Kind) && !subsumes(e, f.Entry):
 		default:
 			found, known = f, true
 		}
@@ -84,9 +84,9 @@
 	return k == distribution.PurgeObject || k == distribution.PurgeGroup
 }
 
-// binds reports whether a purge voids every copy that another one voids, if both are of the same object or group. It is written again
+// subsumes reports whether a purge voids every copy that another one voids, if both are of the same object or group. It is written again
 // here, as the checker trusts nothing of what it checks.
-func binds(purge, other distribution.Entry) bool {
+func subsumes(purge, other distribution.Entry) bool {
 	return purge.EffectiveAt >= other.EffectiveAt && outlasts(purge.ExpiresAt, other.ExpiresAt)
 }
 
--- a/internal/decide/distribution/check/process.go
+++ b/internal/decide/distribution/check/process.go
@@ -184,12 +184,12 @@
 
 // covered reports whether every copy that a purge voids is voided by what is in effect.
 func (p *Process) covered(e distribution.Entry) bool {
-	if existing, known := p.effective[factKeyOf(e)]; known && binds(existing, e) {
+	if existing, known := p.effective[factKeyOf(e)]; known && subsumes(existing, e) {
 		return true
 	}
 	if e.Kind != distribution.PurgeObject || !e.GroupKnown {
 		return false
 	}
 	existing, known := p.effective[factKey{kind: distribution.PurgeGroup, group: e.Group}]
-	return known && binds(existing, e)
+	return known && subsumes(existing, e)
 }
--- a/internal/decide/distribution/distributor.go
+++ b/internal/decide/distribution/distributor.go
@@ -17,10 +17,10 @@
 	links         map[Link]*subscription
 	admission     admission
 
-	heartbeatAt float64
-	shutdownAt  float64 // when the shutdown began; 0: it has not
-	dismissed   int     // subscribers moved to other distributors since
-	toDismiss   int     // subscribers there were then
+	heartbeatAt       float64
+	shutdownStartedAt float64 // when the shutdown began; 0: it has not
+	dismissed         int     // subscribers moved to other distributors since
+	toDismiss         int     // subscribers there were then
 
 	now     float64
 	actions []Action
@@ -70,8 +70,8 @@
 	case Demand:
 		d.admission.setDemand(e)
 	case Shutdown:
-		if d.shutdownAt == 0 {
-			d.shutdownAt, d.toDismiss = now, len(d.subscriptions)
+		if d.shutdownStartedAt == 0 {
+			d.shutdownStartedAt, d.toDismiss = now, len(d.subscriptions)
 		}
 	}
 	if now >= d.heartbeatAt {
@@ -87,19 +87,20 @@
 
 func (d *Distributor) requestWake() {
 	due := d.heartbeatAt
-	if d.shutdownAt != 0 && len(d.subscriptions) > 0 {
+	if d.shutdownStartedAt != 0 && len(d.subscriptions) > 0 {
 		due = min(due, d.nextDismissalAt())
 	}
 	d.emit(Wake{After: max(0, due-d.now)})
 }
 
-// claimableWatermark returns the watermark that is sent. Its sequence is not below the head: where entries are missing here, because
-// the level above has left out what something later covers, the watermark holds below only once that later entry is there too.
+// claimableWatermark returns the watermark that may be sent to subscribers. The level above leaves out entries that a later one covers,
+// so that up to that later entry this process may lack some. A subscriber therefore must not count the watermark's time before it has
+// reached the watermark's sequence, and that sequence is never below the head.
 func (d *Distributor) claimableWatermark() Watermark {
 	return Watermark{Sequence: max(d.watermark.Sequence, d.head), At: d.watermark.At}
 }
 
-// gapFree reports whether no such entries are missing.
+// gapFree reports whether the head has reached the watermark's sequence, so that no entry is missing that a later one covers.
 func (d *Distributor) gapFree() bool { return d.head >= d.watermark.Sequence }
 
 // apply takes entries in and passes them on.
@@ -116,7 +117,7 @@
 	d.sendPending(d.subscriptions)
 }
 
-// extend moves the head, with entries of which those up to the present head are known.
+// extend moves the head to the sequence through and takes in the entries after the present head; earlier ones are known already.
 func (d *Distributor) extend(through uint64, entries []Entry, atomic bool) {
 	var added []Entry
 	covered := map[uint64]bool{}
@@ -148,8 +149,8 @@
 	}
 }
 
-// installSnapshot replaces the state. The sequences in a snapshot say nothing but the order, since a member of the store that reads
-// its state back has made them up: what is new is found by its content.
+// installSnapshot replaces the state. The sequences of a snapshot's entries give only their order, as a member of the store may have
+// numbered them itself when it read its state from disk. Which entries are new is therefore decided by their content.
 func (d *Distributor) installSnapshot(e InstallSnapshot) {
 	if e.Epoch < d.epoch || e.Epoch == d.epoch && e.Through < d.head {
 		return
@@ -172,9 +173,9 @@
 }
 
 // bridgeSnapshot passes what a snapshot of the present epoch adds on as one atomic batch, so that the subscribers of a distributor
-// that fell behind need no snapshot themselves. It reports whether that was possible. It takes one frame, as a part of the batch would
-// be a position that nobody else knows, and the stream of purges: a batch cannot say that a list or a drain has ended, which a
-// snapshot does by leaving it out.
+// that fell behind need no snapshot themselves. It reports whether that was possible. The batch must fit into one
+// frame, as a position within it exists at no other distributor. It is done for the stream of purges only: a snapshot ends a list or
+// a drain by leaving it out, which a batch cannot express.
 func (d *Distributor) bridgeSnapshot(e InstallSnapshot) bool {
 	var added []Entry
 	for _, entry := range e.Entries {
@@ -210,7 +211,8 @@
 	d.sendHeartbeat(d.subscriptions)
 }
 
-// reset drops everything, as what was received does not follow what is here. All subscribers are sent to other distributors.
+// reset drops everything, because what was received does not continue what this process has. All subscribers are rejected with
+// RejectNotReady, and subscribe at other distributors.
 func (d *Distributor) reset() {
 	for _, s := range slices.Clone(d.subscriptions) {
 		d.reject(s.link, RejectNotReady, d.settings.MinBackoff)
--- a/internal/decide/distribution/fact_table.go
+++ b/internal/decide/distribution/fact_table.go
@@ -32,8 +32,8 @@
 	return expiresAt == noExpiry || other != noExpiry && expiresAt >= other
 }
 
-// binds reports whether a purge voids every copy that another one, of the same object or of one of its group's objects, voids.
-func binds(purge, other Entry) bool {
+// subsumes reports whether a purge voids every copy that another one, of the same object or of one of its group's objects, voids.
+func subsumes(purge, other Entry) bool {
 	return purge.EffectiveAt >= other.EffectiveAt && outlasts(purge.ExpiresAt, other.ExpiresAt)
 }
 
@@ -51,7 +51,7 @@
 	return later
 }
 
-// factTable is everything that holds at a position: for each key the one entry that has the effect of all before.
+// factTable is everything in force at a position: for each key one entry, which has the effect of all earlier entries with that key.
 type factTable struct {
 	entries        map[factKey]Entry
 	objectsByGroup map[int64]map[string]struct{} // objects with a purge whose group is known
@@ -96,7 +96,7 @@
 	var covered []uint64
 	for name := range t.objectsByGroup[group.Group] {
 		key := factKey{kind: PurgeObject, name: name}
-		if object := t.entries[key]; binds(group, object) {
+		if object := t.entries[key]; subsumes(group, object) {
 			covered = append(covered, object.Sequence)
 			t.remove(key)
 		}
@@ -107,14 +107,14 @@
 
 // covers reports whether a purge adds nothing to what the table holds.
 func (t *factTable) covers(purge Entry) bool {
-	if existing, known := t.entries[factKeyOf(purge)]; known && binds(existing, purge) {
+	if existing, known := t.entries[factKeyOf(purge)]; known && subsumes(existing, purge) {
 		return true
 	}
 	if purge.Kind != PurgeObject || !purge.GroupKnown {
 		return false
 	}
 	existing, known := t.entries[factKey{kind: PurgeGroup, group: purge.Group}]
-	return known && binds(existing, purge)
+	return known && subsumes(existing, purge)
 }
 
 func (t *factTable) remove(key factKey) {
--- a/internal/decide/distribution/freshness.go
+++ b/internal/decide/distribution/freshness.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// Freshness is what the request path goes by. It states what holds later too: a process that was stopped, and decides on a request
-// before its machine has had its Tick, comes to the same decision. All times are Unix ms by this process's clock.
+// Freshness says which copies the request path may serve. It includes FreshUntil, from which on stricter rules apply, so that the request
+// path decides correctly even if the Subscriber's Tick is late, as after a pause of the process. All times are Unix ms by this process's
+// clock.
 type Freshness struct {
 	// Restricted: strict classes take no copy from before OldestCopy.
 	Restricted bool
@@ -17,9 +18,12 @@
 // unknownFreshness holds before the first watermark: no copy is known to be good.
 var unknownFreshness = Freshness{Restricted: true, OldestCopy: math.Inf(1), FreshUntil: math.Inf(-1), WatermarkTime: math.Inf(1)}
 
+// beforeFirstWatermark reports whether f is unknownFreshness, as far as OldestCopy shows it.
+func (f Freshness) beforeFirstWatermark() bool { return math.IsInf(f.OldestCopy, 1) }
+
 // updateFreshness decides what holds now for the request path. Past FreshUntil strict classes are restricted to copies from after the
-// watermark. Once the process has caught up, the restriction ends after a draw over RelaxSpread; at the start, when no request was
-// restricted yet, it ends at once.
+// watermark. Once the process has caught up, the restriction ends after a delay drawn from 0 to RelaxSpread; before the first watermark
+// has restricted any request, it ends at once.
 func (s *Subscriber) updateFreshness() {
 	if s.watermark == (Watermark{}) {
 		return
@@ -27,7 +31,7 @@
 	next := s.freshness
 	next.WatermarkTime = float64(s.watermark.At) + s.settings.MaxClockSkew
 	next.FreshUntil = float64(s.watermark.At) + s.settings.MaxLag - s.settings.MaxClockSkew
-	starting := math.IsInf(next.OldestCopy, 1)
+	starting := next.beforeFirstWatermark()
 	switch {
 	case s.now >= next.FreshUntil:
 		if !next.Restricted || starting {
--- a/internal/decide/distribution/freshness_test.go
+++ b/internal/decide/distribution/freshness_test.go
@@ -10,7 +10,7 @@
 
 func newStrictGate() *distribution.FreshnessGate {
 	set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{})
-	set.Classes = map[string]distribution.Policy{"prices": distribution.PolicyStrict, "pictures": distribution.PolicyServeStale}
+	set.Classes = map[string]distribution.StalePolicy{"prices": distribution.PolicyStrict, "pictures": distribution.PolicyServeStale}
 	return distribution.NewFreshnessGate(set)
 }
 
--- a/internal/decide/distribution/parent_selection.go
+++ b/internal/decide/distribution/parent_selection.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tier is how far away a distributor is, the closest first. The members of the store come behind all other distributors of the region,
-// as thousands of processes would fall back on them.
+// tier is how far away a distributor is, the closest first. The members of the store (tierRoot) are tried after all
+// other distributors of the region, so that thousands of processes do not subscribe at them.
 type tier int
 
 const (
@@ -34,15 +34,15 @@
 	}
 }
 
-// maxPerTier bounds the candidates of one tier that a subscriber considers: enough that two thirds may be down, few enough to take a
-// few hundred bytes.
+// maxPerTier bounds the candidates of one tier that a subscriber considers, and with them the memory for their backoffs. A tier is
+// given up only if all of them fail.
 const maxPerTier = 8
 
-// RankParents returns the distributors that a process may subscribe at, in the order in which it tries them: closer ones first; of one
+// OrderParents returns the distributors that a process may subscribe at, in the order in which it tries them: closer ones first; of one
 // tier those of the higher rank; and then by rendezvous hashing, so that each process has an order of its own and the loss of one
 // distributor moves only its own subscribers. Only distributors of a lower rank than the process's are returned: each chain of
 // subscriptions goes down in rank with each step, and ends at the store.
-func RankParents(self Peer, peers []Peer) []Peer {
+func OrderParents(self Peer, peers []Peer) []Peer {
 	type candidate struct {
 		peer  Peer
 		tier  tier
@@ -68,20 +68,21 @@
 	return order
 }
 
-// backoff is how long a candidate is not tried again.
+// backoff says until when a candidate is not tried again.
 type backoff struct {
 	until     float64 // Unix ms
-	attempts  int     // that failed since its watermark last advanced here
-	retrySoon bool    // it is alive, and has asked to be tried again
+	attempts  int     // that ended since the candidate last advanced this process's watermark
+	retrySoon bool    // it answered RejectBusy or RejectNotReady: it is alive, and may admit this process soon
 }
 
-// maxSoonRetries is how often a subscriber waits for a candidate that is alive and cannot admit it yet, before it tries one that is
-// farther away. When all processes start at once the levels fill from above, and only the first level belongs at the store.
+// maxSoonRetries is how often a subscriber waits for a candidate with retrySoon before it tries a tier that is farther away. When all
+// processes start at once, each level is ready only after the one above it; without the wait all of them would subscribe at the
+// members of the store.
 const maxSoonRetries = 4
 
-// backOff leaves a candidate alone: for a delay that doubles with each attempt, between half and all of it, or for least ms if that is
-// longer.
-func (s *Subscriber) backOff(name string, least float64) {
+// setBackoff decides until when a candidate is not tried again: for minDelay ms, or for a delay that doubles with each attempt, from
+// MinBackoff to MaxBackoff, and is drawn between half and all of that, whichever is longer.
+func (s *Subscriber) setBackoff(name string, minDelay float64) {
 	b := s.backoffs[name]
 	b.attempts++
 	delay := s.settings.MinBackoff
@@ -90,7 +91,7 @@
 	}
 	delay = min(delay, s.settings.MaxBackoff)
 	b.retrySoon = false
-	b.until = s.now + max(least, delay/2+s.jitter.upTo(delay/2))
+	b.until = s.now + max(minDelay, delay/2+s.jitter.upTo(delay/2))
 	s.backoffs[name] = b
 }
 
@@ -104,21 +105,21 @@
 	s.connectNext()
 }
 
-// connectNext connects to the first candidate that is not backed off, or waits for one. It does not go on to the next tier while a
-// candidate has asked to be tried again soon.
+// connectNext connects to the first candidate that is not backed off, or waits until the backoff of one ends. It does not go on to the
+// next tier while a closer candidate is to be tried again soon, see maxSoonRetries.
 func (s *Subscriber) connectNext() {
 	if len(s.candidates) == 0 {
 		s.phase = phaseIdle
 		return
 	}
 	soonest := s.backoffs[s.candidates[0].Name].until
-	waitInTier, tier := false, tierOf(s.settings.Self, s.candidates[0])
+	waitInTier, currentTier := false, tierOf(s.settings.Self, s.candidates[0])
 	for _, p := range s.candidates {
 		next := tierOf(s.settings.Self, p)
-		if waitInTier && next != tier {
+		if waitInTier && next != currentTier {
 			break
 		}
-		tier = next
+		currentTier = next
 		b := s.backoffs[p.Name]
 		if b.until <= s.now {
 			s.connect(p)
@@ -136,10 +137,10 @@
 	s.emit(Connect{Link: s.link, To: p})
 }
 
-// leave leaves the present distributor for another one: at once, or, with spread, after a draw over FailoverSpread, as others may be
-// leaving it too. The distributor is not tried again for at least backoff ms.
-func (s *Subscriber) leave(cause Cause, backoff float64, spread bool) {
-	s.disconnect(cause, backoff)
+// leave leaves the present distributor for another one: at once, or, with spread, after a delay drawn from 0 to FailoverSpread, as
+// others may be leaving it too. The distributor is not tried again for at least minBackoff ms.
+func (s *Subscriber) leave(cause Cause, minBackoff float64, spread bool) {
+	s.disconnect(cause, minBackoff)
 	if !spread {
 		s.connectNext()
 		return
@@ -147,23 +148,23 @@
 	s.phase, s.backoffUntil = phaseBackingOff, s.now+s.jitter.upTo(s.settings.FailoverSpread)
 }
 
-// disconnect ends the present link and backs the distributor off, unless it is left for a closer one.
-func (s *Subscriber) disconnect(cause Cause, backoff float64) {
+// disconnect ends the present link. The distributor is not tried again for at least minBackoff ms, unless it is left for a closer one.
+func (s *Subscriber) disconnect(cause Cause, minBackoff float64) {
 	if cause != CauseDisconnected {
 		s.emit(Disconnect{Link: s.link})
 	}
 	s.emit(Unsubscribed{Distributor: s.parent, Cause: cause})
 	if cause != CauseCloserParent {
-		s.backOff(s.parent.Name, backoff)
+		s.setBackoff(s.parent.Name, minBackoff)
 	}
 	s.assembly, s.unreturnedCredit = nil, 0
 }
 
-// setCandidates takes a new list of distributors. The first connection is made after a draw over MinBackoff only, as all processes of a
-// site that has got its power back start at once.
+// setCandidates takes a new list of distributors. The first connection is made after a delay drawn from 0 to MinBackoff, as all
+// processes of a site may start at once, after a power failure for example.
 func (s *Subscriber) setCandidates(peers []Peer) {
 	first := s.candidates == nil
-	s.candidates = RankParents(s.settings.Self, peers)
+	s.candidates = OrderParents(s.settings.Self, peers)
 	for name := range s.backoffs {
 		if !slices.ContainsFunc(s.candidates, func(p Peer) bool { return p.Name == name }) {
 			delete(s.backoffs, name)
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -24,7 +24,7 @@
 		}
 		chosen := map[string]distribution.Peer{}
 		for _, p := range peers {
-			order := distribution.RankParents(p, peers)
+			order := distribution.OrderParents(p, peers)
 			if p.Rank > 0 {
 				require.NotEmpty(t, order)
 				chosen[p.Name] = rapid.SampledFrom(order).Draw(t, "chosen")
@@ -58,7 +58,7 @@
 	require.Equal(t, 1, d.Subscribers())
 }
 
-func TestRankParentsPrefersCloser(t *testing.T) {
+func TestOrderParentsPrefersCloser(t *testing.T) {
 	self := distribution.Peer{Name: "self", Rank: 3, Region: "r", Zone: "z", Site: "s"}
 	peers := []distribution.Peer{
 		{Name: "far", Rank: 2, Region: "q", Zone: "y", Site: "t"},
@@ -70,7 +70,7 @@
 		{Name: "beside", Rank: 3, Region: "r", Zone: "z", Site: "s"},
 	}
 	var order []string
-	for _, p := range distribution.RankParents(self, peers) {
+	for _, p := range distribution.OrderParents(self, peers) {
 		order = append(order, p.Name)
 	}
 	require.Equal(t, []string{"site", "zone", "next zone", "region", "store", "far"}, order)
@@ -85,7 +85,7 @@
 	moved, had := map[string]int{}, 0
 	for i := range 600 {
 		self := distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"}
-		before, after := distribution.RankParents(self, peers)[0], distribution.RankParents(self, peers[1:])[0]
+		before, after := distribution.OrderParents(self, peers)[0], distribution.OrderParents(self, peers[1:])[0]
 		if before.Name == "d0" {
 			had++
 			moved[after.Name]++
--- a/internal/decide/distribution/receiving.go
+++ b/internal/decide/distribution/receiving.go
@@ -96,7 +96,7 @@
 	return true
 }
 
-// handleBatch puts a batch into force that follows the present position, or begins before it and ends behind it.
+// handleBatch puts a batch into force that follows the present position, or begins before it and ends after it.
 func (s *Subscriber) handleBatch(m Batch) {
 	switch {
 	case !validRange(m):
--- a/internal/decide/distribution/relay.go
+++ b/internal/decide/distribution/relay.go
@@ -12,9 +12,9 @@
 	return &Relay{Subscriber: NewSubscriber(s), Distributor: NewDistributor(s)}
 }
 
-// HandleAbove processes an event of the level above, or a Tick of the Subscriber. It returns the Subscriber's actions, and those of the
-// Distributor that follow from them. Events of the level below are handled by the Distributor itself.
-func (r *Relay) HandleAbove(now float64, e Event) (subscriber, distributor []Action) {
+// HandleParentEvent processes an event of the level above, or a Tick of the Subscriber. It returns the Subscriber's actions, and those
+// of the Distributor that follow from them. Events of the level below go to the Distributor's own Handle.
+func (r *Relay) HandleParentEvent(now float64, e Event) (subscriber, distributor []Action) {
 	subscriber = r.Subscriber.Handle(now, e)
 	for _, a := range subscriber {
 		if passed, isEvent := a.(Event); isEvent {
--- a/internal/decide/distribution/sending.go
+++ b/internal/decide/distribution/sending.go
@@ -14,7 +14,7 @@
 
 // frameOrder is the order of the frames of one transmission: all subscribers get those that they get of them in this order.
 type frameOrder struct {
-	inBacklog bool // behind all snapshots
+	inBacklog bool // a segment of the backlog: after all snapshots
 	snapshot  int  // its number
 	index     int  // of the chunk, or of the backlog's segment
 }
@@ -103,7 +103,7 @@
 	return s.cursor >= d.backlog.floor
 }
 
-// sendBacklog sends a subscriber the segments of the backlog behind its cursor.
+// sendBacklog sends a subscriber the segments of the backlog after its cursor.
 func (d *Distributor) sendBacklog(s *subscription, t *transmission) {
 	for i := d.backlog.find(s.cursor); i < len(d.backlog.segments); i++ {
 		segment := d.backlog.segments[i]
--- a/internal/decide/distribution/settings.go
+++ b/internal/decide/distribution/settings.go
@@ -51,19 +51,19 @@
 	// behaviour in one instant.
 	RelaxSpread float64
 	// Classes is the policy of each class of requests once a process is too far behind: by default PolicyServeStale.
-	Classes map[string]Policy
+	Classes map[string]StalePolicy
 	// OriginFraction is the fraction of the requests that are not served from a copy which may go to the origin instead, and
 	// OriginPerSecond the most of them a second.
 	OriginFraction, OriginPerSecond float64
 }
 
-// Policy is what a class of requests does in a process that may be too far behind.
-type Policy uint8
+// StalePolicy is what a class of requests does in a process that may be too far behind.
+type StalePolicy uint8
 
 // The policies.
 const (
-	PolicyServeStale Policy = iota // serve the copy, and count it
-	PolicyStrict                   // serve no copy from before the watermark
+	PolicyServeStale StalePolicy = iota // serve the copy, and count it
+	PolicyStrict                        // serve no copy from before the watermark
 )
 
 // DefaultSettings returns the settings for 17,000 processes in 73 zones and 87 purges a second, each in force everywhere within 6.8 s.
@@ -71,10 +71,10 @@
 	return Settings{
 		Stream: stream, Self: self,
 		HeartbeatInterval: 500,  // with three levels a watermark is up to 1.5 s old
-		SilenceTimeout:    1800, // three lost heartbeats; with FailoverSpread and ConnectTimeout within 6.8 s
+		SilenceTimeout:    1800, // three lost heartbeats; with ConnectTimeout, FailoverSpread and the watermark's 1.5 s below MaxLag
 		ConnectTimeout:    1000,
 		KeepaliveInterval: 5000,
-		FailoverSpread:    2000, // 75 processes of one distributor: 38 a second at its neighbours
+		FailoverSpread:    2000, // spreads the 75 subscribers of a lost distributor to 38 a second
 		MinBackoff:        500, MaxBackoff: 8000,
 		CloserParentInterval: 60_000,
 		Credit:               256 << 10, MaxFrame: 32 << 10, MaxEntry: 96 << 10, MaxSnapshot: 64 << 20,
--- a/internal/decide/distribution/subscriber.go
+++ b/internal/decide/distribution/subscriber.go
@@ -117,7 +117,7 @@
 	s.subscribe()
 }
 
-// subscribe requests everything behind the present position, on the present link. A snapshot that was being assembled is dropped.
+// subscribe requests everything after the present position, on the present link. A snapshot that was being assembled is dropped.
 func (s *Subscriber) subscribe() {
 	s.assembly, s.unreturnedCredit = nil, 0
 	s.subscribedAt, s.progressAt, s.lastReceivedAt = s.now, s.now, s.now
@@ -131,7 +131,8 @@
 	})
 }
 
-// resubscribe subscribes again because something is missing, but not more often than an answer may take.
+// resubscribe subscribes again because something is missing: at once the first time, and then only if ConnectTimeout has passed since
+// the last Subscribe, as an answer may take that long.
 func (s *Subscriber) resubscribe() {
 	if s.resubscribes > 0 && s.now < s.subscribedAt+s.settings.ConnectTimeout {
 		return
--- a/internal/decide/distribution/subscription.go
+++ b/internal/decide/distribution/subscription.go
@@ -12,7 +12,7 @@
 	window         int       // bytes that may be in flight
 	credit         int       // what is left of the window
 	sentBytes      uint64    // that count against it, since the link was opened
-	needsSnapshot  bool      // it is behind the backlog
+	needsSnapshot  bool      // the backlog begins after its cursor, so that it cannot resume
 	cursor         uint64    // the sequence up to which everything was sent, unless it needs a snapshot
 	snapshot       *snapshot // that is being sent; nil: none
 	nextChunk      int       // of the snapshot
--- a/internal/decide/distribution/timers.go
+++ b/internal/decide/distribution/timers.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// maxResubscribes is how often what is missing is requested again from one distributor without any progress.
+	// maxResubscribes is how often a subscriber that makes no progress requests again what is missing before it leaves the distributor.
 	maxResubscribes = 2
 	// staleParentFactor: a distributor whose watermark has not risen for so many times MaxLag is left. By then it has had the time to
 	// leave its own parent.
--- a/internal/decide/distribution/wire.go
+++ b/internal/decide/distribution/wire.go
@@ -90,7 +90,7 @@
 }
 
 // appendEntries encodes sequences as differences from the one before, and times as differences from the watermark's time at: a purge
-// is made shortly before the watermark, and binds for some minutes.
+// is issued shortly before the watermark, and expires after some minutes.
 func appendEntries(b []byte, after uint64, at int64, entries []Entry) []byte {
 	b = binary.AppendUvarint(b, uint64(len(entries)))
 	for _, e := range entries {
--- a/internal/decide/distribution/world_test.go
+++ b/internal/decide/distribution/world_test.go
@@ -38,7 +38,7 @@
 	s.MaxFrame, s.Credit = 1, 100 // one entry a frame, two frames in flight
 	s.MaxBacklogEntries, s.MaxBacklogBytes = 3, 1000
 	s.MaxLag, s.MaxClockSkew = 2000, 0
-	s.Classes = map[string]distribution.Policy{"strict": distribution.PolicyStrict}
+	s.Classes = map[string]distribution.StalePolicy{"strict": distribution.PolicyStrict}
 	return s
 }
 
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -148,7 +148,7 @@
 		s.carryOut(subscriber, s.relay.Subscriber.Handle(now, e))
 		return
 	}
-	above, below := s.relay.HandleAbove(now, e)
+	above, below := s.relay.HandleParentEvent(now, e)
 	s.carryOut(subscriber, above)
 	s.carryOut(distributor, below)
 }
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -183,7 +183,7 @@
 	s.MinBackoff, s.MaxBackoff = 20, 200
 	s.MaxLag, s.MaxClockSkew, s.RelaxSpread = 1500, 10, 50
 	s.AdmitPerSecond, s.AdmitBurst = 500, 500
-	s.Classes = map[string]decider.Policy{"strict": decider.PolicyStrict}
+	s.Classes = map[string]decider.StalePolicy{"strict": decider.PolicyStrict}
 	return s
 }
 
--- a/internal/lab/hollow/tree.go
+++ b/internal/lab/hollow/tree.go
@@ -193,7 +193,7 @@
 		t.runSubscriberActions(p, stream, relay.Subscriber.Handle(t.sim.clockOf(p), e))
 		return
 	}
-	subscriberActions, distributorActions := relay.HandleAbove(t.sim.clockOf(p), e)
+	subscriberActions, distributorActions := relay.HandleParentEvent(t.sim.clockOf(p), e)
 	t.runSubscriberActions(p, stream, subscriberActions)
 	t.runDistributorActions(p, stream, distributorActions)
 }
