--- a/internal/decide/handover/action.go
+++ b/internal/decide/handover/action.go
@@ -18,7 +18,7 @@
 	// RequestTransfer asks the owner for the address.
 	RequestTransfer struct{}
 	// Claim records a generation as this process's unless one as high is recorded, atomically; answered by ClaimResult. Two
-	// processes that pass over the same silent owner must not own under one generation.
+	// processes that replace the same silent owner must not own under one generation.
 	Claim struct{ Generation uint64 }
 	// BecomeOwner says that this process owns the address from now on, and lets successors find it.
 	BecomeOwner struct{ Generation uint64 }
@@ -30,7 +30,7 @@
 type (
 	// SendState sends the state to a successor.
 	SendState struct{ To int }
-	// Reject tells a process that no successor is accepted now (Busy), or not one of its protocol revision.
+	// Reject tells a process that no successor is accepted now (Busy), or none of its protocol version.
 	Reject struct {
 		To   int
 		Busy bool
--- a/internal/decide/handover/event.go
+++ b/internal/decide/handover/event.go
@@ -14,12 +14,12 @@
 	}
 	// ContactResult answers ContactOwner: whether an owner could be reached.
 	ContactResult struct{ OK bool }
-	// StateReceived says that the owner has sent its state. Revision is that of its protocol.
+	// StateReceived says that the owner has sent its state, and which protocol version and generation it has.
 	StateReceived struct {
-		Revision   int
-		Generation uint64
+		ProtocolVersion int
+		Generation      uint64
 	}
-	// Rejected says that the owner accepts no successor now (Busy), or not one of this protocol revision.
+	// Rejected says that the owner accepts no successor now (Busy), or none of this protocol version.
 	Rejected struct{ Busy bool }
 	// Ready says that the process is prepared to own the address.
 	Ready struct{}
@@ -39,7 +39,7 @@
 // Events of an owner.
 type (
 	// SuccessorHello says that a process asks to become the successor.
-	SuccessorHello struct{ From, Revision int }
+	SuccessorHello struct{ From, ProtocolVersion int }
 	// TransferRequested says that the successor is prepared, and asks for the address.
 	TransferRequested struct{ From int }
 	// SuccessorServing says that the successor owns the address and serves.
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -8,19 +8,19 @@
 // the higher one does, and an owner's record is stored under its generation.
 package handover
 
-// Revision is that of the protocol between two processes. A process of another revision is treated as one that is silent.
-const Revision = 1
+// ProtocolVersion is the version of the protocol between two processes. An owner of another version is treated like a silent one.
+const ProtocolVersion = 1
 
 // Settings are time-outs in ms.
 type Settings struct {
-	// Retry is the pause between two attempts to find an owner.
-	Retry float64
-	// Patience is how long an owner that holds the lock may be silent before it is passed over, and how long a successor that
-	// was granted the address has to serve. Shorter takes over sooner from a process that hangs; one that was merely slow is
-	// then replaced.
-	Patience float64
-	// Prepare is how long a successor may prepare, after it was sent the state, before another one is accepted.
-	Prepare float64
+	// RetryDelay is the pause between two attempts to find an owner.
+	RetryDelay float64
+	// ResponseTimeout is how long an owner that holds the lock may be silent before another process takes the address from it,
+	// how long a successor that was granted the address has to serve, and the pause between two attempts of an owner to get
+	// the lock. A shorter one replaces a process that hangs sooner, but also one that is merely slow.
+	ResponseTimeout float64
+	// PrepareTimeout is how long a successor may prepare, after it was sent the state, before another one is accepted.
+	PrepareTimeout float64
 }
 
 // Phase is how far a process has come.
@@ -58,7 +58,7 @@
 	ownerConnected bool // there is a connection to the owner
 	lockHeld       bool // this process holds the lock
 	prepared       bool // Ready has been received
-	ownListener    bool // no owner passes its listener on: this process has opened one
+	ownListener    bool // this process has opened a listener itself, as no owner passed one on
 	grantReceived  bool // the previous owner waits for the announcement that this process serves
 
 	successor        int // number of its connection
@@ -133,9 +133,9 @@
 	m.do(SetAccepting{false}, Stop{reason})
 }
 
-// handleSuperseded stops an owner that another process has passed over. It goes on accepting: the other process opened its
-// own listener, so that the connections queued at this one's are this one's to answer. A process that granted the address
-// expects a higher generation.
+// handleSuperseded stops an owner from which another process has taken the address. It goes on accepting connections: the other
+// process opened a listener of its own, so that only this one can answer those queued at its listener. In phase Granting a
+// higher generation is expected, as it is the successor's.
 func (m *Machine) handleSuperseded(e Superseded) {
 	if m.isOwner() && e.Generation > m.generation && m.phase != Granting {
 		m.enter(Stopped)
@@ -147,7 +147,7 @@
 func (m *Machine) handleShutdown() {
 	m.shuttingDown = true
 	if m.phase == Offering {
-		m.do(Reject{m.successor, true})
+		m.do(Reject{To: m.successor, Busy: true})
 		m.enter(Owning)
 	}
 }
@@ -156,18 +156,18 @@
 	elapsed := m.now - m.phaseSince
 	switch {
 	case m.phase == Seeking && m.ownerConnected:
-		if elapsed >= m.set.Patience {
+		if elapsed >= m.set.ResponseTimeout {
 			m.ownerConnected = false
 			m.do(TryLock{})
 		}
 	case m.phase == Seeking:
 		m.do(ContactOwner{})
-	case m.phase == Requesting && elapsed >= m.set.Patience && m.ownerConnected: // it answered before, and hangs now
+	case m.phase == Requesting && elapsed >= m.set.ResponseTimeout && m.ownerConnected: // it answered before, and hangs now
 		m.handleOwnerLost()
-	case m.phase == Offering && elapsed >= m.set.Prepare:
+	case m.phase == Offering && elapsed >= m.set.PrepareTimeout:
 		m.enter(Owning)
-		m.do(Reject{m.successor, true})
-	case m.phase == Granting && elapsed >= m.set.Patience && !m.successorServing:
+		m.do(Reject{To: m.successor, Busy: true})
+	case m.phase == Granting && elapsed >= m.set.ResponseTimeout && !m.successorServing:
 		successor := m.successor
 		m.do(Revoke{successor})
 		m.handleSuccessorLost(successor)
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var settings = Settings{Retry: 50, Patience: 2000, Prepare: 8000}
+var settings = Settings{RetryDelay: 50, ResponseTimeout: 2000, PrepareTimeout: 8000}
 
 // process is a process of the model: its machine, and what its shell would hold.
 type process struct {
@@ -105,7 +105,7 @@
 			return ContactResult{}
 		}
 		p.owner = o.id
-		w.send(p, o.id, SuccessorHello{From: p.id, Revision: Revision}, [2]int{})
+		w.send(p, o.id, SuccessorHello{From: p.id, ProtocolVersion: ProtocolVersion}, [2]int{})
 		return ContactResult{OK: true}
 	case Listen:
 		if p.listener == 0 {
@@ -151,7 +151,7 @@
 func (w *model) executeForSuccessor(p *process, a Action) {
 	switch a := a.(type) {
 	case SendState:
-		w.send(p, a.To, StateReceived{Revision: Revision, Generation: p.Generation()}, [2]int{})
+		w.send(p, a.To, StateReceived{ProtocolVersion: ProtocolVersion, Generation: p.Generation()}, [2]int{})
 	case Reject:
 		w.send(p, a.To, Rejected{a.Busy}, [2]int{})
 	case Grant:
--- a/internal/decide/handover/seek.go
+++ b/internal/decide/handover/seek.go
@@ -5,7 +5,7 @@
 // seekAgain looks for an owner once more, a little later.
 func (m *Machine) seekAgain() {
 	m.enter(Seeking)
-	m.do(ScheduleTick{m.set.Retry})
+	m.do(ScheduleTick{m.set.RetryDelay})
 }
 
 func (m *Machine) handleContactResult(e ContactResult) {
@@ -13,20 +13,20 @@
 	switch {
 	case e.OK:
 		m.phaseSince = m.now
-		m.do(ScheduleTick{m.set.Patience})
+		m.do(ScheduleTick{m.set.ResponseTimeout})
 	case m.phase == Seeking:
 		m.do(TryLock{})
 	}
 }
 
 // handleLockResult goes on without an owner if the lock was free, or if its holder has been silent for too long. Such a
-// holder hangs, is suspended, or speaks another protocol revision. It keeps its listener, and this process opens another one
-// beside it; the generation makes the holder stop once it wakes.
+// holder hangs, is suspended, or has another protocol version. It keeps its listener, and this process opens another one
+// beside it. When the holder runs again it finds a higher generation recorded, and stops; see handleSuperseded.
 func (m *Machine) handleLockResult(e LockResult) {
 	m.lockHeld = m.lockHeld || e.Acquired
 	if m.phase >= Owning {
 		if !m.lockHeld && m.phase != Stopped {
-			m.do(ScheduleTick{m.set.Patience})
+			m.do(ScheduleTick{m.set.ResponseTimeout})
 		}
 		return
 	}
@@ -34,8 +34,8 @@
 	if m.phase != Seeking {
 		return
 	}
-	if !e.Acquired && m.now-m.seekSince < m.set.Patience {
-		m.do(ScheduleTick{m.set.Retry})
+	if !e.Acquired && m.now-m.seekSince < m.set.ResponseTimeout {
+		m.do(ScheduleTick{m.set.RetryDelay})
 		return
 	}
 	m.ownListener = true
@@ -48,7 +48,7 @@
 		return
 	}
 	m.generation = max(m.generation, e.Generation)
-	if e.Revision != Revision {
+	if e.ProtocolVersion != ProtocolVersion {
 		m.ownerConnected = false
 		m.do(TryLock{})
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	m.enter(Requesting)
-	m.do(RequestTransfer{}, ScheduleTick{m.set.Patience})
+	m.do(RequestTransfer{}, ScheduleTick{m.set.ResponseTimeout})
 }
 
 func (m *Machine) handleGrant() {
@@ -113,12 +113,12 @@
 		m.do(BecomeSole{})
 	}
 	if !m.lockHeld {
-		m.do(ScheduleTick{m.set.Patience})
+		m.do(ScheduleTick{m.set.ResponseTimeout})
 	}
 }
 
 // handleClaimRefused makes way for the process that claimed the generation first: the successor that an owner tried to take
-// the address back from, or another process that passed over the same silent owner.
+// the address back from, or another process that replaced the same silent owner.
 func (m *Machine) handleClaimRefused(recorded uint64) {
 	m.generation = max(m.generation, recorded)
 	if m.phase >= Owning {
@@ -138,8 +138,8 @@
 	}
 }
 
-// handleOwnerLost: before its grant, the owner has died or hangs, and whoever gets the lock may follow it. After its grant it
-// has done its part, and this process is the only one.
+// handleOwnerLost handles the end of the connection to the owner, or its silence. Without a grant, the owner has died or hangs: this
+// process tries to take the lock. After the grant, the owner was expected to end, and this process is the only one left.
 func (m *Machine) handleOwnerLost() {
 	if !m.ownerConnected {
 		return
--- a/internal/decide/handover/successor.go
+++ b/internal/decide/handover/successor.go
@@ -2,15 +2,17 @@
 
 // This file holds the decisions of an owner about its successor.
 
-// handleHello accepts one successor at a time, and none while the process shuts down.
+// handleHello accepts one successor at a time, and none while the process shuts down. A process of the same protocol version is told
+// that the owner is busy, and may ask again.
 func (m *Machine) handleHello(e SuccessorHello) {
-	if m.shuttingDown || e.Revision != Revision || m.phase != Owning {
-		m.do(Reject{e.From, e.Revision == Revision})
+	sameProtocol := e.ProtocolVersion == ProtocolVersion
+	if m.shuttingDown || !sameProtocol || m.phase != Owning {
+		m.do(Reject{To: e.From, Busy: sameProtocol})
 		return
 	}
 	m.successor = e.From
 	m.enter(Offering)
-	m.do(SendState{e.From}, ScheduleTick{m.set.Prepare})
+	m.do(SendState{e.From}, ScheduleTick{m.set.PrepareTimeout})
 }
 
 // handleTransferRequest grants the address to the successor, and stops accepting connections.
@@ -20,11 +22,11 @@
 	}
 	m.enter(Granting)
 	m.successorServing = false
-	m.do(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.set.Patience})
+	m.do(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.set.ResponseTimeout})
 }
 
-// handleSuccessorLost takes the address back, as this process still holds all that it granted. The generation skips one,
-// which the successor may have recorded.
+// handleSuccessorLost takes the address back from a successor that was granted it, as this process still holds the listener and
+// the lock. It claims the generation after the next, as the successor may have recorded the next one.
 func (m *Machine) handleSuccessorLost(from int) {
 	if from != m.successor {
 		return
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -22,10 +22,11 @@
 	"ravenwheel/policy"
 )
 
-// settings: an operator waits 6 s for a new process, so that one that finds a hanging owner must be there well before.
-var settings = decider.Settings{Retry: 50, Patience: 2000, Prepare: 8000}
+// settings are the time-outs of a handover. ResponseTimeout must be well below 6 s: within that time an operator expects a new process
+// to serve, also where it finds an owner that hangs.
+var settings = decider.Settings{RetryDelay: 50, ResponseTimeout: 2000, PrepareTimeout: 8000}
 
-// watchInterval is how many ms pass between two looks at which process is recorded as the owner.
+// watchInterval is the time between two checks of which process is recorded as the owner, in ms.
 const watchInterval = 250
 
 // Options configure a process's part. All functions must be set, and must not call the Coordinator.
@@ -67,13 +68,13 @@
 	socket     *net.UnixListener
 	listener   *net.TCPListener
 	lock       *os.File
-	prepared   chan struct{} // closed once a start has all that an owner could send
+	prepared   chan struct{} // closed once the owner has sent its state, or it is known that there is no owner
 	owns       chan struct{} // closed once this process owns the address
 	failed     chan error
 	cancelTick func()
 	closed     bool
 
-	drains  sync.Mutex // held while a manual drain is set, so that commands take effect one at a time
+	drainMu sync.Mutex // held while a manual drain is set, so that commands take effect one at a time
 	onDrain func(server policy.CacheID, drained bool)
 	learned LearnedState // set by WaitForOwnership; nil: nothing is passed on
 }
@@ -132,8 +133,8 @@
 // Subscribe reports the manual drains in force and the servers restored lately, with the times in ms, and from then on each
 // drain that is set through the other process.
 func (c *Coordinator) Subscribe(onDrain func(server policy.CacheID, drained bool), onRestored func(server policy.CacheID, at float64)) {
-	c.drains.Lock()
-	defer c.drains.Unlock()
+	c.drainMu.Lock()
+	defer c.drainMu.Unlock()
 	c.onDrain = onDrain
 	for _, id := range c.record.drainedServers() {
 		onDrain(id, true)
@@ -167,11 +168,11 @@
 // SetManualDrain records that an operator drains a server, or no longer does, and sends it to the other process. Without an
 // error it is recorded, by this process or, if that is the owner, by the other one.
 func (c *Coordinator) SetManualDrain(id policy.CacheID, drained bool) error {
-	c.drains.Lock()
-	defer c.drains.Unlock()
+	c.drainMu.Lock()
+	defer c.drainMu.Unlock()
 	err := c.record.setDrained(id, drained, c.opt.Clock.Now())
 	if errors.Is(err, errFenced) {
-		c.record.noteDrained(id, drained)
+		c.record.setDrainedInMemory(id, drained)
 		err = nil // the owner records it, when it receives the message below
 	}
 	c.mu.Lock()
@@ -246,8 +247,8 @@
 	}
 }
 
-// scheduleWatch looks regularly whether another process owns the address by now, which found this one silent, and retries
-// what could not be written.
+// scheduleWatch checks every watchInterval whether another process has taken the address, because it found this one silent, and
+// retries writes that failed.
 func (c *Coordinator) scheduleWatch() {
 	c.opt.Clock.After(watchInterval, func() {
 		if g := c.recordedGeneration(); g > 0 {
--- a/internal/handover/execute.go
+++ b/internal/handover/execute.go
@@ -96,7 +96,7 @@
 func (c *Coordinator) stateMessage() message {
 	epoch, _ := c.opt.Clock.Epoch()
 	return message{
-		Kind: kindState, Revision: decider.Revision, Generation: c.machine.Generation(), Drained: formatIDs(c.record.drainedServers()),
+		Kind: kindState, ProtocolVersion: decider.ProtocolVersion, Generation: c.machine.Generation(), Drained: formatIDs(c.record.drainedServers()),
 		Restored: c.record.restoredNames(), Epoch: epoch,
 	}
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,14 +15,14 @@
 
 // goldenMessages are messages of each kind as they are sent, and one with all fields set.
 var goldenMessages = map[string]message{
-	"message-hello.json":  {Kind: kindHello, Revision: 1},
+	"message-hello.json":  {Kind: kindHello, ProtocolVersion: 1},
 	"message-take.json":   {Kind: kindTransferRequest},
 	"message-serves.json": {Kind: kindServing},
 	"message-state.json": {
-		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"},
+		Kind: kindState, ProtocolVersion: 1, Generation: 7, Drained: []string{"s-00000001"},
 		Restored: map[string]float64{"s-00000002": 1e12 + 0.5}, Epoch: 9e11,
 	},
-	"message-state-none.json": {Kind: kindState, Revision: 1, Generation: 7},
+	"message-state-none.json": {Kind: kindState, ProtocolVersion: 1, Generation: 7},
 	"message-turn.json":       {Kind: kindRejected},
 	"message-turn-busy.json":  {Kind: kindRejected, Busy: true},
 	"message-given.json":      {Kind: kindGrant},
@@ -30,7 +30,7 @@
 	"message-out.json":        {Kind: kindDrain, ID: "s-00000003", Active: true},
 	"message-out-off.json":    {Kind: kindDrain, ID: "s-00000003"},
 	"message-full.json": {
-		Kind: kindState, Revision: 1, Generation: 7, Drained: []string{"s-00000001"},
+		Kind: kindState, ProtocolVersion: 1, Generation: 7, Drained: []string{"s-00000001"},
 		Restored: map[string]float64{"s-00000002": 1e12}, Epoch: 9e11,
 		ID: "s-00000003", Active: true, Busy: true,
 	},
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -13,7 +13,7 @@
 type messageKind string
 
 const (
-	kindHello           messageKind = "hello"   // successor to owner: asks to follow, with its protocol revision
+	kindHello           messageKind = "hello"   // successor to owner: asks to follow, with its protocol version
 	kindState           messageKind = "state"   // owner to successor: the generation, drains and restored servers
 	kindRejected        messageKind = "turn"    // owner to successor: no successor is accepted
 	kindTransferRequest messageKind = "take"    // successor to owner: it is prepared to own
@@ -25,15 +25,15 @@
 
 // message is what two processes send each other. Which fields count depends on the kind.
 type message struct {
-	Kind       messageKind        `json:"kind"`
-	Revision   int                `json:"revision,omitempty"` // of the protocol
-	Generation uint64             `json:"generation,omitempty"`
-	Drained    []string           `json:"out,omitempty"`   // servers that operators drain
-	Restored   map[string]float64 `json:"back,omitempty"`  // servers restored lately, and when in ms
-	Epoch      float64            `json:"epoch,omitempty"` // of the clock that the times in Restored are on
-	ID         string             `json:"id,omitempty"`    // of a drain: the server
-	Active     bool               `json:"on,omitempty"`    // of a drain
-	Busy       bool               `json:"busy,omitempty"`  // of a rejection: only for now
+	Kind            messageKind        `json:"kind"`
+	ProtocolVersion int                `json:"revision,omitempty"`
+	Generation      uint64             `json:"generation,omitempty"`
+	Drained         []string           `json:"out,omitempty"`   // servers that operators drain
+	Restored        map[string]float64 `json:"back,omitempty"`  // servers restored lately, and when in ms
+	Epoch           float64            `json:"epoch,omitempty"` // of the clock that the times in Restored are on
+	ID              string             `json:"id,omitempty"`    // of a drain: the server
+	Active          bool               `json:"on,omitempty"`    // of a drain
+	Busy            bool               `json:"busy,omitempty"`  // of a rejection: only for now
 }
 
 const (
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -46,7 +46,7 @@
 	Epoch float64 `json:"epoch,omitempty"`
 }
 
-// onClock returns the record with its times on another clock of this machine.
+// onClock returns the record with its times, in ms, moved from the clock of its Epoch onto another clock of this machine.
 func (o ownerRecord) onClock(c *clock.Clock) ownerRecord {
 	shift := c.Shift(o.Epoch)
 	restored := make(map[string]float64, len(o.Restored))
@@ -211,8 +211,8 @@
 	return next
 }
 
-// noteDrained changes a drain in memory alone: the owner has recorded it.
-func (r *record) noteDrained(id policy.CacheID, drained bool) {
+// setDrainedInMemory changes a drain in memory alone: the owner has recorded it, or will.
+func (r *record) setDrainedInMemory(id policy.CacheID, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	server := serverlist.FormatID(id)
@@ -222,8 +222,8 @@
 	}
 }
 
-// replace takes over, in memory alone, all drains and restored servers that the owner has recorded.
-func (r *record) replace(received ownerRecord) {
+// replaceInMemory takes over, in memory alone, all drains and restored servers that the owner has recorded.
+func (r *record) replaceInMemory(received ownerRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	received = received.onClock(r.clock)
@@ -240,8 +240,9 @@
 	return r.write(r.current)
 }
 
-// write replaces the record, unless a higher generation is recorded: an owner that was suspended and passed over may resume
-// late. What can't be written is in effect in memory, and is written later. The caller holds mu.
+// write replaces the record, unless a higher generation is recorded: then it returns errFenced, as another process took the address
+// while this one was suspended. After any other error the record is in effect in memory, and retryWrite writes it. The caller
+// holds mu.
 func (r *record) write(next ownerRecord) error {
 	unlock, err := r.lockFile()
 	if err != nil {
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -27,7 +27,7 @@
 		epoch, ok := before.Epoch()
 		require.True(t, ok)
 		third := record{path: filepath.Join(t.TempDir(), "none"), clock: after}
-		third.replace(ownerRecord{Restored: first.restoredNames(), Epoch: epoch})
+		third.replaceInMemory(ownerRecord{Restored: first.restoredNames(), Epoch: epoch})
 		for _, r := range []*record{&second, &third} {
 			at, known := r.restoredServers()[id]
 			require.True(t, known)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -124,7 +124,7 @@
 		}
 		switch m.Kind {
 		case kindHello:
-			c.handle(decider.SuccessorHello{From: number, Revision: m.Revision})
+			c.handle(decider.SuccessorHello{From: number, ProtocolVersion: m.ProtocolVersion})
 		case kindTransferRequest:
 			c.handle(decider.TransferRequested{From: number})
 		case kindServing:
@@ -145,10 +145,10 @@
 	if !ok {
 		return
 	}
-	c.drains.Lock()
-	defer c.drains.Unlock()
+	c.drainMu.Lock()
+	defer c.drainMu.Unlock()
 	if err := c.record.setDrained(id, m.Active, c.opt.Clock.Now()); errors.Is(err, errFenced) {
-		c.record.noteDrained(id, m.Active)
+		c.record.setDrainedInMemory(id, m.Active)
 	}
 	if c.onDrain != nil {
 		c.onDrain(id, m.Active)
@@ -166,7 +166,7 @@
 	if err != nil {
 		return false
 	}
-	if !isSameUser(conn) || send(conn, message{Kind: kindHello, Revision: decider.Revision}, nil) != nil {
+	if !isSameUser(conn) || send(conn, message{Kind: kindHello, ProtocolVersion: decider.ProtocolVersion}, nil) != nil {
 		conn.Close()
 		return false
 	}
@@ -217,16 +217,17 @@
 	closeDescriptors(descriptors)
 }
 
-// revisionUnusable stands for the protocol revision of a malformed state. No process has it.
-const revisionUnusable = -1
+// malformedState stands for the protocol version of a malformed state. No process has it, so that the Machine treats the owner as
+// silent.
+const malformedState = -1
 
 func (c *Coordinator) receiveState(m message) {
 	received := ownerRecord{Drained: m.Drained, Restored: m.Restored, Epoch: m.Epoch}
 	if err := received.validate(); err != nil {
 		c.opt.Log.Warn("handover").Err(err).Msg("owner's state is unusable; treating the owner as silent")
-		m.Revision = revisionUnusable
+		m.ProtocolVersion = malformedState
 	} else {
-		c.record.replace(received)
+		c.record.replaceInMemory(received)
 	}
-	c.handle(decider.StateReceived{Revision: m.Revision, Generation: m.Generation})
+	c.handle(decider.StateReceived{ProtocolVersion: m.ProtocolVersion, Generation: m.Generation})
 }
