--- a/cmd/ravenwheel/state_recovery.go
+++ b/cmd/ravenwheel/state_recovery.go
@@ -40,7 +40,7 @@
 		s.log.Warn("state").Float64("behind_ms", plan.ClockStepBack).
 			Msg("clock is behind its value before the restart; recovered graces start now")
 	}
-	s.log.Info("state").Int("boots", plan.Boots).Int("purges", len(plan.Purges)).Int("servers", len(plan.Remembered)).
+	s.log.Info("state").Int("boots", plan.Boots).Int("purges", len(plan.Purges)).Int("servers", len(plan.Members)).
 		Float64("took_ms", s.clock.Now()-began).Msg("state recovered")
 	return plan, nil
 }
@@ -61,7 +61,7 @@
 			minGenerations[listRank] = list.Generation
 			recorded = serverlist.NewList(list.Generation, list.Servers)
 		}
-		s.registry.Restore(plan.Remembered, minGenerations)
+		s.registry.Restore(plan.Members, minGenerations)
 	}
 	for _, id := range plan.ManualDrains {
 		s.registry.Handle(membership.ManualDrain{ID: policy.CacheID(id), On: true})
--- a/internal/decide/expiryqueue/expiryqueue.go
+++ b/internal/decide/expiryqueue/expiryqueue.go
@@ -20,18 +20,18 @@
 	key K
 }
 
-// Expiry times that are moved back and forth leave superseded entries. A queue with more than spareEntriesPerKey entries
-// for each key and spareEntries is to be rebuilt; the insertions since the last time have paid for that.
+// An expiry that is moved to earlier leaves a superseded entry. A queue of n keys is to be rebuilt once it has more than
+// maxEntriesPerKey*n + minEntriesToRebuild entries: each rebuild then follows about as many insertions as it has work to do.
 const (
-	spareEntriesPerKey = 2
-	spareEntries       = 64
+	maxEntriesPerKey    = 2
+	minEntriesToRebuild = 64
 )
 
-// Set records that a key expires at a time. exists says whether the owner had the key before, and old is its expiry so
-// far: a move to later needs no entry, since the present one is moved when it comes up. A key with expiry NaN never
+// Set records that a key expires at a time. known says whether the owner had the key before, and previous is its expiry until
+// now: a move to later needs no entry, since the present one is moved when it comes up. A key with expiry NaN never
 // expires.
-func (q *Queue[K]) Set(key K, at float64, old float64, exists bool) {
-	if exists && old <= at || math.IsNaN(at) {
+func (q *Queue[K]) Set(key K, at, previous float64, known bool) {
+	if known && previous <= at || math.IsNaN(at) {
 		return
 	}
 	q.push(entry[K]{at, key})
@@ -42,7 +42,7 @@
 
 // NeedsRebuild reports whether the queue of an owner with this number of keys is to be rebuilt.
 func (q *Queue[K]) NeedsRebuild(keys int) bool {
-	return len(q.heap) > spareEntriesPerKey*keys+spareEntries
+	return len(q.heap) > maxEntriesPerKey*keys+minEntriesToRebuild
 }
 
 // Rebuild replaces all entries by those of the given keys and expiry times.
--- a/internal/decide/expiryqueue/expiryqueue_test.go
+++ b/internal/decide/expiryqueue/expiryqueue_test.go
@@ -52,7 +52,7 @@
 				require.Contains(t, got, k)
 				require.True(t, at == got[k] || math.IsNaN(at) && math.IsNaN(got[k]), "key %d", k)
 			}
-			require.LessOrEqual(t, len(q.heap), spareEntriesPerKey*len(got)+spareEntriesPerKey*13+spareEntries)
+			require.LessOrEqual(t, len(q.heap), maxEntriesPerKey*len(got)+maxEntriesPerKey*13+minEntriesToRebuild)
 		}
 	})
 }
@@ -69,5 +69,5 @@
 			q.Rebuild(maps.All(ends))
 		}
 	}
-	require.LessOrEqual(t, cap(q.heap), 4*(spareEntriesPerKey+spareEntries))
+	require.LessOrEqual(t, cap(q.heap), 4*(maxEntriesPerKey+minEntriesToRebuild))
 }
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -71,7 +71,7 @@
 	require.NoError(t, err)
 	plan := w.saved.Plan(w.now, recovery.Settings{GoneRetention: goneRetention})
 	w.table = newTable(t)
-	w.table.Restore(w.now, plan.Remembered, map[int]uint64{0: w.generations[0]})
+	w.table.Restore(w.now, plan.Members, map[int]uint64{0: w.generations[0]})
 	w.versions, w.received, w.wake = 0, [2]bool{}, 0
 	w.generations[1] = 0 // discovery counts from the start again
 	clear(w.statements[0])
@@ -80,7 +80,7 @@
 	drained := w.drainFrom
 	clear(w.waiting)
 	w.phases, w.drainFrom, w.drainAt = map[policy.CacheID]membership.Phase{}, map[policy.CacheID]float64{}, map[policy.CacheID]string{}
-	for _, x := range plan.Remembered {
+	for _, x := range plan.Members {
 		switch id := x.Member.ID; x.Phase {
 		case membership.Draining:
 			// Or it waited for an address while it was still in use at another one.
--- a/internal/decide/recovery/event.go
+++ b/internal/decide/recovery/event.go
@@ -99,8 +99,8 @@
 	return membership.Ready
 }
 
-// Supersedes reports whether e makes an older event void: one about the same server, or about the same list. Purges and
-// revisions never do, as they have the same result in any order.
+// Supersedes reports whether an older event, if it were applied after e, would undo e: an older member, manual drain or list
+// event about the same server or source. Purges and revisions are never undone, as they have the same result in any order.
 func (e Event) Supersedes(old Event) bool {
 	switch {
 	case old.At > e.At:
--- a/internal/decide/recovery/expiry.go
+++ b/internal/decide/recovery/expiry.go
@@ -2,7 +2,8 @@
 
 import "ravenwheel/internal/decide/membership"
 
-// Prune drops purges and departed servers whose time is over, and returns how many.
+// Prune drops the purges that can no longer match a copy (see purgeExpiresAt) and the servers that left more than GoneRetention
+// ago, and returns how many. now is Unix ms.
 func (s *State) Prune(now float64, set Settings) (dropped int) {
 	s.purgeExpiry.Expire(
 		func(base float64) bool { return purgeExpiresAt(base, set) < now },
@@ -33,7 +34,7 @@
 	}
 }
 
-// goneSince yields the servers that have left, with the times since when.
+// goneSince yields the servers that have left, each with the time when it left.
 func (s *State) goneSince(yield func(uint64, float64) bool) {
 	for id, m := range s.members {
 		if m.Phase == membership.Gone && !yield(id, m.Since) {
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -11,7 +11,7 @@
 // Plan is what a proxy must apply before it accepts its first request.
 type Plan struct {
 	Purges        []Purge                  // for the policy module, by time of issue
-	Remembered    []membership.SavedMember // for the registry, by server id
+	Members       []membership.SavedMember // for the registry, by server id
 	Lists         []List                   // last accepted, by source
 	ClockStepBack float64                  // ms by which the clock is behind the latest stored time; 0: it is not behind
 	Boots         int                      // starts before this one
@@ -26,7 +26,7 @@
 func (s *State) Plan(now float64, set Settings) Plan {
 	return Plan{
 		Purges:        s.purgesInForce(now, set),
-		Remembered:    s.remembered(now, set),
+		Members:       s.savedMembers(now, set),
 		Lists:         s.Lists(),
 		ClockStepBack: max(0, s.LatestTime-now),
 		Boots:         s.Boots,
@@ -52,17 +52,18 @@
 	return purges
 }
 
-// remembered returns all servers but those that left longer ago than they are remembered for.
-func (s *State) remembered(now float64, set Settings) []membership.SavedMember {
+// savedMembers returns all servers but those that left more than GoneRetention ago, by id.
+func (s *State) savedMembers(now float64, set Settings) []membership.SavedMember {
 	var list []membership.SavedMember
 	for _, m := range s.members {
 		if m.Phase == membership.Gone && m.Since+set.GoneRetention < now {
 			continue
 		}
-		r := membership.SavedMember{Phase: m.Phase, Since: min(m.Since, now)}
-		r.Member.ID, r.Member.Addr, r.Member.Zone, r.Member.Kind = policy.CacheID(m.ID), m.Addr, m.Zone, m.Kind
-		r.Member.Cell, r.Member.Weight, r.Member.Started = m.Cell, m.Weight, policy.Time(min(m.Started, now)*nanosecondsPerMs)
-		list = append(list, r)
+		saved := membership.SavedMember{Phase: m.Phase, Since: min(m.Since, now)}
+		saved.Member.ID, saved.Member.Addr, saved.Member.Zone, saved.Member.Kind = policy.CacheID(m.ID), m.Addr, m.Zone, m.Kind
+		saved.Member.Cell, saved.Member.Weight = m.Cell, m.Weight
+		saved.Member.Started = policy.Time(min(m.Started, now) * nanosecondsPerMs)
+		list = append(list, saved)
 	}
 	slices.SortFunc(list, func(a, b membership.SavedMember) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
 	return list
@@ -73,15 +74,15 @@
 	if ms == 0 {
 		return p
 	}
-	p.Purges, p.Remembered = slices.Clone(p.Purges), slices.Clone(p.Remembered)
+	p.Purges, p.Members = slices.Clone(p.Purges), slices.Clone(p.Members)
 	for i := range p.Purges {
 		p.Purges[i] = p.Purges[i].shifted(ms)
 	}
-	for i := range p.Remembered {
-		r := &p.Remembered[i]
-		r.Since += ms
-		if r.Member.Started > 0 {
-			r.Member.Started += policy.Time(ms * nanosecondsPerMs)
+	for i := range p.Members {
+		saved := &p.Members[i]
+		saved.Since += ms
+		if saved.Member.Started > 0 {
+			saved.Member.Started += policy.Time(ms * nanosecondsPerMs)
 		}
 	}
 	return p
--- a/internal/decide/recovery/recovery.go
+++ b/internal/decide/recovery/recovery.go
@@ -12,7 +12,7 @@
 
 // Settings say how long stored obligations stay in force.
 type Settings struct {
-	PurgePropagation float64 // ms until a purge has reached every server, so that no older copy is left
-	PurgeGrace       float64 // ms that a purge is kept beyond that
-	GoneRetention    float64 // ms that a server which has left is remembered
+	PurgePropagation float64 // ms until a purge has reached every server; a purge is kept for twice this, see purgeExpiresAt
+	PurgeGrace       float64 // ms that a purge is kept in addition
+	GoneRetention    float64 // ms that a server is kept after it has left
 }
--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -10,7 +10,7 @@
 	"ravenwheel/policy"
 )
 
-// State is the sum of all events applied to it. It is not safe for concurrent use.
+// State is the result of all events applied to it. It is not safe for concurrent use.
 type State struct {
 	LatestTime float64 // latest time of an event
 	Boots      int     // starts of the proxy
@@ -67,7 +67,8 @@
 	s.purgeExpiry.Set(key, p.expiryBase(), old.expiryBase(), known) // only ever later, so the queue needs no rebuild
 }
 
-// applyMember replaces a member. A phase that goes on keeps its beginning, whatever else of the server changes.
+// applyMember replaces a member. While its phase stays the same, Since stays too, whatever else changes; a server that is gone counts
+// from its latest event.
 func (s *State) applyMember(m Member) {
 	old, known := s.members[m.ID]
 	if known && old.Phase == m.Phase && m.Phase != membership.Gone {
--- a/internal/decide/recovery/state_test.go
+++ b/internal/decide/recovery/state_test.go
@@ -79,7 +79,7 @@
 			require.LessOrEqual(t, x.IssuedAt, later, "a purge issued in the future would have a negative age")
 			require.Equal(t, later, x.NotifiedAt)
 		}
-		for _, x := range p.Remembered {
+		for _, x := range p.Members {
 			require.LessOrEqual(t, x.Since, later, "a drain that began in the future would last longer by the step")
 		}
 	})
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -36,7 +36,7 @@
 	for b.Loop() {
 		recorder, plan, err := state.Open(o)
 		require.NoError(b, err)
-		require.Len(b, plan.Remembered, 100_000)
+		require.Len(b, plan.Members, 100_000)
 		b.StopTimer()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -64,29 +64,30 @@
 
 func (r *Recorder) recordAsync(e recovery.Event) { r.record(e, func(error) {}) }
 
-// record hands an event to the journal. While the journal is not open, or other events are pending, the event is pending
-// behind them, and done is called with an error.
+// record hands an event to the journal, which calls done with the result. While the journal is not open, or other events are
+// pending, the event is queued after them for a retry, and done is called with journal.ErrFailed. After Close it is called with
+// journal.ErrClosed.
 func (r *Recorder) record(e recovery.Event, done func(error)) {
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.submitMu.Lock()
+	defer r.submitMu.Unlock()
 	r.mu.Lock()
 	closed := r.closed && r.journal == nil
-	wait := r.journal == nil || len(r.pending) > 0
-	if wait && !closed {
+	queue := r.journal == nil || len(r.pending) > 0
+	if queue && !closed {
 		r.addPending(e)
 	}
 	r.mu.Unlock()
 	switch {
 	case closed:
 		done(journal.ErrClosed)
-	case wait:
+	case queue:
 		done(journal.ErrFailed)
 	default:
 		r.submit(e, done)
 	}
 }
 
-// submit appends an event to the open journal. The caller holds order.
+// submit appends an event to the open journal. The caller holds submitMu.
 func (r *Recorder) submit(e recovery.Event, done func(error)) {
 	raw, err := e.Encode()
 	if err != nil {
--- a/internal/state/recorder.go
+++ b/internal/state/recorder.go
@@ -36,8 +36,8 @@
 type Recorder struct {
 	opt Options
 
-	reopening sync.Mutex // held while the journal is reopened
-	order     sync.Mutex // held while events are handed to the journal, so that they reach it in order
+	reopenMu sync.Mutex // held while the journal is reopened
+	submitMu sync.Mutex // held while events are handed to the journal, so that they reach it in order
 
 	mu           sync.Mutex
 	journal      *journal.Journal // nil: it has failed, and is not open again yet
--- a/internal/state/recorder_test.go
+++ b/internal/state/recorder_test.go
@@ -41,8 +41,8 @@
 		if round > 0 {
 			require.Equal(t, "o", plan.Purges[0].Object)
 			require.Equal(t, []uint64{9}, plan.ManualDrains)
-			require.Equal(t, membership.Draining, plan.Remembered[0].Phase)
-			require.Equal(t, 1e12, plan.Remembered[0].Since, "the drain counts from its beginning")
+			require.Equal(t, membership.Draining, plan.Members[0].Phase)
+			require.Equal(t, 1e12, plan.Members[0].Since, "the drain counts from its beginning")
 		}
 		recorder.RecordPublish(published(1, policy.Draining))
 		require.NoError(t, recorder.RecordManualDrain(9, true))
@@ -104,8 +104,8 @@
 			recorder, plan, err := state.Open(options(fs, after))
 			require.NoError(t, err)
 			require.Len(t, plan.Purges, 1)
-			require.Len(t, plan.Remembered, 1)
-			for _, at := range []float64{plan.Purges[0].IssuedAt, plan.Remembered[0].Since} {
+			require.Len(t, plan.Members, 1)
+			for _, at := range []float64{plan.Purges[0].IssuedAt, plan.Members[0].Since} {
 				ago := after.Now() - at
 				require.GreaterOrEqual(t, ago, 0.0)
 				require.LessOrEqual(t, ago, clock.Ms(time.Since(began))+500)
--- a/internal/state/retry.go
+++ b/internal/state/retry.go
@@ -11,6 +11,7 @@
 const (
 	minRetryDelay = 500  // ms
 	maxRetryDelay = 2000 // ms
+	minJitter     = 0.5  // the least factor of the jitter; the greatest is 1 more
 )
 
 // maxPending bounds the events that wait for the journal. Beyond it the oldest are dropped and counted.
@@ -32,7 +33,7 @@
 		return
 	}
 	r.retryPending = true
-	delay := r.retryDelay * (0.5 + rand.Float64())
+	delay := r.retryDelay * (minJitter + rand.Float64())
 	r.retryDelay = min(2*r.retryDelay, maxRetryDelay)
 	r.opt.Clock.After(delay, r.retry)
 }
@@ -40,8 +41,8 @@
 // retry reopens the journal if it has failed, and resubmits the pending events. If the journal can't be reopened it
 // schedules the next retry.
 func (r *Recorder) retry() {
-	r.reopening.Lock()
-	defer r.reopening.Unlock()
+	r.reopenMu.Lock()
+	defer r.reopenMu.Unlock()
 	r.mu.Lock()
 	r.retryPending = false
 	closed := r.closed
@@ -83,8 +84,8 @@
 
 // resubmit hands the pending events to the journal, before any event that is recorded meanwhile.
 func (r *Recorder) resubmit() {
-	r.order.Lock()
-	defer r.order.Unlock()
+	r.submitMu.Lock()
+	defer r.submitMu.Unlock()
 	r.mu.Lock()
 	events := r.pending
 	r.pending = nil
@@ -93,14 +94,14 @@
 		last := i == len(events)-1
 		r.submit(e, func(err error) {
 			if err == nil && last {
-				r.recovered(len(events))
+				r.pendingStored(len(events))
 			}
 		})
 	}
 }
 
-// recovered resets the retry delay once the pending events are on disk.
-func (r *Recorder) recovered(events int) {
+// pendingStored resets the retry delay once the pending events are on disk.
+func (r *Recorder) pendingStored(events int) {
 	r.mu.Lock()
 	r.retryDelay = minRetryDelay
 	r.mu.Unlock()
