--- a/internal/decide/fleetview/collector.go
+++ b/internal/decide/fleetview/collector.go
@@ -10,7 +10,8 @@
 // defaultRefresh is the Collector's Refresh where none is set.
 const defaultRefresh = 6
 
-// Totals are what one process has counted of one server since its start.
+// Totals are what one process has counted of one server since its start. See ServerLoad for what counts as a failure, a rejection and
+// overdue.
 type Totals struct {
 	Attempts, Failures, Rejections, Overdue uint64
 	InFlight                                int64
@@ -58,7 +59,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(totals)) {
 		load := loadOf(id, totals[id], oldest.totals[id], seconds)
-		if c.publish(load) {
+		if c.selectForDigest(load) {
 			d.Servers = append(d.Servers, load)
 		}
 	}
@@ -71,9 +72,10 @@
 	return d
 }
 
-// publish decides whether an entry goes into the digest: one that is new, has changed enough, or is due to be refreshed. A server
-// that is and was idle is left out always: where its last entry was lost, it expires.
-func (c *Collector) publish(load ServerLoad) bool {
+// selectForDigest decides whether an entry goes into the digest, and then records it as published: one that is new, has changed enough
+// (see near), or is due to be refreshed, which each is once in Refresh digests. A server that is idle and was published as idle is
+// always left out: at receivers that missed its last entry, the older one expires.
+func (c *Collector) selectForDigest(load ServerLoad) bool {
 	before, known := c.published[load.Server]
 	if load.idle() && before.idle() {
 		c.published[load.Server] = load
--- a/internal/decide/fleetview/digest.go
+++ b/internal/decide/fleetview/digest.go
@@ -24,7 +24,7 @@
 	Attempts   Level // a second
 	Failures   Level // of them, a second: errors, connections that broke or were never established
 	Rejections Level // of them, a second: rejected by a server that is full
-	Overdue    Level // of them, a second: answered after the target of their class, or never
+	Overdue    Level // of them, a second: timed out, or answered later than the latency objective of their class
 	InFlight   Level // attempts in flight
 	Latency    Latency
 }
@@ -35,7 +35,7 @@
 const (
 	// minLevelChange is the least change of a rate, in steps of a Level, that is published: about 30 %.
 	minLevelChange = 3
-	// minInFlightChange is that of the attempts in flight, an octave: a few requests a second make them vary.
+	// minInFlightChange is that of the attempts in flight, in steps too: a factor of two, as they vary much at few requests a second.
 	minInFlightChange = levelSteps
 	// minLatencyChange is the least change of a latency bucket, as a fraction of the answers, that is published.
 	minLatencyChange = 0.4
--- a/internal/decide/fleetview/estimate.go
+++ b/internal/decide/fleetview/estimate.go
@@ -22,7 +22,8 @@
 }
 
 const (
-	// minOwnAttempts is the rate of attempts a second below which this process's own report counts as any other.
+	// minOwnAttempts is the rate of attempts a second from which this process's own report outweighs the others; below it there are
+	// too few attempts to judge by, and the report counts as any other.
 	minOwnAttempts = 0.6
 	// maxLatencyWeight is the rate of attempts a second above which a reporter has no more weight in the latencies.
 	maxLatencyWeight = 1
@@ -57,18 +58,18 @@
 	}
 	faulty := v.settings.FaultyFraction
 	estimate.Load = WinsorizedSum(loads, faulty)
-	combine := ownReport{attempts: own.Attempts.Value(), othersAttempts: sum(weights)}
-	estimate.OwnWeight = combine.weight()
-	estimate.Failing = combine.with(TrimmedMean(failing, weights, faulty), fraction(own.Failures, own.Attempts))
-	estimate.Overdue = combine.with(TrimmedMean(overdue, weights, faulty), fraction(own.Overdue, own.Attempts))
+	ownPart := ownReport{attempts: own.Attempts.Value(), totalAttempts: sum(weights)}
+	estimate.OwnWeight = ownPart.weight()
+	estimate.Failing = ownPart.blend(TrimmedMean(failing, weights, faulty), fraction(own.Failures, own.Attempts))
+	estimate.Overdue = ownPart.blend(TrimmedMean(overdue, weights, faulty), fraction(own.Overdue, own.Attempts))
 	estimate.P50, estimate.P90 = quantiles(latency)
 	return estimate
 }
 
 // ownReport weighs this process's own report of a server against those of others.
 type ownReport struct {
-	attempts       float64 // a second, of this process
-	othersAttempts float64 // a second, of all reporters, this process among them
+	attempts      float64 // a second, of this process
+	totalAttempts float64 // a second, of all reporters, this process among them
 }
 
 // weight returns the weight of the own report, from 0 to 1. All others together weigh no more than the own report, once this process
@@ -77,12 +78,12 @@
 	if o.attempts < minOwnAttempts {
 		return 0
 	}
-	others := min(max(0, o.othersAttempts-o.attempts), o.attempts)
+	others := min(max(0, o.totalAttempts-o.attempts), o.attempts)
 	return o.attempts / (o.attempts + others)
 }
 
-// with combines what all report with the own value.
-func (o ownReport) with(reported BoundedValue, own float64) BoundedValue {
+// blend returns the mean of what all processes report and the own value, with the weight of the own report.
+func (o ownReport) blend(reported BoundedValue, own float64) BoundedValue {
 	if o.attempts < minOwnAttempts {
 		return reported
 	}
--- a/internal/decide/fleetview/level.go
+++ b/internal/decide/fleetview/level.go
@@ -22,5 +22,5 @@
 // Value returns the amount that a level stands for.
 func (l Level) Value() float64 { return smallestLevel * (math.Exp2(float64(l)/levelSteps) - 1) }
 
-// near reports whether two levels are fewer than so many steps apart.
+// near reports whether two levels are fewer than so many steps apart; a step is an eighth of an octave.
 func (l Level) near(other Level, steps Level) bool { return max(l, other)-min(l, other) < steps }
--- a/internal/decide/fleetview/robust.go
+++ b/internal/decide/fleetview/robust.go
@@ -30,7 +30,8 @@
 	}
 	sorted := slices.Sorted(slices.Values(values))
 	faulty := tolerated(n, faultyFraction)
-	// shifted is the sum with the order moved: by +faulty the least are gone, and as many infinite values stand at the end.
+	// shifted returns the sum with each value replaced by the one that is so many places further up the order. With +faulty it is the
+	// sum with the faulty least values replaced by plus infinity, and clipped as above.
 	shifted := func(by int) float64 {
 		total := 0.0
 		for i := range n {
@@ -43,9 +44,9 @@
 }
 
 // TrimmedMean estimates a fraction that reporters have observed, each with a weight (its attempts a second). Of n reporters f may be
-// faulty, see WinsorizedSum. No weight counts for more than the (f+1)th greatest, and at both ends the fractions are left out up to
-// the weight that f reporters can have. Whatever f of them report, the result stays between the least and the greatest fraction that
-// the others report.
+// faulty, see WinsorizedSum. Weights are capped at the (f+1)th greatest. Of the fractions in rising order, those
+// at each end are left out, up to f times that greatest weight. Whatever f reporters report, the result stays between the least and
+// the greatest fraction that the others report.
 func TrimmedMean(fractions, weights []float64, faultyFraction float64) BoundedValue {
 	n := len(fractions)
 	if n == 0 {
@@ -82,7 +83,7 @@
 
 // mean returns the mean of the values between two points on the scale of the accumulated weight.
 func (w *weighted) mean(from, to float64) float64 {
-	if to <= from { // too few reporters are left: take the one in the middle
+	if to <= from { // everything is cut off: take the value in the middle
 		from, to = w.total/2-w.total*1e-9, w.total/2+w.total*1e-9
 	}
 	at, weightedSum, weight := 0.0, 0.0, 0.0
