--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -28,7 +28,7 @@
 // Open starts this member. onChange is as store.Options.Facts. It returns the errors of reading the identity, of making the
 // directory and of store.Open.
 func (s *Store) Open(clk *clock.Clock, onChange func(storestate.Change)) (*store.Store, error) {
-	options := store.Options{Timeout: s.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, OnFact: onChange}
+	options := store.Options{Timeout: s.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, OnChange: onChange}
 	if s.Name == "" {
 		return store.Open(options)
 	}
--- a/internal/decide/storestate/change.go
+++ b/internal/decide/storestate/change.go
@@ -75,8 +75,8 @@
 	Revision uint64  `cbor:"2,keyasint,omitempty"`
 }
 
-// FactKey returns the key in State.FactIndexes of the fact that a kind of change sets under a name. It is empty for kinds
-// that set no fact.
+// FactKey returns the key in State.FactIndexes of the fact that a kind of change sets under a name. The facts are the purges,
+// drains and lists, each by its name, and the configuration. The key is empty for kinds that set none.
 func FactKey(kind Kind, name string) string {
 	switch kind {
 	case AddPurge:
--- a/internal/decide/storestate/storestate.go
+++ b/internal/decide/storestate/storestate.go
@@ -30,7 +30,7 @@
 	Result Result  `cbor:"3,keyasint"`
 }
 
-// State is the sum of a log's changes. New makes one; the zero value is not usable. It is not safe for concurrent use.
+// State is the result of applying a log's changes. New makes one; the zero value is not usable. It is not safe for concurrent use.
 type State struct {
 	Time          float64            `cbor:"1,keyasint"` // shared time: the latest of the proposers', see maxTimeStep
 	Keys          map[string]Key     `cbor:"2,keyasint"` // by key id
@@ -38,7 +38,7 @@
 	RevokedTokens map[string]float64 `cbor:"4,keyasint"` // by token id: when the token expires
 	Revisions     []Revision         `cbor:"5,keyasint"` // of the configuration, oldest first
 	Lists         map[string]List    `cbor:"6,keyasint"` // by name
-	Drains        map[string]float64 `cbor:"7,keyasint"` // by server's name: since when
+	Drains        map[string]float64 `cbor:"7,keyasint"` // by server's name: when the drain began
 	Purges        map[string]Purge   `cbor:"8,keyasint"` // by object, or by "group N"
 	Results       []AppliedResult    `cbor:"9,keyasint"` // oldest first
 	AppliedIndex  uint64             `cbor:"10,keyasint"`
@@ -145,7 +145,7 @@
 	return Result{}
 }
 
-// startDrain starts a drain. One that goes on keeps its beginning.
+// startDrain starts a drain. A drain that has begun already keeps its start time.
 func (s *State) startDrain(server string, at float64) {
 	if _, draining := s.Drains[server]; !draining {
 		s.Drains[server] = at
@@ -168,7 +168,8 @@
 	s.expirePurges()
 }
 
-// setFactIndex notes that the change being applied set a fact. A state without a log has no indexes.
+// setFactIndex records the log index of the change being applied as that of the fact which it sets, see FactKey. The state of a
+// member alone in memory has no log, and no indexes.
 func (s *State) setFactIndex(kind Kind, name string) {
 	if s.AppliedIndex > 0 {
 		s.FactIndexes[FactKey(kind, name)] = s.AppliedIndex
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -84,7 +84,7 @@
 		err = fmt.Errorf("unknown operation %q", q.Operation)
 	}
 	if err != nil {
-		return reply{Err: err.Error(), Maybe: true}
+		return reply{Err: err.Error(), MayHaveRun: true}
 	}
 	return reply{}
 }
@@ -95,7 +95,7 @@
 	}
 	result, outcome := s.applyAsLeader(change)
 	if outcome != retry.Succeeded {
-		return reply{Err: "not applied", Maybe: outcome == retry.Unknown}
+		return reply{Err: "not applied", MayHaveRun: outcome == retry.Unknown}
 	}
 	raw, _ := storestate.Encode(result)
 	return reply{Result: raw[1:]} // without the format version
@@ -104,9 +104,9 @@
 const (
 	// catchUpLag is by how many entries a new member may be behind when it becomes a voter.
 	catchUpLag = 16
-	// catchUpTimeouts is how many time-outs it has to get there.
-	catchUpTimeouts = 5
-	// catchUpPollInterval is how many ms pass between two looks at how far it is.
+	// catchUpTimeoutFactor times Options.Timeout is how long it has to catch up.
+	catchUpTimeoutFactor = 5
+	// catchUpPollInterval is the time between two checks of how far it is, in ms.
 	catchUpPollInterval = 10
 )
 
@@ -127,8 +127,10 @@
 	return s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(addr), 0, s.opt.Timeout).Error()
 }
 
+// awaitCatchUp waits until a new member has applied all but the last catchUpLag committed entries. It returns an error if that takes
+// too long; the member then stays a non-voter.
 func (s *Store) awaitCatchUp(name, addr string) error {
-	for deadline := s.opt.Clock.Now() + catchUpTimeouts*clock.Ms(s.opt.Timeout); ; s.sleep(catchUpPollInterval) {
+	for deadline := s.opt.Clock.Now() + catchUpTimeoutFactor*clock.Ms(s.opt.Timeout); ; s.sleep(catchUpPollInterval) {
 		r, _, err := s.transport.call(addr, request{Operation: OpStatus}, s.opt.Timeout)
 		if err == nil && r.Status != nil && r.Status.AppliedIndex+catchUpLag >= s.raft.CommitIndex() {
 			return nil
@@ -162,7 +164,7 @@
 // Request has a member of the cluster carry out an operation, and follows it to the leader. name and memberAddr are those of
 // the member that the operation is about. While leadership moves, members know no leader or an outdated one; what they refuse
 // for that reason had no effect, and is requested again until timeout is over. Request needs an identity of the cluster, but
-// no store.
+// no store. It returns an error if a member can't be reached or rejects the operation; the operation may have had an effect then.
 func Request(id *Identity, addr string, op Operation, name, memberAddr string, timeout time.Duration) (Status, error) {
 	t := &transport{identity: id, dial: dialTCP}
 	for end := time.Now().Add(timeout); ; time.Sleep(requestRetryDelay) {
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -15,7 +15,7 @@
 	state     *storestate.State
 	watchers  []chan storestate.Revision
 	observers []Observer
-	onFact    func(storestate.Change) // set before raft starts, so that no entry is missed; nil: not called
+	onChange  func(storestate.Change) // see Options.OnChange; set before raft starts, so that no entry is missed
 }
 
 // Apply implements raft.FSM. Its result is a storestate.Result.
@@ -31,7 +31,7 @@
 	before := f.state.Revision().Number
 	repeated := f.state.HasApplied(c.ID)
 	r := f.state.Apply(c)
-	if repeated { // announced then, and its effect may have been undone since
+	if repeated { // it was announced when it was applied first, and its effect may have been undone since
 		return r
 	}
 	f.notifyWatchers(before)
@@ -41,35 +41,44 @@
 	return r
 }
 
-// announce passes an applied change on.
+// isListDrainOrPurge reports whether a change of a kind is one that Options.OnChange is called with.
+func isListDrainOrPurge(k storestate.Kind) bool {
+	switch k {
+	case storestate.SetList, storestate.StartDrain, storestate.EndDrain, storestate.AddPurge:
+		return true
+	}
+	return false
+}
+
+// announce passes an applied change to onChange, if it is for it, and to the observers. The caller holds mu.
 func (f *fsm) announce(index uint64, c storestate.Change) {
-	if f.onFact != nil && c.Kind >= storestate.SetList {
-		f.onFact(c)
+	if f.onChange != nil && isListDrainOrPurge(c.Kind) {
+		f.onChange(c)
 	}
 	for _, o := range f.observers {
 		o.ChangeApplied(index, c, f.state.Revision())
 	}
 }
 
-// announceState passes all facts of a new state on as changes, and the end of each drain that the old state had and the new
-// one has not: a member far behind receives a snapshot in place of the entries that ended them.
+// announceState passes the lists, drains and purges of a new state to onChange, and the end of each drain that the old state had
+// and the new one does not: a member far behind receives a snapshot in place of the entries that ended them. The caller holds mu.
 func (f *fsm) announceState(old *storestate.State) {
-	if f.onFact == nil {
+	if f.onChange == nil {
 		return
 	}
 	for name := range old.Drains {
 		if _, draining := f.state.Drains[name]; !draining {
-			f.onFact(storestate.Change{Kind: storestate.EndDrain, Name: name})
+			f.onChange(storestate.Change{Kind: storestate.EndDrain, Name: name})
 		}
 	}
 	for name, l := range f.state.Lists {
-		f.onFact(storestate.Change{Kind: storestate.SetList, Name: name, List: &l})
+		f.onChange(storestate.Change{Kind: storestate.SetList, Name: name, List: &l})
 	}
 	for name, since := range f.state.Drains {
-		f.onFact(storestate.Change{Kind: storestate.StartDrain, Name: name, ProposedAt: since})
+		f.onChange(storestate.Change{Kind: storestate.StartDrain, Name: name, ProposedAt: since})
 	}
 	for _, p := range f.state.Purges {
-		f.onFact(storestate.Change{Kind: storestate.AddPurge, Purge: &p, ExpiresAt: p.ExpiresAt})
+		f.onChange(storestate.Change{Kind: storestate.AddPurge, Purge: &p, ExpiresAt: p.ExpiresAt})
 	}
 }
 
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -18,7 +18,7 @@
 	last map[string]storestate.Kind
 }
 
-func (r *drainRecorder) onFact(c storestate.Change) {
+func (r *drainRecorder) onChange(c storestate.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Kind == storestate.StartDrain || c.Kind == storestate.EndDrain {
@@ -45,7 +45,7 @@
 	c.members["a"].Kill()
 
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
-	back := c.open("a", Options{OnFact: recorder.onFact})
+	back := c.open("a", Options{OnChange: recorder.onChange})
 	eventually(t, func() bool { return recorder.of("s-1") == storestate.EndDrain }, "the end of the drain is announced")
 	var draining bool
 	var applied uint64
@@ -58,7 +58,7 @@
 // announced.
 func TestSnapshotAnnouncesEndOfDrain(t *testing.T) {
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
-	f := &fsm{state: storestate.New(), onFact: recorder.onFact}
+	f := &fsm{state: storestate.New(), onChange: recorder.onChange}
 	raw, err := storestate.Encode(storestate.Change{ID: "1", Kind: storestate.StartDrain, Name: "s-1"})
 	require.NoError(t, err)
 	require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: 1, Data: raw}).(storestate.Result).Verdict)
@@ -74,7 +74,7 @@
 // between would return in the proxies, though it is in no state.
 func TestRepeatedChangeIsAnnouncedOnce(t *testing.T) {
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
-	f := &fsm{state: storestate.New(), onFact: recorder.onFact}
+	f := &fsm{state: storestate.New(), onChange: recorder.onChange}
 	for i, c := range []storestate.Change{
 		{ID: "1", Kind: storestate.StartDrain, Name: "s-1"},
 		{ID: "2", Kind: storestate.EndDrain, Name: "s-1"},
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -47,8 +47,8 @@
 		"reply-index.bin":      {Index: 77},
 		"reply-status.bin":     {Status: &status},
 		"reply-not-leader.bin": {Err: errTextNotLeader, Leader: "127.0.73.1:4000"},
-		"reply-maybe.bin":      {Err: "not applied", Maybe: true},
-		"reply-full.bin":       {Result: []byte{1}, Index: 2, Err: "e", Maybe: true, Leader: "l", Status: &Status{}},
+		"reply-maybe.bin":      {Err: "not applied", MayHaveRun: true},
+		"reply-full.bin":       {Result: []byte{1}, Index: 2, Err: "e", MayHaveRun: true, Leader: "l", Status: &Status{}},
 	}
 }
 
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -33,6 +33,7 @@
 }
 
 // LoadIdentity reads NAME.crt, NAME.key and ca.crt from a directory. It does not check whether the certificate has expired.
+// It returns ErrNotMember for a certificate without a member's URI, or an error about the file that can't be used.
 func LoadIdentity(dir, name string) (*Identity, error) {
 	pair, err := tls.LoadX509KeyPair(certificatePath(dir, name), keyPath(dir, name))
 	if err != nil {
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -70,7 +70,8 @@
 	return err
 }
 
-// DialLink opens a link. dial is nil for TCP.
+// DialLink opens a link to a member, within timeout for each of its steps. dial is nil for TCP. It returns the error of the dial or
+// of TLS, which includes ErrNotMember.
 func DialLink(id *Identity, addr string, timeout time.Duration, dial DialFunc) (*Link, error) {
 	if dial == nil {
 		dial = dialTCP
--- a/internal/store/message.go
+++ b/internal/store/message.go
@@ -43,12 +43,12 @@
 
 // reply is the answer to a call.
 type reply struct {
-	Result []byte  `cbor:"1,keyasint,omitempty"` // of a change: a storestate.Result in CBOR, without format version
-	Index  uint64  `cbor:"2,keyasint,omitempty"`
-	Err    string  `cbor:"3,keyasint,omitempty"` // empty: the operation succeeded
-	Maybe  bool    `cbor:"4,keyasint,omitempty"` // with Err: the operation may have had an effect
-	Leader string  `cbor:"5,keyasint,omitempty"` // with Err: address of the leader, which may be asked instead
-	Status *Status `cbor:"6,keyasint,omitempty"`
+	Result     []byte  `cbor:"1,keyasint,omitempty"` // of a change: a storestate.Result in CBOR, without format version
+	Index      uint64  `cbor:"2,keyasint,omitempty"`
+	Err        string  `cbor:"3,keyasint,omitempty"` // empty: the operation succeeded
+	MayHaveRun bool    `cbor:"4,keyasint,omitempty"` // with Err: the operation may have had an effect
+	Leader     string  `cbor:"5,keyasint,omitempty"` // with Err: address of the leader, which may be asked instead
+	Status     *Status `cbor:"6,keyasint,omitempty"`
 }
 
 // errTextNotLeader is the Err of a member that is not the leader. The operation had no effect.
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -66,7 +66,8 @@
 
 // Propose commits one change through the log, here or at the leader, and retries within Options.Timeout while that is safe.
 // The change has the same id in all attempts, so that it is applied once. After ErrOutcomeUnknown a caller that proposes the
-// same thing again proposes another change, unless it sets the same id.
+// same thing again proposes another change, unless it sets the same id. It returns the error of the result's verdict (see
+// ErrTokenSpent and the errors with it), ErrUnavailable or ErrOutcomeUnknown.
 func (s *Store) Propose(c storestate.Change) (storestate.Result, error) {
 	if c.ID == "" {
 		c.ID = newChangeID()
@@ -83,18 +84,18 @@
 		return resultError(s.fsm.Apply(&raft.Log{Data: raw}).(storestate.Result))
 	}
 	deadline := c.ProposedAt + clock.Ms(s.opt.Timeout)
-	var call retry.Operation
+	var operation retry.Operation
 	for {
 		r, outcome := s.attempt(raw)
 		s.mu.Lock()
-		delay, again := s.budget.AttemptEnded(&call, outcome, s.opt.Clock.Now(), deadline, mathrand.Float64())
+		delay, retryAllowed := s.budget.AttemptEnded(&operation, outcome, s.opt.Clock.Now(), deadline, mathrand.Float64())
 		s.mu.Unlock()
 		switch {
 		case outcome == retry.Succeeded:
 			return resultError(r)
-		case again && !s.closed.Load():
+		case retryAllowed && !s.closed.Load():
 			s.sleep(delay)
-		case call.MayHaveRun:
+		case operation.MayHaveRun:
 			return storestate.Result{}, ErrOutcomeUnknown
 		default:
 			return storestate.Result{}, ErrUnavailable
@@ -123,7 +124,8 @@
 	return r, ErrInvalid
 }
 
-// attempt submits an encoded change once, here or at the leader.
+// attempt submits an encoded change once, here or at the leader. The outcome says whether it was executed; the result counts only
+// with retry.Succeeded.
 func (s *Store) attempt(raw []byte) (storestate.Result, retry.Outcome) {
 	if s.Leader() {
 		return s.applyAsLeader(raw)
@@ -136,7 +138,7 @@
 	switch {
 	case err != nil && !sent:
 		return storestate.Result{}, retry.NotExecuted
-	case err != nil || r.Err != "" && r.Maybe:
+	case err != nil || r.Err != "" && r.MayHaveRun:
 		return storestate.Result{}, retry.Unknown
 	case r.Err != "":
 		return storestate.Result{}, retry.NotExecuted
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -26,8 +26,9 @@
 
 	joinAttempts   = 10
 	joinRetryDelay = 100 // ms
-	// joinTimeouts is how many time-outs a call to join may take, as the leader waits until the new member has caught up.
-	joinTimeouts = 10
+	// joinTimeoutFactor times Options.Timeout is how long a call to join may take, as the leader waits until the new member has
+	// caught up.
+	joinTimeoutFactor = 10
 )
 
 // startRaft opens the log, the snapshots and the address of this member, and starts raft on them.
@@ -135,7 +136,7 @@
 	var err error
 	for range joinAttempts {
 		var r reply
-		r, _, err = s.transport.call(addr, q, joinTimeouts*s.opt.Timeout)
+		r, _, err = s.transport.call(addr, q, joinTimeoutFactor*s.opt.Timeout)
 		switch {
 		case err == nil && r.Err == "":
 			return nil
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -5,14 +5,14 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// readPollInterval is how many ms a linearizable read waits before it looks again whether this member has caught up.
+// readPollInterval is the time between two checks of a linearizable read whether this member has caught up, in ms.
 const readPollInterval = 2
 
 // ReadLinearizable calls f with a state that includes every change acknowledged anywhere before the call. f must not retain
 // the state. It returns ErrUnavailable without a quorum.
 func (s *Store) ReadLinearizable(f func(*storestate.State)) error {
 	if s.raft != nil {
-		if err := s.catchUp(); err != nil {
+		if err := s.awaitReadIndex(); err != nil {
 			return err
 		}
 	}
@@ -28,9 +28,10 @@
 	f(s.fsm.state)
 }
 
-// catchUp waits until this member has applied all entries that the leader had committed when it was asked, and the leader
-// has confirmed by a quorum that it led (ReadIndex, section 6.4 of Ongaro's thesis).
-func (s *Store) catchUp() error {
+// awaitReadIndex waits until this member has applied all entries that the leader had committed when it was asked, and the leader
+// has confirmed by a quorum that it led (ReadIndex, section 6.4 of Ongaro's thesis). It returns ErrUnavailable if that takes longer
+// than Options.Timeout.
+func (s *Store) awaitReadIndex() error {
 	if s.Leader() {
 		if err := s.raft.Barrier(s.opt.Timeout).Error(); err != nil {
 			return ErrUnavailable
@@ -66,7 +67,7 @@
 func (s *Store) ReadIndex() (index uint64, at float64, err error) {
 	at = s.opt.Clock.Now()
 	if s.raft != nil {
-		if err := s.catchUp(); err != nil {
+		if err := s.awaitReadIndex(); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,8 +20,8 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// The errors of a change. After ErrUnavailable the change was not applied and will not be. After ErrOutcomeUnknown, which is
-// an ErrUnavailable too, it may have been applied or may still be: a token whose spending ends so counts as spent.
+// The errors of a change. After ErrUnavailable the change was not applied and will not be. After ErrOutcomeUnknown, which wraps
+// ErrUnavailable, it may have been applied or may still be: a token must then be taken as spent.
 var (
 	ErrTokenSpent     = errors.New("store: already spent")
 	ErrConflict       = errors.New("store: the configuration has another revision by now")
@@ -57,9 +57,9 @@
 	SnapshotThreshold, TrailingLogs uint64
 	Clock                           *clock.Clock
 	Dial                            DialFunc // nil: TCP
-	// OnFact is called with each list, drain and purge: those that a snapshot holds, and each change as this member applies
-	// it, from before the log is first read. It must return soon and must not call the store. nil: not called.
-	OnFact func(storestate.Change)
+	// OnChange is called with each change of a list, drain or purge: those that a snapshot holds, and each one as this member
+	// applies it, from before the log is first read. It must return soon and must not call the store. nil: not called.
+	OnChange func(storestate.Change)
 }
 
 // DialFunc opens a connection to a member's address within a time.
@@ -71,8 +71,8 @@
 
 const defaultTimeout = 2 * time.Second
 
-// retries bound how a change is retried. Times are in ms. The budget limits the extra load on a store in trouble: in the long
-// run its callers together add a fifth to their changes.
+// retries bound how a change is retried. Times are in ms. The budget bounds the extra load on a store in trouble: in the long
+// run there is at most one retry for every five changes that succeed.
 var retries = retry.Settings{MaxAttempts: 8, BaseDelay: 20, MaxDelay: 500, MaxRetries: 50, RetriesPerSuccess: 0.2}
 
 // Store is a member of the cluster. Its methods are safe for concurrent use.
@@ -89,7 +89,7 @@
 }
 
 // Open starts a member. It returns once the member has joined its cluster, if it is to join one, but does not wait for a
-// leader.
+// leader. It returns an error if the identity, the directory or the address can't be used, or if joining fails.
 func Open(o Options) (*Store, error) {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -97,7 +97,7 @@
 	if o.Dial == nil {
 		o.Dial = dialTCP
 	}
-	s := &Store{opt: o, fsm: &fsm{state: storestate.New(), onFact: o.OnFact}, budget: retry.New(retries)}
+	s := &Store{opt: o, fsm: &fsm{state: storestate.New(), onChange: o.OnChange}, budget: retry.New(retries)}
 	if o.Self == (Member{}) {
 		return s, nil
 	}
