--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// purgeEntry returns the entry of a purge. One that expired at 0 expires at 1, as 0 stands for never.
+// purgeEntry returns the entry of a purge. expiresAt is Unix ms; 0 and less become 1, as 0 stands for never in an entry.
 func purgeEntry(index uint64, p storestate.Purge, expiresAt float64) decider.Entry {
 	e := decider.Entry{
 		Sequence: index, Kind: decider.PurgeObject, Name: p.Object,
@@ -117,8 +117,8 @@
 	return entries, nil
 }
 
-// orderEntries sorts entries by sequence. Those without an index come first, under the lowest sequences: no stream can be resumed from
-// that long ago. It fails if two entries have the same sequence.
+// orderEntries sorts entries by sequence. Those without an index come first and are numbered from 1: they are older than anything that
+// a subscriber resumes from. It fails if two entries have the same sequence.
 func orderEntries(entries []decider.Entry) error {
 	slices.SortStableFunc(entries, func(a, b decider.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for i := range entries {
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -44,8 +44,8 @@
 	Epoch      uint64
 	Candidates []Candidate
 
-	// ApplyChange and ApplyRevision put facts and revisions into force, and SetFreshness gets what the request path goes by. Each
-	// stream calls them in a goroutine of its own, in order. They are not used with a Source.
+	// ApplyChange puts a list, drain or purge into force, ApplyRevision a revision of the configuration, and SetFreshness gets the
+	// restrictions of the request path. Each stream calls them in a goroutine of its own, in order. They are not used with a Source.
 	ApplyChange   func(storestate.Change)
 	ApplyRevision func(storestate.Revision)
 	SetFreshness  func(decider.Stream, decider.Freshness)
--- a/internal/distribution/store_feed.go
+++ b/internal/distribution/store_feed.go
@@ -8,8 +8,8 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// storeFeed turns what a member of the store applies into events of the distributors of both streams. There are none before the
-// member's state was confirmed once by the store: a member that was away holds an outdated state.
+// storeFeed turns what a member of the store applies into events of the distributors of both streams. It posts none before a
+// first ReadIndex has succeeded: a member that was cut off may hold an outdated state until then.
 type storeFeed struct {
 	node *Node
 
@@ -19,7 +19,7 @@
 	lastSequence map[decider.Stream]uint64 // of the latest event of each stream
 }
 
-// run confirms the state each heartbeat interval, and advances the watermark of all processes with it.
+// run calls ReadIndex once each heartbeat interval, and posts what it confirms as the new watermark.
 func (f *storeFeed) run() {
 	f.lastSequence = map[decider.Stream]uint64{}
 	observing := false
