--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -18,12 +18,12 @@
 	maxZoneTargets, maxRemoteTargets = 16, 2
 	// maxServersPerDatagram is how many servers of a digest fit into one datagram.
 	maxServersPerDatagram = 32
-	// sketchSize is how many objects are counted, maxObjects how many of them are published, and sketchDecay what is left of a count
-	// after each digest.
+	// sketchSize is how many objects are counted, maxObjects how many of them are published, and sketchDecay the factor by which counts
+	// are multiplied after each digest.
 	sketchSize, maxObjects, sketchDecay = 64, 4, 0.75
 	// minObjectRate is the rate, in requests a second of this process, below which an object is not published.
 	minObjectRate = 0.5
-	// fingerprintSize is the size of the fingerprint behind a digest, in bytes.
+	// fingerprintSize is the size of the fingerprint that follows a digest, in bytes.
 	fingerprintSize = 8
 )
 
@@ -90,12 +90,12 @@
 	return draw(zone, maxZoneTargets), draw(remote, maxRemoteTargets)
 }
 
-// sendDigest sends a digest, in as many datagrams as it takes. Behind each of them stands the fingerprint of the members that are alive
+// sendDigest sends a digest, in as many datagrams as it takes. Each of them ends with the fingerprint of the members that are alive
 // to this process. The publisher and its incarnation are left out, as the envelope has them.
 func (p *Peers) sendDigest(to []*memberlist.Node, d fleetview.Digest) {
 	d.From, d.Incarnation = "", 0
 	p.mu.Lock()
-	fingerprint := p.aliveSet
+	fingerprint := p.aliveFingerprint
 	p.mu.Unlock()
 	for first := true; first || len(d.Servers) > 0; first = false {
 		part := d
@@ -123,7 +123,7 @@
 	d.From, d.Incarnation = from, incarnation
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if binary.BigEndian.Uint64(body[end:]) == p.aliveSet {
+	if binary.BigEndian.Uint64(body[end:]) == p.aliveFingerprint {
 		p.agreeing++
 	} else {
 		p.disagreeing++
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// A digest is sent, with the fingerprint of the members that are alive behind it, as by earlier versions, and theirs are taken in.
+// A digest is sent, with the fingerprint of the members that are alive after it, as by earlier versions, and theirs are taken in.
 func TestGoldenDigestBody(t *testing.T) {
 	a, b := acquaintedSealers(t)
 	out, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -117,7 +117,7 @@
 	require.NoError(t, err)
 	defer in.Close()
 
-	sender := &Peers{transport: &transport{sealer: a, udp: out}, aliveSet: 0x0123456789abcdef}
+	sender := &Peers{transport: &transport{sealer: a, udp: out}, aliveFingerprint: 0x0123456789abcdef}
 	addr := in.LocalAddr().(*net.UDPAddr)
 	d := goldenDigest()
 	d.From, d.Incarnation = "a", 5
@@ -132,7 +132,7 @@
 
 	receiver := &Peers{
 		options: Options{Clock: clock.Manual(goldenTime)}, view: fleetview.New("b", fleetview.DefaultSettings()),
-		aliveSet: 0x0123456789abcdef,
+		aliveFingerprint: 0x0123456789abcdef,
 	}
 	receiver.receiveDigest("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
 	require.Zero(t, receiver.RejectedDigests.Load())
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -73,11 +73,11 @@
 		}
 	}
 	if m := p.members[n.Name]; m != nil && m.State == StateAlive {
-		p.aliveSet ^= memberHash(m.Name + " " + m.Addr)
+		p.aliveFingerprint ^= memberHash(m.Name + " " + m.Addr)
 		p.aliveCount--
 	}
 	if state == StateAlive {
-		p.aliveSet ^= memberHash(n.Name + " " + n.Address())
+		p.aliveFingerprint ^= memberHash(n.Name + " " + n.Address())
 		p.aliveCount++
 	}
 	p.members[n.Name] = &Member{
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -10,23 +10,22 @@
 	"ravenwheel/internal/logs"
 )
 
-// Settings of memberlist, for fleets of some hundred processes in which a third may fail at once and has to be noticed within seconds.
+// Settings of memberlist, for fleets of some hundred processes: also where a third of them fail at once, all are noticed within seconds.
 const (
-	// probeInterval is the time between two probes of one member by each process, and probeTimeout how long an answer may take. A busy
-	// machine does not answer much sooner: shorter times have processes suspect each other for good.
+	// probeInterval is the time between two probes of one member by each process, and probeTimeout how long an answer may take. With
+	// shorter times, processes on busy machines miss so many probes that they suspect each other permanently.
 	probeInterval, probeTimeout = 700 * time.Millisecond, 400 * time.Millisecond
-	// suspicionMultiplier times probeInterval times the decades of the fleet's size is how long a member is suspected before it counts
-	// as failed.
+	// suspicionMultiplier * probeInterval * log10(fleet size), with a logarithm of at least 1, is how long a member is suspected before it counts as failed.
 	suspicionMultiplier = 3
-	// maxAwarenessMultiplier bounds how much more slowly a process probes that takes itself for slow because its probes are not
-	// answered. memberlist's 8 is too slow where a third of the members have failed.
+	// maxAwarenessMultiplier bounds the factor by which a process whose probes are not answered lengthens its probe times, as it may
+	// be slow itself (Lifeguard). memberlist's default, 8, detects failures too slowly where a third of the members have failed.
 	maxAwarenessMultiplier = 3
-	// retransmitMultiplier times the decades of the fleet's size is how often each process passes on an update.
+	// retransmitMultiplier * log10(fleet size), rounded up, is how often each process passes on an update.
 	retransmitMultiplier = 4
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = 5 * time.Second
 	// pushPullInterval is the time between two exchanges of the full state with another member, which memberlist extends with the
-	// fleet's size. They repair what gossip and the rejoining have both missed.
+	// fleet's size. They repair what both gossip and rejoin have missed.
 	pushPullInterval = time.Minute
 	// nameReclaimTime is the time after which a failed member may return under its name at another address.
 	nameReclaimTime = 5 * time.Second
--- a/internal/peers/name_conflict.go
+++ b/internal/peers/name_conflict.go
@@ -5,9 +5,9 @@
 const (
 	// conflictReportInterval is the shortest time between two reports of a conflict about one name, in ms.
 	conflictReportInterval = 2000.0
-	// nameDoubtTime is how long a process whose name another one has, or had, requests the full state again, in ms. Within it the
-	// others give up the one that is gone, and nameReclaimTime passes.
-	nameDoubtTime = 30_000.0
+	// nameConflictDuration is how long a process that was told of a conflict about its name goes on requesting the full state, in ms.
+	// Within it the others count an earlier process of the name as failed, and nameReclaimTime passes.
+	nameConflictDuration = 30_000.0
 	// maxLoggedAddress is the longest address of another process that is logged, in bytes.
 	maxLoggedAddress = 64
 )
@@ -28,7 +28,7 @@
 // receiveNameConflict handles the report of another process that there is a second one with the name of this one.
 func (p *Peers) receiveNameConflict(otherAddress string) {
 	p.mu.Lock()
-	p.nameDoubtedUntil = p.options.Clock.Now() + nameDoubtTime
+	p.nameConflictUntil = p.options.Clock.Now() + nameConflictDuration
 	p.mu.Unlock()
 	p.reportNameConflict(p.options.Name, p.address(), otherAddress)
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -46,16 +46,16 @@
 	transport  *transport
 	memberlist *memberlist.Memberlist
 
-	mu         sync.Mutex
-	view       *fleetview.View
-	collector  *fleetview.Collector
-	sketch     *fleetview.Sketch
-	rng        *rand.Rand
-	members    map[string]*Member
-	aliveCount int    // of the members
-	aliveSet   uint64 // fingerprint of those that are alive, see memberHash
-	closed     bool
-	cancelTick func() // of the next digest
+	mu               sync.Mutex
+	view             *fleetview.View
+	collector        *fleetview.Collector
+	sketch           *fleetview.Sketch
+	rng              *rand.Rand
+	members          map[string]*Member
+	aliveCount       int    // members that are alive
+	aliveFingerprint uint64 // of those members, see memberHash
+	closed           bool
+	cancelTick       func() // of the next digest
 
 	rejoinState
 	conflictReportedAt map[string]float64 // when a conflict was reported last, by name
@@ -65,7 +65,8 @@
 	RejectedDigests atomic.Int64
 }
 
-// Start joins the other processes. That none of them answers is no error, as the first process is alone.
+// Start joins the other processes. That none of them answers is no error, as the first process is alone. It returns an error if the
+// incarnation can't be stored in Options.Dir, or the address can't be used.
 func Start(o Options) (*Peers, error) {
 	incarnation, err := nextIncarnation(o.Dir, uint64(o.Clock.Now()))
 	if err != nil {
--- a/internal/peers/rejoin.go
+++ b/internal/peers/rejoin.go
@@ -14,20 +14,20 @@
 	earlyRejoins = 3
 )
 
-// rejoinState is what the decision to request the full state of another process goes by.
+// rejoinState is the state from which stateRequestDue decides, and the members remembered from an earlier run.
 type rejoinState struct {
 	remembered         rememberedMembers
 	rejoins            int
-	agreeing           int     // digests since the last rejoin, of processes to which the same members are alive
-	disagreeing        int     // of others
+	agreeing           int     // digests since the last rejoin of processes to which the same members are alive
+	disagreeing        int     // digests since the last rejoin of other processes
 	stateRequests      int     // since most processes agreed with this one
 	nextStateRequestAt float64 // ms; there is none before
-	nameDoubtedUntil   float64 // ms; until then the full state is requested, as another process has this one's name, or had it
+	nameConflictUntil  float64 // ms; until then the full state is requested, as another process has this one's name, or had it
 }
 
-// rejoin repairs a split membership, again and again, as gossip repeats each update a few times only. It joins each seed that is no
-// member: two halves that were cut off from each other, or that started apart, have given each other up or never knew each other. And
-// where stateRequestDue says so it requests the full state of another member.
+// rejoin repairs a split membership, and runs again about every rejoinInterval, as gossip repeats each update a few times only. It joins
+// each seed that is not a member: two parts of the fleet that were cut off from each other have removed each other, and two that started
+// apart never knew each other. If stateRequestDue says so it also requests the full state of another member.
 func (p *Peers) rejoin() {
 	present := map[string]bool{}
 	for _, n := range p.memberlist.Members() {
@@ -60,11 +60,15 @@
 	p.options.Clock.After(delay, func() { go p.rejoin() })
 }
 
-// stateRequestDue decides whether the full state of another member is requested now. It is while members are missing (present is how
-// many there are), or while to most processes that send digests other members are alive than to this one. Once most agree with it there
-// is no more request, however many members have failed. A process that hears nobody may have been given up by the others, and one whose
-// name is in doubt may be in conflict with itself at an earlier address. Requests become rarer: full states of hundreds, requested by
-// hundreds that do not agree yet, would keep them from ever agreeing. The caller holds the lock.
+// stateRequestDue decides whether the full state of another member is requested now. present is the number of members that are alive to
+// memberlist. A digest agrees with this process if its sender has the same set of alive members. The state is requested
+//   - unless most digests agree: in the first earlyRejoins rejoins, while fewer members are present than expected, and while most digests
+//     disagree. Once most agree, the members that are missing have failed;
+//   - if no process was heard within heardWindow, as the others may have removed this one;
+//   - in any case until nameConflictUntil, as this process may be in conflict with itself at an earlier address.
+//
+// In the first two cases the time between two requests grows, see firstStateRequestDelay: if hundreds of processes kept exchanging full
+// states, the load would keep them from agreeing. The caller holds the lock.
 func (p *Peers) stateRequestDue(present int) bool {
 	now := p.options.Clock.Now()
 	agreed, differs := p.agreeing > p.disagreeing, p.disagreeing > p.agreeing
@@ -78,10 +82,10 @@
 		p.nextStateRequestAt = now + firstStateRequestDelay*math.Exp2(min(float64(p.stateRequests), maxDoublings))
 		p.stateRequests++
 	}
-	return due || now < p.nameDoubtedUntil
+	return due || now < p.nameConflictUntil
 }
 
-// expectedMembers returns how many members there are, but for those that left. The caller holds the lock.
+// expectedMembers returns how many members are known, alive or failed, but not those that have left by themselves. The caller holds the lock.
 func (p *Peers) expectedMembers() (n int) {
 	for _, m := range p.members {
 		if m.State != StateLeft {
--- a/internal/peers/replay.go
+++ b/internal/peers/replay.go
@@ -12,12 +12,13 @@
 const (
 	// maxIncarnations is how many incarnations of one sender have a window.
 	maxIncarnations = 4
-	// ratePerSender and rateBurst bound the datagrams a second of one address, before a signature is verified.
+	// ratePerSender bounds the datagrams a second from one address, and rateBurst how many come at once, before a signature is verified.
 	ratePerSender, rateBurst = 1000, 2000
 )
 
-// replayWindows are the windows of the newest incarnations of a sender. With one window for all, two processes under one name would
-// exclude each other: the later incarnation of the second would shut out the first one, which the others know.
+// replayWindows are the windows of the newest incarnations of a sender. Each incarnation has its own, because two processes may have one
+// name by mistake: in a common window the datagrams of the later one would make all those of the earlier one, which is the member, count
+// as outdated.
 type replayWindows struct {
 	lastAcceptedAt float64 // when the last datagram was accepted, ms
 	byIncarnation  map[uint64]*dedup.Window
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -18,8 +18,8 @@
 const (
 	// maxDatagram is the largest datagram that is read, in bytes. memberlist keeps to 1,400; a certificate and the envelope are added.
 	maxDatagram = 4096
-	// maxClockSkew is how far the time of a datagram may be off, in ms, for clocks and delay together. An older one could not be told
-	// from a replay to a process that has restarted.
+	// maxClockSkew is how far the time of a datagram may be off, in ms, for clocks and delay together. A process that has
+	// restarted could not tell an older one from a replay.
 	maxClockSkew = 60_000
 	// maxSenders is how many senders are remembered, with their keys, windows and rates.
 	maxSenders = 8192
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,7 +1,7 @@
 package peers
 
-// heardWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before it has
-// given up all others, one probe after the other.
+// heardWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before its
+// probes, one after the other, have shown all others as failed.
 const heardWindow = 10_000.0
 
 // Status is the state of this process among its peers, as operators are shown it.
@@ -30,7 +30,7 @@
 	s.Dropped["refused"] = p.RejectedDigests.Load()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.Alive, s.Fingerprint = p.aliveCount, formatFingerprint(p.aliveSet)
+	s.Alive, s.Fingerprint = p.aliveCount, formatFingerprint(p.aliveFingerprint)
 	return s
 }
 
