--- a/internal/decide/distribution/action.go
+++ b/internal/decide/distribution/action.go
@@ -41,7 +41,7 @@
 	}
 )
 
-// Wake requests a Tick in so many ms, from the shell of either machine. It replaces the Wake before it.
+// Wake requests a Tick after After ms, of either machine's shell. It replaces the previous Wake.
 type Wake struct{ After float64 }
 
 func (Apply) action()            {}
--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -42,7 +42,7 @@
 }
 
 // admit decides on a Subscribe. It returns 0, or why it is rejected and for how many ms the subscriber is to stay away. isNew is false
-// for a subscription that begins anew on its link: limits do not apply to it.
+// for a subscription that is restarted on its link: limits do not apply to it.
 func (d *Distributor) admit(isNew bool, m Subscribe) (reason RejectReason, retryAfter float64) {
 	switch {
 	case m.Stream != d.settings.Stream || d.epoch == 0:
--- a/internal/decide/distribution/parent_selection.go
+++ b/internal/decide/distribution/parent_selection.go
@@ -12,11 +12,11 @@
 type tier int
 
 const (
-	tierSite tier = iota
-	tierZone
-	tierRegion
-	tierRoot
-	tierElsewhere
+	tierSite      tier = iota // at the same site
+	tierZone                  // in the same zone
+	tierRegion                // in the same region
+	tierRoot                  // a member of the store, of any region
+	tierElsewhere             // in another region
 )
 
 func tierOf(self, p Peer) tier {
@@ -182,7 +182,8 @@
 	}
 }
 
-// scheduleCloserParent sets when a closer distributor is tried next, if there is one.
+// scheduleCloserParent sets when a closer distributor is tried next, if there is one: after a half to one and a half times
+// CloserParentInterval.
 func (s *Subscriber) scheduleCloserParent() {
 	s.closerParentAt = 0
 	if len(s.candidates) > 0 && s.closer(s.candidates[0]) {
--- a/internal/decide/distribution/receiving.go
+++ b/internal/decide/distribution/receiving.go
@@ -11,21 +11,11 @@
 // receive handles a message of the distributor. One of another stream, or of an epoch below one that was seen, ends the subscription.
 func (s *Subscriber) receive(e Received) {
 	s.lastReceivedAt = s.now
-	var epoch uint64
-	var stream Stream
-	switch m := e.Message.(type) {
-	case Batch:
-		epoch, stream = m.Epoch, m.Stream
-	case SnapshotChunk:
-		epoch, stream = m.Epoch, m.Stream
-	case Heartbeat:
-		epoch, stream = m.Epoch, m.Stream
-	case Rejected:
-		if m.Stream == s.settings.Stream {
-			s.handleRejected(m)
-			return
-		}
+	if m, isRejected := e.Message.(Rejected); isRejected && m.Stream == s.settings.Stream {
+		s.handleRejected(m)
+		return
 	}
+	stream, epoch := streamAndEpoch(e.Message)
 	if stream != s.settings.Stream || epoch == 0 {
 		s.leaveProtocolError()
 		return
@@ -48,6 +38,19 @@
 	}
 }
 
+// streamAndEpoch returns the stream and the epoch of a message that has both; zero for others.
+func streamAndEpoch(m Message) (Stream, uint64) {
+	switch m := m.(type) {
+	case Batch:
+		return m.Stream, m.Epoch
+	case SnapshotChunk:
+		return m.Stream, m.Epoch
+	case Heartbeat:
+		return m.Stream, m.Epoch
+	}
+	return 0, 0
+}
+
 // leaveProtocolError leaves a distributor that has sent what the protocol does not allow.
 func (s *Subscriber) leaveProtocolError() { s.leave(CauseProtocolError, s.settings.MaxBackoff, true) }
 
--- a/internal/decide/distribution/settings.go
+++ b/internal/decide/distribution/settings.go
@@ -11,7 +11,8 @@
 	// HeartbeatInterval is the time between two watermarks if nothing else is sent. A shorter one shows sooner that a distributor is
 	// gone, and costs some 20 bytes a heartbeat.
 	HeartbeatInterval float64
-	// SilenceTimeout: a distributor that sends nothing for so long is left, and one that has more and does not send it.
+	// SilenceTimeout is how long a distributor may send nothing, or nothing new although it has announced more. After the former it is
+	// left at once, after the latter once maxResubscribes requests have not helped.
 	SilenceTimeout float64
 	// ConnectTimeout is how long a link may take to be established, and a subscription to be answered.
 	ConnectTimeout float64
--- a/internal/decide/distribution/stream.go
+++ b/internal/decide/distribution/stream.go
@@ -9,9 +9,9 @@
 	Configuration                   // revisions, lists of sources, drains
 )
 
-// Position is a position in a stream. An epoch is one history of the store: it is raised only when the store begins another one, and
-// the sequence then begins anew. The sequence is the index in the store's log, so that all its members number alike; a stream uses
-// some of the indexes.
+// Position is a position in a stream. An epoch is one history of the store: it is raised only when the store begins
+// another one, as when it is set up again with an empty log, and the sequence then starts again. The sequence is the index in the store's log, which is the same at all
+// its members; as both streams come from one log, the sequences of each have gaps.
 type Position struct{ Epoch, Sequence uint64 }
 
 // Before reports whether p is earlier than q.
@@ -26,8 +26,8 @@
 	At       int64
 }
 
-// joinWatermarks combines two watermarks that hold: whoever has everything up to the later sequence lacks nothing before the later
-// time.
+// joinWatermarks combines two true watermarks: whoever has everything up to the later sequence lacks nothing that was committed before
+// the later time.
 func joinWatermarks(a, b Watermark) Watermark {
 	return Watermark{Sequence: max(a.Sequence, b.Sequence), At: max(a.At, b.At)}
 }
--- a/internal/decide/distribution/subscription.go
+++ b/internal/decide/distribution/subscription.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// subscribe begins a subscription, or begins one that exists anew from another position.
+// subscribe begins a subscription, or restarts the one on this link from another position.
 func (d *Distributor) subscribe(link Link, m Subscribe) {
 	s := d.links[link]
 	if reason, retryAfter := d.admit(s == nil, m); reason != 0 {
@@ -53,6 +53,7 @@
 		d.links[link] = s
 		d.subscriptions = append(d.subscriptions, s)
 	}
+	// What was sent on this link and has not been received yet still counts against the new credit.
 	inFlight := s.sentBytes - min(m.ReceivedBytes, s.sentBytes)
 	s.window, s.credit, s.lastReceivedAt = m.Credit, m.Credit-int(inFlight), d.now
 	s.cursor, s.snapshot, s.nextChunk = m.From.Sequence, nil, 0
--- a/internal/decide/storestate/change.go
+++ b/internal/decide/storestate/change.go
@@ -39,7 +39,7 @@
 	Object    string  `cbor:"1,keyasint,omitempty" json:"object,omitempty"` // empty: the purge is of a group
 	Group     int     `cbor:"2,keyasint,omitempty" json:"group,omitempty"`
 	IssuedAt  float64 `cbor:"3,keyasint" json:"made_ms"`            // copies made before this time are void
-	ExpiresAt float64 `cbor:"4,keyasint,omitempty" json:"until_ms"` // from then on no older copy can be left
+	ExpiresAt float64 `cbor:"4,keyasint,omitempty" json:"until_ms"` // from then on no older copy can be left; ignored in a Change, which has its own
 }
 
 // Change is one entry of the log. Which fields count depends on its kind.
--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -52,12 +52,13 @@
 	defer close(j.done)
 	for range j.wake {
 		j.waitForBatch()
-		if closed := j.drainQueue(); closed {
+		if closed := j.writeQueue(); closed {
 			return
 		}
 	}
 }
 
+// waitForBatch waits BatchDelay ms for more records.
 func (j *Journal) waitForBatch() {
 	if j.opt.BatchDelay <= 0 {
 		return
@@ -67,8 +68,8 @@
 	<-gathered
 }
 
-// drainQueue writes batches until the queue is empty, and reports whether the journal is closed.
-func (j *Journal) drainQueue() (closed bool) {
+// writeQueue writes batches until the queue is empty, and reports whether the journal is closed.
+func (j *Journal) writeQueue() (closed bool) {
 	for {
 		batch, closed := j.nextBatch()
 		if len(batch) == 0 {
@@ -78,7 +79,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue. A roll ends its batch.
+// nextBatch removes the next batch from the queue, of about maxBatchSize bytes at most. An entry that starts a new segment (see
+// entry.roll) is the last of its batch.
 func (j *Journal) nextBatch() (batch []*entry, closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -112,6 +114,8 @@
 	}
 }
 
+// writeBatch writes and syncs a batch, in a new segment if the present one is full, and starts a new one after it if the batch asks
+// for that. It returns ErrDiskFull, ErrFailed, or the error of a write that was undone.
 func (j *Journal) writeBatch(batch []*entry) error {
 	if j.fileSize >= j.opt.SegmentSize {
 		if err := j.startSegment(); errors.Is(err, syscall.ENOSPC) {
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -65,14 +65,22 @@
 	return nil
 }
 
+// Raft's times with Options.FastElections, in place of its defaults.
+const (
+	fastElectionTimeout  = 150 * time.Millisecond // without a heartbeat of the leader, and of an election
+	fastLeaseTimeout     = 100 * time.Millisecond // after which a leader without a quorum steps down
+	fastCommitTimeout    = 5 * time.Millisecond   // after which the followers are told of a commit if no entry follows
+	fastSnapshotInterval = 50 * time.Millisecond  // between two checks whether a snapshot is due
+)
+
 func (s *Store) raftConfig() *raft.Config {
 	conf := raft.DefaultConfig()
 	conf.Logger = hclog.NewNullLogger()
 	conf.LocalID = raft.ServerID(s.opt.Self.Name)
 	if s.opt.FastElections {
-		conf.HeartbeatTimeout, conf.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
-		conf.LeaderLeaseTimeout, conf.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
-		conf.SnapshotInterval = 50 * time.Millisecond
+		conf.HeartbeatTimeout, conf.ElectionTimeout = fastElectionTimeout, fastElectionTimeout
+		conf.LeaderLeaseTimeout, conf.CommitTimeout = fastLeaseTimeout, fastCommitTimeout
+		conf.SnapshotInterval = fastSnapshotInterval
 	}
 	if s.opt.SnapshotThreshold > 0 {
 		conf.SnapshotThreshold, conf.TrailingLogs = s.opt.SnapshotThreshold, s.opt.TrailingLogs
