--- a/internal/decide/distribution/stream.go
+++ b/internal/decide/distribution/stream.go
@@ -10,8 +10,8 @@
 )
 
 // Position is a position in a stream. An epoch is one history of the store: it is raised only when the store begins
-// another one, as when it is set up again with an empty log, and the sequence then starts again. The sequence is the index in the store's log, which is the same at all
-// its members; as both streams come from one log, the sequences of each have gaps.
+// another one, as when it is set up again with an empty log, and the sequence then starts again. The sequence is the index in the
+// store's log, which is the same at all its members; as both streams come from one log, the sequences of each have gaps.
 type Position struct{ Epoch, Sequence uint64 }
 
 // Before reports whether p is earlier than q.
