--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -122,7 +122,7 @@
 	if first, ok := readHeader(b); last && !ok && len(b) <= headerSize {
 		return j.dropTornSegment(i, len(b))
 	} else if ok && (first != j.segments[i] || first > j.next) {
-		return &DamageError{j.path(name), 8, fmt.Sprintf("begins with record %d where %d is due", first, j.next)}
+		return &DamageError{j.path(name), firstOffset, fmt.Sprintf("begins with record %d where %d is due", first, j.next)}
 	}
 	end, next, err := scan(j.path(name), b, last, func(number uint64, payload []byte) error {
 		if number < j.next {
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -16,6 +16,7 @@
 // the header. batch is the number of the first record that was synced together with this one.
 const (
 	segmentMagic     = "RWJRNL01"
+	firstOffset      = 8  // of first in the header, in bytes
 	headerSize       = 24 // bytes
 	recordHeaderSize = 24 // bytes
 )
@@ -32,10 +33,10 @@
 
 // readHeader returns the number of a segment's first record. ok is false if the header is incomplete or damaged.
 func readHeader(b []byte) (first uint64, ok bool) {
-	if len(b) < headerSize || string(b[:8]) != segmentMagic || crc32.Checksum(b[:16], castagnoli) != binary.LittleEndian.Uint32(b[16:]) {
+	if len(b) < headerSize || string(b[:firstOffset]) != segmentMagic || crc32.Checksum(b[:16], castagnoli) != binary.LittleEndian.Uint32(b[16:]) {
 		return 0, false
 	}
-	return binary.LittleEndian.Uint64(b[8:]), true
+	return binary.LittleEndian.Uint64(b[firstOffset:]), true
 }
 
 func appendRecord(b []byte, number, batch uint64, payload []byte) []byte {
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -17,9 +17,21 @@
 const (
 	snapshotMagic      = "RWSNAP01"
 	snapshotHeaderSize = 32 // bytes
+
+	// The offsets of the header's fields, in bytes.
+	snapshotCoversOffset    = 8
+	snapshotSizeOffset      = 16
+	snapshotCRCOffset       = 24
+	snapshotHeaderCRCOffset = 28
 )
 
-// readSnapshot returns the state in the snapshot of the records up to a number.
+// headerChecksum returns the checksum of a snapshot's header.
+func headerChecksum(b []byte) uint32 {
+	return crc32.Checksum(b[snapshotCoversOffset:snapshotHeaderCRCOffset], castagnoli)
+}
+
+// readSnapshot returns the state in the snapshot that covers the records up to a number. It returns a DamageError for a damaged
+// file, or the error of the file system.
 func (j *Journal) readSnapshot(covers uint64) ([]byte, error) {
 	name := snapshotName(covers)
 	b, err := j.readFile(name)
@@ -28,18 +40,18 @@
 	}
 	damaged := func(offset int, reason string) error { return &DamageError{j.path(name), int64(offset), reason} }
 	switch {
-	case len(b) < snapshotHeaderSize || string(b[:8]) != snapshotMagic:
+	case len(b) < snapshotHeaderSize || string(b[:snapshotCoversOffset]) != snapshotMagic:
 		return nil, damaged(0, "its header can't be read")
-	case binary.LittleEndian.Uint64(b[8:]) != covers:
-		return nil, damaged(8, "it covers other records than its name says")
-	case crc32.Checksum(b[8:28], castagnoli) != binary.LittleEndian.Uint32(b[28:]):
-		return nil, damaged(8, "its header's checksum is wrong")
-	case crc32.Checksum(b[snapshotHeaderSize:], castagnoli) != binary.LittleEndian.Uint32(b[24:]):
+	case binary.LittleEndian.Uint64(b[snapshotCoversOffset:]) != covers:
+		return nil, damaged(snapshotCoversOffset, "it covers other records than its name says")
+	case headerChecksum(b) != binary.LittleEndian.Uint32(b[snapshotHeaderCRCOffset:]):
+		return nil, damaged(snapshotCoversOffset, "its header's checksum is wrong")
+	case crc32.Checksum(b[snapshotHeaderSize:], castagnoli) != binary.LittleEndian.Uint32(b[snapshotCRCOffset:]):
 		return nil, damaged(snapshotHeaderSize, "its checksum is wrong")
 	}
-	size := binary.LittleEndian.Uint64(b[16:])
+	size := binary.LittleEndian.Uint64(b[snapshotSizeOffset:])
 	if size > maxSnapshotSize {
-		return nil, damaged(16, fmt.Sprintf("its state is larger than %d bytes", maxSnapshotSize))
+		return nil, damaged(snapshotSizeOffset, fmt.Sprintf("its state is larger than %d bytes", maxSnapshotSize))
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSnapshotSize))
 	if err != nil {
@@ -67,7 +79,7 @@
 	b = binary.LittleEndian.AppendUint64(b, covers)
 	b = binary.LittleEndian.AppendUint64(b, uint64(len(state)))
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(compressed, castagnoli))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[8:28], castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, headerChecksum(b))
 	return append(b, compressed...), nil
 }
 
