--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -88,6 +88,8 @@
 
 func link(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
+// dial connects two members, unless they are cut off from one another. It looks again once the connection is up: one that is
+// registered after isolate has closed the others would stay.
 func (c *cluster) dial(from, addr string, wait time.Duration) (net.Conn, error) {
 	c.mu.Lock()
 	to := ""
@@ -96,18 +98,25 @@
 			to = n
 		}
 	}
-	cut := c.cut[link(from, to)]
+	pair := link(from, to)
+	cut := c.cut[pair]
 	c.mu.Unlock()
+	errCut := fmt.Errorf("%s and %s are cut off from one another", from, to)
 	if cut {
-		return nil, fmt.Errorf("%s and %s are cut off from one another", from, to)
+		return nil, errCut
 	}
 	nc, err := net.DialTimeout("tcp", addr, wait)
-	if err == nil {
-		c.mu.Lock()
-		c.links[link(from, to)] = append(c.links[link(from, to)], nc)
-		c.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cut[pair] {
+		nc.Close()
+		return nil, errCut
 	}
-	return nc, err
+	c.links[pair] = append(c.links[pair], nc)
+	return nc, nil
 }
 
 // isolate cuts a member off from all others, or connects it again.
