--- a/cmd/ravenwheel/revisions.go
+++ b/cmd/ravenwheel/revisions.go
@@ -48,7 +48,7 @@
 	a.log.SetLevel(a.logLevel(live))
 	limits := a.limits(live)
 	a.core.SetMaxRequests(limits.MaxOpenRequests)
-	a.pools.SetLimits(limits.StreamsPerConn, limits.ConnectTimeoutMs, limits.IdleTimeoutMs)
+	a.pools.SetLimits(limits.AttemptsPerConn, limits.ConnectTimeoutMs, limits.IdleTimeoutMs)
 	if a.signed != nil {
 		a.signed.SetLeeway(a.leewayMs(live))
 	}
@@ -92,7 +92,7 @@
 		MaxOpenRequests:  a.conf.MaxOpenRequests,
 		ConnectTimeoutMs: a.conf.ConnectTimeoutMs,
 		IdleTimeoutMs:    a.conf.IdleTimeoutMs,
-		StreamsPerConn:   a.conf.StreamsPerConn,
+		AttemptsPerConn:  a.conf.AttemptsPerConn,
 	}
 }
 
--- a/cmd/ravenwheel/revisions_test.go
+++ b/cmd/ravenwheel/revisions_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, err)
 	var used []uint64
 	l := &revisionApplier{
-		store: st, log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		store: st, log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, AttemptsPerConn: 32, ConnectTimeoutMs: 400},
 		file: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, onApplied: func(n uint64) { used = append(used, n) },
 	}
 	set := func(base uint64, text string) {
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	var used []uint64
 	l := &revisionApplier{
-		log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, StreamsPerConn: 32, ConnectTimeoutMs: 400},
+		log: log, core: p.Core, pools: p.Pools, conf: &config.Config{MaxOpenRequests: 4096, AttemptsPerConn: 32, ConnectTimeoutMs: 400},
 		file: &config.OperatorFile{LogOptions: logs.Options{Level: "error"}}, onApplied: func(n uint64) { used = append(used, n) },
 	}
 	good := `{"log": {"level": "info"}, "keys": {"k1": {"alg": "HS256", "key": "eA=="}}}`
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -122,7 +122,7 @@
 func newCore(env environment) (*upstream.Pools, *core.Core, error) {
 	conf := env.conf
 	pools := upstream.New(env.clock, upstream.Limits{
-		AttemptsPerConn: conf.StreamsPerConn,
+		AttemptsPerConn: conf.AttemptsPerConn,
 		ConnsPerServer:  min(maxConnsPerServer, max(minConnsPerServer, conf.Sockets/connsPerServerFraction)),
 		ConnectTimeout:  conf.ConnectTimeoutMs,
 		IdleTimeout:     conf.IdleTimeoutMs,
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -23,7 +23,7 @@
 // The ranges of values that both an operator's file and a live revision set.
 var (
 	openRequestsRange     = valueRange{4096, 1, maxCount}
-	streamsPerConnRange   = valueRange{defaultStreamsPerConn, 1, 1000}
+	attemptsPerConnRange  = valueRange{defaultAttemptsPerConn, 1, 1000}
 	connectTimeoutMsRange = valueRange{defaultConnectTimeoutMs, 1, 60_000}
 	idleTimeoutMsRange    = valueRange{30_000, 0, dayMs}
 	tokenLeewayMsRange    = valueRange{0, 0, dayMs}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,7 +39,7 @@
 	InitialRevision uint64                  // of discovery, as of these
 
 	MaxOpenRequests  int // 0: the core's default
-	StreamsPerConn   int // attempts in flight on one connection to a server
+	AttemptsPerConn  int // attempts in flight on one connection to a server
 	IdleTimeoutMs    float64
 	ConnectTimeoutMs float64
 }
@@ -159,7 +159,7 @@
 	c.Names = discoveryclient.Names{Zones: settings.Zones, Kinds: settings.Kinds}
 	bounds := &settings.Bounds
 	c.MaxOpenRequests = int(bounds.MaxOpenRequests)
-	c.StreamsPerConn = cmp.Or(int(bounds.StreamsPerConn), defaultStreamsPerConn)
+	c.AttemptsPerConn = cmp.Or(int(bounds.AttemptsPerConn), defaultAttemptsPerConn)
 	c.IdleTimeoutMs = bounds.IdleTimeoutUs / microsecondsPerMs
 	c.ConnectTimeoutMs = cmp.Or(bounds.ConnectTimeoutUs/microsecondsPerMs, defaultConnectTimeoutMs)
 	return nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -103,7 +103,7 @@
 	line("kinds", c.Names.Kinds)
 	line("known events", len(c.InitialEvents))
 	line("revision", c.InitialRevision)
-	line("streams per connection", c.StreamsPerConn)
+	line("streams per connection", c.AttemptsPerConn)
 	line("requests", c.MaxOpenRequests)
 	line("idle ms", c.IdleTimeoutMs)
 	line("connect ms", c.ConnectTimeoutMs)
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -18,7 +18,7 @@
 	MaxOpenRequests  int     `json:"requests"`
 	ConnectTimeoutMs float64 `json:"connect_ms"`
 	IdleTimeoutMs    float64 `json:"idle_ms"`
-	StreamsPerConn   int     `json:"streams_per_connection"`
+	AttemptsPerConn  int     `json:"streams_per_connection"`
 }
 
 // LiveSigned is what a revision changes of the signed front.
@@ -67,7 +67,7 @@
 	if l.Limits != nil {
 		c := checker{doc, "limits"}
 		c.count("requests", &l.Limits.MaxOpenRequests, openRequestsRange)
-		c.count("streams_per_connection", &l.Limits.StreamsPerConn, streamsPerConnRange)
+		c.count("streams_per_connection", &l.Limits.AttemptsPerConn, attemptsPerConnRange)
 		c.number("connect_ms", &l.Limits.ConnectTimeoutMs, connectTimeoutMsRange)
 		c.number("idle_ms", &l.Limits.IdleTimeoutMs, idleTimeoutMsRange)
 	}
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -12,8 +12,8 @@
 
 // The defaults of what the platform's settings may leave out. They are also those of an operator's file.
 const (
-	// defaultStreamsPerConn is the number of attempts in flight on one connection.
-	defaultStreamsPerConn = 32
+	// defaultAttemptsPerConn is the number of attempts in flight on one connection.
+	defaultAttemptsPerConn = 32
 	// defaultConnectTimeoutMs bounds connecting: the system's own timeout is minutes.
 	defaultConnectTimeoutMs = 400
 )
@@ -45,26 +45,26 @@
 
 // platformClass is a class of requests.
 type platformClass struct {
-	Name           string  `json:"Name"`
-	Effect         string  `json:"Effect"`
-	TargetUs       float64 `json:"TargetUs"`
-	DeadlineUs     float64 `json:"DeadlineUs"`
-	DedupWindowUs  float64 `json:"WindowUs"`
-	TargetStretch  float64 `json:"AimStretch"`
-	PriorityWeight float64 `json:"Worth"`
-	LateFraction   float64 `json:"LateValue"`
+	Name               string  `json:"Name"`
+	Effect             string  `json:"Effect"`
+	LatencyObjectiveUs float64 `json:"TargetUs"`
+	DeadlineUs         float64 `json:"DeadlineUs"`
+	DedupWindowUs      float64 `json:"WindowUs"`
+	ObjectiveStretch   float64 `json:"AimStretch"`
+	PriorityWeight     float64 `json:"Worth"`
+	LateFraction       float64 `json:"LateValue"`
 }
 
 type platformRules struct {
 	DrainGraceUs     float64 `json:"DrainGraceUs"`
 	InitialCapacity  float64 `json:"ColdFrom"`
 	WarmUpUs         float64 `json:"WarmWithinUs"`
-	OverloadFactor   float64 `json:"FallMultiple"`
-	OverloadWithinUs float64 `json:"FallUs"`
+	OverloadMultiple float64 `json:"FallMultiple"`
+	OverloadWindowUs float64 `json:"FallUs"`
 }
 
 type platformBounds struct {
-	StreamsPerConn   float64 `json:"StreamsPerConn"`
+	AttemptsPerConn  float64 `json:"StreamsPerConn"`
 	MaxOpenRequests  float64 `json:"MostHeld"`
 	MaxAttempts      float64 `json:"MostTries"`
 	IdleTimeoutUs    float64 `json:"ConnIdleUs"`
@@ -82,13 +82,13 @@
 	ZoneHomeHub     []float64 `json:"HomeHub"`
 	ZoneLinkKBPerS  []float64 `json:"ZoneLinkKbPerS"`
 
-	OriginKind            *float64 `json:"RootKind"`       // index into Kinds
-	ParentKind            *float64 `json:"SecondTierKind"` // index into Kinds
-	FlowKBPerS            float64  `json:"FlowKbPerS"`
-	PurgePropagationUs    float64  `json:"PurgeTakesUs"`
-	ParentInitialCapacity float64  `json:"ParentColdFrom"`
-	ParentWarmUpUs        float64  `json:"ParentWarmsInUs"`
-	ParentOverloadFactor  float64  `json:"ParentBreaksAt"`
+	OriginKind             *float64 `json:"RootKind"`       // index into Kinds
+	ParentKind             *float64 `json:"SecondTierKind"` // index into Kinds
+	TransferKBPerS         float64  `json:"FlowKbPerS"`
+	PurgeDurationUs        float64  `json:"PurgeTakesUs"`
+	ParentInitialCapacity  float64  `json:"ParentColdFrom"`
+	ParentWarmUpUs         float64  `json:"ParentWarmsInUs"`
+	ParentOverloadMultiple float64  `json:"ParentBreaksAt"`
 }
 
 // check returns the first value that can't be used, as a SettingError.
@@ -124,7 +124,7 @@
 		return settingErrorf(path+".WindowUs", "%v is not above 0, and repeats of the class are discarded for so long", k.DedupWindowUs)
 	}
 	return notNegative(path, map[string]float64{
-		"TargetUs": k.TargetUs, "WindowUs": k.DedupWindowUs, "AimStretch": k.TargetStretch, "Worth": k.PriorityWeight,
+		"TargetUs": k.LatencyObjectiveUs, "WindowUs": k.DedupWindowUs, "AimStretch": k.ObjectiveStretch, "Worth": k.PriorityWeight,
 		"LateValue": k.LateFraction,
 	})
 }
@@ -213,15 +213,15 @@
 	return cmp.Or(
 		notNegative("settings.Rules", map[string]float64{
 			"DrainGraceUs": rules.DrainGraceUs, "ColdFrom": rules.InitialCapacity, "WarmWithinUs": rules.WarmUpUs,
-			"FallMultiple": rules.OverloadFactor, "FallUs": rules.OverloadWithinUs,
+			"FallMultiple": rules.OverloadMultiple, "FallUs": rules.OverloadWindowUs,
 		}),
 		notNegative("settings.Bounds", map[string]float64{
-			"StreamsPerConn": bounds.StreamsPerConn, "MostHeld": bounds.MaxOpenRequests, "MostTries": bounds.MaxAttempts,
+			"StreamsPerConn": bounds.AttemptsPerConn, "MostHeld": bounds.MaxOpenRequests, "MostTries": bounds.MaxAttempts,
 			"ConnIdleUs": bounds.IdleTimeoutUs, "ConnectTimeoutUs": bounds.ConnectTimeoutUs,
 		}),
 		notNegative("settings.FamilyInfo", map[string]float64{
-			"FlowKbPerS": site.FlowKBPerS, "PurgeTakesUs": site.PurgePropagationUs, "ParentColdFrom": site.ParentInitialCapacity,
-			"ParentWarmsInUs": site.ParentWarmUpUs, "ParentBreaksAt": site.ParentOverloadFactor,
+			"FlowKbPerS": site.TransferKBPerS, "PurgeTakesUs": site.PurgeDurationUs, "ParentColdFrom": site.ParentInitialCapacity,
+			"ParentWarmsInUs": site.ParentWarmUpUs, "ParentBreaksAt": site.ParentOverloadMultiple,
 		}),
 	)
 }
--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, policy.IdempotentByKey, c.Settings.Classes[1].Idempotency)
 	require.True(t, c.Settings.WeightsKnown && c.Settings.MayBypassCaches && c.Settings.CoalescesFills)
 	require.Equal(t, []float64{0, 0, 91000.5, 45000}, c.Settings.LinkKBPerS)
-	require.Equal(t, 32, c.StreamsPerConn)
+	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 
 	// Numbers in another form are the same numbers.
@@ -51,7 +51,7 @@
 	bare := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
 	c, err = parse(bare)
 	require.NoError(t, err)
-	require.Equal(t, 32, c.StreamsPerConn)
+	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 }
 
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -24,7 +24,7 @@
 	Sockets          int     `json:"sockets"`
 	MaxOpenRequests  int     `json:"requests"`
 	MaxAttempts      int     `json:"tries"`                  // for one request
-	StreamsPerConn   int     `json:"streams_per_connection"` // attempts in flight on one connection
+	AttemptsPerConn  int     `json:"streams_per_connection"` // attempts in flight on one connection
 	ConnectTimeoutMs float64 `json:"connect_ms"`
 	IdleTimeoutMs    float64 `json:"idle_ms"`    // after which a cache server closes an idle connection
 	MaxRetryAfterMs  float64 `json:"backoff_ms"` // advice to clients with a rejection; 0: none
@@ -32,32 +32,32 @@
 
 // Site is what all proxies of a site share.
 type Site struct {
-	Zones              []string           `json:"zones"`
-	HomeHub            map[string]string  `json:"home_hub"`      // by zone, of those with clients
-	Proxies            map[string]int     `json:"proxies"`       // how many, by zone; a zone without has no clients
-	LinkKBPerSecond    map[string]float64 `json:"link_kb_per_s"` // by zone
-	Kinds              []string           `json:"kinds"`         // of servers
-	ParentKind         string             `json:"parent_kind"`   // empty: there are no parents
-	OriginKind         string             `json:"origin_kind"`
-	FlowKBPerSecond    float64            `json:"flow_kb_per_s"` // of one transfer to a client; 0: not known
-	SiblingFills       string             `json:"siblings"`      // from which siblings a server may fill: none, location or any
-	HedgedRequests     bool               `json:"second_copies"` // read for compatibility, and not used
-	BypassCaches       bool               `json:"direct"`        // a request may go straight to a parent or the origin
-	JoinFills          bool               `json:"joins"`         // a request may join a fill that is in flight
-	DrainGraceMs       float64            `json:"drain_grace_ms"`
-	PurgeGraceMs       float64            `json:"purge_grace_ms"`
-	PurgePropagationMs float64            `json:"purge_takes_ms"`
-	AnswerSlackMs      float64            `json:"answer_slack_ms"`
-	SlowStart          *SlowStart         `json:"cold"`
-	ParentSlowStart    *SlowStart         `json:"parent_cold"`
+	Zones               []string           `json:"zones"`
+	HomeHub             map[string]string  `json:"home_hub"`      // by zone, of those with clients
+	Proxies             map[string]int     `json:"proxies"`       // how many, by zone; a zone without has no clients
+	LinkKBPerSecond     map[string]float64 `json:"link_kb_per_s"` // by zone
+	Kinds               []string           `json:"kinds"`         // of servers
+	ParentKind          string             `json:"parent_kind"`   // empty: there are no parents
+	OriginKind          string             `json:"origin_kind"`
+	TransferKBPerSecond float64            `json:"flow_kb_per_s"` // of one transfer to a client; 0: not known
+	SiblingFills        string             `json:"siblings"`      // from which siblings a server may fill: none, location or any
+	HedgedRequests      bool               `json:"second_copies"` // read for compatibility, and not used
+	MayBypassCaches     bool               `json:"direct"`        // a request may go straight to a parent or the origin
+	CoalescesFills      bool               `json:"joins"`         // a request may join a fill that is in flight
+	DrainGraceMs        float64            `json:"drain_grace_ms"`
+	PurgeGraceMs        float64            `json:"purge_grace_ms"`
+	PurgeDurationMs     float64            `json:"purge_takes_ms"`
+	FinalAnswerGraceMs  float64            `json:"answer_slack_ms"`
+	CacheWarmUp         *WarmUp            `json:"cold"`
+	ParentWarmUp        *WarmUp            `json:"parent_cold"`
 }
 
-// SlowStart is how much load a server takes after its start, and what overloads it.
-type SlowStart struct {
+// WarmUp is how much load a server takes after its start, and what overloads it.
+type WarmUp struct {
 	InitialCapacity  float64 `json:"from"`            // fraction of the full capacity at the start
-	WarmUpMs         float64 `json:"warm_within_ms"`  // until the full capacity
-	OverloadFactor   float64 `json:"falls_at"`        // a load of so many times the present capacity
-	OverloadWithinMs float64 `json:"falls_within_ms"` // crashes the server within so long
+	DurationMs       float64 `json:"warm_within_ms"`  // until the full capacity
+	OverloadMultiple float64 `json:"falls_at"`        // a load of so many times the present capacity
+	OverloadWindowMs float64 `json:"falls_within_ms"` // crashes the server within so long
 }
 
 // The effects of a class: what repeating a request may do.
@@ -71,20 +71,20 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name           string  `json:"name"`
-	TargetMs       float64 `json:"target_ms"` // the latency objective
-	TargetStretch  float64 `json:"stretch"`   // the objective grows by so many times the transfer time
-	DeadlineMs     float64 `json:"deadline_ms"`
-	PriorityWeight float64 `json:"worth"`
-	LateFraction   float64 `json:"late_value"` // of the weight, for an answer after the objective
-	Effect         string  `json:"effect"`     // idempotent, deduplicated or at_most_once
-	DedupScope     string  `json:"group"`      // of deduplicated requests: all, zone or cell
-	DedupWindowMs  float64 `json:"window_ms"`  // of deduplicated requests: how long repeats are discarded
-	Uncached       bool    `json:"uncached"`   // runs at the origin and is never cached
-	InParts        bool    `json:"in_parts"`   // objects are requested part by part
-	FreshMs        float64 `json:"fresh_ms"`   // 0: until purged
-	StaleMs        float64 `json:"stale_ms"`   // how long after that a stale copy may be served
-	StaleFraction  float64 `json:"stale_worth"`
+	Name               string  `json:"name"`
+	LatencyObjectiveMs float64 `json:"target_ms"` // the latency objective
+	ObjectiveStretch   float64 `json:"stretch"`   // the objective grows by so many times the transfer time
+	DeadlineMs         float64 `json:"deadline_ms"`
+	PriorityWeight     float64 `json:"worth"`
+	LateFraction       float64 `json:"late_value"` // of the weight, for an answer after the objective
+	Effect             string  `json:"effect"`     // idempotent, deduplicated or at_most_once
+	DedupScope         string  `json:"group"`      // of deduplicated requests: all, zone or cell
+	DedupWindowMs      float64 `json:"window_ms"`  // of deduplicated requests: how long repeats are discarded
+	Uncached           bool    `json:"uncached"`   // runs at the origin and is never cached
+	InParts            bool    `json:"in_parts"`   // objects are requested part by part
+	FreshMs            float64 `json:"fresh_ms"`   // 0: until purged
+	StaleMs            float64 `json:"stale_ms"`   // how long after that a stale copy may be served
+	StaleFraction      float64 `json:"stale_worth"`
 }
 
 // checkStandalone validates the parts that take the place of the platform's configuration.
@@ -105,7 +105,7 @@
 	c.count("sockets", &l.Sockets, valueRange{1024, 32, maxCount})
 	c.count("requests", &l.MaxOpenRequests, openRequestsRange)
 	c.count("tries", &l.MaxAttempts, valueRange{8, 1, 64})
-	c.count("streams_per_connection", &l.StreamsPerConn, streamsPerConnRange)
+	c.count("streams_per_connection", &l.AttemptsPerConn, attemptsPerConnRange)
 	c.number("connect_ms", &l.ConnectTimeoutMs, connectTimeoutMsRange)
 	c.number("idle_ms", &l.IdleTimeoutMs, idleTimeoutMsRange)
 	c.number("backoff_ms", &l.MaxRetryAfterMs, valueRange{500, 0, 60_000})
@@ -125,13 +125,13 @@
 	s.checkZones(c, ownZone)
 	s.SiblingFills = cmp.Or(s.SiblingFills, "location")
 	c.oneOf("siblings", s.SiblingFills, "none", "location", "any")
-	c.number("flow_kb_per_s", &s.FlowKBPerSecond, valueRange{0, 0, 1e9})
+	c.number("flow_kb_per_s", &s.TransferKBPerSecond, valueRange{0, 0, 1e9})
 	c.number("drain_grace_ms", &s.DrainGraceMs, valueRange{2000, 0, dayMs})
 	c.number("purge_grace_ms", &s.PurgeGraceMs, valueRange{1000, 0, dayMs})
-	c.number("purge_takes_ms", &s.PurgePropagationMs, valueRange{6000, 0, dayMs})
-	c.number("answer_slack_ms", &s.AnswerSlackMs, valueRange{50, 0, 60_000})
-	s.SlowStart = checkSlowStart(checker{c.doc, "site.cold"}, s.SlowStart, SlowStart{0.15, 18_000, 3, 3000})
-	s.ParentSlowStart = checkSlowStart(checker{c.doc, "site.parent_cold"}, s.ParentSlowStart, SlowStart{0.06, 22_000, 2, 3000})
+	c.number("purge_takes_ms", &s.PurgeDurationMs, valueRange{6000, 0, dayMs})
+	c.number("answer_slack_ms", &s.FinalAnswerGraceMs, valueRange{50, 0, 60_000})
+	s.CacheWarmUp = checkWarmUp(checker{c.doc, "site.cold"}, s.CacheWarmUp, WarmUp{0.15, 18_000, 3, 3000})
+	s.ParentWarmUp = checkWarmUp(checker{c.doc, "site.parent_cold"}, s.ParentWarmUp, WarmUp{0.06, 22_000, 2, 3000})
 }
 
 // names reports a list that is empty or too long, and names that are empty or repeated.
@@ -179,15 +179,15 @@
 	}
 }
 
-// checkSlowStart validates one slow start, and returns it with the defaults in place of what is absent.
-func checkSlowStart(c checker, given *SlowStart, defaults SlowStart) *SlowStart {
+// checkWarmUp validates one slow start, and returns it with the defaults in place of what is absent.
+func checkWarmUp(c checker, given *WarmUp, defaults WarmUp) *WarmUp {
 	if given == nil {
-		given = &SlowStart{}
+		given = &WarmUp{}
 	}
 	c.number("from", &given.InitialCapacity, valueRange{defaults.InitialCapacity, 0.001, 1})
-	c.number("warm_within_ms", &given.WarmUpMs, valueRange{defaults.WarmUpMs, 0, dayMs})
-	c.number("falls_at", &given.OverloadFactor, valueRange{defaults.OverloadFactor, 1, 1000})
-	c.number("falls_within_ms", &given.OverloadWithinMs, valueRange{defaults.OverloadWithinMs, 1, dayMs})
+	c.number("warm_within_ms", &given.DurationMs, valueRange{defaults.DurationMs, 0, dayMs})
+	c.number("falls_at", &given.OverloadMultiple, valueRange{defaults.OverloadMultiple, 1, 1000})
+	c.number("falls_within_ms", &given.OverloadWindowMs, valueRange{defaults.OverloadWindowMs, 1, dayMs})
 	return given
 }
 
@@ -208,8 +208,8 @@
 	c.oneOf("effect", k.Effect, effects...)
 	c.oneOf("group", k.DedupScope, "", "all", "zone", "cell")
 	c.number("deadline_ms", &k.DeadlineMs, valueRange{0, 1, dayMs})
-	c.number("target_ms", &k.TargetMs, valueRange{k.DeadlineMs, 1, k.DeadlineMs})
-	c.number("stretch", &k.TargetStretch, valueRange{0, 0, 1000})
+	c.number("target_ms", &k.LatencyObjectiveMs, valueRange{k.DeadlineMs, 1, k.DeadlineMs})
+	c.number("stretch", &k.ObjectiveStretch, valueRange{0, 0, 1000})
 	c.number("worth", &k.PriorityWeight, valueRange{1, 0, 1e6})
 	c.number("late_value", &k.LateFraction, valueRange{0.1, 0, 1})
 	c.number("window_ms", &k.DedupWindowMs, valueRange{0, 0, dayMs})
--- a/internal/config/standalone_config.go
+++ b/internal/config/standalone_config.go
@@ -11,11 +11,11 @@
 
 // The module's terms for the words of an operator's file.
 var (
-	siblingReach = map[string]policy.SiblingScope{"none": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny}
-	classEffects = map[string]policy.Idempotency{
+	siblingScopes = map[string]policy.SiblingScope{"none": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny}
+	idempotencies = map[string]policy.Idempotency{
 		effectIdempotent: policy.Idempotent, effectDeduplicated: policy.IdempotentByKey, effectAtMostOnce: policy.NotIdempotent,
 	}
-	dedupGroups = map[string]policy.DedupScope{
+	dedupScopes = map[string]policy.DedupScope{
 		"": policy.DedupAll, "all": policy.DedupAll, "zone": policy.DedupZone, "cell": policy.DedupCell,
 	}
 )
@@ -32,7 +32,7 @@
 		Sockets:          limits.Sockets,
 		Names:            discoveryclient.Names{Zones: f.Site.Zones, Kinds: f.Site.Kinds},
 		MaxOpenRequests:  limits.MaxOpenRequests,
-		StreamsPerConn:   limits.StreamsPerConn,
+		AttemptsPerConn:  limits.AttemptsPerConn,
 		IdleTimeoutMs:    limits.IdleTimeoutMs,
 		ConnectTimeoutMs: limits.ConnectTimeoutMs,
 		Settings:         f.Site.settings(),
@@ -60,17 +60,17 @@
 	settings := policy.Settings{
 		ParentKind:       slices.Index(s.Kinds, s.ParentKind),
 		OriginKind:       slices.Index(s.Kinds, s.OriginKind),
-		MayBypassCaches:  s.BypassCaches,
-		CoalescesFills:   s.JoinFills,
-		SiblingFills:     siblingReach[s.SiblingFills],
+		MayBypassCaches:  s.MayBypassCaches,
+		CoalescesFills:   s.CoalescesFills,
+		SiblingFills:     siblingScopes[s.SiblingFills],
 		OutcomeDetail:    policy.DetailAll,
-		TransferKBPerS:   s.FlowKBPerSecond,
-		PurgeDuration:    clock.Duration(s.PurgePropagationMs),
+		TransferKBPerS:   s.TransferKBPerSecond,
+		PurgeDuration:    clock.Duration(s.PurgeDurationMs),
 		PurgeGrace:       clock.Duration(s.PurgeGraceMs),
 		DrainGrace:       clock.Duration(s.DrainGraceMs),
-		FinalAnswerGrace: clock.Duration(s.AnswerSlackMs),
-		CacheWarmUp:      s.SlowStart.settings(),
-		ParentWarmUp:     s.ParentSlowStart.settings(),
+		FinalAnswerGrace: clock.Duration(s.FinalAnswerGraceMs),
+		CacheWarmUp:      s.CacheWarmUp.settings(),
+		ParentWarmUp:     s.ParentWarmUp.settings(),
 		WeightsKnown:     true,
 	}
 	for _, zone := range s.Zones {
@@ -82,24 +82,24 @@
 	return settings
 }
 
-func (s *SlowStart) settings() policy.WarmUp {
+func (s *WarmUp) settings() policy.WarmUp {
 	return policy.WarmUp{
 		InitialCapacity:  s.InitialCapacity,
-		Duration:         clock.Duration(s.WarmUpMs),
-		OverloadMultiple: s.OverloadFactor,
-		OverloadWindow:   clock.Duration(s.OverloadWithinMs),
+		Duration:         clock.Duration(s.DurationMs),
+		OverloadMultiple: s.OverloadMultiple,
+		OverloadWindow:   clock.Duration(s.OverloadWindowMs),
 	}
 }
 
 func (k *Class) settings() policy.Class {
 	return policy.Class{
-		LatencyObjective: clock.Duration(k.TargetMs),
-		ObjectiveStretch: k.TargetStretch,
+		LatencyObjective: clock.Duration(k.LatencyObjectiveMs),
+		ObjectiveStretch: k.ObjectiveStretch,
 		Deadline:         clock.Duration(k.DeadlineMs),
 		PriorityWeight:   k.PriorityWeight,
 		LateFraction:     k.LateFraction,
-		Idempotency:      classEffects[k.Effect],
-		DedupScope:       dedupGroups[k.DedupScope],
+		Idempotency:      idempotencies[k.Effect],
+		DedupScope:       dedupScopes[k.DedupScope],
 		DedupWindow:      clock.Duration(k.DedupWindowMs),
 		Uncached:         k.Uncached,
 		Multipart:        k.InParts,
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -25,7 +25,7 @@
 // Timeout is how long a change of the store may take.
 func (s *Store) Timeout() time.Duration { return clock.Duration(s.TimeoutMs) }
 
-// Open starts this member. onChange is as store.Options.Facts. It returns the errors of reading the identity, of making the
+// Open starts this member. onChange is store.Options.OnChange. It returns the errors of reading the identity, of making the
 // directory and of store.Open.
 func (s *Store) Open(clk *clock.Clock, onChange func(storestate.Change)) (*store.Store, error) {
 	options := store.Options{Timeout: s.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, OnChange: onChange}
--- a/internal/front/signed/request.go
+++ b/internal/front/signed/request.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	objectForm = regexp.MustCompile(`^[0-9a-f]{16}$`)
-	tagForm    = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
+	objectForm    = regexp.MustCompile(`^[0-9a-f]{16}$`)
+	cachedTagForm = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 )
 
 // parsedRequest is a request for the core, and whether it writes.
@@ -73,7 +73,7 @@
 		}
 		p.Deadline = min(p.Deadline, now+float64(ms))
 	}
-	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); tagForm.MatchString(tag) {
+	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); cachedTagForm.MatchString(tag) {
 		p.CachedTag = tag
 	}
 	return true
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	d.fleet = fleet.New(fleet.Options{
-		Clock: d.clock, TransferTime: transferTime, FillTime: fillTime, PurgeDelay: d.operator.Site.PurgePropagationMs,
+		Clock: d.clock, TransferTime: transferTime, FillTime: fillTime, PurgeDelay: d.operator.Site.PurgeDurationMs,
 	})
 	defer d.fleet.Close()
 	if err := d.startServers(list); err != nil {
