--- a/cmd/ravenwheel/control.go
+++ b/cmd/ravenwheel/control.go
@@ -24,11 +24,11 @@
 func startOwnership(ended <-chan struct{}, env environment, stop context.CancelFunc) (o *ownership, err error) {
 	conf := env.conf
 	o = &ownership{controller: control.New(control.Options{
-		Clock:       env.clock,
-		MemoryMB:    conf.MemoryMB,
-		MaxConns:    conf.Sockets / clientSocketsFraction,
-		KillAfterMs: answerWithinMs(conf),
-		Stop:        stop,
+		Clock:          env.clock,
+		MemoryMB:       conf.MemoryMB,
+		MaxConns:       conf.Sockets / clientSocketsDivisor,
+		AnswerWithinMs: answerWithinMs(conf),
+		Stop:           stop,
 	})}
 	if conf.ConsoleAddr == "" {
 		return o, nil
--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -9,10 +9,10 @@
 )
 
 // newDiscoveryClient applies the events of discovery that the configuration holds, and returns the client that follows discovery
-// from there. rank is that of discovery among the sources.
+// from there. rank is that of discovery among the sources, by which membership weighs them.
 func (s *serverSources) newDiscoveryClient(rank int) *discoveryclient.Client {
-	reader := timestamp.New(s.clock.Now())
-	initial := discoveryclient.TranslateInitialEvents(s.conf.InitialEvents, reader, s.clock.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
+	translator := timestamp.New(s.clock.Now())
+	initial := discoveryclient.TranslateInitialEvents(s.conf.InitialEvents, translator, s.clock.Now(), clock.Ms(s.conf.Settings.PurgeDuration))
 	for _, event := range initial {
 		event.Dispatch(rank, s.registry.Handle, s.handlePurge)
 	}
@@ -27,10 +27,10 @@
 		Log:          s.log,
 		Settings:     settings,
 		OnEvent: func(event discoveryclient.Event) {
-			event.Translate(reader, s.clock.Now()).Dispatch(rank, s.registry.Handle, s.handlePurge)
+			event.Translate(translator, s.clock.Now()).Dispatch(rank, s.registry.Handle, s.handlePurge)
 		},
 		OnHeartbeat: func() {
-			reader.Heartbeat(s.clock.Now())
+			translator.Heartbeat(s.clock.Now())
 			s.registry.Handle(membership.Heartbeat{Source: rank})
 		},
 		OnOverdue: s.handleDiscoveryOverdue,
@@ -38,7 +38,8 @@
 	}
 }
 
-// handleDiscoveryOverdue notes that discovery has been silent for too long: what it held until a time counts as notified.
+// handleDiscoveryOverdue notes that discovery has been silent for too long: what it held until a time, in ms of the clock, counts as
+// notified. The configuration is read again, as discovery may have moved.
 func (s *serverSources) handleDiscoveryOverdue(until float64) {
 	s.core.DiscoveryOverdue(true, until)
 	select {
--- a/cmd/ravenwheel/environment.go
+++ b/cmd/ravenwheel/environment.go
@@ -80,25 +80,29 @@
 }
 
 const (
-	// minKillDelay: SIGKILL follows SIGTERM no sooner than the longest deadline, counted as this at most, and killGraceMs.
-	minKillDelay = 3 * time.Second
-	killGraceMs  = 700
+	// assumedDeadline bounds the time until SIGKILL. At the earliest it follows SIGTERM after the longest deadline of a class, counted
+	// as assumedDeadline at most, and killGraceMs: all is answered before. What is open even then is waited for until the longest
+	// deadline, counted as assumedDeadline at least, and killGraceMs are nearly over.
+	assumedDeadline = 3 * time.Second
+	killGraceMs     = 700
 	// answerMarginMs is the time that writing an answer takes, before SIGKILL.
 	answerMarginMs = 150
 )
 
-// answerWithinMs is how long after SIGTERM, in ms, everything must be answered, as SIGKILL may follow.
+// answerWithinMs is how long after SIGTERM, in ms, everything must be answered, as SIGKILL may follow: it comes after the longest
+// deadline of a class, of which no more than assumedDeadline is relied on.
 func answerWithinMs(conf *config.Config) float64 {
-	longest := time.Duration(0)
-	for _, class := range conf.Settings.Classes {
-		longest = max(longest, class.Deadline)
-	}
-	return clock.Ms(min(longest, minKillDelay)) + killGraceMs - answerMarginMs
+	return clock.Ms(min(longestDeadline(conf), assumedDeadline)) + killGraceMs - answerMarginMs
+}
+
+// maxRequestLifetime is how long a request may be open: the longest deadline of a class, assumedDeadline at least. While connections
+// are open, the program does not end by itself before.
+func maxRequestLifetime(conf *config.Config) time.Duration {
+	return max(longestDeadline(conf), assumedDeadline)
 }
 
-// longestDeadline is the longest deadline of a class, minKillDelay at least. The program does not end before it by itself.
-func longestDeadline(conf *config.Config) time.Duration {
-	longest := minKillDelay
+// longestDeadline is the longest deadline of a class; 0: there are no classes.
+func longestDeadline(conf *config.Config) (longest time.Duration) {
 	for _, class := range conf.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
--- a/cmd/ravenwheel/membership.go
+++ b/cmd/ravenwheel/membership.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// storeDrainMs is how long a server drains that the store's list drops, where no watched list says otherwise.
+	// storeDrainMs is how long a server drains that the store's list drops, and how long it is remembered after that. A watched list
+	// brings times of its own.
 	storeDrainMs = 10_000
 	// discoverySilenceMs is how long discovery may be silent before operators see it reported.
 	discoverySilenceMs = 10_000
--- a/cmd/ravenwheel/reload.go
+++ b/cmd/ravenwheel/reload.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// reloadRetryWindow: a configuration that can't be used is read again for so long, as it may be half written or this machine out
-	// of descriptors. What discovery holds counts as notified 4 s after SIGHUP, and a call takes up to a second of that.
+	// reloadRetryWindow is how long a configuration that can't be used is read again, as it may be half written or this machine out of
+	// descriptors. It ends early enough for a call of discovery, which takes up to a second, before the 4 s after SIGHUP by which all
+	// that discovery holds counts as notified.
 	reloadRetryWindow = 2500 * time.Millisecond
 	// reloadRetryDelay is the delay between two reads.
 	reloadRetryDelay = 100 * time.Millisecond
-	// maxReloadSignals may wait to be handled: one SIGHUP, as the next one says the same, and one overdueSignal.
+	// maxReloadSignals is how many signals may wait to be handled: one SIGHUP, as a second one says the same, and one overdueSignal.
 	maxReloadSignals = 2
 )
 
@@ -24,8 +25,8 @@
 // written yet.
 var unchangedRereadDelays = []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, time.Second}
 
-// errRestartRequired is of a configuration with other lists of zones or kinds: discovery's indexes would point into lists that this
-// process does not have.
+// errRestartRequired is the error of a configuration whose lists of zones and kinds do not begin with those of the start: discovery
+// names both by index, and its indexes would mean others here.
 var errRestartRequired = errors.New("the file has other zones or kinds of machine, which takes a restart")
 
 // reloader reads the platform's configuration again at each signal and follows the address of discovery in it. Anything else in it
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	front := resp.New(ln, env.conf.Sockets/clientSocketsFraction, env.clock, proxy)
+	front := resp.New(ln, env.conf.Sockets/clientSocketsDivisor, env.clock, proxy)
 	owner.controller.Attach(front, sources, owner.handover)
 	failed := make(chan error, 1)
 	go func() { failed <- front.Serve() }()
@@ -98,23 +98,24 @@
 	return err
 }
 
-// The shares of the descriptors for connections.
+// How the descriptors for connections (config.Config.Sockets) are divided. A divisor of n is for one in n of them.
 const (
-	// clientSocketsFraction: one in so many is for connections of clients.
-	clientSocketsFraction = 2
-	// lingeringSocketsFraction: one in so many is for connections of clients that are being closed.
-	lingeringSocketsFraction = 16
+	// clientSocketsDivisor is of the connections of clients.
+	clientSocketsDivisor = 2
+	// lingeringSocketsDivisor is of the connections of clients that are being closed: one for eight connections of clients, which is
+	// how many front/resp lets linger.
+	lingeringSocketsDivisor = 16
 	// reservedSockets are for listeners, discovery, the console and the runtime.
 	reservedSockets = 32
 	// minServerConns is the least number of connections to all servers together.
 	minServerConns = 8
-	// The connections to one server: one in connsPerServerFraction of the descriptors, within these bounds.
-	minConnsPerServer, maxConnsPerServer, connsPerServerFraction = 4, 8, 32
+	// connsPerServerDivisor is of the connections to one server, within the two bounds beside it.
+	minConnsPerServer, maxConnsPerServer, connsPerServerDivisor = 4, 8, 32
 )
 
 // maxServerConns is how many connections there may be to all servers together.
 func maxServerConns(sockets int) int {
-	clients := sockets/clientSocketsFraction + sockets/lingeringSocketsFraction
+	clients := sockets/clientSocketsDivisor + sockets/lingeringSocketsDivisor
 	return max(minServerConns, sockets-clients-reservedSockets)
 }
 
@@ -123,11 +124,11 @@
 	conf := env.conf
 	pools := upstream.New(env.clock, upstream.Limits{
 		AttemptsPerConn: conf.AttemptsPerConn,
-		ConnsPerServer:  min(maxConnsPerServer, max(minConnsPerServer, conf.Sockets/connsPerServerFraction)),
+		ConnsPerServer:  min(maxConnsPerServer, max(minConnsPerServer, conf.Sockets/connsPerServerDivisor)),
 		ConnectTimeout:  conf.ConnectTimeoutMs,
 		IdleTimeout:     conf.IdleTimeoutMs,
 		MaxConns:        maxServerConns(conf.Sockets),
-		RequestLifetime: clock.Ms(longestDeadline(conf)),
+		RequestLifetime: clock.Ms(maxRequestLifetime(conf)),
 	})
 	proxy, err := core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, env.clock, pools)
 	if err != nil {
--- a/cmd/ravenwheel/services.go
+++ b/cmd/ravenwheel/services.go
@@ -67,15 +67,15 @@
 	return nil
 }
 
-func (s *services) startSigned(env environment, proxy *core.Core, keys *store.Store) (*signed.Front, error) {
+func (s *services) startSigned(env environment, proxy *core.Core, tokenStore *store.Store) (*signed.Front, error) {
 	options := env.file.Signed
-	go putSigningKeys(keys, env.file.SigningKeys)
+	go putSigningKeys(tokenStore, env.file.SigningKeys)
 	ln, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return nil, err
 	}
 	front := signed.New(signed.Options{
-		Audience: options.Audience, Leeway: options.LeewayMs, Clock: env.clock, Store: keys, Core: proxy, Log: env.log,
+		Audience: options.Audience, Leeway: options.LeewayMs, Clock: env.clock, Store: tokenStore, Core: proxy, Log: env.log,
 	})
 	go func() {
 		if err := front.Serve(transient.KeepAccepting(ln)); err != nil {
--- a/cmd/ravenwheel/shutdown.go
+++ b/cmd/ravenwheel/shutdown.go
@@ -22,7 +22,7 @@
 // It waits until all connections are closed, and not for answers alone: a request between the last answer and the exit would be
 // reset, unread. Nor is the listener closed over connections in its queue.
 func shutDown(clk *clock.Clock, front *resp.Front, conf *config.Config, stopServices func(context.Context), stopController func() (takenOver bool)) {
-	end := clk.Now() + clock.Ms(longestDeadline(conf)) + killGraceMs - exitMarginMs
+	end := clk.Now() + clock.Ms(maxRequestLifetime(conf)) + killGraceMs - exitMarginMs
 	takenOver := stopController()
 	if !takenOver {
 		sleep(clk, control.CloseIdleAfterStop)
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -33,7 +33,7 @@
 			go func() { _ = front.Serve() }()
 			defer front.Close()
 			conf := &config.Config{Settings: scenario.Settings()}
-			d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
+			d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
 			d.Attach(front, nil, nil)
 			d.SetOwner(true)
 			d.SetAccepting(true)
@@ -152,7 +152,7 @@
 				go func() { _ = front.Serve() }()
 				defer front.Close()
 				conf := &config.Config{Settings: set}
-				d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
+				d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
 				d.Attach(front, nil, nil)
 				d.SetOwner(true)
 				d.SetAccepting(true)
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -34,7 +34,7 @@
 	go func() { _ = front.Serve() }()
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
@@ -104,7 +104,7 @@
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, KillAfterMs: answerWithinMs(conf), Stop: func() {}})
+	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
 	d.Attach(front, nil, nil)
 	d.SetOwner(true)
 	d.SetAccepting(true)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,7 +16,7 @@
 // Clock tells the time and runs timers.
 type Clock struct {
 	started time.Time // of a system clock, with its monotonic reading
-	origin  float64   // what Now was when it started
+	origin  float64   // what Now was when it started, in ms
 
 	manual bool
 
@@ -28,7 +28,7 @@
 
 // timer is a function that a manual clock runs once.
 type timer struct {
-	due float64
+	due float64 // ms, as Now
 	run func()
 }
 
@@ -88,8 +88,8 @@
 // minShiftMs: epochs of one machine that differ by less were read at slightly different moments, and mean the same.
 const minShiftMs = 500
 
-// Shift is what to add to the times of another process of this machine for times of this clock: it is not 0 where the wall clock was
-// stepped between their starts. epoch is the other process's Epoch; 0: not known.
+// Shift is how many ms to add to a time of another process of this machine, a reading of its Now, to have a time of this clock. It is not
+// 0 where the wall clock was stepped between the starts of both. epoch is the other process's Epoch; 0: not known, and the shift is 0.
 func (c *Clock) Shift(epoch float64) float64 {
 	own, ok := c.Epoch()
 	if shift := own - epoch; ok && epoch != 0 && math.Abs(shift) >= minShiftMs {
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -32,7 +32,7 @@
 // signatureAlgorithms are the JWT algorithms that a signing key may have.
 var signatureAlgorithms = []string{"HS256", "ES256", "EdDSA"}
 
-// checker applies defaults to the fields of one part of a file and reports the ones that are invalid.
+// checker applies defaults to the fields of one part of a file and reports the ones that are invalid, as defects of the document.
 type checker struct {
 	doc  *strictjson.Document
 	part string // path of the part; empty: the file as a whole
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,14 +29,14 @@
 	Seed          uint64 // of all random draws
 	Cores         float64
 	MemoryMB      int // 0: not bounded
-	Sockets       int // descriptors for connections
+	Sockets       int // descriptors for connections; 0: the program's default
 
 	Settings policy.Settings
 	Classes  []string // names, in the order of Settings.Classes
 	Names    discoveryclient.Names
 
 	InitialEvents   []discoveryclient.Event // what discovery held when the platform wrote the configuration
-	InitialRevision uint64                  // of discovery, as of these
+	InitialRevision uint64                  // discovery's event number, as of these
 
 	MaxOpenRequests  int // 0: the core's default
 	AttemptsPerConn  int // attempts in flight on one connection to a server
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -35,9 +35,9 @@
 	maxLine = 128
 	// maxUnfinished bounds the connections whose line is not complete. One more closes the oldest.
 	maxUnfinished = 16
-	// maxTrailing bounds what is read behind a line, in bytes, within lineTimeout.
+	// maxTrailing bounds what is read behind a line, in bytes. It is read until lineTimeout at most.
 	maxTrailing = 1 << 20
-	// lineTimeout is how long a caller may take to send its line; callers wait a second for the answer.
+	// lineTimeout bounds all reading and writing of a connection, from when it is accepted. Callers wait a second for the answer.
 	lineTimeout = 2 * time.Second
 )
 
@@ -110,7 +110,7 @@
 	c.unfinished = append(c.unfinished, conn)
 }
 
-// finished notes that the line of a connection is complete, or that its caller has left.
+// finished notes that the line of a connection is complete, or that its caller has left or took too long.
 func (c *Console) finished(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -67,11 +67,11 @@
 
 // Options configure a Controller.
 type Options struct {
-	Clock       *clock.Clock
-	MemoryMB    int     // 0: not bounded
-	MaxConns    int     // clients' connections, of all processes together
-	KillAfterMs float64 // from SIGTERM until SIGKILL
-	Stop        func()  // ends the process
+	Clock          *clock.Clock
+	MemoryMB       int     // 0: not bounded
+	MaxConns       int     // clients' connections, of all processes together
+	AnswerWithinMs float64 // ms from SIGTERM until everything must be answered, as SIGKILL may follow
+	Stop           func()  // ends the process
 }
 
 // Controller controls one proxy. It is safe for concurrent use. It implements the interfaces of this name in console and
@@ -93,7 +93,7 @@
 func New(o Options) *Controller {
 	return &Controller{opt: o, state: drain.New(drain.Settings{
 		CloseIdleAfterDrain: closeIdleAfterDrain, CloseIdleAfterStop: CloseIdleAfterStop, RejectAfter: rejectAfter,
-		KillAfter: o.KillAfterMs, RequestsAfterStop: requestsAfterStop, RejectBeforeKill: rejectBeforeKill,
+		KillAfter: o.AnswerWithinMs, RequestsAfterStop: requestsAfterStop, RejectBeforeKill: rejectBeforeKill,
 		PartialFrameTimeout: partialFrameTimeout,
 	})}
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -29,7 +29,7 @@
 func TestGoldenStatus(t *testing.T) {
 	var transcript strings.Builder
 	front := &goldenFront{}
-	d := New(Options{Clock: clock.Manual(1000), KillAfterMs: 5000, Stop: func() {}})
+	d := New(Options{Clock: clock.Manual(1000), AnswerWithinMs: 5000, Stop: func() {}})
 	show := func(done string) {
 		text, ready := d.Status()
 		fmt.Fprintf(&transcript, "%s: %v %q\n", done, ready, text)
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -11,11 +11,13 @@
 import "ravenwheel/policy"
 
 const (
-	// maxPurgeDelay is the time in ms before the event before it in which a purge may have been made. Purges arrive within
-	// 0.4 s. A longer one would take a small step for a delay, and a copy of before the purge for a newer one.
+	// maxPurgeDelay is by how many ms a purge may be older than the event that arrived before it. Purges arrive within
+	// 0.4 s. With a longer delay a small step of a clock would be taken for a late purge, and its time for an earlier one:
+	// copies from between the two times would count as made after the purge.
 	maxPurgeDelay = 2000
-	// maxStartDelay is the same for a server's start. Lists arrive some seconds late, and up to 10 s more while discovery
-	// is disturbed. A longer one would take a step for a delay, and a server that warms up for one that has half done so.
+	// maxStartDelay is by how many ms a server's start may be older than the event that arrived before it. Lists arrive some
+	// seconds late, and up to 10 s more while discovery is disturbed. With a longer delay a step of a clock would be taken for
+	// a late list, and a server that begins to warm up for one that is half warm.
 	maxStartDelay = 15_000
 	// maxInitialDelay is the time in ms from when the initial events are written until a process reads them.
 	maxInitialDelay = 10_000
@@ -27,8 +29,8 @@
 
 // Translator translates the timestamps of one source. It is not safe for concurrent use. See New.
 type Translator struct {
-	lastEvent float64 // when the source was heard last
-	offset    float64 // to add to a timestamp of the source
+	lastEvent float64 // when the source was heard last, in ms of the caller's clock
+	offset    float64 // ms to add to a timestamp of the source for a time of the caller's clock
 	starts    map[policy.CacheID]start
 }
 
@@ -44,8 +46,8 @@
 // Heartbeat notes that the source was heard at now, after the timestamps of that event have been translated.
 func (t *Translator) Heartbeat(now float64) { t.lastEvent = max(t.lastEvent, now) }
 
-// Calibrate estimates how far the clocks are apart from the newest purge among the initial events, which hold the purges
-// of the last span ms.
+// Calibrate estimates how far the clocks are apart. newest is the timestamp of the newest purge among the initial events, which
+// hold the purges of the last span ms.
 func (t *Translator) Calibrate(now, newest, span float64) {
 	if !t.plausible(now, newest, now-span-maxInitialDelay) {
 		t.offset = now - newest
@@ -66,7 +68,7 @@
 	return min(now, timestamp+t.offset)
 }
 
-// plausible reports whether a timestamp, translated with the present offset, is in the range from oldest to now.
+// plausible reports whether a timestamp, translated with the present offset, is in the range from oldest to now and maxSkew.
 func (t *Translator) plausible(now, timestamp, oldest float64) bool {
 	at := timestamp + t.offset
 	return at <= now+maxSkew && at >= oldest
--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -15,23 +15,26 @@
 
 // client is a connection that has sent its first frame. One goroutine reads commands and one writes answers; each request has a
 // goroutine of its own.
+//
+// A tag is the number that a client gives a request, and under which it gets the answer. It is free again once that is given. (The tag
+// of a cached copy, core.Request.CachedTag, is another thing.)
 type client struct {
 	front *Front
 	conn  *conn
 
 	// Of the reading goroutine alone.
-	pending      []pendingRequest
-	pendingSince float64 // when the first of pending was read
+	unstarted      []unstartedRequest
+	unstartedSince float64 // when the first of unstarted was read, in ms of the clock
 
 	mu           sync.Mutex
 	out          []byte                        // answers to write
 	cancels      map[string]context.CancelFunc // of open requests, by tag
-	writingSince float64                       // since when the writer has had the same bytes to write; 0: it has none
+	writingSince float64                       // since when the writer has had the same bytes to write, in ms of the clock; 0: it has none
 	closed       bool
 	wake         chan struct{} // wakes the writer
 }
 
-// errBadTag is of a command under which no answer can be written, or a second one would be.
+// errBadTag is the error of a command whose tag is no number, or that of an open request: an answer could not be told from another.
 var errBadTag = errors.New("tag is malformed or in use")
 
 // serve reads commands until the connection ends, which cancels all open requests.
@@ -42,8 +45,8 @@
 		if cl.handleCommand(ctx, cmd.Args) != nil {
 			break
 		}
-		if cl.mustStartPending() {
-			cl.startPending()
+		if cl.mustStartRequests() {
+			cl.startRequests()
 		}
 		var err error
 		if cmd, err = dc.ReadCommand(); err != nil {
@@ -51,18 +54,18 @@
 		}
 	}
 	cancelAll()
-	cl.startPending() // each ends as a request whose client has left
+	cl.startRequests() // each ends as a request whose client has left
 	cl.conn.finishReading()
 	cl.close()
 }
 
-// mustStartPending reports whether pending requests are started although more has arrived: a client that never stops sending
+// mustStartRequests reports whether the unstarted requests are started although more has arrived: a client that never stops sending
 // would hold them up.
-func (cl *client) mustStartPending() bool {
-	if len(cl.pending) == 0 {
+func (cl *client) mustStartRequests() bool {
+	if len(cl.unstarted) == 0 {
 		return false
 	}
-	return len(cl.pending) >= maxOpenPerConn || cl.front.clock.Now()-cl.pendingSince >= maxStartDelay
+	return len(cl.unstarted) >= maxOpenPerConn || cl.front.clock.Now()-cl.unstartedSince >= maxStartDelay
 }
 
 // handleCommand carries out one command. Its error ends the connection.
@@ -72,23 +75,23 @@
 	}
 	tag := string(args[1])
 	switch string(args[0]) {
-	case "RPC.CALL":
+	case commandCall:
 		return cl.openRequest(ctx, tag, args[2:])
-	case "RPC.CANCEL":
+	case commandCancel:
 		cl.cancelRequest(tag)
-	case "RPC.HEALTH":
+	case commandHealth:
 		cl.sendWord(tag, cl.health())
 	default:
-		cl.sendWord(tag, "fault")
+		cl.sendWord(tag, answerFault)
 	}
 	return nil
 }
 
 func (cl *client) health() string {
 	if cl.front.ready.Load() {
-		return "yes"
+		return answerReady
 	}
-	return "no"
+	return answerNotReady
 }
 
 func (cl *client) cancelRequest(tag string) {
@@ -113,7 +116,7 @@
 		return err
 	case !reserved:
 		cancel()
-		cl.sendWord(tag, "fault")
+		cl.sendWord(tag, answerFault)
 		return nil
 	case !plan.AcceptsRequest(now) || request.Deadline <= now:
 		cl.releaseTag(tag)
@@ -123,10 +126,10 @@
 	}
 	cl.front.pendingWork.Add(1)
 	request.ClientGone = cl.conn.peerClosed
-	if len(cl.pending) == 0 {
-		cl.pendingSince = now
+	if len(cl.unstarted) == 0 {
+		cl.unstartedSince = now
 	}
-	cl.pending = append(cl.pending, pendingRequest{ctx, cancel, tag, request})
+	cl.unstarted = append(cl.unstarted, unstartedRequest{ctx, cancel, tag, request})
 	return nil
 }
 
@@ -154,18 +157,18 @@
 	delete(cl.cancels, tag)
 }
 
-// startPending starts the requests that were read, once nothing more has arrived. A client that closes right behind a request
+// startRequests starts the requests that were read, once nothing more has arrived. A client that closes right behind a request
 // has left by then, and no attempt begins for it.
-func (cl *client) startPending() {
-	for _, p := range cl.pending {
+func (cl *client) startRequests() {
+	for _, p := range cl.unstarted {
 		go cl.handleRequest(p)
 	}
-	clear(cl.pending)
-	cl.pending = cl.pending[:0]
+	clear(cl.unstarted)
+	cl.unstarted = cl.unstarted[:0]
 }
 
 // handleRequest answers one request.
-func (cl *client) handleRequest(p pendingRequest) {
+func (cl *client) handleRequest(p unstartedRequest) {
 	defer cl.front.pendingWork.Add(-1)
 	defer p.cancel()
 	answer := cl.front.handler.Do(p.ctx, p.request)
--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -23,7 +23,7 @@
 	readDone     bool    // reading has ended
 	hasFrame     bool    // a complete frame has arrived
 	partialFrame bool    // a part of the next one has arrived
-	lastRead     float64 // when it was accepted, or when bytes arrived last
+	lastRead     float64 // when it was accepted, or when bytes arrived last, in ms of the clock
 }
 
 // stage is the state of a connection. It only rises.
@@ -43,10 +43,10 @@
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
 	switch {
-	case c.hasFrame:
+	case c.hasFrame: // the drain plan closes it once the request is answered
 	case c.readDone:
 		go c.abort()
-	case c.isNew(c.front.clock.Now()) || c.hasUnreadBytes():
+	case c.isNew(c.front.clock.Now()) || c.hasUnreadBytes(): // the drain plan or the sweep closes it
 	case c.beginLinger():
 		c.front.lingerUnanswered(c)
 	}
@@ -114,8 +114,8 @@
 	if s.conn.frames.Buffered() > 0 {
 		s.conn.noteRead(true)
 	}
-	if cl := s.conn.client; cl != nil && len(cl.pending) > 0 && !s.conn.hasUnreadBytes() && !s.conn.peerClosed() {
-		cl.startPending()
+	if cl := s.conn.client; cl != nil && len(cl.unstarted) > 0 && !s.conn.hasUnreadBytes() && !s.conn.peerClosed() {
+		cl.startRequests()
 	}
 	return s.conn.Conn.Read(p)
 }
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -37,7 +37,8 @@
 	clock    *clock.Clock
 	handler  RequestHandler
 	maxConns atomic.Int64
-	// pendingWork counts open requests and bytes that are not yet written.
+	// pendingWork is the sum of the open requests and of the answers' bytes that are not yet written. Only 0 has a meaning: nothing is
+	// pending.
 	pendingWork atomic.Int64
 	ready       atomic.Bool // the answer to health checks
 	plan        atomic.Pointer[drain.Plan]
--- a/internal/front/resp/limits.go
+++ b/internal/front/resp/limits.go
@@ -4,8 +4,12 @@
 const (
 	// maxOpenPerConn is the number of requests that may be open on one connection (the platform's protocol).
 	maxOpenPerConn = 32
+	// maxObjectBytes is the size of the largest object.
+	maxObjectBytes = 240_000
+	// maxAnswerOverhead bounds what an answer has beside its object.
+	maxAnswerOverhead = 1024
 	// maxOutBytes bounds the answers that wait for a slow reader: one of the largest objects for each open request.
-	maxOutBytes = maxOpenPerConn * (240_000 + 1024)
+	maxOutBytes = maxOpenPerConn * (maxObjectBytes + maxAnswerOverhead)
 	// maxIdleOutBytes and maxIdleInBytes are the capacities of empty buffers that are kept: larger ones are freed.
 	maxIdleOutBytes = 256 << 10
 	maxIdleInBytes  = 8 << 10
@@ -15,8 +19,8 @@
 const (
 	// firstFrameTimeout is how long a new connection may take to send its first byte.
 	firstFrameTimeout = 1500
-	// partialFrameTimeout is how long a frame may rest between two of its bytes. Some clients write one request over 2 s, and half
-	// a frame must be closed within 3 s.
+	// partialFrameTimeout is how long a frame may rest between two of its bytes. Some clients write one request over 2 s, and a
+	// connection with half a frame must be closed within 3 s.
 	partialFrameTimeout = 2400
 	// writeTimeout: a client that has not read what was written so long ago is disconnected. The sweep finds it, so at most
 	// sweepInterval later.
@@ -42,5 +46,5 @@
 	admitTimeout = 500
 )
 
-// lingeringFraction: lingering connections may hold one in so many slots beyond the front's limit.
-const lingeringFraction = 8
+// lingeringDivisor: beyond the front's limit of connections, one in so many of that number may be held by lingering ones.
+const lingeringDivisor = 8
--- a/internal/front/resp/linger_test.go
+++ b/internal/front/resp/linger_test.go
@@ -136,7 +136,7 @@
 		require.True(t, ok)
 		worst = max(worst, held.Load())
 	}
-	require.LessOrEqual(t, worst, int64(most+1+most/lingeringFraction))
+	require.LessOrEqual(t, worst, int64(most+1+most/lingeringDivisor))
 	require.EqualValues(t, worst, f.OpenConns())
 }
 
--- a/internal/front/resp/request.go
+++ b/internal/front/resp/request.go
@@ -13,6 +13,25 @@
 	"ravenwheel/internal/resp"
 )
 
+// The commands of the protocol. Each is followed by a tag.
+const (
+	commandCall   = "RPC.CALL"   // opens a request
+	commandCancel = "RPC.CANCEL" // cancels one; it has no answer of its own
+	commandHealth = "RPC.HEALTH" // asks whether the proxy is ready
+)
+
+// The words with which answers begin.
+const (
+	answerOK       = "ok"
+	answerFull     = "full"  // rejected: not executed
+	answerFault    = "fault" // failed, or not a valid request
+	answerReady    = "yes"
+	answerNotReady = "no"
+)
+
+// idDigits is the length of an id of a request or an object.
+const idDigits = 16
+
 // The bounds of a request's fields.
 const (
 	maxWriteBytes = 48_000
@@ -26,8 +45,8 @@
 // could break the frame to a cache server, and with it a connection that other requests share.
 var opaqueValue = regexp.MustCompile(`^[0-9A-Za-z_-]{0,64}$`)
 
-// pendingRequest is a request that was read and is not yet started.
-type pendingRequest struct {
+// unstartedRequest is a request that was read and is not yet started.
+type unstartedRequest struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	tag     string
@@ -42,7 +61,7 @@
 
 // isID reports whether s is an id of a request or an object: 16 hexadecimal digits.
 func isID(s string) bool {
-	if len(s) != 16 {
+	if len(s) != idDigits {
 		return false
 	}
 	_, err := strconv.ParseUint(s, 16, 64)
@@ -108,16 +127,16 @@
 
 // appendAnswer appends a final answer, as clients read it, to b.
 func appendAnswer(b []byte, tag string, a core.Answer) []byte {
-	const minBackoffMs = 1 // less rounds to no advice
+	const minBackoffMs = 1 // a shorter one would be written as 0
 	switch {
 	case a.Verdict == core.Rejected && a.RetryAfter >= minBackoffMs:
-		return resp.AppendFrame(b, tag, "full", "backoff="+strconv.Itoa(int(a.RetryAfter)))
+		return resp.AppendFrame(b, tag, answerFull, "backoff="+strconv.Itoa(int(a.RetryAfter)))
 	case a.Verdict == core.Rejected:
-		return resp.AppendFrame(b, tag, "full")
+		return resp.AppendFrame(b, tag, answerFull)
 	case a.Verdict == core.Failed:
-		return resp.AppendFrame(b, tag, "fault")
+		return resp.AppendFrame(b, tag, answerFault)
 	case a.NotModified:
-		return resp.AppendFrame(b, tag, "ok", "ok304=1", "")
+		return resp.AppendFrame(b, tag, answerOK, "ok304=1", "")
 	}
-	return resp.AppendFrameWithBody(b, a.Body, tag, "ok", "")
+	return resp.AppendFrameWithBody(b, a.Body, tag, answerOK, "")
 }
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -22,7 +22,7 @@
 	if len(f.conns)-len(f.lingering) >= maxConns && !f.lingerIdlest() {
 		return nil, false
 	}
-	if len(f.lingering) > 0 && len(f.conns) > maxConns+maxConns/lingeringFraction {
+	if len(f.lingering) > 0 && len(f.conns) > maxConns+maxConns/lingeringDivisor {
 		f.evict(f.lingering[0])
 	}
 	f.conns[c] = struct{}{}
--- a/internal/front/signed/request.go
+++ b/internal/front/signed/request.go
@@ -19,6 +19,8 @@
 	maxWriteBytes = 48_000
 	// budgetHeader carries how long the client waits, in ms from when it sent the request.
 	budgetHeader = "X-Budget-Ms"
+	// noGroup is the purge group of a request that names none.
+	noGroup = -1
 	// tokenParameter is the query parameter or cookie that carries a signed link's JWT (RFC 9246, section 2).
 	tokenParameter = "URISigningPackage"
 )
@@ -28,7 +30,7 @@
 	cachedTagForm = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 )
 
-// parsedRequest is a request for the core, and whether it writes.
+// parsedRequest is a request for the core. write: it is of a class that runs at the origin, and its token may be used once.
 type parsedRequest struct {
 	core.Request
 	write bool
@@ -48,7 +50,7 @@
 		return p, false
 	}
 	p.Request = core.Request{
-		ID: newRequestID(), Class: class, Object: object, Group: -1, Deadline: now + clock.Ms(settings.Deadline),
+		ID: newRequestID(), Class: class, Object: object, Group: noGroup, Deadline: now + clock.Ms(settings.Deadline),
 	}
 	if !p.parseOptions(r, now) {
 		return p, false
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -34,6 +34,8 @@
 	ClientIP  string `json:"cdniip"`
 }
 
+const microsecondsPerMs = 1e3
+
 // supportedVersion is the version of URI Signing that this front implements.
 const supportedVersion = 1
 
@@ -73,13 +75,13 @@
 		return token{}, fmt.Errorf("%w: %v", errUnauthorised, err)
 	}
 	keyID, _ := parsed.Header["kid"].(string)
-	t := token{keyID: keyID, id: c.ID, expires: float64(c.ExpiresAt.UnixMicro())/1e3 + v.leewayMs()}
+	t := token{keyID: keyID, id: c.ID, expires: float64(c.ExpiresAt.UnixMicro())/microsecondsPerMs + v.leewayMs()}
 	t.validUntil = t.expires - v.clock.Wall() + v.clock.Now()
 	return t, nil
 }
 
 func (v *verifier) parserOptions() []jwt.ParserOption {
-	now := func() time.Time { return time.UnixMicro(int64(v.clock.Wall() * 1e3)) }
+	now := func() time.Time { return time.UnixMicro(int64(v.clock.Wall() * microsecondsPerMs)) }
 	return []jwt.ParserOption{
 		jwt.WithValidMethods([]string{"HS256", "ES256", "EdDSA"}),
 		jwt.WithAudience(v.audience),
--- a/internal/source/filewatch/directories.go
+++ b/internal/source/filewatch/directories.go
@@ -46,8 +46,8 @@
 	w.dirs = want
 }
 
-// wantedDirs returns the directories through which a path leads, with each link on the way. One that does not exist is
-// joined by its nearest ancestor that does, whose events tell when it is made.
+// wantedDirs returns the directories through which a path leads, and those of each link on the way. For one that does not exist it
+// also returns its ancestors up to the nearest that does: the events there tell when it is made.
 func wantedDirs(path string) map[string]bool {
 	want := map[string]bool{}
 	next, linked := path, true
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -18,6 +18,9 @@
 	"ravenwheel/internal/strictjson"
 )
 
+// maxQueuedEvents is how many functions may wait for the loop. Further ones wait for room.
+const maxQueuedEvents = 64
+
 // Options configure a Watcher.
 type Options struct {
 	Path         string // of a file or a directory
@@ -55,7 +58,7 @@
 	fs          *fsnotify.Watcher // nil: there are no notifications
 	dirs        map[string]bool   // the watched directories
 	reading     bool
-	files       []serverlist.File // of the last read
+	files       []serverlist.File // of the last read, until they are parsed
 	draft       *serverlist.Draft // the last valid one
 	resolution  int               // number of the last request to the resolver
 	stopTimer   func()            // of the debouncer
@@ -70,7 +73,7 @@
 // New returns a watcher whose list (nil: none) is in use already.
 func New(o Options, list *serverlist.List) *Watcher {
 	w := &Watcher{
-		opt: o, events: make(chan func(), 64), done: make(chan struct{}), dirs: map[string]bool{}, list: list,
+		opt: o, events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), dirs: map[string]bool{}, list: list,
 		stopTimer: func() {}, stopRefresh: func() {},
 	}
 	w.status.Path = o.Path
--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -38,7 +38,7 @@
 // entry is what is known of a name.
 type entry struct {
 	answer serverlist.Resolution
-	good   bool          // answer holds addresses
+	good   bool          // answer holds addresses, not a failure
 	until  float64       // ms, when answer expires
 	lookup chan struct{} // closed when the look-up in flight has ended; nil: none is
 }
@@ -170,7 +170,8 @@
 	return r
 }
 
-// store keeps an answer. One without addresses does not replace a good one, and expires sooner.
+// store keeps an answer. One without addresses does not replace a good one, and expires after Timeout where that is sooner than TTL:
+// the name is then looked up again.
 func (c *Cache) store(e *entry, answer serverlist.Resolution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
