--- a/cmd/ravenwheel/membership.go
+++ b/cmd/ravenwheel/membership.go
@@ -14,13 +14,15 @@
 	discoverySilenceMs = 10_000
 )
 
-// sourceRanks are the sources' places in the membership settings. Where several list a server, the lowest counts. -1: there is no
-// such source.
+// noSource is the rank of a source that is not configured.
+const noSource = -1
+
+// sourceRanks are the sources' places in the membership settings. Where several list a server, the lowest counts.
 type sourceRanks struct{ list, store, discovery int }
 
 // membershipSettings are the settings of the membership decider, by the sources that are configured.
 func (s *serverSources) membershipSettings() (settings membership.Settings, ranks sourceRanks) {
-	ranks = sourceRanks{-1, -1, -1}
+	ranks = sourceRanks{list: noSource, store: noSource, discovery: noSource}
 	add := func(source membership.Source) (rank int) {
 		settings.Sources = append(settings.Sources, source)
 		return len(settings.Sources) - 1
--- a/cmd/ravenwheel/shared_state.go
+++ b/cmd/ravenwheel/shared_state.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/store"
 )
 
-// maxQueuedChanges wait while this proxy starts. The store or the distributor waits for room beyond that.
+// maxQueuedChanges is how many changes may wait while this proxy starts. Beyond that the store or the distributor waits for room.
 const maxQueuedChanges = 1024
 
 // sharedState is the state that this process shares with others, as a member of the store or by distributors. The zero value is a
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -78,7 +78,7 @@
 	if options.owner != nil && options.owner.handover != nil {
 		s.followHandover(options.owner)
 	}
-	if ranks.discovery >= 0 {
+	if ranks.discovery != noSource {
 		s.discovery = s.newDiscoveryClient(ranks.discovery)
 		proxy.CatchUp = s.discovery.CatchUp
 	}
@@ -92,7 +92,7 @@
 			return s, err
 		}
 	}
-	if ranks.store >= 0 {
+	if ranks.store != noSource {
 		// After the restored state: a drain that the store has ended meanwhile ends here too.
 		go s.newApplier(ranks.store).Run(shared.changes)
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -33,10 +33,10 @@
 }
 
 // System returns the machine's clock.
-func System() *Clock { return Shifted(0) }
+func System() *Clock { return SystemAhead(0) }
 
-// Shifted returns the clock of a machine whose wall clock is so many ms ahead of this one's.
-func Shifted(aheadMs float64) *Clock {
+// SystemAhead returns the clock of a machine whose wall clock is so many ms ahead of this one's, for tests of clocks that disagree.
+func SystemAhead(aheadMs float64) *Clock {
 	started := time.Now()
 	return &Clock{started: started, origin: unixMs(started) + aheadMs, wallOffset: aheadMs}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -22,7 +22,7 @@
 func TestShiftFollowsStepsBetweenStarts(t *testing.T) {
 	here := System()
 	for ahead, want := range map[float64]float64{0: 0, 100: 0, 7000: -7000, -3_600_000: 3_600_000} {
-		epoch, ok := Shifted(ahead).Epoch()
+		epoch, ok := SystemAhead(ahead).Epoch()
 		require.True(t, ok)
 		require.InDelta(t, want, here.Shift(epoch), 100)
 	}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -13,7 +13,7 @@
 	Name     string `json:"name"`     // of the certificate; empty: the proxy's. A member has that of the store
 	Identity string `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key. A member has that of the store
 
-	Epoch            uint64        `json:"epoch"`      // of a member: the number of the store's history, from 1
+	Epoch            uint64        `json:"epoch"`      // of a member: the number of the store's history, from 1. A store that begins anew needs a higher one
 	Listen           string        `json:"listen"`     // for subscribers, over mutual TLS; empty: none
 	MaxLinks         int           `json:"most_links"` // two to a subscriber
 	Rank             int           `json:"rank"`       // 0: a member of the store; others subscribe only at a lower rank
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -33,7 +33,7 @@
 // Site is what all proxies of a site share.
 type Site struct {
 	Zones               []string           `json:"zones"`
-	HomeHub             map[string]string  `json:"home_hub"`      // by zone, of those with clients
+	HomeHub             map[string]string  `json:"home_hub"`      // by zone, the hub zone to which it is attached; of zones with clients
 	Proxies             map[string]int     `json:"proxies"`       // how many, by zone; a zone without has no clients
 	LinkKBPerSecond     map[string]float64 `json:"link_kb_per_s"` // by zone
 	Kinds               []string           `json:"kinds"`         // of servers
--- a/internal/core/learned_state_test.go
+++ b/internal/core/learned_state_test.go
@@ -116,7 +116,7 @@
 // Learned times stay in place when the wall clock is stepped by an hour between the starts of two processes.
 func TestRestoreAcrossClockStep(t *testing.T) {
 	for _, step := range []float64{3_600_000, -3_600_000} {
-		before, after := clock.System(), clock.Shifted(step)
+		before, after := clock.System(), clock.SystemAhead(step)
 		first := newCore(t, before, &cacheUpstream{})
 		require.Equal(t, core.Served, first.Do(context.Background(), core.Request{ID: "a", Class: 1, Object: "o", Deadline: before.Now() + 900}).Verdict)
 		text, err := first.LearnedState()
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -31,16 +31,16 @@
 type Translator struct {
 	lastEvent float64 // when the source was heard last, in ms of the caller's clock
 	offset    float64 // ms to add to a timestamp of the source for a time of the caller's clock
-	starts    map[policy.CacheID]start
+	starts    map[policy.CacheID]serverStart
 }
 
-// start is the start of a server, as the source sent it and as it was translated first. A translation must not change
+// serverStart is the serverStart of a server, as the source sent it and as it was translated first. A translation must not change
 // after a step, or a server that was started once would count as started again.
-type start struct{ timestamp, translated float64 }
+type serverStart struct{ timestamp, translated float64 }
 
 // New returns a translator for a source that is followed from now on.
 func New(now float64) *Translator {
-	return &Translator{lastEvent: now, starts: map[policy.CacheID]start{}}
+	return &Translator{lastEvent: now, starts: map[policy.CacheID]serverStart{}}
 }
 
 // Heartbeat notes that the source was heard at now, after the timestamps of that event have been translated.
@@ -100,6 +100,6 @@
 	if len(t.starts) >= maxStarts {
 		clear(t.starts) // nearly all are of servers that are gone
 	}
-	t.starts[id] = start{timestamp, translated}
+	t.starts[id] = serverStart{timestamp, translated}
 	return translated
 }
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -29,18 +29,20 @@
 	return c, true
 }
 
-// The order in which connections are closed for a new one.
+// closingRank orders the connections that may be closed for a new one: the lowest is closed first.
+type closingRank int
+
 const (
-	rankSilent = iota // accepted a while ago and without any frame
-	rankIdle          // between two requests
-	rankNew           // accepted just now: its first request may be on the way
+	rankSilent closingRank = iota // accepted a while ago and without any frame
+	rankIdle                      // between two requests
+	rankNew                       // accepted just now: its first request may be on the way
 )
 
 // lingerIdlest ends the connection of the lowest rank that has been silent for longest. A connection whose client waits for an
 // answer, or whose request is not read yet, is never ended. found is false if there is no other. Called under the front's lock.
 func (f *Front) lingerIdlest() (found bool) {
 	now := f.clock.Now()
-	rank := func(c *conn) int {
+	rank := func(c *conn) closingRank {
 		switch {
 		case c.hasFrame:
 			return rankIdle
@@ -50,7 +52,7 @@
 		return rankNew
 	}
 	order := slices.SortedFunc(maps.Keys(f.conns), func(a, b *conn) int {
-		return cmp.Or(rank(a)-rank(b), cmp.Compare(a.lastRead, b.lastRead))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.lastRead, b.lastRead))
 	})
 	for _, c := range order {
 		if !c.hasUnreadBytes() && c.beginLinger() {
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -117,7 +117,7 @@
 // serveWrite uses the token up and answers a write. The token authorises it once, before its first attempt: from then on only
 // the outcome counts. No attempt starts after the token's expiry; one that may have run is waited for.
 func (f *Front) serveWrite(w http.ResponseWriter, r *http.Request, q core.Request, t token) {
-	switch err := f.store.SpendToken(t.id, t.expires); {
+	switch err := f.store.SpendToken(t.id, t.expiresUnix); {
 	case errors.Is(err, store.ErrTokenSpent):
 		writeError(w, http.StatusConflict, "replayed")
 		return
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -44,10 +44,10 @@
 
 // token is a JWT that was accepted.
 type token struct {
-	keyID      string
-	id         string
-	expires    float64 // Unix ms: its exp and the leeway
-	validUntil float64 // the same in ms of this machine's clock, which wall-clock steps do not move
+	keyID       string
+	id          string
+	expiresUnix float64 // Unix ms: its exp and the leeway
+	validUntil  float64 // the same in ms of this machine's clock, which wall-clock steps do not move
 }
 
 // verifier verifies tokens against the keys and the revocations in the store.
@@ -75,8 +75,8 @@
 		return token{}, fmt.Errorf("%w: %v", errUnauthorised, err)
 	}
 	keyID, _ := parsed.Header["kid"].(string)
-	t := token{keyID: keyID, id: c.ID, expires: float64(c.ExpiresAt.UnixMicro())/microsecondsPerMs + v.leewayMs()}
-	t.validUntil = t.expires - v.clock.Wall() + v.clock.Now()
+	t := token{keyID: keyID, id: c.ID, expiresUnix: float64(c.ExpiresAt.UnixMicro())/microsecondsPerMs + v.leewayMs()}
+	t.validUntil = t.expiresUnix - v.clock.Wall() + v.clock.Now()
 	return t, nil
 }
 
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -17,7 +17,7 @@
 	const hour = 3_600_000
 	for _, step := range []float64{0, hour, -hour} {
 		path, id := filepath.Join(t.TempDir(), "record.json"), policy.CacheID(7)
-		before, after := clock.System(), clock.Shifted(step)
+		before, after := clock.System(), clock.SystemAhead(step)
 		first := record{path: path, clock: before}
 		require.NoError(t, first.setDrained(id, true, before.Now()))
 		restored := time.Now()
--- a/internal/lab/multiprocess/gossip_fault_test.go
+++ b/internal/lab/multiprocess/gossip_fault_test.go
@@ -161,7 +161,7 @@
 		n := uint64(0)
 		s, err := peers.Start(peers.Options{
 			Name: p.Name, Listen: p.PeerAddr, Seeds: []string{cluster.Processes[0].PeerAddr}, Zone: "zone-0", DigestInterval: 500, Identity: id,
-			Clock: clock.Shifted(ahead), Objects: func() []uint64 { return nil },
+			Clock: clock.SystemAhead(ahead), Objects: func() []uint64 { return nil },
 			Totals: func() (uint64, serverTotals) {
 				n += 50
 				return n, serverTotals{1: {Attempts: n}}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -65,7 +65,7 @@
 	if !ok {
 		return nil, fmt.Errorf("log level %q is none of debug, info, warn, error", o.Level)
 	}
-	w, err := formatted(w, o.Format)
+	w, err := formatWriter(w, o.Format)
 	if err != nil {
 		return nil, err
 	}
@@ -85,23 +85,23 @@
 	return level, err == nil
 }
 
-// formatted returns what lines in a format are written to. Lines are JSON unless they are formatted as text.
-func formatted(w io.Writer, format string) (io.Writer, error) {
+// formatWriter returns what lines in a format are written to. Lines are JSON unless they are formatWriter as text.
+func formatWriter(w io.Writer, format string) (io.Writer, error) {
 	switch format {
 	case "", defaultFormat:
 		if f, ok := w.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
-			return asText(w), nil
+			return textWriter(w), nil
 		}
 		return w, nil
 	case "text":
-		return asText(w), nil
+		return textWriter(w), nil
 	case "json":
 		return w, nil
 	}
 	return nil, fmt.Errorf("log format %q is none of auto, text, json", format)
 }
 
-func asText(w io.Writer) io.Writer {
+func textWriter(w io.Writer) io.Writer {
 	return zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: true}
 }
 
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -42,9 +42,12 @@
 	Cache *Server
 }
 
+// startMs is when scenarios start: 2025-12-01 08:00 UTC, in Unix ms.
+const startMs = 1_764_576_000_000
+
 // NewProxy starts a core with one cache server, a stand-in. Nobody listens at the addresses of its parent and of the origin.
 func NewProxy(t *testing.T) *Proxy {
-	p := &Proxy{Clock: clock.Manual(1_764_576_000_000), Cache: Listen(t)}
+	p := &Proxy{Clock: clock.Manual(startMs), Cache: Listen(t)}
 	p.Pools = upstream.New(p.Clock, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
 	var err error
 	p.Core, err = core.New(Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, p.Pools)
--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -30,26 +30,26 @@
 	Read  func() int64 // called for each request
 }
 
-// Scalars returns the MIB's objects, in its order. lateAnswers counts answers that came after their attempt was over, and openConns is
+// Scalars returns the MIB's objects, in its order, each with its name there. lateAnswers counts answers that came after their attempt was over, and openConns is
 // the number of connections to servers.
 func Scalars(n *core.Counters, lateAnswers, openConns func() int64) []Scalar {
 	return []Scalar{
-		{Read: n.Requests.Load},
-		{Read: n.Served.Load},
-		{Read: n.Rejected.Load},
-		{Read: n.Failed.Load},
-		{Read: n.Abandoned.Load},
-		{Read: n.Attempts.Load},
-		{Read: n.Timeouts.Load},
-		{Read: n.Skipped.Load},
-		{Read: n.Notifications.Load},
-		{Read: n.InFlight.Load, Gauge: true},
-		{Read: lateAnswers},
-		{Read: openConns, Gauge: true},
-		{Read: invariant.Violations},
-		{Read: n.NeverSent.Load},
-		{Read: n.UnansweredConns.Load},
-		{Read: n.WrongTags.Load},
+		{Read: n.Requests.Load},              // rwRequests
+		{Read: n.Served.Load},                // rwServed
+		{Read: n.Rejected.Load},              // rwRefused
+		{Read: n.Failed.Load},                // rwFailed
+		{Read: n.Abandoned.Load},             // rwGone
+		{Read: n.Attempts.Load},              // rwAttempts
+		{Read: n.Timeouts.Load},              // rwTimeouts
+		{Read: n.Skipped.Load},               // rwStale
+		{Read: n.Notifications.Load},         // rwNotices
+		{Read: n.InFlight.Load, Gauge: true}, // rwOpen
+		{Read: lateAnswers},                  // rwLate
+		{Read: openConns, Gauge: true},       // rwConnections
+		{Read: invariant.Violations},         // rwInvariants
+		{Read: n.NeverSent.Load},             // rwUnsent
+		{Read: n.UnansweredConns.Load},       // rwUnanswered
+		{Read: n.WrongTags.Load},             // rwMisnamed
 	}
 }
 
--- a/internal/source/filewatch/directories.go
+++ b/internal/source/filewatch/directories.go
@@ -25,22 +25,22 @@
 // watchDirs watches the directories on the way to the list. A file that is renamed over, a link that is switched and a
 // directory that is made anew are events of the directory that holds them, not of the file.
 func (w *Watcher) watchDirs() {
-	if w.fs == nil {
+	if w.notifier == nil {
 		return
 	}
 	want := wantedDirs(w.opt.Path)
-	watched := w.fs.WatchList()
+	watched := w.notifier.WatchList()
 	for dir := range want {
 		if slices.Contains(watched, dir) {
 			continue
 		}
-		if err := w.fs.Add(dir); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := w.notifier.Add(dir); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			w.opt.Log.Warn("watch").Err(err).Str("dir", dir).Msg("directory can't be watched; polling the server list")
 		}
 	}
 	for _, dir := range watched {
 		if !want[dir] {
-			_ = w.fs.Remove(dir)
+			_ = w.notifier.Remove(dir)
 		}
 	}
 	w.dirs = want
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -55,7 +55,7 @@
 
 	// Used by the goroutine of Run alone.
 	debouncer   *debounce.Debouncer
-	fs          *fsnotify.Watcher // nil: there are no notifications
+	notifier    *fsnotify.Watcher // nil: there are no notifications
 	dirs        map[string]bool   // the watched directories
 	reading     bool
 	files       []serverlist.File // of the last read, until they are parsed
@@ -102,12 +102,12 @@
 	var changes <-chan fsnotify.Event
 	var failures <-chan error
 	var err error
-	if w.fs, err = fsnotify.NewWatcher(); err != nil {
+	if w.notifier, err = fsnotify.NewWatcher(); err != nil {
 		// Descriptors or watches may be used up.
 		w.opt.Log.Warn("watch").Err(err).Msg("no file system notifications; polling the server list")
 	} else {
-		changes, failures = w.fs.Events, w.fs.Errors
-		defer w.fs.Close()
+		changes, failures = w.notifier.Events, w.notifier.Errors
+		defer w.notifier.Close()
 	}
 	w.debouncer = debounce.New(w.opt.Debounce, w.opt.Clock.Now())
 	w.watchDirs()
--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -37,17 +37,17 @@
 
 // entry is what is known of a name.
 type entry struct {
-	answer serverlist.Resolution
-	good   bool          // answer holds addresses, not a failure
-	until  float64       // ms, when answer expires
-	lookup chan struct{} // closed when the look-up in flight has ended; nil: none is
+	answer   serverlist.Resolution
+	hasAddrs bool          // answer holds addresses, not a failure
+	expires  float64       // ms, when answer expires
+	lookup   chan struct{} // closed when the look-up in flight has ended; nil: none is
 }
 
 // Resolve returns the resolution of each host, by the host as given. It takes Timeout at most: a name whose look-up has
 // not ended by then has its last good answer, or a failure that says so.
 func (c *Cache) Resolve(hosts []string) map[string]serverlist.Resolution {
 	out := make(map[string]serverlist.Resolution, len(hosts))
-	c.wait(c.start(hosts, out))
+	c.wait(c.startLookups(hosts, out))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, host := range hosts {
@@ -58,9 +58,9 @@
 	return out
 }
 
-// start puts the hosts that need no look-up into out, begins the look-ups of names whose answer has expired, and returns
+// startLookups puts the hosts that need no look-up into out, begins the look-ups of names whose answer has expired, and returns
 // all look-ups to wait for.
-func (c *Cache) start(hosts []string, out map[string]serverlist.Resolution) (lookups []chan struct{}) {
+func (c *Cache) startLookups(hosts []string, out map[string]serverlist.Resolution) (lookups []chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.entries == nil {
@@ -75,21 +75,21 @@
 			out[host] = serverlist.Resolution{Failure: "is a name, and no names are resolved here"}
 			continue
 		}
-		if lookup := c.refresh(host); lookup != nil {
+		if lookup := c.lookupIfExpired(host); lookup != nil {
 			lookups = append(lookups, lookup)
 		}
 	}
 	return lookups
 }
 
-// refresh returns the look-up of a name that is in flight, which it begins if the answer has expired; nil: there is none.
-func (c *Cache) refresh(host string) chan struct{} {
+// lookupIfExpired returns the look-up of a name that is in flight, which it begins if the answer has expired; nil: there is none.
+func (c *Cache) lookupIfExpired(host string) chan struct{} {
 	e := c.entries[host]
 	if e == nil {
 		e = &entry{}
 		c.entries[host] = e
 	}
-	if e.until > c.Clock.Now() {
+	if e.expires > c.Clock.Now() {
 		return nil
 	}
 	if e.lookup == nil { // an earlier one may hang: one for each name is enough
@@ -116,7 +116,7 @@
 }
 
 func (c *Cache) answer(e *entry) serverlist.Resolution {
-	if e.good || e.lookup == nil {
+	if e.hasAddrs || e.lookup == nil {
 		return e.answer
 	}
 	return serverlist.Resolution{Failure: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
@@ -176,14 +176,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	good := len(answer.Addrs) > 0
-	if good || !e.good {
-		e.answer, e.good = answer, good
+	if good || !e.hasAddrs {
+		e.answer, e.hasAddrs = answer, good
 	}
 	ttl := c.TTL
 	if !good {
 		ttl = min(c.TTL, c.Timeout)
 	}
-	e.until = c.Clock.Now() + ttl
+	e.expires = c.Clock.Now() + ttl
 	close(e.lookup)
 	e.lookup = nil
 }
--- a/internal/state/recorder_test.go
+++ b/internal/state/recorder_test.go
@@ -100,7 +100,7 @@
 		require.NoError(t, recorder.RecordPurge(recovery.Purge{Object: "o", IssuedAt: before.Now(), NotifiedAt: before.Now()}))
 		require.NoError(t, recorder.Close())
 		for range 3 {
-			after := clock.Shifted(step)
+			after := clock.SystemAhead(step)
 			recorder, plan, err := state.Open(options(fs, after))
 			require.NoError(t, err)
 			require.Len(t, plan.Purges, 1)
