--- a/cmd/ravenwheel/shutdown.go
+++ b/cmd/ravenwheel/shutdown.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// exitMarginMs is how long before SIGKILL the program ends by itself, whatever is open.
+	// exitMarginMs is how long before the latest SIGKILL that is waited for (maxRequestLifetime and killGraceMs after SIGTERM) the
+	// program ends by itself, whatever is open.
 	exitMarginMs = 100
 	// idleCheckMs is the interval at which it checks whether anything is still open.
 	idleCheckMs = 10
 )
 
 // shutDown drains the proxy: it answers the requests that are open or on their way, and closes all connections. stopController
-// has the front drain, and reports whether another process has taken over; then nothing arrives but on open connections.
+// has the front drain, and reports whether another process has taken over; then nothing arrives but on open connections. stopServices
+// ends the other listeners, and waits for what is open there until its context ends.
 //
 // It waits until all connections are closed, and not for answers alone: a request between the last answer and the exit would be
 // reset, unread. Nor is the listener closed over connections in its queue.
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -240,7 +240,8 @@
 	return settingErrorf(path+"."+negative, "%v is below 0", values[negative])
 }
 
-// withPlace adds to a decoder's error the place in the text, in one line.
+// withPlace adds to a decoder's error the place in the text, in one line: line:column, both from 1, of a syntax error, and the path of
+// a value of the wrong type, as a SettingError. Any other error is returned as it is.
 func withPlace(raw []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
--- a/internal/front/resp/request.go
+++ b/internal/front/resp/request.go
@@ -69,7 +69,7 @@
 }
 
 // parseRequest reads the class, the fields and the body of a call that arrived at now, in ms of the clock. ok is false if one of
-// them is invalid: such a request must reach neither the module nor a cache server.
+// them is invalid, or the time left is not given: such a request must reach neither the module nor a cache server.
 func parseRequest(args [][]byte, now float64, h RequestHandler) (q core.Request, ok bool) {
 	if len(args) < 2 {
 		return q, false
@@ -114,7 +114,8 @@
 	valid bool
 }
 
-// number reads a number with inclusive bounds, or returns absent where the field is not given.
+// number reads a number with inclusive bounds. Where the field is not given it returns absent, which need not be within them. What it
+// returns once valid is false has no meaning.
 func (r *fieldReader) number(name string, least, most, absent float64) float64 {
 	text, given := r.text[name]
 	if !given {
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// checkCritical rejects a list that names a claim which is not supported.
+// checkCritical rejects a list, separated by commas, that names a claim which is not in supportedClaims. An empty list passes.
 func checkCritical(list string) error {
 	if list == "" {
 		return nil
@@ -162,7 +162,8 @@
 
 var errOutsideContainer = errors.New("cdniuc does not contain the URI")
 
-// checkContainer checks that a URI container ("hash:" or "regex:") contains the URI.
+// checkContainer checks that a URI container ("hash:" or "regex:") contains the URI. None is contained without a container, in one of
+// another kind, or in a regular expression that is malformed. The error is errOutsideContainer.
 func checkContainer(container, uri string) error {
 	kind, value, _ := strings.Cut(container, ":")
 	switch kind {
