--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -46,7 +46,7 @@
 
 // serverChange draws the next event of discovery: mostly purges, and drains and restarts in turn, so that some servers stay in use. A
 // restart waits for a lull: it is notified at once, and withheld events would have to count before it.
-func (s *soak) serverChange(id policy.CacheID) (kind int) {
+func (s *soak) serverChange(id policy.ServerID) (kind int) {
 	draining := s.list[id].State == policy.Draining
 	out := 0
 	for _, m := range s.list {
--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -58,10 +58,10 @@
 }
 
 // Knows implements control.Servers.
-func (s *serverSources) Knows(id policy.CacheID) bool { return s.registry.Knows(id) }
+func (s *serverSources) Knows(id policy.ServerID) bool { return s.registry.Knows(id) }
 
 // Drain implements admin.Operations.
-func (s *serverSources) Drain(id policy.CacheID, on bool) error {
+func (s *serverSources) Drain(id policy.ServerID, on bool) error {
 	switch {
 	case s.isSubscriber():
 		return admin.ErrNotMember
@@ -77,7 +77,7 @@
 }
 
 // setManualDrain starts or ends the manual drain of a server in this process, and records it.
-func (s *serverSources) setManualDrain(id policy.CacheID, on bool) error {
+func (s *serverSources) setManualDrain(id policy.ServerID, on bool) error {
 	s.registry.Handle(membership.ManualDrain{ID: id, On: on})
 	if s.state == nil {
 		return nil
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -141,7 +141,7 @@
 	servers := fleet.New(fleet.Options{Clock: clock.System(), TransferTime: 2, FillTime: 1})
 	defer servers.Close()
 	var addrs []string
-	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+	for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 		s, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
 		require.NoError(t, err)
 		addrs = append(addrs, s.Addr())
--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -57,10 +57,10 @@
 
 type use struct {
 	at    float64
-	ready map[policy.CacheID]bool
+	ready map[policy.ServerID]bool
 }
 
-func entryText(id policy.CacheID, addr string, more string) string {
+func entryText(id policy.ServerID, addr string, more string) string {
 	kind, zone := "small", "east"
 	switch {
 	case id == 20:
@@ -81,7 +81,7 @@
 	r.path = filepath.Join(dir, "servers.jsonc")
 	r.fleet = fleet.New(fleet.Options{Clock: r.clk, TransferTime: 5, FillTime: 20, PurgeDelay: 6000})
 	t.Cleanup(r.fleet.Close)
-	for id := range policy.CacheID(100) {
+	for id := range policy.ServerID(100) {
 		role := fleet.Cache
 		switch {
 		case id == 20:
@@ -122,7 +122,7 @@
 
 // fill replaces @ID in a text by the address of a stand-in.
 func (r *inProcessProxy) fill(text string) string {
-	for _, id := range []policy.CacheID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
+	for _, id := range []policy.ServerID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
 		text = strings.ReplaceAll(text, fmt.Sprintf("\"@%d\"", id), `"`+r.fleet.Server(id).Addr()+`"`)
 	}
 	return text
@@ -145,8 +145,8 @@
 }
 
 // note records which servers are ready in a list that was applied.
-func (r *inProcessProxy) note(at float64, ids []policy.CacheID) {
-	u := use{at: at, ready: map[policy.CacheID]bool{}}
+func (r *inProcessProxy) note(at float64, ids []policy.ServerID) {
+	u := use{at: at, ready: map[policy.ServerID]bool{}}
 	for _, id := range ids {
 		u.ready[id] = true
 	}
@@ -164,7 +164,7 @@
 	var told []fleet.Notification
 	for i, u := range r.used {
 		one := fleet.Notification{At: u.at}
-		for id := policy.CacheID(1); id <= 20; id++ {
+		for id := policy.ServerID(1); id <= 20; id++ {
 			if u.ready[id] {
 				one.Returns = append(one.Returns, id)
 			} else if i > 0 {
@@ -175,7 +175,7 @@
 	}
 	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Violations(r.fleet.Observations(), told))
 	for _, s := range r.fleet.Observations() {
-		require.Less(r.t, s.Server, policy.CacheID(90), "a server that only invalid lists name got %s", s.RequestID)
+		require.Less(r.t, s.Server, policy.ServerID(90), "a server that only invalid lists name got %s", s.RequestID)
 		whole := slices.ContainsFunc(r.used, func(u use) bool {
 			return u.at <= s.At && u.ready[s.Server] && (s.Source == s.Server || u.ready[s.Source])
 		})
@@ -193,9 +193,9 @@
 // by a partial or invalid list, no write may be lost or run twice, and no draining server may get new requests.
 func TestRapidListChangesApplyOnlyValidLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	caches := []policy.CacheID{1, 2, 3, 4, 5, 6, 7, 8}
-	first := []policy.CacheID{1, 2, 3, 10, 11, 20}
-	text := func(generation int, ids []policy.CacheID, drained ...policy.CacheID) string {
+	caches := []policy.ServerID{1, 2, 3, 4, 5, 6, 7, 8}
+	first := []policy.ServerID{1, 2, 3, 10, 11, 20}
+	text := func(generation int, ids []policy.ServerID, drained ...policy.ServerID) string {
 		var lines []string
 		for _, id := range append(slices.Clone(ids), drained...) {
 			more := fmt.Sprintf(`, "weight": %d`, 4+rng.IntN(8))
@@ -215,7 +215,7 @@
 		}
 		perm := rng.Perm(len(caches))
 		n := 1 + rng.IntN(4)
-		ids := []policy.CacheID{20, 10}
+		ids := []policy.ServerID{20, 10}
 		if rng.IntN(2) == 0 {
 			ids = append(ids, 11)
 		}
@@ -224,7 +224,7 @@
 		}
 		drained := caches[perm[n]]
 		next := r.fill(text(generation+1, ids, drained))
-		poison := r.fill(text(generation+1, []policy.CacheID{90, 91, 20, 10}))
+		poison := r.fill(text(generation+1, []policy.ServerID{90, 91, 20, 10}))
 		old, err := os.ReadFile(r.path)
 		require.NoError(t, err)
 		put := func(s string) { require.NoError(t, os.WriteFile(r.path, []byte(s), 0o600)) }
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -69,7 +69,7 @@
 	servers   *fleet.Fleet
 	service   *fleet.DiscoveryService
 	listeners []*fleet.DiscoveryListener
-	list      map[policy.CacheID]core.Member
+	list      map[policy.ServerID]core.Member
 	config    string
 	listen    string
 	cmd       *exec.Cmd
@@ -121,7 +121,7 @@
 func newSoak(t *testing.T, bin string, seed uint64) *soak {
 	s := &soak{
 		t: t, rng: rand.New(rand.NewPCG(seed, 38)), clk: clock.System(), asked: map[string]*soakRequest{},
-		list: map[policy.CacheID]core.Member{}, over: make(chan struct{}),
+		list: map[policy.ServerID]core.Member{}, over: make(chan struct{}),
 	}
 	pick := func(list ...time.Duration) time.Duration { return list[s.rng.IntN(len(list))] }
 	s.plan = soakPlan{
@@ -136,7 +136,7 @@
 	t.Cleanup(s.servers.Close)
 	members := []core.Member{}
 	for id := range soakCaches + 2 {
-		members = append(members, s.start(policy.CacheID(id+1)))
+		members = append(members, s.start(policy.ServerID(id+1)))
 	}
 	s.service = fleet.NewDiscoveryService(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
 	for range 2 {
@@ -157,7 +157,7 @@
 }
 
 // start starts a server: caches first, then a parent and the origin.
-func (s *soak) start(id policy.CacheID) core.Member {
+func (s *soak) start(id policy.ServerID) core.Member {
 	role := fleet.Role(max(0, int(id)-soakCaches))
 	server, err := s.servers.Start(id, role, "127.0.0.1:0")
 	require.NoError(s.t, err)
@@ -300,7 +300,7 @@
 		s.causeDiscoveryFaults()
 		return
 	}
-	id := policy.CacheID(1 + s.rng.IntN(soakCaches))
+	id := policy.ServerID(1 + s.rng.IntN(soakCaches))
 	server := s.servers.Server(id)
 	kind := s.rng.IntN(9)
 	if s.plan.discovery {
@@ -315,20 +315,20 @@
 		server.SetFault(fleet.Fault{Failing: true})
 	case 3:
 		for id := range soakCaches {
-			s.servers.Server(policy.CacheID(id + 1)).SetFault(fleet.Fault{ExtraLatency: float64(s.rng.IntN(200))})
+			s.servers.Server(policy.ServerID(id + 1)).SetFault(fleet.Fault{ExtraLatency: float64(s.rng.IntN(200))})
 		}
 	case 4: // it is killed and comes back cold, elsewhere
 		server.Kill()
 		m := s.start(id)
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
 		s.list[id] = m
-		s.recordNotification(fleet.Notification{Returns: []policy.CacheID{id}})
+		s.recordNotification(fleet.Notification{Returns: []policy.ServerID{id}})
 		s.service.Change(m)
 	case 5:
 		m := s.list[id]
 		m.State = policy.Draining
 		s.list[id] = m
-		s.recordNotification(fleet.Notification{Drains: []policy.CacheID{id}})
+		s.recordNotification(fleet.Notification{Drains: []policy.ServerID{id}})
 		s.service.Change(m)
 	case 6:
 		group := s.rng.IntN(fleet.Groups)
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -116,8 +116,8 @@
 // of recording is ignored.
 func (s *serverSources) followHandover(owner *ownership) {
 	owner.handover.Subscribe(
-		func(id policy.CacheID, drained bool) { _ = s.setManualDrain(id, drained) },
-		func(id policy.CacheID, at float64) { s.registry.Handle(membership.ManualDrainEnded{ID: id, At: at}) })
+		func(id policy.ServerID, drained bool) { _ = s.setManualDrain(id, drained) },
+		func(id policy.ServerID, at float64) { s.registry.Handle(membership.ManualDrainEnded{ID: id, At: at}) })
 }
 
 // newApplier returns the applier of the store's changes. rank is that of the store among the sources.
--- a/cmd/ravenwheel/standalone_test.go
+++ b/cmd/ravenwheel/standalone_test.go
@@ -115,12 +115,14 @@
 		require.NoError(t, os.WriteFile(path+".new", []byte(text), 0o600))
 		require.NoError(t, os.Rename(path+".new", path))
 	}
-	server := func(id policy.CacheID) string { return entryText(id, fmt.Sprintf("127.0.0.%d:9", id), `, "weight": 4`) }
+	server := func(id policy.ServerID) string {
+		return entryText(id, fmt.Sprintf("127.0.0.%d:9", id), `, "weight": 4`)
+	}
 	put(listText(1, []string{server(1), server(20)}))
 	o, err := config.ParseOperatorFile(filepath.Join(dir, "o.jsonc"), []byte(`{"servers": {"path": "servers.jsonc", "quiet_ms": 30, "most_dropped": 1}}`))
 	require.NoError(t, err)
 	ln := listenDiscovery(t)
-	member := func(id policy.CacheID, state policy.State) core.Member {
+	member := func(id policy.ServerID, state policy.State) core.Member {
 		m := core.Member{Addr: fmt.Sprintf("127.0.0.%d:9", id)}
 		m.ID, m.Zone, m.State, m.Weight = id, 1, state, 9
 		return m
--- a/cmd/ravenwheel/state_command.go
+++ b/cmd/ravenwheel/state_command.go
@@ -58,7 +58,7 @@
 	}
 	table := newTable(out)
 	for _, m := range s.Members() {
-		fmt.Fprintf(table, "%s\t%s\t%s\tsince %s\n", serverlist.FormatID(policy.CacheID(m.ID)), m.Addr, m.Phase, formatTime(m.Since))
+		fmt.Fprintf(table, "%s\t%s\t%s\tsince %s\n", serverlist.FormatID(policy.ServerID(m.ID)), m.Addr, m.Phase, formatTime(m.Since))
 	}
 	for _, p := range s.Purges() {
 		target := "object " + p.Object
--- a/cmd/ravenwheel/state_recovery.go
+++ b/cmd/ravenwheel/state_recovery.go
@@ -64,7 +64,7 @@
 		s.registry.Restore(plan.Members, minGenerations)
 	}
 	for _, id := range plan.ManualDrains {
-		s.registry.Handle(membership.ManualDrain{ID: policy.CacheID(id), On: true})
+		s.registry.Handle(membership.ManualDrain{ID: policy.ServerID(id), On: true})
 	}
 	return recorded
 }
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -137,7 +137,7 @@
 				servers := fleet.New(fleet.Options{Clock: p.Clock, TransferTime: 25, FillTime: 10})
 				defer servers.Close()
 				list := make([]core.Member, 3)
-				for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+				for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 					server, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
 					require.NoError(t, err)
 					list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -135,7 +135,7 @@
 	servers := fleet.New(options)
 	t.Cleanup(servers.Close)
 	list := make([]core.Member, 3)
-	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+	for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 		server, err := servers.Start(id, fleet.Role(i), "127.0.0.1:0")
 		require.NoError(t, err)
 		list[i].Addr, list[i].ID, list[i].Kind, list[i].Weight = server.Addr(), id, i, 10
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -49,13 +49,13 @@
 	told     []fleet.Notification
 	starts   []time.Duration // from the start to a request that can be taken
 	// names are the ids under which the boxes are listed: a box that drains is listed again under another one.
-	names map[policy.CacheID]policy.CacheID
+	names map[policy.ServerID]policy.ServerID
 }
 
 // boxes is the number of stand-ins. Each has an id of its own, and the list may give it others.
 const boxes = 6
 
-func (x *killedProxy) entry(box policy.CacheID) string {
+func (x *killedProxy) entry(box policy.ServerID) string {
 	e := entryText(box, x.fleet.Server(box).Addr(), `, "weight": 6`)
 	if id := x.names[box]; id != 0 {
 		// The kind goes by the box, the id does not.
@@ -64,7 +64,7 @@
 	return e
 }
 
-func (x *killedProxy) text(boxes []policy.CacheID) string {
+func (x *killedProxy) text(boxes []policy.ServerID) string {
 	var lines []string
 	for _, b := range append(slices.Clone(boxes), 10, 20) {
 		lines = append(lines, x.entry(b))
@@ -97,7 +97,7 @@
 }
 
 // use renames a list into place, and returns whether the proxy was seen to use it.
-func (x *killedProxy) use(boxes []policy.CacheID, patience time.Duration) bool {
+func (x *killedProxy) use(boxes []policy.ServerID, patience time.Duration) bool {
 	x.gen++
 	require.NoError(x.t, os.WriteFile(x.list+".new", []byte(x.text(boxes)), 0o600))
 	require.NoError(x.t, os.Rename(x.list+".new", x.list))
@@ -111,7 +111,7 @@
 }
 
 // ready reports whether a box is in use, under the id that it is listed by.
-func (x *killedProxy) ready(box policy.CacheID) bool {
+func (x *killedProxy) ready(box policy.ServerID) bool {
 	id := box
 	if named := x.names[box]; named != 0 {
 		id = named
@@ -130,7 +130,7 @@
 		seed = s
 	}
 	const drain = 2500.0
-	x := &killedProxy{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: build(t), listen: freeAddr(t), names: map[policy.CacheID]policy.CacheID{}}
+	x := &killedProxy{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: build(t), listen: freeAddr(t), names: map[policy.ServerID]policy.ServerID{}}
 	dir := t.TempDir()
 	x.operator, x.list, x.sock = filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc"), "unix:"+filepath.Join(dir, "a.sock")
 	text := strings.Replace(operatorText, "127.0.0.1:1", x.listen, 1)
@@ -139,8 +139,8 @@
 	require.NoError(t, os.WriteFile(x.operator, []byte(text), 0o600))
 	x.fleet = fleet.New(fleet.Options{Clock: x.clk, TransferTime: 3, FillTime: 10, PurgeDelay: 6000})
 	defer x.fleet.Close()
-	var all []policy.CacheID
-	for id := policy.CacheID(1); id <= boxes; id++ {
+	var all []policy.ServerID
+	for id := policy.ServerID(1); id <= boxes; id++ {
 		all = append(all, id)
 		_, err := x.fleet.Start(id, fleet.Cache, "127.0.0.1:0")
 		require.NoError(t, err)
@@ -178,7 +178,7 @@
 
 	for n := range kills() {
 		box := all[x.rng.IntN(len(all))]
-		rest := slices.DeleteFunc(slices.Clone(all), func(b policy.CacheID) bool { return b == box })
+		rest := slices.DeleteFunc(slices.Clone(all), func(b policy.ServerID) bool { return b == box })
 		patience := time.Second
 		switch n % 3 {
 		case 0: // notified of a drain and killed, and the box is listed again while it drains
@@ -186,11 +186,11 @@
 			if inUse := x.ready(box); x.use(rest, patience) && inUse {
 				// Until the drain is over. Its end is counted from the latest that it can have begun.
 				now := x.clk.Now()
-				x.told = append(x.told, fleet.Notification{At: now, Drains: []policy.CacheID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.CacheID{box}})
+				x.told = append(x.told, fleet.Notification{At: now, Drains: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{box}})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(60)) * time.Millisecond)
 			x.kill()
-			x.names[box] = policy.CacheID(100 + n)
+			x.names[box] = policy.ServerID(100 + n)
 			x.gen++
 			require.NoError(t, os.WriteFile(x.list, []byte(x.text(all)), 0o600))
 		case 1: // notified of a purge, and killed at once
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -55,7 +55,7 @@
 	// SetDraining starts or ends a drain of the whole proxy.
 	SetDraining(on bool) error
 	// SetServerDrained starts or ends a drain of one cache server.
-	SetServerDrained(id policy.CacheID, on bool) error
+	SetServerDrained(id policy.ServerID, on bool) error
 }
 
 // Operations carries out commands that apply to all members of a store, or to this proxy if there is none. Each returns
@@ -63,7 +63,7 @@
 type Operations interface {
 	Purge(core.Purge) error
 	// Drain starts or ends a drain of one cache server.
-	Drain(id policy.CacheID, on bool) error
+	Drain(id policy.ServerID, on bool) error
 	// PushList puts a server list in use. file is the name that its defects show.
 	PushList(file string, text []byte) (*serverlist.List, error)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -99,11 +99,11 @@
 // goldenOperations stand for what carries out calls. All of them fail with err, if it is set.
 type goldenOperations struct{ err error }
 
-func (g goldenOperations) Status() (string, bool)                      { return "draining, 3 connections left", false }
-func (g goldenOperations) SetDraining(bool) error                      { return g.err }
-func (g goldenOperations) SetServerDrained(policy.CacheID, bool) error { return g.err }
-func (g goldenOperations) Purge(core.Purge) error                      { return g.err }
-func (g goldenOperations) Drain(policy.CacheID, bool) error            { return g.err }
+func (g goldenOperations) Status() (string, bool)                       { return "draining, 3 connections left", false }
+func (g goldenOperations) SetDraining(bool) error                       { return g.err }
+func (g goldenOperations) SetServerDrained(policy.ServerID, bool) error { return g.err }
+func (g goldenOperations) Purge(core.Purge) error                       { return g.err }
+func (g goldenOperations) Drain(policy.ServerID, bool) error            { return g.err }
 func (g goldenOperations) PushList(string, []byte) (*serverlist.List, error) {
 	return &serverlist.List{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
 }
--- a/internal/admin/servers.go
+++ b/internal/admin/servers.go
@@ -74,7 +74,7 @@
 // another server, 409 in a process that is no member of the store, and 507 with the reason for any other failure.
 func (e *Endpoint) postDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
-	id, ok := policy.CacheID(0), false
+	id, ok := policy.ServerID(0), false
 	if decode(r, maxRequestBytes, &request) == nil {
 		id, ok = serverlist.ParseID(request.ID)
 	}
@@ -95,7 +95,7 @@
 }
 
 // known reports whether a server is listed or still remembered.
-func (e *Endpoint) known(id policy.CacheID) bool {
+func (e *Endpoint) known(id policy.ServerID) bool {
 	servers, _ := e.opt.Servers()
 	return slices.ContainsFunc(servers, func(s membership.ServerStatus) bool { return s.Member.ID == id })
 }
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -28,12 +28,12 @@
 type Applier struct {
 	Clock       *clock.Clock
 	Log         *logs.Log
-	Source      int                                              // the store's index among the registry's sources
-	ListEntries func(*serverlist.List) []membership.Entry        // converts a list for the registry
-	HandleEvent func(membership.Event)                           // the registry's
-	SetDrain    func(server policy.CacheID, draining bool) error // in the registry, and recorded
-	HandlePurge func(core.Purge)                                 // the request path's
-	Recorder    Recorder                                         // nil: nothing is recorded
+	Source      int                                               // the store's index among the registry's sources
+	ListEntries func(*serverlist.List) []membership.Entry         // converts a list for the registry
+	HandleEvent func(membership.Event)                            // the registry's
+	SetDrain    func(server policy.ServerID, draining bool) error // in the registry, and recorded
+	HandlePurge func(core.Purge)                                  // the request path's
+	Recorder    Recorder                                          // nil: nothing is recorded
 }
 
 // Run applies changes until the channel is closed.
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -24,7 +24,7 @@
 }
 
 type drain struct {
-	id       policy.CacheID
+	id       policy.ServerID
 	draining bool
 }
 
@@ -49,7 +49,7 @@
 			return entries
 		},
 		HandleEvent: func(event membership.Event) { e.all = append(e.all, event) },
-		SetDrain: func(id policy.CacheID, draining bool) error {
+		SetDrain: func(id policy.ServerID, draining bool) error {
 			e.all = append(e.all, drain{id, draining})
 			return nil
 		},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -112,7 +112,7 @@
 }
 
 func describeSettings(line func(name string, value any), s policy.Settings) {
-	line("rank", s.Rank)
+	line("rank", s.RouterIndex)
 	line("routers", s.Routers)
 	line("zone", s.Zone)
 	line("zone routers", s.ZoneRouters)
--- a/internal/config/standalone_config.go
+++ b/internal/config/standalone_config.go
@@ -41,7 +41,7 @@
 		c.Seed = rand.Uint64()
 	}
 	settings := &c.Settings
-	settings.Rank = proxy.Rank
+	settings.RouterIndex = proxy.Rank
 	settings.Zone = slices.Index(f.Site.Zones, proxy.Zone)
 	settings.MaxAttempts = limits.MaxAttempts
 	settings.CanCancel = true
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -25,7 +25,7 @@
 type Controller interface {
 	Status() (text string, ready bool)
 	// SetServerDrained starts or ends a drain of one cache server.
-	SetServerDrained(id policy.CacheID, on bool) error
+	SetServerDrained(id policy.ServerID, on bool) error
 	// SetDraining starts or ends a drain of the whole proxy.
 	SetDraining(on bool) error
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -29,7 +29,7 @@
 
 func (c *fakeController) Status() (string, bool) { return "serving", c.ready }
 
-func (c *fakeController) SetServerDrained(id policy.CacheID, on bool) error {
+func (c *fakeController) SetServerDrained(id policy.ServerID, on bool) error {
 	if id == 9 {
 		return errors.New("no such cache server")
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -60,9 +60,9 @@
 
 // Servers carries out operators' commands on single cache servers.
 type Servers interface {
-	Knows(id policy.CacheID) bool
+	Knows(id policy.ServerID) bool
 	// Drain starts or ends a manual drain. It returns once that is in force and stored.
-	Drain(id policy.CacheID, on bool) error
+	Drain(id policy.ServerID, on bool) error
 }
 
 // Options configure a Controller.
@@ -218,7 +218,7 @@
 // SetServerDrained starts or ends an operator's drain of one cache server. It returns once the change is in force, stored
 // and passed to the process that may take over. It fails with ErrNotReady, ErrUnknownServer, or, in force but not
 // stored, with the cause.
-func (c *Controller) SetServerDrained(id policy.CacheID, on bool) error {
+func (c *Controller) SetServerDrained(id policy.ServerID, on bool) error {
 	c.mu.Lock()
 	servers, h := c.servers, c.handover
 	c.mu.Unlock()
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -22,8 +22,8 @@
 
 type goldenServers struct{}
 
-func (goldenServers) Knows(id policy.CacheID) bool     { return id == 1 }
-func (goldenServers) Drain(policy.CacheID, bool) error { return nil }
+func (goldenServers) Knows(id policy.ServerID) bool     { return id == 1 }
+func (goldenServers) Drain(policy.ServerID, bool) error { return nil }
 
 // The texts that operators are answered, in each phase of a proxy's life.
 func TestGoldenStatus(t *testing.T) {
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -39,7 +39,7 @@
 
 func coreMembers() membership.Publish {
 	list := make([]core.Member, 3)
-	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+	for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 	}
 	return membership.Publish{Version: 1, Complete: true, Members: list}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -189,7 +189,7 @@
 	var list []core.Member
 	for i := range 6 {
 		m := core.Member{Addr: "a"}
-		m.ID, m.Kind, m.Weight = policy.CacheID(i+1), max(0, i-3), 10
+		m.ID, m.Kind, m.Weight = policy.ServerID(i+1), max(0, i-3), 10
 		list = append(list, m)
 	}
 	c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -16,7 +16,7 @@
 // everySetting has a value in each field, since a handover compares the digest of all of them.
 func everySetting() policy.Settings {
 	return policy.Settings{
-		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
+		RouterIndex: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
 		Classes: []policy.Class{
 			{
 				LatencyObjective: 10 * time.Millisecond, ObjectiveStretch: 11.5, Deadline: 12 * time.Second, PriorityWeight: 13.5, LateFraction: 0.25,
@@ -50,7 +50,7 @@
 	return learnedMessage{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
 		State: policy.LearnedState{
-			Servers: map[policy.CacheID]policy.ServerStats{77: everyStatistic(11.5)}, Link: everyStatistic(12.5),
+			Servers: map[policy.ServerID]policy.ServerStats{77: everyStatistic(11.5)}, Link: everyStatistic(12.5),
 			TransferTime: []float64{0.125, 0.25}, RecentTransferTime: []float64{0.375, 0.5}, FillRate: 0.625, OriginRate: 0.75,
 			PeakLoad: [4]float64{1.5, 2.5, 3.5, 4.5},
 		},
--- a/internal/core/load_counter.go
+++ b/internal/core/load_counter.go
@@ -18,7 +18,7 @@
 // changes.
 type LoadCounter struct {
 	arrivals atomic.Uint64
-	servers  atomic.Pointer[map[policy.CacheID]*serverCounts]
+	servers  atomic.Pointer[map[policy.ServerID]*serverCounts]
 	objects  chan uint64
 }
 
@@ -31,16 +31,16 @@
 // NewLoadCounter returns a counter without servers.
 func NewLoadCounter() *LoadCounter {
 	l := &LoadCounter{objects: make(chan uint64, maxPendingObjects)}
-	l.servers.Store(&map[policy.CacheID]*serverCounts{})
+	l.servers.Store(&map[policy.ServerID]*serverCounts{})
 	return l
 }
 
-func (l *LoadCounter) countsOf(id policy.CacheID) *serverCounts { return (*l.servers.Load())[id] }
+func (l *LoadCounter) countsOf(id policy.ServerID) *serverCounts { return (*l.servers.Load())[id] }
 
 // updateServers keeps the counts of listed servers. It must not be called concurrently.
 func (l *LoadCounter) updateServers(list []Member, full bool) {
 	old := *l.servers.Load()
-	next := map[policy.CacheID]*serverCounts{}
+	next := map[policy.ServerID]*serverCounts{}
 	if !full {
 		next = maps.Clone(old)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (l *LoadCounter) recordAttempt(server policy.CacheID) {
+func (l *LoadCounter) recordAttempt(server policy.ServerID) {
 	if counts := l.countsOf(server); counts != nil {
 		counts.attempts.Add(1)
 		counts.inFlight.Add(1)
@@ -76,7 +76,7 @@
 }
 
 // recordOutcome counts the outcome of an attempt. latency and the class's objective are in ms.
-func (l *LoadCounter) recordOutcome(server policy.CacheID, outcome Outcome, latency, objective float64) {
+func (l *LoadCounter) recordOutcome(server policy.ServerID, outcome Outcome, latency, objective float64) {
 	counts := l.countsOf(server)
 	if counts == nil {
 		return
@@ -96,8 +96,8 @@
 }
 
 // Totals returns the number of requests, and the counts of each listed server, since the start.
-func (l *LoadCounter) Totals() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals) {
-	servers = map[policy.CacheID]fleetview.Totals{}
+func (l *LoadCounter) Totals() (arrivals uint64, servers map[policy.ServerID]fleetview.Totals) {
+	servers = map[policy.ServerID]fleetview.Totals{}
 	for id, counts := range *l.servers.Load() {
 		totals := fleetview.Totals{
 			Attempts: counts.attempts.Load(), Failures: counts.failures.Load(), Rejections: counts.rejections.Load(),
--- a/internal/core/open_request.go
+++ b/internal/core/open_request.go
@@ -22,7 +22,7 @@
 }
 
 type attempt struct {
-	server     policy.CacheID
+	server     policy.ServerID
 	sentAt     float64 // ms of the clock
 	deadline   float64 // ms of the clock
 	open       bool    // it has no outcome yet
@@ -83,7 +83,7 @@
 func (c *Core) handle(o *openRequest, message any) (answer Answer, final bool) {
 	switch m := message.(type) {
 	case policy.Lookup:
-		c.send(o, policy.Fetch{ID: m.ID, Cache: m.Cache, Source: m.Cache, Timeout: m.Timeout})
+		c.send(o, policy.Fetch{ID: m.ID, Server: m.Server, Source: m.Server, Timeout: m.Timeout})
 	case policy.Fetch:
 		c.send(o, m)
 	case policy.Cancel:
@@ -121,12 +121,12 @@
 func (c *Core) catchUpWithDiscovery() (behind bool) { return c.CatchUp != nil && c.CatchUp() }
 
 // serverOf is the server of an action that starts an attempt.
-func serverOf(message any) policy.CacheID {
+func serverOf(message any) policy.ServerID {
 	switch m := message.(type) {
 	case policy.Lookup:
-		return m.Cache
+		return m.Server
 	case policy.Fetch:
-		return m.Cache
+		return m.Server
 	}
 	return 0
 }
@@ -222,7 +222,7 @@
 }
 
 // skipAttempt ends an attempt that was decided on and is not made.
-func (c *Core) skipAttempt(o *openRequest, server policy.CacheID) {
+func (c *Core) skipAttempt(o *openRequest, server policy.ServerID) {
 	now := c.clock.Now()
 	o.attempts = append(o.attempts, &attempt{server: server, sentAt: now, deadline: now, open: true})
 	if c.LoadCounter != nil {
@@ -255,16 +255,16 @@
 		sendBy = min(sendBy, o.retryDeadline(clock.Ms(class.DedupWindow)))
 	}
 	index := len(o.attempts)
-	a := &attempt{server: fetch.Cache, sentAt: now, deadline: now + timeLeft, open: true}
+	a := &attempt{server: fetch.Server, sentAt: now, deadline: now + timeLeft, open: true}
 	o.attempts = append(o.attempts, a)
 	c.Counters.Attempts.Add(1)
 	if c.LoadCounter != nil {
-		c.LoadCounter.recordAttempt(fetch.Cache)
+		c.LoadCounter.recordAttempt(fetch.Server)
 	}
 	a.abort = c.upstream.Send(Attempt{
 		ID: request.ID, Class: c.classes[request.Class], Object: request.Object, Part: request.Part,
 		CachedTag: request.CachedTag, IdempotencyKey: request.IdempotencyKey, Body: request.Body,
-		Server: fetch.Cache, Source: fetch.Source, Deadline: now + timeLeft, MaxAge: clock.Ms(fetch.MaxAge),
+		Server: fetch.Server, Source: fetch.Source, Deadline: now + timeLeft, MaxAge: clock.Ms(fetch.MaxAge),
 		RetainRank: fetch.RetainRank, Options: fetch.Options, SendBy: sendBy, ClientGone: request.ClientGone,
 		NonIdempotent: class.Idempotency == policy.NotIdempotent,
 	}, func(outcome Outcome) { o.inbox <- attemptEnded{index, outcome} })
@@ -287,7 +287,7 @@
 		c.Counters.Skipped.Add(1)
 	}
 	c.notify(policy.Outcome{
-		ID: o.request.ID, Attempt: ended.index, Cache: a.server, Result: ended.Result, Note: ended.Note,
+		ID: o.request.ID, Attempt: ended.index, Server: a.server, Result: ended.Result, Note: ended.Note,
 		Final: ended.Result == policy.OK, Latency: clock.Duration(c.clock.Now() - a.sentAt),
 		SourceWait: clock.Duration(ended.SourceWait), Load: ended.Load,
 	})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -55,11 +55,11 @@
 	CachedTag      string
 	IdempotencyKey string
 	Body           []byte
-	Server         policy.CacheID
-	Source         policy.CacheID // equal to Server: no fill
-	Deadline       float64        // the time left is computed when the first byte is written
-	MaxAge         float64        // of a copy, in ms; 0: the class's
-	RetainRank     int            // see policy.Fetch
+	Server         policy.ServerID
+	Source         policy.ServerID // equal to Server: no fill
+	Deadline       float64         // the time left is computed when the first byte is written
+	MaxAge         float64         // of a copy, in ms; 0: the class's
+	RetainRank     int             // see policy.Fetch
 	Options        policy.FillOptions
 	SendBy         float64     // the decision is outdated afterwards, and the attempt must not be written
 	ClientGone     func() bool // see Request
--- a/internal/decide/fleetview/collector.go
+++ b/internal/decide/fleetview/collector.go
@@ -30,25 +30,25 @@
 
 	version   uint64
 	samples   []sample // oldest first
-	published map[policy.CacheID]ServerLoad
+	published map[policy.ServerID]ServerLoad
 }
 
 // sample is the totals at one time.
 type sample struct {
 	at       float64 // ms
 	arrivals uint64
-	totals   map[policy.CacheID]Totals
+	totals   map[policy.ServerID]Totals
 }
 
 // Collect takes the present totals, counted from the process's start, and returns the digest to publish. A server that is no longer
 // among the totals is published once as idle. now is in ms. The totals are retained and must not be changed.
-func (c *Collector) Collect(now float64, arrivals uint64, totals map[policy.CacheID]Totals, objects []ObjectRate) Digest {
+func (c *Collector) Collect(now float64, arrivals uint64, totals map[policy.ServerID]Totals, objects []ObjectRate) Digest {
 	c.samples = append(c.samples, sample{now, arrivals, totals})
 	for len(c.samples) > 2 && c.samples[1].at <= now-c.Window {
 		c.samples = c.samples[1:]
 	}
 	if c.published == nil {
-		c.published = map[policy.CacheID]ServerLoad{}
+		c.published = map[policy.ServerID]ServerLoad{}
 	}
 	oldest := c.samples[0]
 	seconds := max(1, now-oldest.at) / 1000
@@ -94,7 +94,7 @@
 }
 
 // loadOf returns the figures of a server between two totals.
-func loadOf(id policy.CacheID, now, then Totals, seconds float64) ServerLoad {
+func loadOf(id policy.ServerID, now, then Totals, seconds float64) ServerLoad {
 	var answers [LatencyBuckets]uint64
 	for i := range answers {
 		answers[i] = now.Latency[i] - min(now.Latency[i], then.Latency[i])
--- a/internal/decide/fleetview/digest.go
+++ b/internal/decide/fleetview/digest.go
@@ -20,7 +20,7 @@
 // ServerLoad is what one process saw of one server within the collector's window.
 type ServerLoad struct {
 	_          struct{} `cbor:",toarray"`
-	Server     policy.CacheID
+	Server     policy.ServerID
 	Attempts   Level // a second
 	Failures   Level // of them, a second: errors, connections that broke or were never established
 	Rejections Level // of them, a second: rejected by a server that is full
--- a/internal/decide/fleetview/estimate.go
+++ b/internal/decide/fleetview/estimate.go
@@ -30,7 +30,7 @@
 )
 
 // Estimate estimates the figures of a server from all reports. now is in ms.
-func (v *View) Estimate(now float64, id policy.CacheID) Estimate {
+func (v *View) Estimate(now float64, id policy.ServerID) Estimate {
 	var loads, weights, failing, overdue []float64
 	var latency [LatencyBuckets]float64
 	var own ServerLoad
--- a/internal/decide/fleetview/report.go
+++ b/internal/decide/fleetview/report.go
@@ -19,7 +19,7 @@
 }
 
 // Reports returns what each process reports of a server, by the name of the process. now is in ms.
-func (v *View) Reports(now float64, id policy.CacheID) (reports []Report) {
+func (v *View) Reports(now float64, id policy.ServerID) (reports []Report) {
 	for name, p := range v.peers {
 		e, ok := p.servers[id]
 		if !ok || v.weight(now-e.receivedAt) == 0 {
@@ -53,8 +53,8 @@
 }
 
 // Servers returns all servers that any process reports on, in order.
-func (v *View) Servers() []policy.CacheID {
-	all := map[policy.CacheID]bool{}
+func (v *View) Servers() []policy.ServerID {
+	all := map[policy.ServerID]bool{}
 	for _, p := range v.peers {
 		for id := range p.servers {
 			all[id] = true
--- a/internal/decide/fleetview/view_test.go
+++ b/internal/decide/fleetview/view_test.go
@@ -15,9 +15,9 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // drawTotals draws counts that rise from earlier ones.
-func drawTotals(t *rapid.T, from map[policy.CacheID]Totals) map[policy.CacheID]Totals {
-	out := map[policy.CacheID]Totals{}
-	for _, id := range []policy.CacheID{1, 2, 3, 4} {
+func drawTotals(t *rapid.T, from map[policy.ServerID]Totals) map[policy.ServerID]Totals {
+	out := map[policy.ServerID]Totals{}
+	for _, id := range []policy.ServerID{1, 2, 3, 4} {
 		if rapid.IntRange(0, 9).Draw(t, "listed") == 0 {
 			continue
 		}
@@ -34,7 +34,7 @@
 func contents(v *View) map[string]any {
 	out := map[string]any{}
 	for name, p := range v.peers {
-		servers := map[policy.CacheID]string{}
+		servers := map[policy.ServerID]string{}
 		for id, e := range p.servers {
 			servers[id] = fmt.Sprint(e.ServerLoad, e.version)
 		}
@@ -50,7 +50,7 @@
 		for _, from := range []string{"a", "b"} {
 			for incarnation := range uint64(rapid.IntRange(1, 2).Draw(t, "incarnations")) {
 				c := &Collector{From: from, Zone: "z", Incarnation: incarnation + 1, Window: 3000, Refresh: 3}
-				totals := map[policy.CacheID]Totals{}
+				totals := map[policy.ServerID]Totals{}
 				for tick := range rapid.IntRange(1, 6).Draw(t, "ticks") {
 					totals = drawTotals(t, totals)
 					all = append(all, c.Collect(float64(tick)*1000, uint64(tick*7), totals, []ObjectRate{{Object: uint64(tick), Rate: 9}}))
@@ -89,8 +89,8 @@
 func TestDigestsOfChangesKeepReceiversAccurate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, v := &Collector{From: "a", Incarnation: 1, Window: 3000}, New("b", DefaultSettings())
-		totals := map[policy.CacheID]Totals{}
-		history := []map[policy.CacheID]Totals{}
+		totals := map[policy.ServerID]Totals{}
+		history := []map[policy.ServerID]Totals{}
 		sent := 0
 		for tick := range 20 {
 			totals = drawTotals(t, totals)
@@ -154,7 +154,7 @@
 	})
 }
 
-func reportOf(from string, id policy.CacheID, attempts, failures float64) Digest {
+func reportOf(from string, id policy.ServerID, attempts, failures float64) Digest {
 	return Digest{
 		From: from, Incarnation: 1, Version: 1,
 		Servers: []ServerLoad{{Server: id, Attempts: LevelOf(attempts), Failures: LevelOf(failures)}},
@@ -200,7 +200,7 @@
 	settings.MaxPeers, settings.MaxServers, settings.MaxObjects = 3, 5, 2
 	v := New("me", settings)
 	flood := Digest{From: "f", Incarnation: 1, Version: 1, Objects: make([]ObjectRate, 100)}
-	for id := range policy.CacheID(1000) {
+	for id := range policy.ServerID(1000) {
 		flood.Servers = append(flood.Servers, ServerLoad{Server: id})
 	}
 	require.Equal(t, LimitExceeded, v.Merge(0, flood))
--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -24,8 +24,8 @@
 }
 
 // reservedBy returns the server with the lowest id, other than except, that holds an address, or nil.
-func (t *Table) reservedBy(addr string, except policy.CacheID) *server {
-	lowest, found := policy.CacheID(0), false
+func (t *Table) reservedBy(addr string, except policy.ServerID) *server {
+	lowest, found := policy.ServerID(0), false
 	for id := range t.reservations[addr] {
 		if id != except && (!found || id < lowest) {
 			lowest, found = id, true
@@ -76,9 +76,9 @@
 	s.published = false
 }
 
-func insert(sets map[string]map[policy.CacheID]struct{}, addr string, id policy.CacheID) {
+func insert(sets map[string]map[policy.ServerID]struct{}, addr string, id policy.ServerID) {
 	if sets[addr] == nil {
-		sets[addr] = map[policy.CacheID]struct{}{}
+		sets[addr] = map[policy.ServerID]struct{}{}
 	}
 	sets[addr][id] = struct{}{}
 }
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -30,13 +30,13 @@
 
 // ManualDrain starts or ends an operator's drain of a server, whatever the sources say of it.
 type ManualDrain struct {
-	ID policy.CacheID
+	ID policy.ServerID
 	On bool
 }
 
 // ManualDrainEnded reports a manual drain that ended at a time, in ms, before this table was made.
 type ManualDrainEnded struct {
-	ID policy.CacheID
+	ID policy.ServerID
 	At float64
 }
 
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -21,14 +21,14 @@
 // come first, so that the addresses they free are available to those that join.
 func (t *Table) reconcile() {
 	for len(t.dirty) > 0 {
-		ids := make([]policy.CacheID, 0, len(t.dirty))
+		ids := make([]policy.ServerID, 0, len(t.dirty))
 		for id := range t.dirty {
 			ids = append(ids, id)
 		}
 		clear(t.dirty)
-		ids = slices.DeleteFunc(ids, func(id policy.CacheID) bool { return t.servers[id] == nil })
-		rank := func(id policy.CacheID) int { return -int(t.servers[id].merge().state) }
-		slices.SortFunc(ids, func(a, b policy.CacheID) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a, b)) })
+		ids = slices.DeleteFunc(ids, func(id policy.ServerID) bool { return t.servers[id] == nil })
+		rank := func(id policy.ServerID) int { return -int(t.servers[id].merge().state) }
+		slices.SortFunc(ids, func(a, b policy.ServerID) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a, b)) })
 		for _, id := range ids {
 			t.reconcileServer(t.servers[id])
 		}
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -27,14 +27,14 @@
 	generations   [2]uint64
 	received      [2]bool
 	minGeneration uint64
-	statements    [2]map[policy.CacheID]membership.Entry
-	published     map[policy.CacheID]membership.Member
-	phases        map[policy.CacheID]membership.Phase
-	drainFrom     map[policy.CacheID]float64 // start of a published server's drain, ms
-	drainAt       map[policy.CacheID]string  // and its address
-	waiting       map[policy.CacheID]waiter  // servers in use at an address that wait for another one
-	saved         *recovery.State            // what survives a crash
-	manualDrains  map[policy.CacheID]bool
+	statements    [2]map[policy.ServerID]membership.Entry
+	published     map[policy.ServerID]membership.Member
+	phases        map[policy.ServerID]membership.Phase
+	drainFrom     map[policy.ServerID]float64 // start of a published server's drain, ms
+	drainAt       map[policy.ServerID]string  // and its address
+	waiting       map[policy.ServerID]waiter  // servers in use at an address that wait for another one
+	saved         *recovery.State             // what survives a crash
+	manualDrains  map[policy.ServerID]bool
 	versions      uint64
 }
 
@@ -50,10 +50,10 @@
 func newWorld(t *rapid.T) *world {
 	table := newTable(t)
 	return &world{
-		t: t, table: table, published: map[policy.CacheID]membership.Member{}, phases: map[policy.CacheID]membership.Phase{},
-		statements: [2]map[policy.CacheID]membership.Entry{{}, {}},
-		drainFrom:  map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{},
-		saved: recovery.NewState(), manualDrains: map[policy.CacheID]bool{},
+		t: t, table: table, published: map[policy.ServerID]membership.Member{}, phases: map[policy.ServerID]membership.Phase{},
+		statements: [2]map[policy.ServerID]membership.Entry{{}, {}},
+		drainFrom:  map[policy.ServerID]float64{}, drainAt: map[policy.ServerID]string{}, waiting: map[policy.ServerID]waiter{},
+		saved: recovery.NewState(), manualDrains: map[policy.ServerID]bool{},
 	}
 }
 
@@ -79,7 +79,7 @@
 	clear(w.published)
 	drained := w.drainFrom
 	clear(w.waiting)
-	w.phases, w.drainFrom, w.drainAt = map[policy.CacheID]membership.Phase{}, map[policy.CacheID]float64{}, map[policy.CacheID]string{}
+	w.phases, w.drainFrom, w.drainAt = map[policy.ServerID]membership.Phase{}, map[policy.ServerID]float64{}, map[policy.ServerID]string{}
 	for _, x := range plan.Members {
 		switch id := x.Member.ID; x.Phase {
 		case membership.Draining:
@@ -159,7 +159,7 @@
 		w.statements[at][x.ID] = x
 	}
 	// A removal binds other sources that list the server; once all removed it, it is forgotten.
-	for id := policy.CacheID(1); id <= 6; id++ {
+	for id := policy.ServerID(1); id <= 6; id++ {
 		if !w.wanted(id) {
 			delete(w.statements[0], id)
 			delete(w.statements[1], id)
@@ -167,7 +167,7 @@
 	}
 }
 
-func (w *world) wanted(id policy.CacheID) bool {
+func (w *world) wanted(id policy.ServerID) bool {
 	file, byFile := w.statements[0][id]
 	discovery, byDiscovery := w.statements[1][id]
 	return byFile && file.State != policy.Gone || byDiscovery && discovery.State != policy.Gone
@@ -175,7 +175,7 @@
 
 // check compares what is published with what the sources say.
 func (w *world) check() {
-	for id := policy.CacheID(1); id <= 6; id++ {
+	for id := policy.ServerID(1); id <= 6; id++ {
 		file, byFile := w.statements[0][id]
 		discovery, byDiscovery := w.statements[1][id]
 		state := policy.Ready
@@ -213,7 +213,7 @@
 			require.Less(w.t, w.now-since, drainTimeout, "an unlisted server is gone after its drain")
 		}
 	}
-	at := map[string]policy.CacheID{}
+	at := map[string]policy.ServerID{}
 	for _, id := range slices.Sorted(maps.Keys(w.published)) {
 		m := w.published[id]
 		if _, byDiscovery := w.statements[1][id]; byDiscovery || m.State != policy.Ready {
@@ -230,7 +230,7 @@
 
 func entry(t *rapid.T, states ...policy.State) membership.Entry {
 	var e membership.Entry
-	e.ID = policy.CacheID(rapid.IntRange(1, 6).Draw(t, "id"))
+	e.ID = policy.ServerID(rapid.IntRange(1, 6).Draw(t, "id"))
 	e.Addr = fmt.Sprintf("a%d", rapid.IntRange(1, 6).Draw(t, "addr"))
 	e.State = rapid.SampledFrom(states).Draw(t, "state")
 	e.Weight = float64(rapid.IntRange(1, 20).Draw(t, "weight"))
@@ -243,7 +243,7 @@
 
 // distinct drops entries whose id or address occurred before, as the check of a list does.
 func distinct(entries []membership.Entry) (out []membership.Entry) {
-	ids, addrs := map[policy.CacheID]bool{}, map[string]bool{}
+	ids, addrs := map[policy.ServerID]bool{}, map[string]bool{}
 	for _, e := range entries {
 		if !ids[e.ID] && !addrs[e.Addr] {
 			out = append(out, e)
@@ -287,7 +287,7 @@
 				}
 			},
 			"manual drain": func(t *rapid.T) {
-				id := policy.CacheID(rapid.IntRange(1, 6).Draw(t, "id"))
+				id := policy.ServerID(rapid.IntRange(1, 6).Draw(t, "id"))
 				on := rapid.Bool().Draw(t, "on")
 				if delete(w.manualDrains, id); on {
 					w.manualDrains[id] = true
--- a/internal/decide/membership/restore.go
+++ b/internal/decide/membership/restore.go
@@ -13,7 +13,7 @@
 // gone, and servers in use do not count as new when a source lists them. A list of a lower generation than
 // minGenerations has for its source is rejected. Restore must come before the first event.
 func (t *Table) Restore(now float64, saved []SavedMember, minGenerations map[int]uint64) {
-	t.now, t.restoreCalled, t.inUseBeforeRestart = max(now, t.now), true, map[policy.CacheID]Member{}
+	t.now, t.restoreCalled, t.inUseBeforeRestart = max(now, t.now), true, map[policy.ServerID]Member{}
 	for i, generation := range minGenerations {
 		if i >= 0 && i < len(t.sources) {
 			t.sources[i].minGeneration = generation
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -15,7 +15,7 @@
 	minGeneration uint64 // for the first list: the generation in use before a restart
 	lastHeard     float64
 	silent        bool
-	listed        map[policy.CacheID]bool
+	listed        map[policy.ServerID]bool
 }
 
 // sourceEntry is the entry of one server in the list of one source, as the table uses it.
@@ -48,14 +48,14 @@
 }
 
 // DuplicateServerError is the cause of a rejected snapshot that lists a server twice.
-type DuplicateServerError struct{ ID policy.CacheID }
+type DuplicateServerError struct{ ID policy.ServerID }
 
 // Error implements error.
 func (e DuplicateServerError) Error() string { return fmt.Sprintf("server %d is listed twice", e.ID) }
 
 // applyList records the entries of a list, or rejects it as a whole. The phases change in reconcile.
 func (t *Table) applyList(l list) {
-	listed := make(map[policy.CacheID]bool, len(l.entries))
+	listed := make(map[policy.ServerID]bool, len(l.entries))
 	if err := t.checkList(l, listed); err != nil {
 		t.emit(Rejected{Source: l.source, Generation: l.generation, Err: err})
 		return
@@ -79,7 +79,7 @@
 
 // checkList decides whether a list is accepted, and adds the servers that it lists to listed. A generation that is not newer
 // is stale: applying it would bring back servers that are draining by now.
-func (t *Table) checkList(l list, listed map[policy.CacheID]bool) error {
+func (t *Table) checkList(l list, listed map[policy.ServerID]bool) error {
 	if !t.knownSource(l.source) {
 		return ErrUnknownSource
 	}
@@ -155,7 +155,7 @@
 }
 
 // dropEntry notes that a source no longer lists a server.
-func (t *Table) dropEntry(i int, id policy.CacheID) {
+func (t *Table) dropEntry(i int, id policy.ServerID) {
 	delete(t.sources[i].listed, id)
 	if s := t.servers[id]; s != nil {
 		s.entries[i] = nil
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -19,7 +19,7 @@
 }
 
 // Knows reports whether the table has a server that is not gone, or an operator drains one with this id.
-func (t *Table) Knows(id policy.CacheID) bool {
+func (t *Table) Knows(id policy.ServerID) bool {
 	s := t.servers[id]
 	_, drained := t.manualDrains[id]
 	return drained || s != nil && s.phase != Gone
--- a/internal/decide/membership/table.go
+++ b/internal/decide/membership/table.go
@@ -25,7 +25,7 @@
 
 // server is what the table knows of one server.
 type server struct {
-	id        policy.CacheID
+	id        policy.ServerID
 	entries   []*sourceEntry // by source; nil: that source does not list the server
 	phase     Phase
 	since     float64 // start of the phase, ms
@@ -48,25 +48,25 @@
 type Table struct {
 	settings Settings
 	sources  []*source
-	servers  map[policy.CacheID]*server
+	servers  map[policy.ServerID]*server
 	now      float64 // ms
 	version  uint64  // of the last Publish
 
-	reservations map[string]map[policy.CacheID]struct{} // by address: servers in use or draining there
-	waiting      map[string]map[policy.CacheID]struct{} // by address: servers that wait for it
+	reservations map[string]map[policy.ServerID]struct{} // by address: servers in use or draining there
+	waiting      map[string]map[policy.ServerID]struct{} // by address: servers that wait for it
 	timers       timers
 	wake         float64 // ms, the last Wake requested
 
-	manualDrains      map[policy.CacheID]float64 // start of the drain, ms
-	manualDrainsEnded map[policy.CacheID]float64 // end of the last drain, ms: the server is warming up from then on
+	manualDrains      map[policy.ServerID]float64 // start of the drain, ms
+	manualDrainsEnded map[policy.ServerID]float64 // end of the last drain, ms: the server is warming up from then on
 
-	restoreCalled      bool                      // Restore was called
-	inUseBeforeRestart map[policy.CacheID]Member // servers in use before the restart
+	restoreCalled      bool                       // Restore was called
+	inUseBeforeRestart map[policy.ServerID]Member // servers in use before the restart
 
 	// Of the event that is being handled.
 	actions []Action
-	dirty   map[policy.CacheID]struct{} // servers to reconcile
-	changed []Member                    // to publish
+	dirty   map[policy.ServerID]struct{} // servers to reconcile
+	changed []Member                     // to publish
 }
 
 // New returns an empty table. It fails if no source is configured, or if a setting is negative or not finite.
@@ -76,15 +76,15 @@
 	}
 	t := &Table{
 		settings:          s,
-		servers:           map[policy.CacheID]*server{},
-		reservations:      map[string]map[policy.CacheID]struct{}{},
-		waiting:           map[string]map[policy.CacheID]struct{}{},
-		manualDrains:      map[policy.CacheID]float64{},
-		manualDrainsEnded: map[policy.CacheID]float64{},
-		dirty:             map[policy.CacheID]struct{}{},
+		servers:           map[policy.ServerID]*server{},
+		reservations:      map[string]map[policy.ServerID]struct{}{},
+		waiting:           map[string]map[policy.ServerID]struct{}{},
+		manualDrains:      map[policy.ServerID]float64{},
+		manualDrainsEnded: map[policy.ServerID]float64{},
+		dirty:             map[policy.ServerID]struct{}{},
 	}
 	for _, x := range s.Sources {
-		t.sources = append(t.sources, &source{Source: x, listed: map[policy.CacheID]bool{}})
+		t.sources = append(t.sources, &source{Source: x, listed: map[policy.ServerID]bool{}})
 	}
 	return t, nil
 }
@@ -118,10 +118,10 @@
 
 func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
-func (t *Table) markDirty(id policy.CacheID) { t.dirty[id] = struct{}{} }
+func (t *Table) markDirty(id policy.ServerID) { t.dirty[id] = struct{}{} }
 
 // newServer adds a server in phase None.
-func (t *Table) newServer(id policy.CacheID) *server {
+func (t *Table) newServer(id policy.ServerID) *server {
 	s := &server{id: id, entries: make([]*sourceEntry, len(t.sources))}
 	s.manualDrainSince, s.manualDrain = t.manualDrains[id]
 	t.servers[id] = s
@@ -133,7 +133,7 @@
 	if len(t.changed) == 0 {
 		return
 	}
-	latest := make(map[policy.CacheID]int, len(t.changed))
+	latest := make(map[policy.ServerID]int, len(t.changed))
 	for i, m := range t.changed {
 		latest[m.ID] = i
 	}
--- a/internal/decide/membership/timers.go
+++ b/internal/decide/membership/timers.go
@@ -56,12 +56,12 @@
 }
 
 // schedule sets a timer, at a time in ms, for a server, or for the sources alone (id 0).
-func (t *Table) schedule(at float64, id policy.CacheID) { heap.Push(&t.timers, timer{at, id}) }
+func (t *Table) schedule(at float64, id policy.ServerID) { heap.Push(&t.timers, timer{at, id}) }
 
 // timer is a time at which a server may have to change. One that is no longer needed does no harm.
 type timer struct {
 	at float64 // ms
-	id policy.CacheID
+	id policy.ServerID
 }
 
 // timers is a heap, the earliest first.
--- a/internal/decide/membership/transcript_test.go
+++ b/internal/decide/membership/transcript_test.go
@@ -85,9 +85,9 @@
 		id, err := strconv.Atoi(words[2])
 		require.NoError(t, err)
 		if words[1] == "ended" {
-			return membership.ManualDrainEnded{ID: policy.CacheID(id), At: now - 500}
+			return membership.ManualDrainEnded{ID: policy.ServerID(id), At: now - 500}
 		}
-		return membership.ManualDrain{ID: policy.CacheID(id), On: words[1] == "on"}
+		return membership.ManualDrain{ID: policy.ServerID(id), On: words[1] == "on"}
 	case words[1] == "heartbeat":
 		return membership.Heartbeat{Source: sourceIndex[words[0]]}
 	}
@@ -140,7 +140,7 @@
 	require.True(t, ok, w)
 	n, err := strconv.Atoi(id)
 	require.NoError(t, err)
-	e.ID, e.Addr, e.Weight = policy.CacheID(n), addr, 4
+	e.ID, e.Addr, e.Weight = policy.ServerID(n), addr, 4
 	e.State = map[string]policy.State{"": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}[state]
 	if weight != "" {
 		e.Weight, err = strconv.ParseFloat(weight, 64)
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		saved := membership.SavedMember{Phase: m.Phase, Since: min(m.Since, now)}
-		saved.Member.ID, saved.Member.Addr, saved.Member.Zone, saved.Member.Kind = policy.CacheID(m.ID), m.Addr, m.Zone, m.Kind
+		saved.Member.ID, saved.Member.Addr, saved.Member.Zone, saved.Member.Kind = policy.ServerID(m.ID), m.Addr, m.Zone, m.Kind
 		saved.Member.Cell, saved.Member.Weight = m.Cell, m.Weight
 		saved.Member.Started = policy.Time(min(m.Started, now) * nanosecondsPerMs)
 		list = append(list, saved)
--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -97,7 +97,7 @@
 // drainUnlisted starts the drain of each server that a new list omits or marks as draining. A list is stored before it
 // takes effect, so after a crash in between only the list says that these servers drain.
 func (s *State) drainUnlisted(old, next List, at float64) {
-	ready := make(map[policy.CacheID]bool, len(next.Servers))
+	ready := make(map[policy.ServerID]bool, len(next.Servers))
 	for _, server := range next.Servers {
 		ready[server.ID] = !server.Draining
 	}
--- a/internal/decide/serverlist/check.go
+++ b/internal/decide/serverlist/check.go
@@ -14,7 +14,7 @@
 
 // checkDistinct decides that no two servers have the same id, or the same host and port.
 func (d *Draft) checkDistinct() {
-	ids, addrs := map[policy.CacheID]*Server{}, map[string]*Server{}
+	ids, addrs := map[policy.ServerID]*Server{}, map[string]*Server{}
 	for i := range d.Servers {
 		s := &d.Servers[i]
 		if other := ids[s.ID]; other != nil {
--- a/internal/decide/serverlist/diff.go
+++ b/internal/decide/serverlist/diff.go
@@ -25,7 +25,7 @@
 
 // Change is what happens to one server between two lists.
 type Change struct {
-	ID   policy.CacheID
+	ID   policy.ServerID
 	Kind ChangeKind
 	Text string // details, for people
 }
@@ -33,7 +33,7 @@
 // Diff returns what becomes of each server if list b follows list a, by id. Either may be nil.
 func Diff(a, b *List) []Change {
 	before, after := indexByID(a), indexByID(b)
-	ids := make([]policy.CacheID, 0, len(before)+len(after))
+	ids := make([]policy.ServerID, 0, len(before)+len(after))
 	for id := range before {
 		ids = append(ids, id)
 	}
@@ -51,7 +51,7 @@
 }
 
 // appendChanges appends the changes of one server; nil: it is not listed.
-func appendChanges(changes []Change, id policy.CacheID, before, after *Server) []Change {
+func appendChanges(changes []Change, id policy.ServerID, before, after *Server) []Change {
 	add := func(kind ChangeKind, format string, args ...any) {
 		changes = append(changes, Change{id, kind, fmt.Sprintf(format, args...)})
 	}
@@ -100,8 +100,8 @@
 }
 
 // indexByID returns the servers of a list by their id; nil: an empty one.
-func indexByID(l *List) map[policy.CacheID]*Server {
-	out := map[policy.CacheID]*Server{}
+func indexByID(l *List) map[policy.ServerID]*Server {
+	out := map[policy.ServerID]*Server{}
 	if l != nil {
 		for i := range l.Servers {
 			out[l.Servers[i].ID] = &l.Servers[i]
--- a/internal/decide/serverlist/resolve.go
+++ b/internal/decide/serverlist/resolve.go
@@ -115,7 +115,7 @@
 
 // countDropped returns how many servers of current are ready, and how many of those next takes out of use.
 func countDropped(next, current *List) (ready, dropped int) {
-	stillReady := map[policy.CacheID]bool{}
+	stillReady := map[policy.ServerID]bool{}
 	for _, s := range next.Servers {
 		stillReady[s.ID] = !s.Draining
 	}
--- a/internal/decide/serverlist/serverlist.go
+++ b/internal/decide/serverlist/serverlist.go
@@ -30,17 +30,17 @@
 
 // Server is one checked entry. It is stored under the names in its tags.
 type Server struct {
-	ID        policy.CacheID `cbor:"ID" json:"ID"`
-	Host      string         `cbor:"Host" json:"Host"` // in lower case, without a dot at its end
-	Port      int            `cbor:"Port" json:"Port"`
-	Addr      string         `cbor:"Addr" json:"Addr"` // address and port as they are dialled; set by Draft.Resolve
-	Zone      string         `cbor:"Zone" json:"Zone"`
-	Kind      string         `cbor:"Kind" json:"Kind"`
-	Cell      int            `cbor:"Cell" json:"Cell"`
-	Draining  bool           `cbor:"Draining" json:"Draining"`
-	Weight    float64        `cbor:"Weight" json:"Weight"`
-	StartedMs float64        `cbor:"Started" json:"Started"` // Unix ms; 0: not known
-	Warm      bool           `cbor:"Warm" json:"Warm"`       // it holds its copies although it is new here: no slow start
+	ID        policy.ServerID `cbor:"ID" json:"ID"`
+	Host      string          `cbor:"Host" json:"Host"` // in lower case, without a dot at its end
+	Port      int             `cbor:"Port" json:"Port"`
+	Addr      string          `cbor:"Addr" json:"Addr"` // address and port as they are dialled; set by Draft.Resolve
+	Zone      string          `cbor:"Zone" json:"Zone"`
+	Kind      string          `cbor:"Kind" json:"Kind"`
+	Cell      int             `cbor:"Cell" json:"Cell"`
+	Draining  bool            `cbor:"Draining" json:"Draining"`
+	Weight    float64         `cbor:"Weight" json:"Weight"`
+	StartedMs float64         `cbor:"Started" json:"Started"` // Unix ms; 0: not known
+	Warm      bool            `cbor:"Warm" json:"Warm"`       // it holds its copies although it is new here: no slow start
 
 	location location // of the entry, while it is checked
 }
@@ -70,13 +70,13 @@
 }
 
 // FormatID returns a server's id as list files and the protocol write it.
-func FormatID(id policy.CacheID) string { return fmt.Sprintf("s-%08x", uint64(id)) }
+func FormatID(id policy.ServerID) string { return fmt.Sprintf("s-%08x", uint64(id)) }
 
 // ParseID reads an id as FormatID writes it. No other spelling is accepted: an id in capitals would pass for another one.
-func ParseID(text string) (id policy.CacheID, ok bool) {
+func ParseID(text string) (id policy.ServerID, ok bool) {
 	digits, found := strings.CutPrefix(text, "s-")
 	n, err := strconv.ParseUint(digits, 16, 32)
-	id = policy.CacheID(n)
+	id = policy.ServerID(n)
 	return id, found && err == nil && text == FormatID(id)
 }
 
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -31,7 +31,7 @@
 type Translator struct {
 	lastEvent float64 // when the source was heard last, in ms of the caller's clock
 	offset    float64 // ms to add to a timestamp of the source for a time of the caller's clock
-	starts    map[policy.CacheID]serverStart
+	starts    map[policy.ServerID]serverStart
 }
 
 // serverStart is the serverStart of a server, as the source sent it and as it was translated first. A translation must not change
@@ -40,7 +40,7 @@
 
 // New returns a translator for a source that is followed from now on.
 func New(now float64) *Translator {
-	return &Translator{lastEvent: now, starts: map[policy.CacheID]serverStart{}}
+	return &Translator{lastEvent: now, starts: map[policy.ServerID]serverStart{}}
 }
 
 // Heartbeat notes that the source was heard at now, after the timestamps of that event have been translated.
@@ -76,17 +76,17 @@
 
 // SnapshotStart translates the timestamp of a server's start in a complete list, which may be of any age. 0, in and out:
 // the server was started long ago.
-func (t *Translator) SnapshotStart(now float64, id policy.CacheID, timestamp float64) float64 {
+func (t *Translator) SnapshotStart(now float64, id policy.ServerID, timestamp float64) float64 {
 	return t.translateStart(now, id, timestamp, 0)
 }
 
 // Start translates the timestamp of a server's start that arrives at now as a change. 0, in and out: the server was
 // started long ago.
-func (t *Translator) Start(now float64, id policy.CacheID, timestamp float64) float64 {
+func (t *Translator) Start(now float64, id policy.ServerID, timestamp float64) float64 {
 	return t.translateStart(now, id, timestamp, t.lastEvent-maxStartDelay)
 }
 
-func (t *Translator) translateStart(now float64, id policy.CacheID, timestamp, oldest float64) float64 {
+func (t *Translator) translateStart(now float64, id policy.ServerID, timestamp, oldest float64) float64 {
 	if timestamp <= 0 {
 		return 0
 	}
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -66,7 +66,7 @@
 		version++
 		c.UpdateMembers(membership.Publish{Version: version, Complete: whole, Members: list})
 	}
-	start := func(id policy.CacheID, role fleet.Role) core.Member {
+	start := func(id policy.ServerID, role fleet.Role) core.Member {
 		s, err := servers.Start(id, role, "127.0.0.1:0")
 		require.NoError(t, err)
 		m := core.Member{Addr: s.Addr()}
@@ -144,7 +144,7 @@
 		// The one that is listed longest drains, and is gone with its machine; another comes.
 		old := caches[0]
 		old.State = policy.Draining
-		caches = append(caches[1:], start(policy.CacheID(10+minute), fleet.Cache))
+		caches = append(caches[1:], start(policy.ServerID(10+minute), fleet.Cache))
 		tell(false, old, caches[2])
 		perS := s.perS // half of them new objects: the tables are full within the minutes to fill
 		if minute < s.fill {
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -75,7 +75,7 @@
 	closed     bool
 
 	drainMu sync.Mutex // held while a manual drain is set, so that commands take effect one at a time
-	onDrain func(server policy.CacheID, drained bool)
+	onDrain func(server policy.ServerID, drained bool)
 	learned LearnedState // set by WaitForOwnership; nil: nothing is passed on
 }
 
@@ -132,7 +132,7 @@
 
 // Subscribe reports the manual drains in force and the servers restored lately, with the times in ms, and from then on each
 // drain that is set through the other process.
-func (c *Coordinator) Subscribe(onDrain func(server policy.CacheID, drained bool), onRestored func(server policy.CacheID, at float64)) {
+func (c *Coordinator) Subscribe(onDrain func(server policy.ServerID, drained bool), onRestored func(server policy.ServerID, at float64)) {
 	c.drainMu.Lock()
 	defer c.drainMu.Unlock()
 	c.onDrain = onDrain
@@ -167,7 +167,7 @@
 
 // SetManualDrain records that an operator drains a server, or no longer does, and sends it to the other process. Without an
 // error it is recorded, by this process or, if that is the owner, by the other one.
-func (c *Coordinator) SetManualDrain(id policy.CacheID, drained bool) error {
+func (c *Coordinator) SetManualDrain(id policy.ServerID, drained bool) error {
 	c.drainMu.Lock()
 	defer c.drainMu.Unlock()
 	err := c.record.setDrained(id, drained, c.opt.Clock.Now())
--- a/internal/handover/execute.go
+++ b/internal/handover/execute.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func formatIDs(ids []policy.CacheID) (names []string) {
+func formatIDs(ids []policy.ServerID) (names []string) {
 	for _, id := range ids {
 		names = append(names, serverlist.FormatID(id))
 	}
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -53,7 +53,7 @@
 		h.clk.Advance(watchInterval)
 		r := record{path: owner.record.path, clock: clock.Manual(0)}
 		require.NoError(t, r.load())
-		return len(r.drainedServers()) == 1 && r.drainedServers()[0] == policy.CacheID(7)
+		return len(r.drainedServers()) == 1 && r.drainedServers()[0] == policy.ServerID(7)
 	}
 	require.Eventually(t, recorded, 10*time.Second, time.Millisecond)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,10 +21,10 @@
 	*Coordinator
 	listener net.Listener
 	learned  string
-	restored map[policy.CacheID]float64
+	restored map[policy.ServerID]float64
 
 	mu      sync.Mutex
-	drained map[policy.CacheID]bool
+	drained map[policy.ServerID]bool
 	got     struct{ accepting, owner, shared, stopped bool }
 }
 
@@ -55,7 +55,7 @@
 
 // start starts a process, up to where it has the state of the owner before it.
 func (h *host) start() *process {
-	p := &process{drained: map[policy.CacheID]bool{}, restored: map[policy.CacheID]float64{}}
+	p := &process{drained: map[policy.ServerID]bool{}, restored: map[policy.ServerID]float64{}}
 	set := func(b *bool) func(bool) {
 		return func(on bool) { p.mu.Lock(); *b = on; p.mu.Unlock() }
 	}
@@ -66,8 +66,8 @@
 	})
 	require.NoError(h.t, err)
 	p.Coordinator = c
-	c.Subscribe(func(id policy.CacheID, drained bool) { p.mu.Lock(); p.drained[id] = drained; p.mu.Unlock() },
-		func(id policy.CacheID, at float64) { p.restored[id] = at })
+	c.Subscribe(func(id policy.ServerID, drained bool) { p.mu.Lock(); p.drained[id] = drained; p.mu.Unlock() },
+		func(id policy.ServerID, at float64) { p.restored[id] = at })
 	h.t.Cleanup(c.Close)
 	return p
 }
@@ -110,8 +110,8 @@
 		require.Equal(t, n > 0, next.restored[8] > 0, "restored lately: the next process warms it up too")
 		h.own(next)
 		h.eventually(old, "it stops accepting", func() bool { return !old.got.accepting && !old.got.owner })
-		require.NoError(t, old.SetManualDrain(policy.CacheID(100+n), true), "set through the old one")
-		h.eventually(next, "a drain set through one is in effect in both", func() bool { return next.drained[policy.CacheID(100+n)] })
+		require.NoError(t, old.SetManualDrain(policy.ServerID(100+n), true), "set through the old one")
+		h.eventually(next, "a drain set through one is in effect in both", func() bool { return next.drained[policy.ServerID(100+n)] })
 		require.NoError(t, next.SetManualDrain(7, n%2 == 1))
 		h.eventually(old, "and the other way round", func() bool { return old.drained[7] == (n%2 == 1) })
 		require.True(t, old.BeginShutdown())
@@ -175,7 +175,7 @@
 	require.ErrorIs(t, old.record.setDrained(6, true, 0), errFenced)
 	// It goes on accepting, as its listener has a queue of its own.
 	h.eventually(old, "it stops", func() bool { return old.got.stopped && old.got.accepting })
-	require.Equal(t, []policy.CacheID{5}, next.record.drainedServers())
+	require.Equal(t, []policy.ServerID{5}, next.record.drainedServers())
 	old.Close()
 	h.eventually(next, "it gets the lock once the old process is gone", func() bool {
 		next.Coordinator.mu.Lock()
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -67,7 +67,7 @@
 	return err
 }
 
-func parseIDs(names []string) (ids []policy.CacheID, err error) {
+func parseIDs(names []string) (ids []policy.ServerID, err error) {
 	if len(names) > maxDrained {
 		return nil, fmt.Errorf("%d servers are more than %d", len(names), maxDrained)
 	}
@@ -128,7 +128,7 @@
 }
 
 // drainedServers returns the servers that operators drain.
-func (r *record) drainedServers() []policy.CacheID {
+func (r *record) drainedServers() []policy.ServerID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids, _ := parseIDs(r.current.Drained)
@@ -136,10 +136,10 @@
 }
 
 // restoredServers returns the servers whose manual drain ended lately, and when in ms.
-func (r *record) restoredServers() map[policy.CacheID]float64 {
+func (r *record) restoredServers() map[policy.ServerID]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	servers := map[policy.CacheID]float64{}
+	servers := map[policy.ServerID]float64{}
 	for name, at := range r.current.Restored {
 		if id, ok := serverlist.ParseID(name); ok {
 			servers[id] = at
@@ -176,7 +176,7 @@
 // setDrained records that an operator drains a server, or no longer does, from now in ms on. Its errors are errFenced,
 // errBusy, errTooManyDrained and those of the write. After errBusy and a failed write the change is in effect in memory, and
 // is written later.
-func (r *record) setDrained(id policy.CacheID, drained bool, now float64) error {
+func (r *record) setDrained(id policy.ServerID, drained bool, now float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name := serverlist.FormatID(id)
@@ -212,7 +212,7 @@
 }
 
 // setDrainedInMemory changes a drain in memory alone: the owner has recorded it, or will.
-func (r *record) setDrainedInMemory(id policy.CacheID, drained bool) {
+func (r *record) setDrainedInMemory(id policy.ServerID, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	server := serverlist.FormatID(id)
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -16,7 +16,7 @@
 func TestRestoredServersSurviveClockStep(t *testing.T) {
 	const hour = 3_600_000
 	for _, step := range []float64{0, hour, -hour} {
-		path, id := filepath.Join(t.TempDir(), "record.json"), policy.CacheID(7)
+		path, id := filepath.Join(t.TempDir(), "record.json"), policy.ServerID(7)
 		before, after := clock.System(), clock.SystemAhead(step)
 		first := record{path: path, clock: before}
 		require.NoError(t, first.setDrained(id, true, before.Now()))
--- a/internal/lab/capacity/record_fleetview.go
+++ b/internal/lab/capacity/record_fleetview.go
@@ -40,7 +40,7 @@
 	}
 	for n := range servers {
 		d.Servers = append(d.Servers, fleetview.ServerLoad{
-			Server: policy.CacheID(zone*cachesPerZone + n), Attempts: fleetview.LevelOf(float64(20 + n)), Failures: 1, InFlight: 30,
+			Server: policy.ServerID(zone*cachesPerZone + n), Attempts: fleetview.LevelOf(float64(20 + n)), Failures: 1, InFlight: 30,
 			Latency: fleetview.Latency{200, 40, 10},
 		})
 	}
--- a/internal/lab/capacity/record_policy.go
+++ b/internal/lab/capacity/record_policy.go
@@ -12,7 +12,7 @@
 
 // serverAt is the n-th generated server.
 func serverAt(n int) policy.Member {
-	return policy.Member{ID: policy.CacheID(n + 1), Zone: n / cachesPerZone, Cell: n % 7, Weight: 4}
+	return policy.Member{ID: policy.ServerID(n + 1), Zone: n / cachesPerZone, Cell: n % 7, Weight: 4}
 }
 
 // changedServer is the index of the server that the i-th change concerns, spread over a list of n.
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -153,7 +153,7 @@
 		if second != eventAt {
 			return
 		}
-		for i := range policy.CacheID(cacheCount) {
+		for i := range policy.ServerID(cacheCount) {
 			servers.Server(firstCache + i).DropCopies()
 		}
 	}})
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -44,7 +44,7 @@
 // The servers are zoneCaches caches in the proxy's zone, one in another zone, two parents and the origin.
 const (
 	zoneCaches = 5
-	otherZone  = policy.CacheID(9)
+	otherZone  = policy.ServerID(9)
 	// gracePeriod is that of drains and purges, in ms. It is shorter than in the files, so that the test sees it end.
 	gracePeriod = 150.0
 	// requestTimeout of a client's attempt, in ms, after which a request to an unresponsive server fails.
@@ -69,7 +69,7 @@
 	}
 	s.fleet = fleet.New(fleet.Options{Clock: s.clock, TransferTime: 1, FillTime: 3, PurgeDelay: 4 * gracePeriod, MaxCopies: 200, IdempotencyWindow: window})
 	t.Cleanup(s.fleet.Close)
-	for id := range policy.CacheID(zoneCaches) {
+	for id := range policy.ServerID(zoneCaches) {
 		s.start(id+1, fleet.Cache, s.settings.Zone, 0)
 	}
 	s.start(otherZone, fleet.Cache, s.settings.Zone+1, 0)
@@ -89,7 +89,7 @@
 	return s
 }
 
-func (s *site) start(id policy.CacheID, role fleet.Role, zone, kind int) {
+func (s *site) start(id policy.ServerID, role fleet.Role, zone, kind int) {
 	server, err := s.fleet.Start(id, role, "127.0.0.1:0")
 	require.NoError(s.t, err)
 	m := membership.Member{Addr: server.Addr()}
@@ -103,15 +103,15 @@
 }
 
 // setState publishes a cache's state, and records it for the checks.
-func (s *site) setState(id policy.CacheID, state policy.State) {
+func (s *site) setState(id policy.ServerID, state policy.State) {
 	m := s.members[slices.IndexFunc(s.members, func(m membership.Member) bool { return m.ID == id })]
 	m.State = state
 	s.publish(false, m)
 	notification := fleet.Notification{At: s.clock.Now()}
 	if state == policy.Ready {
-		notification.Returns = []policy.CacheID{id}
+		notification.Returns = []policy.ServerID{id}
 	} else {
-		notification.Drains = []policy.CacheID{id}
+		notification.Drains = []policy.ServerID{id}
 	}
 	s.notifications = append(s.notifications, notification)
 }
@@ -286,10 +286,10 @@
 
 // sendWithFaults sends rounds while servers have faults in turn, states change and objects are purged.
 func (s *site) sendWithFaults() {
-	setFault := func(id policy.CacheID, f fleet.Fault) { s.fleet.Server(id).SetFault(f) }
+	setFault := func(id policy.ServerID, f fleet.Fault) { s.fleet.Server(id).SetFault(f) }
 	s.sendRound(12)
 	for _, f := range []fleet.Fault{{Overloaded: true}, {Failing: true}, {Unresponsive: true}, {ExtraLatency: 50}} {
-		for _, id := range []policy.CacheID{1, parentID, originID} {
+		for _, id := range []policy.ServerID{1, parentID, originID} {
 			setFault(id, f)
 			s.sendRound(6)
 			setFault(id, fleet.Fault{})
@@ -308,7 +308,7 @@
 	s.setState(2, policy.Ready)
 	s.setState(3, policy.Gone)
 	s.sendRound(8)
-	for id := range policy.CacheID(zoneCaches) { // no cache of the zone serves
+	for id := range policy.ServerID(zoneCaches) { // no cache of the zone serves
 		setFault(id+1, fleet.Fault{Overloaded: true})
 	}
 	s.sendRound(4)
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -34,9 +34,9 @@
 
 // The servers' ids, and their zones and kinds as indices in operatorFile.
 const (
-	firstCache policy.CacheID = 1
-	parentID   policy.CacheID = 10
-	originID   policy.CacheID = 20
+	firstCache policy.ServerID = 1
+	parentID   policy.ServerID = 10
+	originID   policy.ServerID = 20
 
 	zoneHub, zoneEast                 = 0, 1
 	kindCache, kindParent, kindOrigin = 0, 1, 2
@@ -132,7 +132,7 @@
 
 // startServers starts the site's servers and returns them as members.
 func startServers(servers *fleet.Fleet) (members []membership.Member, err error) {
-	start := func(id policy.CacheID, role fleet.Role, zone, kind int) {
+	start := func(id policy.ServerID, role fleet.Role, zone, kind int) {
 		if err != nil {
 			return
 		}
@@ -144,7 +144,7 @@
 		m.ID, m.Zone, m.Kind, m.Weight = id, zone, kind, serverWeight
 		members = append(members, m)
 	}
-	for i := range policy.CacheID(cacheCount) {
+	for i := range policy.ServerID(cacheCount) {
 		start(firstCache+i, fleet.Cache, zoneEast, kindCache)
 	}
 	start(parentID, fleet.Parent, zoneHub, kindParent)
--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -15,9 +15,9 @@
 
 // Servers of the list in deploy/ that the steps use.
 const (
-	changedServer = policy.CacheID(1) // its weight is changed
-	removedServer = policy.CacheID(2)
-	addedServer   = policy.CacheID(6)
+	changedServer = policy.ServerID(1) // its weight is changed
+	removedServer = policy.ServerID(2)
+	addedServer   = policy.ServerID(6)
 	addedHost     = "127.0.20.6"
 	addedAddress  = "127.0.20.6:4100"
 	// changedZone loses its caches but changedServer in the list that drops too many servers.
@@ -79,7 +79,7 @@
 	return &serverlist.List{Generation: list.Generation + 1, Servers: change(slices.Clone(list.Servers))}
 }
 
-func indexOf(servers []serverlist.Server, id policy.CacheID) int {
+func indexOf(servers []serverlist.Server, id policy.ServerID) int {
 	return slices.IndexFunc(servers, func(s serverlist.Server) bool { return s.ID == id })
 }
 
@@ -126,7 +126,7 @@
 // removeServer replaces the list by one without removedServer, which then drains.
 func (d *demonstration) removeServer(ctx context.Context, list *serverlist.List) error {
 	d.notifications = append(d.notifications, fleet.Notification{
-		At: d.clock.Now() + drainNotificationTimeout, Drains: []policy.CacheID{removedServer},
+		At: d.clock.Now() + drainNotificationTimeout, Drains: []policy.ServerID{removedServer},
 	})
 	if err := d.replaceAccepted(ctx, list, "a list without %s: it drains", serverlist.FormatID(removedServer)); err != nil {
 		return err
@@ -166,6 +166,6 @@
 		return err
 	}
 	d.printf("%s has drained and is gone", id)
-	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Returns: []policy.CacheID{removedServer}})
+	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Returns: []policy.ServerID{removedServer}})
 	return d.replaceAccepted(ctx, list, "rolled back: %s is listed again, and taken for freshly started", id)
 }
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -22,9 +22,9 @@
 	mu      sync.Mutex
 	frames  [][]byte // frames[i] carries the event numbered i+1
 	notices []any    // the purges as JSON, for the configuration of a proxy that starts
-	list    map[policy.CacheID]membership.Member
-	order   []policy.CacheID // of the list, by first appearance
-	changed chan struct{}    // closed and replaced with each event
+	list    map[policy.ServerID]membership.Member
+	order   []policy.ServerID // of the list, by first appearance
+	changed chan struct{}     // closed and replaced with each event
 }
 
 // The kinds of frame on the wire.
@@ -38,7 +38,7 @@
 
 // NewDiscoveryService returns a service whose first event is the full list.
 func NewDiscoveryService(clk *clock.Clock, zones, kinds []string, list []membership.Member) *DiscoveryService {
-	s := &DiscoveryService{clk: clk, zones: zones, kinds: kinds, list: map[policy.CacheID]membership.Member{}, changed: make(chan struct{})}
+	s := &DiscoveryService{clk: clk, zones: zones, kinds: kinds, list: map[policy.ServerID]membership.Member{}, changed: make(chan struct{})}
 	s.publish(kindFullList, list)
 	return s
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -46,7 +46,7 @@
 	options Options
 
 	mu           sync.Mutex
-	servers      map[policy.CacheID]*Server
+	servers      map[policy.ServerID]*Server
 	observations []Observation
 	discarded    int                // number of observations dropped before those in the slice
 	writeRuns    map[string]int     // how often each write ran, by request id or idempotency key
@@ -56,14 +56,14 @@
 // Observation is one attempt as a server received it.
 type Observation struct {
 	At            float64 // ms at which it was completely received
-	Server        policy.CacheID
+	Server        policy.ServerID
 	RequestID     string
 	Class         string
 	Object        string
 	Part          int
-	Source        policy.CacheID // from which a miss was to be filled; the server itself means no fill
-	OldestAllowed float64        // creation time of the oldest acceptable copy; 0 accepts any
-	RemainingMs   float64        // time left to the client, as stated by the proxy
+	Source        policy.ServerID // from which a miss was to be filled; the server itself means no fill
+	OldestAllowed float64         // creation time of the oldest acceptable copy; 0 accepts any
+	RemainingMs   float64         // time left to the client, as stated by the proxy
 	Probe         bool
 	Write         bool
 	Key           string // idempotency key; empty: none
@@ -82,12 +82,12 @@
 		o.MaxCopies = defaultMaxCopies
 	}
 	return &Fleet{
-		options: o, servers: map[policy.CacheID]*Server{}, writeRuns: map[string]int{}, lastKeyedRun: map[string]float64{},
+		options: o, servers: map[policy.ServerID]*Server{}, writeRuns: map[string]int{}, lastKeyedRun: map[string]float64{},
 	}
 }
 
 // Start starts a server at an address. Port 0 lets the kernel choose one.
-func (f *Fleet) Start(id policy.CacheID, role Role, addr string) (*Server, error) {
+func (f *Fleet) Start(id policy.ServerID, role Role, addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("server %s: %w", serverlist.FormatID(id), err)
@@ -121,7 +121,7 @@
 }
 
 // Server returns the server with an id, or nil.
-func (f *Fleet) Server(id policy.CacheID) *Server {
+func (f *Fleet) Server(id policy.ServerID) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[id]
@@ -238,7 +238,7 @@
 func (f *Fleet) Counts() []Count {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by := map[policy.CacheID]*Count{}
+	by := map[policy.ServerID]*Count{}
 	for id, s := range f.servers {
 		by[id] = &Count{Server: id, Role: s.Role}
 	}
@@ -265,7 +265,7 @@
 
 // Count is the number of attempts and probes that one server received, and how often others filled from it.
 type Count struct {
-	Server                                  policy.CacheID
+	Server                                  policy.ServerID
 	Role                                    Role
 	Attempts, Served, NamedAsSource, Probes int
 }
--- a/internal/lab/fleet/request.go
+++ b/internal/lab/fleet/request.go
@@ -165,7 +165,7 @@
 	}
 	if source := fields["fetch"]; source != "" {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(source, "s-"), 16, 32)
-		o.Source = policy.CacheID(n)
+		o.Source = policy.ServerID(n)
 	}
 	o.RemainingMs, _ = strconv.ParseFloat(fields["ttl"], 64)
 	if age, err := strconv.ParseFloat(fields["newer"], 64); err == nil && age > 0 {
@@ -178,7 +178,7 @@
 	return o
 }
 
-func (f *Fleet) role(id policy.CacheID) Role {
+func (f *Fleet) role(id policy.ServerID) Role {
 	if s := f.Server(id); s != nil {
 		return s.Role
 	}
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -13,9 +13,9 @@
 // in ms.
 type Notification struct {
 	At      float64
-	Drains  []policy.CacheID // draining from At on
-	Returns []policy.CacheID // ready again from At on
-	Object  string           // the purged object; empty: the group
+	Drains  []policy.ServerID // draining from At on
+	Returns []policy.ServerID // ready again from At on
+	Object  string            // the purged object; empty: the group
 	Group   int
 	Purge   bool
 	Made    float64 // when it was purged, where the notification came later; 0: At
@@ -42,7 +42,7 @@
 }
 
 func (r Rules) drainViolations(o Observation, notifications []Notification) (violations []string) {
-	for _, id := range []policy.CacheID{o.Server, o.Source} {
+	for _, id := range []policy.ServerID{o.Server, o.Source} {
 		since, drains := drainsAt(notifications, id, o.At)
 		if drains && o.At > since+r.Drain+r.Slack {
 			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
@@ -73,7 +73,7 @@
 }
 
 // drainsAt reports whether a server is draining at a time, and since when.
-func drainsAt(notifications []Notification, id policy.CacheID, at float64) (since float64, drains bool) {
+func drainsAt(notifications []Notification, id policy.ServerID, at float64) (since float64, drains bool) {
 	for _, n := range notifications {
 		switch {
 		case n.At > at:
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -9,7 +9,7 @@
 
 // Server is a stand-in for a cache server, a parent or the origin.
 type Server struct {
-	ID    policy.CacheID
+	ID    policy.ServerID
 	Role  Role
 	fleet *Fleet
 	ln    net.Listener
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -89,7 +89,7 @@
 func (l *storeLog) newDrain(sim *simulation, proposer *process) *logEntry {
 	server := l.rand.IntN(sim.zones * sim.scenario.ZoneServers)
 	change := storestate.Change{
-		ProposedAt: sim.clockOf(proposer), Kind: storestate.StartDrain, Name: serverlist.FormatID(policy.CacheID(server + 1)),
+		ProposedAt: sim.clockOf(proposer), Kind: storestate.StartDrain, Name: serverlist.FormatID(policy.ServerID(server + 1)),
 	}
 	entry := distribution.Entry{Kind: distribution.Drain, Name: change.Name, EffectiveAt: int64(change.ProposedAt)}
 	if l.drainedServers[server] {
@@ -119,7 +119,7 @@
 		n := zone*sim.scenario.ZoneServers + i
 		host := fmt.Sprintf("10.%d.%d.%d", n>>16&255, n>>8&255, n&255)
 		list.Servers = append(list.Servers, serverlist.Server{
-			ID: policy.CacheID(n + 1), Host: host, Port: serverPort, Addr: fmt.Sprintf("%s:%d", host, serverPort),
+			ID: policy.ServerID(n + 1), Host: host, Port: serverPort, Addr: fmt.Sprintf("%s:%d", host, serverPort),
 			Zone: fmt.Sprint("z", zone), Kind: "cache", Weight: float64(4 + l.rand.IntN(12)),
 		})
 	}
--- a/internal/lab/hollow/simulation.go
+++ b/internal/lab/hollow/simulation.go
@@ -45,7 +45,7 @@
 	byName         map[string]*process
 	byRole         [roleCount][]*process
 	zones          int
-	servers        map[string]policy.CacheID // by formatted id
+	servers        map[string]policy.ServerID // by formatted id
 	candidateCache map[candidateKey][]distribution.Peer
 	log            *storeLog
 	checker        *checker
@@ -79,7 +79,7 @@
 	sim := &simulation{
 		scenario:        scenario,
 		byName:          map[string]*process{},
-		servers:         map[string]policy.CacheID{},
+		servers:         map[string]policy.ServerID{},
 		candidateCache:  map[candidateKey][]distribution.Peer{},
 		networkRand:     newRand(scenario.Seed, "network"),
 		faultRand:       newRand(scenario.Seed, "faults"),
@@ -89,7 +89,7 @@
 	}
 	sim.buildFleet(size)
 	for i := range sim.zones * scenario.ZoneServers {
-		id := policy.CacheID(i + 1)
+		id := policy.ServerID(i + 1)
 		sim.servers[serverlist.FormatID(id)] = id
 	}
 	sim.log = newStoreLog(sim)
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -89,7 +89,9 @@
 }
 
 // zoneOf is the zone of a cache server.
-func (sim *simulation) zoneOf(id policy.CacheID) int { return (int(id) - 1) / sim.scenario.ZoneServers }
+func (sim *simulation) zoneOf(id policy.ServerID) int {
+	return (int(id) - 1) / sim.scenario.ZoneServers
+}
 
 // latency is the one-way time in ms from one process to another.
 func (sim *simulation) latency(a, b *process) float64 {
--- a/internal/lab/loadmetrics/loadmetrics.go
+++ b/internal/lab/loadmetrics/loadmetrics.go
@@ -14,7 +14,7 @@
 // Attempt is one attempt as a cache server received it.
 type Attempt struct {
 	At    float64 // seconds
-	Cache policy.CacheID
+	Cache policy.ServerID
 }
 
 // Cache is a cache server's zone, and its weight relative to the others'.
@@ -34,12 +34,12 @@
 // Trace holds the attempts of one run, ordered by time.
 type Trace struct {
 	attempts []Attempt
-	caches   map[policy.CacheID]Cache
-	ids      []policy.CacheID // by zone, then by id
+	caches   map[policy.ServerID]Cache
+	ids      []policy.ServerID // by zone, then by id
 }
 
 // NewTrace orders the attempts by time. Attempts at servers that are not among caches are dropped.
-func NewTrace(attempts []Attempt, caches map[policy.CacheID]Cache) *Trace {
+func NewTrace(attempts []Attempt, caches map[policy.ServerID]Cache) *Trace {
 	t := &Trace{caches: caches}
 	for _, attempt := range attempts {
 		if _, ok := caches[attempt.Cache]; ok {
@@ -50,17 +50,17 @@
 	for id := range caches {
 		t.ids = append(t.ids, id)
 	}
-	slices.SortFunc(t.ids, func(a, b policy.CacheID) int {
+	slices.SortFunc(t.ids, func(a, b policy.ServerID) int {
 		return cmp.Or(caches[a].Zone-caches[b].Zone, cmp.Compare(a, b))
 	})
 	return t
 }
 
 // counts returns the attempts at each server in [from, to).
-func (t *Trace) counts(from, to float64) map[policy.CacheID]float64 {
+func (t *Trace) counts(from, to float64) map[policy.ServerID]float64 {
 	first := t.indexAt(from)
 	last := max(first, t.indexAt(to))
-	counts := make(map[policy.CacheID]float64, len(t.ids))
+	counts := make(map[policy.ServerID]float64, len(t.ids))
 	for _, attempt := range t.attempts[first:last] {
 		counts[attempt.Cache]++
 	}
@@ -83,7 +83,7 @@
 	for start := from; start+window <= to+roundingError; start += window {
 		counts := t.counts(start, start+window)
 		for rest := t.ids; len(rest) > 0; {
-			var zone []policy.CacheID
+			var zone []policy.ServerID
 			zone, rest = t.firstZone(rest)
 			high, low, ok := t.zoneSpread(zone, counts)
 			if ok {
@@ -96,7 +96,7 @@
 }
 
 // firstZone splits ids, which are ordered by zone, into those of the first zone and the others.
-func (t *Trace) firstZone(ids []policy.CacheID) (zone, rest []policy.CacheID) {
+func (t *Trace) firstZone(ids []policy.ServerID) (zone, rest []policy.ServerID) {
 	end := 0
 	for end < len(ids) && t.caches[ids[end]].Zone == t.caches[ids[0]].Zone {
 		end++
@@ -106,7 +106,7 @@
 
 // zoneSpread returns the highest and the lowest load by weight of a zone's servers, over the zone's mean. ok is false where
 // the zone had no load or has a single server.
-func (t *Trace) zoneSpread(zone []policy.CacheID, counts map[policy.CacheID]float64) (high, low float64, ok bool) {
+func (t *Trace) zoneSpread(zone []policy.ServerID, counts map[policy.ServerID]float64) (high, low float64, ok bool) {
 	sum, weights := 0.0, 0.0
 	most, least := 0.0, math.Inf(1)
 	for _, id := range zone {
@@ -146,7 +146,7 @@
 )
 
 // zoneFraction returns a server's fraction of its zone's attempts in [from, to).
-func (t *Trace) zoneFraction(id policy.CacheID, from, to float64) float64 {
+func (t *Trace) zoneFraction(id policy.ServerID, from, to float64) float64 {
 	counts, sum := t.counts(from, to), 0.0
 	for _, other := range t.ids {
 		if t.caches[other].Zone == t.caches[id].Zone {
@@ -161,7 +161,7 @@
 
 // TimeToAbandon returns the seconds from a change until the fleet had reduced a server's fraction of its zone's load to half
 // of what it was before, for one second; NaN if it did not until end.
-func (t *Trace) TimeToAbandon(id policy.CacheID, changed, end float64) float64 {
+func (t *Trace) TimeToAbandon(id policy.ServerID, changed, end float64) float64 {
 	baseline := t.zoneFraction(id, changed-baselineSpan, changed)
 	for start := changed; start+reactionWindow <= end; start += windowStep {
 		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) <= abandonedAt*baseline {
@@ -173,7 +173,7 @@
 
 // TimeToRestore returns the seconds from the end of a change until a server had four fifths of the fraction of its zone's load
 // that it had before the change began; NaN if it had not until end.
-func (t *Trace) TimeToRestore(id policy.CacheID, began, ended, end float64) float64 {
+func (t *Trace) TimeToRestore(id policy.ServerID, began, ended, end float64) float64 {
 	baseline := t.zoneFraction(id, began-baselineSpan, began)
 	for start := ended; start+reactionWindow <= end; start += windowStep {
 		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) >= restoredAt*baseline {
--- a/internal/lab/loadmetrics/loadmetrics_test.go
+++ b/internal/lab/loadmetrics/loadmetrics_test.go
@@ -10,7 +10,7 @@
 )
 
 // steady returns evenly spaced attempts at a server.
-func steady(id policy.CacheID, from, to, perSecond float64) (attempts []Attempt) {
+func steady(id policy.ServerID, from, to, perSecond float64) (attempts []Attempt) {
 	for i := range int((to - from) * perSecond) {
 		attempts = append(attempts, Attempt{from + (float64(i)+0.5)/perSecond, id})
 	}
@@ -18,7 +18,7 @@
 }
 
 func TestSpreadIsMeasuredByWeight(t *testing.T) {
-	caches := map[policy.CacheID]Cache{1: {0, 1}, 2: {0, 3}, 3: {1, 1}, 4: {1, 1}, 5: {2, 1}}
+	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 3}, 3: {1, 1}, 4: {1, 1}, 5: {2, 1}}
 	var attempts []Attempt
 	attempts = append(append(attempts, steady(1, 0, 10, 10)...), steady(2, 0, 10, 30)...)
 	trace := NewTrace(append(attempts, steady(5, 0, 10, 10)...), caches)
@@ -33,7 +33,7 @@
 
 // One server fails at 10 s, is abandoned at 12, recovers at 20 and has its load again at 23; the other takes its load meanwhile.
 func TestReactionTimesAndSurge(t *testing.T) {
-	caches := map[policy.CacheID]Cache{1: {0, 1}, 2: {0, 1}}
+	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 1}}
 	var attempts []Attempt
 	attempts = append(append(attempts, steady(1, 0, 12, 20)...), steady(1, 23, 30, 20)...)
 	attempts = append(append(append(attempts, steady(2, 0, 12, 20)...), steady(2, 12, 23, 40)...), steady(2, 23, 30, 20)...)
--- a/internal/lab/multiprocess/cluster.go
+++ b/internal/lab/multiprocess/cluster.go
@@ -60,7 +60,7 @@
 	mu            sync.Mutex
 	members       []membership.Member // as the discovery service lists them
 	notifications []fleet.Notification
-	nextCache     policy.CacheID
+	nextCache     policy.ServerID
 	relays        []map[string]*relay // by sending zone, and by name of the receiving process
 	clients       map[*Process]*load.Client
 }
@@ -149,7 +149,7 @@
 	}
 	upperZone := c.options.Zones
 	for i := range c.options.Parents {
-		if err := c.addServer(policy.CacheID(firstParent+i), fleet.Parent, upperZone); err != nil {
+		if err := c.addServer(policy.ServerID(firstParent+i), fleet.Parent, upperZone); err != nil {
 			return err
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // addServer starts a stand-in that counts as warm, and lists it as a member.
-func (c *Cluster) addServer(id policy.CacheID, role fleet.Role, zone int) error {
+func (c *Cluster) addServer(id policy.ServerID, role fleet.Role, zone int) error {
 	m, err := c.startServer(id, role, zone, 0)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 }
 
 // startServer starts a stand-in and returns its entry in the endpoint list. started is in Unix ms; 0 means long ago.
-func (c *Cluster) startServer(id policy.CacheID, role fleet.Role, zone int, started float64) (m membership.Member, err error) {
+func (c *Cluster) startServer(id policy.ServerID, role fleet.Role, zone int, started float64) (m membership.Member, err error) {
 	server, err := c.Fleet.Start(id, role, c.addresses.ip(zone, serverHost)+":0")
 	if err != nil {
 		return m, err
--- a/internal/lab/multiprocess/gossip_fault_test.go
+++ b/internal/lab/multiprocess/gossip_fault_test.go
@@ -19,7 +19,7 @@
 // pollInterval is how often tests check a condition.
 const pollInterval = 50 * time.Millisecond
 
-type serverTotals = map[policy.CacheID]fleetview.Totals
+type serverTotals = map[policy.ServerID]fleetview.Totals
 
 // What one zone sends to the other is lost, and the other direction works. Probes between the zones are not answered, so each
 // zone considers the other dead and itself alive. Afterwards they merge again.
--- a/internal/lab/multiprocess/gossip_test.go
+++ b/internal/lab/multiprocess/gossip_test.go
@@ -84,13 +84,13 @@
 }
 
 // startImpostor takes part in gossip with the keys and name of a process.
-func startImpostor(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.CacheID]fleetview.Totals) *peers.Peers {
+func startImpostor(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.ServerID]fleetview.Totals) *peers.Peers {
 	t.Helper()
 	id, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
 	require.NoError(t, err)
 	s, err := peers.Start(peers.Options{
 		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", DigestInterval: 200, Identity: id, Clock: cluster.Clock,
-		Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, totals() },
+		Totals:  func() (uint64, map[policy.ServerID]fleetview.Totals) { return 0, totals() },
 		Objects: func() []uint64 { return nil },
 	})
 	require.NoError(t, err)
@@ -103,11 +103,11 @@
 
 // falseTotals returns a function that reports, at each call, 200,000 more failed attempts at every cache, and as many successful
 // ones at a cache that does not exist.
-func falseTotals(caches []policy.CacheID) func() map[policy.CacheID]fleetview.Totals {
+func falseTotals(caches []policy.ServerID) func() map[policy.ServerID]fleetview.Totals {
 	calls := 0
-	return func() map[policy.CacheID]fleetview.Totals {
+	return func() map[policy.ServerID]fleetview.Totals {
 		calls++
-		reported := map[policy.CacheID]fleetview.Totals{}
+		reported := map[policy.ServerID]fleetview.Totals{}
 		for _, id := range append(caches, unknownCache) {
 			totals := fleetview.Totals{Attempts: uint64(calls) * 200_000}
 			if id != unknownCache {
@@ -121,7 +121,7 @@
 
 // requireCorrectEstimates checks that processes received the false reports of another one, and that their estimates of the caches
 // do not follow them.
-func requireCorrectEstimates(t *testing.T, honest []*multiprocess.Process, liar *multiprocess.Process, caches []policy.CacheID) {
+func requireCorrectEstimates(t *testing.T, honest []*multiprocess.Process, liar *multiprocess.Process, caches []policy.ServerID) {
 	t.Helper()
 	lies := 0
 	for _, p := range honest {
@@ -170,7 +170,7 @@
 	seen := len(cluster.Fleet.Observations())
 	require.Eventually(t, func() bool { return len(cluster.Fleet.Observations()) > seen+1000 }, multiprocess.ReadyTimeout, 10*time.Millisecond)
 	requireCorrectEstimates(t, honest, liar, caches)
-	used := map[policy.CacheID]int{}
+	used := map[policy.ServerID]int{}
 	for _, x := range cluster.Fleet.ObservationsAfter(seen) {
 		used[x.Server]++
 	}
@@ -187,7 +187,7 @@
 	agree(t, honest, honest)
 }
 
-func idOf(t *testing.T, name string) policy.CacheID {
+func idOf(t *testing.T, name string) policy.ServerID {
 	id, ok := serverlist.ParseID(name)
 	require.True(t, ok, name)
 	return id
@@ -206,7 +206,7 @@
 	agree(t, cluster.Processes, cluster.Processes)
 
 	twice := cluster.Processes[1]
-	s := startImpostor(t, cluster, twice, "127.0.0.1:0", cluster.Processes[0].PeerAddr, func() map[policy.CacheID]fleetview.Totals { return nil })
+	s := startImpostor(t, cluster, twice, "127.0.0.1:0", cluster.Processes[0].PeerAddr, func() map[policy.ServerID]fleetview.Totals { return nil })
 	require.Eventually(t, func() bool { return strings.Contains(twice.Log(), "two processes have one name") }, multiprocess.ReadyTimeout, 20*time.Millisecond)
 	require.Contains(t, twice.Log(), twice.PeerAddr)
 	require.Contains(t, twice.Log(), s.Status().Addr)
--- a/internal/lab/multiprocess/inject.go
+++ b/internal/lab/multiprocess/inject.go
@@ -14,7 +14,7 @@
 const drainTime = 8 * time.Second
 
 // startInjection injects a fault and undoes it after its duration, in the background. It returns the caches that it affects.
-func (p *player) startInjection(ctx context.Context, f Fault) []policy.CacheID {
+func (p *player) startInjection(ctx context.Context, f Fault) []policy.ServerID {
 	processes := p.drawProcesses(f)
 	caches := p.drawCaches(f)
 	p.injections.Add(1)
@@ -33,7 +33,7 @@
 }
 
 // inject carries out a fault and undoes it after its duration.
-func (p *player) inject(ctx context.Context, f Fault, processes []*Process, caches []policy.CacheID) error {
+func (p *player) inject(ctx context.Context, f Fault, processes []*Process, caches []policy.ServerID) error {
 	switch f.Kind {
 	case KillProcesses:
 		return p.kill(ctx, f, processes)
@@ -156,7 +156,7 @@
 }
 
 // replace replaces caches, and removes the old ones after drainTime.
-func (p *player) replace(caches []policy.CacheID) error {
+func (p *player) replace(caches []policy.ServerID) error {
 	for _, id := range caches {
 		if err := p.cluster.ReplaceCache(id); err != nil {
 			return err
@@ -172,13 +172,13 @@
 }
 
 // disturb gives the servers of caches a fault for the duration of f.
-func (p *player) disturb(ctx context.Context, f Fault, caches []policy.CacheID, fault fleet.Fault) {
+func (p *player) disturb(ctx context.Context, f Fault, caches []policy.ServerID, fault fleet.Fault) {
 	p.setServerFault(caches, fault)
 	f.wait(ctx)
 	p.setServerFault(caches, fleet.Fault{})
 }
 
-func (p *player) setServerFault(caches []policy.CacheID, fault fleet.Fault) {
+func (p *player) setServerFault(caches []policy.ServerID, fault fleet.Fault) {
 	for _, id := range caches {
 		if server := p.cluster.Fleet.Server(id); server != nil {
 			server.SetFault(fault)
@@ -211,14 +211,14 @@
 }
 
 // drawCaches draws the caches that a fault affects from those that are ready.
-func (p *player) drawCaches(f Fault) []policy.CacheID {
+func (p *player) drawCaches(f Fault) []policy.ServerID {
 	if f.Kind == LoseZone {
 		return p.cluster.ReadyCaches(max(0, f.Zone))
 	}
 	if !faultKinds[f.Kind].fraction {
 		return nil
 	}
-	var candidates []policy.CacheID
+	var candidates []policy.ServerID
 	for zone := range p.scenario.Zones {
 		if f.inZone(zone) {
 			candidates = append(candidates, p.cluster.ReadyCaches(zone)...)
--- a/internal/lab/multiprocess/measure_test.go
+++ b/internal/lab/multiprocess/measure_test.go
@@ -163,7 +163,7 @@
 		byZone[p.Zone] = p
 	}
 	now := cluster.Clock.Now()
-	received := map[policy.CacheID]float64{}
+	received := map[policy.ServerID]float64{}
 	for _, s := range cluster.Fleet.Observations() {
 		if s.At > now-3000 && !s.Probe {
 			received[s.Server] += 1.0 / 3
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -63,9 +63,9 @@
 	result   *Result
 	began    float64 // ms of the cluster's clock
 
-	injections sync.WaitGroup           // faults that are not undone yet
-	affected   map[int][]policy.CacheID // by index of the fault in the timeline
-	previous   Second                   // totals up to the second that was recorded last
+	injections sync.WaitGroup            // faults that are not undone yet
+	affected   map[int][]policy.ServerID // by index of the fault in the timeline
+	previous   Second                    // totals up to the second that was recorded last
 
 	mu          sync.Mutex        // guards the fields below and result.NotPlayed
 	interrupted map[*Process]bool // killed or suspended: requests in flight at them may be lost
@@ -79,7 +79,7 @@
 	return &player{
 		cluster: c, scenario: s, rng: rand.New(rand.NewPCG(s.Seed, injectionStream)), progress: progress,
 		result: &Result{Scenario: s, Timeline: s.Timeline()}, began: c.Clock.Now(),
-		affected: map[int][]policy.CacheID{}, interrupted: map[*Process]bool{}, links: map[zonePair]Link{},
+		affected: map[int][]policy.ServerID{}, interrupted: map[*Process]bool{}, links: map[zonePair]Link{},
 	}
 }
 
--- a/internal/lab/multiprocess/servers.go
+++ b/internal/lab/multiprocess/servers.go
@@ -12,7 +12,7 @@
 )
 
 // UnknownServerError is returned for a server that is not a member.
-type UnknownServerError struct{ ID policy.CacheID }
+type UnknownServerError struct{ ID policy.ServerID }
 
 // Error implements error.
 func (e UnknownServerError) Error() string {
@@ -37,7 +37,7 @@
 }
 
 // ReadyCaches returns the caches of a zone that are ready.
-func (c *Cluster) ReadyCaches(zone int) (ids []policy.CacheID) {
+func (c *Cluster) ReadyCaches(zone int) (ids []policy.ServerID) {
 	for _, m := range c.Members() {
 		if m.Kind == kindCache && m.Zone == zone && m.State == policy.Ready {
 			ids = append(ids, m.ID)
@@ -47,7 +47,7 @@
 }
 
 // memberIndex returns the index of a server in the endpoint list. The caller holds the lock.
-func (c *Cluster) memberIndex(id policy.CacheID) (int, error) {
+func (c *Cluster) memberIndex(id policy.ServerID) (int, error) {
 	index := slices.IndexFunc(c.members, func(m membership.Member) bool { return m.ID == id })
 	if index < 0 {
 		return 0, UnknownServerError{id}
@@ -56,7 +56,7 @@
 }
 
 // ReplaceCache drains a cache and starts another one in its zone, which has no copies yet.
-func (c *Cluster) ReplaceCache(id policy.CacheID) error {
+func (c *Cluster) ReplaceCache(id policy.ServerID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index, err := c.memberIndex(id)
@@ -69,14 +69,14 @@
 	}
 	c.nextCache++
 	c.members[index].State = policy.Draining
-	c.notifications = append(c.notifications, fleet.Notification{At: c.Clock.Now() + notificationTimeout, Drains: []policy.CacheID{id}})
+	c.notifications = append(c.notifications, fleet.Notification{At: c.Clock.Now() + notificationTimeout, Drains: []policy.ServerID{id}})
 	c.Discovery.Change(c.members[index], successor)
 	c.members = append(c.members, successor)
 	return nil
 }
 
 // RemoveCache removes a draining cache from the endpoint list and kills it.
-func (c *Cluster) RemoveCache(id policy.CacheID) error {
+func (c *Cluster) RemoveCache(id policy.ServerID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index, err := c.memberIndex(id)
@@ -91,14 +91,14 @@
 }
 
 // KillCaches kills caches. The discovery service still lists them as ready.
-func (c *Cluster) KillCaches(ids ...policy.CacheID) {
+func (c *Cluster) KillCaches(ids ...policy.ServerID) {
 	for _, id := range ids {
 		c.Fleet.Server(id).Kill()
 	}
 }
 
 // RestartCaches starts killed caches at their addresses, without copies, and publishes their start times.
-func (c *Cluster) RestartCaches(ids ...policy.CacheID) error {
+func (c *Cluster) RestartCaches(ids ...policy.ServerID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var restarted []membership.Member
--- a/internal/lab/multiprocess/summary.go
+++ b/internal/lab/multiprocess/summary.go
@@ -30,7 +30,7 @@
 // countAttempts counts the attempts at caches by second.
 func (p *player) countAttempts(observations []fleet.Observation) {
 	r, seconds := p.result, len(p.result.Seconds)
-	byCache := map[policy.CacheID][]int{}
+	byCache := map[policy.ServerID][]int{}
 	for _, o := range observations {
 		second := int(p.secondsAt(o))
 		if o.Probe || o.Server >= firstParent || second < 0 || second >= seconds {
@@ -60,8 +60,8 @@
 func (p *player) secondsAt(o fleet.Observation) float64 { return (o.At - p.began) / 1000 }
 
 // cacheZones returns the zones of the caches that are ready.
-func (p *player) cacheZones() map[policy.CacheID]int {
-	zones := map[policy.CacheID]int{}
+func (p *player) cacheZones() map[policy.ServerID]int {
+	zones := map[policy.ServerID]int{}
 	for zone := range p.scenario.Zones {
 		for _, id := range p.cluster.ReadyCaches(zone) {
 			zones[id] = zone
@@ -106,7 +106,7 @@
 
 // trace returns the attempts at the caches that are ready.
 func (p *player) trace(observations []fleet.Observation) *loadmetrics.Trace {
-	caches := map[policy.CacheID]loadmetrics.Cache{}
+	caches := map[policy.ServerID]loadmetrics.Cache{}
 	for _, m := range p.cluster.Members() {
 		if m.Kind == kindCache && m.State == policy.Ready {
 			caches[m.ID] = loadmetrics.Cache{Zone: m.Zone, Weight: m.Weight}
--- a/internal/lab/multiprocess/zone_loss_test.go
+++ b/internal/lab/multiprocess/zone_loss_test.go
@@ -39,7 +39,7 @@
 	time.Sleep(9 * time.Second)
 	stop()
 	require.Empty(t, cluster.Violations())
-	used := map[policy.CacheID]int{}
+	used := map[policy.ServerID]int{}
 	for _, s := range cluster.Fleet.ObservationsAfter(n) {
 		used[s.Server]++
 	}
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -43,7 +43,7 @@
 }
 
 type baselineAttempt struct {
-	target, source policy.CacheID
+	target, source policy.ServerID
 	sent           policy.Time
 	mayHaveRun     bool
 }
@@ -146,7 +146,7 @@
 		return b.giveUp(r, actions)
 	}
 	r.attempts = append(r.attempts, baselineAttempt{target: target, source: source, sent: now, mayHaveRun: true})
-	fetch := policy.Fetch{ID: r.ID, Cache: target, Source: source, Timeout: r.due - now, RetainRank: 1}
+	fetch := policy.Fetch{ID: r.ID, Server: target, Source: source, Timeout: r.due - now, RetainRank: 1}
 	purged, known := b.purges[r.Object]
 	switch {
 	case b.settings.Classes[r.Class].Uncached:
@@ -171,7 +171,7 @@
 }
 
 // chooseSource chooses where a miss is filled from: a parent for what is cached, else the origin.
-func (b *baseline) chooseSource(r *baselineRequest) (policy.CacheID, bool) {
+func (b *baseline) chooseSource(r *baselineRequest) (policy.ServerID, bool) {
 	if !b.settings.Classes[r.Class].Uncached {
 		parent := func(m policy.Member) bool { return m.Kind == b.settings.ParentKind }
 		if id, ok := b.choose(r, parent); ok {
@@ -182,7 +182,7 @@
 }
 
 // choose chooses one of the eligible members that the request has not used: the best one in the view, or any without a view.
-func (b *baseline) choose(r *baselineRequest, eligible func(policy.Member) bool) (best policy.CacheID, ok bool) {
+func (b *baseline) choose(r *baselineRequest, eligible func(policy.Member) bool) (best policy.ServerID, ok bool) {
 	var candidates []policy.Member
 	for _, m := range b.members {
 		used := slices.ContainsFunc(r.attempts, func(a baselineAttempt) bool {
@@ -203,7 +203,7 @@
 
 // chooseByView chooses the least utilized server of those that hold the part; if none holds it, of all. A holder that is fully
 // utilized counts as any other: it would serve late what another one can fill in time.
-func (b *baseline) chooseByView(r *baselineRequest, candidates []policy.Member) (best policy.CacheID, ok bool) {
+func (b *baseline) chooseByView(r *baselineRequest, candidates []policy.Member) (best policy.ServerID, ok bool) {
 	lowest, bestHolds := 0.0, false
 	for _, m := range candidates {
 		utilization, up := b.view.Utilization(m.ID)
--- a/internal/lab/sim/checker.go
+++ b/internal/lab/sim/checker.go
@@ -52,7 +52,7 @@
 // membersNotified records that a proxy is notified of members. The grace period of a drain begins with the first notification.
 func (c *checker) membersNotified(p *proxy, members []policy.Member) {
 	if p.drains == nil {
-		p.drains = map[policy.CacheID]float64{}
+		p.drains = map[policy.ServerID]float64{}
 	}
 	for _, m := range members {
 		if m.State == policy.Ready {
--- a/internal/lab/sim/player.go
+++ b/internal/lab/sim/player.go
@@ -15,9 +15,9 @@
 // View is the true state of the fleet some time ago, which no real proxy can know.
 type View interface {
 	// Utilization returns a server's utilization: 1 is all that it can transfer at full speed. up is false if it did not answer.
-	Utilization(id policy.CacheID) (utilization float64, up bool)
+	Utilization(id policy.ServerID) (utilization float64, up bool)
 	// Holds reports whether a server had a copy of a part then, and still has it.
-	Holds(id policy.CacheID, object string, part int) bool
+	Holds(id policy.ServerID, object string, part int) bool
 }
 
 // Player makes the deciders of a run.
@@ -71,13 +71,13 @@
 }
 
 // Utilization implements View.
-func (v *delayedView) Utilization(id policy.CacheID) (utilization float64, up bool) {
+func (v *delayedView) Utilization(id policy.ServerID) (utilization float64, up bool) {
 	status := v.snapshots[0].servers[id-1]
 	return status.utilization, status.up
 }
 
 // Holds implements View. Copies that were evicted since do not count, which favours the player.
-func (v *delayedView) Holds(id policy.CacheID, object string, part int) bool {
+func (v *delayedView) Holds(id policy.ServerID, object string, part int) bool {
 	number, err := strconv.ParseInt(object, 16, 32)
 	if err != nil {
 		return false
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -26,7 +26,7 @@
 	actions  []policy.Action
 
 	// For the checker: when the proxy was notified of drains, and of purges by object.
-	drains map[policy.CacheID]float64
+	drains map[policy.ServerID]float64
 	purges map[int32]purgeNotification
 }
 
@@ -161,7 +161,7 @@
 func (p *proxy) execute(action policy.Action) {
 	switch x := action.(type) {
 	case policy.Lookup:
-		p.send(x.ID, policy.Fetch{ID: x.ID, Cache: x.Cache, Source: x.Cache, Timeout: x.Timeout})
+		p.send(x.ID, policy.Fetch{ID: x.ID, Server: x.Server, Source: x.Server, Timeout: x.Timeout})
 	case policy.Fetch:
 		p.send(x.ID, x)
 	case policy.Cancel:
@@ -218,7 +218,7 @@
 		s.checker.violation("an attempt for a request that is over", id)
 		return
 	}
-	a := &attempt{request: r, number: len(r.attempts), target: s.server(fetch.Cache), source: s.server(fetch.Source), sent: s.now, open: true}
+	a := &attempt{request: r, number: len(r.attempts), target: s.server(fetch.Server), source: s.server(fetch.Source), sent: s.now, open: true}
 	r.attempts = append(r.attempts, a)
 	s.result.upstreamAttempt(r.client.first)
 	s.checker.sent(a)
@@ -255,7 +255,7 @@
 func (p *proxy) attemptEnded(a *attempt, result policy.Result, final bool) {
 	a.open, a.result = false, result
 	p.handle(policy.Outcome{
-		ID: a.request.id, Attempt: a.number, Cache: a.target.id, Result: result, Note: a.note, Final: final,
+		ID: a.request.id, Attempt: a.number, Server: a.target.id, Result: result, Note: a.note, Final: final,
 		Latency: duration(p.sim.now - a.sent), SourceWait: duration(a.sourceWait),
 	})
 	p.forget(a.request)
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -14,7 +14,7 @@
 // server is a cache, a parent or the origin.
 type server struct {
 	sim    *simulation
-	id     policy.CacheID
+	id     policy.ServerID
 	kind   int
 	zone   int
 	branch *branch // of a cache
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -24,7 +24,7 @@
 func (s Scenario) Settings(branch, rank int) policy.Settings {
 	f := s.Fleet
 	out := policy.Settings{
-		Rank: rank, Zone: f.Hubs + branch, ParentKind: kindParent, OriginKind: kindOrigin,
+		RouterIndex: rank, Zone: f.Hubs + branch, ParentKind: kindParent, OriginKind: kindOrigin,
 		SiblingFills: policy.SiblingsInZone, OutcomeDetail: policy.DetailAll, TransferKBPerS: f.TransferKBPerS,
 		PurgeDuration: duration(f.PurgeDuration), PurgeGrace: duration(s.Rules.PurgeGrace), DrainGrace: duration(s.Rules.DrainGrace),
 		FinalAnswerGrace: duration(s.Rules.AnswerGrace), CacheWarmUp: f.warmUp(kindCache), ParentWarmUp: f.warmUp(kindParent),
--- a/internal/lab/sim/settings_test.go
+++ b/internal/lab/sim/settings_test.go
@@ -105,8 +105,8 @@
 	sim, p, receive := manualSimulation(t, s)
 	r := receive(2, 7)
 	caches := p.branch.caches
-	p.send(r.id, policy.Fetch{ID: r.id, Cache: caches[0].id, Source: sim.origin.id})
-	p.send(r.id, policy.Fetch{ID: r.id, Cache: caches[1].id, Source: sim.origin.id})
+	p.send(r.id, policy.Fetch{ID: r.id, Server: caches[0].id, Source: sim.origin.id})
+	p.send(r.id, policy.Fetch{ID: r.id, Server: caches[1].id, Source: sim.origin.id})
 	sim.runUntil(3000)
 	require.Equal(t, 1, sim.checker.runs[r.client.number])
 	require.Zero(t, sim.checker.count, "%v", sim.checker.texts)
@@ -126,7 +126,7 @@
 	send := func(r *request, target *server, violations int, why string) {
 		t.Helper()
 		before := sim.checker.count
-		p.send(r.id, policy.Fetch{ID: r.id, Cache: target.id, Source: sim.origin.id})
+		p.send(r.id, policy.Fetch{ID: r.id, Server: target.id, Source: sim.origin.id})
 		require.Equal(t, before+violations, sim.checker.count, why)
 	}
 	seat := receive(2, 1)
@@ -171,7 +171,7 @@
 	for i := range requests {
 		r := receive(1, 9)
 		requests[i] = r
-		p.send(r.id, policy.Fetch{ID: r.id, Cache: cache.id, Source: parent.id, RetainRank: 1, Options: options})
+		p.send(r.id, policy.Fetch{ID: r.id, Server: cache.id, Source: parent.id, RetainRank: 1, Options: options})
 		sim.runUntil(sim.now + 5)
 		between(sim, p, r)
 	}
@@ -215,11 +215,11 @@
 	sim, p, receive := manualSimulation(t, s)
 	parent := sim.hubs[0][0]
 	first, second, third, seat := receive(1, 9), receive(1, 9), receive(1, 9), receive(2, 3)
-	p.send(first.id, policy.Fetch{ID: first.id, Cache: parent.id, Source: sim.origin.id, RetainRank: 1})
+	p.send(first.id, policy.Fetch{ID: first.id, Server: parent.id, Source: sim.origin.id, RetainRank: 1})
 	sim.runUntil(5000)
-	p.send(second.id, policy.Fetch{ID: second.id, Cache: parent.id, Source: parent.id})
-	p.send(third.id, policy.Fetch{ID: third.id, Cache: sim.origin.id, Source: sim.origin.id})
-	p.send(seat.id, policy.Fetch{ID: seat.id, Cache: sim.origin.id, Source: sim.origin.id})
+	p.send(second.id, policy.Fetch{ID: second.id, Server: parent.id, Source: parent.id})
+	p.send(third.id, policy.Fetch{ID: third.id, Server: sim.origin.id, Source: sim.origin.id})
+	p.send(seat.id, policy.Fetch{ID: seat.id, Server: sim.origin.id, Source: sim.origin.id})
 	sim.runUntil(10_000)
 	for i, r := range []*request{first, second, third, seat} {
 		require.True(t, r.answered, i)
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -111,7 +111,7 @@
 	f := s.scenario.Fleet
 	rate := f.transferRate()
 	server := &server{
-		sim: s, id: policy.CacheID(len(s.servers) + 1), kind: kind, zone: zone, fullBandwidth: bandwidth * rate, store: newStore(storeKB),
+		sim: s, id: policy.ServerID(len(s.servers) + 1), kind: kind, zone: zone, fullBandwidth: bandwidth * rate, store: newStore(storeKB),
 		slots: f.CacheSlots, originFetches: map[partKey]*originFetch{}, weight: bandwidth * (1 + f.WeightError*(2*weights.Float64()-1)),
 	}
 	server.outbound = &link{queue: &s.eventQueue, bandwidth: server.fullBandwidth, maxRate: rate}
@@ -120,7 +120,7 @@
 }
 
 // server returns the server with an id.
-func (s *simulation) server(id policy.CacheID) *server { return s.servers[id-1] }
+func (s *simulation) server(id policy.ServerID) *server { return s.servers[id-1] }
 
 // buildObjects makes the objects that have a popularity.
 func (s *simulation) buildObjects() {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	Clock            *clock.Clock
 	Log              *logs.Log
 	// Totals returns what this process has counted so far, and Objects the objects that were requested since the last call.
-	Totals  func() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals)
+	Totals  func() (arrivals uint64, servers map[policy.ServerID]fleetview.Totals)
 	Objects func() []uint64
 }
 
--- a/internal/peers/rejoin_test.go
+++ b/internal/peers/rejoin_test.go
@@ -23,7 +23,7 @@
 		require.NoError(t, err)
 		p, err := Start(Options{
 			Name: name, Listen: listen, Seeds: seeds, Zone: "z", DigestInterval: 1000, Identity: id, Clock: clk,
-			Totals:  func() (uint64, map[policy.CacheID]fleetview.Totals) { return 0, nil },
+			Totals:  func() (uint64, map[policy.ServerID]fleetview.Totals) { return 0, nil },
 			Objects: func() []uint64 { return nil },
 		})
 		require.NoError(t, err)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -52,7 +52,7 @@
 }
 
 // Knows reports what membership.Table.Knows does.
-func (r *Registry) Knows(id policy.CacheID) bool {
+func (r *Registry) Knows(id policy.ServerID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Knows(id)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,7 +19,7 @@
 func entries(n int) []membership.Entry {
 	out := make([]membership.Entry, n)
 	for i := range out {
-		out[i].ID, out[i].Addr = policy.CacheID(i+1), fmt.Sprintf("127.1.%d.%d:4100", i/250, i%250+1)
+		out[i].ID, out[i].Addr = policy.ServerID(i+1), fmt.Sprintf("127.1.%d.%d:4100", i/250, i%250+1)
 		out[i].Zone, out[i].Weight = i%20, 4
 	}
 	return out
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -15,9 +15,9 @@
 
 // The ids of the servers. On the sockets they are s-00000001 and so on.
 const (
-	CacheID  policy.CacheID = 1
-	ParentID policy.CacheID = 11
-	OriginID policy.CacheID = 20
+	CacheID  policy.ServerID = 1
+	ParentID policy.ServerID = 11
+	OriginID policy.ServerID = 20
 )
 
 // Settings are those of a small deployment with two classes of reads and one of writes.
@@ -53,7 +53,7 @@
 	p.Core, err = core.New(Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, p.Clock, p.Pools)
 	require.NoError(t, err)
 	list := []core.Member{{Addr: p.Cache.Addr()}, {Addr: "127.0.0.1:1"}, {Addr: "127.0.0.1:1"}}
-	for i, id := range []policy.CacheID{CacheID, ParentID, OriginID} {
+	for i, id := range []policy.ServerID{CacheID, ParentID, OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 	}
 	p.Core.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -206,7 +206,7 @@
 // right; a server keeps the start that was translated first.
 func TestTranslateAcrossClockSteps(t *testing.T) {
 	const now, hour = 1_764_576_000_000.0, 3_600_000.0
-	server := func(id policy.CacheID, started float64) core.Member {
+	server := func(id policy.ServerID, started float64) core.Member {
 		m := core.Member{}
 		m.ID, m.Started = id, policy.Time(started*1e6)
 		return m
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -92,7 +92,7 @@
 	if int(b[10]) >= len(recordStates) {
 		return m, errMalformedFrame
 	}
-	m.ID = policy.CacheID(binary.BigEndian.Uint32(b))
+	m.ID = policy.ServerID(binary.BigEndian.Uint32(b))
 	m.Addr = net.JoinHostPort(net.IP(b[4:8]).String(), strconv.Itoa(int(binary.BigEndian.Uint16(b[8:]))))
 	m.State, m.Zone, m.Kind = recordStates[b[10]], int(b[11]), int(b[12])
 	m.Cell = int(binary.BigEndian.Uint16(b[13:]))
--- a/internal/source/discoveryclient/initial.go
+++ b/internal/source/discoveryclient/initial.go
@@ -103,7 +103,7 @@
 		return m, fmt.Errorf("%s: unknown lifecycle %q, zone %q or machineType %q", j.InstanceID, j.Lifecycle, j.Zone, j.MachineType)
 	}
 	m.Addr = j.HostPort
-	m.ID, m.Zone, m.Kind, m.Cell, m.State = policy.CacheID(id), zone, kind, j.Cell, state
+	m.ID, m.Zone, m.Kind, m.Cell, m.State = policy.ServerID(id), zone, kind, j.Cell, state
 	m.Weight, m.Started = j.Weight, clock.Duration(j.StartedAtMs)
 	return m, nil
 }
--- a/internal/source/discoveryclient/timestamps.go
+++ b/internal/source/discoveryclient/timestamps.go
@@ -48,7 +48,7 @@
 	return e
 }
 
-func (e Event) translateStarts(now float64, translate func(now float64, id policy.CacheID, stamp float64) float64) Event {
+func (e Event) translateStarts(now float64, translate func(now float64, id policy.ServerID, stamp float64) float64) Event {
 	members := e.Members
 	e.Members = nil
 	for _, m := range members {
--- a/internal/source/filewatch/bench_test.go
+++ b/internal/source/filewatch/bench_test.go
@@ -31,7 +31,7 @@
 				s := &serverlist.List{Generation: uint64(generation)}
 				for i := range c.servers {
 					s.Servers = append(s.Servers, serverlist.Server{
-						ID: policy.CacheID(i + 1), Host: fmt.Sprintf("127.%d.%d.1", 1+i/250, i%250), Port: 4100, Zone: "east", Kind: "small",
+						ID: policy.ServerID(i + 1), Host: fmt.Sprintf("127.%d.%d.1", 1+i/250, i%250), Port: 4100, Zone: "east", Kind: "small",
 						Weight: 4,
 					})
 				}
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -24,7 +24,7 @@
 	require.NoError(b, err)
 	for id := range 100_000 {
 		m := membership.Member{Addr: fmt.Sprintf("127.%d.%d.%d:4100", id>>16, id>>8&255, id&255)}
-		m.ID, m.State = policy.CacheID(id+1), policy.Draining
+		m.ID, m.State = policy.ServerID(id+1), policy.Draining
 		recorder.RecordPublish(membership.Publish{Members: []membership.Member{m}})
 	}
 	require.NoError(b, recorder.RecordManualDrain(1, true))
--- a/internal/state/recorder_test.go
+++ b/internal/state/recorder_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func published(id policy.CacheID, s policy.State) membership.Publish {
+func published(id policy.ServerID, s policy.State) membership.Publish {
 	m := membership.Member{Addr: fmt.Sprint("a", id)}
 	m.ID, m.State = id, s
 	return membership.Publish{Members: []membership.Member{m}}
--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -48,7 +48,7 @@
 }
 
 // serverName is a server's id in a frame.
-func serverName(id policy.CacheID) string {
+func serverName(id policy.ServerID) string {
 	return "s-" + hex.EncodeToString(binary.BigEndian.AppendUint32(nil, uint32(id)))
 }
 
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -48,9 +48,9 @@
 // Clock returns the clock to which the times of attempts refer.
 func (p *Pools) Clock() *clock.Clock { return p.clock }
 
-func key(id policy.CacheID) []byte { return binary.BigEndian.AppendUint64(nil, uint64(id)) }
+func key(id policy.ServerID) []byte { return binary.BigEndian.AppendUint64(nil, uint64(id)) }
 
-func idOf(key []byte) policy.CacheID { return policy.CacheID(binary.BigEndian.Uint64(key)) }
+func idOf(key []byte) policy.ServerID { return policy.ServerID(binary.BigEndian.Uint64(key)) }
 
 // UpdateMembers implements core.Upstream. A server that is gone, or has another address now, gets nothing new on its
 // old connections: they end once they are idle.
@@ -59,7 +59,7 @@
 	defer p.update.Unlock()
 	tree := p.byID.Load().Txn()
 	var retired []*pool
-	listed := map[policy.CacheID]bool{}
+	listed := map[policy.ServerID]bool{}
 	for _, member := range list {
 		gone := member.State == policy.Gone
 		listed[member.ID] = !gone
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *Pools) pool(id policy.CacheID) *pool {
+func (p *Pools) pool(id policy.ServerID) *pool {
 	found, _ := p.byID.Load().Get(key(id))
 	return found
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -56,7 +56,7 @@
 			c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, pools)
 			require.NoError(t, err)
 			list := []core.Member{{Addr: cache.Addr()}, {Addr: "127.0.0.1:1"}, {Addr: "127.0.0.1:1"}}
-			for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
+			for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 				list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
 			}
 			c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -371,7 +371,7 @@
 	fetched := make(chan string, 2*servers)
 	for i := range servers {
 		server := scenario.Listen(t)
-		list[i].Addr, list[i].ID = server.Addr(), policy.CacheID(i+1)
+		list[i].Addr, list[i].ID = server.Addr(), policy.ServerID(i+1)
 		go func() { // also answers what still arrives from an earlier test at the same port
 			for t.Context().Err() == nil {
 				words, err := server.Receive()
@@ -388,7 +388,7 @@
 	pools.UpdateMembers(list, true)
 	ends := make(chan core.Outcome, servers)
 	send := func(id string, i int) {
-		pools.Send(core.Attempt{ID: id, Server: policy.CacheID(i + 1), Deadline: clk.Now() + 60_000}, func(e core.Outcome) { ends <- e })
+		pools.Send(core.Attempt{ID: id, Server: policy.ServerID(i + 1), Deadline: clk.Now() + 60_000}, func(e core.Outcome) { ends <- e })
 	}
 	for i := range servers {
 		send(fmt.Sprint("answered", i), i)
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -9,15 +9,15 @@
 // Lookup is an attempt that names no source: a cache answers only from its copy, the origin executes it.
 type Lookup struct {
 	ID      string
-	Cache   CacheID
+	Server  ServerID
 	Timeout time.Duration // 0: until the client's deadline
 }
 
 // Fetch is an attempt that names the source of a fill and says whether the copy is retained.
 type Fetch struct {
 	ID         string
-	Cache      CacheID
-	Source     CacheID       // equal to Cache: no fill
+	Server     ServerID
+	Source     ServerID      // equal to Cache: no fill
 	Timeout    time.Duration // 0: until the client's deadline
 	MaxAge     time.Duration // oldest copy that may be served; 0: the class's FreshFor
 	RetainRank int           // 1 to 3, the lowest is evicted first; 0: the copy's rank stays, a new copy is not retained
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -14,7 +14,7 @@
 	for i := range 10 {
 		gets = append(gets, s.fetch(s.handle(newRequest(string(rune('A'+i)), "o"))))
 	}
-	c := s.r.servers[gets[0].Cache]
+	c := s.r.servers[gets[0].Server]
 	s.now += time.Second
 	for _, a := range c.inFlight[:2] {
 		a.late = true
@@ -37,7 +37,7 @@
 func TestLateAnswerAtIdleCacheKeepsLimit(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	c := s.r.servers[g.Cache]
+	c := s.r.servers[g.Server]
 	c.inFlight[0].late = true
 	s.answer("a", g, NoteHit, 5*time.Second)
 	if c.Limit != cacheLimitStart {
@@ -49,16 +49,16 @@
 func TestNoFillSlotStillServesHits(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: Overloaded, Note: NoteNoFillSlot})
-	if h := s.fetch(s.handle(newRequest("b", "o"))); h.Cache != g.Cache || h.Source != g.Cache {
-		t.Errorf("got %+v, want cache %d asked only for its copy", h, g.Cache)
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: Overloaded, Note: NoteNoFillSlot})
+	if h := s.fetch(s.handle(newRequest("b", "o"))); h.Server != g.Server || h.Source != g.Server {
+		t.Errorf("got %+v, want cache %d asked only for its copy", h, g.Server)
 	}
 }
 
 // Timeouts lower the limit of the server involved that is late most often, be it the parent, the cache or the
 // origin: a server that answers some requests is never marked down for silence.
 func TestTimeoutsLowerLimitOfMostOverdueServer(t *testing.T) {
-	for _, bad := range []CacheID{1, 11, 20} {
+	for _, bad := range []ServerID{1, 11, 20} {
 		s := startRouter(t, settings(), fleet())
 		watched := []*server{s.r.servers[11], s.r.origin}
 		for _, w := range watched {
@@ -71,11 +71,11 @@
 				continue // the draw was above the limit
 			}
 			deep := i%2 == 0 // every second object is missing at its parent
-			switch by := s.r.servers[g.Cache]; {
-			case g.Cache == bad || g.Source == bad && g.Cache != bad || bad == 20 && deep && g.Options&CachedOnly == 0:
+			switch by := s.r.servers[g.Server]; {
+			case g.Server == bad || g.Source == bad && g.Server != bad || bad == 20 && deep && g.Options&CachedOnly == 0:
 				by.LastAnswer = s.now
-				s.handle(Outcome{ID: id, Cache: g.Cache, Result: TimedOut, Latency: 2900 * ms})
-			case g.Source == g.Cache || i%3 == 0:
+				s.handle(Outcome{ID: id, Server: g.Server, Result: TimedOut, Latency: 2900 * ms})
+			case g.Source == g.Server || i%3 == 0:
 				s.answer(id, g, NoteHit, 50*ms)
 			case deep:
 				s.answer(id, g, NoteFilledOrigin, 50*ms)
@@ -129,7 +129,7 @@
 		}
 		link.LateRate, source.LateRate = late, 0.5
 		s.r.requests["a"].attempts[0].late = true
-		s.handle(Outcome{ID: "a", Cache: g.Cache, Result: OK, Note: NoteFilledOrigin, Latency: time.Second, SourceWait: 20 * ms})
+		s.handle(Outcome{ID: "a", Server: g.Server, Result: OK, Note: NoteFilledOrigin, Latency: time.Second, SourceWait: 20 * ms})
 		if (link.Limit != 0.4) != (late == 1) || (source.Limit < 0.4) != (late == 0) || deep.Limit <= 0.4 {
 			t.Errorf("link late %v: limits of link, parent, origin %v, %v, %v", late, link.Limit, source.Limit, deep.Limit)
 		}
@@ -142,7 +142,7 @@
 	s.r.origin.Limit = 0.01
 	s.r.servers[11].LateRate, s.r.servers[12].LateRate = 0.5, 0.5
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: Miss, Note: NoteSourceMiss})
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: Miss, Note: NoteSourceMiss})
 	if got := s.r.servers[g.Source].LateRate; g.Options&CachedOnly == 0 || got != 0.5 {
 		t.Errorf("after a source miss at %d (options %b) its late rate went from 0.5 to %v", g.Source, g.Options, got)
 	}
@@ -154,7 +154,7 @@
 		s := startRouter(t, settings(), fleet())
 		g := s.fetch(s.handle(newRequest("a", "o")))
 		s.r.origin.Limit, s.r.servers[g.Source].Limit = 0.5, 1
-		s.handle(Outcome{ID: "a", Cache: g.Cache, Result: Overloaded, Note: note})
+		s.handle(Outcome{ID: "a", Server: g.Server, Result: Overloaded, Note: note})
 		if s.r.origin.Limit >= 0.5 || s.r.servers[g.Source].Limit >= 1 {
 			t.Errorf("note %v: limits %v of the origin, %v of the parent", note, s.r.origin.Limit, s.r.servers[g.Source].Limit)
 		}
@@ -198,12 +198,12 @@
 	source := s.r.servers[g.Source]
 	before := source.Limit
 	s.r.requests["a"].attempts[0].late = true
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: OK, Note: NoteFilled, Latency: 2 * time.Second, SourceWait: 20 * ms})
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: OK, Note: NoteFilled, Latency: 2 * time.Second, SourceWait: 20 * ms})
 	if s.r.link.Limit >= was || source.Limit != before {
 		t.Fatalf("link %v to %v, source %v to %v", was, s.r.link.Limit, before, source.Limit)
 	}
 	s.r.link.Limit = 0
-	if g := s.fetch(s.handle(newRequest("b", "p"))); g.Source != g.Cache {
+	if g := s.fetch(s.handle(newRequest("b", "p"))); g.Source != g.Server {
 		t.Errorf("got %+v, want the cache asked only for its copy", g)
 	}
 }
@@ -222,7 +222,7 @@
 			p.Limit = 0.1
 		}
 		r.origin.Limit = 0
-		if g, ok := find[Fetch](r.Handle(time.Minute, newRequest("a", "o"), nil)); ok && g.Source != g.Cache {
+		if g, ok := find[Fetch](r.Handle(time.Minute, newRequest("a", "o"), nil)); ok && g.Source != g.Server {
 			sent++
 		}
 	}
@@ -235,13 +235,13 @@
 func TestWaitingForSilentSourceOccupiesNoSlot(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	c, a := s.r.servers[g.Cache], s.r.requests["a"].attempts[0]
+	c, a := s.r.servers[g.Server], s.r.requests["a"].attempts[0]
 	s.now += time.Second
 	c.LastAnswer = s.now
 	if s.r.objectiveMissed(a); s.r.occupied(c) != 0 {
 		t.Errorf("%v slots occupied while it waits", s.r.occupied(c))
 	}
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: TimedOut})
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: TimedOut})
 	if c.limitExempt != 0 {
 		t.Errorf("%d still counted as exempt from the limit", c.limitExempt)
 	}
@@ -256,7 +256,7 @@
 			open := map[string]Fetch{}
 			for i := range 10 {
 				q := newRequest(fmt.Sprint("r", round, i), fmt.Sprint(round, i))
-				if g, ok := find[Fetch](s.handle(q)); ok && g.Source != g.Cache {
+				if g, ok := find[Fetch](s.handle(q)); ok && g.Source != g.Server {
 					open[q.ID] = g
 				}
 			}
@@ -269,7 +269,7 @@
 			s.now += 3 * time.Second
 			for id, g := range open {
 				s.r.requests[id].attempts[0].late = true
-				s.handle(Outcome{ID: id, Cache: g.Cache, Result: OK, Note: NoteFilledOrigin, Latency: 3 * time.Second, SourceWait: time.Second, Final: true})
+				s.handle(Outcome{ID: id, Server: g.Server, Result: OK, Note: NoteFilledOrigin, Latency: 3 * time.Second, SourceWait: time.Second, Final: true})
 			}
 		}
 		if got := s.r.origin.Limit; got > 3 {
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -19,7 +19,7 @@
 		}
 		g := s.fetch(s.handle(e))
 		s.now += 20 * ms
-		s.handle(Outcome{ID: e.ID, Cache: g.Cache, Result: OK, Note: NoteHit, Latency: 10 * ms})
+		s.handle(Outcome{ID: e.ID, Server: g.Server, Result: OK, Note: NoteHit, Latency: 10 * ms})
 	}
 	if m := s.r.transferTime[0]; m < 0.2 || m > 0.4 {
 		t.Errorf("the transfer time came out at %.3f s, want 0.3", m)
@@ -43,7 +43,7 @@
 	if g.Source != 11 {
 		t.Fatalf("got %+v, want the parent as source", g)
 	}
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: Miss, Note: NoteSourceMiss})
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: Miss, Note: NoteSourceMiss})
 	if spent := before - p.Credit; spent < s.r.transferTime[0]*0.99 {
 		t.Errorf("a source miss left %v s charged, want %v", spent, s.r.transferTime[0])
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -18,7 +18,7 @@
 
 // Member is an entry of discovery's list.
 type Member struct {
-	ID      CacheID
+	ID      ServerID
 	Zone    int
 	Kind    int // Settings.ParentKind, Settings.OriginKind or any other for a cache
 	Cell    int // see DedupCell
@@ -63,7 +63,7 @@
 type StreamStarted struct {
 	ID      string
 	Attempt int
-	Cache   CacheID
+	Server  ServerID
 	Latency time.Duration // since the attempt was made
 }
 
@@ -110,7 +110,7 @@
 type Outcome struct {
 	ID         string
 	Attempt    int // index among the request's attempts, from 0
-	Cache      CacheID
+	Server     ServerID
 	Result     Result
 	Note       Note
 	Final      bool          // the request has its final answer
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -22,7 +22,7 @@
 		for _, a := range r.Handle(now, e, nil) {
 			switch a := a.(type) {
 			case policy.Fetch:
-				fmt.Printf("fetch from cache %d, fill from %d\n", a.Cache, a.Source)
+				fmt.Printf("fetch from cache %d, fill from %d\n", a.Server, a.Source)
 			case policy.SetTimer:
 				fmt.Printf("timer in %v\n", a.After)
 			case policy.Reject:
@@ -35,8 +35,8 @@
 	}})
 	show(policy.Request{ID: "r1", Object: "o", TimeLeft: time.Second, Group: -1})
 	// The parent could not be reached: the next in the chain is the origin.
-	show(policy.Outcome{ID: "r1", Cache: 1, Result: policy.Overloaded, Note: policy.NoteSourceLost})
-	show(policy.Outcome{ID: "r1", Attempt: 1, Cache: 1, Result: policy.OK, Note: policy.NoteFilled, Final: true})
+	show(policy.Outcome{ID: "r1", Server: 1, Result: policy.Overloaded, Note: policy.NoteSourceLost})
+	show(policy.Outcome{ID: "r1", Attempt: 1, Server: 1, Result: policy.OK, Note: policy.NoteFilled, Final: true})
 	now += time.Second
 	show(policy.Timer{Token: 1}) // the deadline of a request that is over: nothing to do
 	// Output:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -47,7 +47,7 @@
 		set.Routers, set.ZoneRouters = routers, []int{0, 0, routers}
 		m, changes := fleet(), Members{Kind: ListChanges}
 		m.Entries = m.Entries[3:]
-		for id := CacheID(1); id <= 10; id++ {
+		for id := ServerID(1); id <= 10; id++ {
 			m.Entries = append(m.Entries, Member{ID: id, Zone: 2, Weight: 10})
 			if id <= 6 {
 				changes.Entries = append(changes.Entries, Member{ID: id, Zone: 2, State: Gone},
@@ -65,7 +65,7 @@
 			}
 			all = append(all, s)
 		}
-		sent := map[CacheID][]float64{} // by step
+		sent := map[ServerID][]float64{} // by step
 		for n := range 80 {
 			for i, s := range all {
 				s.now = time.Minute + time.Duration(n)*step
@@ -74,14 +74,14 @@
 					g, ok := find[Fetch](s.handle(newRequest(id, id)))
 					if !ok {
 						continue
-					} else if g.Cache <= 6 {
-						t.Fatalf("sent to %d, which is gone", g.Cache)
+					} else if g.Server <= 6 {
+						t.Fatalf("sent to %d, which is gone", g.Server)
 					}
 					s.answer(id, g, NoteHit, latency)
-					if len(sent[g.Cache]) == 0 {
-						sent[g.Cache] = make([]float64, 80)
+					if len(sent[g.Server]) == 0 {
+						sent[g.Server] = make([]float64, 80)
 					}
-					sent[g.Cache][n] += latency.Seconds()
+					sent[g.Server][n] += latency.Seconds()
 				}
 			}
 			for id, by := range sent {
@@ -115,7 +115,7 @@
 				id := fmt.Sprint(i)
 				if g, ok := find[Fetch](s.handle(newRequest(id, id))); ok && g.Source == 20 {
 					out++
-				} else if ok && g.Source == g.Cache {
+				} else if ok && g.Source == g.Server {
 					lookups++
 				}
 			}
@@ -139,9 +139,9 @@
 				for n := 0; s.now < time.Minute+30*time.Second; n++ {
 					id := fmt.Sprint(n)
 					g, ok := find[Fetch](s.handle(newRequest(id, id)))
-					if ok && g.Cache == 1 {
+					if ok && g.Server == 1 {
 						tried++
-						s.handle(Outcome{ID: id, Cache: 1, Result: ConnectFailed})
+						s.handle(Outcome{ID: id, Server: 1, Result: ConnectFailed})
 					} else if ok {
 						s.answer(id, g, NoteHit, 10*ms)
 					}
@@ -163,7 +163,7 @@
 	}
 	var list []Member
 	for id := range 10_000 {
-		list = append(list, Member{ID: CacheID(id), Zone: id % 20, Weight: 4})
+		list = append(list, Member{ID: ServerID(id), Zone: id % 20, Weight: 4})
 	}
 	r.Handle(1, Members{Kind: ListFull, Entries: list}, nil)
 	b.ReportAllocs()
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -18,7 +18,7 @@
 		if g.Source != 20 || g.RetainRank != 0 {
 			t.Fatalf("an uncached request got source %d, rank %d", g.Source, g.RetainRank)
 		}
-		acts := s.handle(Outcome{ID: "a", Cache: g.Cache, Result: c.result})
+		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: c.result})
 		_, sent := find[Fetch](acts)
 		_, failed := find[Fail](acts)
 		if sent != c.again || failed == c.again {
@@ -33,13 +33,13 @@
 	set := settings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
 	for name, c := range map[string]struct {
-		cell func(CacheID) int
+		cell func(ServerID) int
 		wait time.Duration
 		sent bool
 	}{
-		"others in the cell":    {func(CacheID) int { return 1 }, 0, true},
-		"none in the cell":      {func(id CacheID) int { return int(id) }, 0, true}, // the same cache again
-		"the window has passed": {func(CacheID) int { return 1 }, time.Second, false},
+		"others in the cell":    {func(ServerID) int { return 1 }, 0, true},
+		"none in the cell":      {func(id ServerID) int { return int(id) }, 0, true}, // the same cache again
+		"the window has passed": {func(ServerID) int { return 1 }, time.Second, false},
 	} {
 		m := fleet()
 		for i := range m.Entries {
@@ -48,9 +48,9 @@
 		s := startRouter(t, set, m)
 		g := s.fetch(s.handle(newRequest("a", "o")))
 		s.now += c.wait
-		acts := s.handle(Outcome{ID: "a", Cache: g.Cache, Result: Reset})
+		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: Reset})
 		n, sent := find[Fetch](acts)
-		if sent != c.sent || sent && c.cell(n.Cache) != c.cell(g.Cache) {
+		if sent != c.sent || sent && c.cell(n.Server) != c.cell(g.Server) {
 			t.Errorf("%s: %v", name, acts)
 		}
 		if _, refused := find[Reject](acts); refused {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -25,7 +25,7 @@
 
 // LearnedState is what a router has learned about servers and requests. See ServerStats for the tags.
 type LearnedState struct {
-	Servers            map[CacheID]ServerStats  `cbor:"Targets"`
+	Servers            map[ServerID]ServerStats `cbor:"Targets"`
 	Link               ServerStats              `cbor:"Link"`        // the zone's link
 	TransferTime       []float64                `cbor:"MeanSend"`    // by class, in seconds, without the effects of overload
 	RecentTransferTime []float64                `cbor:"MeanTook"`    // by class, in seconds
@@ -37,7 +37,7 @@
 // LearnedState returns what a router that replaces this one may start from. Its slices are the router's own.
 func (r *Router) LearnedState() LearnedState {
 	state := LearnedState{
-		Servers: map[CacheID]ServerStats{}, Link: r.link.ServerStats, TransferTime: r.transferTime,
+		Servers: map[ServerID]ServerStats{}, Link: r.link.ServerStats, TransferTime: r.transferTime,
 		RecentTransferTime: r.recentTransferTime, FillRate: r.fillRate, OriginRate: r.originRate, PeakLoad: r.peakLoad,
 	}
 	for id, server := range r.servers {
@@ -59,7 +59,7 @@
 
 // Shifted returns the state with all its times moved, for a clock with another origin.
 func (l LearnedState) Shifted(by time.Duration) LearnedState {
-	servers := make(map[CacheID]ServerStats, len(l.Servers))
+	servers := make(map[ServerID]ServerStats, len(l.Servers))
 	for id, stats := range l.Servers {
 		servers[id] = stats.shifted(by)
 	}
--- a/policy/members_test.go
+++ b/policy/members_test.go
@@ -8,10 +8,10 @@
 func TestDrainingServersGetNoRequests(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	s.handle(Outcome{ID: "a", Cache: g.Cache, Result: OK, Note: NoteHit, Final: true})
-	s.handle(Members{Kind: ListChanges, Entries: []Member{{ID: g.Cache, Zone: 2, State: Draining, Weight: 10}}})
-	if g2 := s.fetch(s.handle(newRequest("b", "o"))); g2.Cache == g.Cache || g2.Source == g.Cache {
-		t.Fatalf("draining cache %d named: %+v", g.Cache, g2)
+	s.handle(Outcome{ID: "a", Server: g.Server, Result: OK, Note: NoteHit, Final: true})
+	s.handle(Members{Kind: ListChanges, Entries: []Member{{ID: g.Server, Zone: 2, State: Draining, Weight: 10}}})
+	if g2 := s.fetch(s.handle(newRequest("b", "o"))); g2.Server == g.Server || g2.Source == g.Server {
+		t.Fatalf("draining cache %d named: %+v", g.Server, g2)
 	}
 	m := fleet()
 	m.Kind, m.Entries = ListFull, m.Entries[3:]
@@ -30,7 +30,7 @@
 	s := startRouter(t, set, Members{Kind: ListCached})
 	for i := range 1000 {
 		m := fleet()
-		m.Kind, m.Entries[0].ID = ListFull, CacheID(1000+i)
+		m.Kind, m.Entries[0].ID = ListFull, ServerID(1000+i)
 		s.handle(m)
 	}
 	if n := len(s.r.servers); n > 7 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -10,12 +10,12 @@
 func TestConnectFailureMarksCacheDownAndRetries(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	next := s.fetch(s.handle(Outcome{ID: "a", Cache: g.Cache, Result: ConnectFailed}))
-	if next.Cache == g.Cache {
+	next := s.fetch(s.handle(Outcome{ID: "a", Server: g.Server, Result: ConnectFailed}))
+	if next.Server == g.Server {
 		t.Fatal("the same cache again")
 	}
-	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Cache != next.Cache {
-		t.Fatalf("cache %d, want %d", again.Cache, next.Cache)
+	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Server != next.Server {
+		t.Fatalf("cache %d, want %d", again.Server, next.Server)
 	}
 }
 
@@ -24,7 +24,7 @@
 func TestOverdueAttemptsMarkCacheDown(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	c := s.r.servers[g.Cache]
+	c := s.r.servers[g.Server]
 	c.Limit = 100
 	for i := range maxConsecutiveUnanswered - 1 {
 		s.handle(newRequest(string(rune('A'+i)), "o"))
@@ -48,8 +48,8 @@
 	// It was silent, not unreachable: after a successful probe it is in its ramp but not in a warm-up.
 	s.now += probeInterval
 	g = s.fetch(s.handle(newRequest("t", "o")))
-	if g.Cache != c.ID {
-		t.Fatalf("the probe went to %d", g.Cache)
+	if g.Server != c.ID {
+		t.Fatalf("the probe went to %d", g.Server)
 	}
 	s.answer("t", g, NoteHit, 10*ms)
 	if c.Down || c.WarmingUp || !c.Ramping {
@@ -62,14 +62,14 @@
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("first", "o")))
 	s.answer("first", g, NoteHit, 10*ms)
-	c, lost := s.r.servers[g.Cache], 0
+	c, lost := s.r.servers[g.Server], 0
 	for ; !c.Down && lost < maxConsecutiveUnanswered; lost++ {
 		s.now += 20 * time.Second
 		id := fmt.Sprint(lost)
 		s.handle(newRequest(id, "o"))
 		a := s.r.requests[id].attempts[0]
 		s.r.objectiveMissed(a)
-		s.handle(Outcome{ID: id, Cache: g.Cache, Result: TimedOut, Final: true})
+		s.handle(Outcome{ID: id, Server: g.Server, Result: TimedOut, Final: true})
 	}
 	if lost != silentMinUnanswered {
 		t.Errorf("down after %d", lost)
@@ -81,13 +81,13 @@
 	for _, result := range []Result{Reset, Failed} {
 		s := startRouter(t, settings(), fleet())
 		g := s.fetch(s.handle(newRequest("a", "o")))
-		c := s.r.servers[g.Cache]
+		c := s.r.servers[g.Server]
 		for i := range 8 {
 			s.now += time.Second
 			id := string(rune('A' + i))
-			if g := s.fetch(s.handle(newRequest(id, "o"))); g.Cache == c.ID {
-				next := s.fetch(s.handle(Outcome{ID: id, Cache: c.ID, Result: result}))
-				s.handle(Outcome{ID: id, Attempt: 1, Cache: next.Cache, Result: OK, Note: NoteHit})
+			if g := s.fetch(s.handle(newRequest(id, "o"))); g.Server == c.ID {
+				next := s.fetch(s.handle(Outcome{ID: id, Server: c.ID, Result: result}))
+				s.handle(Outcome{ID: id, Attempt: 1, Server: next.Server, Result: OK, Note: NoteHit})
 			}
 		}
 		if !c.Down {
@@ -96,7 +96,7 @@
 		// No connection was refused, so its process has not restarted and needs no warm-up.
 		s.now += probeInterval
 		s.handle(newRequest("probe", "o"))
-		s.handle(Outcome{ID: "probe", Cache: c.ID, Result: OK, Note: NoteHit})
+		s.handle(Outcome{ID: "probe", Server: c.ID, Result: OK, Note: NoteHit})
 		if c.Down || c.WarmingUp {
 			t.Errorf("result %d: after its probe down %v, warming up %v", result, c.Down, c.WarmingUp)
 		}
@@ -111,8 +111,8 @@
 		id := fmt.Sprint("bad", i)
 		s.now += time.Second
 		g := s.fetch(s.handle(newRequest(id, "o")))
-		g = s.fetch(s.handle(Outcome{ID: id, Cache: g.Cache, Result: Failed}))
-		if _, ok := find[Reject](s.handle(Outcome{ID: id, Attempt: 1, Cache: g.Cache, Result: Failed})); !ok {
+		g = s.fetch(s.handle(Outcome{ID: id, Server: g.Server, Result: Failed}))
+		if _, ok := find[Reject](s.handle(Outcome{ID: id, Attempt: 1, Server: g.Server, Result: Failed})); !ok {
 			t.Fatal("it was tried a third time")
 		}
 	}
@@ -132,7 +132,7 @@
 	c := s.r.requests["0"].attempts[0].server
 	for i := range 12 {
 		if a := s.r.requests[fmt.Sprint(i)].attempts[0]; a.server == c {
-			s.handle(Outcome{ID: fmt.Sprint(i), Cache: c.ID, Result: Reset})
+			s.handle(Outcome{ID: fmt.Sprint(i), Server: c.ID, Result: Reset})
 		}
 	}
 	if c.Down || c.FailureRate != outcomeGain {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -36,7 +36,7 @@
 	g := s.fetch(s.handle(sizedRequest("b", 2900*ms)))
 	// A second attempt has less time left, and the same bytes to come.
 	s.now += 200 * ms
-	if _, ok := find[Reject](s.handle(Outcome{ID: "b", Cache: g.Cache, Result: ConnectFailed})); !ok {
+	if _, ok := find[Reject](s.handle(Outcome{ID: "b", Server: g.Server, Result: ConnectFailed})); !ok {
 		t.Error("a transfer longer than the time left was sent again")
 	}
 }
@@ -59,7 +59,7 @@
 				target.openFills = 0
 			}
 		}
-		if g, ok := find[Fetch](r.Handle(time.Minute, q, nil)); ok && g.Source != g.Cache {
+		if g, ok := find[Fetch](r.Handle(time.Minute, q, nil)); ok && g.Source != g.Server {
 			count++
 		}
 	}
@@ -135,12 +135,12 @@
 		p.Down, p.NextProbe = true, s.now
 	}
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	parent := s.r.servers[g.Cache]
+	parent := s.r.servers[g.Server]
 	if parent.role != 1 || !parent.probing || g.Timeout > 1500*ms {
 		t.Fatalf("got %+v, want a probe of a parent for half of the time at most", g)
 	}
-	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Cache == g.Cache {
-		t.Errorf("parent %d is probed twice at once", again.Cache)
+	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Server == g.Server {
+		t.Errorf("parent %d is probed twice at once", again.Server)
 	}
 	s.answer("a", g, NoteFilledOrigin, 10*ms)
 	if parent.Down {
@@ -159,7 +159,7 @@
 	for _, c := range s.r.caches {
 		c.Down, c.NextProbe = true, s.now+time.Minute
 	}
-	if g := s.fetch(s.handle(newRequest("b", "p"))); s.r.servers[g.Cache].role != roleParent || g.RetainRank != 0 {
+	if g := s.fetch(s.handle(newRequest("b", "p"))); s.r.servers[g.Server].role != roleParent || g.RetainRank != 0 {
 		t.Errorf("got %+v, want a parent and no rank", g)
 	}
 }
@@ -172,17 +172,17 @@
 	q := newRequest("a", "o")
 	q.Class = 1
 	acts := s.handle(q)
-	if a, ok := find[Lookup](acts); !ok || a.Cache != 20 {
+	if a, ok := find[Lookup](acts); !ok || a.Server != 20 {
 		t.Fatalf("got %v, want an attempt at the origin", acts)
 	}
-	acts = s.handle(Outcome{ID: "a", Cache: 20, Result: ConnectFailed})
+	acts = s.handle(Outcome{ID: "a", Server: 20, Result: ConnectFailed})
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Lookup:
-			t.Errorf("%d retried at once", a.Cache)
+			t.Errorf("%d retried at once", a.Server)
 		case Fetch:
 			if a.Source == 20 {
-				t.Errorf("origin retried at once, by cache %d", a.Cache)
+				t.Errorf("origin retried at once, by cache %d", a.Server)
 			}
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,7 +34,7 @@
 	}
 	r := &Router{
 		settings: settings, rng: mix(seed), requests: map[string]*openRequest{}, timers: map[uint64]timer{},
-		servers:      map[CacheID]*server{},
+		servers:      map[ServerID]*server{},
 		recentHits:   newBoundedMap[objectPart, recentHit](recentHitsMaxEntries),
 		objectPurges: newBoundedMap[string, Time](recentHitsMaxEntries),
 		groupPurges:  newBoundedMap[int, Time](recentHitsMaxEntries),
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -29,10 +29,10 @@
 // fleet returns caches 1 to 3 of the zone, parents 11 and 12 and origin 20.
 func fleet() Members {
 	m := Members{Kind: ListCached}
-	for _, id := range []CacheID{1, 2, 3} {
+	for _, id := range []ServerID{1, 2, 3} {
 		m.Entries = append(m.Entries, Member{ID: id, Zone: 2, Weight: 10})
 	}
-	for _, id := range []CacheID{11, 12} {
+	for _, id := range []ServerID{11, 12} {
 		m.Entries = append(m.Entries, Member{ID: id, Zone: 0, Kind: 1, Weight: 20})
 	}
 	m.Entries = append(m.Entries, Member{ID: 20, Kind: 2, Weight: 50})
@@ -105,7 +105,7 @@
 
 // answer ends a fetch with the given note after the given latency.
 func (s *script) answer(id string, g Fetch, note Note, latency time.Duration) {
-	s.handle(Outcome{ID: id, Cache: g.Cache, Result: OK, Note: note, Latency: latency, Final: true})
+	s.handle(Outcome{ID: id, Server: g.Server, Result: OK, Note: note, Latency: latency, Final: true})
 }
 
 // When nothing is in flight no slot is occupied, also after outcomes that are late, repeated, or from
@@ -119,14 +119,14 @@
 	type attempted struct {
 		id    string
 		no    int
-		cache CacheID
+		cache ServerID
 	}
 	var waiting []attempted
 	sent := map[string]int{}
 	take := func(acts []Action) {
 		for _, a := range acts {
 			if g, ok := a.(Fetch); ok {
-				waiting = append(waiting, attempted{g.ID, sent[g.ID], g.Cache})
+				waiting = append(waiting, attempted{g.ID, sent[g.ID], g.Server})
 				sent[g.ID]++
 			}
 		}
@@ -152,7 +152,7 @@
 	for n := 0; len(waiting) > 0; n++ {
 		w := waiting[0]
 		waiting = waiting[1:]
-		o := Outcome{ID: w.id, Attempt: w.no, Cache: w.cache, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
+		o := Outcome{ID: w.id, Attempt: w.no, Server: w.cache, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
 		take(s.handle(o))
 		take(s.handle(o)) // twice
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -124,10 +124,10 @@
 		r.setTimer(min(objective, timeout), timer{kind: objectiveTimer, attempt: attempt})
 	}
 	if source == nil {
-		r.emit(Lookup{ID: req.ID, Cache: to.ID, Timeout: timeout})
+		r.emit(Lookup{ID: req.ID, Server: to.ID, Timeout: timeout})
 		return
 	}
-	fetch := Fetch{ID: req.ID, Cache: to.ID, Source: source.ID, Timeout: timeout, Options: options}
+	fetch := Fetch{ID: req.ID, Server: to.ID, Source: source.ID, Timeout: timeout, Options: options}
 	r.setCaching(&fetch, req, to)
 	r.emit(fetch)
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -24,12 +24,12 @@
 	set := settings()
 	set.Classes[0].Multipart = true
 	s := startRouter(t, set, fleet())
-	caches, parents := map[CacheID]bool{}, map[CacheID]bool{}
+	caches, parents := map[ServerID]bool{}, map[ServerID]bool{}
 	for part := range 12 {
 		q := newRequest(string(rune('a'+part)), "o")
 		q.Part = part
 		g := s.fetch(s.handle(q))
-		caches[g.Cache], parents[g.Source] = true, true
+		caches[g.Server], parents[g.Source] = true, true
 	}
 	if len(caches) < 2 || len(parents) != 1 {
 		t.Errorf("parts went to caches %v and parents %v", caches, parents)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -14,9 +14,9 @@
 type ruleChecker struct {
 	set        Settings
 	reqs       map[string]*entry
-	state      map[CacheID]State
-	notifiedAt map[CacheID]Time
-	members    map[CacheID]Member
+	state      map[ServerID]State
+	notifiedAt map[ServerID]Time
+	members    map[ServerID]Member
 	purged     map[string][2]Time // object: time of the purge, time of its notice
 }
 
@@ -29,20 +29,20 @@
 }
 
 type sent struct {
-	cache     CacheID
+	cache     ServerID
 	at        Time
 	open, ran bool
 }
 
 func newRuleChecker(s Settings) *ruleChecker {
-	return &ruleChecker{set: s, reqs: map[string]*entry{}, state: map[CacheID]State{}, notifiedAt: map[CacheID]Time{},
-		members: map[CacheID]Member{}, purged: map[string][2]Time{}}
+	return &ruleChecker{set: s, reqs: map[string]*entry{}, state: map[ServerID]State{}, notifiedAt: map[ServerID]Time{},
+		members: map[ServerID]Member{}, purged: map[string][2]Time{}}
 }
 
 func (b *ruleChecker) event(now Time, e Event) {
 	switch e := e.(type) {
 	case Members:
-		listed := map[CacheID]bool{}
+		listed := map[ServerID]bool{}
 		for _, m := range e.Entries {
 			listed[m.ID] = true
 			if m.State != b.state[m.ID] {
@@ -87,9 +87,9 @@
 	case Fail:
 		return b.finalAnswer(a.ID, false)
 	case Lookup:
-		return b.send(now, a.ID, a.Cache, a.Cache, 0, b.members[a.Cache].Kind == b.set.OriginKind)
+		return b.send(now, a.ID, a.Server, a.Server, 0, b.members[a.Server].Kind == b.set.OriginKind)
 	case Fetch:
-		return b.send(now, a.ID, a.Cache, a.Source, a.MaxAge, false)
+		return b.send(now, a.ID, a.Server, a.Source, a.MaxAge, false)
 	}
 	return nil
 }
@@ -114,12 +114,12 @@
 }
 
 // send checks an attempt with the given maximum age. origin says that it goes straight to the origin.
-func (b *ruleChecker) send(now Time, id string, cache, source CacheID, age time.Duration, origin bool) error {
+func (b *ruleChecker) send(now Time, id string, cache, source ServerID, age time.Duration, origin bool) error {
 	q := b.reqs[id]
 	if q == nil || q.over {
 		return fmt.Errorf("%s sent after its final answer", id)
 	}
-	for _, t := range []CacheID{cache, source} {
+	for _, t := range []ServerID{cache, source} {
 		if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
 			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
 		}
@@ -140,7 +140,7 @@
 }
 
 // retry checks that another attempt at a cache can have no second effect.
-func (b *ruleChecker) retry(now Time, q *entry, cache CacheID) error {
+func (b *ruleChecker) retry(now Time, q *entry, cache ServerID) error {
 	c := b.set.Classes[q.q.Class]
 	for _, s := range q.sends {
 		if s.open {
@@ -187,9 +187,9 @@
 			case SetTimer:
 				timers = append(timers, due{now + a.After, a.Token})
 			case Lookup:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Cache: a.Cache})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
 			case Fetch:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Cache: a.Cache})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
 			}
 		}
 		return nil
@@ -290,12 +290,12 @@
 		acts   []Action
 	}{
 		"two answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
-		"sent after its final answer": {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"two in flight":               {nil, []Action{Fetch{ID: "a", Cache: 1, Source: 11}, Fetch{ID: "a", Cache: 2, Source: 11}}},
-		"non-idempotent rejected":     {nil, []Action{Fetch{ID: "u", Cache: 1, Source: 20}, Reject{ID: "u"}}},
-		"draining cache":              {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
-		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Cache: 1, Source: 11}}},
+		"sent after its final answer": {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Server: 1, Source: 11}}},
+		"two in flight":               {nil, []Action{Fetch{ID: "a", Server: 1, Source: 11}, Fetch{ID: "a", Server: 2, Source: 11}}},
+		"non-idempotent rejected":     {nil, []Action{Fetch{ID: "u", Server: 1, Source: 20}, Reject{ID: "u"}}},
+		"draining cache":              {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
 	} {
 		b := newRuleChecker(set)
 		b.event(0, fleet())
--- a/policy/server_pick_test.go
+++ b/policy/server_pick_test.go
@@ -9,13 +9,13 @@
 func TestCacheOverLimitYieldsOnlyToHalfEmptyCache(t *testing.T) {
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
-	s.r.servers[g.Cache].Limit = 0.5 // below its one attempt, whatever the draw and the limit fraction
+	s.r.servers[g.Server].Limit = 0.5 // below its one attempt, whatever the draw and the limit fraction
 	next := s.fetch(s.handle(newRequest("b", "o")))
-	if next.Cache == g.Cache {
+	if next.Server == g.Server {
 		t.Fatal("a cache over its limit did not yield")
 	}
 	for _, c := range s.r.caches {
-		if c.ID != g.Cache {
+		if c.ID != g.Server {
 			c.Limit = 1.5
 		}
 	}
@@ -39,7 +39,7 @@
 	for _, c := range s.r.caches {
 		c.Down, c.NextProbe = true, s.now+time.Minute
 	}
-	if g := s.fetch(s.handle(newRequest("b", "o"))); g.Cache != 11 && g.Cache != 12 {
+	if g := s.fetch(s.handle(newRequest("b", "o"))); g.Server != 11 && g.Server != 12 {
 		t.Errorf("got %+v, want a parent", g)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,8 +9,8 @@
 // backwards.
 type Time = time.Duration
 
-// CacheID identifies a server: a cache, a parent cache or the origin.
-type CacheID uint64
+// ServerID identifies a server: a cache, a parent cache or the origin.
+type ServerID uint64
 
 // Idempotency says what a repeated execution of a request may do.
 type Idempotency int
@@ -84,7 +84,7 @@
 // Settings are the facts with which a router is started. See Class for the tags. No rule of this package reads
 // some of them, such as PollInterval, the overload of the origin and MinBatchInterval.
 type Settings struct {
-	Rank            int           `cbor:"Rank"`        // index of this router, from 0
+	RouterIndex     int           `cbor:"Rank"`        // index of this router, from 0
 	Routers         int           `cbor:"Routers"`     // number of routers
 	Zone            int           `cbor:"Zone"`        // of this router
 	ZoneRouters     []int         `cbor:"ZoneRouters"` // number of routers by zone; may be empty
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -12,7 +12,7 @@
 type warmUpFleet struct {
 	set          Settings
 	members      Members
-	id           CacheID
+	id           ServerID
 	parent       bool
 	warmUp       WarmUp
 	weight       float64
@@ -107,13 +107,13 @@
 					continue
 				}
 				note := NoteHit
-				if c.parent && g.Source != g.Cache {
+				if c.parent && g.Source != g.Server {
 					note = NoteFilled
 				}
-				if !c.parent && g.Cache == c.id || c.parent && g.Source == c.id {
+				if !c.parent && g.Server == c.id || c.parent && g.Source == c.id {
 					c.arrivals = append(c.arrivals, now)
 				}
-				r.Handle(now, Outcome{ID: q.ID, Cache: g.Cache, Result: OK, Note: note, Latency: c.transferTime, Final: true}, nil)
+				r.Handle(now, Outcome{ID: q.ID, Server: g.Server, Result: OK, Note: note, Latency: c.transferTime, Final: true}, nil)
 			}
 		}
 	}
@@ -203,9 +203,9 @@
 					for k := range max(2, 60/routers) {
 						id := fmt.Sprint(n, i, k)
 						acts := r.Handle(now, newRequest(id, id), nil)
-						if g, ok := find[Fetch](acts); ok && g.Cache == 1 {
+						if g, ok := find[Fetch](acts); ok && g.Server == 1 {
 							sent[n]++
-							r.Handle(now, Outcome{ID: id, Cache: 1, Result: OK, Note: NoteHit, Latency: latency}, nil)
+							r.Handle(now, Outcome{ID: id, Server: 1, Result: OK, Note: NoteHit, Latency: latency}, nil)
 						}
 					}
 				}
--- a/policy/source_chain_test.go
+++ b/policy/source_chain_test.go
@@ -12,7 +12,7 @@
 	if first.Source != 11 && first.Source != 12 {
 		t.Fatalf("source %d is no parent", first.Source)
 	}
-	lost := Outcome{ID: "a", Cache: first.Cache, Result: Overloaded, Note: NoteSourceLost}
+	lost := Outcome{ID: "a", Server: first.Server, Result: Overloaded, Note: NoteSourceLost}
 	second := s.fetch(s.handle(lost))
 	if second.Source == first.Source || second.Source == 20 {
 		t.Fatalf("after parent %d came source %d", first.Source, second.Source)
@@ -31,7 +31,7 @@
 	if g.Source != first.Source {
 		t.Fatalf("the probe went to %d, not the default parent %d", g.Source, first.Source)
 	}
-	s.handle(Outcome{ID: "c", Cache: g.Cache, Result: OK, Note: NoteFilled, Final: true})
+	s.handle(Outcome{ID: "c", Server: g.Server, Result: OK, Note: NoteFilled, Final: true})
 	if s.r.servers[g.Source].Down {
 		t.Error("a probe that was answered did not mark the parent up")
 	}
@@ -68,12 +68,12 @@
 	s := startRouter(t, settings(), fleet())
 	g := s.fetch(s.handle(newRequest("a", "o")))
 	s.answer("a", g, NoteHit, 10*ms)
-	s.r.servers[g.Cache].Limit = 0
-	if n := s.fetch(s.handle(newRequest("b", "o"))); n.Source != g.Cache || n.Options&CachedOnly == 0 {
-		t.Errorf("got %+v, want cache %d as source", n, g.Cache)
+	s.r.servers[g.Server].Limit = 0
+	if n := s.fetch(s.handle(newRequest("b", "o"))); n.Source != g.Server || n.Options&CachedOnly == 0 {
+		t.Errorf("got %+v, want cache %d as source", n, g.Server)
 	}
 	s.now += recentHitMaxAge + ms
-	if n := s.fetch(s.handle(newRequest("c", "o"))); n.Source == g.Cache {
+	if n := s.fetch(s.handle(newRequest("c", "o"))); n.Source == g.Server {
 		t.Error("a hit was used after recentHitMaxAge")
 	}
 }
@@ -85,13 +85,13 @@
 	g := s.fetch(s.handle(newRequest("a", "o")))
 	source := s.r.servers[g.Source]
 	source.Limit = 1
-	refused := Outcome{ID: "a", Cache: g.Cache, Result: Overloaded, Note: NoteSourceRejected}
+	refused := Outcome{ID: "a", Server: g.Server, Result: Overloaded, Note: NoteSourceRejected}
 	acts := s.handle(refused)
 	if source.Limit >= 1 {
 		t.Errorf("its limit is %v after a rejection", source.Limit)
 	}
 	next := s.fetch(acts)
-	refused.Attempt, refused.Cache = 1, next.Cache
+	refused.Attempt, refused.Server = 1, next.Server
 	if _, ok := find[Reject](s.handle(refused)); !ok {
 		t.Error("no final answer after two rejections")
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -39,7 +39,7 @@
 // usable reports whether a server may be named in an action: it is listed and not draining.
 func (s *server) usable() bool { return s != nil && s.listed && s.State == Ready }
 
-func newServer(id CacheID) *server {
+func newServer(id ServerID) *server {
 	return &server{ServerStats: ServerStats{Limit: sourceLimitStart}, idHash: mix(uint64(id))}
 }
 
@@ -120,7 +120,7 @@
 	timers    map[uint64]timer
 	lastToken uint64
 
-	servers    map[CacheID]*server
+	servers    map[ServerID]*server
 	ordered    []*server // all servers, by id
 	caches     []*server // listed ones of this zone, by id
 	parents    []*server // listed ones, by id
--- a/wire/batch.go
+++ b/wire/batch.go
@@ -121,8 +121,8 @@
 	return s
 }
 
-func (v *values) cache() policy.CacheID {
+func (v *values) cache() policy.ServerID {
 	var id uint64
 	v.decode(&id, true, "Cache")
-	return policy.CacheID(id)
+	return policy.ServerID(id)
 }
--- a/wire/batch_test.go
+++ b/wire/batch_test.go
@@ -16,10 +16,10 @@
 		`["Req",3,"id",240000,null,null,null,null,null,"ab",0]`: policy.Request{ID: "id",
 			TimeLeft: 240 * time.Millisecond, Group: -1, Object: "ab"},
 		`["Done",3,"id",true,18500,1,77,2,"done",9400,{"x0":0.5,"new":{}}]`: policy.Outcome{ID: "id", Final: true,
-			Latency: 18500 * time.Microsecond, Attempt: 1, Cache: 77, Note: policy.NoteFilled, Result: policy.OK,
+			Latency: 18500 * time.Microsecond, Attempt: 1, Server: 77, Note: policy.NoteFilled, Result: policy.OK,
 			SourceWait: 9400 * time.Microsecond, Load: policy.LoadReport{"hits": 0.5}},
 		`["Done",3,"id",false,1,0,77,null,"newword",null,null]`: policy.Outcome{ID: "id",
-			Latency: time.Microsecond, Cache: 77, Result: policy.Unknown},
+			Latency: time.Microsecond, Server: 77, Result: policy.Unknown},
 		`["Purged",3,11,null,85000]`: policy.Purged{Group: 11, Age: 85 * time.Millisecond},
 		`["TimeoutFired",3,77]`:      policy.Timer{Token: 77},
 		`["Targets",3,"disk",41,[[5,1,0,0,"L",1.5,6100000,9]]]`: policy.Members{Kind: policy.ListCached, Version: 41,
@@ -72,8 +72,8 @@
 
 func TestEncodeReply(t *testing.T) {
 	got, err := EncodeReply(nil, []InstanceAction{
-		{3, policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
-		{3, policy.Fetch{ID: "a", Cache: 7, Source: 9, RetainRank: 2, MaxAge: time.Second, Timeout: 900 * time.Millisecond, Options: policy.Coalesce | policy.RefreshInBackground}},
+		{3, policy.Lookup{ID: "a", Server: 7, Timeout: 80 * time.Millisecond}},
+		{3, policy.Fetch{ID: "a", Server: 7, Source: 9, RetainRank: 2, MaxAge: time.Second, Timeout: 900 * time.Millisecond, Options: policy.Coalesce | policy.RefreshInBackground}},
 		{3, policy.SetTimer{Token: 77, After: 500*time.Millisecond + 1}},
 		{3, policy.Reject{ID: "a"}},
 		{3, InternalError{Text: "bad\nline"}},
--- a/wire/events.go
+++ b/wire/events.go
@@ -127,7 +127,7 @@
 func decodeStreamStarted(v *values) any {
 	started := policy.StreamStarted{ID: v.text("Txn", true), Attempt: int(v.integer("SendNo", true))}
 	started.Latency = microseconds(v.integer("LagUs", false))
-	started.Cache = v.cache()
+	started.Server = v.cache()
 	return started
 }
 
@@ -136,7 +136,7 @@
 	v.decode(&outcome.Final, true, "Last")
 	outcome.Latency = microseconds(v.integer("LagUs", false))
 	outcome.Attempt = int(v.integer("SendNo", true))
-	outcome.Cache = v.cache()
+	outcome.Server = v.cache()
 	outcome.Note = policy.Note(v.integer("Note", false))
 	outcome.Result = results[v.text("Rc", true)]
 	outcome.SourceWait = microseconds(v.integer("WaitedUs", false))
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -27,7 +27,7 @@
 // wantSettings are the settings of bootLine.
 func wantSettings() policy.Settings {
 	return policy.Settings{
-		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
+		RouterIndex: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
 		Classes: []policy.Class{
 			{
 				LatencyObjective: 10 * time.Millisecond, ObjectiveStretch: 11.5, Deadline: 12 * time.Second, PriorityWeight: 13.5, LateFraction: 0.25,
@@ -57,7 +57,7 @@
 
 func wantOutcome(result policy.Result, note policy.Note) policy.Outcome {
 	return policy.Outcome{
-		ID: "q", Final: true, Latency: 18500 * time.Microsecond, Attempt: 2, Cache: 77, Note: note, Result: result,
+		ID: "q", Final: true, Latency: 18500 * time.Microsecond, Attempt: 2, Server: 77, Note: note, Result: result,
 		SourceWait: 9400 * time.Microsecond,
 		Load: policy.LoadReport{
 			"inflight": 1.5, "queue": 2.5, "util": 0.25, "latency": 3.5, "served": 4.5, "errors": 5.5, "hits": 0.5, "link": 6.5,
@@ -90,7 +90,7 @@
 		{`["Req",1,"q",240000,2,null,null,null,null,"ab",2]`, policy.Request{
 			ID: "q", TimeLeft: 240 * time.Millisecond, ClientRetry: true, Group: -1, Object: "ab", Class: 2,
 		}},
-		{`["UnderWay",1,"q",2,1500,77]`, policy.StreamStarted{ID: "q", Attempt: 2, Latency: 1500 * time.Microsecond, Cache: 77}},
+		{`["UnderWay",1,"q",2,1500,77]`, policy.StreamStarted{ID: "q", Attempt: 2, Latency: 1500 * time.Microsecond, Server: 77}},
 		{outcomeLine("done", "1"), wantOutcome(policy.OK, policy.NoteHit)},
 		{outcomeLine("err", "2"), wantOutcome(policy.Failed, policy.NoteFilled)},
 		{outcomeLine("busy", "3"), wantOutcome(policy.Overloaded, policy.NoteFilledOrigin)},
@@ -101,7 +101,7 @@
 		{outcomeLine("skipped", "8"), wantOutcome(policy.Skipped, policy.NoteSourceMiss)},
 		{outcomeLine("enoent", "9"), wantOutcome(policy.Miss, policy.NoteNoFillSlot)},
 		{outcomeLine("later", "10"), wantOutcome(policy.Unknown, policy.NoteOriginFailed)},
-		{`["Done",1,"q",false,null,0,77,null,"done",null,null]`, policy.Outcome{ID: "q", Cache: 77, Result: policy.OK}},
+		{`["Done",1,"q",false,null,0,77,null,"done",null,null]`, policy.Outcome{ID: "q", Server: 77, Result: policy.OK}},
 		{`["ClientLeft",1,"q"]`, policy.ClientLeft{ID: "q"}},
 		{`["TimeoutFired",1,77]`, policy.Timer{Token: 77}},
 		{`["Purged",1,11,"ab",85000]`, policy.Purged{Group: 11, Object: "ab", Age: 85 * time.Millisecond}},
@@ -134,16 +134,16 @@
 // ones empty.
 func TestGoldenActions(t *testing.T) {
 	reply, err := EncodeReply(nil, []InstanceAction{
-		{Instance: 3, Action: policy.Lookup{ID: "a", Cache: 7, Timeout: 80 * time.Millisecond}},
-		{Instance: 3, Action: policy.Lookup{ID: "a", Cache: 7}},
+		{Instance: 3, Action: policy.Lookup{ID: "a", Server: 7, Timeout: 80 * time.Millisecond}},
+		{Instance: 3, Action: policy.Lookup{ID: "a", Server: 7}},
 		{Instance: 3, Action: policy.Fetch{
-			ID: "a", Cache: 7, Source: 9, Timeout: 900 * time.Millisecond, MaxAge: time.Second, RetainRank: 2,
+			ID: "a", Server: 7, Source: 9, Timeout: 900 * time.Millisecond, MaxAge: time.Second, RetainRank: 2,
 			Options: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground,
 		}},
-		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.Coalesce}},
-		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.CachedOnly}},
-		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.ParentPassThrough}},
-		{Instance: 3, Action: policy.Fetch{ID: "a", Cache: 7, Source: 7, Options: policy.RefreshInBackground}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Server: 7, Source: 7, Options: policy.Coalesce}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Server: 7, Source: 7, Options: policy.CachedOnly}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Server: 7, Source: 7, Options: policy.ParentPassThrough}},
+		{Instance: 3, Action: policy.Fetch{ID: "a", Server: 7, Source: 7, Options: policy.RefreshInBackground}},
 		{Instance: 3, Action: policy.Cancel{ID: "a", Attempt: 4}},
 		{Instance: 3, Action: policy.Reject{ID: "a", RetryAfter: 1500 * time.Millisecond}},
 		{Instance: 3, Action: policy.Reject{ID: "a"}},
--- a/wire/reply.go
+++ b/wire/reply.go
@@ -42,10 +42,10 @@
 	instance := action.Instance
 	switch a := action.Action.(type) {
 	case policy.Lookup:
-		return []any{"Route", instance, a.ID, a.Cache, wholeMicroseconds(a.Timeout)}
+		return []any{"Route", instance, a.ID, a.Server, wholeMicroseconds(a.Timeout)}
 	case policy.Fetch:
 		return []any{
-			"PullVia", instance, a.ID, wholeMicroseconds(a.MaxAge), a.Cache, a.RetainRank, wholeMicroseconds(a.Timeout),
+			"PullVia", instance, a.ID, wholeMicroseconds(a.MaxAge), a.Server, a.RetainRank, wholeMicroseconds(a.Timeout),
 			int(a.Options), a.Source,
 		}
 	case policy.Cancel:
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -119,7 +119,7 @@
 	}
 	family := m.CacheFamily
 	settings := policy.Settings{
-		Rank: integer(m.Rank), Routers: integer(m.Routers), Zone: integer(m.Zone),
+		RouterIndex: integer(m.Rank), Routers: integer(m.Routers), Zone: integer(m.Zone),
 		ZoneRouters: integers(family.ZoneRouters), HomeHub: integers(family.HomeHub), LinkKBPerS: family.LinkKBPerS,
 		ParentKind: kind(family.ParentKind), OriginKind: kind(family.OriginKind),
 		MayBypassCaches: family.MayBypassCaches, SiblingFills: siblingScopes[family.SiblingFills],
