--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -37,22 +37,22 @@
 // requests.
 func (r *Router) overLimit(req *openRequest, server *server, occupied float64) bool {
 	slots := server.Limit * r.limitScale
-	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.draw > slots
+	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.admissionDraw > slots
 }
 
 // limitFraction is the fraction of a limit that a request may use: an overload leaves slots to those with the
 // most weight per transfer time. A client's retry has less, as its latency counts from the client's first
 // attempt.
 func (r *Router) limitFraction(req *openRequest) float64 {
-	best := 0.0
+	bestValue := 0.0
 	for i, class := range r.settings.Classes {
 		if !class.Uncached { // uncached requests take no slot of a cache
-			best = max(best, class.PriorityWeight/r.transferTime[i])
+			bestValue = max(bestValue, class.PriorityWeight/r.transferTime[i])
 		}
 	}
 	value := req.class.PriorityWeight / cmp.Or(r.knownTransferTime(req), r.classTransferTime(req))
 	fraction := 1.0
-	for _, low := range []bool{lowValueRatio*value < best, lowestValueRatio*value < best, req.ClientRetry} {
+	for _, low := range []bool{lowValueRatio*value < bestValue, lowestValueRatio*value < bestValue, req.ClientRetry} {
 		if low {
 			fraction *= lowValueLimitFraction
 		}
@@ -67,7 +67,7 @@
 	if server.role == roleOrigin { // which executes uncached requests, so none is exempt
 		return float64(len(server.inFlight)) + fills
 	}
-	return float64(len(server.inFlight)-server.limitExempt) + fills
+	return float64(len(server.inFlight)-server.exemptAttempts) + fills
 }
 
 // adjustLimits lowers or raises the limits of the servers and the link that an outcome says something about.
@@ -97,36 +97,36 @@
 // or the origin if the fill reached it and the first byte came late. It also updates their late rates, and
 // raises the limits of the link and the origin where they were not late.
 func (r *Router) attributeLatency(attempt *attempt, outcome Outcome) *server {
-	found := attempt.server
-	firstByteSoon := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
+	slowest := attempt.server
+	firstByteEarly := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
 	if outcome.filled() && attempt.source != nil {
-		found = attempt.source
-		if r.link.LateRate.add(attempt.late && firstByteSoon, outcomeGain); !attempt.late {
+		slowest = attempt.source
+		if r.link.LateRate.add(attempt.late && firstByteEarly, outcomeGain); !attempt.late {
 			attempt.source.LateRate.add(false, outcomeGain)
 			r.adjustLimit(r.link, false)
-		} else if firstByteSoon && r.link.LateRate >= attempt.source.LateRate {
-			found = r.link
+		} else if firstByteEarly && r.link.LateRate >= attempt.source.LateRate {
+			slowest = r.link
 		}
 	}
 	if outcome.Note == NoteFilledOrigin && attempt.origin != nil {
-		lateAtOrigin := attempt.late && !firstByteSoon
+		lateAtOrigin := attempt.late && !firstByteEarly
 		if attempt.origin.LateRate.add(lateAtOrigin, outcomeGain); lateAtOrigin {
-			found = attempt.origin
+			slowest = attempt.origin
 		} else {
 			r.adjustLimit(attempt.origin, false)
 		}
 	}
-	return found
+	return slowest
 }
 
 // adjustLimit lowers a limit after a late answer and raises it after one in time. It stays while less than
 // half of its slots are occupied, as single large objects are late without an overload. An outcome counts
 // 1/limitScale, as that many attempts share a slot.
 func (r *Router) adjustLimit(server *server, late bool) {
-	lowest, routers := sourceLimitMin, 1.0
+	minLimit, routers := sourceLimitMin, 1.0
 	if server.role == roleCache { // routers that share a cache raise their limits together
 		routers = float64(r.routersSharing(server))
-		lowest = cacheLimitMin / routers
+		minLimit = cacheLimitMin / routers
 	}
 	sinceUpdate := float64(r.now-server.LimitUpdated) / float64(limitUpdateInterval)
 	weight := min(limitMaxUpdateWeight, max(1, sinceUpdate))
@@ -140,5 +140,5 @@
 		step := limitIncreaseMax / routers / server.Limit
 		server.Limit += min(step, limitIncreaseFraction*weight*server.Limit) / r.limitScale
 	}
-	server.Limit, server.LimitUpdated = max(server.Limit, lowest), r.now
+	server.Limit, server.LimitUpdated = max(server.Limit, minLimit), r.now
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -242,8 +242,8 @@
 		t.Errorf("%v slots occupied while it waits", s.r.occupied(c))
 	}
 	s.handle(Outcome{ID: "a", Server: g.Server, Result: TimedOut})
-	if c.limitExempt != 0 {
-		t.Errorf("%d still counted as exempt from the limit", c.limitExempt)
+	if c.exemptAttempts != 0 {
+		t.Errorf("%d still counted as exempt from the limit", c.exemptAttempts)
 	}
 }
 
--- a/policy/containers.go
+++ b/policy/containers.go
@@ -48,20 +48,20 @@
 
 // decayingRate is an amount per second, averaged with exponential decay.
 type decayingRate struct {
-	total float64
-	at    Time
+	decayingSum float64
+	updatedAt   Time
 }
 
-func (d *decayingRate) decayed(now Time, span time.Duration) float64 {
-	return d.total * math.Exp(-float64(now-d.at)/float64(span))
+func (d *decayingRate) sumAt(now Time, timeConstant time.Duration) float64 {
+	return d.decayingSum * math.Exp(-float64(now-d.updatedAt)/float64(timeConstant))
 }
 
-func (d *decayingRate) add(now Time, span time.Duration, amount float64) {
-	d.total, d.at = d.decayed(now, span)+amount, now
+func (d *decayingRate) add(now Time, timeConstant time.Duration, amount float64) {
+	d.decayingSum, d.updatedAt = d.sumAt(now, timeConstant)+amount, now
 }
 
-func (d *decayingRate) perSecond(now Time, span time.Duration) float64 {
-	return d.decayed(now, span) / span.Seconds()
+func (d *decayingRate) perSecond(now Time, timeConstant time.Duration) float64 {
+	return d.sumAt(now, timeConstant) / timeConstant.Seconds()
 }
 
 // mix spreads the bits of x (the finaliser of splitmix64).
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -58,15 +58,15 @@
 // updateTransferTime learns a class's transfer time, in seconds, from the size of an answer or, if that is
 // unknown, from the latency of an answer without a fill.
 func (r *Router) updateTransferTime(req *openRequest, outcome Outcome) {
-	took := r.knownTransferTime(req)
-	if took == 0 && !outcome.filled() {
-		took = outcome.Latency.Seconds()
+	observed := r.knownTransferTime(req)
+	if observed == 0 && !outcome.filled() {
+		observed = outcome.Latency.Seconds()
 	}
-	if took > 0 {
+	if observed > 0 {
 		recent, sinceUpdate := &r.recentTransferTime[req.Class], r.now-r.transferTimeUpdated[req.Class]
-		*recent += estimateGain * (took - *recent)
-		drift := 1 + transferTimeDriftPerSecond*min(1, sinceUpdate.Seconds())
-		r.transferTime[req.Class] = min(*recent, r.transferTime[req.Class]*drift)
+		*recent += estimateGain * (observed - *recent)
+		maxRise := 1 + transferTimeDriftPerSecond*min(1, sinceUpdate.Seconds())
+		r.transferTime[req.Class] = min(*recent, r.transferTime[req.Class]*maxRise)
 		r.transferTimeUpdated[req.Class] = r.now
 	}
 }
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -3,7 +3,7 @@
 // maySendTo reports whether another attempt at the server can have no second effect. For a request with an
 // idempotency key that holds in the scope of caches that discard duplicates, and while they remember the key.
 func (req *openRequest) maySendTo(now Time, to *server) bool {
-	first := req.firstPossibleRun()
+	first := req.firstPossiblyExecuted()
 	if first == nil || req.class.Idempotency == Idempotent {
 		return true
 	}
@@ -24,5 +24,5 @@
 func (req *openRequest) mayReject() bool {
 	class := req.class
 	dedupedEverywhere := class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll
-	return class.Idempotency == Idempotent || dedupedEverywhere || req.firstPossibleRun() == nil
+	return class.Idempotency == Idempotent || dedupedEverywhere || req.firstPossiblyExecuted() == nil
 }
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -25,13 +25,13 @@
 
 // LearnedState is what a router has learned about servers and requests. See ServerStats for the tags.
 type LearnedState struct {
-	Servers            map[ServerID]ServerStats `cbor:"Targets"`
-	Link               ServerStats              `cbor:"Link"`        // the zone's link
-	TransferTime       []float64                `cbor:"MeanSend"`    // by class, in seconds, without the effects of overload
-	RecentTransferTime []float64                `cbor:"MeanTook"`    // by class, in seconds
-	FillRate           Fraction                 `cbor:"FillShare"`   // fraction of answers that needed a fill
-	OriginRate         Fraction                 `cbor:"OriginShare"` // fraction of answers that needed the origin
-	PeakLoad           [roleForeign + 1]float64 `cbor:"LinkSeen"`    // by role, see linkPortion; in transfers
+	Servers            map[ServerID]ServerStats   `cbor:"Targets"`
+	Link               ServerStats                `cbor:"Link"`        // the zone's link
+	TransferTime       []float64                  `cbor:"MeanSend"`    // by class, in seconds, without the effects of overload
+	RecentTransferTime []float64                  `cbor:"MeanTook"`    // by class, in seconds
+	FillRate           Fraction                   `cbor:"FillShare"`   // fraction of answers that needed a fill
+	OriginRate         Fraction                   `cbor:"OriginShare"` // fraction of answers that needed the origin
+	PeakLoad           [roleOtherZone + 1]float64 `cbor:"LinkSeen"`    // by role, see linkShare; in transfers
 }
 
 // LearnedState returns what a router that replaces this one may start from. Its slices are the router's own.
--- a/policy/members.go
+++ b/policy/members.go
@@ -37,7 +37,7 @@
 	server, known := r.servers[member.ID]
 	if !known {
 		server = newServer(member.ID)
-		r.servers[member.ID], r.ordered = server, append(r.ordered, server)
+		r.servers[member.ID], r.serversByID = server, append(r.serversByID, server)
 	}
 	started := member.Started > 0 && member.Started != server.Started
 	server.Member, server.listed = member, member.State != Gone
@@ -47,7 +47,7 @@
 	case member.Kind == r.settings.ParentKind:
 		server.role = roleParent
 	case member.Zone != r.settings.Zone:
-		server.role = roleForeign
+		server.role = roleOtherZone
 	default:
 		server.role = roleCache
 	}
@@ -55,9 +55,9 @@
 		server.Limit = cacheLimitStart / float64(r.routersSharing(server))
 	}
 	if started && server.role != roleOrigin {
-		from := min(member.Started, r.now) // the server's clock may be ahead
-		r.startWarmUp(server, from)
-		server.RampStart, server.Ramping = from, true
+		startedAt := min(member.Started, r.now) // the server's clock may be ahead
+		r.startWarmUp(server, startedAt)
+		server.RampStart, server.Ramping = startedAt, true
 		server.Down, server.ConsecutiveUnanswered, server.FailureRate, server.probing = false, 0, 0, false
 	}
 }
@@ -69,10 +69,10 @@
 		total += cache.Weight
 	}
 	r.limitScale = max(1, total/float64(len(r.caches))/referenceLinkTransfers)
-	portion := sourceLimitLinkFraction * total / float64(r.routersSharing(r.caches[0]))
-	for _, server := range r.ordered {
+	share := sourceLimitLinkFraction * total / float64(r.routersSharing(r.caches[0]))
+	for _, server := range r.serversByID {
 		if server.LimitUpdated == 0 && server.role != roleCache {
-			server.Limit = min(sourceLimitStart, portion)
+			server.Limit = min(sourceLimitStart, share)
 		}
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -11,8 +11,8 @@
 	outcomeGain    = 1.0 / 8         // weight of the newest outcome in a failure rate or late rate
 	probeInterval  = 5 * time.Second // between two probes of a server that is down
 	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down. For
-	// rarely used servers silentMinUnanswered are enough, if they have not answered for silentPeriod.
-	maxConsecutiveUnanswered, silentMinUnanswered, silentPeriod = 20, 3, 5 * time.Second
+	// rarely used servers rarelyUsedMaxUnanswered are enough, if they have not answered for unresponsivePeriod.
+	maxConsecutiveUnanswered, rarelyUsedMaxUnanswered, unresponsivePeriod = 20, 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
 	// overloadPause is how long a server that was overloaded gets no attempt, and a cache without a slot none
@@ -32,16 +32,16 @@
 // it was sent, otherwise for its source.
 func (r *Router) objectiveMissed(attempt *attempt) {
 	attempt.late = true
-	worst := attempt.server
+	mostOftenLate := attempt.server
 	for _, server := range []*server{attempt.server, attempt.source, attempt.origin} {
 		if server != nil {
 			server.LateRate.add(true, outcomeGain)
-			if server.LateRate > worst.LateRate {
-				worst = server
+			if server.LateRate > mostOftenLate.LateRate {
+				mostOftenLate = server
 			}
 		}
 	}
-	r.adjustLimit(worst, true)
+	r.adjustLimit(mostOftenLate, true)
 	if attempt.server.LastAnswer < attempt.sentAt {
 		r.recordUnanswered(attempt.server)
 	} else if attempt.hasSource() && attempt.source.LastAnswer < attempt.sentAt {
@@ -55,8 +55,8 @@
 // server down if there are too many.
 func (r *Router) recordUnanswered(server *server) {
 	server.ConsecutiveUnanswered++
-	silent := server.ConsecutiveUnanswered >= silentMinUnanswered && r.now-server.LastAnswer >= silentPeriod
-	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || silent {
+	unresponsive := server.ConsecutiveUnanswered >= rarelyUsedMaxUnanswered && r.now-server.LastAnswer >= unresponsivePeriod
+	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || unresponsive {
 		r.markDown(server, "silent")
 	}
 }
@@ -91,22 +91,22 @@
 
 // markDown takes a server out of use until a probe succeeds, and cancels the idempotent attempts that wait
 // for it, so that they are made elsewhere.
-func (r *Router) markDown(down *server, why string) {
-	if down.Down || down == r.origin {
+func (r *Router) markDown(target *server, cause string) {
+	if target.Down || target == r.origin {
 		return
 	}
-	down.Down, down.NextProbe = true, r.now+probeInterval
+	target.Down, target.NextProbe = true, r.now+probeInterval
 	for _, cache := range r.caches {
 		for _, attempt := range cache.inFlight {
-			waits := cache == down || attempt.source == down && attempt.late
+			waitsForServer := cache == target || attempt.source == target && attempt.late
 			req := attempt.request
 			mayCancel := r.settings.CanCancel && req.class.Idempotency == Idempotent
-			if waits && mayCancel && !req.done && !req.streaming {
+			if waitsForServer && mayCancel && !req.done && !req.streaming {
 				r.emit(Cancel{ID: req.ID, Attempt: attempt.index})
 			}
 		}
 	}
-	r.emit(Log{Text: fmt.Sprintf("%d down: %s", down.ID, why)})
+	r.emit(Log{Text: fmt.Sprintf("%d down: %s", target.ID, cause)})
 }
 
 // markUp puts a server back into use with a slow start. One that was unreachable may have restarted with an
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -71,7 +71,7 @@
 		s.r.objectiveMissed(a)
 		s.handle(Outcome{ID: id, Server: g.Server, Result: TimedOut, Final: true})
 	}
-	if lost != silentMinUnanswered {
+	if lost != rarelyUsedMaxUnanswered {
 		t.Errorf("down after %d", lost)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -157,8 +157,8 @@
 		take(s.handle(o)) // twice
 	}
 	for id, c := range s.r.servers {
-		if len(c.inFlight)+c.openFills+c.limitExempt != 0 {
-			t.Errorf("%d: %d in flight, %d fills, %d exempt from the limit", id, len(c.inFlight), c.openFills, c.limitExempt)
+		if len(c.inFlight)+c.openFills+c.exemptAttempts != 0 {
+			t.Errorf("%d: %d in flight, %d fills, %d exempt from the limit", id, len(c.inFlight), c.openFills, c.exemptAttempts)
 		}
 	}
 	if s.r.link.openFills != 0 {
--- a/policy/purge.go
+++ b/policy/purge.go
@@ -7,14 +7,14 @@
 
 // handlePurged remembers the latest purge of an object or of a group.
 func (r *Router) handlePurged(e Purged) {
-	at := r.now - e.Age
+	purgedAt := r.now - e.Age
 	if e.Object != "" {
-		last, _ := r.objectPurges.get(e.Object)
-		r.objectPurges.put(e.Object, max(at, last))
+		previous, _ := r.objectPurges.get(e.Object)
+		r.objectPurges.put(e.Object, max(purgedAt, previous))
 		return
 	}
-	last, _ := r.groupPurges.get(e.Group)
-	r.groupPurges.put(e.Group, max(at, last))
+	previous, _ := r.groupPurges.get(e.Group)
+	r.groupPurges.put(e.Group, max(purgedAt, previous))
 }
 
 // handleDiscoveryOverdue makes copies from before a time count as purged for as long as discovery is overdue
@@ -26,18 +26,18 @@
 // maxAge is the maximum age of a copy that may answer the request, and whether a purge bounds it. Counted
 // from the latest purge, it excludes every copy from before, at the cache and at its source.
 func (r *Router) maxAge(req *openRequest) (age time.Duration, purged bool) {
-	at, purged := r.objectPurges.get(req.Object)
-	if groupAt, found := r.groupPurges.get(req.Group); found && (!purged || groupAt > at) {
-		at, purged = groupAt, true
+	purgedAt, purged := r.objectPurges.get(req.Object)
+	if groupAt, found := r.groupPurges.get(req.Group); found && (!purged || groupAt > purgedAt) {
+		purgedAt, purged = groupAt, true
 	}
-	if r.discoveryOverdue && (!purged || r.unseenPurgesUntil > at) {
-		at, purged = r.unseenPurgesUntil, true
+	if r.discoveryOverdue && (!purged || r.unseenPurgesUntil > purgedAt) {
+		purgedAt, purged = r.unseenPurgesUntil, true
 	}
 	// Twice, as an old copy may have been on its way from a source when the source dropped its own.
-	if !purged || r.now-at > 2*r.settings.PurgeDuration {
+	if !purged || r.now-purgedAt > 2*r.settings.PurgeDuration {
 		return 0, false
 	}
-	age = max(r.now-at, minCopyAge)
+	age = max(r.now-purgedAt, minCopyAge)
 	if req.class.FreshFor > 0 {
 		age = min(age, req.class.FreshFor)
 	}
--- a/policy/server_pick.go
+++ b/policy/server_pick.go
@@ -15,28 +15,28 @@
 	order := rendezvousOrder(r.caches, req.cacheHash, r.settings.WeightsKnown)
 	for _, preferred := range []bool{true, false} {
 		spillsOver := false
-		for _, c := range order {
-			if c.State != Ready || !req.maySendTo(r.now, c) || !r.withinWarmUpBudget(c) {
+		for _, candidate := range order {
+			if candidate.State != Ready || !req.maySendTo(r.now, candidate) || !r.withinWarmUpBudget(candidate) {
 				continue
 			}
-			if c.Down && preferred && r.probeDue(c, req) {
-				return c, c
+			if candidate.Down && preferred && r.probeDue(candidate, req) {
+				return candidate, candidate
 			}
-			if c.Down {
+			if candidate.Down {
 				continue
 			}
-			occupied := r.occupied(c)
+			occupied := r.occupied(candidate)
 			if spillsOver {
 				occupied *= spilloverOccupancyFactor
 			}
-			if r.overLimit(req, c, occupied) && (preferred || !req.class.Uncached) {
+			if r.overLimit(req, candidate, occupied) && (preferred || !req.class.Uncached) {
 				spillsOver = true
 				continue
 			}
-			if preferred && (slices.Contains(req.failedServers, c) || !r.inRampedFraction(c, req.cacheHash)) {
+			if preferred && (slices.Contains(req.failedServers, candidate) || !r.inRampedFraction(candidate, req.cacheHash)) {
 				continue
 			}
-			return c, nil
+			return candidate, nil
 		}
 	}
 	return nil, nil
@@ -45,7 +45,7 @@
 // bypassCaches returns a source that serves the request directly, for a zone in which no cache is up. Caches
 // that are only over their limits are not bypassed: that would move their overload to the parents.
 func (r *Router) bypassCaches(req *openRequest) (to, probed *server) {
-	if slices.ContainsFunc(r.caches, func(c *server) bool { return c.State == Ready && !c.Down }) {
+	if slices.ContainsFunc(r.caches, func(cache *server) bool { return cache.State == Ready && !cache.Down }) {
 		return nil, nil
 	}
 	to, _, probed = r.chooseSource(req, nil)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	rampInitialFraction = 0.1              // of its objects that a server gets at the start of its ramp
-	rampWarmUpFraction  = 0.6              // length of the ramp, as a fraction of the warm-up's duration
-	rampDefaultDuration = 10 * time.Second // length of the ramp where the settings give no warm-up
-	warmUpBudgetSafety  = 0.6              // of a budget that is used; the rest is for inexact weights
-	warmUpBudgetBurst   = 0.5              // of one window's budget that may be saved up
-	servedRateSpan      = 15 * time.Second // over which the work that a role serves is averaged
+	rampInitialFraction       = 0.1              // of its objects that a server gets at the start of its ramp
+	rampWarmUpFraction        = 0.6              // length of the ramp, as a fraction of the warm-up's duration
+	rampDefaultDuration       = 10 * time.Second // length of the ramp where the settings give no warm-up
+	warmUpBudgetSafetyFactor  = 0.6              // of a budget that is used; the rest is for inexact weights
+	warmUpBudgetBurstFraction = 0.5              // of one window's budget that may be saved up
+	servedRateTimeConstant    = 15 * time.Second // over which the work that a role serves is averaged
 )
 
 // inRampedFraction reports whether an object belongs to the fraction that a server gets by now. The fraction
@@ -57,11 +57,11 @@
 // accrueCredit adds the credit that has accrued since the last call, at a rate in seconds of transfer time
 // per second, and bounds it.
 func (r *Router) accrueCredit(server *server, rate float64, window time.Duration) {
-	maxCredit := rate * window.Seconds() * warmUpBudgetBurst
+	maxCredit := rate * window.Seconds() * warmUpBudgetBurstFraction
 	server.Credit += rate * (r.now - server.CreditUpdated).Seconds()
 	server.CreditUpdated = r.now
-	if turn := slices.Max(r.transferTime); maxCredit < turn && server.Credit > maxCredit {
-		server.Credit -= turn * math.Ceil((server.Credit-maxCredit)/turn)
+	if longestTransfer := slices.Max(r.transferTime); maxCredit < longestTransfer && server.Credit > maxCredit {
+		server.Credit -= longestTransfer * math.Ceil((server.Credit-maxCredit)/longestTransfer)
 	}
 	server.Credit = min(server.Credit, maxCredit)
 }
@@ -69,23 +69,23 @@
 // warmUpRate is the work that this router may give to a warming server, in seconds of transfer time per
 // second; for all routers together it is at least one attempt of the longest class a window.
 func (r *Router) warmUpRate(server *server, warmUp WarmUp, elapsed time.Duration) float64 {
-	warmth := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
-	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, warmth)
-	lowest := slices.Max(r.transferTime) / float64(r.routersSharing(server)) / warmUp.OverloadWindow.Seconds()
-	return max(warmUpBudgetSafety*warmUp.OverloadMultiple*capacity*r.linkPortion(server), lowest)
+	progress := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
+	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, progress)
+	minRate := slices.Max(r.transferTime) / float64(r.routersSharing(server)) / warmUp.OverloadWindow.Seconds()
+	return max(warmUpBudgetSafetyFactor*warmUp.OverloadMultiple*capacity*r.linkShare(server), minRate)
 }
 
 // startWarmUp begins the warm-up of a server that has started, or may have restarted, at the given time.
-func (r *Router) startWarmUp(server *server, from Time) {
+func (r *Router) startWarmUp(server *server, startedAt Time) {
 	debt := r.random() * slices.Max(r.transferTime)
-	server.WarmUpStart, server.WarmingUp = from, true
+	server.WarmUpStart, server.WarmingUp = startedAt, true
 	server.Credit, server.CreditUpdated = -debt, r.now
 }
 
-// linkPortion is this router's part of the capacity of a server's link, in transfers at once: from the weight
+// linkShare is this router's part of the capacity of a server's link, in transfers at once: from the weight
 // of the server where weights are known, otherwise the most work that servers of its role have done for this
 // router.
-func (r *Router) linkPortion(server *server) float64 {
+func (r *Router) linkShare(server *server) float64 {
 	if r.settings.WeightsKnown && server.Weight > 0 {
 		return server.Weight / float64(r.routersSharing(server))
 	}
@@ -94,13 +94,13 @@
 
 // recordServed adds an answer, with its transfer time in seconds, to the work that servers of a role do.
 // Attempts are not counted: an overload would pass for a large link.
-func (r *Router) recordServed(server *server, cost float64) {
-	peers := r.caches
+func (r *Router) recordServed(server *server, transferTime float64) {
+	sameRole := r.caches
 	if server.role == roleParent {
-		peers = r.parents
+		sameRole = r.parents
 	}
 	served := &r.servedRate[server.role]
-	served.add(r.now, servedRateSpan, cost)
-	perServer := served.perSecond(r.now, servedRateSpan) / float64(max(1, len(peers)))
+	served.add(r.now, servedRateTimeConstant, transferTime)
+	perServer := served.perSecond(r.now, servedRateTimeConstant) / float64(max(1, len(sameRole)))
 	r.peakLoad[server.role] = max(r.peakLoad[server.role], perServer)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -75,7 +75,7 @@
 	}
 	r.Handle(now, c.members, nil)
 	// High limits, so that only the budget counts.
-	for _, x := range append([]*server{r.link}, r.ordered...) {
+	for _, x := range append([]*server{r.link}, r.serversByID...) {
 		x.Limit = 1e6
 	}
 	c.routers[i] = r
--- a/policy/source_chain.go
+++ b/policy/source_chain.go
@@ -14,11 +14,11 @@
 		}
 		return nil, 0, nil
 	}
-	if hit := r.recentHitServer(req, to); hit != nil {
-		if hit.role == roleParent {
-			return hit, 0, nil
+	if hitServer := r.recentHitServer(req, to); hitServer != nil {
+		if hitServer.role == roleParent {
+			return hitServer, 0, nil
 		}
-		return hit, CachedOnly, nil
+		return hitServer, CachedOnly, nil
 	}
 	originOverLimit := r.origin != nil && r.overLimit(req, r.origin, r.occupied(r.origin))
 	if originOverLimit {
--- a/policy/state.go
+++ b/policy/state.go
@@ -13,7 +13,7 @@
 	roleCache serverRole = iota // of this router's zone
 	roleParent
 	roleOrigin
-	roleForeign // a cache of another zone
+	roleOtherZone // a cache of another zone
 )
 
 // server is a cache, a parent or the origin. The zone's link is one too, for its limit and rates: its role is
@@ -21,17 +21,17 @@
 type server struct {
 	Member
 	ServerStats
-	role      serverRole
-	listed    bool
-	idHash    uint64
-	hashScore float64 // of the last rendezvousOrder
+	role            serverRole
+	listed          bool
+	idHash          uint64
+	rendezvousScore float64 // of the last rendezvousOrder
 
 	probing         bool // a probe is in flight
 	overloadedUntil Time // it gets no request until then
 	noFillsUntil    Time // it gets no request that may need a fill until then
 	openFills       int  // open attempts that name it as their source
 	originFills     int  // of the origin: open fills at parents that may reach it
-	limitExempt     int  // open attempts here that occupy no slot
+	exemptAttempts  int  // open attempts here that occupy no slot
 
 	inFlight []*attempt // attempts sent here, oldest first
 }
@@ -45,19 +45,19 @@
 
 // attempt is one attempt of a request.
 type attempt struct {
-	request     *openRequest
-	index       int
-	server      *server
-	source      *server // nil: none is named; server itself: no fill
-	sentAt      Time
-	open        bool // it has no outcome yet
-	mayHaveRun  bool
-	fillCost    float64 // charged to the source's warm-up budget, in seconds of transfer time
-	probed      *server // the server that it probes; nil: none
-	late        bool    // its latency objective has passed
-	limitExempt bool    // it occupies no slot at its server, see occupied
-	failed      bool    // it ended in an error: the server's fault, or the request's
-	origin      *server // the origin, if its fill at a parent may reach it
+	request         *openRequest
+	index           int
+	server          *server
+	source          *server // nil: none is named; server itself: no fill
+	sentAt          Time
+	open            bool // it has no outcome yet
+	mayHaveExecuted bool
+	fillCost        float64 // charged to the source's warm-up budget, in seconds of transfer time
+	probed          *server // the server that it probes; nil: none
+	late            bool    // its latency objective has passed
+	limitExempt     bool    // it occupies no slot at its server, see occupied
+	failed          bool    // it ended in an error: the server's fault, or the request's
+	origin          *server // the origin, if its fill at a parent may reach it
 }
 
 // hasSource reports whether the attempt names another server as its source.
@@ -75,7 +75,7 @@
 	done          bool
 	streaming     bool
 	awaitingRetry bool
-	draw          float64   // random, between 0 and 1; see overLimit
+	admissionDraw float64   // random, between 0 and 1; see overLimit
 	errors        int       // attempts that ended in an error
 	rejections    int       // attempts that ended in an overload
 	failedServers []*server // servers that failed this request, of any role
@@ -89,10 +89,10 @@
 	return req.attempts[index]
 }
 
-// firstPossibleRun is the earliest attempt that may have been executed; nil if none can have been.
-func (req *openRequest) firstPossibleRun() *attempt {
+// firstPossiblyExecuted is the earliest attempt that may have been executed; nil if none can have been.
+func (req *openRequest) firstPossiblyExecuted() *attempt {
 	for _, attempt := range req.attempts {
-		if attempt.open || attempt.mayHaveRun {
+		if attempt.open || attempt.mayHaveExecuted {
 			return attempt
 		}
 	}
@@ -120,14 +120,14 @@
 	timers    map[uint64]timer
 	lastToken uint64
 
-	servers    map[ServerID]*server
-	ordered    []*server // all servers, by id
-	caches     []*server // listed ones of this zone, by id
-	parents    []*server // listed ones, by id
-	origin     *server
-	link       *server // the zone's link in, which all its fills share
-	watching   bool
-	limitScale float64 // attempts per slot of a limit
+	servers     map[ServerID]*server
+	serversByID []*server // all servers, by id
+	caches      []*server // listed ones of this zone, by id
+	parents     []*server // listed ones, by id
+	origin      *server
+	link        *server // the zone's link in, which all its fills share
+	watching    bool
+	limitScale  float64 // attempts per slot of a limit
 
 	recentHits        *boundedMap[objectPart, recentHit]
 	objectPurges      *boundedMap[string, Time]
@@ -140,8 +140,8 @@
 	transferTimeUpdated []Time    // by class
 	fillRate            Fraction  // fraction of answers that needed a fill
 	originRate          Fraction  // fraction of answers that needed the origin
-	servedRate          [roleForeign + 1]decayingRate
-	peakLoad            [roleForeign + 1]float64 // most transfers at once that a server of the role did here
+	servedRate          [roleOtherZone + 1]decayingRate
+	peakLoad            [roleOtherZone + 1]float64 // most transfers at once that a server of the role did here
 }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
@@ -167,7 +167,7 @@
 func (r *Router) exemptFromLimit(attempt *attempt) {
 	if !attempt.limitExempt && attempt.open {
 		attempt.limitExempt = true
-		attempt.server.limitExempt++
+		attempt.server.exemptAttempts++
 	}
 }
 
@@ -209,7 +209,7 @@
 	attempt.open = false
 	attempt.request.openAttempts--
 	if attempt.limitExempt {
-		attempt.server.limitExempt--
+		attempt.server.exemptAttempts--
 	}
 	if attempt.hasSource() {
 		attempt.source.openFills--
@@ -225,9 +225,9 @@
 // and forgets servers that are neither listed nor in use. All but new servers are in order already, which
 // keeps the sort of a large fleet short.
 func (r *Router) rebuildLists() {
-	slices.SortFunc(r.ordered, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(r.serversByID, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	r.caches, r.parents, r.origin = make([]*server, 0, len(r.caches)+1), nil, nil
-	r.ordered = slices.DeleteFunc(r.ordered, func(server *server) bool {
+	r.serversByID = slices.DeleteFunc(r.serversByID, func(server *server) bool {
 		switch {
 		case !server.listed && len(server.inFlight) == 0 && server.openFills+server.originFills == 0:
 			delete(r.servers, server.ID)
@@ -277,10 +277,10 @@
 	order := append(make([]*server, 0, len(servers)), servers...)
 	for _, server := range order {
 		// Without weights the hash itself sorts as its logarithm would.
-		if server.hashScore = uniform(mix(key ^ server.idHash)); weighted {
-			server.hashScore = -cmp.Or(max(0, server.Weight), 1) / math.Log(server.hashScore)
+		if server.rendezvousScore = uniform(mix(key ^ server.idHash)); weighted {
+			server.rendezvousScore = -cmp.Or(max(0, server.Weight), 1) / math.Log(server.rendezvousScore)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *server) int { return cmp.Compare(b.hashScore, a.hashScore) })
+	slices.SortStableFunc(order, func(a, b *server) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
 	return order
 }
