--- a/policy/actions.go
+++ b/policy/actions.go
@@ -3,24 +3,27 @@
 import "time"
 
 // Action is an output of a Router: one of Lookup, Fetch, Cancel, Reject, Fail, SetTimer, Watch and Log.
-// Actions are to be carried out in order.
+// The caller carries them out in order.
 type Action interface{ action() }
 
-// Lookup is an attempt that names no source: a cache answers only from its copy, the origin executes it.
+// Lookup sends an attempt that names no source: a cache answers only from its copy, and the origin executes
+// the request.
 type Lookup struct {
 	ID      string
 	Server  ServerID
 	Timeout time.Duration // 0: until the client's deadline
 }
 
-// Fetch is an attempt that names the source of a fill and says whether the copy is retained.
+// Fetch sends an attempt that names the source for a fill and says whether the copy is retained.
 type Fetch struct {
-	ID         string
-	Server     ServerID
-	Source     ServerID      // equal to Cache: no fill
-	Timeout    time.Duration // 0: until the client's deadline
-	MaxAge     time.Duration // oldest copy that may be served; 0: the class's FreshFor
-	RetainRank int           // 1 to 3, the lowest is evicted first; 0: the copy's rank stays, a new copy is not retained
+	ID      string
+	Server  ServerID
+	Source  ServerID      // equal to Server: no fill
+	Timeout time.Duration // 0: until the client's deadline
+	MaxAge  time.Duration // maximum age of the copy that is served; 0: the class's FreshFor
+	// RetainRank is the copy's eviction rank, 1 to 3; the lowest rank is evicted first. With 0 an existing
+	// copy keeps its rank, and a new copy is not retained.
+	RetainRank int
 	Options    FillOptions
 }
 
@@ -29,34 +32,34 @@
 
 // The bits of FillOptions.
 const (
-	Coalesce            FillOptions = 1 << iota // join a fill in progress
+	Coalesce            FillOptions = 1 << iota // join a fill that is in progress
 	CachedOnly                                  // the source answers only from its copy
 	ParentPassThrough                           // the parent retains no copy
-	RefreshInBackground                         // an expiring copy is served and fetched again meanwhile
+	RefreshInBackground                         // serve an expiring copy while it is fetched again
 )
 
-// Cancel ends an attempt whose answer is not needed any more.
+// Cancel ends an attempt whose answer is no longer needed.
 type Cancel struct {
 	ID      string
-	Attempt int
+	Attempt int // index among the request's attempts, from 0
 }
 
-// Reject is a final answer: the request was not executed, or may be repeated without harm.
+// Reject is a final answer: the request was not executed, or can be repeated safely.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0: none
+	RetryAfter time.Duration // 0: the answer has no Retry-After
 }
 
 // Fail is a final answer: the request may or may not have been executed.
 type Fail struct{ ID string }
 
-// SetTimer requests a Timer event.
+// SetTimer requests a Timer event with this token.
 type SetTimer struct {
 	Token uint64
 	After time.Duration
 }
 
-// Watch subscribes to discovery's changes, or ends the subscription.
+// Watch begins or ends the subscription to discovery's changes.
 type Watch struct{ On bool }
 
 // Log is a message for operators.
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,35 +6,35 @@
 // and DiscoveryOverdue.
 type Event interface{ event() }
 
-// State is what discovery says about a member.
+// State is a member's state as discovery reports it.
 type State int
 
 // The states of a member.
 const (
 	Ready    State = iota
-	Draining       // finishes what it has, and gets nothing new
-	Gone
+	Draining       // finishes its requests and gets no new ones
+	Gone           // is no longer a member
 )
 
 // Member is an entry of discovery's list.
 type Member struct {
 	ID      ServerID
 	Zone    int
-	Kind    int // Settings.ParentKind, Settings.OriginKind or any other for a cache
+	Kind    int // Settings.ParentKind, Settings.OriginKind, or any other value for a cache
 	Cell    int // see DedupCell
 	State   State
-	Weight  float64 // capacity of its link, in transfers at once; see Settings.WeightsKnown
-	Started Time    // when it started; 0: long ago
+	Weight  float64 // capacity of its link, in concurrent transfers; see Settings.WeightsKnown
+	Started Time    // when it started; 0: long ago, so it needs no slow start
 }
 
-// ListKind says how a Members event relates to the list that the router has.
+// ListKind says how a Members event changes the router's list of servers.
 type ListKind int
 
 // The kinds of list.
 const (
 	ListChanges ListKind = iota // changes to the list
 	ListFull                    // the complete list
-	ListCached                  // the complete list as last known, perhaps outdated
+	ListCached                  // the complete list as last known, possibly outdated
 	ListFailed                  // no list: the call failed or the subscription ended
 )
 
@@ -59,20 +59,22 @@
 	Write       bool
 }
 
-// StreamStarted reports that a streamed answer has begun: the request is bound to this attempt from now on.
+// StreamStarted reports that a streamed answer has begun. From then on the request is bound to this attempt
+// and is not retried.
 type StreamStarted struct {
 	ID      string
-	Attempt int
+	Attempt int // index among the request's attempts, from 0
 	Server  ServerID
-	Latency time.Duration // since the attempt was made
+	Latency time.Duration // since the attempt was sent
 }
 
 // Result is how an attempt ended.
 type Result int
 
-// The results. Overloaded, ConnectFailed, Skipped and Miss prove that the attempt was not executed.
+// The results. Overloaded, ConnectFailed, Skipped and Miss prove that the attempt did not execute the
+// request.
 const (
-	Unknown    Result = iota // not recognised: it may have been executed
+	Unknown    Result = iota // not recognised: the request may have been executed
 	OK                       // answered
 	Failed                   // answered with an error
 	Overloaded               // rejected by the server
@@ -84,7 +86,7 @@
 	Miss    // a Lookup found no copy
 )
 
-// Note is how an outcome came about, as far as Settings.OutcomeDetail provides it.
+// Note says how an attempt was answered or why it failed. Settings.OutcomeDetail says which notes there are.
 type Note int
 
 // The notes.
@@ -95,15 +97,16 @@
 	NoteFilledOrigin        // after a fill that reached the origin
 	NoteCoalesced           // after joining a fill in progress
 	NoteStale               // from a copy past its freshness
-	NoteSourceRejected      // the source was overloaded
+	NoteSourceRejected      // the source rejected the fill, as it was overloaded
 	NoteSourceLost          // the source could not be reached, or stopped answering
 	NoteSourceMiss          // the source had no copy
 	NoteNoFillSlot          // the cache had no slot for a fill
-	NoteOriginFailed        // the origin failed behind the source
+	NoteOriginFailed        // the source needed the origin, which failed
 )
 
-// LoadReport is a server's load report: inflight and queue (requests), util (a fraction), latency (ms), served and errors
-// (per second), hits (a fraction) and link. Any figure may be missing, late or inexact; no rule reads them.
+// LoadReport is a server's load report: inflight and queue (requests), util (a fraction), latency (ms),
+// served and errors (per second), hits (a fraction) and link. Any value may be missing, late or inexact; no
+// rule of this package uses them.
 type LoadReport map[string]float64
 
 // Outcome is how one attempt ended.
@@ -114,7 +117,7 @@
 	Result     Result
 	Note       Note
 	Final      bool          // the request has its final answer
-	Latency    time.Duration // since the attempt was made
+	Latency    time.Duration // since the attempt was sent
 	SourceWait time.Duration // until the source's first byte or failure; 0: unknown
 	Load       LoadReport
 }
@@ -122,32 +125,32 @@
 // filled reports whether the answer needed a fill.
 func (o Outcome) filled() bool { return o.Note == NoteFilled || o.Note == NoteFilledOrigin }
 
-// sourceFailed reports whether the source is why the attempt failed.
+// sourceFailed reports whether the attempt failed because of its source.
 func (o Outcome) sourceFailed() bool {
 	return o.Note == NoteSourceRejected || o.Note == NoteSourceLost || o.Note == NoteSourceMiss
 }
 
-// overloaded reports whether the server or the source rejected the attempt. The other notes of Overloaded name
-// another reason.
+// overloaded reports whether the server or its source rejected the attempt because of overload. An Overloaded
+// result with any other note has another cause.
 func (o Outcome) overloaded() bool {
 	return o.Result == Overloaded && (o.Note == NoteNone || o.Note == NoteSourceRejected)
 }
 
-// ClientLeft reports that a request needs no answer any more.
+// ClientLeft reports that the client has gone, so that its request needs no answer.
 type ClientLeft struct{ ID string }
 
 // Timer reports that a timer requested with SetTimer is due.
 type Timer struct{ Token uint64 }
 
-// Purged reports that an object or, if Object is empty, a whole group was purged at the origin.
+// Purged reports that an object, or a whole group if Object is empty, was purged at the origin.
 type Purged struct {
 	Object string
 	Group  int           // -1: unknown
-	Age    time.Duration // time since the purge; below 0: copies made shortly after now are outdated too
+	Age    time.Duration // time since the purge; negative: copies made up to -Age after now are outdated too
 }
 
-// DiscoveryOverdue reports that discovery has been silent for too long: purges made until Age ago may exist
-// that were not reported. With Overdue false all purges have been reported again.
+// DiscoveryOverdue reports that discovery has sent nothing for too long: some purges made at least Age ago
+// may not have been reported. With Overdue false, all purges have been reported again.
 type DiscoveryOverdue struct {
 	Overdue bool
 	Age     time.Duration
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,33 +1,34 @@
-// Package policy decides for a request router in front of a group of caches: which cache serves a request,
-// where a cache miss is filled from, when an attempt is retried, and when a request is rejected. Caches are
-// filled from parent caches, from one another or from the origin.
+// Package policy makes the decisions of a request router in front of a group of caches: which cache serves a
+// request, where a cache miss is filled from, when an attempt is retried, and when a request is rejected.
+// Caches are filled from parent caches, from one another or from the origin.
 //
 // A Router is a state machine. Its caller owns the clock, the timers and the network: it passes every event
 // to Handle and carries out the returned actions in order. A Router does no I/O, starts no goroutine and
 // returns equal actions for equal events and seeds. It must not be used by two goroutines at once, and it
 // does not retain slices that it is given.
 //
-// Each rule stands in the file that is named for it:
+// The rules are grouped by file:
 //
 //	request.go            the life of a request, from its arrival to its final answer
-//	retry.go              what follows an outcome: another attempt, a pause, or giving up
-//	idempotency.go        when a repeated attempt, or a rejection, is harmless
+//	retry.go              what follows an attempt's outcome: another attempt, a pause, or a final answer
+//	idempotency.go        when it is safe to repeat an attempt, or to reject a request
 //	server_pick.go        which cache an attempt goes to
 //	source_chain.go       where a miss is filled from
 //	concurrency_limit.go  how many attempts and fills may be in flight at a server or link
 //	slow_start.go         how much traffic a recently started server gets
 //	outlier.go            which servers are down, and when they are probed
 //	estimates.go          transfer times, fill rates and recent hits, learned from outcomes
-//	members.go            following discovery
+//	members.go            how the list of servers from discovery is applied
 //	purge.go              how old a copy may be after a purge
 //
-// The decisions are tested in this package; rules_test.go checks the protocol's rules under arbitrary events.
+// The tests of these rules are in this package; rules_test.go checks the rules of the protocol with random
+// events.
 package policy
 
 import "slices"
 
-// New returns a router for the given settings. Routers with equal settings and seeds decide alike. The error
-// is a *SettingsError.
+// New returns a router for the given settings. Routers with equal settings and seeds make equal decisions.
+// The error is a *SettingsError.
 func New(settings Settings, seed uint64) (*Router, error) {
 	if err := validate(settings); err != nil {
 		return nil, err
@@ -53,8 +54,8 @@
 	return r, nil
 }
 
-// Handle processes one event at the given time and appends the actions that answer it to actions. A time
-// before that of the last event counts as the time of the last event.
+// Handle processes one event at the given time and appends the resulting actions to actions. If now is before
+// the time of the last event, the time of the last event is used instead.
 func (r *Router) Handle(now Time, event Event, actions []Action) []Action {
 	r.now, r.actions = max(now, r.now), actions
 	switch e := event.(type) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -12,17 +12,17 @@
 // ServerID identifies a server: a cache, a parent cache or the origin.
 type ServerID uint64
 
-// Idempotency says what a repeated execution of a request may do.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated
-	IdempotentByKey                    // duplicates are discarded by caches of one scope, for a while
-	NotIdempotent                      // must not run twice
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // the caches of a DedupScope discard duplicates for a DedupWindow
+	NotIdempotent                      // must not be executed twice
 )
 
-// DedupScope says which caches discard duplicates of a request with an idempotency key together.
+// DedupScope says which caches share the idempotency keys by which they discard duplicates of a request.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -42,81 +42,84 @@
 	SiblingsAny
 )
 
-// OutcomeDetail says how much an outcome's note tells.
+// OutcomeDetail says which notes outcomes carry.
 type OutcomeDetail int
 
 // The levels of detail.
 const (
-	DetailNone OutcomeDetail = iota // there are no notes
-	DetailHit                       // only hits are noted
+	DetailNone OutcomeDetail = iota // no notes
+	DetailHit                       // only NoteHit
 	DetailAll
 )
 
-// Class describes a class of requests. The names in the tags are those under which a digest of the settings
-// was computed first; they and the order of the fields must stay, as a process accepts learned state only
-// from one with the same digest.
+// Class describes a class of requests. A digest of the settings covers the names in the tags and the order of
+// the fields. Both must stay as they are, because a process accepts learned state only from a process with
+// the same digest.
 type Class struct {
-	LatencyObjective time.Duration `cbor:"Target"` // an answer within it earns the full weight
+	LatencyObjective time.Duration `cbor:"Target"` // an answer within this time earns all of PriorityWeight
 	// ObjectiveStretch extends the objective by this multiple of the request's own transfer time.
 	ObjectiveStretch float64       `cbor:"AimStretch"`
 	Deadline         time.Duration `cbor:"Deadline"`
-	PriorityWeight   float64       `cbor:"Worth"`     // what an answer in time is worth, relative to other classes
-	LateFraction     float64       `cbor:"LateValue"` // of the weight, for an answer after the objective
+	PriorityWeight   float64       `cbor:"Worth"`     // value of an answer in time, relative to other classes
+	LateFraction     float64       `cbor:"LateValue"` // of PriorityWeight, for an answer after the objective
 	Idempotency      Idempotency   `cbor:"Effect"`
-	DedupScope       DedupScope    `cbor:"Group"`  // of IdempotentByKey
-	DedupWindow      time.Duration `cbor:"Window"` // of IdempotentByKey: how long duplicates are discarded
+	DedupScope       DedupScope    `cbor:"Group"`  // for IdempotentByKey
+	DedupWindow      time.Duration `cbor:"Window"` // for IdempotentByKey: how long duplicates are discarded
 	Streamed         bool          `cbor:"Stream"`
 	Uncached         bool          `cbor:"Uncached"`   // executed at the origin, never cached
-	Multipart        bool          `cbor:"InParts"`    // an object has parts, which are requested in turn
-	FreshFor         time.Duration `cbor:"Fresh"`      // age up to which a copy is fresh; 0: until it is purged
-	StaleFor         time.Duration `cbor:"StaleFor"`   // age up to which a stale copy may still be served
-	StaleFraction    float64       `cbor:"StaleWorth"` // of the weight, for an answer from a stale copy
+	Multipart        bool          `cbor:"InParts"`    // objects have parts, which are requested one by one
+	FreshFor         time.Duration `cbor:"Fresh"`      // maximum age of a fresh copy; 0: fresh until purged
+	StaleFor         time.Duration `cbor:"StaleFor"`   // maximum age of a stale copy that may be served
+	StaleFraction    float64       `cbor:"StaleWorth"` // of PriorityWeight, for an answer from a stale copy
 }
 
-// WarmUp describes how the capacity of a recently started server grows, and what overloads it meanwhile.
+// WarmUp describes how the capacity of a recently started server grows, and which load overloads it
+// meanwhile: OverloadMultiple times its current capacity, for OverloadWindow.
 type WarmUp struct {
-	InitialCapacity  float64       `cbor:"ColdFrom"`   // at least this fraction of its full capacity
+	InitialCapacity  float64       `cbor:"ColdFrom"`   // least capacity, as a fraction of its full capacity
 	Duration         time.Duration `cbor:"WarmWithin"` // time until its capacity is full
-	OverloadMultiple float64       `cbor:"Multiple"`   // load that overloads it, as a multiple of its present capacity
-	OverloadWindow   time.Duration `cbor:"Within"`     // when it lasts for this time
+	OverloadMultiple float64       `cbor:"Multiple"`
+	OverloadWindow   time.Duration `cbor:"Within"`
 }
 
-// Settings are the facts with which a router is started. See Class for the tags. No rule of this package reads
-// some of them, such as PollInterval, the overload of the origin and MinBatchInterval.
+// Settings describe the deployment in which a router runs. See Class for the tags. The rules of this package
+// use only some of them; they don't use, for example, PollInterval, OriginOverloadMultiple,
+// OriginOverloadWindow and MinBatchInterval.
 type Settings struct {
 	RouterIndex     int           `cbor:"Rank"`        // index of this router, from 0
 	Routers         int           `cbor:"Routers"`     // number of routers
 	Zone            int           `cbor:"Zone"`        // of this router
 	ZoneRouters     []int         `cbor:"ZoneRouters"` // number of routers by zone; may be empty
 	HomeHub         []int         `cbor:"HomeHub"`     // by zone, the hub zone to which it is attached
-	LinkKBPerS      []float64     `cbor:"LinkKBPerS"`  // by zone, its link in, in KB/s; 0: unknown
+	LinkKBPerS      []float64     `cbor:"LinkKBPerS"`  // by zone, rate of its inbound link; 0: unknown
 	Classes         []Class       `cbor:"Classes"`
 	ParentKind      int           `cbor:"ParentKind"` // Member.Kind of parents; -1: there are none
 	OriginKind      int           `cbor:"OriginKind"` // Member.Kind of the origin; -1: there is none
-	MayBypassCaches bool          `cbor:"MayPassBy"`  // requests may be sent to parents and the origin directly
+	MayBypassCaches bool          `cbor:"MayPassBy"`  // requests may go directly to parents and the origin
 	SiblingFills    SiblingScope  `cbor:"Siblings"`
 	CoalescesFills  bool          `cbor:"SharesFills"` // a request may join a fill in progress
 	OutcomeDetail   OutcomeDetail `cbor:"Details"`
-	TransferKBPerS  float64       `cbor:"FlowKBPerS"`  // best pace of a transfer to a client, in KB/s; 0: unknown
-	PurgeDuration   time.Duration `cbor:"PurgeTakes"`  // after a purge, time until no older copy is left anywhere
-	PurgeGrace      time.Duration `cbor:"PurgeNotice"` // time from the notice of a purge until it must be respected
-	// OriginOverloadMultiple of its capacity, for OriginOverloadWindow, makes the origin stop; 0: never.
+	TransferKBPerS  float64       `cbor:"FlowKBPerS"`  // highest rate of a transfer to a client; 0: unknown
+	PurgeDuration   time.Duration `cbor:"PurgeTakes"`  // time from a purge until no older copy is left
+	PurgeGrace      time.Duration `cbor:"PurgeNotice"` // time from a purge's notice until it must be obeyed
+	// A load of OriginOverloadMultiple times its capacity for OriginOverloadWindow stops the origin; with 0
+	// no load does.
 	OriginOverloadMultiple float64       `cbor:"OriginMultiple"`
 	OriginOverloadWindow   time.Duration `cbor:"OriginBears"`
 
 	WatchDiscovery   bool          `cbor:"AskDiscovery"` // discovery reports only after a Watch
-	PollInterval     time.Duration `cbor:"AskWithin"`    // without a watch, lists this old count as known
-	DrainGrace       time.Duration `cbor:"DrainGrace"`   // time from the notice of a drain until it must be respected
+	PollInterval     time.Duration `cbor:"AskWithin"`    // without a watch, age up to which a list is current
+	DrainGrace       time.Duration `cbor:"DrainGrace"`   // time from a drain's notice until it must be obeyed
 	CacheWarmUp      WarmUp        `cbor:"CacheFall"`
 	ParentWarmUp     WarmUp        `cbor:"ParentFall"`
-	FinalAnswerGrace time.Duration `cbor:"AnswerSlack"` // after the deadline, time in which a final answer is valid
-	WeightsKnown     bool          `cbor:"WeightsTold"` // weights are link capacities in transfers, maybe inexact
+	FinalAnswerGrace time.Duration `cbor:"AnswerSlack"` // time after the deadline in which an answer is valid
+	WeightsKnown     bool          `cbor:"WeightsTold"` // weights are link capacities, possibly inexact
 	MaxAttempts      int           `cbor:"MaxTries"`    // of a request; 0: no limit
 	CanCancel        bool          `cbor:"Cancel"`      // attempts can be cancelled
 	SendsRetryAfter  bool          `cbor:"RetryAfter"`  // clients respect a Retry-After
 	MaxRetryAfter    time.Duration `cbor:"MaxRetryAfter"`
 	ConnectTimeout   time.Duration `cbor:"ConnectWithin"`
-	MinBatchInterval time.Duration `cbor:"Tick"` // least time between two batches of events
+	MinBatchInterval time.Duration `cbor:"Tick"` // minimum time between two batches of events
 }
 
 // SettingsError reports a setting that a Router cannot work with.
@@ -131,12 +134,12 @@
 // validate returns a *SettingsError for the first setting that a Router cannot work with.
 func validate(settings Settings) error {
 	if len(settings.Classes) == 0 {
-		return &SettingsError{"Settings.Classes", " is empty"}
+		return &SettingsError{"Settings.Classes", " is empty, must have at least one class"}
 	}
 	for i, class := range settings.Classes {
 		field := fmt.Sprintf("Settings.Classes[%d].", i)
 		if class.Idempotency < Idempotent || class.Idempotency > NotIdempotent {
-			return &SettingsError{field + "Idempotency", fmt.Sprintf(": unknown value %d", class.Idempotency)}
+			return &SettingsError{field + "Idempotency", fmt.Sprintf(": %d is not from 0 to 2", class.Idempotency)}
 		}
 		if class.Deadline <= 0 {
 			return &SettingsError{field + "Deadline", " must be above 0"}
