--- a/policy/request.go
+++ b/policy/request.go
@@ -24,7 +24,7 @@
 	}
 	class, objectHash := &r.settings.Classes[e.Class], hash(e.Object)
 	req := &openRequest{
-		Request: e, class: class, deadline: r.now + e.TimeLeft, objectHash: objectHash, draw: r.random(),
+		Request: e, class: class, deadline: r.now + e.TimeLeft, objectHash: objectHash, admissionDraw: r.random(),
 	}
 	if req.cacheHash = req.objectHash; req.class.Multipart {
 		// Parts are cached separately, so the parts of a popular object are spread over the caches.
@@ -124,10 +124,10 @@
 		r.setTimer(min(objective, timeout), timer{kind: objectiveTimer, attempt: attempt})
 	}
 	if source == nil {
-		r.emit(Lookup{ID: req.ID, Cache: to.ID, Timeout: timeout})
+		r.emit(Lookup{ID: req.ID, Server: to.ID, Timeout: timeout})
 		return
 	}
-	fetch := Fetch{ID: req.ID, Cache: to.ID, Source: source.ID, Timeout: timeout, Options: options}
+	fetch := Fetch{ID: req.ID, Server: to.ID, Source: source.ID, Timeout: timeout, Options: options}
 	r.setCaching(&fetch, req, to)
 	r.emit(fetch)
 }
