--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -34,14 +34,14 @@
 			s.registry.Handle(membership.Heartbeat{Source: rank})
 		},
 		OnOverdue: s.handleDiscoveryOverdue,
-		OnCurrent: func() { s.core.DiscoveryOverdue(false, 0) },
+		OnCurrent: func() { s.core.SetDiscoveryOverdue(false, 0) },
 	}
 }
 
 // handleDiscoveryOverdue notes that discovery has been silent for too long: what it held until a time, in ms of the clock, counts as
 // notified. The configuration is read again, as discovery may have moved.
 func (s *serverSources) handleDiscoveryOverdue(until float64) {
-	s.core.DiscoveryOverdue(true, until)
+	s.core.SetDiscoveryOverdue(true, until)
 	select {
 	case s.discoveryOverdue <- struct{}{}:
 	default:
--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -28,7 +28,7 @@
 	if s.isSubscriber() {
 		return admin.ErrNotMember
 	}
-	s.core.Purged(p)
+	s.core.ApplyPurge(p)
 	var err error
 	if s.state != nil {
 		err = s.state.RecordPurge(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: p.At})
@@ -51,7 +51,7 @@
 
 // handlePurge puts a purge that a source notified in force, and records it.
 func (s *serverSources) handlePurge(p core.Purge) {
-	s.core.Purged(p)
+	s.core.ApplyPurge(p)
 	if s.state != nil {
 		s.state.RecordPurgeAsync(recovery.Purge{Object: p.Object, Group: p.Group, IssuedAt: p.At, NotifiedAt: s.clock.Now()})
 	}
--- a/cmd/ravenwheel/peers.go
+++ b/cmd/ravenwheel/peers.go
@@ -39,6 +39,6 @@
 		Clock:            env.clock,
 		Log:              env.log,
 		Totals:           proxy.LoadCounter.Totals,
-		Objects:          proxy.LoadCounter.Objects,
+		Objects:          proxy.LoadCounter.TakeObjects,
 	})
 }
--- a/cmd/ravenwheel/sources.go
+++ b/cmd/ravenwheel/sources.go
@@ -129,7 +129,7 @@
 		ListEntries: s.conf.Entries,
 		HandleEvent: s.registry.Handle,
 		SetDrain:    s.setManualDrain,
-		HandlePurge: s.core.Purged,
+		HandlePurge: s.core.ApplyPurge,
 	}
 	if s.state != nil { // a nil pointer in the interface would not be nil
 		a.Recorder = s.state
--- a/cmd/ravenwheel/state_recovery.go
+++ b/cmd/ravenwheel/state_recovery.go
@@ -53,7 +53,7 @@
 		if purge.Object != "" {
 			group = noGroup
 		}
-		s.core.Purged(core.Purge{Object: purge.Object, Group: group, At: purge.IssuedAt})
+		s.core.ApplyPurge(core.Purge{Object: purge.Object, Group: group, At: purge.IssuedAt})
 	}
 	if plan.Boots > 0 { // else nothing is known, which does not mean that every server is new
 		minGenerations := map[int]uint64{}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -93,7 +93,7 @@
 func New(o Options) *Controller {
 	return &Controller{opt: o, state: drain.New(drain.Settings{
 		CloseIdleAfterDrain: closeIdleAfterDrain, CloseIdleAfterStop: CloseIdleAfterStop, RejectAfter: rejectAfter,
-		KillAfter: o.AnswerWithinMs, RequestsAfterStop: requestsAfterStop, RejectBeforeKill: rejectBeforeKill,
+		KillAfter: o.AnswerWithinMs, AcceptAfterStop: requestsAfterStop, RejectBeforeKill: rejectBeforeKill,
 		PartialFrameTimeout: partialFrameTimeout,
 	})}
 }
--- a/internal/core/catch_up_test.go
+++ b/internal/core/catch_up_test.go
@@ -32,7 +32,7 @@
 					return false
 				}
 				purgedAt = len(d.sent)
-				c.Purged(core.Purge{Object: "o", Group: -1, At: clk.Now() - 50})
+				c.ApplyPurge(core.Purge{Object: "o", Group: -1, At: clk.Now() - 50})
 				return true
 			}
 			do(t, c, clk, core.Request{ID: "a", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -116,16 +116,16 @@
 // ClassIndex returns the index of the class with this name; -1 if there is none.
 func (c *Core) ClassIndex(name string) int { return slices.Index(c.classes, name) }
 
-// Purged applies a purge. A time further in the future than TimestampResolution counts as that far.
-func (c *Core) Purged(p Purge) {
+// ApplyPurge applies a purge. A time further in the future than TimestampResolution counts as that far.
+func (c *Core) ApplyPurge(p Purge) {
 	c.Counters.Notifications.Add(1)
 	now := c.clock.Now()
 	c.notify(policy.Purged{Object: p.Object, Group: p.Group, Age: clock.Duration(now - min(now+TimestampResolution, p.At))})
 }
 
-// DiscoveryOverdue reports that discovery has been silent for too long and that purges made until the given time, in ms
+// SetDiscoveryOverdue reports that discovery has been silent for too long and that purges made until the given time, in ms
 // of the clock, may not have been reported; with overdue false, that all have been reported.
-func (c *Core) DiscoveryOverdue(overdue bool, until float64) {
+func (c *Core) SetDiscoveryOverdue(overdue bool, until float64) {
 	now := c.clock.Now()
 	c.notify(policy.DiscoveryOverdue{Overdue: overdue, Age: clock.Duration(max(0, now-until))})
 }
--- a/internal/core/load_counter.go
+++ b/internal/core/load_counter.go
@@ -111,8 +111,8 @@
 	return l.arrivals.Load(), servers
 }
 
-// Objects returns the objects requested since the last call, in order, as far as there was room for them.
-func (l *LoadCounter) Objects() (objects []uint64) {
+// TakeObjects returns the objects requested since the last call, in order, as far as there was room for them.
+func (l *LoadCounter) TakeObjects() (objects []uint64) {
 	for {
 		select {
 		case object := <-l.objects:
--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -20,9 +20,9 @@
 	RejectAfter float64
 	// KillAfter, from a stop: the process is killed then, whatever is unanswered.
 	KillAfter float64
-	// RequestsAfterStop, from a stop: open connections bring new requests for so long, and these are accepted even if the
+	// AcceptAfterStop, from a stop: open connections bring new requests for so long, and these are accepted even if the
 	// kill follows soon.
-	RequestsAfterStop float64
+	AcceptAfterStop float64
 	// RejectBeforeKill: new requests are rejected at least so long before the kill, so that connections become idle.
 	RejectBeforeKill float64
 	// PartialFrameTimeout, from the begin of a drain: a client may take so long to complete a frame, where no kill follows.
@@ -154,7 +154,7 @@
 	if s.killAt > 0 {
 		stoppedAt := s.killAt - s.settings.KillAfter
 		plan.AnswerBy, plan.PartialFrameUntil = s.killAt, s.killAt
-		rejectFrom := max(stoppedAt+s.settings.RequestsAfterStop, s.killAt-s.settings.RejectBeforeKill)
+		rejectFrom := max(stoppedAt+s.settings.AcceptAfterStop, s.killAt-s.settings.RejectBeforeKill)
 		plan.RejectFrom = min(plan.RejectFrom, rejectFrom)
 		plan.CloseIdleFrom = min(plan.CloseIdleFrom, plan.RejectFrom)
 	}
--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var set = Settings{CloseIdleAfterDrain: 350, CloseIdleAfterStop: 800, RejectAfter: 1600, KillAfter: 2000, RequestsAfterStop: 600, RejectBeforeKill: 400, PartialFrameTimeout: 3000}
+var set = Settings{CloseIdleAfterDrain: 350, CloseIdleAfterStop: 800, RejectAfter: 1600, KillAfter: 2000, AcceptAfterStop: 600, RejectBeforeKill: 400, PartialFrameTimeout: 3000}
 
 // The readiness answer, the phase and the plan over a sequence of events.
 func TestPhasesAndPlans(t *testing.T) {
@@ -83,7 +83,7 @@
 	})
 }
 
-// The kill follows soon after the stop. Requests on open connections are accepted for RequestsAfterStop, and
+// The kill follows soon after the stop. Requests on open connections are accepted for AcceptAfterStop, and
 // between the last one that is accepted and the kill each connection has time to become idle.
 func TestStopWithEarlyKill(t *testing.T) {
 	for _, within := range []float64{850, 1050, 1550, 3550} {
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -163,7 +163,7 @@
 			}
 			for range perS / 2 {
 				purged++
-				c.Purged(core.Purge{Object: fmt.Sprintf("%016x", 1<<40+purged), At: clk.Now()})
+				c.ApplyPurge(core.Purge{Object: fmt.Sprintf("%016x", 1<<40+purged), At: clk.Now()})
 			}
 			ask(perS)
 		}
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -102,7 +102,7 @@
 		}
 		for group := range fleet.Groups {
 			at := servers.Purge("", group)
-			c.Purged(core.Purge{Group: group, At: at + 1})
+			c.ApplyPurge(core.Purge{Group: group, At: at + 1})
 		}
 	}})
 	if err != nil {
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -118,7 +118,7 @@
 
 func (s *site) purge(group int) {
 	at := s.fleet.Purge("", group)
-	s.core.Purged(core.Purge{Group: group, At: at})
+	s.core.ApplyPurge(core.Purge{Group: group, At: at})
 	s.notifications = append(s.notifications, fleet.Notification{At: s.clock.Now(), Purge: true, Group: group, Made: at})
 }
 
