--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -17,27 +17,27 @@
 	"ravenwheel/policy"
 )
 
-// cacheUpstream ends the first attempts with the listed outcomes and answers the others at once, or never while silent.
-type cacheUpstream struct {
-	list   []core.Outcome
-	silent atomic.Bool
-	sent   atomic.Int64
-	aborts atomic.Int64
+// immediateUpstream ends the first attempts with the listed outcomes and answers the others at once, or never while silent.
+type immediateUpstream struct {
+	outcomes []core.Outcome
+	silent   atomic.Bool
+	sent     atomic.Int64
+	aborts   atomic.Int64
 }
 
-func (s *cacheUpstream) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
-	switch n := int(s.sent.Add(1)); {
-	case n <= len(s.list):
-		go end(s.list[n-1])
-	case !s.silent.Load():
+func (u *immediateUpstream) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
+	switch n := int(u.sent.Add(1)); {
+	case n <= len(u.outcomes):
+		go end(u.outcomes[n-1])
+	case !u.silent.Load():
 		go end(core.Outcome{Result: policy.OK, Note: policy.NoteHit, Written: true})
 	}
-	return func() bool { s.aborts.Add(1); return true }
+	return func() bool { u.aborts.Add(1); return true }
 }
 
-func (s *cacheUpstream) UpdateMembers([]core.Member, bool) {}
+func (u *immediateUpstream) UpdateMembers([]core.Member, bool) {}
 
-func coreMembers() membership.Publish {
+func testMembers() membership.Publish {
 	list := make([]core.Member, 3)
 	for i, id := range []policy.CacheID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
 		list[i].ID, list[i].Kind, list[i].Weight = id, i, 10
@@ -48,25 +48,25 @@
 func newCore(t *testing.T, clk *clock.Clock, up core.Upstream) *core.Core {
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, up)
 	require.NoError(t, err)
-	c.UpdateMembers(coreMembers())
+	c.UpdateMembers(testMembers())
 	return c
 }
 
 // For a client that has left when its first attempt is decided on, no attempt is made and none stays counted
 // as in flight, which would occupy slots of the server.
 func TestClientLeftBeforeFirstAttempt(t *testing.T) {
-	clk, up := clock.Manual(1e12), &cacheUpstream{}
+	clk, up := clock.Manual(1e12), &immediateUpstream{}
 	c := newCore(t, clk, up)
-	gone, leave := context.WithCancel(context.Background())
-	leave()
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
 	for i := range 300 {
-		q := core.Request{ID: fmt.Sprint("left", i), Class: i % 3, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
-		require.Equal(t, core.Abandoned, c.Do(gone, q).Verdict)
+		request := core.Request{ID: fmt.Sprint("left", i), Class: i % 3, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
+		require.Equal(t, core.Abandoned, c.Do(cancelled, request).Verdict)
 	}
 	require.Zero(t, up.sent.Load())
 	for i := range 8 {
-		q := core.Request{ID: fmt.Sprint("stays", i), Class: 1, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
-		require.Equal(t, core.Served, c.Do(context.Background(), q).Verdict, "no slot is occupied")
+		request := core.Request{ID: fmt.Sprint("stays", i), Class: 1, Object: fmt.Sprint(i), Deadline: clk.Now() + 900}
+		require.Equal(t, core.Served, c.Do(context.Background(), request).Verdict, "no slot is occupied")
 	}
 	require.Zero(t, invariant.Violations())
 }
@@ -74,39 +74,39 @@
 // A client leaves while its request waits: for an answer, in the pause before a retry, or for the retry's
 // answer. Nothing more is sent, and open attempts are aborted once.
 func TestClientLeftWhileWaiting(t *testing.T) {
-	for name, wait := range map[string]struct {
-		ends         []core.Outcome // of the first attempts, at once; the next one never ends
+	for name, test := range map[string]struct {
+		outcomes     []core.Outcome // of the first attempts, at once; the next one never ends
 		pause        float64        // before the client leaves, in ms
 		sent, aborts int64
 	}{
 		"for an answer":                  {sent: 1, aborts: 1},
-		"in the pause before the second": {ends: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, sent: 1},
-		"for the answer after the pause": {ends: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, pause: 200, sent: 2, aborts: 1},
-		"for the second answer":          {ends: []core.Outcome{{Result: policy.Failed, Written: true}}, sent: 2, aborts: 1},
+		"in the pause before the second": {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, sent: 1},
+		"for the answer after the pause": {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, pause: 200, sent: 2, aborts: 1},
+		"for the second answer":          {outcomes: []core.Outcome{{Result: policy.Failed, Written: true}}, sent: 2, aborts: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				clk, up := clock.Manual(1e12), &cacheUpstream{list: wait.ends}
+				clk, up := clock.Manual(1e12), &immediateUpstream{outcomes: test.outcomes}
 				up.silent.Store(true)
 				c := newCore(t, clk, up)
-				ctx, leave := context.WithCancel(context.Background())
-				over := make(chan core.Answer, 1)
+				ctx, cancel := context.WithCancel(context.Background())
+				answer := make(chan core.Answer, 1)
 				go func() {
-					over <- c.Do(ctx, core.Request{ID: "q", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
+					answer <- c.Do(ctx, core.Request{ID: "q", Class: 1, Object: "o", Deadline: clk.Now() + 2000})
 				}()
 				synctest.Wait()
-				clk.Advance(wait.pause)
+				clk.Advance(test.pause)
 				synctest.Wait()
-				require.Equal(t, wait.sent, up.sent.Load())
-				leave()
+				require.Equal(t, test.sent, up.sent.Load())
+				cancel()
 				synctest.Wait()
-				require.Equal(t, core.Abandoned, (<-over).Verdict)
+				require.Equal(t, core.Abandoned, (<-answer).Verdict)
 				for range 400 {
 					clk.Advance(10)
 					synctest.Wait()
 				}
-				require.Equal(t, wait.sent, up.sent.Load(), "nothing is sent after the client has left")
-				require.Equal(t, wait.aborts, up.aborts.Load())
+				require.Equal(t, test.sent, up.sent.Load(), "nothing is sent after the client has left")
+				require.Equal(t, test.aborts, up.aborts.Load())
 				require.Zero(t, c.Counters.InFlight.Load())
 				require.Zero(t, invariant.Violations())
 			})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -26,28 +26,28 @@
 // directClients runs requests without a front: it sends "ID CLASS" and receives "ID VERDICT BODY". When it is closed the
 // clients leave.
 type directClients struct {
-	core  *core.Core
-	clock *clock.Clock
-	ctx   context.Context
-	leave context.CancelFunc
-	out   chan []string
+	core    *core.Core
+	clock   *clock.Clock
+	ctx     context.Context
+	cancel  context.CancelFunc
+	answers chan []string
 }
 
 var verdicts = []string{"served", "refused", "failed", "gone"}
 
-func (a *directClients) Send(words []string) error {
-	q := core.Request{
-		ID: words[0], Class: a.core.ClassIndex(words[1]), Object: "7f3a9c21e0b4d655", Deadline: a.clock.Now() + 900,
+func (c *directClients) Send(words []string) error {
+	request := core.Request{
+		ID: words[0], Class: c.core.ClassIndex(words[1]), Object: "7f3a9c21e0b4d655", Deadline: c.clock.Now() + 900,
 	}
 	go func() {
-		x := a.core.Do(a.ctx, q)
-		a.out <- []string{q.ID, verdicts[x.Verdict], "-" + string(x.Body)}
+		answer := c.core.Do(c.ctx, request)
+		c.answers <- []string{request.ID, verdicts[answer.Verdict], "-" + string(answer.Body)}
 	}()
 	return nil
 }
 
-func (a *directClients) Receive() ([]string, error) { return <-a.out, nil }
-func (a *directClients) Close() error               { a.leave(); return nil }
+func (c *directClients) Receive() ([]string, error) { return <-c.answers, nil }
+func (c *directClients) Close() error               { c.cancel(); return nil }
 
 var scenarios = map[string]string{
 	"a write fails if its connection breaks, and is not retried": `
@@ -96,8 +96,8 @@
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
-			c := &directClients{core: p.Core, clock: p.Clock, out: make(chan []string, 10)}
-			c.ctx, c.leave = context.WithCancel(context.Background())
+			c := &directClients{core: p.Core, clock: p.Clock, answers: make(chan []string, 10)}
+			c.ctx, c.cancel = context.WithCancel(context.Background())
 			scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, script)
 			require.Zero(t, invariant.Violations())
 		})
@@ -108,42 +108,42 @@
 // router.
 func TestRequestsBeyondMaxAreRejected(t *testing.T) {
 	p := scenario.NewProxy(t)
-	small, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 1, 7, p.Clock, p.Pools)
+	limited, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 1, 7, p.Clock, p.Pools)
 	require.NoError(t, err)
 	m := core.Member{Addr: p.Cache.Addr()}
 	m.ID = scenario.CacheID
-	small.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
-	c := &directClients{core: small, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
+	limited.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: []core.Member{m}})
+	c := &directClients{core: limited, clock: p.Clock, ctx: context.Background(), answers: make(chan []string, 10)}
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"c": c, "s": p.Cache}, `
 		c send r1 asset
 		s expect fetch r1 * -`)
-	a := small.Do(c.ctx, core.Request{ID: "r2", Class: 1, Object: "o", Deadline: p.Clock.Now() + 900})
-	require.Equal(t, core.Answer{Verdict: core.Rejected, RetryAfter: clock.Ms(scenario.Settings().MaxRetryAfter)}, a)
-	require.EqualValues(t, 1, small.Counters.InFlight.Load())
+	answer := limited.Do(c.ctx, core.Request{ID: "r2", Class: 1, Object: "o", Deadline: p.Clock.Now() + 900})
+	require.Equal(t, core.Answer{Verdict: core.Rejected, RetryAfter: clock.Ms(scenario.Settings().MaxRetryAfter)}, answer)
+	require.EqualValues(t, 1, limited.Counters.InFlight.Load())
 }
 
 // Requests that were rejected or failed without an attempt that reached a server are counted as never sent.
 func TestNeverSentCountsRequestsWithoutWrittenAttempt(t *testing.T) {
 	p := scenario.NewProxy(t)
-	c := &directClients{core: p.Core, clock: p.Clock, ctx: context.Background(), out: make(chan []string, 10)}
+	c := &directClients{core: p.Core, clock: p.Clock, ctx: context.Background(), answers: make(chan []string, 10)}
 	actors := map[string]scenario.Actor{"c": c, "s": p.Cache}
-	n := &p.Core.Counters
+	counters := &p.Core.Counters
 	scenario.Run(t, p.Clock, actors, `
 		c send r1 asset
 		s expect fetch r1 * -
 		wait 900
 		c expect r1 refused -
 		s expect abort r1`)
-	require.Zero(t, n.NeverSent.Load(), "it was written, without an answer")
+	require.Zero(t, counters.NeverSent.Load(), "it was written, without an answer")
 	scenario.Run(t, p.Clock, actors, `
 		s close
 		c send r2 asset
 		c expect r2 refused -
 		c send w1 seat-claim
 		c expect w1 refused -`)
-	require.Eventually(t, func() bool { return n.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
-	require.EqualValues(t, 2, n.NeverSent.Load())
-	require.EqualValues(t, 3, n.Rejected.Load())
+	require.Eventually(t, func() bool { return counters.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
+	require.EqualValues(t, 2, counters.NeverSent.Load())
+	require.EqualValues(t, 3, counters.Rejected.Load())
 }
 
 // randomUpstream ends attempts with any outcome, at any time or never.
@@ -153,35 +153,35 @@
 	rng   *rand.Rand
 }
 
-func (w *randomUpstream) Send(a core.Attempt, end func(core.Outcome)) func() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	ends := []core.Outcome{
+func (u *randomUpstream) Send(a core.Attempt, end func(core.Outcome)) func() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	outcomes := []core.Outcome{
 		{Result: policy.OK, Written: true}, {Result: policy.OK, NotModified: true, Tag: "v1", Written: true}, {Result: policy.OK, NotModified: true, Tag: "v2", Written: true},
 		{Result: policy.Overloaded, Written: true}, {Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}, {Result: policy.Failed, Written: true},
 		{Result: policy.Miss, Note: policy.NoteSourceLost, Written: true}, {Result: policy.ConnectFailed}, {Result: policy.Reset, Written: true}, {Result: policy.Skipped},
 	}
-	e, wait := ends[w.rng.IntN(len(ends))], w.rng.Float64()*1.2*(a.Deadline-w.clock.Now())
-	switch w.rng.IntN(4) {
+	outcome, delay := outcomes[u.rng.IntN(len(outcomes))], u.rng.Float64()*1.2*(a.Deadline-u.clock.Now())
+	switch u.rng.IntN(4) {
 	case 0: // never
 		return func() bool { return true }
 	case 1:
-		go end(e)
-		return func() bool { return e.Written }
+		go end(outcome)
+		return func() bool { return outcome.Written }
 	}
-	stop := w.clock.After(wait, func() { end(e) })
-	return func() bool { stop(); return e.Written }
+	stop := u.clock.After(delay, func() { end(outcome) })
+	return func() bool { stop(); return outcome.Written }
 }
 
-func (w *randomUpstream) UpdateMembers([]core.Member, bool) {}
+func (u *randomUpstream) UpdateMembers([]core.Member, bool) {}
 
 // Whatever the upstream does, each request gets exactly one final answer by its deadline, and a copy is
 // called current only if it is the client's.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
-	synctest.Test(t, testEveryRequestIsAnswered)
+	synctest.Test(t, testEveryRequestIsAnsweredByItsDeadline)
 }
 
-func testEveryRequestIsAnswered(t *testing.T) {
+func testEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	const slack = 500 // ms after the deadline in which a final answer is accepted
 	clk, rng := clock.Manual(1e12), rand.New(rand.NewPCG(7, 1))
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, &randomUpstream{clock: clk, rng: rand.New(rand.NewPCG(7, 2))})
@@ -194,41 +194,41 @@
 	}
 	c.UpdateMembers(membership.Publish{Version: 1, Complete: true, Members: list})
 	type pendingRequest struct {
-		id   string
-		due  float64
-		done atomic.Int32
+		id       string
+		deadline float64
+		done     atomic.Int32
 	}
 	var open []*pendingRequest
 	for step := range 3000 {
 		if step < 2000 {
-			q := core.Request{ID: fmt.Sprint(step), Class: rng.IntN(3), Object: fmt.Sprint(rng.IntN(50)), CachedTag: []string{"", "v1"}[rng.IntN(2)]}
-			q.Deadline = clk.Now() + 20 + rng.Float64()*2000
-			a := &pendingRequest{id: q.ID, due: q.Deadline}
-			open = append(open, a)
+			request := core.Request{ID: fmt.Sprint(step), Class: rng.IntN(3), Object: fmt.Sprint(rng.IntN(50)), CachedTag: []string{"", "v1"}[rng.IntN(2)]}
+			request.Deadline = clk.Now() + 20 + rng.Float64()*2000
+			pending := &pendingRequest{id: request.ID, deadline: request.Deadline}
+			open = append(open, pending)
 			go func() {
-				x := c.Do(context.Background(), q)
-				if x.NotModified && (q.CachedTag == "" || x.Tag != q.CachedTag) {
-					t.Errorf("%s: %q called current, the client has %q", q.ID, x.Tag, q.CachedTag)
+				answer := c.Do(context.Background(), request)
+				if answer.NotModified && (request.CachedTag == "" || answer.Tag != request.CachedTag) {
+					t.Errorf("%s: %q called current, the client has %q", request.ID, answer.Tag, request.CachedTag)
 				}
-				a.done.Add(1)
+				pending.done.Add(1)
 			}()
 		}
 		synctest.Wait() // otherwise a timer could be set by a time that has passed
 		clk.Advance(10)
 		synctest.Wait()
-		open = slices.DeleteFunc(open, func(a *pendingRequest) bool {
-			if a.due+slack > clk.Now() {
+		open = slices.DeleteFunc(open, func(pending *pendingRequest) bool {
+			if pending.deadline+slack > clk.Now() {
 				return false
 			}
-			require.EqualValues(t, 1, a.done.Load(), "%s has no answer half a second after its deadline", a.id)
+			require.EqualValues(t, 1, pending.done.Load(), "%s has no answer half a second after its deadline", pending.id)
 			return true
 		})
 	}
 	require.Empty(t, open)
-	n := &c.Counters
-	require.Equal(t, n.Requests.Load(), n.Served.Load()+n.Rejected.Load()+n.Failed.Load())
-	require.Positive(t, n.WrongTags.Load())
-	require.Zero(t, n.InFlight.Load())
+	counters := &c.Counters
+	require.Equal(t, counters.Requests.Load(), counters.Served.Load()+counters.Rejected.Load()+counters.Failed.Load())
+	require.Positive(t, counters.WrongTags.Load())
+	require.Zero(t, counters.InFlight.Load())
 	require.Zero(t, invariant.Violations())
 }
 
@@ -245,8 +245,8 @@
 	m.ID, m.Weight = scenario.CacheID, 10
 	p.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
 	for i := range 300 {
-		q := core.Request{ID: fmt.Sprint(i), Class: 1, Object: "o", Deadline: p.Clock.Now() + 900}
-		require.Equal(t, core.Served, p.Core.Do(context.Background(), q).Verdict, i)
+		request := core.Request{ID: fmt.Sprint(i), Class: 1, Object: "o", Deadline: p.Clock.Now() + 900}
+		require.Equal(t, core.Served, p.Core.Do(context.Background(), request).Verdict, i)
 	}
 	require.Zero(t, invariant.Violations())
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -21,23 +21,23 @@
 
 // monotonic returns the counters that only rise. A successor process continues them; their order is part of the form in
 // which they are handed over.
-func (n *Counters) monotonic() []*atomic.Int64 {
+func (c *Counters) monotonic() []*atomic.Int64 {
 	return []*atomic.Int64{
-		&n.Requests, &n.Served, &n.Rejected, &n.Failed, &n.Abandoned, &n.Attempts, &n.Timeouts, &n.Skipped, &n.Notifications,
-		&n.NeverSent, &n.UnansweredConns, &n.WrongTags,
+		&c.Requests, &c.Served, &c.Rejected, &c.Failed, &c.Abandoned, &c.Attempts, &c.Timeouts, &c.Skipped, &c.Notifications,
+		&c.NeverSent, &c.UnansweredConns, &c.WrongTags,
 	}
 }
 
 // countAnswer counts a final answer.
-func (n *Counters) countAnswer(verdict Verdict) {
+func (c *Counters) countAnswer(verdict Verdict) {
 	switch verdict {
 	case Served:
-		n.Served.Add(1)
+		c.Served.Add(1)
 	case Rejected:
-		n.Rejected.Add(1)
+		c.Rejected.Add(1)
 	case Failed:
-		n.Failed.Add(1)
+		c.Failed.Add(1)
 	case Abandoned:
-		n.Abandoned.Add(1)
+		c.Abandoned.Add(1)
 	}
 }
--- a/internal/core/deployments_test.go
+++ b/internal/core/deployments_test.go
@@ -16,20 +16,20 @@
 
 // recordingUpstream records the attempts that it gets and ends them with one outcome.
 type recordingUpstream struct {
-	list []string
-	end  core.Outcome
+	attempts []string
+	outcome  core.Outcome
 }
 
-func (n *recordingUpstream) Send(a core.Attempt, end func(core.Outcome)) func() bool {
-	n.list = append(n.list, fmt.Sprintf("%+v", core.Attempt{
+func (u *recordingUpstream) Send(a core.Attempt, end func(core.Outcome)) func() bool {
+	u.attempts = append(u.attempts, fmt.Sprintf("%+v", core.Attempt{
 		ID: a.ID, Class: a.Class, Object: a.Object, CachedTag: a.CachedTag, IdempotencyKey: a.IdempotencyKey, Server: a.Server, Source: a.Source, Deadline: a.Deadline, MaxAge: a.MaxAge,
 		RetainRank: a.RetainRank, Options: a.Options, SendBy: a.SendBy, NonIdempotent: a.NonIdempotent,
 	}))
-	go end(n.end)
+	go end(u.outcome)
 	return func() bool { return true }
 }
 
-func (n *recordingUpstream) UpdateMembers([]core.Member, bool) {}
+func (u *recordingUpstream) UpdateMembers([]core.Member, bool) {}
 
 // deployment is a core with its own class names, settings and servers.
 type deployment struct {
@@ -38,22 +38,22 @@
 	clk  *clock.Clock
 }
 
-func newDeployment(t *testing.T, names []string, end core.Outcome, turn func(*policy.Settings)) *deployment {
-	set := scenario.Settings()
-	turn(&set)
-	c := &deployment{up: &recordingUpstream{end: end}, clk: clock.Manual(1e12)}
+func newDeployment(t *testing.T, classes []string, outcome core.Outcome, change func(*policy.Settings)) *deployment {
+	settings := scenario.Settings()
+	change(&settings)
+	d := &deployment{up: &recordingUpstream{outcome: outcome}, clk: clock.Manual(1e12)}
 	var err error
-	c.core, err = core.New(set, names, 0, 7, c.clk, c.up)
+	d.core, err = core.New(settings, classes, 0, 7, d.clk, d.up)
 	require.NoError(t, err)
-	c.core.UpdateMembers(coreMembers())
-	return c
+	d.core.UpdateMembers(testMembers())
+	return d
 }
 
-func (c *deployment) request(n int) string {
-	q := core.Request{ID: fmt.Sprint(n), Class: n % 3, Object: fmt.Sprint(n % 7), CachedTag: "v1", Deadline: c.clk.Now() + 900}
-	a := c.core.Do(context.Background(), q)
-	c.clk.Advance(10)
-	return fmt.Sprint(a.Verdict, a.Tag, a.NotModified, a.RetryAfter)
+func (d *deployment) request(n int) string {
+	request := core.Request{ID: fmt.Sprint(n), Class: n % 3, Object: fmt.Sprint(n % 7), CachedTag: "v1", Deadline: d.clk.Now() + 900}
+	answer := d.core.Do(context.Background(), request)
+	d.clk.Advance(10)
+	return fmt.Sprint(answer.Verdict, answer.Tag, answer.NotModified, answer.RetryAfter)
 }
 
 // Two deployments in one process, with requests in turn, each get exactly what they get alone, and neither
@@ -82,17 +82,17 @@
 		other.request(n)
 		require.Equal(t, want[n], interleaved.request(n))
 	}
-	require.Equal(t, alone.up.list, interleaved.up.list)
-	for _, sent := range other.up.list {
+	require.Equal(t, alone.up.attempts, interleaved.up.attempts)
+	for _, sent := range other.up.attempts {
 		require.NotContains(t, sent, "lap")
 		require.NotContains(t, sent, "badge")
 	}
-	require.True(t, strings.Contains(interleaved.up.list[0], "lap"))
+	require.True(t, strings.Contains(interleaved.up.attempts[0], "lap"))
 	// As in a handover between processes.
-	text, err := other.core.LearnedState()
+	encoded, err := other.core.LearnedState()
 	require.NoError(t, err)
-	require.Error(t, newFirst().core.RestoreLearnedState(text))
-	same := newDeployment(t, []string{"timetable", "deckplan", "booking"}, core.Outcome{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
-	require.Error(t, same.core.RestoreLearnedState(text), "learned under other settings")
-	require.NoError(t, newSecond().core.RestoreLearnedState(text))
+	require.Error(t, newFirst().core.RestoreLearnedState(encoded))
+	sameClasses := newDeployment(t, []string{"timetable", "deckplan", "booking"}, core.Outcome{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
+	require.Error(t, sameClasses.core.RestoreLearnedState(encoded), "learned under other settings")
+	require.NoError(t, newSecond().core.RestoreLearnedState(encoded))
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -13,8 +13,8 @@
 	"ravenwheel/policy"
 )
 
-// everySetting has a value in each field, since a handover compares the digest of all of them.
-func everySetting() policy.Settings {
+// fullSettings has a value in each field, since a handover compares the digest of all of them.
+func fullSettings() policy.Settings {
 	return policy.Settings{
 		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
 		Classes: []policy.Class{
@@ -36,8 +36,8 @@
 	}
 }
 
-// everyStatistic has a value in each field.
-func everyStatistic(limit float64) policy.ServerStats {
+// fullServerStats has a value in each field.
+func fullServerStats(limit float64) policy.ServerStats {
 	return policy.ServerStats{
 		Down: true, Unreachable: true, ConsecutiveUnanswered: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
 		LastAnswer: 4 * time.Second, NextProbe: 5 * time.Second, Limit: limit, LimitUpdated: 6 * time.Second, RampStart: 7 * time.Second,
@@ -45,12 +45,12 @@
 	}
 }
 
-// everyLearned has a value in each field. It has one server, since the order of a map is not fixed.
-func everyLearned() learnedMessage {
+// fullLearnedMessage has a value in each field. It has one server, since the order of a map is not fixed.
+func fullLearnedMessage() learnedMessage {
 	return learnedMessage{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
 		State: policy.LearnedState{
-			Servers: map[policy.CacheID]policy.ServerStats{77: everyStatistic(11.5)}, Link: everyStatistic(12.5),
+			Servers: map[policy.CacheID]policy.ServerStats{77: fullServerStats(11.5)}, Link: fullServerStats(12.5),
 			TransferTime: []float64{0.125, 0.25}, RecentTransferTime: []float64{0.375, 0.5}, FillRate: 0.625, OriginRate: 0.75,
 			PeakLoad: [4]float64{1.5, 2.5, 3.5, 4.5},
 		},
@@ -60,7 +60,7 @@
 
 // TestGoldenLearned: what a process hands to its successor keeps the form that earlier versions wrote and read.
 func TestGoldenLearned(t *testing.T) {
-	for name, want := range map[string]learnedMessage{"learned.cbor": everyLearned(), "learned-empty.cbor": {}} {
+	for name, want := range map[string]learnedMessage{"learned.cbor": fullLearnedMessage(), "learned-empty.cbor": {}} {
 		encoded, err := cbor.Marshal(want)
 		require.NoError(t, err)
 		golden.Equal(t, name, encoded)
@@ -77,7 +77,7 @@
 // TestGoldenSettingsDigest: a successor accepts learned state only under equal settings, so the digest of equal settings
 // must be the one that earlier versions computed.
 func TestGoldenSettingsDigest(t *testing.T) {
-	for name, settings := range map[string]policy.Settings{"settings.digest": everySetting(), "settings-empty.digest": {}} {
+	for name, settings := range map[string]policy.Settings{"settings.digest": fullSettings(), "settings-empty.digest": {}} {
 		sum, err := digestOf(settings)
 		require.NoError(t, err)
 		golden.Equal(t, name, []byte(hex.EncodeToString(sum[:])+"\n"))
--- a/internal/core/open_request.go
+++ b/internal/core/open_request.go
@@ -13,12 +13,12 @@
 
 // openRequest is a request without a final answer. Only the goroutine of its Do touches what follows inbox.
 type openRequest struct {
-	request  Request
-	inbox    chan any // of policy.Action and attemptEnded, in the order in which they came
-	deferred any      // received from inbox and not handled; nil: none
-	attempts []*attempt
-	verdict  Verdict
-	written  bool // an attempt was written to a cache server
+	request   Request
+	inbox     chan any // of policy.Action and attemptEnded, in the order in which they came
+	unhandled any      // received from inbox and not handled; nil: none
+	attempts  []*attempt
+	verdict   Verdict
+	written   bool // an attempt was written to a cache server
 }
 
 type attempt struct {
@@ -65,7 +65,7 @@
 		}
 		// The context is checked again: with both ready, select may choose an attempt for a client that has left.
 		if ctx.Err() != nil || startsAttempt(message) && request.clientGone() {
-			o.deferred = message
+			o.unhandled = message
 			c.notify(policy.ClientLeft{ID: request.ID})
 			return c.conclude(o, Answer{Verdict: Abandoned})
 		}
@@ -176,7 +176,7 @@
 		if startsAttempt(message) {
 			c.skipAttempt(o, serverOf(message))
 		}
-		if ended, is := message.(attemptEnded); is {
+		if ended, ok := message.(attemptEnded); ok {
 			if a := o.attempt(ended.index); a != nil && a.open {
 				c.endAttempt(o, ended)
 			}
@@ -209,8 +209,8 @@
 
 // nextPending returns the next message that was not handled; nil if there is none.
 func (o *openRequest) nextPending() any {
-	if message := o.deferred; message != nil {
-		o.deferred = nil
+	if message := o.unhandled; message != nil {
+		o.unhandled = nil
 		return message
 	}
 	select {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -24,7 +24,7 @@
 	ClientGone func() bool
 }
 
-func (q *Request) clientGone() bool { return q.ClientGone != nil && q.ClientGone() }
+func (r *Request) clientGone() bool { return r.ClientGone != nil && r.ClientGone() }
 
 // Verdict is the kind of a final answer.
 type Verdict int
