--- a/internal/core/catch_up_test.go
+++ b/internal/core/catch_up_test.go
@@ -13,15 +13,15 @@
 	"ravenwheel/policy"
 )
 
-// If discovery has sent a purge that is not processed yet when an attempt was decided on, that attempt is
-// skipped and the next one is decided with the purge known, for each attempt of a request.
+// Discovery has sent a purge that is not processed yet when the router decides on an attempt. That attempt is skipped, and the
+// router decides again with the purge applied. This holds for the first attempt of a request and for a retry.
 func TestPendingPurgeIsAppliedBeforeAttempt(t *testing.T) {
 	for purgeAtCall := 2; purgeAtCall <= 3; purgeAtCall++ { // the first call comes before any decision
 		synctest.Test(t, func(t *testing.T) {
 			settings := scenario.Settings()
 			settings.PurgeDuration = 6 * time.Second
 			clk := clock.Manual(1e12)
-			reset := core.Outcome{Result: policy.Reset, Written: true} // so that there is a retry
+			reset := core.Outcome{Result: policy.Reset, Written: true} // causes a retry
 			upstream := &scriptedUpstream{clock: clk, delay: 100, outcomes: []core.Outcome{reset, {Result: policy.OK, Written: true}}}
 			c, err := core.New(settings, []string{"tiles", "pages", "reports"}, 0, 7, clk, upstream)
 			require.NoError(t, err)
--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -17,7 +17,8 @@
 	"ravenwheel/policy"
 )
 
-// immediateUpstream ends the first attempts with the listed outcomes and answers the others at once, or never while silent.
+// immediateUpstream ends the first attempts with the listed outcomes at once. It answers the others at once, or never while silent
+// is set.
 type immediateUpstream struct {
 	outcomes []core.Outcome
 	silent   atomic.Bool
@@ -52,8 +53,8 @@
 	return c
 }
 
-// For a client that has left when its first attempt is decided on, no attempt is made and none stays counted
-// as in flight, which would occupy slots of the server.
+// The client has left when the router decides on the first attempt. The attempt is not sent, and it does not stay counted as in
+// flight, which would occupy slots of the server.
 func TestClientLeftBeforeFirstAttempt(t *testing.T) {
 	clk, up := clock.Manual(1e12), &immediateUpstream{}
 	c := newCore(t, clk, up)
@@ -71,18 +72,18 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// A client leaves while its request waits: for an answer, in the pause before a retry, or for the retry's
-// answer. Nothing more is sent, and open attempts are aborted once.
+// A client leaves while its request waits for an answer, for the pause before a retry to end, or for the answer to the retry.
+// Nothing more is sent, and each open attempt is aborted once.
 func TestClientLeftWhileWaiting(t *testing.T) {
 	for name, test := range map[string]struct {
-		outcomes     []core.Outcome // of the first attempts, at once; the next one never ends
-		pause        float64        // before the client leaves, in ms
+		outcomes     []core.Outcome // of the first attempts; the next attempt never ends
+		pause        float64        // ms until the client leaves
 		sent, aborts int64
 	}{
-		"for an answer":                  {sent: 1, aborts: 1},
-		"in the pause before the second": {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, sent: 1},
-		"for the answer after the pause": {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, pause: 200, sent: 2, aborts: 1},
-		"for the second answer":          {outcomes: []core.Outcome{{Result: policy.Failed, Written: true}}, sent: 2, aborts: 1},
+		"for the first answer":                 {sent: 1, aborts: 1},
+		"in the pause before a retry":          {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, sent: 1},
+		"for the answer to a retry":            {outcomes: []core.Outcome{{Result: policy.Overloaded, Note: policy.NoteNoFillSlot, Written: true}}, pause: 200, sent: 2, aborts: 1},
+		"for the answer to an immediate retry": {outcomes: []core.Outcome{{Result: policy.Failed, Written: true}}, sent: 2, aborts: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,7 @@
-// Package core runs the requests of one proxy, from their arrival to their final answer, through the router of package
-// policy. Fronts pass requests to Do, and an Upstream carries the attempts. The package knows no wire format and decides
-// nothing that the router decides; its own rules are how long a decision is valid (decisionLifetime, retryDeadline) and
-// how many requests are open (SetMaxRequests). core_test.go and its neighbours test it over scripted upstreams.
+// Package core runs the requests of one proxy from their arrival to their final answer. Fronts pass requests to Core.Do, the router
+// of package policy decides on each attempt, and an Upstream carries the attempts to cache servers. The package has no wire format.
+// It makes two decisions of its own: how long a decision of the router stays valid (decisionLifetime, retryDeadline), and how many
+// requests may be open at once (Core.SetMaxRequests). The tests run it over scripted upstreams.
 package core
 
 import (
@@ -17,15 +17,15 @@
 )
 
 const (
-	// maxAttempts of a request, where the settings have no limit or a higher one: the inbox has room for so many.
+	// maxAttempts bounds the attempts of a request if the settings have no limit or a higher one: a request's inbox is sized by it.
 	maxAttempts = 64
-	// defaultMaxRequests is the number of requests that are open at once where New is given none.
+	// defaultMaxRequests bounds the open requests if New is called without a bound.
 	defaultMaxRequests = 4096
-	// maxRouterLogLines bounds the router's messages over the life of the process.
+	// maxRouterLogLines bounds how many of the router's messages are logged in the lifetime of the process.
 	maxRouterLogLines = 500
-	// maxDecisionLifetime, in ms, bounds how long a decision may wait for its first byte to be written.
+	// maxDecisionLifetime, in ms, bounds the time from a decision until the first byte of its attempt is written.
 	maxDecisionLifetime = 500
-	// TimestampResolution is the resolution of timestamps in ms. A copy with the timestamp of a purge may be older than it.
+	// TimestampResolution is the resolution of timestamps in ms. A copy may be older than a purge with the same timestamp.
 	TimestampResolution = 1
 )
 
@@ -36,22 +36,23 @@
 type Purge struct {
 	Object string
 	Group  int
-	At     float64 // ms of the clock; copies from before are invalid
+	At     float64 // ms of the clock; older copies are invalid
 }
 
 // Core runs the requests of one proxy. Its exported fields are set before the first event.
 type Core struct {
 	Counters    Counters
 	Log         func(text string) // receives the router's messages; nil: they are dropped
-	LoadCounter *LoadCounter      // counts for the fleet's view; nil: off
-	// CatchUp waits until events that discovery has sent are processed, and reports whether there were any. It may be nil.
+	LoadCounter *LoadCounter      // counts the load for the fleet's view; nil: nothing is counted
+	// CatchUp waits until the events that discovery has already sent are processed, and reports whether there were any. It may be
+	// nil.
 	CatchUp func() (behind bool)
 
 	clock            *clock.Clock
 	upstream         Upstream
 	settings         policy.Settings
 	settingsDigest   [sha256.Size]byte
-	classes          []string // names, in the order of the settings
+	classes          []string // names of the classes, in the order of the settings
 	maxRequests      atomic.Int64
 	decisionLifetime float64 // ms
 
@@ -62,13 +63,14 @@
 	loggedLines int
 }
 
-// New returns a core with a new Router. classes are the names of the settings' classes. maxRequests bounds the requests
-// that are open at once; 0 stands for 4096. The error is that of policy.New, or says that the names don't fit.
+// New returns a core with a new Router. classes are the names of the settings' classes. maxRequests bounds the requests that are
+// open at once; 0 stands for 4096. New fails if the number of names differs from the number of classes, or if policy.New rejects
+// the settings.
 func New(
 	settings policy.Settings, classes []string, maxRequests int, seed uint64, c *clock.Clock, upstream Upstream,
 ) (*Core, error) {
 	if len(classes) != len(settings.Classes) {
-		return nil, fmt.Errorf("core: %d names for %d classes", len(classes), len(settings.Classes))
+		return nil, fmt.Errorf("core: got %d class names, want %d as in the settings", len(classes), len(settings.Classes))
 	}
 	if settings.MaxAttempts <= 0 || settings.MaxAttempts > maxAttempts {
 		settings.MaxAttempts = maxAttempts
@@ -92,8 +94,9 @@
 	return core, nil
 }
 
-// decisionLifetime is how long, in ms, a decision may wait until its first byte is written. A drain or a purge that is
-// reported meanwhile binds after its grace, counted to the first byte, so half of the shorter grace is safe.
+// decisionLifetime is how long, in ms, a decision of the router stays valid: the first byte of its attempt must be written within
+// this time. A drain or purge that is reported meanwhile must be respected by every attempt whose first byte is written after the
+// grace period, so half of the shorter grace period is safe.
 func decisionLifetime(settings policy.Settings) float64 {
 	lifetime := float64(maxDecisionLifetime)
 	for _, grace := range []float64{clock.Ms(settings.DrainGrace), clock.Ms(settings.PurgeGrace)} {
@@ -104,7 +107,7 @@
 	return lifetime
 }
 
-// SetMaxRequests changes how many requests may be open at once. Those that are open are not affected.
+// SetMaxRequests changes how many requests may be open at once. Requests that are already open are not affected.
 func (c *Core) SetMaxRequests(n int) { c.maxRequests.Store(int64(n)) }
 
 // Settings returns the settings with which the core was started.
@@ -113,25 +116,25 @@
 // CountUnansweredConn counts a connection that a front closed before its first answer.
 func (c *Core) CountUnansweredConn() { c.Counters.UnansweredConns.Add(1) }
 
-// ClassIndex returns the index of the class with this name; -1 if there is none.
+// ClassIndex returns the index of the class with this name, or -1 if there is none.
 func (c *Core) ClassIndex(name string) int { return slices.Index(c.classes, name) }
 
-// ApplyPurge applies a purge. A time further in the future than TimestampResolution counts as that far.
+// ApplyPurge applies a purge. Its time is limited to TimestampResolution ms after the present.
 func (c *Core) ApplyPurge(p Purge) {
 	c.Counters.Notifications.Add(1)
 	now := c.clock.Now()
 	c.notify(policy.Purged{Object: p.Object, Group: p.Group, Age: clock.Duration(now - min(now+TimestampResolution, p.At))})
 }
 
-// SetDiscoveryOverdue reports that discovery has been silent for too long and that purges made until the given time, in ms
-// of the clock, may not have been reported; with overdue false, that all have been reported.
+// SetDiscoveryOverdue tells the router whether discovery has sent nothing for too long. If overdue is true, purges issued up to the
+// time until, in ms of the clock, may not have been reported; if false, all have been reported.
 func (c *Core) SetDiscoveryOverdue(overdue bool, until float64) {
 	now := c.clock.Now()
 	c.notify(policy.DiscoveryOverdue{Overdue: overdue, Age: clock.Duration(max(0, now-until))})
 }
 
-// UpdateMembers applies an update of the list of servers. The upstream gets it before the router, which must not choose
-// a server that the upstream does not know.
+// UpdateMembers applies an update of the list of servers. The upstream gets the update before the router does, since the router
+// must not choose a server that the upstream does not know.
 func (c *Core) UpdateMembers(update membership.Publish) {
 	c.Counters.Notifications.Add(1)
 	event := policy.Members{Version: int64(update.Version)}
@@ -148,8 +151,8 @@
 	c.notify(event)
 }
 
-// notify passes an event to the router and carries out its actions in order: those of a request are delivered to its
-// goroutine.
+// notify passes an event to the router and carries out the resulting actions in order. Actions that concern a request are delivered
+// to the goroutine of that request.
 func (c *Core) notify(event policy.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,8 +23,8 @@
 	"ravenwheel/policy"
 )
 
-// directClients runs requests without a front: it sends "ID CLASS" and receives "ID VERDICT BODY". When it is closed the
-// clients leave.
+// directClients is an actor that runs requests without a front: it sends "ID CLASS" and receives "ID VERDICT BODY". When it is
+// closed, the clients of all its requests leave.
 type directClients struct {
 	core    *core.Core
 	clock   *clock.Clock
@@ -33,7 +33,8 @@
 	answers chan []string
 }
 
-var verdicts = []string{"served", "refused", "failed", "gone"}
+// verdicts are the words for core.Verdict in scripts.
+var verdicts = []string{"served", "rejected", "failed", "abandoned"}
 
 func (c *directClients) Send(words []string) error {
 	request := core.Request{
@@ -72,13 +73,13 @@
 		c expect r1 failed -
 		s send r1 served - BYTES
 		c expect r1 served -BYTES`,
-	"a request with two errors is given up, and the next one goes to the same cache": `
+	"a request is rejected after two errors, and the next one goes to the same cache": `
 		c send r1 asset
 		s expect fetch r1 * -
 		s send r1 crashed
 		s expect fetch r1 * -
 		s send r1 crashed
-		c expect r1 refused -
+		c expect r1 rejected -
 		c send r2 asset
 		s expect fetch r2 * -
 		s send r2 served -
@@ -87,11 +88,11 @@
 		c send r1 asset
 		s expect fetch r1 * -
 		c close
-		c expect r1 gone -
+		c expect r1 abandoned -
 		s expect abort r1`,
 }
 
-// Requests over scripted servers get the expected answers.
+// Requests over a scripted cache server get the expected answers.
 func TestRequestScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -104,8 +105,7 @@
 	}
 }
 
-// With the maximum number of requests open, the next one is rejected with a Retry-After and never reaches the
-// router.
+// While the maximum number of requests is open, a further one is rejected with a Retry-After and does not reach the router.
 func TestRequestsBeyondMaxAreRejected(t *testing.T) {
 	p := scenario.NewProxy(t)
 	limited, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 1, 7, p.Clock, p.Pools)
@@ -122,7 +122,7 @@
 	require.EqualValues(t, 1, limited.Counters.InFlight.Load())
 }
 
-// Requests that were rejected or failed without an attempt that reached a server are counted as never sent.
+// Requests that were rejected or failed before any of their attempts was written to a server are counted as never sent.
 func TestNeverSentCountsRequestsWithoutWrittenAttempt(t *testing.T) {
 	p := scenario.NewProxy(t)
 	c := &directClients{core: p.Core, clock: p.Clock, ctx: context.Background(), answers: make(chan []string, 10)}
@@ -132,21 +132,21 @@
 		c send r1 asset
 		s expect fetch r1 * -
 		wait 900
-		c expect r1 refused -
+		c expect r1 rejected -
 		s expect abort r1`)
-	require.Zero(t, counters.NeverSent.Load(), "it was written, without an answer")
+	require.Zero(t, counters.NeverSent.Load(), "the attempt was written, though not answered")
 	scenario.Run(t, p.Clock, actors, `
 		s close
 		c send r2 asset
-		c expect r2 refused -
+		c expect r2 rejected -
 		c send w1 seat-claim
-		c expect w1 refused -`)
+		c expect w1 rejected -`)
 	require.Eventually(t, func() bool { return counters.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
 	require.EqualValues(t, 2, counters.NeverSent.Load())
 	require.EqualValues(t, 3, counters.Rejected.Load())
 }
 
-// randomUpstream ends attempts with any outcome, at any time or never.
+// randomUpstream ends each attempt with a random outcome at a random time, or never.
 type randomUpstream struct {
 	clock *clock.Clock
 	mu    sync.Mutex
@@ -175,14 +175,14 @@
 
 func (u *randomUpstream) UpdateMembers([]core.Member, bool) {}
 
-// Whatever the upstream does, each request gets exactly one final answer by its deadline, and a copy is
-// called current only if it is the client's.
+// Whatever the upstream does, each request gets exactly one final answer by its deadline, and a "not modified" answer only for the
+// version that the client has.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	synctest.Test(t, testEveryRequestIsAnsweredByItsDeadline)
 }
 
 func testEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
-	const slack = 500 // ms after the deadline in which a final answer is accepted
+	const slack = 500 // ms after the deadline until which a final answer is accepted
 	clk, rng := clock.Manual(1e12), rand.New(rand.NewPCG(7, 1))
 	c, err := core.New(scenario.Settings(), []string{"replay", "asset", "seat-claim"}, 0, 7, clk, &randomUpstream{clock: clk, rng: rand.New(rand.NewPCG(7, 2))})
 	require.NoError(t, err)
@@ -208,12 +208,12 @@
 			go func() {
 				answer := c.Do(context.Background(), request)
 				if answer.NotModified && (request.CachedTag == "" || answer.Tag != request.CachedTag) {
-					t.Errorf("%s: %q called current, the client has %q", request.ID, answer.Tag, request.CachedTag)
+					t.Errorf("%s: not modified for version %q, the client has %q", request.ID, answer.Tag, request.CachedTag)
 				}
 				pending.done.Add(1)
 			}()
 		}
-		synctest.Wait() // otherwise a timer could be set by a time that has passed
+		synctest.Wait() // otherwise a goroutine could set a timer that is already due
 		clk.Advance(10)
 		synctest.Wait()
 		open = slices.DeleteFunc(open, func(pending *pendingRequest) bool {
@@ -232,8 +232,8 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// A server closes each connection right after its answer, as the next request is written there. Reads are
-// served all the same over another connection.
+// A server closes each connection right after its answer, while the next request is being written there. Reads are nevertheless
+// served, over another connection.
 func TestServerClosingAfterEachAnswer(t *testing.T) {
 	p := scenario.NewProxy(t)
 	m := core.Member{Addr: scenario.ServeConnsInTurn(t, func(nc net.Conn) {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters are the core's figures for operators. All but InFlight only rise.
+// Counters are the core's metrics for operators. All but InFlight only increase.
 type Counters struct {
 	Requests        atomic.Int64
 	Served          atomic.Int64
@@ -10,16 +10,16 @@
 	Failed          atomic.Int64
 	Abandoned       atomic.Int64
 	Attempts        atomic.Int64
-	Timeouts        atomic.Int64 // attempts
+	Timeouts        atomic.Int64 // attempts that timed out
 	Skipped         atomic.Int64 // attempts that were decided on and not written
-	Notifications   atomic.Int64 // of purges and of members
+	Notifications   atomic.Int64 // purges and updates of the list of servers
 	InFlight        atomic.Int64 // requests without a final answer
-	NeverSent       atomic.Int64 // of Rejected and Failed: requests of which no attempt was written
-	UnansweredConns atomic.Int64 // connections that a front closed before their first answer
-	WrongTags       atomic.Int64 // answers that called a copy current which the client has not
+	NeverSent       atomic.Int64 // requests among Rejected and Failed of which no attempt was written
+	UnansweredConns atomic.Int64 // connections that a front closed before the first answer on them
+	WrongTags       atomic.Int64 // "not modified" answers for a version that is not the client's
 }
 
-// monotonic returns the counters that only rise. A successor process continues them; their order is part of the form in
+// monotonic returns the counters that only increase. A successor process continues them. Their order is part of the encoding in
 // which they are handed over.
 func (c *Counters) monotonic() []*atomic.Int64 {
 	return []*atomic.Int64{
--- a/internal/core/dedup_window.go
+++ b/internal/core/dedup_window.go
@@ -6,9 +6,9 @@
 	"ravenwheel/policy"
 )
 
-// retryDeadline is the time, in ms of the clock, until which a retry with an idempotency key may be written. Servers
-// discard duplicates for window ms from the first attempt that may have been executed. The router checks this when it
-// decides; the retry may still have to wait for its connection.
+// retryDeadline is the time, in ms of the clock, until which a retry with an idempotency key may be written. Servers discard
+// duplicates for window ms, counted from the first attempt that may have been executed. The router checks this when it decides on
+// the retry, but afterwards the retry may still have to wait for its connection.
 func (o *openRequest) retryDeadline(window float64) float64 {
 	for _, a := range o.attempts {
 		if a.open || a.mayHaveRun {
@@ -18,7 +18,7 @@
 	return math.Inf(1)
 }
 
-// mayHaveRun reports whether an attempt with this result may have been executed. The router judges results alike: see
+// mayHaveRun reports whether an attempt with this result may have been executed. The router applies the same rule: see
 // policy.Result.
 func mayHaveRun(result policy.Result) bool {
 	switch result {
--- a/internal/core/dedup_window_test.go
+++ b/internal/core/dedup_window_test.go
@@ -16,7 +16,7 @@
 	"ravenwheel/policy"
 )
 
-// scriptedUpstream ends attempts with the listed outcomes in turn, after the given ms.
+// scriptedUpstream ends each attempt after the delay, in ms, with the listed outcomes in turn.
 type scriptedUpstream struct {
 	clock    *clock.Clock
 	outcomes []core.Outcome
@@ -33,7 +33,7 @@
 
 func (u *scriptedUpstream) UpdateMembers([]core.Member, bool) {}
 
-// newKeyedCore returns a core whose third class has idempotency keys with the given window.
+// newKeyedCore returns a core whose third class is idempotent by key with the given deduplication window.
 func newKeyedCore(t *testing.T, window time.Duration, upstream *scriptedUpstream) *core.Core {
 	settings := scenario.Settings()
 	settings.Classes[2].Idempotency, settings.Classes[2].DedupWindow = policy.IdempotentByKey, window
@@ -43,7 +43,7 @@
 	return c
 }
 
-// runRequest runs one request while it advances the clock.
+// runRequest runs one request to its end and advances the clock meanwhile.
 func runRequest(t *testing.T, c *core.Core, clk *clock.Clock, request core.Request) {
 	done := make(chan struct{})
 	go func() { c.Do(context.Background(), request); close(done) }()
@@ -59,7 +59,7 @@
 	require.Fail(t, "no answer")
 }
 
-// The client's idempotency key is sent unchanged with every attempt, and none where the client has none.
+// The client's idempotency key is sent unchanged with every attempt. If the client sent none, no attempt has one.
 func TestIdempotencyKeyIsSentWithEveryAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clk := clock.Manual(1e12)
@@ -75,13 +75,13 @@
 	})
 }
 
-// A retry with an idempotency key is not written later than the deduplication window from the first attempt
-// that may have been executed.
+// A retry with an idempotency key is written only within the deduplication window, counted from the first attempt that may have
+// been executed.
 func TestKeyedRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		firstResult policy.Result
 		class       int
-		want        float64 // ms from the first attempt by which the second one is written
+		want        float64 // ms after the first attempt until which the second one may be written
 	}{
 		{policy.Reset, 2, 1000}, {policy.Unknown, 2, 1000}, {policy.Overloaded, 2, 1400}, {policy.Skipped, 2, 1400}, {policy.Reset, 1, 1400},
 	} {
@@ -95,8 +95,7 @@
 	}
 }
 
-// A request makes no more attempts than its inbox has room for, whatever the settings allow, and no message
-// is lost.
+// Whatever the settings allow, a request makes at most as many attempts as its inbox has room for, and no message is lost.
 func TestAttemptsAreBounded(t *testing.T) {
 	for limit, want := range map[int]int{0: 64, 1000: 64, 8: 8} {
 		synctest.Test(t, func(t *testing.T) {
@@ -114,7 +113,7 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// A rejection has a Retry-After only where clients support it.
+// A rejection has a Retry-After only if the settings say that clients support it.
 func TestRejectWithoutRetryAfter(t *testing.T) {
 	for sendsRetryAfter, want := range map[bool]float64{true: 500, false: 0} {
 		settings := scenario.Settings()
--- a/internal/core/deployments_test.go
+++ b/internal/core/deployments_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/policy"
 )
 
-// recordingUpstream records the attempts that it gets and ends them with one outcome.
+// recordingUpstream records the attempts that it gets and ends each of them with the same outcome.
 type recordingUpstream struct {
 	attempts []string
 	outcome  core.Outcome
@@ -31,7 +31,7 @@
 
 func (u *recordingUpstream) UpdateMembers([]core.Member, bool) {}
 
-// deployment is a core with its own class names, settings and servers.
+// deployment is a core with its own class names, settings, upstream and clock.
 type deployment struct {
 	core *core.Core
 	up   *recordingUpstream
@@ -56,7 +56,7 @@
 	return fmt.Sprint(answer.Verdict, answer.Tag, answer.NotModified, answer.RetryAfter)
 }
 
-// Two deployments in one process, with requests in turn, each get exactly what they get alone, and neither
+// Two deployments in one process handle requests alternately. Each gives exactly the answers that it gives alone, and neither
 // accepts the learned state of the other.
 func TestDeploymentsInOneProcessAreIndependent(t *testing.T) {
 	newFirst := func() *deployment {
@@ -88,11 +88,11 @@
 		require.NotContains(t, sent, "badge")
 	}
 	require.True(t, strings.Contains(interleaved.up.attempts[0], "lap"))
-	// As in a handover between processes.
+	// Learned state is handed over as between two processes.
 	encoded, err := other.core.LearnedState()
 	require.NoError(t, err)
 	require.Error(t, newFirst().core.RestoreLearnedState(encoded))
 	sameClasses := newDeployment(t, []string{"timetable", "deckplan", "booking"}, core.Outcome{}, func(s *policy.Settings) { s.Classes[1].PriorityWeight = 7 })
-	require.Error(t, sameClasses.core.RestoreLearnedState(encoded), "learned under other settings")
+	require.Error(t, sameClasses.core.RestoreLearnedState(encoded), "learned under different settings")
 	require.NoError(t, newSecond().core.RestoreLearnedState(encoded))
 }
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -13,7 +13,7 @@
 	"ravenwheel/policy"
 )
 
-// fullSettings has a value in each field, since a handover compares the digest of all of them.
+// fullSettings returns settings with every field set, since a handover compares the digest of all fields.
 func fullSettings() policy.Settings {
 	return policy.Settings{
 		Rank: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
@@ -36,7 +36,7 @@
 	}
 }
 
-// fullServerStats has a value in each field.
+// fullServerStats returns statistics with every field set.
 func fullServerStats(limit float64) policy.ServerStats {
 	return policy.ServerStats{
 		Down: true, Unreachable: true, ConsecutiveUnanswered: 2, LastFailure: 3 * time.Second, FailureRate: 0.25, LateRate: 0.5,
@@ -45,7 +45,7 @@
 	}
 }
 
-// fullLearnedMessage has a value in each field. It has one server, since the order of a map is not fixed.
+// fullLearnedMessage returns a message with every field set. It has only one server, since the order of a map is not fixed.
 func fullLearnedMessage() learnedMessage {
 	return learnedMessage{
 		Revision: learnedRevision, Classes: []string{"tiles", "edits"}, Settings: sha256.Sum256([]byte("settings")),
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestGoldenLearned: what a process hands to its successor keeps the form that earlier versions wrote and read.
+// TestGoldenLearned checks that learned state is encoded and decoded as in earlier versions, which may be the predecessor or the
+// successor of this process.
 func TestGoldenLearned(t *testing.T) {
 	for name, want := range map[string]learnedMessage{"learned.cbor": fullLearnedMessage(), "learned-empty.cbor": {}} {
 		encoded, err := cbor.Marshal(want)
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestGoldenSettingsDigest: a successor accepts learned state only under equal settings, so the digest of equal settings
-// must be the one that earlier versions computed.
+// TestGoldenSettingsDigest checks that the digest of given settings is the one that earlier versions computed: a successor accepts
+// learned state only if the digests are equal.
 func TestGoldenSettingsDigest(t *testing.T) {
 	for name, settings := range map[string]policy.Settings{"settings.digest": fullSettings(), "settings-empty.digest": {}} {
 		sum, err := digestOf(settings)
--- a/internal/core/learned_state.go
+++ b/internal/core/learned_state.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// learnedRevision is the revision of learnedMessage.
+	// learnedRevision is the revision of the encoding of learnedMessage.
 	learnedRevision = 2
 	// maxClockSkew is how far a time in learned state may be ahead of this process's clock.
 	maxClockSkew = time.Minute
-	// maxLearnedValue bounds a limit, a credit and a transfer time: no router learns higher values.
+	// maxLearnedValue bounds limits, credits, rates, transfer times and peak loads: no router learns higher values.
 	maxLearnedValue = 1e6
 	// minTransferTime is the lowest plausible transfer time in seconds.
 	minTransferTime = 1e-9
 )
 
-// The errors of RestoreLearnedState, beside those of decoding.
+// The errors of RestoreLearnedState besides *RevisionError and decoding errors.
 var (
-	ErrOtherSettings = errors.New("core: the state was learned under other settings")
-	ErrImplausible   = errors.New("core: the learned state has implausible values")
+	ErrOtherSettings = errors.New("core: learned state rejected: it was learned under different settings")
+	ErrImplausible   = errors.New("core: learned state rejected: it contains implausible values")
 )
 
 // RevisionError reports learned state of a revision that this version cannot read.
@@ -36,17 +36,17 @@
 
 // Error implements error.
 func (e *RevisionError) Error() string {
-	return fmt.Sprintf("core: unknown revision %d of learned state", e.Revision)
+	return fmt.Sprintf("core: learned state rejected: unsupported revision %d", e.Revision)
 }
 
-// learnedMessage is the form in which a process hands learned state to its successor. The names in the tags must stay.
+// learnedMessage is what a process encodes to hand its learned state to its successor. The names in the tags must not change.
 type learnedMessage struct {
 	Revision int                 `cbor:"Revision"`
 	Classes  []string            `cbor:"Classes"`
 	Settings [sha256.Size]byte   `cbor:"Settings"` // digest of the settings under which the state was learned
 	State    policy.LearnedState `cbor:"Learned"`
 	Counters []int64             `cbor:"Counted"` // in the order of Counters.monotonic
-	Epoch    float64             `cbor:"Epoch"`   // of the clock that its times refer to; 0: unknown
+	Epoch    float64             `cbor:"Epoch"`   // epoch of the clock to which the times refer; 0: unknown
 }
 
 // LearnedState encodes what the router has learned, and the counters, for a successor process.
@@ -60,12 +60,13 @@
 	for _, counter := range c.Counters.monotonic() {
 		m.Counters = append(m.Counters, counter.Load())
 	}
-	return cbor.Marshal(m) // under the lock, as its slices are the router's
+	return cbor.Marshal(m) // under the lock, since the slices in m belong to the router
 }
 
-// RestoreLearnedState starts from what another process has learned, and continues its counters. It is called after the
-// first list of servers. On an error nothing is restored: ErrOtherSettings, since what was learned under other costs and
-// deadlines would distort decisions; ErrImplausible; a *RevisionError; or an error of decoding.
+// RestoreLearnedState restores the learned state of another process and adds that process's counters to those of this one. It must
+// be called after the first list of servers was applied. If it returns an error, nothing has been restored. The error is
+// ErrOtherSettings, since values learned under other costs and deadlines would distort decisions, ErrImplausible, a *RevisionError
+// or a decoding error.
 func (c *Core) RestoreLearnedState(encoded []byte) error {
 	var m learnedMessage
 	if err := cbor.Unmarshal(encoded, &m); err != nil {
@@ -90,14 +91,15 @@
 	return nil
 }
 
-// digestOf is a digest of all settings. It covers their names in the tags and their order.
+// digestOf returns a digest of all settings. It depends on their values, their order and their names in the tags.
 func digestOf(settings policy.Settings) ([sha256.Size]byte, error) {
 	encoded, err := cbor.Marshal(settings)
 	return sha256.Sum256(encoded), err
 }
 
-// plausible reports whether a router with these classes can have learned the state by now. A value that is not a number
-// would spread through the router's arithmetic, and a time in the future would judge a server by what has not happened.
+// plausible reports whether a router with these classes can have learned the state by now. Values that are not numbers are rejected
+// because they would spread through the router's calculations. Times in the future are rejected because the router would judge
+// servers by events that have not happened.
 func (m *learnedMessage) plausible(classes []string, now policy.Time) bool {
 	state := &m.State
 	if !slices.Equal(m.Classes, classes) || len(m.Counters) != len((&Counters{}).monotonic()) {
@@ -131,7 +133,7 @@
 		stats.ConsecutiveUnanswered >= 0 && stats.NextProbe >= 0 && stats.WarmUpStart >= 0
 }
 
-// inRange reports whether all values are numbers between lowest and maxLearnedValue.
+// inRange reports whether every value is a number between lowest and maxLearnedValue.
 func inRange(lowest float64, values ...float64) bool {
 	return !slices.ContainsFunc(values, func(v float64) bool {
 		return math.IsNaN(v) || v < lowest || v > maxLearnedValue
--- a/internal/core/learned_state_test.go
+++ b/internal/core/learned_state_test.go
@@ -16,13 +16,13 @@
 	"ravenwheel/policy"
 )
 
-// A successor continues with what the process before has learned: a cache that was silent gets only probes.
+// A successor continues with the learned state of its predecessor: a cache that did not answer gets only probes.
 func TestRestoreLearnedState(t *testing.T) {
 	p := scenario.NewProxy(t)
 	request := func(p *scenario.Proxy, id string) {
 		go p.Core.Do(t.Context(), core.Request{ID: id, Class: 1, Object: id, Group: -1, Deadline: p.Clock.Now() + 2500})
 	}
-	for n := range 5 { // with no answer so far, three mark it down
+	for n := range 5 { // three attempts without any answer mark the cache down
 		request(p, string(rune('a'+n)))
 	}
 	require.Eventually(t, func() bool { return p.Core.Counters.Attempts.Load() == 5 }, time.Minute, time.Millisecond)
@@ -41,13 +41,13 @@
 	require.NoError(t, successor.Core.RestoreLearnedState(encoded))
 	again, err := successor.Core.LearnedState()
 	require.NoError(t, err)
-	require.Equal(t, learned, decode(again), "the complete state")
+	require.Equal(t, learned, decode(again), "the complete state is restored")
 	answer := successor.Core.Do(t.Context(), core.Request{ID: "x", Class: 1, Object: "x", Group: -1, Deadline: successor.Clock.Now() + 2500})
 	require.Equal(t, core.Rejected, answer.Verdict, "not sent to a cache that is down")
-	require.EqualValues(t, 5, successor.Core.Counters.Attempts.Load(), "the predecessor's, and none of its own")
+	require.EqualValues(t, 5, successor.Core.Counters.Attempts.Load(), "the predecessor's attempts and none of the successor's")
 	require.EqualValues(t, 6, successor.Core.Counters.Requests.Load())
 
-	// A server that has started since is not restored.
+	// The learned state of a server that has been restarted since is not restored.
 	restarted := scenario.NewProxy(t)
 	m := core.Member{Addr: "127.0.0.1:1"}
 	m.ID, m.Weight, m.Started = scenario.CacheID, 10, policy.Time(restarted.Clock.Now()*1e6)
@@ -59,7 +59,7 @@
 	require.False(t, decode(again).Learned.Servers[scenario.CacheID].Down)
 }
 
-// Learned state that is damaged, of another form or implausible is rejected completely.
+// Learned state that is truncated, of another revision or implausible is rejected as a whole.
 func TestRestoreRejectsInvalidState(t *testing.T) {
 	p := scenario.NewProxy(t)
 	valid, err := p.Core.LearnedState()
@@ -74,26 +74,26 @@
 		Learned  policy.LearnedState
 		Counted  []int64
 	}
-	corruptions := map[string]func(f *message){
-		"counters":        func(f *message) { f.Counted[0] = -1 },
-		"missing counter": func(f *message) { f.Counted = f.Counted[1:] },
-		"revision":        func(f *message) { f.Revision = 9 },
-		"classes":         func(f *message) { f.Classes[0] = "other" },
-		"settings":        func(f *message) { f.Settings[0]++ },
-		"missing class":   func(f *message) { f.Learned.TransferTime = f.Learned.TransferTime[:1] },
-		"not a number":    func(f *message) { f.Learned.Link.Limit = math.NaN() },
-		"transfer time 0": func(f *message) { f.Learned.RecentTransferTime[0] = 0 },
-		"too large":       func(f *message) { f.Learned.PeakLoad[0] = 1e300 },
-		"rate above 1":    func(f *message) { f.Learned.Link.FailureRate = 2 },
-		"future time": func(f *message) {
-			stats := f.Learned.Servers[scenario.CacheID]
+	corruptions := map[string]func(m *message){
+		"counters":        func(m *message) { m.Counted[0] = -1 },
+		"missing counter": func(m *message) { m.Counted = m.Counted[1:] },
+		"revision":        func(m *message) { m.Revision = 9 },
+		"classes":         func(m *message) { m.Classes[0] = "other" },
+		"settings":        func(m *message) { m.Settings[0]++ },
+		"missing class":   func(m *message) { m.Learned.TransferTime = m.Learned.TransferTime[:1] },
+		"not a number":    func(m *message) { m.Learned.Link.Limit = math.NaN() },
+		"transfer time 0": func(m *message) { m.Learned.RecentTransferTime[0] = 0 },
+		"too large":       func(m *message) { m.Learned.PeakLoad[0] = 1e300 },
+		"rate above 1":    func(m *message) { m.Learned.Link.FailureRate = 2 },
+		"future time": func(m *message) {
+			stats := m.Learned.Servers[scenario.CacheID]
 			stats.LastAnswer = policy.Time((p.Clock.Now() + clock.Ms(time.Hour)) * 1e6)
-			f.Learned.Servers[scenario.CacheID] = stats
+			m.Learned.Servers[scenario.CacheID] = stats
 		},
-		"negative": func(f *message) {
-			stats := f.Learned.Servers[scenario.CacheID]
+		"negative": func(m *message) {
+			stats := m.Learned.Servers[scenario.CacheID]
 			stats.ConsecutiveUnanswered = -5
-			f.Learned.Servers[scenario.CacheID] = stats
+			m.Learned.Servers[scenario.CacheID] = stats
 		},
 	}
 	for name, corrupt := range corruptions {
@@ -113,7 +113,7 @@
 	require.NoError(t, p.Core.RestoreLearnedState(valid))
 }
 
-// Learned times stay in place when the wall clock is stepped by an hour between the starts of two processes.
+// Learned times are shifted by the same amount when the wall clock is stepped by an hour between the starts of two processes.
 func TestRestoreAcrossClockStep(t *testing.T) {
 	for _, step := range []float64{3_600_000, -3_600_000} {
 		clockBefore, clockAfter := clock.System(), clock.SystemAhead(step)
--- a/internal/core/load_counter.go
+++ b/internal/core/load_counter.go
@@ -9,13 +9,12 @@
 	"ravenwheel/policy"
 )
 
-// maxPendingObjects is the number of requested objects that wait to be collected. Further ones are dropped, which a
-// sample allows.
+// maxPendingObjects is how many requested objects are buffered until TakeObjects is called. Further ones are dropped, which is
+// acceptable because the objects are only a sample.
 const maxPendingObjects = 1024
 
-// LoadCounter counts requests and, by server, the outcomes of attempts, for the fleet's view of the load. On the path of
-// a request it only adds to atomic counters, which it finds through a map that is replaced when the list of servers
-// changes.
+// LoadCounter counts requests and, by server, the outcomes of attempts, for the fleet's view of the load. On the path of a request
+// it only adds to atomic counters, which it finds through a map that is replaced when the list of servers changes.
 type LoadCounter struct {
 	arrivals atomic.Uint64
 	servers  atomic.Pointer[map[policy.CacheID]*serverCounts]
@@ -28,7 +27,7 @@
 	latency                                 [fleetview.LatencyBuckets]atomic.Uint64
 }
 
-// NewLoadCounter returns a counter without servers.
+// NewLoadCounter returns a counter that has no servers yet.
 func NewLoadCounter() *LoadCounter {
 	l := &LoadCounter{objects: make(chan uint64, maxPendingObjects)}
 	l.servers.Store(&map[policy.CacheID]*serverCounts{})
@@ -37,7 +36,8 @@
 
 func (l *LoadCounter) countsOf(id policy.CacheID) *serverCounts { return (*l.servers.Load())[id] }
 
-// updateServers keeps the counts of listed servers. It must not be called concurrently.
+// updateServers replaces or changes the list of servers. Servers that stay listed keep their counts. It must not be called
+// concurrently.
 func (l *LoadCounter) updateServers(list []Member, full bool) {
 	old := *l.servers.Load()
 	next := map[policy.CacheID]*serverCounts{}
@@ -75,7 +75,8 @@
 	}
 }
 
-// recordOutcome counts the outcome of an attempt. latency and the class's objective are in ms.
+// recordOutcome counts the outcome of an attempt. An attempt is overdue if it timed out or succeeded later than the objective of
+// its class. latency and objective are in ms.
 func (l *LoadCounter) recordOutcome(server policy.CacheID, outcome Outcome, latency, objective float64) {
 	counts := l.countsOf(server)
 	if counts == nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// Totals returns the number of requests, and the counts of each listed server, since the start.
+// Totals returns the number of requests and the counts of each listed server since the process started.
 func (l *LoadCounter) Totals() (arrivals uint64, servers map[policy.CacheID]fleetview.Totals) {
 	servers = map[policy.CacheID]fleetview.Totals{}
 	for id, counts := range *l.servers.Load() {
@@ -111,7 +112,8 @@
 	return l.arrivals.Load(), servers
 }
 
-// TakeObjects returns the objects requested since the last call, in order, as far as there was room for them.
+// TakeObjects returns the objects requested since the last call, in their order, and removes them from the buffer. Objects that
+// were requested while the buffer was full are missing.
 func (l *LoadCounter) TakeObjects() (objects []uint64) {
 	for {
 		select {
--- a/internal/core/open_request.go
+++ b/internal/core/open_request.go
@@ -8,14 +8,14 @@
 	"ravenwheel/policy"
 )
 
-// timerTolerance, in ms: timers that are due this close together may fire in either order.
+// timerTolerance, in ms, is how far apart two timers may be due and still fire in either order.
 const timerTolerance = 5
 
-// openRequest is a request without a final answer. Only the goroutine of its Do touches what follows inbox.
+// openRequest is a request without a final answer. The fields after inbox belong to the goroutine that runs Do for it.
 type openRequest struct {
 	request   Request
-	inbox     chan any // of policy.Action and attemptEnded, in the order in which they came
-	unhandled any      // received from inbox and not handled; nil: none
+	inbox     chan any // policy.Action and attemptEnded, in the order of their arrival
+	unhandled any      // message received from inbox and not handled yet; nil: none
 	attempts  []*attempt
 	verdict   Verdict
 	written   bool // an attempt was written to a cache server
@@ -26,22 +26,22 @@
 	sentAt     float64 // ms of the clock
 	deadline   float64 // ms of the clock
 	open       bool    // it has no outcome yet
-	mayHaveRun bool    // its outcome leaves open whether it was executed
+	mayHaveRun bool    // it has ended and may have been executed
 	abort      func() (written bool)
 }
 
-// attemptEnded is the outcome of the attempt with this index.
+// attemptEnded reports the outcome of the request's attempt with the given index.
 type attemptEnded struct {
 	index int
 	Outcome
 }
 
-// inboxSize has room for all messages of one request: for each attempt its start, its cancellation and its end, and the
-// final answer. A larger inbox would cost the garbage collector time at thousands of requests a second.
+// inboxSize is the number of messages that one request can receive: for each attempt its start, its cancellation and its end, and
+// in addition the final answer. A larger inbox would cost garbage collection time at thousands of requests a second.
 func (c *Core) inboxSize() int { return 3*c.settings.MaxAttempts + 2 }
 
-// Do runs one request to its final answer. The end of ctx means that the client has left. What discovery has sent by
-// then is applied first, so that the first decision is made with it.
+// Do runs one request to its final answer. When ctx is done, the client has left. Do first waits until the events that discovery
+// has already sent are applied, so that the first decision takes them into account.
 func (c *Core) Do(ctx context.Context, request Request) Answer {
 	o, rejected := c.admit(request)
 	if o == nil {
@@ -63,14 +63,14 @@
 		case <-ctx.Done():
 		case message = <-o.inbox:
 		}
-		// The context is checked again: with both ready, select may choose an attempt for a client that has left.
+		// The context is checked again: if both cases are ready, select may choose the message although the client has left.
 		if ctx.Err() != nil || startsAttempt(message) && request.clientGone() {
 			o.unhandled = message
 			c.notify(policy.ClientLeft{ID: request.ID})
 			return c.conclude(o, Answer{Verdict: Abandoned})
 		}
 		if startsAttempt(message) && c.catchUpWithDiscovery() {
-			c.skipAttempt(o, serverOf(message)) // the router decides again with the events since
+			c.skipAttempt(o, serverOf(message)) // the router decides again with the new events
 			continue
 		}
 		if answer, final := c.handle(o, message); final {
@@ -79,7 +79,7 @@
 	}
 }
 
-// handle carries out one message of a request's inbox and returns the final answer if there is one now.
+// handle processes one message from the inbox of a request. final reports whether the request now has its final answer.
 func (c *Core) handle(o *openRequest, message any) (answer Answer, final bool) {
 	switch m := message.(type) {
 	case policy.Lookup:
@@ -100,11 +100,11 @@
 	return Answer{}, false
 }
 
-// handleEnd processes the outcome of an attempt. An answer that calls a copy current which is not the client's counts as
-// an error: the client would go on using a copy that no cache server has validated.
+// handleEnd processes the outcome of an attempt. A "not modified" answer for a version that is not the client's counts as an error:
+// the client would otherwise go on using a copy that no cache server has validated.
 func (c *Core) handleEnd(o *openRequest, ended attemptEnded) (answer Answer, final bool) {
 	if a := o.attempt(ended.index); a == nil || !a.open {
-		return Answer{}, false // cancelled before its outcome was received
+		return Answer{}, false // it was cancelled before its outcome was received
 	}
 	if tag := o.request.CachedTag; ended.NotModified && (tag == "" || ended.Tag != tag) {
 		c.Counters.WrongTags.Add(1)
@@ -117,10 +117,10 @@
 	return Answer{Verdict: Served, Body: ended.Body, Tag: ended.Tag, NotModified: ended.NotModified}, true
 }
 
-// catchUpWithDiscovery waits until the events that discovery has sent are processed, and reports whether there were any.
+// catchUpWithDiscovery calls CatchUp if it is set.
 func (c *Core) catchUpWithDiscovery() (behind bool) { return c.CatchUp != nil && c.CatchUp() }
 
-// serverOf is the server of an action that starts an attempt.
+// serverOf returns the server of an action that starts an attempt.
 func serverOf(message any) policy.CacheID {
 	switch m := message.(type) {
 	case policy.Lookup:
@@ -146,8 +146,8 @@
 	return o.attempts[index]
 }
 
-// admit registers a request. It returns nil and the final answer for one of unknown class, with an id that is in use, or
-// beyond the number of requests that may be open.
+// admit registers a request. If the request has an unknown class, has an id that is in use, or exceeds the number of requests that
+// may be open, admit returns nil and the final answer.
 func (c *Core) admit(request Request) (*openRequest, Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,9 +168,9 @@
 	return o, Answer{}
 }
 
-// release ends a request. It aborts open attempts and reports to the router every outcome that it does not know yet,
-// also of attempts that were decided on and not sent: the router would count them as in flight until long after the
-// deadline.
+// release ends a request. It aborts the open attempts and reports to the router every outcome that the router has not received yet,
+// including those of attempts that were decided on but not sent: the router would otherwise count these as in flight until long
+// after the deadline.
 func (c *Core) release(o *openRequest) {
 	for message := o.nextPending(); message != nil; message = o.nextPending() {
 		if startsAttempt(message) {
@@ -196,8 +196,8 @@
 	c.Counters.InFlight.Add(-1)
 }
 
-// abortAttempt ends an open attempt of a request that is over. At the attempt's deadline it counts as timed out: the
-// router's deadline timer and the attempt's are due at the same time, in either order.
+// abortAttempt ends an open attempt of a request that has its final answer. If the attempt has reached its deadline, it counts as
+// timed out: the deadline timers of the router and of the attempt are due at the same time and fire in either order.
 func (c *Core) abortAttempt(o *openRequest, index int) {
 	a := o.attempts[index]
 	written, result := a.abort(), policy.Cancelled
@@ -207,7 +207,7 @@
 	c.endAttempt(o, attemptEnded{index, Outcome{Result: result, Written: written}})
 }
 
-// nextPending returns the next message that was not handled; nil if there is none.
+// nextPending returns the next message that was not handled, or nil if there is none.
 func (o *openRequest) nextPending() any {
 	if message := o.unhandled; message != nil {
 		o.unhandled = nil
@@ -221,7 +221,7 @@
 	}
 }
 
-// skipAttempt ends an attempt that was decided on and is not made.
+// skipAttempt reports to the router that an attempt on which it has decided is not sent.
 func (c *Core) skipAttempt(o *openRequest, server policy.CacheID) {
 	now := c.clock.Now()
 	o.attempts = append(o.attempts, &attempt{server: server, sentAt: now, deadline: now, open: true})
@@ -238,8 +238,8 @@
 	return answer
 }
 
-// send passes an attempt to the upstream. Its decision is valid for decisionLifetime, no longer than the request allows,
-// and for a retry with an idempotency key no longer than servers discard duplicates.
+// send passes an attempt to the upstream. The attempt must be written within decisionLifetime, not after the request's SendBy and,
+// if it is a retry with an idempotency key, only while servers discard duplicates.
 func (c *Core) send(o *openRequest, fetch policy.Fetch) {
 	now := c.clock.Now()
 	request, class := &o.request, &c.settings.Classes[o.request.Class]
@@ -273,7 +273,7 @@
 // endAttempt records the outcome of an attempt and reports it to the router.
 func (c *Core) endAttempt(o *openRequest, ended attemptEnded) {
 	a := o.attempts[ended.index]
-	invariant.Check(a.open, "an attempt ends once")
+	invariant.Check(a.open, "an attempt has exactly one outcome")
 	a.open = false
 	a.mayHaveRun = mayHaveRun(ended.Result)
 	o.written = o.written || ended.Written
@@ -293,20 +293,20 @@
 	})
 }
 
-// latencyObjective is a class's latency objective in ms.
+// latencyObjective returns the latency objective of a class in ms.
 func (c *Core) latencyObjective(class int) float64 {
 	return clock.Ms(c.settings.Classes[class].LatencyObjective)
 }
 
-// deliver puts an action into the inbox of its request. The caller holds the lock.
+// deliver puts an action into the inbox of its request. The caller must hold mu.
 func (c *Core) deliver(id string, action policy.Action) {
 	o := c.requests[id]
 	if o == nil {
-		return // it ended while the router decided
+		return // the request ended while the router decided
 	}
 	select {
 	case o.inbox <- action:
 	default:
-		invariant.Check(false, "a request's inbox has room")
+		invariant.Check(false, "the inbox of a request has room for all its messages")
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -14,13 +14,13 @@
 	Group          int     // the object's purge group; -1: unknown
 	SizeKB         float64 // 0: unknown
 	ClientRetry    bool    // the client has marked it as a retry
-	CachedTag      string  // version of the copy that the client has; empty: none
-	IdempotencyKey string  // the same over the client's retries; empty: none
+	CachedTag      string  // version of the client's own copy; empty: the client has none
+	IdempotencyKey string  // the same for all retries by the client; empty: none
 	Body           []byte  // of a write
 	Deadline       float64 // when the client gives up
-	SendBy         float64 // no attempt is written later; 0: no such bound
-	// ClientGone reports whether the client has closed its connection, which the front may not have read yet. If it is
-	// nil, only the context of Do tells.
+	SendBy         float64 // no attempt is written after this time; 0: no bound
+	// ClientGone reports whether the client has closed its connection. It detects a close that the front has not read yet. If it is
+	// nil, only the context passed to Do shows that the client has left.
 	ClientGone func() bool
 }
 
@@ -32,7 +32,7 @@
 // The verdicts.
 const (
 	Served    Verdict = iota
-	Rejected          // a retry is harmless
+	Rejected          // the client may safely retry
 	Failed            // the request may or may not have been executed
 	Abandoned         // the client has left
 )
@@ -43,12 +43,12 @@
 	Body        []byte
 	Tag         string  // version of the copy
 	NotModified bool    // the client's copy is current; there is no body
-	RetryAfter  float64 // ms; 0: none
+	RetryAfter  float64 // ms after which the client may retry; 0: none
 }
 
 // Attempt is an attempt of a request at a cache server. Times are in ms of the core's clock.
 type Attempt struct {
-	ID             string // of the request
+	ID             string // the request's id
 	Class          string
 	Object         string
 	Part           int
@@ -57,13 +57,13 @@
 	Body           []byte
 	Server         policy.CacheID
 	Source         policy.CacheID // equal to Server: no fill
-	Deadline       float64        // the time left is computed when the first byte is written
-	MaxAge         float64        // of a copy, in ms; 0: the class's
+	Deadline       float64        // the time left is computed from it when the first byte is written
+	MaxAge         float64        // oldest copy that may be served, in ms; 0: the class's limit
 	RetainRank     int            // see policy.Fetch
 	Options        policy.FillOptions
-	SendBy         float64     // the decision is outdated afterwards, and the attempt must not be written
+	SendBy         float64     // the attempt must not be written after this time, since its decision is then outdated
 	ClientGone     func() bool // see Request
-	NonIdempotent  bool        // it is lost if its connection breaks
+	NonIdempotent  bool        // if its connection breaks, the request fails: the attempt must not be repeated
 }
 
 // Outcome is how an attempt ended.
@@ -73,23 +73,25 @@
 	SourceWait  float64 // ms until the source's first byte or failure; 0: unknown
 	Tag         string
 	Body        []byte
-	NotModified bool // the client's copy, which Tag names, is current
-	// Written: its first byte was written, and its connection did not break before its last. Otherwise no cache server has
-	// executed it.
+	NotModified bool // the client's copy, whose version is Tag, is current
+	// Written reports that the first byte of the attempt was written and that its connection did not break before the last byte
+	// was. If it is false, no cache server has executed the attempt.
 	Written bool
 	Load    policy.LoadReport
 }
 
 // Upstream carries attempts to cache servers.
 type Upstream interface {
-	// Send starts an attempt. It calls end exactly once, from any goroutine, unless abort is called first. abort ends the
-	// attempt without a call of end and returns what Outcome.Written would be.
+	// Send starts an attempt. It calls end exactly once, from any goroutine, unless abort is called first. abort ends the attempt
+	// without a call of end and returns the value that Outcome.Written would have.
 	Send(a Attempt, end func(Outcome)) (abort func() (written bool))
-	// UpdateMembers passes on the servers' addresses: all servers if full, otherwise those that have changed.
+	// UpdateMembers updates the servers and their addresses. list has all servers if full is true, and otherwise those that have
+	// changed.
 	UpdateMembers(list []Member, full bool)
 }
 
-// Reject answers a request that the front does not pass on because the proxy is draining: it was not executed.
+// Reject returns the answer to a request that the front does not pass to Do because the proxy is draining. The request was not
+// executed.
 func (c *Core) Reject() Answer {
 	c.Counters.Requests.Add(1)
 	c.Counters.Rejected.Add(1)
@@ -97,7 +99,7 @@
 	return c.rejection()
 }
 
-// rejection is the answer to a request that the router has not seen.
+// rejection returns the answer to a request that is rejected without consulting the router.
 func (c *Core) rejection() Answer {
 	if !c.settings.SendsRetryAfter {
 		return Answer{Verdict: Rejected}
