--- a/cmd/ravenwheel/discovery.go
+++ b/cmd/ravenwheel/discovery.go
@@ -33,8 +33,8 @@
 			translator.Heartbeat(s.clock.Now())
 			s.registry.Handle(membership.Heartbeat{Source: rank})
 		},
-		OnOverdue: s.handleDiscoveryOverdue,
-		OnCurrent: func() { s.core.DiscoveryOverdue(false, 0) },
+		OnOverdue:  s.handleDiscoveryOverdue,
+		OnCaughtUp: func() { s.core.DiscoveryOverdue(false, 0) },
 	}
 }
 
--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -150,7 +150,7 @@
 	}})
 	require.NoError(t, err)
 	files := []serverlist.File{{Name: "l", Data: golden.Read(t, "servers.jsonc")}}
-	parsed, defects := serverlist.Parse(files, serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", Writes: true})
+	parsed, defects := serverlist.Parse(files, serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", OriginRequired: true})
 	require.NoError(t, defects.Err())
 	set := parsed.Unresolved()
 	require.NoError(t, keeper.RecordList("list", set))
--- a/cmd/ravenwheel/servers_command.go
+++ b/cmd/ravenwheel/servers_command.go
@@ -64,7 +64,7 @@
 
 // listRequirements are what lists are validated against: by the operator's file where it is given, else what every site shares.
 func listRequirements() (serverlist.Requirements, error) {
-	requirements := serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", Writes: true}
+	requirements := serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", OriginRequired: true}
 	if operatorFile == "" {
 		return requirements, nil
 	}
--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, class := range c.Settings.Classes {
-		requirements.Writes = requirements.Writes || class.Uncached
+		requirements.OriginRequired = requirements.OriginRequired || class.Uncached
 	}
 	return requirements
 }
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -22,7 +22,7 @@
 
 // Debounce returns when a change of the files is read.
 func (s *Servers) Debounce() debounce.Settings {
-	return debounce.Settings{Quiet: s.QuietMs, MaxDelay: s.MaxWaitMs, PollInterval: s.PollMs}
+	return debounce.Settings{QuietPeriod: s.QuietMs, MaxDelay: s.MaxWaitMs, PollInterval: s.PollMs}
 }
 
 const (
--- a/internal/decide/debounce/debounce.go
+++ b/internal/decide/debounce/debounce.go
@@ -11,7 +11,7 @@
 
 // Settings are in ms.
 type Settings struct {
-	Quiet        float64 // how long a text must stay unchanged before it is accepted
+	QuietPeriod  float64 // how long a text must stay unchanged before it is accepted
 	MaxDelay     float64 // the longest time for which notifications can put off a read
 	PollInterval float64 // between reads without notifications, which may be missed
 }
@@ -50,7 +50,7 @@
 		d.firstUnreadChangeAt = now
 	}
 	d.lastChangeAt = now
-	d.wakeAt = min(now+d.settings.Quiet, d.firstUnreadChangeAt+d.settings.MaxDelay)
+	d.wakeAt = min(now+d.settings.QuietPeriod, d.firstUnreadChangeAt+d.settings.MaxDelay)
 	return Action{WakeAt: d.wakeAt}
 }
 
@@ -78,10 +78,10 @@
 		return d.readAgain(now, d.settings.PollInterval)
 	}
 	// A change after the read began may be a write of which the read saw half.
-	stable := began-d.foundSince >= d.settings.Quiet
-	quiet := d.lastChangeAt <= d.foundSince || began-d.lastChangeAt >= d.settings.Quiet
+	stable := began-d.foundSince >= d.settings.QuietPeriod
+	quiet := d.lastChangeAt <= d.foundSince || began-d.lastChangeAt >= d.settings.QuietPeriod
 	if !stable || !quiet {
-		return d.readAgain(now, d.settings.Quiet)
+		return d.readAgain(now, d.settings.QuietPeriod)
 	}
 	d.accepted, d.acceptedFingerprint = true, fingerprint
 	a := d.readAgain(now, d.settings.PollInterval)
--- a/internal/decide/debounce/debounce_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var settings = debounce.Settings{Quiet: 50, MaxDelay: 500, PollInterval: 2000}
+var settings = debounce.Settings{QuietPeriod: 50, MaxDelay: 500, PollInterval: 2000}
 
 // play runs a debouncer until a time over a file whose fingerprint changes at the given times (0: it can't be read), with or
 // without notifications. It returns which fingerprint was accepted when, and the number of reads.
@@ -85,7 +85,7 @@
 			end = p
 			// The file held the same text Quiet ago.
 			was := uint64(0)
-			for x := 0.0; x <= at-settings.Quiet; x++ {
+			for x := 0.0; x <= at-settings.QuietPeriod; x++ {
 				if v, ok := changes[x]; ok {
 					was = v
 				}
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -18,8 +18,8 @@
 	TargetWeight float64 `json:"Wanted"` // the weight that the source wants; Member.Weight approaches it in steps
 }
 
-// Knows reports whether the table has a server that is not gone, or an operator drains one with this id.
-func (t *Table) Knows(id policy.CacheID) bool {
+// IsKnown reports whether the table has a server that is not gone, or an operator drains one with this id.
+func (t *Table) IsKnown(id policy.CacheID) bool {
 	s := t.servers[id]
 	_, drained := t.manualDrains[id]
 	return drained || s != nil && s.phase != Gone
--- a/internal/decide/serverlist/check.go
+++ b/internal/decide/serverlist/check.go
@@ -44,7 +44,7 @@
 			caches[s.Zone]++
 		}
 	}
-	if d.requirements.Writes && origins == 0 {
+	if d.requirements.OriginRequired && origins == 0 {
 		d.header.doc.Failf("servers", "no ready server of kind %q, and there are classes that write", d.requirements.OriginKind)
 	}
 	for _, zone := range d.requirements.ClientZones {
--- a/internal/decide/serverlist/list_test.go
+++ b/internal/decide/serverlist/list_test.go
@@ -14,7 +14,7 @@
 
 var requirements = serverlist.Requirements{
 	Zones: []string{"hub", "east", "west"}, Kinds: []string{"small", "parent", "origin"},
-	ParentKind: "parent", OriginKind: "origin", ClientZones: []string{"east"}, Writes: true, MaxDropped: 0.5,
+	ParentKind: "parent", OriginKind: "origin", ClientZones: []string{"east"}, OriginRequired: true, MaxDropped: 0.5,
 }
 
 const (
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -34,7 +34,7 @@
 	// ClientZones are the zones with clients: each needs a ready cache.
 	ClientZones []string
 	// Writes: there are classes of requests that run at the origin, so that one is needed.
-	Writes bool
+	OriginRequired bool
 	// MaxDropped is the fraction of the ready servers that one list may take out of use, unless it says "force": true.
 	// Otherwise a list that was cut short by mistake would be applied. 0, or 1 and more: no bound.
 	MaxDropped float64
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -51,11 +51,11 @@
 	return r.table.Servers(), r.version
 }
 
-// Knows reports what membership.Table.Knows does.
-func (r *Registry) Knows(id policy.CacheID) bool {
+// IsKnown reports what membership.Table.Knows does.
+func (r *Registry) IsKnown(id policy.CacheID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Knows(id)
+	return r.table.IsKnown(id)
 }
 
 // Restore continues from the state before a restart; see membership.Table.Restore. It must come before the first event.
--- a/internal/source/discoveryclient/client.go
+++ b/internal/source/discoveryclient/client.go
@@ -22,8 +22,8 @@
 	// OnOverdue reports that events which discovery published until a time, in ms of the clock, may be in force without
 	// having been received; nil: nobody is notified.
 	OnOverdue func(until float64)
-	// OnCurrent ends an OnOverdue: all events have been received again; nil: nobody is notified.
-	OnCurrent func()
+	// OnCaughtUp ends an OnOverdue: all events have been received again; nil: nobody is notified.
+	OnCaughtUp func()
 	// Dial connects to an address; nil: over TCP.
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
 	Clock *clock.Clock
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -175,7 +175,7 @@
 func TestOverdueAndCurrentAreReportedOnce(t *testing.T) {
 	f := newHarness(t)
 	reports := make(chan string, 10)
-	f.client.OnOverdue, f.client.OnCurrent = func(float64) { reports <- "overdue" }, func() { reports <- "current" }
+	f.client.OnOverdue, f.client.OnCaughtUp = func(float64) { reports <- "overdue" }, func() { reports <- "current" }
 	nc := f.accept(4)
 	f.advanceUntil(func(s Status) bool { return s.Overdue == 1 })
 	require.Equal(t, "overdue", <-reports)
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -118,8 +118,8 @@
 				l.OnOverdue(a.NotifiedUntil)
 			}
 		case discovery.CaughtUp:
-			if l.OnCurrent != nil {
-				l.OnCurrent()
+			if l.OnCaughtUp != nil {
+				l.OnCaughtUp()
 			}
 		}
 	}
--- a/internal/source/filewatch/bench_test.go
+++ b/internal/source/filewatch/bench_test.go
@@ -40,7 +40,7 @@
 			accepted := make(chan uint64, 1)
 			src := filewatch.New(filewatch.Options{
 				Path: path, Clock: clk, Resolver: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
-				Debounce: debounce.Settings{Quiet: c.quiet, MaxDelay: 5000, PollInterval: 5000},
+				Debounce: debounce.Settings{QuietPeriod: c.quiet, MaxDelay: 5000, PollInterval: 5000},
 				OnList:   func(s *serverlist.List) { accepted <- s.Generation },
 			}, nil)
 			go src.Run()
--- a/internal/source/filewatch/filewatch_test.go
+++ b/internal/source/filewatch/filewatch_test.go
@@ -44,8 +44,8 @@
 	r := &harness{t: t, dir: t.TempDir(), clk: clock.Manual(0)}
 	r.path = path(r.dir)
 	r.src = filewatch.New(filewatch.Options{
-		Path: r.path, Requirements: serverlist.Requirements{OriginKind: "origin", Writes: true}, Clock: r.clk,
-		Debounce: debounce.Settings{Quiet: 100, MaxDelay: 1000, PollInterval: 2000},
+		Path: r.path, Requirements: serverlist.Requirements{OriginKind: "origin", OriginRequired: true}, Clock: r.clk,
+		Debounce: debounce.Settings{QuietPeriod: 100, MaxDelay: 1000, PollInterval: 2000},
 		Resolver: &resolver.Cache{Backend: n, Clock: r.clk, Timeout: 1000, TTL: 3000},
 		OnList: func(s *serverlist.List) {
 			r.mu.Lock()
