--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -58,7 +58,7 @@
 }
 
 // IsKnown implements control.Servers.
-func (s *serverSources) Knows(id policy.CacheID) bool { return s.registry.IsKnown(id) }
+func (s *serverSources) IsKnown(id policy.CacheID) bool { return s.registry.IsKnown(id) }
 
 // Drain implements admin.Operations.
 func (s *serverSources) Drain(id policy.CacheID, on bool) error {
