--- a/internal/decide/debounce/debounce_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -14,32 +14,32 @@
 
 var settings = debounce.Settings{QuietPeriod: 50, MaxDelay: 500, PollInterval: 2000}
 
-// play runs a debouncer until a time over a file whose fingerprint changes at the given times (0: it can't be read), with or
+// simulate runs a debouncer until a time over a file whose fingerprint changes at the given times (0: it can't be read), with or
 // without notifications. It returns which fingerprint was accepted when, and the number of reads.
-func play(until float64, notify bool, changes map[float64]uint64) (accepted map[float64]uint64, reads int) {
+func simulate(until float64, notify bool, changes map[float64]uint64) (accepted map[float64]uint64, reads int) {
 	accepted = map[float64]uint64{}
-	w := debounce.New(settings, 0)
-	at, fingerprint := w.Tick(0).WakeAt, uint64(0)
+	d := debounce.New(settings, 0)
+	wakeAt, fingerprint := d.Tick(0).WakeAt, uint64(0)
 	read := func(now float64) {
 		reads++
-		a := w.ReadDone(now, now, fingerprint, fingerprint != 0)
+		a := d.ReadDone(now, now, fingerprint, fingerprint != 0)
 		if a.Accept {
 			accepted[now] = fingerprint
 		}
-		at = a.WakeAt
+		wakeAt = a.WakeAt
 	}
 	read(0)
 	for now := 0.0; now <= until; now++ {
-		if p, ok := changes[now]; ok {
-			if fingerprint = p; notify {
-				at = w.Changed(now).WakeAt
+		if changed, ok := changes[now]; ok {
+			if fingerprint = changed; notify {
+				wakeAt = d.Changed(now).WakeAt
 			}
 		}
-		if now >= at {
-			if a := w.Tick(now); a.Read {
+		if now >= wakeAt {
+			if a := d.Tick(now); a.Read {
 				read(now)
 			} else {
-				at = a.WakeAt
+				wakeAt = a.WakeAt
 			}
 		}
 	}
@@ -47,20 +47,20 @@
 }
 
 func TestAcceptsStableTextOnce(t *testing.T) {
-	accepted, reads := play(10_000, true, map[float64]uint64{100: 1})
+	accepted, reads := simulate(10_000, true, map[float64]uint64{100: 1})
 	require.Equal(t, map[float64]uint64{200: 1}, accepted, "two reads, Quiet apart")
 	require.LessOrEqual(t, reads, 9)
-	accepted, _ = play(10_000, false, map[float64]uint64{100: 1})
+	accepted, _ = simulate(10_000, false, map[float64]uint64{100: 1})
 	require.Equal(t, map[float64]uint64{2050: 1}, accepted, "a change without a notification is found by the next poll")
-	accepted, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 2, 3020: 1})
+	accepted, _ = simulate(10_000, true, map[float64]uint64{100: 1, 3000: 2, 3020: 1})
 	require.Equal(t, map[float64]uint64{200: 1}, accepted, "changed and changed back: nothing new")
-	accepted, _ = play(10_000, true, map[float64]uint64{100: 1, 3000: 0, 4000: 1, 6000: 2})
+	accepted, _ = simulate(10_000, true, map[float64]uint64{100: 1, 3000: 0, 4000: 1, 6000: 2})
 	require.Equal(t, map[float64]uint64{200: 1, 6100: 2}, accepted, "removed and restored unchanged: nothing new")
-	storm := map[float64]uint64{}
+	rapidChanges := map[float64]uint64{}
 	for i := range 5000 {
-		storm[float64(i)] = uint64(i + 1)
+		rapidChanges[float64(i)] = uint64(i + 1)
 	}
-	accepted, reads = play(10_000, true, storm)
+	accepted, reads = simulate(10_000, true, rapidChanges)
 	require.Equal(t, map[float64]uint64{5059: 5000}, accepted, "nothing is accepted while the writer goes on")
 	require.LessOrEqual(t, reads, 30, "the number of reads is bounded")
 }
@@ -75,14 +75,14 @@
 			last = uint64(rapid.IntRange(1, 5).Draw(t, "print"))
 			changes[now] = last
 		}
-		accepted, _ := play(now+5000, notify, changes)
+		accepted, _ := simulate(now+5000, notify, changes)
 		var end uint64
 		for at := 0.0; at <= now+5000; at++ {
-			p, ok := accepted[at]
+			acceptedNow, ok := accepted[at]
 			if !ok {
 				continue
 			}
-			end = p
+			end = acceptedNow
 			// The file held the same text Quiet ago.
 			was := uint64(0)
 			for x := 0.0; x <= at-settings.QuietPeriod; x++ {
@@ -90,7 +90,7 @@
 					was = v
 				}
 			}
-			require.Equal(t, was, p)
+			require.Equal(t, was, acceptedNow)
 		}
 		require.Equal(t, last, end)
 	})
--- a/internal/decide/discovery/simulation_test.go
+++ b/internal/decide/discovery/simulation_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// treatment is how the service answers one call.
-type treatment struct {
+// behaviour is how the service answers one call.
+type behaviour struct {
 	name         string
 	refused      bool
 	connectAfter float64 // ms until the connection is established
@@ -21,14 +21,14 @@
 
 // The treatments. The pending event comes with the first frame of a call that is treated well.
 var (
-	healthy        = treatment{name: "healthy"}
-	silent         = treatment{name: "silent", frameAfter: never}
-	refused        = treatment{name: "refused", refused: true}
-	disconnected   = treatment{name: "disconnected", disconnects: true}
-	neverConnected = treatment{name: "never connected", connectAfter: never}
-	slowConnect    = treatment{name: "connected late", connectAfter: 1500}
-	trickling      = treatment{name: "trickling", bytes: 33, msPerByte: 1000}
-	slowList       = treatment{name: "slow list", bytes: 5400, msPerByte: 0.25}
+	healthy        = behaviour{name: "healthy"}
+	silent         = behaviour{name: "silent", frameAfter: never}
+	refused        = behaviour{name: "refused", refused: true}
+	disconnected   = behaviour{name: "disconnected", disconnects: true}
+	neverConnected = behaviour{name: "never connected", connectAfter: never}
+	slowConnect    = behaviour{name: "connected late", connectAfter: 1500}
+	trickling      = behaviour{name: "trickling", bytes: 33, msPerByte: 1000}
+	slowList       = behaviour{name: "slow list", bytes: 5400, msPerByte: 0.25}
 )
 
 // simulation is a watcher and the service that it watches, in virtual time.
@@ -38,8 +38,8 @@
 	queue      []scheduled // in order of time
 	wakeAt     float64
 	open       map[CallID]*connection
-	treatments []treatment // of the next calls; those after them are treated well
-	calls      []float64   // when each was opened
+	behaviours []behaviour // of the next calls; those after them are treated well
+	callTimes  []float64   // when each was opened
 	maxOpen    int         // calls open at once
 	pending    bool        // the service holds an event that has to be received
 	receivedAt float64     // when the pending event was received; never: not yet
@@ -65,14 +65,14 @@
 	return &simulation{watcher: New(s), open: map[CallID]*connection{}, wakeAt: never, receivedAt: never, overdueAt: never}
 }
 
-func (s *simulation) at(at float64, do func()) {
-	i, _ := slices.BinarySearchFunc(s.queue, at, func(next scheduled, at float64) int {
+func (s *simulation) schedule(schedule float64, do func()) {
+	i, _ := slices.BinarySearchFunc(s.queue, schedule, func(next scheduled, at float64) int {
 		if next.at <= at {
 			return -1
 		}
 		return 1
 	})
-	s.queue = slices.Insert(s.queue, i, scheduled{at, do})
+	s.queue = slices.Insert(s.queue, i, scheduled{schedule, do})
 }
 
 // run plays until a time.
@@ -102,7 +102,7 @@
 	for _, action := range slices.Clone(s.actions) {
 		switch action := action.(type) {
 		case Dial:
-			s.dialled(action.Call)
+			s.handleDial(action.Call)
 		case Close:
 			delete(s.open, action.Call)
 		case Wake:
@@ -117,46 +117,46 @@
 	s.maxOpen = max(s.maxOpen, len(s.open))
 }
 
-// dialled has the service answer the next call.
-func (s *simulation) dialled(id CallID) {
-	s.calls = append(s.calls, s.now)
-	t := healthy
-	if len(s.treatments) > 0 {
-		t, s.treatments = s.treatments[0], s.treatments[1:]
+// handleDial has the service answer the next call.
+func (s *simulation) handleDial(id CallID) {
+	s.callTimes = append(s.callTimes, s.now)
+	b := healthy
+	if len(s.behaviours) > 0 {
+		b, s.behaviours = s.behaviours[0], s.behaviours[1:]
 	}
 	c := &connection{}
 	s.open[id] = c
-	s.at(s.now+t.connectAfter, func() {
+	s.schedule(s.now+b.connectAfter, func() {
 		if s.open[id] != c {
 			return
 		}
-		if c.established = !t.refused; t.refused || t.disconnects {
+		if c.established = !b.refused; b.refused || b.disconnects {
 			s.disconnect(id)
 			return
 		}
-		s.answer(id, c, t)
+		s.answer(id, c, b)
 	})
 }
 
 // answer sends the first frame of a treatment byte by byte, and then the pending event and an empty frame each second.
-func (s *simulation) answer(id CallID, c *connection, t treatment) {
+func (s *simulation) answer(id CallID, c *connection, b behaviour) {
 	began := s.now
-	for received := 1; received < t.bytes; received++ {
-		if received%100 != 1 && t.bytes > 100 {
+	for received := 1; received < b.bytes; received++ {
+		if received%100 != 1 && b.bytes > 100 {
 			continue
 		}
-		s.at(began+float64(received)*t.msPerByte, func() {
+		s.schedule(began+float64(received)*b.msPerByte, func() {
 			if s.open[id] != c || c.silenced {
 				return
 			}
 			progress := FrameProgress{Call: id, Received: received, FirstByteAt: began, LastByteAt: s.now}
 			if received >= 4 {
-				progress.Size = t.bytes
+				progress.Size = b.bytes
 			}
 			s.handle(progress)
 		})
 	}
-	s.at(began+t.frameAfter+float64(t.bytes)*t.msPerByte, func() { s.sendFrame(id, c) })
+	s.schedule(began+b.frameAfter+float64(b.bytes)*b.msPerByte, func() { s.sendFrame(id, c) })
 }
 
 func (s *simulation) sendFrame(id CallID, c *connection) {
@@ -167,7 +167,7 @@
 		s.receivedAt = s.now
 	}
 	s.handle(FrameReceived{Call: id})
-	s.at(s.now+1000, func() { s.sendFrame(id, c) })
+	s.schedule(s.now+1000, func() { s.sendFrame(id, c) })
 }
 
 func (s *simulation) disconnect(id CallID) {
--- a/internal/decide/discovery/watcher_test.go
+++ b/internal/decide/discovery/watcher_test.go
@@ -58,11 +58,11 @@
 // after three changes of address in half a second a purge was received 4.8 to 6.9 s after the last one, where 5 s are allowed.
 func TestEventIsReceivedInTimeAfterAnyFaults(t *testing.T) {
 	const seeds = 12
-	treatments := []treatment{healthy, silent, refused, disconnected, neverConnected, slowConnect, trickling, slowList}
+	behaviours := []behaviour{healthy, silent, refused, disconnected, neverConnected, slowConnect, trickling, slowList}
 	worst := map[string]float64{}
 	for _, sequence := range faultSequences() {
-		for _, first := range treatments {
-			for _, second := range treatments {
+		for _, first := range behaviours {
+			for _, second := range behaviours {
 				for seed := range uint64(seeds) {
 					rng := rand.New(rand.NewPCG(seed, 42))
 					s := newSimulation(DefaultSettings(seed, gracePeriod))
@@ -74,19 +74,19 @@
 						if step > 0 {
 							s.run(s.now + []float64{30, 200, 2000}[rng.IntN(3)]*rng.Float64())
 						}
-						before := s.treatments
-						s.treatments = []treatment{first, second}
+						before := s.behaviours
+						s.behaviours = []behaviour{first, second}
 						if f.inject(s, step) {
 							last, lastAt = f, s.now
 						} else {
-							s.treatments = before
+							s.behaviours = before
 						}
 						names = append(names, f.name)
 					}
 					s.run(s.now + 10_000)
 					took := s.receivedAt - lastAt
 					require.LessOrEqual(t, took, last.notifiedAfter+gracePeriod, "%s, calls %s and %s, seed %d: calls at %v",
-						strings.Join(names, ", "), first.name, second.name, seed, s.calls)
+						strings.Join(names, ", "), first.name, second.name, seed, s.callTimes)
 					require.LessOrEqual(t, s.maxOpen, 3, "calls open at once")
 					worst[last.name] = max(worst[last.name], took)
 				}
@@ -103,8 +103,8 @@
 		for _, delay := range []float64{1500, 2500, 4500, 8000} {
 			s := newSimulation(DefaultSettings(seed, gracePeriod))
 			s.pending = true
-			overloaded := treatment{frameAfter: delay}
-			s.treatments = []treatment{overloaded, overloaded, overloaded, overloaded, overloaded, overloaded, overloaded, overloaded}
+			overloaded := behaviour{frameAfter: delay}
+			s.behaviours = []behaviour{overloaded, overloaded, overloaded, overloaded, overloaded, overloaded, overloaded, overloaded}
 			s.handle(Start{Address: "address"})
 			s.run(30_000)
 			require.LessOrEqual(t, s.receivedAt, delay, "seed %d", seed)
@@ -115,21 +115,21 @@
 // A list of thousands of servers takes four seconds, and arrives in time at its present rate: it is requested once. One that stalls
 // on the way is not waited for.
 func TestSlowListIsRequestedOnce(t *testing.T) {
-	slow := treatment{bytes: 86_400, msPerByte: 4000.0 / 86_400}
+	slow := behaviour{bytes: 86_400, msPerByte: 4000.0 / 86_400}
 	for seed := range uint64(50) {
 		s := newSimulation(DefaultSettings(seed, gracePeriod))
 		s.pending = true
-		s.treatments = []treatment{slow, slow, slow, slow}
+		s.behaviours = []behaviour{slow, slow, slow, slow}
 		s.handle(Start{Address: "address"})
 		s.run(30_000)
 		require.LessOrEqual(t, s.receivedAt, 4000.0)
-		require.LessOrEqual(t, len(s.calls), 2, "one more at most, in the last two seconds")
+		require.LessOrEqual(t, len(s.callTimes), 2, "one more at most, in the last two seconds")
 
 		s = newSimulation(DefaultSettings(seed, gracePeriod))
 		s.pending = true
-		s.treatments = []treatment{slow}
+		s.behaviours = []behaviour{slow}
 		s.handle(Start{Address: "address"})
-		s.at(1500, s.silenceAll)
+		s.schedule(1500, s.silenceAll)
 		s.run(30_000)
 		require.LessOrEqual(t, s.receivedAt, 5000.0, "stalled on the way")
 	}
@@ -141,18 +141,18 @@
 	for seed := range uint64(20) {
 		settings := DefaultSettings(seed, gracePeriod)
 		settings.NotifiedAfterStart = NotifiedAfterTakeover
-		for _, first := range []treatment{silent, refused, disconnected, neverConnected, slowConnect, trickling} {
-			for _, second := range []treatment{silent, refused, disconnected, neverConnected, slowConnect, trickling} {
+		for _, first := range []behaviour{silent, refused, disconnected, neverConnected, slowConnect, trickling} {
+			for _, second := range []behaviour{silent, refused, disconnected, neverConnected, slowConnect, trickling} {
 				s := newSimulation(settings)
 				s.pending = true
-				s.treatments = []treatment{first, second}
+				s.behaviours = []behaviour{first, second}
 				s.handle(Start{Address: "address"})
 				s.run(10_000)
 				require.LessOrEqual(t, s.receivedAt, NotifiedAfterTakeover+gracePeriod+0.0, "calls %s and %s", first.name, second.name)
 			}
 		}
 		s := newSimulation(settings)
-		s.treatments = always(silent)
+		s.behaviours = alwaysBehave(silent)
 		s.handle(Start{Address: "address"})
 		s.run(10_000)
 		require.InDelta(t, NotifiedAfterTakeover+gracePeriod-settings.OverdueMargin, s.overdueAt, 0.001)
@@ -162,22 +162,22 @@
 // The service stays silent, refuses or disconnects: Overdue is reported once, and CaughtUp once after the next frame.
 func TestOverdueIsReportedOnce(t *testing.T) {
 	for seed := range uint64(20) {
-		for _, treatment := range []treatment{silent, refused, disconnected} {
+		for _, b := range []behaviour{silent, refused, disconnected} {
 			s := newSimulation(DefaultSettings(seed, gracePeriod))
 			s.handle(Start{Address: "address"})
 			s.run(2500)
 			lastFrameAt := s.watcher.lastFrameAt
-			s.treatments = always(treatment)
+			s.behaviours = alwaysBehave(b)
 			s.silenceAll()
 			s.run(20_000)
 			require.Equal(t, 1, s.overdues)
-			if treatment.name != disconnected.name {
+			if b.name != disconnected.name {
 				require.InDelta(t, lastFrameAt+4000+gracePeriod-100, s.overdueAt, 0.001)
 			} else {
 				require.LessOrEqual(t, s.overdueAt, lastFrameAt+4000+gracePeriod-100)
 			}
 			require.Zero(t, s.caughtUps)
-			s.treatments = nil
+			s.behaviours = nil
 			s.run(25_000)
 			require.Equal(t, 1, s.overdues)
 			require.Equal(t, 1, s.caughtUps)
@@ -186,27 +186,27 @@
 }
 
 // fleetCalls plays so many watchers, each by itself, and counts their calls from a time on: all of them, and the most in 50 ms.
-func fleetCalls(proxies int, from, to float64, play func(s *simulation)) (all, most int) {
+func fleetCalls(proxies int, from, to float64, play func(s *simulation)) (total, peak int) {
 	calls := map[int]int{}
 	for seed := range proxies {
 		s := newSimulation(DefaultSettings(uint64(seed), gracePeriod))
 		play(s)
 		s.run(to)
-		for _, at := range s.calls {
+		for _, at := range s.callTimes {
 			if at >= from {
 				calls[int(at)/50]++
 			}
 		}
 	}
 	for _, n := range calls {
-		all, most = all+n, max(most, n)
+		total, peak = total+n, max(peak, n)
 	}
-	return all, most
+	return total, peak
 }
 
-// always treats every call alike.
-func always(t treatment) []treatment {
-	list := make([]treatment, 1000)
+// alwaysBehave treats every call alike.
+func alwaysBehave(t behaviour) []behaviour {
+	list := make([]behaviour, 1000)
 	for i := range list {
 		list[i] = t
 	}
@@ -218,7 +218,7 @@
 func TestRetriesAreSpreadOverFleet(t *testing.T) {
 	for _, proxies := range []int{1, 80, 400} {
 		all, most := fleetCalls(proxies, 10_000, 40_000, func(s *simulation) {
-			s.treatments = always(refused)
+			s.behaviours = alwaysBehave(refused)
 			s.handle(Start{Address: "address"})
 		})
 		require.InDelta(t, 30/1.6*float64(proxies), all, 5*float64(proxies)) // one in 1.6 s each
@@ -226,16 +226,16 @@
 	}
 	for seed := range uint64(50) {
 		s := newSimulation(DefaultSettings(seed, gracePeriod))
-		s.treatments = always(refused)
+		s.behaviours = alwaysBehave(refused)
 		s.handle(Start{Address: "address"})
 		s.run(20_000)
-		s.treatments = nil
+		s.behaviours = nil
 		s.run(30_000)
-		disconnectedAt, before := s.now, len(s.calls)
+		disconnectedAt, before := s.now, len(s.callTimes)
 		s.disconnectAll()
 		s.run(disconnectedAt + 200)
-		require.Greater(t, len(s.calls), before)
-		require.LessOrEqual(t, s.calls[before], disconnectedAt+150, "after a frame the backoff starts anew")
+		require.Greater(t, len(s.callTimes), before)
+		require.LessOrEqual(t, s.callTimes[before], disconnectedAt+150, "after a frame the backoff starts anew")
 	}
 }
 
@@ -246,7 +246,7 @@
 	silence := func(s *simulation) {
 		s.handle(Start{Address: "address"})
 		s.run(silentFrom)
-		s.treatments = always(silent)
+		s.behaviours = alwaysBehave(silent)
 		s.silenceAll()
 	}
 	all, most := fleetCalls(proxies, silentFrom, 20_000, silence)
@@ -267,7 +267,7 @@
 		s.run(60_000)
 		s.handle(Reload{Address: "address"})
 		s.run(120_000)
-		require.Len(t, s.calls, 1)
+		require.Len(t, s.callTimes, 1)
 		require.Equal(t, never, s.overdueAt)
 	}
 }
@@ -289,9 +289,9 @@
 			}
 			s.run(10_000)
 			if same {
-				require.Len(t, s.calls, 1)
+				require.Len(t, s.callTimes, 1)
 			} else {
-				require.Len(t, s.calls, 11)
+				require.Len(t, s.callTimes, 11)
 			}
 			require.Len(t, s.open, 1)
 		}
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -19,19 +19,19 @@
 
 const drainTimeout, goneRetention = 1000.0, 5000.0
 
-// world drives a table and models, in the simplest way, what its sources list and what it may publish.
-type world struct {
+// harness drives a table and models, in the simplest way, what its sources list and what it may publish.
+type harness struct {
 	t             *rapid.T
 	table         *membership.Table
 	now, wake     float64
 	generations   [2]uint64
 	received      [2]bool
 	minGeneration uint64
-	statements    [2]map[policy.CacheID]membership.Entry
+	listed        [2]map[policy.CacheID]membership.Entry
 	published     map[policy.CacheID]membership.Member
 	phases        map[policy.CacheID]membership.Phase
-	drainFrom     map[policy.CacheID]float64 // start of a published server's drain, ms
-	drainAt       map[policy.CacheID]string  // and its address
+	drainStart    map[policy.CacheID]float64 // start of a published server's drain, ms
+	drainAddr     map[policy.CacheID]string  // and its address
 	waiting       map[policy.CacheID]waiter  // servers in use at an address that wait for another one
 	saved         *recovery.State            // what survives a crash
 	manualDrains  map[policy.CacheID]bool
@@ -47,12 +47,12 @@
 	return table
 }
 
-func newWorld(t *rapid.T) *world {
+func newHarness(t *rapid.T) *harness {
 	table := newTable(t)
-	return &world{
+	return &harness{
 		t: t, table: table, published: map[policy.CacheID]membership.Member{}, phases: map[policy.CacheID]membership.Phase{},
-		statements: [2]map[policy.CacheID]membership.Entry{{}, {}},
-		drainFrom:  map[policy.CacheID]float64{}, drainAt: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{},
+		listed:     [2]map[policy.CacheID]membership.Entry{{}, {}},
+		drainStart: map[policy.CacheID]float64{}, drainAddr: map[policy.CacheID]string{}, waiting: map[policy.CacheID]waiter{},
 		saved: recovery.NewState(), manualDrains: map[policy.CacheID]bool{},
 	}
 }
@@ -64,171 +64,171 @@
 }
 
 // restart kills the proxy: what its sources listed is forgotten, drains must survive.
-func (w *world) restart(t *rapid.T) {
-	raw, err := w.saved.Encode()
+func (h *harness) restart(t *rapid.T) {
+	raw, err := h.saved.Encode()
 	require.NoError(t, err)
-	w.saved, err = recovery.DecodeState(raw)
+	h.saved, err = recovery.DecodeState(raw)
 	require.NoError(t, err)
-	plan := w.saved.Plan(w.now, recovery.Settings{GoneRetention: goneRetention})
-	w.table = newTable(t)
-	w.table.Restore(w.now, plan.Members, map[int]uint64{0: w.generations[0]})
-	w.versions, w.received, w.wake = 0, [2]bool{}, 0
-	w.generations[1] = 0 // discovery counts from the start again
-	clear(w.statements[0])
-	clear(w.statements[1])
-	clear(w.published)
-	drained := w.drainFrom
-	clear(w.waiting)
-	w.phases, w.drainFrom, w.drainAt = map[policy.CacheID]membership.Phase{}, map[policy.CacheID]float64{}, map[policy.CacheID]string{}
+	plan := h.saved.Plan(h.now, recovery.Settings{GoneRetention: goneRetention})
+	h.table = newTable(t)
+	h.table.Restore(h.now, plan.Members, map[int]uint64{0: h.generations[0]})
+	h.versions, h.received, h.wake = 0, [2]bool{}, 0
+	h.generations[1] = 0 // discovery counts from the start again
+	clear(h.listed[0])
+	clear(h.listed[1])
+	clear(h.published)
+	drainedBefore := h.drainStart
+	clear(h.waiting)
+	h.phases, h.drainStart, h.drainAddr = map[policy.CacheID]membership.Phase{}, map[policy.CacheID]float64{}, map[policy.CacheID]string{}
 	for _, x := range plan.Members {
 		switch id := x.Member.ID; x.Phase {
 		case membership.Draining:
 			// Or it waited for an address while it was still in use at another one.
-			w.phases[id], w.drainFrom[id], w.drainAt[id] = x.Phase, x.Since, x.Member.Addr
+			h.phases[id], h.drainStart[id], h.drainAddr[id] = x.Phase, x.Since, x.Member.Addr
 		case membership.Gone:
-			w.phases[id] = x.Phase
+			h.phases[id] = x.Phase
 		}
 	}
-	for id, since := range drained {
-		require.Equal(t, membership.Draining, w.phases[id], "server %d drained before the restart", id)
-		require.LessOrEqual(t, w.drainFrom[id], since, "%d", id) // a server that waits for an address gets no new requests either
+	for id, since := range drainedBefore {
+		require.Equal(t, membership.Draining, h.phases[id], "server %d drained before the restart", id)
+		require.LessOrEqual(t, h.drainStart[id], since, "%d", id) // a server that waits for an address gets no new requests either
 	}
-	w.minGeneration = w.generations[0]
-	for id := range w.manualDrains {
-		w.handle(membership.ManualDrain{ID: id, On: true})
+	h.minGeneration = h.generations[0]
+	for id := range h.manualDrains {
+		h.handle(membership.ManualDrain{ID: id, On: true})
 	}
-	w.handle(membership.Tick{})
+	h.handle(membership.Tick{})
 }
 
-func (w *world) handle(e membership.Event) {
-	for _, a := range w.table.Handle(w.now, e, nil) {
+func (h *harness) handle(e membership.Event) {
+	for _, a := range h.table.Handle(h.now, e, nil) {
 		switch a := a.(type) {
 		case membership.Transition:
 			id := a.Member.ID
-			require.True(w.t, membership.ValidTransition(a.From, a.To), "%v to %v", a.From, a.To)
-			require.Equal(w.t, w.phases[id], a.From, "phases follow each other without gaps")
-			w.phases[id] = a.To
+			require.True(h.t, membership.ValidTransition(a.From, a.To), "%v to %v", a.From, a.To)
+			require.Equal(h.t, h.phases[id], a.From, "phases follow each other without gaps")
+			h.phases[id] = a.To
 			if a.To != membership.Draining {
-				delete(w.drainFrom, id)
-				delete(w.drainAt, id)
+				delete(h.drainStart, id)
+				delete(h.drainAddr, id)
 			} else {
-				w.drainFrom[id], w.drainAt[id] = w.now, a.Member.Addr
+				h.drainStart[id], h.drainAddr[id] = h.now, a.Member.Addr
 			}
-			if delete(w.waiting, id); a.To == membership.Joining {
-				w.waiting[id] = waiter{a.Member.Addr, w.now}
+			if delete(h.waiting, id); a.To == membership.Joining {
+				h.waiting[id] = waiter{a.Member.Addr, h.now}
 			}
 			m := a.Member
 			m.State = map[membership.Phase]policy.State{membership.Draining: policy.Draining, membership.Gone: policy.Gone}[a.To]
 			if a.To == membership.Draining || a.To == membership.Gone {
-				w.saved.Apply(recovery.MemberEvent(m, w.now))
+				h.saved.Apply(recovery.MemberEvent(m, h.now))
 			}
 		case membership.Publish:
-			w.versions++
-			require.Equal(w.t, w.versions, a.Version)
-			require.Equal(w.t, w.versions == 1, a.Complete)
-			require.True(w.t, slices.IsSortedFunc(a.Members, func(x, y membership.Member) int { return int(x.ID) - int(y.ID) }))
+			h.versions++
+			require.Equal(h.t, h.versions, a.Version)
+			require.Equal(h.t, h.versions == 1, a.Complete)
+			require.True(h.t, slices.IsSortedFunc(a.Members, func(x, y membership.Member) int { return int(x.ID) - int(y.ID) }))
 			for _, m := range a.Members {
-				w.saved.Apply(recovery.MemberEvent(m, w.now))
-				if w.published[m.ID] = m; m.State == policy.Gone {
-					delete(w.published, m.ID)
+				h.saved.Apply(recovery.MemberEvent(m, h.now))
+				if h.published[m.ID] = m; m.State == policy.Gone {
+					delete(h.published, m.ID)
 				}
 			}
 		case membership.Wake:
-			w.wake = a.At
+			h.wake = a.At
 		}
 	}
 }
 
 // report has a source send a snapshot (complete) or a delta of a generation.
-func (w *world) report(at int, gen uint64, entries []membership.Entry, complete bool) {
-	var e membership.Event = membership.Delta{Source: at, Generation: gen, Entries: entries}
+func (h *harness) report(source int, generation uint64, entries []membership.Entry, complete bool) {
+	var e membership.Event = membership.Delta{Source: source, Generation: generation, Entries: entries}
 	if complete {
-		e = membership.Snapshot{Source: at, Generation: gen, Entries: entries}
+		e = membership.Snapshot{Source: source, Generation: generation, Entries: entries}
 	}
-	before := maps.Clone(w.published)
-	w.handle(e)
-	if w.received[at] && gen <= w.generations[at] || at == 0 && gen < w.minGeneration {
-		require.Equal(w.t, before, w.published, "a stale list changes nothing")
+	before := maps.Clone(h.published)
+	h.handle(e)
+	if h.received[source] && generation <= h.generations[source] || source == 0 && generation < h.minGeneration {
+		require.Equal(h.t, before, h.published, "a stale list changes nothing")
 		return
 	}
-	w.received[at], w.generations[at] = true, gen
+	h.received[source], h.generations[source] = true, generation
 	if complete {
-		clear(w.statements[at])
+		clear(h.listed[source])
 	}
 	for _, x := range entries {
-		w.statements[at][x.ID] = x
+		h.listed[source][x.ID] = x
 	}
 	// A removal binds other sources that list the server; once all removed it, it is forgotten.
 	for id := policy.CacheID(1); id <= 6; id++ {
-		if !w.wanted(id) {
-			delete(w.statements[0], id)
-			delete(w.statements[1], id)
+		if !h.wanted(id) {
+			delete(h.listed[0], id)
+			delete(h.listed[1], id)
 		}
 	}
 }
 
-func (w *world) wanted(id policy.CacheID) bool {
-	file, byFile := w.statements[0][id]
-	discovery, byDiscovery := w.statements[1][id]
+func (h *harness) wanted(id policy.CacheID) bool {
+	file, byFile := h.listed[0][id]
+	discovery, byDiscovery := h.listed[1][id]
 	return byFile && file.State != policy.Gone || byDiscovery && discovery.State != policy.Gone
 }
 
 // check compares what is published with what the sources say.
-func (w *world) check() {
+func (h *harness) check() {
 	for id := policy.CacheID(1); id <= 6; id++ {
-		file, byFile := w.statements[0][id]
-		discovery, byDiscovery := w.statements[1][id]
+		file, byFile := h.listed[0][id]
+		discovery, byDiscovery := h.listed[1][id]
 		state := policy.Ready
-		for at, listed := range []bool{byFile, byDiscovery} {
+		for source, listed := range []bool{byFile, byDiscovery} {
 			if listed {
-				state = max(state, w.statements[at][id].State)
+				state = max(state, h.listed[source][id].State)
 			}
 		}
-		if w.manualDrains[id] {
+		if h.manualDrains[id] {
 			state = max(state, policy.Draining)
 		}
-		m, out := w.published[id]
-		wanted := w.wanted(id)
+		m, published := h.published[id]
+		wanted := h.wanted(id)
 		switch {
-		case out && m.State == policy.Ready:
-			require.True(w.t, wanted && state == policy.Ready, "server %d is ready, though a source does not say so: %v %v",
+		case published && m.State == policy.Ready:
+			require.True(h.t, wanted && state == policy.Ready, "server %d is ready, though a source does not say so: %v %v",
 				id, file, discovery)
 		case wanted && state == policy.Ready && byDiscovery && !byFile:
-			require.Fail(w.t, "what discovery lists is used at once", "%d", id)
+			require.Fail(h.t, "what discovery lists is used at once", "%d", id)
 		case wanted && state == policy.Ready:
 			// It may only wait for its address, which another server holds.
-			taken := false
-			for other, x := range w.published {
-				taken = taken || other != id && x.Addr == file.Addr && w.phases[other] != membership.Joining
+			addrInUse := false
+			for other, x := range h.published {
+				addrInUse = addrInUse || other != id && x.Addr == file.Addr && h.phases[other] != membership.Joining
 			}
-			for other, addr := range w.drainAt {
-				taken = taken || other != id && addr == file.Addr
+			for other, addr := range h.drainAddr {
+				addrInUse = addrInUse || other != id && addr == file.Addr
 			}
-			for other, x := range w.waiting {
-				taken = taken || other != id && x.addr == file.Addr && w.now-x.since < drainTimeout
+			for other, x := range h.waiting {
+				addrInUse = addrInUse || other != id && x.addr == file.Addr && h.now-x.since < drainTimeout
 			}
-			require.True(w.t, taken, "server %d waits for nothing", id)
+			require.True(h.t, addrInUse, "server %d waits for nothing", id)
 		}
-		if since, drains := w.drainFrom[id]; drains && !wanted {
-			require.Less(w.t, w.now-since, drainTimeout, "an unlisted server is gone after its drain")
+		if since, draining := h.drainStart[id]; draining && !wanted {
+			require.Less(h.t, h.now-since, drainTimeout, "an unlisted server is gone after its drain")
 		}
 	}
-	at := map[string]policy.CacheID{}
-	for _, id := range slices.Sorted(maps.Keys(w.published)) {
-		m := w.published[id]
-		if _, byDiscovery := w.statements[1][id]; byDiscovery || m.State != policy.Ready {
+	readyAt := map[string]policy.CacheID{}
+	for _, id := range slices.Sorted(maps.Keys(h.published)) {
+		m := h.published[id]
+		if _, byDiscovery := h.listed[1][id]; byDiscovery || m.State != policy.Ready {
 			continue // what discovery reports takes effect at once
 		}
-		require.Zero(w.t, at[m.Addr], "two servers at %s", m.Addr)
-		at[m.Addr] = id
-		for other, addr := range w.drainAt {
-			_, discovery := w.statements[1][other]
-			require.False(w.t, other != id && addr == m.Addr && !discovery, "server %d is used at %s, where %d drains", id, addr, other)
+		require.Zero(h.t, readyAt[m.Addr], "two servers at %s", m.Addr)
+		readyAt[m.Addr] = id
+		for other, addr := range h.drainAddr {
+			_, discovery := h.listed[1][other]
+			require.False(h.t, other != id && addr == m.Addr && !discovery, "server %d is used at %s, where %d drains", id, addr, other)
 		}
 	}
 }
 
-func entry(t *rapid.T, states ...policy.State) membership.Entry {
+func drawEntry(t *rapid.T, states ...policy.State) membership.Entry {
 	var e membership.Entry
 	e.ID = policy.CacheID(rapid.IntRange(1, 6).Draw(t, "id"))
 	e.Addr = fmt.Sprintf("a%d", rapid.IntRange(1, 6).Draw(t, "addr"))
@@ -254,57 +254,57 @@
 }
 
 // TestTableMatchesModel sends random events in random order: no server is ready that no source lists or that one drains, no
-// drained server comes back by a stale list, and no server waits without a reason.
+// drainedBefore server comes back by a stale list, and no server waits without a reason.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		generation := func(at int) uint64 {
-			return uint64(max(0, int(w.generations[at])+rapid.SampledFrom([]int{1, 1, 1, 1, 5, 0, -1}).Draw(t, "step")))
+		h := newHarness(t)
+		generation := func(source int) uint64 {
+			return uint64(max(0, int(h.generations[source])+rapid.SampledFrom([]int{1, 1, 1, 1, 5, 0, -1}).Draw(t, "step")))
 		}
 		draw := func(states ...policy.State) []membership.Entry {
-			oneEntry := rapid.Custom(func(t *rapid.T) membership.Entry { return entry(t, states...) })
+			oneEntry := rapid.Custom(func(t *rapid.T) membership.Entry { return drawEntry(t, states...) })
 			return distinct(rapid.SliceOfN(oneEntry, 0, 6).Draw(t, "list"))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"file": func(t *rapid.T) {
-				w.report(0, generation(0), draw(policy.Ready, policy.Ready, policy.Draining), true)
+				h.report(0, generation(0), draw(policy.Ready, policy.Ready, policy.Draining), true)
 			},
 			"discovery full list": func(t *rapid.T) {
-				w.report(1, generation(1), draw(policy.Ready, policy.Draining), true)
+				h.report(1, generation(1), draw(policy.Ready, policy.Draining), true)
 			},
 			"discovery update": func(t *rapid.T) {
-				w.report(1, generation(1), draw(policy.Ready, policy.Draining, policy.Gone), false)
+				h.report(1, generation(1), draw(policy.Ready, policy.Draining, policy.Gone), false)
 			},
 			"wait": func(t *rapid.T) {
-				for end := w.now + float64(rapid.IntRange(1, 3000).Draw(t, "ms")); w.now < end; {
+				for end := h.now + float64(rapid.IntRange(1, 3000).Draw(t, "ms")); h.now < end; {
 					// The clock fires at each wake, or a little later.
-					if w.wake > w.now {
-						w.now = min(end, w.wake)
+					if h.wake > h.now {
+						h.now = min(end, h.wake)
 					} else {
-						w.now = end
+						h.now = end
 					}
-					w.handle(membership.Tick{})
+					h.handle(membership.Tick{})
 				}
 			},
 			"manual drain": func(t *rapid.T) {
 				id := policy.CacheID(rapid.IntRange(1, 6).Draw(t, "id"))
 				on := rapid.Bool().Draw(t, "on")
-				if delete(w.manualDrains, id); on {
-					w.manualDrains[id] = true
+				if delete(h.manualDrains, id); on {
+					h.manualDrains[id] = true
 				}
-				w.handle(membership.ManualDrain{ID: id, On: on})
+				h.handle(membership.ManualDrain{ID: id, On: on})
 			},
-			"restart": func(t *rapid.T) { w.restart(t) },
-			"":        func(*rapid.T) { w.check() },
+			"restart": func(t *rapid.T) { h.restart(t) },
+			"":        func(*rapid.T) { h.check() },
 		})
 		// With nothing listed, in time nothing is published and nothing remembered.
-		w.report(0, w.generations[0]+1, nil, true)
-		w.report(1, w.generations[1]+1, nil, true)
+		h.report(0, h.generations[0]+1, nil, true)
+		h.report(1, h.generations[1]+1, nil, true)
 		for range 50 {
-			w.now += 500
-			w.handle(membership.Tick{})
+			h.now += 500
+			h.handle(membership.Tick{})
 		}
-		require.Empty(t, w.published)
-		require.Empty(t, w.table.Servers())
+		require.Empty(t, h.published)
+		require.Empty(t, h.table.Servers())
 	})
 }
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -13,7 +13,7 @@
 	received      bool   // at least one list was accepted
 	generation    uint64 // of the last list that was accepted
 	minGeneration uint64 // for the first list: the generation in use before a restart
-	lastHeard     float64
+	lastEventAt   float64
 	silent        bool
 	listed        map[policy.CacheID]bool
 }
@@ -62,10 +62,10 @@
 	}
 	t.heartbeat(l.source)
 	src := t.sources[l.source]
-	first := !src.received
+	isFirstList := !src.received
 	src.received, src.generation = true, l.generation
 	for _, e := range l.entries {
-		t.addEntry(l.source, e, first)
+		t.addEntry(l.source, e, isFirstList)
 	}
 	if !l.complete {
 		return
@@ -104,7 +104,7 @@
 		return
 	}
 	src := t.sources[i]
-	src.lastHeard = t.now
+	src.lastEventAt = t.now
 	if src.silent {
 		src.silent = false
 		t.emit(SilenceChanged{Source: i, Silent: false})
@@ -115,7 +115,7 @@
 }
 
 // addEntry records what a source says of one server. first: it is in the first list of the source.
-func (t *Table) addEntry(i int, e Entry, first bool) {
+func (t *Table) addEntry(i int, e Entry, isFirstList bool) {
 	s := t.servers[e.ID]
 	if s == nil {
 		s = t.newServer(e.ID)
@@ -126,7 +126,7 @@
 	}
 	entry := &sourceEntry{Entry: e, reported: e, wanted: e.State != policy.Gone}
 	if !t.sources[i].Immediate && e.Started == 0 {
-		t.estimateStart(s, entry, previous, first)
+		t.estimateStart(s, entry, previous, isFirstList)
 	}
 	s.entries[i] = entry
 	t.sources[i].listed[e.ID] = true
@@ -135,8 +135,8 @@
 
 // estimateStart decides whether a server is warming up, where a list of wanted servers does not say when it was started.
 // A server that such a list adds counts as just started, as its full load would overload an empty cache; those in the
-// first list run already. One that returns from a drain counts as restarted.
-func (t *Table) estimateStart(s *server, entry, previous *sourceEntry, first bool) {
+// isFirstList list run already. One that returns from a drain counts as restarted.
+func (t *Table) estimateStart(s *server, entry, previous *sourceEntry, isFirstList bool) {
 	inUseHere := s.phase == Ready || s.phase == Draining && !s.restored
 	switch {
 	case previous != nil && previous.State == policy.Draining && entry.State == policy.Ready && !entry.Warm:
@@ -145,7 +145,7 @@
 		entry.warmUpOnReady = true
 	case previous != nil:
 		entry.Started, entry.warmUpOnReady = previous.Started, previous.warmUpOnReady
-	case entry.Warm || first && !t.restoreCalled || inUseHere && s.current.Addr == entry.Addr:
+	case entry.Warm || isFirstList && !t.restoreCalled || inUseHere && s.current.Addr == entry.Addr:
 		entry.Started = s.current.Started
 	case s.phase == None && t.inUseBeforeRestart[entry.ID].Addr == entry.Addr:
 		entry.Started = t.inUseBeforeRestart[entry.ID].Started
@@ -176,7 +176,7 @@
 // drains.
 func (s *server) merge() mergedState {
 	merged := mergedState{factsSource: -1, stateSource: -1}
-	least := policy.Gone
+	leastRestrictive := policy.Gone
 	for i, entry := range s.entries {
 		if entry == nil {
 			continue
@@ -187,12 +187,12 @@
 		if merged.stateSource < 0 || entry.State > merged.state {
 			merged.state, merged.stateSource = entry.State, i
 		}
-		least = min(least, entry.State)
+		leastRestrictive = min(leastRestrictive, entry.State)
 	}
 	switch {
 	case merged.factsSource < 0:
 		merged.state = policy.Gone
-	case merged.state == policy.Gone && least != policy.Gone:
+	case merged.state == policy.Gone && leastRestrictive != policy.Gone:
 		merged.state = policy.Draining
 	case s.manualDrain && merged.state == policy.Ready:
 		merged.state, merged.stateSource = policy.Draining, -1
--- a/internal/decide/membership/timers.go
+++ b/internal/decide/membership/timers.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for i, src := range t.sources {
-		if src.SilentAfter > 0 && src.received && !src.silent && t.now-src.lastHeard >= src.SilentAfter {
+		if src.SilentAfter > 0 && src.received && !src.silent && t.now-src.lastEventAt >= src.SilentAfter {
 			src.silent = true
 			t.emit(SilenceChanged{Source: i, Silent: true})
 		}
--- a/internal/decide/membership/transcript_test.go
+++ b/internal/decide/membership/transcript_test.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			got.WriteString("----\n")
-			for _, a := range play(t, table, strings.Fields(command)) {
+			for _, a := range handleCommand(t, table, strings.Fields(command)) {
 				fmt.Fprintln(&got, a)
 			}
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// play has the table handle the event of a command, and returns its actions as lines.
-func play(t *testing.T, table *membership.Table, words []string) (lines []string) {
+// handleCommand has the table handle the event of a command, and returns its actions as lines.
+func handleCommand(t *testing.T, table *membership.Table, words []string) (lines []string) {
 	now, err := strconv.ParseFloat(words[0], 64)
 	require.NoError(t, err)
 	for _, a := range table.Handle(now, parseEvent(t, now, words[1:]), nil) {
--- a/internal/decide/serverlist/diff.go
+++ b/internal/decide/serverlist/diff.go
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case before == nil:
-		add(ChangeAdded, "%s in %s, %s, weight %v%s", after.dialAddr(), after.Zone, after.Kind, after.Weight, after.condition())
+		add(ChangeAdded, "%s in %s, %s, weight %v%s", after.dialAddr(), after.Zone, after.Kind, after.Weight, after.stateSuffix())
 		return changes
 	case after == nil:
 		add(ChangeDropped, "%s: drains, then is gone", before.dialAddr())
@@ -68,7 +68,7 @@
 		if after.Draining {
 			kind = ChangeDrained
 		}
-		add(kind, "%s%s", after.dialAddr(), after.condition())
+		add(kind, "%s%s", after.dialAddr(), after.stateSuffix())
 	}
 	if before.dialAddr() != after.dialAddr() {
 		add(ChangeMoved, "from %s to %s", before.dialAddr(), after.dialAddr())
@@ -78,7 +78,7 @@
 	}
 	if before.Zone != after.Zone || before.Kind != after.Kind || before.Cell != after.Cell ||
 		before.StartedMs != after.StartedMs || before.Warm != after.Warm {
-		add(ChangeOther, "zone %s, kind %s, cell %d%s", after.Zone, after.Kind, after.Cell, after.condition())
+		add(ChangeOther, "zone %s, kind %s, cell %d%s", after.Zone, after.Kind, after.Cell, after.stateSuffix())
 	}
 	return changes
 }
@@ -86,8 +86,8 @@
 // dialAddr returns the address, or host and port if the host is not resolved.
 func (s *Server) dialAddr() string { return cmp.Or(s.Addr, s.Host+":"+strconv.Itoa(s.Port)) }
 
-// condition returns whether the server drains, is warm, or when it was started (Unix ms), to be appended to a text.
-func (s *Server) condition() string {
+// stateSuffix returns whether the server drains, is warm, or when it was started (Unix ms), to be appended to a text.
+func (s *Server) stateSuffix() string {
 	switch {
 	case s.Draining:
 		return ", draining"
--- a/internal/decide/serverlist/entry.go
+++ b/internal/decide/serverlist/entry.go
@@ -22,11 +22,11 @@
 const labelChars = "abcdefghijklmnopqrstuvwxyz0123456789-_"
 
 // checkEntry checks one entry by itself, and notes all of its defects.
-func checkEntry(at location, e serverJSON, r *Requirements) (s Server, ok bool) {
+func checkEntry(loc location, e serverJSON, r *Requirements) (s Server, ok bool) {
 	ok = true
 	fail := func(field, format string, args ...any) {
 		ok = false
-		at.fail(field, format, args...)
+		loc.fail(field, format, args...)
 	}
 	var valid bool
 	if s.ID, valid = ParseID(e.ID); !valid {
@@ -45,7 +45,7 @@
 	if e.State != "" && e.State != "ready" && e.State != "draining" {
 		fail("state", "state %q is neither ready nor draining", e.State)
 	}
-	if !at.doc.Has(at.path + ".weight") {
+	if !loc.doc.Has(loc.path + ".weight") {
 		fail("weight", "weight is missing")
 	} else if !(e.Weight > 0 && e.Weight <= maxWeight) {
 		fail("weight", "weight %v is not above 0 and at most %v", e.Weight, float64(maxWeight))
@@ -60,7 +60,7 @@
 		fail("warm", "warm contradicts started_ms")
 	}
 	s.Zone, s.Kind, s.Cell, s.Draining, s.Weight = e.Zone, e.Kind, e.Cell, e.State == "draining", e.Weight
-	s.StartedMs, s.Warm, s.location = e.Started, e.Warm, at
+	s.StartedMs, s.Warm, s.location = e.Started, e.Warm, loc
 	return s, ok
 }
 
--- a/internal/decide/serverlist/golden_test.go
+++ b/internal/decide/serverlist/golden_test.go
@@ -52,11 +52,11 @@
 	golden.Equal(t, "list.json", serverlist.Format(&serverlist.List{Generation: 7, Servers: goldenServers()}))
 	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Requirements{})
 	require.NoError(t, defects.Err())
-	set, defects := draft.Resolve(goldenResolutions, nil)
+	resolved, defects := draft.Resolve(goldenResolutions, nil)
 	require.NoError(t, defects.Err())
-	require.EqualValues(t, 7, set.Generation)
-	require.Equal(t, goldenServers(), set.Servers)
-	golden.Equal(t, "list.json", serverlist.Format(set))
+	require.EqualValues(t, 7, resolved.Generation)
+	require.Equal(t, goldenServers(), resolved.Servers)
+	golden.Equal(t, "list.json", serverlist.Format(resolved))
 }
 
 // A directory of parts with its manifest, as an operator writes it: comments, trailing commas, every optional field.
@@ -68,7 +68,7 @@
 	draft, defects := serverlist.Parse(files, requirements)
 	require.NoError(t, defects.Err())
 	require.True(t, draft.Force)
-	set, defects := draft.Resolve(goldenResolutions, nil)
+	resolved, defects := draft.Resolve(goldenResolutions, nil)
 	require.NoError(t, defects.Err())
-	golden.Equal(t, "parts-as-one.json", serverlist.Format(set))
+	golden.Equal(t, "parts-as-one.json", serverlist.Format(resolved))
 }
--- a/internal/decide/serverlist/list_test.go
+++ b/internal/decide/serverlist/list_test.go
@@ -38,20 +38,20 @@
 	"many.example.org": {Addrs: []string{"127.0.1.9", "127.0.1.8"}},
 }
 
-// accept parses and resolves one file; the defects are lines, "" for none.
-func accept(text string, current *serverlist.List) (*serverlist.List, string) {
+// parseAndResolve parses and resolves one file; the defects are lines, "" for none.
+func parseAndResolve(text string, current *serverlist.List) (*serverlist.List, string) {
 	d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: []byte(text)}}, requirements)
 	if defects != nil {
 		return nil, defects.Error()
 	}
-	set, defects := d.Resolve(resolutions, current)
+	resolved, defects := d.Resolve(resolutions, current)
 	if defects != nil {
 		return nil, defects.Error()
 	}
-	return set, ""
+	return resolved, ""
 }
 
-func with(entry, from, to string) string {
+func replace(entry, from, to string) string {
 	if !strings.Contains(entry, from) {
 		panic(from)
 	}
@@ -62,43 +62,43 @@
 func TestRejectsInvalidLists(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"truncated":        {list(1, origin, east1)[:80], "l:2:50: ends too early: parsing string: unexpected EOF"},
-		"an unknown field": {list(1, origin, with(east1, `"zone"`, `"Zone"`)), `l:3:57: unknown field "Zone"; did you mean "zone"?`},
+		"an unknown field": {list(1, origin, replace(east1, `"zone"`, `"Zone"`)), `l:3:57: unknown field "Zone"; did you mean "zone"?`},
 		"no generation":    {`{"servers": [` + origin + "," + east1 + `], "end": 1}`, "l:1:1: generation is missing"},
 		"generation 0":     {list(0, origin, east1), "l:1:16: generation counts from 1"},
 		"no end":           {`{"generation": 1, "servers": [` + origin + "," + east1 + `]}`, "l:1:1: end is missing: it gives the generation once more, behind all else"},
 		"torn":             {strings.Replace(list(1, origin, east1), `"end": 1`, `"end": 2`, 1), "l:4:8: end says 2, generation 1: the file is half written"},
 		"no servers":       {`{"generation": 1, "end": 1}`, "l:1:1: servers is missing"},
-		"two ids alike":    {list(1, origin, east1, with(east2, "02", "01")), "l:4:8: id s-00000001 is that of l:3:1 too"},
-		"an id in capitals": {list(1, origin, east1, with(east2, "s-00000002", "s-0000000A")),
+		"two ids alike":    {list(1, origin, east1, replace(east2, "02", "01")), "l:4:8: id s-00000001 is that of l:3:1 too"},
+		"an id in capitals": {list(1, origin, east1, replace(east2, "s-00000002", "s-0000000A")),
 			`l:4:8: id "s-0000000A" is not of the form s-00c41f7a`},
-		"an address twice": {list(1, origin, east1, with(east2, "127.0.0.2", "127.0.0.20")), "l:4:30: 127.0.0.20:4100 is the address of s-00000014 at l:2:1 too"},
-		"a host twice": {list(1, origin, east1, with(east2, "127.0.0.2:4100", "CACHE1.Example.org.:4100")),
+		"an address twice": {list(1, origin, east1, replace(east2, "127.0.0.2", "127.0.0.20")), "l:4:30: 127.0.0.20:4100 is the address of s-00000014 at l:2:1 too"},
+		"a host twice": {list(1, origin, east1, replace(east2, "127.0.0.2:4100", "CACHE1.Example.org.:4100")),
 			"l:4:30: cache1.example.org:4100 is the address of s-00000001 at l:3:1 too"},
-		"a port twice": {list(1, origin, east1, with(east2, "127.0.0.2:4100", "cache1.example.org:04100")),
+		"a port twice": {list(1, origin, east1, replace(east2, "127.0.0.2:4100", "cache1.example.org:04100")),
 			"l:4:30: cache1.example.org:4100 is the address of s-00000001 at l:3:1 too"},
-		"two names of one host": {list(1, origin, east1, with(east2, "127.0.0.2:4100", "cache2.example.org:4100")),
+		"two names of one host": {list(1, origin, east1, replace(east2, "127.0.0.2:4100", "cache2.example.org:4100")),
 			"l:4:30: cache2.example.org is 127.0.1.1:4100, the address of s-00000001 at l:3:1 too"},
-		"an IPv6 host twice": {list(1, origin, east1, west4, with(east2, "127.0.0.2", "[0:0:0:0:0:0:0:1]")),
+		"an IPv6 host twice": {list(1, origin, east1, west4, replace(east2, "127.0.0.2", "[0:0:0:0:0:0:0:1]")),
 			"l:4:30: ::1 is [::1]:4100, the address of s-00000002 at l:5:1 too"},
-		"an IPv4 host in IPv6": {list(1, origin, east1, east2, with(east3, "127.0.0.3", "[::ffff:127.0.0.2]")),
+		"an IPv4 host in IPv6": {list(1, origin, east1, east2, replace(east3, "127.0.0.3", "[::ffff:127.0.0.2]")),
 			"l:5:30: ::ffff:127.0.0.2 is 127.0.0.2:4100, the address of s-00000002 at l:4:1 too"},
-		"a resolver that hangs": {list(1, origin, east1, with(east2, "127.0.0.2", "hangs.example.org")),
+		"a resolver that hangs": {list(1, origin, east1, replace(east2, "127.0.0.2", "hangs.example.org")),
 			"l:4:30: hangs.example.org can't be resolved: no answer in 2 s"},
-		"a name nobody knows": {list(1, origin, east1, with(east2, "127.0.0.2", "none.example.org")), "l:4:30: none.example.org has no address"},
-		"no port":             {list(1, origin, east1, with(east2, ":4100", "")), `l:4:30: addr "127.0.0.2" has no port`},
-		"port 0":              {list(1, origin, east1, with(east2, ":4100", ":0")), `l:4:30: addr "127.0.0.2:0" has no port from 1 to 65535 but "0"`},
-		"a host of signs":     {list(1, origin, east1, with(east2, "127.0.0.2", "a b")), `l:4:30: addr "a b:4100" has no host that can be looked up`},
-		"an unknown zone":     {list(1, origin, east1, with(east2, "east", "north")), `l:4:56: unknown zone "north"`},
-		"an unknown kind":     {list(1, origin, east1, with(east2, "small", "big")), `l:4:72: unknown kind "big"`},
-		"an unknown state":    {list(1, origin, east1, with(east2, `"weight"`, `"state": "up", "weight"`)), `l:4:90: state "up" is neither ready nor draining`},
-		"no weight":           {list(1, origin, east1, with(east2, `, "weight": 4`, "")), "l:4:1: weight is missing"},
-		"weight 0":            {list(1, origin, east1, with(east2, `: 4}`, ": 0}")), "l:4:91: weight 0 is not above 0 and at most 1e+06"},
-		"an endless weight":   {list(1, origin, east1, with(east2, `: 4}`, ": 1e999}")), "l:4:91: wants a finite number, not 1e999"},
+		"a name nobody knows": {list(1, origin, east1, replace(east2, "127.0.0.2", "none.example.org")), "l:4:30: none.example.org has no address"},
+		"no port":             {list(1, origin, east1, replace(east2, ":4100", "")), `l:4:30: addr "127.0.0.2" has no port`},
+		"port 0":              {list(1, origin, east1, replace(east2, ":4100", ":0")), `l:4:30: addr "127.0.0.2:0" has no port from 1 to 65535 but "0"`},
+		"a host of signs":     {list(1, origin, east1, replace(east2, "127.0.0.2", "a b")), `l:4:30: addr "a b:4100" has no host that can be looked up`},
+		"an unknown zone":     {list(1, origin, east1, replace(east2, "east", "north")), `l:4:56: unknown zone "north"`},
+		"an unknown kind":     {list(1, origin, east1, replace(east2, "small", "big")), `l:4:72: unknown kind "big"`},
+		"an unknown state":    {list(1, origin, east1, replace(east2, `"weight"`, `"state": "up", "weight"`)), `l:4:90: state "up" is neither ready nor draining`},
+		"no weight":           {list(1, origin, east1, replace(east2, `, "weight": 4`, "")), "l:4:1: weight is missing"},
+		"weight 0":            {list(1, origin, east1, replace(east2, `: 4}`, ": 0}")), "l:4:91: weight 0 is not above 0 and at most 1e+06"},
+		"an endless weight":   {list(1, origin, east1, replace(east2, `: 4}`, ": 1e999}")), "l:4:91: wants a finite number, not 1e999"},
 		"no origin":           {list(1, east1), `l:1:30: no ready server of kind "origin", and there are classes that write`},
-		"no cache for clients": {list(1, origin, with(east1, `"weight"`, `"state": "draining", "weight"`), west4),
+		"no cache for clients": {list(1, origin, replace(east1, `"weight"`, `"state": "draining", "weight"`), west4),
 			`l:1:30: no ready cache in zone "east", which has clients`},
 	} {
-		set, got := accept(c.text, nil)
+		set, got := parseAndResolve(c.text, nil)
 		assert.Equal(t, c.want, got, name)
 		assert.Nil(t, set, name)
 	}
@@ -106,23 +106,23 @@
 
 // Which list may follow the one in use, and which addresses it gets.
 func TestAcceptsOnlyValidChanges(t *testing.T) {
-	old, defects := accept(list(7, origin, east1, east2, east3, west4), nil)
+	old, defects := parseAndResolve(list(7, origin, east1, east2, east3, west4), nil)
 	require.Empty(t, defects)
-	same, defects := accept("// saved again\n"+list(7, west4, east1, origin, east3, east2), old)
+	same, defects := parseAndResolve("// saved again\n"+list(7, west4, east1, origin, east3, east2), old)
 	require.Empty(t, defects)
 	require.Same(t, old, same, "a file that is saved again unchanged changes nothing")
 	for text, want := range map[string]string{
 		list(6, origin, east1, east2, east3, west4): "l:1:16: generation goes back from 7 to 6",
 		list(7, origin, east1, east2, east3):        "l:1:16: generation 7 was used for another list: give a changed list the next one",
 		list(8, origin, east1):                      "l:1:16: takes 3 of 5 ready servers out of use, 2 at the most without \"force\": true",
-		list(8, origin, east1, east2, with(east3, `"weight"`, `"state": "draining", "weight"`)): "",
-		strings.Replace(list(8, origin, east1), "{", `{"force": true, `, 1):                     "",
+		list(8, origin, east1, east2, replace(east3, `"weight"`, `"state": "draining", "weight"`)): "",
+		strings.Replace(list(8, origin, east1), "{", `{"force": true, `, 1):                        "",
 	} {
-		_, got := accept(text, old)
+		_, got := parseAndResolve(text, old)
 		require.Equal(t, want, got, text)
 	}
-	next, defects := accept(list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
-		with(with(east3, "3\"", "5\""), "127.0.0.3", "many.example.org")), old)
+	next, defects := parseAndResolve(list(8, origin, replace(east1, `: 4}`, ": 6}"), replace(east2, `"weight"`, `"state": "draining", "weight"`), west4,
+		replace(replace(east3, "3\"", "5\""), "127.0.0.3", "many.example.org")), old)
 	require.Empty(t, defects)
 	var lines []string
 	for _, c := range serverlist.Diff(old, next) {
@@ -137,18 +137,18 @@
 
 	// A name with several addresses keeps the one in use while it is among them, and moves then.
 	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7", "127.0.1.8"}}
-	text := list(8, origin, with(east1, `: 4}`, ": 6}"), with(east2, `"weight"`, `"state": "draining", "weight"`), west4,
-		with(with(east3, "3\"", "5\""), "127.0.0.3", "many.example.org"))
-	again, defects := accept(text, next)
+	text := list(8, origin, replace(east1, `: 4}`, ": 6}"), replace(east2, `"weight"`, `"state": "draining", "weight"`), west4,
+		replace(replace(east3, "3\"", "5\""), "127.0.0.3", "many.example.org"))
+	again, defects := parseAndResolve(text, next)
 	require.Empty(t, defects)
 	require.Same(t, next, again)
 	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.1.7"}}
-	moved, defects := accept(text, next)
+	moved, defects := parseAndResolve(text, next)
 	require.Empty(t, defects)
 	require.Equal(t, serverlist.ChangeMoved, serverlist.Diff(next, moved)[0].Kind)
 	// It moves to the address of another server: the list is rejected.
 	resolutions["many.example.org"] = serverlist.Resolution{Addrs: []string{"127.0.0.2"}}
-	_, got := accept(text, next)
+	_, got := parseAndResolve(text, next)
 	require.Contains(t, got, "the address of s-00000002")
 }
 
@@ -175,20 +175,20 @@
 		}
 		return out
 	}
-	good := manifest(3, parts, "hub.jsonc", "east.jsonc")
-	d, defects := serverlist.Parse(files(good, "hub.jsonc", "east.jsonc", "new.jsonc"), requirements)
+	complete := manifest(3, parts, "hub.jsonc", "east.jsonc")
+	d, defects := serverlist.Parse(files(complete, "hub.jsonc", "east.jsonc", "new.jsonc"), requirements)
 	require.NoError(t, defects.Err())
 	require.Len(t, d.Servers, 3)
 	for name, c := range map[string]struct {
 		files []serverlist.File
 		want  string
 	}{
-		"a part that is missing": {files(good, "hub.jsonc"), "d/manifest.jsonc:3:10: east.jsonc is not there"},
+		"a part that is missing": {files(complete, "hub.jsonc"), "d/manifest.jsonc:3:10: east.jsonc is not there"},
 		"a part of another time": {
-			[]serverlist.File{good, {Name: "d/hub.jsonc", Data: parts["hub.jsonc"]}, {Name: "d/east.jsonc", Data: parts["new.jsonc"]}},
-			fmt.Sprintf("d/manifest.jsonc:3:34: east.jsonc has the hash %x: it is not the part that was meant", sha256Head(parts["new.jsonc"])),
+			[]serverlist.File{complete, {Name: "d/hub.jsonc", Data: parts["hub.jsonc"]}, {Name: "d/east.jsonc", Data: parts["new.jsonc"]}},
+			fmt.Sprintf("d/manifest.jsonc:3:34: east.jsonc has the hash %x: it is not the part that was meant", sha256Prefix(parts["new.jsonc"])),
 		},
-		"no manifest":         {files(good, "hub.jsonc", "east.jsonc")[1:], "d:1:1: 2 files and no manifest.jsonc to bind them"},
+		"no manifest":         {files(complete, "hub.jsonc", "east.jsonc")[1:], "d:1:1: 2 files and no manifest.jsonc to bind them"},
 		"a part twice":        {files(manifest(3, parts, "hub.jsonc", "hub.jsonc"), "hub.jsonc"), "d/manifest.jsonc:3:10: hub.jsonc is named twice"},
 		"a path out of there": {files(manifest(3, parts, "../hub.jsonc"), "hub.jsonc"), "d/manifest.jsonc:2:10: \"../hub.jsonc\" is no part of this directory"},
 		"an id in two parts":  {files(manifest(3, parts, "hub.jsonc", "east.jsonc", "new.jsonc"), "hub.jsonc", "east.jsonc", "new.jsonc"), "d/new.jsonc:2:8: id s-00000001 is that of d/east.jsonc:2:1 too\nd/new.jsonc:2:30: cache1.example.org:4100 is the address of s-00000001 at d/east.jsonc:2:1 too"},
@@ -198,21 +198,21 @@
 	}
 }
 
-func sha256Head(b []byte) []byte { s := sha256.Sum256(b); return s[:6] }
+func sha256Prefix(b []byte) []byte { s := sha256.Sum256(b); return s[:6] }
 
 // A list written over another one byte by byte, with or without truncation, is not accepted before it is complete.
 func TestListWrittenInPlaceIsRejectedUntilComplete(t *testing.T) {
 	before, after := list(7, origin, east1, east2), list(8, origin, east1, east3)
-	old, defects := accept(before, nil)
+	old, defects := parseAndResolve(before, nil)
 	require.Empty(t, defects)
 	for i := range len(after) {
-		if set, defects := accept(after[:i], old); defects == "" {
-			t.Fatalf("cut at %d: %v", i, set)
+		if accepted, defects := parseAndResolve(after[:i], old); defects == "" {
+			t.Fatalf("cut at %d: %v", i, accepted)
 		}
 		// What is left to write may be the same in both.
 		if i < len(before) && after[:i]+before[i:] != after {
-			if set, defects := accept(after[:i]+before[i:], old); defects == "" {
-				require.Same(t, old, set, "%d", i)
+			if accepted, defects := parseAndResolve(after[:i]+before[i:], old); defects == "" {
+				require.Same(t, old, accepted, "%d", i)
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(list(1, origin, east1, east2, west4)))
-	f.Add([]byte(list(1, origin, with(east1, "cache1.example.org", "[::1%lo]"))))
+	f.Add([]byte(list(1, origin, replace(east1, "cache1.example.org", "[::1%lo]"))))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: text}}, requirements)
 		require.Equal(t, defects == nil, d != nil)
@@ -230,8 +230,8 @@
 	})
 }
 
-// large returns a list of n servers, an origin and a named one.
-func large(n int) []serverlist.File {
+// largeList returns a list of n servers, an origin and a named one.
+func largeList(n int) []serverlist.File {
 	entries := []string{origin, east1}
 	for i := range n {
 		entries = append(entries, fmt.Sprintf(`{"id": "s-%08x", "addr": "127.1.%d.%d:4100", "zone": "east", "kind": "small", "weight": 4}`, 100+i, i/250, i%250+1))
@@ -240,7 +240,7 @@
 }
 
 func BenchmarkParse10k(b *testing.B) {
-	files := large(10_000)
+	files := largeList(10_000)
 	known := map[string]serverlist.Resolution{}
 	d, defects := serverlist.Parse(files, requirements)
 	require.NoError(b, defects.Err())
--- a/internal/decide/serverlist/parse.go
+++ b/internal/decide/serverlist/parse.go
@@ -182,9 +182,9 @@
 		doc.Failf("parts", "wants 1 to %d parts, not %d", maxParts, len(m.Parts))
 		return
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for i, info := range m.Parts {
-		f, ok := findPart(location{doc, fmt.Sprintf("parts[%d]", i)}, info, files, named)
+		f, ok := findPart(location{doc, fmt.Sprintf("parts[%d]", i)}, info, files, seen)
 		if !ok {
 			continue
 		}
@@ -196,28 +196,28 @@
 
 // findPart returns the file of a part. It must be there, unchanged since the manifest was written. named are the parts
 // found before.
-func findPart(at location, info partInfo, files []File, named map[string]bool) (f File, ok bool) {
+func findPart(loc location, info partInfo, files []File, seen map[string]bool) (f File, ok bool) {
 	i := slices.IndexFunc(files, func(f File) bool { return path.Base(f.Name) == info.File })
 	switch {
 	case info.File == "" || info.File != path.Base(info.File) || info.File == ManifestName:
-		at.fail("file", "%q is no part of this directory", info.File)
+		loc.fail("file", "%q is no part of this directory", info.File)
 		return f, false
-	case named[info.File]:
-		at.fail("file", "%s is named twice", info.File)
+	case seen[info.File]:
+		loc.fail("file", "%s is named twice", info.File)
 		return f, false
 	case i < 0:
-		at.fail("file", "%s is not there", info.File)
+		loc.fail("file", "%s is not there", info.File)
 		return f, false
 	}
-	named[info.File] = true
+	seen[info.File] = true
 	sum := sha256.Sum256(files[i].Data)
 	want, err := hex.DecodeString(info.SHA256)
 	switch {
 	case err != nil || len(want) != len(sum):
-		at.fail("sha256", "wants 64 hexadecimal digits")
+		loc.fail("sha256", "wants 64 hexadecimal digits")
 		return f, false
 	case !slices.Equal(want, sum[:]):
-		at.fail("sha256", "%s has the hash %x: it is not the part that was meant", info.File, sum[:6])
+		loc.fail("sha256", "%s has the hash %x: it is not the part that was meant", info.File, sum[:6])
 		return f, false
 	}
 	return files[i], true
@@ -237,8 +237,8 @@
 		return
 	}
 	for i, e := range entries {
-		at := location{doc, "servers[" + strconv.Itoa(i) + "]"}
-		if s, ok := checkEntry(at, e, &d.requirements); ok {
+		loc := location{doc, "servers[" + strconv.Itoa(i) + "]"}
+		if s, ok := checkEntry(loc, e, &d.requirements); ok {
 			d.Servers = append(d.Servers, s)
 		}
 	}
--- a/internal/decide/serverlist/resolve.go
+++ b/internal/decide/serverlist/resolve.go
@@ -54,7 +54,7 @@
 // setAddrs sets the address of each server, and notes the defects of those without an address of their own.
 func setAddrs(servers []Server, resolutions map[string]Resolution, current *List) {
 	previous := indexByID(current)
-	taken := map[string]*Server{}
+	byAddr := map[string]*Server{}
 	for i := range servers {
 		s := &servers[i]
 		ip, failure := chooseAddr(s, resolutions[s.Host], previous[s.ID])
@@ -63,11 +63,11 @@
 			continue
 		}
 		s.Addr = joinHostPort(ip, s.Port)
-		if other := taken[s.Addr]; other != nil {
+		if other := byAddr[s.Addr]; other != nil {
 			s.location.fail("addr", "%s is %s, the address of %s at %s too", s.Host, s.Addr, FormatID(other.ID), other.location)
 			continue
 		}
-		taken[s.Addr] = s
+		byAddr[s.Addr] = s
 	}
 }
 
@@ -103,13 +103,13 @@
 		fail("generation %d was used for another list: give a changed list the next one", next.Generation)
 		return
 	}
-	bound := d.requirements.MaxDropped
-	if d.Force || bound <= 0 || bound >= 1 {
+	maxFraction := d.requirements.MaxDropped
+	if d.Force || maxFraction <= 0 || maxFraction >= 1 {
 		return
 	}
 	ready, dropped := countDropped(next, current)
-	if most := int(math.Floor(bound * float64(ready))); dropped > most {
-		fail("takes %d of %d ready servers out of use, %d at the most without \"force\": true", dropped, ready, most)
+	if maxDropped := int(math.Floor(maxFraction * float64(ready))); dropped > maxDropped {
+		fail("takes %d of %d ready servers out of use, %d at the most without \"force\": true", dropped, ready, maxDropped)
 	}
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -56,20 +56,20 @@
 func TestConcurrentEventsPublishInOrder(t *testing.T) {
 	clk := clock.Manual(0)
 	var last uint64
-	set := settings()
-	set.Sources = append(set.Sources, membership.Source{Name: "discovery", Immediate: true})
-	r, err := registry.New(registry.Options{Membership: set, Clock: clk, Publish: func(p membership.Publish) {
+	membershipSettings := settings()
+	membershipSettings.Sources = append(membershipSettings.Sources, membership.Source{Name: "discovery", Immediate: true})
+	r, err := registry.New(registry.Options{Membership: membershipSettings, Clock: clk, Publish: func(p membership.Publish) {
 		require.Equal(t, last+1, p.Version)
 		last = p.Version
 	}})
 	require.NoError(t, err)
 	var wait sync.WaitGroup
-	for at := range 2 {
+	for source := range 2 {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for n := range 200 {
-				r.Handle(membership.Snapshot{Source: at, Generation: uint64(n + 1), Entries: entries(5)[n%3:]})
+				r.Handle(membership.Snapshot{Source: source, Generation: uint64(n + 1), Entries: entries(5)[n%3:]})
 			}
 		}()
 	}
--- a/internal/source/discoveryclient/call.go
+++ b/internal/source/discoveryclient/call.go
@@ -53,7 +53,7 @@
 	}
 	in := meteredConn{conn, c}
 	for ctx.Err() == nil {
-		e, kind, err := readFrame(in, c.expect)
+		e, kind, err := readFrame(in, c.setFrameSize)
 		if err != nil {
 			send(message{err: err})
 			return
@@ -77,7 +77,7 @@
 // Read implements io.Reader.
 func (m meteredConn) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
-	m.call.received(n)
+	m.call.bytesReceived(n)
 	return n, err
 }
 
@@ -87,7 +87,7 @@
 	c.conn = conn
 }
 
-func (c *call) received(n int) {
+func (c *call) bytesReceived(n int) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +97,8 @@
 	c.frame.Received, c.frame.LastByteAt = c.frame.Received+n, now
 }
 
-// expect records the size, in bytes, of the frame that is being received.
-func (c *call) expect(size int) {
+// setFrameSize records the size, in bytes, of the frame that is being received.
+func (c *call) setFrameSize(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.frame.Size = size
@@ -110,8 +110,8 @@
 	c.frame, c.pending = discovery.FrameProgress{}, true
 }
 
-// applied notes that the frame that was complete is in force.
-func (c *call) applied() {
+// frameApplied notes that the frame that was complete is in force.
+func (c *call) frameApplied() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending = false
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -17,12 +17,12 @@
 	"ravenwheel/policy"
 )
 
-func frame(rev uint64, kind byte, payload ...byte) []byte {
+func encodeFrame(rev uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(b, rev), kind), payload...)
 }
 
-func group(n uint16, ms uint64) []byte {
+func groupPurge(n uint16, ms uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(nil, n), ms)
 }
 
@@ -38,77 +38,77 @@
 func newHarness(t *testing.T) *harness {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &harness{t: t, clk: clock.Manual(1e12), ln: ln, events: make(chan Event, 10)}
-	f.client = &Client{
-		Addr: ln.Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: f.clk,
-		OnEvent: func(n Event) { f.events <- n },
+	h := &harness{t: t, clk: clock.Manual(1e12), ln: ln, events: make(chan Event, 10)}
+	h.client = &Client{
+		Addr: ln.Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: h.clk,
+		OnEvent: func(e Event) { h.events <- e },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); ln.Close() })
-	go f.client.Run(ctx)
-	return f
+	go h.client.Run(ctx)
+	return h
 }
 
 // accept returns the service's next connection, and checks the revision after which it requests events.
-func (f *harness) accept(want uint64) net.Conn {
-	nc, err := f.ln.Accept()
-	require.NoError(f.t, err)
-	f.t.Cleanup(func() { nc.Close() })
+func (h *harness) accept(want uint64) net.Conn {
+	nc, err := h.ln.Accept()
+	require.NoError(h.t, err)
+	h.t.Cleanup(func() { nc.Close() })
 	var last uint64
-	require.NoError(f.t, binary.Read(nc, binary.BigEndian, &last))
-	require.Equal(f.t, want, last)
+	require.NoError(h.t, binary.Read(nc, binary.BigEndian, &last))
+	require.Equal(h.t, want, last)
 	return nc
 }
 
 // advanceUntil lets time pass, in steps, until the status is as wanted.
-func (f *harness) advanceUntil(done func(s Status) bool) {
-	require.Eventually(f.t, func() bool {
-		if done(f.client.Status()) {
+func (h *harness) advanceUntil(done func(s Status) bool) {
+	require.Eventually(h.t, func() bool {
+		if done(h.client.Status()) {
 			return true
 		}
-		f.clk.Advance(25)
+		h.clk.Advance(25)
 		return false
 	}, time.Minute, 2*time.Millisecond)
 }
 
 // waitForCall lets time pass until the client makes another call.
-func (f *harness) waitForCall() {
-	before := f.client.Status().Calls
-	f.advanceUntil(func(s Status) bool { return s.Calls > before })
+func (h *harness) waitForCall() {
+	before := h.client.Status().Calls
+	h.advanceUntil(func(s Status) bool { return s.Calls > before })
 }
 
-func (f *harness) write(nc net.Conn, b []byte) {
+func (h *harness) write(nc net.Conn, b []byte) {
 	_, err := nc.Write(b)
-	require.NoError(f.t, err)
+	require.NoError(h.t, err)
 }
 
 // expectClosed checks that the client has closed a connection.
-func (f *harness) expectClosed(nc net.Conn) {
+func (h *harness) expectClosed(nc net.Conn) {
 	_, err := nc.Read(make([]byte, 1))
-	require.ErrorIs(f.t, err, io.EOF)
+	require.ErrorIs(h.t, err, io.EOF)
 }
 
 // The service falls silent, sends malformed frames, or an event twice: the client calls again with the last revision it has, and
 // delivers each event once. A silent call stays open until another one receives a frame.
 func TestReconnectsAfterSilenceAndMalformedFrames(t *testing.T) {
-	f := newHarness(t)
-	first := f.accept(4)
-	f.write(first, append(frame(5, kindPurgeGroup, group(17, 1000)...), frame(5, kindPurgeGroup, group(17, 1000)...)...))
-	require.Equal(t, Event{Revision: 5, Purge: &core.Purge{Group: 17, At: 1001}}, <-f.events)
-	f.waitForCall() // the service has fallen silent
-	second := f.accept(5)
-	f.write(second, frame(6, kindPurgeObject, 1, 2, 3)) // malformed
-	f.waitForCall()
-	third := f.accept(5)
-	f.write(third, frame(6, kindPurgeGroup, group(18, 1000)...)[:9])
+	h := newHarness(t)
+	first := h.accept(4)
+	h.write(first, append(encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...), encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...)...))
+	require.Equal(t, Event{Revision: 5, Purge: &core.Purge{Group: 17, At: 1001}}, <-h.events)
+	h.waitForCall() // the service has fallen silent
+	second := h.accept(5)
+	h.write(second, encodeFrame(6, kindPurgeObject, 1, 2, 3)) // malformed
+	h.waitForCall()
+	third := h.accept(5)
+	h.write(third, encodeFrame(6, kindPurgeGroup, groupPurge(18, 1000)...)[:9])
 	require.NoError(t, third.Close()) // closed within a frame: an incomplete one does not count
-	f.waitForCall()
-	fourth := f.accept(5)
-	require.Empty(t, f.events)
-	f.write(fourth, frame(6, kindPurgeGroup, group(18, 1000)...))
-	require.Equal(t, 18, (<-f.events).Purge.Group)
-	f.expectClosed(first)
-	s := f.client.Status()
+	h.waitForCall()
+	fourth := h.accept(5)
+	require.Empty(t, h.events)
+	h.write(fourth, encodeFrame(6, kindPurgeGroup, groupPurge(18, 1000)...))
+	require.Equal(t, 18, (<-h.events).Purge.Group)
+	h.expectClosed(first)
+	s := h.client.Status()
 	require.EqualValues(t, 2, s.Disconnected)
 	require.EqualValues(t, 6, s.LastEvent)
 }
@@ -116,32 +116,32 @@
 // Two calls are open and both receive the same events: each is delivered once, and what the superseded call still receives is
 // dropped.
 func TestOverlappingCallsDeliverEachEventOnce(t *testing.T) {
-	f := newHarness(t)
-	first := f.accept(4)
-	f.waitForCall()
-	second := f.accept(4)
-	both := append(frame(5, kindPurgeGroup, group(17, 1000)...), frame(6, kindPurgeGroup, group(18, 1000)...)...)
-	f.write(second, both)
-	require.EqualValues(t, 5, (<-f.events).Revision)
-	require.EqualValues(t, 6, (<-f.events).Revision)
+	h := newHarness(t)
+	first := h.accept(4)
+	h.waitForCall()
+	second := h.accept(4)
+	both := append(encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...), encodeFrame(6, kindPurgeGroup, groupPurge(18, 1000)...)...)
+	h.write(second, both)
+	require.EqualValues(t, 5, (<-h.events).Revision)
+	require.EqualValues(t, 6, (<-h.events).Revision)
 	_, _ = first.Write(both)
-	f.write(second, frame(7, kindPurgeGroup, group(19, 1000)...))
-	require.EqualValues(t, 7, (<-f.events).Revision)
-	require.Empty(t, f.events)
+	h.write(second, encodeFrame(7, kindPurgeGroup, groupPurge(19, 1000)...))
+	require.EqualValues(t, 7, (<-h.events).Revision)
+	require.Empty(t, h.events)
 }
 
 // A call falls silent, and each one after it too, without a frame: the client calls again from the last revision, until one
 // call brings the events of the meantime.
 func TestReconnectsAfterEachSilence(t *testing.T) {
-	f := newHarness(t)
+	h := newHarness(t)
 	for call := range 6 {
-		nc := f.accept(uint64(4 + min(call, 1)))
+		nc := h.accept(uint64(4 + min(call, 1)))
 		if call == 0 || call == 5 {
-			f.write(nc, frame(uint64(5+call), kindPurgeGroup, group(17, 1000)...))
-			require.EqualValues(t, 5+call, (<-f.events).Revision)
+			h.write(nc, encodeFrame(uint64(5+call), kindPurgeGroup, groupPurge(17, 1000)...))
+			require.EqualValues(t, 5+call, (<-h.events).Revision)
 		}
 		if call < 5 {
-			f.waitForCall()
+			h.waitForCall()
 		}
 	}
 }
@@ -149,52 +149,52 @@
 // Once the last frame is as old as the grace period, CatchUp waits until frames that have arrived are applied, for a bounded
 // time.
 func TestCatchUpWaitsUntilFramesAreApplied(t *testing.T) {
-	f := newHarness(t)
-	nc := f.accept(4)
-	f.write(nc, frame(5, kindPurgeGroup, group(17, 1000)...))
-	require.EqualValues(t, 5, (<-f.events).Revision)
-	f.advanceUntil(func(s Status) bool { return s.SinceLastFrameMs >= 1100 })
-	require.False(t, f.client.CatchUp(), "nothing was written")
+	h := newHarness(t)
+	nc := h.accept(4)
+	h.write(nc, encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...))
+	require.EqualValues(t, 5, (<-h.events).Revision)
+	h.advanceUntil(func(s Status) bool { return s.SinceLastFrameMs >= 1100 })
+	require.False(t, h.client.CatchUp(), "nothing was written")
 	for rev := uint64(6); rev <= 20; rev++ { // more than the test receives
-		f.write(nc, frame(rev, kindPurgeGroup, group(17, 1000)...))
+		h.write(nc, encodeFrame(rev, kindPurgeGroup, groupPurge(17, 1000)...))
 	}
-	f.advanceUntil(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
-	require.True(t, f.client.CatchUp(), "frames have arrived that are not applied")
+	h.advanceUntil(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
+	require.True(t, h.client.CatchUp(), "frames have arrived that are not applied")
 	received := make(chan bool)
 	go func() {
 		for rev := uint64(6); rev <= 20; rev++ {
-			<-f.events
+			<-h.events
 		}
 		close(received)
 	}()
-	require.Eventually(t, func() bool { return !f.client.CatchUp() }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return !h.client.CatchUp() }, time.Minute, time.Millisecond)
 	<-received
 }
 
 // Events may be in force that were not received: that is reported once, and so is its end.
-func TestOverdueAndCurrentAreReportedOnce(t *testing.T) {
-	f := newHarness(t)
+func TestOverdueAndCaughtUpAreReportedOnce(t *testing.T) {
+	h := newHarness(t)
 	reports := make(chan string, 10)
-	f.client.OnOverdue, f.client.OnCaughtUp = func(float64) { reports <- "overdue" }, func() { reports <- "current" }
-	nc := f.accept(4)
-	f.advanceUntil(func(s Status) bool { return s.Overdue == 1 })
+	h.client.OnOverdue, h.client.OnCaughtUp = func(float64) { reports <- "overdue" }, func() { reports <- "current" }
+	nc := h.accept(4)
+	h.advanceUntil(func(s Status) bool { return s.Overdue == 1 })
 	require.Equal(t, "overdue", <-reports)
-	f.write(nc, frame(4, kindHeartbeat))
+	h.write(nc, encodeFrame(4, kindHeartbeat))
 	require.Equal(t, "current", <-reports)
 	require.Empty(t, reports)
 }
 
 func TestDecodeInitialEvents(t *testing.T) {
 	names := Names{Zones: []string{"east"}, Kinds: []string{"std"}}
-	notices, last, err := DecodeInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":false,"instances":[
+	events, last, err := DecodeInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":false,"instances":[
 		{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:4100","zone":"east","machineType":"std","cell":2,
 		"lifecycle":"draining","weight":4,"startedAtMs":5}]}},{"rev":2,"flush":{"asset":"7f3a9c21e0b4d655","ms":7}}]}`), names)
 	require.NoError(t, err)
 	require.EqualValues(t, 2, last)
-	require.True(t, notices[0].Complete, "the first list is complete")
-	m := notices[0].Members[0]
+	require.True(t, events[0].Complete, "the first list is complete")
+	m := events[0].Members[0]
 	require.Equal(t, policy.Member{ID: 0xc41f7a, Cell: 2, State: policy.Draining, Weight: 4, Started: 5e6}, m.Member)
-	require.Equal(t, &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}, notices[1].Purge)
+	require.Equal(t, &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}, events[1].Purge)
 	for _, bad := range []string{`[`, `{"notices":[{"pool":{"instances":[{"instanceId":"x"}]}}]}`,
 		`{"notices":[{"pool":{"instances":[{"instanceId":"s-1","lifecycle":"up","zone":"west"}]}}]}`} {
 		_, _, err := DecodeInitialEvents([]byte(bad), names)
@@ -211,16 +211,16 @@
 		m.ID, m.Started = id, policy.Time(started*1e6)
 		return m
 	}
-	r := timestamp.New(now)
-	known := []Event{
+	translator := timestamp.New(now)
+	initial := []Event{
 		{Revision: 1, Complete: true, Members: []core.Member{server(1, 0), server(2, now-hour), server(3, now-2000)}},
 		{Revision: 2, Purge: &core.Purge{Group: 17, At: now - 300 + 1}},
 	}
-	require.Equal(t, known, TranslateInitialEvents(known, r, now, 6000))
-	r.Heartbeat(now + 1000)
+	require.Equal(t, initial, TranslateInitialEvents(initial, translator, now, 6000))
+	translator.Heartbeat(now + 1000)
 	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
-	require.Equal(t, now+1500+1, stepped.Translate(r, now+1500).Purge.At, "the sender's clock was stepped back: the purge counts as made now")
-	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(r, now+1600)
+	require.Equal(t, now+1500+1, stepped.Translate(translator, now+1500).Purge.At, "the sender's clock was stepped back: the purge counts as made now")
+	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(translator, now+1600)
 	require.Equal(t, now-2000, clock.Ms(list.Members[0].Started))
 	require.GreaterOrEqual(t, clock.Ms(list.Members[1].Started), now+500)
 	require.LessOrEqual(t, clock.Ms(list.Members[1].Started), now+1600)
--- a/internal/source/discoveryclient/golden_test.go
+++ b/internal/source/discoveryclient/golden_test.go
@@ -30,9 +30,9 @@
 			0, 0, 0x01, 0x9a, 0xd8, 0xec, 0xf8, 0,
 		}
 	}
-	add := func(n Event, kind byte, payload ...byte) {
-		encoded = append(encoded, frame(n.Revision, kind, payload...)...)
-		decoded, kinds = append(decoded, n), append(kinds, kind)
+	add := func(e Event, kind byte, payload ...byte) {
+		encoded = append(encoded, encodeFrame(e.Revision, kind, payload...)...)
+		decoded, kinds = append(decoded, e), append(kinds, kind)
 	}
 	members := []core.Member{goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)}
 	add(Event{Revision: 40}, 0)
@@ -64,9 +64,9 @@
 }
 
 // The events of the configuration, in JSON with the protocol's themed names.
-func TestGoldenKnownEvents(t *testing.T) {
+func TestGoldenInitialEvents(t *testing.T) {
 	names := Names{Zones: []string{"hub", "east"}, Kinds: []string{"origin", "parent", "std"}}
-	notices, last, err := DecodeInitialEvents(golden.Read(t, "known.json"), names)
+	events, last, err := DecodeInitialEvents(golden.Read(t, "known.json"), names)
 	require.NoError(t, err)
 	require.EqualValues(t, 44, last)
 	ready, draining, gone := goldenMember(policy.Ready), goldenMember(policy.Draining), goldenMember(policy.Gone)
@@ -76,7 +76,7 @@
 		{Revision: 42, Complete: true, Members: []core.Member{ready, gone}},
 		{Revision: 43, Purge: &core.Purge{Object: "7f3a9c21e0b4d655", Group: -1, At: 8}},
 		{Revision: 44, Purge: &core.Purge{Group: 17, At: 9.5}},
-	}, notices)
+	}, events)
 }
 
 // The client's status, as operators are shown it.
--- a/internal/source/discoveryclient/initial.go
+++ b/internal/source/discoveryclient/initial.go
@@ -18,32 +18,32 @@
 // The JSON forms, with the names of the protocol.
 type (
 	jsonEvents struct {
-		Rev     uint64      `json:"rev"`
-		Notices []jsonEvent `json:"notices"`
+		Rev    uint64      `json:"rev"`
+		Events []jsonEvent `json:"notices"`
 	}
 	jsonEvent struct {
 		Rev   uint64     `json:"rev"`
-		Pool  *jsonList  `json:"pool"`
-		Flush *jsonPurge `json:"flush"`
+		List  *jsonList  `json:"pool"`
+		Purge *jsonPurge `json:"flush"`
 	}
 	jsonList struct {
-		Reset     bool         `json:"reset"` // the list is complete
-		Instances []jsonServer `json:"instances"`
+		Complete bool         `json:"reset"` // the list is complete
+		Servers  []jsonServer `json:"instances"`
 	}
 	jsonServer struct {
-		InstanceID  string  `json:"instanceId"`
-		HostPort    string  `json:"hostPort"`
+		ID          string  `json:"instanceId"`
+		Addr        string  `json:"hostPort"`
 		Zone        string  `json:"zone"`
-		MachineType string  `json:"machineType"`
-		Lifecycle   string  `json:"lifecycle"`
+		Kind        string  `json:"machineType"`
+		State       string  `json:"lifecycle"`
 		Cell        int     `json:"cell"`
 		Weight      float64 `json:"weight"`
 		StartedAtMs float64 `json:"startedAtMs"` // Unix ms
 	}
 	jsonPurge struct {
-		Asset      string  `json:"asset"`      // the object; "": a group
-		Collection *int    `json:"collection"` // the group; absent: an object
-		Ms         float64 `json:"ms"`         // Unix ms
+		Object string  `json:"asset"`      // the object; "": a group
+		Group  *int    `json:"collection"` // the group; absent: an object
+		Ms     float64 `json:"ms"`         // Unix ms
 	}
 )
 
@@ -56,7 +56,7 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, 0, fmt.Errorf("known: %w", err)
 	}
-	for i, j := range in.Notices {
+	for i, j := range in.Events {
 		e, err := j.decode(names, i == 0)
 		if err != nil {
 			return nil, 0, fmt.Errorf("known: notice %d: %w", j.Rev, err)
@@ -68,9 +68,9 @@
 
 func (j jsonEvent) decode(names Names, first bool) (Event, error) {
 	e := Event{Revision: j.Rev}
-	if j.Pool != nil {
-		e.Complete = j.Pool.Reset || first
-		for _, s := range j.Pool.Instances {
+	if j.List != nil {
+		e.Complete = j.List.Complete || first
+		for _, s := range j.List.Servers {
 			m, err := s.decode(names)
 			if err != nil {
 				return e, err
@@ -78,31 +78,31 @@
 			e.Members = append(e.Members, m)
 		}
 	}
-	if j.Flush != nil {
-		e.Purge = j.Flush.decode()
+	if j.Purge != nil {
+		e.Purge = j.Purge.decode()
 	}
 	return e, nil
 }
 
 func (j jsonPurge) decode() *core.Purge {
-	p := &core.Purge{Object: j.Asset, Group: -1, At: j.Ms + core.TimestampResolution}
-	if j.Collection != nil {
-		p.Group = *j.Collection
+	p := &core.Purge{Object: j.Object, Group: -1, At: j.Ms + core.TimestampResolution}
+	if j.Group != nil {
+		p.Group = *j.Group
 	}
 	return p
 }
 
 func (j jsonServer) decode(names Names) (m core.Member, err error) {
-	id, err := strconv.ParseUint(strings.TrimPrefix(j.InstanceID, "s-"), 16, 32)
+	id, err := strconv.ParseUint(strings.TrimPrefix(j.ID, "s-"), 16, 32)
 	if err != nil {
-		return m, fmt.Errorf("instanceId %q can't be read", j.InstanceID)
+		return m, fmt.Errorf("instanceId %q can't be read", j.ID)
 	}
-	state, ok := stateNames[j.Lifecycle]
-	zone, kind := slices.Index(names.Zones, j.Zone), slices.Index(names.Kinds, j.MachineType)
+	state, ok := stateNames[j.State]
+	zone, kind := slices.Index(names.Zones, j.Zone), slices.Index(names.Kinds, j.Kind)
 	if !ok || zone < 0 || kind < 0 {
-		return m, fmt.Errorf("%s: unknown lifecycle %q, zone %q or machineType %q", j.InstanceID, j.Lifecycle, j.Zone, j.MachineType)
+		return m, fmt.Errorf("%s: unknown lifecycle %q, zone %q or machineType %q", j.ID, j.State, j.Zone, j.Kind)
 	}
-	m.Addr = j.HostPort
+	m.Addr = j.Addr
 	m.ID, m.Zone, m.Kind, m.Cell, m.State = policy.CacheID(id), zone, kind, j.Cell, state
 	m.Weight, m.Started = j.Weight, clock.Duration(j.StartedAtMs)
 	return m, nil
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -55,7 +55,7 @@
 
 // receive handles a message. One of a call that was closed in the meantime is dropped.
 func (l *loop) receive(m message) {
-	defer m.from.applied()
+	defer m.from.frameApplied()
 	if l.calls[m.from.id] != m.from {
 		return
 	}
--- a/internal/source/discoveryclient/slow_service_test.go
+++ b/internal/source/discoveryclient/slow_service_test.go
@@ -9,13 +9,13 @@
 )
 
 // writeSlowly writes a frame in parts, and lets pause ms of the clock pass after each.
-func (f *harness) writeSlowly(nc net.Conn, frame []byte, parts int, pause float64) {
+func (h *harness) writeSlowly(nc net.Conn, frame []byte, parts int, pause float64) {
 	for size := (len(frame) + parts - 1) / parts; len(frame) > 0; {
 		n := min(size, len(frame))
-		f.write(nc, frame[:n])
+		h.write(nc, frame[:n])
 		frame = frame[n:]
 		time.Sleep(2 * time.Millisecond) // it is read meanwhile
-		f.clk.Advance(pause)
+		h.clk.Advance(pause)
 	}
 }
 
@@ -23,51 +23,51 @@
 // It is received on the call on which it began, whatever other calls are made in the meantime.
 func TestSlowSnapshotIsReceivedOnItsCall(t *testing.T) {
 	const servers, parts, pause = 3200, 40, 200
-	f := newHarness(t)
-	nc := f.accept(4)
+	h := newHarness(t)
+	nc := h.accept(4)
 	payload := make([]byte, 0, servers*recordSize)
 	for id := range servers {
 		record := make([]byte, recordSize)
 		copy(record, []byte{0, 0, byte(id >> 8), byte(id), 10, 1, 0, 9, 16, 4})
 		payload = append(payload, record...)
 	}
-	f.writeSlowly(nc, frame(5, kindSnapshot, payload...), parts, pause)
+	h.writeSlowly(nc, encodeFrame(5, kindSnapshot, payload...), parts, pause)
 	select {
-	case n := <-f.events:
+	case n := <-h.events:
 		require.EqualValues(t, 5, n.Revision)
 		require.Len(t, n.Members, servers)
 	case <-time.After(time.Minute):
 		require.Fail(t, "the list never came")
 	}
-	f.write(nc, frame(6, kindPurgeGroup, group(17, 1000)...)) // still the same connection
-	require.EqualValues(t, 6, (<-f.events).Revision)
+	h.write(nc, encodeFrame(6, kindPurgeGroup, groupPurge(17, 1000)...)) // still the same connection
+	require.EqualValues(t, 6, (<-h.events).Revision)
 }
 
 // A frame arrives at a byte a second, on a call that has brought a frame before: another call is made, and brings the event.
 func TestStalledFrameIsReceivedByAnotherCall(t *testing.T) {
-	f := newHarness(t)
-	first := f.accept(4)
-	f.write(first, frame(4, kindHeartbeat))
-	f.advanceUntil(func(s Status) bool { return s.Frames == 1 })
-	purge := frame(5, kindPurgeGroup, group(17, 1000)...)
-	for second := 0; f.client.Status().Calls == 1; second++ {
+	h := newHarness(t)
+	first := h.accept(4)
+	h.write(first, encodeFrame(4, kindHeartbeat))
+	h.advanceUntil(func(s Status) bool { return s.Frames == 1 })
+	purge := encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...)
+	for second := 0; h.client.Status().Calls == 1; second++ {
 		require.Less(t, second, 4, "s without a complete frame")
-		f.write(first, purge[second:second+1])
-		f.advanceUntil(func(s Status) bool { return s.Calls > 1 || s.SinceLastFrameMs >= float64(second+1)*1000 })
+		h.write(first, purge[second:second+1])
+		h.advanceUntil(func(s Status) bool { return s.Calls > 1 || s.SinceLastFrameMs >= float64(second+1)*1000 })
 	}
-	f.write(f.accept(4), purge)
-	require.EqualValues(t, 5, (<-f.events).Revision)
-	f.expectClosed(first)
+	h.write(h.accept(4), purge)
+	require.EqualValues(t, 5, (<-h.events).Revision)
+	h.expectClosed(first)
 }
 
 // An overloaded service sends nothing to a new caller for longer than the silence timeout. The call that it answers first is kept,
 // and the other one is closed.
 func TestFirstCallToRespondIsKept(t *testing.T) {
-	f := newHarness(t)
-	first := f.accept(4)
-	f.waitForCall()
-	second := f.accept(4)
-	f.write(first, frame(5, kindPurgeGroup, group(17, 1000)...))
-	require.EqualValues(t, 5, (<-f.events).Revision)
-	f.expectClosed(second)
+	h := newHarness(t)
+	first := h.accept(4)
+	h.waitForCall()
+	second := h.accept(4)
+	h.write(first, encodeFrame(5, kindPurgeGroup, groupPurge(17, 1000)...))
+	require.EqualValues(t, 5, (<-h.events).Revision)
+	h.expectClosed(second)
 }
--- a/internal/source/discoveryclient/status.go
+++ b/internal/source/discoveryclient/status.go
@@ -16,7 +16,7 @@
 
 // counters count what became of a client's calls. All but lastFrame and address only rise.
 type counters struct {
-	calls, responded, failed, disconnected, closed, addressChanges, frames, late, overdue atomic.Int64
+	calls, responded, failed, disconnected, closed, addressChanges, frames, eventsAfterSilence, overdue atomic.Int64
 
 	longestSilence atomic.Int64 // ms between two complete frames
 	lastFrame      atomic.Int64 // when the last complete frame came, or the start, in ms of the clock
@@ -54,7 +54,7 @@
 		Closed:             n.closed.Load(),
 		AddressChanges:     n.addressChanges.Load(),
 		Frames:             n.frames.Load(),
-		EventsAfterSilence: n.late.Load(),
+		EventsAfterSilence: n.eventsAfterSilence.Load(),
 		Overdue:            n.overdue.Load(),
 		SinceLastFrameMs:   c.Clock.Now() - float64(n.lastFrame.Load()),
 		LongestSilenceMs:   n.longestSilence.Load(),
@@ -85,7 +85,7 @@
 			Msg("first frame received from discovery")
 	}
 	if silence > lateAfter && e.Revision > last && e.hasEffect() {
-		n.late.Add(1)
+		n.eventsAfterSilence.Add(1)
 		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("revision", e.Revision).Bool("purge", e.Purge != nil).
 			Float64("silent_ms", silence).Msg("event received after a silence")
 	}
--- a/internal/source/filewatch/bench_test.go
+++ b/internal/source/filewatch/bench_test.go
@@ -38,13 +38,13 @@
 				return serverlist.Format(s)
 			}
 			accepted := make(chan uint64, 1)
-			src := filewatch.New(filewatch.Options{
+			watcher := filewatch.New(filewatch.Options{
 				Path: path, Clock: clk, Resolver: &resolver.Cache{Clock: clk, TTL: 1e6, Timeout: 1e4},
 				Debounce: debounce.Settings{QuietPeriod: c.quiet, MaxDelay: 5000, PollInterval: 5000},
 				OnList:   func(s *serverlist.List) { accepted <- s.Generation },
 			}, nil)
-			go src.Run()
-			defer src.Close()
+			go watcher.Run()
+			defer watcher.Close()
 			for i := 1; i <= b.N; i++ {
 				require.NoError(b, os.WriteFile(path+".new", text(i), 0o600))
 				began := clk.Now()
--- a/internal/source/filewatch/directories.go
+++ b/internal/source/filewatch/directories.go
@@ -13,8 +13,8 @@
 // maxLinks bounds the symbolic links that are followed on the way to the list.
 const maxLinks = 16
 
-// concerns reports whether an event may concern the list: in a directory that holds much else, most are of other files.
-func (w *Watcher) concerns(e fsnotify.Event) bool {
+// isRelevant reports whether an event may concern the list: in a directory that holds much else, most are of other files.
+func (w *Watcher) isRelevant(e fsnotify.Event) bool {
 	if e.Op == fsnotify.Chmod {
 		return false
 	}
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -111,7 +111,7 @@
 	}
 	w.debouncer = debounce.New(w.opt.Debounce, w.opt.Clock.Now())
 	w.watchDirs()
-	w.act(w.debouncer.Tick(w.opt.Clock.Now()))
+	w.perform(w.debouncer.Tick(w.opt.Clock.Now()))
 	for {
 		select {
 		case <-w.done:
@@ -121,13 +121,13 @@
 		case f := <-w.events:
 			f()
 		case e := <-changes:
-			if w.concerns(e) {
-				w.act(w.debouncer.Changed(w.opt.Clock.Now()))
+			if w.isRelevant(e) {
+				w.perform(w.debouncer.Changed(w.opt.Clock.Now()))
 			}
 		case err := <-failures:
 			// The queue overflowed: any file may have changed.
 			w.opt.Log.Warn("watch").Err(err).Msg("file system notifications lost; reading the server list")
-			w.act(w.debouncer.Changed(w.opt.Clock.Now()))
+			w.perform(w.debouncer.Changed(w.opt.Clock.Now()))
 		}
 	}
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// act carries out the debouncer's decision.
-func (w *Watcher) act(a debounce.Action) {
+// perform carries out the debouncer's decision.
+func (w *Watcher) perform(a debounce.Action) {
 	if a.Accept {
 		w.parse()
 	}
@@ -151,7 +151,7 @@
 	w.stopTimer()
 	wait := a.WakeAt - w.opt.Clock.Now()
 	w.stopTimer = w.opt.Clock.After(wait, func() {
-		go w.post(func() { w.act(w.debouncer.Tick(w.opt.Clock.Now())) })
+		go w.post(func() { w.perform(w.debouncer.Tick(w.opt.Clock.Now())) })
 	})
 }
 
@@ -181,5 +181,5 @@
 		}
 		w.files = files
 	}
-	w.act(w.debouncer.ReadDone(began, w.opt.Clock.Now(), fingerprint(files), err == nil))
+	w.perform(w.debouncer.ReadDone(began, w.opt.Clock.Now(), fingerprint(files), err == nil))
 }
--- a/internal/source/filewatch/list.go
+++ b/internal/source/filewatch/list.go
@@ -54,7 +54,7 @@
 				return
 			}
 			w.opt.Resolver.Retain(hosts)
-			w.use(draft, resolutions)
+			w.accept(draft, resolutions)
 			w.stopRefresh()
 			if resolver.HasNames(hosts) {
 				w.refreshLater(request)
@@ -74,8 +74,8 @@
 	})
 }
 
-// use puts a draft in use, if decide/serverlist accepts it after the list in use.
-func (w *Watcher) use(draft *serverlist.Draft, resolutions map[string]serverlist.Resolution) {
+// accept puts a draft in use, if decide/serverlist accepts it after the list in use.
+func (w *Watcher) accept(draft *serverlist.Draft, resolutions map[string]serverlist.Resolution) {
 	w.mu.Lock()
 	current := w.list
 	w.mu.Unlock()
--- a/internal/source/resolver/resolver_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -15,19 +15,19 @@
 	"ravenwheel/internal/source/resolver"
 )
 
-// table is a backend that answers from a table, and hangs, whatever its context says, where the table says so.
-type table struct {
+// fakeBackend is a backend that answers from a table, and hangs, whatever its context says, where the table says so.
+type fakeBackend struct {
 	mu      sync.Mutex
 	hosts   map[string][]netip.Addr
 	hang    map[string]chan struct{}
 	lookups map[string]int
 }
 
-func (r *table) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
-	r.mu.Lock()
-	r.lookups[host]++
-	ips, hang := r.hosts[host], r.hang[host]
-	r.mu.Unlock()
+func (b *fakeBackend) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
+	b.mu.Lock()
+	b.lookups[host]++
+	ips, hang := b.hosts[host], b.hang[host]
+	b.mu.Unlock()
 	if hang != nil {
 		<-hang
 	}
@@ -37,24 +37,24 @@
 	return ips, nil
 }
 
-func (r *table) set(host string, ips ...string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.hosts[host] = nil
+func (b *fakeBackend) set(host string, ips ...string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.hosts[host] = nil
 	for _, ip := range ips {
-		r.hosts[host] = append(r.hosts[host], netip.MustParseAddr(ip))
+		b.hosts[host] = append(b.hosts[host], netip.MustParseAddr(ip))
 	}
 }
 
-func newCache() (*resolver.Cache, *table, *clock.Clock) {
-	r := &table{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, lookups: map[string]int{}}
+func newCache() (*resolver.Cache, *fakeBackend, *clock.Clock) {
+	backend := &fakeBackend{hosts: map[string][]netip.Addr{}, hang: map[string]chan struct{}{}, lookups: map[string]int{}}
 	clk := clock.Manual(0)
-	return &resolver.Cache{Backend: r, Clock: clk, TTL: 30_000, Timeout: 2000}, r, clk
+	return &resolver.Cache{Backend: backend, Clock: clk, TTL: 30_000, Timeout: 2000}, backend, clk
 }
 
 // A literal address is resolved if all read it alike, to one spelling; a name is looked up.
 func TestResolvesUnambiguousLiterals(t *testing.T) {
-	c, r, _ := newCache()
+	c, backend, _ := newCache()
 	for host, want := range map[string]serverlist.Resolution{
 		"127.0.0.1":                  {Addrs: []string{"127.0.0.1"}},
 		"::ffff:127.0.0.1":           {Addrs: []string{"127.0.0.1"}},
@@ -67,40 +67,40 @@
 	} {
 		require.Equal(t, want, c.Resolve([]string{host})[host], host)
 	}
-	require.Len(t, r.lookups, 1, "literal addresses are not looked up")
+	require.Len(t, backend.lookups, 1, "literal addresses are not looked up")
 	require.True(t, resolver.HasNames([]string{"127.0.0.1", "a.example.org"}))
 	require.False(t, resolver.HasNames([]string{"127.0.0.1"}))
 }
 
 // An answer is cached for its time; a failed look-up leaves the last good answer, and is repeated sooner.
 func TestFailedLookupKeepsLastGoodAnswer(t *testing.T) {
-	c, r, clk := newCache()
-	r.set("a", "127.0.0.1")
+	c, backend, clk := newCache()
+	backend.set("a", "127.0.0.1")
 	host := []string{"a"}
 	resolve := func() serverlist.Resolution { return c.Resolve(host)["a"] }
 	good := serverlist.Resolution{Addrs: []string{"127.0.0.1"}}
 	require.Equal(t, good, resolve())
 	require.Equal(t, good, resolve())
-	require.Equal(t, 1, r.lookups["a"], "cached for its time")
+	require.Equal(t, 1, backend.lookups["a"], "cached for its time")
 	clk.Advance(30_001)
-	r.set("a") // gone
+	backend.set("a") // gone
 	require.Equal(t, good, resolve(), "the last good answer is kept")
 	clk.Advance(2_001)
-	r.set("a", "127.0.0.2")
+	backend.set("a", "127.0.0.2")
 	require.Equal(t, serverlist.Resolution{Addrs: []string{"127.0.0.2"}}, resolve(), "looked up again soon after the failure")
 	c.Retain(nil)
-	r.set("a")
+	backend.set("a")
 	require.Equal(t, "can't be resolved: no such host", resolve().Failure)
 }
 
 // A backend that hangs, whatever its context says, delays a caller by the timeout at most, and a name has one look-up in flight
 // at most.
 func TestHangingBackendDelaysCallerByTimeoutAtMost(t *testing.T) {
-	c, r, clk := newCache()
+	c, backend, clk := newCache()
 	end := make(chan struct{})
-	r.hang["h"] = end
-	r.set("h", "127.0.0.9")
-	r.set("a", "127.0.0.1")
+	backend.hang["h"] = end
+	backend.set("h", "127.0.0.9")
+	backend.set("a", "127.0.0.1")
 	for range 3 {
 		got := make(chan map[string]serverlist.Resolution)
 		go func() { got <- c.Resolve([]string{"h", "a"}) }()
@@ -115,9 +115,9 @@
 		require.Equal(t, "can't be resolved: no answer in 2000 ms", answers["h"].Failure)
 		require.Equal(t, []string{"127.0.0.1"}, answers["a"].Addrs)
 	}
-	r.mu.Lock()
-	require.Equal(t, 1, r.lookups["h"])
-	r.mu.Unlock()
+	backend.mu.Lock()
+	require.Equal(t, 1, backend.lookups["h"])
+	backend.mu.Unlock()
 	close(end)
 	require.Eventually(t, func() bool { return len(c.Resolve([]string{"h"})["h"].Addrs) == 1 }, time.Minute, time.Millisecond)
 }
