--- a/internal/decide/membership/action.go
+++ b/internal/decide/membership/action.go
@@ -4,14 +4,14 @@
 // SilenceChanged.
 type Action interface{ action() }
 
-// Publish brings the servers that have changed to the router and the connection pools, by id.
+// Publish passes the servers that have changed on to the router and the connection pools.
 type Publish struct {
-	Version  uint64 // counts from 1
-	Complete bool   // the first one: the list was empty before
-	Members  []Member
+	Version  uint64   // counts from 1
+	Complete bool     // true for the first Publish: before it, no server was published
+	Members  []Member // sorted by id
 }
 
-// Wake requests a Tick at a time in ms, in place of any requested before.
+// Wake requests a Tick at the time At, in ms. It replaces any earlier request.
 type Wake struct{ At float64 }
 
 // Transition reports a step in a server's life cycle, for logs and status.
@@ -21,14 +21,15 @@
 	Reason   string
 }
 
-// Rejected reports a list that was not applied.
+// Rejected reports a snapshot or delta that was not applied.
 type Rejected struct {
-	Source     int // index in Settings.Sources, or the unknown one
+	Source     int // index in Settings.Sources, or the invalid index that was received
 	Generation uint64
 	Err        error // ErrUnknownSource, a StaleGenerationError or a DuplicateServerError
 }
 
-// SilenceChanged reports that a source has fallen silent, or is heard again. Its last list stays in use.
+// SilenceChanged reports that a source has sent nothing for Source.SilentAfter, or that it sends again. While it is silent,
+// its last list stays in use.
 type SilenceChanged struct {
 	Source int // index in Settings.Sources
 	Silent bool
--- a/internal/decide/membership/address.go
+++ b/internal/decide/membership/address.go
@@ -6,9 +6,9 @@
 	"ravenwheel/policy"
 )
 
-// resolveAddressConflict returns another server that is in use or draining at the address that the sources list for s, or
-// nil. Two processes can't listen at one address: if s was started after a drain there began, that drain is over, and the
-// server that drained is gone from now on.
+// resolveAddressConflict returns another server that is in use or draining at the address listed for s, or nil. Two
+// processes can't listen at one address: if s was started after an unlisted server began to drain there, that server has
+// ended, and is gone from now on.
 func (t *Table) resolveAddressConflict(s *server, entry *sourceEntry) *server {
 	for {
 		other := t.reservedBy(entry.Addr, s.id)
@@ -23,7 +23,8 @@
 	}
 }
 
-// reservedBy returns the server with the lowest id, other than except, that holds an address, or nil.
+// reservedBy returns the server for which an address is reserved, other than except, or nil. Of several it returns the one
+// with the lowest id.
 func (t *Table) reservedBy(addr string, except policy.CacheID) *server {
 	lowest, found := policy.CacheID(0), false
 	for id := range t.reservations[addr] {
@@ -37,7 +38,8 @@
 	return t.servers[lowest]
 }
 
-// reserveAddress makes addr ("": none) the address of s, and reconciles the servers that wait for the one it gives up.
+// reserveAddress reserves addr ("": none) for s in place of the address that was reserved for it before. The servers that
+// wait for that one are reconciled.
 func (t *Table) reserveAddress(s *server, addr string) {
 	if s.addr == addr {
 		return
@@ -50,6 +52,7 @@
 	}
 }
 
+// freeAddress ends the reservation of a server's address, and marks the servers that wait for it.
 func (t *Table) freeAddress(s *server) {
 	if delete(t.reservations[s.addr], s.id); len(t.reservations[s.addr]) == 0 {
 		delete(t.reservations, s.addr)
@@ -62,8 +65,8 @@
 	delete(t.waiting, s.addr)
 }
 
-// abandonAddress ends the use of a server at its old address while it waits for a new one: its drain there is over.
-// Without this, two servers that swap addresses would wait for each other for ever.
+// abandonAddress ends the drain of a server at its old address while the server waits for its new one. Without this, two
+// servers that swap addresses would wait for each other forever.
 func (t *Table) abandonAddress(s *server) {
 	t.reserveAddress(s, "")
 	s.restored = false
@@ -76,6 +79,7 @@
 	s.published = false
 }
 
+// insert adds a server to the set of an address.
 func insert(sets map[string]map[policy.CacheID]struct{}, addr string, id policy.CacheID) {
 	if sets[addr] == nil {
 		sets[addr] = map[policy.CacheID]struct{}{}
--- a/internal/decide/membership/event.go
+++ b/internal/decide/membership/event.go
@@ -5,36 +5,37 @@
 // Event is an input of Table.Handle: Snapshot, Delta, Heartbeat, ManualDrain, ManualDrainEnded or Tick.
 type Event interface{ event() }
 
-// Snapshot is the complete list of a source. Its generation must be above all before it.
+// Snapshot is the complete list of a source. Its generation must be higher than that of any earlier list of the source.
 type Snapshot struct {
 	Source     int // index in Settings.Sources
 	Generation uint64
 	Entries    []Entry
 }
 
-// Delta holds the entries of a source's list that are new or have changed. Its generation must be above all before it.
+// Delta holds the entries of a source's list that are new or have changed. Its generation must be higher than that of any
+// earlier list of the source.
 type Delta struct {
 	Source     int // index in Settings.Sources
 	Generation uint64
 	Entries    []Entry
 }
 
-// Entry is what a source says of one server.
+// Entry is one server in the list of a source.
 type Entry struct {
 	Member
-	Warm bool // it holds its copies although it is new here: no slow start
+	Warm bool // its cache is filled although the server is new to this proxy, so that it needs no slow start
 }
 
-// Heartbeat reports that a source is alive and has nothing new. Source is an index in Settings.Sources.
+// Heartbeat reports that a source is reachable and has nothing new. Source is an index in Settings.Sources.
 type Heartbeat struct{ Source int }
 
-// ManualDrain starts or ends an operator's drain of a server, whatever the sources say of it.
+// ManualDrain starts or ends an operator's drain of a server. It applies whatever state the sources report.
 type ManualDrain struct {
 	ID policy.CacheID
 	On bool
 }
 
-// ManualDrainEnded reports a manual drain that ended at a time, in ms, before this table was made.
+// ManualDrainEnded reports a manual drain that ended, at the time At in ms, before this table was created.
 type ManualDrainEnded struct {
 	ID policy.CacheID
 	At float64
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -8,7 +8,8 @@
 	"ravenwheel/policy"
 )
 
-// Reasons of a phase, as operators are shown them. Others name the source and its generation.
+// Reasons for a phase, as shown to operators. For a phase that a source has set, the reason is the name of the source and its
+// generation.
 const (
 	reasonManualDrain = "drained by hand"
 	reasonUnlisted    = "no longer listed"
@@ -17,8 +18,8 @@
 	reasonRestored    = "unchanged since the restart"
 )
 
-// reconcile moves each dirty server to the phase that the sources and the reserved addresses allow. Servers that leave
-// come first, so that the addresses they free are available to those that join.
+// reconcile moves each dirty server to the phase that the sources and the reserved addresses allow. Servers that are removed
+// or drained come first, so that addresses that are freed by a removal are available to servers that become ready.
 func (t *Table) reconcile() {
 	for len(t.dirty) > 0 {
 		ids := make([]policy.CacheID, 0, len(t.dirty))
@@ -64,8 +65,8 @@
 	}
 }
 
-// dropAllEntries forgets what the sources say of a server that all of them removed. Without this, a fleet that
-// replaces its machines would fill the memory.
+// dropAllEntries deletes the entries of a server that all sources listing it have removed. Without this, entries would pile
+// up in memory as a fleet replaces its machines.
 func (t *Table) dropAllEntries(s *server) {
 	for i, entry := range s.entries {
 		if entry != nil {
@@ -75,15 +76,15 @@
 	delete(t.dirty, s.id)
 }
 
-// reconcileReady makes a server ready, or has it join and wait while another server holds its address. An immediate
-// source reports what runs, so that its servers never wait.
+// reconcileReady makes a server ready, or keeps it joining while its address is reserved for another server. Servers of an
+// immediate source never wait, as such a source reports what is running already.
 func (t *Table) reconcileReady(s *server, entry *sourceEntry, reason string) {
 	if !s.immediate && t.waitForAddress(s, entry) {
 		return
 	}
 	drainEnded := t.manualDrainsEnded[s.id]
 	if s.immediate && toMs(entry.reported.Started) < drainEnded {
-		entry.Started = fromMs(drainEnded) // its source reports no start since
+		entry.Started = fromMs(drainEnded) // the source has not reported a start since the drain
 	}
 	if entry.warmUpOnReady && (s.phase != Ready || s.current.Addr != entry.Addr) {
 		entry.Started = fromMs(t.now)
@@ -91,8 +92,8 @@
 	t.transition(s, Ready, entry.Member, reason)
 }
 
-// waitForAddress keeps a server joining while another one holds the address that the sources list for it. After
-// DrainTimeout it gives up the address that it was used at before.
+// waitForAddress keeps a server joining while the address listed for it is reserved for another one. After DrainTimeout the
+// reservation of the address at which the server was used before ends. It reports whether the server still waits.
 func (t *Table) waitForAddress(s *server, entry *sourceEntry) (waits bool) {
 	if s.phase == Joining && t.now >= s.since+t.settings.DrainTimeout {
 		t.abandonAddress(s)
@@ -107,8 +108,8 @@
 	return true
 }
 
-// reconcileUnlisted lets a server that no source lists any more drain, for DrainTimeout from when it began. A server of
-// an immediate source, or one that was never used, is gone at once.
+// reconcileUnlisted drains a server that no source lists any more, for DrainTimeout from the start of its drain. A server of
+// an immediate source, or one that was never in use, is gone at once.
 func (t *Table) reconcileUnlisted(s *server) {
 	switch {
 	case s.phase == Joining && !s.published, s.phase != Gone && (s.immediate || t.settings.DrainTimeout <= 0):
@@ -142,7 +143,7 @@
 	if s.current = m; m == previous && from == to {
 		return
 	}
-	// A server that was never published joins and goes unseen.
+	// The router and the pools need not know of a server that joins or is gone without ever having been published.
 	if !s.published && (to == Joining || to == Gone) {
 		return
 	}
@@ -155,7 +156,7 @@
 	m.ID = s.id
 	switch to {
 	case Joining:
-		// Nothing new may go to its previous address, if it was in use there.
+		// If the server was in use at a previous address, no new request may be sent there.
 		m.State = policy.Draining
 		if s.published || s.restored {
 			m.Addr = s.current.Addr
@@ -171,8 +172,8 @@
 	return m
 }
 
-// updateReservation reserves the address of a server that is in use or draining there. A server that is gone holds
-// none, and is forgotten after GoneRetention.
+// updateReservation reserves the address of a server that is in use or draining there. A server that is gone has no
+// reservation, and is deleted after GoneRetention.
 func (t *Table) updateReservation(s *server, addr string) {
 	switch s.phase {
 	case Ready, Draining:
--- a/internal/decide/membership/manual_drain.go
+++ b/internal/decide/membership/manual_drain.go
@@ -1,7 +1,7 @@
 package membership
 
-// setManualDrain starts or ends an operator's drain. The drain outlives the server's entry in the table: a server that
-// comes back is still drained.
+// setManualDrain starts or ends an operator's drain. The drain is kept when the server is deleted from the table: if the
+// server is listed again, it is still drained.
 func (t *Table) setManualDrain(e ManualDrain) {
 	if _, drained := t.manualDrains[e.ID]; e.On && !drained {
 		t.manualDrains[e.ID] = t.now
@@ -20,8 +20,9 @@
 	t.markDirty(e.ID)
 }
 
-// endManualDrain decides whether a server is warming up after a drain that began at a time in ms. It was most likely
-// restarted during the drain, unless its source reports a start since then, or that it is warm.
+// endManualDrain decides whether a server warms up after a drain that began at the given time, in ms. It does, since it was
+// most likely restarted during the drain, unless its source reports a start since then, which applies instead, or that the
+// server is warm.
 func (t *Table) endManualDrain(s *server, began float64) {
 	i := s.merge().factsSource
 	if i < 0 {
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-const drainTimeout, goneRetention = 1000.0, 5000.0
+const drainTimeout, goneRetention = 1000.0, 5000.0 // ms
 
-// harness drives a table and models, in the simplest way, what its sources list and what it may publish.
+// harness passes events to a table and keeps a simple model of what its sources list and what the table may publish.
 type harness struct {
 	t             *rapid.T
 	table         *membership.Table
@@ -30,10 +30,10 @@
 	listed        [2]map[policy.CacheID]membership.Entry
 	published     map[policy.CacheID]membership.Member
 	phases        map[policy.CacheID]membership.Phase
-	drainStart    map[policy.CacheID]float64 // start of a published server's drain, ms
-	drainAddr     map[policy.CacheID]string  // and its address
-	waiting       map[policy.CacheID]waiter  // servers in use at an address that wait for another one
-	saved         *recovery.State            // what survives a crash
+	drainStart    map[policy.CacheID]float64 // draining servers: start of the drain, ms
+	drainAddr     map[policy.CacheID]string  // draining servers: their address
+	waiting       map[policy.CacheID]waiter  // joining servers that were in use before
+	saved         *recovery.State            // the state that survives a restart
 	manualDrains  map[policy.CacheID]bool
 	versions      uint64
 }
@@ -57,13 +57,13 @@
 	}
 }
 
-// waiter is a server that was in use at an address and waits for another one.
+// waiter is a server that was in use at addr and has waited for another address since a time, in ms.
 type waiter struct {
 	addr  string
 	since float64
 }
 
-// restart kills the proxy: what its sources listed is forgotten, drains must survive.
+// restart stands for a crash of the proxy: the new table has no lists of the sources, but the drains must go on.
 func (h *harness) restart(t *rapid.T) {
 	raw, err := h.saved.Encode()
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 	h.table = newTable(t)
 	h.table.Restore(h.now, plan.Members, map[int]uint64{0: h.generations[0]})
 	h.versions, h.received, h.wake = 0, [2]bool{}, 0
-	h.generations[1] = 0 // discovery counts from the start again
+	h.generations[1] = 0 // discovery's generations start from 0 again
 	clear(h.listed[0])
 	clear(h.listed[1])
 	clear(h.published)
@@ -83,15 +83,16 @@
 	for _, x := range plan.Members {
 		switch id := x.Member.ID; x.Phase {
 		case membership.Draining:
-			// Or it waited for an address while it was still in use at another one.
+			// The server drained, or it waited for an address while it was still in use at another one.
 			h.phases[id], h.drainStart[id], h.drainAddr[id] = x.Phase, x.Since, x.Member.Addr
 		case membership.Gone:
 			h.phases[id] = x.Phase
 		}
 	}
 	for id, since := range drainedBefore {
-		require.Equal(t, membership.Draining, h.phases[id], "server %d drained before the restart", id)
-		require.LessOrEqual(t, h.drainStart[id], since, "%d", id) // a server that waits for an address gets no new requests either
+		require.Equal(t, membership.Draining, h.phases[id], "server %d drained before the restart and must still drain", id)
+		// It is earlier if the server was joining before its drain, as a joining server gets no new requests either.
+		require.LessOrEqual(t, h.drainStart[id], since, "%d", id)
 	}
 	h.minGeneration = h.generations[0]
 	for id := range h.manualDrains {
@@ -106,7 +107,7 @@
 		case membership.Transition:
 			id := a.Member.ID
 			require.True(h.t, membership.ValidTransition(a.From, a.To), "%v to %v", a.From, a.To)
-			require.Equal(h.t, h.phases[id], a.From, "phases follow each other without gaps")
+			require.Equal(h.t, h.phases[id], a.From, "a transition starts from the server's present phase")
 			h.phases[id] = a.To
 			if a.To != membership.Draining {
 				delete(h.drainStart, id)
@@ -139,7 +140,7 @@
 	}
 }
 
-// report has a source send a snapshot (complete) or a delta of a generation.
+// report passes a snapshot (complete) or a delta of a source to the table, and updates the model.
 func (h *harness) report(source int, generation uint64, entries []membership.Entry, complete bool) {
 	var e membership.Event = membership.Delta{Source: source, Generation: generation, Entries: entries}
 	if complete {
@@ -158,7 +159,7 @@
 	for _, x := range entries {
 		h.listed[source][x.ID] = x
 	}
-	// A removal binds other sources that list the server; once all removed it, it is forgotten.
+	// Once all sources that list a server report it as gone, the table deletes their entries.
 	for id := policy.CacheID(1); id <= 6; id++ {
 		if !h.wanted(id) {
 			delete(h.listed[0], id)
@@ -167,13 +168,14 @@
 	}
 }
 
+// wanted reports whether any source lists the server as not gone.
 func (h *harness) wanted(id policy.CacheID) bool {
 	file, byFile := h.listed[0][id]
 	discovery, byDiscovery := h.listed[1][id]
 	return byFile && file.State != policy.Gone || byDiscovery && discovery.State != policy.Gone
 }
 
-// check compares what is published with what the sources say.
+// check compares what is published with the lists of the sources.
 func (h *harness) check() {
 	for id := policy.CacheID(1); id <= 6; id++ {
 		file, byFile := h.listed[0][id]
@@ -194,9 +196,9 @@
 			require.True(h.t, wanted && state == policy.Ready, "server %d is ready, though a source does not say so: %v %v",
 				id, file, discovery)
 		case wanted && state == policy.Ready && byDiscovery && !byFile:
-			require.Fail(h.t, "what discovery lists is used at once", "%d", id)
+			require.Fail(h.t, "a server that only discovery lists is not ready at once", "server %d", id)
 		case wanted && state == policy.Ready:
-			// It may only wait for its address, which another server holds.
+			// The server may only be waiting for its address, which another server uses.
 			addrInUse := false
 			for other, x := range h.published {
 				addrInUse = addrInUse || other != id && x.Addr == file.Addr && h.phases[other] != membership.Joining
@@ -207,19 +209,19 @@
 			for other, x := range h.waiting {
 				addrInUse = addrInUse || other != id && x.addr == file.Addr && h.now-x.since < drainTimeout
 			}
-			require.True(h.t, addrInUse, "server %d waits for nothing", id)
+			require.True(h.t, addrInUse, "server %d waits although its address is free", id)
 		}
 		if since, draining := h.drainStart[id]; draining && !wanted {
-			require.Less(h.t, h.now-since, drainTimeout, "an unlisted server is gone after its drain")
+			require.Less(h.t, h.now-since, drainTimeout, "an unlisted server still drains after the drain timeout")
 		}
 	}
 	readyAt := map[string]policy.CacheID{}
 	for _, id := range slices.Sorted(maps.Keys(h.published)) {
 		m := h.published[id]
 		if _, byDiscovery := h.listed[1][id]; byDiscovery || m.State != policy.Ready {
-			continue // what discovery reports takes effect at once
+			continue // discovery's changes take effect at once, whoever uses the address
 		}
-		require.Zero(h.t, readyAt[m.Addr], "two servers at %s", m.Addr)
+		require.Zero(h.t, readyAt[m.Addr], "two ready servers at %s", m.Addr)
 		readyAt[m.Addr] = id
 		for other, addr := range h.drainAddr {
 			_, discovery := h.listed[1][other]
@@ -253,8 +255,8 @@
 	return out
 }
 
-// TestTableMatchesModel sends random events in random order: no server is ready that no source lists or that one drains, no
-// drainedBefore server comes back by a stale list, and no server waits without a reason.
+// TestTableMatchesModel sends random events in random order. No server may be ready that no source lists or that a source or
+// an operator drains, no stale list may end a drain, and no server may wait for an address that is free.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t)
@@ -277,7 +279,7 @@
 			},
 			"wait": func(t *rapid.T) {
 				for end := h.now + float64(rapid.IntRange(1, 3000).Draw(t, "ms")); h.now < end; {
-					// The clock fires at each wake, or a little later.
+					// Time advances to each requested wake, or to the end of the wait.
 					if h.wake > h.now {
 						h.now = min(end, h.wake)
 					} else {
@@ -297,7 +299,7 @@
 			"restart": func(t *rapid.T) { h.restart(t) },
 			"":        func(*rapid.T) { h.check() },
 		})
-		// With nothing listed, in time nothing is published and nothing remembered.
+		// Once no source lists a server, the table publishes none and deletes all of them in time.
 		h.report(0, h.generations[0]+1, nil, true)
 		h.report(1, h.generations[1]+1, nil, true)
 		for range 50 {
--- a/internal/decide/membership/phase.go
+++ b/internal/decide/membership/phase.go
@@ -5,11 +5,11 @@
 
 // The phases of a server.
 const (
-	None     Phase = iota // unknown, or forgotten
-	Joining               // listed, but it gets no requests yet: another server holds its address
+	None     Phase = iota // not in the table
+	Joining               // listed, but gets no requests yet: its address is reserved for another server
 	Ready                 // in use
 	Draining              // gets no new requests
-	Gone                  // removed, and remembered for a while
+	Gone                  // removed; deleted from the table after Settings.GoneRetention
 )
 
 var phaseNames = [...]string{"none", "joining", "ready", "draining", "gone"}
@@ -17,9 +17,9 @@
 // String returns the name of the phase as logs and the command line show it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// transitions holds the valid ones. A server becomes ready without joining if no other server holds its address, and
-// goes from ready to joining if it moves to an address that another one holds. One that is unlisted before it was used
-// goes from joining to gone.
+// transitions holds the valid transitions, by the phases before and after. A server becomes ready without joining if its
+// address is not reserved for another server, and goes from ready to joining if it moves to an address that is. A server
+// that is unlisted before it was used goes from joining to gone.
 var transitions = [...][len(phaseNames)]bool{
 	None:     {Joining: true, Ready: true, Draining: true, Gone: true},
 	Joining:  {Ready: true, Draining: true, Gone: true},
--- a/internal/decide/membership/restore.go
+++ b/internal/decide/membership/restore.go
@@ -2,16 +2,16 @@
 
 import "ravenwheel/policy"
 
-// SavedMember is a server as it stood before a restart.
+// SavedMember is the state of a server before a restart.
 type SavedMember struct {
 	Member Member
 	Phase  Phase
 	Since  float64 // start of the phase, ms
 }
 
-// Restore continues from the state before a restart. Servers that drained go on draining, servers that were gone stay
-// gone, and servers in use do not count as new when a source lists them. A list of a lower generation than
-// minGenerations has for its source is rejected. Restore must come before the first event.
+// Restore continues from the state before a restart. Servers that were draining go on draining, servers that were gone stay
+// gone, and servers that were in use do not count as new when a source lists them. minGenerations has, by the index of a
+// source, the lowest generation that is accepted from it. Restore must be called before the first event.
 func (t *Table) Restore(now float64, saved []SavedMember, minGenerations map[int]uint64) {
 	t.now, t.restoreCalled, t.inUseBeforeRestart = max(now, t.now), true, map[policy.CacheID]Member{}
 	for i, generation := range minGenerations {
@@ -28,7 +28,7 @@
 	}
 }
 
-// restoreServer adds a server that drained or was gone.
+// restoreServer adds a server that was draining or gone.
 func (t *Table) restoreServer(x SavedMember) {
 	s := t.newServer(x.Member.ID)
 	s.phase, s.since, s.current = x.Phase, min(x.Since, t.now), x.Member
--- a/internal/decide/membership/settings.go
+++ b/internal/decide/membership/settings.go
@@ -6,25 +6,25 @@
 	"math"
 )
 
-// Source is a source of servers.
+// Source configures a source of server lists.
 type Source struct {
 	Name string
-	// Immediate: the source reports what runs (discovery), rather than what is wanted (a list file). Its changes take
-	// effect at once: a server that it drops is gone without a drain, weights change without steps, and a server is as
-	// warm as the source says.
+	// Immediate is true for a source that reports which servers are running (discovery), and false for one that says which
+	// servers are wanted (a list file). Changes of an immediate source take effect at once: a server that it drops is gone
+	// without a drain, weights change without steps, and the start times that it reports are used as they are.
 	Immediate bool
-	// SilentAfter is the time in ms without any event after which the source counts as silent; 0: never.
+	// SilentAfter is the time, in ms, without a list or heartbeat after which the source is reported as silent; 0: never.
 	SilentAfter float64
 }
 
 // Settings configure a Table. Times are in ms.
 type Settings struct {
-	// Sources in the order of their precedence: the first that lists a server provides its facts.
+	// Sources are in order of precedence: the first one that lists a server provides its address, weight and start.
 	Sources []Source
-	// DrainTimeout: a server that no source lists any more drains for so long before it is gone. Longer spares requests
-	// that still run there, shorter frees its address sooner.
+	// DrainTimeout is how long a server that no source lists any more drains before it is gone. A longer time lets more of
+	// its running requests end, a shorter one frees its address sooner.
 	DrainTimeout float64
-	// GoneRetention is how long a server that is gone is remembered.
+	// GoneRetention is how long a server that is gone stays in the table.
 	GoneRetention float64
 	// WeightStep is the largest factor by which a weight changes at once; 1 or less: no bound.
 	WeightStep float64
@@ -32,10 +32,10 @@
 	WeightInterval float64
 }
 
-// check reports the first setting that is not valid.
+// check returns an error for the first setting that is not valid.
 func (s *Settings) check() error {
 	if len(s.Sources) == 0 {
-		return errors.New("membership: no source")
+		return errors.New("membership: no source is configured")
 	}
 	for _, x := range []struct {
 		name  string
@@ -47,7 +47,7 @@
 		{"weight interval", s.WeightInterval},
 	} {
 		if math.IsNaN(x.value) || math.IsInf(x.value, 0) || x.value < 0 {
-			return fmt.Errorf("membership: %s is %v, not a finite number of 0 or more", x.name, x.value)
+			return fmt.Errorf("membership: %s is %v, but must be a finite number of 0 or more", x.name, x.value)
 		}
 	}
 	return nil
--- a/internal/decide/membership/source.go
+++ b/internal/decide/membership/source.go
@@ -10,19 +10,19 @@
 // source is a configured source and what was received from it.
 type source struct {
 	Source
-	received      bool   // at least one list was accepted
-	generation    uint64 // of the last list that was accepted
-	minGeneration uint64 // for the first list: the generation in use before a restart
-	lastEventAt   float64
+	received      bool    // at least one list was accepted
+	generation    uint64  // of the last list that was accepted
+	minGeneration uint64  // the lowest one accepted: that in use before a restart
+	lastEventAt   float64 // ms
 	silent        bool
-	listed        map[policy.CacheID]bool
+	listed        map[policy.CacheID]bool // servers in its list
 }
 
 // sourceEntry is the entry of one server in the list of one source, as the table uses it.
 type sourceEntry struct {
 	Entry
-	reported      Entry // as the source sent it; Entry.Started may be the table's own estimate
-	warmUpOnReady bool  // the server warms up from when it next becomes ready
+	reported      Entry // as the source sent it; in Entry, Started may be an estimate of the table
+	warmUpOnReady bool  // the server starts warming up when it next becomes ready
 	wanted        bool  // the state is not Gone
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// checkList decides whether a list is accepted, and adds the servers that it lists to listed. A generation that is not newer
-// is stale: applying it would bring back servers that are draining by now.
+// checkList returns an error if a list must be rejected, and adds the servers of the list to listed. A list without a higher
+// generation than the last one is stale: applying it would put servers that are draining by now back into use.
 func (t *Table) checkList(l list, listed map[policy.CacheID]bool) error {
 	if !t.knownSource(l.source) {
 		return ErrUnknownSource
@@ -98,7 +98,7 @@
 
 func (t *Table) knownSource(i int) bool { return i >= 0 && i < len(t.sources) }
 
-// heartbeat notes that a source is alive.
+// heartbeat records that something was received from a source.
 func (t *Table) heartbeat(i int) {
 	if !t.knownSource(i) {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// addEntry records what a source says of one server. first: it is in the first list of the source.
+// addEntry records the entry of one server in a source's list. isFirstList is true for the first list of the source.
 func (t *Table) addEntry(i int, e Entry, isFirstList bool) {
 	s := t.servers[e.ID]
 	if s == nil {
@@ -133,15 +133,15 @@
 	t.markDirty(e.ID)
 }
 
-// estimateStart decides whether a server is warming up, where a list of wanted servers does not say when it was started.
-// A server that such a list adds counts as just started, as its full load would overload an empty cache; those in the
-// isFirstList list run already. One that returns from a drain counts as restarted.
+// estimateStart decides whether a server warms up, if a source that is not immediate does not say when it was started. A
+// server that such a source adds counts as just started, as its full load would overload an empty cache. Servers in the
+// source's first list are running already. A server that is ready again after a drain counts as restarted.
 func (t *Table) estimateStart(s *server, entry, previous *sourceEntry, isFirstList bool) {
 	inUseHere := s.phase == Ready || s.phase == Draining && !s.restored
 	switch {
 	case previous != nil && previous.State == policy.Draining && entry.State == policy.Ready && !entry.Warm:
 		entry.warmUpOnReady = true
-	case previous != nil && previous.Addr != entry.Addr && !entry.Warm: // another process
+	case previous != nil && previous.Addr != entry.Addr && !entry.Warm: // a new address means another process
 		entry.warmUpOnReady = true
 	case previous != nil:
 		entry.Started, entry.warmUpOnReady = previous.Started, previous.warmUpOnReady
@@ -154,7 +154,7 @@
 	}
 }
 
-// dropEntry notes that a source no longer lists a server.
+// dropEntry records that a source no longer lists a server.
 func (t *Table) dropEntry(i int, id policy.CacheID) {
 	delete(t.sources[i].listed, id)
 	if s := t.servers[id]; s != nil {
@@ -163,17 +163,17 @@
 	}
 }
 
-// mergedState is what all sources together, and operators, allow a server.
+// mergedState is the state of a server that results from all sources and from operators' drains.
 type mergedState struct {
 	factsSource int          // the source whose facts apply; -1: none lists the server
-	state       policy.State // the most restrictive one that applies
-	stateSource int          // the source that set state; -1: none did
+	state       policy.State // the most restrictive state that applies
+	stateSource int          // the source that set state; -1: an operator did, or no source lists the server
 }
 
-// merge decides what a server may do, and which source's facts (address, weight, start) apply. Facts come from the first
-// source, by precedence, that wants the server. A drain or a removal binds whichever source reports it, as a server must
-// get no new requests once any source said so. While some source still lists a server that another one removed, it
-// drains.
+// merge decides which state applies to a server, and which source's facts (address, weight, start). The facts come from the
+// first source, by precedence, that wants the server. A drain or a removal applies whichever source reports it: once any
+// source says so, the server must get no new requests. A server that one source has removed drains while another source
+// still lists it.
 func (s *server) merge() mergedState {
 	merged := mergedState{factsSource: -1, stateSource: -1}
 	leastRestrictive := policy.Gone
--- a/internal/decide/membership/status.go
+++ b/internal/decide/membership/status.go
@@ -7,10 +7,10 @@
 	"ravenwheel/policy"
 )
 
-// ServerStatus is one server as operators are shown it. Package admin has a form of its own for that; the names in the tags
-// keep the sizes that the capacity recordings measure.
+// ServerStatus is the status of one server. Package admin copies it to its own type before it shows it to operators. The
+// names in the tags stay as they are because the capacity recordings measure the size of the encoded form.
 type ServerStatus struct {
-	Member       Member  `json:"Member"` // as it was published last
+	Member       Member  `json:"Member"` // as published last
 	Phase        Phase   `json:"Phase"`
 	Since        float64 `json:"Since"`  // start of the phase, ms
 	Reason       string  `json:"Why"`    // for the phase
@@ -18,14 +18,14 @@
 	TargetWeight float64 `json:"Wanted"` // the weight that the source wants; Member.Weight approaches it in steps
 }
 
-// IsKnown reports whether the table has a server that is not gone, or an operator drains one with this id.
+// IsKnown reports whether the table has a server with this id that is not gone, or an operator drains the id.
 func (t *Table) IsKnown(id policy.CacheID) bool {
 	s := t.servers[id]
 	_, drained := t.manualDrains[id]
 	return drained || s != nil && s.phase != Gone
 }
 
-// Servers returns the status of all servers that are listed or still remembered, by id.
+// Servers returns the status of all servers in the table, sorted by id. Servers that are gone stay for GoneRetention.
 func (t *Table) Servers() []ServerStatus {
 	out := make([]ServerStatus, 0, len(t.servers))
 	for _, s := range t.servers {
--- a/internal/decide/membership/table.go
+++ b/internal/decide/membership/table.go
@@ -1,11 +1,11 @@
 // Package membership decides which cache servers a proxy may use. Sources (discovery, a watched list file, the shared
-// store) report complete snapshots or deltas, each with generation numbers of its own. Table merges them into one
+// store) report complete snapshots or deltas, and each source numbers its own generations. Table merges them into one
 // versioned list for the router and the connection pools.
 //
-// The package owns the life cycle of each server, which source decides where several list the same server, drains that
-// outlive the list that named the server, the reservation of addresses and the steps in which weights change. It does
+// The package decides on the life cycle of each server, which source applies if several list the same server, drains that
+// go on after the server is no longer listed, the reservation of addresses, and the steps in which weights change. It does
 // no I/O and reads no clock: the caller passes the time with each event and carries out the returned actions in order.
-// The decisions are tested here, against a simple model and by the transcripts in testdata.
+// The decisions are tested in this package, against a simple model and with the transcripts in testdata.
 //
 // Times are float64 milliseconds on the caller's clock throughout, unless a name or comment says otherwise.
 package membership
@@ -20,26 +20,26 @@
 // Member is a server and the address at which it listens.
 type Member struct {
 	policy.Member
-	Addr string // host:port, as it is dialled
+	Addr string // host:port, as dialled
 }
 
-// server is what the table knows of one server.
+// server is the table's record of one server.
 type server struct {
 	id        policy.CacheID
 	entries   []*sourceEntry // by source; nil: that source does not list the server
 	phase     Phase
 	since     float64 // start of the phase, ms
 	reason    string  // for the phase
-	current   Member  // as it was published last, or would be if it were published
-	published bool    // published, and not as gone
-	immediate bool    // the source whose facts applied when the server was reconciled last is an immediate one
+	current   Member  // as published last or, if the server is not published, as it would be
+	published bool    // published, and not as Gone
+	immediate bool    // when the server was reconciled last, its facts came from an immediate source
 
 	manualDrain      bool
 	manualDrainSince float64 // ms
 
-	restored bool    // it has not changed phase since Restore: why it is in this phase is not known
-	addr     string  // address reserved for it; "": none
-	deadline float64 // ms. Draining: gone then, unless listed again. Gone: forgotten then
+	restored bool    // the phase has not changed since Restore, and its reason is not known
+	addr     string  // the address reserved for the server; "": none
+	deadline float64 // ms. Draining: the server is gone then, unless listed again. Gone: it is deleted then
 
 	nextWeightStep float64 // ms; 0: the weight has reached its target
 }
@@ -57,16 +57,16 @@
 	timers       timers
 	wake         float64 // ms, the last Wake requested
 
-	manualDrains      map[policy.CacheID]float64 // start of the drain, ms
-	manualDrainsEnded map[policy.CacheID]float64 // end of the last drain, ms: the server is warming up from then on
+	manualDrains      map[policy.CacheID]float64 // drains that are on: their start, ms
+	manualDrainsEnded map[policy.CacheID]float64 // end of the last drain, ms: the server warms up from then on
 
 	restoreCalled      bool                      // Restore was called
 	inUseBeforeRestart map[policy.CacheID]Member // servers in use before the restart
 
-	// Of the event that is being handled.
+	// Used while one event is handled.
 	actions []Action
 	dirty   map[policy.CacheID]struct{} // servers to reconcile
-	changed []Member                    // to publish
+	changed []Member                    // servers to publish
 }
 
 // New returns an empty table. It fails if no source is configured, or if a setting is negative or not finite.
@@ -89,8 +89,8 @@
 	return t, nil
 }
 
-// Handle processes one event at now and appends the resulting actions to actions. Time never goes back: an earlier now
-// counts as the latest one seen.
+// Handle processes one event at the time now and appends the resulting actions to actions. Time never goes back: if now is
+// before that of an earlier call, the earlier call's time is used.
 func (t *Table) Handle(now float64, e Event, actions []Action) []Action {
 	t.now, t.actions = max(now, t.now), actions
 	switch e := e.(type) {
@@ -118,6 +118,7 @@
 
 func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
+// markDirty has reconcile handle a server at the end of the current event.
 func (t *Table) markDirty(id policy.CacheID) { t.dirty[id] = struct{}{} }
 
 // newServer adds a server in phase None.
@@ -128,7 +129,7 @@
 	return s
 }
 
-// publish emits the servers that have changed, each once and in its latest state, by id.
+// publish emits the servers that have changed, each once and in its latest state, sorted by id.
 func (t *Table) publish() {
 	if len(t.changed) == 0 {
 		return
--- a/internal/decide/membership/timers.go
+++ b/internal/decide/membership/timers.go
@@ -6,19 +6,19 @@
 	"ravenwheel/policy"
 )
 
-// minTimerDelay, in ms, keeps a setting of 0 from waking the table again at the same time for ever.
+// minTimerDelay, in ms, keeps the table from requesting a Tick for the present time again and again if a setting is 0.
 const minTimerDelay = 1
 
 // nsPerMs converts between policy.Time and the package's times.
 const nsPerMs = 1e6
 
-// toMs returns a time of the router in ms.
+// toMs converts a policy.Time to ms.
 func toMs(t policy.Time) float64 { return float64(t) / nsPerMs }
 
-// fromMs returns a time in ms as one of the router.
+// fromMs converts a time in ms to a policy.Time.
 func fromMs(ms float64) policy.Time { return policy.Time(ms * nsPerMs) }
 
-// expire handles all timers that are due: drains that are over, servers to forget, steps of weights and silent sources.
+// expire handles all timers that are due: ends of drains, servers to delete, weight steps, and sources that are silent.
 func (t *Table) expire() {
 	for len(t.timers) > 0 && t.timers[0].at <= t.now {
 		due := heap.Pop(&t.timers).(timer)
@@ -34,6 +34,7 @@
 	}
 }
 
+// expireServer deletes a server whose retention is over, and marks one for which something else may be due.
 func (t *Table) expireServer(s *server) {
 	unlisted := s.merge().factsSource < 0
 	switch {
@@ -55,16 +56,16 @@
 	t.emit(Wake{At: t.wake})
 }
 
-// schedule sets a timer, at a time in ms, for a server, or for the sources alone (id 0).
+// schedule sets a timer at a time, in ms, for a server. The id 0 stands for a check of the sources alone.
 func (t *Table) schedule(at float64, id policy.CacheID) { heap.Push(&t.timers, timer{at, id}) }
 
-// timer is a time at which a server may have to change. One that is no longer needed does no harm.
+// timer is a time at which a server may have to change. A timer that is no longer needed has no effect.
 type timer struct {
 	at float64 // ms
 	id policy.CacheID
 }
 
-// timers is a heap, the earliest first.
+// timers is a heap with the earliest timer first.
 type timers []timer
 
 func (h timers) Len() int           { return len(h) }
--- a/internal/decide/membership/transcript_test.go
+++ b/internal/decide/membership/transcript_test.go
@@ -15,17 +15,18 @@
 	"ravenwheel/policy"
 )
 
-var update = flag.Bool("update", false, "write the actions of the table into testdata")
+var update = flag.Bool("update", false, "write the actions of the table to testdata")
 
-// TestTranscripts plays testdata/*.txt. A block is a command, a line of dashes, and the actions that the table returns; a
-// blank line ends it, and "new" starts with an empty table. The commands are
+// TestTranscripts runs the commands in testdata/*.txt and compares the table's actions with the recorded ones. A block is a
+// command, a line of dashes, and the actions that the table returns; a blank line ends it. The command "new" creates an
+// empty table. The other commands are
 //
 //	MS SOURCE GENERATION SERVER...   a snapshot of source file, or a delta of source discovery
 //	MS SOURCE heartbeat
-//	MS manual-drain on|off|ended ID  ended: half a second ago, before a restart
+//	MS manual-drain on|off|ended ID  ended: 500 ms ago, before a restart
 //	MS tick
 //
-// with SERVER as ID@ADDR[:state][*weight][+startedMs][!], where ! is warm.
+// with SERVER as ID@ADDR[:state][*weight][+startedMs][!], where ! means that the server is warm.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -66,7 +67,7 @@
 	}
 }
 
-// handleCommand has the table handle the event of a command, and returns its actions as lines.
+// handleCommand passes the event of a command to the table, and returns the resulting actions as lines.
 func handleCommand(t *testing.T, table *membership.Table, words []string) (lines []string) {
 	now, err := strconv.ParseFloat(words[0], 64)
 	require.NoError(t, err)
@@ -76,7 +77,7 @@
 	return lines
 }
 
-// parseEvent reads a command without its time.
+// parseEvent returns the event of a command, given as its words after the time.
 func parseEvent(t *testing.T, now float64, words []string) membership.Event {
 	switch {
 	case words[0] == "tick":
@@ -104,6 +105,7 @@
 	return membership.Snapshot{Source: source, Generation: generation, Entries: entries}
 }
 
+// sourceIndex has the index of each source in Settings.Sources.
 var sourceIndex = map[string]int{"file": 0, "discovery": 1}
 
 // format returns an action as a line of a transcript.
@@ -130,7 +132,7 @@
 	return fmt.Sprintf("unknown action %T", a)
 }
 
-// parseServer reads SERVER of a command.
+// parseServer returns the entry of a command's SERVER.
 func parseServer(t *testing.T, w string) (e membership.Entry) {
 	w, e.Warm = strings.CutSuffix(w, "!")
 	w, started, _ := strings.Cut(w, "+")
--- a/internal/decide/membership/weight.go
+++ b/internal/decide/membership/weight.go
@@ -1,8 +1,8 @@
 package membership
 
-// nextWeight decides the weight that is published now for a server whose sources want the weight target. A weight that
-// changes while the server is ready moves by at most the factor WeightStep every WeightInterval: a jump would move as
-// many objects at once to caches that do not hold them.
+// nextWeight returns the weight to publish now for a server whose source wants the weight target. While the server is ready,
+// its weight changes by at most the factor WeightStep every WeightInterval: a larger change would move many objects at once
+// to caches that do not have them.
 func (t *Table) nextWeight(s *server, target float64) float64 {
 	current := s.current.Weight
 	immediate := t.sources[s.merge().factsSource].Immediate
