--- a/internal/decide/serverlist/diff.go
+++ b/internal/decide/serverlist/diff.go
@@ -9,7 +9,7 @@
 	"ravenwheel/policy"
 )
 
-// ChangeKind is what happens to a server between two lists, in a word for logs and operators.
+// ChangeKind is what happens to a server between two lists. Its text is logged and shown to operators.
 type ChangeKind string
 
 // The kinds of change.
@@ -23,14 +23,14 @@
 	ChangeOther      ChangeKind = "changed" // zone, kind, cell, start or warmth
 )
 
-// Change is what happens to one server between two lists.
+// Change is one difference of a server between two lists.
 type Change struct {
 	ID   policy.CacheID
 	Kind ChangeKind
-	Text string // details, for people
+	Text string // details, to be shown to operators
 }
 
-// Diff returns what becomes of each server if list b follows list a, by id. Either may be nil.
+// Diff returns the changes of the servers from list a to list b, sorted by id. Either list may be nil, which is an empty one.
 func Diff(a, b *List) []Change {
 	before, after := indexByID(a), indexByID(b)
 	ids := make([]policy.CacheID, 0, len(before)+len(after))
@@ -50,7 +50,7 @@
 	return changes
 }
 
-// appendChanges appends the changes of one server; nil: it is not listed.
+// appendChanges appends the changes of one server. before or after is nil if the server is not listed there.
 func appendChanges(changes []Change, id policy.CacheID, before, after *Server) []Change {
 	add := func(kind ChangeKind, format string, args ...any) {
 		changes = append(changes, Change{id, kind, fmt.Sprintf(format, args...)})
@@ -83,10 +83,10 @@
 	return changes
 }
 
-// dialAddr returns the address, or host and port if the host is not resolved.
+// dialAddr returns the server's address, or host:port if the host has not been resolved.
 func (s *Server) dialAddr() string { return cmp.Or(s.Addr, s.Host+":"+strconv.Itoa(s.Port)) }
 
-// stateSuffix returns whether the server drains, is warm, or when it was started (Unix ms), to be appended to a text.
+// stateSuffix returns text to append to a change: that the server drains, that it is warm, or when it was started (Unix ms).
 func (s *Server) stateSuffix() string {
 	switch {
 	case s.Draining:
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// indexByID returns the servers of a list by their id; nil: an empty one.
+// indexByID returns the servers of a list by their id. A nil list is an empty one.
 func indexByID(l *List) map[policy.CacheID]*Server {
 	out := map[policy.CacheID]*Server{}
 	if l != nil {
--- a/internal/decide/serverlist/format.go
+++ b/internal/decide/serverlist/format.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Format writes a list as one list file, an entry a line. Parse reads what it writes.
+// Format returns a list as one list file with one entry per line. Parse accepts the result.
 func Format(l *List) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "{\n  \"generation\": %d,\n  \"servers\": [\n", l.Generation)
--- a/internal/decide/serverlist/golden_test.go
+++ b/internal/decide/serverlist/golden_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// The stored forms of a server, in the shared store and in a proxy's own state.
+// The encodings in which servers are stored, in the shared store and in a proxy's own state.
 func TestGoldenServerEncodings(t *testing.T) {
 	asJSON, err := json.MarshalIndent(goldenServers(), "", "  ")
 	require.NoError(t, err)
@@ -41,13 +41,13 @@
 	require.Equal(t, goldenServers(), fromCBOR)
 }
 
-// goldenResolutions resolve the hosts of the golden lists.
+// goldenResolutions has the addresses of the hosts in the golden lists.
 var goldenResolutions = map[string]serverlist.Resolution{
 	"cache1.example.org": {Addrs: []string{"127.0.1.1"}}, "::1": {Addrs: []string{"::1"}},
 	"127.0.0.20": {Addrs: []string{"127.0.0.20"}},
 }
 
-// The list file: what Format writes is read to the same servers, and written again to the same bytes.
+// Parse reads the same servers from a list file that Format has written, and Format writes the same bytes again.
 func TestGoldenListFile(t *testing.T) {
 	golden.Equal(t, "list.json", serverlist.Format(&serverlist.List{Generation: 7, Servers: goldenServers()}))
 	draft, defects := serverlist.Parse([]serverlist.File{{Name: "list.json", Data: golden.Read(t, "list.json")}}, serverlist.Requirements{})
@@ -59,7 +59,7 @@
 	golden.Equal(t, "list.json", serverlist.Format(resolved))
 }
 
-// A directory of parts with its manifest, as an operator writes it: comments, trailing commas, every optional field.
+// A directory of parts with a manifest may have comments, trailing commas and every optional field.
 func TestGoldenListParts(t *testing.T) {
 	var files []serverlist.File
 	for _, name := range []string{"manifest.jsonc", "hub.jsonc", "east.jsonc"} {
