--- a/internal/decide/debounce/debounce_test.go
+++ b/internal/decide/debounce/debounce_test.go
@@ -14,8 +14,8 @@
 
 var settings = debounce.Settings{QuietPeriod: 50, MaxDelay: 500, PollInterval: 2000}
 
-// simulate runs a debouncer until a time over a file whose fingerprint changes at the given times (0: it can't be read), with or
-// without notifications. It returns which fingerprint was accepted when, and the number of reads.
+// simulate runs a debouncer until a time, in ms, on a file whose fingerprint changes at the given times (0: it can't be read),
+// with or without notifications. It returns the accepted fingerprints by their time, and the number of reads.
 func simulate(until float64, notify bool, changes map[float64]uint64) (accepted map[float64]uint64, reads int) {
 	accepted = map[float64]uint64{}
 	d := debounce.New(settings, 0)
@@ -48,31 +48,32 @@
 
 func TestAcceptsStableTextOnce(t *testing.T) {
 	accepted, reads := simulate(10_000, true, map[float64]uint64{100: 1})
-	require.Equal(t, map[float64]uint64{200: 1}, accepted, "two reads, Quiet apart")
+	require.Equal(t, map[float64]uint64{200: 1}, accepted, "two reads, QuietPeriod apart")
 	require.LessOrEqual(t, reads, 9)
 	accepted, _ = simulate(10_000, false, map[float64]uint64{100: 1})
 	require.Equal(t, map[float64]uint64{2050: 1}, accepted, "a change without a notification is found by the next poll")
 	accepted, _ = simulate(10_000, true, map[float64]uint64{100: 1, 3000: 2, 3020: 1})
-	require.Equal(t, map[float64]uint64{200: 1}, accepted, "changed and changed back: nothing new")
+	require.Equal(t, map[float64]uint64{200: 1}, accepted, "changed and changed back: not accepted again")
 	accepted, _ = simulate(10_000, true, map[float64]uint64{100: 1, 3000: 0, 4000: 1, 6000: 2})
-	require.Equal(t, map[float64]uint64{200: 1, 6100: 2}, accepted, "removed and restored unchanged: nothing new")
+	require.Equal(t, map[float64]uint64{200: 1, 6100: 2}, accepted, "removed and restored unchanged: not accepted again")
 	rapidChanges := map[float64]uint64{}
 	for i := range 5000 {
 		rapidChanges[float64(i)] = uint64(i + 1)
 	}
 	accepted, reads = simulate(10_000, true, rapidChanges)
-	require.Equal(t, map[float64]uint64{5059: 5000}, accepted, "nothing is accepted while the writer goes on")
+	require.Equal(t, map[float64]uint64{5059: 5000}, accepted, "nothing is accepted while the file keeps changing")
 	require.LessOrEqual(t, reads, 30, "the number of reads is bounded")
 }
 
-// However a file changes, what is accepted has been there for Quiet, and the last text is accepted in the end.
+// However a file changes, content is accepted only if the file had it QuietPeriod before, and the last content is accepted in the
+// end.
 func TestAcceptsOnlyStableTextOfAnyWriter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		notify := rapid.Bool().Draw(t, "touches")
+		notify := rapid.Bool().Draw(t, "notify")
 		changes, now, last := map[float64]uint64{}, 0.0, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "n") {
 			now += float64(rapid.IntRange(1, 200).Draw(t, "after"))
-			last = uint64(rapid.IntRange(1, 5).Draw(t, "print"))
+			last = uint64(rapid.IntRange(1, 5).Draw(t, "fingerprint"))
 			changes[now] = last
 		}
 		accepted, _ := simulate(now+5000, notify, changes)
@@ -83,7 +84,7 @@
 				continue
 			}
 			end = acceptedNow
-			// The file held the same text Quiet ago.
+			// The file had the same content QuietPeriod ago.
 			was := uint64(0)
 			for x := 0.0; x <= at-settings.QuietPeriod; x++ {
 				if v, ok := changes[x]; ok {
