--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Knows implements control.Servers.
-func (s *serverSources) Knows(id policy.ServerID) bool { return s.registry.Knows(id) }
+// IsKnown implements control.Servers.
+func (s *serverSources) IsKnown(id policy.ServerID) bool { return s.registry.IsKnown(id) }
 
 // Drain implements admin.Operations.
 func (s *serverSources) Drain(id policy.ServerID, on bool) error {
--- a/internal/decide/serverlist/diff.go
+++ b/internal/decide/serverlist/diff.go
@@ -9,7 +9,7 @@
 	"ravenwheel/policy"
 )
 
-// ChangeKind is what happens to a server between two lists, in a word for logs and operators.
+// ChangeKind is what happens to a server between two lists. Its text is logged and shown to operators.
 type ChangeKind string
 
 // The kinds of change.
@@ -23,14 +23,14 @@
 	ChangeOther      ChangeKind = "changed" // zone, kind, cell, start or warmth
 )
 
-// Change is what happens to one server between two lists.
+// Change is one difference of a server between two lists.
 type Change struct {
 	ID   policy.ServerID
 	Kind ChangeKind
-	Text string // details, for people
+	Text string // details, to be shown to operators
 }
 
-// Diff returns what becomes of each server if list b follows list a, by id. Either may be nil.
+// Diff returns the changes of the servers from list a to list b, sorted by id. Either list may be nil, which is an empty one.
 func Diff(a, b *List) []Change {
 	before, after := indexByID(a), indexByID(b)
 	ids := make([]policy.ServerID, 0, len(before)+len(after))
@@ -50,14 +50,14 @@
 	return changes
 }
 
-// appendChanges appends the changes of one server; nil: it is not listed.
+// appendChanges appends the changes of one server. before or after is nil if the server is not listed there.
 func appendChanges(changes []Change, id policy.ServerID, before, after *Server) []Change {
 	add := func(kind ChangeKind, format string, args ...any) {
 		changes = append(changes, Change{id, kind, fmt.Sprintf(format, args...)})
 	}
 	switch {
 	case before == nil:
-		add(ChangeAdded, "%s in %s, %s, weight %v%s", after.dialAddr(), after.Zone, after.Kind, after.Weight, after.condition())
+		add(ChangeAdded, "%s in %s, %s, weight %v%s", after.dialAddr(), after.Zone, after.Kind, after.Weight, after.stateSuffix())
 		return changes
 	case after == nil:
 		add(ChangeDropped, "%s: drains, then is gone", before.dialAddr())
@@ -68,7 +68,7 @@
 		if after.Draining {
 			kind = ChangeDrained
 		}
-		add(kind, "%s%s", after.dialAddr(), after.condition())
+		add(kind, "%s%s", after.dialAddr(), after.stateSuffix())
 	}
 	if before.dialAddr() != after.dialAddr() {
 		add(ChangeMoved, "from %s to %s", before.dialAddr(), after.dialAddr())
@@ -78,16 +78,16 @@
 	}
 	if before.Zone != after.Zone || before.Kind != after.Kind || before.Cell != after.Cell ||
 		before.StartedMs != after.StartedMs || before.Warm != after.Warm {
-		add(ChangeOther, "zone %s, kind %s, cell %d%s", after.Zone, after.Kind, after.Cell, after.condition())
+		add(ChangeOther, "zone %s, kind %s, cell %d%s", after.Zone, after.Kind, after.Cell, after.stateSuffix())
 	}
 	return changes
 }
 
-// dialAddr returns the address, or host and port if the host is not resolved.
+// dialAddr returns the server's address, or host:port if the host has not been resolved.
 func (s *Server) dialAddr() string { return cmp.Or(s.Addr, s.Host+":"+strconv.Itoa(s.Port)) }
 
-// condition returns whether the server drains, is warm, or when it was started (Unix ms), to be appended to a text.
-func (s *Server) condition() string {
+// stateSuffix returns text to append to a change: that the server drains, that it is warm, or when it was started (Unix ms).
+func (s *Server) stateSuffix() string {
 	switch {
 	case s.Draining:
 		return ", draining"
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// indexByID returns the servers of a list by their id; nil: an empty one.
+// indexByID returns the servers of a list by their id. A nil list is an empty one.
 func indexByID(l *List) map[policy.ServerID]*Server {
 	out := map[policy.ServerID]*Server{}
 	if l != nil {
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -55,7 +55,7 @@
 
 // receive handles a message. One of a call that was closed in the meantime is dropped.
 func (l *loop) receive(m message) {
-	defer m.from.applied()
+	defer m.from.frameApplied()
 	if l.calls[m.from.id] != m.from {
 		return
 	}
@@ -118,8 +118,8 @@
 				l.OnOverdue(a.NotifiedUntil)
 			}
 		case discovery.CaughtUp:
-			if l.OnCurrent != nil {
-				l.OnCurrent()
+			if l.OnCaughtUp != nil {
+				l.OnCaughtUp()
 			}
 		}
 	}
