--- a/cmd/ravenwheel/cluster_command.go
+++ b/cmd/ravenwheel/cluster_command.go
@@ -101,12 +101,12 @@
 func issueKeys(cmd *cobra.Command, args []string) error {
 	dir, cluster, members := args[0], args[1], args[2:]
 	if _, err := os.Stat(filepath.Join(dir, "ca.crt")); err != nil {
-		if err := store.NewCluster(dir, cluster); err != nil {
+		if err := store.CreateAuthority(dir, cluster); err != nil {
 			return err
 		}
 	}
 	for _, name := range members {
-		if err := store.Issue(dir, name); err != nil {
+		if err := store.IssueCertificate(dir, name); err != nil {
 			return err
 		}
 	}
--- a/cmd/ravenwheel/revisions.go
+++ b/cmd/ravenwheel/revisions.go
@@ -52,7 +52,7 @@
 	if a.signed != nil {
 		a.signed.SetLeeway(a.leewayMs(live))
 	}
-	if live.SigningKeys != nil && a.store != nil && a.store.Leader() {
+	if live.SigningKeys != nil && a.store != nil && a.store.IsLeader() {
 		a.replaceKeys(live.SigningKeys)
 	}
 	a.textInForce = r.Text
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -166,7 +166,7 @@
 		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{},
 		frozen: map[string]bool{},
 	}
-	require.NoError(t, store.NewCluster(tr.keys, "th"))
+	require.NoError(t, store.CreateAuthority(tr.keys, "th"))
 	t.Cleanup(func() {
 		for _, p := range tr.nodes {
 			p.node.Close()
@@ -195,7 +195,7 @@
 func (tr *tree) start(p decider.Peer, source *member, serves bool, above ...string) *process {
 	tr.t.Helper()
 	if _, known := tr.addrs[p.Name]; !known {
-		require.NoError(tr.t, store.Issue(tr.keys, p.Name))
+		require.NoError(tr.t, store.IssueCertificate(tr.keys, p.Name))
 		tr.addrs[p.Name] = "127.0.74.1:0"
 	}
 	id, err := store.LoadIdentity(tr.keys, p.Name)
--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -200,7 +200,7 @@
 	require.NoError(t, err)
 	der, err := x509.MarshalPKIXPublicKey(&key.PublicKey)
 	require.NoError(t, err)
-	require.Eventually(t, st.Leader, time.Minute, time.Millisecond)
+	require.Eventually(t, st.IsLeader, time.Minute, time.Millisecond)
 	require.NoError(t, st.PutKey("k1", store.Key{Alg: "ES256", Data: der}))
 	require.NoError(t, st.PutKey("k2", store.Key{Alg: "HS256", Data: []byte("secret of the second key")}))
 
--- a/internal/front/signed/golden_test.go
+++ b/internal/front/signed/golden_test.go
@@ -57,7 +57,7 @@
 	st, err := store.Open(store.Options{Clock: clk, Timeout: time.Second})
 	require.NoError(t, err)
 	defer st.Close()
-	require.Eventually(t, st.Leader, time.Minute, time.Millisecond)
+	require.Eventually(t, st.IsLeader, time.Minute, time.Millisecond)
 	require.NoError(t, st.PutKey("k2", store.Key{Alg: "HS256", Data: secret}))
 	require.NoError(t, st.RevokeToken("revoked", clk.Now()+1e9))
 	doer := &prepared{clock: clk}
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -58,10 +58,10 @@
 
 func (c *Cluster) issueKeys() error {
 	keys := c.KeysDir()
-	if err := store.NewCluster(keys, "field"); err != nil {
+	if err := store.CreateAuthority(keys, "field"); err != nil {
 		return err
 	}
-	return ForEach(c.Processes, func(p *Process) error { return store.Issue(keys, p.Name) })
+	return ForEach(c.Processes, func(p *Process) error { return store.IssueCertificate(keys, p.Name) })
 }
 
 func (c *Cluster) choosePeerAddresses() (err error) {
--- a/internal/peers/rejoin_test.go
+++ b/internal/peers/rejoin_test.go
@@ -15,10 +15,10 @@
 // Two pairs that started apart, as the seed of one was not running, become one once that seed is there.
 func TestSeparateGroupsMerge(t *testing.T) {
 	clk, dir := clock.Manual(1e12), t.TempDir()
-	require.NoError(t, store.NewCluster(dir, "th"))
+	require.NoError(t, store.CreateAuthority(dir, "th"))
 	all := map[string]*Peers{}
 	start := func(name, listen string, seeds ...string) string {
-		require.NoError(t, store.Issue(dir, name))
+		require.NoError(t, store.IssueCertificate(dir, name))
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
 		p, err := Start(Options{
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -14,10 +14,10 @@
 // identities are members a and b of one cluster, and a member of another cluster under the name a.
 func identities(t *testing.T) (a, b, other *store.Identity) {
 	dir, foreign := t.TempDir(), t.TempDir()
-	require.NoError(t, store.NewCluster(dir, "th"))
-	require.NoError(t, store.NewCluster(foreign, "th"))
+	require.NoError(t, store.CreateAuthority(dir, "th"))
+	require.NoError(t, store.CreateAuthority(foreign, "th"))
 	load := func(dir, name string) *store.Identity {
-		require.NoError(t, store.Issue(dir, name))
+		require.NoError(t, store.IssueCertificate(dir, name))
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
 		return id
@@ -151,9 +151,9 @@
 // A member with a new certificate is accepted by those that know its old one, and the old one is useless from then on.
 func TestRenewedCertificateReplacesOld(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, store.NewCluster(dir, "th"))
+	require.NoError(t, store.CreateAuthority(dir, "th"))
 	load := func(name string) *store.Identity {
-		require.NoError(t, store.Issue(dir, name))
+		require.NoError(t, store.IssueCertificate(dir, name))
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
 		return id
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -44,7 +44,7 @@
 		AppliedIndex: s.raft.AppliedIndex(), CommitIndex: s.raft.CommitIndex(), ConfigRevision: s.Config().Number,
 	}
 	st.Term, _ = strconv.ParseUint(s.raft.Stats()["term"], 10, 64)
-	if !s.Leader() {
+	if !s.IsLeader() {
 		st.StaleMs = clock.Ms(time.Since(s.raft.LastContact()))
 	}
 	for _, server := range s.servers() {
@@ -59,7 +59,7 @@
 		st := s.Status()
 		return reply{Status: &st}
 	}
-	if !s.Leader() {
+	if !s.IsLeader() {
 		addr, _ := s.raft.LeaderWithID()
 		return reply{Err: errTextNotLeader, Leader: string(addr)}
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -98,9 +98,9 @@
 
 // writeKeys issues identities of a cluster into a directory, and removes the authority's key.
 func writeKeys(t *testing.T, dir string) {
-	require.NoError(t, NewCluster(dir, "th"))
-	require.NoError(t, Issue(dir, "a"))
-	require.NoError(t, Issue(dir, "b"))
+	require.NoError(t, CreateAuthority(dir, "th"))
+	require.NoError(t, IssueCertificate(dir, "a"))
+	require.NoError(t, IssueCertificate(dir, "b"))
 	require.NoError(t, os.Remove(filepath.Join(dir, "ca.key")))
 }
 
@@ -152,8 +152,8 @@
 // openGolden opens the only member of a cluster on a directory, with new keys. It takes a snapshot after eight entries.
 func openGolden(t *testing.T, dir string) *Store {
 	keys := t.TempDir()
-	require.NoError(t, NewCluster(keys, "th"))
-	require.NoError(t, Issue(keys, "a"))
+	require.NoError(t, CreateAuthority(keys, "th"))
+	require.NoError(t, IssueCertificate(keys, "a"))
 	id, err := LoadIdentity(keys, "a")
 	require.NoError(t, err)
 	self := Member{Name: "a", Addr: "127.0.73.1:0"}
@@ -162,7 +162,7 @@
 		FastElections: true, SnapshotThreshold: 8, TrailingLogs: 2,
 	})
 	require.NoError(t, err)
-	eventually(t, s.Leader, "it leads")
+	eventually(t, s.IsLeader, "it leads")
 	return s
 }
 
--- a/internal/store/issue.go
+++ b/internal/store/issue.go
@@ -40,9 +40,9 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// NewCluster writes the certificate authority of a new cluster into a directory, as ca.crt and ca.key. Only the issuer of
+// CreateAuthority writes the certificate authority of a new cluster into a directory, as ca.crt and ca.key. Only the issuer of
 // certificates needs the key. It returns ErrInvalidName, or an error if the directory already holds an authority or can't be written.
-func NewCluster(dir, cluster string) error {
+func CreateAuthority(dir, cluster string) error {
 	if !namePattern.MatchString(cluster) {
 		return fmt.Errorf("%w: cluster %q: small letters, digits, dots and dashes, 63 at most", ErrInvalidName, cluster)
 	}
@@ -62,9 +62,9 @@
 	return writeCertificate(dir, authorityName, t, t, key, key)
 }
 
-// Issue writes a member's certificate and key, as NAME.crt and NAME.key, into the directory that holds the authority's. It
+// IssueCertificate writes a member's certificate and key, as NAME.crt and NAME.key, into the directory that holds the authority's. It
 // returns ErrInvalidName, or an error if the authority's files can't be used or the member's can't be written.
-func Issue(dir, name string) error {
+func IssueCertificate(dir, name string) error {
 	if !namePattern.MatchString(name) || name == authorityName {
 		return fmt.Errorf("%w: member %q: small letters, digits, dots and dashes, 63 at most", ErrInvalidName, name)
 	}
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -13,10 +13,10 @@
 // identities issues an identity for each name, in one cluster.
 func identities(t *testing.T, names ...string) []*Identity {
 	dir := t.TempDir()
-	require.NoError(t, NewCluster(dir, "th"))
+	require.NoError(t, CreateAuthority(dir, "th"))
 	var out []*Identity
 	for _, name := range names {
-		require.NoError(t, Issue(dir, name))
+		require.NoError(t, IssueCertificate(dir, name))
 		id, err := LoadIdentity(dir, name)
 		require.NoError(t, err)
 		out = append(out, id)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -127,7 +127,7 @@
 // attempt submits an encoded change once, here or at the leader. The outcome says whether it was executed; the result counts only
 // with retry.Succeeded.
 func (s *Store) attempt(raw []byte) (storestate.Result, retry.Outcome) {
-	if s.Leader() {
+	if s.IsLeader() {
 		return s.applyAsLeader(raw)
 	}
 	addr, id := s.raft.LeaderWithID()
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -32,7 +32,7 @@
 // has confirmed by a quorum that it led (ReadIndex, section 6.4 of Ongaro's thesis). It returns ErrUnavailable if that takes longer
 // than Options.Timeout.
 func (s *Store) awaitReadIndex() error {
-	if s.Leader() {
+	if s.IsLeader() {
 		if err := s.raft.Barrier(s.opt.Timeout).Error(); err != nil {
 			return ErrUnavailable
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -150,8 +150,8 @@
 	return err
 }
 
-// Leader reports whether this member is the leader. A member alone is, until it is closed.
-func (s *Store) Leader() bool {
+// IsLeader reports whether this member is the leader. A member alone is, until it is closed.
+func (s *Store) IsLeader() bool {
 	if s.raft == nil {
 		return !s.closed.Load()
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -43,7 +43,7 @@
 		t: t, keys: t.TempDir(), clk: clock.System(), members: map[string]*Store{}, addrs: map[string]string{},
 		dirs: map[string]string{}, cut: map[[2]string]bool{}, links: map[[2]string][]net.Conn{},
 	}
-	require.NoError(t, NewCluster(c.keys, "th"))
+	require.NoError(t, CreateAuthority(c.keys, "th"))
 	var peers []Member
 	for _, n := range names {
 		peers = append(peers, c.add(n))
@@ -62,7 +62,7 @@
 // add issues a member's key and picks its address, in a range that only listeners of these tests use, so that it is still
 // free after a restart.
 func (c *cluster) add(name string) Member {
-	require.NoError(c.t, Issue(c.keys, name))
+	require.NoError(c.t, IssueCertificate(c.keys, name))
 	ln, err := net.Listen("tcp", "127.0.73.1:0")
 	require.NoError(c.t, err)
 	defer ln.Close()
@@ -159,7 +159,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for n, s := range c.members {
-			if !s.closed.Load() && s.Leader() && s.raft.VerifyLeader().Error() == nil {
+			if !s.closed.Load() && s.IsLeader() && s.raft.VerifyLeader().Error() == nil {
 				name = n
 				return true
 			}
@@ -194,7 +194,7 @@
 	clk := clock.Manual(1000)
 	s, err := Open(Options{Clock: clk})
 	require.NoError(t, err)
-	require.True(t, s.Leader())
+	require.True(t, s.IsLeader())
 	require.NoError(t, s.SpendToken("a", 2000))
 	require.ErrorIs(t, s.SpendToken("a", 2000), ErrTokenSpent)
 	require.NoError(t, s.PutKey("k1", Key{Alg: "HS256", Data: []byte("x")}))
@@ -310,11 +310,11 @@
 
 	// The leader itself is cut off: it steps down, and the others elect another one.
 	c.isolate(lead, true)
-	eventually(t, func() bool { return !c.members[lead].Leader() }, "it steps down")
+	eventually(t, func() bool { return !c.members[lead].IsLeader() }, "it steps down")
 	next := ""
 	eventually(t, func() bool {
 		for _, n := range []string{"a", "b", "c"} {
-			if n != lead && c.members[n].Leader() {
+			if n != lead && c.members[n].IsLeader() {
 				next = n
 			}
 		}
@@ -365,7 +365,7 @@
 	require.NoError(t, err)
 	_, err = Request(id, c.addrs["d"], OpTransfer, "d", "", 5*time.Second)
 	require.NoError(t, err)
-	eventually(t, d.Leader, "the newcomer leads")
+	eventually(t, d.IsLeader, "the newcomer leads")
 	_, err = Request(id, c.addrs["a"], OpRemove, lead, "", 5*time.Second)
 	require.NoError(t, err)
 	eventually(t, func() bool {
@@ -387,8 +387,8 @@
 	_, err = Request(id, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.NoError(t, err)
 	other := t.TempDir()
-	require.NoError(t, NewCluster(other, "th")) // of the same name, with another authority
-	require.NoError(t, Issue(other, "a"))
+	require.NoError(t, CreateAuthority(other, "th")) // of the same name, with another authority
+	require.NoError(t, IssueCertificate(other, "a"))
 	forged, err := LoadIdentity(other, "a")
 	require.NoError(t, err)
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
@@ -400,7 +400,7 @@
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.ErrorContains(t, err, `a certificate of cluster "th", member "a"`)
 	// A member that asks to join under another's name.
-	require.NoError(t, Issue(c.keys, "b"))
+	require.NoError(t, IssueCertificate(c.keys, "b"))
 	b, err := LoadIdentity(c.keys, "b")
 	require.NoError(t, err)
 	_, err = Request(b, c.addrs["a"], OpJoin, "c", "", 5*time.Second)
@@ -414,8 +414,8 @@
 		_, err = nc.Read(make([]byte, 64))
 	}
 	require.Error(t, err)
-	require.Error(t, Issue(c.keys, "ca"))
-	require.Error(t, NewCluster(c.keys, "th"))
+	require.Error(t, IssueCertificate(c.keys, "ca"))
+	require.Error(t, CreateAuthority(c.keys, "th"))
 	_, err = LoadIdentity(c.keys, "nobody")
 	require.Error(t, err)
 }
