--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -13,9 +13,9 @@
 // stateSizes are how many entries of each kind a benchmark's state holds.
 var stateSizes = []int{600, 6_000, 60_000, 600_000}
 
-// stateOf returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded from
+// stateWithEntries returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded from
 // a snapshot, which is faster than applying the changes.
-func stateOf(b *testing.B, n int) *storestate.State {
+func stateWithEntries(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
 	s.Time = 1
 	for i := 1; i <= n; i++ {
@@ -38,7 +38,7 @@
 	}{{"purge", storestate.AddPurge}, {"spend", storestate.SpendToken}, {"revoke", storestate.RevokeToken}} {
 		for _, n := range stateSizes {
 			b.Run(fmt.Sprintf("%s/entries=%d", kind.name, n), func(b *testing.B) {
-				s := stateOf(b, n)
+				s := stateWithEntries(b, n)
 				b.ReportAllocs()
 				at := 1
 				for b.Loop() {
--- a/internal/decide/storestate/storestate_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func change(t *rapid.T, n int) storestate.Change {
+func drawChange(t *rapid.T, n int) storestate.Change {
 	c := storestate.Change{
 		ID: fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id")), ProposedAt: float64(rapid.IntRange(0, 5000).Draw(t, "at")),
 		Kind: storestate.Kind(rapid.IntRange(0, 10).Draw(t, "kind")), Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
@@ -37,7 +37,7 @@
 		spentBy := map[string]string{} // by token id: the change that spent it
 		submitted := map[string]bool{}
 		for n := range rapid.IntRange(0, 60).Draw(t, "n") {
-			c := change(t, n)
+			c := drawChange(t, n)
 			raw, err := storestate.Encode(c)
 			require.NoError(t, err)
 			decoded, err := storestate.DecodeChange(raw)
