--- a/internal/decide/handover/action.go
+++ b/internal/decide/handover/action.go
@@ -45,8 +45,8 @@
 type (
 	// SetAccepting starts or stops accepting new connections.
 	SetAccepting struct{ On bool }
-	// BecomeSole says that no other process is left: all that the limits allow is this one's.
-	BecomeSole struct{}
+	// EndSharing says that no other process is left: all that the limits allow is this one's.
+	EndSharing struct{}
 	// Stop says that another process owns the address: open requests are answered, and the process ends.
 	Stop struct{ Reason string }
 	// ScheduleTick asks for a Tick after this many ms, in place of one that was asked for before.
@@ -66,6 +66,6 @@
 func (Grant) action()           {}
 func (Revoke) action()          {}
 func (SetAccepting) action()    {}
-func (BecomeSole) action()      {}
+func (EndSharing) action()      {}
 func (Stop) action()            {}
 func (ScheduleTick) action()    {}
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -47,7 +47,7 @@
 
 // Machine is the state machine of one process. It is not safe for concurrent use.
 type Machine struct {
-	set        Settings
+	settings   Settings
 	now        float64
 	phase      Phase
 	phaseSince float64
@@ -58,7 +58,7 @@
 	ownerConnected bool // there is a connection to the owner
 	lockHeld       bool // this process holds the lock
 	prepared       bool // Ready has been received
-	ownListener    bool // this process has opened a listener itself, as no owner passed one on
+	openedListener bool // this process has opened a listener itself, as no owner passed one on
 	grantReceived  bool // the previous owner waits for the announcement that this process serves
 
 	successor        int // number of its connection
@@ -67,7 +67,7 @@
 }
 
 // New returns the machine of a process that has just started.
-func New(s Settings) *Machine { return &Machine{set: s} }
+func New(s Settings) *Machine { return &Machine{settings: s} }
 
 // Phase returns how far the process has come.
 func (m *Machine) Phase() Phase { return m.phase }
@@ -81,7 +81,7 @@
 	switch e := e.(type) {
 	case Started:
 		m.seekSince = m.now
-		m.do(ContactOwner{})
+		m.emit(ContactOwner{})
 	case ContactResult:
 		m.handleContactResult(e)
 	case LockResult:
@@ -121,16 +121,16 @@
 	return m.actions
 }
 
-func (m *Machine) do(actions ...Action) { m.actions = append(m.actions, actions...) }
+func (m *Machine) emit(actions ...Action) { m.actions = append(m.actions, actions...) }
 
-func (m *Machine) enter(p Phase) { m.phase, m.phaseSince = p, m.now }
+func (m *Machine) enterPhase(p Phase) { m.phase, m.phaseSince = p, m.now }
 
 // isOwner reports whether the process owns the address, with or without a successor.
 func (m *Machine) isOwner() bool { return m.phase >= Owning && m.phase != Stopped }
 
 func (m *Machine) stop(reason string) {
-	m.enter(Stopped)
-	m.do(SetAccepting{false}, Stop{reason})
+	m.enterPhase(Stopped)
+	m.emit(SetAccepting{false}, Stop{reason})
 }
 
 // handleSuperseded stops an owner from which another process has taken the address. It goes on accepting connections: the other
@@ -138,8 +138,8 @@
 // higher generation is expected, as it is the successor's.
 func (m *Machine) handleSuperseded(e Superseded) {
 	if m.isOwner() && e.Generation > m.generation && m.phase != Granting {
-		m.enter(Stopped)
-		m.do(Stop{reasonSuperseded})
+		m.enterPhase(Stopped)
+		m.emit(Stop{reasonSuperseded})
 	}
 }
 
@@ -147,8 +147,8 @@
 func (m *Machine) handleShutdown() {
 	m.shuttingDown = true
 	if m.phase == Offering {
-		m.do(Reject{To: m.successor, Busy: true})
-		m.enter(Owning)
+		m.emit(Reject{To: m.successor, Busy: true})
+		m.enterPhase(Owning)
 	}
 }
 
@@ -156,22 +156,22 @@
 	elapsed := m.now - m.phaseSince
 	switch {
 	case m.phase == Seeking && m.ownerConnected:
-		if elapsed >= m.set.ResponseTimeout {
+		if elapsed >= m.settings.ResponseTimeout {
 			m.ownerConnected = false
-			m.do(TryLock{})
+			m.emit(TryLock{})
 		}
 	case m.phase == Seeking:
-		m.do(ContactOwner{})
-	case m.phase == Requesting && elapsed >= m.set.ResponseTimeout && m.ownerConnected: // it answered before, and hangs now
+		m.emit(ContactOwner{})
+	case m.phase == Requesting && elapsed >= m.settings.ResponseTimeout && m.ownerConnected: // it answered before, and hangs now
 		m.handleOwnerLost()
-	case m.phase == Offering && elapsed >= m.set.PrepareTimeout:
-		m.enter(Owning)
-		m.do(Reject{To: m.successor, Busy: true})
-	case m.phase == Granting && elapsed >= m.set.ResponseTimeout && !m.successorServing:
+	case m.phase == Offering && elapsed >= m.settings.PrepareTimeout:
+		m.enterPhase(Owning)
+		m.emit(Reject{To: m.successor, Busy: true})
+	case m.phase == Granting && elapsed >= m.settings.ResponseTimeout && !m.successorServing:
 		successor := m.successor
-		m.do(Revoke{successor})
+		m.emit(Revoke{successor})
 		m.handleSuccessorLost(successor)
 	case m.isOwner() && !m.lockHeld:
-		m.do(TryLock{})
+		m.emit(TryLock{})
 	}
 }
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -245,40 +245,40 @@
 	return list
 }
 
-// play runs one drawn timeline: processes start, die, are suspended, resumed and slow, or, if gentle, only start and end in
+// runTimeline runs one drawn timeline: processes start, die, are suspended, resumed and slow, or, if gentle, only start and end in
 // order. Undisturbed at the end, exactly one process accepts, and it is the one that is reached at the socket.
-func (w *model) play(gentle bool, draw func(most int) int) {
+func (w *model) runTimeline(withoutFaults bool, draw func(limit int) int) {
 	w.start()
 	w.runUndisturbed()
 	require.Equal(w.t, []int{1}, w.accepting())
 	for range 1 + draw(60) {
 		p := w.processes[draw(len(w.processes)-1)]
-		switch what := draw(9); {
-		case what == 0 && len(w.processes) < 4:
+		switch choice := draw(9); {
+		case choice == 0 && len(w.processes) < 4:
 			w.start()
-		case what == 1 && !gentle && p.alive:
+		case choice == 1 && !withoutFaults && p.alive:
 			w.kill(p)
-		case what == 2 && !gentle && p.alive:
+		case choice == 2 && !withoutFaults && p.alive:
 			p.suspended = !p.suspended
-		case what == 3 && p.preparing && p.Phase() == Preparing && !p.suspended:
+		case choice == 3 && p.preparing && p.Phase() == Preparing && !p.suspended:
 			w.handle(p, Ready{})
-		case what == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it is told to end once another process serves
+		case choice == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it is told to end once another process serves
 			w.handle(p, ShutdownRequested{})
 			if o := w.process(w.socketOwner); o != p && o.alive && o.accepting {
 				w.kill(p)
 			}
-		case what == 5 && gentle: // time passes, and no process is silent for long
+		case choice == 5 && withoutFaults: // time passes, and no process is silent for long
 			w.now += float64(draw(200))
 			for _, p := range w.processes {
 				w.step(p)
 				w.step(p)
 			}
-		case what == 5:
+		case choice == 5:
 			w.now += float64(draw(3000))
 		default:
 			w.step(p)
 		}
-		if gentle {
+		if withoutFaults {
 			require.LessOrEqual(w.t, len(w.accepting()), 1, "two accept, and none has died")
 		}
 	}
@@ -291,7 +291,7 @@
 		if p.alive {
 			alive++
 		}
-		require.False(w.t, gentle && p.preempted, "an accepting process was told to stop, and none hung: %v", w.phases())
+		require.False(w.t, withoutFaults && p.preempted, "an accepting process was told to stop, and none hung: %v", w.phases())
 	}
 	if alive == 0 && len(w.accepting()) == 0 {
 		w.start() // all have ended: a process that starts then serves
@@ -300,16 +300,16 @@
 	accepting := w.accepting()
 	require.Len(w.t, accepting, 1, "one accepts: %v", w.phases())
 	require.Equal(w.t, w.socketOwner, accepting[0], "and it is reached at the socket")
-	if gentle {
+	if withoutFaults {
 		require.Equal(w.t, 1, w.queues, "one accept queue, from the first process to the last")
 	}
 }
 
 func TestExactlyOneProcessOwnsTheAddress(t *testing.T) {
-	for _, gentle := range []bool{true, false} {
-		t.Run(fmt.Sprintf("gentle %v", gentle), func(t *testing.T) {
+	for _, withoutFaults := range []bool{true, false} {
+		t.Run(fmt.Sprintf("gentle %v", withoutFaults), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				newModel(t).play(gentle, func(most int) int { return rapid.IntRange(0, most).Draw(t, "draw") })
+				newModel(t).runTimeline(withoutFaults, func(limit int) int { return rapid.IntRange(0, limit).Draw(t, "draw") })
 			})
 		})
 	}
@@ -353,14 +353,14 @@
 	w := newModel(failure{})
 	w.mutation = mutation
 	r := rand.New(rand.NewPCG(seed, 1))
-	w.play(seed%2 == 0, func(most int) int { return r.IntN(most + 1) })
+	w.runTimeline(seed%2 == 0, func(limit int) int { return r.IntN(limit + 1) })
 	return false
 }
 
-func (w *model) phases() (list []string) {
+func (w *model) phases() (descriptions []string) {
 	for _, p := range w.processes {
-		list = append(list, fmt.Sprintf(
+		descriptions = append(descriptions, fmt.Sprintf(
 			"%d %v alive=%v accepting=%v generation=%d recorded=%d", p.id, p.Phase(), p.alive, p.accepting, p.Generation(), w.recorded))
 	}
-	return list
+	return descriptions
 }
--- a/internal/decide/handover/seek.go
+++ b/internal/decide/handover/seek.go
@@ -4,8 +4,8 @@
 
 // seekAgain looks for an owner once more, a little later.
 func (m *Machine) seekAgain() {
-	m.enter(Seeking)
-	m.do(ScheduleTick{m.set.RetryDelay})
+	m.enterPhase(Seeking)
+	m.emit(ScheduleTick{m.settings.RetryDelay})
 }
 
 func (m *Machine) handleContactResult(e ContactResult) {
@@ -13,9 +13,9 @@
 	switch {
 	case e.OK:
 		m.phaseSince = m.now
-		m.do(ScheduleTick{m.set.ResponseTimeout})
+		m.emit(ScheduleTick{m.settings.ResponseTimeout})
 	case m.phase == Seeking:
-		m.do(TryLock{})
+		m.emit(TryLock{})
 	}
 }
 
@@ -26,7 +26,7 @@
 	m.lockHeld = m.lockHeld || e.Acquired
 	if m.phase >= Owning {
 		if !m.lockHeld && m.phase != Stopped {
-			m.do(ScheduleTick{m.set.ResponseTimeout})
+			m.emit(ScheduleTick{m.settings.ResponseTimeout})
 		}
 		return
 	}
@@ -34,12 +34,12 @@
 	if m.phase != Seeking {
 		return
 	}
-	if !e.Acquired && m.now-m.seekSince < m.set.ResponseTimeout {
-		m.do(ScheduleTick{m.set.RetryDelay})
+	if !e.Acquired && m.now-m.seekSince < m.settings.ResponseTimeout {
+		m.emit(ScheduleTick{m.settings.RetryDelay})
 		return
 	}
-	m.ownListener = true
-	m.do(Listen{})
+	m.openedListener = true
+	m.emit(Listen{})
 	m.prepare(true)
 }
 
@@ -50,7 +50,7 @@
 	m.generation = max(m.generation, e.Generation)
 	if e.ProtocolVersion != ProtocolVersion {
 		m.ownerConnected = false
-		m.do(TryLock{})
+		m.emit(TryLock{})
 		return
 	}
 	m.prepare(false)
@@ -60,7 +60,7 @@
 	m.ownerConnected = false
 	switch {
 	case m.phase == Seeking && !e.Busy:
-		m.do(TryLock{})
+		m.emit(TryLock{})
 	case m.phase < Owning:
 		m.seekAgain()
 	}
@@ -68,8 +68,8 @@
 
 // prepare has the process get ready. It may be ready already, for an owner that sent its state and died.
 func (m *Machine) prepare(noOwner bool) {
-	m.enter(Preparing)
-	m.do(Prepare{NoOwner: noOwner})
+	m.enterPhase(Preparing)
+	m.emit(Prepare{NoOwner: noOwner})
 	if m.prepared {
 		m.proceedIfPrepared()
 	}
@@ -80,12 +80,12 @@
 	if m.phase != Preparing {
 		return
 	}
-	if m.ownListener {
+	if m.openedListener {
 		m.claimNext()
 		return
 	}
-	m.enter(Requesting)
-	m.do(RequestTransfer{}, ScheduleTick{m.set.ResponseTimeout})
+	m.enterPhase(Requesting)
+	m.emit(RequestTransfer{}, ScheduleTick{m.settings.ResponseTimeout})
 }
 
 func (m *Machine) handleGrant() {
@@ -96,24 +96,24 @@
 }
 
 // claimNext claims the generation after the highest known one.
-func (m *Machine) claimNext() { m.do(Claim{m.generation + 1}) }
+func (m *Machine) claimNext() { m.emit(Claim{m.generation + 1}) }
 
 func (m *Machine) handleClaimResult(e ClaimResult) {
 	if !e.OK {
 		m.handleClaimRefused(e.Generation)
 		return
 	}
-	m.enter(Owning)
+	m.enterPhase(Owning)
 	m.generation = e.Generation
-	m.do(BecomeOwner{m.generation}, SetAccepting{true})
+	m.emit(BecomeOwner{m.generation}, SetAccepting{true})
 	if m.grantReceived {
 		m.grantReceived = false
-		m.do(AnnounceServing{})
+		m.emit(AnnounceServing{})
 	} else if !m.ownerConnected {
-		m.do(BecomeSole{})
+		m.emit(EndSharing{})
 	}
 	if !m.lockHeld {
-		m.do(ScheduleTick{m.set.ResponseTimeout})
+		m.emit(ScheduleTick{m.settings.ResponseTimeout})
 	}
 }
 
@@ -147,9 +147,9 @@
 	m.ownerConnected = false
 	switch m.phase {
 	case Seeking, Preparing, Requesting:
-		m.enter(Seeking)
-		m.do(TryLock{})
+		m.enterPhase(Seeking)
+		m.emit(TryLock{})
 	case Owning, Offering, Granting:
-		m.do(BecomeSole{})
+		m.emit(EndSharing{})
 	}
 }
--- a/internal/decide/handover/successor.go
+++ b/internal/decide/handover/successor.go
@@ -7,12 +7,12 @@
 func (m *Machine) handleHello(e SuccessorHello) {
 	sameProtocol := e.ProtocolVersion == ProtocolVersion
 	if m.shuttingDown || !sameProtocol || m.phase != Owning {
-		m.do(Reject{To: e.From, Busy: sameProtocol})
+		m.emit(Reject{To: e.From, Busy: sameProtocol})
 		return
 	}
 	m.successor = e.From
-	m.enter(Offering)
-	m.do(SendState{e.From}, ScheduleTick{m.set.PrepareTimeout})
+	m.enterPhase(Offering)
+	m.emit(SendState{e.From}, ScheduleTick{m.settings.PrepareTimeout})
 }
 
 // handleTransferRequest grants the address to the successor, and stops accepting connections.
@@ -20,9 +20,9 @@
 	if m.phase != Offering || e.From != m.successor {
 		return
 	}
-	m.enter(Granting)
+	m.enterPhase(Granting)
 	m.successorServing = false
-	m.do(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.set.ResponseTimeout})
+	m.emit(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.settings.ResponseTimeout})
 }
 
 // handleSuccessorLost takes the address back from a successor that was granted it, as this process still holds the listener and
@@ -33,7 +33,7 @@
 	}
 	switch m.phase {
 	case Offering:
-		m.enter(Owning)
+		m.enterPhase(Owning)
 	case Granting:
 		m.generation++
 		m.claimNext()
--- a/internal/handover/execute.go
+++ b/internal/handover/execute.go
@@ -21,7 +21,7 @@
 		c.listenOnce()
 	case decider.Prepare:
 		c.opt.SetShared(!a.NoOwner)
-		closeOnce(c.prepared)
+		closeOnce(c.ownerStateKnown)
 	case decider.RequestTransfer:
 		sendOrClose(c.owner, message{Kind: kindTransferRequest})
 	case decider.BecomeOwner:
@@ -30,7 +30,7 @@
 		sendOrClose(c.owner, message{Kind: kindServing})
 	case decider.SetAccepting:
 		c.opt.SetAccepting(a.On)
-	case decider.BecomeSole:
+	case decider.EndSharing:
 		c.opt.SetShared(false)
 	case decider.Stop:
 		c.opt.Log.Warn("handover").Str("reason", a.Reason).Msg("stopping: this process no longer owns the address")
@@ -66,7 +66,7 @@
 func (c *Coordinator) claim(generation uint64) decider.ClaimResult {
 	recorded, err := c.record.claim(generation)
 	switch {
-	case errors.Is(err, errFenced), errors.Is(err, errBusy):
+	case errors.Is(err, errFenced), errors.Is(err, errRecordLocked):
 		return decider.ClaimResult{Generation: recorded}
 	case err != nil:
 		c.opt.Log.Error("handover").Err(err).Msg("owner's record could not be written; manual drains are lost with this process")
