--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,20 +11,20 @@
 // election time-outs of 150 ms.
 func BenchmarkFailover(b *testing.B) {
 	c := newCluster(b, "a", "b", "c")
-	took := hdrhistogram.New(1, 60_000, 3)
+	latencies := hdrhistogram.New(1, 60_000, 3)
 	for range b.N {
 		lead := c.leader()
-		other := c.members[c.other(lead)]
+		other := c.members[c.otherMember(lead)]
 		began := time.Now()
 		c.members[lead].Kill()
 		for i := 0; other.SpendToken(string(rune('a'+i%26))+time.Now().String(), 9e15) != nil; i++ {
 		}
-		_ = took.RecordValue(time.Since(began).Milliseconds())
+		_ = latencies.RecordValue(time.Since(began).Milliseconds())
 		c.open(lead, Options{})
 	}
 	for _, s := range c.all() {
 		s.Kill()
 	}
-	b.ReportMetric(float64(took.ValueAtQuantile(50)), "p50-ms")
-	b.ReportMetric(float64(took.Max()), "max-ms")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-ms")
+	b.ReportMetric(float64(latencies.Max()), "max-ms")
 }
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -54,8 +54,8 @@
 }
 
 // handleCall answers another member's call.
-func (s *Store) handleCall(peer string, q request) reply {
-	if q.Operation == OpStatus {
+func (s *Store) handleCall(peer string, req request) reply {
+	if req.Operation == OpStatus {
 		st := s.Status()
 		return reply{Status: &st}
 	}
@@ -64,24 +64,24 @@
 		return reply{Err: errTextNotLeader, Leader: string(addr)}
 	}
 	var err error
-	switch q.Operation {
+	switch req.Operation {
 	case opApply:
-		return s.handleApply(q.Change)
+		return s.handleApply(req.Change)
 	case opIndex:
 		if err = s.raft.Barrier(s.opt.Timeout).Error(); err == nil {
 			return reply{Index: s.appliedIndex()} // after a barrier, all entries before it are applied
 		}
 	case OpJoin:
-		if peer != q.Name {
-			return reply{Err: fmt.Sprintf("member %q asks in the name of %q", peer, q.Name)}
+		if peer != req.Name {
+			return reply{Err: fmt.Sprintf("member %q asks in the name of %q", peer, req.Name)}
 		}
-		err = s.addMember(q.Name, q.Addr)
+		err = s.addMember(req.Name, req.Addr)
 	case OpRemove:
-		err = s.raft.RemoveServer(raft.ServerID(q.Name), 0, s.opt.Timeout).Error()
+		err = s.raft.RemoveServer(raft.ServerID(req.Name), 0, s.opt.Timeout).Error()
 	case OpTransfer:
-		err = s.transferLeadership(q.Name)
+		err = s.transferLeadership(req.Name)
 	default:
-		err = fmt.Errorf("unknown operation %q", q.Operation)
+		err = fmt.Errorf("unknown operation %q", req.Operation)
 	}
 	if err != nil {
 		return reply{Err: err.Error(), MayHaveRun: true}
--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func (r *drainRecorder) of(name string) storestate.Kind {
+func (r *drainRecorder) lastKind(name string) storestate.Kind {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.last[name]
@@ -45,11 +45,11 @@
 	c.members["a"].Kill()
 
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
-	back := c.open("a", Options{OnChange: recorder.onChange})
-	eventually(t, func() bool { return recorder.of("s-1") == storestate.EndDrain }, "the end of the drain is announced")
+	restarted := c.open("a", Options{OnChange: recorder.onChange})
+	eventually(t, func() bool { return recorder.lastKind("s-1") == storestate.EndDrain }, "the end of the drain is announced")
 	var draining bool
 	var applied uint64
-	back.ReadLocal(func(s *storestate.State) { _, draining = s.Drains["s-1"]; applied = s.AppliedIndex })
+	restarted.ReadLocal(func(s *storestate.State) { _, draining = s.Drains["s-1"]; applied = s.AppliedIndex })
 	require.NotZero(t, applied)
 	require.False(t, draining)
 }
@@ -62,12 +62,12 @@
 	raw, err := storestate.Encode(storestate.Change{ID: "1", Kind: storestate.StartDrain, Name: "s-1"})
 	require.NoError(t, err)
 	require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: 1, Data: raw}).(storestate.Result).Verdict)
-	require.Equal(t, storestate.StartDrain, recorder.of("s-1"))
+	require.Equal(t, storestate.StartDrain, recorder.lastKind("s-1"))
 
 	later, err := storestate.Encode(storestate.New())
 	require.NoError(t, err)
 	require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(later))))
-	require.Equal(t, storestate.EndDrain, recorder.of("s-1"))
+	require.Equal(t, storestate.EndDrain, recorder.lastKind("s-1"))
 }
 
 // A change that is repeated, as its proposer did not learn its outcome, is not announced again. Else a drain that ended in
@@ -85,7 +85,7 @@
 		require.Equal(t, storestate.OK, f.Apply(&raft.Log{Index: uint64(i + 1), Data: raw}).(storestate.Result).Verdict)
 	}
 	require.Empty(t, f.state.Drains)
-	require.Equal(t, storestate.EndDrain, recorder.of("s-1"))
+	require.Equal(t, storestate.EndDrain, recorder.lastKind("s-1"))
 }
 
 // indexRecorder records the index under which each fact was announced.
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -78,7 +78,7 @@
 	one, two := net.Pipe()
 	defer one.Close()
 	sent := make(chan error, 1)
-	go func() { sent <- (&Link{conn: one}).Send([]byte("frame"), patience); one.Close() }()
+	go func() { sent <- (&Link{conn: one}).Send([]byte("frame"), waitTimeout); one.Close() }()
 	raw, err := io.ReadAll(two)
 	require.NoError(t, err)
 	require.NoError(t, <-sent)
@@ -118,8 +118,8 @@
 // makes the same statements.
 func TestGoldenIdentities(t *testing.T) {
 	dir := golden.Directory(t, "identities", func(dir string) { writeKeys(t, dir) })
-	now := t.TempDir()
-	writeKeys(t, now)
+	newDir := t.TempDir()
+	writeKeys(t, newDir)
 	var ids []*Identity
 	for _, name := range []string{"a", "b"} {
 		id, err := LoadIdentity(dir, name)
@@ -130,14 +130,14 @@
 		require.NoError(t, err)
 		require.True(t, ecdsa.VerifyASN1(goldenPeer(t, dir, name).Key, hash[:], signature))
 		ids = append(ids, id)
-		issued, err := LoadIdentity(now, name)
+		issued, err := LoadIdentity(newDir, name)
 		require.NoError(t, err)
-		was, is := id.cert.Leaf, issued.cert.Leaf
-		require.Equal(t, was.URIs, is.URIs)
-		require.Equal(t, was.Subject.String(), is.Subject.String())
-		require.Equal(t, was.KeyUsage, is.KeyUsage)
-		require.Equal(t, was.ExtKeyUsage, is.ExtKeyUsage)
-		require.Equal(t, was.NotAfter.Sub(was.NotBefore), is.NotAfter.Sub(is.NotBefore))
+		want, got := id.cert.Leaf, issued.cert.Leaf
+		require.Equal(t, want.URIs, got.URIs)
+		require.Equal(t, want.Subject.String(), got.Subject.String())
+		require.Equal(t, want.KeyUsage, got.KeyUsage)
+		require.Equal(t, want.ExtKeyUsage, got.ExtKeyUsage)
+		require.Equal(t, want.NotAfter.Sub(want.NotBefore), got.NotAfter.Sub(got.NotBefore))
 	}
 	out, in, err := ids[0].SharedSecrets(goldenPeer(t, dir, "b"), "peers")
 	require.NoError(t, err)
@@ -168,28 +168,28 @@
 
 func writeStore(t *testing.T, dir string) {
 	s := openGolden(t, dir)
-	do := func(c storestate.Change) {
+	propose := func(c storestate.Change) {
 		_, err := s.Propose(c)
 		require.NoError(t, err)
 	}
 	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
 	}}
-	do(storestate.Change{Kind: storestate.SpendToken, Name: "spent-1", ExpiresAt: 9e15})
-	do(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
-	do(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
-	do(storestate.Change{Kind: storestate.RevokeToken, Name: "revoked-1", ExpiresAt: 9e15})
-	do(storestate.Change{Kind: storestate.SetConfig, Text: "{}", Author: "ops"})
-	do(storestate.Change{Kind: storestate.SetList, Name: "list", List: list})
-	do(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000001"})
-	do(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000002"})
-	do(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12}, ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.SpendToken, Name: "spent-1", ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
+	propose(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
+	propose(storestate.Change{Kind: storestate.RevokeToken, Name: "revoked-1", ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.SetConfig, Text: "{}", Author: "ops"})
+	propose(storestate.Change{Kind: storestate.SetList, Name: "list", List: list})
+	propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000001"})
+	propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000002"})
+	propose(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12}, ExpiresAt: 9e15})
 	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
-	do(storestate.Change{Kind: storestate.SpendToken, Name: "spent-2", ExpiresAt: 9e15})
-	do(storestate.Change{Kind: storestate.DeleteKey, Name: "k2"})
-	do(storestate.Change{Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"})
-	do(storestate.Change{Kind: storestate.EndDrain, Name: "s-00000002"})
-	do(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 1e12}, ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.SpendToken, Name: "spent-2", ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.DeleteKey, Name: "k2"})
+	propose(storestate.Change{Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"})
+	propose(storestate.Change{Kind: storestate.EndDrain, Name: "s-00000002"})
+	propose(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 1e12}, ExpiresAt: 9e15})
 	s.Kill()
 }
 
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -15,7 +15,7 @@
 	Peer string // name in the other member's certificate
 
 	conn      net.Conn
-	in        *bufio.Reader
+	reader    *bufio.Reader
 	closeConn func()
 	closeOnce sync.Once
 }
@@ -34,7 +34,7 @@
 	if err := l.conn.SetReadDeadline(deadline(timeout)); err != nil {
 		return nil, err
 	}
-	return readFrame(l.in, maxSize)
+	return readFrame(l.reader, maxSize)
 }
 
 // Close closes the connection. A Send or Receive in progress fails.
@@ -86,5 +86,5 @@
 		conn.Close()
 		return nil, err
 	}
-	return &Link{Peer: peer, conn: conn, in: bufio.NewReader(conn), closeConn: func() { conn.Close() }}, nil
+	return &Link{Peer: peer, conn: conn, reader: bufio.NewReader(conn), closeConn: func() { conn.Close() }}, nil
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -25,13 +25,13 @@
 }
 
 // listenLinks opens an address on loopback whose links echo frames with the peer's name in front.
-func listenLinks(t *testing.T, id *Identity, most int) *LinkListener {
+func listenLinks(t *testing.T, id *Identity, maxLinks int) *LinkListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := ListenLinks(id, ln, most, func(l *Link) {
+	l := ListenLinks(id, ln, maxLinks, func(l *Link) {
 		for {
 			text, err := l.Receive(100, 0)
-			if err != nil || l.Send([]byte(l.Peer+": "+string(text)), patience) != nil {
+			if err != nil || l.Send([]byte(l.Peer+": "+string(text)), waitTimeout) != nil {
 				return
 			}
 		}
@@ -43,56 +43,56 @@
 // Two members of a cluster learn each other's name and exchange frames. A member of another cluster can't connect.
 func TestLinkExchangesFramesBetweenNamedPeers(t *testing.T) {
 	ids := identities(t, "a", "b")
-	at := listenLinks(t, ids[0], 8)
-	l, err := DialLink(ids[1], at.Addr().String(), patience, nil)
+	listener := listenLinks(t, ids[0], 8)
+	l, err := DialLink(ids[1], listener.Addr().String(), waitTimeout, nil)
 	require.NoError(t, err)
 	defer l.Close()
 	require.Equal(t, "a", l.Peer)
 	for _, text := range []string{"one", "two"} {
-		require.NoError(t, l.Send([]byte(text), patience))
-		back, err := l.Receive(100, patience)
+		require.NoError(t, l.Send([]byte(text), waitTimeout))
+		back, err := l.Receive(100, waitTimeout)
 		require.NoError(t, err)
 		require.Equal(t, "b: "+text, string(back))
 	}
-	require.NoError(t, l.Send(make([]byte, 101), patience))
-	_, err = l.Receive(100, patience)
+	require.NoError(t, l.Send(make([]byte, 101), waitTimeout))
+	_, err = l.Receive(100, waitTimeout)
 	require.Error(t, err, "a frame above the maximum ends the link")
-	_, err = DialLink(identities(t, "b")[0], at.Addr().String(), patience, nil)
+	_, err = DialLink(identities(t, "b")[0], listener.Addr().String(), waitTimeout, nil)
 	require.Error(t, err)
 }
 
 // An address for links refuses calls, and a store's address refuses links.
 func TestAddressRefusesOtherKindsOfConnection(t *testing.T) {
 	ids := identities(t, "a", "b")
-	at := listenLinks(t, ids[0], 8)
-	_, sent, err := (&transport{identity: ids[1], dial: dialTCP}).call(at.Addr().String(), request{Operation: OpStatus}, patience)
+	listener := listenLinks(t, ids[0], 8)
+	_, sent, err := (&transport{identity: ids[1], dial: dialTCP}).call(listener.Addr().String(), request{Operation: OpStatus}, waitTimeout)
 	require.True(t, sent)
 	require.Error(t, err)
 
 	c := newCluster(t, "a")
 	id, err := LoadIdentity(c.keys, "a")
 	require.NoError(t, err)
-	l, err := DialLink(id, c.addrs["a"], patience, nil)
+	l, err := DialLink(id, c.addrs["a"], waitTimeout, nil)
 	require.NoError(t, err)
 	defer l.Close()
-	_, err = l.Receive(100, patience)
+	_, err = l.Receive(100, waitTimeout)
 	require.ErrorIs(t, err, io.EOF)
 }
 
 // Closing an address ends its links at both ends and waits for their handlers. A link beyond the maximum is refused.
 func TestLinkListenerCloseEndsItsLinks(t *testing.T) {
 	ids := identities(t, "a", "b")
-	at := listenLinks(t, ids[0], 1)
-	l, err := DialLink(ids[1], at.Addr().String(), patience, nil)
+	listener := listenLinks(t, ids[0], 1)
+	l, err := DialLink(ids[1], listener.Addr().String(), waitTimeout, nil)
 	require.NoError(t, err)
 	defer l.Close()
-	require.NoError(t, l.Send([]byte("one"), patience))
-	_, err = l.Receive(100, patience)
+	require.NoError(t, l.Send([]byte("one"), waitTimeout))
+	_, err = l.Receive(100, waitTimeout)
 	require.NoError(t, err)
-	_, err = DialLink(ids[1], at.Addr().String(), patience, nil)
+	_, err = DialLink(ids[1], listener.Addr().String(), waitTimeout, nil)
 	require.Error(t, err, "a second one")
-	require.NoError(t, at.Close())
-	_, err = l.Receive(100, patience)
+	require.NoError(t, listener.Close())
+	_, err = l.Receive(100, waitTimeout)
 	require.Error(t, err)
 }
 
@@ -102,7 +102,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ended := make(chan error, 1)
-	at := ListenLinks(ids[0], ln, 8, func(l *Link) {
+	listener := ListenLinks(ids[0], ln, 8, func(l *Link) {
 		for {
 			if err := l.Send(make([]byte, 1<<20), 50*time.Millisecond); err != nil {
 				ended <- err
@@ -110,10 +110,10 @@
 			}
 		}
 	})
-	defer at.Close()
-	l, err := DialLink(ids[1], at.Addr().String(), patience, nil)
+	defer listener.Close()
+	l, err := DialLink(ids[1], listener.Addr().String(), waitTimeout, nil)
 	require.NoError(t, err)
 	defer l.Close()
-	var late net.Error
-	require.True(t, errors.As(<-ended, &late) && late.Timeout())
+	var timeoutErr net.Error
+	require.True(t, errors.As(<-ended, &timeoutErr) && timeoutErr.Timeout())
 }
--- a/internal/store/message.go
+++ b/internal/store/message.go
@@ -63,8 +63,8 @@
 // ErrFrameTooLarge says that a frame claims more bytes than its receiver accepts.
 var ErrFrameTooLarge = errors.New("store: frame too large")
 
-// frameDecoding bounds what a message may claim.
-var frameDecoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
+// messageDecodeMode bounds what a message may claim.
+var messageDecodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 
 func writeMessage(w io.Writer, message any) error {
 	b, err := cbor.Marshal(message)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return frameDecoding.Unmarshal(b, message)
+	return messageDecodeMode.Unmarshal(b, message)
 }
 
 func writeFrame(w io.Writer, b []byte) error {
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -144,7 +144,7 @@
 		return storestate.Result{}, retry.NotExecuted
 	}
 	var result storestate.Result
-	if frameDecoding.Unmarshal(r.Result, &result) != nil {
+	if messageDecodeMode.Unmarshal(r.Result, &result) != nil {
 		return storestate.Result{}, retry.Unknown
 	}
 	return result, retry.Succeeded
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -45,11 +45,11 @@
 	if err != nil {
 		return err
 	}
-	known, err := raft.HasExistingState(storage.logs, storage.stable, storage.snapshots)
+	hasState, err := raft.HasExistingState(storage.logs, storage.stable, storage.snapshots)
 	if err != nil {
 		return err
 	}
-	if !known && s.opt.Join == "" {
+	if !hasState && s.opt.Join == "" {
 		err := raft.BootstrapCluster(conf, storage.logs, storage.stable, storage.snapshots, network, s.initialMembers())
 		if err != nil {
 			return err
@@ -59,7 +59,7 @@
 		return err
 	}
 	go s.transport.run()
-	if !known && s.opt.Join != "" {
+	if !hasState && s.opt.Join != "" {
 		return s.join()
 	}
 	return nil
@@ -140,11 +140,11 @@
 // join asks the cluster to add this member, first as a non-voter and then as a voter.
 func (s *Store) join() error {
 	addr := s.opt.Join
-	q := request{Operation: OpJoin, Name: s.opt.Self.Name, Addr: s.opt.Self.Addr}
+	req := request{Operation: OpJoin, Name: s.opt.Self.Name, Addr: s.opt.Self.Addr}
 	var err error
 	for range joinAttempts {
 		var r reply
-		r, _, err = s.transport.call(addr, q, joinTimeoutFactor*s.opt.Timeout)
+		r, _, err = s.transport.call(addr, req, joinTimeoutFactor*s.opt.Timeout)
 		switch {
 		case err == nil && r.Err == "":
 			return nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -71,9 +71,9 @@
 
 const defaultTimeout = 2 * time.Second
 
-// retries bound how a change is retried. Times are in ms. The budget bounds the extra load on a store in trouble: in the long
+// retrySettings bound how a change is retried. Times are in ms. The budget bounds the extra load on a store in trouble: in the long
 // run there is at most one retry for every five changes that succeed.
-var retries = retry.Settings{MaxAttempts: 8, BaseDelay: 20, MaxDelay: 500, MaxRetries: 50, RetriesPerSuccess: 0.2}
+var retrySettings = retry.Settings{MaxAttempts: 8, BaseDelay: 20, MaxDelay: 500, MaxRetries: 50, RetriesPerSuccess: 0.2}
 
 // Store is a member of the cluster. Its methods are safe for concurrent use.
 type Store struct {
@@ -97,7 +97,7 @@
 	if o.Dial == nil {
 		o.Dial = dialTCP
 	}
-	s := &Store{opt: o, fsm: &fsm{state: storestate.New(), onChange: o.OnChange}, budget: retry.New(retries)}
+	s := &Store{opt: o, fsm: &fsm{state: storestate.New(), onChange: o.OnChange}, budget: retry.New(retrySettings)}
 	if o.Self == (Member{}) {
 		return s, nil
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,12 +16,12 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// patience bounds a wait. It expresses no expectation of speed.
-const patience = 60 * time.Second
+// waitTimeout bounds a wait. It expresses no expectation of speed.
+const waitTimeout = 60 * time.Second
 
 func eventually(t testing.TB, ok func() bool, what string) {
 	t.Helper()
-	require.Eventually(t, ok, patience, 2*time.Millisecond, what)
+	require.Eventually(t, ok, waitTimeout, 2*time.Millisecond, what)
 }
 
 // cluster is a set of members on loopback whose connections can be cut.
@@ -169,17 +169,17 @@
 	return name
 }
 
-func (c *cluster) other(not ...string) string {
+func (c *cluster) otherMember(excluded ...string) string {
 	for _, n := range []string{"a", "b", "c"} {
-		if n != not[0] && (len(not) < 2 || n != not[1]) {
+		if n != excluded[0] && (len(excluded) < 2 || n != excluded[1]) {
 			return n
 		}
 	}
 	return ""
 }
 
-// spendNew spends a new token id. An attempt without a quorum may still succeed later, so each attempt has an id of its own.
-func spendNew(t testing.TB, s *Store) (jti string) {
+// spendNewToken spends a new token id. An attempt without a quorum may still succeed later, so each attempt has an id of its own.
+func spendNewToken(t testing.TB, s *Store) (jti string) {
 	t.Helper()
 	n := 0
 	eventually(t, func() bool {
@@ -236,21 +236,21 @@
 func TestMemberReturnsBySnapshotAfterLeaderLoss(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	first := c.leader()
-	spent := []string{spendNew(t, c.members[first]), spendNew(t, c.members[c.other(first)])}
-	down := c.other(first)
+	spent := []string{spendNewToken(t, c.members[first]), spendNewToken(t, c.members[c.otherMember(first)])}
+	down := c.otherMember(first)
 	c.members[down].Kill()
 	for range 150 { // beyond the snapshot's threshold and its trailing entries
 		require.NoError(t, c.members[first].PutKey("k", Key{Alg: "HS256", Data: []byte("y")}))
 	}
-	spent = append(spent, spendNew(t, c.members[first]))
+	spent = append(spent, spendNewToken(t, c.members[first]))
 	eventually(t, func() bool { return c.members[first].raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
-	back := c.open(down, Options{})
-	eventually(t, func() bool { k, ok := back.Key("k"); return ok && string(k.Data) == "y" }, "it caught up")
+	restarted := c.open(down, Options{})
+	eventually(t, func() bool { k, ok := restarted.Key("k"); return ok && string(k.Data) == "y" }, "it caught up")
 
 	c.members[first].Kill()
 	second := c.leader()
 	require.NotEqual(t, first, second)
-	spent = append(spent, spendNew(t, c.members[c.other(first, second)]))
+	spent = append(spent, spendNewToken(t, c.members[c.otherMember(first, second)]))
 	c.open(first, Options{})
 	for _, s := range c.all() {
 		for _, jti := range spent {
@@ -292,20 +292,20 @@
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
 	require.NoError(t, c.members[lead].PutKey("k", Key{Alg: "HS256", Data: []byte("x")}))
-	lone := c.other(lead)
-	eventually(t, func() bool { _, ok := c.members[lone].Key("k"); return ok }, "the key is there")
-	c.isolate(lone, true)
-	eventually(t, func() bool { return c.members[lone].Status().StaleMs > 300 }, "it reports that it is stale")
-	_, ok := c.members[lone].Key("k")
+	isolated := c.otherMember(lead)
+	eventually(t, func() bool { _, ok := c.members[isolated].Key("k"); return ok }, "the key is there")
+	c.isolate(isolated, true)
+	eventually(t, func() bool { return c.members[isolated].Status().StaleMs > 300 }, "it reports that it is stale")
+	_, ok := c.members[isolated].Key("k")
 	require.True(t, ok, "reads go on")
-	require.ErrorIs(t, c.members[lone].SpendToken("j", 9e15), ErrUnavailable)
-	require.ErrorIs(t, c.members[lone].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
+	require.ErrorIs(t, c.members[isolated].SpendToken("j", 9e15), ErrUnavailable)
+	require.ErrorIs(t, c.members[isolated].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
 	require.NoError(t, c.members[lead].DeleteKey("k"))
-	_, ok = c.members[lone].Key("k")
+	_, ok = c.members[isolated].Key("k")
 	require.True(t, ok, "a stale read")
-	c.isolate(lone, false)
+	c.isolate(isolated, false)
 	eventually(t, func() bool {
-		return c.members[lone].ReadLinearizable(func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
+		return c.members[isolated].ReadLinearizable(func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
 	}, "it caught up")
 
 	// The leader itself is cut off: it steps down, and the others elect another one.
@@ -320,7 +320,7 @@
 		}
 		return next != ""
 	}, "another leads")
-	spendNew(t, c.members[next])
+	spendNewToken(t, c.members[next])
 
 	// A member that knows no leader refuses an operation without effect, and the operation is requested again.
 	id, err := LoadIdentity(c.keys, lead)
@@ -330,7 +330,7 @@
 	time.Sleep(5 * requestRetryDelay)
 	c.isolate(lead, false)
 	require.NoError(t, <-done)
-	spendNew(t, c.members[lead])
+	spendNewToken(t, c.members[lead])
 }
 
 // Raft has handed a follower two acknowledged changes that its state machine has not applied yet. A linearizable read there
@@ -338,15 +338,15 @@
 func TestLinearizableReadWaitsForAppliedState(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
-	late := c.members[c.other(lead)]
-	late.fsm.mu.Lock()
+	follower := c.members[c.otherMember(lead)]
+	follower.fsm.mu.Lock()
 	require.NoError(t, c.members[lead].PutKey("one", Key{Alg: "HS256"}))
 	require.NoError(t, c.members[lead].PutKey("two", Key{Alg: "HS256"}))
-	eventually(t, func() bool { return late.raft.AppliedIndex() >= c.members[lead].raft.AppliedIndex() }, "it was handed both")
+	eventually(t, func() bool { return follower.raft.AppliedIndex() >= c.members[lead].raft.AppliedIndex() }, "it was handed both")
 	done, seen := make(chan error, 1), false
-	go func() { done <- late.ReadLinearizable(func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
+	go func() { done <- follower.ReadLinearizable(func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
 	time.Sleep(50 * time.Millisecond)
-	late.fsm.mu.Unlock()
+	follower.fsm.mu.Unlock()
 	require.NoError(t, <-done)
 	require.True(t, seen)
 }
@@ -355,9 +355,9 @@
 func TestMembersJoinLeaveAndTransferLeadership(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	lead := c.leader()
-	jti := spendNew(t, c.members[lead])
+	jti := spendNewToken(t, c.members[lead])
 	c.add("d")
-	d := c.open("d", Options{Join: c.addrs[c.other(lead)]}) // through a follower
+	d := c.open("d", Options{Join: c.addrs[c.otherMember(lead)]}) // through a follower
 	// The leader has added it; the newcomer itself learns of that a moment later.
 	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the newcomer knows of all")
 	require.ErrorIs(t, d.SpendToken(jti, 9e15), ErrTokenSpent)
@@ -374,7 +374,7 @@
 	}, "one less")
 	c.members[lead].Kill()
 	require.NoError(t, d.Close()) // a leader transfers its leadership first
-	spendNew(t, c.members[c.other(lead)])
+	spendNewToken(t, c.members[c.otherMember(lead)])
 }
 
 // Connections without a certificate of this cluster are refused: another cluster's member, a member under another's name, and
@@ -408,7 +408,7 @@
 	nc, err := net.Dial("tcp", c.addrs["a"])
 	require.NoError(t, err)
 	_, _ = nc.Write([]byte("C\x00\x00\x00\x01x"))
-	_ = nc.SetReadDeadline(time.Now().Add(patience))
+	_ = nc.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err = nc.Read(make([]byte, 64))
 	if err == nil { // a TLS alert, and then the end
 		_, err = nc.Read(make([]byte, 64))
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -83,7 +83,7 @@
 		t.drop(raw)
 	case t.handleLink != nil:
 		if kind == connLink {
-			t.handleLink(&Link{Peer: peer, conn: conn, in: bufio.NewReader(conn), closeConn: func() { raw.Close() }})
+			t.handleLink(&Link{Peer: peer, conn: conn, reader: bufio.NewReader(conn), closeConn: func() { raw.Close() }})
 		}
 		t.drop(raw)
 	case kind == connRaft:
@@ -123,11 +123,11 @@
 	in := bufio.NewReader(conn)
 	for {
 		_ = raw.SetDeadline(time.Now().Add(callIdleTimeout))
-		var q request
-		if err := readMessage(in, &q); err != nil {
+		var req request
+		if err := readMessage(in, &req); err != nil {
 			return
 		}
-		if err := writeMessage(conn, t.handleCall(peer, q)); err != nil {
+		if err := writeMessage(conn, t.handleCall(peer, req)); err != nil {
 			return
 		}
 	}
@@ -167,7 +167,7 @@
 }
 
 // call makes a call to a member. sent reports whether the request may have reached it.
-func (t *transport) call(addr string, q request, timeout time.Duration) (r reply, sent bool, err error) {
+func (t *transport) call(addr string, req request, timeout time.Duration) (r reply, sent bool, err error) {
 	conn, err := t.connect(addr, connCalls, timeout)
 	if err != nil {
 		return r, false, err
@@ -175,7 +175,7 @@
 	defer conn.Close()
 	// Without a deadline, a call to a member that was cut off would never return.
 	_ = conn.SetDeadline(time.Now().Add(timeout))
-	if err := writeMessage(conn, q); err != nil {
+	if err := writeMessage(conn, req); err != nil {
 		return r, true, err
 	}
 	err = readMessage(conn, &r)
