--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -60,19 +60,19 @@
 	basePath string // of the files in Options.Dir, without their extensions
 	record   record
 
-	mu         sync.Mutex
-	machine    *decider.Machine
-	successors map[int]*net.UnixConn // connections of processes that would follow, by number
-	lastNumber int
-	owner      *net.UnixConn // connection to the owner that this process follows
-	socket     *net.UnixListener
-	listener   *net.TCPListener
-	lock       *os.File
-	prepared   chan struct{} // closed once the owner has sent its state, or it is known that there is no owner
-	owns       chan struct{} // closed once this process owns the address
-	failed     chan error
-	cancelTick func()
-	closed     bool
+	mu              sync.Mutex
+	machine         *decider.Machine
+	successors      map[int]*net.UnixConn // connections of processes that would follow, by number
+	lastSuccessor   int
+	owner           *net.UnixConn // connection to the owner that this process follows
+	socket          *net.UnixListener
+	listener        *net.TCPListener
+	lock            *os.File
+	ownerStateKnown chan struct{} // closed once the owner has sent its state, or it is known that there is no owner
+	owns            chan struct{} // closed once this process owns the address
+	failed          chan error
+	cancelTick      func()
+	closed          bool
 
 	drainMu sync.Mutex // held while a manual drain is set, so that commands take effect one at a time
 	onDrain func(server policy.CacheID, drained bool)
@@ -84,7 +84,7 @@
 func Start(o Options) (*Coordinator, error) {
 	c := &Coordinator{
 		opt: o, basePath: filepath.Join(o.Dir, fileName(o.Listen)), machine: decider.New(settings),
-		successors: map[int]*net.UnixConn{}, prepared: make(chan struct{}), owns: make(chan struct{}), failed: make(chan error, 1),
+		successors: map[int]*net.UnixConn{}, ownerStateKnown: make(chan struct{}), owns: make(chan struct{}), failed: make(chan error, 1),
 		cancelTick: func() {},
 	}
 	c.record.path, c.record.clock = c.basePath+recordExtension, o.Clock
@@ -93,7 +93,7 @@
 	}
 	c.handle(decider.Started{})
 	select {
-	case <-c.prepared:
+	case <-c.ownerStateKnown:
 		return c, nil
 	case err := <-c.failed:
 		return nil, err
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -15,7 +15,7 @@
 // An accept at the socket fails for a moment. A successor is accepted all the same, and receives the manual drains.
 func TestSuccessorIsAcceptedAfterAcceptError(t *testing.T) {
 	h := newHost(t)
-	first := h.own(h.start())
+	first := h.waitForOwnership(h.start())
 	require.NoError(t, first.SetManualDrain(7, true))
 	first.Coordinator.mu.Lock()
 	socket := first.socket
@@ -43,7 +43,7 @@
 // A drain that can't be recorded is an error, and is recorded later.
 func drainIsRecordedLater(t *testing.T) {
 	h := newHost(t)
-	owner := h.own(h.start())
+	owner := h.waitForOwnership(h.start())
 	obstacle := owner.record.path + ".part" // no file can be written in place of a directory
 	require.NoError(t, os.Mkdir(obstacle, 0o700))
 	require.Error(t, owner.SetManualDrain(7, true), "it is not recorded")
@@ -63,7 +63,7 @@
 	h := newHost(t)
 	first := h.start()
 	require.NoError(t, os.Mkdir(first.record.path+".part", 0o700))
-	h.own(first)
+	h.waitForOwnership(first)
 	require.Zero(t, first.recordedGeneration(), "it can't be recorded")
 	require.NoError(t, os.Remove(first.record.path+".part"))
 	recorded := func() bool {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -36,8 +36,8 @@
 	},
 }
 
-// goldenPair returns the two ends of a connection between processes.
-func goldenPair(t *testing.T) (one, two *net.UnixConn) {
+// connectedPair returns the two ends of a connection between processes.
+func connectedPair(t *testing.T) (one, two *net.UnixConn) {
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(t.TempDir(), "s")})
 	require.NoError(t, err)
 	defer ln.Close()
@@ -51,16 +51,16 @@
 
 // Each message is sent as its golden file, and received from it.
 func TestGoldenMessages(t *testing.T) {
-	from, to := goldenPair(t)
+	sender, receiver := connectedPair(t)
 	packet := make([]byte, maxMessageSize)
 	for name, m := range goldenMessages {
-		require.NoError(t, send(from, m, nil))
-		n, err := to.Read(packet)
+		require.NoError(t, send(sender, m, nil))
+		n, err := receiver.Read(packet)
 		require.NoError(t, err)
 		golden.Equal(t, name, packet[:n])
-		_, err = from.Write(golden.Read(t, name))
+		_, err = sender.Write(golden.Read(t, name))
 		require.NoError(t, err)
-		read, fds, err := receive(to)
+		read, fds, err := receive(receiver)
 		require.NoError(t, err)
 		require.Empty(t, fds)
 		require.Equal(t, m, read, name)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -23,9 +23,9 @@
 	learned  string
 	restored map[policy.CacheID]float64
 
-	mu      sync.Mutex
-	drained map[policy.CacheID]bool
-	got     struct{ accepting, owner, shared, stopped bool }
+	mu        sync.Mutex
+	drained   map[policy.CacheID]bool
+	callbacks struct{ accepting, owner, shared, stopped bool }
 }
 
 func (p *process) LearnedState() ([]byte, error) { return []byte(p.learned), nil }
@@ -40,17 +40,17 @@
 
 // host is where the processes of a test run: a directory and an address that they share.
 type host struct {
-	t   *testing.T
-	dir string
-	clk *clock.Clock
-	at  string
+	t    *testing.T
+	dir  string
+	clk  *clock.Clock
+	addr string
 }
 
 func newHost(t *testing.T) *host {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	return &host{t: t, dir: t.TempDir(), clk: clock.Manual(1000), at: ln.Addr().String()}
+	return &host{t: t, dir: t.TempDir(), clk: clock.Manual(1000), addr: ln.Addr().String()}
 }
 
 // start starts a process, up to where it has the state of the owner before it.
@@ -60,9 +60,9 @@
 		return func(on bool) { p.mu.Lock(); *b = on; p.mu.Unlock() }
 	}
 	c, err := Start(Options{
-		Dir: h.dir, Listen: h.at, Clock: h.clk,
-		SetAccepting: set(&p.got.accepting), SetOwner: set(&p.got.owner), SetShared: set(&p.got.shared),
-		Stop: func(string) { set(&p.got.stopped)(true) },
+		Dir: h.dir, Listen: h.addr, Clock: h.clk,
+		SetAccepting: set(&p.callbacks.accepting), SetOwner: set(&p.callbacks.owner), SetShared: set(&p.callbacks.shared),
+		Stop: func(string) { set(&p.callbacks.stopped)(true) },
 	})
 	require.NoError(h.t, err)
 	p.Coordinator = c
@@ -72,8 +72,8 @@
 	return p
 }
 
-// own lets a started process take the address over.
-func (h *host) own(p *process) *process {
+// waitForOwnership lets a started process take the address over.
+func (h *host) waitForOwnership(p *process) *process {
 	var err error
 	p.listener, err = p.WaitForOwnership(p)
 	require.NoError(h.t, err)
@@ -81,11 +81,11 @@
 }
 
 // eventually waits until a condition on a process holds, and lets time pass meanwhile.
-func (h *host) eventually(p *process, why string, is func() bool) {
+func (h *host) eventually(p *process, why string, condition func() bool) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
 		p.mu.Lock()
-		ok := is()
+		ok := condition()
 		p.mu.Unlock()
 		if !ok {
 			h.clk.Advance(10)
@@ -98,18 +98,18 @@
 // process that ends takes nothing back.
 func TestChainOfHandoversKeepsQueueAndState(t *testing.T) {
 	h := newHost(t)
-	old := h.own(h.start())
+	old := h.waitForOwnership(h.start())
 	old.learned = "x"
 	require.NoError(t, old.SetManualDrain(7, true))
-	queued, err := net.Dial("tcp", h.at) // connected, and not accepted by any process
+	queued, err := net.Dial("tcp", h.addr) // connected, and not accepted by any process
 	require.NoError(t, err)
 	defer queued.Close()
 	for n := range 5 {
 		next := h.start()
 		require.True(t, next.drained[7])
 		require.Equal(t, n > 0, next.restored[8] > 0, "restored lately: the next process warms it up too")
-		h.own(next)
-		h.eventually(old, "it stops accepting", func() bool { return !old.got.accepting && !old.got.owner })
+		h.waitForOwnership(next)
+		h.eventually(old, "it stops accepting", func() bool { return !old.callbacks.accepting && !old.callbacks.owner })
 		require.NoError(t, old.SetManualDrain(policy.CacheID(100+n), true), "set through the old one")
 		h.eventually(next, "a drain set through one is in effect in both", func() bool { return next.drained[policy.CacheID(100+n)] })
 		require.NoError(t, next.SetManualDrain(7, n%2 == 1))
@@ -117,7 +117,7 @@
 		require.True(t, old.BeginShutdown())
 		old.Close()
 		require.NoError(t, old.listener.Close())
-		h.eventually(next, "alone", func() bool { return !next.got.shared })
+		h.eventually(next, "alone", func() bool { return !next.callbacks.shared })
 		require.NoError(t, next.SetManualDrain(8, true))
 		require.NoError(t, next.SetManualDrain(8, false))
 		require.NoError(t, next.SetManualDrain(7, true))
@@ -140,21 +140,21 @@
 // address back.
 func TestOwnerTakesAddressBackFromDeadSuccessor(t *testing.T) {
 	h := newHost(t)
-	old := h.own(h.start())
+	old := h.waitForOwnership(h.start())
 	h.start().Close()
-	h.eventually(old, "still serving", func() bool { return old.phase() == decider.Owning && old.got.accepting })
-	next := h.own(h.start())
-	h.eventually(old, "granted", func() bool { return !old.got.accepting })
+	h.eventually(old, "still serving", func() bool { return old.phase() == decider.Owning && old.callbacks.accepting })
+	next := h.waitForOwnership(h.start())
+	h.eventually(old, "granted", func() bool { return !old.callbacks.accepting })
 	next.Close()
-	h.eventually(old, "taken back", func() bool { return old.got.accepting && old.got.owner })
-	h.own(h.start())
-	h.eventually(old, "granted once more", func() bool { return !old.got.accepting })
+	h.eventually(old, "taken back", func() bool { return old.callbacks.accepting && old.callbacks.owner })
+	h.waitForOwnership(h.start())
+	h.eventually(old, "granted once more", func() bool { return !old.callbacks.accepting })
 }
 
 // An owner that is alive but silent is passed over after a time-out. It notices the new owner, and can record nothing any more.
 func TestSilentOwnerIsPassedOver(t *testing.T) {
 	h := newHost(t)
-	old := h.own(h.start())
+	old := h.waitForOwnership(h.start())
 	old.mu.Lock()
 	require.NoError(t, os.Remove(old.basePath+".sock")) // no process can reach it
 	old.mu.Unlock()
@@ -170,11 +170,11 @@
 			return false
 		}
 	}, time.Minute, time.Millisecond)
-	h.own(next)
+	h.waitForOwnership(next)
 	require.NoError(t, next.SetManualDrain(5, true))
 	require.ErrorIs(t, old.record.setDrained(6, true, 0), errFenced)
 	// It goes on accepting, as its listener has a queue of its own.
-	h.eventually(old, "it stops", func() bool { return old.got.stopped && old.got.accepting })
+	h.eventually(old, "it stops", func() bool { return old.callbacks.stopped && old.callbacks.accepting })
 	require.Equal(t, []policy.CacheID{5}, next.record.drainedServers())
 	old.Close()
 	h.eventually(next, "it gets the lock once the old process is gone", func() bool {
@@ -191,22 +191,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t)
-			first := h.own(h.start())
+			first := h.waitForOwnership(h.start())
 			require.NoError(t, first.listener.Close())
 			first.Close()
 			if text != "" {
 				require.NoError(t, os.WriteFile(first.record.path, []byte(text), 0o600))
 			}
 			require.FileExists(t, first.basePath+".sock")
-			h.own(h.start())
+			h.waitForOwnership(h.start())
 		})
 	}
 	t.Run("a directory with a long name", func(t *testing.T) {
 		h := newHost(t)
 		h.dir = filepath.Join(h.dir, strings.Repeat("d", 120))
 		require.NoError(t, os.Mkdir(h.dir, 0o700))
-		old := h.own(h.start())
-		h.own(h.start())
-		h.eventually(old, "granted", func() bool { return !old.got.owner })
+		old := h.waitForOwnership(h.start())
+		h.waitForOwnership(h.start())
+		h.eventually(old, "granted", func() bool { return !old.callbacks.owner })
 	})
 }
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -20,8 +20,8 @@
 var (
 	// errFenced says that another process owns the address by now, whose record this one must not overwrite.
 	errFenced = errors.New("another process owns the address")
-	// errBusy says that another process has had the record locked for too long.
-	errBusy = errors.New("another process is writing the record")
+	// errRecordLocked says that another process has had the record locked for too long.
+	errRecordLocked = errors.New("another process is writing the record")
 	// errTooManyDrained says that maxDrained servers are drained already.
 	errTooManyDrained = fmt.Errorf("at most %d servers can be drained manually", maxDrained)
 )
@@ -156,7 +156,7 @@
 }
 
 // claim writes the record under a generation, unless one as high is recorded: then it returns that one with errFenced. It
-// returns errBusy, or the error of a write that failed, too.
+// returns errRecordLocked, or the error of a write that failed, too.
 func (r *record) claim(generation uint64) (recorded uint64, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +174,7 @@
 }
 
 // setDrained records that an operator drains a server, or no longer does, from now in ms on. Its errors are errFenced,
-// errBusy, errTooManyDrained and those of the write. After errBusy and a failed write the change is in effect in memory, and
+// errRecordLocked, errTooManyDrained and those of the write. After errRecordLocked and a failed write the change is in effect in memory, and
 // is written later.
 func (r *record) setDrained(id policy.CacheID, drained bool, now float64) error {
 	r.mu.Lock()
@@ -186,7 +186,7 @@
 		}
 		return nil
 	}
-	next := r.current.without(name, now)
+	next := r.current.withoutServer(name, now)
 	next.Epoch, _ = r.clock.Epoch()
 	if !drained && len(next.Restored) < maxDrained {
 		next.Restored[name] = now
@@ -199,8 +199,8 @@
 	return r.write(next)
 }
 
-// without returns a copy of the record without a server, and without servers that were restored too long ago.
-func (o ownerRecord) without(server string, now float64) ownerRecord {
+// withoutServer returns a copy of the record without a server, and without servers that were restored too long ago.
+func (o ownerRecord) withoutServer(server string, now float64) ownerRecord {
 	next := ownerRecord{Generation: o.Generation, Restored: map[string]float64{}}
 	next.Drained = slices.DeleteFunc(slices.Clone(o.Drained), func(name string) bool { return name == server })
 	for name, at := range o.Restored {
@@ -258,7 +258,7 @@
 }
 
 // lockFile lets one process at a time read and replace the record. A process suspended in between holds the lock; it would
-// otherwise resume and replace what its successor has recorded. It returns errBusy if the lock does not become free.
+// otherwise resume and replace what its successor has recorded. It returns errRecordLocked if the lock does not become free.
 func (r *record) lockFile() (unlock func(), err error) {
 	f, err := os.OpenFile(r.path+lockExtension, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -271,7 +271,7 @@
 		time.Sleep(recordLockDelay)
 	}
 	f.Close()
-	return nil, errBusy
+	return nil, errRecordLocked
 }
 
 // replaceFile writes a record and renames it into place. The caller holds the file's lock.
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -86,8 +86,8 @@
 			conn.Close()
 			continue
 		}
-		c.lastNumber++
-		number := c.lastNumber
+		c.lastSuccessor++
+		number := c.lastSuccessor
 		c.successors[number] = conn
 		c.mu.Unlock()
 		go c.readSuccessor(number, conn)
@@ -217,15 +217,15 @@
 	closeDescriptors(descriptors)
 }
 
-// malformedState stands for the protocol version of a malformed state. No process has it, so that the Machine treats the owner as
+// malformedStateVersion stands for the protocol version of a malformed state. No process has it, so that the Machine treats the owner as
 // silent.
-const malformedState = -1
+const malformedStateVersion = -1
 
 func (c *Coordinator) receiveState(m message) {
 	received := ownerRecord{Drained: m.Drained, Restored: m.Restored, Epoch: m.Epoch}
 	if err := received.validate(); err != nil {
 		c.opt.Log.Warn("handover").Err(err).Msg("owner's state is unusable; treating the owner as silent")
-		m.ProtocolVersion = malformedState
+		m.ProtocolVersion = malformedStateVersion
 	} else {
 		c.record.replaceInMemory(received)
 	}
