--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -10,11 +10,11 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// stateSizes are how many entries of each kind a benchmark's state holds.
+// stateSizes are the numbers of entries of each kind in a benchmark's state.
 var stateSizes = []int{600, 6_000, 60_000, 600_000}
 
-// stateWithEntries returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded from
-// a snapshot, which is faster than applying the changes.
+// stateWithEntries returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded
+// from a snapshot, which is faster than applying the changes.
 func stateWithEntries(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
 	s.Time = 1
@@ -30,7 +30,7 @@
 	return s
 }
 
-// BenchmarkExpire applies one change to a state of n entries: one entry is added, and one expires.
+// BenchmarkExpire measures one change of a state of n entries: the change adds one entry, and one entry expires.
 func BenchmarkExpire(b *testing.B) {
 	for _, kind := range []struct {
 		name string
--- a/internal/decide/storestate/config.go
+++ b/internal/decide/storestate/config.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// maxRevisions is how many revisions of the configuration are kept.
+// maxRevisions is how many revisions of the configuration are stored.
 const maxRevisions = 100
 
 // Revision is one version of the configuration.
@@ -14,7 +14,7 @@
 	RollbackOf uint64  `cbor:"5,keyasint,omitempty" json:"of,omitempty"` // earlier revision with the same text; 0: none
 }
 
-// Revision returns the revision in force. Its number is 0 before the first.
+// Revision returns the current revision. Its number is 0 before the first one.
 func (s *State) Revision() Revision {
 	if len(s.Revisions) == 0 {
 		return Revision{}
@@ -22,7 +22,7 @@
 	return s.Revisions[len(s.Revisions)-1]
 }
 
-// RevisionByNumber returns a revision, and whether it is still kept.
+// RevisionByNumber returns a revision, and whether it is still stored.
 func (s *State) RevisionByNumber(number uint64) (Revision, bool) {
 	for _, r := range s.Revisions {
 		if r.Number == number {
@@ -32,7 +32,7 @@
 	return Revision{}, false
 }
 
-// setConfig makes a text the next revision, provided that the one in force is still the one that it was derived from.
+// setConfig makes a text the next revision if the current revision is the one that the text was derived from.
 func (s *State) setConfig(c Change) Result {
 	current := s.Revision()
 	if c.BaseRevision != current.Number {
--- a/internal/decide/storestate/encoding.go
+++ b/internal/decide/storestate/encoding.go
@@ -7,16 +7,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// formatVersion is the first byte of an encoding. Version 0 was JSON and begins with a brace; see legacy.go.
+// formatVersion is the first byte of an encoding. Version 0 has no such byte: it was JSON and begins with a brace; see legacy.go.
 const formatVersion = 1
 
-// ErrUnknownFormat says that bytes are empty or were written in a format that this version does not know.
+// ErrUnknownFormat says that an encoding is empty, or has a format version that this version of the proxy does not support.
 var ErrUnknownFormat = errors.New("storestate: unknown format version")
 
 var (
-	// encodeMode is the core deterministic encoding of RFC 8949, section 4.2.
+	// encodeMode is the core deterministic encoding of RFC 8949, section 4.2: equal values have equal encodings.
 	encodeMode = must(cbor.CoreDetEncOptions().EncMode())
-	// decodeMode bounds what untrusted bytes may claim.
+	// decodeMode limits the sizes and the nesting that untrusted input may declare.
 	decodeMode = must(cbor.DecOptions{MaxArrayElements: 1 << 22, MaxMapPairs: 1 << 22, MaxNestedLevels: 8}.DecMode())
 )
 
@@ -36,8 +36,8 @@
 	return append([]byte{formatVersion}, b...), nil
 }
 
-// DecodeChange decodes a change of this format version or an earlier one. It returns ErrUnknownFormat or an error of CBOR or
-// JSON.
+// DecodeChange decodes a change of this format version or an earlier one. Its errors are ErrUnknownFormat and those of the CBOR and
+// JSON decoders.
 func DecodeChange(b []byte) (c Change, err error) {
 	if isLegacy(b) {
 		return decodeLegacyChange(b)
@@ -46,8 +46,8 @@
 	return c, err
 }
 
-// DecodeState decodes a state of this format version or an earlier one. It returns ErrUnknownFormat or an error of CBOR or
-// JSON.
+// DecodeState decodes a state of this format version or an earlier one. Its errors are ErrUnknownFormat and those of the CBOR and
+// JSON decoders.
 func DecodeState(b []byte) (*State, error) {
 	if isLegacy(b) {
 		return decodeLegacyState(b)
@@ -65,7 +65,7 @@
 	return s, nil
 }
 
-// replaceNilMaps makes a decoded state usable whose encoding had null for a map.
+// replaceNilMaps replaces nil maps by empty ones. An encoding may hold null for a map, and writing to a nil map panics.
 func (s *State) replaceNilMaps() {
 	empty := New()
 	for _, m := range []*map[string]float64{&s.SpentTokens, &s.RevokedTokens, &s.Drains} {
--- a/internal/decide/storestate/expiry.go
+++ b/internal/decide/storestate/expiry.go
@@ -6,7 +6,7 @@
 	"ravenwheel/internal/decide/expiryqueue"
 )
 
-// setToken stores a token id until its token expires.
+// setToken stores a token id with the time at which its token expires.
 func setToken(tokens map[string]float64, expiry *expiryqueue.Queue[string], id string, expiresAt float64) {
 	old, known := tokens[id]
 	tokens[id] = expiresAt
@@ -15,7 +15,7 @@
 	}
 }
 
-// expireTokens drops the ids of expired tokens.
+// expireTokens deletes the ids of expired tokens.
 func expireTokens(tokens map[string]float64, expiry *expiryqueue.Queue[string], now float64) {
 	expiry.Expire(
 		func(expiresAt float64) bool { return expiresAt < now },
@@ -23,7 +23,7 @@
 		func(id string) { delete(tokens, id) })
 }
 
-// expirePurges drops expired purges.
+// expirePurges deletes expired purges and their log indexes.
 func (s *State) expirePurges() {
 	s.purgeExpiry.Expire(
 		func(expiresAt float64) bool { return expiresAt < s.Time },
--- a/internal/decide/storestate/expiry_test.go
+++ b/internal/decide/storestate/expiry_test.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// scanModel is what the state must hold, by a scan of all tokens and purges at each change. Values are expiry times.
+// scanModel is the reference model of the state: it scans all tokens and purges at each change. Values are expiry times.
 type scanModel struct {
 	spent, revoked, purges map[string]float64
 }
@@ -48,8 +48,8 @@
 	}
 }
 
-// After each change the state holds the tokens and purges that a full scan would keep, for any order of times, jumping clocks
-// and snapshots in between.
+// After each change the state holds the same tokens and purges as the reference model, for any order of times, with clocks that
+// jump and with snapshots in between.
 func TestExpiryMatchesAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := storestate.New()
@@ -77,7 +77,7 @@
 	})
 }
 
-// States with equal contents have equal encodings, in whatever order the changes came.
+// States with equal contents have equal encodings, in whatever order the changes were applied.
 func TestEqualStatesEncodeEquallyInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := []storestate.Change{{Kind: storestate.EndDrain, ProposedAt: 1000}}
@@ -108,7 +108,8 @@
 	})
 }
 
-// A snapshot may hold a NaN as an expiry time. That token stays, and the others expire.
+// A snapshot may hold NaN as a token's expiry time. That token never expires until its expiry time is replaced; other tokens expire
+// as usual.
 func TestNaNExpiryInSnapshotNeverExpires(t *testing.T) {
 	s := storestate.New()
 	s.Time = 1000
@@ -122,10 +123,10 @@
 	require.NotContains(t, s.RevokedTokens, "b")
 	s.Apply(storestate.Change{Kind: storestate.RevokeToken, ProposedAt: 2000, ExpiresAt: 2500, Name: "a"})
 	s.Apply(storestate.Change{Kind: storestate.RevokeToken, ProposedAt: 2600, ExpiresAt: 3000, Name: "d"})
-	require.NotContains(t, s.RevokedTokens, "a", "its expiry has been replaced")
+	require.NotContains(t, s.RevokedTokens, "a", "token a was revoked again with a finite expiry time")
 }
 
-// The results kept for repeated changes take bounded memory, however many changes there were.
+// The results stored for changes that are submitted again take bounded memory, however many changes are applied.
 func TestResultsAreBounded(t *testing.T) {
 	s := storestate.New()
 	for i := range 400_000 {
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -26,7 +26,7 @@
 	change storestate.Change
 }
 
-// goldenChanges returns an entry of each kind, one with all fields set and one with none.
+// goldenChanges returns changes of each kind, one with all fields set and one with none.
 func goldenChanges() []goldenEntry {
 	return []goldenEntry{
 		{"change-spend.cbor", storestate.Change{ID: "id-1", ProposedAt: 1e12, Kind: storestate.SpendToken, Name: "jti", ExpiresAt: 1e12 + 9000.5}},
@@ -58,6 +58,7 @@
 	}
 }
 
+// Each change is encoded as its golden file, and decoded from it.
 func TestGoldenChanges(t *testing.T) {
 	for _, e := range goldenChanges() {
 		raw, err := storestate.Encode(e.change)
@@ -69,7 +70,7 @@
 	}
 }
 
-// goldenState returns the state after all golden entries.
+// goldenState returns the state after all golden changes.
 func goldenState() *storestate.State {
 	s := storestate.New()
 	for i, e := range goldenChanges() {
@@ -79,6 +80,7 @@
 	return s
 }
 
+// A state is encoded as its golden file. Decoded from it, it has the same results of changes and the same encoding.
 func TestGoldenState(t *testing.T) {
 	for name, s := range map[string]*storestate.State{"state.cbor": goldenState(), "state-empty.cbor": storestate.New()} {
 		raw, err := storestate.Encode(s)
@@ -95,7 +97,8 @@
 	}
 }
 
-// A result is sent to the member that asked without its format version.
+// A result is encoded as its golden file, and decoded from it without the format version: a leader does not send that to the member
+// that proposed the change.
 func TestGoldenResults(t *testing.T) {
 	for name, r := range map[string]storestate.Result{
 		"result-ok.cbor":       {},
--- a/internal/decide/storestate/legacy.go
+++ b/internal/decide/storestate/legacy.go
@@ -6,7 +6,7 @@
 	"maps"
 )
 
-// legacyChange is an entry of format version 0. Its value belonged to the configuration and is not decoded.
+// legacyChange is an entry of format version 0. Its Value field, which belonged to the configuration, is not decoded.
 type legacyChange struct {
 	Op   int    `json:"Op"`
 	Name string `json:"Name"`
@@ -18,21 +18,22 @@
 	Now   float64 `json:"Now"`
 }
 
-// legacyKinds are the kinds of format version 0, by operation. Operations beyond them changed a configuration that no
-// version ever read.
+// legacyKinds maps the operations of format version 0 to kinds. Higher operations changed a configuration that no version of the
+// proxy ever read.
 var legacyKinds = [...]Kind{SpendToken, PutKey, DeleteKey, RevokeToken}
 
-// legacyState is a snapshot of format version 0. Its configuration, which no version ever read, is not decoded.
+// legacyState is a snapshot of format version 0. Its configuration is not decoded, as no version of the proxy ever read it.
 type legacyState struct {
 	Keys    map[string]Key     `json:"Keys"`
 	Spent   map[string]float64 `json:"Spent"`
 	Revoked map[string]float64 `json:"Revoked"`
 }
 
-// isLegacy reports whether bytes are of format version 0.
+// isLegacy reports whether an encoding is of format version 0, which was JSON.
 func isLegacy(b []byte) bool { return len(b) > 0 && b[0] == '{' }
 
-// decodeLegacyChange returns a change whose kind is 0, and thus invalid, for an operation that is no longer supported.
+// decodeLegacyChange decodes a change of format version 0. An operation that is no longer supported becomes kind 0, which Apply
+// rejects as Invalid.
 func decodeLegacyChange(b []byte) (c Change, err error) {
 	var old legacyChange
 	if err := json.Unmarshal(b, &old); err != nil {
@@ -48,6 +49,7 @@
 	return c, nil
 }
 
+// decodeLegacyState decodes a snapshot of format version 0.
 func decodeLegacyState(b []byte) (*State, error) {
 	var old legacyState
 	if err := json.Unmarshal(b, &old); err != nil {
--- a/internal/decide/storestate/storestate.go
+++ b/internal/decide/storestate/storestate.go
@@ -1,7 +1,8 @@
 // Package storestate is the state machine of the replicated store: signing keys, spent and revoked token ids, revisions of
 // the configuration, server lists, drains and purges. Applying the same log gives the same state on each member: Apply is
-// deterministic, its time is the proposers', and a change submitted twice under one id has one effect and one result. The
-// package performs no I/O. Its decisions are tested here, and under faults by internal/store.
+// deterministic, takes the time from the changes instead of a clock, and gives a change that is submitted twice under one id one
+// effect and one result. The package performs no I/O. Its own tests cover its decisions; the tests of internal/store apply it
+// while members fail.
 //
 // All times are Unix milliseconds.
 package storestate
@@ -14,40 +15,40 @@
 )
 
 const (
-	// resultRetention is how many ms the result of a change is kept, for one that is submitted again.
+	// resultRetention is how many ms the result of a change is stored, to answer the same change when it is submitted again.
 	resultRetention = 10 * 60 * 1000
-	// maxResults bounds the results kept.
+	// maxResults is how many results are stored at most.
 	maxResults = 1 << 16
-	// maxTimeStep is how many ms a change moves the shared time forward at most. A proposer whose clock is years ahead would
-	// otherwise expire all other members' tokens.
+	// maxTimeStep is how many ms a change moves State.Time forward at most. Otherwise a proposer whose clock is years ahead would
+	// expire the tokens of all other members.
 	maxTimeStep = 60_000
 )
 
 // AppliedResult is the stored result of a change.
 type AppliedResult struct {
-	ID     string  `cbor:"1,keyasint"`
-	At     float64 `cbor:"2,keyasint"`
+	ID     string  `cbor:"1,keyasint"` // of the change
+	At     float64 `cbor:"2,keyasint"` // State.Time after the change
 	Result Result  `cbor:"3,keyasint"`
 }
 
 // State is the result of applying a log's changes. New makes one; the zero value is not usable. It is not safe for concurrent use.
 type State struct {
-	Time          float64            `cbor:"1,keyasint"` // shared time: the latest of the proposers', see maxTimeStep
-	Keys          map[string]Key     `cbor:"2,keyasint"` // by key id
-	SpentTokens   map[string]float64 `cbor:"3,keyasint"` // by token id: when the token expires, so that a replay can't pass
-	RevokedTokens map[string]float64 `cbor:"4,keyasint"` // by token id: when the token expires
-	Revisions     []Revision         `cbor:"5,keyasint"` // of the configuration, oldest first
-	Lists         map[string]List    `cbor:"6,keyasint"` // by name
-	Drains        map[string]float64 `cbor:"7,keyasint"` // by server's name: when the drain began
-	Purges        map[string]Purge   `cbor:"8,keyasint"` // by object, or by "group N"
-	Results       []AppliedResult    `cbor:"9,keyasint"` // oldest first
-	AppliedIndex  uint64             `cbor:"10,keyasint"`
-	// FactIndexes holds the log index of the change that set each purge, drain, list and the configuration, by FactKey, for
-	// subscribers that need the log's order. Facts of a log from before indexes were stored have none.
+	Time          float64            `cbor:"1,keyasint"`  // latest ProposedAt of the changes applied, limited by maxTimeStep
+	Keys          map[string]Key     `cbor:"2,keyasint"`  // by key id
+	SpentTokens   map[string]float64 `cbor:"3,keyasint"`  // by token id: when the token expires; until then a replay is refused
+	RevokedTokens map[string]float64 `cbor:"4,keyasint"`  // by token id: when the token expires
+	Revisions     []Revision         `cbor:"5,keyasint"`  // of the configuration, oldest first
+	Lists         map[string]List    `cbor:"6,keyasint"`  // by name
+	Drains        map[string]float64 `cbor:"7,keyasint"`  // by server's name: when the drain began
+	Purges        map[string]Purge   `cbor:"8,keyasint"`  // by object, or by "group N"
+	Results       []AppliedResult    `cbor:"9,keyasint"`  // oldest first
+	AppliedIndex  uint64             `cbor:"10,keyasint"` // log index of the last entry applied
+	// FactIndexes holds the log index of the change that set each purge, drain, list and the configuration, by FactKey. Subscribers
+	// need it to put these facts into the log's order. A fact has none if it was set before the state stored indexes.
 	FactIndexes map[string]uint64 `cbor:"11,keyasint,omitempty"`
 
-	resultsByID map[string]Result
-	// The expiry of tokens and purges, in order; rebuilt from a snapshot.
+	resultsByID map[string]Result // Results by the change's id
+	// Queues of expiry times, which are not encoded but rebuilt when a state is decoded.
 	spentExpiry, revokedExpiry, purgeExpiry expiryqueue.Queue[string]
 }
 
@@ -59,13 +60,13 @@
 	}
 }
 
-// HasApplied reports whether a change with this id was applied before and its result is still known.
+// HasApplied reports whether a change with this id was applied before and its result is still stored.
 func (s *State) HasApplied(id string) bool {
 	_, known := s.resultsByID[id]
 	return known && id != ""
 }
 
-// Apply applies a change. One whose id was applied before has no further effect and returns the first result.
+// Apply applies a change. A change whose id was applied before has no further effect, and returns the first result.
 func (s *State) Apply(c Change) Result {
 	if s.HasApplied(c.ID) {
 		return s.resultsByID[c.ID]
@@ -81,6 +82,7 @@
 	return r
 }
 
+// advanceTime moves the state's time forward to the proposer's, by at most maxTimeStep, and never back.
 func (s *State) advanceTime(proposed float64) {
 	if s.Time == 0 {
 		s.Time = proposed
@@ -88,7 +90,8 @@
 	s.Time = max(s.Time, min(proposed, s.Time+maxTimeStep))
 }
 
-// storeResult keeps a result, and drops those that are too old or too many.
+// storeResult stores a result, and deletes the oldest results while there are more than maxResults or they are older than
+// resultRetention.
 func (s *State) storeResult(id string, r Result) {
 	s.Results = append(s.Results, AppliedResult{id, s.Time, r})
 	s.resultsByID[id] = r
@@ -145,7 +148,7 @@
 	return Result{}
 }
 
-// startDrain starts a drain. A drain that has begun already keeps its start time.
+// startDrain starts a drain. A drain already in progress keeps its start time.
 func (s *State) startDrain(server string, at float64) {
 	if _, draining := s.Drains[server]; !draining {
 		s.Drains[server] = at
@@ -153,8 +156,8 @@
 	s.setFactIndex(StartDrain, server)
 }
 
-// addPurge merges a purge with an earlier one of the same object or group: the later of each time counts. Then it drops the
-// purges that have expired.
+// addPurge merges a purge with an earlier one of the same object or group, of which it takes the later IssuedAt and the later
+// ExpiresAt. Then it deletes the purges that have expired.
 func (s *State) addPurge(p Purge, expiresAt float64) {
 	name := p.Object
 	if name == "" {
@@ -164,12 +167,12 @@
 	p.IssuedAt, p.ExpiresAt = max(p.IssuedAt, old.IssuedAt), max(expiresAt, old.ExpiresAt)
 	s.Purges[name] = p
 	s.setFactIndex(AddPurge, name)
-	s.purgeExpiry.Set(name, p.ExpiresAt, old.ExpiresAt, known) // only ever later, so the queue needs no rebuild
+	s.purgeExpiry.Set(name, p.ExpiresAt, old.ExpiresAt, known) // a purge's expiry never moves back, so the queue needs no rebuild
 	s.expirePurges()
 }
 
-// setFactIndex records the log index of the change being applied as that of the fact which it sets, see FactKey. The state of a
-// member alone in memory has no log, and no indexes.
+// setFactIndex records the log index of the change being applied as the index of the fact that it sets; see FactKey. A single
+// member in memory has no log, and records no indexes.
 func (s *State) setFactIndex(kind Kind, name string) {
 	if s.AppliedIndex > 0 {
 		s.FactIndexes[FactKey(kind, name)] = s.AppliedIndex
--- a/internal/decide/storestate/storestate_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -14,6 +14,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
+// drawChange draws the n-th change of a log. It may have the id of an earlier change.
 func drawChange(t *rapid.T, n int) storestate.Change {
 	c := storestate.Change{
 		ID: fmt.Sprint(rapid.IntRange(0, n+1).Draw(t, "id")), ProposedAt: float64(rapid.IntRange(0, 5000).Draw(t, "at")),
@@ -29,8 +30,8 @@
 	return c
 }
 
-// Members that apply the same log agree, whether they receive entry by entry, repeated entries, or a snapshot at any place. A
-// token id is spent once.
+// Members that apply the same log have equal states, whether they apply each entry, repeated entries, or a snapshot in place of the
+// entries before it. A token id is spent once.
 func TestReplicasOfOneLogAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := storestate.New(), storestate.New()
@@ -45,12 +46,12 @@
 			before := first.Revision().Number
 			r := first.Apply(c)
 			require.Equal(t, r, second.Apply(decoded))
-			require.Equal(t, r, first.Apply(c), "the same id again has the same result and no effect")
+			require.Equal(t, r, first.Apply(c), "a change that is applied again has the same result and no effect")
 			require.LessOrEqual(t, first.Revision().Number, before+1)
 			again := submitted[c.ID]
 			if submitted[c.ID] = true; !again && c.Kind == storestate.SpendToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
 				if by, known := spentBy[c.Name]; known {
-					require.Equal(t, by, c.ID, "spent twice")
+					require.Equal(t, by, c.ID, "two changes spent the same token id")
 				}
 				spentBy[c.Name] = c.ID
 			}
@@ -95,7 +96,7 @@
 	}
 }
 
-// A proposer whose clock is years ahead must not make the others' spent tokens expire.
+// A proposer whose clock is years ahead must not expire token ids that were spent through other members.
 func TestProposerWithFastClockExpiresNoTokens(t *testing.T) {
 	s := storestate.New()
 	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1000, ExpiresAt: 100_000}).Verdict)
