--- a/internal/decide/handover/action.go
+++ b/internal/decide/handover/action.go
@@ -7,20 +7,20 @@
 type (
 	// TryLock tries to take the lock without waiting, and reads the recorded generation; answered by LockResult.
 	TryLock struct{}
-	// ContactOwner connects to the owner and sends a hello; answered by ContactResult, and then by StateReceived, Rejected or
-	// OwnerLost.
+	// ContactOwner connects to the owner and asks to become its successor; answered by ContactResult, and then by StateReceived,
+	// Rejected or OwnerLost.
 	ContactOwner struct{}
-	// Listen opens a listener of this process's own, beside any that another process has.
+	// Listen opens a listener of this process's own, at the same address as any listener of another process.
 	Listen struct{}
-	// Prepare lets the process use the state that it has received, if any, and waits for Ready. NoOwner: there is no owner
-	// that sent one.
+	// Prepare has the process prepare to own the address, from the state that the owner has sent or, with NoOwner, without one;
+	// answered by Ready.
 	Prepare struct{ NoOwner bool }
 	// RequestTransfer asks the owner for the address.
 	RequestTransfer struct{}
-	// Claim records a generation as this process's unless one as high is recorded, atomically; answered by ClaimResult. Two
-	// processes that replace the same silent owner must not own under one generation.
+	// Claim records a generation as this process's, unless the same or a higher one is recorded, in one atomic step; answered by
+	// ClaimResult. Two processes that replace the same unresponsive owner must not own the address under one generation.
 	Claim struct{ Generation uint64 }
-	// BecomeOwner says that this process owns the address from now on, and lets successors find it.
+	// BecomeOwner says that this process owns the address from now on, and makes it reachable for successors.
 	BecomeOwner struct{ Generation uint64 }
 	// AnnounceServing tells the previous owner that this process serves.
 	AnnounceServing struct{}
@@ -37,7 +37,7 @@
 	}
 	// Grant passes on the listener and the lock. This process keeps its copies of both.
 	Grant struct{ To int }
-	// Revoke takes them back, and ends the connection.
+	// Revoke tells the successor that the listener and the lock are taken back, and closes the connection.
 	Revoke struct{ To int }
 )
 
@@ -45,11 +45,11 @@
 type (
 	// SetAccepting starts or stops accepting new connections.
 	SetAccepting struct{ On bool }
-	// EndSharing says that no other process is left: all that the limits allow is this one's.
+	// EndSharing says that no other process is left: this process may use its limits in full.
 	EndSharing struct{}
-	// Stop says that another process owns the address: open requests are answered, and the process ends.
+	// Stop says that another process owns the address: this process answers its open requests and ends.
 	Stop struct{ Reason string }
-	// ScheduleTick asks for a Tick after this many ms, in place of one that was asked for before.
+	// ScheduleTick schedules a Tick after this many ms. It replaces a Tick scheduled before.
 	ScheduleTick struct{ After float64 }
 )
 
--- a/internal/decide/handover/event.go
+++ b/internal/decide/handover/event.go
@@ -1,35 +1,37 @@
 package handover
 
-// Event is an input of the Machine. Other processes are identified by a number that is new with each connection.
+// Event is an input of the Machine. From identifies another process by the number of its connection; each connection has a new
+// number.
 type Event interface{ event() }
 
 // Events of a process that starts.
 type (
 	// Started says that the process begins to look for an owner.
 	Started struct{}
-	// LockResult answers TryLock. Generation is that of the last recorded owner; 0: none is recorded.
+	// LockResult answers TryLock: whether this process holds the lock. Generation is that of the last recorded owner; 0: none is
+	// recorded.
 	LockResult struct {
 		Acquired   bool
 		Generation uint64
 	}
-	// ContactResult answers ContactOwner: whether an owner could be reached.
+	// ContactResult answers ContactOwner: whether an owner was reached.
 	ContactResult struct{ OK bool }
-	// StateReceived says that the owner has sent its state, and which protocol version and generation it has.
+	// StateReceived says that the owner has sent its state, with the owner's protocol version and generation.
 	StateReceived struct {
 		ProtocolVersion int
 		Generation      uint64
 	}
-	// Rejected says that the owner accepts no successor now (Busy), or none of this protocol version.
+	// Rejected says that the owner accepts no successor now (Busy), or no successor of this protocol version.
 	Rejected struct{ Busy bool }
 	// Ready says that the process is prepared to own the address.
 	Ready struct{}
 	// GrantReceived says that the owner has passed on the listener and the lock.
 	GrantReceived struct{}
-	// GrantRevoked says that the owner has taken them back.
+	// GrantRevoked says that the owner has taken the listener and the lock back.
 	GrantRevoked struct{}
 	// OwnerLost says that the connection to the owner has ended.
 	OwnerLost struct{}
-	// ClaimResult answers Claim: whether the generation is now this process's. Generation is the recorded one.
+	// ClaimResult answers Claim: whether the claimed generation was recorded. Generation is the one now recorded.
 	ClaimResult struct {
 		OK         bool
 		Generation uint64
@@ -40,19 +42,20 @@
 type (
 	// SuccessorHello says that a process asks to become the successor.
 	SuccessorHello struct{ From, ProtocolVersion int }
-	// TransferRequested says that the successor is prepared, and asks for the address.
+	// TransferRequested says that the successor is prepared and requests the address.
 	TransferRequested struct{ From int }
 	// SuccessorServing says that the successor owns the address and serves.
 	SuccessorServing struct{ From int }
 	// SuccessorLost says that the connection to a successor has ended.
 	SuccessorLost struct{ From int }
-	// Superseded says that another process is recorded as the owner, under a generation.
+	// Superseded says under which generation an owner is recorded. If it is higher than this process's, another process is the
+	// owner.
 	Superseded struct{ Generation uint64 }
 )
 
 // Events of any process.
 type (
-	// ShutdownRequested says that the process was told to end.
+	// ShutdownRequested says that this process was told to shut down.
 	ShutdownRequested struct{}
 	// Tick says that the time of a ScheduleTick has come.
 	Tick struct{}
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -11,40 +11,40 @@
 
 var settings = Settings{RetryDelay: 50, ResponseTimeout: 2000, PrepareTimeout: 8000}
 
-// process is a process of the model: its machine, and what its shell would hold.
+// process is a process of the model: its machine, and the state that internal/handover would hold for it.
 type process struct {
 	*Machine
 	id           int
 	alive        bool
 	suspended    bool // by SIGSTOP: it handles nothing until it is resumed
 	tickAt       float64
-	listener     int // number of its listener's accept queue; 0: none
+	listener     int // number of its listener's accept queue; 0: it has no listener
 	accepting    bool
-	ending       bool // it was told to stop
-	wasAccepting bool // before it was last told whether to accept
-	preempted    bool // it was accepting when it was told to stop
-	preparing    bool // Prepare was asked for
-	owner        int  // whom it is connected to
+	ending       bool // Stop was executed
+	wasAccepting bool // value of accepting before the last SetAccepting
+	preempted    bool // it was accepting until it was told to stop
+	preparing    bool // Prepare was executed
+	owner        int  // id of the process that it is connected to as its owner; 0: none
 	inbox        []message
 }
 
 type message struct {
 	from        int
 	event       Event
-	descriptors [2]int // listener, lock
+	descriptors [2]int // number of the listener's accept queue, and 1 if the lock is passed on
 }
 
-// model is a host with processes that start, die, are suspended and resumed. Messages arrive late, in order.
+// model is a host whose processes start, die, are suspended and resumed. Messages arrive with a delay, in order.
 type model struct {
 	t           require.TestingT
 	now         float64
 	processes   []*process // by id - 1
-	socketOwner int        // the process that is reached at the socket; 0: none
+	socketOwner int        // id of the process that is reached at the socket; 0: none
 	lockHolders map[int]bool
 	recorded    uint64          // generation in the owner's record
 	owned       map[uint64]bool // generations under which a process has owned
 	queues      int             // accept queues opened so far
-	// mutation is what the shells or the connections do wrong; empty: nothing.
+	// mutation is the fault that is built into the execution of actions or into the connections; empty: none.
 	mutation string
 }
 
@@ -127,12 +127,12 @@
 		return ClaimResult{OK: true, Generation: w.recorded}
 	case BecomeOwner:
 		require.Equal(w.t, w.recorded, a.Generation)
-		require.NotContains(w.t, w.owned, a.Generation, "two own under one generation")
+		require.NotContains(w.t, w.owned, a.Generation, "two processes have owned under one generation")
 		w.owned[a.Generation] = true
 		w.socketOwner = p.id
 	case SetAccepting:
 		p.wasAccepting = p.accepting
-		p.accepting = a.On || p.accepting && w.mutation == "goes on accepting"
+		p.accepting = a.On || p.accepting && w.mutation == "never stops accepting"
 	case AnnounceServing:
 		if w.mutation != "never announces that it serves" {
 			w.send(p, p.owner, SuccessorServing{From: p.id}, [2]int{})
@@ -169,7 +169,7 @@
 	}
 }
 
-// kill ends a process. Those that it was connected to are notified.
+// kill ends a process. The processes that it was connected to receive OwnerLost or SuccessorLost.
 func (w *model) kill(p *process) {
 	p.alive = false
 	for _, o := range w.processes {
@@ -185,7 +185,7 @@
 	}
 }
 
-// step delivers a message to a process, and lets its timer expire.
+// step delivers the next message to a process, and a Tick and the recorded generation if they are due.
 func (w *model) step(p *process) {
 	if !p.alive || p.suspended {
 		return
@@ -217,12 +217,12 @@
 	if p.Phase() >= Owning && w.recorded > 0 && w.mutation != "never finds a higher generation" {
 		w.handle(p, Superseded{Generation: w.recorded})
 	}
-	if p.ending { // its open requests are answered
+	if p.ending { // its open requests have been answered
 		w.kill(p)
 	}
 }
 
-// runUndisturbed runs the model without faults for long enough that every time-out expires.
+// runUndisturbed runs the model without faults for 50 s, longer than every time-out.
 func (w *model) runUndisturbed() {
 	for range 2000 {
 		w.now += 25
@@ -245,8 +245,9 @@
 	return list
 }
 
-// runTimeline runs one drawn timeline: processes start, die, are suspended, resumed and slow, or, if gentle, only start and end in
-// order. Undisturbed at the end, exactly one process accepts, and it is the one that is reached at the socket.
+// runTimeline runs one random timeline. Processes start, die, are suspended, resumed and delayed or, withoutFaults, only start and
+// shut down once another process serves. Once the faults have ended, exactly one process accepts connections, and it is the one
+// that is reached at the socket. draw returns a random number from 0 to limit.
 func (w *model) runTimeline(withoutFaults bool, draw func(limit int) int) {
 	w.start()
 	w.runUndisturbed()
@@ -262,12 +263,12 @@
 			p.suspended = !p.suspended
 		case choice == 3 && p.preparing && p.Phase() == Preparing && !p.suspended:
 			w.handle(p, Ready{})
-		case choice == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it is told to end once another process serves
+		case choice == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it shuts down, and ends if another process serves
 			w.handle(p, ShutdownRequested{})
 			if o := w.process(w.socketOwner); o != p && o.alive && o.accepting {
 				w.kill(p)
 			}
-		case choice == 5 && withoutFaults: // time passes, and no process is silent for long
+		case choice == 5 && withoutFaults: // time passes, and each process handles up to two messages, so that none seems to hang
 			w.now += float64(draw(200))
 			for _, p := range w.processes {
 				w.step(p)
@@ -279,7 +280,7 @@
 			w.step(p)
 		}
 		if withoutFaults {
-			require.LessOrEqual(w.t, len(w.accepting()), 1, "two accept, and none has died")
+			require.LessOrEqual(w.t, len(w.accepting()), 1, "two processes accept connections, and none has died")
 		}
 	}
 	for _, p := range w.processes {
@@ -291,23 +292,25 @@
 		if p.alive {
 			alive++
 		}
-		require.False(w.t, withoutFaults && p.preempted, "an accepting process was told to stop, and none hung: %v", w.phases())
+		require.False(w.t, withoutFaults && p.preempted, "an accepting process was told to stop, and no process hung: %v", w.phases())
 	}
 	if alive == 0 && len(w.accepting()) == 0 {
-		w.start() // all have ended: a process that starts then serves
+		w.start() // all processes have ended: the next one that starts must serve
 		w.runUndisturbed()
 	}
 	accepting := w.accepting()
-	require.Len(w.t, accepting, 1, "one accepts: %v", w.phases())
-	require.Equal(w.t, w.socketOwner, accepting[0], "and it is reached at the socket")
+	require.Len(w.t, accepting, 1, "exactly one process accepts connections: %v", w.phases())
+	require.Equal(w.t, w.socketOwner, accepting[0], "the accepting process is reached at the socket")
 	if withoutFaults {
-		require.Equal(w.t, 1, w.queues, "one accept queue, from the first process to the last")
+		require.Equal(w.t, 1, w.queues, "all processes used the first process's accept queue")
 	}
 }
 
+// After any timeline of starts, crashes, suspensions and delays, one process accepts connections. Without faults, never more than
+// one process accepts at a time, and all use the first process's accept queue.
 func TestExactlyOneProcessOwnsTheAddress(t *testing.T) {
 	for _, withoutFaults := range []bool{true, false} {
-		t.Run(fmt.Sprintf("gentle %v", withoutFaults), func(t *testing.T) {
+		t.Run(fmt.Sprintf("without faults %v", withoutFaults), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				newModel(t).runTimeline(withoutFaults, func(limit int) int { return rapid.IntRange(0, limit).Draw(t, "draw") })
 			})
@@ -321,12 +324,12 @@
 func (failure) Errorf(string, ...any) {}
 func (failure) FailNow()              { panic(failure{}) }
 
-// Each mutation of the protocol is caught within some timelines, which shows that the model's checks are effective.
+// Each mutation fails the model's checks in some timeline, which shows that the checks find such faults.
 func TestModelCatchesEachMutation(t *testing.T) {
 	for _, m := range []string{
 		"claims without comparing", "grants without the lock", "grants without the listener",
 		"never notices that the successor is lost", "never notices that the owner is lost", "never finds a higher generation",
-		"never ticks", "goes on accepting", "never announces that it serves", "opens the socket before it owns",
+		"never ticks", "never stops accepting", "never announces that it serves", "opens the socket before it owns",
 		"takes the lock from a live process",
 	} {
 		t.Run(m, func(t *testing.T) {
@@ -335,12 +338,12 @@
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("no timeline of 3000 seeds fails a check")
 		})
 	}
 }
 
-// caughtBy reports whether the timeline of a seed fails a check under a mutation.
+// caughtBy reports whether the timeline of a seed fails a check under a mutation. Half of the seeds are without faults.
 func caughtBy(mutation string, seed uint64) (caught bool) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -357,6 +360,7 @@
 	return false
 }
 
+// phases describes each process, for the messages of failed checks.
 func (w *model) phases() (descriptions []string) {
 	for _, p := range w.processes {
 		descriptions = append(descriptions, fmt.Sprintf(
--- a/internal/decide/handover/seek.go
+++ b/internal/decide/handover/seek.go
@@ -1,8 +1,8 @@
 package handover
 
-// This file holds the decisions of a process on its way to owning the address.
+// This file holds the decisions of a process that does not own the address yet.
 
-// seekAgain looks for an owner once more, a little later.
+// seekAgain looks for an owner again after RetryDelay.
 func (m *Machine) seekAgain() {
 	m.enterPhase(Seeking)
 	m.emit(ScheduleTick{m.settings.RetryDelay})
@@ -19,9 +19,10 @@
 	}
 }
 
-// handleLockResult goes on without an owner if the lock was free, or if its holder has been silent for too long. Such a
-// holder hangs, is suspended, or has another protocol version. It keeps its listener, and this process opens another one
-// beside it. When the holder runs again it finds a higher generation recorded, and stops; see handleSuperseded.
+// handleLockResult prepares the process to own the address without a grant if the lock was free, or if its holder has not responded
+// within ResponseTimeout. Such a holder hangs, is suspended, or has another protocol version. The holder keeps its listener, and
+// this process opens another listener at the same address. When the holder runs again it finds a higher generation recorded, and
+// stops; see handleSuperseded.
 func (m *Machine) handleLockResult(e LockResult) {
 	m.lockHeld = m.lockHeld || e.Acquired
 	if m.phase >= Owning {
@@ -66,7 +67,8 @@
 	}
 }
 
-// prepare has the process get ready. It may be ready already, for an owner that sent its state and died.
+// prepare has the process prepare to own the address. The process may be prepared already, if it was preparing for an owner that
+// sent its state and then died.
 func (m *Machine) prepare(noOwner bool) {
 	m.enterPhase(Preparing)
 	m.emit(Prepare{NoOwner: noOwner})
@@ -75,7 +77,8 @@
 	}
 }
 
-// proceedIfPrepared takes the address if there is no owner, and asks the owner for it otherwise.
+// proceedIfPrepared claims the address if the process has opened a listener of its own, and otherwise requests the address from the
+// owner.
 func (m *Machine) proceedIfPrepared() {
 	if m.phase != Preparing {
 		return
@@ -117,8 +120,8 @@
 	}
 }
 
-// handleClaimRefused makes way for the process that claimed the generation first: the successor that an owner tried to take
-// the address back from, or another process that replaced the same silent owner.
+// handleClaimRefused yields to the process that recorded the generation, or a higher one, first: that is the successor from which
+// an owner tried to take the address back, or another process that replaced the same unresponsive owner.
 func (m *Machine) handleClaimRefused(recorded uint64) {
 	m.generation = max(m.generation, recorded)
 	if m.phase >= Owning {
@@ -132,14 +135,15 @@
 func (m *Machine) handleGrantRevoked() {
 	m.ownerConnected = false
 	if m.phase >= Owning {
-		m.stop("the owner before took the address back")
+		m.stop("the previous owner took the address back")
 	} else {
 		m.seekAgain()
 	}
 }
 
-// handleOwnerLost handles the end of the connection to the owner, or its silence. Without a grant, the owner has died or hangs: this
-// process tries to take the lock. After the grant, the owner was expected to end, and this process is the only one left.
+// handleOwnerLost handles the end of the connection to the owner, or an owner that no longer responds. Before the grant, this means
+// that the owner has died or hangs, and this process tries to take the lock. After the grant the owner was expected to end, and
+// this process is the only one left.
 func (m *Machine) handleOwnerLost() {
 	if !m.ownerConnected {
 		return
--- a/internal/decide/handover/successor.go
+++ b/internal/decide/handover/successor.go
@@ -2,8 +2,9 @@
 
 // This file holds the decisions of an owner about its successor.
 
-// handleHello accepts one successor at a time, and none while the process shuts down. A process of the same protocol version is told
-// that the owner is busy, and may ask again.
+// handleHello accepts one successor at a time, and none while the process shuts down. A process of the same protocol version is
+// rejected as Busy and tries again later. A process of another version is rejected without Busy, and tries to take the lock
+// instead.
 func (m *Machine) handleHello(e SuccessorHello) {
 	sameProtocol := e.ProtocolVersion == ProtocolVersion
 	if m.shuttingDown || !sameProtocol || m.phase != Owning {
@@ -15,7 +16,7 @@
 	m.emit(SendState{e.From}, ScheduleTick{m.settings.PrepareTimeout})
 }
 
-// handleTransferRequest grants the address to the successor, and stops accepting connections.
+// handleTransferRequest stops accepting connections and grants the address to the successor.
 func (m *Machine) handleTransferRequest(e TransferRequested) {
 	if m.phase != Offering || e.From != m.successor {
 		return
@@ -25,8 +26,8 @@
 	m.emit(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.settings.ResponseTimeout})
 }
 
-// handleSuccessorLost takes the address back from a successor that was granted it, as this process still holds the listener and
-// the lock. It claims the generation after the next, as the successor may have recorded the next one.
+// handleSuccessorLost takes the address back from a successor that was granted it and is lost: this process still has its copies of
+// the listener and the lock. It claims the generation after the next one, as the successor may have recorded the next one.
 func (m *Machine) handleSuccessorLost(from int) {
 	if from != m.successor {
 		return
