--- a/internal/decide/handover/seek.go
+++ b/internal/decide/handover/seek.go
@@ -1,11 +1,11 @@
 package handover
 
-// This file holds the decisions of a process on its way to owning the address.
+// This file holds the decisions of a process that does not own the address yet.
 
-// seekAgain looks for an owner once more, a little later.
+// seekAgain looks for an owner again after RetryDelay.
 func (m *Machine) seekAgain() {
-	m.enter(Seeking)
-	m.do(ScheduleTick{m.set.RetryDelay})
+	m.enterPhase(Seeking)
+	m.emit(ScheduleTick{m.settings.RetryDelay})
 }
 
 func (m *Machine) handleContactResult(e ContactResult) {
@@ -13,20 +13,21 @@
 	switch {
 	case e.OK:
 		m.phaseSince = m.now
-		m.do(ScheduleTick{m.set.ResponseTimeout})
+		m.emit(ScheduleTick{m.settings.ResponseTimeout})
 	case m.phase == Seeking:
-		m.do(TryLock{})
+		m.emit(TryLock{})
 	}
 }
 
-// handleLockResult goes on without an owner if the lock was free, or if its holder has been silent for too long. Such a
-// holder hangs, is suspended, or has another protocol version. It keeps its listener, and this process opens another one
-// beside it. When the holder runs again it finds a higher generation recorded, and stops; see handleSuperseded.
+// handleLockResult prepares the process to own the address without a grant if the lock was free, or if its holder has not responded
+// within ResponseTimeout. Such a holder hangs, is suspended, or has another protocol version. The holder keeps its listener, and
+// this process opens another listener at the same address. When the holder runs again it finds a higher generation recorded, and
+// stops; see handleSuperseded.
 func (m *Machine) handleLockResult(e LockResult) {
 	m.lockHeld = m.lockHeld || e.Acquired
 	if m.phase >= Owning {
 		if !m.lockHeld && m.phase != Stopped {
-			m.do(ScheduleTick{m.set.ResponseTimeout})
+			m.emit(ScheduleTick{m.settings.ResponseTimeout})
 		}
 		return
 	}
@@ -34,12 +35,12 @@
 	if m.phase != Seeking {
 		return
 	}
-	if !e.Acquired && m.now-m.seekSince < m.set.ResponseTimeout {
-		m.do(ScheduleTick{m.set.RetryDelay})
+	if !e.Acquired && m.now-m.seekSince < m.settings.ResponseTimeout {
+		m.emit(ScheduleTick{m.settings.RetryDelay})
 		return
 	}
-	m.ownListener = true
-	m.do(Listen{})
+	m.openedListener = true
+	m.emit(Listen{})
 	m.prepare(true)
 }
 
@@ -50,7 +51,7 @@
 	m.generation = max(m.generation, e.Generation)
 	if e.ProtocolVersion != ProtocolVersion {
 		m.ownerConnected = false
-		m.do(TryLock{})
+		m.emit(TryLock{})
 		return
 	}
 	m.prepare(false)
@@ -60,32 +61,34 @@
 	m.ownerConnected = false
 	switch {
 	case m.phase == Seeking && !e.Busy:
-		m.do(TryLock{})
+		m.emit(TryLock{})
 	case m.phase < Owning:
 		m.seekAgain()
 	}
 }
 
-// prepare has the process get ready. It may be ready already, for an owner that sent its state and died.
+// prepare has the process prepare to own the address. The process may be prepared already, if it was preparing for an owner that
+// sent its state and then died.
 func (m *Machine) prepare(noOwner bool) {
-	m.enter(Preparing)
-	m.do(Prepare{NoOwner: noOwner})
+	m.enterPhase(Preparing)
+	m.emit(Prepare{NoOwner: noOwner})
 	if m.prepared {
 		m.proceedIfPrepared()
 	}
 }
 
-// proceedIfPrepared takes the address if there is no owner, and asks the owner for it otherwise.
+// proceedIfPrepared claims the address if the process has opened a listener of its own, and otherwise requests the address from the
+// owner.
 func (m *Machine) proceedIfPrepared() {
 	if m.phase != Preparing {
 		return
 	}
-	if m.ownListener {
+	if m.openedListener {
 		m.claimNext()
 		return
 	}
-	m.enter(Requesting)
-	m.do(RequestTransfer{}, ScheduleTick{m.set.ResponseTimeout})
+	m.enterPhase(Requesting)
+	m.emit(RequestTransfer{}, ScheduleTick{m.settings.ResponseTimeout})
 }
 
 func (m *Machine) handleGrant() {
@@ -96,29 +99,29 @@
 }
 
 // claimNext claims the generation after the highest known one.
-func (m *Machine) claimNext() { m.do(Claim{m.generation + 1}) }
+func (m *Machine) claimNext() { m.emit(Claim{m.generation + 1}) }
 
 func (m *Machine) handleClaimResult(e ClaimResult) {
 	if !e.OK {
 		m.handleClaimRefused(e.Generation)
 		return
 	}
-	m.enter(Owning)
+	m.enterPhase(Owning)
 	m.generation = e.Generation
-	m.do(BecomeOwner{m.generation}, SetAccepting{true})
+	m.emit(BecomeOwner{m.generation}, SetAccepting{true})
 	if m.grantReceived {
 		m.grantReceived = false
-		m.do(AnnounceServing{})
+		m.emit(AnnounceServing{})
 	} else if !m.ownerConnected {
-		m.do(BecomeSole{})
+		m.emit(EndSharing{})
 	}
 	if !m.lockHeld {
-		m.do(ScheduleTick{m.set.ResponseTimeout})
+		m.emit(ScheduleTick{m.settings.ResponseTimeout})
 	}
 }
 
-// handleClaimRefused makes way for the process that claimed the generation first: the successor that an owner tried to take
-// the address back from, or another process that replaced the same silent owner.
+// handleClaimRefused yields to the process that recorded the generation, or a higher one, first: that is the successor from which
+// an owner tried to take the address back, or another process that replaced the same unresponsive owner.
 func (m *Machine) handleClaimRefused(recorded uint64) {
 	m.generation = max(m.generation, recorded)
 	if m.phase >= Owning {
@@ -132,14 +135,15 @@
 func (m *Machine) handleGrantRevoked() {
 	m.ownerConnected = false
 	if m.phase >= Owning {
-		m.stop("the owner before took the address back")
+		m.stop("the previous owner took the address back")
 	} else {
 		m.seekAgain()
 	}
 }
 
-// handleOwnerLost handles the end of the connection to the owner, or its silence. Without a grant, the owner has died or hangs: this
-// process tries to take the lock. After the grant, the owner was expected to end, and this process is the only one left.
+// handleOwnerLost handles the end of the connection to the owner, or an owner that no longer responds. Before the grant, this means
+// that the owner has died or hangs, and this process tries to take the lock. After the grant the owner was expected to end, and
+// this process is the only one left.
 func (m *Machine) handleOwnerLost() {
 	if !m.ownerConnected {
 		return
@@ -147,9 +151,9 @@
 	m.ownerConnected = false
 	switch m.phase {
 	case Seeking, Preparing, Requesting:
-		m.enter(Seeking)
-		m.do(TryLock{})
+		m.enterPhase(Seeking)
+		m.emit(TryLock{})
 	case Owning, Offering, Granting:
-		m.do(BecomeSole{})
+		m.emit(EndSharing{})
 	}
 }
--- a/internal/decide/handover/successor.go
+++ b/internal/decide/handover/successor.go
@@ -2,38 +2,39 @@
 
 // This file holds the decisions of an owner about its successor.
 
-// handleHello accepts one successor at a time, and none while the process shuts down. A process of the same protocol version is told
-// that the owner is busy, and may ask again.
+// handleHello accepts one successor at a time, and none while the process shuts down. A process of the same protocol version is
+// rejected as Busy and tries again later. A process of another version is rejected without Busy, and tries to take the lock
+// instead.
 func (m *Machine) handleHello(e SuccessorHello) {
 	sameProtocol := e.ProtocolVersion == ProtocolVersion
 	if m.shuttingDown || !sameProtocol || m.phase != Owning {
-		m.do(Reject{To: e.From, Busy: sameProtocol})
+		m.emit(Reject{To: e.From, Busy: sameProtocol})
 		return
 	}
 	m.successor = e.From
-	m.enter(Offering)
-	m.do(SendState{e.From}, ScheduleTick{m.set.PrepareTimeout})
+	m.enterPhase(Offering)
+	m.emit(SendState{e.From}, ScheduleTick{m.settings.PrepareTimeout})
 }
 
-// handleTransferRequest grants the address to the successor, and stops accepting connections.
+// handleTransferRequest stops accepting connections and grants the address to the successor.
 func (m *Machine) handleTransferRequest(e TransferRequested) {
 	if m.phase != Offering || e.From != m.successor {
 		return
 	}
-	m.enter(Granting)
+	m.enterPhase(Granting)
 	m.successorServing = false
-	m.do(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.set.ResponseTimeout})
+	m.emit(SetAccepting{false}, Grant{e.From}, ScheduleTick{m.settings.ResponseTimeout})
 }
 
-// handleSuccessorLost takes the address back from a successor that was granted it, as this process still holds the listener and
-// the lock. It claims the generation after the next, as the successor may have recorded the next one.
+// handleSuccessorLost takes the address back from a successor that was granted it and is lost: this process still has its copies of
+// the listener and the lock. It claims the generation after the next one, as the successor may have recorded the next one.
 func (m *Machine) handleSuccessorLost(from int) {
 	if from != m.successor {
 		return
 	}
 	switch m.phase {
 	case Offering:
-		m.enter(Owning)
+		m.enterPhase(Owning)
 	case Granting:
 		m.generation++
 		m.claimNext()
