--- a/cmd/ravenwheel/operations.go
+++ b/cmd/ravenwheel/operations.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Knows implements control.Servers.
-func (s *serverSources) Knows(id policy.CacheID) bool { return s.registry.Knows(id) }
+// HasServer implements control.Servers.
+func (s *serverSources) HasServer(id policy.CacheID) bool { return s.registry.Knows(id) }
 
 // Drain implements admin.Operations.
 func (s *serverSources) Drain(id policy.CacheID, on bool) error {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -60,7 +60,7 @@
 
 // Servers carries out operators' commands on single cache servers.
 type Servers interface {
-	Knows(id policy.CacheID) bool
+	HasServer(id policy.CacheID) bool
 	// Drain starts or ends a manual drain. It returns once that is in force and stored.
 	Drain(id policy.CacheID, on bool) error
 }
@@ -225,7 +225,7 @@
 	switch {
 	case servers == nil:
 		return ErrNotReady
-	case !servers.Knows(id):
+	case !servers.HasServer(id):
 		return ErrUnknownServer
 	}
 	err := servers.Drain(id, on)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -22,7 +22,7 @@
 
 type goldenServers struct{}
 
-func (goldenServers) Knows(id policy.CacheID) bool     { return id == 1 }
+func (goldenServers) HasServer(id policy.CacheID) bool { return id == 1 }
 func (goldenServers) Drain(policy.CacheID, bool) error { return nil }
 
 // The texts that operators are answered, in each phase of a proxy's life.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -131,7 +131,7 @@
 
 // An error at every call to the disk: all acknowledged records are recovered.
 func TestErrorAtEveryCall(t *testing.T) {
-	for _, fault := range []vfs.Fault{vfs.IOError, vfs.SyncLost, vfs.Short} {
+	for _, fault := range []vfs.Fault{vfs.IOError, vfs.SyncLost, vfs.ShortWrite} {
 		for at := 1; at <= 80; at++ {
 			rng := rand.New(rand.NewPCG(uint64(fault), uint64(at)))
 			what := fmt.Sprintf("fault %d at call %d", fault, at)
--- a/internal/journal/vfs/sim.go
+++ b/internal/journal/vfs/sim.go
@@ -31,11 +31,11 @@
 
 // The faults.
 const (
-	None     Fault = iota
-	Crash          // the process ends at the call, and its later calls fail with ErrCrashed
-	IOError        // the call fails with EIO and has no effect
-	SyncLost       // a sync fails with EIO, and its data counts as clean without being on disk, as in Linux
-	Short          // a write writes half
+	None       Fault = iota
+	Crash            // the process ends at the call, and its later calls fail with ErrCrashed
+	IOError          // the call fails with EIO and has no effect
+	SyncLost         // a sync fails with EIO, and its data counts as clean without being on disk, as in Linux
+	ShortWrite       // a write writes half
 )
 
 // ErrCrashed is the error of all calls of a process that has crashed.
@@ -326,7 +326,7 @@
 		n = len(p) / 2 // the process died during the write
 	case err != nil:
 		return 0, err
-	case fault == Short:
+	case fault == ShortWrite:
 		n, err = len(p)/2, io.ErrShortWrite
 	}
 	if f.sim.free >= 0 && n > f.sim.free {
