--- a/internal/decide/recovery/bench_test.go
+++ b/internal/decide/recovery/bench_test.go
@@ -11,12 +11,12 @@
 	"ravenwheel/internal/decide/recovery"
 )
 
-// BenchmarkPrune applies one purge and one departure to a state that has n of each, and prunes one of each.
+// BenchmarkPrune applies one purge and one departure to a state that holds n of each, and prunes one of each.
 func BenchmarkPrune(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			s := recovery.NewState()
-			set := recovery.Settings{PurgePropagation: float64(n) / 2, GoneRetention: float64(n)}
+			retention := recovery.Settings{PurgePropagation: float64(n) / 2, GoneRetention: float64(n)}
 			step := func(at int) {
 				t := float64(at)
 				s.Apply(recovery.Event{At: t, Purge: &recovery.Purge{Object: strconv.Itoa(at), IssuedAt: t, NotifiedAt: t}})
@@ -31,7 +31,7 @@
 			for b.Loop() {
 				at++
 				step(at)
-				s.Prune(float64(at), set)
+				s.Prune(float64(at), retention)
 			}
 			b.StopTimer()
 			purges, members, _ := s.Counts()
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkEncode encodes the state, as is done after each pruning.
+// BenchmarkEncode encodes a state of n purges. The proxy encodes its state after each pruning.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{600, 6_000, 60_000, 600_000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
--- a/internal/decide/recovery/encoding.go
+++ b/internal/decide/recovery/encoding.go
@@ -7,13 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// formatVersion is the first byte of each encoding. A later version must go on reading earlier ones.
+// formatVersion is the first byte of each encoding. Code that writes a later version must still read the earlier ones.
 const formatVersion = 1
 
-// ErrUnknownFormat says that bytes are empty or were written in a format that this version does not know.
+// ErrUnknownFormat is the error of decoding bytes that are empty or have a format version that this code does not support.
 var ErrUnknownFormat = errors.New("recovery: unknown format version")
 
-// decodeMode bounds what untrusted bytes may claim.
+// decodeMode limits the array, map and nesting sizes that untrusted bytes may declare, and rejects duplicate map keys.
 var decodeMode = must(cbor.DecOptions{
 	MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 }.DecMode())
--- a/internal/decide/recovery/event.go
+++ b/internal/decide/recovery/event.go
@@ -10,29 +10,29 @@
 	"ravenwheel/policy"
 )
 
-// ErrInvalidEvent says that a stored event holds a value that no proxy writes.
+// ErrInvalidEvent is the error of decoding an event that holds a value that no proxy writes.
 var ErrInvalidEvent = errors.New("recovery: invalid event")
 
-// Purge voids all copies of an object, or of a group's objects, that were made before a time.
+// Purge invalidates all copies of an object, or of a group's objects, that were made before a time.
 type Purge struct {
-	Object     string  `cbor:"1,keyasint,omitempty" json:"Object"` // empty: the purge is of a group
+	Object     string  `cbor:"1,keyasint,omitempty" json:"Object"` // empty: the purge applies to a group
 	Group      int     `cbor:"2,keyasint,omitempty" json:"Group"`
-	IssuedAt   float64 `cbor:"3,keyasint" json:"Made"` // copies made before this time are void
+	IssuedAt   float64 `cbor:"3,keyasint" json:"Made"` // copies made before this time are invalid
 	NotifiedAt float64 `cbor:"4,keyasint" json:"Told"` // when this proxy received the purge
 }
 
-// purgeKey identifies what a purge is of.
+// purgeKey identifies the object or the group that a purge applies to.
 type purgeKey struct {
 	object string
-	group  int // anyGroup for an object
+	group  int // noGroup: the purge applies to an object
 }
 
-// anyGroup stands in the key of an object's purge, as no group has this number.
-const anyGroup = -1
+// noGroup is the group in the key of an object's purge. No group has this number.
+const noGroup = -1
 
 func (p Purge) key() purgeKey {
 	if p.Object != "" {
-		return purgeKey{p.Object, anyGroup}
+		return purgeKey{p.Object, noGroup}
 	}
 	return purgeKey{"", p.Group}
 }
@@ -63,7 +63,8 @@
 	Active bool   `cbor:"2,keyasint"`
 }
 
-// Event is one change that must survive a crash. Exactly one of Purge, Member, List, Revision, Boot and ManualDrain is set.
+// Event is one change that must survive a crash. Exactly one of the fields Purge, Member, List, Revision, Boot and ManualDrain
+// is set.
 type Event struct {
 	At          float64      `cbor:"1,keyasint"`
 	Purge       *Purge       `cbor:"2,keyasint,omitempty"`
@@ -72,8 +73,9 @@
 	Revision    uint64       `cbor:"5,keyasint,omitempty"` // of the configuration in use
 	Boot        bool         `cbor:"6,keyasint,omitempty"` // the proxy has started
 	ManualDrain *ManualDrain `cbor:"7,keyasint,omitempty"`
-	// Epoch and Shift belong to a boot: the epoch of the clock that later times are on, and the ms to add to all earlier
-	// times to bring them onto that clock. Shift is not 0 where the wall clock was stepped while the proxy was down.
+	// Epoch and Shift are set in a boot event only. Epoch is the epoch of the clock by which later times are measured. Shift is
+	// the number of ms to add to all earlier times to convert them to that clock; it is not 0 if the wall clock was stepped while
+	// the proxy was down.
 	Epoch float64 `cbor:"8,keyasint,omitempty"`
 	Shift float64 `cbor:"9,keyasint,omitempty"`
 }
@@ -99,8 +101,8 @@
 	return membership.Ready
 }
 
-// Supersedes reports whether an older event, if it were applied after e, would undo e: an older member, manual drain or list
-// event about the same server or source. Purges and revisions are never undone, as they have the same result in any order.
+// Supersedes reports whether old is an older event that would undo e if it were applied after e: a member, manual drain or list
+// event about the same server or source. Purges and revisions are never undone, because they have the same result in any order.
 func (e Event) Supersedes(old Event) bool {
 	switch {
 	case old.At > e.At:
@@ -115,7 +117,7 @@
 	return false
 }
 
-// validate rejects values that no proxy writes and that later decisions could not handle.
+// validate rejects an event with a value that no proxy writes and that State and Plan can't handle.
 func (e Event) validate() error {
 	times := []float64{e.At, e.Epoch, e.Shift}
 	if e.Purge != nil {
@@ -129,7 +131,7 @@
 	}
 	for _, t := range times {
 		if math.IsNaN(t) || math.IsInf(t, 0) {
-			return fmt.Errorf("%w: time or weight %v", ErrInvalidEvent, t)
+			return fmt.Errorf("%w: time or weight %v is not finite", ErrInvalidEvent, t)
 		}
 	}
 	return nil
--- a/internal/decide/recovery/expiry_test.go
+++ b/internal/decide/recovery/expiry_test.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/decide/recovery"
 )
 
-// remaining returns what a scan of all purges and members would keep at a time.
+// remaining returns the purges and members that a scan of all of them would keep at a time.
 func remaining(purges []recovery.Purge, members []recovery.Member, now float64) (
 	leftPurges []recovery.Purge, leftMembers []recovery.Member,
 ) {
@@ -27,21 +27,22 @@
 	return leftPurges, leftMembers
 }
 
-// Prune drops exactly what a scan of the whole state would, for any history of events and any jumps of the clock.
+// Prune removes exactly the entries that a scan of the whole state would remove, for any history of events and any steps of the
+// clock.
 func TestPruneDropsWhatAFullScanWould(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := recovery.NewState(), 1e12
 		for range rapid.IntRange(0, 120).Draw(t, "n") {
 			now += float64(rapid.OneOf(rapid.IntRange(0, 3000), rapid.IntRange(-40_000, 40_000)).Draw(t, "ms"))
-			s.Apply(event(t, now))
-			switch rapid.IntRange(0, 6).Draw(t, "then") {
+			s.Apply(drawEvent(t, now))
+			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0:
 				raw, err := s.Encode()
 				require.NoError(t, err)
 				s, err = recovery.DecodeState(raw)
 				require.NoError(t, err)
 			case 1, 2:
-				at := now + float64(rapid.IntRange(-20_000, 20_000).Draw(t, "away"))
+				at := now + float64(rapid.IntRange(-20_000, 20_000).Draw(t, "offset"))
 				purges, members := s.Purges(), s.Members()
 				leftPurges, leftMembers := remaining(purges, members, at)
 				dropped := s.Prune(at, settings)
@@ -53,7 +54,7 @@
 	})
 }
 
-// A server that joins and leaves many times must not leave an entry in the expiry queue for each time.
+// A server that joins and leaves many times must not leave an entry in the expiry queue each time.
 func TestRepeatedDepartureKeepsExpiryQueueShort(t *testing.T) {
 	s := recovery.NewState()
 	for i := range 200_000 {
--- a/internal/decide/recovery/golden_test.go
+++ b/internal/decide/recovery/golden_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// goldenEvents returns one event of each kind, with all fields set and with the optional ones left out.
+// goldenEvents returns events of each kind by golden file: with all fields set, and with the optional ones left out.
 func goldenEvents() map[string]recovery.Event {
 	return map[string]recovery.Event{
 		"event-purge-object.cbor":     {At: 1e12, Purge: &recovery.Purge{Object: "o", IssuedAt: 1e12 - 10.5, NotifiedAt: 1e12}},
@@ -50,13 +50,14 @@
 		raw, err := e.Encode()
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		read, err := recovery.DecodeEvent(golden.Read(t, name))
+		decoded, err := recovery.DecodeEvent(golden.Read(t, name))
 		require.NoError(t, err)
-		require.Equal(t, e, read, name)
+		require.Equal(t, e, decoded, name)
 	}
 }
 
-// goldenState returns the state after all golden events but the boots. Their order does not matter.
+// goldenState returns the state after a boot and all golden events but the boots and the end of the manual drain. The order of the
+// events does not matter.
 func goldenState() *recovery.State {
 	s := recovery.NewState()
 	s.Apply(recovery.Event{At: 1e12, Boot: true, Epoch: 9e11})
@@ -73,13 +74,13 @@
 		raw, err := s.Encode()
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		read, err := recovery.DecodeState(golden.Read(t, name))
+		decoded, err := recovery.DecodeState(golden.Read(t, name))
 		require.NoError(t, err)
-		require.Equal(t, s.Plan(1e12, settings), read.Plan(1e12, settings))
-		require.Equal(t, [3]any{s.LatestTime, s.Epoch, s.Revision}, [3]any{read.LatestTime, read.Epoch, read.Revision})
-		again, err := read.Encode()
+		require.Equal(t, s.Plan(1e12, settings), decoded.Plan(1e12, settings))
+		require.Equal(t, [3]any{s.LatestTime, s.Epoch, s.Revision}, [3]any{decoded.LatestTime, decoded.Epoch, decoded.Revision})
+		reencoded, err := decoded.Encode()
 		require.NoError(t, err)
-		golden.Equal(t, name, again)
+		golden.Equal(t, name, reencoded)
 	}
 }
 
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -12,21 +12,21 @@
 type Plan struct {
 	Purges        []Purge                  // for the policy module, by time of issue
 	Members       []membership.SavedMember // for the registry, by server id
-	Lists         []List                   // last accepted, by source
+	Lists         []List                   // the list last accepted from each source, by source
 	ClockStepBack float64                  // ms by which the clock is behind the latest stored time; 0: it is not behind
-	Boots         int                      // starts before this one
+	Boots         int                      // number of starts before this one
 	Revision      uint64                   // of the configuration that was in use
 	ManualDrains  []uint64                 // ids of the servers that operators drain, in order
 }
 
-// Plan returns what a proxy that starts at now has to honour.
+// Plan returns what a proxy that starts at now must apply.
 //
-// If the clock was stepped back, stored times may lie in the future. They count as now: an obligation neither ends early
-// nor lasts longer by the size of the step.
-func (s *State) Plan(now float64, set Settings) Plan {
+// If the clock was stepped back, stored times may be in the future. They count as now, so that a purge, a drain or a departure
+// neither ends early nor lasts longer by the size of the step.
+func (s *State) Plan(now float64, settings Settings) Plan {
 	return Plan{
-		Purges:        s.purgesInForce(now, set),
-		Members:       s.savedMembers(now, set),
+		Purges:        s.purgesInForce(now, settings),
+		Members:       s.savedMembers(now, settings),
 		Lists:         s.Lists(),
 		ClockStepBack: max(0, s.LatestTime-now),
 		Boots:         s.Boots,
@@ -35,12 +35,13 @@
 	}
 }
 
-// purgesInForce returns the purges that can still match a copy. Each counts as received now, because how far it had
-// propagated before the restart is unknown: copies older than the purge are not requested for its full duration.
-func (s *State) purgesInForce(now float64, set Settings) []Purge {
+// purgesInForce returns the purges that can still match a copy, by time of issue. Each counts as received now, because it is
+// unknown how far it had propagated before the restart: copies older than the purge are not requested for its full duration,
+// counted from now.
+func (s *State) purgesInForce(now float64, settings Settings) []Purge {
 	var purges []Purge
 	for _, p := range s.purges {
-		if purgeExpiresAt(p.expiryBase(), set) < now {
+		if purgeExpiresAt(p.expiryBase(), settings) < now {
 			continue
 		}
 		p.IssuedAt, p.NotifiedAt = min(p.IssuedAt, now), now
@@ -53,10 +54,10 @@
 }
 
 // savedMembers returns all servers but those that left more than GoneRetention ago, by id.
-func (s *State) savedMembers(now float64, set Settings) []membership.SavedMember {
+func (s *State) savedMembers(now float64, settings Settings) []membership.SavedMember {
 	var list []membership.SavedMember
 	for _, m := range s.members {
-		if m.Phase == membership.Gone && m.Since+set.GoneRetention < now {
+		if m.Phase == membership.Gone && m.Since+settings.GoneRetention < now {
 			continue
 		}
 		saved := membership.SavedMember{Phase: m.Phase, Since: min(m.Since, now)}
@@ -69,7 +70,7 @@
 	return list
 }
 
-// Shifted returns the plan with ms added to all its times, to bring them onto another clock.
+// Shifted returns the plan with ms added to all its times, to convert them to another clock.
 func (p Plan) Shifted(ms float64) Plan {
 	if ms == 0 {
 		return p
--- a/internal/decide/recovery/state.go
+++ b/internal/decide/recovery/state.go
@@ -13,15 +13,15 @@
 // State is the result of all events applied to it. It is not safe for concurrent use.
 type State struct {
 	LatestTime float64 // latest time of an event
-	Boots      int     // starts of the proxy
-	Epoch      float64 // of the clock that the times are on; 0: unknown
-	Revision   uint64  // highest configuration revision in use
+	Boots      int     // number of starts of the proxy
+	Epoch      float64 // epoch of the clock by which the times are measured; 0: unknown
+	Revision   uint64  // highest revision of the configuration that was in use
 
 	purges       map[purgeKey]Purge
 	members      map[uint64]Member
 	lists        map[string]List // by source
 	manualDrains map[uint64]bool
-	// purgeExpiry and goneExpiry order purges and departed servers by the time that their expiry is counted from.
+	// purgeExpiry and goneExpiry order purges and departed servers by the time from which their expiry is counted.
 	purgeExpiry expiryqueue.Queue[purgeKey]
 	goneExpiry  expiryqueue.Queue[uint64]
 }
@@ -64,11 +64,11 @@
 		p.IssuedAt, p.NotifiedAt = max(p.IssuedAt, old.IssuedAt), max(p.NotifiedAt, old.NotifiedAt)
 	}
 	s.purges[key] = p
-	s.purgeExpiry.Set(key, p.expiryBase(), old.expiryBase(), known) // only ever later, so the queue needs no rebuild
+	s.purgeExpiry.Set(key, p.expiryBase(), old.expiryBase(), known) // an expiry only moves to later, so the queue needs no rebuild
 }
 
-// applyMember replaces a member. While its phase stays the same, Since stays too, whatever else changes; a server that is gone counts
-// from its latest event.
+// applyMember replaces a member. Since changes only with the phase, except that for a departed server it is always the time of the
+// latest event.
 func (s *State) applyMember(m Member) {
 	old, known := s.members[m.ID]
 	if known && old.Phase == m.Phase && m.Phase != membership.Gone {
@@ -95,7 +95,7 @@
 }
 
 // drainUnlisted starts the drain of each server that a new list omits or marks as draining. A list is stored before it
-// takes effect, so after a crash in between only the list says that these servers drain.
+// takes effect, so after a crash between the two the stored list is the only record of these drains.
 func (s *State) drainUnlisted(old, next List, at float64) {
 	ready := make(map[policy.CacheID]bool, len(next.Servers))
 	for _, server := range next.Servers {
@@ -119,7 +119,7 @@
 	}
 }
 
-// shiftTimes adds ms to all stored times, to bring them onto another clock.
+// shiftTimes adds ms to all stored times, to convert them to another clock.
 func (s *State) shiftTimes(ms float64) {
 	if ms == 0 {
 		return
@@ -182,5 +182,5 @@
 	return lists
 }
 
-// drainedManually returns the ids of the servers that operators drain, in order.
+// drainedManually returns the ids of the servers that operators drain, in ascending order.
 func (s *State) drainedManually() []uint64 { return slices.Sorted(maps.Keys(s.manualDrains)) }
--- a/internal/decide/recovery/state_test.go
+++ b/internal/decide/recovery/state_test.go
@@ -17,7 +17,8 @@
 
 var settings = recovery.Settings{PurgePropagation: 6000, PurgeGrace: 1000, GoneRetention: 9000}
 
-func event(t *rapid.T, at float64) recovery.Event {
+// drawEvent draws an event of any kind that happens at a time.
+func drawEvent(t *rapid.T, at float64) recovery.Event {
 	e := recovery.Event{At: at}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
@@ -46,7 +47,7 @@
 	return e
 }
 
-// A state that was encoded, decoded and pruned at arbitrary places gives the same plan as one that was not. Pruning removes
+// A state that was encoded, decoded and pruned between arbitrary events gives the same plan as one that was not: pruning removes
 // nothing that a plan would contain.
 func TestEncodedStateGivesTheSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,14 +55,14 @@
 		now := 1e12
 		for range rapid.IntRange(0, 60).Draw(t, "n") {
 			now += float64(rapid.IntRange(0, 4000).Draw(t, "ms"))
-			e := event(t, now)
+			e := drawEvent(t, now)
 			raw, err := e.Encode()
 			require.NoError(t, err)
 			decoded, err := recovery.DecodeEvent(raw)
 			require.NoError(t, err)
 			plain.Apply(e)
 			stored.Apply(decoded)
-			switch rapid.IntRange(0, 5).Draw(t, "then") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				raw, err := stored.Encode()
 				require.NoError(t, err)
@@ -71,16 +72,16 @@
 				stored.Prune(now, settings)
 			}
 		}
-		later := now + float64(rapid.IntRange(-8000, 20_000).Draw(t, "away"))
-		require.Equal(t, plain.Plan(max(now, later), settings), stored.Plan(max(now, later), settings))
-		p := stored.Plan(later, settings)
-		require.Equal(t, max(0, stored.LatestTime-later), p.ClockStepBack)
+		restartAt := now + float64(rapid.IntRange(-8000, 20_000).Draw(t, "downtime"))
+		require.Equal(t, plain.Plan(max(now, restartAt), settings), stored.Plan(max(now, restartAt), settings))
+		p := stored.Plan(restartAt, settings)
+		require.Equal(t, max(0, stored.LatestTime-restartAt), p.ClockStepBack)
 		for _, x := range p.Purges {
-			require.LessOrEqual(t, x.IssuedAt, later, "a purge issued in the future would have a negative age")
-			require.Equal(t, later, x.NotifiedAt)
+			require.LessOrEqual(t, x.IssuedAt, restartAt, "a purge issued in the future would have a negative age")
+			require.Equal(t, restartAt, x.NotifiedAt)
 		}
 		for _, x := range p.Members {
-			require.LessOrEqual(t, x.Since, later, "a drain that began in the future would last longer by the step")
+			require.LessOrEqual(t, x.Since, restartAt, "a drain that began in the future would last longer by the step")
 		}
 	})
 }
@@ -95,17 +96,17 @@
 	}, s.Plan(4000, settings).Purges)
 	require.Len(t, s.Plan(15_500, settings).Purges, 1, "the first expired at 2000 + 2*6000 + 1000")
 	require.Empty(t, s.Plan(16_500, settings).Purges)
-	// The clock was stepped back by 5 s: purges received at a time that is now in the future count as received now.
-	back := s.Plan(-2000, settings)
-	require.Equal(t, 5000.0, back.ClockStepBack)
+	// The clock was stepped back by 5 s: a purge whose time of receipt is now in the future counts as received now.
+	afterStepBack := s.Plan(-2000, settings)
+	require.Equal(t, 5000.0, afterStepBack.ClockStepBack)
 	require.Equal(t, []recovery.Purge{
 		{Group: 5, IssuedAt: -2000, NotifiedAt: -2000}, {Object: "a", IssuedAt: -2000, NotifiedAt: -2000},
-	}, back.Purges)
+	}, afterStepBack.Purges)
 	require.Equal(t, 1, s.Prune(15_500, settings))
 }
 
 func TestDecodeRejectsInvalidBytes(t *testing.T) {
-	good, err := recovery.Event{At: 1, Member: &recovery.Member{ID: 1, Phase: membership.Ready}}.Encode()
+	valid, err := recovery.Event{At: 1, Member: &recovery.Member{ID: 1, Phase: membership.Ready}}.Encode()
 	require.NoError(t, err)
 	for _, e := range []recovery.Event{
 		{At: math.NaN()}, {Member: &recovery.Member{Phase: 9}}, {Purge: &recovery.Purge{IssuedAt: math.Inf(1)}},
@@ -115,7 +116,7 @@
 		_, err = recovery.DecodeEvent(raw)
 		require.Error(t, err)
 	}
-	for _, raw := range [][]byte{nil, {9}, {2, 0xa0}, good[:len(good)-1]} {
+	for _, raw := range [][]byte{nil, {9}, {2, 0xa0}, valid[:len(valid)-1]} {
 		_, err := recovery.DecodeEvent(raw)
 		require.Error(t, err)
 		_, err = recovery.DecodeState(raw)
