--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/policy"
 )
 
-// BenchmarkRestart100k opens a state of 100,000 drains from a snapshot, and reports the memory that they take.
+// BenchmarkRestart100k opens a state of 100,000 drains from a snapshot, and reports the memory that the drains take.
 func BenchmarkRestart100k(b *testing.B) {
 	o := state.Options{
 		Dir: b.TempDir(), Clock: clock.System(), SnapshotEvery: 1 << 30,
--- a/internal/state/failure_test.go
+++ b/internal/state/failure_test.go
@@ -15,11 +15,11 @@
 	"ravenwheel/internal/state"
 )
 
-// failingFS is a file system whose syncs and creates fail while failing is set.
+// failingFS is a file system whose syncs and file creations fail while failing is set.
 type failingFS struct {
 	vfs.FS
-	failing atomic.Bool
-	hold    atomic.Pointer[chan struct{}] // the next write waits until it is closed, and then fails
+	failing      atomic.Bool
+	blockedWrite atomic.Pointer[chan struct{}] // the next write waits until this channel is closed, and then fails
 }
 
 type failingFile struct {
@@ -28,18 +28,18 @@
 }
 
 // Create implements vfs.FS.
-func (s *failingFS) Create(name string) (vfs.File, error) {
-	if s.failing.Load() {
+func (fs *failingFS) Create(name string) (vfs.File, error) {
+	if fs.failing.Load() {
 		return nil, syscall.EIO
 	}
-	f, err := s.FS.Create(name)
-	return failingFile{f, s}, err
+	f, err := fs.FS.Create(name)
+	return failingFile{f, fs}, err
 }
 
 // Write implements vfs.File.
 func (f failingFile) Write(b []byte) (int, error) {
-	if hold := f.fs.hold.Swap(nil); hold != nil {
-		<-*hold
+	if unblock := f.fs.blockedWrite.Swap(nil); unblock != nil {
+		<-*unblock
 		return 0, syscall.EIO
 	}
 	return f.File.Write(b)
@@ -53,10 +53,10 @@
 	return f.File.Sync()
 }
 
-// Syncs and creates in the state's directory fail for two seconds. The journal can't be reopened at first, and a later attempt
-// finds no journal to close; it once dereferenced nil there. The events of that time are stored once the directory works again,
-// in their order.
-func TestFolderFailsForAWhile(t *testing.T) {
+// Syncs and file creations in the state's directory fail for two seconds. The journal can't be reopened at first, and later
+// attempts find no failed journal to close, where the code once dereferenced nil. The events of that time are stored in order once
+// the directory works again.
+func TestEventsSurviveTemporaryDirectoryFailure(t *testing.T) {
 	clk, disk := clock.Manual(1e12), vfs.NewSim(-1)
 	fs := &failingFS{FS: disk}
 	recorder, _, err := state.Open(options(fs, clk))
@@ -80,11 +80,11 @@
 	_, plan, err := state.Open(options(disk, clk))
 	require.NoError(t, err)
 	require.Len(t, plan.Purges, 1)
-	require.Empty(t, plan.ManualDrains, "the last command wins")
+	require.Empty(t, plan.ManualDrains, "the last command applies")
 }
 
-// The directory fails for a moment, in two ways, while an operator drains a server and ends the drain. Whichever event was stored
-// first, the drain has ended after a restart.
+// The disk is full or the directory fails for a short time while an operator starts and ends the drain of a server. Whichever event
+// was stored first, the server is not draining after a restart.
 func TestLastDrainCommandWinsAfterFailure(t *testing.T) {
 	for name, fail := range map[string]func(disk *vfs.Sim, fs *failingFS, on bool){
 		"full": func(disk *vfs.Sim, _ *failingFS, on bool) {
@@ -94,7 +94,7 @@
 		},
 		"failing": func(_ *vfs.Sim, fs *failingFS, on bool) { fs.failing.Store(on) },
 	} {
-		for retries := range 4 { // between the commands
+		for retries := range 4 { // number of retries between the two commands
 			clk, disk := clock.Manual(1e12), vfs.NewSim(-1)
 			fs := &failingFS{FS: disk}
 			recorder, _, err := state.Open(options(fs, clk))
@@ -109,27 +109,27 @@
 			disk.Restart(rand.New(rand.NewPCG(1, 1)))
 			_, plan, err := state.Open(options(disk, clk))
 			require.NoError(t, err)
-			require.Empty(t, plan.ManualDrains, "%s, %d retries later", name, retries)
+			require.Empty(t, plan.ManualDrains, "%s, after %d retries", name, retries)
 		}
 	}
 }
 
-// A drain by an operator is ended while its event is still being written. The first write fails and the second does not: the
-// first event must not be stored behind the second.
+// An operator ends a drain while the event of its start is still being written. The first write fails and the second succeeds: the
+// first event must not be stored after the second.
 func TestSupersededEventIsNotStoredLater(t *testing.T) {
 	clk, disk := clock.Manual(1e12), vfs.NewSim(-1)
 	fs := &failingFS{FS: disk}
 	recorder, _, err := state.Open(options(fs, clk))
 	require.NoError(t, err)
-	require.NoError(t, recorder.RecordManualDrain(8, true)) // the events of the start are on disk
-	hold := make(chan struct{})
-	fs.hold.Store(&hold)
+	require.NoError(t, recorder.RecordManualDrain(8, true)) // the events that Open recorded are on disk, too
+	unblock := make(chan struct{})
+	fs.blockedWrite.Store(&unblock)
 	first, second := make(chan error, 1), make(chan error, 1)
 	go func() { first <- recorder.RecordManualDrain(9, true) }()
-	require.Eventually(t, func() bool { return fs.hold.Load() == nil }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return fs.blockedWrite.Load() == nil }, time.Minute, time.Millisecond)
 	go func() { second <- recorder.RecordManualDrain(9, false) }()
-	time.Sleep(20 * time.Millisecond) // the second waits behind the first
-	close(hold)
+	time.Sleep(20 * time.Millisecond) // so that the second event is queued behind the first
+	close(unblock)
 	require.Error(t, <-first)
 	require.NoError(t, <-second)
 	for range 50 {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,7 +17,7 @@
 	"ravenwheel/policy"
 )
 
-// writeState fills a directory with a snapshot and with records after it, of each kind of event.
+// writeState writes a snapshot, and records of all kinds of events after it, to a directory.
 func writeState(t *testing.T, dir string) {
 	clk := clock.Manual(1e12)
 	o := options(nil, clk)
@@ -48,15 +48,15 @@
 // A state directory written by an earlier version is opened, and everything that it wrote is recovered.
 func TestGoldenDirectory(t *testing.T) {
 	dir := golden.Directory(t, "directory", func(dir string) { writeState(t, dir) })
-	for pattern, least := range map[string]int{"*.snap": 1, "*.log": 2} {
+	for pattern, minFiles := range map[string]int{"*.snap": 1, "*.log": 2} {
 		files, err := filepath.Glob(filepath.Join(dir, pattern))
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, len(files), least, pattern)
+		require.GreaterOrEqual(t, len(files), minFiles, pattern)
 	}
 	read, stats, err := state.Read(dir, nil)
 	require.NoError(t, err)
 	require.NotZero(t, stats.Snapshot)
-	require.Greater(t, stats.Next-1, stats.Snapshot, "records behind the snapshot")
+	require.Greater(t, stats.Next-1, stats.Snapshot, "there are records after the snapshot")
 	require.Equal(t, 1e12+100, read.LatestTime)
 	require.Equal(t, []recovery.Purge{
 		{Object: "before", IssuedAt: 1e12 - 5, NotifiedAt: 1e12}, {Group: 6, IssuedAt: 1e12 + 100, NotifiedAt: 1e12 + 100},
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -29,16 +29,16 @@
 	}
 }
 
-// RecordTransition stores a transition to draining or gone, which may be published to nobody: the drain may be from before a
-// restart. It does not wait for the disk.
+// RecordTransition stores a transition to draining or gone, without waiting for the disk. RecordPublish does not cover all of them:
+// a server whose drain began before a restart is not always published again.
 func (r *Recorder) RecordTransition(m membership.Transition) {
 	if m.To == membership.Gone || m.To == membership.Draining {
 		r.recordAsync(recovery.MemberEvent(m.Member, r.opt.Clock.Now()))
 	}
 }
 
-// RecordList stores a list that was accepted from a source and returns once it is on disk. The list must take effect only
-// then, or a crash would forget which servers it drains. An error is one of journal.Append's.
+// RecordList stores a list that was accepted from a source and returns once it is on disk. The list must not take effect before
+// that, or a crash would lose which servers it drains. An error is one of journal.Append's.
 func (r *Recorder) RecordList(source string, list *serverlist.List) error {
 	return r.recordSync(recovery.Event{
 		At: r.opt.Clock.Now(), List: &recovery.List{Source: source, Generation: list.Generation, Servers: list.Servers},
@@ -64,23 +64,23 @@
 
 func (r *Recorder) recordAsync(e recovery.Event) { r.record(e, func(error) {}) }
 
-// record hands an event to the journal, which calls done with the result. While the journal is not open, or other events are
-// pending, the event is queued after them for a retry, and done is called with journal.ErrFailed. After Close it is called with
+// record passes an event to the journal, which calls done with the result. While the journal is not open, or other events are
+// pending, the event is queued after them for a retry, and done is called with journal.ErrFailed. After Close, done is called with
 // journal.ErrClosed.
 func (r *Recorder) record(e recovery.Event, done func(error)) {
 	r.submitMu.Lock()
 	defer r.submitMu.Unlock()
 	r.mu.Lock()
 	closed := r.closed && r.journal == nil
-	queue := r.journal == nil || len(r.pending) > 0
-	if queue && !closed {
+	mustQueue := r.journal == nil || len(r.pending) > 0
+	if mustQueue && !closed {
 		r.addPending(e)
 	}
 	r.mu.Unlock()
 	switch {
 	case closed:
 		done(journal.ErrClosed)
-	case queue:
+	case mustQueue:
 		done(journal.ErrFailed)
 	default:
 		r.submit(e, done)
@@ -96,7 +96,7 @@
 	}
 	r.mu.Lock()
 	j := r.journal
-	if j == nil { // it has failed since
+	if j == nil { // the journal has failed since the caller checked it
 		r.addPending(e)
 	}
 	r.mu.Unlock()
@@ -120,15 +120,15 @@
 	}
 	r.state.Apply(e)
 	r.lastRecord = number
-	// A pending older event, stored after this one, would undo it.
+	// A pending older event would undo this one if it were stored after it.
 	r.pending = slices.DeleteFunc(r.pending, e.Supersedes)
-	if r.sinceCompact++; r.sinceCompact >= r.opt.SnapshotEvery && !r.compacting && !r.closed {
+	if r.recordsSinceSnapshot++; r.recordsSinceSnapshot >= r.opt.SnapshotEvery && !r.compacting && !r.closed {
 		r.compacting = true
 		go r.compact(j)
 	}
 }
 
-// appendFailed keeps an event that the journal did not store for a retry. The caller holds mu.
+// appendFailed queues an event that the journal did not store for a retry. The caller holds mu.
 func (r *Recorder) appendFailed(j *journal.Journal, e recovery.Event, err error) {
 	if errors.Is(err, journal.ErrClosed) && r.closed {
 		return
@@ -138,7 +138,8 @@
 		return
 	}
 	r.addPending(e)
-	r.opt.Log.Error("state").Err(err).Int("pending", len(r.pending)).Msg("event not stored; in force, but a crash would lose it")
+	r.opt.Log.Error("state").Err(err).Int("pending", len(r.pending)).
+		Msg("event not stored; it is in force, but a crash would lose it until a retry succeeds")
 	if r.journal == j && !errors.Is(err, journal.ErrDiskFull) {
 		r.journal, r.failed = nil, j // after a failed sync the journal must be reopened
 	}
--- a/internal/state/recorder.go
+++ b/internal/state/recorder.go
@@ -1,6 +1,6 @@
-// Package state stores what must survive a crash of the proxy. It is the shell around decide/recovery: a Recorder writes
-// the events of one proxy to a journal, recovers them at the next start, and compacts the journal in the background. It
-// decides nothing, and no request waits for it.
+// Package state stores the proxy's state that must survive a crash. A Recorder performs the I/O for package decide/recovery: it
+// writes the events of one proxy to a journal, recovers them at the next start, and compacts the journal in the background. The
+// decisions are made in decide/recovery, and no request waits for a Recorder.
 package state
 
 import (
@@ -21,14 +21,14 @@
 	Clock         *clock.Clock
 	Log           *logs.Log
 	Settings      recovery.Settings
-	BatchDelay    float64 // ms that a batch of records waits for more writers
+	BatchDelay    float64 // ms for which a batch of records waits for more records
 	SnapshotEvery int     // records between snapshots; 0: 4096
 }
 
 const (
-	// defaultSnapshotEvery is in records. So many are replayed within a few milliseconds.
+	// defaultSnapshotEvery is a number of records. That many are replayed within a few milliseconds.
 	defaultSnapshotEvery = 4096
-	// maxSegments is how many segments a start may find before it writes a snapshot in their place.
+	// maxSegments is the number of segments above which Open writes a snapshot in their place.
 	maxSegments = 16
 )
 
@@ -37,20 +37,20 @@
 	opt Options
 
 	reopenMu sync.Mutex // held while the journal is reopened
-	submitMu sync.Mutex // held while events are handed to the journal, so that they reach it in order
-
-	mu           sync.Mutex
-	journal      *journal.Journal // nil: it has failed, and is not open again yet
-	failed       *journal.Journal // the one that has failed, to be closed; nil: none
-	state        *recovery.State  // after the events on disk
-	lastRecord   uint64           // number of the last record included in state
-	sinceCompact int              // records since the last snapshot
-	compacting   bool
-	pending      []recovery.Event // not on disk yet, in order
-	dropped      int              // events that will never be on disk
-	retryPending bool             // a retry is scheduled
-	retryDelay   float64          // ms until the next retry, before jitter
-	closed       bool
+	submitMu sync.Mutex // held while events are passed to the journal, so that they reach it in order
+
+	mu                   sync.Mutex
+	journal              *journal.Journal // nil: it has failed and has not been reopened yet
+	failed               *journal.Journal // the journal that has failed and must be closed; nil: none
+	state                *recovery.State  // result of the events on disk
+	lastRecord           uint64           // number of the last record included in state
+	recordsSinceSnapshot int
+	compacting           bool
+	pending              []recovery.Event // events that are not on disk yet, in order
+	dropped              int              // number of events that will never be on disk
+	retryPending         bool             // a retry is scheduled
+	retryDelay           float64          // ms until the next retry, before jitter
+	closed               bool
 }
 
 // replayer reads a journal into a state.
@@ -76,19 +76,19 @@
 	return nil
 }
 
-// Read recovers the state in a directory without locking or changing it. fs is nil for the machine's file system. Its errors
-// are those of journal.Open, and of the decoding of events.
+// Read recovers the state in a directory without locking or changing the directory. fs is nil for the machine's file system. Its
+// errors are those of journal.Open and of decoding events.
 func Read(dir string, fs vfs.FS) (*recovery.State, journal.Stats, error) {
-	into := &replayer{state: recovery.NewState()}
-	j, err := journal.Open(dir, journal.Options{FS: fs, ReadOnly: true}, into)
+	replayed := &replayer{state: recovery.NewState()}
+	j, err := journal.Open(dir, journal.Options{FS: fs, ReadOnly: true}, replayed)
 	if err != nil {
 		return nil, journal.Stats{}, err
 	}
-	return into.state, j.Stats(), nil
+	return replayed.state, j.Stats(), nil
 }
 
 // Open recovers the state in a directory and locks the directory. The plan is what the proxy must apply before its first
-// request. Errors are those of journal.Open, and of the decoding of events.
+// request. Its errors are those of journal.Open and of decoding events.
 func Open(o Options) (*Recorder, recovery.Plan, error) {
 	if o.SnapshotEvery <= 0 {
 		o.SnapshotEvery = defaultSnapshotEvery
@@ -104,10 +104,10 @@
 	boot := recovery.Event{At: now, Boot: true, Shift: shift}
 	boot.Epoch, _ = o.Clock.Epoch()
 	r.recordAsync(boot)
-	// The boot event may already be on disk and have started a compaction: without the lock, two would run.
+	// The boot event may already be on disk and have started a compaction: without the lock, two compactions would run.
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(j.Stats().Segments) > maxSegments && !r.compacting { // each start begins a segment
+	if len(j.Stats().Segments) > maxSegments && !r.compacting { // each start creates a segment
 		r.compacting = true
 		go r.compact(j)
 	}
@@ -120,25 +120,25 @@
 	return j, recovered, err
 }
 
-// install makes an opened journal the one in use. The caller holds mu, or is the only user of r.
+// install puts an opened journal and the state recovered from it in use. The caller holds mu, or is the only user of r.
 func (r *Recorder) install(j *journal.Journal, recovered *replayer) {
-	r.journal, r.state, r.sinceCompact = j, recovered.state, recovered.records
+	r.journal, r.state, r.recordsSinceSnapshot = j, recovered.state, recovered.records
 	r.lastRecord = j.Stats().Next - 1
 }
 
-// compact prunes the state and stores a snapshot of it in place of the records.
+// compact prunes the state, and stores a snapshot of it in place of the records that it includes.
 func (r *Recorder) compact(j *journal.Journal) {
 	r.mu.Lock()
 	r.state.Prune(r.opt.Clock.Now(), r.opt.Settings)
 	raw, err := r.state.Encode()
-	covers := r.lastRecord
-	r.sinceCompact = 0
+	lastRecord := r.lastRecord
+	r.recordsSinceSnapshot = 0
 	r.mu.Unlock()
 	if err == nil {
-		err = j.Compact(covers, raw)
+		err = j.Compact(lastRecord, raw)
 	}
 	if err != nil && !errors.Is(err, journal.ErrClosed) {
-		r.opt.Log.Warn("state").Err(err).Msg("snapshot failed; the journal keeps growing")
+		r.opt.Log.Warn("state").Err(err).Msg("snapshot failed; the journal grows until a later snapshot succeeds")
 	}
 	r.mu.Lock()
 	r.compacting = false
@@ -160,9 +160,9 @@
 	Purges  int           `json:"purges"`
 	Members int           `json:"members"`
 	Lists   int           `json:"lists"`
-	Boots   int           `json:"boots"`   // starts of the proxy
-	Pending int           `json:"waiting"` // events that are not on disk yet
-	Dropped int           `json:"dropped"` // events that will never be on disk
+	Boots   int           `json:"boots"`   // number of starts of the proxy
+	Pending int           `json:"waiting"` // number of events that are not on disk yet
+	Dropped int           `json:"dropped"` // number of events that will never be on disk
 	Journal journal.Stats `json:"journal"`
 }
 
@@ -181,7 +181,7 @@
 	return s
 }
 
-// Close tries once more to store the pending events, waits for those being written, and releases the directory.
+// Close tries once more to store the pending events, waits for the events that are being written, and releases the directory.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	retry := len(r.pending) > 0 && !r.closed
@@ -195,9 +195,9 @@
 	r.failed = nil
 	r.mu.Unlock()
 	var err error
-	for _, open := range []*journal.Journal{failed, j} {
-		if open != nil {
-			err = errors.Join(err, open.Close())
+	for _, opened := range []*journal.Journal{failed, j} {
+		if opened != nil {
+			err = errors.Join(err, opened.Close())
 		}
 	}
 	return err
--- a/internal/state/recorder_test.go
+++ b/internal/state/recorder_test.go
@@ -30,7 +30,7 @@
 	return membership.Publish{Members: []membership.Member{m}}
 }
 
-// All events that were acknowledged are recovered after the power is lost, over many restarts and snapshots.
+// All acknowledged events are recovered after a power failure, over many restarts and snapshots.
 func TestStateSurvivesPowerLossAndRestarts(t *testing.T) {
 	clk, fs := clock.Manual(1e12), vfs.NewSim(-1)
 	rng := rand.New(rand.NewPCG(7, 7))
@@ -42,7 +42,7 @@
 			require.Equal(t, "o", plan.Purges[0].Object)
 			require.Equal(t, []uint64{9}, plan.ManualDrains)
 			require.Equal(t, membership.Draining, plan.Members[0].Phase)
-			require.Equal(t, 1e12, plan.Members[0].Since, "the drain counts from its beginning")
+			require.Equal(t, 1e12, plan.Members[0].Since, "the drain counts from its first start")
 		}
 		recorder.RecordPublish(published(1, policy.Draining))
 		require.NoError(t, recorder.RecordManualDrain(9, true))
@@ -56,7 +56,7 @@
 	}
 }
 
-// While the disk is full or a sync fails, events are reported as not stored; they are stored once the fault is over.
+// While the disk is full, and after a sync failed, events are reported as not stored. They are stored once the fault is over.
 func TestPendingEventsAreStoredAfterFault(t *testing.T) {
 	for _, fault := range []string{"full", "sync"} {
 		clk, fs := clock.Manual(1e12), vfs.NewSim(-1)
@@ -86,13 +86,13 @@
 	}
 }
 
-// The wall clock is stepped by an hour, forward or back, while the proxy is down. A purge and a drain from right before last as
-// long as they would have without the step, also over further restarts.
+// The wall clock is stepped by an hour, forward or back, while the proxy is down. A purge and a drain from just before that last as
+// long as they would without the step, also over further restarts.
 func TestClockStepDuringRestartKeepsDurations(t *testing.T) {
 	const hour = 3_600_000
 	for _, step := range []float64{hour, -hour} {
 		fs := vfs.NewSim(-1)
-		began := time.Now()
+		startedAt := time.Now()
 		recorder, _, err := state.Open(options(fs, clock.System()))
 		require.NoError(t, err)
 		before := clock.System()
@@ -106,9 +106,9 @@
 			require.Len(t, plan.Purges, 1)
 			require.Len(t, plan.Members, 1)
 			for _, at := range []float64{plan.Purges[0].IssuedAt, plan.Members[0].Since} {
-				ago := after.Now() - at
-				require.GreaterOrEqual(t, ago, 0.0)
-				require.LessOrEqual(t, ago, clock.Ms(time.Since(began))+500)
+				age := after.Now() - at
+				require.GreaterOrEqual(t, age, 0.0)
+				require.LessOrEqual(t, age, clock.Ms(time.Since(startedAt))+500)
 			}
 			require.NoError(t, recorder.Close())
 		}
--- a/internal/state/retry.go
+++ b/internal/state/retry.go
@@ -6,15 +6,15 @@
 	"ravenwheel/internal/decide/recovery"
 )
 
-// The delay before a retry doubles with each failure in a row, and is jittered between half and one and a half of itself.
-// Its maximum bounds how long events stay unstored once the disk works again.
+// The delay before a retry doubles with each consecutive failure, and is jittered by a factor between 0.5 and 1.5. Its maximum
+// bounds how long events stay unstored once the disk works again.
 const (
 	minRetryDelay = 500  // ms
 	maxRetryDelay = 2000 // ms
-	minJitter     = 0.5  // the least factor of the jitter; the greatest is 1 more
+	minJitter     = 0.5  // lowest factor of the jitter; the highest is 1 more
 )
 
-// maxPending bounds the events that wait for the journal. Beyond it the oldest are dropped and counted.
+// maxPending bounds the number of events that wait for the journal. When it is exceeded, the oldest are dropped and counted.
 const maxPending = 65_536
 
 // addPending queues an event until the journal accepts it. The caller holds mu.
@@ -38,8 +38,8 @@
 	r.opt.Clock.After(delay, r.retry)
 }
 
-// retry reopens the journal if it has failed, and resubmits the pending events. If the journal can't be reopened it
-// schedules the next retry.
+// retry reopens the journal if it has failed, and resubmits the pending events. If the journal can't be reopened, retry schedules
+// the next retry.
 func (r *Recorder) retry() {
 	r.reopenMu.Lock()
 	defer r.reopenMu.Unlock()
@@ -51,7 +51,7 @@
 		return
 	}
 	if err := r.reopen(); err != nil {
-		r.opt.Log.Error("state").Err(err).Msg("journal could not be reopened; retrying")
+		r.opt.Log.Error("state").Err(err).Msg("journal could not be reopened; will be retried")
 		r.mu.Lock()
 		r.scheduleRetry()
 		r.mu.Unlock()
@@ -60,16 +60,16 @@
 	r.resubmit()
 }
 
-// reopen replaces a failed journal. The failed one is closed at the first attempt only, so that a later one finds none.
+// reopen replaces a failed journal. The failed journal is closed at the first attempt only; later attempts find none to close.
 func (r *Recorder) reopen() error {
 	r.mu.Lock()
-	failed, open := r.failed, r.journal != nil
+	failed, isOpen := r.failed, r.journal != nil
 	r.failed = nil
 	r.mu.Unlock()
 	if failed != nil {
 		_ = failed.Close()
 	}
-	if open {
+	if isOpen {
 		return nil
 	}
 	j, recovered, err := r.openJournal()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// resubmit hands the pending events to the journal, before any event that is recorded meanwhile.
+// resubmit passes the pending events to the journal, before any event that is recorded meanwhile.
 func (r *Recorder) resubmit() {
 	r.submitMu.Lock()
 	defer r.submitMu.Unlock()
