--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -18,8 +18,8 @@
 	return number, err
 }
 
-// AppendAsync queues a record and calls done, in the order of the calls, once it is on disk or has failed with one of
-// Append's errors. done must not block. The payload must not change until then.
+// AppendAsync queues a record and calls done once the record is on disk or has failed with one of Append's errors. The calls of
+// done have the order of the calls of AppendAsync. done must not block. The payload must not change until done is called.
 func (j *Journal) AppendAsync(payload []byte, done func(number uint64, err error)) {
 	if len(payload) > MaxRecordSize {
 		done(0, ErrRecordTooLarge)
@@ -47,7 +47,7 @@
 	}
 }
 
-// run is the writer goroutine. It writes the queue, a batch at a time, until the journal is closed.
+// run is the writer goroutine. It writes the queued records, one batch at a time, until the journal is closed.
 func (j *Journal) run() {
 	defer close(j.done)
 	for range j.wake {
@@ -58,7 +58,7 @@
 	}
 }
 
-// waitForBatch waits BatchDelay ms for more records.
+// waitForBatch waits BatchDelay ms, so that more records join the batch.
 func (j *Journal) waitForBatch() {
 	if j.opt.BatchDelay <= 0 {
 		return
@@ -79,8 +79,8 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue, of about maxBatchSize bytes at most. An entry that starts a new segment (see
-// entry.roll) is the last of its batch.
+// nextBatch removes the next batch from the queue, and reports whether the journal is closed. A batch has about maxBatchSize bytes
+// at most. An entry that starts a new segment (see entry.roll) is the last of its batch.
 func (j *Journal) nextBatch() (batch []*entry, closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -114,12 +114,12 @@
 	}
 }
 
-// writeBatch writes and syncs a batch, in a new segment if the present one is full, and starts a new one after it if the batch asks
-// for that. It returns ErrDiskFull, ErrFailed, or the error of a write that was undone.
+// writeBatch writes and syncs a batch, in a new segment if the current one is full. If the batch ends with a roll entry, it starts
+// a new segment after the batch. It returns ErrDiskFull, ErrFailed, or the error of a write that was undone.
 func (j *Journal) writeBatch(batch []*entry) error {
 	if j.fileSize >= j.opt.SegmentSize {
 		if err := j.startSegment(); errors.Is(err, syscall.ENOSPC) {
-			return ErrDiskFull // the new file is empty, and the next batch starts it again
+			return ErrDiskFull // the new file holds no record, and the next batch creates it again
 		} else if err != nil {
 			return j.fail(err)
 		}
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// undoWrite truncates what a failed write left, and syncs that: a record that was reported as not written must not appear
-// after a restart. It returns the error for the batch.
+// undoWrite truncates the bytes that a failed write left, and syncs the truncation: a record that was reported as not written must
+// not appear after a restart. It returns the error for the batch.
 func (j *Journal) undoWrite(cause error) error {
 	if err := j.file.Truncate(int64(j.fileSize)); err != nil {
 		return j.fail(err)
@@ -175,10 +175,10 @@
 	if errors.Is(cause, syscall.ENOSPC) {
 		return ErrDiskFull
 	}
-	return fmt.Errorf("journal: not written: %w", cause)
+	return fmt.Errorf("journal: record not written: %w", cause)
 }
 
-// startSegment starts a new segment for the records from next on, and closes the one before it.
+// startSegment creates a segment for the records from j.next on, and closes the segment before it.
 func (j *Journal) startSegment() error {
 	f, err := j.opt.FS.Create(j.path(segmentName(j.next)))
 	if err != nil {
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -15,36 +15,36 @@
 // with one sync for each record.
 func BenchmarkAppend(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
-		for _, each := range []bool{false, true} {
-			b.Run(fmt.Sprintf("writers=%d/each=%v", writers, each), func(b *testing.B) {
+		for _, syncEach := range []bool{false, true} {
+			b.Run(fmt.Sprintf("writers=%d/syncEach=%v", writers, syncEach), func(b *testing.B) {
 				clk := clock.System()
-				j, err := Open(b.TempDir(), Options{Clock: clk, SyncEachRecord: each}, &recorder{})
+				j, err := Open(b.TempDir(), Options{Clock: clk, SyncEachRecord: syncEach}, &memoryTarget{})
 				require.NoError(b, err)
 				defer j.Close()
 				var mu sync.Mutex
-				took := hdrhistogram.New(1, 60_000_000, 3)
+				latencies := hdrhistogram.New(1, 60_000_000, 3)
 				var wait sync.WaitGroup
 				record := make([]byte, 200)
-				began := clk.Now()
-				for w := range writers {
+				startedAt := clk.Now()
+				for writer := range writers {
 					wait.Add(1)
 					go func() {
 						defer wait.Done()
-						for i := w; i < b.N; i += writers {
+						for i := writer; i < b.N; i += writers {
 							at := clk.Now()
 							if _, err := j.Append(record); err != nil {
 								b.Error(err)
 							}
 							mu.Lock()
-							_ = took.RecordValue(int64((clk.Now() - at) * 1000))
+							_ = latencies.RecordValue(int64((clk.Now() - at) * 1000))
 							mu.Unlock()
 						}
 					}()
 				}
 				wait.Wait()
-				b.ReportMetric(float64(b.N)/(clk.Now()-began)*1000, "records/s")
-				b.ReportMetric(float64(took.ValueAtQuantile(50))/1000, "p50-ms")
-				b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-ms")
+				b.ReportMetric(float64(b.N)/(clk.Now()-startedAt)*1000, "records/s")
+				b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1000, "p50-ms")
+				b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-ms")
 			})
 		}
 	}
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -15,7 +15,7 @@
 // goldenJournal returns a journal of five records with a snapshot of the first three.
 func goldenJournal(t *testing.T) *vfs.Sim {
 	fs := vfs.NewSim(-1)
-	j, err := Open("d", Options{FS: fs, Clock: clock.Manual(0), SyncEachRecord: true}, &recorder{})
+	j, err := Open("d", Options{FS: fs, Clock: clock.Manual(0), SyncEachRecord: true}, &memoryTarget{})
 	require.NoError(t, err)
 	for _, text := range []string{"one", "", "three"} {
 		_, err := j.Append([]byte(text))
@@ -50,10 +50,10 @@
 			_, err = f.Write(golden.Read(t, name))
 			require.NoError(t, err)
 		}
-		var m recorder
-		j, err := Open("d", Options{FS: fs, ReadOnly: true}, &m)
+		var target memoryTarget
+		j, err := Open("d", Options{FS: fs, ReadOnly: true}, &target)
 		require.NoError(t, err)
-		require.Equal(t, []string{"one", "", "three", "four", "five"}, m.payloads)
+		require.Equal(t, []string{"one", "", "three", "four", "five"}, target.payloads)
 		require.EqualValues(t, 6, j.Stats().Next)
 	}
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,35 +17,36 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// recorder is a target that keeps all payloads.
-type recorder struct{ payloads []string }
+// memoryTarget is a target that keeps all payloads in memory. Its snapshots are the payloads, one a line.
+type memoryTarget struct{ payloads []string }
 
-func (r *recorder) Restore(snapshot []byte) error {
-	r.payloads = nil
+func (m *memoryTarget) Restore(snapshot []byte) error {
+	m.payloads = nil
 	if len(snapshot) > 0 {
-		r.payloads = strings.Split(string(snapshot), "\n")
+		m.payloads = strings.Split(string(snapshot), "\n")
 	}
 	return nil
 }
 
-func (r *recorder) Replay(_ uint64, payload []byte) error {
-	r.payloads = append(r.payloads, string(payload))
+func (m *memoryTarget) Replay(_ uint64, payload []byte) error {
+	m.payloads = append(m.payloads, string(payload))
 	return nil
 }
 
-func (r *recorder) state() []byte { return []byte(strings.Join(r.payloads, "\n")) }
+func (m *memoryTarget) state() []byte { return []byte(strings.Join(m.payloads, "\n")) }
 
+// payload returns the payload of record n, counted from 0. Payloads differ in length.
 func payload(n int) string { return fmt.Sprintf("record %d %s", n, strings.Repeat("x", n*37%700)) }
 
 func options(fs vfs.FS) Options {
 	return Options{FS: fs, Clock: clock.System(), SegmentSize: 3000}
 }
 
-// appendBatches appends n records from number from on, one batch after another, with snapshots in between, until something
-// fails. It returns how many payloads were acknowledged and how many were attempted, each counted from the first payload.
+// appendBatches appends n records from payload number from on, one batch after another, with snapshots in between, until a call
+// fails. It returns how many payloads were acknowledged and how many were attempted, each counted from payload 0.
 func appendBatches(fs vfs.FS, from, n int) (acknowledged, attempted int) {
-	var m recorder
-	j, err := Open("d", options(fs), &m)
+	var target memoryTarget
+	j, err := Open("d", options(fs), &target)
 	if err != nil {
 		return from, from
 	}
@@ -74,82 +75,82 @@
 			return acknowledged, attempted
 		}
 		for k := range size {
-			m.payloads = append(m.payloads, payload(i+k))
+			target.payloads = append(target.payloads, payload(i+k))
 		}
 		i += size
 		acknowledged = i
-		if i%7 == 0 && j.Compact(uint64(len(m.payloads)), m.state()) != nil {
+		if i%7 == 0 && j.Compact(uint64(len(target.payloads)), target.state()) != nil {
 			return acknowledged, attempted
 		}
 	}
 	return acknowledged, attempted
 }
 
-// requireRecovered opens the journal and requires that it holds all acknowledged records and, behind them, nothing but the
-// first of those attempted. It returns how many records there are.
-func requireRecovered(t *testing.T, fs vfs.FS, acknowledged, attempted int, what string) int {
+// requireRecovered opens the journal and requires that it holds all acknowledged records and after them at most the first ones of
+// the other attempted records. It returns how many records there are.
+func requireRecovered(t *testing.T, fs vfs.FS, acknowledged, attempted int, scenario string) int {
 	t.Helper()
-	var m recorder
-	j, err := Open("d", options(fs), &m)
-	require.NoError(t, err, what)
-	require.NoError(t, j.Close(), what)
-	require.GreaterOrEqual(t, len(m.payloads), acknowledged, "%s: an acknowledged record is lost", what)
-	require.LessOrEqual(t, len(m.payloads), attempted, "%s: a record was invented", what)
-	for i, p := range m.payloads {
-		require.Equal(t, payload(i), p, "%s: record %d", what, i)
+	var target memoryTarget
+	j, err := Open("d", options(fs), &target)
+	require.NoError(t, err, scenario)
+	require.NoError(t, j.Close(), scenario)
+	require.GreaterOrEqual(t, len(target.payloads), acknowledged, "%s: an acknowledged record is lost", scenario)
+	require.LessOrEqual(t, len(target.payloads), attempted, "%s: a record was returned that was never appended", scenario)
+	for i, p := range target.payloads {
+		require.Equal(t, payload(i), p, "%s: record %d", scenario, i)
 	}
-	return len(m.payloads)
+	return len(target.payloads)
 }
 
-// The power is lost at every call to the disk, with unsynced data torn in several ways. All acknowledged records are
-// recovered, and more can be appended behind them.
+// The power fails at every call to the file system, with unsynced data torn in several ways. All acknowledged records are
+// recovered, and more can be appended after them.
 func TestCrashAtEveryCall(t *testing.T) {
-	clean := vfs.NewSim(-1)
-	appendBatches(clean, 0, 40)
-	calls := clean.Calls()
+	withoutFault := vfs.NewSim(-1)
+	appendBatches(withoutFault, 0, 40)
+	calls := withoutFault.Calls()
 	require.Greater(t, calls, 60)
-	for at := 1; at <= calls+1; at++ {
+	for call := 1; call <= calls+1; call++ {
 		for seed := range uint64(6) {
-			rng := rand.New(rand.NewPCG(seed, uint64(at)))
-			what := fmt.Sprintf("crash at call %d of %d, seed %d", at, calls, seed)
+			rng := rand.New(rand.NewPCG(seed, uint64(call)))
+			scenario := fmt.Sprintf("crash at call %d of %d, seed %d", call, calls, seed)
 			fs := vfs.NewSim(-1)
-			fs.FailAt(at, vfs.Crash)
+			fs.FailAt(call, vfs.Crash)
 			acknowledged, attempted := appendBatches(fs, 0, 40)
 			fs.Restart(rng)
-			// A second crash during the recovery.
+			// A second crash happens during the recovery.
 			fs.FailAt(fs.Calls()+1+rng.IntN(6), vfs.Crash)
-			_, _ = Open("d", options(fs), &recorder{})
+			_, _ = Open("d", options(fs), &memoryTarget{})
 			fs.Restart(rng)
-			have := requireRecovered(t, fs, acknowledged, attempted, what)
+			recovered := requireRecovered(t, fs, acknowledged, attempted, scenario)
 			fs.FailAt(fs.Calls()+1+rng.IntN(30), vfs.Crash)
-			acknowledged, attempted = appendBatches(fs, have, 9)
+			acknowledged, attempted = appendBatches(fs, recovered, 9)
 			fs.Restart(rng)
-			requireRecovered(t, fs, max(have, acknowledged), max(have, attempted), what+", and again")
+			requireRecovered(t, fs, max(recovered, acknowledged), max(recovered, attempted), scenario+", then a crash after the recovery")
 		}
 	}
 }
 
-// An error at every call to the disk: all acknowledged records are recovered.
+// A call to the file system fails, each of the first 80 in turn. All acknowledged records are recovered.
 func TestErrorAtEveryCall(t *testing.T) {
 	for _, fault := range []vfs.Fault{vfs.IOError, vfs.SyncLost, vfs.ShortWrite} {
-		for at := 1; at <= 80; at++ {
-			rng := rand.New(rand.NewPCG(uint64(fault), uint64(at)))
-			what := fmt.Sprintf("fault %d at call %d", fault, at)
+		for call := 1; call <= 80; call++ {
+			rng := rand.New(rand.NewPCG(uint64(fault), uint64(call)))
+			scenario := fmt.Sprintf("fault %d at call %d", fault, call)
 			fs := vfs.NewSim(-1)
-			fs.FailAt(at, fault)
+			fs.FailAt(call, fault)
 			acknowledged, attempted := appendBatches(fs, 0, 40)
 			fs.Restart(rng)
-			have := requireRecovered(t, fs, acknowledged, attempted, what)
-			acknowledged, attempted = appendBatches(fs, have, 9)
+			recovered := requireRecovered(t, fs, acknowledged, attempted, scenario)
+			acknowledged, attempted = appendBatches(fs, recovered, 9)
 			fs.Restart(rng)
-			requireRecovered(t, fs, max(have, acknowledged), max(have, attempted), what)
+			requireRecovered(t, fs, max(recovered, acknowledged), max(recovered, attempted), scenario)
 		}
 	}
 }
 
 func TestNoRecordIsAcceptedAfterFailedSync(t *testing.T) {
 	fs := vfs.NewSim(-1)
-	j, err := Open("d", options(fs), &recorder{})
+	j, err := Open("d", options(fs), &memoryTarget{})
 	require.NoError(t, err)
 	_, err = j.Append([]byte("a"))
 	require.NoError(t, err)
@@ -163,17 +164,18 @@
 	_, err = j.Append([]byte("d"))
 	require.ErrorIs(t, err, ErrClosed)
 	fs.Restart(rand.New(rand.NewPCG(1, 1)))
-	var m recorder
-	_, err = Open("d", options(fs), &m)
+	var target memoryTarget
+	_, err = Open("d", options(fs), &target)
 	require.NoError(t, err)
-	require.Equal(t, "a", m.payloads[0])
+	require.Equal(t, "a", target.payloads[0])
 }
 
-// A sync fails, the process alone is restarted and reads what the page cache still shows, and then the power is lost.
+// A sync fails, the process alone is restarted and reads the unsynced data that the page cache still shows, and then the power
+// fails. Records that were acknowledged after the restart must not be lost.
 func TestRecoveryAfterFailedSyncAndProcessRestart(t *testing.T) {
 	for seed := range uint64(50) {
 		fs := vfs.NewSim(-1)
-		j, err := Open("d", options(fs), &recorder{})
+		j, err := Open("d", options(fs), &memoryTarget{})
 		require.NoError(t, err)
 		_, err = j.Append([]byte(payload(0)))
 		require.NoError(t, err)
@@ -184,17 +186,17 @@
 		fs.Restart(nil)
 		acknowledged, _ := appendBatches(fs, 2, 3)
 		fs.Restart(rand.New(rand.NewPCG(seed, 1)))
-		requireRecovered(t, fs, acknowledged, acknowledged, "after a sync that failed")
+		requireRecovered(t, fs, acknowledged, acknowledged, "failed sync, restart, power failure")
 	}
 }
 
-// A full disk rejects records and loses none, and accepts records again once there is space.
+// While the disk is full, records are rejected and no acknowledged record is lost. Records are accepted again once there is space.
 func TestFullDiskLosesNothingAndRecovers(t *testing.T) {
 	for free := range 5000 {
 		fs := vfs.NewSim(free)
-		j, err := Open("d", options(fs), &recorder{})
+		j, err := Open("d", options(fs), &memoryTarget{})
 		if err != nil {
-			continue // not even a header fits
+			continue // there is not enough space for a segment's header
 		}
 		var want []string
 		for i := range 12 {
@@ -214,14 +216,14 @@
 		require.NoError(t, j.Close())
 		fs.SetFreeSpace(-1)
 		fs.Restart(rand.New(rand.NewPCG(uint64(free), 1)))
-		var m recorder
-		_, err = Open("d", options(fs), &m)
+		var target memoryTarget
+		_, err = Open("d", options(fs), &target)
 		require.NoError(t, err)
-		require.Equal(t, want, m.payloads, free)
+		require.Equal(t, want, target.payloads, free)
 	}
 }
 
-// A bit of every byte of every file is inverted: the damage is reported with its place, or the records read are correct.
+// A bit of every byte of every file is inverted in turn: the damage is reported with its offset, or the records read are correct.
 func TestEveryBitFlipIsReportedOrHarmless(t *testing.T) {
 	build := func() *vfs.Sim {
 		fs := vfs.NewSim(-1)
@@ -235,35 +237,36 @@
 		path := filepath.Join("d", name)
 		fs := build()
 		size := len(fs.Contents(path))
-		for at := range size {
-			if !fs.FlipBit(path, at, uint(at%8)) {
+		for offset := range size {
+			if !fs.FlipBit(path, offset, uint(offset%8)) {
 				break
 			}
-			var m recorder
+			var target memoryTarget
 			o := options(fs)
 			o.ReadOnly = true
-			_, err := Open("d", o, &m)
-			for i, p := range m.payloads {
-				require.Equal(t, payload(i), p, "%s, byte %d", name, at)
+			_, err := Open("d", o, &target)
+			for i, p := range target.payloads {
+				require.Equal(t, payload(i), p, "%s, byte %d", name, offset)
 			}
-			var d *DamageError
+			var damage *DamageError
 			switch {
-			case errors.As(err, &d):
+			case errors.As(err, &damage):
 				require.ErrorIs(t, err, ErrDamaged)
-				require.Contains(t, d.Error(), "damaged at offset")
+				require.Contains(t, damage.Error(), "damaged at offset")
 				damaged++
 			case err != nil:
-				require.NoError(t, err, "%s, byte %d", name, at)
-			case len(m.payloads) < 27:
-				// Only the batch that was synced last has nothing behind it that proves that it was.
-				require.GreaterOrEqual(t, len(m.payloads), 25, "%s, byte %d", name, at)
+				require.NoError(t, err, "%s, byte %d", name, offset)
+			case len(target.payloads) < 27:
+				// Only the batch that was synced last can be mistaken for a torn write, as no later batch proves that it was
+				// synced.
+				require.GreaterOrEqual(t, len(target.payloads), 25, "%s, byte %d", name, offset)
 				torn++
 			}
-			fs.FlipBit(path, at, uint(at%8))
+			fs.FlipBit(path, offset, uint(offset%8))
 		}
 	}
 	require.Greater(t, damaged, 500)
-	t.Logf("%d flips reported as damage, %d read as a torn tail", damaged, torn)
+	t.Logf("%d inverted bits reported as damage, %d read as a torn tail", damaged, torn)
 }
 
 func TestMissingSegmentIsDamage(t *testing.T) {
@@ -280,17 +283,17 @@
 	require.Greater(t, len(logs), 2)
 	require.NoError(t, fs.Remove(filepath.Join("d", logs[len(logs)-2])))
 	fs.Restart(nil)
-	_, err = Open("d", options(fs), &recorder{})
+	_, err = Open("d", options(fs), &memoryTarget{})
 	require.ErrorIs(t, err, ErrDamaged)
 }
 
-// On the machine's disk: concurrent writers share syncs, a second process is refused, and a truncated segment is damage.
+// On the machine's disk, concurrent writers share syncs, a second Open of the directory fails, and a truncated segment is damage.
 func TestConcurrentWritersOnRealDisk(t *testing.T) {
 	dir := t.TempDir()
 	o := Options{Clock: clock.System(), BatchDelay: 1}
-	j, err := Open(dir, o, &recorder{})
+	j, err := Open(dir, o, &memoryTarget{})
 	require.NoError(t, err)
-	_, err = Open(dir, o, &recorder{})
+	_, err = Open(dir, o, &memoryTarget{})
 	require.ErrorIs(t, err, vfs.ErrLocked)
 	var wait sync.WaitGroup
 	numbers := make([]uint64, 200)
@@ -310,11 +313,11 @@
 	require.ErrorIs(t, err, ErrRecordTooLarge)
 	require.NoError(t, j.Close())
 	require.Less(t, j.Stats().Syncs, int64(200), "writers share syncs")
-	var m recorder
-	j, err = Open(dir, o, &m)
+	var target memoryTarget
+	j, err = Open(dir, o, &target)
 	require.NoError(t, err)
 	for i, n := range numbers {
-		require.Equal(t, fmt.Sprint(i), m.payloads[n-1])
+		require.Equal(t, fmt.Sprint(i), target.payloads[n-1])
 	}
 	require.NoError(t, j.Close())
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -322,32 +325,33 @@
 	info, err := os.Stat(logs[0])
 	require.NoError(t, err)
 	require.NoError(t, os.Truncate(logs[0], info.Size()-3))
-	_, err = Open(dir, o, &recorder{})
-	require.ErrorIs(t, err, ErrDamaged, "a segment that is not the last was complete once")
+	_, err = Open(dir, o, &memoryTarget{})
+	require.ErrorIs(t, err, ErrDamaged, "only the last segment may have a torn tail")
 }
 
+// Scanning the intact part of a segment again returns the same offset and record number.
 func FuzzSegment(f *testing.F) {
-	good := appendHeader(nil, 1)
+	valid := appendHeader(nil, 1)
 	for i := range 4 {
-		good = appendRecord(good, uint64(i+1), uint64(i/2*2+1), []byte(payload(i)))
+		valid = appendRecord(valid, uint64(i+1), uint64(i/2*2+1), []byte(payload(i)))
 	}
-	f.Add(good, true)
-	f.Add(good[:len(good)-5], true)
-	f.Add(bytes.Replace(good, []byte("record 1"), []byte("record 7"), 1), false)
+	f.Add(valid, true)
+	f.Add(valid[:len(valid)-5], true)
+	f.Add(bytes.Replace(valid, []byte("record 1"), []byte("record 7"), 1), false)
 	f.Fuzz(func(t *testing.T, b []byte, last bool) {
 		end, next, err := scan("f", b, last, func(uint64, []byte) error { return nil })
 		require.LessOrEqual(t, end, len(b))
 		if err == nil {
 			first, _ := readHeader(b)
-			again, same, err := scan("f", b[:end], last, func(uint64, []byte) error { return nil })
+			endAgain, nextAgain, err := scan("f", b[:end], last, func(uint64, []byte) error { return nil })
 			require.NoError(t, err)
-			require.Equal(t, [2]uint64{uint64(end), next}, [2]uint64{uint64(again), same})
+			require.Equal(t, [2]uint64{uint64(end), next}, [2]uint64{uint64(endAgain), nextAgain})
 			require.GreaterOrEqual(t, next, first)
 		}
 	})
 }
 
-// Opening a directory of arbitrary content gives records or an error of one line.
+// Opening a directory with an arbitrary segment or snapshot returns no error, or an error of one line.
 func FuzzDirectory(f *testing.F) {
 	fs := vfs.NewSim(-1)
 	appendBatches(fs, 0, 10)
@@ -368,7 +372,7 @@
 		require.NoError(t, err)
 		o := options(fs)
 		o.ReadOnly = true
-		if _, err = Open("d", o, &recorder{}); err != nil {
+		if _, err = Open("d", o, &memoryTarget{}); err != nil {
 			require.NotContains(t, err.Error(), "\n")
 		}
 	})
--- a/internal/journal/recovery.go
+++ b/internal/journal/recovery.go
@@ -10,13 +10,13 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// recover reads the newest intact snapshot into a target, and the records after it.
-func (j *Journal) recover(into Target) error {
+// recover reads the newest intact snapshot and the records after it into a target.
+func (j *Journal) recover(target Target) error {
 	snapshots, err := j.listFiles()
 	if err != nil {
 		return err
 	}
-	if err := j.restoreSnapshot(snapshots, into); err != nil {
+	if err := j.restoreSnapshot(snapshots, target); err != nil {
 		return err
 	}
 	j.next = j.snapshot + 1
@@ -25,23 +25,24 @@
 	}
 	if j.segments[0] > j.next {
 		return &DamageError{
-			j.path(segmentName(j.segments[0])), 0, fmt.Sprintf("records %d to %d are missing before it", j.next, j.segments[0]-1),
+			j.path(segmentName(j.segments[0])), 0,
+			fmt.Sprintf("records %d to %d are missing before this segment", j.next, j.segments[0]-1),
 		}
 	}
-	// Segments that the snapshot covers completely remain if their removal was interrupted.
+	// Skip segments that the snapshot covers completely. They remain if their removal was interrupted.
 	from := 0
 	for from+1 < len(j.segments) && j.segments[from+1] <= j.next {
 		from++
 	}
 	for i := from; i < len(j.segments); i++ {
-		if err := j.replaySegment(i, into); err != nil {
+		if err := j.replaySegment(i, target); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// listFiles finds the segments and snapshots, in order, and removes files that were never renamed into place.
+// listFiles finds the segments and snapshots, in order, and removes partial files, which were not renamed to their final name.
 func (j *Journal) listFiles() (snapshots []uint64, err error) {
 	names, err := j.opt.FS.List(j.dir)
 	if err != nil {
@@ -67,10 +68,10 @@
 	return snapshots, nil
 }
 
-// restoreSnapshot reads the newest intact snapshot. A snapshot is renamed into place only once it is synced, so one that
-// can't be read is damaged; the one before it is used instead if all records after
-// that one are still there. It returns a DamageError if no snapshot can be used that way.
-func (j *Journal) restoreSnapshot(snapshots []uint64, into Target) error {
+// restoreSnapshot reads the newest intact snapshot. A snapshot gets its final name only once it is synced, so a snapshot that can't
+// be read is damaged. The snapshot before it is used instead, if all records after that one are still there. restoreSnapshot
+// returns a DamageError if no snapshot can be used.
+func (j *Journal) restoreSnapshot(snapshots []uint64, target Target) error {
 	var damage error
 	for i := len(snapshots) - 1; i >= 0; i-- {
 		state, err := j.readSnapshot(snapshots[i])
@@ -84,7 +85,7 @@
 		if j.snapshot = snapshots[i]; i > 0 {
 			j.previousSnapshot = snapshots[i-1]
 		}
-		return into.Restore(state)
+		return target.Restore(state)
 	}
 	if damage != nil && (len(j.segments) == 0 || j.segments[0] > 1) {
 		return damage
@@ -112,8 +113,8 @@
 	return b, nil
 }
 
-// replaySegment reads a segment's records into a target, and truncates the last segment after its last intact record.
-func (j *Journal) replaySegment(i int, into Target) error {
+// replaySegment reads the records of segment i into a target, and truncates the last segment after its last intact record.
+func (j *Journal) replaySegment(i int, target Target) error {
 	name, last := segmentName(j.segments[i]), i == len(j.segments)-1
 	b, err := j.readFile(name)
 	if err != nil {
@@ -122,13 +123,13 @@
 	if first, ok := readHeader(b); last && !ok && len(b) <= headerSize {
 		return j.dropTornSegment(i, len(b))
 	} else if ok && (first != j.segments[i] || first > j.next) {
-		return &DamageError{j.path(name), firstOffset, fmt.Sprintf("begins with record %d where %d is due", first, j.next)}
+		return &DamageError{j.path(name), firstOffset, fmt.Sprintf("begins with record %d, expected %d", first, j.next)}
 	}
 	end, next, err := scan(j.path(name), b, last, func(number uint64, payload []byte) error {
 		if number < j.next {
 			return nil // covered by the snapshot
 		}
-		return into.Replay(number, payload)
+		return target.Replay(number, payload)
 	})
 	if err != nil {
 		return err
@@ -136,7 +137,7 @@
 	if next < j.next {
 		// A snapshot may cover more than the last segment holds: that segment's tail was torn and is not needed.
 		if !last || next > j.snapshot {
-			return &DamageError{j.path(name), int64(end), fmt.Sprintf("ends with record %d where %d was known", next-1, j.next-1)}
+			return &DamageError{j.path(name), int64(end), fmt.Sprintf("ends with record %d, but record %d exists", next-1, j.next-1)}
 		}
 		next = j.next
 	}
@@ -147,7 +148,7 @@
 	return j.rewriteSegment(name, b[:end])
 }
 
-// dropTornSegment removes the last segment, whose header was torn while it was created: it holds no record yet.
+// dropTornSegment removes the last segment, i, whose header was torn while the segment was created: it holds no record yet.
 func (j *Journal) dropTornSegment(i, size int) error {
 	name := segmentName(j.segments[i])
 	j.tornBytes += int64(size)
@@ -158,7 +159,7 @@
 	return j.opt.FS.Remove(j.path(name))
 }
 
-// rewriteSegment replaces the last segment by a new file of its intact part. After a failed sync and a restart of the
+// rewriteSegment replaces the last segment with a new file that holds its intact part. After a failed sync and a restart of the
 // process alone, the page cache may hold bytes that are not on disk but are marked clean, so that another sync does not write
 // them. A power failure would then lose the records read from these bytes, and all records after them.
 func (j *Journal) rewriteSegment(name string, intact []byte) error {
--- a/internal/journal/vfs/sim.go
+++ b/internal/journal/vfs/sim.go
@@ -11,55 +11,55 @@
 	"syscall"
 )
 
-// Sim is a file system in memory with a page cache that a crash loses. It counts its calls, and a fault can be injected at
-// any of them. Changes of directories reach the disk in order, as in journaling file systems; blocks of a file do not.
+// Sim is a file system in memory with a page cache that a power failure loses. It counts its calls, and a fault can be injected
+// at any of them. Changes of directories reach the disk in order, as in journaling file systems; blocks of a file do not.
 type Sim struct {
 	mu          sync.Mutex
 	cached      map[string]*inode // files by name, as a running process sees them
-	durable     map[string]*inode // files by name, as a crash would leave them
-	nameChanges []nameChange      // not synced yet
-	dirs        map[string]bool
+	durable     map[string]*inode // files by name, as a power failure would leave them
+	nameChanges []nameChange      // not durable yet, in order
+	directories map[string]bool
 	locks       map[string]bool
 	calls       int
 	faults      map[int]Fault // by number of the call
 	free        int           // bytes; negative: unlimited
-	epoch       int           // of the process; files opened in an earlier one are dead
+	process     int           // number of the running process; files opened by an earlier process fail with ErrCrashed
 }
 
-// Fault is what goes wrong with a call.
+// Fault is a failure of a call.
 type Fault int
 
-// The faults.
+// The faults that a Sim can inject.
 const (
 	None       Fault = iota
 	Crash            // the process ends at the call, and its later calls fail with ErrCrashed
 	IOError          // the call fails with EIO and has no effect
-	SyncLost         // a sync fails with EIO, and its data counts as clean without being on disk, as in Linux
-	ShortWrite       // a write writes half
+	SyncLost         // a sync fails with EIO, and its data is marked clean without being on disk, as in Linux
+	ShortWrite       // a write writes half of its data
 )
 
-// ErrCrashed is the error of all calls of a process that has crashed.
-var ErrCrashed = errors.New("sim: crashed")
+// ErrCrashed is the error of all calls of a process that has crashed or was restarted.
+var ErrCrashed = errors.New("vfs: simulated process has crashed")
 
-// blockSize is how many bytes a disk writes atomically.
+// blockSize is the number of bytes that the simulated disk writes atomically.
 const blockSize = 512
 
 type inode struct {
-	data   []byte   // as a running process sees it
-	synced []byte   // as a crash would leave it
+	data   []byte   // content as a running process sees it
+	synced []byte   // content that has been synced, and so is on disk
 	lost   [][2]int // ranges of data that a failed sync marked as clean: they never reach the disk
 }
 
 // nameChange is a creation, rename or removal of a name that SyncDir has not made durable yet.
 type nameChange struct {
 	from, to string
-	node     *inode // nil: to is removed
+	node     *inode // nil: the name to is removed
 }
 
 // NewSim returns an empty file system with this many free bytes; negative: unlimited.
 func NewSim(free int) *Sim {
 	return &Sim{
-		cached: map[string]*inode{}, durable: map[string]*inode{}, dirs: map[string]bool{}, locks: map[string]bool{},
+		cached: map[string]*inode{}, durable: map[string]*inode{}, directories: map[string]bool{}, locks: map[string]bool{},
 		faults: map[int]Fault{}, free: free,
 	}
 }
@@ -71,7 +71,7 @@
 	return s.calls
 }
 
-// FailAt injects a fault at a call, counted from 1.
+// FailAt injects a fault at a call, which is given by its number, counted from 1.
 func (s *Sim) FailAt(call int, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,9 +85,9 @@
 	s.free = bytes
 }
 
-// call counts a call of a process, and returns the fault injected at it and the error that the call must return for it.
-func (s *Sim) call(epoch int) (Fault, error) {
-	if epoch != s.epoch {
+// call counts a call of a process, and returns the fault injected at that call and the error that the call must return.
+func (s *Sim) call(process int) (Fault, error) {
+	if process != s.process {
 		return Crash, ErrCrashed
 	}
 	s.calls++
@@ -95,7 +95,7 @@
 	delete(s.faults, s.calls)
 	switch f {
 	case Crash:
-		s.epoch++
+		s.process++
 		return f, ErrCrashed
 	case IOError:
 		return f, syscall.EIO
@@ -103,12 +103,12 @@
 	return f, nil
 }
 
-// Restart ends the process, and with it its open files and locks. With a nil rng nothing is lost. Otherwise the power was
-// lost too: of the unsynced data some blocks remain, and of the unsynced changes of names the first few.
+// Restart ends the process, closes its files and releases its locks. With a nil rng nothing is lost. Otherwise the power fails
+// too: some of the unsynced blocks remain, and the first few of the unsynced name changes.
 func (s *Sim) Restart(rng *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.epoch++
+	s.process++
 	s.locks, s.faults = map[string]bool{}, map[int]Fault{}
 	if rng == nil {
 		return
@@ -128,18 +128,18 @@
 	}
 }
 
-// tear keeps a random part of the unsynced blocks.
+// tear leaves the file as a power failure would: with a random part of the unsynced blocks.
 func (n *inode) tear(rng *rand.Rand) {
 	content := slices.Clone(n.synced)
 	size := len(n.synced)
 	if len(n.data) != size {
-		least, most := min(size, len(n.data)), max(size, len(n.data))
-		if size = least + rng.IntN(most-least+1); rng.IntN(3) == 0 {
+		minSize, maxSize := min(size, len(n.data)), max(size, len(n.data))
+		if size = minSize + rng.IntN(maxSize-minSize+1); rng.IntN(3) == 0 {
 			size = len(n.data)
 		}
 	}
 	for len(content) < size {
-		content = append(content, 0) // the file's length was written before its blocks
+		content = append(content, 0) // the file's length reached the disk before its blocks
 	}
 	content = content[:size]
 	for offset := 0; offset < size; offset += blockSize {
@@ -162,7 +162,8 @@
 	}
 }
 
-// FlipBit inverts a bit of a file's byte, on disk and in the cache. It reports whether the file has that byte.
+// FlipBit inverts a bit of the byte at an offset of a file, on disk and in the page cache. It reports whether the file has that
+// byte.
 func (s *Sim) FlipBit(name string, offset int, bit uint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +192,7 @@
 func (s *Sim) MkdirAll(dir string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dirs[dir] = true
+	s.directories[dir] = true
 	return nil
 }
 
@@ -199,7 +200,7 @@
 func (s *Sim) List(dir string) (names []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.dirs[dir] {
+	if !s.directories[dir] {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: fs.ErrNotExist}
 	}
 	for name := range s.cached {
@@ -215,34 +216,34 @@
 func (s *Sim) Create(name string) (File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.call(s.epoch); err != nil {
+	if _, err := s.call(s.process); err != nil {
 		return nil, err
 	}
 	node := &inode{}
 	s.cached[name] = node
 	s.nameChanges = append(s.nameChanges, nameChange{to: name, node: node})
-	return &simFile{s, node, s.epoch}, nil
+	return &simFile{s, node, s.process}, nil
 }
 
 // Open implements FS.
 func (s *Sim) Open(name string) (File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.call(s.epoch); err != nil {
+	if _, err := s.call(s.process); err != nil {
 		return nil, err
 	}
 	node := s.cached[name]
 	if node == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &simFile{s, node, s.epoch}, nil
+	return &simFile{s, node, s.process}, nil
 }
 
 // Rename implements FS.
 func (s *Sim) Rename(from, to string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.call(s.epoch); err != nil {
+	if _, err := s.call(s.process); err != nil {
 		return err
 	}
 	node := s.cached[from]
@@ -259,7 +260,7 @@
 func (s *Sim) Remove(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.call(s.epoch); err != nil {
+	if _, err := s.call(s.process); err != nil {
 		return err
 	}
 	if s.cached[name] == nil {
@@ -274,7 +275,7 @@
 func (s *Sim) SyncDir(string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.call(s.epoch); err != nil {
+	if _, err := s.call(s.process); err != nil {
 		return err
 	}
 	for _, change := range s.nameChanges {
@@ -308,22 +309,22 @@
 	return nil
 }
 
-// simFile is an open file of one process.
+// simFile is a file that was opened by one process.
 type simFile struct {
-	sim   *Sim
-	node  *inode
-	epoch int
+	sim     *Sim
+	node    *inode
+	process int
 }
 
 // Write implements File.
 func (f *simFile) Write(p []byte) (int, error) {
 	f.sim.mu.Lock()
 	defer f.sim.mu.Unlock()
-	fault, err := f.sim.call(f.epoch)
+	fault, err := f.sim.call(f.process)
 	n := len(p)
 	switch {
-	case fault == Crash && f.epoch+1 == f.sim.epoch:
-		n = len(p) / 2 // the process died during the write
+	case fault == Crash && f.process+1 == f.sim.process:
+		n = len(p) / 2 // the process ended during the write
 	case err != nil:
 		return 0, err
 	case fault == ShortWrite:
@@ -343,7 +344,7 @@
 func (f *simFile) ReadAt(p []byte, offset int64) (int, error) {
 	f.sim.mu.Lock()
 	defer f.sim.mu.Unlock()
-	if f.epoch != f.sim.epoch {
+	if f.process != f.sim.process {
 		return 0, ErrCrashed
 	}
 	if offset >= int64(len(f.node.data)) {
@@ -367,7 +368,7 @@
 func (f *simFile) Truncate(size int64) error {
 	f.sim.mu.Lock()
 	defer f.sim.mu.Unlock()
-	if _, err := f.sim.call(f.epoch); err != nil {
+	if _, err := f.sim.call(f.process); err != nil {
 		return err
 	}
 	if cut := len(f.node.data) - int(size); f.sim.free >= 0 && cut > 0 {
@@ -381,10 +382,10 @@
 func (f *simFile) Sync() error {
 	f.sim.mu.Lock()
 	defer f.sim.mu.Unlock()
-	fault, err := f.sim.call(f.epoch)
+	fault, err := f.sim.call(f.process)
 	switch {
 	case fault == SyncLost:
-		// The cache goes on showing data that the disk does not have, and counts it as clean.
+		// The page cache still shows data that is not on disk, and marks it as clean.
 		f.node.lost = append(f.node.lost, [2]int{min(len(f.node.synced), len(f.node.data)), len(f.node.data)})
 		return syscall.EIO
 	case err != nil:
--- a/internal/journal/vfs/vfs.go
+++ b/internal/journal/vfs/vfs.go
@@ -1,6 +1,6 @@
-// Package vfs is the part of a file system that the journal uses, behind an interface, so that tests can inject a fault at
-// every call. Disk is the machine's file system. Sim is one in memory that loses unsynced data, tears and reorders writes,
-// runs full and fails on demand; its behaviour is exercised by the journal's tests.
+// Package vfs defines an interface to the part of a file system that the journal uses, so that tests can inject a fault at
+// every call. Disk is the machine's file system. Sim is a file system in memory that can lose unsynced data, tear and reorder
+// writes, run out of space and fail on demand; the journal's tests use it.
 package vfs
 
 import (
@@ -27,11 +27,12 @@
 	Remove(name string) error
 	// SyncDir makes a directory's entries durable.
 	SyncDir(dir string) error
-	// Lock takes an exclusive lock until it is closed. It returns ErrLocked at once if another process has it.
+	// Lock takes an exclusive lock, and holds it until the returned closer is closed. It returns ErrLocked at once if another
+	// process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is an open file. Write appends; sizes are in bytes.
+// File is an open file. Write appends. Sizes are in bytes.
 type File interface {
 	io.Writer
 	io.ReaderAt
@@ -41,7 +42,7 @@
 	Sync() error
 }
 
-// ErrLocked says that another process holds the lock.
+// ErrLocked is the error of Lock if another process holds the lock.
 var ErrLocked = errors.New("in use by another process")
 
 // Disk is the machine's file system.
@@ -103,7 +104,7 @@
 	return d.Sync()
 }
 
-// Lock implements FS by flock, which a process releases when it dies.
+// Lock implements FS with flock, which the kernel releases when the process ends.
 func (Disk) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
