--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -1,7 +1,7 @@
 // Package applier puts replicated changes into effect in this process: lists and drains go to the server registry, purges to
-// the request path, and all of them to the state recorder. It makes no difference whether the changes come from this
-// process's store or from a distributor. It decides nothing: decide/storestate decided what a change means for the store, and
-// decide/membership decides what becomes of the servers. Its tests check the effects and their order.
+// the request path, and all of them to the state recorder. Changes from this process's store and from a distributor are applied
+// in the same way. The decisions are made elsewhere: decide/storestate decides what a change means for the store, and
+// decide/membership what it means for the servers. The tests here check the effects and their order.
 package applier
 
 import (
@@ -30,9 +30,9 @@
 	Log         *logs.Log
 	Source      int                                              // the store's index among the registry's sources
 	ListEntries func(*serverlist.List) []membership.Entry        // converts a list for the registry
-	HandleEvent func(membership.Event)                           // the registry's
-	SetDrain    func(server policy.CacheID, draining bool) error // in the registry, and recorded
-	HandlePurge func(core.Purge)                                 // the request path's
+	HandleEvent func(membership.Event)                           // passes an event to the registry
+	SetDrain    func(server policy.CacheID, draining bool) error // starts or ends a drain in the registry, and records it
+	HandlePurge func(core.Purge)                                 // passes a purge to the request path
 	Recorder    Recorder                                         // nil: nothing is recorded
 }
 
@@ -43,15 +43,15 @@
 	}
 }
 
-// Apply puts one change into effect. It ignores changes that are neither a list, a drain nor a purge, and drains of names
-// that are no server's.
+// Apply puts one change into effect. It ignores changes that are neither a list, a drain nor a purge, and drains whose name is not
+// a server id.
 func (a *Applier) Apply(c storestate.Change) {
 	switch c.Kind {
 	case storestate.SetList:
 		a.applyList(c.List)
 	case storestate.StartDrain, storestate.EndDrain:
 		if id, ok := serverlist.ParseID(c.Name); ok {
-			_ = a.SetDrain(id, c.Kind == storestate.StartDrain) // the store has the drain, and the recorder logs its failures
+			_ = a.SetDrain(id, c.Kind == storestate.StartDrain) // the store holds the drain, and the recorder logs its own errors
 		}
 	case storestate.AddPurge:
 		a.applyPurge(*c.Purge)
@@ -59,45 +59,46 @@
 }
 
 // applyList puts a list into effect, unless one of its servers has a zone or kind that this site does not have. The list is
-// recorded before it takes effect.
+// recorded before it takes effect, see state.Recorder.RecordList.
 func (a *Applier) applyList(l *storestate.List) {
 	list := serverlist.NewList(l.Generation, l.Servers)
 	entries := a.ListEntries(list)
-	if !a.knownHere(list, entries) {
+	if !a.zonesAndKindsKnown(list, entries) {
 		return
 	}
 	if a.Recorder != nil {
-		_ = a.Recorder.RecordList(ListSource, list) // the recorder logs its failures
+		_ = a.Recorder.RecordList(ListSource, list) // the recorder logs its own errors
 	}
 	a.HandleEvent(membership.Snapshot{Source: a.Source, Generation: list.Generation, Entries: entries})
 }
 
-// knownHere reports whether this site has the zones and kinds of all entries, and logs those that it has not.
-func (a *Applier) knownHere(list *serverlist.List, entries []membership.Entry) bool {
+// zonesAndKindsKnown reports whether this site has the zones and kinds of all entries, and logs each server for which it does not.
+func (a *Applier) zonesAndKindsKnown(list *serverlist.List, entries []membership.Entry) bool {
 	known := true
 	for i, e := range entries {
 		if e.Zone < 0 || e.Kind < 0 {
 			a.Log.Error("list").Str("server", serverlist.FormatID(list.Servers[i].ID)).
-				Msg("list from the store rejected: zone or kind of a server is unknown at this site")
+				Msg("list from the store rejected: the server's zone or kind is not configured at this site")
 			known = false
 		}
 	}
 	return known
 }
 
-// applyPurge puts a purge into effect before it is recorded: after a crash in between, its source sends it again.
-func (a *Applier) applyPurge(x storestate.Purge) {
-	p := core.Purge{Object: x.Object, Group: x.Group, At: x.IssuedAt}
+// applyPurge puts a purge into effect before it is recorded: if the process crashes between the two, the purge's source sends it
+// again.
+func (a *Applier) applyPurge(purge storestate.Purge) {
+	p := core.Purge{Object: purge.Object, Group: purge.Group, At: purge.IssuedAt}
 	if p.Object != "" {
 		p.Group = noGroup
 	}
 	a.HandlePurge(p)
 	if a.Recorder != nil {
 		a.Recorder.RecordPurgeAsync(recovery.Purge{
-			Object: p.Object, Group: x.Group, IssuedAt: x.IssuedAt, NotifiedAt: a.Clock.Now(),
+			Object: p.Object, Group: purge.Group, IssuedAt: purge.IssuedAt, NotifiedAt: a.Clock.Now(),
 		})
 	}
 }
 
-// noGroup is the group of a purge of an object.
+// noGroup is the group of a purge that applies to one object.
 const noGroup = -1
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -15,7 +15,7 @@
 	"ravenwheel/policy"
 )
 
-// effects records the effects of changes, in order.
+// effects records the effects of changes, in order. It is the applier's Recorder.
 type effects struct{ all []any }
 
 type recordedList struct {
@@ -35,7 +35,7 @@
 
 func (e *effects) RecordPurgeAsync(p recovery.Purge) { e.all = append(e.all, p) }
 
-// newApplier returns an applier at a site whose only zone is "here".
+// newApplier returns an applier at a site whose only zone is "here", with its effects recorded in e.
 func newApplier(e *effects) *applier.Applier {
 	return &applier.Applier{
 		Clock: clock.Manual(5000), Source: 1, Recorder: e,
@@ -57,15 +57,15 @@
 	}
 }
 
-// Each fact takes effect once, in order: a list is recorded before it takes effect, a purge takes effect before it is
-// recorded, and other changes are ignored.
-func TestRunAppliesEachFactOnceInOrder(t *testing.T) {
+// Each change takes effect once, in order: a list is recorded before it takes effect, a purge takes effect before it is recorded,
+// and other changes are ignored.
+func TestRunAppliesEachChangeOnceInOrder(t *testing.T) {
 	e := &effects{}
 	changes := make(chan storestate.Change, 8)
 	for _, c := range []storestate.Change{
 		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
 		{Kind: storestate.StartDrain, Name: serverlist.FormatID(1)}, {Kind: storestate.EndDrain, Name: serverlist.FormatID(1)},
-		{Kind: storestate.StartDrain, Name: "no server's name"}, {Kind: storestate.SpendToken, Name: "a"},
+		{Kind: storestate.StartDrain, Name: "not a server id"}, {Kind: storestate.SpendToken, Name: "a"},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 11}},
 	} {
@@ -92,7 +92,7 @@
 	require.Empty(t, e.all)
 }
 
-// Without a recorder, changes take effect all the same.
+// Without a recorder, changes still take effect.
 func TestChangesTakeEffectWithoutRecorder(t *testing.T) {
 	e := &effects{}
 	a := newApplier(e)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,7 +1,7 @@
-// Package control applies to the whole proxy what operators and the hand-over between processes ask for. It passes
-// commands to decide/drain (for the proxy) and decide/membership (for one server) and the resulting state to the
-// clients' front. It decides nothing itself, and opens no address: console and admin bring the operators' commands.
-// What operators are shown is tested here, the life of a whole proxy in cmd/ravenwheel.
+// Package control carries out operators' commands and the steps of a handover between processes for the whole proxy. It passes
+// commands to decide/drain (for the proxy) or decide/membership (for one server), which make the decisions, and the resulting
+// state to the clients' front. It opens no listener: packages console and admin receive the operators' commands. The tests here
+// cover the texts for operators; those in cmd/ravenwheel cover a proxy from start to shutdown.
 package control
 
 import (
@@ -16,40 +16,40 @@
 	"ravenwheel/policy"
 )
 
-// Settings of decide/drain, in ms. The load balancer probes readiness ten times a second and stops sending new clients
-// 0.2 s after a negative answer.
+// Settings of decide/drain, in ms, see drain.Settings. The load balancer probes readiness ten times a second and stops sending new
+// clients 0.2 s after a negative answer.
 const (
 	closeIdleAfterDrain = 350
-	// CloseIdleAfterStop: after SIGTERM new connections keep coming for 0.4 s.
+	// CloseIdleAfterStop is longer than the 0.4 s for which new connections still arrive after SIGTERM.
 	CloseIdleAfterStop = 800
-	// rejectAfter: clients that use a connection all the time have no other chance to leave it.
+	// rejectAfter is needed for clients whose connections are never idle: only a rejected request makes them leave.
 	rejectAfter = 1600
-	// requestsAfterStop: after SIGTERM requests keep coming on open connections, 0.2 s longer than new connections.
+	// requestsAfterStop is for how long requests still arrive on open connections after SIGTERM: 0.2 s longer than new connections.
 	requestsAfterStop = 600
-	// rejectBeforeKill: two round trips of each client.
+	// rejectBeforeKill is two round trips of each client.
 	rejectBeforeKill = 400
-	// partialFrameTimeout: it ends within the 4 s after which the platform expects no connection that is not about to send
-	// a request.
+	// partialFrameTimeout is shorter than the 4 s after which the platform expects that only connections that are about to send a
+	// request are open.
 	partialFrameTimeout = 3000
 )
 
-// sharedConnsNumerator and sharedConnsDenominator: the fraction of Options.MaxConns that a process may have while another
-// one shares them. Clients that behave hold a third of all descriptors, and move from one process to the other.
+// sharedConnsNumerator and sharedConnsDenominator are the fraction of Options.MaxConns that a process may use while another process
+// shares them. Well-behaved clients use a third of all descriptors, and move from one process to the other.
 const sharedConnsNumerator, sharedConnsDenominator = 3, 4
 
-// Errors of commands that are rejected. Nothing was changed.
+// The errors of rejected commands, which change nothing.
 var (
 	ErrNotReady      = errors.New("not ready")            // the proxy has no list of servers yet
-	ErrUnknownServer = errors.New("no such cache server") // the server is neither listed nor remembered
+	ErrUnknownServer = errors.New("no such cache server") // the proxy has no server and no manual drain with the id
 )
 
-// PhaseError is the error of a command that has no effect in the phase of the proxy.
+// PhaseError is the error of a command that has no effect in the proxy's current phase.
 type PhaseError struct{ Phase drain.Phase }
 
 // Error implements error.
 func (e PhaseError) Error() string { return "this process is " + e.Phase.String() }
 
-// Front is the clients' front, as far as it is controlled.
+// Front is the part of the clients' front that a Controller uses.
 type Front interface {
 	SetReady(ready bool)
 	SetDrainPlan(drain.Plan)
@@ -60,22 +60,23 @@
 
 // Servers carries out operators' commands on single cache servers.
 type Servers interface {
+	// HasServer reports whether the proxy has a server or a manual drain with the id.
 	HasServer(id policy.CacheID) bool
-	// Drain starts or ends a manual drain. It returns once that is in force and stored.
+	// Drain starts or ends a manual drain. It returns once the change is in force and stored.
 	Drain(id policy.CacheID, on bool) error
 }
 
 // Options configure a Controller.
 type Options struct {
 	Clock          *clock.Clock
-	MemoryMB       int     // 0: not bounded
-	MaxConns       int     // clients' connections, of all processes together
-	AnswerWithinMs float64 // ms from SIGTERM until everything must be answered, as SIGKILL may follow
+	MemoryMB       int     // 0: unlimited
+	MaxConns       int     // limit of client connections, for all processes together
+	AnswerWithinMs float64 // ms from SIGTERM until all requests must be answered, because SIGKILL may follow
 	Stop           func()  // ends the process
 }
 
-// Controller controls one proxy. It is safe for concurrent use. It implements the interfaces of this name in console and
-// admin, and its methods are the callbacks of handover.Options.
+// Controller controls one proxy. It is safe for concurrent use. It implements console.Controller and admin.Controller, and some
+// of its methods are the callbacks of handover.Options.
 type Controller struct {
 	opt Options
 
@@ -85,8 +86,8 @@
 	servers   Servers
 	handover  *handover.Coordinator // nil: no other process can take over
 	accepting bool
-	shared    bool // another process runs beside this one
-	yielded   bool // another process owns the address
+	shared    bool // another process runs at the same time and shares the limits
+	yielded   bool // another process owns the clients' address
 }
 
 // New returns the controller of a proxy that has just started.
@@ -98,7 +99,8 @@
 	})}
 }
 
-// Attach sets what the controller controls. The proxy serves once it owns its address as well. h may be nil.
+// Attach sets the front, the servers and the handover that the controller uses. The proxy serves once it has them and owns the
+// clients' address. h may be nil.
 func (c *Controller) Attach(f Front, s Servers, h *handover.Coordinator) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +108,7 @@
 	c.apply()
 }
 
-// apply passes the state to the front.
+// apply passes the current state to the front. The caller holds mu.
 func (c *Controller) apply() {
 	if c.front == nil {
 		return
@@ -121,13 +123,14 @@
 	c.front.SetMaxConns(maxConns)
 }
 
+// handle applies an event to the state and passes the result to the front. ok is that of drain.State.Handle. The caller holds mu.
 func (c *Controller) handle(e drain.Event) (ok bool) {
 	ok = c.state.Handle(c.opt.Clock.Now(), e)
 	c.apply()
 	return ok
 }
 
-// SetOwner notes whether this process owns the clients' address, or another one does.
+// SetOwner records whether this process or another one owns the clients' address.
 func (c *Controller) SetOwner(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +142,7 @@
 	}
 }
 
-// SetAccepting has the front accept new connections, or leave them to another process.
+// SetAccepting makes the front accept new connections, or leave them to another process.
 func (c *Controller) SetAccepting(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +150,7 @@
 	c.apply()
 }
 
-// SetShared notes whether another process runs beside this one: the limits are for both together.
+// SetShared records whether another process runs at the same time. If so, the limits apply to both processes together.
 func (c *Controller) SetShared(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +165,7 @@
 	c.apply()
 }
 
-// StepDown ends the process, as another one owns its address. The argument, a reason for logs, is not used here.
+// StepDown ends the process, because another process owns the clients' address. It ignores the reason, which is for logs.
 func (c *Controller) StepDown(string) {
 	c.mu.Lock()
 	c.yielded = true
@@ -185,8 +188,8 @@
 	return takenOver || c.yielded
 }
 
-// Status returns the state of the proxy for operators, and whether it serves clients itself: while it hands over it does
-// not, though it answers readiness probes for its successor (see drain.State.Ready).
+// Status returns the state of the proxy for operators, and whether it serves clients itself. It does not during a handover, though
+// it answers readiness probes for its successor then (see drain.State.Ready).
 func (c *Controller) Status() (text string, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +203,7 @@
 	return phase.String(), phase == drain.Serving && c.front != nil
 }
 
-// SetDraining starts or ends an operator's drain of the whole proxy. It fails with a PhaseError if the proxy hands over or
+// SetDraining starts or ends an operator's drain of the whole proxy. It fails with a PhaseError while the proxy hands over or
 // stops.
 func (c *Controller) SetDraining(on bool) error {
 	c.mu.Lock()
@@ -216,8 +219,8 @@
 }
 
 // SetServerDrained starts or ends an operator's drain of one cache server. It returns once the change is in force, stored
-// and passed to the process that may take over. It fails with ErrNotReady, ErrUnknownServer, or, in force but not
-// stored, with the cause.
+// and passed to the process that may take over. Its error is ErrNotReady, ErrUnknownServer, or, if the change is in force but
+// was not stored, the cause.
 func (c *Controller) SetServerDrained(id policy.CacheID, on bool) error {
 	c.mu.Lock()
 	servers, h := c.servers, c.handover
@@ -233,7 +236,7 @@
 		err = errors.Join(err, h.SetManualDrain(id, on))
 	}
 	if err != nil {
-		return fmt.Errorf("in force here, but not kept: %w", err)
+		return fmt.Errorf("in force here, but not stored: %w", err)
 	}
 	return nil
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -11,48 +11,49 @@
 	"ravenwheel/policy"
 )
 
-// goldenFront is a clients' front with so many connections.
-type goldenFront struct{ connections int }
+// fakeFront is a clients' front with a fixed number of open connections.
+type fakeFront struct{ connections int }
 
-func (*goldenFront) SetReady(bool)           {}
-func (*goldenFront) SetDrainPlan(drain.Plan) {}
-func (*goldenFront) SetAccepting(bool)       {}
-func (*goldenFront) SetMaxConns(int)         {}
-func (f *goldenFront) OpenConns() int        { return f.connections }
+func (*fakeFront) SetReady(bool)           {}
+func (*fakeFront) SetDrainPlan(drain.Plan) {}
+func (*fakeFront) SetAccepting(bool)       {}
+func (*fakeFront) SetMaxConns(int)         {}
+func (f *fakeFront) OpenConns() int        { return f.connections }
 
-type goldenServers struct{}
+// fakeServers has one server, with id 1.
+type fakeServers struct{}
 
-func (goldenServers) HasServer(id policy.CacheID) bool { return id == 1 }
-func (goldenServers) Drain(policy.CacheID, bool) error { return nil }
+func (fakeServers) HasServer(id policy.CacheID) bool { return id == 1 }
+func (fakeServers) Drain(policy.CacheID, bool) error { return nil }
 
-// The texts that operators are answered, in each phase of a proxy's life.
+// The texts that operators receive in each phase of a proxy.
 func TestGoldenStatus(t *testing.T) {
 	var transcript strings.Builder
-	front := &goldenFront{}
-	d := New(Options{Clock: clock.Manual(1000), AnswerWithinMs: 5000, Stop: func() {}})
-	show := func(done string) {
-		text, ready := d.Status()
-		fmt.Fprintf(&transcript, "%s: %v %q\n", done, ready, text)
+	front := &fakeFront{}
+	controller := New(Options{Clock: clock.Manual(1000), AnswerWithinMs: 5000, Stop: func() {}})
+	show := func(step string) {
+		text, ready := controller.Status()
+		fmt.Fprintf(&transcript, "%s: %v %q\n", step, ready, text)
 	}
-	call := func(done string, err error) { show(fmt.Sprintf("%s (%v)", done, err)) }
+	showResult := func(step string, err error) { show(fmt.Sprintf("%s (%v)", step, err)) }
 	show("new")
-	call("server 1 drained before there are servers", d.SetServerDrained(1, true))
-	d.Attach(front, goldenServers{}, nil)
+	showResult("server 1 drained before there are servers", controller.SetServerDrained(1, true))
+	controller.Attach(front, fakeServers{}, nil)
 	show("with a front")
-	d.SetOwner(true)
+	controller.SetOwner(true)
 	show("owns its address")
-	call("server 1 drained", d.SetServerDrained(1, true))
-	call("server 2 drained", d.SetServerDrained(2, true))
+	showResult("server 1 drained", controller.SetServerDrained(1, true))
+	showResult("server 2 drained", controller.SetServerDrained(2, true))
 	front.connections = 3
-	call("paused", d.SetDraining(true))
+	showResult("paused", controller.SetDraining(true))
 	front.connections = 0
 	show("no connection left")
-	call("resumed", d.SetDraining(false))
-	d.SetOwner(false)
+	showResult("resumed", controller.SetDraining(false))
+	controller.SetOwner(false)
 	show("another process owns its address")
-	call("paused", d.SetDraining(true))
-	d.Stop()
+	showResult("paused", controller.SetDraining(true))
+	controller.Stop()
 	show("told to stop")
-	call("resumed", d.SetDraining(false))
+	showResult("resumed", controller.SetDraining(false))
 	golden.Equal(t, "status.txt", []byte(transcript.String()))
 }
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -66,7 +66,7 @@
 	return state, nil
 }
 
-// maxInitialBuffer bounds the buffer, in bytes, that is allocated before decompression for the size that the header declares.
+// maxInitialBuffer bounds the buffer, in bytes, that is allocated before decompression: the size in the header may be wrong.
 const maxInitialBuffer = 1 << 20
 
 func encodeSnapshot(lastRecord uint64, state []byte) ([]byte, error) {
