--- a/internal/decide/discovery/event.go
+++ b/internal/decide/discovery/event.go
@@ -3,7 +3,7 @@
 // CallID numbers the calls of one Watcher, from 1 on.
 type CallID int
 
-// Reason says why a call is opened, or why it ended. Its text is logged.
+// Reason is why a call is opened, or why it ended. Its text is logged.
 type Reason string
 
 // The reasons. The first four apply to calls that are opened, the rest, and ReasonAddressChanged, to calls that end.
@@ -11,11 +11,11 @@
 	ReasonStart          Reason = "start"           // the first call of the process
 	ReasonAddressChanged Reason = "address changed" // the configuration names another address
 	ReasonRetry          Reason = "retry"           // a call has ended
-	ReasonSilent         Reason = "silent"          // no open call has brought a complete frame in time
+	ReasonSilent         Reason = "silent"          // no open call has received a complete frame in time
 	ReasonDialFailed     Reason = "dial failed"     // the connection was never established
-	ReasonDisconnected   Reason = "disconnected"    // the service closed the connection, or sent what cannot be decoded
-	ReasonSuperseded     Reason = "superseded"      // another call brought a frame first
-	ReasonEvicted        Reason = "evicted"         // closed to make room for another call, see Settings.MaxCalls
+	ReasonDisconnected   Reason = "disconnected"    // the service closed the connection, or sent data that cannot be decoded
+	ReasonSuperseded     Reason = "superseded"      // another call received a frame first
+	ReasonEvicted        Reason = "evicted"         // closed because of Settings.MaxCalls, so that another call can be opened
 )
 
 // Event is an input of a Watcher: Start, Reload, FrameProgress, FrameReceived, Ended or Tick.
@@ -24,10 +24,10 @@
 // Start begins to watch the service at an address.
 type Start struct{ Address string }
 
-// Reload reports that the configuration was read again, and the address that it names, which may be the present one.
+// Reload reports that the configuration was read again. Its address may be the present one.
 type Reload struct{ Address string }
 
-// FrameProgress reports how much of its present frame a call has received. Times are in ms.
+// FrameProgress reports how much a call has received of the frame that is arriving. Times are in ms.
 type FrameProgress struct {
 	Call        CallID
 	Received    int     // bytes
@@ -39,13 +39,13 @@
 // FrameReceived reports that a call has received a complete frame.
 type FrameReceived struct{ Call CallID }
 
-// Ended reports that a call has ended by itself. Connected tells whether its connection had been established.
+// Ended reports that a call has ended without a Close. Connected is true if its connection had been established.
 type Ended struct {
 	Call      CallID
 	Connected bool
 }
 
-// Tick reports that the time of the latest Wake has come. An early or repeated Tick does no harm.
+// Tick reports that the time of the latest Wake has come. An early or repeated Tick has no effect.
 type Tick struct{}
 
 func (Start) event()         {}
@@ -58,7 +58,7 @@
 // Action is an output of a Watcher: Dial, Close, Wake, Overdue or CaughtUp.
 type Action interface{ action() }
 
-// Dial opens a call: a connection that requests everything after the last event known.
+// Dial opens a call: a connection that requests all events after the last one received.
 type Dial struct {
 	Call    CallID
 	Address string
@@ -71,14 +71,14 @@
 	Reason Reason
 }
 
-// Wake requests a Tick at a time, in ms. It replaces the Wake before it.
+// Wake requests a Tick at the time At, in ms. It replaces any earlier Wake.
 type Wake struct{ At float64 }
 
-// Overdue reports that everything the service holds should have been received by now: what it held until NotifiedUntil may have
-// to be applied without having been received. Times are in ms.
+// Overdue reports that the service's events should have been received by now but may not have been: events that count as notified
+// by NotifiedUntil have to be applied from now on. LastFrameAt is when the last complete frame was received. Times are in ms.
 type Overdue struct{ LastFrameAt, NotifiedUntil float64 }
 
-// CaughtUp reports, after Overdue, that everything has been received again.
+// CaughtUp reports, after Overdue, that a complete frame has been received: the client is up to date again.
 type CaughtUp struct{}
 
 func (Dial) action()     {}
--- a/internal/decide/discovery/simulation_test.go
+++ b/internal/decide/discovery/simulation_test.go
@@ -9,17 +9,17 @@
 type behaviour struct {
 	name         string
 	refused      bool
-	connectAfter float64 // ms until the connection is established
+	connectAfter float64 // ms until the connection is established or refused
 	disconnects  bool    // the service closes the connection as soon as it is established
-	frameAfter   float64 // ms from then to the first frame; infinite: none ever comes
-	bytes        int     // of a frame that comes first
-	msPerByte    float64
+	frameAfter   float64 // ms from then until the first frame begins; never: no frame is sent
+	bytes        int     // size of the first frame, which is sent slowly; 0: it is sent at once
+	msPerByte    float64 // of the first frame
 }
 
-// never is the time of what does not happen.
+// never is the time of something that does not happen.
 var never = math.Inf(1)
 
-// The treatments. The pending event comes with the first frame of a call that is treated well.
+// The behaviours. The service sends the pending event with the first frame of a call.
 var (
 	healthy        = behaviour{name: "healthy"}
 	silent         = behaviour{name: "silent", frameAfter: never}
@@ -35,18 +35,18 @@
 type simulation struct {
 	watcher    *Watcher
 	now        float64
-	queue      []scheduled // in order of time
+	queue      []scheduled // sorted by time
 	wakeAt     float64
 	open       map[CallID]*connection
-	behaviours []behaviour // of the next calls; those after them are treated well
-	callTimes  []float64   // when each was opened
-	maxOpen    int         // calls open at once
-	pending    bool        // the service holds an event that has to be received
-	receivedAt float64     // when the pending event was received; never: not yet
-	overdueAt  float64     // when Overdue was reported last; never: it was not
+	behaviours []behaviour // to the next calls; to those after them the service is healthy
+	callTimes  []float64   // when each call was opened, ms
+	maxOpen    int         // the most calls that were open at once
+	pending    bool        // the service has published an event that has to be received
+	receivedAt float64     // ms, when the pending event was received; never: not yet
+	overdueAt  float64     // ms, when Overdue was reported last; never: it was not
 	actions    []Action
 
-	overdues, caughtUps int // how often each was reported
+	overdues, caughtUps int // how often Overdue and CaughtUp were reported
 }
 
 // scheduled is something that happens at a time.
@@ -55,16 +55,17 @@
 	do func()
 }
 
-// connection is an open call on the side of the service.
+// connection is the service's end of an open call.
 type connection struct {
 	established bool
-	silenced    bool
+	silenced    bool // the service sends nothing more
 }
 
 func newSimulation(s Settings) *simulation {
 	return &simulation{watcher: New(s), open: map[CallID]*connection{}, wakeAt: never, receivedAt: never, overdueAt: never}
 }
 
+// schedule has do run at a time, in ms, after what was scheduled for the same time before.
 func (s *simulation) schedule(schedule float64, do func()) {
 	i, _ := slices.BinarySearchFunc(s.queue, schedule, func(next scheduled, at float64) int {
 		if next.at <= at {
@@ -75,7 +76,7 @@
 	s.queue = slices.Insert(s.queue, i, scheduled{schedule, do})
 }
 
-// run plays until a time.
+// run lets virtual time pass until a time, in ms.
 func (s *simulation) run(until float64) {
 	for {
 		if len(s.queue) > 0 && s.queue[0].at <= s.wakeAt {
@@ -117,7 +118,7 @@
 	s.maxOpen = max(s.maxOpen, len(s.open))
 }
 
-// handleDial has the service answer the next call.
+// handleDial has the service answer a new call with the next behaviour.
 func (s *simulation) handleDial(id CallID) {
 	s.callTimes = append(s.callTimes, s.now)
 	b := healthy
@@ -138,7 +139,7 @@
 	})
 }
 
-// answer sends the first frame of a treatment byte by byte, and then the pending event and an empty frame each second.
+// answer sends the first frame of a behaviour byte by byte, and then the pending event and an empty frame each second.
 func (s *simulation) answer(id CallID, c *connection, b behaviour) {
 	began := s.now
 	for received := 1; received < b.bytes; received++ {
@@ -193,7 +194,7 @@
 	return len(ids)
 }
 
-// silenceAll stops all frames on the calls that are open now, also on those that are not established yet.
+// silenceAll has the service send nothing more on the calls that are open now, including those not established yet.
 func (s *simulation) silenceAll() {
 	for _, c := range s.open {
 		c.silenced = true
--- a/internal/decide/discovery/watcher.go
+++ b/internal/decide/discovery/watcher.go
@@ -9,8 +9,8 @@
 // call is a call that is open or being dialled.
 type call struct {
 	id       CallID
-	openedAt float64
-	frame    FrameProgress // of the frame that is being received
+	openedAt float64       // ms
+	frame    FrameProgress // of the frame that is arriving
 }
 
 // Watcher watches the discovery service at one address at a time. It is not safe for concurrent use.
@@ -20,18 +20,18 @@
 	actions  []Action
 
 	address     string
-	calls       []call // in the order in which they were opened
-	lastCall    CallID
-	nextCallAt  float64
-	nextReason  Reason
-	unanswered  int // calls opened since the last frame
-	failures    int // consecutive calls that ended within a frame interval
-	lastFrameAt float64
-	deadline    float64 // by when everything that the service holds must have been received
-	overdue     bool
+	calls       []call  // in the order in which they were opened
+	lastCall    CallID  // the highest id in use
+	nextCallAt  float64 // ms
+	nextReason  Reason  // of the next call
+	unanswered  int     // calls opened since the last frame
+	failures    int     // consecutive calls that ended within a frame interval
+	lastFrameAt float64 // ms
+	deadline    float64 // ms: by when the service's events must have been received
+	overdue     bool    // Overdue was reported, and CaughtUp was not yet
 }
 
-// New returns a Watcher that does nothing before its Start.
+// New returns a Watcher that does nothing before a Start.
 func New(s Settings) *Watcher {
 	return &Watcher{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 0)), nextCallAt: math.Inf(1), deadline: math.Inf(1)}
 }
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// switchAddress closes all calls and opens one at another address. Failures at the present address say nothing about the next one:
-// counted there, they would lengthen its delays, and purges would be received too late.
+// switchAddress closes all calls and opens one at another address. Failures at the old address say nothing about the new one: if
+// they counted there, they would lengthen its delays, and purges would be received too late.
 func (w *Watcher) switchAddress(now float64, address string, reason Reason, notifiedAfter float64) {
 	for _, c := range w.calls {
 		w.emit(Close{Call: c.id, Reason: ReasonAddressChanged})
@@ -83,8 +83,8 @@
 	w.deadline = now + notifiedAfter + w.settings.GracePeriod
 }
 
-// reload handles a configuration that was read again. One that names the present address indicates that something has changed
-// there: open calls are kept, but have to bring a frame soon.
+// reload handles a configuration that was read again. If it names the present address, something may have changed there: open
+// calls are kept, but another one is opened unless they receive a frame soon.
 func (w *Watcher) reload(now float64, address string) {
 	if address != w.address {
 		w.switchAddress(now, address, ReasonAddressChanged, w.settings.NotifiedAfterReload)
@@ -102,8 +102,8 @@
 	}
 }
 
-// frameReceived keeps the call that brought a frame and closes the others. Only a complete frame counts: bytes that trickle in must
-// not keep a call in use.
+// frameReceived keeps the call that received a frame and closes the others. Only a complete frame counts: a few bytes now and then
+// must not keep a call in use.
 func (w *Watcher) frameReceived(now float64, id CallID) {
 	c := w.find(id)
 	if c == nil {
@@ -126,15 +126,15 @@
 	}
 }
 
-// resetFailures has the backoff start again from its shortest if a call has lasted for a frame interval.
+// resetFailures restarts the backoff from its shortest delay if a call has lasted for a frame interval.
 func (w *Watcher) resetFailures(now float64, c *call) {
 	if now-c.openedAt >= w.settings.FrameInterval {
 		w.failures = 0
 	}
 }
 
-// ended schedules a retry for a call that ended by itself, whatever other calls are open. The delays between hedged calls start
-// from their shortest again.
+// ended schedules a retry for a call that ended without a Close, even if other calls are open. The delays between hedged calls
+// start again from the shortest one.
 func (w *Watcher) ended(now float64, event Ended) {
 	c := w.find(event.Call)
 	if c == nil {
@@ -146,7 +146,7 @@
 		w.deadline = min(w.deadline, now+w.settings.NotifiedAfterDisconnect+w.settings.GracePeriod)
 	}
 	if len(w.calls) == 0 {
-		w.nextCallAt = math.Inf(1) // no call is left to wait for: the backoff alone decides
+		w.nextCallAt = math.Inf(1) // no open call is waited for, so that only the backoff counts
 	}
 	w.callBy(now+w.backoff(), ReasonRetry)
 	w.failures++
@@ -156,13 +156,14 @@
 const (
 	// progressCheck is the time, in ms, after which a frame that is being received is checked again.
 	progressCheck = 250
-	// stallTimeout is the time without a byte, in ms, after which a frame is not waited for.
+	// stallTimeout is the time, in ms, without another byte after which a frame is no longer waited for.
 	stallTimeout = 500
-	// deadlineReserve is the time before the deadline, in ms, from which on no frame is waited for: one more call must fit in.
+	// deadlineReserve is how long before the deadline, in ms, frames are no longer waited for, so that there is time for one more
+	// call.
 	deadlineReserve = 1500
 )
 
-// advance does what is due, and requests the next Tick.
+// advance opens a call and reports Overdue if they are due, and requests the next Tick.
 func (w *Watcher) advance(now float64) {
 	if now >= w.nextCallAt {
 		if w.frameInTime(now) {
@@ -183,8 +184,8 @@
 	w.emit(Wake{At: wake})
 }
 
-// frameInTime reports whether a frame is being received that will be complete before the deadline at its present rate. Without it a
-// long list over a slow connection would be requested again and again.
+// frameInTime reports whether a frame is arriving that will be complete before the deadline at its present rate. Without this
+// check, a long list would be requested again and again over a slow connection.
 func (w *Watcher) frameInTime(now float64) bool {
 	if now > w.deadline-deadlineReserve {
 		return false
@@ -214,8 +215,8 @@
 	w.unanswered++
 }
 
-// evict closes a call to make room for another one. It keeps the call that has received most of a frame, or the oldest if none has
-// received anything, since an overloaded service may be about to answer on it. Of the others the oldest is closed.
+// evict closes a call so that another one can be opened. It keeps the call that has received most bytes of a frame, or the oldest
+// one if none has received any, since an overloaded service may be about to answer on it. Of the others it closes the oldest.
 func (w *Watcher) evict() {
 	keep := 0
 	for i, c := range w.calls {
--- a/internal/decide/discovery/watcher_test.go
+++ b/internal/decide/discovery/watcher_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gracePeriod of the tests, ms.
+// gracePeriod is the grace period in the tests, in ms.
 const gracePeriod = 1000
 
-// fault keeps a watcher from receiving the pending event. What is pending counts as notified so many ms after it.
+// fault keeps a watcher from receiving the pending event, which counts as notified notifiedAfter ms after the fault.
 type fault struct {
 	name          string
 	notifiedAfter float64
-	inject        func(s *simulation, step int) bool // false: there was nothing to inject it into
+	inject        func(s *simulation, step int) bool // false: the fault was not possible, as no call was established
 }
 
-// The faults. No call that was open brings another frame after any of them.
+// The faults. No call that was open receives another frame after any of them.
 var faults = []fault{
 	{"address changed", 4000, func(s *simulation, step int) bool {
 		s.silenceAll()
@@ -53,9 +53,10 @@
 	return all
 }
 
-// Every order of up to three faults, tens to 2,000 ms apart, followed by two calls that are treated badly in every known way: the
-// pending event is received within the time that the last fault leaves. Guards against faults that are handled one by one only:
-// after three changes of address in half a second a purge was received 4.8 to 6.9 s after the last one, where 5 s are allowed.
+// Any sequence of up to three faults, up to 30, 200 or 2,000 ms apart, is followed by two calls that the service answers with each
+// pair of behaviours. The pending event must be received within the time allowed after the last fault. This guards against
+// handling each fault by itself only: after three changes of address within 500 ms, a purge was received 4.8 to 6.9 s after the
+// last change, where 5 s are allowed.
 func TestEventIsReceivedInTimeAfterAnyFaults(t *testing.T) {
 	const seeds = 12
 	behaviours := []behaviour{healthy, silent, refused, disconnected, neverConnected, slowConnect, trickling, slowList}
@@ -93,11 +94,11 @@
 			}
 		}
 	}
-	t.Logf("the latest, in ms after the last fault: %v", worst)
+	t.Logf("latest arrival, in ms after the last fault: %v", worst)
 }
 
-// An overloaded service sends the first frame of each call after seconds. It is received on the first call, which is never given up
-// for a later one, however many are opened beside it.
+// An overloaded service sends the first frame of each call after seconds. The frame is received on the first call, which is never
+// closed in favour of a later one, however many are opened beside it.
 func TestFirstCallIsKeptWhileOverloaded(t *testing.T) {
 	for seed := range uint64(50) {
 		for _, delay := range []float64{1500, 2500, 4500, 8000} {
@@ -112,8 +113,8 @@
 	}
 }
 
-// A list of thousands of servers takes four seconds, and arrives in time at its present rate: it is requested once. One that stalls
-// on the way is not waited for.
+// A list of thousands of servers takes 4 s to arrive, which is in time at its rate: it is not requested again before the last
+// seconds. If it stalls on the way, it is no longer waited for.
 func TestSlowListIsRequestedOnce(t *testing.T) {
 	slow := behaviour{bytes: 86_400, msPerByte: 4000.0 / 86_400}
 	for seed := range uint64(50) {
@@ -123,7 +124,7 @@
 		s.handle(Start{Address: "address"})
 		s.run(30_000)
 		require.LessOrEqual(t, s.receivedAt, 4000.0)
-		require.LessOrEqual(t, len(s.callTimes), 2, "one more at most, in the last two seconds")
+		require.LessOrEqual(t, len(s.callTimes), 2, "at most one more call, in the last 2 s")
 
 		s = newSimulation(DefaultSettings(seed, gracePeriod))
 		s.pending = true
@@ -131,12 +132,12 @@
 		s.handle(Start{Address: "address"})
 		s.schedule(1500, s.silenceAll)
 		s.run(30_000)
-		require.LessOrEqual(t, s.receivedAt, 5000.0, "stalled on the way")
+		require.LessOrEqual(t, s.receivedAt, 5000.0, "the list stalled on the way")
 	}
 }
 
-// A process replaces another one: what the service holds counts as notified 2 s after the new process reports that it is ready,
-// which it may do at once. The first two calls are treated badly in every way.
+// A process replaces another one: the service's events count as notified 2 s after the new process reports that it is ready, which
+// may be at its start. The service answers the first two calls with each pair of faulty behaviours.
 func TestEventIsReceivedInTimeAfterTakeover(t *testing.T) {
 	for seed := range uint64(20) {
 		settings := DefaultSettings(seed, gracePeriod)
@@ -159,7 +160,8 @@
 	}
 }
 
-// The service stays silent, refuses or disconnects: Overdue is reported once, and CaughtUp once after the next frame.
+// While the service is silent, refuses calls or closes them, Overdue is reported once. After the next frame, CaughtUp is reported
+// once.
 func TestOverdueIsReportedOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, b := range []behaviour{silent, refused, disconnected} {
@@ -185,7 +187,8 @@
 	}
 }
 
-// fleetCalls plays so many watchers, each by itself, and counts their calls from a time on: all of them, and the most in 50 ms.
+// fleetCalls runs a number of watchers, each in a simulation of its own, and counts their calls between two times, in ms: all of
+// them, and the most within 50 ms.
 func fleetCalls(proxies int, from, to float64, play func(s *simulation)) (total, peak int) {
 	calls := map[int]int{}
 	for seed := range proxies {
@@ -204,7 +207,7 @@
 	return total, peak
 }
 
-// alwaysBehave treats every call alike.
+// alwaysBehave returns the same behaviour for every call.
 func alwaysBehave(t behaviour) []behaviour {
 	list := make([]behaviour, 1000)
 	for i := range list {
@@ -213,16 +216,17 @@
 	return list
 }
 
-// The calls of a fleet whose service refuses them thin out and spread, from one proxy to hundreds, and after a frame the backoff
-// starts from its shortest again. Guards against a fleet that dials every 100 ms, all in the same instant.
+// If the service refuses the calls of a fleet, of one proxy or of hundreds, the calls become rarer and spread over time. After a
+// frame the backoff starts again from its shortest delay. This guards against a fleet that dials every 100 ms, all proxies at the
+// same moment.
 func TestRetriesAreSpreadOverFleet(t *testing.T) {
 	for _, proxies := range []int{1, 80, 400} {
 		all, most := fleetCalls(proxies, 10_000, 40_000, func(s *simulation) {
 			s.behaviours = alwaysBehave(refused)
 			s.handle(Start{Address: "address"})
 		})
-		require.InDelta(t, 30/1.6*float64(proxies), all, 5*float64(proxies)) // one in 1.6 s each
-		require.LessOrEqual(t, most, 3+proxies/8, "of %d proxies in 50 ms", proxies)
+		require.InDelta(t, 30/1.6*float64(proxies), all, 5*float64(proxies)) // a call every 1.6 s per proxy
+		require.LessOrEqual(t, most, 3+proxies/8, "calls of %d proxies within 50 ms", proxies)
 	}
 	for seed := range uint64(50) {
 		s := newSimulation(DefaultSettings(seed, gracePeriod))
@@ -235,12 +239,12 @@
 		s.disconnectAll()
 		s.run(disconnectedAt + 200)
 		require.Greater(t, len(s.callTimes), before)
-		require.LessOrEqual(t, s.callTimes[before], disconnectedAt+150, "after a frame the backoff starts anew")
+		require.LessOrEqual(t, s.callTimes[before], disconnectedAt+150, "after a frame the backoff starts from its shortest delay")
 	}
 }
 
-// All calls fall silent in one instant, and stay so: the calls of a fleet are spread, one in some seconds each, for as long as it
-// lasts, and a frame that is a second late is no silence.
+// All calls of a fleet fall silent at the same moment and stay silent. For as long as that lasts, the new calls are spread, with
+// some seconds between two calls of a proxy. A frame that is 1 s late does not count as silence.
 func TestCommonSilenceSpreadsCalls(t *testing.T) {
 	const proxies, silentFrom = 300, 3500.0
 	silence := func(s *simulation) {
@@ -250,16 +254,16 @@
 		s.silenceAll()
 	}
 	all, most := fleetCalls(proxies, silentFrom, 20_000, silence)
-	require.LessOrEqual(t, most, proxies/8, "in 50 ms")
-	require.LessOrEqual(t, all, proxies*9, "in 16 s")
+	require.LessOrEqual(t, most, proxies/8, "calls within 50 ms")
+	require.LessOrEqual(t, all, proxies*9, "calls within 16 s")
 	early, _ := fleetCalls(proxies, 500, 3000+2000-1, silence)
-	require.Zero(t, early, "a frame that is a second late is no silence")
+	require.Zero(t, early, "a frame that is 1 s late is no silence")
 	late, mostLate := fleetCalls(proxies, 13_000, 20_000, silence)
-	require.LessOrEqual(t, late, proxies*7000/2000, "one in two seconds and more, each")
+	require.LessOrEqual(t, late, proxies*7000/2000, "at most one call in 2 s per proxy")
 	require.LessOrEqual(t, mostLate, proxies/16)
 }
 
-// A healthy service is called once, however long it is watched.
+// A healthy service is called once, however long the watcher runs.
 func TestHealthyServiceIsCalledOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(DefaultSettings(seed, gracePeriod))
@@ -272,7 +276,7 @@
 	}
 }
 
-// Ten reloads in a row open ten calls at most, and none if they name the present address.
+// Ten reloads in a row open one call each if the address changes, and none if it stays.
 func TestReloadsOpenOneCallEach(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, same := range []bool{true, false} {
