--- a/internal/decide/discovery/watcher_test.go
+++ b/internal/decide/discovery/watcher_test.go
@@ -153,7 +153,7 @@
 			}
 		}
 		s := newSimulation(settings)
-		s.behaviours = alwaysBehave(silent)
+		s.behaviours = everyCall(silent)
 		s.handle(Start{Address: "address"})
 		s.run(10_000)
 		require.InDelta(t, NotifiedAfterTakeover+gracePeriod-settings.OverdueMargin, s.overdueAt, 0.001)
@@ -169,7 +169,7 @@
 			s.handle(Start{Address: "address"})
 			s.run(2500)
 			lastFrameAt := s.watcher.lastFrameAt
-			s.behaviours = alwaysBehave(b)
+			s.behaviours = everyCall(b)
 			s.silenceAll()
 			s.run(20_000)
 			require.Equal(t, 1, s.overdues)
@@ -207,8 +207,8 @@
 	return total, peak
 }
 
-// alwaysBehave returns the same behaviour for every call.
-func alwaysBehave(t behaviour) []behaviour {
+// everyCall returns the same behaviour for every call.
+func everyCall(t behaviour) []behaviour {
 	list := make([]behaviour, 1000)
 	for i := range list {
 		list[i] = t
@@ -222,7 +222,7 @@
 func TestRetriesAreSpreadOverFleet(t *testing.T) {
 	for _, proxies := range []int{1, 80, 400} {
 		all, most := fleetCalls(proxies, 10_000, 40_000, func(s *simulation) {
-			s.behaviours = alwaysBehave(refused)
+			s.behaviours = everyCall(refused)
 			s.handle(Start{Address: "address"})
 		})
 		require.InDelta(t, 30/1.6*float64(proxies), all, 5*float64(proxies)) // a call every 1.6 s per proxy
@@ -230,7 +230,7 @@
 	}
 	for seed := range uint64(50) {
 		s := newSimulation(DefaultSettings(seed, gracePeriod))
-		s.behaviours = alwaysBehave(refused)
+		s.behaviours = everyCall(refused)
 		s.handle(Start{Address: "address"})
 		s.run(20_000)
 		s.behaviours = nil
@@ -250,7 +250,7 @@
 	silence := func(s *simulation) {
 		s.handle(Start{Address: "address"})
 		s.run(silentFrom)
-		s.behaviours = alwaysBehave(silent)
+		s.behaviours = everyCall(silent)
 		s.silenceAll()
 	}
 	all, most := fleetCalls(proxies, silentFrom, 20_000, silence)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,7 @@
-// Package registry holds the one list of cache servers of a process. It is the shell round decide/membership, which makes
-// all decisions: it adds the clock and its timer, admits one event at a time, and carries out the table's actions in
-// their order. It reads no source itself: those pass their events to Handle. Wiring and publication are tested here.
+// Package registry holds the list of cache servers of a process. It runs the state machine of decide/membership, which makes
+// all decisions: the registry adds the clock and its timer, handles one event at a time, and carries out the table's actions
+// in their order. It reads no source itself; the sources pass their events to Handle. The tests here check that timed changes
+// and concurrent events are published in order.
 package registry
 
 import (
@@ -18,9 +19,9 @@
 	Membership membership.Settings
 	Clock      *clock.Clock
 	Log        *logs.Log
-	// Publish gets each change of the list, in order. It must not call the registry.
+	// Publish is called with each change of the list, in order. It must not call the registry.
 	Publish func(membership.Publish)
-	// OnTransition gets each step in a server's life cycle; nil: nobody does. It must not call the registry.
+	// OnTransition is called with each change of a server's phase; nil: it is not called. It must not call the registry.
 	OnTransition func(membership.Transition)
 }
 
@@ -30,12 +31,12 @@
 
 	mu        sync.Mutex
 	table     *membership.Table
-	actions   []membership.Action // reused by each event
+	actions   []membership.Action // of the present event; the memory is reused
 	stopTimer func()
-	version   uint64 // published last
+	version   uint64 // of the last Publish; 0: none
 }
 
-// New returns an empty registry. The error is that of membership.New.
+// New returns an empty registry. It fails if membership.New does.
 func New(o Options) (*Registry, error) {
 	table, err := membership.New(o.Membership)
 	if err != nil {
@@ -44,14 +45,14 @@
 	return &Registry{opt: o, table: table, stopTimer: func() {}}, nil
 }
 
-// Servers returns the status of all servers that are listed or still remembered, by id, and the published version.
+// Servers returns the result of membership.Table.Servers and the version that was published last.
 func (r *Registry) Servers() (servers []membership.ServerStatus, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Servers(), r.version
 }
 
-// IsKnown reports what membership.Table.Knows does.
+// IsKnown returns the result of membership.Table.IsKnown.
 func (r *Registry) IsKnown(id policy.ServerID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,12 +67,12 @@
 	r.Handle(membership.Tick{})
 }
 
-// Handle processes an event. What it changes has been published when it returns.
+// Handle processes an event. The resulting changes have been published when it returns.
 func (r *Registry) Handle(e membership.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.actions = r.table.Handle(r.opt.Clock.Now(), e, r.actions[:0])
-	initial := r.version == 0
+	isInitial := r.version == 0
 	for _, a := range r.actions {
 		switch a := a.(type) {
 		case membership.Publish:
@@ -81,7 +82,7 @@
 			r.stopTimer()
 			r.stopTimer = r.opt.Clock.After(a.At-r.opt.Clock.Now(), func() { r.Handle(membership.Tick{}) })
 		case membership.Transition:
-			r.transition(a, initial)
+			r.transition(a, isInitial)
 		case membership.Rejected:
 			r.opt.Log.Warn("source").Str("source", r.sourceName(a.Source)).Uint64("generation", a.Generation).Err(a.Err).
 				Msg("server list rejected")
@@ -91,12 +92,13 @@
 	}
 }
 
-// transition reports a step in a server's life cycle. The first list is not logged: it has all servers at once.
-func (r *Registry) transition(a membership.Transition, initial bool) {
+// transition reports a change of a server's phase. isInitial: nothing was published before, and the change is not logged, as the
+// first list would log a line for each server.
+func (r *Registry) transition(a membership.Transition, isInitial bool) {
 	if r.opt.OnTransition != nil {
 		r.opt.OnTransition(a)
 	}
-	if initial {
+	if isInitial {
 		return
 	}
 	r.opt.Log.Debug("member").Uint64("id", uint64(a.Member.ID)).Str("addr", a.Member.Addr).
@@ -108,7 +110,7 @@
 	if a.Silent {
 		line.Msg("source is silent; its last list stays in use")
 	} else {
-		line.Msg("source is heard again")
+		line.Msg("source sends again")
 	}
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -16,6 +16,7 @@
 	"ravenwheel/policy"
 )
 
+// entries returns n servers in 20 zones.
 func entries(n int) []membership.Entry {
 	out := make([]membership.Entry, n)
 	for i := range out {
@@ -31,7 +32,7 @@
 	}
 }
 
-// Drains and weight steps that are due take effect by the clock, in order, and each change is published once.
+// Drains and weight steps take effect when they are due, in order, and each change is published once.
 func TestTimedChangesArePublishedInOrder(t *testing.T) {
 	clk := clock.Manual(1000)
 	var got []string
@@ -47,8 +48,8 @@
 	r.Handle(membership.Snapshot{Generation: 2, Entries: list[1:]})
 	clk.Advance(5000)
 	require.Equal(t, []string{"1000 1 0 4", "1000 2 0 4", "1000 1 1 4", "1000 2 0 8", "1100 2 0 10", "2000 1 2 4"}, got)
-	views, version := r.Servers()
-	require.Len(t, views, 1, "the one that is gone is forgotten")
+	servers, version := r.Servers()
+	require.Len(t, servers, 1, "the server that was gone is deleted")
 	require.EqualValues(t, 4, version)
 }
 
@@ -79,7 +80,7 @@
 	wait.Wait()
 }
 
-// newCore returns a core with its connection pools, fed by a registry of 10,000 servers.
+// newCore returns a core with its connection pools, and a registry that publishes 10,000 servers to it.
 func newCore(b *testing.B) (*registry.Registry, *core.Core, []membership.Entry) {
 	clk := clock.System()
 	up := upstream.New(clk, upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 4})
@@ -93,7 +94,7 @@
 	return r, c, list
 }
 
-// BenchmarkPublishChange measures a delta of one server in 10,000: registry, pools and routing module.
+// BenchmarkPublishChange measures a delta of one server in 10,000, from the registry to the pools and the routing module.
 func BenchmarkPublishChange(b *testing.B) {
 	r, _, list := newCore(b)
 	b.ReportAllocs()
