--- a/internal/source/discoveryclient/address_change_test.go
+++ b/internal/source/discoveryclient/address_change_test.go
@@ -15,7 +15,7 @@
 	"ravenwheel/internal/decide/discovery"
 )
 
-// history holds the frames of the services in these tests: event 5 is a purge, 6 a delta and 7 a purge.
+// history returns the frames that the services in these tests send, by revision: 5 is a purge, 6 a delta and 7 a purge.
 func history() map[uint64][]byte {
 	record := make([]byte, recordSize)
 	copy(record, []byte{0, 0, 0, 9, 10, 1, 0, 9, 16, 4})
@@ -38,12 +38,12 @@
 	return n, err
 }
 
-// addressHarness is a client that has four events and follows the first of two services.
+// addressHarness is a client that has received four events and follows the first of two services.
 type addressHarness struct {
 	t        *testing.T
 	client   *Client
 	services [2]net.Listener
-	read     atomic.Int64 // bytes
+	read     atomic.Int64 // bytes that the client has read
 	events   chan Event
 }
 
@@ -56,7 +56,8 @@
 		h.services[i] = ln
 	}
 	h.client = &Client{
-		Addr: h.services[0].Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000), Clock: clock.Manual(1e12), // no time passes
+		Addr: h.services[0].Addr().String(), LastRevision: 4, Settings: discovery.DefaultSettings(1, 1000),
+		Clock:   clock.Manual(1e12), // no time passes
 		OnEvent: func(e Event) { onEvent(h, e); h.events <- e },
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			nc, err := dialTCP(ctx, addr)
@@ -69,7 +70,7 @@
 	return h
 }
 
-// accept returns a service's next connection, and the revision after which it requests events.
+// accept returns the next connection to a service, and the revision after which the client requests events.
 func (h *addressHarness) accept(service int) (nc net.Conn, from uint64) {
 	nc, err := h.services[service].Accept()
 	require.NoError(h.t, err)
@@ -78,7 +79,7 @@
 	return nc, from
 }
 
-// writeAfter writes all events after a revision.
+// writeAfter writes the frames of all events after a revision.
 func (h *addressHarness) writeAfter(nc net.Conn, from uint64) {
 	for revision := from + 1; revision <= 7; revision++ {
 		_, err := nc.Write(history()[revision])
@@ -86,21 +87,22 @@
 	}
 }
 
-// expect checks that these events are delivered, each once and in order, and no others.
+// expect checks that the events with these revisions are delivered, each once and in order, and no others.
 func (h *addressHarness) expect(revisions ...uint64) {
 	for _, revision := range revisions {
 		select {
 		case e := <-h.events:
 			require.Equal(h.t, revision, e.Revision)
 		case <-time.After(time.Minute):
-			require.Fail(h.t, "nothing came", "event %d", revision)
+			require.Fail(h.t, "event was not delivered", "revision %d", revision)
 		}
 	}
 	require.Empty(h.t, h.events)
 }
 
-// The address changes when a client has read a part of a frame, each part in turn: that part is dropped, the client requests the
-// events after the last complete one at the new address, and delivers each once. What the old service still writes is dropped.
+// The address changes after a client has read a part of a frame, of each length in turn: that part is dropped, and the client
+// requests the events after the last complete one at the new address, and delivers each once. Bytes that the old service still
+// writes are dropped.
 func TestAddressChangeWithinFrame(t *testing.T) {
 	frames := history()
 	for cut := 1; cut < len(frames[6]); cut++ {
@@ -113,17 +115,17 @@
 		require.Eventually(t, func() bool { return h.read.Load() == int64(len(frames[5])+cut) }, time.Minute, 100*time.Microsecond)
 		h.client.SetAddr(h.services[1].Addr().String())
 		_, err = old.Read(make([]byte, 1))
-		require.ErrorIs(t, err, io.EOF, "the client has left")
+		require.ErrorIs(t, err, io.EOF, "the client has closed the connection")
 		_, _ = old.Write(frames[6][cut:])
 		next, from := h.accept(1)
-		require.EqualValues(t, 5, from, "%d bytes of event 6 were read", cut)
+		require.EqualValues(t, 5, from, "%d bytes of event 6 were read before the change", cut)
 		h.writeAfter(next, from)
 		h.expect(6, 7)
 	}
 }
 
-// The address changes while an event is being delivered, or while the rest of a frame arrives: whichever service completed it,
-// each event is delivered once.
+// The address changes while an event is being delivered, or while the rest of a frame arrives. Each event is delivered once,
+// whichever service sent it completely.
 func TestAddressChangeAsFrameEnds(t *testing.T) {
 	frames := history()
 	changeAddr := func(h *addressHarness, e Event) {
--- a/internal/source/discoveryclient/call.go
+++ b/internal/source/discoveryclient/call.go
@@ -17,15 +17,15 @@
 	began  float64 // ms
 	clock  *clock.Clock
 	cancel context.CancelFunc
-	frames int // complete ones; of the loop alone
+	frames int // complete frames received; used by the loop only
 
 	mu      sync.Mutex
 	conn    net.Conn                // nil: not connected
-	frame   discovery.FrameProgress // of the frame that is being received
+	frame   discovery.FrameProgress // of the frame that is arriving
 	pending bool                    // a complete frame has not been applied yet
 }
 
-// run dials, requests the events after the last one received, and reports each frame and the end.
+// run dials, requests the events after the last one received, and sends each frame and the end of the call to the loop.
 func (c *call) run(ctx context.Context, l *loop) {
 	send := func(m message) {
 		m.from = c
@@ -68,7 +68,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// meteredConn notes how much is read of a call's frame, and when.
+// meteredConn records how much of a call's frame has been read, and when.
 type meteredConn struct {
 	net.Conn
 	call *call
@@ -97,7 +97,7 @@
 	c.frame.Received, c.frame.LastByteAt = c.frame.Received+n, now
 }
 
-// setFrameSize records the size, in bytes, of the frame that is being received.
+// setFrameSize records the size, in bytes, of the frame that is arriving.
 func (c *call) setFrameSize(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	c.frame, c.pending = discovery.FrameProgress{}, true
 }
 
-// frameApplied notes that the frame that was complete is in force.
+// frameApplied records that the last complete frame has been applied.
 func (c *call) frameApplied() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +123,7 @@
 	return c.frame
 }
 
-// endReason returns why a call ended that the client did not close.
+// endReason returns why a call ended that the client has not closed.
 func (c *call) endReason() discovery.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/source/discoveryclient/catch_up.go
+++ b/internal/source/discoveryclient/catch_up.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of CatchUp. Applying a frame takes some hundred microseconds; waiting longer would hold up requests for a
-// service that writes without end.
+// CatchUp checks catchUpTries times, catchUpPause apart. Applying a frame takes some hundred microseconds; waiting longer
+// would delay requests for as long as the service goes on sending.
 const (
 	catchUpPause = time.Millisecond
 	catchUpTries = 50
 )
 
-// CatchUp waits until the frames that have already arrived are applied, and reports whether there were any: what was
-// decided before may be out of date. It returns at once if the last frame is no older than Settings.GracePeriod, as nothing
-// published after it is in force yet, and after catchUpTries pauses at the latest. It protects a process that was
-// stopped and resumed from deciding requests before it has read the purges of the meantime.
+// CatchUp waits until the frames that have already arrived are applied, and reports whether there were any: if so, earlier
+// decisions may be out of date. It returns at once if the last frame is younger than Settings.GracePeriod, as nothing that
+// was published after it is in effect yet, and after catchUpTries pauses at the latest. Without it, a process that was stopped
+// and resumed would decide on requests before it has read the purges that were published in the meantime.
 func (c *Client) CatchUp() (behind bool) {
 	if c.Clock.Now()-float64(c.appliedAt.Load()) < c.Settings.GracePeriod {
 		return false
@@ -33,8 +33,8 @@
 	return behind
 }
 
-// hasUnapplied reports whether something has arrived that is not applied yet. A part of a frame that was read does not
-// count: the rest may never come.
+// hasUnapplied reports whether data has arrived that is not applied yet. A partial frame that has been read does not count, as
+// the rest of it may never arrive.
 func (c *Client) hasUnapplied() bool {
 	open := c.openCalls.Load()
 	if open == nil {
@@ -51,7 +51,7 @@
 	return false
 }
 
-// unreadBytes returns how many bytes wait in the socket's receive buffer; 0 if there is no socket, or it is closed.
+// unreadBytes returns the number of bytes in the socket's receive buffer; 0 if there is no socket, or it is closed.
 func unreadBytes(conn net.Conn) (n int) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/source/discoveryclient/client.go
+++ b/internal/source/discoveryclient/client.go
@@ -11,18 +11,18 @@
 	"ravenwheel/internal/logs"
 )
 
-// Client follows discovery at an address that may change. The exported fields are set before Run and not changed after.
-// All callbacks come from the goroutine of Run, one at a time.
+// Client follows discovery at an address that may change. The exported fields are set before Run and not changed after
+// that. All callbacks are called by the goroutine of Run, one at a time.
 type Client struct {
 	Addr         string // host:port at the start; see SetAddr
-	LastRevision uint64 // of the last event known at the start
+	LastRevision uint64 // of the last event received before the start
 	Settings     discovery.Settings
-	OnEvent      func(Event) // gets each new event once, in order
-	OnHeartbeat  func()      // a frame came without an event; nil: nobody is notified
-	// OnOverdue reports that events which discovery published until a time, in ms of the clock, may be in force without
-	// having been received; nil: nobody is notified.
+	OnEvent      func(Event) // is called with each new event once, in order
+	OnHeartbeat  func()      // is called for a frame without an event; nil: it is not called
+	// OnOverdue reports that events that count as notified by the time until, in ms of the clock, may be in effect without
+	// having been received; nil: it is not called.
 	OnOverdue func(until float64)
-	// OnCaughtUp ends an OnOverdue: all events have been received again; nil: nobody is notified.
+	// OnCaughtUp reports, after OnOverdue, that all events have been received again; nil: it is not called.
 	OnCaughtUp func()
 	// Dial connects to an address; nil: over TCP.
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
@@ -35,11 +35,11 @@
 	openCalls        atomic.Pointer[[]*call] // the open calls, for CatchUp
 
 	mu          sync.Mutex
-	newAddrs    []string      // from SetAddr, in order, not yet applied
+	newAddrs    []string      // addresses passed to SetAddr and not applied yet, in order
 	addrChanged chan struct{} // holds a token if newAddrs may not be empty
 }
 
-// SetAddr has the client follow an address, the same or another one, from the last revision that it has.
+// SetAddr has the client follow discovery at an address, the same or another one, from the last revision received.
 func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	c.newAddrs = append(c.newAddrs, addr)
@@ -60,6 +60,7 @@
 	return c.addrChanged
 }
 
+// takeNewAddrs returns the addresses that are not applied yet, and clears them.
 func (c *Client) takeNewAddrs() (addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/source/discoveryclient/client_test.go
+++ b/internal/source/discoveryclient/client_test.go
@@ -17,22 +17,25 @@
 	"ravenwheel/policy"
 )
 
+// encodeFrame returns the bytes of a frame.
 func encodeFrame(rev uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(b, rev), kind), payload...)
 }
 
+// groupPurge returns the payload of a purge of group n at a time in Unix ms.
 func groupPurge(n uint16, ms uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint16(nil, n), ms)
 }
 
-// harness is a client that has four events, and the discovery service that it follows. Time passes only as a test says.
+// harness is a client that has received four events, and the discovery service that it follows. Time passes only when a test
+// advances the clock.
 type harness struct {
 	t      *testing.T
 	clk    *clock.Clock
 	ln     net.Listener
 	client *Client
-	events chan Event // from the client
+	events chan Event // delivered by the client
 }
 
 func newHarness(t *testing.T) *harness {
@@ -49,7 +52,7 @@
 	return h
 }
 
-// accept returns the service's next connection, and checks the revision after which it requests events.
+// accept returns the next connection to the service, and checks the revision after which the client requests events.
 func (h *harness) accept(want uint64) net.Conn {
 	nc, err := h.ln.Accept()
 	require.NoError(h.t, err)
@@ -60,7 +63,7 @@
 	return nc
 }
 
-// advanceUntil lets time pass, in steps, until the status is as wanted.
+// advanceUntil advances the clock, in steps of 25 ms, until done returns true for the status.
 func (h *harness) advanceUntil(done func(s Status) bool) {
 	require.Eventually(h.t, func() bool {
 		if done(h.client.Status()) {
@@ -71,7 +74,7 @@
 	}, time.Minute, 2*time.Millisecond)
 }
 
-// waitForCall lets time pass until the client makes another call.
+// waitForCall advances the clock until the client opens another call.
 func (h *harness) waitForCall() {
 	before := h.client.Status().Calls
 	h.advanceUntil(func(s Status) bool { return s.Calls > before })
@@ -88,7 +91,7 @@
 	require.ErrorIs(h.t, err, io.EOF)
 }
 
-// The service falls silent, sends malformed frames, or an event twice: the client calls again with the last revision it has, and
+// The service falls silent, sends a malformed frame or an event twice: the client calls again with the last revision received, and
 // delivers each event once. A silent call stays open until another one receives a frame.
 func TestReconnectsAfterSilenceAndMalformedFrames(t *testing.T) {
 	h := newHarness(t)
@@ -101,7 +104,7 @@
 	h.waitForCall()
 	third := h.accept(5)
 	h.write(third, encodeFrame(6, kindPurgeGroup, groupPurge(18, 1000)...)[:9])
-	require.NoError(t, third.Close()) // closed within a frame: an incomplete one does not count
+	require.NoError(t, third.Close()) // closed within a frame, which is dropped
 	h.waitForCall()
 	fourth := h.accept(5)
 	require.Empty(t, h.events)
@@ -113,8 +116,8 @@
 	require.EqualValues(t, 6, s.LastEvent)
 }
 
-// Two calls are open and both receive the same events: each is delivered once, and what the superseded call still receives is
-// dropped.
+// Two calls are open and both receive the same events: each event is delivered once, and data that the superseded call still
+// receives is dropped.
 func TestOverlappingCallsDeliverEachEventOnce(t *testing.T) {
 	h := newHarness(t)
 	first := h.accept(4)
@@ -130,8 +133,8 @@
 	require.Empty(t, h.events)
 }
 
-// A call falls silent, and each one after it too, without a frame: the client calls again from the last revision, until one
-// call brings the events of the meantime.
+// A call falls silent, and later calls receive no frame: the client calls again with the last revision, until a call receives the
+// events that it missed.
 func TestReconnectsAfterEachSilence(t *testing.T) {
 	h := newHarness(t)
 	for call := range 6 {
@@ -155,7 +158,7 @@
 	require.EqualValues(t, 5, (<-h.events).Revision)
 	h.advanceUntil(func(s Status) bool { return s.SinceLastFrameMs >= 1100 })
 	require.False(t, h.client.CatchUp(), "nothing was written")
-	for rev := uint64(6); rev <= 20; rev++ { // more than the test receives
+	for rev := uint64(6); rev <= 20; rev++ { // more than the channel of events can hold
 		h.write(nc, encodeFrame(rev, kindPurgeGroup, groupPurge(17, 1000)...))
 	}
 	h.advanceUntil(func(s Status) bool { return s.LastEvent > 6 && s.SinceLastFrameMs >= 1100 })
@@ -171,7 +174,7 @@
 	<-received
 }
 
-// Events may be in force that were not received: that is reported once, and so is its end.
+// That events may be in effect which were not received is reported once, and so is the end of this state.
 func TestOverdueAndCaughtUpAreReportedOnce(t *testing.T) {
 	h := newHarness(t)
 	reports := make(chan string, 10)
@@ -202,8 +205,8 @@
 	}
 }
 
-// Timestamps in events are translated to this machine's clock: unchanged while no clock steps, and to now where they can't be
-// right; a server keeps the start that was translated first.
+// Timestamps in events are translated to this machine's clock. They are unchanged while no clock steps, and become now if they
+// can't be right. A server keeps the start that was translated first.
 func TestTranslateAcrossClockSteps(t *testing.T) {
 	const now, hour = 1_764_576_000_000.0, 3_600_000.0
 	server := func(id policy.ServerID, started float64) core.Member {
@@ -219,7 +222,7 @@
 	require.Equal(t, initial, TranslateInitialEvents(initial, translator, now, 6000))
 	translator.Heartbeat(now + 1000)
 	stepped := Event{Revision: 3, Purge: &core.Purge{Group: 17, At: now + 1200 - hour + 1}}
-	require.Equal(t, now+1500+1, stepped.Translate(translator, now+1500).Purge.At, "the sender's clock was stepped back: the purge counts as made now")
+	require.Equal(t, now+1500+1, stepped.Translate(translator, now+1500).Purge.At, "the sender's clock was set back: the purge counts as made now")
 	list := Event{Revision: 4, Members: []core.Member{server(3, now-2000), server(4, now+500-hour)}}.Translate(translator, now+1600)
 	require.Equal(t, now-2000, clock.Ms(list.Members[0].Started))
 	require.GreaterOrEqual(t, clock.Ms(list.Members[1].Started), now+500)
--- a/internal/source/discoveryclient/frame.go
+++ b/internal/source/discoveryclient/frame.go
@@ -14,9 +14,9 @@
 )
 
 // A frame is, in big-endian order: the length of what follows (4 bytes), the revision (8), the kind (1) and the payload.
-// The client itself sends only the last revision that it has, in 8 bytes, at the start of a connection.
+// The client itself sends only the last revision that it has received, in 8 bytes, at the start of a connection.
 
-// The kinds of frame. Later versions may add others, which are skipped.
+// The kinds of frame. Later versions of the protocol may add others, whose payload is ignored.
 const (
 	kindHeartbeat = iota
 	kindSnapshot  // the complete server list, as records
@@ -29,20 +29,20 @@
 const (
 	lengthSize      = 4
 	frameHeaderSize = 13      // length, revision and kind
-	countedHeader   = 9       // revision and kind: the part of the header that the length counts
-	maxFrameSize    = 1 << 20 // as the length counts
+	countedHeader   = 9       // revision and kind: the part of the header that is included in the length field
+	maxFrameSize    = 1 << 20 // the largest value of the length field
 	recordSize      = 27
 	purgeObjectSize = 16 // object and time, 8 bytes each
 	purgeGroupSize  = 10 // group, 2 bytes, and time, 8 bytes
 )
 
-// errMalformedFrame ends a call: the stream can't be followed any further.
+// errMalformedFrame ends a call, as the rest of the stream can't be decoded.
 var errMalformedFrame = errors.New("malformed discovery frame")
 
-// recordStates are the states by their number in a record.
+// recordStates has the state for each state number in a record.
 var recordStates = []policy.State{policy.Ready, policy.Draining, policy.Gone}
 
-// readFrame reads one frame. onSize gets its total size in bytes, once that is known.
+// readFrame reads one frame. It calls onSize with the frame's total size, in bytes, once that is known.
 func readFrame(r io.Reader, onSize func(size int)) (e Event, kind byte, err error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -61,6 +61,7 @@
 	return e, kind, e.decodePayload(kind, payload)
 }
 
+// decodePayload sets the fields of an event from the payload of its frame. An unknown kind sets none.
 func (e *Event) decodePayload(kind byte, payload []byte) error {
 	u64 := binary.BigEndian.Uint64
 	switch {
--- a/internal/source/discoveryclient/golden_test.go
+++ b/internal/source/discoveryclient/golden_test.go
@@ -21,8 +21,8 @@
 	return m
 }
 
-// goldenFrames are the bytes of one frame of each kind, an empty list and a kind of a later version among them, and what
-// each is decoded to.
+// goldenFrames returns the bytes of a frame of each kind, of an empty list and of a kind that this version does not know, and
+// the events and kinds that they decode to.
 func goldenFrames() (encoded []byte, decoded []Event, kinds []byte) {
 	record := func(state byte) []byte {
 		return []byte{
@@ -46,7 +46,7 @@
 	return encoded, decoded, kinds
 }
 
-// The frames of discovery's protocol, as bytes and as what the client makes of them.
+// The frames of discovery's protocol decode to these events.
 func TestGoldenFrames(t *testing.T) {
 	encoded, want, kinds := goldenFrames()
 	golden.Equal(t, "frames.bin", encoded)
@@ -57,13 +57,13 @@
 		require.NoError(t, err)
 		require.Equal(t, want[i], got)
 		require.Equal(t, kinds[i], kind)
-		require.Equal(t, before-in.Len(), size, "the whole length is announced")
+		require.Equal(t, before-in.Len(), size, "onSize was called with the frame's total size")
 	}
 	_, _, err := readFrame(in, func(int) {})
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// The events of the configuration, in JSON with the protocol's themed names.
+// The events in the configuration, as JSON with the names of the protocol, decode to these events.
 func TestGoldenInitialEvents(t *testing.T) {
 	names := Names{Zones: []string{"hub", "east"}, Kinds: []string{"origin", "parent", "std"}}
 	events, last, err := DecodeInitialEvents(golden.Read(t, "known.json"), names)
@@ -79,7 +79,7 @@
 	}, events)
 }
 
-// The client's status, as operators are shown it.
+// The client's status, as shown to operators.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{
 		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Disconnected: 5, Closed: 6, AddressChanges: 7,
--- a/internal/source/discoveryclient/initial.go
+++ b/internal/source/discoveryclient/initial.go
@@ -12,10 +12,10 @@
 	"ravenwheel/policy"
 )
 
-// Names are the lists that the names and the numbers in events refer to. Order counts.
+// Names has the zones and kinds that events refer to, by name in JSON and by index in frames.
 type Names struct{ Zones, Kinds []string }
 
-// The JSON forms, with the names of the protocol.
+// The JSON encoding of events. The tags have the names of the protocol.
 type (
 	jsonEvents struct {
 		Rev    uint64      `json:"rev"`
@@ -41,16 +41,18 @@
 		StartedAtMs float64 `json:"startedAtMs"` // Unix ms
 	}
 	jsonPurge struct {
-		Object string  `json:"asset"`      // the object; "": a group
-		Group  *int    `json:"collection"` // the group; absent: an object
+		Object string  `json:"asset"`      // the object to purge; "": a group is purged
+		Group  *int    `json:"collection"` // the group to purge; absent: an object is purged
 		Ms     float64 `json:"ms"`         // Unix ms
 	}
 )
 
+// stateNames has the state for each name in the JSON encoding.
 var stateNames = map[string]policy.State{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
 
-// DecodeInitialEvents decodes the events in the configuration, and the revision of the last one. If the first of them is
-// a list, it is complete; of later ones the field reset says so. The error says which event cannot be decoded, and why.
+// DecodeInitialEvents decodes the events in the configuration, and the revision of the last one. If the first event is a
+// list, it is complete; for later lists the field reset says whether they are. The error says which event cannot be decoded,
+// and why.
 func DecodeInitialEvents(raw []byte, names Names) (events []Event, last uint64, err error) {
 	var in jsonEvents
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -95,7 +97,7 @@
 func (j jsonServer) decode(names Names) (m core.Member, err error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(j.ID, "s-"), 16, 32)
 	if err != nil {
-		return m, fmt.Errorf("instanceId %q can't be read", j.ID)
+		return m, fmt.Errorf("instanceId %q is not a hexadecimal id such as s-00c41f7a", j.ID)
 	}
 	state, ok := stateNames[j.State]
 	zone, kind := slices.Index(names.Zones, j.Zone), slices.Index(names.Kinds, j.Kind)
--- a/internal/source/discoveryclient/loop.go
+++ b/internal/source/discoveryclient/loop.go
@@ -8,7 +8,7 @@
 	"ravenwheel/internal/decide/discovery"
 )
 
-// message is what a call reports to the loop: a frame or, with err set, its end.
+// message is a report of a call to the loop: a frame or, if err is set, the end of the call.
 type message struct {
 	from  *call
 	event Event
@@ -21,11 +21,11 @@
 	*Client
 	ctx       context.Context
 	watcher   *discovery.Watcher
-	calls     map[discovery.CallID]*call // the open ones
+	calls     map[discovery.CallID]*call // the open calls
 	messages  chan message
 	tick      chan struct{}
 	stopTimer func()
-	actions   []discovery.Action // reused by each event
+	actions   []discovery.Action // of the present event; the memory is reused
 }
 
 func (l *loop) run() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// receive handles a message. One of a call that was closed in the meantime is dropped.
+// receive handles a message. A message of a call that was closed in the meantime is dropped.
 func (l *loop) receive(m message) {
 	defer m.from.frameApplied()
 	if l.calls[m.from.id] != m.from {
@@ -81,7 +81,7 @@
 	}
 }
 
-// callEnded handles the end of a call that the client did not close.
+// callEnded handles the end of a call that the client has not closed.
 func (l *loop) callEnded(c *call, err error) {
 	delete(l.calls, c.id)
 	l.publishCalls()
@@ -151,7 +151,8 @@
 	l.openCalls.Store(&open)
 }
 
-// wake sets the one timer. It only signals the loop: a manual clock runs it on the goroutine that advances it.
+// wake sets the loop's only timer. The timer just signals the loop, as a manual clock runs it on the goroutine that advances the
+// clock.
 func (l *loop) wake(at float64) {
 	l.stopTimer()
 	l.stopTimer = l.Clock.After(at-l.Clock.Now(), func() {
--- a/internal/source/discoveryclient/status.go
+++ b/internal/source/discoveryclient/status.go
@@ -8,32 +8,33 @@
 	"ravenwheel/internal/decide/discovery"
 )
 
-// logKind is the kind of the client's log lines, which bounds their rate.
+// logKind is the kind of the client's log lines. The rate of lines is limited by kind.
 const logKind = "discovery"
 
-// lateAfter is the time in ms between two frames after which an event counts as late. Frames come each second.
-const lateAfter = 2000
+// lateEventSilence is the time, in ms, without a frame after which an event counts as received after a silence. Frames are sent
+// each second.
+const lateEventSilence = 2000
 
-// counters count what became of a client's calls. All but lastFrame and address only rise.
+// counters are the numbers behind Status. All but lastFrame and address only increase.
 type counters struct {
 	calls, responded, failed, disconnected, closed, addressChanges, frames, eventsAfterSilence, overdue atomic.Int64
 
-	longestSilence atomic.Int64 // ms between two complete frames
-	lastFrame      atomic.Int64 // when the last complete frame came, or the start, in ms of the clock
+	longestSilence atomic.Int64 // longest time between two complete frames, ms
+	lastFrame      atomic.Int64 // when the last complete frame was received, or else Run was called, in ms of the clock
 	address        atomic.Pointer[string]
 }
 
 func (n *counters) setAddress(addr string) { n.address.Store(&addr) }
 
-// Status is the state of a client as operators are shown it.
+// Status is the state of a client as shown to operators.
 type Status struct {
 	Address            string  `json:"address"`
 	LastEvent          uint64  `json:"last_event"` // revision
 	Calls              int64   `json:"calls"`
-	Responded          int64   `json:"calls_that_spoke"` // calls that brought at least one frame
+	Responded          int64   `json:"calls_that_spoke"` // calls that received at least one frame
 	Failed             int64   `json:"calls_that_never_came_up"`
 	Disconnected       int64   `json:"calls_broken_off"`
-	Closed             int64   `json:"calls_closed"` // by the client: see the reasons of decide/discovery
+	Closed             int64   `json:"calls_closed"` // closed by the client, for a reason of decide/discovery
 	AddressChanges     int64   `json:"reloads"`
 	Frames             int64   `json:"frames"`
 	EventsAfterSilence int64   `json:"events_after_a_silence"`
@@ -65,13 +66,14 @@
 	return s
 }
 
+// reportCall reports that a call is opened.
 func (c *Client) reportCall(x *call, reason discovery.Reason) {
 	c.counters.calls.Add(1)
 	c.Log.Info(logKind).Int("call", int(x.id)).Str("address", x.addr).Uint64("after_revision", c.receivedRevision.Load()).
 		Str("reason", string(reason)).Msg("connecting to discovery")
 }
 
-// reportFrame reports a complete frame. last is the revision of the last event before it.
+// reportFrame reports a complete frame of an event. last is the revision of the last event received before.
 func (c *Client) reportFrame(x *call, e Event, last uint64) {
 	now, n := c.Clock.Now(), &c.counters
 	silence := now - float64(n.lastFrame.Swap(int64(now)))
@@ -84,14 +86,14 @@
 		c.Log.Info(logKind).Int("call", int(x.id)).Float64("latency_ms", now-x.began).Uint64("revision", e.Revision).
 			Msg("first frame received from discovery")
 	}
-	if silence > lateAfter && e.Revision > last && e.hasEffect() {
+	if silence > lateEventSilence && e.Revision > last && e.hasEffect() {
 		n.eventsAfterSilence.Add(1)
 		c.Log.Info(logKind).Int("call", int(x.id)).Uint64("revision", e.Revision).Bool("purge", e.Purge != nil).
 			Float64("silent_ms", silence).Msg("event received after a silence")
 	}
 }
 
-// reportEnd reports that a call has ended by itself, with err, or was closed by the client.
+// reportEnd reports that a call has ended with err, or was closed by the client (err is nil).
 func (c *Client) reportEnd(x *call, reason discovery.Reason, err error) {
 	switch reason {
 	case discovery.ReasonDialFailed:
@@ -105,14 +107,15 @@
 		Int("frames", x.frames).Str("error", errorText(err)).Msg("discovery call ended")
 }
 
-// reportOverdue reports that events may be in force without having been received. lastFrame is in ms of the clock.
+// reportOverdue reports that events may be in effect without having been received. lastFrame is when the last complete frame was
+// received, in ms of the clock.
 func (c *Client) reportOverdue(lastFrame float64) {
 	c.counters.overdue.Add(1)
 	c.Log.Warn(logKind).Float64("silent_ms", c.Clock.Now()-lastFrame).
-		Msg("discovery overdue: events may be in force that were not received")
+		Msg("discovery is overdue: events that were not received may be in effect")
 }
 
-// errorText returns the text of an error; "" for none, and for a connection that the client closed itself.
+// errorText returns the text of an error; "" for nil, and for a connection that the client has closed itself.
 func errorText(err error) string {
 	if err == nil || errors.Is(err, net.ErrClosed) {
 		return ""
--- a/internal/source/discoveryclient/timestamps.go
+++ b/internal/source/discoveryclient/timestamps.go
@@ -7,7 +7,7 @@
 	"ravenwheel/policy"
 )
 
-// Translate returns an event received at now, in ms, with its timestamps translated to this machine's clock.
+// Translate returns the event, which was received at now, in ms, with its timestamps translated to this machine's clock.
 func (e Event) Translate(t *timestamp.Translator, now float64) Event {
 	start := t.Start
 	if e.Complete {
@@ -19,8 +19,8 @@
 	return e
 }
 
-// TranslateInitialEvents returns the events of the configuration with their timestamps translated. The purges among
-// them were made within the last span ms.
+// TranslateInitialEvents returns the events of the configuration with their timestamps translated to this machine's clock. The
+// purges among them were made within the last span ms.
 func TranslateInitialEvents(events []Event, t *timestamp.Translator, now, span float64) []Event {
 	newest := 0.0
 	for _, e := range events {
