--- a/internal/source/filewatch/bench_test.go
+++ b/internal/source/filewatch/bench_test.go
@@ -17,8 +17,8 @@
 	"ravenwheel/policy"
 )
 
-// BenchmarkRenameToEffect measures the time from a rename until the list is in use, on the machine's clock, for lists of
-// three and of 10,000 servers.
+// BenchmarkRenameToEffect measures the time from the rename of a list file until the list is in use, on the machine's clock,
+// for lists of 3 and of 10,000 servers.
 func BenchmarkRenameToEffect(b *testing.B) {
 	for _, c := range []struct {
 		servers int
--- a/internal/source/filewatch/directories.go
+++ b/internal/source/filewatch/directories.go
@@ -10,20 +10,21 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// maxLinks bounds the symbolic links that are followed on the way to the list.
+// maxLinks is the most symbolic links that are followed on the path to the list.
 const maxLinks = 16
 
-// isRelevant reports whether an event may concern the list: in a directory that holds much else, most are of other files.
+// isRelevant reports whether an event may be a change of the list. Changes of attributes only are not, nor are events of
+// directories that are not watched any more.
 func (w *Watcher) isRelevant(e fsnotify.Event) bool {
 	if e.Op == fsnotify.Chmod {
 		return false
 	}
-	// Any entry of a watched directory may be a link on the way to the list.
+	// Any entry of a watched directory may be a link on the path to the list.
 	return w.dirs[filepath.Dir(e.Name)] || w.dirs[e.Name]
 }
 
-// watchDirs watches the directories on the way to the list. A file that is renamed over, a link that is switched and a
-// directory that is made anew are events of the directory that holds them, not of the file.
+// watchDirs watches the directories on the path to the list. If a file or link is replaced by a rename, or a directory is
+// created again, the event is one of the directory that contains it, not of the file.
 func (w *Watcher) watchDirs() {
 	if w.notifier == nil {
 		return
@@ -46,8 +47,9 @@
 	w.dirs = want
 }
 
-// wantedDirs returns the directories through which a path leads, and those of each link on the way. For one that does not exist it
-// also returns its ancestors up to the nearest that does: the events there tell when it is made.
+// wantedDirs returns the directory of a path, that of each link on the path, and the path itself if it is a directory. For a
+// directory that does not exist it also returns the ancestors up to the nearest existing one, whose events report that the
+// directory is created.
 func wantedDirs(path string) map[string]bool {
 	want := map[string]bool{}
 	next, linked := path, true
@@ -72,7 +74,7 @@
 	return want
 }
 
-// linkTarget returns the path to which a symbolic link points; ok is false if it is none.
+// linkTarget returns the path to which a symbolic link points. ok is false if path is not a link.
 func linkTarget(path string) (target string, ok bool) {
 	target, err := os.Readlink(path)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return target, true
 }
 
-// addAncestors adds the directories above one that does not exist, up to the nearest that does.
+// addAncestors adds the ancestors of a directory that does not exist, up to the nearest existing one.
 func addAncestors(want map[string]bool, dir string) {
 	for {
 		if _, err := os.Stat(dir); err == nil || dir == filepath.Dir(dir) {
--- a/internal/source/filewatch/filewatch.go
+++ b/internal/source/filewatch/filewatch.go
@@ -1,8 +1,8 @@
-// Package filewatch follows a server list on disk: one file, or a directory of parts bound by a manifest. It reads the
-// list when the file system reports a change (fsnotify) and, as such events can be missed, in a slow poll. When a text
-// counts is decided by decide/debounce, whether it is a valid list by decide/serverlist; this package decides neither.
-// A list that can't be used leaves the one before it in use. Ways of writing, broken lists and names that move are
-// tested here on a real file system.
+// Package filewatch follows a server list on disk: one file, or a directory of parts with a manifest. It reads the list when
+// the file system reports a change (fsnotify) and, as such events can be lost, also polls it slowly. decide/debounce decides
+// when the content of the files is used, and decide/serverlist whether it is a valid list; this package decides neither. If
+// a list can't be used, the one before it stays in use. Different ways of writing a list, broken lists and names whose
+// address changes are tested in this package on a real file system.
 package filewatch
 
 import (
@@ -18,7 +18,7 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// maxQueuedEvents is how many functions may wait for the loop. Further ones wait for room.
+// maxQueuedEvents is how many functions may be queued for the loop. A sender of more of them blocks.
 const maxQueuedEvents = 64
 
 // Options configure a Watcher.
@@ -29,48 +29,48 @@
 	Resolver     *resolver.Cache
 	Clock        *clock.Clock
 	Log          *logs.Log
-	// OnList gets each new list, in order, from one goroutine.
+	// OnList is called with each new list, in order, by the goroutine of Run.
 	OnList func(*serverlist.List)
 }
 
-// Status is the state of the watched list as operators are shown it.
+// Status is the state of the watched list as shown to operators.
 type Status struct {
 	Path       string             `json:"path"`
 	Generation uint64             `json:"generation"`         // of the list in use; 0: none
 	AcceptedMs float64            `json:"taken_ms,omitempty"` // Unix ms
-	Defects    strictjson.Defects `json:"-"`                  // why the text there now is not in use
-	Reasons    []string           `json:"refused,omitempty"`  // Defects as lines
+	Defects    strictjson.Defects `json:"-"`                  // why the present content of the files is not in use
+	Reasons    []string           `json:"refused,omitempty"`  // Defects as texts; set by Watcher.Status
 	RejectedMs float64            `json:"refused_ms,omitempty"`
 	Reads      int64              `json:"looks"`
 	Accepted   int64              `json:"taken"`
 	Rejected   int64              `json:"refusals"`
 }
 
-// Watcher follows one list. See New and Run.
+// Watcher follows one server list. See New and Run.
 type Watcher struct {
 	opt    Options
 	events chan func() // to be run by the loop
 	done   chan struct{}
 	once   sync.Once
 
-	// Used by the goroutine of Run alone.
+	// Only used by the goroutine of Run.
 	debouncer   *debounce.Debouncer
-	notifier    *fsnotify.Watcher // nil: there are no notifications
+	notifier    *fsnotify.Watcher // nil: notifications are not available
 	dirs        map[string]bool   // the watched directories
-	reading     bool
-	files       []serverlist.File // of the last read, until they are parsed
-	draft       *serverlist.Draft // the last valid one
+	reading     bool              // a read is in progress
+	files       []serverlist.File // from the last read, until they are parsed
+	draft       *serverlist.Draft // the last valid draft
 	resolution  int               // number of the last request to the resolver
-	stopTimer   func()            // of the debouncer
-	stopRefresh func()            // of the names' next resolution
-	readFailure string            // of the last read; "": it succeeded
+	stopTimer   func()            // stops the timer of the debouncer
+	stopRefresh func()            // stops the timer of the names' next resolution
+	readFailure string            // error of the last read; "": it succeeded
 
 	mu     sync.Mutex
 	list   *serverlist.List // in use; nil: none
 	status Status
 }
 
-// New returns a watcher whose list (nil: none) is in use already.
+// New returns a watcher. list (nil: none) is the list that is in use already.
 func New(o Options, list *serverlist.List) *Watcher {
 	w := &Watcher{
 		opt: o, events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), dirs: map[string]bool{}, list: list,
@@ -103,8 +103,8 @@
 	var failures <-chan error
 	var err error
 	if w.notifier, err = fsnotify.NewWatcher(); err != nil {
-		// Descriptors or watches may be used up.
-		w.opt.Log.Warn("watch").Err(err).Msg("no file system notifications; polling the server list")
+		// The limit of file descriptors or watches may be reached.
+		w.opt.Log.Warn("watch").Err(err).Msg("file system notifications are not available; polling the server list")
 	} else {
 		changes, failures = w.notifier.Events, w.notifier.Errors
 		defer w.notifier.Close()
@@ -125,14 +125,14 @@
 				w.perform(w.debouncer.Changed(w.opt.Clock.Now()))
 			}
 		case err := <-failures:
-			// The queue overflowed: any file may have changed.
+			// The queue of notifications has overflowed: any file may have changed.
 			w.opt.Log.Warn("watch").Err(err).Msg("file system notifications lost; reading the server list")
 			w.perform(w.debouncer.Changed(w.opt.Clock.Now()))
 		}
 	}
 }
 
-// post has the loop run f, unless the watcher is closed.
+// post queues f for the loop, unless the watcher is closed.
 func (w *Watcher) post(f func()) {
 	select {
 	case w.events <- f:
@@ -166,6 +166,7 @@
 	}()
 }
 
+// readDone passes the result of a read to the debouncer.
 func (w *Watcher) readDone(began float64, files []serverlist.File, err error) {
 	w.reading = false
 	w.mu.Lock()
@@ -175,7 +176,7 @@
 		w.readFailed(err)
 	} else {
 		if w.readFailure != "" {
-			// The list can be read again: it counts even if it is the one accepted last.
+			// The list can be read again: it is used even if it is the one accepted last.
 			w.readFailure = ""
 			w.debouncer.Invalidate(w.opt.Clock.Now())
 		}
--- a/internal/source/filewatch/filewatch_test.go
+++ b/internal/source/filewatch/filewatch_test.go
@@ -24,7 +24,7 @@
 	"ravenwheel/internal/source/resolver"
 )
 
-// harness is a watcher under a clock that advances while the test waits.
+// harness is a watcher with a clock that advances while the test waits.
 type harness struct {
 	t       *testing.T
 	dir     string
@@ -33,13 +33,14 @@
 	watcher *filewatch.Watcher
 
 	mu       sync.Mutex
-	accepted []uint64
+	accepted []uint64 // generations
 }
 
 func start(t *testing.T, path func(dir string) string) *harness {
 	return startWithResolver(t, path, nil)
 }
 
+// startWithResolver starts a watcher of the path in a temporary directory, with a backend for host names (nil: none).
 func startWithResolver(t *testing.T, path func(dir string) string, backend resolver.Backend) *harness {
 	h := &harness{t: t, dir: t.TempDir(), clk: clock.Manual(0)}
 	h.path = path(h.dir)
@@ -58,23 +59,23 @@
 	return h
 }
 
-// advanceUntil lets time pass until ok.
+// advanceUntil advances the clock until ok returns true, for at most a minute of real time.
 func (h *harness) advanceUntil(what string, ok func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); {
-		require.True(h.t, time.Now().Before(end), "never: %s: %+v", what, h.watcher.Status())
+		require.True(h.t, time.Now().Before(end), "not within a minute: %s: %+v", what, h.watcher.Status())
 		h.clk.Advance(20)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// expectAccepted waits for the last of these generations and checks that just these were accepted, in order.
+// expectAccepted waits for the last of these generations and checks that exactly these were accepted, in order.
 func (h *harness) expectAccepted(generations ...uint64) {
 	h.t.Helper()
 	require.Equal(h.t, generations, h.acceptedUntil(generations[len(generations)-1]))
 }
 
-// acceptedUntil waits for a generation and returns those accepted up to it, since the last call.
+// acceptedUntil waits for a generation and returns the generations accepted since the last call, up to and including it.
 func (h *harness) acceptedUntil(last uint64) (accepted []uint64) {
 	h.t.Helper()
 	h.advanceUntil(fmt.Sprint("generation ", last), func() bool {
@@ -89,7 +90,7 @@
 	return accepted
 }
 
-// expectRejected waits for a reason for which the list is rejected, and checks that the one in use stays.
+// expectRejected waits until the list is rejected for a reason, and checks that the one in use stays in use.
 func (h *harness) expectRejected(reason string) {
 	h.t.Helper()
 	generation := h.watcher.Status().Generation
@@ -100,17 +101,19 @@
 	require.Equal(h.t, generation, h.watcher.Status().Generation)
 }
 
-// waitForReads waits for a few more reads.
+// waitForReads waits for three more reads.
 func (h *harness) waitForReads() {
 	h.t.Helper()
 	before := h.watcher.Status().Reads
 	h.advanceUntil("reads", func() bool { return h.watcher.Status().Reads >= before+3 })
 }
 
+// list returns a list file of servers at 127.0.0.N for the numbers in hosts, and of the origin, which has the number 20.
 func list(generation int, hosts ...int) []byte {
 	return fmt.Appendf(nil, "{\"generation\": %d, \"servers\": [%s],\n\"end\": %[1]d}", generation, entries(append(hosts, 20)...))
 }
 
+// entries returns the entries of servers at 127.0.0.N, of which 20 is the origin.
 func entries(hosts ...int) string {
 	var out []string
 	for _, h := range hosts {
@@ -133,17 +136,18 @@
 	require.NoError(h.t, os.Rename(path+".tmp", path))
 }
 
+// pathIn returns the path of a list file in a directory.
 func pathIn(dir string) string { return filepath.Join(dir, "servers.jsonc") }
 
-// Each way of writing a list: only complete ones are accepted, each once.
+// In whatever way lists are written, only complete ones are accepted, each of them once.
 func TestAcceptsCompleteListsOfAnyWriter(t *testing.T) {
 	t.Run("renamed over, and saved again unchanged", testRenamedOver)
-	t.Run("truncated, then written in steps of one byte", testWrittenInSteps)
+	t.Run("truncated, then written byte by byte", testWrittenInSteps)
 	t.Run("written in place over a longer one", testWrittenInPlace)
-	t.Run("a link that is switched, in the way of a projected volume", testSwitchedLink)
-	t.Run("the directory is removed and made anew", testRemovedDirectory)
+	t.Run("a link that is switched, as in a projected volume", testSwitchedLink)
+	t.Run("the directory is removed and created again", testRemovedDirectory)
 	t.Run("a directory filled part by part", testDirectoryOfParts)
-	t.Run("many changes beside it, a pipe and a directory in its place", testOtherFilesAndTypes)
+	t.Run("many changes of other files, a pipe and a directory in its place", testOtherFilesAndTypes)
 }
 
 func testRenamedOver(t *testing.T) {
@@ -185,7 +189,7 @@
 	text := list(2, 1)
 	_, err = f.Write(text)
 	require.NoError(t, err)
-	h.expectRejected("servers.jsonc") // the rest of the old one stands behind it
+	h.expectRejected("servers.jsonc") // the rest of the old list follows the new one
 	require.NoError(t, f.Truncate(int64(len(text))))
 	require.NoError(t, f.Close())
 	h.expectAccepted(2)
@@ -223,7 +227,7 @@
 	require.NoError(t, os.MkdirAll(filepath.Dir(h.path), 0o700))
 	h.write(h.path, list(3, 1, 4))
 	h.advanceUntil("no longer rejected", func() bool { return len(h.watcher.Status().Reasons) == 0 })
-	require.EqualValues(t, 3, h.watcher.Status().Accepted, "the list that came back is the one in use")
+	require.EqualValues(t, 3, h.watcher.Status().Accepted, "the restored list is the one in use, and is not accepted again")
 }
 
 func testDirectoryOfParts(t *testing.T) {
@@ -236,7 +240,7 @@
 		return fmt.Appendf(nil, `{"generation": %d, "parts": [{"file": "hub.jsonc", "sha256": "%x"}, {"file": "east.jsonc", "sha256": "%x"}], "end": %[1]d}`,
 			n, sha256.Sum256(parts["hub.jsonc"]), sha256.Sum256(parts["east.jsonc"]))
 	}
-	h.expectRejected("holds no list")
+	h.expectRejected("has no file that ends in .jsonc or .json")
 	h.write(filepath.Join(h.dir, "manifest.jsonc"), manifest(1))
 	h.expectRejected("part hub.jsonc is missing")
 	h.write(filepath.Join(h.dir, "hub.jsonc"), parts["hub.jsonc"])
@@ -261,16 +265,16 @@
 	h.expectAccepted(2)
 	require.NoError(t, os.Remove(h.path))
 	require.NoError(t, syscall.Mkfifo(h.path, 0o600))
-	h.expectRejected("not a plain file")
+	h.expectRejected("not a regular file")
 	require.NoError(t, os.Remove(h.path))
 	require.NoError(t, os.Mkdir(h.path, 0o700))
-	h.expectRejected("holds no list")
+	h.expectRejected("has no file that ends in .jsonc or .json")
 	require.NoError(t, os.Remove(h.path))
 	h.replace(h.path, list(3, 1))
 	h.expectAccepted(3)
 }
 
-// Broken, partial and valid lists in rapid succession: only complete ones are accepted, each at most once and in order.
+// Of broken, partial and valid lists in rapid succession, only complete ones are accepted, each at most once and in order.
 func TestAcceptsOnlyCompleteListsInRapidSuccession(t *testing.T) {
 	h := start(t, pathIn)
 	h.replace(h.path, list(1, 1))
@@ -302,7 +306,7 @@
 	}
 }
 
-// Load reads a list once. It fails if there is none, or if a name can't be resolved.
+// Load reads a list once. It fails if there is no list, or if a name can't be resolved.
 func TestLoadFailsWithoutResolvableList(t *testing.T) {
 	dir := t.TempDir()
 	path := pathIn(dir)
@@ -313,16 +317,16 @@
 	require.EqualValues(t, 4, loaded.Generation)
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(list(4, 1)), "127.0.0.1:", "a.example.org:", 1)), 0o600))
 	_, err = filewatch.Load(path, serverlist.Requirements{}, cache, nil)
-	require.ErrorContains(t, err, "a.example.org is a name, and no names are resolved here")
+	require.ErrorContains(t, err, "a.example.org is a host name, but only IP addresses are allowed here")
 	_, err = filewatch.Load(filepath.Join(dir, "none"), serverlist.Requirements{}, cache, nil)
 	require.Error(t, err)
 }
 
-// fakeBackend resolves names, and can be changed while a list is in use.
+// fakeBackend resolves names. Its answers can be changed while a list is in use.
 type fakeBackend struct {
 	mu    sync.Mutex
 	hosts map[string]string
-	hang  chan struct{}
+	hang  chan struct{} // look-ups wait until it is closed; nil: they do not wait
 }
 
 func (b *fakeBackend) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
@@ -344,8 +348,9 @@
 	b.hosts[host], b.hang = ip, hang
 }
 
-// A name whose address changes is followed. One that changes to an address which is listed already, or that can't be resolved any
-// more, leaves the last valid list in use. A resolver that hangs does not delay a newer list without names.
+// If the address of a name changes, the list is used with the new address. If it changes to an address that is listed already, or
+// the name can't be resolved any more, the last valid list stays in use. A resolver that does not answer does not delay a newer
+// list without names.
 func TestFollowsChangingNames(t *testing.T) {
 	backend := &fakeBackend{hosts: map[string]string{"a.example.org": "127.0.0.3"}}
 	h := startWithResolver(t, pathIn, backend)
--- a/internal/source/filewatch/golden_test.go
+++ b/internal/source/filewatch/golden_test.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// The status of a watched list, as operators are shown it.
+// The status of a watched list, as shown to operators.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
@@ -29,5 +29,5 @@
 	rejected := Status{Defects: strictjson.Defects{{File: "servers.jsonc", Reason: "x"}}}
 	encoded, err := json.Marshal(rejected)
 	require.NoError(t, err)
-	require.NotContains(t, string(encoded), "servers.jsonc", "defects are shown as their lines alone")
+	require.NotContains(t, string(encoded), "servers.jsonc", "defects are only shown as the texts in Reasons")
 }
--- a/internal/source/filewatch/list.go
+++ b/internal/source/filewatch/list.go
@@ -12,8 +12,8 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Load reads, checks and resolves a list once, and compares it with the list in use (nil: none). Defects are returned as
-// strictjson.Defects.
+// Load reads, checks and resolves a list once, and compares it with current, the list in use (nil: none). The error is of type
+// strictjson.Defects if the list has defects.
 func Load(
 	path string, requirements serverlist.Requirements, cache *resolver.Cache, current *serverlist.List,
 ) (*serverlist.List, error) {
@@ -29,7 +29,8 @@
 	return list, defects.Err()
 }
 
-// parse checks the files read last. A draft that is not valid leaves the one before it, whose names are still refreshed.
+// parse checks the files that were read last. If they are not valid, the draft before them is kept, and its names are still
+// resolved again.
 func (w *Watcher) parse() {
 	draft, defects := serverlist.Parse(w.files, w.opt.Requirements)
 	w.files = nil
@@ -41,8 +42,8 @@
 	w.resolve()
 }
 
-// resolve resolves the hosts of the draft on a goroutine of its own, and uses the draft with the result, unless a newer
-// request has been made in the meantime.
+// resolve resolves the hosts of the draft on a goroutine of its own. The draft is accepted with the result, unless a newer
+// request was made in the meantime.
 func (w *Watcher) resolve() {
 	w.resolution++
 	request, draft := w.resolution, w.draft
@@ -63,7 +64,7 @@
 	}()
 }
 
-// refreshLater resolves the names again once the answers have expired.
+// refreshLater has the names resolved again once the answers have expired.
 func (w *Watcher) refreshLater(request int) {
 	w.stopRefresh = w.opt.Clock.After(w.opt.Resolver.TTL, func() {
 		go w.post(func() {
@@ -74,7 +75,7 @@
 	})
 }
 
-// accept puts a draft in use, if decide/serverlist accepts it after the list in use.
+// accept puts a draft in use if decide/serverlist accepts it as the successor of the list in use.
 func (w *Watcher) accept(draft *serverlist.Draft, resolutions map[string]serverlist.Resolution) {
 	w.mu.Lock()
 	current := w.list
@@ -104,7 +105,7 @@
 	w.opt.OnList(next)
 }
 
-// reject notes why the text there now is not in use. The same defects are logged once.
+// reject records why the present content of the files is not in use. It logs the same defects once.
 func (w *Watcher) reject(defects strictjson.Defects) {
 	w.mu.Lock()
 	same := w.status.Defects.Error() == defects.Error()
@@ -119,7 +120,7 @@
 		Msg("server list rejected; the list in use stays")
 }
 
-// readFailed rejects a list that can't be read, once for each cause.
+// readFailed rejects a list that can't be read, once per error. A file that changed while it was read is read again instead.
 func (w *Watcher) readFailed(err error) {
 	if w.readFailure == err.Error() || errors.Is(err, ErrChanged) {
 		return
@@ -128,7 +129,7 @@
 	w.reject(strictjson.Defects{{File: w.opt.Path, Reason: withoutPath(err)}})
 }
 
-// withoutPath returns the text of an error without its path, which stands before it in the defect.
+// withoutPath returns the text of an error without its path, as a defect has the path already.
 func withoutPath(err error) string {
 	var p *fs.PathError
 	if errors.As(err, &p) {
@@ -137,6 +138,7 @@
 	return err.Error()
 }
 
+// fingerprint returns a hash of the files' names and contents.
 func fingerprint(files []serverlist.File) uint64 {
 	h := xxhash.New()
 	for _, f := range files {
--- a/internal/source/filewatch/read.go
+++ b/internal/source/filewatch/read.go
@@ -14,21 +14,21 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Bounds of a read.
+// Limits of a read.
 const (
 	maxFiles = 1024
 	maxBytes = 2 * strictjson.MaxBytes // of all files together
 )
 
-// ErrChanged is the cause if a file changes while it is read.
+// ErrChanged is the cause of a read's failure if a file has changed while it was read.
 var ErrChanged = errors.New("changed while it was read")
 
-// errNotRegular is the cause if there is a directory, a pipe or a device in place of a file.
-var errNotRegular = errors.New("not a plain file")
+// errNotRegular is the cause of a read's failure if a list file is a directory, a pipe or a device.
+var errNotRegular = errors.New("not a regular file")
 
 // ReadFiles reads a list as it is now: one file, or a directory's files that end in .jsonc or .json and do not begin
-// with a dot. It fails if there is no such file, if one is no regular file, changes while it is read (ErrChanged), or if
-// there are more than maxFiles files or maxBytes bytes.
+// with a dot. It fails if there is no such file, if one is not a regular file or changes while it is read (ErrChanged), or
+// if there are more than maxFiles files or maxBytes bytes.
 func ReadFiles(path string) ([]serverlist.File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 			continue
 		}
 		if len(files) >= maxFiles {
-			return nil, fmt.Errorf("%s holds more than %d lists", path, maxFiles)
+			return nil, fmt.Errorf("%s has more than %d files that end in .jsonc or .json", path, maxFiles)
 		}
 		f, err := readFile(filepath.Join(path, e.Name()), left)
 		if err != nil {
@@ -65,7 +65,7 @@
 		files = append(files, f)
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s holds no list", path)
+		return nil, fmt.Errorf("%s has no file that ends in .jsonc or .json", path)
 	}
 	return files, nil
 }
@@ -74,9 +74,9 @@
 	return !strings.HasPrefix(name, ".") && (strings.HasSuffix(name, ".jsonc") || strings.HasSuffix(name, ".json"))
 }
 
-// readFile reads a regular file of limit bytes at most.
+// readFile reads a regular file of at most limit bytes.
 func readFile(path string, limit int64) (f serverlist.File, err error) {
-	// Without O_NONBLOCK, opening a pipe would wait for a writer for ever.
+	// Without O_NONBLOCK, opening a pipe would block until there is a writer.
 	h, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return f, err
