--- a/internal/source/resolver/resolver.go
+++ b/internal/source/resolver/resolver.go
@@ -1,7 +1,8 @@
 // Package resolver resolves the hosts of server lists. Literal addresses need no look-up; names are looked up in a
-// Backend, which may be slow, wrong for a while or hang: each answer is cached for a time, the last good one for as long
-// as there is no better, and the caller waits for a bounded time. Which of several addresses is used is not decided here
-// but in decide/serverlist. Its timing is tested here with backends that fail and hang.
+// Backend, which may be slow, give wrong answers for a while or not answer at all. Therefore each answer is cached for a
+// time, the last good answer is used until there is a newer good one, and the caller waits for a limited time. Which of
+// several addresses is used is not decided here but in decide/serverlist. The timing is tested in this package with backends
+// that fail or do not answer.
 package resolver
 
 import (
@@ -20,10 +21,10 @@
 	LookupNetIP(ctx context.Context, network, host string) ([]netip.Addr, error)
 }
 
-// maxLookups bounds the concurrent look-ups.
+// maxLookups is the most look-ups that run concurrently.
 const maxLookups = 16
 
-// Cache resolves hosts. It is safe for concurrent use; its exported fields are not changed after the first call.
+// Cache resolves hosts. It is safe for concurrent use. The exported fields are not changed after the first call.
 type Cache struct {
 	Backend Backend // nil: only literal addresses are resolved
 	Clock   *clock.Clock
@@ -32,19 +33,19 @@
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	slots   chan struct{} // one for each look-up in flight
+	slots   chan struct{} // holds a token for each look-up in flight
 }
 
-// entry is what is known of a name.
+// entry is the cache entry of a name.
 type entry struct {
 	answer   serverlist.Resolution
 	hasAddrs bool          // answer holds addresses, not a failure
 	expires  float64       // ms, when answer expires
-	lookup   chan struct{} // closed when the look-up in flight has ended; nil: none is
+	lookup   chan struct{} // closed when the look-up in flight has ended; nil: there is none
 }
 
-// Resolve returns the resolution of each host, by the host as given. It takes Timeout at most: a name whose look-up has
-// not ended by then has its last good answer, or a failure that says so.
+// Resolve returns the resolution of each host, by the host as passed. It takes at most Timeout. If the look-up of a name has
+// not ended by then, the result is the last good answer or, if there is none, a failure that says so.
 func (c *Cache) Resolve(hosts []string) map[string]serverlist.Resolution {
 	out := make(map[string]serverlist.Resolution, len(hosts))
 	c.wait(c.startLookups(hosts, out))
@@ -52,14 +53,14 @@
 	defer c.mu.Unlock()
 	for _, host := range hosts {
 		if _, done := out[host]; !done {
-			out[host] = c.answer(c.entries[host])
+			out[host] = c.currentAnswer(c.entries[host])
 		}
 	}
 	return out
 }
 
-// startLookups puts the hosts that need no look-up into out, begins the look-ups of names whose answer has expired, and returns
-// all look-ups to wait for.
+// startLookups adds the resolutions of hosts that need no look-up to out, starts the look-ups of names whose answer has expired,
+// and returns all look-ups to wait for.
 func (c *Cache) startLookups(hosts []string, out map[string]serverlist.Resolution) (lookups []chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +73,7 @@
 			continue
 		}
 		if c.Backend == nil {
-			out[host] = serverlist.Resolution{Failure: "is a name, and no names are resolved here"}
+			out[host] = serverlist.Resolution{Failure: "is a host name, but only IP addresses are allowed here"}
 			continue
 		}
 		if lookup := c.lookupIfExpired(host); lookup != nil {
@@ -82,7 +83,8 @@
 	return lookups
 }
 
-// lookupIfExpired returns the look-up of a name that is in flight, which it begins if the answer has expired; nil: there is none.
+// lookupIfExpired returns the look-up in flight of a name whose answer has expired, and starts it if there is none. It returns nil
+// if the answer has not expired.
 func (c *Cache) lookupIfExpired(host string) chan struct{} {
 	e := c.entries[host]
 	if e == nil {
@@ -92,14 +94,14 @@
 	if e.expires > c.Clock.Now() {
 		return nil
 	}
-	if e.lookup == nil { // an earlier one may hang: one for each name is enough
+	if e.lookup == nil { // an earlier look-up may still wait for its answer: one per name is enough
 		e.lookup = make(chan struct{})
 		go c.lookup(host, e)
 	}
 	return e.lookup
 }
 
-// wait waits until the look-ups have ended, for Timeout at most.
+// wait waits until the look-ups have ended, for at most Timeout.
 func (c *Cache) wait(lookups []chan struct{}) {
 	if len(lookups) == 0 {
 		return
@@ -115,14 +117,15 @@
 	}
 }
 
-func (c *Cache) answer(e *entry) serverlist.Resolution {
+// currentAnswer returns the last answer for a name, or a failure if there was none and the look-up has not ended.
+func (c *Cache) currentAnswer(e *entry) serverlist.Resolution {
 	if e.hasAddrs || e.lookup == nil {
 		return e.answer
 	}
 	return serverlist.Resolution{Failure: fmt.Sprintf("can't be resolved: no answer in %.0f ms", c.Timeout)}
 }
 
-// Retain drops all names but those among the hosts: a list that changes for years would fill the memory.
+// Retain deletes all names that are not among the hosts. Without this, the cache would grow for as long as lists change.
 func (c *Cache) Retain(hosts []string) {
 	keep := make(map[string]bool, len(hosts))
 	for _, host := range hosts {
@@ -147,7 +150,7 @@
 	return false
 }
 
-// lookup looks up a name. The backend may ignore its context, and hang.
+// lookup looks up a name. The backend may ignore its context and not return for a long time.
 func (c *Cache) lookup(host string, e *entry) {
 	c.slots <- struct{}{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -159,19 +162,20 @@
 	c.store(e, toResolution(ips, err))
 }
 
+// toResolution returns the result of a look-up as a Resolution. Its failure has no line breaks.
 func toResolution(ips []netip.Addr, err error) serverlist.Resolution {
 	if err != nil {
 		return serverlist.Resolution{Failure: "can't be resolved: " + strings.ReplaceAll(err.Error(), "\n", " ")}
 	}
 	var r serverlist.Resolution
 	for _, ip := range ips {
-		r.Addrs = append(r.Addrs, format(ip))
+		r.Addrs = append(r.Addrs, canonical(ip))
 	}
 	return r
 }
 
-// store keeps an answer. One without addresses does not replace a good one, and expires after Timeout where that is sooner than TTL:
-// the name is then looked up again.
+// store stores the answer of a look-up. An answer without addresses does not replace a good one. It expires after Timeout if that
+// is shorter than TTL, so that the name is looked up again sooner.
 func (c *Cache) store(e *entry, answer serverlist.Resolution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,22 +192,22 @@
 	e.lookup = nil
 }
 
-// parseLiteral reads a host that is an address, in any spelling that has just one meaning. ok is false for a name.
+// parseLiteral parses a host that is an IP address. Spellings that have more than one meaning are failures. ok is false for a name.
 func parseLiteral(host string) (r serverlist.Resolution, ok bool) {
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err == nil && ip.Zone() != "":
 		return serverlist.Resolution{Failure: "has a zone index, which other machines do not share"}, true
 	case err == nil && ip.IsUnspecified():
-		return serverlist.Resolution{Failure: "is the address of no machine"}, true
+		return serverlist.Resolution{Failure: "is the unspecified address, which no server can have"}, true
 	case err == nil:
-		return serverlist.Resolution{Addrs: []string{format(ip)}}, true
+		return serverlist.Resolution{Addrs: []string{canonical(ip)}}, true
 	case strings.Trim(host, "0123456789.") == "":
-		// Some resolvers read 127.1 or 010.0.0.1 as an address, each as another one.
-		return serverlist.Resolution{Failure: "is no IPv4 address that all read alike"}, true
+		// Resolvers differ in whether they accept 127.1 or 010.0.0.1, and in the address that they take it for.
+		return serverlist.Resolution{Failure: "is not an IPv4 address in dotted decimal form without leading zeros"}, true
 	}
 	return serverlist.Resolution{}, false
 }
 
-// format returns the one spelling of an address in which addresses are compared.
-func format(ip netip.Addr) string { return ip.Unmap().WithZone("").String() }
+// canonical returns an address in the spelling that is used to compare addresses.
+func canonical(ip netip.Addr) string { return ip.Unmap().WithZone("").String() }
--- a/internal/source/resolver/resolver_test.go
+++ b/internal/source/resolver/resolver_test.go
@@ -15,12 +15,12 @@
 	"ravenwheel/internal/source/resolver"
 )
 
-// fakeBackend is a backend that answers from a table, and hangs, whatever its context says, where the table says so.
+// fakeBackend is a backend with fixed answers. It ignores its context.
 type fakeBackend struct {
 	mu      sync.Mutex
 	hosts   map[string][]netip.Addr
-	hang    map[string]chan struct{}
-	lookups map[string]int
+	hang    map[string]chan struct{} // look-ups of the host wait until the channel is closed
+	lookups map[string]int           // number of look-ups of each host
 }
 
 func (b *fakeBackend) LookupNetIP(_ context.Context, _, host string) ([]netip.Addr, error) {
@@ -52,16 +52,16 @@
 	return &resolver.Cache{Backend: backend, Clock: clk, TTL: 30_000, Timeout: 2000}, backend, clk
 }
 
-// A literal address is resolved if all read it alike, to one spelling; a name is looked up.
+// A literal address is resolved to one spelling, unless resolvers read it differently. A name is looked up.
 func TestResolvesUnambiguousLiterals(t *testing.T) {
 	c, backend, _ := newCache()
 	for host, want := range map[string]serverlist.Resolution{
 		"127.0.0.1":                  {Addrs: []string{"127.0.0.1"}},
 		"::ffff:127.0.0.1":           {Addrs: []string{"127.0.0.1"}},
 		"0:0:0:0:0:0:0:1":            {Addrs: []string{"::1"}},
-		"127.1":                      {Failure: "is no IPv4 address that all read alike"},
-		"127.0.0.01":                 {Failure: "is no IPv4 address that all read alike"},
-		"0.0.0.0":                    {Failure: "is the address of no machine"},
+		"127.1":                      {Failure: "is not an IPv4 address in dotted decimal form without leading zeros"},
+		"127.0.0.01":                 {Failure: "is not an IPv4 address in dotted decimal form without leading zeros"},
+		"0.0.0.0":                    {Failure: "is the unspecified address, which no server can have"},
 		"fe80::1%lo":                 {Failure: "has a zone index, which other machines do not share"},
 		"nosuchhost.example.invalid": {Failure: "can't be resolved: no such host"},
 	} {
@@ -72,7 +72,7 @@
 	require.False(t, resolver.HasNames([]string{"127.0.0.1"}))
 }
 
-// An answer is cached for its time; a failed look-up leaves the last good answer, and is repeated sooner.
+// An answer is cached for TTL. After a failed look-up the last good answer stays in use, and the name is looked up again sooner.
 func TestFailedLookupKeepsLastGoodAnswer(t *testing.T) {
 	c, backend, clk := newCache()
 	backend.set("a", "127.0.0.1")
@@ -81,9 +81,9 @@
 	good := serverlist.Resolution{Addrs: []string{"127.0.0.1"}}
 	require.Equal(t, good, resolve())
 	require.Equal(t, good, resolve())
-	require.Equal(t, 1, backend.lookups["a"], "cached for its time")
+	require.Equal(t, 1, backend.lookups["a"], "cached for TTL")
 	clk.Advance(30_001)
-	backend.set("a") // gone
+	backend.set("a") // the look-up fails
 	require.Equal(t, good, resolve(), "the last good answer is kept")
 	clk.Advance(2_001)
 	backend.set("a", "127.0.0.2")
@@ -93,8 +93,8 @@
 	require.Equal(t, "can't be resolved: no such host", resolve().Failure)
 }
 
-// A backend that hangs, whatever its context says, delays a caller by the timeout at most, and a name has one look-up in flight
-// at most.
+// A backend that does not answer, and ignores its context, delays a caller by at most the timeout, and a name has at most one
+// look-up in flight.
 func TestHangingBackendDelaysCallerByTimeoutAtMost(t *testing.T) {
 	c, backend, clk := newCache()
 	end := make(chan struct{})
