--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -54,7 +54,7 @@
 		t.transition(s, Gone, entry.Member, reason)
 		t.dropAllEntries(s)
 	case policy.Draining:
-		// A drain needs no address of its own: it runs where the server was used last.
+		// A server drains at the address at which it was used last, as its requests run there. No other address is reserved.
 		m := entry.Member
 		if s.published || s.restored {
 			m.Addr = s.current.Addr
--- a/internal/decide/membership/model_test.go
+++ b/internal/decide/membership/model_test.go
@@ -23,11 +23,11 @@
 type harness struct {
 	t             *rapid.T
 	table         *membership.Table
-	now, wake     float64
-	generations   [2]uint64
-	received      [2]bool
-	minGeneration uint64
-	listed        [2]map[policy.ServerID]membership.Entry
+	now, wake     float64                                 // ms
+	generations   [2]uint64                               // of the last lists, by source: 0 is the file, 1 is discovery
+	received      [2]bool                                 // a list was accepted, by source
+	minGeneration uint64                                  // the lowest one accepted from the file
+	listed        [2]map[policy.ServerID]membership.Entry // by source
 	published     map[policy.ServerID]membership.Member
 	phases        map[policy.ServerID]membership.Phase
 	drainStart    map[policy.ServerID]float64 // draining servers: start of the drain, ms
@@ -35,7 +35,7 @@
 	waiting       map[policy.ServerID]waiter  // joining servers that were in use before
 	saved         *recovery.State             // the state that survives a restart
 	manualDrains  map[policy.ServerID]bool
-	versions      uint64
+	versions      uint64 // of the last Publish
 }
 
 func newTable(t *rapid.T) *membership.Table {
@@ -92,7 +92,7 @@
 	for id, since := range drainedBefore {
 		require.Equal(t, membership.Draining, h.phases[id], "server %d drained before the restart and must still drain", id)
 		// It is earlier if the server was joining before its drain, as a joining server gets no new requests either.
-		require.LessOrEqual(t, h.drainStart[id], since, "%d", id)
+		require.LessOrEqual(t, h.drainStart[id], since, "server %d", id)
 	}
 	h.minGeneration = h.generations[0]
 	for id := range h.manualDrains {
@@ -101,6 +101,7 @@
 	h.handle(membership.Tick{})
 }
 
+// handle passes an event to the table, checks its actions and updates the model with them.
 func (h *harness) handle(e membership.Event) {
 	for _, a := range h.table.Handle(h.now, e, nil) {
 		switch a := a.(type) {
@@ -230,6 +231,7 @@
 	}
 }
 
+// drawEntry returns a random entry in one of the states.
 func drawEntry(t *rapid.T, states ...policy.State) membership.Entry {
 	var e membership.Entry
 	e.ID = policy.ServerID(rapid.IntRange(1, 6).Draw(t, "id"))
@@ -243,7 +245,7 @@
 	return e
 }
 
-// distinct drops entries whose id or address occurred before, as the check of a list does.
+// distinct drops entries whose id or address occurred before. Lists with such entries do not pass the check of list files.
 func distinct(entries []membership.Entry) (out []membership.Entry) {
 	ids, addrs := map[policy.ServerID]bool{}, map[string]bool{}
 	for _, e := range entries {
