--- a/internal/decide/discovery/watcher_test.go
+++ b/internal/decide/discovery/watcher_test.go
@@ -35,7 +35,7 @@
 	{"silence", 4000, func(s *simulation, _ int) bool { s.silenceAll(); return true }},
 }
 
-// faultSequences are all sequences of one to three faults.
+// faultSequences returns all sequences of one to three faults.
 func faultSequences() (all [][]fault) {
 	var extend func(sequence []fault)
 	extend = func(sequence []fault) {
--- a/internal/decide/membership/lifecycle.go
+++ b/internal/decide/membership/lifecycle.go
@@ -54,7 +54,8 @@
 		t.transition(s, Gone, entry.Member, reason)
 		t.dropAllEntries(s)
 	case policy.Draining:
-		// A server drains at the address at which it was used last, as its requests run there. No other address is reserved.
+		// A server drains at the address at which it was used last, as its requests run there. It need not wait until the address
+		// that is listed now is free.
 		m := entry.Member
 		if s.published || s.restored {
 			m.Addr = s.current.Addr
--- a/internal/decide/serverlist/golden_test.go
+++ b/internal/decide/serverlist/golden_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// goldenServers are two servers: one with every field set, and one with as few as a list may have.
+// goldenServers returns two servers: one with every field set, and one with as few fields as a list may have.
 func goldenServers() []serverlist.Server {
 	return []serverlist.Server{
 		{
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -59,7 +59,7 @@
 	return r.table.IsKnown(id)
 }
 
-// Restore continues from the state before a restart; see membership.Table.Restore. It must come before the first event.
+// Restore continues from the state before a restart; see membership.Table.Restore. It must be called before the first event.
 func (r *Registry) Restore(saved []membership.SavedMember, minGenerations map[int]uint64) {
 	r.mu.Lock()
 	r.table.Restore(r.opt.Clock.Now(), saved, minGenerations)
