--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -22,7 +22,7 @@
 	closeIdleAfterDrain = 350
 	// CloseIdleAfterStop is longer than the 0.4 s for which new connections still arrive after SIGTERM.
 	CloseIdleAfterStop = 800
-	// rejectAfter is needed for clients whose connections are never idle: only a rejected request makes them leave.
+	// rejectAfter is needed for clients whose connections are never idle: only a rejected request makes them leave the proxy.
 	rejectAfter = 1600
 	// requestsAfterStop is for how long requests still arrive on open connections after SIGTERM: 0.2 s longer than new connections.
 	requestsAfterStop = 600
@@ -53,7 +53,7 @@
 type Front interface {
 	SetReady(ready bool)
 	SetDrainPlan(drain.Plan)
-	SetAccepting(on bool)
+	SetAccepting(accepting bool)
 	SetMaxConns(n int)
 	OpenConns() int
 }
@@ -63,7 +63,7 @@
 	// IsKnown reports whether the proxy has a server or a manual drain with the id.
 	IsKnown(id policy.ServerID) bool
 	// Drain starts or ends a manual drain. It returns once the change is in force and stored.
-	Drain(id policy.ServerID, on bool) error
+	Drain(id policy.ServerID, draining bool) error
 }
 
 // Options configure a Controller.
@@ -131,11 +131,11 @@
 }
 
 // SetOwner records whether this process or another one owns the clients' address.
-func (c *Controller) SetOwner(on bool) {
+func (c *Controller) SetOwner(owner bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.yielded = !on
-	if on {
+	c.yielded = !owner
+	if owner {
 		c.handle(drain.AddressOwned)
 	} else {
 		c.handle(drain.AddressYielded)
@@ -143,23 +143,23 @@
 }
 
 // SetAccepting makes the front accept new connections, or leave them to another process.
-func (c *Controller) SetAccepting(on bool) {
+func (c *Controller) SetAccepting(accepting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.accepting = on
+	c.accepting = accepting
 	c.apply()
 }
 
 // SetShared records whether another process runs at the same time. If so, the limits apply to both processes together.
-func (c *Controller) SetShared(on bool) {
+func (c *Controller) SetShared(shared bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shared == on {
+	if c.shared == shared {
 		return
 	}
-	c.shared = on
-	LimitMemory(c.opt.MemoryMB, on)
-	if on {
+	c.shared = shared
+	LimitMemory(c.opt.MemoryMB, shared)
+	if shared {
 		go debug.FreeOSMemory()
 	}
 	c.apply()
@@ -188,8 +188,8 @@
 	return takenOver || c.yielded
 }
 
-// Status returns the state of the proxy for operators, and whether it serves clients itself. It does not during a handover, though
-// it answers readiness probes for its successor then (see drain.State.Ready).
+// Status returns the state of the proxy for operators, and whether it serves clients itself. While it hands over it does not,
+// although it answers readiness probes for its successor (see drain.State.Ready).
 func (c *Controller) Status() (text string, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,11 +205,11 @@
 
 // SetDraining starts or ends an operator's drain of the whole proxy. It fails with a PhaseError while the proxy hands over or
 // stops.
-func (c *Controller) SetDraining(on bool) error {
+func (c *Controller) SetDraining(draining bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := drain.Resume
-	if on {
+	if draining {
 		e = drain.Drain
 	}
 	if !c.handle(e) {
@@ -221,7 +221,7 @@
 // SetServerDrained starts or ends an operator's drain of one cache server. It returns once the change is in force, stored
 // and passed to the process that may take over. Its error is ErrNotReady, ErrUnknownServer, or, if the change is in force but
 // was not stored, the cause.
-func (c *Controller) SetServerDrained(id policy.ServerID, on bool) error {
+func (c *Controller) SetServerDrained(id policy.ServerID, draining bool) error {
 	c.mu.Lock()
 	servers, h := c.servers, c.handover
 	c.mu.Unlock()
@@ -231,9 +231,9 @@
 	case !servers.IsKnown(id):
 		return ErrUnknownServer
 	}
-	err := servers.Drain(id, on)
+	err := servers.Drain(id, draining)
 	if h != nil {
-		err = errors.Join(err, h.SetManualDrain(id, on))
+		err = errors.Join(err, h.SetManualDrain(id, draining))
 	}
 	if err != nil {
 		return fmt.Errorf("in force here, but not stored: %w", err)
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -1,8 +1,9 @@
 // Package timestamp translates the times in events of other machines (when an object was purged, when a server was
 // started) to this machine's clock. A timestamp is a reading of a wall clock, and any wall clock may be stepped, this
-// machine's or the sender's. What an event of a source that is followed without a gap reports happened no later than now, and not
-// much earlier than the event before it arrived: a timestamp outside of that range shows that a clock was stepped, and counts as
-// now. That is safe for both kinds of time: a purge invalidates more copies than it has to, and a server warms up for longer.
+// machine's or the sender's. An event that arrives on an uninterrupted connection reports something that happened no later than
+// now, and not much earlier than the arrival of the event before it: a timestamp outside of that range shows that a clock was
+// stepped, and counts as now. That is safe for both kinds of time: a purge invalidates more copies than it has to, and a server
+// warms up for longer.
 //
 // Times are in ms: timestamps in Unix ms of the sender's clock, all others in ms of the caller's clock.
 package timestamp
--- a/internal/state/failure_test.go
+++ b/internal/state/failure_test.go
@@ -85,14 +85,14 @@
 
 // The disk is full or the directory fails for a short time while an operator starts and ends the drain of a server. Whichever event
 // was stored first, the server is not draining after a restart.
-func TestLastDrainCommandWinsAfterFailure(t *testing.T) {
-	for name, fail := range map[string]func(disk *vfs.Sim, fs *failingFS, on bool){
-		"full": func(disk *vfs.Sim, _ *failingFS, on bool) {
-			if disk.SetFreeSpace(-1); on {
+func TestLastDrainCommandAppliesAfterFailure(t *testing.T) {
+	for name, fail := range map[string]func(disk *vfs.Sim, fs *failingFS, failing bool){
+		"full": func(disk *vfs.Sim, _ *failingFS, failing bool) {
+			if disk.SetFreeSpace(-1); failing {
 				disk.SetFreeSpace(0)
 			}
 		},
-		"failing": func(_ *vfs.Sim, fs *failingFS, on bool) { fs.failing.Store(on) },
+		"failing": func(_ *vfs.Sim, fs *failingFS, failing bool) { fs.failing.Store(failing) },
 	} {
 		for retries := range 4 { // number of retries between the two commands
 			clk, disk := clock.Manual(1e12), vfs.NewSim(-1)
