--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -18,14 +18,14 @@
 	sentAt  float64 // ms of the clock
 }
 
-// finish reports the outcome of a call that is done, unless it was forgotten.
-func (c *call) finish(outcome core.Outcome) {
+// reportOutcome reports the outcome of a call that is done, unless it was forgotten.
+func (c *call) reportOutcome(outcome core.Outcome) {
 	outcome.Written = c.written
 	c.once.Do(func() { c.onEnd(outcome) })
 }
 
-// forget makes sure that no outcome is reported.
-func (c *call) forget() { c.once.Do(func() {}) }
+// suppressOutcome makes sure that no outcome is reported.
+func (c *call) suppressOutcome() { c.once.Do(func() {}) }
 
 // idSet remembers ids for at least the lifetime of a request, and at most twice as long.
 type idSet struct {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -55,154 +55,154 @@
 	}
 }
 
-func (k *conn) now() float64 { return k.pool.pools.clock.Now() }
+func (cn *conn) now() float64 { return cn.pool.pools.clock.Now() }
 
-func (k *conn) limits() *Limits { return k.pool.pools.limits.Load() }
+func (cn *conn) limits() *Limits { return cn.pool.pools.limits.Load() }
 
-func (k *conn) signal() {
+func (cn *conn) signal() {
 	select {
-	case k.wake <- struct{}{}:
+	case cn.wake <- struct{}{}:
 	default:
 	}
 }
 
 // load is the number of open calls; ok is false if the connection accepts no more. A connection without answers counts
 // as full: with few calls open it would otherwise get the next ones.
-func (k *conn) load() (n int, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if n = len(k.calls); n > 0 && k.now()-k.unansweredSince >= unansweredTimeout {
-		n += k.limits().AttemptsPerConn
+func (cn *conn) load() (n int, ok bool) {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	if n = len(cn.calls); n > 0 && cn.now()-cn.unansweredSince >= unansweredTimeout {
+		n += cn.limits().AttemptsPerConn
 	}
-	return n, !k.closing
+	return n, !cn.closing
 }
 
 // add queues a call and reports whether the connection accepts it. It does not if it has carried an earlier attempt of
 // the same request: a second answer to that one would be taken for an answer to this.
-func (k *conn) add(c *call) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	limits, now := k.limits(), k.now()
-	full := len(k.calls) >= limits.AttemptsPerConn
-	if k.closing || full || !k.usedIDs.add(c.attempt.ID, now, limits.RequestLifetime) {
+func (cn *conn) add(c *call) bool {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	limits, now := cn.limits(), cn.now()
+	full := len(cn.calls) >= limits.AttemptsPerConn
+	if cn.closing || full || !cn.usedIDs.add(c.attempt.ID, now, limits.RequestLifetime) {
 		return false
 	}
-	k.lastUsed = now
-	if len(k.calls) == 0 {
-		k.unansweredSince = now
+	cn.lastUsed = now
+	if len(cn.calls) == 0 {
+		cn.unansweredSince = now
 	}
-	k.calls[c.attempt.ID] = c
-	k.queue = append(k.queue, c)
-	k.signal()
+	cn.calls[c.attempt.ID] = c
+	cn.queue = append(cn.queue, c)
+	cn.signal()
 	return true
 }
 
 // abandon ends a call whose deadline has passed (timeout) and reports its outcome: timed out, or skipped if it was not
 // written. Otherwise it forgets the call, which its caller has aborted. It returns whether the call was written.
-func (k *conn) abandon(c *call, timeout bool) (written bool) {
-	k.mu.Lock()
+func (cn *conn) abandon(c *call, timeout bool) (written bool) {
+	cn.mu.Lock()
 	written = c.written
 	if c.done {
-		k.mu.Unlock()
+		cn.mu.Unlock()
 		return written
 	}
 	c.done = true
-	delete(k.calls, c.attempt.ID)
+	delete(cn.calls, c.attempt.ID)
 	result := policy.Skipped
 	if c.written {
 		result = policy.TimedOut
-		if k.abandoned++; k.abandoned >= maxAbandoned {
-			k.closing = true
+		if cn.abandoned++; cn.abandoned >= maxAbandoned {
+			cn.closing = true
 		}
-		k.aborts = append(k.aborts, c.attempt.ID)
+		cn.aborts = append(cn.aborts, c.attempt.ID)
 		// Without any answer since the call was sent, the machine may have vanished and left its connections open and
 		// silent. A later probe over one would fail although the server is back.
-		if timeout && k.lastAnswer < c.sentAt {
-			k.closing = true
+		if timeout && cn.lastAnswer < c.sentAt {
+			cn.closing = true
 		}
-		k.signal()
+		cn.signal()
 	}
-	k.mu.Unlock()
+	cn.mu.Unlock()
 	if timeout {
-		c.finish(core.Outcome{Result: result})
+		c.reportOutcome(core.Outcome{Result: result})
 	} else {
-		c.forget()
+		c.suppressOutcome()
 	}
 	return written
 }
 
-// expireDecision skips a call whose decision has become too old while the established connection accepts no bytes. A call
+// skipExpired skips a call whose decision has become too old while the established connection accepts no bytes. A call
 // that waits for a connection to be established goes on waiting, as that shows whether the server can be reached.
-func (k *conn) expireDecision(c *call) {
-	k.mu.Lock()
-	expired := !c.done && !c.written && k.socket != nil
+func (cn *conn) skipExpired(c *call) {
+	cn.mu.Lock()
+	expired := !c.done && !c.written && cn.socket != nil
 	if expired {
 		c.done = true
-		delete(k.calls, c.attempt.ID)
+		delete(cn.calls, c.attempt.ID)
 	}
-	k.mu.Unlock()
+	cn.mu.Unlock()
 	if expired {
-		c.finish(core.Outcome{Result: policy.Skipped})
+		c.reportOutcome(core.Outcome{Result: policy.Skipped})
 	}
 }
 
 // retire makes a connection accept no more calls. It ends once it is idle.
-func (k *conn) retire() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closing = true
-	k.signal()
+func (cn *conn) retire() {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	cn.closing = true
+	cn.signal()
 }
 
 // idleSince returns since when the connection has had no open calls; idle is false if it has some or accepts no more.
-func (k *conn) idleSince() (since float64, idle bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lastUsed, k.socket != nil && !k.closing && len(k.calls) == 0
+func (cn *conn) idleSince() (since float64, idle bool) {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	return cn.lastUsed, cn.socket != nil && !cn.closing && len(cn.calls) == 0
 }
 
 // closeIdle closes a connection that is idle, and makes room for another one at once.
-func (k *conn) closeIdle() {
-	k.mu.Lock()
-	idle := !k.closing && len(k.calls) == 0
+func (cn *conn) closeIdle() {
+	cn.mu.Lock()
+	idle := !cn.closing && len(cn.calls) == 0
 	if idle {
-		k.closing = true
-		k.signal()
+		cn.closing = true
+		cn.signal()
 	}
-	k.mu.Unlock()
+	cn.mu.Unlock()
 	if idle {
-		k.release()
+		cn.release()
 	}
 }
 
 // release removes the connection from the count for MaxConns, once.
-func (k *conn) release() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.released {
-		k.released = true
-		k.pool.pools.conns.Add(-1)
+func (cn *conn) release() {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	if !cn.released {
+		cn.released = true
+		cn.pool.pools.conns.Add(-1)
 	}
 }
 
 // endCalls ends all calls of a closed connection: those that were written with one result, the others with another.
-func (k *conn) endCalls(written, queued policy.Result) {
-	k.pool.remove(k)
-	k.mu.Lock()
-	k.closing = true
+func (cn *conn) endCalls(written, queued policy.Result) {
+	cn.pool.remove(cn)
+	cn.mu.Lock()
+	cn.closing = true
 	var ended []*call
-	for _, c := range k.calls {
+	for _, c := range cn.calls {
 		invariant.Check(!c.done, "an open call is not done")
 		c.done = true
 		ended = append(ended, c)
 	}
-	clear(k.calls)
-	k.mu.Unlock()
+	clear(cn.calls)
+	cn.mu.Unlock()
 	for _, c := range ended {
 		result := queued
 		if c.written {
 			result = written
 		}
-		c.finish(core.Outcome{Result: result})
+		c.reportOutcome(core.Outcome{Result: result})
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -22,16 +22,16 @@
 var errNoSocket = errors.New("upstream: connection without a socket")
 
 // dial establishes the connection. A reset meanwhile does not count as a failure at once: somebody listens there.
-func (k *conn) dial() (nc net.Conn, err error) {
+func (cn *conn) dial() (nc net.Conn, err error) {
 	for resets, local := 0, 0; ; {
-		nc, err = k.limits().Dial("tcp", k.pool.addr, clock.Duration(k.limits().ConnectTimeout))
+		nc, err = cn.limits().Dial("tcp", cn.pool.addr, clock.Duration(cn.limits().ConnectTimeout))
 		switch {
 		case errors.Is(err, syscall.ECONNRESET) && resets < maxResetRedials:
 			resets++
 		case transient.IsTransient(err) && local < maxLocalRedials:
 			local++
 			paused := make(chan struct{})
-			k.pool.pools.clock.After(localRedialPause, func() { close(paused) })
+			cn.pool.pools.clock.After(localRedialPause, func() { close(paused) })
 			<-paused
 		default:
 			return nc, err
@@ -42,15 +42,15 @@
 // dialFailure is the result for calls that waited for a connection, dialled at the given time in ms, that failed. The
 // server is reachable, and the calls are skipped, if the failure is local, if it resets new connections while others are
 // open, or if it answered over another one while this one timed out.
-func (k *conn) dialFailure(err error, dialledAt float64) policy.Result {
+func (cn *conn) dialFailure(err error, dialledAt float64) policy.Result {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
 	switch {
 	case transient.IsTransient(err):
 		return policy.Skipped
-	case errors.Is(err, syscall.ECONNRESET) && k.pool.hasOpenConn():
+	case errors.Is(err, syscall.ECONNRESET) && cn.pool.hasOpenConn():
 		return policy.Skipped
-	case timedOut && k.pool.answeredSince(dialledAt):
+	case timedOut && cn.pool.answeredSince(dialledAt):
 		return policy.Skipped
 	}
 	return policy.ConnectFailed
--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -15,8 +15,8 @@
 // frameCapacity, in bytes, is enough for the fields of most attempts.
 const frameCapacity = 160
 
-// maxFigure bounds the figures of an answer; for times in ms that is half an hour.
-const maxFigure = 2e6
+// maxNumber bounds the figures of an answer; for times in ms that is half an hour.
+const maxNumber = 2e6
 
 // fillOptionWords are the words of the field "handle", in the order in which they are written.
 var fillOptionWords = []struct {
@@ -41,8 +41,8 @@
 	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
 }
 
-// loadFigures maps the names in the field "rep" to those of policy.LoadReport.
-var loadFigures = map[string]string{
+// loadMetrics maps the names in the field "rep" to those of policy.LoadReport.
+var loadMetrics = map[string]string{
 	"inflight": "inflight", "queue": "queue", "util": "util", "latency_ms": "latency", "qps": "served",
 	"eps": "errors", "x0": "hits", "x1": "link",
 }
@@ -116,7 +116,7 @@
 			outcome.Note = policy.NoteHit + policy.Note(i)
 		}
 	}
-	outcome.SourceWait, _ = parseFigure(fields["took"])
+	outcome.SourceWait, _ = parseNumber(fields["took"])
 	if len(parts) > 3 && outcome.Result == policy.OK && !outcome.NotModified {
 		outcome.Body = bytes.Clone(parts[3])
 	}
@@ -128,22 +128,22 @@
 func decodeLoadReport(text string) (report policy.LoadReport) {
 	for _, pair := range strings.Split(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
-		if figure, ok := parseFigure(value); ok && loadFigures[name] != "" {
+		if number, ok := parseNumber(value); ok && loadMetrics[name] != "" {
 			if report == nil {
 				report = policy.LoadReport{}
 			}
-			report[loadFigures[name]] = figure
+			report[loadMetrics[name]] = number
 		}
 	}
 	return report
 }
 
-// parseFigure parses a figure. ok is false for anything but a number between 0 and maxFigure, since the router computes
+// parseNumber parses a figure. ok is false for anything but a number between 0 and maxNumber, since the router computes
 // with the figures as they are.
-func parseFigure(text string) (figure float64, ok bool) {
-	figure, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(figure >= 0 && figure <= maxFigure) {
+func parseNumber(text string) (number float64, ok bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(number >= 0 && number <= maxNumber) {
 		return 0, false
 	}
-	return figure, true
+	return number, true
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -20,9 +20,9 @@
 		Options: policy.Coalesce | policy.CachedOnly | policy.ParentPassThrough | policy.RefreshInBackground, SendBy: 1500, NonIdempotent: true,
 	}
 	frames := appendFrame(nil, &full, 1000)
-	for _, how := range []policy.FillOptions{policy.Coalesce, policy.CachedOnly, policy.ParentPassThrough, policy.RefreshInBackground} {
+	for _, option := range []policy.FillOptions{policy.Coalesce, policy.CachedOnly, policy.ParentPassThrough, policy.RefreshInBackground} {
 		a := full
-		a.Options = how
+		a.Options = option
 		frames = appendFrame(frames, &a, 1000)
 	}
 	frames = appendFrame(frames, &core.Attempt{ID: "b", Class: "c", Object: "d", Server: 20, Source: 20, Deadline: 900}, 1000)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,10 +15,10 @@
 	conns []*conn
 }
 
-// assign adds a call to the least loaded connection that may carry it, or to a new one; nil if there is none. Idempotent
+// assignCall adds a call to the least loaded connection that may carry it, or to a new one; nil if there is none. Idempotent
 // calls are spread over connections in small numbers and non-idempotent ones get connections of their own, since an
 // unreadable answer ends every call of its connection.
-func (pl *pool) assign(c *call) *conn {
+func (pl *pool) assignCall(c *call) *conn {
 	limits := pl.pools.limits.Load()
 	threshold, maxConns := spreadThreshold, limits.ConnsPerServer-nonIdempotentConns
 	if c.attempt.NonIdempotent {
@@ -78,10 +78,10 @@
 func (pl *pool) hasOpenConn() bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	return slices.ContainsFunc(pl.conns, func(k *conn) bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.socket != nil && !k.closing
+	return slices.ContainsFunc(pl.conns, func(cn *conn) bool {
+		cn.mu.Lock()
+		defer cn.mu.Unlock()
+		return cn.socket != nil && !cn.closing
 	})
 }
 
@@ -89,10 +89,10 @@
 func (pl *pool) answeredSince(since float64) bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	return slices.ContainsFunc(pl.conns, func(k *conn) bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.lastAnswer > since
+	return slices.ContainsFunc(pl.conns, func(cn *conn) bool {
+		cn.mu.Lock()
+		defer cn.mu.Unlock()
+		return cn.lastAnswer > since
 	})
 }
 
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -115,16 +115,16 @@
 	var conn *conn
 	if server := p.pool(c.attempt.Server); server != nil {
 		p.closeLongestIdle()
-		conn = server.assign(c)
+		conn = server.assignCall(c)
 	}
 	if conn == nil {
-		go c.finish(core.Outcome{Result: policy.Skipped})
-		return func() bool { c.forget(); return false }
+		go c.reportOutcome(core.Outcome{Result: policy.Skipped})
+		return func() bool { c.suppressOutcome(); return false }
 	}
 	now, deadline, sendBy := p.clock.Now(), c.attempt.Deadline, c.attempt.SendBy
 	stopDeadline, stopSendBy := p.clock.After(deadline-now, func() { conn.abandon(c, true) }), func() {}
 	if sendBy > 0 && sendBy < deadline {
-		stopSendBy = p.clock.After(sendBy-now, func() { conn.expireDecision(c) })
+		stopSendBy = p.clock.After(sendBy-now, func() { conn.skipExpired(c) })
 	}
 	return func() bool {
 		stopDeadline()
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -15,19 +15,19 @@
 )
 
 // readAnswers is the connection's reader. It ends with the connection, or with an answer that cannot be read.
-func (k *conn) readAnswers(nc net.Conn) {
+func (cn *conn) readAnswers(nc net.Conn) {
 	buffer := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
-		parts, _, err := buffer.Next(answerReader{k, nc, &buffer})
+		parts, _, err := buffer.Next(answerReader{cn, nc, &buffer})
 		if err == nil {
-			err = k.handleAnswer(parts, buffer.Buffered() > 0)
+			err = cn.handleAnswer(parts, buffer.Buffered() > 0)
 		}
 		if err != nil {
-			k.mu.Lock()
-			k.closing, k.broken = true, true // before the close is visible, so that no call is added after it
-			k.mu.Unlock()
+			cn.mu.Lock()
+			cn.closing, cn.broken = true, true // before the close is visible, so that no call is added after it
+			cn.mu.Unlock()
 			nc.Close()
-			k.signal() // the writer, which knows what was written, ends the calls
+			cn.signal() // the writer, which knows what was written, ends the calls
 			return
 		}
 	}
@@ -51,60 +51,60 @@
 }
 
 // markPartialAnswer records that bytes of an incomplete answer have arrived. The caller holds the lock.
-func (k *conn) markPartialAnswer() {
-	if k.partialAnswerAt = k.now(); k.partialAnswerSince == 0 {
-		k.partialAnswerSince = k.partialAnswerAt
+func (cn *conn) markPartialAnswer() {
+	if cn.partialAnswerAt = cn.now(); cn.partialAnswerSince == 0 {
+		cn.partialAnswerSince = cn.partialAnswerAt
 	}
-	if !k.stallTimerSet {
-		k.stallTimerSet = true
-		k.pool.pools.clock.After(answerStallTimeout, k.checkStall)
+	if !cn.stallTimerSet {
+		cn.stallTimerSet = true
+		cn.pool.pools.clock.After(answerStallTimeout, cn.checkStall)
 	}
 }
 
 // checkStall closes a connection whose answer has stalled: no answer can follow it.
-func (k *conn) checkStall() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.partialAnswerAt == 0 {
-		k.stallTimerSet = false
+func (cn *conn) checkStall() {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	if cn.partialAnswerAt == 0 {
+		cn.stallTimerSet = false
 		return
 	}
-	stallsAt := min(k.partialAnswerAt+answerStallTimeout, k.partialAnswerSince+answerTimeout)
-	if left := stallsAt - k.now(); left > 0 {
-		k.pool.pools.clock.After(left, k.checkStall)
+	stallsAt := min(cn.partialAnswerAt+answerStallTimeout, cn.partialAnswerSince+answerTimeout)
+	if left := stallsAt - cn.now(); left > 0 {
+		cn.pool.pools.clock.After(left, cn.checkStall)
 		return
 	}
-	k.socket.Close() // the reader ends the connection
+	cn.socket.Close() // the reader ends the connection
 }
 
 // handleAnswer ends the call that an answer is for. An answer to a call that is done, or a second one, is counted and
 // dropped. more reports that bytes of a further answer have arrived.
-func (k *conn) handleAnswer(parts [][]byte, more bool) error {
+func (cn *conn) handleAnswer(parts [][]byte, more bool) error {
 	id, outcome, err := decodeAnswer(parts)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	c := k.calls[id]
+	cn.mu.Lock()
+	c := cn.calls[id]
 	known := c != nil && c.written
 	if known {
 		c.done = true
-		delete(k.calls, id)
+		delete(cn.calls, id)
 	} else {
-		k.pool.pools.LateAnswers.Add(1)
+		cn.pool.pools.LateAnswers.Add(1)
 	}
-	now := k.now()
-	k.lastAnswer, k.lastUsed, k.unansweredSince = now, now, now
-	k.partialAnswerAt, k.partialAnswerSince = 0, 0
+	now := cn.now()
+	cn.lastAnswer, cn.lastUsed, cn.unansweredSince = now, now, now
+	cn.partialAnswerAt, cn.partialAnswerSince = 0, 0
 	if more {
-		k.markPartialAnswer()
+		cn.markPartialAnswer()
 	}
-	if k.closing {
-		k.signal()
+	if cn.closing {
+		cn.signal()
 	}
-	k.mu.Unlock()
+	cn.mu.Unlock()
 	if known {
-		c.finish(outcome)
+		c.reportOutcome(outcome)
 	}
 	return nil
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -43,11 +43,11 @@
 			clk, cache := clock.Manual(1e12), scenario.Listen(t)
 			dials := make(chan int, 3)
 			var dialled atomic.Int32
-			goOn := make(chan struct{})
+			mayContinue := make(chan struct{})
 			pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 50, ConnsPerServer: 3, ConnectTimeout: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
 				n := int(dialled.Add(1))
 				dials <- n
-				<-goOn
+				<-mayContinue
 				if n <= resets {
 					return nil, reset
 				}
@@ -67,7 +67,7 @@
 			for range resets + 1 {
 				<-dials
 				clk.Advance(float64(waited) / float64(resets+1))
-				goOn <- struct{}{}
+				mayContinue <- struct{}{}
 			}
 			words, err := cache.Receive()
 			require.NoError(t, err)
@@ -78,7 +78,7 @@
 	}
 	t.Run("blocked", func(t *testing.T) {
 		clk := clock.Manual(1e12)
-		b := newBlocked(t, clk)
+		b := newBlockedConn(t, clk)
 		b.send("waits", budget, 500, 10)
 		clk.Advance(waited)
 		nc := <-b.accepted
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,8 +21,8 @@
 	"ravenwheel/policy"
 )
 
-// five starts four reads on one connection and a fifth one on another.
-const five = `
+// fiveReads starts four reads on one connection and a fifth one on another.
+const fiveReads = `
 	up send r1
 	s expect fetch r1 * -
 	up send r2
@@ -38,7 +38,7 @@
 var scenarios = map[string]string{
 	"an unreadable answer ends the reads of its connection and no write": `
 		up send w1 once
-		s expect fetch w1 * -` + five + `
+		s expect fetch w1 * -` + fiveReads + `
 		s send r4 served notafield
 		up expect r? reset
 		up expect r? reset
@@ -139,7 +139,7 @@
 	p, next := scenario.NewProxy(t), scenario.Listen(t)
 	up := scenario.NewAttemptSender(p.Pools)
 	actors := map[string]scenario.Actor{"up": up, "s": p.Cache, "next": next}
-	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(five, "\n\t", "\n"))
+	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(fiveReads, "\n\t", "\n"))
 	m := core.Member{Addr: next.Addr()}
 	m.ID = scenario.CacheID
 	p.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
@@ -244,23 +244,23 @@
 // Without local descriptors, ports or memory no connection is established: attempts are skipped and the
 // server is not blamed.
 func TestLocalDialFailureSkipsAttempts(t *testing.T) {
-	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-		var short atomic.Bool
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
+		var outOfResources atomic.Bool
 		dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
-			if short.Load() {
-				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", want)}
+			if outOfResources.Load() {
+				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
 			}
 			return net.DialTimeout(network, addr, wait)
 		}
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
-		short.Store(true)
+		outOfResources.Store(true)
 		scenario.Run(t, clk, actors, `
 			up send r1
 			up await r1 moot
 			up send w1 once
 			up await w1 moot`)
-		short.Store(false)
+		outOfResources.Store(false)
 		scenario.Run(t, clk, actors, `
 			up send r2
 			s expect fetch r2 * -
@@ -273,13 +273,13 @@
 // pause between two dials: a clock that runs on while a real connection is established on a busy machine passes the deadline.
 func TestTransientDialFailureIsRetried(t *testing.T) {
 	const pause = 10.0 // ms at most between two dials
-	for _, why := range []error{
+	for _, errno := range []error{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EINTR,
 	} {
 		var dials atomic.Int32
 		dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 			if dials.Add(1) <= 3 {
-				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", why)}
+				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 			}
 			return net.DialTimeout(network, addr, wait)
 		}
@@ -292,12 +292,12 @@
 				clk.Advance(due - clk.Now())
 			}
 			return dials.Load() == 4
-		}, time.Minute, time.Millisecond, why)
+		}, time.Minute, time.Millisecond, errno)
 		scenario.Run(t, clk, actors, `
 			s expect fetch r1 * -
 			s send r1 served -
 			up expect r1 ok`)
-		require.EqualValues(t, 4, dials.Load(), why)
+		require.EqualValues(t, 4, dials.Load(), errno)
 		require.LessOrEqual(t, clk.Now(), 900.0, "before its deadline")
 	}
 }
@@ -363,9 +363,9 @@
 // The connections to many servers stay within MaxConns: the longest idle ones make room. With none idle, an
 // attempt is skipped.
 func TestMaxConnsOverAllServers(t *testing.T) {
-	const servers, most = 30, 8
+	const servers, maxConns = 30, 8
 	clk := clock.Manual(0)
-	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
+	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: maxConns})
 	list := make([]core.Member, servers)
 	var silent atomic.Bool
 	fetched := make(chan string, 2*servers)
@@ -394,19 +394,19 @@
 		send(fmt.Sprint("answered", i), i)
 		require.Equal(t, policy.OK, (<-ends).Result, i)
 		clk.Advance(1)
-		require.Eventually(t, func() bool { return pools.Conns() <= most }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return pools.Conns() <= maxConns }, time.Minute, time.Millisecond)
 	}
 	silent.Store(true)
 	for i := range servers {
 		send(fmt.Sprint("waits", i), i)
 	}
-	for range servers - most {
+	for range servers - maxConns {
 		require.Equal(t, policy.Skipped, (<-ends).Result)
 	}
-	require.Eventually(t, func() bool { return pools.Conns() == most }, time.Minute, time.Millisecond)
-	for waits := 0; waits < most; { // until no connection is being dialled
+	require.Eventually(t, func() bool { return pools.Conns() == maxConns }, time.Minute, time.Millisecond)
+	for waiting := 0; waiting < maxConns; { // until no connection is being dialled
 		if strings.HasPrefix(<-fetched, "waits") {
-			waits++
+			waiting++
 		}
 	}
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -16,50 +16,50 @@
 const writeTimeout = 3 * time.Second
 
 // run is the connection's writer. It returns when the connection is closed and all its calls are ended.
-func (k *conn) run() {
-	dialledAt := k.now()
-	nc, err := k.dial()
+func (cn *conn) run() {
+	dialledAt := cn.now()
+	nc, err := cn.dial()
 	var raw syscall.RawConn
 	if err == nil {
 		raw, err = rawSocket(nc)
 	}
 	if err != nil {
-		result := k.dialFailure(err, dialledAt)
-		k.endCalls(result, result)
+		result := cn.dialFailure(err, dialledAt)
+		cn.endCalls(result, result)
 		return
 	}
-	k.mu.Lock()
-	k.socket = nc
-	k.mu.Unlock()
-	go k.readAnswers(nc)
-	k.writeUntilClosed(nc, raw)
+	cn.mu.Lock()
+	cn.socket = nc
+	cn.mu.Unlock()
+	go cn.readAnswers(nc)
+	cn.writeUntilClosed(nc, raw)
 	nc.Close()
 	// What was not written has not run, and says nothing about the server.
-	k.endCalls(policy.Reset, policy.Skipped)
+	cn.endCalls(policy.Reset, policy.Skipped)
 }
 
 // writeUntilClosed writes what is pending whenever it is signalled, and returns when the connection is done.
-func (k *conn) writeUntilClosed(nc net.Conn, raw syscall.RawConn) {
-	idleTimeout := k.limits().IdleTimeout
+func (cn *conn) writeUntilClosed(nc net.Conn, raw syscall.RawConn) {
+	idleTimeout := cn.limits().IdleTimeout
 	stopIdleTimer := func() {}
-	for range k.wake {
+	for range cn.wake {
 		var done bool
 		var writeErr error
 		err := raw.Write(func(fd uintptr) (all bool) {
 			_ = nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // from the last progress
-			all, done, writeErr = k.writePending(int(fd))
+			all, done, writeErr = cn.writePending(int(fd))
 			return all
 		})
 		if cmp.Or(err, writeErr) != nil {
 			nc.Close() // ends the reader
-			done = k.writeFailed()
+			done = cn.writeFailed()
 		}
 		stopIdleTimer()
 		if done {
 			return
 		}
 		if idleTimeout > 0 {
-			stopIdleTimer = k.pool.pools.clock.After(idleTimeout*idleCloseFraction+idleTimerMargin, k.signal)
+			stopIdleTimer = cn.pool.pools.clock.After(idleTimeout*idleCloseFraction+idleTimerMargin, cn.signal)
 		}
 	}
 }
@@ -67,21 +67,21 @@
 // writePending writes what is queued as far as the socket accepts it. all is false while it accepts no more; done reports
 // that the connection is to be closed. What is written is chosen under the lock as its first byte is written: a call that
 // was abandoned, or whose decision has become too old, while the connection was dialled or blocked is never written.
-func (k *conn) writePending(fd int) (all, done bool, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (cn *conn) writePending(fd int) (all, done bool, err error) {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
 	for {
-		if k.broken {
+		if cn.broken {
 			return true, true, nil
 		}
-		now := k.now()
-		k.dropOutdated(now)
-		frameEnds := k.fillBuffer(now)
-		if len(k.buffer) == 0 {
+		now := cn.now()
+		cn.dropOutdated(now)
+		frameEnds := cn.fillBuffer(now)
+		if len(cn.buffer) == 0 {
 			break
 		}
-		n, err := k.limits().Write(fd, k.buffer)
-		k.recordWritten(max(0, n), frameEnds, now)
+		n, err := cn.limits().Write(fd, cn.buffer)
+		cn.recordWritten(max(0, n), frameEnds, now)
 		switch {
 		case err == syscall.EAGAIN: // only then does the poller report when the socket accepts more
 			return false, false, nil
@@ -89,39 +89,39 @@
 			return true, false, err
 		}
 	}
-	now := k.now()
-	if len(k.calls) > 0 {
-		k.lastUsed = now
-	} else if idleTimeout := k.limits().IdleTimeout; idleTimeout > 0 && now-k.lastUsed >= idleTimeout*idleCloseFraction {
-		k.closing = true // before the server closes it under a new call
+	now := cn.now()
+	if len(cn.calls) > 0 {
+		cn.lastUsed = now
+	} else if idleTimeout := cn.limits().IdleTimeout; idleTimeout > 0 && now-cn.lastUsed >= idleTimeout*idleCloseFraction {
+		cn.closing = true // before the server closes it under a new call
 	}
-	return true, k.closing && len(k.calls) == 0, nil
+	return true, cn.closing && len(cn.calls) == 0, nil
 }
 
 // fillBuffer encodes the rest of a partial frame, the queued calls and the aborts. frameEnds are the offsets at which the
 // partial frame and each call's frame end.
-func (k *conn) fillBuffer(now float64) (frameEnds []int) {
-	k.buffer = append(k.buffer[:0], k.partialFrame...)
-	frameEnds = []int{len(k.buffer)}
-	for _, c := range k.queue {
-		k.buffer = appendFrame(k.buffer, &c.attempt, now)
-		frameEnds = append(frameEnds, len(k.buffer))
+func (cn *conn) fillBuffer(now float64) (frameEnds []int) {
+	cn.buffer = append(cn.buffer[:0], cn.partialFrame...)
+	frameEnds = []int{len(cn.buffer)}
+	for _, c := range cn.queue {
+		cn.buffer = appendFrame(cn.buffer, &c.attempt, now)
+		frameEnds = append(frameEnds, len(cn.buffer))
 	}
-	for _, id := range k.aborts {
-		k.buffer = resp.AppendFrame(k.buffer, "abort", id)
+	for _, id := range cn.aborts {
+		cn.buffer = resp.AppendFrame(cn.buffer, "abort", id)
 	}
 	return frameEnds
 }
 
 // dropOutdated removes calls from the queue that are done, and skips those whose decision is too old or whose client has
 // left.
-func (k *conn) dropOutdated(now float64) {
-	k.queue = slices.DeleteFunc(k.queue, func(c *call) bool {
+func (cn *conn) dropOutdated(now float64) {
+	cn.queue = slices.DeleteFunc(cn.queue, func(c *call) bool {
 		expired := c.attempt.SendBy > 0 && now > c.attempt.SendBy
 		if !c.done && (expired || c.attempt.ClientGone != nil && c.attempt.ClientGone()) {
 			c.done = true
-			delete(k.calls, c.attempt.ID)
-			go c.finish(core.Outcome{Result: policy.Skipped})
+			delete(cn.calls, c.attempt.ID)
+			go c.reportOutcome(core.Outcome{Result: policy.Skipped})
 		}
 		return c.done
 	})
@@ -129,37 +129,37 @@
 
 // recordWritten marks the first n bytes of the buffer as written. A frame that is written in part is kept as the partial
 // frame, since the rest must follow.
-func (k *conn) recordWritten(n int, frameEnds []int, now float64) {
+func (cn *conn) recordWritten(n int, frameEnds []int, now float64) {
 	if n < frameEnds[0] {
-		k.partialFrame = k.buffer[n:frameEnds[0]]
+		cn.partialFrame = cn.buffer[n:frameEnds[0]]
 		return
 	}
-	k.partialFrame, k.partialCall = nil, nil
-	for i, c := range k.queue {
+	cn.partialFrame, cn.partialCall = nil, nil
+	for i, c := range cn.queue {
 		if n <= frameEnds[i] {
-			k.queue = slices.Delete(k.queue, 0, i)
+			cn.queue = slices.Delete(cn.queue, 0, i)
 			return
 		}
 		c.written, c.sentAt, c.attempt.Body = true, now, nil
 		if n < frameEnds[i+1] {
-			k.partialFrame, k.partialCall = k.buffer[n:frameEnds[i+1]], c
-			k.queue = slices.Delete(k.queue, 0, i+1)
+			cn.partialFrame, cn.partialCall = cn.buffer[n:frameEnds[i+1]], c
+			cn.queue = slices.Delete(cn.queue, 0, i+1)
 			return
 		}
 	}
-	k.queue = k.queue[:0]
+	cn.queue = cn.queue[:0]
 	if last := frameEnds[len(frameEnds)-1]; n > last {
-		k.partialFrame, k.aborts = k.buffer[n:], k.aborts[:0]
+		cn.partialFrame, cn.aborts = cn.buffer[n:], cn.aborts[:0]
 	}
 }
 
 // writeFailed records that nothing more can be written, and reports whether the reader has ended too. A call that was
 // written in part has not run: it must not count as one that may have been executed.
-func (k *conn) writeFailed() (done bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.closing = true; k.partialCall != nil && !k.partialCall.done {
-		k.partialCall.written = false
+func (cn *conn) writeFailed() (done bool) {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	if cn.closing = true; cn.partialCall != nil && !cn.partialCall.done {
+		cn.partialCall.written = false
 	}
-	return k.broken
+	return cn.broken
 }
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -20,11 +20,11 @@
 // farDeadline is so far off that the frames have the same length whenever they are written.
 const farDeadline = 500_000
 
-var leftTime = regexp.MustCompile(`ttl=\d*`)
+var timeLeftField = regexp.MustCompile(`ttl=\d*`)
 
-// timeless is b with all digits of the times left replaced by zeros.
-func timeless(b []byte) string {
-	return leftTime.ReplaceAllStringFunc(string(b), func(s string) string { return "ttl=" + strings.Repeat("0", len(s)-len("ttl=")) })
+// withoutTimeLeft is b with all digits of the times left replaced by zeros.
+func withoutTimeLeft(b []byte) string {
+	return timeLeftField.ReplaceAllStringFunc(string(b), func(s string) string { return "ttl=" + strings.Repeat("0", len(s)-len("ttl=")) })
 }
 
 // A socket accepts any number of bytes or none while calls are added, aborted and become too old. The server
@@ -47,17 +47,17 @@
 		k := newConn(&pool{pools: p}, false)
 		ended := make(chan string, 100)
 		calls := map[string]*call{}
-		begunAtEnd := map[string]bool{} // of calls that ended: whether a byte was written
+		begunWhenAborted := map[string]bool{} // of calls that ended: whether a byte was written
 		order := []string{}
 		frames := map[string]string{}
 		begun := func(c *call) bool {
-			f, out := frames[c.attempt.ID], timeless(wire)
-			for n := 1; n < len(f); n++ {
-				if strings.HasSuffix(out, f[:n]) {
+			frame, out := frames[c.attempt.ID], withoutTimeLeft(wire)
+			for n := 1; n < len(frame); n++ {
+				if strings.HasSuffix(out, frame[:n]) {
 					return true // within it, or within a frame with the same beginning
 				}
 			}
-			return strings.Contains(out, f)
+			return strings.Contains(out, frame)
 		}
 		written, wroteAt := map[string]bool{}, map[string]float64{}
 		check := func() {
@@ -70,7 +70,7 @@
 					require.False(t, c.attempt.SendBy > 0 && clk.Now() > c.attempt.SendBy, "%s was written too late", id)
 				}
 				if !c.written {
-					require.NotContains(t, timeless(wire), frames[id], "%s was written, but is not marked", id)
+					require.NotContains(t, withoutTimeLeft(wire), frames[id], "%s was written, but is not marked", id)
 				}
 			}
 		}
@@ -83,7 +83,7 @@
 					c.attempt.SendBy = clk.Now() + 50
 				}
 				require.True(t, k.add(c))
-				calls[id], frames[id] = c, timeless(appendFrame(nil, &c.attempt, clk.Now()))
+				calls[id], frames[id] = c, withoutTimeLeft(appendFrame(nil, &c.attempt, clk.Now()))
 				order = append(order, id)
 			case 2:
 				if len(order) == 0 {
@@ -92,7 +92,7 @@
 				c := calls[rapid.SampledFrom(order).Draw(t, "left")]
 				if !c.done {
 					require.Equal(t, c.written, k.abandon(c, false))
-					begunAtEnd[c.attempt.ID] = c.written
+					begunWhenAborted[c.attempt.ID] = c.written
 				}
 			case 3:
 				clk.Advance(rapid.Float64Range(0, 40).Draw(t, "ms"))
@@ -126,8 +126,8 @@
 			}
 		}
 		for id, c := range calls {
-			switch wasBegun, left := begunAtEnd[id]; {
-			case left:
+			switch wasBegun, wasAborted := begunWhenAborted[id]; {
+			case wasAborted:
 				require.Equal(t, wasBegun, fetched[id], "%s was aborted", id)
 				require.Equal(t, wasBegun, aborted[id], id)
 			case c.done: // too old
