--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// maxAbandoned is the number of calls, given up after they were written, at which a connection accepts no more. A
-	// server that was told to abort sends no answer, so most of these calls remain unanswered.
+	// maxAbandoned is the number of calls, abandoned after they were written, at which a connection accepts no more. A server that
+	// has received an abort sends no answer, so most of these calls remain unanswered.
 	maxAbandoned = 256
-	// unansweredTimeout, in ms: a connection whose calls have had no answer for so long counts as full.
+	// unansweredTimeout, in ms, is how long a connection with open calls may go without an answer before it counts as full.
 	unansweredTimeout = 500
 )
 
-// conn is one connection to a cache server. Its writer (run) dials, writes queued calls and ends the calls when the
-// connection is closed; its reader (readAnswers) ends calls with their answers.
+// conn is one connection to a cache server. Its writer (run) dials, writes the queued calls, and ends the open calls when the
+// connection is closed. Its reader (readAnswers) ends each call whose answer arrives.
 type conn struct {
 	pool          *pool
 	nonIdempotent bool          // for non-idempotent calls
 	wake          chan struct{} // wakes the writer
 
 	mu        sync.Mutex
-	calls     map[string]*call // by id, queued or written and not done
-	queue     []*call          // of which nothing is written
-	aborts    []string         // ids whose abort is not written
-	usedIDs   idSet            // of all calls
-	abandoned int              // calls given up after they were written, since the last answer
-	socket    net.Conn         // nil while dialling
-	closing   bool             // it accepts no more calls
+	calls     map[string]*call // open calls by id: queued or written, and not done
+	queue     []*call          // calls of which nothing is written
+	aborts    []string         // ids of calls whose abort frames are not written
+	usedIDs   idSet            // ids of all calls
+	abandoned int              // number of calls that were aborted or timed out after they were written
+	socket    net.Conn         // nil until the connection is established
+	closing   bool             // the connection accepts no more calls
 	broken    bool             // nothing more can be read
-	released  bool             // it does not count against MaxConns any more
+	released  bool             // the connection no longer counts against MaxConns
 
-	buffer       []byte // reused for what is written
-	partialFrame []byte // of buffer: the rest of a frame that is written in part
-	partialCall  *call  // whose frame that is; nil: an abort's, or none
+	buffer       []byte // holds the bytes to write; reused
+	partialFrame []byte // part of buffer: the rest of a frame that is partly written
+	partialCall  *call  // the call of partialFrame; nil for an abort frame or if there is no partial frame
 
 	// Times are in ms of the clock.
-	lastAnswer         float64
-	unansweredSince    float64 // since when calls are open without an answer
-	partialAnswerAt    float64 // when bytes of an incomplete answer arrived last; 0: there is none
-	partialAnswerSince float64 // when the first of them arrived
-	stallTimerSet      bool
-	lastUsed           float64 // when it last had a call
+	lastAnswer         float64 // when the last answer arrived
+	unansweredSince    float64 // since when there have been open calls and no answer
+	partialAnswerAt    float64 // when the last bytes of an incomplete answer arrived; 0: no answer is incomplete
+	partialAnswerSince float64 // when the first bytes of that answer arrived
+	stallTimerSet      bool    // a timer for checkStall is running
+	lastUsed           float64 // when the connection last had an open call
 }
 
 func newConn(pl *pool, nonIdempotent bool) *conn {
@@ -66,8 +66,8 @@
 	}
 }
 
-// load is the number of open calls; ok is false if the connection accepts no more. A connection without answers counts
-// as full: with few calls open it would otherwise get the next ones.
+// load returns the number of open calls. ok is false if the connection accepts no more calls. A connection that has had no answer
+// for unansweredTimeout counts as full; otherwise it would get the next calls if it has only a few open ones.
 func (cn *conn) load() (n int, ok bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -77,8 +77,8 @@
 	return n, !cn.closing
 }
 
-// add queues a call and reports whether the connection accepts it. It does not if it has carried an earlier attempt of
-// the same request: a second answer to that one would be taken for an answer to this.
+// add queues a call and reports whether the connection accepts it. A connection that has carried an earlier attempt of the same
+// request does not accept the call: a second answer to the earlier attempt would be taken for the answer to this one.
 func (cn *conn) add(c *call) bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -97,8 +97,9 @@
 	return true
 }
 
-// abandon ends a call whose deadline has passed (timeout) and reports its outcome: timed out, or skipped if it was not
-// written. Otherwise it forgets the call, which its caller has aborted. It returns whether the call was written.
+// abandon ends a call that has passed its deadline (timeout is true) or that its caller has aborted. At the deadline it reports the
+// outcome: timed out, or skipped if the call was not written. For an aborted call it reports no outcome. It returns whether the
+// call was written.
 func (cn *conn) abandon(c *call, timeout bool) (written bool) {
 	cn.mu.Lock()
 	written = c.written
@@ -115,8 +116,8 @@
 			cn.closing = true
 		}
 		cn.aborts = append(cn.aborts, c.attempt.ID)
-		// Without any answer since the call was sent, the machine may have vanished and left its connections open and
-		// silent. A later probe over one would fail although the server is back.
+		// If no answer has arrived since the call was sent, the server's machine may have failed without closing its connections.
+		// A later probe over such a connection would fail although the server is running again.
 		if timeout && cn.lastAnswer < c.sentAt {
 			cn.closing = true
 		}
@@ -131,8 +132,8 @@
 	return written
 }
 
-// skipExpired skips a call whose decision has become too old while the established connection accepts no bytes. A call
-// that waits for a connection to be established goes on waiting, as that shows whether the server can be reached.
+// skipExpired skips a call whose SendBy has passed while the established connection accepts no bytes. A call that waits for a
+// connection to be established is not skipped, since the result of dialling shows whether the server can be reached.
 func (cn *conn) skipExpired(c *call) {
 	cn.mu.Lock()
 	expired := !c.done && !c.written && cn.socket != nil
@@ -146,7 +147,7 @@
 	}
 }
 
-// retire makes a connection accept no more calls. It ends once it is idle.
+// retire makes the connection accept no more calls. The connection is closed once its open calls have ended.
 func (cn *conn) retire() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -154,14 +155,15 @@
 	cn.signal()
 }
 
-// idleSince returns since when the connection has had no open calls; idle is false if it has some or accepts no more.
+// idleSince returns since when the connection has been idle. idle is false if the connection has open calls, accepts no more calls
+// or is not established.
 func (cn *conn) idleSince() (since float64, idle bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	return cn.lastUsed, cn.socket != nil && !cn.closing && len(cn.calls) == 0
 }
 
-// closeIdle closes a connection that is idle, and makes room for another one at once.
+// closeIdle closes the connection if it is idle. The connection stops counting against MaxConns at once.
 func (cn *conn) closeIdle() {
 	cn.mu.Lock()
 	idle := !cn.closing && len(cn.calls) == 0
@@ -175,7 +177,7 @@
 	}
 }
 
-// release removes the connection from the count for MaxConns, once.
+// release stops counting the connection against MaxConns. Further calls have no effect.
 func (cn *conn) release() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -185,14 +187,15 @@
 	}
 }
 
-// endCalls ends all calls of a closed connection: those that were written with one result, the others with another.
+// endCalls ends all calls of a closed connection: those that were written with the result written, the others with the result
+// queued.
 func (cn *conn) endCalls(written, queued policy.Result) {
 	cn.pool.remove(cn)
 	cn.mu.Lock()
 	cn.closing = true
 	var ended []*call
 	for _, c := range cn.calls {
-		invariant.Check(!c.done, "an open call is not done")
+		invariant.Check(!c.done, "an open call is not marked as done")
 		c.done = true
 		ended = append(ended, c)
 	}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// maxResetRedials is how often a connection is dialled again that was reset while it was established.
+	// maxResetRedials is how often a connection is dialled again if it is reset while it is being established.
 	maxResetRedials = 2
-	// maxLocalRedials is how often a connection is dialled again that failed for lack of a local resource, each time after
-	// localRedialPause ms. Calls that wait for it are then skipped.
+	// maxLocalRedials is how often a connection is dialled again, each time after localRedialPause ms, if dialling fails for lack
+	// of a local resource. After that the calls that wait for the connection are skipped.
 	maxLocalRedials, localRedialPause = 5, 10
 )
 
-// errNoSocket reports a connection from Limits.Dial that is not a syscall.Conn.
-var errNoSocket = errors.New("upstream: connection without a socket")
+// errNoSocket reports that Limits.Dial has returned a connection that is not a syscall.Conn.
+var errNoSocket = errors.New("upstream: connection does not implement syscall.Conn")
 
-// dial establishes the connection. A reset meanwhile does not count as a failure at once: somebody listens there.
+// dial establishes the connection. It dials again if the connection is reset meanwhile, since a reset shows that a process listens
+// at the address, and after transient local failures.
 func (cn *conn) dial() (nc net.Conn, err error) {
 	for resets, local := 0, 0; ; {
 		nc, err = cn.limits().Dial("tcp", cn.pool.addr, clock.Duration(cn.limits().ConnectTimeout))
@@ -39,9 +40,10 @@
 	}
 }
 
-// dialFailure is the result for calls that waited for a connection, dialled at the given time in ms, that failed. The
-// server is reachable, and the calls are skipped, if the failure is local, if it resets new connections while others are
-// open, or if it answered over another one while this one timed out.
+// dialFailure returns the result of the calls that waited for a connection that could not be established. dialledAt is when
+// dialling began, in ms of the clock. The calls are skipped if the failure does not show that the server is unreachable: if it is
+// local, if the server resets new connections while others are open, or if it answered over another connection while dialling timed
+// out.
 func (cn *conn) dialFailure(err error, dialledAt float64) policy.Result {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
@@ -56,7 +58,7 @@
 	return policy.ConnectFailed
 }
 
-// rawSocket returns the socket of a connection, which it closes if it has none.
+// rawSocket returns the socket of a connection. If there is none, it closes the connection and returns an error.
 func rawSocket(nc net.Conn) (raw syscall.RawConn, err error) {
 	if sc, ok := nc.(syscall.Conn); ok {
 		if raw, err = sc.SyscallConn(); err == nil {
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/policy"
 )
 
-// dialWithSmallBuffer dials a connection with a small write buffer.
+// dialWithSmallBuffer dials a connection and sets a small write buffer.
 func dialWithSmallBuffer(network, addr string, wait time.Duration) (net.Conn, error) {
 	nc, err := net.DialTimeout(network, addr, wait)
 	if err == nil {
@@ -29,7 +29,7 @@
 	return nc, err
 }
 
-// listenWithoutReading accepts one connection with a small read buffer and reads nothing from it.
+// listenWithoutReading accepts one connection, sets a small read buffer and reads nothing.
 func listenWithoutReading(t *testing.T) (addr string, accepted chan *net.TCPConn) {
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -54,16 +54,16 @@
 	return pools
 }
 
-// blockedConn is a connection to a server that reads nothing, with both buffers full.
+// blockedConn is a connection that accepts no bytes: the server reads nothing, and the buffers of both sides are full.
 type blockedConn struct {
 	clk      *clock.Clock
 	pools    *upstream.Pools
 	accepted chan *net.TCPConn // the server's side
-	outcomes chan string       // id, whether it was skipped, whether it was written completely
+	outcomes chan string       // "ID SKIPPED WRITTEN" of each attempt that ended, see core.Outcome
 	aborts   map[string]func() bool
 }
 
-// newBlockedConn fills a connection until it accepts no more.
+// newBlockedConn fills a connection until it accepts no more bytes.
 func newBlockedConn(t *testing.T, clk *clock.Clock) *blockedConn {
 	addr, accepted := listenWithoutReading(t)
 	b := &blockedConn{clk: clk, accepted: accepted, outcomes: make(chan string, 100), aborts: map[string]func() bool{}}
@@ -81,12 +81,12 @@
 	}})
 	for i := 0; !full.Load(); i++ { // a fifth attempt would open a second connection
 		require.Less(t, i, 4)
-		b.send(fmt.Sprint("fills", i), 60_000, 0, size)
+		b.send(fmt.Sprint("blocking", i), 60_000, 0, size)
 		for !full.Load() && !frameComplete() {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	for unchanged, last := 0, int64(0); unchanged < 150; unchanged++ { // until both buffers are full
+	for unchanged, last := 0, int64(0); unchanged < 150; unchanged++ { // until nothing has been written for 150 ms
 		time.Sleep(time.Millisecond)
 		if now := written.Load(); now != last {
 			unchanged, last = 0, now
@@ -95,7 +95,7 @@
 	return b
 }
 
-// send starts an attempt with the given time and body size, to be written within sendBy ms (0: at any time).
+// send starts an attempt with the given time left and body size. It must be written within sendBy ms; 0 means no bound.
 func (b *blockedConn) send(id string, timeLeft, sendBy float64, size int) {
 	a := core.Attempt{ID: id, Server: scenario.CacheID, Deadline: b.clk.Now() + timeLeft, Body: []byte(strings.Repeat("x", size))}
 	if sendBy > 0 {
@@ -106,37 +106,36 @@
 	})
 }
 
-// A server reads nothing for a while. Attempts whose client has left, or whose decision has become too old,
-// before their first byte was written are not written once the server reads again, nor are their aborts.
-// Attempts that are still wanted arrive completely.
+// A server reads nothing for a while. Attempts whose client has left or whose SendBy has passed before their first byte was written
+// are not written when the server reads again, and neither are their aborts. The other attempts arrive completely.
 func TestBlockedConnectionSkipsOutdatedAttempts(t *testing.T) {
 	clk := clock.Manual(0)
 	b := newBlockedConn(t, clk)
-	b.send("left", 60_000, 0, 10)
-	b.send("old", 60_000, 500, 10)
-	require.False(t, b.aborts["left"](), "aborted before its first byte")
+	b.send("aborted", 60_000, 0, 10)
+	b.send("outdated", 60_000, 500, 10)
+	require.False(t, b.aborts["aborted"](), "aborted before its first byte")
 	clk.Advance(499)
 	require.Empty(t, b.outcomes)
 	clk.Advance(2)
-	require.Equal(t, "old true false", <-b.outcomes, "skipped at once, though the connection is still blocked")
-	b.send("wanted", 60_000, 0, 10)
+	require.Equal(t, "outdated true false", <-b.outcomes, "skipped at once, though the connection is still blocked")
+	b.send("open", 60_000, 0, 10)
 	nc := <-b.accepted
 	buf := resp.Buffer{MaxFrameSize: 4 << 20}
 	for {
 		parts, _, err := buf.Next(nc)
 		require.NoError(t, err)
 		require.Equal(t, "fetch", string(parts[0]))
-		if id := string(parts[1]); id == "wanted" {
+		if id := string(parts[1]); id == "open" {
 			break
-		} else if !strings.HasPrefix(id, "fills") {
+		} else if !strings.HasPrefix(id, "blocking") {
 			t.Fatal(id, "was written")
 		}
 	}
 	require.Empty(t, b.outcomes)
 }
 
-// A connection is established after all that waited for it is over: it carries none of the old attempts,
-// carries the next one, and is closed when its server is no longer listed.
+// A connection is established only after all attempts that waited for it have ended. It carries none of these, it carries the next
+// attempt, and it is closed when its server is no longer listed.
 func TestLateConnectionCarriesNoOldAttempts(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	connectable := make(chan struct{})
@@ -146,14 +145,14 @@
 	}})
 	results := make(chan policy.Result, 3)
 	end := func(e core.Outcome) { results <- e.Result }
-	abortLeft := pools.Send(core.Attempt{ID: "left", Server: scenario.CacheID, Deadline: 5000}, end)
-	pools.Send(core.Attempt{ID: "old", Server: scenario.CacheID, Deadline: 5000, SendBy: 500}, end)
-	pools.Send(core.Attempt{ID: "over", Server: scenario.CacheID, Deadline: 800}, end)
-	require.False(t, abortLeft())
+	abortFirst := pools.Send(core.Attempt{ID: "aborted", Server: scenario.CacheID, Deadline: 5000}, end)
+	pools.Send(core.Attempt{ID: "outdated", Server: scenario.CacheID, Deadline: 5000, SendBy: 500}, end)
+	pools.Send(core.Attempt{ID: "expired", Server: scenario.CacheID, Deadline: 800}, end)
+	require.False(t, abortFirst())
 	clk.Advance(1000)
-	require.Equal(t, policy.Skipped, <-results, "over: past its deadline and not written")
+	require.Equal(t, policy.Skipped, <-results, "attempt expired: its deadline has passed and it was not written")
 	close(connectable)
-	require.Equal(t, policy.Skipped, <-results, "old: dropped when the connection is established")
+	require.Equal(t, policy.Skipped, <-results, "attempt outdated: dropped when the connection was established")
 	actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}
 	scenario.Run(t, clk, actors, `
 		up send next
@@ -167,8 +166,8 @@
 	require.Empty(t, results)
 }
 
-// If a new connection times out while the server answers over another one, the attempt is skipped. If the
-// server does not answer or refuses the connection, it is unreachable.
+// If dialling times out while the server answers over another connection, the attempt is skipped. If the server does not answer
+// there either, or refuses the connection, the server is unreachable.
 func TestDialFailureBesideOpenConnection(t *testing.T) {
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
@@ -218,7 +217,7 @@
 	return n, err
 }
 
-// An answer of which single bytes keep arriving is broken off after answerTimeout, with what waits behind it.
+// If an answer arrives byte by byte, its connection is closed after answerTimeout, which also ends the other attempts on it.
 func TestTrickledAnswerIsBrokenOff(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	var bytesRead atomic.Int64
--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -12,10 +12,10 @@
 	"ravenwheel/policy"
 )
 
-// frameCapacity, in bytes, is enough for the fields of most attempts.
+// frameCapacity, in bytes, is the initial capacity for the fields of a frame. It is enough for most attempts.
 const frameCapacity = 160
 
-// maxNumber bounds the figures of an answer; for times in ms that is half an hour.
+// maxNumber bounds the numbers in an answer. For times in ms it is about half an hour.
 const maxNumber = 2e6
 
 // fillOptionWords are the words of the field "handle", in the order in which they are written.
@@ -27,15 +27,15 @@
 	{policy.RefreshInBackground, "freshen"},
 }
 
-// noteWords are the words of the field "why", in the order of policy.Note from NoteHit on.
+// noteWords are the words of the field "why", in the order of the policy.Note constants, beginning with NoteHit.
 var noteWords = []string{
 	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there", "no_place", "far_fault",
 }
 
-// notModifiedWord is the word of an answer that calls the client's copy current.
+// notModifiedWord is the word of an answer which says that the client's copy is current.
 const notModifiedWord = "still_good"
 
-// resultWords maps the word of an answer; "green" and "red" answer a health check. Any other word is policy.Unknown.
+// resultWords maps the word of an answer to its result. "green" and "red" answer a health check. Any other word is policy.Unknown.
 var resultWords = map[string]policy.Result{
 	"served": policy.OK, notModifiedWord: policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
 	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
@@ -47,13 +47,13 @@
 	"eps": "errors", "x0": "hits", "x1": "link",
 }
 
-// serverName is a server's id in a frame.
+// serverName returns the form of a server's id in a frame.
 func serverName(id policy.ServerID) string {
 	return "s-" + hex.EncodeToString(binary.BigEndian.AppendUint32(nil, uint32(id)))
 }
 
-// appendFrame appends the frame of an attempt, with the time that is left at now, to b. Fields that do not apply are
-// absent.
+// appendFrame appends the frame of an attempt to b. now, in ms of the clock, determines the time left in the frame. Fields that do
+// not apply are omitted.
 func appendFrame(b []byte, a *core.Attempt, now float64) []byte {
 	fields := append(make([]byte, 0, frameCapacity), "lane="...)
 	fields = append(fields, a.Class...)
@@ -73,7 +73,7 @@
 		add("retain", strconv.Itoa(a.RetainRank))
 	}
 	if a.MaxAge > 0 {
-		// Rounded down, as an older copy would be too old, but not to 0, which stands for the class's own.
+		// Rounded down, since a copy must not be older than MaxAge, but not to 0, which stands for the limit of the class.
 		add("newer", strconv.Itoa(max(1, int(a.MaxAge))))
 	}
 	if words := optionWords(a.Options); len(words) > 0 {
@@ -97,7 +97,8 @@
 	return words
 }
 
-// decodeAnswer decodes an answer: id, word, fields, body. The error is resp.ErrMalformed.
+// decodeAnswer decodes the parts of an answer: id, word, fields and body. Fields and body may be absent. The error is
+// resp.ErrMalformed.
 func decodeAnswer(parts [][]byte) (id string, outcome core.Outcome, err error) {
 	if len(parts) < 2 {
 		return "", outcome, resp.ErrMalformed
@@ -124,7 +125,7 @@
 	return string(parts[0]), outcome, nil
 }
 
-// decodeLoadReport decodes "name:value;name:value". Unknown names and invalid figures are skipped; nil if none is left.
+// decodeLoadReport decodes "name:value;name:value". It skips unknown names and invalid numbers, and returns nil if nothing is left.
 func decodeLoadReport(text string) (report policy.LoadReport) {
 	for _, pair := range strings.Split(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
@@ -138,8 +139,8 @@
 	return report
 }
 
-// parseNumber parses a figure. ok is false for anything but a number between 0 and maxNumber, since the router computes
-// with the figures as they are.
+// parseNumber parses a number. ok is false unless it is between 0 and maxNumber, since the router calculates with the numbers
+// unchecked.
 func parseNumber(text string) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(number >= 0 && number <= maxNumber) {
--- a/internal/upstream/frame_test.go
+++ b/internal/upstream/frame_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/policy"
 )
 
-// Figures that are not numbers, negative or too large are ignored.
+// Values that are not numbers, are negative or are too large are ignored.
 func TestDecodeAnswerIgnoresInvalidFigures(t *testing.T) {
 	for text, want := range map[string]core.Outcome{
 		"why=far_fault,took=12.5,rep=util:0.61;inflight:7;x0:0.4;x1:1.2": {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Fields that do not apply are absent from the frame: source, rank, age, tag and key.
+// Fields that do not apply are absent from the frame: source, rank, maximum age, options, tag and key.
 func TestFrameOmitsAbsentFields(t *testing.T) {
 	a := core.Attempt{ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, Server: 20, Source: 20, Deadline: 2499.8}
 	frame := func(a core.Attempt) []byte { return appendFrame(nil, &a, 1000) }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -11,8 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// Frames of attempts are encoded to the same bytes as before: with every field set, with the optional ones empty, and for
-// each fill option.
+// Frames of attempts are encoded to the same bytes as in earlier versions: with every field set, with each fill option alone, and
+// with the optional fields empty.
 func TestGoldenRequestFrames(t *testing.T) {
 	full := core.Attempt{
 		ID: "00000000000000a1", Class: "tiles", Object: "7f3a9c21e0b4d655", Part: 3, CachedTag: "v1", IdempotencyKey: "k1", Body: []byte("body\r\n"),
@@ -30,7 +30,7 @@
 	golden.Equal(t, "requests.resp", frames)
 }
 
-// Answers of cache servers are decoded as before.
+// Answers of cache servers are decoded as in earlier versions.
 func TestGoldenAnswerFrames(t *testing.T) {
 	const fields = "version=v7,why=pulled,took=12.5,rep=inflight:1.5;queue:2.5;util:0.25;latency_ms:3.5;qps:4.5;eps:5.5;x0:0.5;x1:6.5;x9:1"
 	load := policy.LoadReport{
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// pool is the connections to one cache server at one address.
+// pool holds the connections to one cache server at one address.
 type pool struct {
 	pools *Pools
 	addr  string
@@ -15,9 +15,9 @@
 	conns []*conn
 }
 
-// assignCall adds a call to the least loaded connection that may carry it, or to a new one; nil if there is none. Idempotent
-// calls are spread over connections in small numbers and non-idempotent ones get connections of their own, since an
-// unreadable answer ends every call of its connection.
+// assignCall adds a call to the least loaded connection that may carry it, or to a new one, and returns that connection. It returns
+// nil if no connection can take the call. An unreadable answer ends every call of its connection. Therefore idempotent calls are
+// spread over connections in small numbers, and non-idempotent calls have separate connections.
 func (pl *pool) assignCall(c *call) *conn {
 	limits := pl.pools.limits.Load()
 	threshold, maxConns := spreadThreshold, limits.ConnsPerServer-nonIdempotentConns
@@ -51,7 +51,8 @@
 	return conn
 }
 
-// byLoad returns the connections of one kind that accept calls, the least loaded first, and their loads.
+// byLoad returns the connections that accept calls, either those for non-idempotent calls or the others, the least loaded first,
+// and their loads.
 func (pl *pool) byLoad(nonIdempotent bool) ([]*conn, map[*conn]int) {
 	var conns []*conn
 	loads := map[*conn]int{}
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -1,7 +1,7 @@
-// Package upstream carries attempts to cache servers over a few connections each, with many attempts on one connection
-// and answers in any order. It decides nothing about requests: it chooses a connection, and reports exactly how each
-// attempt ended, above all whether it was written. Its tests play scripts against a scripted server; write_test.go
-// checks the writer with arbitrary partial writes.
+// Package upstream carries attempts to cache servers. It has a few connections to each server, each of which carries many attempts
+// at a time and answers in any order. The package makes no decisions about requests: it chooses a connection for each attempt and
+// reports how the attempt ended, in particular whether it was written. The tests run scripts against a scripted server;
+// write_test.go checks the writer with arbitrary partial writes.
 package upstream
 
 import (
@@ -17,18 +17,18 @@
 	"ravenwheel/policy"
 )
 
-// Pools are the connections to all cache servers. They implement core.Upstream.
+// Pools holds the connections to all cache servers. It implements core.Upstream.
 type Pools struct {
-	LateAnswers atomic.Int64 // answers to attempts that had ended
+	LateAnswers atomic.Int64 // answers that match no open attempt, such as late and duplicate ones
 
 	clock  *clock.Clock
 	limits atomic.Pointer[Limits]
 	byID   atomic.Pointer[iradix.Tree[*pool]] // read without a lock on the path of requests
 	update sync.Mutex                         // held while byID is replaced
-	conns  atomic.Int64                       // connections that count against MaxConns
+	conns  atomic.Int64                       // number of connections that count against MaxConns
 }
 
-// New returns pools without a cache server.
+// New returns pools that have no cache servers yet.
 func New(c *clock.Clock, limits Limits) *Pools {
 	limits = limits.withDefaults()
 	p := &Pools{clock: c}
@@ -37,7 +37,7 @@
 	return p
 }
 
-// SetLimits changes the attempts per connection and the timeouts, in ms. They apply to open connections too.
+// SetLimits changes the attempts per connection and the timeouts, in ms. The new values also apply to open connections.
 func (p *Pools) SetLimits(attemptsPerConn int, connectTimeout, idleTimeout float64) {
 	limits := *p.limits.Load()
 	limits.AttemptsPerConn = max(1, attemptsPerConn)
@@ -52,8 +52,8 @@
 
 func idOf(key []byte) policy.ServerID { return policy.ServerID(binary.BigEndian.Uint64(key)) }
 
-// UpdateMembers implements core.Upstream. A server that is gone, or has another address now, gets nothing new on its
-// old connections: they end once they are idle.
+// UpdateMembers implements core.Upstream. The connections to a server that is gone or has a new address accept no more calls and
+// are closed once their open calls have ended.
 func (p *Pools) UpdateMembers(list []core.Member, full bool) {
 	p.update.Lock()
 	defer p.update.Unlock()
@@ -109,8 +109,8 @@
 	return p.start(&call{attempt: a, onEnd: end})
 }
 
-// start puts a call on a connection and sets its timers. The call is skipped if its server is no longer listed or if all
-// its connections are full.
+// start assigns a call to a connection and sets its timers. The call is skipped if its server is no longer listed or if all
+// connections to the server are full.
 func (p *Pools) start(c *call) (abort func() (written bool)) {
 	var conn *conn
 	if server := p.pool(c.attempt.Server); server != nil {
@@ -143,7 +143,7 @@
 	return true
 }
 
-// closeLongestIdle closes the connection that has been idle for longest if MaxConns is reached.
+// closeLongestIdle closes the connection that has been idle for the longest time, if MaxConns is reached.
 func (p *Pools) closeLongestIdle() {
 	if limit := int64(p.limits.Load().MaxConns); limit <= 0 || p.conns.Load() < limit {
 		return
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// answerStallTimeout, in ms: an answer of which nothing arrives for so long is broken off.
+	// answerStallTimeout, in ms, is how long the next bytes of an incomplete answer may take. After that the connection is closed.
 	answerStallTimeout = 300
-	// answerTimeout, in ms: an answer that is not complete so long after its first byte is broken off, even if bytes
-	// keep arriving.
+	// answerTimeout, in ms, is how long after its first byte an answer must be complete. After that the connection is closed even
+	// if bytes keep arriving.
 	answerTimeout = 3000
 )
 
-// readAnswers is the connection's reader. It ends with the connection, or with an answer that cannot be read.
+// readAnswers is the connection's reader. It returns when the connection is closed or an answer cannot be read.
 func (cn *conn) readAnswers(nc net.Conn) {
 	buffer := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
@@ -24,16 +24,17 @@
 		}
 		if err != nil {
 			cn.mu.Lock()
-			cn.closing, cn.broken = true, true // before the close is visible, so that no call is added after it
+			cn.closing, cn.broken = true, true // before the socket is closed, so that no call is added after that
 			cn.mu.Unlock()
 			nc.Close()
-			cn.signal() // the writer, which knows what was written, ends the calls
+			cn.signal() // the writer ends the calls, since it knows which of them were written
 			return
 		}
 	}
 }
 
-// answerReader reads for a connection's buffer and records when more of an incomplete answer is awaited.
+// answerReader reads from the socket of a connection into buffer. Before each read it records whether an incomplete answer is in
+// the buffer.
 type answerReader struct {
 	conn   *conn
 	socket net.Conn
@@ -50,7 +51,7 @@
 	return r.socket.Read(p)
 }
 
-// markPartialAnswer records that bytes of an incomplete answer have arrived. The caller holds the lock.
+// markPartialAnswer records that bytes of an incomplete answer have arrived. The caller must hold mu.
 func (cn *conn) markPartialAnswer() {
 	if cn.partialAnswerAt = cn.now(); cn.partialAnswerSince == 0 {
 		cn.partialAnswerSince = cn.partialAnswerAt
@@ -61,7 +62,8 @@
 	}
 }
 
-// checkStall closes a connection whose answer has stalled: no answer can follow it.
+// checkStall closes the connection if an answer has stalled, since no other answer can arrive before it is complete. If an answer
+// is incomplete but has not stalled, checkStall sets its timer again.
 func (cn *conn) checkStall() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -77,8 +79,8 @@
 	cn.socket.Close() // the reader ends the connection
 }
 
-// handleAnswer ends the call that an answer is for. An answer to a call that is done, or a second one, is counted and
-// dropped. more reports that bytes of a further answer have arrived.
+// handleAnswer ends the call to which an answer belongs. An answer to a call that is done, such as a second answer, is counted and
+// dropped. more says whether bytes of a further answer have arrived.
 func (cn *conn) handleAnswer(parts [][]byte, more bool) error {
 	id, outcome, err := decodeAnswer(parts)
 	if err != nil {
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -24,7 +24,7 @@
 
 var timeLeftField = regexp.MustCompile(`,ttl=(\d+)`)
 
-// timeLeft is the time left in the fields of a frame, in ms.
+// timeLeft returns the time left in the fields of a frame, in ms.
 func timeLeft(t *testing.T, fields string) float64 {
 	m := timeLeftField.FindStringSubmatch(fields)
 	require.NotNil(t, m, fields)
@@ -33,8 +33,8 @@
 	return float64(ms)
 }
 
-// An attempt waits for its connection to be established, redialled or unblocked. The time left in its frame
-// is that at its first byte, not that of the decision.
+// An attempt waits until its connection is established, dialled again or no longer blocked. The frame has the time left when its
+// first byte is written, not the time left at the decision.
 func TestTimeLeftIsThatOfFirstByte(t *testing.T) {
 	const budget, waited = 1000, 420
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 	"ravenwheel/policy"
 )
 
-// fiveReads starts four reads on one connection and a fifth one on another.
+// fiveReads starts four reads on one connection and a fifth on another.
 const fiveReads = `
 	up send r1
 	s expect fetch r1 * -
@@ -34,9 +34,9 @@
 	up send r5
 	s expect fetch r5 * -`
 
-// scenarios are played against a scripted cache server.
+// scenarios are scripts that run against a scripted cache server.
 var scenarios = map[string]string{
-	"an unreadable answer ends the reads of its connection and no write": `
+	"an unreadable answer ends the reads on its connection but no write": `
 		up send w1 once
 		s expect fetch w1 * -` + fiveReads + `
 		s send r4 served notafield
@@ -54,7 +54,7 @@
 		s expect fetch r1 * -
 		s send raw *4\r\n$2\r\nr1\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000
 		up expect r1 reset`,
-	"a stalled answer ends the calls of its connection soon": `
+	"a stalled answer ends the calls on its connection": `
 		up send r1
 		s expect fetch r1 * -
 		up send r2
@@ -85,7 +85,7 @@
 		s send r2 served -
 		up expect r1 ok
 		up expect r2 ok`,
-	"an idle connection that breaks is not blamed on the server": `
+	"an idle connection that breaks does not count as a failure of the server": `
 		up send r1
 		s expect fetch r1 * -
 		s send r1 served -
@@ -123,7 +123,7 @@
 		up expect r2 ok`,
 }
 
-// Attempts over a scripted server end as expected.
+// Attempts at a scripted cache server end as expected.
 func TestUpstreamScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// A server with a new address gets new connections there.
+// New connections to a server whose address has changed go to the new address.
 func TestMovedServerGetsNewConnections(t *testing.T) {
 	p, next := scenario.NewProxy(t), scenario.Listen(t)
 	up := scenario.NewAttemptSender(p.Pools)
@@ -179,8 +179,8 @@
 	}
 }
 
-// An attempt that a broken connection has written in part was not executed and is skipped, also if it is not
-// idempotent. One that was written completely may have been executed.
+// A connection breaks. An attempt that was written only in part was not executed and is skipped, even if it is not idempotent. An
+// attempt that was written completely may have been executed.
 func TestPartlyWrittenAttemptHasNotRun(t *testing.T) {
 	for limit, want := range map[int]string{0: "moot", 5: "moot", 1 << 10: "reset"} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
@@ -199,7 +199,7 @@
 		actors := map[string]scenario.Actor{"up": up, "s": cache}
 		scenario.Run(t, clk, actors, `
 			up send r1`)
-		if want == "reset" { // the next write fails
+		if want == "reset" { // the first write is complete, the next one fails
 			scenario.Run(t, clk, actors, `
 				s expect fetch r1 * -
 				up send r2`)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A server that resets a new connection is reachable and is dialled again; one that refuses connections is
-// not.
+// If a connection is reset while it is being established, the server is reachable and is dialled again. If the server refuses the
+// connection, it is not dialled again.
 func TestConnectionResetWhileNewIsRedialled(t *testing.T) {
 	errs := []error{syscall.ECONNRESET, nil, syscall.ECONNREFUSED}
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -241,8 +241,8 @@
 		up expect r1 ok`)
 }
 
-// Without local descriptors, ports or memory no connection is established: attempts are skipped and the
-// server is not blamed.
+// For lack of local descriptors, ports or memory no connection can be established. The attempts are skipped, and this does not
+// count as a failure of the server.
 func TestLocalDialFailureSkipsAttempts(t *testing.T) {
 	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		var outOfResources atomic.Bool
@@ -269,8 +269,9 @@
 	}
 }
 
-// A dial that fails for a transient local reason is retried, and the attempt is answered. The clock moves only to the end of each
-// pause between two dials: a clock that runs on while a real connection is established on a busy machine passes the deadline.
+// A dial that fails for a transient local reason is retried, and the attempt is answered. The clock advances only to the end of
+// each pause between two dials: if it advanced while a real connection is being established on a busy machine, it would pass the
+// deadline.
 func TestTransientDialFailureIsRetried(t *testing.T) {
 	const pause = 10.0 // ms at most between two dials
 	for _, errno := range []error{
@@ -298,12 +299,12 @@
 			s send r1 served -
 			up expect r1 ok`)
 		require.EqualValues(t, 4, dials.Load(), errno)
-		require.LessOrEqual(t, clk.Now(), 900.0, "before its deadline")
+		require.LessOrEqual(t, clk.Now(), 900.0, "the attempt is answered before its deadline")
 	}
 }
 
-// A server accepts one connection and resets all others: attempts without a slot are skipped, the one
-// connection goes on, and an attempt costs at most three dials.
+// A server accepts one connection and resets all others. Attempts that get no connection are skipped, the attempt on the one
+// connection is answered, and each attempt causes at most three dials.
 func TestServerWithOneConnection(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -328,8 +329,8 @@
 	require.LessOrEqual(t, dials.Load(), int32(1+20*3))
 }
 
-// The number of connections follows the load: one for rare requests, none when idle, and no more than the
-// limit for hundreds at once.
+// The number of connections follows the load: one for requests that do not overlap, none after the idle timeout, and at most the
+// limit for hundreds of simultaneous requests.
 func TestConnectionsFollowLoad(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -357,11 +358,11 @@
 	for i := range 200 {
 		pools.Send(core.Attempt{ID: fmt.Sprint("r", i), Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(core.Outcome) {})
 	}
-	require.LessOrEqual(t, pools.Conns(), 6, "two more are for non-idempotent attempts")
+	require.LessOrEqual(t, pools.Conns(), 6, "the other two of the eight are for non-idempotent attempts")
 }
 
-// The connections to many servers stay within MaxConns: the longest idle ones make room. With none idle, an
-// attempt is skipped.
+// The connections to all servers stay within MaxConns: the connections that have been idle for the longest time are closed to make
+// room for others. If none is idle, an attempt is skipped.
 func TestMaxConnsOverAllServers(t *testing.T) {
 	const servers, maxConns = 30, 8
 	clk := clock.Manual(0)
@@ -372,7 +373,7 @@
 	for i := range servers {
 		server := scenario.Listen(t)
 		list[i].Addr, list[i].ID = server.Addr(), policy.ServerID(i+1)
-		go func() { // also answers what still arrives from an earlier test at the same port
+		go func() { // answers every attempt, also those of an earlier test at the same port
 			for t.Context().Err() == nil {
 				words, err := server.Receive()
 				if err != nil || words[0] != "fetch" {
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -12,10 +12,10 @@
 	"ravenwheel/policy"
 )
 
-// writeTimeout: a connection that accepts no bytes for so long is broken.
+// writeTimeout is how long a connection may accept no bytes before it is treated as broken.
 const writeTimeout = 3 * time.Second
 
-// run is the connection's writer. It returns when the connection is closed and all its calls are ended.
+// run is the connection's writer. It returns when the connection is closed and all its calls have ended.
 func (cn *conn) run() {
 	dialledAt := cn.now()
 	nc, err := cn.dial()
@@ -34,11 +34,11 @@
 	go cn.readAnswers(nc)
 	cn.writeUntilClosed(nc, raw)
 	nc.Close()
-	// What was not written has not run, and says nothing about the server.
+	// Calls that were not written were not executed, and their failure says nothing about the server.
 	cn.endCalls(policy.Reset, policy.Skipped)
 }
 
-// writeUntilClosed writes what is pending whenever it is signalled, and returns when the connection is done.
+// writeUntilClosed writes the pending frames whenever the writer is signalled. It returns when the connection is to be closed.
 func (cn *conn) writeUntilClosed(nc net.Conn, raw syscall.RawConn) {
 	idleTimeout := cn.limits().IdleTimeout
 	stopIdleTimer := func() {}
@@ -46,7 +46,7 @@
 		var done bool
 		var writeErr error
 		err := raw.Write(func(fd uintptr) (all bool) {
-			_ = nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // from the last progress
+			_ = nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // counted from the last write that made progress
 			all, done, writeErr = cn.writePending(int(fd))
 			return all
 		})
@@ -64,9 +64,9 @@
 	}
 }
 
-// writePending writes what is queued as far as the socket accepts it. all is false while it accepts no more; done reports
-// that the connection is to be closed. What is written is chosen under the lock as its first byte is written: a call that
-// was abandoned, or whose decision has become too old, while the connection was dialled or blocked is never written.
+// writePending writes the pending frames as far as the socket accepts them. all is false if the socket accepts no more for now.
+// done reports that the connection is to be closed. The calls to write are chosen under the lock at the moment of writing: a call
+// that was abandoned, or whose SendBy passed, while the connection was dialled or blocked is never written.
 func (cn *conn) writePending(fd int) (all, done bool, err error) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
@@ -83,7 +83,7 @@
 		n, err := cn.limits().Write(fd, cn.buffer)
 		cn.recordWritten(max(0, n), frameEnds, now)
 		switch {
-		case err == syscall.EAGAIN: // only then does the poller report when the socket accepts more
+		case err == syscall.EAGAIN: // the poller reports when the socket accepts more only after EAGAIN
 			return false, false, nil
 		case err != nil && err != syscall.EINTR:
 			return true, false, err
@@ -93,13 +93,13 @@
 	if len(cn.calls) > 0 {
 		cn.lastUsed = now
 	} else if idleTimeout := cn.limits().IdleTimeout; idleTimeout > 0 && now-cn.lastUsed >= idleTimeout*idleCloseFraction {
-		cn.closing = true // before the server closes it under a new call
+		cn.closing = true // before the server closes the connection while a new call is being written
 	}
 	return true, cn.closing && len(cn.calls) == 0, nil
 }
 
-// fillBuffer encodes the rest of a partial frame, the queued calls and the aborts. frameEnds are the offsets at which the
-// partial frame and each call's frame end.
+// fillBuffer fills the buffer with the rest of a partial frame and the frames of the queued calls and of the aborts. frameEnds has
+// the offsets at which the partial frame and each call's frame end.
 func (cn *conn) fillBuffer(now float64) (frameEnds []int) {
 	cn.buffer = append(cn.buffer[:0], cn.partialFrame...)
 	frameEnds = []int{len(cn.buffer)}
@@ -113,8 +113,8 @@
 	return frameEnds
 }
 
-// dropOutdated removes calls from the queue that are done, and skips those whose decision is too old or whose client has
-// left.
+// dropOutdated skips queued calls whose SendBy has passed or whose client has left, and removes all calls that are done from the
+// queue.
 func (cn *conn) dropOutdated(now float64) {
 	cn.queue = slices.DeleteFunc(cn.queue, func(c *call) bool {
 		expired := c.attempt.SendBy > 0 && now > c.attempt.SendBy
@@ -127,8 +127,8 @@
 	})
 }
 
-// recordWritten marks the first n bytes of the buffer as written. A frame that is written in part is kept as the partial
-// frame, since the rest must follow.
+// recordWritten marks the first n bytes of the buffer as written. The rest of a partly written frame is kept as the partial frame,
+// since it must be written next.
 func (cn *conn) recordWritten(n int, frameEnds []int, now float64) {
 	if n < frameEnds[0] {
 		cn.partialFrame = cn.buffer[n:frameEnds[0]]
@@ -153,8 +153,8 @@
 	}
 }
 
-// writeFailed records that nothing more can be written, and reports whether the reader has ended too. A call that was
-// written in part has not run: it must not count as one that may have been executed.
+// writeFailed records that nothing more can be written, and reports whether the reader has ended too. A call that was written only
+// in part was not executed, so it must not count as written.
 func (cn *conn) writeFailed() (done bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
