--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -7,31 +7,31 @@
 	"pgregory.net/rapid"
 )
 
-var set = Settings{CloseIdleAfterDrain: 350, CloseIdleAfterStop: 800, RejectAfter: 1600, KillAfter: 2000, AcceptAfterStop: 600, RejectBeforeKill: 400, PartialFrameTimeout: 3000}
+var testSettings = Settings{CloseIdleAfterDrain: 350, CloseIdleAfterStop: 800, RejectAfter: 1600, KillAfter: 2000, AcceptAfterStop: 600, RejectBeforeKill: 400, PartialFrameTimeout: 3000}
 
 // The readiness answer, the phase and the plan over a sequence of events.
 func TestPhasesAndPlans(t *testing.T) {
-	s := New(set)
-	rest := Conn{}
-	step := func(now float64, e Event, ok, ready bool, phase Phase) Plan {
+	s := New(testSettings)
+	idle := Conn{}
+	step := func(now float64, event Event, ok, ready bool, phase Phase) Plan {
 		t.Helper()
-		require.Equal(t, ok, s.Handle(now, e))
+		require.Equal(t, ok, s.Handle(now, event))
 		require.Equal(t, ready, s.Ready())
 		require.Equal(t, phase, s.Phase())
 		return s.Plan(s.Phase() == HandingOver)
 	}
 	require.False(t, s.Ready(), "not ready before the address is owned")
 	require.Equal(t, Plan{}, step(0, AddressOwned, true, true, Serving))
-	p := step(1000, Drain, true, false, Draining)
-	require.False(t, p.ShouldClose(1349, rest), "the load balancer still sends new connections")
-	require.True(t, p.ShouldClose(1350, rest))
-	require.True(t, p.AcceptsRequest(2599))
-	require.False(t, p.AcceptsRequest(2600), "so that a connection that is never idle becomes idle")
-	require.Equal(t, p, step(1500, Drain, true, false, Draining), "a second drain changes nothing")
+	plan := step(1000, Drain, true, false, Draining)
+	require.False(t, plan.ShouldClose(1349, idle), "the load balancer still sends new connections")
+	require.True(t, plan.ShouldClose(1350, idle))
+	require.True(t, plan.AcceptsRequest(2599))
+	require.False(t, plan.AcceptsRequest(2600), "so that a connection that is never idle becomes idle")
+	require.Equal(t, plan, step(1500, Drain, true, false, Draining), "a second drain changes nothing")
 	require.Equal(t, Plan{}, step(9000, Resume, true, true, Serving))
 	step(9100, Resume, true, true, Serving)
-	p = step(10_000, AddressYielded, true, true, HandingOver)
-	require.True(t, p.ShouldClose(10_000, rest), "new connections reach the successor at once")
+	plan = step(10_000, AddressYielded, true, true, HandingOver)
+	require.True(t, plan.ShouldClose(10_000, idle), "new connections reach the successor at once")
 	step(10_100, Drain, false, true, HandingOver)
 	step(10_200, AddressOwned, true, true, Serving)
 	step(11_000, Drain, true, false, Draining)
@@ -41,20 +41,20 @@
 	require.Equal(t, Plan{Active: true, CloseIdleFrom: 12_800, RejectFrom: 13_600, PartialFrameUntil: 14_100, AnswerBy: 14_100}, s.Plan(false),
 		"without a successor, idle connections are closed once no new ones arrive")
 	for _, successor := range []bool{false, true} {
-		p = s.Plan(successor)
-		require.InDelta(t, 14_100, p.Deadline(15_000), 0, "before the kill, whatever the request's deadline")
-		require.InDelta(t, 14_000, p.Deadline(14_000), 0)
+		plan = s.Plan(successor)
+		require.InDelta(t, 14_100, plan.Deadline(15_000), 0, "before the kill, whatever the request's deadline")
+		require.InDelta(t, 14_000, plan.Deadline(14_000), 0)
 	}
 	require.InDelta(t, 15_000, Plan{}.Deadline(15_000), 0)
-	for _, e := range []Event{AddressOwned, AddressYielded, Drain, Resume, Stop} {
-		require.Equal(t, e != Drain && e != Resume, s.Handle(13_000, e))
+	for _, event := range []Event{AddressOwned, AddressYielded, Drain, Resume, Stop} {
+		require.Equal(t, event != Drain && event != Resume, s.Handle(13_000, event))
 		require.Equal(t, Stopping, s.Phase(), "a stop is final")
 	}
 }
 
 // A proxy that is drained before it owns its address drains from then on.
 func TestDrainBeforeAddressIsOwned(t *testing.T) {
-	s := New(set)
+	s := New(testSettings)
 	require.True(t, s.Handle(0, Drain))
 	require.True(t, s.Handle(5, AddressOwned))
 	require.Equal(t, Draining, s.Phase())
@@ -65,20 +65,20 @@
 // after a drain, none is left that was idle once.
 func TestDrainKeepsPendingConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(set)
+		s := New(testSettings)
 		s.Handle(0, AddressOwned)
 		s.Handle(0, Drain)
-		p := s.Plan(false)
+		plan := s.Plan(false)
 		now := rapid.Float64Range(0, 4000).Draw(t, "now")
 		c := Conn{
 			Pending: rapid.IntRange(0, 2).Draw(t, "open"), PartialFrame: rapid.Bool().Draw(t, "half"),
 			Unread: rapid.Bool().Draw(t, "unread"), New: rapid.Bool().Draw(t, "new"),
 		}
-		shouldClose := p.ShouldClose(now, c)
+		shouldClose := plan.ShouldClose(now, c)
 		require.False(t, shouldClose && (c.Pending > 0 || c.Unread || c.New))
 		if now >= 2000 && c.Pending == 0 && !c.Unread && !c.New {
 			require.True(t, shouldClose || c.PartialFrame && now < 3000)
-			require.False(t, p.AcceptsRequest(now))
+			require.False(t, plan.AcceptsRequest(now))
 		}
 	})
 }
@@ -86,22 +86,22 @@
 // The kill follows soon after the stop. Requests on open connections are accepted for AcceptAfterStop, and
 // between the last one that is accepted and the kill each connection has time to become idle.
 func TestStopWithEarlyKill(t *testing.T) {
-	for _, within := range []float64{850, 1050, 1550, 3550} {
+	for _, killAfter := range []float64{850, 1050, 1550, 3550} {
 		for _, successor := range []bool{false, true} {
-			short := set
-			short.KillAfter = within
-			s := New(short)
+			settings := testSettings
+			settings.KillAfter = killAfter
+			s := New(settings)
 			s.Handle(0, AddressOwned)
 			if successor {
 				s.Handle(100, AddressYielded)
 			}
 			s.Handle(200, Stop)
-			p := s.Plan(successor)
-			require.True(t, p.AcceptsRequest(200+600-1), within)
-			require.False(t, p.AcceptsRequest(200+within-250), "too late to reject a request and close its connection in time: %v", within)
-			require.True(t, p.ShouldClose(200+within-250, Conn{}), within)
-			require.False(t, p.ShouldClose(200+within-1, Conn{PartialFrame: true}), "a slow client has until the kill")
-			require.True(t, p.ShouldClose(200+within, Conn{PartialFrame: true}))
+			plan := s.Plan(successor)
+			require.True(t, plan.AcceptsRequest(200+600-1), killAfter)
+			require.False(t, plan.AcceptsRequest(200+killAfter-250), "too late to reject a request and close its connection in time: %v", killAfter)
+			require.True(t, plan.ShouldClose(200+killAfter-250, Conn{}), killAfter)
+			require.False(t, plan.ShouldClose(200+killAfter-1, Conn{PartialFrame: true}), "a slow client has until the kill")
+			require.True(t, plan.ShouldClose(200+killAfter, Conn{PartialFrame: true}))
 		}
 	}
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -16,19 +16,19 @@
 // retries of all callers stay within the budget and what successes have added to it.
 func TestRetriesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := retry.Settings{MaxAttempts: 4, BaseDelay: 10, MaxDelay: 200, MaxRetries: 5, RetriesPerSuccess: 0.2}
-		b := retry.New(set)
+		settings := retry.Settings{MaxAttempts: 4, BaseDelay: 10, MaxDelay: 200, MaxRetries: 5, RetriesPerSuccess: 0.2}
+		budget := retry.New(settings)
 		successes, retries := 0, 0
 		for range rapid.IntRange(1, 50).Draw(t, "operations") {
 			var op retry.Operation
 			now, deadline := 0.0, float64(rapid.IntRange(0, 600).Draw(t, "deadline"))
-			unknown := false
+			mayHaveRun := false
 			for attempts := 1; ; attempts++ {
-				o := retry.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
-				unknown = unknown || o == retry.Unknown
-				wait, again := b.AttemptEnded(&op, o, now, deadline, rapid.Float64Range(0, 1).Draw(t, "random"))
-				require.Equal(t, unknown, op.MayHaveRun)
-				if o == retry.Succeeded {
+				outcome := retry.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
+				mayHaveRun = mayHaveRun || outcome == retry.Unknown
+				delay, again := budget.AttemptEnded(&op, outcome, now, deadline, rapid.Float64Range(0, 1).Draw(t, "random"))
+				require.Equal(t, mayHaveRun, op.MayHaveRun)
+				if outcome == retry.Succeeded {
 					successes++
 					require.False(t, again)
 				}
@@ -36,13 +36,13 @@
 					break
 				}
 				retries++
-				require.Less(t, attempts, set.MaxAttempts)
-				require.GreaterOrEqual(t, wait, set.BaseDelay)
-				require.LessOrEqual(t, wait, set.MaxDelay)
-				now += wait
+				require.Less(t, attempts, settings.MaxAttempts)
+				require.GreaterOrEqual(t, delay, settings.BaseDelay)
+				require.LessOrEqual(t, delay, settings.MaxDelay)
+				now += delay
 				require.Less(t, now, deadline)
 			}
-			require.LessOrEqual(t, float64(retries), set.MaxRetries+set.RetriesPerSuccess*float64(successes)+1e-9)
+			require.LessOrEqual(t, float64(retries), settings.MaxRetries+settings.RetriesPerSuccess*float64(successes)+1e-9)
 		}
 	})
 }
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -20,7 +20,7 @@
 	golden.Equal(t, "frames.resp", frames)
 
 	buffer, source := Buffer{MaxFrameSize: MaxRequestSize}, bytes.NewReader(golden.Read(t, "frames.resp"))
-	var again []byte
+	var rawFrames []byte
 	for _, want := range append(cases, []string{"fetch", "id", "-", ""}) {
 		parts, raw, err := buffer.Next(source)
 		require.NoError(t, err)
@@ -28,9 +28,9 @@
 		for i, part := range parts {
 			require.Equal(t, want[i], string(part))
 		}
-		again = append(again, raw...)
+		rawFrames = append(rawFrames, raw...)
 	}
-	golden.Equal(t, "frames.resp", again)
+	golden.Equal(t, "frames.resp", rawFrames)
 
 	fields, ok := ParseFields([]byte("lane=tiles,name=ab=c,empty="))
 	require.True(t, ok)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -64,11 +64,11 @@
 	}
 	parts = make([][]byte, 0, count)
 	for range count {
-		size, head, err := parseNumber(b[n:], '$')
-		if err != nil || head == 0 {
+		size, headerLength, err := parseNumber(b[n:], '$')
+		if err != nil || headerLength == 0 {
 			return nil, 0, err
 		}
-		if n += head; n+size+2 > maxSize {
+		if n += headerLength; n+size+2 > maxSize {
 			return nil, 0, ErrMalformed
 		}
 		if len(b) < n+size+2 {
@@ -108,9 +108,9 @@
 			return parts, frame, nil
 		}
 		b.makeRoom()
-		got, err := src.Read(b.buf[b.end:])
-		b.end += got
-		if got == 0 && err != nil {
+		read, err := src.Read(b.buf[b.end:])
+		b.end += read
+		if read == 0 && err != nil {
 			return nil, nil, err
 		}
 	}
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// failing is a listener whose first accepts fail with the listed errors.
-type failing struct {
+// failingListener is a listener whose first accepts fail with the listed errors.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errs) == 0 {
 		return f.Listener.Accept()
 	}
@@ -28,15 +28,15 @@
 func TestAcceptContinuesAfterFailures(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := KeepAccepting(&failing{ln, []error{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM}})
+	wrapped := KeepAccepting(&failingListener{ln, []error{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM}})
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer nc.Close()
-	got, err := l.Accept()
+	got, err := wrapped.Accept()
 	require.NoError(t, err)
 	got.Close()
-	require.NoError(t, l.Close())
-	_, err = l.Accept()
+	require.NoError(t, wrapped.Close())
+	_, err = wrapped.Accept()
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
--- a/wire/batch_test.go
+++ b/wire/batch_test.go
@@ -36,7 +36,7 @@
 
 // The error of an invalid line names the event and the value.
 func TestDecodeBatchReportsInvalidEvent(t *testing.T) {
-	for line, part := range map[string]string{
+	for line, want := range map[string]string{
 		`nonsense`:                                           "not a batch",
 		`{"events":[]}`:                                      "not a batch",
 		`{"AtTimeUs":1,"events":[["Req",3]]}`:                "event Req: Txn is missing",
@@ -45,8 +45,8 @@
 		`{"AtTimeUs":1,"events":[["Boot",3,1]]}`:             "event Boot: Env is missing",
 		`{"AtTimeUs":1,"events":[[]]}`:                       "name is missing",
 	} {
-		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("%s: got %v, want %q", line, err, part)
+		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v, want %q", line, err, want)
 		}
 	}
 }
@@ -93,9 +93,9 @@
 	f.Add([]byte(`{"AtTimeUs":5,"events":[["Targets",3,"disk",41,[[5,1,0,0,"L"]]]]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		b, err := DecodeBatch(line)
-		for _, e := range b.Events {
-			if err != nil || e.Event == nil {
-				t.Fatalf("got an event and error %v: %+v", err, e)
+		for _, event := range b.Events {
+			if err != nil || event.Event == nil {
+				t.Fatalf("got an event and error %v: %+v", err, event)
 			}
 		}
 	})
--- a/wire/events.go
+++ b/wire/events.go
@@ -13,8 +13,8 @@
 	writeBit       = 4
 )
 
-// loadFigures maps the names in a load report to those of policy.LoadReport.
-var loadFigures = map[string]string{
+// loadMetrics maps the names in a load report to those of policy.LoadReport.
+var loadMetrics = map[string]string{
 	"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util", "svc_ms": "latency",
 	"served_ps": "served", "failed_ps": "errors", "x0": "hits", "x1": "link",
 }
@@ -152,10 +152,10 @@
 		return nil
 	}
 	report := policy.LoadReport{}
-	for wireName, name := range loadFigures {
-		var figure float64
-		if value, ok := raw[wireName]; ok && json.Unmarshal(value, &figure) == nil {
-			report[name] = figure
+	for wireName, name := range loadMetrics {
+		var number float64
+		if value, ok := raw[wireName]; ok && json.Unmarshal(value, &number) == nil {
+			report[name] = number
 		}
 	}
 	return report
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -67,21 +67,21 @@
 
 // TestGoldenEvents: each event line of the wire is decoded to the same event as before, field by field.
 func TestGoldenEvents(t *testing.T) {
-	entry := []policy.Member{
+	wantEntries := []policy.Member{
 		{ID: 5, Zone: 1, Kind: 2, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 6100 * time.Millisecond},
 		{ID: 6, Zone: 1, Kind: 2, State: policy.Draining}, {ID: 7, Zone: 1, Kind: 2, State: policy.Gone},
 		{ID: 8, Zone: 1, Kind: 2, State: policy.Draining},
 	}
-	hosts := `[[5,1,2,3,"U",1.5,6100000],[6,1,2,null,"L",null,null],[7,1,2,0,"D"],[8,1,2,0,"later"]]`
+	hostsJSON := `[[5,1,2,3,"U",1.5,6100000],[6,1,2,null,"L",null,null],[7,1,2,0,"D"],[8,1,2,0,"later"]]`
 	cases := []struct {
 		line string
 		want any
 	}{
 		{bootLine, Start{Seed: 18446744073709551615, Settings: wantSettings()}},
 		{`["Detach",1]`, Stop{}},
-		{`["Targets",1,"diff",41,` + hosts + `]`, policy.Members{Kind: policy.ListChanges, Version: 41, Entries: entry}},
-		{`["Targets",1,"snapshot",42,` + hosts + `]`, policy.Members{Kind: policy.ListFull, Version: 42, Entries: entry}},
-		{`["Targets",1,"disk",43,` + hosts + `]`, policy.Members{Kind: policy.ListCached, Version: 43, Entries: entry}},
+		{`["Targets",1,"diff",41,` + hostsJSON + `]`, policy.Members{Kind: policy.ListChanges, Version: 41, Entries: wantEntries}},
+		{`["Targets",1,"snapshot",42,` + hostsJSON + `]`, policy.Members{Kind: policy.ListFull, Version: 42, Entries: wantEntries}},
+		{`["Targets",1,"disk",43,` + hostsJSON + `]`, policy.Members{Kind: policy.ListCached, Version: 43, Entries: wantEntries}},
 		{`["Targets",1,"error",null,null]`, policy.Members{Kind: policy.ListFailed}},
 		{`["Req",1,"q",240000,6,3,4,640.5,11,"ab",2]`, policy.Request{
 			ID: "q", TimeLeft: 240 * time.Millisecond, ClientRetry: true, Write: true, Part: 3, Tenant: 4, SizeKB: 640.5, Group: 11,
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -14,16 +14,16 @@
 // settingsMessage is the settings object with the protocol's field names in the tags; keys that it does not list are
 // ignored. Integers are decoded as floats, since a writer of JSON may write 1500000 as 1500000.0 or 1.5e6.
 type settingsMessage struct {
-	Routers          float64            `json:"NInstances"`
-	Rank             float64            `json:"Rank"`
-	Zone             float64            `json:"Zone"`
-	Discovery        string             `json:"Discovery"`
-	Weights          string             `json:"Weights"`
-	MinBatchInterval float64            `json:"TickUs"`
-	Bounds           boundsMessage      `json:"Bounds"`
-	Rules            rulesMessage       `json:"Rules"`
-	Classes          []classMessage     `json:"Grades"`
-	CacheFamily      cacheFamilyMessage `json:"FamilyInfo"`
+	Routers          float64        `json:"NInstances"`
+	Rank             float64        `json:"Rank"`
+	Zone             float64        `json:"Zone"`
+	Discovery        string         `json:"Discovery"`
+	Weights          string         `json:"Weights"`
+	MinBatchInterval float64        `json:"TickUs"`
+	Bounds           boundsMessage  `json:"Bounds"`
+	Rules            rulesMessage   `json:"Rules"`
+	Classes          []classMessage `json:"Grades"`
+	Caching          cachingMessage `json:"FamilyInfo"`
 }
 
 // boundsMessage holds what the clients and servers allow. Times are in microseconds, here and below.
@@ -57,8 +57,8 @@
 	Streamed         bool    `json:"Stream"`
 }
 
-// cacheFamilyMessage holds the facts of caching. Its lists are by class or by zone, as policy.Settings has them.
-type cacheFamilyMessage struct {
+// cachingMessage holds the facts of caching. Its lists are by class or by zone, as policy.Settings has them.
+type cachingMessage struct {
 	FreshFor               []float64 `json:"ClassFreshUs"`
 	StaleFor               []float64 `json:"StaleForUs"`
 	StaleFraction          []float64 `json:"ClassStaleWorth"`
@@ -117,16 +117,16 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return policy.Settings{}, settingsError(err)
 	}
-	family := m.CacheFamily
+	caching := m.Caching
 	settings := policy.Settings{
 		RouterIndex: integer(m.Rank), Routers: integer(m.Routers), Zone: integer(m.Zone),
-		ZoneRouters: integers(family.ZoneRouters), HomeHub: integers(family.HomeHub), LinkKBPerS: family.LinkKBPerS,
-		ParentKind: kind(family.ParentKind), OriginKind: kind(family.OriginKind),
-		MayBypassCaches: family.MayBypassCaches, SiblingFills: siblingScopes[family.SiblingFills],
-		CoalescesFills: family.CoalescesFills, OutcomeDetail: outcomeDetails[family.OutcomeDetail],
-		TransferKBPerS: family.TransferKBPerS,
-		PurgeDuration:  duration(family.PurgeDuration), PurgeGrace: duration(family.PurgeGrace),
-		OriginOverloadMultiple: family.OriginOverloadMultiple, OriginOverloadWindow: duration(family.OriginOverloadWindow),
+		ZoneRouters: integers(caching.ZoneRouters), HomeHub: integers(caching.HomeHub), LinkKBPerS: caching.LinkKBPerS,
+		ParentKind: kindOrNone(caching.ParentKind), OriginKind: kindOrNone(caching.OriginKind),
+		MayBypassCaches: caching.MayBypassCaches, SiblingFills: siblingScopes[caching.SiblingFills],
+		CoalescesFills: caching.CoalescesFills, OutcomeDetail: outcomeDetails[caching.OutcomeDetail],
+		TransferKBPerS: caching.TransferKBPerS,
+		PurgeDuration:  duration(caching.PurgeDuration), PurgeGrace: duration(caching.PurgeGrace),
+		OriginOverloadMultiple: caching.OriginOverloadMultiple, OriginOverloadWindow: duration(caching.OriginOverloadWindow),
 		WatchDiscovery: m.Discovery == "ask", PollInterval: duration(m.Rules.PollInterval),
 		DrainGrace: duration(m.Rules.DrainGrace), CacheWarmUp: m.Rules.cacheWarmUp(), ParentWarmUp: m.parentWarmUp(),
 		FinalAnswerGrace: duration(m.Rules.FinalAnswerGrace), WeightsKnown: m.Weights == "nominal" || m.Weights == "rough",
@@ -138,7 +138,7 @@
 		settings.PurgeDuration = defaultPurgeDuration
 	}
 	for i := range m.Classes {
-		class, err := m.class(i)
+		class, err := m.decodeClass(i)
 		if err != nil {
 			return policy.Settings{}, err
 		}
@@ -156,15 +156,15 @@
 
 func (m *settingsMessage) parentWarmUp() policy.WarmUp {
 	return policy.WarmUp{
-		InitialCapacity: m.CacheFamily.ParentInitialCapacity, Duration: duration(m.CacheFamily.ParentWarmUpDuration),
-		OverloadMultiple: m.CacheFamily.ParentOverloadMultiple, OverloadWindow: duration(m.Rules.OverloadWindow),
+		InitialCapacity: m.Caching.ParentInitialCapacity, Duration: duration(m.Caching.ParentWarmUpDuration),
+		OverloadMultiple: m.Caching.ParentOverloadMultiple, OverloadWindow: duration(m.Rules.OverloadWindow),
 	}
 }
 
-// class translates one class. An unknown deduplication scope of a class with idempotency keys is an error: taken for the
+// decodeClass translates one class. An unknown deduplication scope of a class with idempotency keys is an error: taken for the
 // widest, it would allow retries at any cache.
-func (m *settingsMessage) class(i int) (policy.Class, error) {
-	c, family := m.Classes[i], m.CacheFamily
+func (m *settingsMessage) decodeClass(i int) (policy.Class, error) {
+	c, caching := m.Classes[i], m.Caching
 	idempotency, known := idempotencies[c.Idempotency]
 	if !known {
 		idempotency = unknownIdempotency
@@ -179,9 +179,9 @@
 	return policy.Class{
 		LatencyObjective: duration(c.LatencyObjective), ObjectiveStretch: c.ObjectiveStretch, Deadline: duration(c.Deadline),
 		PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, Idempotency: idempotency, DedupScope: scope,
-		DedupWindow: duration(c.DedupWindow), Streamed: c.Streamed, Uncached: elementOrZero(family.Uncached, i),
-		Multipart: elementOrZero(family.Multipart, i), FreshFor: duration(elementOrZero(family.FreshFor, i)),
-		StaleFor: duration(elementOrZero(family.StaleFor, i)), StaleFraction: elementOrZero(family.StaleFraction, i),
+		DedupWindow: duration(c.DedupWindow), Streamed: c.Streamed, Uncached: elementOrZero(caching.Uncached, i),
+		Multipart: elementOrZero(caching.Multipart, i), FreshFor: duration(elementOrZero(caching.FreshFor, i)),
+		StaleFor: duration(elementOrZero(caching.StaleFor, i)), StaleFraction: elementOrZero(caching.StaleFraction, i),
 	}, nil
 }
 
@@ -206,7 +206,7 @@
 	return out
 }
 
-func kind(k *float64) int {
+func kindOrNone(k *float64) int {
 	if k == nil {
 		return noKind
 	}
