--- a/internal/decide/drain/drain_test.go
+++ b/internal/decide/drain/drain_test.go
@@ -9,7 +9,7 @@
 
 var testSettings = Settings{CloseIdleAfterDrain: 350, CloseIdleAfterStop: 800, RejectAfter: 1600, KillAfter: 2000, AcceptAfterStop: 600, RejectBeforeKill: 400, PartialFrameTimeout: 3000}
 
-// The readiness answer, the phase and the plan over a sequence of events.
+// Over a sequence of events, the readiness answer, the phase and the plan are as expected.
 func TestPhasesAndPlans(t *testing.T) {
 	s := New(testSettings)
 	idle := Conn{}
@@ -26,7 +26,7 @@
 	require.False(t, plan.ShouldClose(1349, idle), "the load balancer still sends new connections")
 	require.True(t, plan.ShouldClose(1350, idle))
 	require.True(t, plan.AcceptsRequest(2599))
-	require.False(t, plan.AcceptsRequest(2600), "so that a connection that is never idle becomes idle")
+	require.False(t, plan.AcceptsRequest(2600), "new requests are rejected, so that a connection that is never idle becomes idle")
 	require.Equal(t, plan, step(1500, Drain, true, false, Draining), "a second drain changes nothing")
 	require.Equal(t, Plan{}, step(9000, Resume, true, true, Serving))
 	step(9100, Resume, true, true, Serving)
@@ -42,7 +42,7 @@
 		"without a successor, idle connections are closed once no new ones arrive")
 	for _, successor := range []bool{false, true} {
 		plan = s.Plan(successor)
-		require.InDelta(t, 14_100, plan.Deadline(15_000), 0, "before the kill, whatever the request's deadline")
+		require.InDelta(t, 14_100, plan.Deadline(15_000), 0, "a request is answered before the kill, whatever its deadline")
 		require.InDelta(t, 14_000, plan.Deadline(14_000), 0)
 	}
 	require.InDelta(t, 15_000, Plan{}.Deadline(15_000), 0)
@@ -52,7 +52,7 @@
 	}
 }
 
-// A proxy that is drained before it owns its address drains from then on.
+// A proxy for which a drain is requested before it owns its address drains as soon as it owns the address.
 func TestDrainBeforeAddressIsOwned(t *testing.T) {
 	s := New(testSettings)
 	require.True(t, s.Handle(0, Drain))
@@ -61,8 +61,8 @@
 	require.False(t, s.Ready())
 }
 
-// No connection is closed that has pending requests or of whose next request a byte has arrived. Two seconds
-// after a drain, none is left that was idle once.
+// A connection is not closed if it has pending requests or if a byte of its next request has arrived. Two seconds after the
+// beginning of a drain, every connection that is idle is closed.
 func TestDrainKeepsPendingConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(testSettings)
@@ -71,7 +71,7 @@
 		plan := s.Plan(false)
 		now := rapid.Float64Range(0, 4000).Draw(t, "now")
 		c := Conn{
-			Pending: rapid.IntRange(0, 2).Draw(t, "open"), PartialFrame: rapid.Bool().Draw(t, "half"),
+			Pending: rapid.IntRange(0, 2).Draw(t, "pending"), PartialFrame: rapid.Bool().Draw(t, "partial frame"),
 			Unread: rapid.Bool().Draw(t, "unread"), New: rapid.Bool().Draw(t, "new"),
 		}
 		shouldClose := plan.ShouldClose(now, c)
@@ -83,8 +83,8 @@
 	})
 }
 
-// The kill follows soon after the stop. Requests on open connections are accepted for AcceptAfterStop, and
-// between the last one that is accepted and the kill each connection has time to become idle.
+// The kill follows soon after the stop. Requests on open connections are accepted during AcceptAfterStop, and between the last
+// accepted request and the kill there is time for each connection to become idle.
 func TestStopWithEarlyKill(t *testing.T) {
 	for _, killAfter := range []float64{850, 1050, 1550, 3550} {
 		for _, successor := range []bool{false, true} {
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// Whatever fails: attempts and delays stay within their bounds, nothing is tried after the deadline, and the
-// retries of all callers stay within the budget and what successes have added to it.
+// Whichever attempts fail, the number of attempts and the delays stay within their bounds, no attempt starts after the deadline,
+// and the retries of all operations together stay within the budget plus what successes have added to it.
 func TestRetriesStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := retry.Settings{MaxAttempts: 4, BaseDelay: 10, MaxDelay: 200, MaxRetries: 5, RetriesPerSuccess: 0.2}
