--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,12 +1,12 @@
-// Package invariant checks invariants at run time: a violation panics in builds with the tag debug and is counted in all
-// others.
+// Package invariant checks invariants at run time. A violation panics in builds with the tag debug and is counted in all other
+// builds.
 package invariant
 
 import "sync/atomic"
 
 var violations atomic.Int64
 
-// Check checks that an invariant holds. description names it in the panic.
+// Check checks that an invariant holds. description states the invariant and is part of the panic message.
 func Check(holds bool, description string) {
 	if holds {
 		return
@@ -17,5 +17,5 @@
 	violations.Add(1)
 }
 
-// Violations returns how many violations were counted since the start.
+// Violations returns how many violations have been counted since the process started.
 func Violations() int64 { return violations.Load() }
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// Frames are encoded to the same bytes as before and parsed to the parts that they were made of.
+// Frames are encoded to the same bytes as in earlier versions, and parsing them returns the original parts.
 func TestGoldenFrames(t *testing.T) {
 	cases := [][]string{{"abort", "00000000000000a1"}, {"fetch", "id", "lane=tiles,name=ab", "body\r\n\x00\xff"}, {""}, {"a", "", ""}}
 	var frames []byte
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp reads and writes the frames of RESP that clients and cache servers use, arrays of bulk strings, and the
-// lists of fields in them. It bounds a frame before its bytes have arrived, and knows no commands. golden_test.go holds the
-// encoded forms; package front/resp tests it with arbitrary input.
+// Package resp reads and writes the RESP frames that clients and cache servers exchange, which are arrays of bulk strings, and the
+// lists of fields in them. It rejects a frame that is too large before its bytes have arrived. It does not interpret commands.
+// golden_test.go checks the encoding; package front/resp tests this package with arbitrary input.
 package resp
 
 import (
@@ -13,21 +13,21 @@
 )
 
 const (
-	// MaxRequestSize bounds a frame of a client, in bytes. A write brings up to 48,000.
+	// MaxRequestSize bounds a frame of a client, in bytes. The body of a write has up to 48,000 bytes.
 	MaxRequestSize = 56 << 10
-	// MaxResponseSize bounds a frame of a cache server, in bytes. An object has up to 240,000.
+	// MaxResponseSize bounds a frame of a cache server, in bytes. An object has up to 240,000 bytes.
 	MaxResponseSize = 256 << 10
 
-	maxParts      = 8    // of a frame
-	maxDigits     = 7    // of a number
+	maxParts      = 8    // parts of a frame
+	maxDigits     = 7    // digits of a number
 	maxLengthLine = 16   // bytes of a line with a number
-	minBufferSize = 4096 // bytes by which an empty buffer grows
+	minBufferSize = 4096 // initial size of a buffer in bytes
 )
 
-// ErrMalformed reports bytes that are not the beginning of a valid frame.
+// ErrMalformed means that the bytes read are not the beginning of a valid frame.
 var ErrMalformed = errors.New("malformed frame")
 
-// parseNumber parses the line "<mark>digits\r\n" at the start of b. n is its length, 0 while the line is incomplete.
+// parseNumber parses the line "<mark>digits\r\n" at the start of b. n is the length of the line, or 0 if the line is incomplete.
 func parseNumber(b []byte, mark byte) (value, n int, err error) {
 	if len(b) > 0 && b[0] != mark {
 		return 0, 0, ErrMalformed
@@ -52,8 +52,9 @@
 	return value, end + 1, nil
 }
 
-// ParseFrame parses the first frame of b, of at most maxSize bytes. Its parts point into b. n is its length, 0 while it is
-// incomplete. A frame that announces too much is malformed as soon as its length is read.
+// ParseFrame parses the first frame of b, which may have at most maxSize bytes. The parts are slices of b. n is the length of the
+// frame, or 0 if the frame is incomplete. A frame that announces more than maxSize bytes is malformed as soon as the announced
+// length is read.
 func ParseFrame(b []byte, maxSize int) (parts [][]byte, n int, err error) {
 	count, n, err := parseNumber(b, '*')
 	if err != nil || n == 0 {
@@ -83,19 +84,19 @@
 	return parts, n, nil
 }
 
-// Buffer is the read buffer of a connection. It grows as needed and is compacted in place.
+// Buffer is the read buffer of a connection. It grows as needed, and its unparsed bytes are moved to its start to make room.
 type Buffer struct {
 	MaxFrameSize int // in bytes
-	MaxRetained  int // size in bytes above which an empty buffer is released; 0: never
+	MaxRetained  int // size in bytes above which an empty buffer is released; 0: never released
 	buf          []byte
-	start, end   int // of the bytes that are not parsed
+	start, end   int // buf[start:end] is not parsed yet
 }
 
-// Buffered returns the number of bytes that are not a complete frame yet.
+// Buffered returns the number of bytes that have been read but not returned as part of a frame.
 func (b *Buffer) Buffered() int { return b.end - b.start }
 
-// Next returns the parts of the next frame, and the whole frame, which are valid until the next call. It reads from src as
-// needed and returns its error, or ErrMalformed.
+// Next returns the parts of the next frame and the whole frame. Both are valid until the next call. It reads from src as needed.
+// The error is that of src, or ErrMalformed.
 func (b *Buffer) Next(src io.Reader) (parts [][]byte, frame []byte, err error) {
 	for {
 		parts, n, err := ParseFrame(b.buf[b.start:b.end], b.MaxFrameSize)
@@ -130,13 +131,13 @@
 	}
 }
 
-// AppendFrame appends a frame of the given parts, at least one, to b.
+// AppendFrame appends a frame of the given parts to b. There must be at least one part.
 func AppendFrame(b []byte, parts ...string) []byte {
 	last := len(parts) - 1
 	return AppendFrameWithBody(b, []byte(parts[last]), parts[:last]...)
 }
 
-// AppendFrameWithBody appends a frame of the given parts and a body to b.
+// AppendFrameWithBody appends a frame of the given parts and, as its last part, the body to b.
 func AppendFrameWithBody(b, body []byte, parts ...string) []byte {
 	b = redcon.AppendArray(b, len(parts)+1)
 	for _, part := range parts {
@@ -145,7 +146,7 @@
 	return redcon.AppendBulk(b, body)
 }
 
-// ParseFields parses "name=value,name=value". An empty list and "-" have no fields. ok is false for a field without a name.
+// ParseFields parses "name=value,name=value". An empty list and "-" have no fields. ok is false if a field has no name or no "=".
 func ParseFields(list []byte) (fields map[string]string, ok bool) {
 	fields = map[string]string{}
 	if len(list) == 0 || string(list) == "-" {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,6 +1,7 @@
-// Package transient recognises failures of system calls that pass by themselves and are not the peer's fault: this machine
-// is out of descriptors, ports or memory, a call was interrupted, or the network is unreachable for a moment. The caller
-// retries after a pause and does not count them against a server. The package also keeps listeners running through them.
+// Package transient recognises failures of system calls that are temporary and not caused by the peer: this machine is out of
+// descriptors, ports or memory, a call was interrupted, or the network is unreachable for a moment. Callers retry after a pause and
+// do not count these failures against a server. The package also has functions that retry while listeners are opened and accept
+// connections.
 package transient
 
 import (
@@ -13,27 +14,27 @@
 )
 
 const (
-	// acceptPause is the wait after a failed accept. A shorter one would take processor time from what releases
+	// acceptPause is the pause after a failed accept. A shorter pause would take processor time from the code that releases
 	// descriptors.
 	acceptPause = 10 * time.Millisecond
-	// A listener that cannot be opened is tried listenAttempts times, listenPause apart: for two seconds.
+	// ListenWithRetry tries to open a listener listenAttempts times, with listenPause after each failure: for two seconds.
 	listenPause, listenAttempts = 50 * time.Millisecond, 40
 )
 
-// transientErrnos are the transient errors of socket, connect and accept, by their manual pages.
+// transientErrnos are the transient errors of socket, connect and accept according to their manual pages.
 var transientErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN,
 	syscall.ECONNABORTED, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// storageErrnos are the errors of a directory that cannot be written for a while.
+// storageErrnos are the errors of writes to a directory that cannot be written for a while.
 var storageErrnos = []syscall.Errno{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT}
 
-// IsTransient reports whether an error is a transient one of this machine.
+// IsTransient reports whether an error is a transient failure of this machine.
 func IsTransient(err error) bool { return isAny(err, transientErrnos) }
 
-// IsStorageUnavailable reports whether an error says that a directory cannot be written for a while, for example because
-// the disk is full.
+// IsStorageUnavailable reports whether an error means that a directory cannot be written for a while, for example because the disk
+// is full.
 func IsStorageUnavailable(err error) bool { return isAny(err, storageErrnos) }
 
 func isAny(err error, errnos []syscall.Errno) bool {
@@ -43,8 +44,8 @@
 // listener retries failed accepts.
 type listener struct{ net.Listener }
 
-// KeepAccepting returns a listener whose Accept fails only when it is closed or its deadline passes, for servers that
-// stop at the first failed accept.
+// KeepAccepting returns a listener whose Accept fails only when the listener is closed or its deadline passes. It is for servers
+// that stop at the first failed accept.
 func KeepAccepting(ln net.Listener) net.Listener { return listener{ln} }
 
 // Accept implements net.Listener.
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// failingListener is a listener whose first accepts fail with the listed errors.
+// failingListener is a listener whose first calls of Accept fail with the listed errors.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -24,7 +24,7 @@
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 }
 
-// Accepting continues after failures of every kind and ends once the listener is closed.
+// Accept continues after failures, transient or not, and returns an error once the listener is closed.
 func TestAcceptContinuesAfterFailures(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,8 +40,7 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// A listener that cannot be opened for a transient reason is opened a little later; any other failure is
-// returned at once.
+// Opening a listener is retried after a transient failure. Any other failure is returned at once.
 func TestListenIsRetriedAfterTransientFailure(t *testing.T) {
 	for errno, wantAttempts := range map[syscall.Errno]int{syscall.ENFILE: 3, syscall.EADDRINUSE: 1} {
 		attempts := 0
