--- a/cmd/wirehost/golden_test.go
+++ b/cmd/wirehost/golden_test.go
@@ -8,7 +8,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// TestGoldenSession: a session of one instance gets the same replies as before, byte for byte.
+// TestGoldenSession checks that a session with one instance gets the same replies as in earlier versions, byte for byte.
 func TestGoldenSession(t *testing.T) {
 	lines := []string{
 		`{"AtTimeUs":1,"events":[["Boot",3,1,{"NInstances":1,"Weights":"rough","Grades":[{"Effect":"idempotent","DeadlineUs":1000000,"TargetUs":1000,"Worth":1}],` +
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs one policy.Router per instance for the simulator. It reads batches of events as JSON lines from
-// standard input and writes a line of actions for each to standard output. It decides nothing.
+// Command wirehost runs the instances of policy.Router for the simulator. It reads batches of events, a line of JSON each, from
+// standard input, and writes a line with the resulting actions for each batch to standard output. It makes no decisions.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"ravenwheel/wire"
 )
 
-// readBufferSize is the size of the input buffer in bytes. Longer lines are read too.
+// readBufferSize is the size of the input buffer in bytes. Lines may be longer.
 const readBufferSize = 1 << 20
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// serve answers each line with one reply until the input ends. Empty lines are skipped.
+// serve writes one reply line for each input line until the input ends. It skips empty lines.
 func serve(in io.Reader, out io.Writer) error {
 	host := newHost()
 	lines := bufio.NewReaderSize(in, readBufferSize)
@@ -53,7 +53,7 @@
 
 func newHost() *host { return &host{routers: map[int]*policy.Router{}} }
 
-// answer decodes one line, handles its events and writes the reply.
+// answer decodes one line, passes its events to their instances and writes the reply.
 func (h *host) answer(line []byte, out io.Writer) error {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return out
 }
 
-// handleEvent passes an event to its instance. An error, also for a panic there, concerns this instance alone. The actions
-// are valid until the next call.
+// handleEvent passes an event to its instance. An error concerns this instance alone; a panic of the instance is returned as an
+// error too. The actions are valid until the next call.
 func (h *host) handleEvent(at policy.Time, event wire.InstanceEvent) (actions []policy.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -62,7 +62,7 @@
 		{`"DeadlineUs":6000000`, `"DeadlineUs":0`, "settings.Grades[0].DeadlineUs: 0 is not above 0"},
 		{`,"DeadlineUs":3000000`, ``, "settings.Grades[1].DeadlineUs: 0 is not above 0"},
 		{`"Effect":"idempotent"`, `"Effect":"safe"`, `settings.Grades[0].Effect: "safe" is none of idempotent, deduplicated, at_most_once`},
-		{`"Effect":"deduplicated","Group":"all"`, `"Effect":"deduplicated","Group":"hall"`, `settings.Grades[1].Group: unknown group "hall"`},
+		{`"Effect":"deduplicated","Group":"all"`, `"Effect":"deduplicated","Group":"hall"`, `settings.Grades[1].Group: unknown group "hall", want all, zone or cell`},
 		{`"WindowUs":6000000,`, ``, "settings.Grades[1].WindowUs: 0 is not above 0, and repeats of the class are discarded for so long"},
 		{`"Name":"reports"`, `"Name":"tiles"`, `settings.Grades[1].Name: class "tiles" is empty, named twice or can't be written in a field`},
 		{`"Name":"reports"`, `"Name":"a=b"`, `settings.Grades[1].Name: class "a=b" is empty, named twice or can't be written in a field`},
--- a/wire/batch.go
+++ b/wire/batch.go
@@ -1,5 +1,5 @@
-// Package wire translates between lines of JSON and the types of package policy, and maps the protocol's field names to
-// the module's terms: here and nowhere else. It decides nothing. golden_test.go holds the encoded forms.
+// Package wire translates between lines of JSON and the types of package policy. It is the only package that maps the protocol's
+// field names to the module's terms. It makes no decisions. golden_test.go checks the encoding.
 package wire
 
 import (
@@ -10,13 +10,13 @@
 	"ravenwheel/policy"
 )
 
-// Start begins an instance of a router.
+// Start is the event that starts an instance of a router.
 type Start struct {
 	Seed     uint64
 	Settings policy.Settings
 }
 
-// Stop ends an instance; all that it knew is lost.
+// Stop is the event that stops an instance. The state of the instance is lost.
 type Stop struct{}
 
 // InstanceEvent is an event for one instance. Event is a Start, a Stop or a policy.Event.
@@ -25,7 +25,7 @@
 	Event    any
 }
 
-// Batch is one input line: the events that occur at one time.
+// Batch is one input line: the events that occur at the same time.
 type Batch struct {
 	At     policy.Time
 	Events []InstanceEvent
@@ -33,9 +33,9 @@
 
 // EventError reports an event with a missing or invalid value.
 type EventError struct {
-	Event string // the event's name on the wire, or "without a name"
-	Value string // the name of the value
-	Err   error  // nil: the value is missing
+	Event string // name of the event on the wire, or "without a name"
+	Value string // name of the value
+	Err   error  // why the value is invalid; nil: the value is missing
 }
 
 // Error implements error.
@@ -49,18 +49,18 @@
 // Unwrap returns the cause.
 func (e *EventError) Unwrap() error { return e.Err }
 
-// DecodeBatch decodes one line. Events of unknown name are skipped. The error is an *EventError for a missing or invalid
-// value in an event.
+// DecodeBatch decodes one line. Events with unknown names are skipped. If a value in an event is missing or invalid, the error is
+// an *EventError.
 func DecodeBatch(line []byte) (Batch, error) {
 	var raw struct {
 		At     *int64               `json:"AtTimeUs"`
 		Events *[][]json.RawMessage `json:"events"`
 	}
 	if err := json.Unmarshal(line, &raw); err != nil {
-		return Batch{}, fmt.Errorf("not a batch: %w", err)
+		return Batch{}, fmt.Errorf("invalid batch: %w", err)
 	}
 	if raw.At == nil || raw.Events == nil {
-		return Batch{}, fmt.Errorf("not a batch: AtTimeUs or events is missing")
+		return Batch{}, fmt.Errorf("invalid batch: AtTimeUs or events is missing")
 	}
 	batch := Batch{At: microseconds(*raw.At), Events: make([]InstanceEvent, 0, len(*raw.Events))}
 	for _, message := range *raw.Events {
@@ -77,7 +77,7 @@
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// values reads the values of one message in order. It keeps the first error and reads nothing after it.
+// values decodes the values of one message in order. After the first error, which it stores, it decodes no further values.
 type values struct {
 	event string
 	list  []json.RawMessage
@@ -85,7 +85,8 @@
 	err   error
 }
 
-// decode decodes the next value into a variable, which it leaves alone where the value is absent or null.
+// decode decodes the next value into the variable to which into points. If the value is absent or null, the variable does not
+// change.
 func (v *values) decode(into any, required bool, name string) {
 	i := v.next
 	v.next++
--- a/wire/batch_test.go
+++ b/wire/batch_test.go
@@ -25,7 +25,7 @@
 		`["Targets",3,"disk",41,[[5,1,0,0,"L",1.5,6100000,9]]]`: policy.Members{Kind: policy.ListCached, Version: 41,
 			Entries: []policy.Member{{ID: 5, Zone: 1, State: policy.Draining, Weight: 1.5, Started: 6100 * time.Millisecond}}},
 	} {
-		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unheard",1]]}`))
+		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unknown",1]]}`))
 		if err != nil {
 			t.Errorf("%s: %v", line, err)
 		} else if len(b.Events) != 1 || b.Events[0].Instance != 3 || !reflect.DeepEqual(b.Events[0].Event, want) {
@@ -34,11 +34,11 @@
 	}
 }
 
-// The error of an invalid line names the event and the value.
+// The error for an invalid line names the event and the value.
 func TestDecodeBatchReportsInvalidEvent(t *testing.T) {
 	for line, want := range map[string]string{
-		`nonsense`:                                           "not a batch",
-		`{"events":[]}`:                                      "not a batch",
+		`nonsense`:                                           "invalid batch",
+		`{"events":[]}`:                                      "invalid batch",
 		`{"AtTimeUs":1,"events":[["Req",3]]}`:                "event Req: Txn is missing",
 		`{"AtTimeUs":1,"events":[["Req",{}]]}`:               "event Req: Who",
 		`{"AtTimeUs":1,"events":[["Targets",3,"odd",1,[]]]}`: "event Targets: How",
@@ -51,7 +51,7 @@
 	}
 }
 
-// A Start carries the settings, and an unknown word for the idempotency is left to policy.New to reject.
+// A Start carries the settings. An unknown word for the idempotency is decoded, and policy.New rejects it.
 func TestDecodeStartWithSettings(t *testing.T) {
 	line := `{"AtTimeUs":1,"events":[["Boot",0,9,{"NInstances":3,"Zone":2,"New":1,"Weights":"rough",
 		"Grades":[{"Effect":"at_most_once","DeadlineUs":5000},{"Effect":"odd"}],
--- a/wire/events.go
+++ b/wire/events.go
@@ -7,19 +7,19 @@
 	"ravenwheel/policy"
 )
 
-// The bits of a request's StateBits.
+// The bits of the value StateBits of a request.
 const (
 	clientRetryBit = 2
 	writeBit       = 4
 )
 
-// loadMetrics maps the names in a load report to those of policy.LoadReport.
+// loadMetrics maps the names in a load report on the wire to the names in policy.LoadReport.
 var loadMetrics = map[string]string{
 	"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util", "svc_ms": "latency",
 	"served_ps": "served", "failed_ps": "errors", "x0": "hits", "x1": "link",
 }
 
-// results maps the words of Rc. Any other word is policy.Unknown.
+// results maps the words of the value Rc to results. Any other word is policy.Unknown.
 var results = map[string]policy.Result{
 	"done": policy.OK, "err": policy.Failed, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset, "ecanceled": policy.Cancelled,
@@ -30,11 +30,11 @@
 	"diff": policy.ListChanges, "snapshot": policy.ListFull, "disk": policy.ListCached, "error": policy.ListFailed,
 }
 
-// memberStates maps the letters of Condition. A state of a later version counts as draining: it is not known to be safe
-// to send there.
+// memberStates maps the letters of the value Condition to states. An unknown letter, which a later version of the protocol may
+// have, counts as draining, since it is not known whether attempts may be sent to such a server.
 var memberStates = map[string]policy.State{"U": policy.Ready, "L": policy.Draining, "D": policy.Gone}
 
-// decoders has the decoder of each event by its name. A decoder reads the values in the order of the wire.
+// decoders has the decoder of each event by the name of the event. A decoder reads the values in their order on the wire.
 var decoders = map[string]func(*values) any{
 	"Boot":         decodeStart,
 	"Detach":       func(*values) any { return Stop{} },
@@ -82,7 +82,7 @@
 	kind := v.text("How", true)
 	members := policy.Members{Kind: listKinds[kind], Version: v.integer("Rev", false)}
 	if _, known := listKinds[kind]; !known && v.err == nil {
-		v.err = &EventError{Event: v.event, Value: "How", Err: fmt.Errorf("unknown kind of list %q", kind)}
+		v.err = &EventError{Event: v.event, Value: "How", Err: fmt.Errorf("unknown kind of list %q, want diff, snapshot, disk or error", kind)}
 	}
 	var hosts [][]json.RawMessage
 	v.decode(&hosts, false, "Hosts")
@@ -144,7 +144,7 @@
 	return outcome
 }
 
-// decodeLoadReport decodes the known figures that are numbers and skips all others; nil for an empty report.
+// decodeLoadReport decodes the known metrics whose values are numbers and skips all others. It returns nil for an empty report.
 func decodeLoadReport(v *values) policy.LoadReport {
 	var raw map[string]json.RawMessage
 	v.decode(&raw, false, "Stats")
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -10,7 +10,7 @@
 	"ravenwheel/policy"
 )
 
-// bootLine starts an instance with each setting set.
+// bootLine starts an instance and sets every setting.
 const bootLine = `["Boot",1,18446744073709551615,{"NInstances":2,"Rank":1,"Zone":3,"Discovery":"ask","Weights":"nominal","TickUs":36000,` +
 	`"Bounds":{"Cancel":true,"RetryAfter":true,"MostTries":33,"MaxRetryAfterUs":34000000,"ConnectTimeoutUs":35000},` +
 	`"Rules":{"AnswerSlackUs":32000,"AskWithinUs":24000000,"DrainGraceUs":25000000,"FallUs":28000000,"WarmWithinUs":26000000,` +
@@ -24,7 +24,7 @@
 	`"PurgeTakesUs":20000000,"NoticeTimeUs":21000000,"PeersFill":"any","NoteLevel":"all","ZoneBalancers":[4,5],"HomeHub":[6,7],` +
 	`"ZoneLinkKbPerS":[8.5,9.25]}}]`
 
-// wantSettings are the settings of bootLine.
+// wantSettings returns the settings in bootLine.
 func wantSettings() policy.Settings {
 	return policy.Settings{
 		RouterIndex: 1, Routers: 2, Zone: 3, ZoneRouters: []int{4, 5}, HomeHub: []int{6, 7}, LinkKBPerS: []float64{8.5, 9.25},
@@ -49,7 +49,7 @@
 	}
 }
 
-// outcomeLine is an outcome with the given result and note, and wantOutcome what it is decoded to.
+// outcomeLine returns an outcome with the given result and note on the wire. wantOutcome returns the event to which it is decoded.
 func outcomeLine(result, note string) string {
 	return `["Done",1,"q",true,18500,2,77,` + note + `,"` + result + `",9400,` +
 		`{"busy_reqs":1.5,"pending":2.5,"cpu_share":0.25,"svc_ms":3.5,"served_ps":4.5,"failed_ps":5.5,"x0":0.5,"x1":6.5}]`
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestGoldenEvents: each event line of the wire is decoded to the same event as before, field by field.
+// TestGoldenEvents checks that each event line is decoded to the same event as in earlier versions, field by field.
 func TestGoldenEvents(t *testing.T) {
 	wantEntries := []policy.Member{
 		{ID: 5, Zone: 1, Kind: 2, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 6100 * time.Millisecond},
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestGoldenActions: each action is encoded to the same bytes as before, with every field set and with the optional
-// ones empty.
+// TestGoldenActions checks that each action is encoded to the same bytes as in earlier versions, with every field set and with the
+// optional fields empty.
 func TestGoldenActions(t *testing.T) {
 	reply, err := EncodeReply(nil, []InstanceAction{
 		{Instance: 3, Action: policy.Lookup{ID: "a", Server: 7, Timeout: 80 * time.Millisecond}},
--- a/wire/reply.go
+++ b/wire/reply.go
@@ -8,7 +8,7 @@
 	"ravenwheel/policy"
 )
 
-// InternalError is an action of the host itself: the instance has failed and is stopped.
+// InternalError is an action of the host, not of a router: it reports that an instance has failed and is stopped.
 type InternalError struct{ Text string }
 
 // InstanceAction is an action of one instance. Action is a policy.Action or an InternalError.
@@ -17,7 +17,8 @@
 	Action   any
 }
 
-// EncodeReply appends a reply line with the actions, in order, to b. It fails for an Action of another type.
+// EncodeReply appends a reply line with the actions, in order, to b. It fails if an Action has another type than InstanceAction
+// allows.
 func EncodeReply(b []byte, actions []InstanceAction) ([]byte, error) {
 	b = append(b, `{"outbox":[`...)
 	for i, action := range actions {
@@ -26,18 +27,18 @@
 		}
 		message := encodeAction(action)
 		if message == nil {
-			return nil, fmt.Errorf("wire: action %T has no form on the wire", action.Action)
+			return nil, fmt.Errorf("wire: no encoding for an action of type %T", action.Action)
 		}
 		encoded, err := json.Marshal(message)
 		if err != nil {
-			return nil, fmt.Errorf("wire: action %T: %w", action.Action, err)
+			return nil, fmt.Errorf("wire: encoding an action of type %T: %w", action.Action, err)
 		}
 		b = append(b, encoded...)
 	}
 	return append(b, "]}\n"...), nil
 }
 
-// encodeAction returns the values of an action in the order of the wire; nil if it has no form there.
+// encodeAction returns the values of an action in their order on the wire, or nil if the action has no encoding.
 func encodeAction(action InstanceAction) []any {
 	instance := action.Instance
 	switch a := action.Action.(type) {
@@ -55,7 +56,7 @@
 	case policy.Fail:
 		return []any{"Fail", instance, a.ID}
 	case policy.SetTimer:
-		// Rounded up, so that a timer is never early.
+		// Rounded up, so that a timer never fires early.
 		return []any{"After", instance, a.Token, wholeMicroseconds(a.After + time.Microsecond - 1)}
 	case policy.Watch:
 		return []any{"Tail", instance, a.On}
@@ -67,5 +68,5 @@
 	return nil
 }
 
-// wholeMicroseconds rounds down.
+// wholeMicroseconds returns a duration in microseconds, rounded down.
 func wholeMicroseconds(d time.Duration) int64 { return int64(d / time.Microsecond) }
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -11,8 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// settingsMessage is the settings object with the protocol's field names in the tags; keys that it does not list are
-// ignored. Integers are decoded as floats, since a writer of JSON may write 1500000 as 1500000.0 or 1.5e6.
+// settingsMessage is the settings object. Its tags are the protocol's field names; other keys are ignored. Integers are decoded as
+// floats, since an encoder may write 1500000 as 1500000.0 or 1.5e6.
 type settingsMessage struct {
 	Routers          float64        `json:"NInstances"`
 	Rank             float64        `json:"Rank"`
@@ -26,7 +26,7 @@
 	Caching          cachingMessage `json:"FamilyInfo"`
 }
 
-// boundsMessage holds what the clients and servers allow. Times are in microseconds, here and below.
+// boundsMessage has the limits and abilities of the clients and servers. Times are in microseconds, here and below.
 type boundsMessage struct {
 	CanCancel       bool    `json:"Cancel"`
 	SendsRetryAfter bool    `json:"RetryAfter"`
@@ -57,7 +57,7 @@
 	Streamed         bool    `json:"Stream"`
 }
 
-// cachingMessage holds the facts of caching. Its lists are by class or by zone, as policy.Settings has them.
+// cachingMessage has the settings about caching. Its lists have an element for each class or zone, as in policy.Settings.
 type cachingMessage struct {
 	FreshFor               []float64 `json:"ClassFreshUs"`
 	StaleFor               []float64 `json:"StaleForUs"`
@@ -84,14 +84,14 @@
 }
 
 const (
-	// defaultPurgeDuration applies where the settings give no time for purges. With 0 purges would have no effect; a
-	// longer time fetches some copies again without need, a shorter one misses old copies.
+	// defaultPurgeDuration applies if the settings have no duration of purges. With a duration of 0, purges would have no effect. A
+	// longer duration than needed makes the proxy fetch some copies again without need, a shorter one misses old copies.
 	defaultPurgeDuration = 6 * time.Second
-	// noKind is the kind of parents, or of the origin, where there are none.
+	// noKind is the kind of the parents, or of the origin, if there are none.
 	noKind = -1
-	// unknownIdempotency stands for an unknown word. policy.New rejects it and names the class.
+	// unknownIdempotency is the value for an unknown word. policy.New rejects it with an error that names the class.
 	unknownIdempotency = policy.Idempotency(-1)
-	// maxMicroseconds bounds a duration from outside: 100 days.
+	// maxMicroseconds bounds a decoded duration: 100 days.
 	maxMicroseconds = 100 * 24 * 3600 * 1e6
 )
 
@@ -110,8 +110,8 @@
 	}
 )
 
-// DecodeSettings decodes the settings object of the simulator and of the platform's configuration. The error names the
-// place of a value of the wrong type or of an unknown deduplication scope.
+// DecodeSettings decodes the settings object, which the simulator and the platform's configuration have in the same form. If a
+// value has the wrong type or a deduplication scope is unknown, the error names its place.
 func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
 	var m settingsMessage
 	if err := json.Unmarshal(raw, &m); err != nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// decodeClass translates one class. An unknown deduplication scope of a class with idempotency keys is an error: taken for the
-// widest, it would allow retries at any cache.
+// decodeClass translates the class with index i. An unknown deduplication scope of a class with idempotency keys is an error: if it
+// were treated as the widest scope, retries would be allowed at any cache.
 func (m *settingsMessage) decodeClass(i int) (policy.Class, error) {
 	c, caching := m.Classes[i], m.Caching
 	idempotency, known := idempotencies[c.Idempotency]
@@ -171,7 +171,7 @@
 	}
 	scope, known := dedupScopes[c.DedupScope]
 	if !known && c.DedupScope != "" && idempotency == policy.IdempotentByKey {
-		return policy.Class{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q", i, c.DedupScope)
+		return policy.Class{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q, want all, zone or cell", i, c.DedupScope)
 	}
 	if c.LatencyObjective <= 0 {
 		c.LatencyObjective = c.Deadline // no answer before the deadline is late
@@ -192,7 +192,7 @@
 	return element
 }
 
-// duration converts microseconds, rounded to whole ones.
+// duration converts microseconds to a duration, rounded to whole microseconds.
 func duration(us float64) time.Duration {
 	return microseconds(int64(math.Round(max(-maxMicroseconds, min(us, maxMicroseconds)))))
 }
@@ -213,12 +213,12 @@
 	return integer(*k)
 }
 
-// jsonTypes names the JSON types of the kinds in settingsMessage.
+// jsonTypes has the names of the JSON types for the Go kinds in settingsMessage.
 var jsonTypes = map[reflect.Kind]string{
 	reflect.Float64: "number", reflect.String: "string", reflect.Bool: "bool", reflect.Slice: "array", reflect.Struct: "object",
 }
 
-// settingsError describes an error of package json in one line that names the place.
+// settingsError converts an error of package json to one that fits on a line and names the place in the settings.
 func settingsError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/policy"
 )
 
-// Integers may be written in any form of a JSON number.
+// Integers are accepted in every notation of a JSON number.
 func TestDecodeSettingsAcceptsAnyNumberForm(t *testing.T) {
 	decode := func(numbers ...string) policy.Settings {
 		text := `{"NInstances":#,"Zone":#,"Grades":[{"DeadlineUs":#,"WindowUs":#,"Effect":"deduplicated"}],
@@ -32,7 +32,7 @@
 	}
 }
 
-// Settings that are absent or 0 get the safe default.
+// Settings that are absent or 0 get their safe defaults.
 func TestDecodeSettingsDefaults(t *testing.T) {
 	s, err := DecodeSettings([]byte(`{"Grades":[{"DeadlineUs":5000000},{"DeadlineUs":5000000,"TargetUs":1000000}]}`))
 	if err != nil {
@@ -52,7 +52,7 @@
 // An unknown deduplication scope is an error, except for a class without idempotency keys.
 func TestDecodeSettingsRejectsUnknownDedupScope(t *testing.T) {
 	_, err := DecodeSettings([]byte(`{"Grades":[{"Effect":"idempotent","Group":"hall"},{"Effect":"deduplicated","Group":"hall"}]}`))
-	if err == nil || err.Error() != `settings.Grades[1].Group: unknown group "hall"` {
+	if err == nil || err.Error() != `settings.Grades[1].Group: unknown group "hall", want all, zone or cell` {
 		t.Errorf("got %v", err)
 	}
 	if _, err = DecodeSettings([]byte(`{"Grades":[{"Effect":"idempotent","Group":"hall"},{"Effect":"deduplicated"}]}`)); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A value of the wrong type is reported in one line with its place.
+// The error for a value of the wrong type is one line that names the place of the value.
 func TestDecodeSettingsReportsPlaceOfWrongType(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"Grades":[{"DeadlineUs":"3s"}]}`:      "settings.Grades.DeadlineUs: string found, number wanted",
