--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -38,6 +38,7 @@
 
 func (u *immediateUpstream) UpdateMembers([]core.Member, bool) {}
 
+// testMembers returns a list of servers with a cache, its parent and the origin.
 func testMembers() membership.Publish {
 	list := make([]core.Member, 3)
 	for i, id := range []policy.ServerID{scenario.CacheID, scenario.ParentID, scenario.OriginID} {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -50,6 +50,7 @@
 func (c *directClients) Receive() ([]string, error) { return <-c.answers, nil }
 func (c *directClients) Close() error               { c.cancel(); return nil }
 
+// scenarios are scripts that run with directClients as c and a scripted cache server as s.
 var scenarios = map[string]string{
 	"a write fails if its connection breaks, and is not retried": `
 		c send w1 seat-claim
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/connection_failures_test.go
@@ -136,7 +136,7 @@
 
 // A connection is established only after all attempts that waited for it have ended. It carries none of these, it carries the next
 // attempt, and it is closed when its server is no longer listed.
-func TestLateConnectionCarriesNoOldAttempts(t *testing.T) {
+func TestLateConnectionCarriesNoEndedAttempts(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	connectable := make(chan struct{})
 	pools := newPools(clk, cache, upstream.Limits{Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -218,7 +218,7 @@
 }
 
 // If an answer arrives byte by byte, its connection is closed after answerTimeout, which also ends the other attempts on it.
-func TestTrickledAnswerIsBrokenOff(t *testing.T) {
+func TestTrickledAnswerClosesConnection(t *testing.T) {
 	clk, cache := clock.Manual(0), scenario.Listen(t)
 	var bytesRead atomic.Int64
 	pools := newPools(clk, cache, upstream.Limits{Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -35,7 +35,7 @@
 
 // An attempt waits until its connection is established, dialled again or no longer blocked. The frame has the time left when its
 // first byte is written, not the time left at the decision.
-func TestTimeLeftIsThatOfFirstByte(t *testing.T) {
+func TestTimeLeftIsTakenAtFirstByte(t *testing.T) {
 	const budget, waited = 1000, 420
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 	for name, resets := range map[string]int{"established late": 0, "redialled": 2} {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -34,7 +34,7 @@
 	up send r5
 	s expect fetch r5 * -`
 
-// scenarios are scripts that run against a scripted cache server.
+// scenarios are scripts in which up sends attempts to the scripted cache server s.
 var scenarios = map[string]string{
 	"an unreadable answer ends the reads on its connection but no write": `
 		up send w1 once
@@ -181,7 +181,7 @@
 
 // A connection breaks. An attempt that was written only in part was not executed and is skipped, even if it is not idempotent. An
 // attempt that was written completely may have been executed.
-func TestPartlyWrittenAttemptHasNotRun(t *testing.T) {
+func TestPartlyWrittenAttemptIsNotExecuted(t *testing.T) {
 	for limit, want := range map[int]string{0: "moot", 5: "moot", 1 << 10: "reset"} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		broken := false
@@ -220,7 +220,7 @@
 
 // If a connection is reset while it is being established, the server is reachable and is dialled again. If the server refuses the
 // connection, it is not dialled again.
-func TestConnectionResetWhileNewIsRedialled(t *testing.T) {
+func TestConnectionResetDuringDialIsRedialled(t *testing.T) {
 	errs := []error{syscall.ECONNRESET, nil, syscall.ECONNREFUSED}
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		err := errs[0]
@@ -305,7 +305,7 @@
 
 // A server accepts one connection and resets all others. Attempts that get no connection are skipped, the attempt on the one
 // connection is answered, and each attempt causes at most three dials.
-func TestServerWithOneConnection(t *testing.T) {
+func TestServerAcceptsOnlyOneConnection(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		if dials.Add(1) > 1 {
