--- a/internal/core/client_left_test.go
+++ b/internal/core/client_left_test.go
@@ -20,17 +20,17 @@
 // immediateUpstream ends the first attempts with the listed outcomes at once. It answers the others at once, or never while silent
 // is set.
 type immediateUpstream struct {
-	outcomes []core.Outcome
-	silent   atomic.Bool
-	sent     atomic.Int64
-	aborts   atomic.Int64
+	outcomes     []core.Outcome
+	unresponsive atomic.Bool
+	sent         atomic.Int64
+	aborts       atomic.Int64
 }
 
 func (u *immediateUpstream) Send(_ core.Attempt, end func(core.Outcome)) func() bool {
 	switch n := int(u.sent.Add(1)); {
 	case n <= len(u.outcomes):
 		go end(u.outcomes[n-1])
-	case !u.silent.Load():
+	case !u.unresponsive.Load():
 		go end(core.Outcome{Result: policy.OK, Note: policy.NoteHit, Written: true})
 	}
 	return func() bool { u.aborts.Add(1); return true }
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clk, up := clock.Manual(1e12), &immediateUpstream{outcomes: test.outcomes}
-				up.silent.Store(true)
+				up.unresponsive.Store(true)
 				c := newCore(t, clk, up)
 				ctx, cancel := context.WithCancel(context.Background())
 				answer := make(chan core.Answer, 1)
--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -55,7 +55,7 @@
 	AddressYielded              // another process owns the address
 	Drain                       // an operator starts a drain of the proxy
 	Resume                      // an operator ends the drain
-	Stop                        // the process is told to end
+	Stop                        // the process is to shut down
 )
 
 // State is the state of the whole proxy. New creates it.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -368,7 +368,7 @@
 	clk := clock.Manual(0)
 	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: maxConns})
 	list := make([]core.Member, servers)
-	var silent atomic.Bool
+	var unresponsive atomic.Bool
 	fetched := make(chan string, 2*servers)
 	for i := range servers {
 		server := scenario.Listen(t)
@@ -380,7 +380,7 @@
 					continue
 				}
 				fetched <- words[1]
-				if !silent.Load() {
+				if !unresponsive.Load() {
 					_ = server.Send([]string{words[1], "served", "-"})
 				}
 			}
@@ -397,7 +397,7 @@
 		clk.Advance(1)
 		require.Eventually(t, func() bool { return pools.Conns() <= maxConns }, time.Minute, time.Millisecond)
 	}
-	silent.Store(true)
+	unresponsive.Store(true)
 	for i := range servers {
 		send(fmt.Sprint("waits", i), i)
 	}
