--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// answerStallTimeout, in ms: an answer of which nothing arrives for so long is broken off.
+	// answerStallTimeout, in ms, is how long the next bytes of an incomplete answer may take. After that the connection is closed.
 	answerStallTimeout = 300
-	// answerTimeout, in ms: an answer that is not complete so long after its first byte is broken off, even if bytes
-	// keep arriving.
+	// answerTimeout, in ms, is how long after its first byte an answer must be complete. After that the connection is closed even
+	// if bytes keep arriving.
 	answerTimeout = 3000
 )
 
-// readAnswers is the connection's reader. It ends with the connection, or with an answer that cannot be read.
-func (k *conn) readAnswers(nc net.Conn) {
+// readAnswers is the connection's reader. It returns when the connection is closed or an answer cannot be read.
+func (cn *conn) readAnswers(nc net.Conn) {
 	buffer := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
-		parts, _, err := buffer.Next(answerReader{k, nc, &buffer})
+		parts, _, err := buffer.Next(answerReader{cn, nc, &buffer})
 		if err == nil {
-			err = k.handleAnswer(parts, buffer.Buffered() > 0)
+			err = cn.handleAnswer(parts, buffer.Buffered() > 0)
 		}
 		if err != nil {
-			k.mu.Lock()
-			k.closing, k.broken = true, true // before the close is visible, so that no call is added after it
-			k.mu.Unlock()
+			cn.mu.Lock()
+			cn.closing, cn.broken = true, true // before the socket is closed, so that no call is added after that
+			cn.mu.Unlock()
 			nc.Close()
-			k.signal() // the writer, which knows what was written, ends the calls
+			cn.signal() // the writer ends the calls, since it knows which of them were written
 			return
 		}
 	}
 }
 
-// answerReader reads for a connection's buffer and records when more of an incomplete answer is awaited.
+// answerReader reads from the socket of a connection into buffer. Before each read it records whether an incomplete answer is in
+// the buffer.
 type answerReader struct {
 	conn   *conn
 	socket net.Conn
@@ -50,61 +51,62 @@
 	return r.socket.Read(p)
 }
 
-// markPartialAnswer records that bytes of an incomplete answer have arrived. The caller holds the lock.
-func (k *conn) markPartialAnswer() {
-	if k.partialAnswerAt = k.now(); k.partialAnswerSince == 0 {
-		k.partialAnswerSince = k.partialAnswerAt
+// markPartialAnswer records that bytes of an incomplete answer have arrived. The caller must hold mu.
+func (cn *conn) markPartialAnswer() {
+	if cn.partialAnswerAt = cn.now(); cn.partialAnswerSince == 0 {
+		cn.partialAnswerSince = cn.partialAnswerAt
 	}
-	if !k.stallTimerSet {
-		k.stallTimerSet = true
-		k.pool.pools.clock.After(answerStallTimeout, k.checkStall)
+	if !cn.stallTimerSet {
+		cn.stallTimerSet = true
+		cn.pool.pools.clock.After(answerStallTimeout, cn.checkStall)
 	}
 }
 
-// checkStall closes a connection whose answer has stalled: no answer can follow it.
-func (k *conn) checkStall() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.partialAnswerAt == 0 {
-		k.stallTimerSet = false
+// checkStall closes the connection if an answer has stalled, since no other answer can arrive before it is complete. If an answer
+// is incomplete but has not stalled, checkStall sets its timer again.
+func (cn *conn) checkStall() {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	if cn.partialAnswerAt == 0 {
+		cn.stallTimerSet = false
 		return
 	}
-	stallsAt := min(k.partialAnswerAt+answerStallTimeout, k.partialAnswerSince+answerTimeout)
-	if left := stallsAt - k.now(); left > 0 {
-		k.pool.pools.clock.After(left, k.checkStall)
+	stallsAt := min(cn.partialAnswerAt+answerStallTimeout, cn.partialAnswerSince+answerTimeout)
+	if left := stallsAt - cn.now(); left > 0 {
+		cn.pool.pools.clock.After(left, cn.checkStall)
 		return
 	}
-	k.socket.Close() // the reader ends the connection
+	cn.socket.Close() // the reader ends the connection
 }
 
-// handleAnswer ends the call that an answer is for. An answer to a call that is done, or a second one, is counted and
-// dropped. more reports that bytes of a further answer have arrived.
-func (k *conn) handleAnswer(parts [][]byte, more bool) error {
+// handleAnswer ends the call to which an answer belongs. An answer to a call that is done, such as a second answer, is counted and
+// dropped. more says whether bytes of a further answer have arrived.
+func (cn *conn) handleAnswer(parts [][]byte, more bool) error {
 	id, outcome, err := decodeAnswer(parts)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	c := k.calls[id]
+	cn.mu.Lock()
+	c := cn.calls[id]
 	known := c != nil && c.written
 	if known {
 		c.done = true
-		delete(k.calls, id)
+		delete(cn.calls, id)
 	} else {
-		k.pool.pools.LateAnswers.Add(1)
+		cn.pool.pools.LateAnswers.Add(1)
 	}
-	now := k.now()
-	k.lastAnswer, k.lastUsed, k.unansweredSince = now, now, now
-	k.partialAnswerAt, k.partialAnswerSince = 0, 0
+	now := cn.now()
+	cn.lastAnswer, cn.lastUsed, cn.unansweredSince = now, now, now
+	cn.partialAnswerAt, cn.partialAnswerSince = 0, 0
 	if more {
-		k.markPartialAnswer()
+		cn.markPartialAnswer()
 	}
-	if k.closing {
-		k.signal()
+	if cn.closing {
+		cn.signal()
 	}
-	k.mu.Unlock()
+	cn.mu.Unlock()
 	if known {
-		c.finish(outcome)
+		c.reportOutcome(outcome)
 	}
 	return nil
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -24,7 +24,7 @@
 
 var timeLeftField = regexp.MustCompile(`,ttl=(\d+)`)
 
-// timeLeft is the time left in the fields of a frame, in ms.
+// timeLeft returns the time left in the fields of a frame, in ms.
 func timeLeft(t *testing.T, fields string) float64 {
 	m := timeLeftField.FindStringSubmatch(fields)
 	require.NotNil(t, m, fields)
@@ -33,9 +33,9 @@
 	return float64(ms)
 }
 
-// An attempt waits for its connection to be established, redialled or unblocked. The time left in its frame
-// is that at its first byte, not that of the decision.
-func TestTimeLeftIsThatOfFirstByte(t *testing.T) {
+// An attempt waits until its connection is established, dialled again or no longer blocked. The frame has the time left when its
+// first byte is written, not the time left at the decision.
+func TestTimeLeftIsTakenAtFirstByte(t *testing.T) {
 	const budget, waited = 1000, 420
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 	for name, resets := range map[string]int{"established late": 0, "redialled": 2} {
@@ -43,11 +43,11 @@
 			clk, cache := clock.Manual(1e12), scenario.Listen(t)
 			dials := make(chan int, 3)
 			var dialled atomic.Int32
-			goOn := make(chan struct{})
+			mayContinue := make(chan struct{})
 			pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 50, ConnsPerServer: 3, ConnectTimeout: 5000, Dial: func(network, addr string, wait time.Duration) (net.Conn, error) {
 				n := int(dialled.Add(1))
 				dials <- n
-				<-goOn
+				<-mayContinue
 				if n <= resets {
 					return nil, reset
 				}
@@ -67,7 +67,7 @@
 			for range resets + 1 {
 				<-dials
 				clk.Advance(float64(waited) / float64(resets+1))
-				goOn <- struct{}{}
+				mayContinue <- struct{}{}
 			}
 			words, err := cache.Receive()
 			require.NoError(t, err)
@@ -78,7 +78,7 @@
 	}
 	t.Run("blocked", func(t *testing.T) {
 		clk := clock.Manual(1e12)
-		b := newBlocked(t, clk)
+		b := newBlockedConn(t, clk)
 		b.send("waits", budget, 500, 10)
 		clk.Advance(waited)
 		nc := <-b.accepted
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,8 +21,8 @@
 	"ravenwheel/policy"
 )
 
-// five starts four reads on one connection and a fifth one on another.
-const five = `
+// fiveReads starts four reads on one connection and a fifth on another.
+const fiveReads = `
 	up send r1
 	s expect fetch r1 * -
 	up send r2
@@ -34,11 +34,11 @@
 	up send r5
 	s expect fetch r5 * -`
 
-// scenarios are played against a scripted cache server.
+// scenarios are scripts in which up sends attempts to the scripted cache server s.
 var scenarios = map[string]string{
-	"an unreadable answer ends the reads of its connection and no write": `
+	"an unreadable answer ends the reads on its connection but no write": `
 		up send w1 once
-		s expect fetch w1 * -` + five + `
+		s expect fetch w1 * -` + fiveReads + `
 		s send r4 served notafield
 		up expect r? reset
 		up expect r? reset
@@ -54,7 +54,7 @@
 		s expect fetch r1 * -
 		s send raw *4\r\n$2\r\nr1\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000
 		up expect r1 reset`,
-	"a stalled answer ends the calls of its connection soon": `
+	"a stalled answer ends the calls on its connection": `
 		up send r1
 		s expect fetch r1 * -
 		up send r2
@@ -85,7 +85,7 @@
 		s send r2 served -
 		up expect r1 ok
 		up expect r2 ok`,
-	"an idle connection that breaks is not blamed on the server": `
+	"an idle connection that breaks does not count as a failure of the server": `
 		up send r1
 		s expect fetch r1 * -
 		s send r1 served -
@@ -123,7 +123,7 @@
 		up expect r2 ok`,
 }
 
-// Attempts over a scripted server end as expected.
+// Attempts at a scripted cache server end as expected.
 func TestUpstreamScenarios(t *testing.T) {
 	for name, script := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -134,12 +134,12 @@
 	}
 }
 
-// A server with a new address gets new connections there.
+// New connections to a server whose address has changed go to the new address.
 func TestMovedServerGetsNewConnections(t *testing.T) {
 	p, next := scenario.NewProxy(t), scenario.Listen(t)
 	up := scenario.NewAttemptSender(p.Pools)
 	actors := map[string]scenario.Actor{"up": up, "s": p.Cache, "next": next}
-	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(five, "\n\t", "\n"))
+	scenario.Run(t, p.Clock, actors, strings.ReplaceAll(fiveReads, "\n\t", "\n"))
 	m := core.Member{Addr: next.Addr()}
 	m.ID = scenario.CacheID
 	p.Core.UpdateMembers(membership.Publish{Version: 2, Members: []core.Member{m}})
@@ -179,9 +179,9 @@
 	}
 }
 
-// An attempt that a broken connection has written in part was not executed and is skipped, also if it is not
-// idempotent. One that was written completely may have been executed.
-func TestPartlyWrittenAttemptHasNotRun(t *testing.T) {
+// A connection breaks. An attempt that was written only in part was not executed and is skipped, even if it is not idempotent. An
+// attempt that was written completely may have been executed.
+func TestPartlyWrittenAttemptIsNotExecuted(t *testing.T) {
 	for limit, want := range map[int]string{0: "moot", 5: "moot", 1 << 10: "reset"} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		broken := false
@@ -199,7 +199,7 @@
 		actors := map[string]scenario.Actor{"up": up, "s": cache}
 		scenario.Run(t, clk, actors, `
 			up send r1`)
-		if want == "reset" { // the next write fails
+		if want == "reset" { // the first write is complete, the next one fails
 			scenario.Run(t, clk, actors, `
 				s expect fetch r1 * -
 				up send r2`)
@@ -218,9 +218,9 @@
 	}
 }
 
-// A server that resets a new connection is reachable and is dialled again; one that refuses connections is
-// not.
-func TestConnectionResetWhileNewIsRedialled(t *testing.T) {
+// If a connection is reset while it is being established, the server is reachable and is dialled again. If the server refuses the
+// connection, it is not dialled again.
+func TestConnectionResetDuringDialIsRedialled(t *testing.T) {
 	errs := []error{syscall.ECONNRESET, nil, syscall.ECONNREFUSED}
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		err := errs[0]
@@ -241,26 +241,26 @@
 		up expect r1 ok`)
 }
 
-// Without local descriptors, ports or memory no connection is established: attempts are skipped and the
-// server is not blamed.
+// For lack of local descriptors, ports or memory no connection can be established. The attempts are skipped, and this does not
+// count as a failure of the server.
 func TestLocalDialFailureSkipsAttempts(t *testing.T) {
-	for _, want := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-		var short atomic.Bool
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
+		var outOfResources atomic.Bool
 		dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
-			if short.Load() {
-				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", want)}
+			if outOfResources.Load() {
+				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)}
 			}
 			return net.DialTimeout(network, addr, wait)
 		}
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
-		short.Store(true)
+		outOfResources.Store(true)
 		scenario.Run(t, clk, actors, `
 			up send r1
 			up await r1 moot
 			up send w1 once
 			up await w1 moot`)
-		short.Store(false)
+		outOfResources.Store(false)
 		scenario.Run(t, clk, actors, `
 			up send r2
 			s expect fetch r2 * -
@@ -269,17 +269,18 @@
 	}
 }
 
-// A dial that fails for a transient local reason is retried, and the attempt is answered. The clock moves only to the end of each
-// pause between two dials: a clock that runs on while a real connection is established on a busy machine passes the deadline.
+// A dial that fails for a transient local reason is retried, and the attempt is answered. The clock advances only to the end of
+// each pause between two dials: if it advanced while a real connection is being established on a busy machine, it would pass the
+// deadline.
 func TestTransientDialFailureIsRetried(t *testing.T) {
 	const pause = 10.0 // ms at most between two dials
-	for _, why := range []error{
+	for _, errno := range []error{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.EINTR,
 	} {
 		var dials atomic.Int32
 		dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 			if dials.Add(1) <= 3 {
-				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", why)}
+				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 			}
 			return net.DialTimeout(network, addr, wait)
 		}
@@ -292,19 +293,19 @@
 				clk.Advance(due - clk.Now())
 			}
 			return dials.Load() == 4
-		}, time.Minute, time.Millisecond, why)
+		}, time.Minute, time.Millisecond, errno)
 		scenario.Run(t, clk, actors, `
 			s expect fetch r1 * -
 			s send r1 served -
 			up expect r1 ok`)
-		require.EqualValues(t, 4, dials.Load(), why)
-		require.LessOrEqual(t, clk.Now(), 900.0, "before its deadline")
+		require.EqualValues(t, 4, dials.Load(), errno)
+		require.LessOrEqual(t, clk.Now(), 900.0, "the attempt is answered before its deadline")
 	}
 }
 
-// A server accepts one connection and resets all others: attempts without a slot are skipped, the one
-// connection goes on, and an attempt costs at most three dials.
-func TestServerWithOneConnection(t *testing.T) {
+// A server accepts one connection and resets all others. Attempts that get no connection are skipped, the attempt on the one
+// connection is answered, and each attempt causes at most three dials.
+func TestServerAcceptsOnlyOneConnection(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
 		if dials.Add(1) > 1 {
@@ -328,8 +329,8 @@
 	require.LessOrEqual(t, dials.Load(), int32(1+20*3))
 }
 
-// The number of connections follows the load: one for rare requests, none when idle, and no more than the
-// limit for hundreds at once.
+// The number of connections follows the load: one for requests that do not overlap, none after the idle timeout, and at most the
+// limit for hundreds of simultaneous requests.
 func TestConnectionsFollowLoad(t *testing.T) {
 	var dials atomic.Int32
 	dial := func(network, addr string, wait time.Duration) (net.Conn, error) {
@@ -357,29 +358,29 @@
 	for i := range 200 {
 		pools.Send(core.Attempt{ID: fmt.Sprint("r", i), Server: scenario.CacheID, Deadline: pools.Clock().Now() + 1000}, func(core.Outcome) {})
 	}
-	require.LessOrEqual(t, pools.Conns(), 6, "two more are for non-idempotent attempts")
+	require.LessOrEqual(t, pools.Conns(), 6, "the other two of the eight are for non-idempotent attempts")
 }
 
-// The connections to many servers stay within MaxConns: the longest idle ones make room. With none idle, an
-// attempt is skipped.
+// The connections to all servers stay within MaxConns: the connections that have been idle for the longest time are closed to make
+// room for others. If none is idle, an attempt is skipped.
 func TestMaxConnsOverAllServers(t *testing.T) {
-	const servers, most = 30, 8
+	const servers, maxConns = 30, 8
 	clk := clock.Manual(0)
-	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: most})
+	pools := upstream.New(clk, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, MaxConns: maxConns})
 	list := make([]core.Member, servers)
-	var silent atomic.Bool
+	var unresponsive atomic.Bool
 	fetched := make(chan string, 2*servers)
 	for i := range servers {
 		server := scenario.Listen(t)
 		list[i].Addr, list[i].ID = server.Addr(), policy.ServerID(i+1)
-		go func() { // also answers what still arrives from an earlier test at the same port
+		go func() { // answers every attempt, also those of an earlier test at the same port
 			for t.Context().Err() == nil {
 				words, err := server.Receive()
 				if err != nil || words[0] != "fetch" {
 					continue
 				}
 				fetched <- words[1]
-				if !silent.Load() {
+				if !unresponsive.Load() {
 					_ = server.Send([]string{words[1], "served", "-"})
 				}
 			}
@@ -394,19 +395,19 @@
 		send(fmt.Sprint("answered", i), i)
 		require.Equal(t, policy.OK, (<-ends).Result, i)
 		clk.Advance(1)
-		require.Eventually(t, func() bool { return pools.Conns() <= most }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return pools.Conns() <= maxConns }, time.Minute, time.Millisecond)
 	}
-	silent.Store(true)
+	unresponsive.Store(true)
 	for i := range servers {
 		send(fmt.Sprint("waits", i), i)
 	}
-	for range servers - most {
+	for range servers - maxConns {
 		require.Equal(t, policy.Skipped, (<-ends).Result)
 	}
-	require.Eventually(t, func() bool { return pools.Conns() == most }, time.Minute, time.Millisecond)
-	for waits := 0; waits < most; { // until no connection is being dialled
+	require.Eventually(t, func() bool { return pools.Conns() == maxConns }, time.Minute, time.Millisecond)
+	for waiting := 0; waiting < maxConns; { // until no connection is being dialled
 		if strings.HasPrefix(<-fetched, "waits") {
-			waits++
+			waiting++
 		}
 	}
 }
--- a/wire/batch_test.go
+++ b/wire/batch_test.go
@@ -25,7 +25,7 @@
 		`["Targets",3,"disk",41,[[5,1,0,0,"L",1.5,6100000,9]]]`: policy.Members{Kind: policy.ListCached, Version: 41,
 			Entries: []policy.Member{{ID: 5, Zone: 1, State: policy.Draining, Weight: 1.5, Started: 6100 * time.Millisecond}}},
 	} {
-		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unheard",1]]}`))
+		b, err := DecodeBatch([]byte(`{"AtTimeUs":5,"events":[` + line + `,["Unknown",1]]}`))
 		if err != nil {
 			t.Errorf("%s: %v", line, err)
 		} else if len(b.Events) != 1 || b.Events[0].Instance != 3 || !reflect.DeepEqual(b.Events[0].Event, want) {
@@ -34,24 +34,24 @@
 	}
 }
 
-// The error of an invalid line names the event and the value.
+// The error for an invalid line names the event and the value.
 func TestDecodeBatchReportsInvalidEvent(t *testing.T) {
-	for line, part := range map[string]string{
-		`nonsense`:                                           "not a batch",
-		`{"events":[]}`:                                      "not a batch",
+	for line, want := range map[string]string{
+		`nonsense`:                                           "invalid batch",
+		`{"events":[]}`:                                      "invalid batch",
 		`{"AtTimeUs":1,"events":[["Req",3]]}`:                "event Req: Txn is missing",
 		`{"AtTimeUs":1,"events":[["Req",{}]]}`:               "event Req: Who",
 		`{"AtTimeUs":1,"events":[["Targets",3,"odd",1,[]]]}`: "event Targets: How",
 		`{"AtTimeUs":1,"events":[["Boot",3,1]]}`:             "event Boot: Env is missing",
 		`{"AtTimeUs":1,"events":[[]]}`:                       "name is missing",
 	} {
-		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("%s: got %v, want %q", line, err, part)
+		if _, err := DecodeBatch([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v, want %q", line, err, want)
 		}
 	}
 }
 
-// A Start carries the settings, and an unknown word for the idempotency is left to policy.New to reject.
+// A Start carries the settings. An unknown word for the idempotency is decoded, and policy.New rejects it.
 func TestDecodeStartWithSettings(t *testing.T) {
 	line := `{"AtTimeUs":1,"events":[["Boot",0,9,{"NInstances":3,"Zone":2,"New":1,"Weights":"rough",
 		"Grades":[{"Effect":"at_most_once","DeadlineUs":5000},{"Effect":"odd"}],
@@ -93,9 +93,9 @@
 	f.Add([]byte(`{"AtTimeUs":5,"events":[["Targets",3,"disk",41,[[5,1,0,0,"L"]]]]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		b, err := DecodeBatch(line)
-		for _, e := range b.Events {
-			if err != nil || e.Event == nil {
-				t.Fatalf("got an event and error %v: %+v", err, e)
+		for _, event := range b.Events {
+			if err != nil || event.Event == nil {
+				t.Fatalf("got an event and error %v: %+v", err, event)
 			}
 		}
 	})
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -11,22 +11,22 @@
 	"ravenwheel/policy"
 )
 
-// settingsMessage is the settings object with the protocol's field names in the tags; keys that it does not list are
-// ignored. Integers are decoded as floats, since a writer of JSON may write 1500000 as 1500000.0 or 1.5e6.
+// settingsMessage is the settings object. Its tags are the protocol's field names; other keys are ignored. Integers are decoded as
+// floats, since an encoder may write 1500000 as 1500000.0 or 1.5e6.
 type settingsMessage struct {
-	Routers          float64            `json:"NInstances"`
-	Rank             float64            `json:"Rank"`
-	Zone             float64            `json:"Zone"`
-	Discovery        string             `json:"Discovery"`
-	Weights          string             `json:"Weights"`
-	MinBatchInterval float64            `json:"TickUs"`
-	Bounds           boundsMessage      `json:"Bounds"`
-	Rules            rulesMessage       `json:"Rules"`
-	Classes          []classMessage     `json:"Grades"`
-	CacheFamily      cacheFamilyMessage `json:"FamilyInfo"`
+	Routers          float64        `json:"NInstances"`
+	Rank             float64        `json:"Rank"`
+	Zone             float64        `json:"Zone"`
+	Discovery        string         `json:"Discovery"`
+	Weights          string         `json:"Weights"`
+	MinBatchInterval float64        `json:"TickUs"`
+	Bounds           boundsMessage  `json:"Bounds"`
+	Rules            rulesMessage   `json:"Rules"`
+	Classes          []classMessage `json:"Grades"`
+	Caching          cachingMessage `json:"FamilyInfo"`
 }
 
-// boundsMessage holds what the clients and servers allow. Times are in microseconds, here and below.
+// boundsMessage has the limits and abilities of the clients and servers. Times are in microseconds, here and below.
 type boundsMessage struct {
 	CanCancel       bool    `json:"Cancel"`
 	SendsRetryAfter bool    `json:"RetryAfter"`
@@ -57,8 +57,8 @@
 	Streamed         bool    `json:"Stream"`
 }
 
-// cacheFamilyMessage holds the facts of caching. Its lists are by class or by zone, as policy.Settings has them.
-type cacheFamilyMessage struct {
+// cachingMessage has the settings about caching. Its lists have an element for each class or zone, as in policy.Settings.
+type cachingMessage struct {
 	FreshFor               []float64 `json:"ClassFreshUs"`
 	StaleFor               []float64 `json:"StaleForUs"`
 	StaleFraction          []float64 `json:"ClassStaleWorth"`
@@ -84,14 +84,14 @@
 }
 
 const (
-	// defaultPurgeDuration applies where the settings give no time for purges. With 0 purges would have no effect; a
-	// longer time fetches some copies again without need, a shorter one misses old copies.
+	// defaultPurgeDuration applies if the settings have no duration of purges. With a duration of 0, purges would have no effect. A
+	// longer duration than needed makes the proxy fetch some copies again without need, a shorter one misses old copies.
 	defaultPurgeDuration = 6 * time.Second
-	// noKind is the kind of parents, or of the origin, where there are none.
+	// noKind is the kind of the parents, or of the origin, if there are none.
 	noKind = -1
-	// unknownIdempotency stands for an unknown word. policy.New rejects it and names the class.
+	// unknownIdempotency is the value for an unknown word. policy.New rejects it with an error that names the class.
 	unknownIdempotency = policy.Idempotency(-1)
-	// maxMicroseconds bounds a duration from outside: 100 days.
+	// maxMicroseconds bounds a decoded duration: 100 days.
 	maxMicroseconds = 100 * 24 * 3600 * 1e6
 )
 
@@ -110,23 +110,23 @@
 	}
 )
 
-// DecodeSettings decodes the settings object of the simulator and of the platform's configuration. The error names the
-// place of a value of the wrong type or of an unknown deduplication scope.
+// DecodeSettings decodes the settings object, which the simulator and the platform's configuration have in the same form. If a
+// value has the wrong type or a deduplication scope is unknown, the error names its place.
 func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
 	var m settingsMessage
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return policy.Settings{}, settingsError(err)
 	}
-	family := m.CacheFamily
+	caching := m.Caching
 	settings := policy.Settings{
 		RouterIndex: integer(m.Rank), Routers: integer(m.Routers), Zone: integer(m.Zone),
-		ZoneRouters: integers(family.ZoneRouters), HomeHub: integers(family.HomeHub), LinkKBPerS: family.LinkKBPerS,
-		ParentKind: kind(family.ParentKind), OriginKind: kind(family.OriginKind),
-		MayBypassCaches: family.MayBypassCaches, SiblingFills: siblingScopes[family.SiblingFills],
-		CoalescesFills: family.CoalescesFills, OutcomeDetail: outcomeDetails[family.OutcomeDetail],
-		TransferKBPerS: family.TransferKBPerS,
-		PurgeDuration:  duration(family.PurgeDuration), PurgeGrace: duration(family.PurgeGrace),
-		OriginOverloadMultiple: family.OriginOverloadMultiple, OriginOverloadWindow: duration(family.OriginOverloadWindow),
+		ZoneRouters: integers(caching.ZoneRouters), HomeHub: integers(caching.HomeHub), LinkKBPerS: caching.LinkKBPerS,
+		ParentKind: kindOrNone(caching.ParentKind), OriginKind: kindOrNone(caching.OriginKind),
+		MayBypassCaches: caching.MayBypassCaches, SiblingFills: siblingScopes[caching.SiblingFills],
+		CoalescesFills: caching.CoalescesFills, OutcomeDetail: outcomeDetails[caching.OutcomeDetail],
+		TransferKBPerS: caching.TransferKBPerS,
+		PurgeDuration:  duration(caching.PurgeDuration), PurgeGrace: duration(caching.PurgeGrace),
+		OriginOverloadMultiple: caching.OriginOverloadMultiple, OriginOverloadWindow: duration(caching.OriginOverloadWindow),
 		WatchDiscovery: m.Discovery == "ask", PollInterval: duration(m.Rules.PollInterval),
 		DrainGrace: duration(m.Rules.DrainGrace), CacheWarmUp: m.Rules.cacheWarmUp(), ParentWarmUp: m.parentWarmUp(),
 		FinalAnswerGrace: duration(m.Rules.FinalAnswerGrace), WeightsKnown: m.Weights == "nominal" || m.Weights == "rough",
@@ -138,7 +138,7 @@
 		settings.PurgeDuration = defaultPurgeDuration
 	}
 	for i := range m.Classes {
-		class, err := m.class(i)
+		class, err := m.decodeClass(i)
 		if err != nil {
 			return policy.Settings{}, err
 		}
@@ -156,22 +156,22 @@
 
 func (m *settingsMessage) parentWarmUp() policy.WarmUp {
 	return policy.WarmUp{
-		InitialCapacity: m.CacheFamily.ParentInitialCapacity, Duration: duration(m.CacheFamily.ParentWarmUpDuration),
-		OverloadMultiple: m.CacheFamily.ParentOverloadMultiple, OverloadWindow: duration(m.Rules.OverloadWindow),
+		InitialCapacity: m.Caching.ParentInitialCapacity, Duration: duration(m.Caching.ParentWarmUpDuration),
+		OverloadMultiple: m.Caching.ParentOverloadMultiple, OverloadWindow: duration(m.Rules.OverloadWindow),
 	}
 }
 
-// class translates one class. An unknown deduplication scope of a class with idempotency keys is an error: taken for the
-// widest, it would allow retries at any cache.
-func (m *settingsMessage) class(i int) (policy.Class, error) {
-	c, family := m.Classes[i], m.CacheFamily
+// decodeClass translates the class with index i. An unknown deduplication scope of a class with idempotency keys is an error: if it
+// were treated as the widest scope, retries would be allowed at any cache.
+func (m *settingsMessage) decodeClass(i int) (policy.Class, error) {
+	c, caching := m.Classes[i], m.Caching
 	idempotency, known := idempotencies[c.Idempotency]
 	if !known {
 		idempotency = unknownIdempotency
 	}
 	scope, known := dedupScopes[c.DedupScope]
 	if !known && c.DedupScope != "" && idempotency == policy.IdempotentByKey {
-		return policy.Class{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q", i, c.DedupScope)
+		return policy.Class{}, fmt.Errorf("settings.Grades[%d].Group: unknown group %q, want all, zone or cell", i, c.DedupScope)
 	}
 	if c.LatencyObjective <= 0 {
 		c.LatencyObjective = c.Deadline // no answer before the deadline is late
@@ -179,9 +179,9 @@
 	return policy.Class{
 		LatencyObjective: duration(c.LatencyObjective), ObjectiveStretch: c.ObjectiveStretch, Deadline: duration(c.Deadline),
 		PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, Idempotency: idempotency, DedupScope: scope,
-		DedupWindow: duration(c.DedupWindow), Streamed: c.Streamed, Uncached: elementOrZero(family.Uncached, i),
-		Multipart: elementOrZero(family.Multipart, i), FreshFor: duration(elementOrZero(family.FreshFor, i)),
-		StaleFor: duration(elementOrZero(family.StaleFor, i)), StaleFraction: elementOrZero(family.StaleFraction, i),
+		DedupWindow: duration(c.DedupWindow), Streamed: c.Streamed, Uncached: elementOrZero(caching.Uncached, i),
+		Multipart: elementOrZero(caching.Multipart, i), FreshFor: duration(elementOrZero(caching.FreshFor, i)),
+		StaleFor: duration(elementOrZero(caching.StaleFor, i)), StaleFraction: elementOrZero(caching.StaleFraction, i),
 	}, nil
 }
 
@@ -192,7 +192,7 @@
 	return element
 }
 
-// duration converts microseconds, rounded to whole ones.
+// duration converts microseconds to a duration, rounded to whole microseconds.
 func duration(us float64) time.Duration {
 	return microseconds(int64(math.Round(max(-maxMicroseconds, min(us, maxMicroseconds)))))
 }
@@ -206,19 +206,19 @@
 	return out
 }
 
-func kind(k *float64) int {
+func kindOrNone(k *float64) int {
 	if k == nil {
 		return noKind
 	}
 	return integer(*k)
 }
 
-// jsonTypes names the JSON types of the kinds in settingsMessage.
+// jsonTypes has the names of the JSON types for the Go kinds in settingsMessage.
 var jsonTypes = map[reflect.Kind]string{
 	reflect.Float64: "number", reflect.String: "string", reflect.Bool: "bool", reflect.Slice: "array", reflect.Struct: "object",
 }
 
-// settingsError describes an error of package json in one line that names the place.
+// settingsError converts an error of package json to one that fits on a line and names the place in the settings.
 func settingsError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
