--- a/cmd/ravenwheel/store_members_test.go
+++ b/cmd/ravenwheel/store_members_test.go
@@ -90,7 +90,7 @@
 	ok("config", "set", rev, "--operator", file("b"))
 	out, code := run("config", "set", rev, "--base", "1", "--operator", file("c"))
 	require.Equal(t, 1, code)
-	require.Contains(t, out, "the configuration has another revision by now")
+	require.Contains(t, out, "the configuration was changed since its base revision")
 	put("{\"limits\": {\"requests\": 0}}\n")
 	out, code = run("config", "set", rev, "--operator", file("a"))
 	require.Equal(t, 1, code)
--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -16,21 +16,21 @@
 // Status describes a member.
 type Status struct {
 	Name           string        `cbor:"1,keyasint" json:"name"`
-	State          string        `cbor:"2,keyasint" json:"state"`  // raft's: Leader, Follower, Candidate, Shutdown
-	Leader         string        `cbor:"3,keyasint" json:"leader"` // name; empty: unknown
+	State          string        `cbor:"2,keyasint" json:"state"`  // of raft: Leader, Follower, Candidate or Shutdown
+	Leader         string        `cbor:"3,keyasint" json:"leader"` // name of the leader; empty: unknown
 	Term           uint64        `cbor:"4,keyasint" json:"term"`
 	AppliedIndex   uint64        `cbor:"5,keyasint" json:"applied"`
 	CommitIndex    uint64        `cbor:"6,keyasint" json:"commit"`
-	StaleMs        float64       `cbor:"7,keyasint" json:"stale_ms"` // since the last contact with a leader; 0: it is the leader
+	StaleMs        float64       `cbor:"7,keyasint" json:"stale_ms"` // since the last contact with a leader; 0: the member leads
 	Members        []MemberState `cbor:"8,keyasint" json:"members"`
 	ConfigRevision uint64        `cbor:"9,keyasint" json:"config_revision"`
 }
 
-// MemberState is a member as another one knows it.
+// MemberState is an entry in a member's list of all members.
 type MemberState struct {
 	Name  string `cbor:"1,keyasint" json:"name"`
 	Addr  string `cbor:"2,keyasint" json:"addr"`
-	Voter bool   `cbor:"3,keyasint" json:"votes"`
+	Voter bool   `cbor:"3,keyasint" json:"votes"` // false: a new member that has not caught up yet
 }
 
 // Status returns this member's current state.
@@ -53,7 +53,7 @@
 	return st
 }
 
-// handleCall answers another member's call.
+// handleCall answers a call of another member. peer is the name in that member's certificate.
 func (s *Store) handleCall(peer string, req request) reply {
 	if req.Operation == OpStatus {
 		st := s.Status()
@@ -69,7 +69,7 @@
 		return s.handleApply(req.Change)
 	case opIndex:
 		if err = s.raft.Barrier(s.opt.Timeout).Error(); err == nil {
-			return reply{Index: s.appliedIndex()} // after a barrier, all entries before it are applied
+			return reply{Index: s.appliedIndex()} // the barrier has waited until all entries before it are applied
 		}
 	case OpJoin:
 		if peer != req.Name {
@@ -89,6 +89,7 @@
 	return reply{}
 }
 
+// handleApply commits another member's encoded change.
 func (s *Store) handleApply(change []byte) reply {
 	if _, err := storestate.DecodeChange(change); err != nil {
 		return reply{Err: err.Error()}
@@ -102,16 +103,16 @@
 }
 
 const (
-	// catchUpLag is by how many entries a new member may be behind when it becomes a voter.
+	// catchUpLag is by how many entries a new member may be behind the leader when it becomes a voter.
 	catchUpLag = 16
-	// catchUpTimeoutFactor times Options.Timeout is how long it has to catch up.
+	// catchUpTimeoutFactor times Options.Timeout is how long a new member may take to catch up.
 	catchUpTimeoutFactor = 5
-	// catchUpPollInterval is the time between two checks of how far it is, in ms.
+	// catchUpPollInterval is the time between two checks of how far a new member has caught up, in ms.
 	catchUpPollInterval = 10
 )
 
-// addMember adds a member as a non-voter, waits until it has caught up, and makes it a voter. A voter with an empty log
-// would count for a quorum before it could serve in one.
+// addMember adds a member as a non-voter, waits until it has caught up, and makes it a voter. A voter with an empty log would raise
+// the number of votes that a quorum needs before it could contribute one.
 func (s *Store) addMember(name, addr string) error {
 	for _, server := range s.servers() {
 		if string(server.ID) == name && string(server.Address) == addr && server.Suffrage == raft.Voter {
@@ -127,8 +128,8 @@
 	return s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(addr), 0, s.opt.Timeout).Error()
 }
 
-// awaitCatchUp waits until a new member has applied all but the last catchUpLag committed entries. It returns an error if that takes
-// too long; the member then stays a non-voter.
+// awaitCatchUp waits until a new member has applied all but the last catchUpLag committed entries. If that takes too long it
+// returns an error, and the member stays a non-voter.
 func (s *Store) awaitCatchUp(name, addr string) error {
 	for deadline := s.opt.Clock.Now() + catchUpTimeoutFactor*clock.Ms(s.opt.Timeout); ; s.sleep(catchUpPollInterval) {
 		r, _, err := s.transport.call(addr, request{Operation: OpStatus}, s.opt.Timeout)
@@ -141,7 +142,7 @@
 	}
 }
 
-// transferLeadership transfers leadership to a member, or to any for an empty name.
+// transferLeadership transfers leadership to a member, or to any member if the name is empty.
 func (s *Store) transferLeadership(name string) error {
 	if name == "" {
 		return s.raft.LeadershipTransfer().Error()
@@ -158,13 +159,14 @@
 	return fmt.Errorf("no member %q", name)
 }
 
-// requestRetryDelay is the pause before a request is repeated while leadership moves.
+// requestRetryDelay is the pause before Request tries again while members know no leader or an outdated one.
 const requestRetryDelay = 20 * time.Millisecond
 
-// Request has a member of the cluster carry out an operation, and follows it to the leader. name and memberAddr are those of
-// the member that the operation is about. While leadership moves, members know no leader or an outdated one; what they refuse
-// for that reason had no effect, and is requested again until timeout is over. Request needs an identity of the cluster, but
-// no store. It returns an error if a member can't be reached or rejects the operation; the operation may have had an effect then.
+// Request sends an operation to the member at addr, and follows that member's reference to the leader if only the leader can carry
+// out the operation. name and memberAddr are those of the member that the operation is about. While leadership changes, members
+// know no leader or an outdated one; an operation that they refuse for that reason had no effect, and Request sends it again until
+// timeout is over. Request needs an identity of the cluster, but no store. It returns an error if a member can't be reached or the
+// operation fails; the operation may have had an effect then.
 func Request(id *Identity, addr string, op Operation, name, memberAddr string, timeout time.Duration) (Status, error) {
 	t := &transport{identity: id, dial: dialTCP}
 	for end := time.Now().Add(timeout); ; time.Sleep(requestRetryDelay) {
@@ -175,7 +177,7 @@
 		case r.Err == errTextNotLeader && time.Now().Before(end):
 			addr = cmp.Or(r.Leader, addr)
 		case r.Err != "":
-			return Status{}, fmt.Errorf("store: member at %s says: %s", addr, r.Err)
+			return Status{}, fmt.Errorf("store: member at %s returned an error: %s", addr, r.Err)
 		case r.Status != nil:
 			return *r.Status, nil
 		default:
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -9,13 +9,13 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// fsm is decide/storestate behind raft's interface.
+// fsm implements raft.FSM with the state machine of decide/storestate.
 type fsm struct {
 	mu        sync.RWMutex
 	state     *storestate.State
 	watchers  []chan storestate.Revision
 	observers []Observer
-	onChange  func(storestate.Change) // see Options.OnChange; set before raft starts, so that no entry is missed
+	onChange  func(storestate.Change) // see Options.OnChange; set before raft starts, so that it misses no entry
 }
 
 // Apply implements raft.FSM. Its result is a storestate.Result.
@@ -25,13 +25,13 @@
 	defer f.mu.Unlock()
 	f.state.AppliedIndex = entry.Index
 	if err != nil {
-		// Written by a later version: all members of this version ignore it alike.
+		// A later version of the proxy wrote the entry. All members of this version ignore it, so that their states stay equal.
 		return storestate.Result{Verdict: storestate.Invalid}
 	}
 	before := f.state.Revision().Number
 	repeated := f.state.HasApplied(c.ID)
 	r := f.state.Apply(c)
-	if repeated { // it was announced when it was applied first, and its effect may have been undone since
+	if repeated { // it was announced when it was first applied, and its effect may have been undone since
 		return r
 	}
 	f.notifyWatchers(before)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// isListDrainOrPurge reports whether a change of a kind is one that Options.OnChange is called with.
+// isListDrainOrPurge reports whether Options.OnChange is called with changes of a kind.
 func isListDrainOrPurge(k storestate.Kind) bool {
 	switch k {
 	case storestate.SetList, storestate.StartDrain, storestate.EndDrain, storestate.AddPurge:
@@ -50,7 +50,7 @@
 	return false
 }
 
-// announce passes an applied change to onChange, if it is for it, and to the observers. The caller holds mu.
+// announce passes an applied change to the observers and, if it is of a list, drain or purge, to onChange. The caller holds mu.
 func (f *fsm) announce(index uint64, c storestate.Change) {
 	if f.onChange != nil && isListDrainOrPurge(c.Kind) {
 		f.onChange(c)
@@ -61,7 +61,8 @@
 }
 
 // announceState passes the lists, drains and purges of a new state to onChange, and the end of each drain that the old state had
-// and the new one does not: a member far behind receives a snapshot in place of the entries that ended them. The caller holds mu.
+// and the new state does not: a member far behind receives a snapshot in place of the entries that ended these drains. The caller
+// holds mu.
 func (f *fsm) announceState(old *storestate.State) {
 	if f.onChange == nil {
 		return
@@ -82,8 +83,8 @@
 	}
 }
 
-// notifyWatchers sends the configuration revision to the watchers if it is not the one before. It replaces one that a
-// watcher has not received yet.
+// notifyWatchers sends the current configuration revision to the watchers if its number is not before. It replaces a revision that
+// a watcher has not received yet. The caller holds mu.
 func (f *fsm) notifyWatchers(before uint64) {
 	r := f.state.Revision()
 	if r.Number == before {
--- a/internal/store/issue.go
+++ b/internal/store/issue.go
@@ -21,7 +21,7 @@
 const (
 	authorityValidity = 10 * 365 * 24 * time.Hour
 	memberValidity    = 2 * 365 * 24 * time.Hour
-	// backdating is how far before its issue a certificate is valid, as members' clocks may differ.
+	// backdating is how long before its issue a certificate is valid from, as members' clocks may differ.
 	backdating = time.Hour
 	// serialBits is the size of a random serial number.
 	serialBits = 120
@@ -34,20 +34,20 @@
 	keyExtension         = ".key"
 )
 
-// ErrInvalidName says that the name of a cluster or a member is not made of lower-case letters, digits, dots and dashes, or has
-// more than 63 characters.
+// ErrInvalidName says that the name of a cluster or a member does not match namePattern (lower-case letters, digits, dots and
+// dashes, at most 63 characters), or that a member has the authority's name.
 var ErrInvalidName = errors.New("store: invalid name")
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// CreateAuthority writes the certificate authority of a new cluster into a directory, as ca.crt and ca.key. Only the issuer of
-// certificates needs the key. It returns ErrInvalidName, or an error if the directory already holds an authority or can't be written.
+// CreateAuthority writes the certificate authority of a new cluster into a directory, as ca.crt and ca.key. Only IssueCertificate
+// needs the key. It returns ErrInvalidName, or an error if the directory already holds an authority or can't be written.
 func CreateAuthority(dir, cluster string) error {
 	if !namePattern.MatchString(cluster) {
-		return fmt.Errorf("%w: cluster %q: small letters, digits, dots and dashes, 63 at most", ErrInvalidName, cluster)
+		return fmt.Errorf("%w: cluster %q: want up to 63 lower-case letters, digits, dots and dashes", ErrInvalidName, cluster)
 	}
 	if _, err := os.Stat(filepath.Join(dir, authorityName+certificateExtension)); err == nil {
-		return fmt.Errorf("store: %s has a cluster's authority already", dir)
+		return fmt.Errorf("store: %s already holds a cluster's certificate authority", dir)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -62,15 +62,15 @@
 	return writeCertificate(dir, authorityName, t, t, key, key)
 }
 
-// IssueCertificate writes a member's certificate and key, as NAME.crt and NAME.key, into the directory that holds the authority's. It
-// returns ErrInvalidName, or an error if the authority's files can't be used or the member's can't be written.
+// IssueCertificate writes a member's certificate and key, as NAME.crt and NAME.key, into the directory that holds the authority. It
+// returns ErrInvalidName, or an error if the authority's files can't be used or the member's files can't be written.
 func IssueCertificate(dir, name string) error {
 	if !namePattern.MatchString(name) || name == authorityName {
-		return fmt.Errorf("%w: member %q: small letters, digits, dots and dashes, 63 at most", ErrInvalidName, name)
+		return fmt.Errorf("%w: member %q: want up to 63 lower-case letters, digits, dots and dashes, not ca", ErrInvalidName, name)
 	}
 	authority, err := tls.LoadX509KeyPair(certificatePath(dir, authorityName), keyPath(dir, authorityName))
 	if err != nil {
-		return fmt.Errorf("store: the cluster's authority: %w", err)
+		return fmt.Errorf("store: load the cluster's certificate authority: %w", err)
 	}
 	cluster, _, err := parseURI(authority.Leaf)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// writeCertificate signs a certificate for a key and writes both.
+// writeCertificate signs a certificate for a key, and writes the certificate and the key.
 func writeCertificate(dir, name string, template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -9,8 +9,8 @@
 	"ravenwheel/internal/transient"
 )
 
-// Link is a connection between two members of a cluster on which either sends frames at any time. It uses the certificates
-// and the framing of the store's calls. One goroutine at a time may send, and one receive.
+// Link is a connection between two members of a cluster on which both send frames at any time. It uses the same certificates and
+// frames as the calls between members of the store. At a time, one goroutine may send and one may receive.
 type Link struct {
 	Peer string // name in the other member's certificate
 
@@ -20,7 +20,7 @@
 	closeOnce sync.Once
 }
 
-// Send writes a frame. It fails if the peer does not take it within timeout; 0: no time-out.
+// Send writes a frame. It fails if the frame can't be written within timeout, because the peer does not read; 0: no time-out.
 func (l *Link) Send(frame []byte, timeout time.Duration) error {
 	if err := l.conn.SetWriteDeadline(deadline(timeout)); err != nil {
 		return err
@@ -40,7 +40,8 @@
 // Close closes the connection. A Send or Receive in progress fails.
 func (l *Link) Close() { l.closeOnce.Do(l.closeConn) }
 
-// deadline returns the time after a time-out by the machine's clock, which sockets use; none for 0.
+// deadline returns the time at which a time-out is over, by the machine's clock, which sockets use. For a time-out of 0 it returns
+// the zero time, which is no deadline.
 func deadline(timeout time.Duration) time.Time {
 	if timeout == 0 {
 		return time.Time{}
@@ -48,11 +49,11 @@
 	return time.Now().Add(timeout)
 }
 
-// LinkListener is an address at which members of the cluster open links.
+// LinkListener accepts links of other members of the cluster at an address.
 type LinkListener struct{ transport *transport }
 
-// ListenLinks accepts up to maxLinks links at once. It calls handle for each, in a goroutine of its own, and closes the link
-// when handle returns.
+// ListenLinks accepts links at a listener, up to maxLinks at once. It calls handle for each link in its own goroutine, and closes
+// the link when handle returns.
 func ListenLinks(id *Identity, ln net.Listener, maxLinks int, handle func(*Link)) *LinkListener {
 	t := newTransport(transient.KeepAccepting(ln), id, maxLinks)
 	t.handleLink = handle
@@ -60,18 +61,18 @@
 	return &LinkListener{t}
 }
 
-// Addr returns the address it listens on.
+// Addr returns the listener's address.
 func (l *LinkListener) Addr() net.Addr { return l.transport.Addr() }
 
-// Close closes the address and all its links, and waits until the handlers have returned.
+// Close closes the listener and all its links, and waits until the handlers have returned.
 func (l *LinkListener) Close() error {
 	err := l.transport.Close()
 	l.transport.handlers.Wait()
 	return err
 }
 
-// DialLink opens a link to a member, within timeout for each of its steps. dial is nil for TCP. It returns the error of the dial or
-// of TLS, which includes ErrNotMember.
+// DialLink opens a link to a member. timeout applies to the connection and, again, to the TLS handshake. A nil dial means TCP.
+// DialLink returns the error of the dial or of TLS, which includes ErrNotMember.
 func DialLink(id *Identity, addr string, timeout time.Duration, dial DialFunc) (*Link, error) {
 	if dial == nil {
 		dial = dialTCP
--- a/internal/store/message.go
+++ b/internal/store/message.go
@@ -9,34 +9,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A connection between members begins with one byte that says what it carries.
+// A connection between members begins with one byte, its kind.
 const (
-	connRaft  = 'R' // raft's own stream
-	connCalls = 'C' // calls: a request and its reply as frames, one after the other
-	connLink  = 'D' // a Link: frames in both directions, at an address of its own
+	connRaft  = 'R' // a stream of raft
+	connCalls = 'C' // calls: a request and its reply as frames, one call after the other
+	connLink  = 'D' // a Link: frames in both directions; a LinkListener accepts only these
 )
 
-// Operation is what a call asks of a member.
+// Operation is the operation that a call requests from a member.
 type Operation string
 
-// The operations for operators. All but OpStatus are the leader's.
+// The operations for operators. Only the leader carries out those other than OpStatus.
 const (
-	OpStatus   Operation = "status"   // describe this member
+	OpStatus   Operation = "status"   // return the status of the called member
 	OpJoin     Operation = "join"     // add the calling member, whose certificate must have the name
 	OpRemove   Operation = "remove"   // remove a member
-	OpTransfer Operation = "transfer" // transfer leadership, to a member or to any
+	OpTransfer Operation = "transfer" // transfer leadership, to a named member or to any
 )
 
-// The operations between members, which are the leader's.
+// The operations that members request from the leader.
 const (
 	opApply Operation = "apply" // commit a change
-	opIndex Operation = "index" // return the index that a linearizable read must have applied
+	opIndex Operation = "index" // return the index up to which a member must have applied the log for a linearizable read
 )
 
 // request is a call.
 type request struct {
 	Operation Operation `cbor:"1,keyasint"`
-	Change    []byte    `cbor:"2,keyasint,omitempty"` // encoded, of opApply
+	Change    []byte    `cbor:"2,keyasint,omitempty"` // of opApply: an encoded storestate.Change
 	Name      string    `cbor:"3,keyasint,omitempty"` // of the member that the operation is about
 	Addr      string    `cbor:"4,keyasint,omitempty"` // of that member
 }
@@ -44,26 +44,26 @@
 // reply is the answer to a call.
 type reply struct {
 	Result     []byte  `cbor:"1,keyasint,omitempty"` // of a change: a storestate.Result in CBOR, without format version
-	Index      uint64  `cbor:"2,keyasint,omitempty"`
+	Index      uint64  `cbor:"2,keyasint,omitempty"` // of opIndex
 	Err        string  `cbor:"3,keyasint,omitempty"` // empty: the operation succeeded
 	MayHaveRun bool    `cbor:"4,keyasint,omitempty"` // with Err: the operation may have had an effect
-	Leader     string  `cbor:"5,keyasint,omitempty"` // with Err: address of the leader, which may be asked instead
-	Status     *Status `cbor:"6,keyasint,omitempty"`
+	Leader     string  `cbor:"5,keyasint,omitempty"` // with Err: address of the leader, to which the call may be sent instead
+	Status     *Status `cbor:"6,keyasint,omitempty"` // of OpStatus
 }
 
-// errTextNotLeader is the Err of a member that is not the leader. The operation had no effect.
+// errTextNotLeader is reply.Err of a member that is not the leader, for an operation of the leader. The operation had no effect.
 const errTextNotLeader = "not the leader"
 
 // maxCallSize is the largest request or reply, in bytes.
 const maxCallSize = 32 << 20
 
-// A frame is a length of 4 bytes, big-endian, and as many bytes.
+// A frame is a length of 4 bytes, big-endian, and that many bytes of content.
 const frameHeaderSize = 4
 
-// ErrFrameTooLarge says that a frame claims more bytes than its receiver accepts.
+// ErrFrameTooLarge says that a frame's header declares more bytes than the receiver accepts.
 var ErrFrameTooLarge = errors.New("store: frame too large")
 
-// messageDecodeMode bounds what a message may claim.
+// messageDecodeMode limits the array sizes and the nesting that a message may declare.
 var messageDecodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 
 func writeMessage(w io.Writer, message any) error {
@@ -96,7 +96,7 @@
 	if int64(size) > int64(maxSize) {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, size)
 	}
-	// The buffer grows as bytes arrive, so that a claimed size alone allocates nothing.
+	// The buffer grows as bytes arrive, so that a declared size alone allocates nothing.
 	b, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil || len(b) < int(size) {
 		return nil, errors.Join(err, io.ErrUnexpectedEOF)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -15,7 +15,8 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// SpendToken marks a token id as used until its token expires, in Unix ms. It returns ErrTokenSpent for a replay.
+// SpendToken marks a token id as used until its token expires, at a time in Unix ms. It returns ErrTokenSpent if the token id was
+// used before.
 func (s *Store) SpendToken(jti string, expiresAt float64) error {
 	_, err := s.Propose(storestate.Change{Kind: storestate.SpendToken, Name: jti, ExpiresAt: expiresAt})
 	return err
@@ -33,21 +34,21 @@
 	return err
 }
 
-// RevokeToken makes a token id void until its token expires, in Unix ms.
+// RevokeToken revokes a token id until its token expires, at a time in Unix ms.
 func (s *Store) RevokeToken(jti string, expiresAt float64) error {
 	_, err := s.Propose(storestate.Change{Kind: storestate.RevokeToken, Name: jti, ExpiresAt: expiresAt})
 	return err
 }
 
-// SetConfig makes a text the revision after base, and returns the new revision. If base is no longer in force it returns
-// ErrConflict and the revision that is.
+// SetConfig makes a text the revision after base, and returns the new revision's number. If base is not the current revision, it
+// returns ErrConflict and the number of the current one.
 func (s *Store) SetConfig(base uint64, text, author string) (uint64, error) {
 	r, err := s.Propose(storestate.Change{Kind: storestate.SetConfig, BaseRevision: base, Text: text, Author: author})
 	return r.Revision, err
 }
 
-// Rollback makes the text of an earlier revision a new revision, and returns that. It returns ErrNoRevision, and the revision
-// in force, if the earlier one is not kept.
+// Rollback makes the text of an earlier revision a new revision, and returns the new revision's number. If the store does not hold
+// the earlier revision, Rollback returns ErrNoRevision and the number of the current one.
 func (s *Store) Rollback(to uint64, author string) (uint64, error) {
 	var base uint64
 	var old storestate.Revision
@@ -59,15 +60,15 @@
 		return 0, err
 	}
 	if !found {
-		return base, fmt.Errorf("%w: revision %d is not kept", ErrNoRevision, to)
+		return base, fmt.Errorf("%w: revision %d is not stored", ErrNoRevision, to)
 	}
 	return s.SetConfig(base, old.Text, author)
 }
 
-// Propose commits one change through the log, here or at the leader, and retries within Options.Timeout while that is safe.
-// The change has the same id in all attempts, so that it is applied once. After ErrOutcomeUnknown a caller that proposes the
-// same thing again proposes another change, unless it sets the same id. It returns the error of the result's verdict (see
-// ErrTokenSpent and the errors with it), ErrUnavailable or ErrOutcomeUnknown.
+// Propose commits one change through the log, at this member or through the leader, and retries within Options.Timeout where that
+// is safe. The change has the same id in all attempts, so that it is applied only once. A caller that proposes the same content
+// again after ErrOutcomeUnknown makes a second change, unless it sets the id of the first. Propose returns the error for the
+// result's verdict (ErrTokenSpent, ErrConflict, ErrStale or ErrInvalid), ErrUnavailable or ErrOutcomeUnknown.
 func (s *Store) Propose(c storestate.Change) (storestate.Result, error) {
 	if c.ID == "" {
 		c.ID = newChangeID()
@@ -109,7 +110,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// resultError returns a result with the error of its verdict.
+// resultError returns a result with the error for its verdict.
 func resultError(r storestate.Result) (storestate.Result, error) {
 	switch r.Verdict {
 	case storestate.OK:
@@ -124,8 +125,8 @@
 	return r, ErrInvalid
 }
 
-// attempt submits an encoded change once, here or at the leader. The outcome says whether it was executed; the result counts only
-// with retry.Succeeded.
+// attempt submits an encoded change once, at this member or to the leader. The outcome says whether the change was executed. The
+// result is valid only with retry.Succeeded.
 func (s *Store) attempt(raw []byte) (storestate.Result, retry.Outcome) {
 	if s.IsLeader() {
 		return s.applyAsLeader(raw)
@@ -150,8 +151,8 @@
 	return result, retry.Succeeded
 }
 
-// applyAsLeader submits an encoded change to raft. The time-out of raft's Apply only covers the entry's way into the log, so
-// the wait for its commit has one of its own.
+// applyAsLeader submits an encoded change to raft. The time-out of raft's Apply covers only the time until raft accepts the entry
+// for its log, so the wait for the entry's commit has its own time-out.
 func (s *Store) applyAsLeader(raw []byte) (storestate.Result, retry.Outcome) {
 	f := s.raft.Apply(raw, s.opt.Timeout)
 	done := make(chan error, 1)
@@ -164,6 +165,7 @@
 	}
 }
 
+// applyOutcome returns the result of an entry that was submitted to raft, and its outcome. err is the future's error.
 func applyOutcome(f raft.ApplyFuture, err error) (storestate.Result, retry.Outcome) {
 	switch {
 	case err == nil:
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// lockTimeout bounds the wait for a directory that another process has.
+	// lockTimeout is how long a member waits for a directory that another process has locked.
 	lockTimeout = 100 * time.Millisecond
 	// retainedSnapshots is how many snapshots are kept on disk.
 	retainedSnapshots = 2
@@ -26,15 +26,15 @@
 
 	joinAttempts   = 10
 	joinRetryDelay = 100 // ms
-	// joinTimeoutFactor times Options.Timeout is how long a call to join may take, as the leader waits until the new member has
-	// caught up.
+	// joinTimeoutFactor times Options.Timeout is how long a call to join may take: the leader answers it only once the new member
+	// has caught up.
 	joinTimeoutFactor = 10
 )
 
 // startRaft opens the log, the snapshots and the address of this member, and starts raft on them.
 func (s *Store) startRaft() error {
 	if s.opt.Identity == nil || s.opt.Identity.Name != s.opt.Self.Name {
-		return fmt.Errorf("member %q needs an identity of that name", s.opt.Self.Name)
+		return fmt.Errorf("member %q has no identity, or one of another name", s.opt.Self.Name)
 	}
 	conf := s.raftConfig()
 	storage, err := s.openStorage()
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// Raft's times with Options.FastElections, in place of its defaults.
+// With Options.FastElections, raft uses these times in place of its defaults.
 const (
-	fastElectionTimeout  = 150 * time.Millisecond // without a heartbeat of the leader, and of an election
-	fastLeaseTimeout     = 100 * time.Millisecond // after which a leader without a quorum steps down
-	fastCommitTimeout    = 5 * time.Millisecond   // after which the followers are told of a commit if no entry follows
+	fastElectionTimeout  = 150 * time.Millisecond // after which a follower without a heartbeat, or a candidate, starts an election
+	fastLeaseTimeout     = 100 * time.Millisecond // after which a leader without contact to a quorum steps down
+	fastCommitTimeout    = 5 * time.Millisecond   // after which the leader sends a commit to the followers if no entry follows
 	fastSnapshotInterval = 50 * time.Millisecond  // between two checks whether a snapshot is due
 )
 
@@ -105,7 +105,7 @@
 		Path: filepath.Join(s.opt.Dir, "raft.db"), BoltOptions: &bolt.Options{Timeout: lockTimeout},
 	})
 	if err != nil {
-		return storage{}, fmt.Errorf("%s: %w", s.opt.Dir, err)
+		return storage{}, fmt.Errorf("open the log in %s: %w", s.opt.Dir, err)
 	}
 	s.closers = append(s.closers, db)
 	snapshots, err := raft.NewFileSnapshotStore(s.opt.Dir, retainedSnapshots, io.Discard)
@@ -115,7 +115,7 @@
 	return storage{db, db, snapshots}, nil
 }
 
-// listen opens this member's address, and raft's network on it.
+// listen opens a listener at this member's address, and raft's network transport on it.
 func (s *Store) listen() (*raft.NetworkTransport, error) {
 	ln, err := net.Listen("tcp", s.opt.Self.Addr)
 	if err != nil {
@@ -129,6 +129,7 @@
 	return network, nil
 }
 
+// initialMembers returns raft's configuration of a new cluster.
 func (s *Store) initialMembers() raft.Configuration {
 	var members raft.Configuration
 	for _, p := range s.opt.Peers {
@@ -137,7 +138,7 @@
 	return members
 }
 
-// join asks the cluster to add this member, first as a non-voter and then as a voter.
+// join asks the cluster to add this member. It follows a member that is not the leader to the leader, and tries joinAttempts times.
 func (s *Store) join() error {
 	addr := s.opt.Join
 	req := request{Operation: OpJoin, Name: s.opt.Self.Name, Addr: s.opt.Self.Addr}
@@ -155,7 +156,7 @@
 		}
 		s.sleep(joinRetryDelay)
 	}
-	return fmt.Errorf("joining at %s: %w", s.opt.Join, err)
+	return fmt.Errorf("join the cluster through the member at %s: %w", s.opt.Join, err)
 }
 
 func (s *Store) voterCount() (n int) {
@@ -167,7 +168,7 @@
 	return n
 }
 
-// servers returns the members as this one knows them; nil if raft is shut down.
+// servers returns the members in this member's raft configuration; nil if raft is shut down.
 func (s *Store) servers() []raft.Server {
 	f := s.raft.GetConfiguration()
 	if f.Error() != nil {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -5,11 +5,11 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// readPollInterval is the time between two checks of a linearizable read whether this member has caught up, in ms.
+// readPollInterval is the time between two checks whether this member has caught up for a linearizable read, in ms.
 const readPollInterval = 2
 
-// ReadLinearizable calls f with a state that includes every change acknowledged anywhere before the call. f must not retain
-// the state. It returns ErrUnavailable without a quorum.
+// ReadLinearizable calls f with a state that includes every change that any member acknowledged before the call. f must not retain
+// the state. Without a quorum, ReadLinearizable returns ErrUnavailable and does not call f.
 func (s *Store) ReadLinearizable(f func(*storestate.State)) error {
 	if s.raft != nil {
 		if err := s.awaitReadIndex(); err != nil {
@@ -20,17 +20,16 @@
 	return nil
 }
 
-// ReadLocal calls f with the state as this member knows it, which may be older by Status.StaleMs. f must not retain the
-// state.
+// ReadLocal calls f with this member's state, which may be out of date by Status.StaleMs. f must not retain the state.
 func (s *Store) ReadLocal(f func(*storestate.State)) {
 	s.fsm.mu.RLock()
 	defer s.fsm.mu.RUnlock()
 	f(s.fsm.state)
 }
 
-// awaitReadIndex waits until this member has applied all entries that the leader had committed when it was asked, and the leader
-// has confirmed by a quorum that it led (ReadIndex, section 6.4 of Ongaro's thesis). It returns ErrUnavailable if that takes longer
-// than Options.Timeout.
+// awaitReadIndex asks the leader for an index that covers all entries committed by then, which the leader returns once a quorum has
+// confirmed that it leads, and waits until this member has applied the entries up to the index (ReadIndex, section 6.4 of Ongaro's
+// thesis on raft). It returns ErrUnavailable if that takes longer than Options.Timeout.
 func (s *Store) awaitReadIndex() error {
 	if s.IsLeader() {
 		if err := s.raft.Barrier(s.opt.Timeout).Error(); err != nil {
@@ -55,15 +54,15 @@
 	return nil
 }
 
-// appliedIndex returns the index of the last entry that the state includes. Raft's AppliedIndex also counts entries that
-// were handed to the state machine but not applied yet, and a linearizable read that relied on it could be stale.
+// appliedIndex returns the index of the last entry that the state includes. Raft's AppliedIndex also counts entries that raft has
+// passed to the state machine but that are not applied yet. A linearizable read that relied on it could be stale.
 func (s *Store) appliedIndex() (index uint64) {
 	s.ReadLocal(func(st *storestate.State) { index = st.AppliedIndex })
 	return index
 }
 
-// ReadIndex returns a log index and a time of this member's clock, in ms, such that the entries up to the index include all
-// that the store had committed before the time. It needs a quorum, and returns ErrUnavailable without one.
+// ReadIndex returns a log index and a time of this member's clock in ms. The entries up to the index include all that the store had
+// committed before that time. Without a quorum, ReadIndex returns ErrUnavailable.
 func (s *Store) ReadIndex() (index uint64, at float64, err error) {
 	at = s.opt.Clock.Now()
 	if s.raft != nil {
@@ -74,32 +73,32 @@
 	return s.appliedIndex(), at, nil
 }
 
-// Key returns a signing key as this member knows it, and whether there is one.
+// Key returns a signing key from this member's state, and whether there is one.
 func (s *Store) Key(kid string) (k Key, ok bool) {
 	s.ReadLocal(func(st *storestate.State) { k, ok = st.Keys[kid] })
 	return k, ok
 }
 
-// IsRevoked reports whether a token id was revoked, as this member knows it.
+// IsRevoked reports whether a token id is revoked in this member's state.
 func (s *Store) IsRevoked(jti string) (revoked bool) {
 	s.ReadLocal(func(st *storestate.State) { _, revoked = st.RevokedTokens[jti] })
 	return revoked
 }
 
-// Config returns the configuration revision in force, as this member knows it.
+// Config returns the current configuration revision in this member's state.
 func (s *Store) Config() (r storestate.Revision) {
 	s.ReadLocal(func(st *storestate.State) { r = st.Revision() })
 	return r
 }
 
-// TokenCounts returns how many spent and how many revoked token ids are stored.
+// TokenCounts returns how many spent and how many revoked token ids this member's state holds.
 func (s *Store) TokenCounts() (spent, revoked int) {
 	s.ReadLocal(func(st *storestate.State) { spent, revoked = len(st.SpentTokens), len(st.RevokedTokens) })
 	return spent, revoked
 }
 
-// Watch returns a channel of configuration revisions as this member learns of them, the current one first. A receiver that
-// lags misses revisions, but never the newest.
+// Watch returns a channel of configuration revisions: the current one first, if there is one, and then each one that this member
+// applies. A receiver that lags misses revisions, but never the newest.
 func (s *Store) Watch() <-chan storestate.Revision {
 	watcher := make(chan storestate.Revision, 1)
 	s.fsm.mu.Lock()
@@ -111,17 +110,17 @@
 	return watcher
 }
 
-// Observer receives what this member applies, in the order of the log. Its methods must return soon and must not call the
-// store.
+// Observer receives the changes that this member applies, in the order of the log. Its methods must return soon and must not call
+// the store.
 type Observer interface {
-	// StateReplaced receives the whole state: at first, and when a snapshot took the place of entries. It must not be
-	// retained.
+	// StateReplaced receives the whole state: when the observer is added, and when this member loads a snapshot in place of
+	// entries. The observer must not retain the state.
 	StateReplaced(*storestate.State)
-	// ChangeApplied receives a change that was applied, its log index, and the configuration revision in force after it.
+	// ChangeApplied receives a change that was applied, its log index, and the current configuration revision after it.
 	ChangeApplied(index uint64, c storestate.Change, r storestate.Revision)
 }
 
-// Observe calls an observer with the current state, and with all that comes after it while the store is open.
+// Observe calls an observer with the current state now, and with each later change while the store is open.
 func (s *Store) Observe(o Observer) {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,8 @@
-// Package store replicates configuration, signing keys, revocations, spent token ids, server lists, drains and purges among
-// a few members by raft (hashicorp/raft). The state machine is decide/storestate, and retries are decided by decide/retry. A
-// member alone in memory needs no log and no socket; several speak mutual TLS, and connections of others are refused. No
-// platform's request waits for the store. Its tests cut, kill and restart members, and check histories for linearizability.
+// Package store replicates configuration, signing keys, revocations, spent token ids, server lists, drains and purges among a few
+// members by raft (hashicorp/raft). The state machine is decide/storestate, and decide/retry decides on retries. A single member
+// in memory has no log and opens no socket. Members of a cluster use mutual TLS among each other and refuse other connections. No
+// client request of the platform waits for the store. The tests disconnect, kill and restart members, and check that the recorded
+// calls are linearizable.
 package store
 
 import (
@@ -20,21 +21,22 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// The errors of a change. After ErrUnavailable the change was not applied and will not be. After ErrOutcomeUnknown, which wraps
-// ErrUnavailable, it may have been applied or may still be: a token must then be taken as spent.
+// The errors of a change. ErrUnavailable without ErrOutcomeUnknown says that the change was not applied and will not be.
+// ErrOutcomeUnknown, which wraps ErrUnavailable, says that the change may have been applied or may still be: the caller must treat
+// a token as spent then.
 var (
-	ErrTokenSpent     = errors.New("store: already spent")
-	ErrConflict       = errors.New("store: the configuration has another revision by now")
-	ErrStale          = errors.New("store: stale list: an earlier generation, or other servers in the same")
+	ErrTokenSpent     = errors.New("store: token already spent")
+	ErrConflict       = errors.New("store: the configuration was changed since its base revision")
+	ErrStale          = errors.New("store: stale list: generation lower than the stored list's, or the same with other servers")
 	ErrInvalid        = errors.New("store: invalid change")
 	ErrUnavailable    = errors.New("store: no quorum")
-	ErrOutcomeUnknown = fmt.Errorf("%w, and what became of the change is not known", ErrUnavailable)
+	ErrOutcomeUnknown = fmt.Errorf("%w; the outcome of the change is unknown", ErrUnavailable)
 )
 
-// ErrNoRevision says that a revision of the configuration is not kept, or never was one.
+// ErrNoRevision says that the store does not hold a revision of the configuration: it never existed, or was deleted as too old.
 var ErrNoRevision = errors.New("store: no such revision")
 
-// Key is a signing key. Its algorithm is fixed with it.
+// Key is a signing key, with the algorithm that it is used with.
 type Key = storestate.Key
 
 // Member is a member of the cluster.
@@ -45,24 +47,25 @@
 
 // Options configure a store.
 type Options struct {
-	Self          Member   // zero: alone and in memory
-	Peers         []Member // of a new cluster, Self included
-	Join          string   // address of a member to join, in place of Peers
-	Dir           string   // of the log and the snapshots; empty: in memory
-	Identity      *Identity
+	Self          Member        // zero: the store is a single member in memory
+	Peers         []Member      // first members of a new cluster, including Self
+	Join          string        // address of a member of the cluster to join, in place of Peers
+	Dir           string        // directory of the log and the snapshots; empty: in memory
+	Identity      *Identity     // of Self; nil only for a single member in memory
 	Timeout       time.Duration // of a change or a linearizable read; 0: 2 s
-	FastElections bool          // elect within a fraction of a second, for members near one another
-	// SnapshotThreshold is how many entries there are between snapshots, and TrailingLogs how many entries before a snapshot
-	// are kept. 0: raft's defaults.
+	FastElections bool          // use short election time-outs, for members with low latency to one another
+	// SnapshotThreshold is the number of entries between two snapshots, and TrailingLogs the number of entries before a snapshot
+	// that the log keeps. If SnapshotThreshold is 0, raft's defaults apply to both.
 	SnapshotThreshold, TrailingLogs uint64
 	Clock                           *clock.Clock
 	Dial                            DialFunc // nil: TCP
-	// OnChange is called with each change of a list, drain or purge: those that a snapshot holds, and each one as this member
-	// applies it, from before the log is first read. It must return soon and must not call the store. nil: not called.
+	// OnChange is called with each change of a list, drain or purge: those in a snapshot that this member loads, and each one that
+	// it applies. It is set before the member reads its log, so that it misses none. It must return soon and must not call the
+	// store. nil: not called.
 	OnChange func(storestate.Change)
 }
 
-// DialFunc opens a connection to a member's address within a time.
+// DialFunc opens a connection to a member's address, within timeout.
 type DialFunc func(addr string, timeout time.Duration) (net.Conn, error)
 
 func dialTCP(addr string, timeout time.Duration) (net.Conn, error) {
@@ -71,16 +74,16 @@
 
 const defaultTimeout = 2 * time.Second
 
-// retrySettings bound how a change is retried. Times are in ms. The budget bounds the extra load on a store in trouble: in the long
-// run there is at most one retry for every five changes that succeed.
+// retrySettings limit the retries of changes. Times are in ms. The retry budget limits the extra load on a store that fails: in the
+// long run there is at most one retry for every five changes that succeed.
 var retrySettings = retry.Settings{MaxAttempts: 8, BaseDelay: 20, MaxDelay: 500, MaxRetries: 50, RetriesPerSuccess: 0.2}
 
 // Store is a member of the cluster. Its methods are safe for concurrent use.
 type Store struct {
 	opt       Options
 	fsm       *fsm
-	raft      *raft.Raft // nil: alone and in memory
-	transport *transport // nil: alone and in memory
+	raft      *raft.Raft // nil: a single member in memory
+	transport *transport // nil: a single member in memory
 	closed    atomic.Bool
 	closers   []io.Closer // closed in reverse order
 
@@ -88,8 +91,8 @@
 	budget *retry.Budget
 }
 
-// Open starts a member. It returns once the member has joined its cluster, if it is to join one, but does not wait for a
-// leader. It returns an error if the identity, the directory or the address can't be used, or if joining fails.
+// Open starts a member. With Options.Join it returns once the member has joined the cluster. It does not wait for a leader. It
+// returns an error if the identity, the directory or the address can't be used, or if joining fails.
 func Open(o Options) (*Store, error) {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -108,13 +111,14 @@
 	return s, nil
 }
 
+// sleep waits for a time in ms by the store's clock.
 func (s *Store) sleep(ms float64) {
 	done := make(chan struct{})
 	s.opt.Clock.After(ms, func() { close(done) })
 	<-done
 }
 
-// Close ends this member. A leader transfers its leadership first.
+// Close stops this member. A leader transfers its leadership first.
 func (s *Store) Close() error {
 	var err error
 	if s.closed.Swap(true) {
@@ -129,7 +133,7 @@
 	return errors.Join(err, s.closeAll())
 }
 
-// Kill ends this member as a crash does, without a transfer of leadership.
+// Kill stops this member as a crash would, without a transfer of leadership.
 func (s *Store) Kill() {
 	s.closed.Store(true)
 	if s.transport != nil {
@@ -150,7 +154,7 @@
 	return err
 }
 
-// IsLeader reports whether this member is the leader. A member alone is, until it is closed.
+// IsLeader reports whether this member is the leader. A single member in memory is the leader until it is closed.
 func (s *Store) IsLeader() bool {
 	if s.raft == nil {
 		return !s.closed.Load()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -398,7 +398,7 @@
 	require.NoError(t, err)
 	forged.Cluster = "elsewhere"
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
-	require.ErrorContains(t, err, `a certificate of cluster "th", member "a"`)
+	require.ErrorContains(t, err, `not a certificate of a member of this cluster: it names cluster "th", member "a"`)
 	// A member that asks to join under another's name.
 	require.NoError(t, IssueCertificate(c.keys, "b"))
 	b, err := LoadIdentity(c.keys, "b")
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// handshakeTimeout bounds how long a connection may take to say who it is from and what it carries.
+	// handshakeTimeout is how long an accepted connection may take for the TLS handshake and its first byte, which is its kind.
 	handshakeTimeout = 5 * time.Second
-	// maxConns bounds the connections accepted at a store's address at once.
+	// maxConns is how many connections a store's address accepts at once.
 	maxConns = 256
-	// callIdleTimeout is after how long without a request a connection for calls is closed.
+	// callIdleTimeout is how long a connection for calls may be idle before it is closed.
 	callIdleTimeout = time.Minute
 )
 
-// transport is an address at which other members connect, and the way to connect to theirs. It is raft's stream layer.
+// transport accepts connections of other members at this member's address, and connects to theirs. It implements raft.StreamLayer.
 type transport struct {
 	listener   net.Listener
 	identity   *Identity
 	dial       DialFunc
 	handleCall func(peer string, q request) reply
-	handleLink func(*Link) // set: the address accepts links only, and neither calls nor raft's streams
-	raftConns  chan net.Conn
+	handleLink func(*Link)   // if set, the address accepts links only, and neither calls nor raft's streams
+	raftConns  chan net.Conn // raft's streams, until Accept returns them
 	maxConns   int
 	done       chan struct{} // closed by Close
 
 	mu       sync.Mutex
 	conns    map[net.Conn]struct{}
 	closed   bool
-	handlers sync.WaitGroup // of the connections being handled
+	handlers sync.WaitGroup // goroutines that handle connections
 }
 
 func newTransport(listener net.Listener, id *Identity, maxConns int) *transport {
@@ -44,7 +44,7 @@
 	}
 }
 
-// run accepts connections until the transport is closed. Beyond maxConns it closes them at once.
+// run accepts connections until the transport is closed. It closes a connection at once if there are maxConns others.
 func (t *transport) run() {
 	for {
 		conn, err := t.listener.Accept()
@@ -67,7 +67,7 @@
 	}
 }
 
-// drop closes an accepted connection and forgets it.
+// drop closes an accepted connection and removes it from conns.
 func (t *transport) drop(conn net.Conn) {
 	conn.Close()
 	t.mu.Lock()
@@ -75,7 +75,7 @@
 	delete(t.conns, conn)
 }
 
-// handle serves an accepted connection. One without a certificate of the cluster is closed.
+// handle serves an accepted connection. It closes a connection whose peer has no certificate of the cluster.
 func (t *transport) handle(raw net.Conn) {
 	conn, peer, kind, err := t.accept(raw)
 	switch {
@@ -100,7 +100,7 @@
 	}
 }
 
-// accept finds out who has connected, and what the connection carries.
+// accept completes the TLS handshake of an accepted connection, and returns the peer's name and the connection's kind.
 func (t *transport) accept(raw net.Conn) (conn *tls.Conn, peer string, kind byte, err error) {
 	_ = raw.SetDeadline(time.Now().Add(handshakeTimeout))
 	conn = tls.Server(raw, t.identity.TLS())
@@ -133,7 +133,7 @@
 	}
 }
 
-// raftConn is an accepted stream, which the transport forgets once raft closes it.
+// raftConn is an accepted stream of raft. The transport removes it from conns when raft closes it.
 type raftConn struct {
 	net.Conn
 	transport *transport
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// connect opens a connection of a kind to a member.
+// connect opens a connection of a kind to a member. timeout applies to the dial and, again, to the TLS handshake.
 func (t *transport) connect(addr string, kind byte, timeout time.Duration) (*tls.Conn, error) {
 	raw, err := t.dial(addr, timeout)
 	if err != nil {
@@ -173,7 +173,7 @@
 		return r, false, err
 	}
 	defer conn.Close()
-	// Without a deadline, a call to a member that was cut off would never return.
+	// Without a deadline, a call to a member that can't be reached any more would never return.
 	_ = conn.SetDeadline(time.Now().Add(timeout))
 	if err := writeMessage(conn, req); err != nil {
 		return r, true, err
