--- a/internal/store/fsm_test.go
+++ b/internal/store/fsm_test.go
@@ -12,7 +12,7 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// drainRecorder records the last fact about each server's drain.
+// drainRecorder records the last change of each server's drain that Options.OnChange was called with.
 type drainRecorder struct {
 	mu   sync.Mutex
 	last map[string]storestate.Kind
@@ -32,21 +32,21 @@
 	return r.last[name]
 }
 
-// A member that restarts applies its log while the proxy around it is still starting. The end of a drain that it applies then
-// must be announced: the proxy still has the drain from before the restart, and would keep it forever.
+// A member that restarts applies its log while its proxy is still starting. If it did not announce the end of a drain that it
+// applies then, the proxy would keep the drain, which it still has from before the restart, forever.
 func TestFactsAreAnnouncedDuringStartup(t *testing.T) {
 	c := newCluster(t, "a")
-	eventually(t, func() bool { // its election may take longer than a call waits, on a loaded machine
+	eventually(t, func() bool { // on a loaded machine the election may take longer than the time-out of a change
 		_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
 		return err == nil
-	}, "a leader, and the drain")
+	}, "a leader is elected and the drain is committed")
 	_, err := c.members["a"].Propose(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	require.NoError(t, err)
 	c.members["a"].Kill()
 
-	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
-	restarted := c.open("a", Options{OnChange: recorder.onChange})
-	eventually(t, func() bool { return recorder.lastKind("s-1") == storestate.EndDrain }, "the end of the drain is announced")
+	drains := &drainRecorder{last: map[string]storestate.Kind{}}
+	restarted := c.open("a", Options{OnChange: drains.onChange})
+	eventually(t, func() bool { return drains.lastKind("s-1") == storestate.EndDrain }, "the end of the drain is announced")
 	var draining bool
 	var applied uint64
 	restarted.ReadLocal(func(s *storestate.State) { _, draining = s.Drains["s-1"]; applied = s.AppliedIndex })
@@ -54,8 +54,8 @@
 	require.False(t, draining)
 }
 
-// A member far behind receives a snapshot in place of entries. The end of a drain that the snapshot no longer holds is
-// announced.
+// A member far behind receives a snapshot in place of entries. It announces the end of each drain of its old state that the
+// snapshot does not hold.
 func TestSnapshotAnnouncesEndOfDrain(t *testing.T) {
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
 	f := &fsm{state: storestate.New(), onChange: recorder.onChange}
@@ -70,8 +70,8 @@
 	require.Equal(t, storestate.EndDrain, recorder.lastKind("s-1"))
 }
 
-// A change that is repeated, as its proposer did not learn its outcome, is not announced again. Else a drain that ended in
-// between would return in the proxies, though it is in no state.
+// A change that its proposer repeats, because the outcome is unknown to it, is not announced again. Otherwise a drain that ended in
+// between would start again in the proxies, although no member's state holds it.
 func TestRepeatedChangeIsAnnouncedOnce(t *testing.T) {
 	recorder := &drainRecorder{last: map[string]storestate.Kind{}}
 	f := &fsm{state: storestate.New(), onChange: recorder.onChange}
@@ -88,14 +88,16 @@
 	require.Equal(t, storestate.EndDrain, recorder.lastKind("s-1"))
 }
 
-// indexRecorder records the index under which each fact was announced.
+// indexRecorder is an observer that records the log index at which each fact was set, by storestate.FactKey.
 type indexRecorder struct {
 	state   *storestate.State
 	indexes map[string]uint64
 }
 
+// StateReplaced implements Observer.
 func (f *indexRecorder) StateReplaced(s *storestate.State) { f.state = s }
 
+// ChangeApplied implements Observer.
 func (f *indexRecorder) ChangeApplied(index uint64, c storestate.Change, r storestate.Revision) {
 	switch c.Kind {
 	case storestate.EndDrain:
@@ -107,7 +109,7 @@
 	}
 }
 
-// An observer receives the state and then each change with its index. A state restored from a snapshot still has the index of
+// An observer receives the state and then each change with its log index. A state restored from a snapshot still holds the index of
 // each of its facts.
 func TestObserverReceivesChangesWithIndexes(t *testing.T) {
 	s := &Store{fsm: &fsm{state: storestate.New()}}
@@ -119,15 +121,15 @@
 		{Kind: storestate.SetList, Name: "l", List: &storestate.List{Generation: 1}},
 		{Kind: storestate.SetConfig, Text: "x"},
 		{Kind: storestate.AddPurge, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "o", IssuedAt: 1}},
-		{Kind: storestate.AddPurge, ExpiresAt: 10, Purge: &storestate.Purge{Object: "over", IssuedAt: 1}},
+		{Kind: storestate.AddPurge, ExpiresAt: 10, Purge: &storestate.Purge{Object: "expired", IssuedAt: 1}},
 	} {
 		c.ProposedAt = 1000
 		raw, err := storestate.Encode(c)
 		require.NoError(t, err)
 		s.fsm.Apply(&raft.Log{Index: uint64(i + 5), Data: raw})
 	}
-	require.Equal(t, uint64(12), observer.indexes["purge over"], "announced, and expired at once")
-	delete(observer.indexes, "purge over")
+	require.Equal(t, uint64(12), observer.indexes["purge expired"], "the purge is announced although it expires at once")
+	delete(observer.indexes, "purge expired")
 	require.Equal(t, map[string]uint64{"drain s-2": 6, "list l": 8, "config": 10, "purge o": 11}, observer.indexes)
 	raw, err := storestate.Encode(s.fsm.state)
 	require.NoError(t, err)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each request and each reply as a frame on the connection.
+// Each request and each reply is written as the frame in its golden file, and read from it.
 func TestGoldenFrames(t *testing.T) {
 	for name, q := range goldenRequests {
 		var frame bytes.Buffer
@@ -73,7 +73,7 @@
 	require.Equal(t, "RCD", string([]byte{connRaft, connCalls, connLink}))
 }
 
-// A link's frame is its length and its bytes.
+// A link writes a frame as its length and its content.
 func TestGoldenLink(t *testing.T) {
 	one, two := net.Pipe()
 	defer one.Close()
@@ -85,6 +85,7 @@
 	golden.Equal(t, "link-frame.bin", raw)
 }
 
+// The JSON of a member and of its status, as the admin interface and the cluster commands write it.
 func TestGoldenStatus(t *testing.T) {
 	for name, s := range map[string]Status{"status.json": goldenStatus(), "status-empty.json": {}} {
 		raw, err := json.MarshalIndent(s, "", "  ")
@@ -96,7 +97,7 @@
 	golden.Equal(t, "member.json", raw)
 }
 
-// writeKeys issues identities of a cluster into a directory, and removes the authority's key.
+// writeKeys issues identities of members a and b of the cluster "th" into a directory, and removes the authority's key.
 func writeKeys(t *testing.T, dir string) {
 	require.NoError(t, CreateAuthority(dir, "th"))
 	require.NoError(t, IssueCertificate(dir, "a"))
@@ -104,7 +105,7 @@
 	require.NoError(t, os.Remove(filepath.Join(dir, "ca.key")))
 }
 
-// goldenPeer returns a member as its certificate names it, without a check of the certificate's validity.
+// goldenPeer returns the member that a certificate names, without verifying the certificate.
 func goldenPeer(t *testing.T, dir, name string) Peer {
 	raw, err := os.ReadFile(filepath.Join(dir, name+".crt"))
 	require.NoError(t, err)
@@ -114,8 +115,8 @@
 	return Peer{Name: name, Key: leaf.PublicKey.(*ecdsa.PublicKey), Issued: leaf.NotBefore}
 }
 
-// Identities issued by an earlier version are read, can sign, and derive the same shared secrets. A certificate issued now
-// makes the same statements.
+// Identities issued by an earlier version are loaded, can sign, and derive the same shared secrets. A certificate issued now has
+// the same names, key usages and validity.
 func TestGoldenIdentities(t *testing.T) {
 	dir := golden.Directory(t, "identities", func(dir string) { writeKeys(t, dir) })
 	newDir := t.TempDir()
@@ -149,7 +150,7 @@
 	golden.Equal(t, "shared-b-to-a.bin", out)
 }
 
-// openGolden opens the only member of a cluster on a directory, with new keys. It takes a snapshot after eight entries.
+// openGolden opens the only member of a cluster on a directory, with a new identity. It takes a snapshot after eight entries.
 func openGolden(t *testing.T, dir string) *Store {
 	keys := t.TempDir()
 	require.NoError(t, CreateAuthority(keys, "th"))
@@ -162,10 +163,11 @@
 		FastElections: true, SnapshotThreshold: 8, TrailingLogs: 2,
 	})
 	require.NoError(t, err)
-	eventually(t, s.IsLeader, "it leads")
+	eventually(t, s.IsLeader, "the member is elected leader")
 	return s
 }
 
+// writeStore writes a store's directory with a change of each kind, some before a snapshot and some after it.
 func writeStore(t *testing.T, dir string) {
 	s := openGolden(t, dir)
 	propose := func(c storestate.Change) {
@@ -184,7 +186,7 @@
 	propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000001"})
 	propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000002"})
 	propose(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12}, ExpiresAt: 9e15})
-	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
+	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "the member takes a snapshot")
 	propose(storestate.Change{Kind: storestate.SpendToken, Name: "spent-2", ExpiresAt: 9e15})
 	propose(storestate.Change{Kind: storestate.DeleteKey, Name: "k2"})
 	propose(storestate.Change{Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"})
@@ -193,8 +195,7 @@
 	s.Kill()
 }
 
-// A store's directory written by an earlier version is opened, and everything that it wrote is recovered, from the snapshot
-// and from the entries behind it.
+// A store opens a directory written by an earlier version, and recovers all changes from the snapshot and the entries after it.
 func TestGoldenDirectory(t *testing.T) {
 	dir := golden.Directory(t, "directory", func(dir string) { writeStore(t, dir) })
 	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
@@ -227,7 +228,7 @@
 	require.ErrorIs(t, s.SpendToken("spent-2", 9e15), ErrTokenSpent)
 }
 
-// The snapshot in that directory is restored by the state machine alone.
+// The state machine, without raft, restores the snapshot in the golden directory, writes an equal snapshot, and applies a change.
 func TestGoldenSnapshot(t *testing.T) {
 	snapshots, err := filepath.Glob(filepath.Join("testdata", "golden", "directory", "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -15,20 +15,21 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// op is a call as its client saw it. An empty key is the configuration, any other a token id to spend.
+// op is the input of a call: spend a token id, or change or read the configuration.
 type op struct {
-	key  string
-	base uint64
-	read bool
+	key  string // token id to spend; empty: the configuration
+	base uint64 // base revision of a change of the configuration
+	read bool   // read the configuration's revision instead of changing the configuration
 }
 
-// outcome is how a call ended. One that is unknown may have taken effect at any time since.
+// outcome is the output of a call. If the outcome is unknown, the call may take effect at any time after its start.
 type outcome struct {
 	ok, unknown bool
 	revision    uint64
 }
 
-// model is that of one key: a token id that can be spent once, or a revision that is replaced by the next.
+// model is the sequential model of one key. Its state is, for a token id, 1 once it was spent, and for the configuration its
+// current revision.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
@@ -40,7 +41,7 @@
 			}
 		case in.key != "":
 			if out.unknown {
-				return []any{uint64(1)} // spent by this call or before it
+				return []any{uint64(1)} // spent by this call or by an earlier one
 			}
 			if out.ok == (s == 0) {
 				return []any{uint64(1)}
@@ -71,7 +72,7 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// recorder records the calls of all clients.
+// recorder records the calls of all clients with the times at which they started and returned.
 type recorder struct {
 	began time.Time
 
@@ -79,7 +80,8 @@
 	history []porcupine.Operation
 }
 
-// record makes a call and records it, unless the call is known to have had no effect: then there is nothing to order.
+// record makes a call and records it. It does not record a call that is known to have had no effect: such a call fits anywhere in a
+// linear order.
 func (r *recorder) record(client int, in op, call func() (out outcome, hadEffect bool)) {
 	start := time.Since(r.began).Nanoseconds()
 	out, hadEffect := call()
@@ -101,7 +103,7 @@
 	cluster  *cluster
 	recorder *recorder
 	rng      *rand.Rand
-	base     uint64 // the configuration revision that it knows
+	base     uint64 // latest configuration revision that a change returned to it
 }
 
 func (c *client) run(stop <-chan struct{}) {
@@ -118,7 +120,7 @@
 		case 1:
 			c.readRevision(s)
 		default:
-			c.spendToken(s, fmt.Sprint("j", time.Since(c.recorder.began).Milliseconds()/40)) // many clients spend the same ids
+			c.spendToken(s, fmt.Sprint("j", time.Since(c.recorder.began).Milliseconds()/40)) // several clients spend each id
 		}
 	}
 }
@@ -146,9 +148,9 @@
 	})
 }
 
-func (c *client) spendToken(s *Store, jti string) {
-	c.recorder.record(c.id, op{key: jti}, func() (outcome, bool) {
-		err := s.SpendToken(jti, 9e15)
+func (c *client) spendToken(s *Store, tokenID string) {
+	c.recorder.record(c.id, op{key: tokenID}, func() (outcome, bool) {
+		err := s.SpendToken(tokenID, 9e15)
 		switch {
 		case err == nil || errors.Is(err, ErrTokenSpent):
 			return outcome{ok: err == nil}, true
@@ -161,7 +163,7 @@
 
 var memberNames = []string{"a", "b", "c"}
 
-// injectFaults cuts members off, and kills and restarts them, in turn.
+// injectFaults disconnects a random member for 400 ms, and kills one and restarts it after 300 ms, in turn, in 5 rounds.
 func injectFaults(c *cluster, rng *rand.Rand) {
 	for round := range 5 {
 		time.Sleep(250 * time.Millisecond)
@@ -179,37 +181,37 @@
 	time.Sleep(300 * time.Millisecond)
 }
 
-// Clients spend token ids, change the configuration and read it while members are cut off, killed and restarted. Their history
-// is linearizable.
-func TestLinearizable(t *testing.T) {
+// Clients spend token ids, change the configuration and read it while members are disconnected, killed and restarted. The history
+// of their calls is linearizable.
+func TestCallsAreLinearizable(t *testing.T) {
 	c := newCluster(t, memberNames...)
 	c.leader()
 	recorder := &recorder{began: time.Now()}
 	stop := make(chan struct{})
-	var wait sync.WaitGroup
+	var clients sync.WaitGroup
 	for id := range 6 {
 		client := &client{id: id, cluster: c, recorder: recorder, rng: rand.New(rand.NewPCG(7, uint64(id)))}
-		wait.Add(1)
+		clients.Add(1)
 		go func() {
-			defer wait.Done()
+			defer clients.Done()
 			client.run(stop)
 		}()
 	}
 	injectFaults(c, rand.New(rand.NewPCG(7, 99)))
 	close(stop)
-	wait.Wait()
-	done, unknown := 0, 0
+	clients.Wait()
+	total, unknown := 0, 0
 	for _, o := range recorder.history {
-		if done++; o.Output.(outcome).unknown {
+		if total++; o.Output.(outcome).unknown {
 			unknown++
 		}
 	}
-	require.Greater(t, done, 100)
+	require.Greater(t, total, 100)
 	verdict, info := porcupine.CheckOperationsVerbose(model.ToModel(), recorder.history, time.Minute)
 	if verdict != porcupine.Ok {
 		path := t.TempDir() + "/history.html"
 		_ = porcupine.VisualizePath(model.ToModel(), info, path)
 	}
 	require.Equal(t, porcupine.Ok, verdict)
-	t.Logf("%d calls, of %d the outcome is unknown", done, unknown)
+	t.Logf("%d calls, %d of them with an unknown outcome", total, unknown)
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// identities issues an identity for each name, in one cluster.
+// identities issues an identity in the same new cluster for each name.
 func identities(t *testing.T, names ...string) []*Identity {
 	dir := t.TempDir()
 	require.NoError(t, CreateAuthority(dir, "th"))
@@ -24,7 +24,7 @@
 	return out
 }
 
-// listenLinks opens an address on loopback whose links echo frames with the peer's name in front.
+// listenLinks accepts links at a loopback address, and answers each frame with the peer's name and the frame.
 func listenLinks(t *testing.T, id *Identity, maxLinks int) *LinkListener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	return l
 }
 
-// Two members of a cluster learn each other's name and exchange frames. A member of another cluster can't connect.
+// Each of two members of a cluster sees the other's name, and they exchange frames. A member of another cluster can't connect.
 func TestLinkExchangesFramesBetweenNamedPeers(t *testing.T) {
 	ids := identities(t, "a", "b")
 	listener := listenLinks(t, ids[0], 8)
@@ -61,7 +61,7 @@
 	require.Error(t, err)
 }
 
-// An address for links refuses calls, and a store's address refuses links.
+// A LinkListener refuses calls, and a store's address refuses links.
 func TestAddressRefusesOtherKindsOfConnection(t *testing.T) {
 	ids := identities(t, "a", "b")
 	listener := listenLinks(t, ids[0], 8)
@@ -79,7 +79,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Closing an address ends its links at both ends and waits for their handlers. A link beyond the maximum is refused.
+// Closing a LinkListener closes its links at both ends and waits for their handlers. A link beyond maxLinks is refused.
 func TestLinkListenerCloseEndsItsLinks(t *testing.T) {
 	ids := identities(t, "a", "b")
 	listener := listenLinks(t, ids[0], 1)
@@ -90,22 +90,22 @@
 	_, err = l.Receive(100, waitTimeout)
 	require.NoError(t, err)
 	_, err = DialLink(ids[1], listener.Addr().String(), waitTimeout, nil)
-	require.Error(t, err, "a second one")
+	require.Error(t, err, "a second link, where one is allowed")
 	require.NoError(t, listener.Close())
 	_, err = l.Receive(100, waitTimeout)
 	require.Error(t, err)
 }
 
-// A send to a peer that does not read fails after its time-out.
+// A send to a peer that does not read fails when its time-out is over.
 func TestLinkSendTimesOut(t *testing.T) {
 	ids := identities(t, "a", "b")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ended := make(chan error, 1)
+	sendErr := make(chan error, 1)
 	listener := ListenLinks(ids[0], ln, 8, func(l *Link) {
 		for {
 			if err := l.Send(make([]byte, 1<<20), 50*time.Millisecond); err != nil {
-				ended <- err
+				sendErr <- err
 				return
 			}
 		}
@@ -115,5 +115,5 @@
 	require.NoError(t, err)
 	defer l.Close()
 	var timeoutErr net.Error
-	require.True(t, errors.As(<-ended, &timeoutErr) && timeoutErr.Timeout())
+	require.True(t, errors.As(<-sendErr, &timeoutErr) && timeoutErr.Timeout())
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,32 +16,33 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// waitTimeout bounds a wait. It expresses no expectation of speed.
+// waitTimeout is how long a test waits for an event before it fails. It is long on purpose: no test checks how fast the store is.
 const waitTimeout = 60 * time.Second
 
+// eventually waits until a condition holds, and fails the test if it does not within waitTimeout.
 func eventually(t testing.TB, ok func() bool, what string) {
 	t.Helper()
 	require.Eventually(t, ok, waitTimeout, 2*time.Millisecond, what)
 }
 
-// cluster is a set of members on loopback whose connections can be cut.
+// cluster is a set of members on loopback addresses. A test can disconnect, kill and restart them.
 type cluster struct {
 	t    testing.TB
-	keys string
+	keys string // directory of the members' identities
 	clk  *clock.Clock
 
 	mu      sync.Mutex
 	members map[string]*Store
 	addrs   map[string]string
 	dirs    map[string]string
-	cut     map[[2]string]bool // by names
-	links   map[[2]string][]net.Conn
+	cut     map[[2]string]bool       // pairs of members that can't connect, by pairKey
+	conns   map[[2]string][]net.Conn // connections between two members, by pairKey
 }
 
 func newCluster(t testing.TB, names ...string) *cluster {
 	c := &cluster{
 		t: t, keys: t.TempDir(), clk: clock.System(), members: map[string]*Store{}, addrs: map[string]string{},
-		dirs: map[string]string{}, cut: map[[2]string]bool{}, links: map[[2]string][]net.Conn{},
+		dirs: map[string]string{}, cut: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{},
 	}
 	require.NoError(t, CreateAuthority(c.keys, "th"))
 	var peers []Member
@@ -59,8 +60,8 @@
 	return c
 }
 
-// add issues a member's key and picks its address, in a range that only listeners of these tests use, so that it is still
-// free after a restart.
+// add issues a member's identity and picks its address. Only listeners of these tests use addresses in this range, so that the
+// member's address is still free when it restarts.
 func (c *cluster) add(name string) Member {
 	require.NoError(c.t, IssueCertificate(c.keys, name))
 	ln, err := net.Listen("tcp", "127.0.73.1:0")
@@ -71,6 +72,7 @@
 	return Member{Name: name, Addr: c.addrs[name]}
 }
 
+// open starts or restarts a member on its directory.
 func (c *cluster) open(name string, o Options) *Store {
 	id, err := LoadIdentity(c.keys, name)
 	require.NoError(c.t, err)
@@ -86,10 +88,11 @@
 	return s
 }
 
-func link(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
+// pairKey returns the key of a pair of members, in whatever order.
+func pairKey(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// dial connects two members, unless they are cut off from one another. It looks again once the connection is up: one that is
-// registered after isolate has closed the others would stay.
+// dial connects two members unless they are cut off from one another. It checks this again once the connection is open: isolate
+// closes only the connections in conns, and would miss one that is added after it.
 func (c *cluster) dial(from, addr string, wait time.Duration) (net.Conn, error) {
 	c.mu.Lock()
 	to := ""
@@ -98,25 +101,25 @@
 			to = n
 		}
 	}
-	pair := link(from, to)
+	pair := pairKey(from, to)
 	cut := c.cut[pair]
 	c.mu.Unlock()
 	errCut := fmt.Errorf("%s and %s are cut off from one another", from, to)
 	if cut {
 		return nil, errCut
 	}
-	nc, err := net.DialTimeout("tcp", addr, wait)
+	conn, err := net.DialTimeout("tcp", addr, wait)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cut[pair] {
-		nc.Close()
+		conn.Close()
 		return nil, errCut
 	}
-	c.links[pair] = append(c.links[pair], nc)
-	return nc, nil
+	c.conns[pair] = append(c.conns[pair], conn)
+	return conn, nil
 }
 
 // isolate cuts a member off from all others, or connects it again.
@@ -127,12 +130,12 @@
 		if n == name {
 			continue
 		}
-		c.cut[link(name, n)] = cut
+		c.cut[pairKey(name, n)] = cut
 		if cut {
-			for _, nc := range c.links[link(name, n)] {
+			for _, nc := range c.conns[pairKey(name, n)] {
 				nc.Close()
 			}
-			delete(c.links, link(name, n))
+			delete(c.conns, pairKey(name, n))
 		}
 	}
 }
@@ -143,7 +146,7 @@
 	return c.members[name]
 }
 
-func (c *cluster) all() []*Store {
+func (c *cluster) allMembers() []*Store {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Store
@@ -153,6 +156,7 @@
 	return out
 }
 
+// leader waits until a member is the leader and a quorum confirms it, and returns the member's name.
 func (c *cluster) leader() (name string) {
 	c.t.Helper()
 	eventually(c.t, func() bool {
@@ -165,10 +169,11 @@
 			}
 		}
 		return false
-	}, "a leader")
+	}, "a leader is elected")
 	return name
 }
 
+// otherMember returns the first of the members a, b and c that is not one of one or two excluded members.
 func (c *cluster) otherMember(excluded ...string) string {
 	for _, n := range []string{"a", "b", "c"} {
 		if n != excluded[0] && (len(excluded) < 2 || n != excluded[1]) {
@@ -178,19 +183,21 @@
 	return ""
 }
 
-// spendNewToken spends a new token id. An attempt without a quorum may still succeed later, so each attempt has an id of its own.
-func spendNewToken(t testing.TB, s *Store) (jti string) {
+// spendNewToken spends a new token id, and tries until a quorum accepts it. An attempt without a quorum may still succeed later, so
+// each attempt spends another token id.
+func spendNewToken(t testing.TB, s *Store) (tokenID string) {
 	t.Helper()
 	n := 0
 	eventually(t, func() bool {
 		n++
-		jti = fmt.Sprintf("%p-%d", &n, n)
-		return s.SpendToken(jti, 9e15) == nil
-	}, "a quorum")
-	return jti
+		tokenID = fmt.Sprintf("%p-%d", &n, n)
+		return s.SpendToken(tokenID, 9e15) == nil
+	}, "a quorum accepts a change")
+	return tokenID
 }
 
-func TestMemberAloneNeedsNoLog(t *testing.T) {
+// A single member in memory serves all operations, without a log or a socket.
+func TestSingleMemberNeedsNoLog(t *testing.T) {
 	clk := clock.Manual(1000)
 	s, err := Open(Options{Clock: clk})
 	require.NoError(t, err)
@@ -205,7 +212,7 @@
 	require.False(t, ok)
 	require.NoError(t, s.RevokeToken("r", 1500))
 	require.True(t, s.IsRevoked("r"))
-	clk.Advance(1001) // expired ids are dropped with the next change
+	clk.Advance(1001) // past the expiry of "a" and "r", which the next change of their kind deletes
 	require.NoError(t, s.SpendToken("b", 3000))
 	require.NoError(t, s.RevokeToken("r2", 3000))
 	spent, revoked := s.TokenCounts()
@@ -218,7 +225,7 @@
 	require.Equal(t, "one", (<-w).Text)
 	rev, err = s.SetConfig(0, "other", "ops")
 	require.ErrorIs(t, err, ErrConflict)
-	require.EqualValues(t, 1, rev, "the revision in force")
+	require.EqualValues(t, 1, rev, "the current revision is returned with ErrConflict")
 	_, err = s.SetConfig(1, "two", "ops")
 	require.NoError(t, err)
 	rev, err = s.Rollback(1, "ops")
@@ -231,118 +238,118 @@
 	require.ErrorIs(t, s.SpendToken("c", 3000), ErrUnavailable)
 }
 
-// A member that was down returns by a snapshot, as the entries that it lacks were compacted, and then the leader is lost. All
-// acknowledged changes are on all members in the end.
+// A member that was down catches up by a snapshot, as the entries that it lacks were compacted. Then the leader is killed. In the
+// end, all members have all acknowledged changes.
 func TestMemberReturnsBySnapshotAfterLeaderLoss(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	first := c.leader()
-	spent := []string{spendNewToken(t, c.members[first]), spendNewToken(t, c.members[c.otherMember(first)])}
-	down := c.otherMember(first)
+	firstLeader := c.leader()
+	spent := []string{spendNewToken(t, c.members[firstLeader]), spendNewToken(t, c.members[c.otherMember(firstLeader)])}
+	down := c.otherMember(firstLeader)
 	c.members[down].Kill()
 	for range 150 { // beyond the snapshot's threshold and its trailing entries
-		require.NoError(t, c.members[first].PutKey("k", Key{Alg: "HS256", Data: []byte("y")}))
+		require.NoError(t, c.members[firstLeader].PutKey("k", Key{Alg: "HS256", Data: []byte("y")}))
 	}
-	spent = append(spent, spendNewToken(t, c.members[first]))
-	eventually(t, func() bool { return c.members[first].raft.Stats()["last_snapshot_index"] != "0" }, "a snapshot")
+	spent = append(spent, spendNewToken(t, c.members[firstLeader]))
+	eventually(t, func() bool { return c.members[firstLeader].raft.Stats()["last_snapshot_index"] != "0" }, "the leader's snapshot")
 	restarted := c.open(down, Options{})
-	eventually(t, func() bool { k, ok := restarted.Key("k"); return ok && string(k.Data) == "y" }, "it caught up")
+	eventually(t, func() bool { k, ok := restarted.Key("k"); return ok && string(k.Data) == "y" }, "the member catches up")
 
-	c.members[first].Kill()
-	second := c.leader()
-	require.NotEqual(t, first, second)
-	spent = append(spent, spendNewToken(t, c.members[c.otherMember(first, second)]))
-	c.open(first, Options{})
-	for _, s := range c.all() {
-		for _, jti := range spent {
+	c.members[firstLeader].Kill()
+	secondLeader := c.leader()
+	require.NotEqual(t, firstLeader, secondLeader)
+	spent = append(spent, spendNewToken(t, c.members[c.otherMember(firstLeader, secondLeader)]))
+	c.open(firstLeader, Options{})
+	for _, s := range c.allMembers() {
+		for _, tokenID := range spent {
 			var err error
-			eventually(t, func() bool { err = s.SpendToken(jti, 9e15); return err == ErrTokenSpent || err == nil }, "a quorum")
-			require.ErrorIs(t, err, ErrTokenSpent, jti)
+			eventually(t, func() bool { err = s.SpendToken(tokenID, 9e15); return err == ErrTokenSpent || err == nil }, "a quorum")
+			require.ErrorIs(t, err, ErrTokenSpent, tokenID)
 		}
 	}
 }
 
-// The leader has a change in its log and is killed before it answers. The caller gets ErrOutcomeUnknown. The same change under
-// its id counts once, however often it is proposed; another change that spends the same token is refused.
-func TestChangeCountsOnceWhenLeaderIsKilled(t *testing.T) {
+// The leader has a change in its log and is killed before it answers, so that the caller gets ErrOutcomeUnknown. The change is
+// applied once, however often it is proposed again under its id. Another change that spends the same token is refused.
+func TestChangeIsAppliedOnceWhenLeaderIsKilled(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	lead := c.leader()
-	s := c.members[lead]
+	leader := c.leader()
+	s := c.members[leader]
 	require.NoError(t, s.PutKey("k", Key{Alg: "HS256"}))
-	c.isolate(lead, true) // no other member receives what it appends now
+	c.isolate(leader, true) // no other member receives what it appends now
 	change := storestate.Change{ID: "one", Kind: storestate.SpendToken, Name: "j", ExpiresAt: 9e15}
 	before, outcome := s.raft.LastIndex(), make(chan error, 1)
 	go func() { _, err := s.Propose(change); outcome <- err }()
-	eventually(t, func() bool { return s.raft.LastIndex() > before }, "it is in the leader's log")
+	eventually(t, func() bool { return s.raft.LastIndex() > before }, "the change is in the leader's log")
 	s.Kill()
 	require.ErrorIs(t, <-outcome, ErrOutcomeUnknown)
-	c.isolate(lead, false)
+	c.isolate(leader, false)
 	next := c.members[c.leader()]
-	c.open(lead, Options{})
+	c.open(leader, Options{})
 	for range 3 {
 		var err error
-		eventually(t, func() bool { _, err = next.Propose(change); return !errors.Is(err, ErrUnavailable) }, "a quorum")
+		eventually(t, func() bool { _, err = next.Propose(change); return !errors.Is(err, ErrUnavailable) }, "a quorum answers")
 		require.NoError(t, err)
 	}
 	require.ErrorIs(t, next.SpendToken("j", 9e15), ErrTokenSpent)
 }
 
-// A member that is cut off serves reads and reports how stale they are, and acknowledges no change. A leader that is cut off
-// steps down, and the others elect another one.
+// A member that is cut off serves local reads, reports how stale they are, and acknowledges no change. A leader that is cut off
+// steps down, and the other members elect another one.
 func TestMinorityServesStaleReadsOnly(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	lead := c.leader()
-	require.NoError(t, c.members[lead].PutKey("k", Key{Alg: "HS256", Data: []byte("x")}))
-	isolated := c.otherMember(lead)
-	eventually(t, func() bool { _, ok := c.members[isolated].Key("k"); return ok }, "the key is there")
+	leader := c.leader()
+	require.NoError(t, c.members[leader].PutKey("k", Key{Alg: "HS256", Data: []byte("x")}))
+	isolated := c.otherMember(leader)
+	eventually(t, func() bool { _, ok := c.members[isolated].Key("k"); return ok }, "the follower has the key")
 	c.isolate(isolated, true)
-	eventually(t, func() bool { return c.members[isolated].Status().StaleMs > 300 }, "it reports that it is stale")
+	eventually(t, func() bool { return c.members[isolated].Status().StaleMs > 300 }, "the isolated member reports stale state")
 	_, ok := c.members[isolated].Key("k")
-	require.True(t, ok, "reads go on")
+	require.True(t, ok, "the isolated member serves local reads")
 	require.ErrorIs(t, c.members[isolated].SpendToken("j", 9e15), ErrUnavailable)
 	require.ErrorIs(t, c.members[isolated].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
-	require.NoError(t, c.members[lead].DeleteKey("k"))
+	require.NoError(t, c.members[leader].DeleteKey("k"))
 	_, ok = c.members[isolated].Key("k")
-	require.True(t, ok, "a stale read")
+	require.True(t, ok, "the isolated member does not know yet that the key was deleted")
 	c.isolate(isolated, false)
 	eventually(t, func() bool {
 		return c.members[isolated].ReadLinearizable(func(s *storestate.State) { _, ok = s.Keys["k"] }) == nil && !ok
-	}, "it caught up")
+	}, "the member catches up once it is connected again")
 
 	// The leader itself is cut off: it steps down, and the others elect another one.
-	c.isolate(lead, true)
-	eventually(t, func() bool { return !c.members[lead].IsLeader() }, "it steps down")
+	c.isolate(leader, true)
+	eventually(t, func() bool { return !c.members[leader].IsLeader() }, "the isolated leader steps down")
 	next := ""
 	eventually(t, func() bool {
 		for _, n := range []string{"a", "b", "c"} {
-			if n != lead && c.members[n].IsLeader() {
+			if n != leader && c.members[n].IsLeader() {
 				next = n
 			}
 		}
 		return next != ""
-	}, "another leads")
+	}, "another member is elected leader")
 	spendNewToken(t, c.members[next])
 
-	// A member that knows no leader refuses an operation without effect, and the operation is requested again.
-	id, err := LoadIdentity(c.keys, lead)
+	// A member that knows no leader refuses an operation, which has no effect, and Request tries it again.
+	id, err := LoadIdentity(c.keys, leader)
 	require.NoError(t, err)
 	done := make(chan error, 1)
-	go func() { _, err := Request(id, c.addrs[lead], OpRemove, "nobody", "", 20*time.Second); done <- err }()
+	go func() { _, err := Request(id, c.addrs[leader], OpRemove, "nobody", "", 20*time.Second); done <- err }()
 	time.Sleep(5 * requestRetryDelay)
-	c.isolate(lead, false)
+	c.isolate(leader, false)
 	require.NoError(t, <-done)
-	spendNewToken(t, c.members[lead])
+	spendNewToken(t, c.members[leader])
 }
 
-// Raft has handed a follower two acknowledged changes that its state machine has not applied yet. A linearizable read there
-// waits for both.
+// Raft has passed two acknowledged changes to a follower's state machine, which has not applied them yet. A linearizable read at
+// that follower waits until both are applied.
 func TestLinearizableReadWaitsForAppliedState(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	lead := c.leader()
-	follower := c.members[c.otherMember(lead)]
+	leader := c.leader()
+	follower := c.members[c.otherMember(leader)]
 	follower.fsm.mu.Lock()
-	require.NoError(t, c.members[lead].PutKey("one", Key{Alg: "HS256"}))
-	require.NoError(t, c.members[lead].PutKey("two", Key{Alg: "HS256"}))
-	eventually(t, func() bool { return follower.raft.AppliedIndex() >= c.members[lead].raft.AppliedIndex() }, "it was handed both")
+	require.NoError(t, c.members[leader].PutKey("one", Key{Alg: "HS256"}))
+	require.NoError(t, c.members[leader].PutKey("two", Key{Alg: "HS256"}))
+	eventually(t, func() bool { return follower.raft.AppliedIndex() >= c.members[leader].raft.AppliedIndex() }, "raft has passed on both changes")
 	done, seen := make(chan error, 1), false
 	go func() { done <- follower.ReadLinearizable(func(s *storestate.State) { _, seen = s.Keys["two"] }) }()
 	time.Sleep(50 * time.Millisecond)
@@ -354,31 +361,31 @@
 // Members join and are removed while the cluster serves, and leadership is transferred on request.
 func TestMembersJoinLeaveAndTransferLeadership(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	lead := c.leader()
-	jti := spendNewToken(t, c.members[lead])
+	leader := c.leader()
+	tokenID := spendNewToken(t, c.members[leader])
 	c.add("d")
-	d := c.open("d", Options{Join: c.addrs[c.otherMember(lead)]}) // through a follower
-	// The leader has added it; the newcomer itself learns of that a moment later.
-	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the newcomer knows of all")
-	require.ErrorIs(t, d.SpendToken(jti, 9e15), ErrTokenSpent)
+	d := c.open("d", Options{Join: c.addrs[c.otherMember(leader)]}) // through a follower
+	// The leader has added d when Open returns, but d itself receives the new list of members a moment later.
+	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the new member has the list of all members")
+	require.ErrorIs(t, d.SpendToken(tokenID, 9e15), ErrTokenSpent)
 	id, err := LoadIdentity(c.keys, "d")
 	require.NoError(t, err)
 	_, err = Request(id, c.addrs["d"], OpTransfer, "d", "", 5*time.Second)
 	require.NoError(t, err)
-	eventually(t, d.IsLeader, "the newcomer leads")
-	_, err = Request(id, c.addrs["a"], OpRemove, lead, "", 5*time.Second)
+	eventually(t, d.IsLeader, "leadership is transferred to the new member")
+	_, err = Request(id, c.addrs["a"], OpRemove, leader, "", 5*time.Second)
 	require.NoError(t, err)
 	eventually(t, func() bool {
 		st, err := Request(id, c.addrs["d"], OpStatus, "", "", 5*time.Second)
 		return err == nil && len(st.Members) == 3
-	}, "one less")
-	c.members[lead].Kill()
+	}, "the list has one member less")
+	c.members[leader].Kill()
 	require.NoError(t, d.Close()) // a leader transfers its leadership first
-	spendNewToken(t, c.members[c.otherMember(lead)])
+	spendNewToken(t, c.members[c.otherMember(leader)])
 }
 
-// Connections without a certificate of this cluster are refused: another cluster's member, a member under another's name, and
-// plain text.
+// Connections fail between a store and a peer that is not a member of its cluster: one of a cluster of the same name with another
+// authority, one of another cluster with the same authority, and one in plain text. A member can't join under another name.
 func TestUnauthenticatedPeersAreRefused(t *testing.T) {
 	c := newCluster(t, "a")
 	c.leader()
@@ -387,19 +394,19 @@
 	_, err = Request(id, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.NoError(t, err)
 	other := t.TempDir()
-	require.NoError(t, CreateAuthority(other, "th")) // of the same name, with another authority
+	require.NoError(t, CreateAuthority(other, "th")) // the same cluster name, but another authority
 	require.NoError(t, IssueCertificate(other, "a"))
 	forged, err := LoadIdentity(other, "a")
 	require.NoError(t, err)
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.Error(t, err)
-	// A certificate of the right authority for another cluster.
+	// A member of another cluster with the same authority refuses the store's certificate.
 	forged, err = LoadIdentity(c.keys, "a")
 	require.NoError(t, err)
 	forged.Cluster = "elsewhere"
 	_, err = Request(forged, c.addrs["a"], OpStatus, "", "", 5*time.Second)
 	require.ErrorContains(t, err, `not a certificate of a member of this cluster: it names cluster "th", member "a"`)
-	// A member that asks to join under another's name.
+	// A member that asks to join under another name.
 	require.NoError(t, IssueCertificate(c.keys, "b"))
 	b, err := LoadIdentity(c.keys, "b")
 	require.NoError(t, err)
@@ -410,7 +417,7 @@
 	_, _ = nc.Write([]byte("C\x00\x00\x00\x01x"))
 	_ = nc.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err = nc.Read(make([]byte, 64))
-	if err == nil { // a TLS alert, and then the end
+	if err == nil { // the first read returned a TLS alert, after which the connection is closed
 		_, err = nc.Read(make([]byte, 64))
 	}
 	require.Error(t, err)
@@ -420,7 +427,7 @@
 	require.Error(t, err)
 }
 
-// A directory is locked by the process that uses it.
+// A store can't open a directory that another store has open, and names the directory in its error.
 func TestDirectoryIsLockedByOneProcess(t *testing.T) {
 	c := newCluster(t, "a")
 	id, err := LoadIdentity(c.keys, "a")
