--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -1,9 +1,10 @@
-// Package handover passes the clients' listening address from one process to the next. It is the shell around
-// decide/handover, which decides which process owns the address. Processes of one address meet at a socket in a directory that
-// they share, where they pass on the listener and the owner's lock as file descriptors, and the operators' manual drains.
+// Package handover passes the clients' listening address from one process to the next. It carries out the actions of
+// decide/handover, which decides which process owns the address. The processes of one address communicate through a Unix socket in
+// a directory that they share: they pass on the listener and the owner's lock as file descriptors, and the manual drains as
+// messages.
 //
-// What another process sends is untrusted: it must be of the same user, and each message is one packet of bounded size. Its
-// tests run several processes' parts in one.
+// A process does not trust what another process sends: the other process must run as the same user, and each message is one packet
+// of limited size. The tests run the coordinators of several processes in one process.
 package handover
 
 import (
@@ -22,65 +23,65 @@
 	"ravenwheel/policy"
 )
 
-// settings are the time-outs of a handover. ResponseTimeout must be well below 6 s: within that time an operator expects a new process
-// to serve, also where it finds an owner that hangs.
+// settings are the time-outs of a handover. ResponseTimeout must be well below 6 s, the time within which an operator expects a new
+// process to serve, even if it finds an owner that hangs.
 var settings = decider.Settings{RetryDelay: 50, ResponseTimeout: 2000, PrepareTimeout: 8000}
 
-// watchInterval is the time between two checks of which process is recorded as the owner, in ms.
+// watchInterval is the time between two checks which process is recorded as the owner, in ms.
 const watchInterval = 250
 
-// Options configure a process's part. All functions must be set, and must not call the Coordinator.
+// Options configure a Coordinator. All functions must be set, and must not call the Coordinator.
 type Options struct {
-	Dir    string // shared by the processes, and persistent
-	Listen string // the clients' address
+	Dir    string // directory that all processes of the address share; it must be persistent
+	Listen string // the address at which clients connect
 	Clock  *clock.Clock
 	Log    *logs.Log
 
-	SetAccepting func(on bool)       // accept new connections, or leave them to another process
-	SetOwner     func(on bool)       // this process owns the address, or another one does
-	SetShared    func(on bool)       // another process shares this one's limits, or none does
-	Stop         func(reason string) // answer open requests and end
-	// ShutdownRequested is closed once the process was told to end. A process that does not own its address by then never
+	SetAccepting func(on bool)       // starts accepting new connections, or stops and leaves them to another process
+	SetOwner     func(on bool)       // is called with whether this process owns the address
+	SetShared    func(on bool)       // is called with whether another process runs at the same time, so that both share the limits
+	Stop         func(reason string) // answers open requests and ends the process
+	// ShutdownRequested is closed once the process was told to shut down. A process that does not own the address by then never
 	// will. nil: never closed.
 	ShutdownRequested <-chan struct{}
 }
 
-// ErrShutdown says that the process was told to end before it owned its address.
+// ErrShutdown says that the process was told to shut down before it owned the address.
 var ErrShutdown = errors.New("handover: shutdown requested")
 
-// LearnedState is what a process has learned, and the next one may start from.
+// LearnedState is the state that a process has learned from its traffic and that the next process may start from.
 type LearnedState interface {
 	LearnedState() ([]byte, error)
 	RestoreLearnedState(encoded []byte) error
 }
 
-// Coordinator is a process's part in a handover. Its methods are safe for concurrent use.
+// Coordinator takes part in handovers for one process. Its methods are safe for concurrent use.
 type Coordinator struct {
 	opt      Options
-	basePath string // of the files in Options.Dir, without their extensions
+	basePath string // path of the address's files in Options.Dir, without their extensions
 	record   record
 
 	mu              sync.Mutex
 	machine         *decider.Machine
-	successors      map[int]*net.UnixConn // connections of processes that would follow, by number
-	lastSuccessor   int
-	owner           *net.UnixConn // connection to the owner that this process follows
-	socket          *net.UnixListener
-	listener        *net.TCPListener
-	lock            *os.File
-	ownerStateKnown chan struct{} // closed once the owner has sent its state, or it is known that there is no owner
-	owns            chan struct{} // closed once this process owns the address
-	failed          chan error
-	cancelTick      func()
+	successors      map[int]*net.UnixConn // connections of processes that want to take over, by number
+	lastSuccessor   int                   // number of the last connection accepted
+	owner           *net.UnixConn         // connection to the owner from which this process takes over
+	socket          *net.UnixListener     // at which successors connect; nil: not open
+	listener        *net.TCPListener      // at the clients' address; nil: none yet
+	lock            *os.File              // the owner's lock; nil: not held
+	ownerStateKnown chan struct{}         // closed once the owner has sent its state, or it is known that there is no owner
+	owns            chan struct{}         // closed once this process owns the address
+	failed          chan error            // receives the first error that keeps this process from starting
+	cancelTick      func()                // cancels the Tick that is scheduled
 	closed          bool
 
-	drainMu sync.Mutex // held while a manual drain is set, so that commands take effect one at a time
+	drainMu sync.Mutex // held while a manual drain is set, so that the commands take effect one at a time
 	onDrain func(server policy.ServerID, drained bool)
-	learned LearnedState // set by WaitForOwnership; nil: nothing is passed on
+	learned LearnedState // set by WaitForOwnership; nil: no learned state is saved or restored
 }
 
-// Start looks for the process that owns the address. It returns once that process has sent its state, or once it is known
-// that there is none. It returns ErrShutdown if the process is told to end before.
+// Start looks for the process that owns the address. It returns once that process has sent its state, or once it is known that
+// there is no owner. It returns ErrShutdown if this process is told to shut down before.
 func Start(o Options) (*Coordinator, error) {
 	c := &Coordinator{
 		opt: o, basePath: filepath.Join(o.Dir, fileName(o.Listen)), machine: decider.New(settings),
@@ -89,7 +90,7 @@
 	}
 	c.record.path, c.record.clock = c.basePath+recordExtension, o.Clock
 	if err := c.record.load(); err != nil {
-		o.Log.Warn("handover").Err(err).Msg("owner's record is unusable; starting without it")
+		o.Log.Warn("handover").Err(err).Msg("owner's record can't be loaded; starting without it")
 	}
 	c.handle(decider.Started{})
 	select {
@@ -98,7 +99,7 @@
 	case err := <-c.failed:
 		return nil, err
 	case <-o.ShutdownRequested:
-		_ = c.abandon() // it is not ready to own
+		_ = c.abandon() // the process can't own the address yet: that takes WaitForOwnership
 		return nil, ErrShutdown
 	}
 }
@@ -106,19 +107,19 @@
 // The files in the shared directory, by extension.
 const (
 	recordExtension  = ".json"    // the owner's record
-	lockExtension    = ".lock"    // locked while an owner is alive
-	socketExtension  = ".sock"    // where processes meet
-	learnedExtension = ".learned" // learned state, on its way to the next owner
+	lockExtension    = ".lock"    // the owner's lock, locked while an owner is alive
+	socketExtension  = ".sock"    // the owner's socket, to which successors connect
+	learnedExtension = ".learned" // the learned state that an owner saves for the next one
 )
 
-// fileName returns the base name of the files of an address.
+// fileName returns the name, without extension, of the files of an address.
 func fileName(listen string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(listen))
 	return fmt.Sprintf("ravenwheel-%08x", hash.Sum32())
 }
 
-// abandon ends this process's part with ErrShutdown, unless it owns the address by now.
+// abandon returns ErrShutdown, and makes the coordinator ignore all further events, unless this process owns the address by now.
 func (c *Coordinator) abandon() error {
 	c.mu.Lock()
 	owns := c.machine.Phase() >= decider.Owning
@@ -130,8 +131,8 @@
 	return ErrShutdown
 }
 
-// Subscribe reports the manual drains in force and the servers restored lately, with the times in ms, and from then on each
-// drain that is set through the other process.
+// Subscribe calls onDrain for each manual drain in effect, and onRestored for each server restored lately with the time in ms. From
+// then on, it calls onDrain for each drain that is set or ended through the other process.
 func (c *Coordinator) Subscribe(onDrain func(server policy.ServerID, drained bool), onRestored func(server policy.ServerID, at float64)) {
 	c.drainMu.Lock()
 	defer c.drainMu.Unlock()
@@ -144,8 +145,9 @@
 	}
 }
 
-// WaitForOwnership says that this process is ready to serve, and returns the clients' listener once it owns the address. It
-// restores into learned what the previous owner has learned. It returns ErrShutdown if the process is told to end before.
+// WaitForOwnership says that this process is ready to serve, and returns the clients' listener once this process owns the address.
+// Before that it restores the previous owner's learned state into learned. It returns ErrShutdown if this process is told to shut
+// down before it owns the address.
 func (c *Coordinator) WaitForOwnership(learned LearnedState) (net.Listener, error) {
 	c.mu.Lock()
 	c.learned = learned
@@ -165,15 +167,15 @@
 	return c.listener, nil
 }
 
-// SetManualDrain records that an operator drains a server, or no longer does, and sends it to the other process. Without an
-// error it is recorded, by this process or, if that is the owner, by the other one.
+// SetManualDrain records that an operator has started or ended the drain of a server, and sends that to the other process. If it
+// returns no error, the change is recorded by this process or will be by the other one, if that is the owner.
 func (c *Coordinator) SetManualDrain(id policy.ServerID, drained bool) error {
 	c.drainMu.Lock()
 	defer c.drainMu.Unlock()
 	err := c.record.setDrained(id, drained, c.opt.Clock.Now())
 	if errors.Is(err, errFenced) {
 		c.record.setDrainedInMemory(id, drained)
-		err = nil // the owner records it, when it receives the message below
+		err = nil // the owner records the drain when it receives the message below
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +189,7 @@
 	return err
 }
 
-// BeginShutdown says that this process was told to end. It reports whether another process has its clients.
+// BeginShutdown says that this process was told to shut down. It reports whether another process accepts the clients' connections.
 func (c *Coordinator) BeginShutdown() (handedOver bool) {
 	c.handle(decider.ShutdownRequested{})
 	c.mu.Lock()
@@ -195,7 +197,7 @@
 	return c.machine.Phase() == decider.Granting || c.machine.Phase() == decider.Stopped
 }
 
-// Close ends this process's part. It releases the lock, unless another process has a copy.
+// Close closes the coordinator's connections and socket. It releases the lock, unless another process has a copy of it.
 func (c *Coordinator) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,8 +217,9 @@
 	}
 }
 
-// handle hands an event to the machine and executes its actions in order. Once closed it ignores events: to the machine, the
-// connections that Close ends would look as if the other process had gone, and it would take back what it has granted.
+// handle passes an event to the machine and executes the machine's actions in order. Once the coordinator is closed it ignores
+// events: the machine would take the end of the connections that Close closes for a crash of the other process, and would take back
+// the address that it has granted.
 func (c *Coordinator) handle(e decider.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,6 +243,7 @@
 	}
 }
 
+// fail makes Start or WaitForOwnership return an error.
 func (c *Coordinator) fail(err error) {
 	select {
 	case c.failed <- fmt.Errorf("handover: %w", err):
@@ -247,7 +251,7 @@
 	}
 }
 
-// scheduleWatch checks every watchInterval whether another process has taken the address, because it found this one silent, and
+// scheduleWatch checks every watchInterval whether another process has taken the address, because this one did not respond, and
 // retries writes that failed.
 func (c *Coordinator) scheduleWatch() {
 	c.opt.Clock.After(watchInterval, func() {
@@ -259,7 +263,7 @@
 	})
 }
 
-// retryWrites writes the record, and opens the socket for successors, if the directory refused either before.
+// retryWrites writes the record and opens the socket for successors, if either failed before.
 func (c *Coordinator) retryWrites() {
 	_ = c.record.retryWrite() // retried again later
 	c.mu.Lock()
--- a/internal/handover/execute.go
+++ b/internal/handover/execute.go
@@ -61,28 +61,30 @@
 	}
 }
 
-// claim records a generation as this process's. A record that can't be written, on a full disk for example, does not keep the
-// process from serving.
+// claim records a generation as this process's. If the record can't be written, for example on a full disk, the process serves
+// nevertheless.
 func (c *Coordinator) claim(generation uint64) decider.ClaimResult {
 	recorded, err := c.record.claim(generation)
 	switch {
 	case errors.Is(err, errFenced), errors.Is(err, errRecordLocked):
 		return decider.ClaimResult{Generation: recorded}
 	case err != nil:
-		c.opt.Log.Error("handover").Err(err).Msg("owner's record could not be written; manual drains are lost with this process")
+		c.opt.Log.Error("handover").Err(err).Msg("owner's record can't be written; drains are lost unless a later write succeeds")
 	}
 	return decider.ClaimResult{OK: true, Generation: generation}
 }
 
+// becomeOwner makes this process reachable for successors, and lets WaitForOwnership return.
 func (c *Coordinator) becomeOwner(generation uint64) {
 	if err := c.openSocket(); err != nil {
-		c.opt.Log.Error("handover").Err(err).Msg("socket could not be opened; no process can take over from this one")
+		c.opt.Log.Error("handover").Err(err).Msg("socket can't be opened; no process can take over from this one until it opens")
 	}
 	closeOnce(c.owns)
 	c.opt.SetOwner(true)
 	c.opt.Log.Info("handover").Uint64("generation", generation).Msg("this process owns the address")
 }
 
+// listenOnce opens a listener at the clients' address, unless this process has one.
 func (c *Coordinator) listenOnce() {
 	if c.listener != nil {
 		return
@@ -92,7 +94,7 @@
 	}
 }
 
-// stateMessage is what an owner sends to a successor.
+// stateMessage returns the message with which an owner sends its state to a successor.
 func (c *Coordinator) stateMessage() message {
 	epoch, _ := c.opt.Clock.Epoch()
 	return message{
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -12,14 +12,15 @@
 	"ravenwheel/policy"
 )
 
-// An accept at the socket fails for a moment. A successor is accepted all the same, and receives the manual drains.
+// An accept at the owner's socket fails once. A successor that connects later is accepted nevertheless, and receives the manual
+// drains.
 func TestSuccessorIsAcceptedAfterAcceptError(t *testing.T) {
 	h := newHost(t)
-	first := h.waitForOwnership(h.start())
-	require.NoError(t, first.SetManualDrain(7, true))
-	first.Coordinator.mu.Lock()
-	socket := first.socket
-	first.Coordinator.mu.Unlock()
+	owner := h.waitForOwnership(h.start())
+	require.NoError(t, owner.SetManualDrain(7, true))
+	owner.Coordinator.mu.Lock()
+	socket := owner.socket
+	owner.Coordinator.mu.Unlock()
 	require.NoError(t, socket.SetDeadline(time.Unix(1, 0))) // the accept in progress fails
 	time.Sleep(5 * time.Millisecond)
 	require.NoError(t, socket.SetDeadline(time.Time{}))
@@ -28,26 +29,26 @@
 	select {
 	case next := <-started:
 		require.True(t, next.drained[7])
-		require.Equal(t, decider.Offering, first.phase())
+		require.Equal(t, decider.Offering, owner.phase())
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "the successor was not accepted")
+		require.Fail(t, "the owner did not accept the successor within 10 s")
 	}
 }
 
-// The directory refuses writes for a while. What could not be recorded is recorded once it works again.
+// The record can't be written for a while. What is missing in it is written once that works again.
 func TestRecordIsWrittenOnceDirectoryWorks(t *testing.T) {
 	t.Run("manual drain", drainIsRecordedLater)
 	t.Run("owner", ownerIsRecordedLater)
 }
 
-// A drain that can't be recorded is an error, and is recorded later.
+// If a drain can't be recorded, SetManualDrain returns an error, and the drain is recorded later.
 func drainIsRecordedLater(t *testing.T) {
 	h := newHost(t)
 	owner := h.waitForOwnership(h.start())
-	obstacle := owner.record.path + ".part" // no file can be written in place of a directory
+	obstacle := owner.record.path + ".part" // a directory, so that the record's file can't be written at this path
 	require.NoError(t, os.Mkdir(obstacle, 0o700))
-	require.Error(t, owner.SetManualDrain(7, true), "it is not recorded")
-	require.Error(t, owner.SetManualDrain(7, true), "nor at the second attempt")
+	require.Error(t, owner.SetManualDrain(7, true), "the drain can't be recorded")
+	require.Error(t, owner.SetManualDrain(7, true), "the drain can't be recorded at the second attempt either")
 	require.NoError(t, os.Remove(obstacle))
 	recorded := func() bool {
 		h.clk.Advance(watchInterval)
@@ -58,13 +59,13 @@
 	require.Eventually(t, recorded, 10*time.Second, time.Millisecond)
 }
 
-// An owner that can't be recorded serves all the same, and is recorded later.
+// An owner that can't record itself serves nevertheless, and is recorded later.
 func ownerIsRecordedLater(t *testing.T) {
 	h := newHost(t)
 	first := h.start()
 	require.NoError(t, os.Mkdir(first.record.path+".part", 0o700))
 	h.waitForOwnership(first)
-	require.Zero(t, first.recordedGeneration(), "it can't be recorded")
+	require.Zero(t, first.recordedGeneration(), "the owner can't be recorded")
 	require.NoError(t, os.Remove(first.record.path+".part"))
 	recorded := func() bool {
 		h.clk.Advance(watchInterval)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -13,7 +13,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// goldenMessages are messages of each kind as they are sent, and one with all fields set.
+// goldenMessages are messages of each kind with the fields that it uses, and one with all fields set.
 var goldenMessages = map[string]message{
 	"message-hello.json":  {Kind: kindHello, ProtocolVersion: 1},
 	"message-take.json":   {Kind: kindTransferRequest},
@@ -36,17 +36,17 @@
 	},
 }
 
-// connectedPair returns the two ends of a connection between processes.
-func connectedPair(t *testing.T) (one, two *net.UnixConn) {
+// connectedPair returns the two ends of a connection as it is between two processes.
+func connectedPair(t *testing.T) (client, server *net.UnixConn) {
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: filepath.Join(t.TempDir(), "s")})
 	require.NoError(t, err)
 	defer ln.Close()
-	one, err = net.DialUnix("unixpacket", nil, ln.Addr().(*net.UnixAddr))
+	client, err = net.DialUnix("unixpacket", nil, ln.Addr().(*net.UnixAddr))
 	require.NoError(t, err)
-	two, err = ln.AcceptUnix()
+	server, err = ln.AcceptUnix()
 	require.NoError(t, err)
-	t.Cleanup(func() { one.Close(); two.Close() })
-	return one, two
+	t.Cleanup(func() { client.Close(); server.Close() })
+	return client, server
 }
 
 // Each message is sent as its golden file, and received from it.
@@ -81,9 +81,9 @@
 		text, err := os.ReadFile(r.path)
 		require.NoError(t, err)
 		golden.Equal(t, name, text)
-		var read ownerRecord
-		require.NoError(t, json.Unmarshal(golden.Read(t, name), &read))
-		require.Equal(t, stored, read)
+		var decoded ownerRecord
+		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, stored, decoded)
 	}
 	r := record{path: filepath.Join("testdata", "golden", "record.json"), clock: clock.Manual(0)}
 	require.NoError(t, r.load())
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -20,16 +20,18 @@
 type process struct {
 	*Coordinator
 	listener net.Listener
-	learned  string
+	learned  string // its learned state, with a "+" for each time that it was restored
 	restored map[policy.ServerID]float64
 
 	mu        sync.Mutex
 	drained   map[policy.ServerID]bool
-	callbacks struct{ accepting, owner, shared, stopped bool }
+	callbacks struct{ accepting, owner, shared, stopped bool } // last value that each callback received
 }
 
+// LearnedState implements LearnedState.
 func (p *process) LearnedState() ([]byte, error) { return []byte(p.learned), nil }
 
+// RestoreLearnedState implements LearnedState.
 func (p *process) RestoreLearnedState(text []byte) error { p.learned = string(text) + "+"; return nil }
 
 func (p *process) phase() decider.Phase {
@@ -38,7 +40,7 @@
 	return p.machine.Phase()
 }
 
-// host is where the processes of a test run: a directory and an address that they share.
+// host is the directory, the address and the clock that the processes of a test share.
 type host struct {
 	t    *testing.T
 	dir  string
@@ -53,16 +55,16 @@
 	return &host{t: t, dir: t.TempDir(), clk: clock.Manual(1000), addr: ln.Addr().String()}
 }
 
-// start starts a process, up to where it has the state of the owner before it.
+// start starts a process and returns once it has received the state of the owner, if there is one.
 func (h *host) start() *process {
 	p := &process{drained: map[policy.ServerID]bool{}, restored: map[policy.ServerID]float64{}}
-	set := func(b *bool) func(bool) {
-		return func(on bool) { p.mu.Lock(); *b = on; p.mu.Unlock() }
+	setter := func(value *bool) func(bool) {
+		return func(on bool) { p.mu.Lock(); *value = on; p.mu.Unlock() }
 	}
 	c, err := Start(Options{
 		Dir: h.dir, Listen: h.addr, Clock: h.clk,
-		SetAccepting: set(&p.callbacks.accepting), SetOwner: set(&p.callbacks.owner), SetShared: set(&p.callbacks.shared),
-		Stop: func(string) { set(&p.callbacks.stopped)(true) },
+		SetAccepting: setter(&p.callbacks.accepting), SetOwner: setter(&p.callbacks.owner), SetShared: setter(&p.callbacks.shared),
+		Stop: func(string) { setter(&p.callbacks.stopped)(true) },
 	})
 	require.NoError(h.t, err)
 	p.Coordinator = c
@@ -72,7 +74,7 @@
 	return p
 }
 
-// waitForOwnership lets a started process take the address over.
+// waitForOwnership waits until a started process owns the address.
 func (h *host) waitForOwnership(p *process) *process {
 	var err error
 	p.listener, err = p.WaitForOwnership(p)
@@ -80,8 +82,8 @@
 	return p
 }
 
-// eventually waits until a condition on a process holds, and lets time pass meanwhile.
-func (h *host) eventually(p *process, why string, condition func() bool) {
+// eventually waits until a condition on a process holds, and advances the clock meanwhile.
+func (h *host) eventually(p *process, description string, condition func() bool) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
 		p.mu.Lock()
@@ -91,102 +93,103 @@
 			h.clk.Advance(10)
 		}
 		return ok
-	}, time.Minute, time.Millisecond, why)
+	}, time.Minute, time.Millisecond, description)
 }
 
-// Several processes take over one after the other. The accept queue, the manual drains and the learned state go along, and a
-// process that ends takes nothing back.
+// Several processes take over one after the other. Each one takes over the accept queue, the manual drains and the learned state,
+// and an owner that ends after its successor serves does not take the address back.
 func TestChainOfHandoversKeepsQueueAndState(t *testing.T) {
 	h := newHost(t)
 	old := h.waitForOwnership(h.start())
 	old.learned = "x"
 	require.NoError(t, old.SetManualDrain(7, true))
-	queued, err := net.Dial("tcp", h.addr) // connected, and not accepted by any process
+	queued, err := net.Dial("tcp", h.addr) // stays in the accept queue until the last process accepts it
 	require.NoError(t, err)
 	defer queued.Close()
 	for n := range 5 {
 		next := h.start()
 		require.True(t, next.drained[7])
-		require.Equal(t, n > 0, next.restored[8] > 0, "restored lately: the next process warms it up too")
+		require.Equal(t, n > 0, next.restored[8] > 0, "server 8 was restored lately, and the next process warms it up too")
 		h.waitForOwnership(next)
-		h.eventually(old, "it stops accepting", func() bool { return !old.callbacks.accepting && !old.callbacks.owner })
-		require.NoError(t, old.SetManualDrain(policy.ServerID(100+n), true), "set through the old one")
-		h.eventually(next, "a drain set through one is in effect in both", func() bool { return next.drained[policy.ServerID(100+n)] })
+		h.eventually(old, "the old owner stops accepting", func() bool { return !old.callbacks.accepting && !old.callbacks.owner })
+		require.NoError(t, old.SetManualDrain(policy.ServerID(100+n), true), "a drain is set through the old owner")
+		h.eventually(next, "the new owner has the drain too", func() bool { return next.drained[policy.ServerID(100+n)] })
 		require.NoError(t, next.SetManualDrain(7, n%2 == 1))
-		h.eventually(old, "and the other way round", func() bool { return old.drained[7] == (n%2 == 1) })
+		h.eventually(old, "the old owner has a drain set through the new one", func() bool { return old.drained[7] == (n%2 == 1) })
 		require.True(t, old.BeginShutdown())
 		old.Close()
 		require.NoError(t, old.listener.Close())
-		h.eventually(next, "alone", func() bool { return !next.callbacks.shared })
+		h.eventually(next, "the new owner does not share its limits any more", func() bool { return !next.callbacks.shared })
 		require.NoError(t, next.SetManualDrain(8, true))
 		require.NoError(t, next.SetManualDrain(8, false))
 		require.NoError(t, next.SetManualDrain(7, true))
-		require.EqualValues(t, n+2, next.recordedGeneration(), "the end of the old process makes nobody take the address back")
+		require.EqualValues(t, n+2, next.recordedGeneration(), "no process takes the address back when the old one ends")
 		old = next
 	}
-	nc, err := old.listener.Accept()
+	conn, err := old.listener.Accept()
 	require.NoError(t, err)
-	require.Equal(t, queued.LocalAddr().String(), nc.RemoteAddr().String())
+	require.Equal(t, queued.LocalAddr().String(), conn.RemoteAddr().String())
 	require.Len(t, old.record.drainedServers(), 6)
-	require.Equal(t, "x+++++", old.learned, "each restored what the one before has learned")
+	require.Equal(t, "x+++++", old.learned, "each process restored the learned state of the previous owner")
 	require.NoFileExists(t, old.basePath+".learned")
 	h.clk.Advance(restoredRetention)
 	require.NoError(t, old.SetManualDrain(9, true))
 	require.NoError(t, old.SetManualDrain(9, false))
-	require.Len(t, old.record.restoredServers(), 1, "servers that have long warmed up are forgotten")
+	require.Len(t, old.record.restoredServers(), 1, "servers restored longer than restoredRetention ago are deleted")
 }
 
-// A successor that dies before it asked for the address changes nothing. After one that dies later, the owner takes the
+// If a successor dies before it has requested the address, the owner goes on accepting. If it dies later, the owner takes the
 // address back.
 func TestOwnerTakesAddressBackFromDeadSuccessor(t *testing.T) {
 	h := newHost(t)
-	old := h.waitForOwnership(h.start())
+	owner := h.waitForOwnership(h.start())
 	h.start().Close()
-	h.eventually(old, "still serving", func() bool { return old.phase() == decider.Owning && old.callbacks.accepting })
-	next := h.waitForOwnership(h.start())
-	h.eventually(old, "granted", func() bool { return !old.callbacks.accepting })
-	next.Close()
-	h.eventually(old, "taken back", func() bool { return old.callbacks.accepting && old.callbacks.owner })
+	h.eventually(owner, "the owner still accepts", func() bool { return owner.phase() == decider.Owning && owner.callbacks.accepting })
+	successor := h.waitForOwnership(h.start())
+	h.eventually(owner, "the owner has granted the address", func() bool { return !owner.callbacks.accepting })
+	successor.Close()
+	h.eventually(owner, "the address is taken back", func() bool { return owner.callbacks.accepting && owner.callbacks.owner })
 	h.waitForOwnership(h.start())
-	h.eventually(old, "granted once more", func() bool { return !old.callbacks.accepting })
+	h.eventually(owner, "the owner grants the address again", func() bool { return !owner.callbacks.accepting })
 }
 
-// An owner that is alive but silent is passed over after a time-out. It notices the new owner, and can record nothing any more.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+// An owner that holds the lock but does not respond is replaced after ResponseTimeout. It then finds the new owner's record, stops,
+// and can't write the record any more.
+func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	h := newHost(t)
-	old := h.waitForOwnership(h.start())
-	old.mu.Lock()
-	require.NoError(t, os.Remove(old.basePath+".sock")) // no process can reach it
-	old.mu.Unlock()
+	oldOwner := h.waitForOwnership(h.start())
+	oldOwner.mu.Lock()
+	require.NoError(t, os.Remove(oldOwner.basePath+".sock")) // no process can reach it
+	oldOwner.mu.Unlock()
 	started := make(chan *process)
 	go func() { started <- h.start() }()
-	var next *process
+	var newOwner *process
 	require.Eventually(t, func() bool {
 		select {
-		case next = <-started:
+		case newOwner = <-started:
 			return true
 		default:
 			h.clk.Advance(10)
 			return false
 		}
 	}, time.Minute, time.Millisecond)
-	h.waitForOwnership(next)
-	require.NoError(t, next.SetManualDrain(5, true))
-	require.ErrorIs(t, old.record.setDrained(6, true, 0), errFenced)
-	// It goes on accepting, as its listener has a queue of its own.
-	h.eventually(old, "it stops", func() bool { return old.callbacks.stopped && old.callbacks.accepting })
-	require.Equal(t, []policy.ServerID{5}, next.record.drainedServers())
-	old.Close()
-	h.eventually(next, "it gets the lock once the old process is gone", func() bool {
-		next.Coordinator.mu.Lock()
-		defer next.Coordinator.mu.Unlock()
-		return next.lock != nil
+	h.waitForOwnership(newOwner)
+	require.NoError(t, newOwner.SetManualDrain(5, true))
+	require.ErrorIs(t, oldOwner.record.setDrained(6, true, 0), errFenced)
+	// The old owner goes on accepting, as its listener has an accept queue of its own.
+	h.eventually(oldOwner, "the old owner stops", func() bool { return oldOwner.callbacks.stopped && oldOwner.callbacks.accepting })
+	require.Equal(t, []policy.ServerID{5}, newOwner.record.drainedServers())
+	oldOwner.Close()
+	h.eventually(newOwner, "the new owner gets the lock once the old process has ended", func() bool {
+		newOwner.Coordinator.mu.Lock()
+		defer newOwner.Coordinator.mu.Unlock()
+		return newOwner.lock != nil
 	})
 }
 
-// Files left by a process long gone, and malformed ones, do not keep a process from starting.
+// A process starts although the directory holds files of a process that has ended, or malformed files.
 func TestStartIgnoresStaleAndMalformedFiles(t *testing.T) {
-	for name, text := range map[string]string{
+	for name, content := range map[string]string{
 		"none": "", "malformed": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", maxRecordSize+1),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -194,8 +197,8 @@
 			first := h.waitForOwnership(h.start())
 			require.NoError(t, first.listener.Close())
 			first.Close()
-			if text != "" {
-				require.NoError(t, os.WriteFile(first.record.path, []byte(text), 0o600))
+			if content != "" {
+				require.NoError(t, os.WriteFile(first.record.path, []byte(content), 0o600))
 			}
 			require.FileExists(t, first.basePath+".sock")
 			h.waitForOwnership(h.start())
@@ -205,8 +208,8 @@
 		h := newHost(t)
 		h.dir = filepath.Join(h.dir, strings.Repeat("d", 120))
 		require.NoError(t, os.Mkdir(h.dir, 0o700))
-		old := h.waitForOwnership(h.start())
+		owner := h.waitForOwnership(h.start())
 		h.waitForOwnership(h.start())
-		h.eventually(old, "granted", func() bool { return !old.callbacks.owner })
+		h.eventually(owner, "the owner has granted the address", func() bool { return !owner.callbacks.owner })
 	})
 }
--- a/internal/handover/learned_state.go
+++ b/internal/handover/learned_state.go
@@ -2,11 +2,11 @@
 
 import "os"
 
-// maxLearnedSize bounds the file of the learned state, in bytes.
+// maxLearnedSize is the largest size of the learned state's file, in bytes. A larger file is not read.
 const maxLearnedSize = 4 << 20
 
-// restoreLearnedState restores what the previous owner has saved, and removes its file. A failure is logged: the process can
-// serve without it.
+// restoreLearnedState restores the learned state that the previous owner has saved, and removes its file. It only logs an error, as
+// the process can serve without that state.
 func (c *Coordinator) restoreLearnedState() {
 	path := c.basePath + learnedExtension
 	defer os.Remove(path)
@@ -19,14 +19,15 @@
 		err = c.learned.RestoreLearnedState(encoded)
 	}
 	if err != nil {
-		c.opt.Log.Warn("handover").Err(err).Msg("previous owner's learned state is not used")
+		c.opt.Log.Warn("handover").Err(err).Msg("previous owner's learned state can't be restored; starting without it")
 	}
 }
 
-// saveLearnedState saves the learned state for the next owner. A failure is logged.
+// saveLearnedState saves the learned state for the next owner. It only logs an error, as the next owner can serve without that
+// state.
 func (c *Coordinator) saveLearnedState() {
 	path := c.basePath + learnedExtension
-	_ = os.Remove(path) // of an earlier owner, which no process restored
+	_ = os.Remove(path) // the file of an earlier owner, if no process restored it
 	if c.learned == nil {
 		return
 	}
@@ -35,6 +36,6 @@
 		err = os.WriteFile(path, encoded, 0o600)
 	}
 	if err != nil {
-		c.opt.Log.Warn("handover").Err(err).Msg("learned state could not be saved for the next owner")
+		c.opt.Log.Warn("handover").Err(err).Msg("learned state can't be saved; the next owner starts without it")
 	}
 }
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -12,15 +12,15 @@
 	"ravenwheel/internal/transient"
 )
 
-// tryLock takes the owner's lock if it is free, and reports whether this process holds it. The lock belongs to the open file:
-// when its descriptor is passed on, both processes hold it. The caller holds mu.
+// tryLock takes the owner's lock if it is free, and reports whether this process holds it. The lock belongs to the open file
+// description: when its descriptor is passed on, both processes hold the lock. The caller holds mu.
 func (c *Coordinator) tryLock() bool {
 	if c.lock != nil {
 		return true
 	}
 	f, err := os.OpenFile(c.basePath+lockExtension, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		// A transient fault of the directory must not end the start: the lock is tried again.
+		// A temporary fault of the directory must not make the start fail: the machine tries the lock again.
 		if !transient.IsTransient(err) && !transient.IsStorageUnavailable(err) {
 			c.fail(err)
 		}
@@ -34,7 +34,7 @@
 	return true
 }
 
-// listen opens a listener at the clients' address, beside another process's if there is one. The caller holds mu.
+// listen opens a listener at the clients' address, at which another process may have a listener too. The caller holds mu.
 func (c *Coordinator) listen() error {
 	config := net.ListenConfig{Control: reusePort}
 	listener, err := transient.ListenWithRetry(func() (net.Listener, error) {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// reusePort lets several listeners have one address.
+// reusePort sets SO_REUSEPORT, with which several listeners can have the same address.
 func reusePort(_, _ string, raw syscall.RawConn) (err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -55,8 +55,8 @@
 	return errors.Join(controlErr, err)
 }
 
-// acceptGrant takes the listener and the lock, which come as descriptors in this order, and reports whether the grant is
-// usable.
+// acceptGrant takes over the listener and, if it was passed on, the lock, whose descriptors come in this order. It reports whether
+// the grant has a listener at the clients' address.
 func (c *Coordinator) acceptGrant(descriptors []int) bool {
 	if len(descriptors) < 1 {
 		return false
@@ -66,7 +66,7 @@
 	f.Close()
 	listener, ok := generic.(*net.TCPListener)
 	if err != nil || !ok || listener.Addr().String() != c.opt.Listen {
-		c.opt.Log.Warn("handover").Msg("granted descriptor is no listener at the clients' address")
+		c.opt.Log.Warn("handover").Msg("ignoring a grant whose descriptor is not a listener at the clients' address")
 		closeDescriptors(descriptors[1:])
 		return false
 	}
@@ -100,6 +100,6 @@
 		err = send(to, message{Kind: kindGrant}, descriptors)
 	})
 	if err != nil {
-		to.Close() // its reader handles the loss
+		to.Close() // readSuccessor handles the loss
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -9,44 +9,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// messageKind says what a message is.
+// messageKind is the kind of a message.
 type messageKind string
 
 const (
-	kindHello           messageKind = "hello"   // successor to owner: asks to follow, with its protocol version
+	kindHello           messageKind = "hello"   // successor to owner: asks to take over, with its protocol version
 	kindState           messageKind = "state"   // owner to successor: the generation, drains and restored servers
 	kindRejected        messageKind = "turn"    // owner to successor: no successor is accepted
-	kindTransferRequest messageKind = "take"    // successor to owner: it is prepared to own
+	kindTransferRequest messageKind = "take"    // successor to owner: it is prepared to own the address
 	kindGrant           messageKind = "given"   // owner to successor: with the listener and the lock as descriptors
-	kindRevoked         messageKind = "revoked" // owner to successor: they are taken back
-	kindServing         messageKind = "serves"  // successor to owner: it owns and serves
+	kindRevoked         messageKind = "revoked" // owner to successor: the listener and the lock are taken back
+	kindServing         messageKind = "serves"  // successor to owner: it owns the address and serves
 	kindDrain           messageKind = "out"     // either way: an operator's drain of a server, or its end
 )
 
-// message is what two processes send each other. Which fields count depends on the kind.
+// message is a message between two processes. Its kind determines which of the other fields are used.
 type message struct {
 	Kind            messageKind        `json:"kind"`
 	ProtocolVersion int                `json:"revision,omitempty"`
 	Generation      uint64             `json:"generation,omitempty"`
 	Drained         []string           `json:"out,omitempty"`   // servers that operators drain
 	Restored        map[string]float64 `json:"back,omitempty"`  // servers restored lately, and when in ms
-	Epoch           float64            `json:"epoch,omitempty"` // of the clock that the times in Restored are on
-	ID              string             `json:"id,omitempty"`    // of a drain: the server
-	Active          bool               `json:"on,omitempty"`    // of a drain
-	Busy            bool               `json:"busy,omitempty"`  // of a rejection: only for now
+	Epoch           float64            `json:"epoch,omitempty"` // of the clock that gave the times in Restored
+	ID              string             `json:"id,omitempty"`    // of kindDrain: the server
+	Active          bool               `json:"on,omitempty"`    // of kindDrain: the drain has started; false: it has ended
+	Busy            bool               `json:"busy,omitempty"`  // of kindRejected: the owner may accept a successor later
 }
 
 const (
 	maxMessageSize = 64 << 10 // bytes
 	maxDescriptors = 4        // in a message
-	descriptorSize = 4        // bytes
+	descriptorSize = 4        // bytes of a descriptor in a message's control data
 	writeTimeout   = time.Second
 )
 
 // errMalformedMessage says that a message was truncated or is not JSON.
 var errMalformedMessage = errors.New("malformed message")
 
-// sendOrClose sends a message, and closes the connection if that fails: its reader then handles the loss.
+// sendOrClose sends a message, and closes the connection if that fails. The goroutine that reads the connection handles the loss.
 func sendOrClose(conn *net.UnixConn, m message) {
 	if conn != nil && send(conn, m, nil) != nil {
 		conn.Close()
@@ -68,7 +68,7 @@
 	return err
 }
 
-// receive reads a message. The caller owns the descriptors that came with it.
+// receive reads a message. The caller must close the descriptors that came with it, or use them.
 func receive(conn *net.UnixConn) (m message, descriptors []int, err error) {
 	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*descriptorSize))
 	n, rightsSize, flags, _, err := conn.ReadMsgUnix(text, rights)
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -18,35 +18,35 @@
 )
 
 var (
-	// errFenced says that another process owns the address by now, whose record this one must not overwrite.
+	// errFenced says that another process owns the address by now, and that this process must not overwrite its record.
 	errFenced = errors.New("another process owns the address")
-	// errRecordLocked says that another process has had the record locked for too long.
-	errRecordLocked = errors.New("another process is writing the record")
-	// errTooManyDrained says that maxDrained servers are drained already.
+	// errRecordLocked says that another process has kept the record locked for longer than this one waits.
+	errRecordLocked = errors.New("owner's record is locked by another process")
+	// errTooManyDrained says that the limit of maxDrained manually drained servers is reached.
 	errTooManyDrained = fmt.Errorf("at most %d servers can be drained manually", maxDrained)
 )
 
 const (
 	maxDrained    = 1024     // servers that operators drain
 	maxRecordSize = 64 << 10 // bytes
-	// restoredRetention is how many ms a restored server is remembered, which is long after it has warmed up.
+	// restoredRetention is how many ms the record holds a restored server. By then the server has long warmed up.
 	restoredRetention = 600_000
 
 	recordLockAttempts = 20
 	recordLockDelay    = 5 * time.Millisecond
 )
 
-// ownerRecord is what an owner stores for the next one.
+// ownerRecord is the record that an owner stores for the next one.
 type ownerRecord struct {
 	Generation uint64   `json:"generation"`
 	Drained    []string `json:"out"` // servers that operators drain
-	// Restored are the servers whose manual drain ended lately, and when in ms: they warm up from then on.
+	// Restored are the servers whose manual drain ended lately, with the time in ms at which it ended. From then on they warm up.
 	Restored map[string]float64 `json:"back,omitempty"`
-	// Epoch is of the clock that these times are on; 0: unknown.
+	// Epoch is the epoch of the clock that gave the times in Restored; 0: unknown.
 	Epoch float64 `json:"epoch,omitempty"`
 }
 
-// onClock returns the record with its times, in ms, moved from the clock of its Epoch onto another clock of this machine.
+// onClock returns the record with its times converted from the clock of its Epoch to another clock of this machine.
 func (o ownerRecord) onClock(c *clock.Clock) ownerRecord {
 	shift := c.Shift(o.Epoch)
 	restored := make(map[string]float64, len(o.Restored))
@@ -58,7 +58,7 @@
 	return o
 }
 
-// validate checks a record that came from a file or a process, neither of which is trusted.
+// validate checks the servers of a record that was read from a file or received from a process, as neither is trusted.
 func (o ownerRecord) validate() error {
 	if _, err := parseIDs(o.Drained); err != nil {
 		return err
@@ -67,23 +67,24 @@
 	return err
 }
 
+// parseIDs parses the ids of at most maxDrained servers.
 func parseIDs(names []string) (ids []policy.ServerID, err error) {
 	if len(names) > maxDrained {
-		return nil, fmt.Errorf("%d servers are more than %d", len(names), maxDrained)
+		return nil, fmt.Errorf("%d servers, but at most %d are allowed", len(names), maxDrained)
 	}
 	for _, name := range names {
 		id, ok := serverlist.ParseID(name)
 		if !ok {
-			return nil, fmt.Errorf("%q is no server's id", name)
+			return nil, fmt.Errorf("%q is not a server id", name)
 		}
 		ids = append(ids, id)
 	}
 	return ids, nil
 }
 
-// record is the owner's record, in memory and in a file that outlives the process. The file is replaced atomically, and a
-// write is fenced: it fails once a higher generation is recorded. Nothing is synced, because what a crash of the machine would
-// lose concerns processes that it ends too.
+// record is the owner's record, in memory and in a file that outlives the process. The file is replaced atomically, and writes are
+// fenced: they fail once a higher generation is recorded. The file is not synced to disk: a crash of the machine may lose writes,
+// but it also ends the processes that they concern.
 type record struct {
 	path  string
 	clock *clock.Clock
@@ -93,7 +94,7 @@
 	dirty   bool // current has not been written to the file
 }
 
-// load reads the file. An unusable file counts as none.
+// load loads the record from its file. If that fails, the record in memory stays empty.
 func (r *record) load() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +105,7 @@
 	return err
 }
 
-// read returns the file's content, empty if there is no file.
+// read returns the record in the file, which is empty if there is no file.
 func (r *record) read() (stored ownerRecord, err error) {
 	text, err := os.ReadFile(r.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -135,7 +136,7 @@
 	return ids
 }
 
-// restoredServers returns the servers whose manual drain ended lately, and when in ms.
+// restoredServers returns the servers whose manual drain ended lately, with the time in ms at which it ended.
 func (r *record) restoredServers() map[policy.ServerID]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,15 +149,15 @@
 	return servers
 }
 
-// restoredNames returns the same by the servers' names.
+// restoredNames returns the same as restoredServers, by the servers' names.
 func (r *record) restoredNames() map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.current.Restored)
 }
 
-// claim writes the record under a generation, unless one as high is recorded: then it returns that one with errFenced. It
-// returns errRecordLocked, or the error of a write that failed, too.
+// claim writes the record under a generation. If the same or a higher generation is recorded, it returns that one with errFenced.
+// It may also return errRecordLocked or the error of a write that failed.
 func (r *record) claim(generation uint64) (recorded uint64, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,9 +174,9 @@
 	return generation, r.replaceFile(next)
 }
 
-// setDrained records that an operator drains a server, or no longer does, from now in ms on. Its errors are errFenced,
-// errRecordLocked, errTooManyDrained and those of the write. After errRecordLocked and a failed write the change is in effect in memory, and
-// is written later.
+// setDrained records that an operator has started or ended the drain of a server; now is in ms. Its errors are errFenced,
+// errRecordLocked, errTooManyDrained and those of the write. After errRecordLocked or a failed write the change is in effect in
+// memory, and is written later.
 func (r *record) setDrained(id policy.ServerID, drained bool, now float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +200,8 @@
 	return r.write(next)
 }
 
-// withoutServer returns a copy of the record without a server, and without servers that were restored too long ago.
+// withoutServer returns a copy of the record without a server, and without servers that were restored restoredRetention ago or
+// earlier.
 func (o ownerRecord) withoutServer(server string, now float64) ownerRecord {
 	next := ownerRecord{Generation: o.Generation, Restored: map[string]float64{}}
 	next.Drained = slices.DeleteFunc(slices.Clone(o.Drained), func(name string) bool { return name == server })
@@ -211,7 +213,7 @@
 	return next
 }
 
-// setDrainedInMemory changes a drain in memory alone: the owner has recorded it, or will.
+// setDrainedInMemory changes a drain in memory only. The owner has recorded the change, or will.
 func (r *record) setDrainedInMemory(id policy.ServerID, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,7 +224,7 @@
 	}
 }
 
-// replaceInMemory takes over, in memory alone, all drains and restored servers that the owner has recorded.
+// replaceInMemory replaces, in memory only, all drains and restored servers by those that the owner has sent.
 func (r *record) replaceInMemory(received ownerRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -230,7 +232,7 @@
 	r.current.Drained, r.current.Restored, r.current.Epoch = slices.Clone(received.Drained), received.Restored, received.Epoch
 }
 
-// retryWrite writes the record if that failed before.
+// retryWrite writes the record if the last write failed.
 func (r *record) retryWrite() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -240,9 +242,8 @@
 	return r.write(r.current)
 }
 
-// write replaces the record, unless a higher generation is recorded: then it returns errFenced, as another process took the address
-// while this one was suspended. After any other error the record is in effect in memory, and retryWrite writes it. The caller
-// holds mu.
+// write replaces the record. If a higher generation is recorded it returns errFenced: another process took the address while this
+// one was suspended. After any other error the record is in effect in memory, and retryWrite writes it. The caller holds mu.
 func (r *record) write(next ownerRecord) error {
 	unlock, err := r.lockFile()
 	if err != nil {
@@ -251,14 +252,15 @@
 	}
 	defer unlock()
 	if stored, err := r.read(); err == nil && stored.Generation > next.Generation {
-		r.dirty = false // the owner's record replaces it
+		r.dirty = false // the owner's record counts, and this one is not written any more
 		return errFenced
 	}
 	return r.replaceFile(next)
 }
 
-// lockFile lets one process at a time read and replace the record. A process suspended in between holds the lock; it would
-// otherwise resume and replace what its successor has recorded. It returns errRecordLocked if the lock does not become free.
+// lockFile locks the record, so that one process at a time reads and replaces it. A process that is suspended in between keeps the
+// lock: otherwise it would overwrite its successor's record when it resumes. lockFile returns errRecordLocked if the lock does not
+// become free.
 func (r *record) lockFile() (unlock func(), err error) {
 	f, err := os.OpenFile(r.path+lockExtension, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// network keeps messages apart: each is one packet.
+	// network is a kind of Unix socket that keeps message boundaries: each message is one packet.
 	network = "unixpacket"
-	// maxSuccessors bounds the processes connected at once.
+	// maxSuccessors is how many processes can be connected to the owner at once.
 	maxSuccessors = 4
 	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 10 * time.Millisecond
-	// maxSocketPath is how many bytes of a path fit into a socket's address with certainty.
+	// maxSocketPath is the length of a path, in bytes, that certainly fits into a socket's address.
 	maxSocketPath = 100
 )
 
-// socketAddr returns a path as a socket's address. A path that is too long is reached through a descriptor of its directory,
-// which done closes.
+// socketAddr returns the socket address of a path. For a path that is too long, the address goes through a descriptor of the path's
+// directory in /proc, which done closes.
 func socketAddr(path string) (addr *net.UnixAddr, done func(), err error) {
 	if len(path) <= maxSocketPath {
 		return &net.UnixAddr{Net: network, Name: path}, func() {}, nil
@@ -39,7 +39,7 @@
 	return &net.UnixAddr{Net: network, Name: name}, func() { dir.Close() }, nil
 }
 
-// openSocket opens the socket at which a successor reaches this process, in place of the previous owner's. The caller holds
+// openSocket opens the socket at which a successor reaches this process. It replaces the previous owner's socket. The caller holds
 // mu.
 func (c *Coordinator) openSocket() error {
 	partial := fmt.Sprintf("%s.%d", c.basePath, os.Getpid())
@@ -76,7 +76,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for example out of descriptors, for a moment
+		if err != nil { // may be temporary, for example no free descriptors
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-// isSameUser reports whether the process at the other end runs as the same user.
+// isSameUser reports whether the process at the other end of a connection runs as the same user as this one.
 func isSameUser(conn *net.UnixConn) (same bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -107,7 +107,7 @@
 	return same && err == nil
 }
 
-// dropSuccessor closes a successor's connection and forgets it. The caller holds mu.
+// dropSuccessor closes a successor's connection and removes it from successors. The caller holds mu.
 func (c *Coordinator) dropSuccessor(number int) {
 	if conn := c.successors[number]; conn != nil {
 		conn.Close()
@@ -155,7 +155,7 @@
 	}
 }
 
-// connectToOwner connects to the owner and sends a hello. It reports whether an owner could be reached. The caller holds mu.
+// connectToOwner connects to the owner and sends a hello. It reports whether an owner was reached. The caller holds mu.
 func (c *Coordinator) connectToOwner() bool {
 	addr, done, err := socketAddr(c.basePath + socketExtension)
 	if err != nil {
@@ -178,7 +178,7 @@
 	return true
 }
 
-// readOwner handles the owner's messages until the connection ends or another one has replaced it.
+// readOwner handles the owner's messages until the connection ends or is replaced by another one.
 func (c *Coordinator) readOwner(conn *net.UnixConn) {
 	for {
 		m, descriptors, err := receive(conn)
@@ -197,7 +197,7 @@
 	}
 }
 
-// handleOwnerMessage handles a message of the owner, and closes descriptors that it does not use.
+// handleOwnerMessage handles a message of the owner, and closes the message's descriptors unless they are used.
 func (c *Coordinator) handleOwnerMessage(m message, descriptors []int) {
 	switch m.Kind {
 	case kindState:
@@ -217,14 +217,15 @@
 	closeDescriptors(descriptors)
 }
 
-// malformedStateVersion stands for the protocol version of a malformed state. No process has it, so that the Machine treats the owner as
-// silent.
+// malformedStateVersion replaces the protocol version of a malformed state. No process has this version, so that the machine treats
+// the owner like one that does not respond.
 const malformedStateVersion = -1
 
+// receiveState handles the state that the owner has sent.
 func (c *Coordinator) receiveState(m message) {
 	received := ownerRecord{Drained: m.Drained, Restored: m.Restored, Epoch: m.Epoch}
 	if err := received.validate(); err != nil {
-		c.opt.Log.Warn("handover").Err(err).Msg("owner's state is unusable; treating the owner as silent")
+		c.opt.Log.Warn("handover").Err(err).Msg("owner sent a malformed state; treating the owner as one that does not respond")
 		m.ProtocolVersion = malformedStateVersion
 	} else {
 		c.record.replaceInMemory(received)
