--- a/internal/decide/handover/action.go
+++ b/internal/decide/handover/action.go
@@ -20,7 +20,7 @@
 	// Claim records a generation as this process's, unless the same or a higher one is recorded, in one atomic step; answered by
 	// ClaimResult. Two processes that replace the same unresponsive owner must not own the address under one generation.
 	Claim struct{ Generation uint64 }
-	// BecomeOwner says that this process owns the address from now on, and makes it reachable for successors.
+	// BecomeOwner makes this process the owner of the address, and reachable for successors.
 	BecomeOwner struct{ Generation uint64 }
 	// AnnounceServing tells the previous owner that this process serves.
 	AnnounceServing struct{}
@@ -45,9 +45,9 @@
 type (
 	// SetAccepting starts or stops accepting new connections.
 	SetAccepting struct{ On bool }
-	// EndSharing says that no other process is left: this process may use its limits in full.
+	// EndSharing ends the sharing of limits: no other process is left, and this one may use them in full.
 	EndSharing struct{}
-	// Stop says that another process owns the address: this process answers its open requests and ends.
+	// Stop has this process answer its open requests and end, because another process owns the address.
 	Stop struct{ Reason string }
 	// ScheduleTick schedules a Tick after this many ms. It replaces a Tick scheduled before.
 	ScheduleTick struct{ After float64 }
--- a/internal/decide/handover/event.go
+++ b/internal/decide/handover/event.go
@@ -6,7 +6,7 @@
 
 // Events of a process that starts.
 type (
-	// Started says that the process begins to look for an owner.
+	// Started reports that the process begins to look for an owner.
 	Started struct{}
 	// LockResult answers TryLock: whether this process holds the lock. Generation is that of the last recorded owner; 0: none is
 	// recorded.
@@ -16,20 +16,20 @@
 	}
 	// ContactResult answers ContactOwner: whether an owner was reached.
 	ContactResult struct{ OK bool }
-	// StateReceived says that the owner has sent its state, with the owner's protocol version and generation.
+	// StateReceived reports that the owner has sent its state, with the owner's protocol version and generation.
 	StateReceived struct {
 		ProtocolVersion int
 		Generation      uint64
 	}
-	// Rejected says that the owner accepts no successor now (Busy), or no successor of this protocol version.
+	// Rejected reports that the owner accepts no successor now (Busy), or no successor of this protocol version.
 	Rejected struct{ Busy bool }
-	// Ready says that the process is prepared to own the address.
+	// Ready reports that the process is prepared to own the address.
 	Ready struct{}
-	// GrantReceived says that the owner has passed on the listener and the lock.
+	// GrantReceived reports that the owner has passed on the listener and the lock.
 	GrantReceived struct{}
-	// GrantRevoked says that the owner has taken the listener and the lock back.
+	// GrantRevoked reports that the owner has taken the listener and the lock back.
 	GrantRevoked struct{}
-	// OwnerLost says that the connection to the owner has ended.
+	// OwnerLost reports that the connection to the owner has ended.
 	OwnerLost struct{}
 	// ClaimResult answers Claim: whether the claimed generation was recorded. Generation is the one now recorded.
 	ClaimResult struct {
@@ -40,24 +40,23 @@
 
 // Events of an owner.
 type (
-	// SuccessorHello says that a process asks to become the successor.
+	// SuccessorHello reports that a process asks to become the successor.
 	SuccessorHello struct{ From, ProtocolVersion int }
-	// TransferRequested says that the successor is prepared and requests the address.
+	// TransferRequested reports that the successor is prepared and requests the address.
 	TransferRequested struct{ From int }
-	// SuccessorServing says that the successor owns the address and serves.
+	// SuccessorServing reports that the successor owns the address and serves.
 	SuccessorServing struct{ From int }
-	// SuccessorLost says that the connection to a successor has ended.
+	// SuccessorLost reports that the connection to a successor has ended.
 	SuccessorLost struct{ From int }
-	// Superseded says under which generation an owner is recorded. If it is higher than this process's, another process is the
-	// owner.
+	// Superseded reports the generation of the recorded owner. If it is higher than this process's, another process is the owner.
 	Superseded struct{ Generation uint64 }
 )
 
 // Events of any process.
 type (
-	// ShutdownRequested says that this process was told to shut down.
+	// ShutdownRequested reports that this process was told to shut down.
 	ShutdownRequested struct{}
-	// Tick says that the time of a ScheduleTick has come.
+	// Tick reports that the time of a ScheduleTick has come.
 	Tick struct{}
 )
 
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -4,9 +4,9 @@
 // model of up to four processes with random orders of crashes and messages.
 //
 // One process owns the address at a time. A lock shows that an owner is alive: the owner passes it on with the listener, and it is
-// free once the last process that holds it has ended. Each owner has a generation, higher than that of any owner before it, and
-// stores its record under its generation. If two processes both act as the owner, the one of the higher generation is
-// the owner.
+// free once the last process that holds it has ended. Each owner has a generation, one higher than the highest known one, or two
+// higher than its own before if it takes the address back, and stores its record under its generation. If two processes both act as
+// the owner, the one of the higher generation is the owner.
 package handover
 
 // ProtocolVersion is the version of the protocol between two processes. A process treats an owner of another version like an owner
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -52,39 +52,39 @@
 	return &model{t: t, lockHolders: map[int]bool{}, owned: map[uint64]bool{}}
 }
 
-func (w *model) process(id int) *process {
+func (m *model) process(id int) *process {
 	if id == 0 {
 		return nil
 	}
-	return w.processes[id-1]
+	return m.processes[id-1]
 }
 
-func (w *model) start() *process {
-	p := &process{Machine: New(settings), id: len(w.processes) + 1, alive: true}
-	w.processes = append(w.processes, p)
-	w.handle(p, Started{})
+func (m *model) start() *process {
+	p := &process{Machine: New(settings), id: len(m.processes) + 1, alive: true}
+	m.processes = append(m.processes, p)
+	m.handle(p, Started{})
 	return p
 }
 
-func (w *model) handle(p *process, e Event) {
+func (m *model) handle(p *process, e Event) {
 	for events := []Event{e}; len(events) > 0 && p.alive; events = events[1:] {
-		for _, a := range p.Handle(w.now, events[0]) {
-			if next := w.execute(p, a); next != nil {
+		for _, a := range p.Handle(m.now, events[0]) {
+			if next := m.execute(p, a); next != nil {
 				events = append(events, next)
 			}
 		}
 	}
 }
 
-func (w *model) send(from *process, to int, e Event, descriptors [2]int) {
-	if p := w.process(to); p != nil && p.alive {
+func (m *model) send(from *process, to int, e Event, descriptors [2]int) {
+	if p := m.process(to); p != nil && p.alive {
 		p.inbox = append(p.inbox, message{from.id, e, descriptors})
 	}
 }
 
-func (w *model) lockHeld() bool {
-	for id := range w.lockHolders {
-		if w.process(id).alive {
+func (m *model) lockHeld() bool {
+	for id := range m.lockHolders {
+		if m.process(id).alive {
 			return true
 		}
 	}
@@ -92,217 +92,217 @@
 }
 
 // execute carries out an action of a process, and returns the event that answers it, or nil.
-func (w *model) execute(p *process, a Action) Event {
+func (m *model) execute(p *process, a Action) Event {
 	switch a := a.(type) {
 	case TryLock:
-		if !w.lockHeld() || w.mutation == "takes the lock from a live process" {
-			w.lockHolders[p.id] = true
+		if !m.lockHeld() || m.mutation == "takes the lock from a live process" {
+			m.lockHolders[p.id] = true
 		}
-		return LockResult{Acquired: w.lockHolders[p.id], Generation: w.recorded}
+		return LockResult{Acquired: m.lockHolders[p.id], Generation: m.recorded}
 	case ContactOwner:
-		o := w.process(w.socketOwner)
+		o := m.process(m.socketOwner)
 		if o == nil || !o.alive {
 			return ContactResult{}
 		}
 		p.owner = o.id
-		w.send(p, o.id, SuccessorHello{From: p.id, ProtocolVersion: ProtocolVersion}, [2]int{})
+		m.send(p, o.id, SuccessorHello{From: p.id, ProtocolVersion: ProtocolVersion}, [2]int{})
 		return ContactResult{OK: true}
 	case Listen:
 		if p.listener == 0 {
-			w.queues++
-			p.listener = w.queues
+			m.queues++
+			p.listener = m.queues
 		}
 	case Prepare:
 		p.preparing = true
-		if w.mutation == "opens the socket before it owns" {
-			w.socketOwner = p.id
+		if m.mutation == "opens the socket before it owns" {
+			m.socketOwner = p.id
 		}
 	case RequestTransfer:
-		w.send(p, p.owner, TransferRequested{From: p.id}, [2]int{})
+		m.send(p, p.owner, TransferRequested{From: p.id}, [2]int{})
 	case Claim:
-		if a.Generation <= w.recorded && w.mutation != "claims without comparing" {
-			return ClaimResult{Generation: w.recorded}
+		if a.Generation <= m.recorded && m.mutation != "claims without comparing" {
+			return ClaimResult{Generation: m.recorded}
 		}
-		w.recorded = a.Generation
-		return ClaimResult{OK: true, Generation: w.recorded}
+		m.recorded = a.Generation
+		return ClaimResult{OK: true, Generation: m.recorded}
 	case BecomeOwner:
-		require.Equal(w.t, w.recorded, a.Generation)
-		require.NotContains(w.t, w.owned, a.Generation, "two processes have owned under one generation")
-		w.owned[a.Generation] = true
-		w.socketOwner = p.id
+		require.Equal(m.t, m.recorded, a.Generation)
+		require.NotContains(m.t, m.owned, a.Generation, "two processes have owned under one generation")
+		m.owned[a.Generation] = true
+		m.socketOwner = p.id
 	case SetAccepting:
 		p.wasAccepting = p.accepting
-		p.accepting = a.On || p.accepting && w.mutation == "never stops accepting"
+		p.accepting = a.On || p.accepting && m.mutation == "never stops accepting"
 	case AnnounceServing:
-		if w.mutation != "never announces that it serves" {
-			w.send(p, p.owner, SuccessorServing{From: p.id}, [2]int{})
+		if m.mutation != "never announces that it serves" {
+			m.send(p, p.owner, SuccessorServing{From: p.id}, [2]int{})
 		}
 	case Stop:
 		p.ending, p.preempted = true, p.wasAccepting
 	case ScheduleTick:
-		p.tickAt = w.now + a.After
+		p.tickAt = m.now + a.After
 	default:
-		w.executeForSuccessor(p, a)
+		m.executeForSuccessor(p, a)
 	}
 	return nil
 }
 
 // executeForSuccessor carries out an owner's action about a successor.
-func (w *model) executeForSuccessor(p *process, a Action) {
+func (m *model) executeForSuccessor(p *process, a Action) {
 	switch a := a.(type) {
 	case SendState:
-		w.send(p, a.To, StateReceived{ProtocolVersion: ProtocolVersion, Generation: p.Generation()}, [2]int{})
+		m.send(p, a.To, StateReceived{ProtocolVersion: ProtocolVersion, Generation: p.Generation()}, [2]int{})
 	case Reject:
-		w.send(p, a.To, Rejected{a.Busy}, [2]int{})
+		m.send(p, a.To, Rejected{a.Busy}, [2]int{})
 	case Grant:
 		descriptors := [2]int{p.listener, 0}
-		if w.lockHolders[p.id] && w.mutation != "grants without the lock" {
+		if m.lockHolders[p.id] && m.mutation != "grants without the lock" {
 			descriptors[1] = 1
 		}
-		if w.mutation == "grants without the listener" {
-			w.queues++ // the successor opens a listener of its own
-			descriptors[0] = w.queues
+		if m.mutation == "grants without the listener" {
+			m.queues++ // the successor opens a listener of its own
+			descriptors[0] = m.queues
 		}
-		w.send(p, a.To, GrantReceived{}, descriptors)
+		m.send(p, a.To, GrantReceived{}, descriptors)
 	case Revoke:
-		w.send(p, a.To, GrantRevoked{}, [2]int{})
+		m.send(p, a.To, GrantRevoked{}, [2]int{})
 	}
 }
 
 // kill ends a process. The processes that it was connected to receive OwnerLost or SuccessorLost.
-func (w *model) kill(p *process) {
+func (m *model) kill(p *process) {
 	p.alive = false
-	for _, o := range w.processes {
+	for _, o := range m.processes {
 		if !o.alive {
 			continue
 		}
-		if o.owner == p.id && w.mutation != "never notices that the owner is lost" {
+		if o.owner == p.id && m.mutation != "never notices that the owner is lost" {
 			o.inbox = append(o.inbox, message{p.id, OwnerLost{}, [2]int{}})
 		}
-		if p.owner == o.id && w.mutation != "never notices that the successor is lost" {
+		if p.owner == o.id && m.mutation != "never notices that the successor is lost" {
 			o.inbox = append(o.inbox, message{p.id, SuccessorLost{From: p.id}, [2]int{}})
 		}
 	}
 }
 
 // step delivers the next message to a process, and a Tick and the recorded generation if they are due.
-func (w *model) step(p *process) {
+func (m *model) step(p *process) {
 	if !p.alive || p.suspended {
 		return
 	}
 	if len(p.inbox) > 0 {
-		m := p.inbox[0]
+		msg := p.inbox[0]
 		p.inbox = p.inbox[1:]
-		if _, granted := m.event.(GrantReceived); granted {
-			if m.from != p.owner {
+		if _, granted := msg.event.(GrantReceived); granted {
+			if msg.from != p.owner {
 				return
 			}
-			p.listener = m.descriptors[0]
-			if m.descriptors[1] > 0 {
-				w.lockHolders[p.id] = true
+			p.listener = msg.descriptors[0]
+			if msg.descriptors[1] > 0 {
+				m.lockHolders[p.id] = true
 			}
 		}
-		switch m.event.(type) {
+		switch msg.event.(type) {
 		case StateReceived, Rejected, GrantRevoked, OwnerLost:
-			if m.from != p.owner {
+			if msg.from != p.owner {
 				return
 			}
 		}
-		w.handle(p, m.event)
+		m.handle(p, msg.event)
 	}
-	if p.tickAt > 0 && w.now >= p.tickAt && w.mutation != "never ticks" {
+	if p.tickAt > 0 && m.now >= p.tickAt && m.mutation != "never ticks" {
 		p.tickAt = 0
-		w.handle(p, Tick{})
+		m.handle(p, Tick{})
 	}
-	if p.Phase() >= Owning && w.recorded > 0 && w.mutation != "never finds a higher generation" {
-		w.handle(p, Superseded{Generation: w.recorded})
+	if p.Phase() >= Owning && m.recorded > 0 && m.mutation != "never finds a higher generation" {
+		m.handle(p, Superseded{Generation: m.recorded})
 	}
 	if p.ending { // its open requests have been answered
-		w.kill(p)
+		m.kill(p)
 	}
 }
 
 // runUndisturbed runs the model without faults for 50 s, longer than every time-out.
-func (w *model) runUndisturbed() {
+func (m *model) runUndisturbed() {
 	for range 2000 {
-		w.now += 25
-		for _, p := range w.processes {
+		m.now += 25
+		for _, p := range m.processes {
 			if p.preparing && p.Phase() == Preparing {
-				w.handle(p, Ready{})
+				m.handle(p, Ready{})
 			}
-			w.step(p)
+			m.step(p)
 		}
 	}
 }
 
 // accepting returns the processes that accept connections.
-func (w *model) accepting() (list []int) {
-	for _, p := range w.processes {
+func (m *model) accepting() (ids []int) {
+	for _, p := range m.processes {
 		if p.alive && p.accepting {
-			list = append(list, p.id)
+			ids = append(ids, p.id)
 		}
 	}
-	return list
+	return ids
 }
 
 // runTimeline runs one random timeline. Processes start, die, are suspended, resumed and delayed or, withoutFaults, only start and
 // shut down once another process serves. Once the faults have ended, exactly one process accepts connections, and it is the one
 // that is reached at the socket. draw returns a random number from 0 to limit.
-func (w *model) runTimeline(withoutFaults bool, draw func(limit int) int) {
-	w.start()
-	w.runUndisturbed()
-	require.Equal(w.t, []int{1}, w.accepting())
+func (m *model) runTimeline(withoutFaults bool, draw func(limit int) int) {
+	m.start()
+	m.runUndisturbed()
+	require.Equal(m.t, []int{1}, m.accepting())
 	for range 1 + draw(60) {
-		p := w.processes[draw(len(w.processes)-1)]
+		p := m.processes[draw(len(m.processes)-1)]
 		switch choice := draw(9); {
-		case choice == 0 && len(w.processes) < 4:
-			w.start()
+		case choice == 0 && len(m.processes) < 4:
+			m.start()
 		case choice == 1 && !withoutFaults && p.alive:
-			w.kill(p)
+			m.kill(p)
 		case choice == 2 && !withoutFaults && p.alive:
 			p.suspended = !p.suspended
 		case choice == 3 && p.preparing && p.Phase() == Preparing && !p.suspended:
-			w.handle(p, Ready{})
+			m.handle(p, Ready{})
 		case choice == 4 && p.alive && p.Phase() == Granting && !p.suspended: // it shuts down, and ends if another process serves
-			w.handle(p, ShutdownRequested{})
-			if o := w.process(w.socketOwner); o != p && o.alive && o.accepting {
-				w.kill(p)
+			m.handle(p, ShutdownRequested{})
+			if o := m.process(m.socketOwner); o != p && o.alive && o.accepting {
+				m.kill(p)
 			}
 		case choice == 5 && withoutFaults: // time passes, and each process handles up to two messages, so that none seems to hang
-			w.now += float64(draw(200))
-			for _, p := range w.processes {
-				w.step(p)
-				w.step(p)
+			m.now += float64(draw(200))
+			for _, p := range m.processes {
+				m.step(p)
+				m.step(p)
 			}
 		case choice == 5:
-			w.now += float64(draw(3000))
+			m.now += float64(draw(3000))
 		default:
-			w.step(p)
+			m.step(p)
 		}
 		if withoutFaults {
-			require.LessOrEqual(w.t, len(w.accepting()), 1, "two processes accept connections, and none has died")
+			require.LessOrEqual(m.t, len(m.accepting()), 1, "two processes accept connections, and none has died")
 		}
 	}
-	for _, p := range w.processes {
+	for _, p := range m.processes {
 		p.suspended = false
 	}
-	w.runUndisturbed()
+	m.runUndisturbed()
 	alive := 0
-	for _, p := range w.processes {
+	for _, p := range m.processes {
 		if p.alive {
 			alive++
 		}
-		require.False(w.t, withoutFaults && p.preempted, "an accepting process was told to stop, and no process hung: %v", w.phases())
+		require.False(m.t, withoutFaults && p.preempted, "an accepting process was told to stop, and no process hung: %v", m.phases())
 	}
-	if alive == 0 && len(w.accepting()) == 0 {
-		w.start() // all processes have ended: the next one that starts must serve
-		w.runUndisturbed()
+	if alive == 0 && len(m.accepting()) == 0 {
+		m.start() // all processes have ended: the next one that starts must serve
+		m.runUndisturbed()
 	}
-	accepting := w.accepting()
-	require.Len(w.t, accepting, 1, "exactly one process accepts connections: %v", w.phases())
-	require.Equal(w.t, w.socketOwner, accepting[0], "the accepting process is reached at the socket")
+	accepting := m.accepting()
+	require.Len(m.t, accepting, 1, "exactly one process accepts connections: %v", m.phases())
+	require.Equal(m.t, m.socketOwner, accepting[0], "the accepting process is reached at the socket")
 	if withoutFaults {
-		require.Equal(w.t, 1, w.queues, "all processes used the first process's accept queue")
+		require.Equal(m.t, 1, m.queues, "all processes used the first process's accept queue")
 	}
 }
 
@@ -326,15 +326,15 @@
 
 // Each mutation fails the model's checks in some timeline, which shows that the checks find such faults.
 func TestModelCatchesEachMutation(t *testing.T) {
-	for _, m := range []string{
+	for _, mutation := range []string{
 		"claims without comparing", "grants without the lock", "grants without the listener",
 		"never notices that the successor is lost", "never notices that the owner is lost", "never finds a higher generation",
 		"never ticks", "never stops accepting", "never announces that it serves", "opens the socket before it owns",
 		"takes the lock from a live process",
 	} {
-		t.Run(m, func(t *testing.T) {
+		t.Run(mutation, func(t *testing.T) {
 			for seed := range uint64(3000) {
-				if caughtBy(m, seed) {
+				if caughtBy(mutation, seed) {
 					return
 				}
 			}
@@ -353,18 +353,18 @@
 			}
 		}
 	}()
-	w := newModel(failure{})
-	w.mutation = mutation
+	m := newModel(failure{})
+	m.mutation = mutation
 	r := rand.New(rand.NewPCG(seed, 1))
-	w.runTimeline(seed%2 == 0, func(limit int) int { return r.IntN(limit + 1) })
+	m.runTimeline(seed%2 == 0, func(limit int) int { return r.IntN(limit + 1) })
 	return false
 }
 
 // phases describes each process, for the messages of failed checks.
-func (w *model) phases() (descriptions []string) {
-	for _, p := range w.processes {
+func (m *model) phases() (descriptions []string) {
+	for _, p := range m.processes {
 		descriptions = append(descriptions, fmt.Sprintf(
-			"%d %v alive=%v accepting=%v generation=%d recorded=%d", p.id, p.Phase(), p.alive, p.accepting, p.Generation(), w.recorded))
+			"%d %v alive=%v accepting=%v generation=%d recorded=%d", p.id, p.Phase(), p.alive, p.accepting, p.Generation(), m.recorded))
 	}
 	return descriptions
 }
--- a/internal/decide/storestate/change.go
+++ b/internal/decide/storestate/change.go
@@ -36,10 +36,11 @@
 
 // Purge invalidates all cached copies of an object, or of a group's objects, that were made before a time.
 type Purge struct {
-	Object    string  `cbor:"1,keyasint,omitempty" json:"object,omitempty"` // empty: the purge is of a group
-	Group     int     `cbor:"2,keyasint,omitempty" json:"group,omitempty"`
-	IssuedAt  float64 `cbor:"3,keyasint" json:"made_ms"`            // copies made before this time are invalid
-	ExpiresAt float64 `cbor:"4,keyasint,omitempty" json:"until_ms"` // from then on no older copy can be left; Change.ExpiresAt sets it
+	Object   string  `cbor:"1,keyasint,omitempty" json:"object,omitempty"` // empty: the purge is of a group
+	Group    int     `cbor:"2,keyasint,omitempty" json:"group,omitempty"`
+	IssuedAt float64 `cbor:"3,keyasint" json:"made_ms"` // copies made before this time are invalid
+	// ExpiresAt is when no copy made before IssuedAt can be left any more. In a Change it is ignored in favour of Change.ExpiresAt.
+	ExpiresAt float64 `cbor:"4,keyasint,omitempty" json:"until_ms"`
 }
 
 // Change is one entry of the log. Its kind determines which of the fields from Name on are used.
--- a/internal/decide/storestate/encoding.go
+++ b/internal/decide/storestate/encoding.go
@@ -10,7 +10,7 @@
 // formatVersion is the first byte of an encoding. Version 0 has no such byte: it was JSON and begins with a brace; see legacy.go.
 const formatVersion = 1
 
-// ErrUnknownFormat says that an encoding is empty, or has a format version that this version of the proxy does not support.
+// ErrUnknownFormat means that an encoding is empty, or has a format version that this version of the proxy does not support.
 var ErrUnknownFormat = errors.New("storestate: unknown format version")
 
 var (
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -46,7 +46,7 @@
 	ShutdownRequested <-chan struct{}
 }
 
-// ErrShutdown says that the process was told to shut down before it owned the address.
+// ErrShutdown means that the process was told to shut down before it owned the address.
 var ErrShutdown = errors.New("handover: shutdown requested")
 
 // LearnedState is the state that a process has learned from its traffic and that the next process may start from.
@@ -145,7 +145,7 @@
 	}
 }
 
-// WaitForOwnership says that this process is ready to serve, and returns the clients' listener once this process owns the address.
+// WaitForOwnership marks this process as ready to serve, and returns the clients' listener once this process owns the address.
 // Before that it restores the previous owner's learned state into learned. It returns ErrShutdown if this process is told to shut
 // down before it owns the address.
 func (c *Coordinator) WaitForOwnership(learned LearnedState) (net.Listener, error) {
@@ -189,7 +189,7 @@
 	return err
 }
 
-// BeginShutdown says that this process was told to shut down. It reports whether another process accepts the clients' connections.
+// BeginShutdown begins the shutdown of this process. It reports whether another process accepts the clients' connections.
 func (c *Coordinator) BeginShutdown() (handedOver bool) {
 	c.handle(decider.ShutdownRequested{})
 	c.mu.Lock()
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -43,7 +43,7 @@
 	writeTimeout   = time.Second
 )
 
-// errMalformedMessage says that a message was truncated or is not JSON.
+// errMalformedMessage means that a message was truncated or is not JSON.
 var errMalformedMessage = errors.New("malformed message")
 
 // sendOrClose sends a message, and closes the connection if that fails. The goroutine that reads the connection handles the loss.
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -18,11 +18,11 @@
 )
 
 var (
-	// errFenced says that another process owns the address by now, and that this process must not overwrite its record.
+	// errFenced means that another process owns the address by now. This process must not overwrite that process's record.
 	errFenced = errors.New("another process owns the address")
-	// errRecordLocked says that another process has kept the record locked for longer than this one waits.
+	// errRecordLocked means that another process has kept the record locked for longer than this one waits.
 	errRecordLocked = errors.New("owner's record is locked by another process")
-	// errTooManyDrained says that the limit of maxDrained manually drained servers is reached.
+	// errTooManyDrained means that the limit of maxDrained manually drained servers is reached.
 	errTooManyDrained = fmt.Errorf("at most %d servers can be drained manually", maxDrained)
 )
 
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -21,7 +21,7 @@
 	memberPath = "/member/"
 )
 
-// ErrNotMember says that a certificate does not name a member of this cluster.
+// ErrNotMember means that a certificate does not name a member of this cluster.
 var ErrNotMember = errors.New("store: not a certificate of a member of this cluster")
 
 // Identity is a member's certificate and key, and the certificate authority of its cluster.
--- a/internal/store/issue.go
+++ b/internal/store/issue.go
@@ -34,7 +34,7 @@
 	keyExtension         = ".key"
 )
 
-// ErrInvalidName says that the name of a cluster or a member does not match namePattern (lower-case letters, digits, dots and
+// ErrInvalidName means that the name of a cluster or a member does not match namePattern (lower-case letters, digits, dots and
 // dashes, at most 63 characters), or that a member has the authority's name.
 var ErrInvalidName = errors.New("store: invalid name")
 
--- a/internal/store/message.go
+++ b/internal/store/message.go
@@ -60,7 +60,7 @@
 // A frame is a length of 4 bytes, big-endian, and that many bytes of content.
 const frameHeaderSize = 4
 
-// ErrFrameTooLarge says that a frame's header declares more bytes than the receiver accepts.
+// ErrFrameTooLarge means that a frame's header declares more bytes than the receiver accepts.
 var ErrFrameTooLarge = errors.New("store: frame too large")
 
 // messageDecodeMode limits the array sizes and the nesting that a message may declare.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,8 +21,8 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// The errors of a change. ErrUnavailable without ErrOutcomeUnknown says that the change was not applied and will not be.
-// ErrOutcomeUnknown, which wraps ErrUnavailable, says that the change may have been applied or may still be: the caller must treat
+// The errors of a change. ErrUnavailable without ErrOutcomeUnknown means that the change was not applied and will not be.
+// ErrOutcomeUnknown, which wraps ErrUnavailable, means that the change may have been applied or may still be: the caller must treat
 // a token as spent then.
 var (
 	ErrTokenSpent     = errors.New("store: token already spent")
@@ -33,7 +33,7 @@
 	ErrOutcomeUnknown = fmt.Errorf("%w; the outcome of the change is unknown", ErrUnavailable)
 )
 
-// ErrNoRevision says that the store does not hold a revision of the configuration: it never existed, or was deleted as too old.
+// ErrNoRevision means that the store does not hold a revision of the configuration: it never existed, or was deleted as too old.
 var ErrNoRevision = errors.New("store: no such revision")
 
 // Key is a signing key, with the algorithm that it is used with.
