--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -37,10 +37,10 @@
 	Clock  *clock.Clock
 	Log    *logs.Log
 
-	SetAccepting func(on bool)       // starts accepting new connections, or stops and leaves them to another process
-	SetOwner     func(on bool)       // is called with whether this process owns the address
-	SetShared    func(on bool)       // is called with whether another process runs at the same time, so that both share the limits
-	Stop         func(reason string) // answers open requests and ends the process
+	SetAccepting func(on bool)       // on: accept new connections; off: leave them to another process
+	SetOwner     func(on bool)       // on: this process owns the address; off: another process does
+	SetShared    func(on bool)       // on: another process runs too, and both share the limits; off: none does
+	Stop         func(reason string) // answer open requests and end
 	// ShutdownRequested is closed once the process was told to shut down. A process that does not own the address by then never
 	// will. nil: never closed.
 	ShutdownRequested <-chan struct{}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -190,7 +190,7 @@
 // A process starts although the directory holds files of a process that has ended, or malformed files.
 func TestStartIgnoresStaleAndMalformedFiles(t *testing.T) {
 	for name, content := range map[string]string{
-		"none": "", "malformed": "{{{", "ids": `{"generation":9,"out":["x"]}`, "large": strings.Repeat(" ", maxRecordSize+1),
+		"valid": "", "malformed": "{{{", "invalid id": `{"generation":9,"out":["x"]}`, "too large": strings.Repeat(" ", maxRecordSize+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t)
