--- a/cmd/ravenwheel/peers_command.go
+++ b/cmd/ravenwheel/peers_command.go
@@ -66,7 +66,7 @@
 	for _, m := range status.Members {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\tsince %.0f\n", m.Name, m.Addr, m.Zone, m.State, m.Since)
 	}
-	fmt.Fprintf(table, "%d alive, %d heard from in the last 10 s; sent %d bytes, received %d\n", status.Alive, status.Heard, status.SentBytes, status.ReceivedBytes)
+	fmt.Fprintf(table, "%d alive, %d heard from in the last 10 s; sent %d bytes, received %d\n", status.Alive, status.RecentSenders, status.SentBytes, status.ReceivedBytes)
 	for _, reason := range dropReasons {
 		if count := status.Dropped[reason]; count > 0 {
 			fmt.Fprintf(table, "dropped as %s: %d\n", reason, count)
--- a/internal/lab/multiprocess/gossip_fault_test.go
+++ b/internal/lab/multiprocess/gossip_fault_test.go
@@ -52,7 +52,7 @@
 	agree(t, cluster.Processes[:n-1], cluster.Processes[:n-1])
 	require.Eventually(t, func() bool {
 		s, err := cluster.Processes[n-1].PeerSummary()
-		return err == nil && s.Heard == 0
+		return err == nil && s.RecentSenders == 0
 	}, multiprocess.ReadyTimeout, pollInterval)
 	setLinks(multiprocess.Link{})
 	agree(t, cluster.Processes, cluster.Processes)
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -187,10 +187,10 @@
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
-			Name: "a", Addr: "127.0.0.1:7001", Alive: 2, Fingerprint: MembersFingerprint([]string{"a 127.0.0.1:7001", "b 127.0.0.1:7002"}), Heard: 1,
+			Name: "a", Addr: "127.0.0.1:7001", Alive: 2, Fingerprint: MembersFingerprint([]string{"a 127.0.0.1:7001", "b 127.0.0.1:7002"}), RecentSenders: 1,
 			Members: []Member{
 				{Name: "a", Addr: "127.0.0.1:7001", Zone: "zone-1", Region: "region-1", State: StateAlive, Since: goldenTime + 0.5},
-				{Name: "b", Addr: "127.0.0.1:7002", Zone: "zone-2", State: StateGone}, {Name: "c", State: StateLeft},
+				{Name: "b", Addr: "127.0.0.1:7002", Zone: "zone-2", State: StateFailed}, {Name: "c", State: StateLeft},
 			},
 			SentBytes: 1, DigestBytes: 2, StreamBytes: 3, ReceivedBytes: 4, Dropped: map[string]int64{"forged": 5},
 		},
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -19,9 +19,9 @@
 
 // The states of a member.
 const (
-	StateAlive MemberState = "alive"
-	StateGone  MemberState = "gone" // it failed
-	StateLeft  MemberState = "left" // it has left by itself
+	StateAlive  MemberState = "alive"
+	StateFailed MemberState = "gone" // it failed
+	StateLeft   MemberState = "left" // it has left by itself
 )
 
 // Member is another process, or this one.
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -91,7 +91,7 @@
 
 // NotifyLeave implements memberlist.EventDelegate.
 func (e events) NotifyLeave(n *memberlist.Node) {
-	state := StateGone
+	state := StateFailed
 	if n.State == memberlist.StateLeft {
 		state = StateLeft
 	}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -10,7 +10,7 @@
 	Addr          string           `json:"addr"`
 	Alive         int              `json:"alive"` // members
 	Fingerprint   string           `json:"set"`   // of the members that are alive, with their addresses: equal if two processes agree
-	Heard         int              `json:"hears"` // other processes of which a datagram was accepted within heardWindow
+	RecentSenders int              `json:"hears"` // other processes of which a datagram was accepted within heardWindow
 	Members       []Member         `json:"members,omitempty"`
 	SentBytes     int64            `json:"sent_bytes"`
 	DigestBytes   int64            `json:"digest_bytes"` // of the bytes sent; the rest is membership
@@ -22,7 +22,7 @@
 // Summary returns the status without the members.
 func (p *Peers) Summary() Status {
 	s := Status{
-		Name: p.options.Name, Addr: p.address(), Heard: p.sealer.heardWithin(heardWindow),
+		Name: p.options.Name, Addr: p.address(), RecentSenders: p.sealer.heardWithin(heardWindow),
 		SentBytes: p.transport.sentBytes.Load(), DigestBytes: p.transport.digestBytes.Load(),
 		StreamBytes: p.transport.streamBytes.Load(), ReceivedBytes: p.transport.receivedBytes.Load(),
 		Dropped: p.sealer.dropped.byReason(),
