--- a/internal/decide/fleetview/collector.go
+++ b/internal/decide/fleetview/collector.go
@@ -76,8 +76,8 @@
 // (see near), or is due to be refreshed, which each is once in Refresh digests. A server that is idle and was published as idle is
 // always left out: at receivers that missed its last entry, the older one expires.
 func (c *Collector) selectForDigest(load ServerLoad) bool {
-	before, known := c.published[load.Server]
-	if load.idle() && before.idle() {
+	lastPublished, known := c.published[load.Server]
+	if load.idle() && lastPublished.idle() {
 		c.published[load.Server] = load
 		return false
 	}
@@ -86,7 +86,7 @@
 		refresh = defaultRefresh
 	}
 	due := (uint64(load.Server)+c.version)%uint64(refresh) == 0
-	if !due && known && load.near(before) {
+	if !due && known && load.near(lastPublished) {
 		return false
 	}
 	c.published[load.Server] = load
@@ -94,26 +94,26 @@
 }
 
 // loadOf returns the figures of a server between two totals.
-func loadOf(id policy.ServerID, now, then Totals, seconds float64) ServerLoad {
+func loadOf(id policy.ServerID, current, earlier Totals, seconds float64) ServerLoad {
 	var answers [LatencyBuckets]uint64
 	for i := range answers {
-		answers[i] = now.Latency[i] - min(now.Latency[i], then.Latency[i])
+		answers[i] = current.Latency[i] - min(current.Latency[i], earlier.Latency[i])
 	}
 	return ServerLoad{
 		Server:     id,
-		Attempts:   rate(now.Attempts, then.Attempts, seconds),
-		Failures:   rate(now.Failures, then.Failures, seconds),
-		Rejections: rate(now.Rejections, then.Rejections, seconds),
-		Overdue:    rate(now.Overdue, then.Overdue, seconds),
-		InFlight:   LevelOf(float64(now.InFlight)),
+		Attempts:   rate(current.Attempts, earlier.Attempts, seconds),
+		Failures:   rate(current.Failures, earlier.Failures, seconds),
+		Rejections: rate(current.Rejections, earlier.Rejections, seconds),
+		Overdue:    rate(current.Overdue, earlier.Overdue, seconds),
+		InFlight:   LevelOf(float64(current.InFlight)),
 		Latency:    latencyOf(answers),
 	}
 }
 
 // rate returns how much a count has risen a second. A count that fell was started anew, as its server came back: 0.
-func rate(now, then uint64, seconds float64) Level {
-	if now < then {
+func rate(current, earlier uint64, seconds float64) Level {
+	if current < earlier {
 		return 0
 	}
-	return LevelOf(float64(now-then) / seconds)
+	return LevelOf(float64(current-earlier) / seconds)
 }
--- a/internal/decide/fleetview/digest.go
+++ b/internal/decide/fleetview/digest.go
@@ -36,7 +36,7 @@
 	// minLevelChange is the least change of a rate, in steps of a Level, that is published: about 30 %.
 	minLevelChange = 3
 	// minInFlightChange is that of the attempts in flight, in steps too: a factor of two, as they vary much at few requests a second.
-	minInFlightChange = levelSteps
+	minInFlightChange = stepsPerOctave
 	// minLatencyChange is the least change of a latency bucket, as a fraction of the answers, that is published.
 	minLatencyChange = 0.4
 )
--- a/internal/decide/fleetview/estimate.go
+++ b/internal/decide/fleetview/estimate.go
@@ -33,7 +33,7 @@
 func (v *View) Estimate(now float64, id policy.ServerID) Estimate {
 	var loads, weights, failing, overdue []float64
 	var latency [LatencyBuckets]float64
-	var own ServerLoad
+	var ownLoad ServerLoad
 	estimate := Estimate{}
 	for name, p := range v.peers {
 		e, ok := p.servers[id]
@@ -43,7 +43,7 @@
 		}
 		estimate.Reporters++
 		if name == v.self {
-			own = e.ServerLoad
+			ownLoad = e.ServerLoad
 		}
 		attempts := weight * e.Attempts.Value()
 		loads = append(loads, attempts)
@@ -58,10 +58,10 @@
 	}
 	faulty := v.settings.FaultyFraction
 	estimate.Load = WinsorizedSum(loads, faulty)
-	ownPart := ownReport{attempts: own.Attempts.Value(), totalAttempts: sum(weights)}
-	estimate.OwnWeight = ownPart.weight()
-	estimate.Failing = ownPart.blend(TrimmedMean(failing, weights, faulty), fraction(own.Failures, own.Attempts))
-	estimate.Overdue = ownPart.blend(TrimmedMean(overdue, weights, faulty), fraction(own.Overdue, own.Attempts))
+	report := ownReport{attempts: ownLoad.Attempts.Value(), totalAttempts: sum(weights)}
+	estimate.OwnWeight = report.weight()
+	estimate.Failing = report.blend(TrimmedMean(failing, weights, faulty), fraction(ownLoad.Failures, ownLoad.Attempts))
+	estimate.Overdue = report.blend(TrimmedMean(overdue, weights, faulty), fraction(ownLoad.Overdue, ownLoad.Attempts))
 	estimate.P50, estimate.P90 = quantiles(latency)
 	return estimate
 }
@@ -95,11 +95,11 @@
 // quantiles returns the median and the 90th percentile, in ms, of weighted latencies.
 func quantiles(weights [LatencyBuckets]float64) (p50, p90 float64) {
 	total := sum(weights[:])
-	all := make(Latency, LatencyBuckets)
-	for i := range all {
-		all[i] = byte(math.Round(latencyScale * weights[i] / max(total, 1e-9)))
+	histogram := make(Latency, LatencyBuckets)
+	for i := range histogram {
+		histogram[i] = byte(math.Round(latencyScale * weights[i] / max(total, 1e-9)))
 	}
-	return all.Quantile(0.5), all.Quantile(0.9)
+	return histogram.Quantile(0.5), histogram.Quantile(0.9)
 }
 
 // HeavyHitter is an object that the fleet requests often.
@@ -112,7 +112,7 @@
 // HeavyHitters returns the n objects that processes report at the highest rate, highest first. A process that does not name an object
 // counts as one that does not request it, so that a few processes cannot make an object a heavy hitter. now is in ms.
 func (v *View) HeavyHitters(now float64, n int) []HeavyHitter {
-	ratesOf, reporters := map[uint64][]float64{}, 0
+	ratesByObject, reporters := map[uint64][]float64{}, 0
 	for _, p := range v.peers {
 		weight := v.weight(now - p.receivedAt)
 		if weight == 0 {
@@ -120,16 +120,16 @@
 		}
 		reporters++
 		for _, o := range p.objects {
-			ratesOf[o.Object] = append(ratesOf[o.Object], weight*o.Rate.Value())
+			ratesByObject[o.Object] = append(ratesByObject[o.Object], weight*o.Rate.Value())
 		}
 	}
-	out := make([]HeavyHitter, 0, len(ratesOf))
-	for object, rates := range ratesOf {
-		named := len(rates)
+	out := make([]HeavyHitter, 0, len(ratesByObject))
+	for object, rates := range ratesByObject {
+		reportedBy := len(rates)
 		for len(rates) < reporters {
 			rates = append(rates, 0)
 		}
-		out = append(out, HeavyHitter{object, WinsorizedSum(rates, v.settings.FaultyFraction), named})
+		out = append(out, HeavyHitter{object, WinsorizedSum(rates, v.settings.FaultyFraction), reportedBy})
 	}
 	slices.SortFunc(out, func(a, b HeavyHitter) int {
 		return cmp.Or(cmp.Compare(b.Rate.Value, a.Rate.Value), cmp.Compare(a.Object, b.Object))
--- a/internal/decide/fleetview/golden_test.go
+++ b/internal/decide/fleetview/golden_test.go
@@ -29,12 +29,12 @@
 		raw, err := cbor.Marshal(digest)
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		var back Digest
-		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &back))
-		require.Equal(t, digest, back)
-		again, err := cbor.Marshal(back)
+		var decoded Digest
+		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, digest, decoded)
+		reencoded, err := cbor.Marshal(decoded)
 		require.NoError(t, err)
-		golden.Equal(t, name, again)
+		golden.Equal(t, name, reencoded)
 	}
 }
 
@@ -44,9 +44,9 @@
 	raw, err := json.MarshalIndent(value, "", "  ")
 	require.NoError(t, err)
 	golden.Equal(t, name, raw)
-	var back T
-	require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
-	require.Equal(t, value, back)
+	var decoded T
+	require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+	require.Equal(t, value, decoded)
 }
 
 // What operators are shown keeps its JSON keys.
--- a/internal/decide/fleetview/level.go
+++ b/internal/decide/fleetview/level.go
@@ -7,8 +7,8 @@
 type Level uint8
 
 const (
-	levelSteps    = 8 // of an octave
-	smallestLevel = 1.0 / 16
+	stepsPerOctave = 8 // of an octave
+	levelOffset    = 1.0 / 16
 )
 
 // LevelOf returns the level nearest to an amount.
@@ -16,11 +16,11 @@
 	if !(amount > 0) { // also of what is no number
 		return 0
 	}
-	return Level(min(math.MaxUint8, max(1, math.Round(levelSteps*math.Log2(1+amount/smallestLevel)))))
+	return Level(min(math.MaxUint8, max(1, math.Round(stepsPerOctave*math.Log2(1+amount/levelOffset)))))
 }
 
 // Value returns the amount that a level stands for.
-func (l Level) Value() float64 { return smallestLevel * (math.Exp2(float64(l)/levelSteps) - 1) }
+func (l Level) Value() float64 { return levelOffset * (math.Exp2(float64(l)/stepsPerOctave) - 1) }
 
 // near reports whether two levels are fewer than so many steps apart; a step is an eighth of an octave.
 func (l Level) near(other Level, steps Level) bool { return max(l, other)-min(l, other) < steps }
--- a/internal/decide/fleetview/robust.go
+++ b/internal/decide/fleetview/robust.go
@@ -14,8 +14,8 @@
 	High  float64 `json:"High"`
 }
 
-// tolerated returns how many of n reporters may be faulty. At least one correct value must be left on each side.
-func tolerated(n int, faultyFraction float64) int {
+// maxFaulty returns how many of n reporters may be faulty. At least one correct value must be left on each side.
+func maxFaulty(n int, faultyFraction float64) int {
 	return max(0, min(int(math.Ceil(faultyFraction*float64(n))), (n-1)/3))
 }
 
@@ -29,18 +29,18 @@
 		return BoundedValue{}
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	faulty := tolerated(n, faultyFraction)
-	// shifted returns the sum with each value replaced by the one that is so many places further up the order. With +faulty it is the
+	faulty := maxFaulty(n, faultyFraction)
+	// shiftedSum returns the sum with each value replaced by the one that is so many places further up the order. With +faulty it is the
 	// sum with the faulty least values replaced by plus infinity, and clipped as above.
-	shifted := func(by int) float64 {
+	shiftedSum := func(places int) float64 {
 		total := 0.0
 		for i := range n {
 			clipped := min(max(i, faulty), n-1-faulty)
-			total += sorted[min(max(clipped+by, 0), n-1)]
+			total += sorted[min(max(clipped+places, 0), n-1)]
 		}
 		return total
 	}
-	return BoundedValue{shifted(0), shifted(-faulty), shifted(faulty)}
+	return BoundedValue{shiftedSum(0), shiftedSum(-faulty), shiftedSum(faulty)}
 }
 
 // TrimmedMean estimates a fraction that reporters have observed, each with a weight (its attempts a second). Of n reporters f may be
@@ -52,27 +52,27 @@
 	if n == 0 {
 		return BoundedValue{}
 	}
-	faulty := tolerated(n, faultyFraction)
-	w := newWeighted(fractions, weights, faulty)
-	cut := float64(faulty) * w.maxWeight
-	low, high := w.mean(0, w.total-2*cut), w.mean(2*cut, w.total)
-	value := w.mean(cut, w.total-cut)
+	faulty := maxFaulty(n, faultyFraction)
+	w := newWeightedValues(fractions, weights, faulty)
+	trimmedWeight := float64(faulty) * w.maxWeight
+	low, high := w.mean(0, w.total-2*trimmedWeight), w.mean(2*trimmedWeight, w.total)
+	value := w.mean(trimmedWeight, w.total-trimmedWeight)
 	return BoundedValue{value, min(low, value), max(high, value)}
 }
 
-// weighted is values with weights, the latter capped.
-type weighted struct {
+// weightedValues is values with weights, the latter capped.
+type weightedValues struct {
 	values, weights []float64
 	order           []int // indexes, by rising value
 	maxWeight       float64
 	total           float64 // of the capped weights
 }
 
-// newWeighted caps all weights at the (faulty+1)th greatest.
-func newWeighted(values, weights []float64, faulty int) weighted {
+// newWeightedValues caps all weights at the (faulty+1)th greatest.
+func newWeightedValues(values, weights []float64, faulty int) weightedValues {
 	n := len(values)
 	sorted := slices.Sorted(slices.Values(weights))
-	w := weighted{values: values, weights: weights, order: make([]int, n), maxWeight: sorted[n-1-faulty]}
+	w := weightedValues{values: values, weights: weights, order: make([]int, n), maxWeight: sorted[n-1-faulty]}
 	for i := range w.order {
 		w.order[i] = i
 		w.total += min(weights[i], w.maxWeight)
@@ -82,18 +82,18 @@
 }
 
 // mean returns the mean of the values between two points on the scale of the accumulated weight.
-func (w *weighted) mean(from, to float64) float64 {
+func (w *weightedValues) mean(from, to float64) float64 {
 	if to <= from { // everything is cut off: take the value in the middle
 		from, to = w.total/2-w.total*1e-9, w.total/2+w.total*1e-9
 	}
-	at, weightedSum, weight := 0.0, 0.0, 0.0
+	position, weightedSum, weight := 0.0, 0.0, 0.0
 	for _, i := range w.order {
 		capped := min(w.weights[i], w.maxWeight)
-		if part := min(at+capped, to) - max(at, from); part > 0 {
+		if part := min(position+capped, to) - max(position, from); part > 0 {
 			weightedSum += part * w.values[i]
 			weight += part
 		}
-		at += capped
+		position += capped
 	}
 	if weight == 0 {
 		return 0
--- a/internal/decide/fleetview/view.go
+++ b/internal/decide/fleetview/view.go
@@ -37,11 +37,11 @@
 	receivedAt           float64
 	arrivals             Level
 	objects              []ObjectRate
-	servers              map[policy.ServerID]entry
+	servers              map[policy.ServerID]serverEntry
 }
 
-// entry is a server's figures, the version that brought them, and when that was received.
-type entry struct {
+// serverEntry is a server's figures, the version that brought them, and when that was received.
+type serverEntry struct {
 	ServerLoad
 	version    uint64
 	receivedAt float64
@@ -69,7 +69,7 @@
 	case p == nil && len(v.peers) >= v.settings.MaxPeers:
 		return LimitExceeded
 	case p == nil || d.Incarnation > p.incarnation:
-		p = &peer{incarnation: d.Incarnation, servers: map[policy.ServerID]entry{}}
+		p = &peer{incarnation: d.Incarnation, servers: map[policy.ServerID]serverEntry{}}
 		v.peers[d.From] = p
 	case d.Incarnation < p.incarnation:
 		return Outdated
@@ -86,7 +86,7 @@
 		case !known && len(p.servers) >= v.settings.MaxServers:
 			return LimitExceeded
 		default:
-			p.servers[load.Server] = entry{load, d.Version, receivedAt}
+			p.servers[load.Server] = serverEntry{load, d.Version, receivedAt}
 			result = Accepted
 		}
 	}
@@ -128,7 +128,7 @@
 // Expire drops what no longer has any weight, so that a view of many processes that come and go stays bounded. now is in ms.
 func (v *View) Expire(now float64) {
 	maps.DeleteFunc(v.peers, func(_ string, p *peer) bool {
-		maps.DeleteFunc(p.servers, func(_ policy.ServerID, e entry) bool { return now-e.receivedAt >= v.settings.ExpireAfter })
+		maps.DeleteFunc(p.servers, func(_ policy.ServerID, e serverEntry) bool { return now-e.receivedAt >= v.settings.ExpireAfter })
 		return now-p.receivedAt >= v.settings.ExpireAfter
 	})
 }
--- a/internal/decide/fleetview/view_test.go
+++ b/internal/decide/fleetview/view_test.go
@@ -15,17 +15,17 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // drawTotals draws counts that rise from earlier ones.
-func drawTotals(t *rapid.T, from map[policy.ServerID]Totals) map[policy.ServerID]Totals {
+func drawTotals(t *rapid.T, earlier map[policy.ServerID]Totals) map[policy.ServerID]Totals {
 	out := map[policy.ServerID]Totals{}
 	for _, id := range []policy.ServerID{1, 2, 3, 4} {
 		if rapid.IntRange(0, 9).Draw(t, "listed") == 0 {
 			continue
 		}
-		n := from[id]
-		n.Attempts += uint64(rapid.IntRange(0, 40).Draw(t, "attempts"))
-		n.Failures += uint64(rapid.IntRange(0, 5).Draw(t, "failures"))
-		n.Latency[rapid.IntRange(0, LatencyBuckets-1).Draw(t, "bucket")]++
-		out[id] = n
+		counts := earlier[id]
+		counts.Attempts += uint64(rapid.IntRange(0, 40).Draw(t, "attempts"))
+		counts.Failures += uint64(rapid.IntRange(0, 5).Draw(t, "failures"))
+		counts.Latency[rapid.IntRange(0, LatencyBuckets-1).Draw(t, "bucket")]++
+		out[id] = counts
 	}
 	return out
 }
@@ -57,31 +57,31 @@
 				}
 			}
 		}
-		one, two := New("x", DefaultSettings()), New("y", DefaultSettings())
+		inOrder, shuffled := New("x", DefaultSettings()), New("y", DefaultSettings())
 		for _, d := range all {
-			one.Merge(0, d)
+			inOrder.Merge(0, d)
 		}
 		order := rapid.Permutation(all).Draw(t, "order")
 		for i, d := range order {
-			two.Merge(float64(i), d)
+			shuffled.Merge(float64(i), d)
 			if rapid.Bool().Draw(t, "again") {
-				two.Merge(float64(i), order[rapid.IntRange(0, i).Draw(t, "which")])
+				shuffled.Merge(float64(i), order[rapid.IntRange(0, i).Draw(t, "which")])
 			}
 		}
-		require.Equal(t, contents(one), contents(two))
+		require.Equal(t, contents(inOrder), contents(shuffled))
 		// A third receives part of it itself and the rest from the second; a digest that is passed on is not younger.
-		three := New("z", DefaultSettings())
+		relayed := New("z", DefaultSettings())
 		for _, d := range all[:rapid.IntRange(0, len(all)).Draw(t, "received")] {
-			three.Merge(5000, d)
+			relayed.Merge(5000, d)
 		}
 		for _, name := range []string{"a", "b"} {
-			for _, d := range two.Snapshot(5000, name) {
-				three.Merge(5000, d)
+			for _, d := range shuffled.Snapshot(5000, name) {
+				relayed.Merge(5000, d)
 			}
 		}
-		require.Equal(t, contents(one), contents(three))
-		three.Expire(5000 + DefaultSettings().ExpireAfter)
-		require.Empty(t, three.peers, "what was only passed on expires with the rest")
+		require.Equal(t, contents(inOrder), contents(relayed))
+		relayed.Expire(5000 + DefaultSettings().ExpireAfter)
+		require.Empty(t, relayed.peers, "what was only passed on expires with the rest")
 	})
 }
 
@@ -98,12 +98,12 @@
 			d := c.Collect(float64(tick)*1000, 0, totals, nil)
 			sent += len(d.Servers)
 			v.Merge(float64(tick)*1000, d)
-			then := history[max(0, tick-3)]
+			earlier := history[max(0, tick-3)]
 			for id, n := range totals {
-				if tick == 0 || n.Attempts < then[id].Attempts {
+				if tick == 0 || n.Attempts < earlier[id].Attempts {
 					continue
 				}
-				want := float64(n.Attempts-then[id].Attempts) / float64(min(tick, 3))
+				want := float64(n.Attempts-earlier[id].Attempts) / float64(min(tick, 3))
 				require.InDelta(t, want, v.peers["a"].servers[id].Attempts.Value(), 0.3*want+0.1, "tick %d, server %d", tick, id)
 			}
 			for id := range v.peers["a"].servers {
@@ -124,7 +124,7 @@
 		n := rapid.IntRange(4, 40).Draw(t, "n")
 		truth := rapid.SliceOfN(rapid.Float64Range(0, 20), n, n).Draw(t, "truth")
 		reported := append([]float64(nil), truth...)
-		for range tolerated(n, 0.1) {
+		for range maxFaulty(n, 0.1) {
 			reported[rapid.IntRange(0, n-1).Draw(t, "faulty")] = wrong.Draw(t, "wrong")
 		}
 		correct, got := WinsorizedSum(truth, 0.1), WinsorizedSum(reported, 0.1)
@@ -142,19 +142,19 @@
 		n := rapid.IntRange(4, 40).Draw(t, "n")
 		fractions := rapid.SliceOfN(rapid.Float64Range(0.1, 0.3), n, n).Draw(t, "fractions")
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 50), n, n).Draw(t, "weights")
-		for i := range tolerated(n, 0.1) {
+		for i := range maxFaulty(n, 0.1) {
 			fractions[i] = rapid.SampledFrom([]float64{0, 1}).Draw(t, "wrong")
 			weights[i] = rapid.SampledFrom([]float64{0.01, 1, 1e9}).Draw(t, "weight")
 		}
-		f := TrimmedMean(fractions, weights, 0.1)
-		require.GreaterOrEqual(t, f.Value, 0.1-1e-9)
-		require.LessOrEqual(t, f.Value, 0.3+1e-9)
-		require.LessOrEqual(t, f.Low, f.Value)
-		require.GreaterOrEqual(t, f.High, f.Value)
+		got := TrimmedMean(fractions, weights, 0.1)
+		require.GreaterOrEqual(t, got.Value, 0.1-1e-9)
+		require.LessOrEqual(t, got.Value, 0.3+1e-9)
+		require.LessOrEqual(t, got.Low, got.Value)
+		require.GreaterOrEqual(t, got.High, got.Value)
 	})
 }
 
-func reportOf(from string, id policy.ServerID, attempts, failures float64) Digest {
+func digestOfServer(from string, id policy.ServerID, attempts, failures float64) Digest {
 	return Digest{
 		From: from, Incarnation: 1, Version: 1,
 		Servers: []ServerLoad{{Server: id, Attempts: LevelOf(attempts), Failures: LevelOf(failures)}},
@@ -165,10 +165,10 @@
 func TestOwnReportOutweighsOthers(t *testing.T) {
 	v := New("me", DefaultSettings())
 	for i := range 30 {
-		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 10, 10))
+		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, 10, 10))
 	}
 	require.InDelta(t, 1, v.Estimate(0, 7).Failing.Value, 0.05)
-	v.Merge(0, reportOf("me", 7, 2, 0))
+	v.Merge(0, digestOfServer("me", 7, 2, 0))
 	e := v.Estimate(0, 7)
 	require.InDelta(t, 0.5, e.OwnWeight, 0.01)
 	require.LessOrEqual(t, e.Failing.Value, 0.51)
@@ -179,7 +179,7 @@
 func TestReportsFadeWithoutJump(t *testing.T) {
 	v := New("me", DefaultSettings())
 	for i := range 10 {
-		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 10, 0))
+		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, 10, 0))
 	}
 	last := v.Estimate(0, 7).Load.Value
 	require.InDelta(t, 100, last, 8)
@@ -207,7 +207,7 @@
 	require.Len(t, v.peers["f"].servers, 5)
 	require.Len(t, v.peers["f"].objects, 2)
 	for i := range 10 {
-		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, 1, 0))
+		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, 1, 0))
 	}
 	require.Len(t, v.peers, 3)
 	require.Equal(t, LimitExceeded, v.Merge(0, flood))
@@ -225,37 +225,37 @@
 			}
 			sketch.Add(object)
 		}
-		d := reportOf(fmt.Sprint("p", i), 7, 1, 0)
+		d := digestOfServer(fmt.Sprint("p", i), 7, 1, 0)
 		d.Objects = sketch.Top(4, 0.01)
 		if i < 2 {
 			d.Objects = append(d.Objects, ObjectRate{Object: 666, Rate: 200})
 		}
 		v.Merge(0, d)
 	}
-	most := v.HeavyHitters(0, 3)
-	require.EqualValues(t, 5, most[0].Object)
-	require.InDelta(t, 40, most[0].Rate.Value, 12)
-	for _, m := range most {
-		if m.Object == 666 {
-			require.Zero(t, m.Rate.Value)
+	top := v.HeavyHitters(0, 3)
+	require.EqualValues(t, 5, top[0].Object)
+	require.InDelta(t, 40, top[0].Rate.Value, 12)
+	for _, hitter := range top {
+		if hitter.Object == 666 {
+			require.Zero(t, hitter.Rate.Value)
 		}
 	}
 }
 
 func TestLevelsAndQuantilesAreNearTheAmounts(t *testing.T) {
-	for v := 0.3; v < 5000; v *= 1.07 {
-		require.InEpsilon(t, v, LevelOf(v).Value(), 0.06)
+	for amount := 0.3; amount < 5000; amount *= 1.07 {
+		require.InEpsilon(t, amount, LevelOf(amount).Value(), 0.06)
 	}
 	require.Zero(t, LevelOf(math.NaN()))
-	l := latencyOf([LatencyBuckets]uint64{0, 0, 50, 50})
-	require.InDelta(t, 50, l.Quantile(0.5), 1)
-	require.InDelta(t, 90, l.Quantile(0.9), 3)
+	latency := latencyOf([LatencyBuckets]uint64{0, 0, 50, 50})
+	require.InDelta(t, 50, latency.Quantile(0.5), 1)
+	require.InDelta(t, 90, latency.Quantile(0.9), 3)
 }
 
 func BenchmarkEstimate(b *testing.B) {
 	v := New("me", DefaultSettings())
 	for i := range 300 {
-		v.Merge(0, reportOf(fmt.Sprint("p", i), 7, float64(i%20), 0))
+		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, float64(i%20), 0))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
