--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -39,26 +39,26 @@
 		return
 	}
 	p.cancelTick = p.options.Clock.After(p.options.DigestInterval, p.publishDigest)
-	changes := p.collector.Collect(now, arrivals, totals, p.heavyObjects())
+	changes := p.collector.Collect(now, arrivals, totals, p.heavyHitters())
 	p.view.Merge(now, changes)
 	p.view.Expire(now)
-	zone, remote := p.digestTargets(nodes)
+	zoneTargets, remoteTargets := p.digestTargets(nodes)
 	var complete []fleetview.Digest
-	if len(remote) > 0 {
+	if len(remoteTargets) > 0 {
 		complete = p.view.Snapshot(now, p.options.Name)
 		for i := range complete {
 			complete[i].Age = 0 // this process publishes it, as of now
 		}
 	}
 	p.mu.Unlock()
-	p.sendDigest(zone, changes)
+	p.sendDigest(zoneTargets, changes)
 	for _, d := range complete {
-		p.sendDigest(remote, d)
+		p.sendDigest(remoteTargets, d)
 	}
 }
 
-// heavyObjects counts the objects that were requested since the last call, and returns those requested most. The caller holds the lock.
-func (p *Peers) heavyObjects() []fleetview.ObjectRate {
+// heavyHitters counts the objects that were requested since the last call, and returns those requested most. The caller holds the lock.
+func (p *Peers) heavyHitters() []fleetview.ObjectRate {
 	for _, object := range p.options.Objects() {
 		p.sketch.Add(object)
 	}
@@ -124,9 +124,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if binary.BigEndian.Uint64(body[end:]) == p.aliveFingerprint {
-		p.agreeing++
+		p.agreeingDigests++
 	} else {
-		p.disagreeing++
+		p.disagreeingDigests++
 	}
 	if p.view.Merge(p.options.Clock.Now(), d) == fleetview.LimitExceeded {
 		p.RejectedDigests.Add(1)
--- a/internal/peers/envelope.go
+++ b/internal/peers/envelope.go
@@ -36,20 +36,20 @@
 )
 
 // mac returns the MAC of an encoded envelope.
-func mac(key, b []byte) []byte {
+func mac(key, encoded []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write(b)
+	h.Write(encoded)
 	return h.Sum(nil)[:macSize]
 }
 
-// sealed returns a datagram of a seal and an encoded envelope.
-func sealed(seal, raw []byte) []byte {
+// joinDatagram returns a datagram of a seal and an encoded envelope.
+func joinDatagram(seal, raw []byte) []byte {
 	out := make([]byte, 0, 1+len(seal)+len(raw))
 	return append(append(append(out, byte(len(seal))), seal...), raw...)
 }
 
-// unsealed splits a datagram into its seal and its envelope, encoded and decoded. It does not verify the seal.
-func unsealed(datagram []byte) (seal, raw []byte, e envelope, err error) {
+// splitDatagram splits a datagram into its seal and its envelope, encoded and decoded. It does not verify the seal.
+func splitDatagram(datagram []byte) (seal, raw []byte, e envelope, err error) {
 	end := 0
 	if len(datagram) > 0 {
 		end = 1 + int(datagram[0])
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -24,16 +24,16 @@
 // goldenSealers are two members with keys that do not change, in testdata; their certificates are valid until 2126.
 func goldenSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
-	load := func(name string, start uint64) *sealer {
+	load := func(name string, incarnation uint64) *sealer {
 		id, err := store.LoadIdentity("testdata/identities", name)
 		require.NoError(t, err)
-		return newSealer(id, clock.Manual(goldenTime), start)
+		return newSealer(id, clock.Manual(goldenTime), incarnation)
 	}
 	return load("a", goldenTime-5000), load("b", goldenTime-4000)
 }
 
-// acquaintedSealers are two members that know each other's certificate: they seal with MACs, which are the same each time.
-func acquaintedSealers(t *testing.T) (a, b *sealer) {
+// sealersThatKnowEachOther are two members that know each other's certificate: they seal with MACs, which are the same each time.
+func sealersThatKnowEachOther(t *testing.T) (a, b *sealer) {
 	t.Helper()
 	a, b = goldenSealers(t)
 	for _, pair := range [][2]*sealer{{a, b}, {b, a}} {
@@ -55,13 +55,13 @@
 		raw, err := cbor.Marshal(e)
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		var back envelope
-		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &back))
-		require.Equal(t, e.Certificate == nil, back.Certificate == nil)
-		require.Equal(t, e, back)
-		again, err := cbor.Marshal(back)
+		var decoded envelope
+		require.NoError(t, cbor.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, e.Certificate == nil, decoded.Certificate == nil)
+		require.Equal(t, e, decoded)
+		reencoded, err := cbor.Marshal(decoded)
 		require.NoError(t, err)
-		golden.Equal(t, name, again)
+		golden.Equal(t, name, reencoded)
 	}
 }
 
@@ -71,7 +71,7 @@
 		"datagram_member.bin": {kindMembership, 1, 2, 3}, "datagram_digest.bin": {kindDigest, 4}, "datagram_ask.bin": {kindCertificateRequest},
 		"datagram_twice.bin": append([]byte{kindNameConflict}, "127.0.0.1:7946"...),
 	} {
-		a, b := acquaintedSealers(t)
+		a, b := sealersThatKnowEachOther(t)
 		raw, err := a.seal("b", body)
 		require.NoError(t, err)
 		require.EqualValues(t, macSize, raw[0])
@@ -109,22 +109,22 @@
 
 // A digest is sent, with the fingerprint of the members that are alive after it, as by earlier versions, and theirs are taken in.
 func TestGoldenDigestBody(t *testing.T) {
-	a, b := acquaintedSealers(t)
-	out, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	a, b := sealersThatKnowEachOther(t)
+	senderConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer out.Close()
-	in, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	defer senderConn.Close()
+	receiverConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer in.Close()
+	defer receiverConn.Close()
 
-	sender := &Peers{transport: &transport{sealer: a, udp: out}, aliveFingerprint: 0x0123456789abcdef}
-	addr := in.LocalAddr().(*net.UDPAddr)
+	sender := &Peers{transport: &transport{sealer: a, udp: senderConn}, aliveFingerprint: 0x0123456789abcdef}
+	addr := receiverConn.LocalAddr().(*net.UDPAddr)
 	d := goldenDigest()
 	d.From, d.Incarnation = "a", 5
 	sender.sendDigest([]*memberlist.Node{{Name: "b", Addr: addr.IP, Port: uint16(addr.Port)}}, d)
 	raw := make([]byte, maxDatagram)
-	require.NoError(t, in.SetReadDeadline(time.Now().Add(10*time.Second)))
-	n, err := in.Read(raw)
+	require.NoError(t, receiverConn.SetReadDeadline(time.Now().Add(10*time.Second)))
+	n, err := receiverConn.Read(raw)
 	require.NoError(t, err)
 	datagram, err := b.open("x", raw[:n])
 	require.NoError(t, err)
@@ -136,51 +136,51 @@
 	}
 	receiver.receiveDigest("a", goldenTime-5000, golden.Read(t, "digest_body.bin")[1:])
 	require.Zero(t, receiver.RejectedDigests.Load())
-	require.Equal(t, 1, receiver.agreeing)
-	reporters := receiver.view.Reports(goldenTime, 7)
-	require.Len(t, reporters, 1)
-	require.Equal(t, "a", reporters[0].Name)
-	require.Equal(t, fleetview.Latency{200, 40}, reporters[0].Latency)
+	require.Equal(t, 1, receiver.agreeingDigests)
+	reports := receiver.view.Reports(goldenTime, 7)
+	require.Len(t, reports, 1)
+	require.Equal(t, "a", reports[0].Name)
+	require.Equal(t, fleetview.Latency{200, 40}, reports[0].Latency)
 }
 
 // The metadata of a member.
 func TestGoldenMeta(t *testing.T) {
 	p := &Peers{options: Options{Zone: "zone-1", Region: "region-1"}}
 	golden.Equal(t, "meta.cbor", delegate{p}.NodeMeta(512))
-	var m memberMeta
-	require.NoError(t, cbor.Unmarshal(golden.Read(t, "meta.cbor"), &m))
-	require.Equal(t, memberMeta{Zone: "zone-1", Region: "region-1"}, m)
+	var decoded memberMeta
+	require.NoError(t, cbor.Unmarshal(golden.Read(t, "meta.cbor"), &decoded))
+	require.Equal(t, memberMeta{Zone: "zone-1", Region: "region-1"}, decoded)
 }
 
 // The files of remembered members and of incarnations are read and written as by earlier versions.
 func TestGoldenFiles(t *testing.T) {
-	put := func(dir, name string) {
+	copyGolden := func(dir, name string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, name), 0o600))
 	}
 	alive := []Member{
 		{Name: "proxy-a", Addr: "127.0.0.1:7001"}, {Name: "proxy-b", Addr: "[::1]:7002"}, {Name: "proxy-c", Addr: "10.0.0.3:7003"},
 	}
-	fresh := t.TempDir()
-	written := loadRemembered(fresh)
+	newDir := t.TempDir()
+	written := loadRemembered(newDir)
 	require.NoError(t, written.save("self", alive))
-	raw, err := os.ReadFile(filepath.Join(fresh, "peers.known"))
+	raw, err := os.ReadFile(filepath.Join(newDir, "peers.known"))
 	require.NoError(t, err)
 	golden.Equal(t, "peers.known", raw)
-	dir := t.TempDir()
-	put(dir, "peers.known")
-	require.Equal(t, written.addresses, loadRemembered(dir).addresses)
+	existingDir := t.TempDir()
+	copyGolden(existingDir, "peers.known")
+	require.Equal(t, written.addresses, loadRemembered(existingDir).addresses)
 	require.Len(t, written.addresses, 3)
 
-	start, err := nextIncarnation(fresh, goldenTime)
+	incarnation, err := nextIncarnation(newDir, goldenTime)
 	require.NoError(t, err)
-	require.EqualValues(t, goldenTime, start)
-	raw, err = os.ReadFile(filepath.Join(fresh, "peers.start"))
+	require.EqualValues(t, goldenTime, incarnation)
+	raw, err = os.ReadFile(filepath.Join(newDir, "peers.start"))
 	require.NoError(t, err)
 	golden.Equal(t, "peers.start", raw)
-	put(dir, "peers.start")
-	start, err = nextIncarnation(dir, goldenTime-1000)
+	copyGolden(existingDir, "peers.start")
+	incarnation, err = nextIncarnation(existingDir, goldenTime-1000)
 	require.NoError(t, err)
-	require.EqualValues(t, goldenTime+1, start)
+	require.EqualValues(t, goldenTime+1, incarnation)
 }
 
 // What operators are shown keeps its JSON keys, and a set of members its fingerprint.
@@ -199,13 +199,13 @@
 		raw, err := json.MarshalIndent(status, "", "  ")
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		var back Status
-		require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
-		require.Equal(t, status, back)
+		var decoded Status
+		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, status, decoded)
 	}
 	a, _ := goldenSealers(t)
-	brief := (&Peers{sealer: a, transport: &transport{advertised: advertisedAddress{net.IPv4(127, 0, 0, 1), 7001}}}).Summary()
-	raw, err := json.MarshalIndent(brief.Dropped, "", "  ")
+	summary := (&Peers{sealer: a, transport: &transport{advertised: advertisedAddress{net.IPv4(127, 0, 0, 1), 7001}}}).Summary()
+	raw, err := json.MarshalIndent(summary.Dropped, "", "  ")
 	require.NoError(t, err)
 	golden.Equal(t, "dropped.json", raw)
 }
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -87,14 +87,14 @@
 
 // MembersFingerprint returns the fingerprint of a set of members, each as "name address", whatever their order.
 func MembersFingerprint(members []string) string {
-	var set uint64
+	var fingerprint uint64
 	for _, m := range members {
-		set ^= memberHash(m)
+		fingerprint ^= memberHash(m)
 	}
-	return formatFingerprint(set)
+	return formatFingerprint(fingerprint)
 }
 
-func formatFingerprint(set uint64) string { return fmt.Sprintf("%016x", set) }
+func formatFingerprint(fingerprint uint64) string { return fmt.Sprintf("%016x", fingerprint) }
 
 // memberHash returns the hash of a member. The fingerprint of a set is the exclusive or of its members' hashes: a member is added and
 // removed alike.
--- a/internal/peers/peer_keys.go
+++ b/internal/peers/peer_keys.go
@@ -56,12 +56,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remember(keys)
+	s.storeKeys(keys)
 	return keys.Name, nil
 }
 
-// remember takes in a peer's keys, unless there are too many. The caller holds the lock.
-func (s *sealer) remember(keys *peerKeys) {
+// storeKeys takes in a peer's keys, unless there are too many. The caller holds the lock.
+func (s *sealer) storeKeys(keys *peerKeys) {
 	if s.peerKeys[keys.Name] != nil || len(s.peerKeys) < maxSenders {
 		s.peerKeys[keys.Name] = keys
 	}
@@ -93,12 +93,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if last, known := s.requestedAt[name]; known && now-last < certificateRequestInterval {
+	if last, known := s.certificateRequestedAt[name]; known && now-last < certificateRequestInterval {
 		return false
 	}
-	if len(s.requestedAt) >= maxSenders {
-		clear(s.requestedAt)
+	if len(s.certificateRequestedAt) >= maxSenders {
+		clear(s.certificateRequestedAt)
 	}
-	s.requestedAt[name] = now
+	s.certificateRequestedAt[name] = now
 	return true
 }
--- a/internal/peers/rejoin.go
+++ b/internal/peers/rejoin.go
@@ -6,9 +6,9 @@
 	// rejoinInterval is the mean time between two rejoins, in ms.
 	rejoinInterval = 5000.0
 	// firstStateRequestDelay is the time after a first request of the full state until another one may follow, in ms. It doubles with
-	// each, maxDoublings times.
+	// each, maxDelayDoublings times.
 	firstStateRequestDelay = 4000.0
-	maxDoublings           = 5
+	maxDelayDoublings      = 5
 	// earlyRejoins is how often a new process requests the full state without a sign that it lacks something: gossip that came before
 	// it knew the senders' certificates was dropped, and is not repeated.
 	earlyRejoins = 3
@@ -18,8 +18,8 @@
 type rejoinState struct {
 	remembered         rememberedMembers
 	rejoins            int
-	agreeing           int     // digests since the last rejoin of processes to which the same members are alive
-	disagreeing        int     // digests since the last rejoin of other processes
+	agreeingDigests    int     // digests since the last rejoin of processes to which the same members are alive
+	disagreeingDigests int     // digests since the last rejoin of other processes
 	stateRequests      int     // since most processes agreed with this one
 	nextStateRequestAt float64 // ms; there is none before
 	nameConflictUntil  float64 // ms; until then the full state is requested, as another process has this one's name, or had it
@@ -29,14 +29,14 @@
 // each seed that is not a member: two parts of the fleet that were cut off from each other have removed each other, and two that started
 // apart never knew each other. If stateRequestDue says so it also requests the full state of another member.
 func (p *Peers) rejoin() {
-	present := map[string]bool{}
+	aliveAddresses := map[string]bool{}
 	for _, n := range p.memberlist.Members() {
-		present[p.transport.addressOf(n.FullAddress())] = true
+		aliveAddresses[p.transport.addressOf(n.FullAddress())] = true
 	}
 	p.mu.Lock()
 	closed := p.closed
 	alive := p.othersAlive()
-	target := p.rejoinTarget(alive, p.stateRequestDue(len(present)))
+	target := p.rejoinTarget(alive, p.stateRequestDue(len(aliveAddresses)))
 	err := p.remembered.save(p.options.Name, alive)
 	p.mu.Unlock()
 	if closed {
@@ -49,7 +49,7 @@
 		_, _ = p.memberlist.Join([]string{target})
 	}
 	for _, seed := range p.options.Seeds {
-		if !present[seed] {
+		if !aliveAddresses[seed] {
 			_, _ = p.memberlist.Join([]string{seed}) // one by one, so that a failed seed does not delay the others
 		}
 	}
@@ -64,22 +64,22 @@
 // memberlist. A digest agrees with this process if its sender has the same set of alive members. The state is requested
 //   - unless most digests agree: in the first earlyRejoins rejoins, while fewer members are present than expected, and while most digests
 //     disagree. Once most agree, the members that are missing have failed;
-//   - if no process was heard within heardWindow, as the others may have removed this one;
+//   - if no process was heard within recentSenderWindow, as the others may have removed this one;
 //   - in any case until nameConflictUntil, as this process may be in conflict with itself at an earlier address.
 //
 // In the first two cases the time between two requests grows, see firstStateRequestDelay: if hundreds of processes kept exchanging full
 // states, the load would keep them from agreeing. The caller holds the lock.
-func (p *Peers) stateRequestDue(present int) bool {
+func (p *Peers) stateRequestDue(membersAlive int) bool {
 	now := p.options.Clock.Now()
-	agreed, differs := p.agreeing > p.disagreeing, p.disagreeing > p.agreeing
-	p.agreeing, p.disagreeing, p.rejoins = 0, 0, p.rejoins+1
-	if agreed {
+	mostAgree, mostDisagree := p.agreeingDigests > p.disagreeingDigests, p.disagreeingDigests > p.agreeingDigests
+	p.agreeingDigests, p.disagreeingDigests, p.rejoins = 0, 0, p.rejoins+1
+	if mostAgree {
 		p.stateRequests = 0
 	}
-	incomplete := p.rejoins <= earlyRejoins || present < p.expectedMembers() || differs
-	due := !agreed && incomplete || p.sealer.heardWithin(heardWindow) == 0
+	incomplete := p.rejoins <= earlyRejoins || membersAlive < p.expectedMembers() || mostDisagree
+	due := !mostAgree && incomplete || p.sealer.sendersWithin(recentSenderWindow) == 0
 	if due = due && now >= p.nextStateRequestAt; due {
-		p.nextStateRequestAt = now + firstStateRequestDelay*math.Exp2(min(float64(p.stateRequests), maxDoublings))
+		p.nextStateRequestAt = now + firstStateRequestDelay*math.Exp2(min(float64(p.stateRequests), maxDelayDoublings))
 		p.stateRequests++
 	}
 	return due || now < p.nameConflictUntil
--- a/internal/peers/rejoin_test.go
+++ b/internal/peers/rejoin_test.go
@@ -16,7 +16,7 @@
 func TestSeparateGroupsMerge(t *testing.T) {
 	clk, dir := clock.Manual(1e12), t.TempDir()
 	require.NoError(t, store.CreateAuthority(dir, "th"))
-	all := map[string]*Peers{}
+	peersByName := map[string]*Peers{}
 	start := func(name, listen string, seeds ...string) string {
 		require.NoError(t, store.IssueCertificate(dir, name))
 		id, err := store.LoadIdentity(dir, name)
@@ -28,23 +28,23 @@
 		})
 		require.NoError(t, err)
 		t.Cleanup(p.Close)
-		all[name] = p
+		peersByName[name] = p
 		return p.address()
 	}
-	sees := func(name string, n int) {
+	expectMembers := func(name string, n int) {
 		t.Helper()
-		require.Eventually(t, func() bool { return all[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
+		require.Eventually(t, func() bool { return peersByName[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
 	}
 	a := start("a", "127.0.0.1:0")
 	c := start("c", "127.0.0.1:0")
-	all["c"].Close() // its address is known, and nobody is there yet
+	peersByName["c"].Close() // its address is known, and nobody is there yet
 	start("b", "127.0.0.1:0", a, c)
-	sees("b", 2)
+	expectMembers("b", 2)
 	start("c", c)
 	start("d", "127.0.0.1:0", c)
-	sees("d", 2)
+	expectMembers("d", 2)
 	clk.Advance(1.5 * rejoinInterval)
-	for name := range all {
-		sees(name, 4)
+	for name := range peersByName {
+		expectMembers(name, 4)
 	}
 }
--- a/internal/peers/replay.go
+++ b/internal/peers/replay.go
@@ -12,8 +12,8 @@
 const (
 	// maxIncarnations is how many incarnations of one sender have a window.
 	maxIncarnations = 4
-	// ratePerSender bounds the datagrams a second from one address, and rateBurst how many come at once, before a signature is verified.
-	ratePerSender, rateBurst = 1000, 2000
+	// ratePerAddress bounds the datagrams a second from one address, and rateBurst how many come at once, before a signature is verified.
+	ratePerAddress, rateBurst = 1000, 2000
 )
 
 // replayWindows are the windows of the newest incarnations of a sender. Each incarnation has its own, because two processes may have one
@@ -22,14 +22,14 @@
 type replayWindows struct {
 	lastAcceptedAt float64 // when the last datagram was accepted, ms
 	byIncarnation  map[uint64]*dedup.Window
-	floor          uint64 // incarnations up to this one have no window any more, and are not accepted
+	highestDropped uint64 // incarnations up to this one have no window any more, and are not accepted
 }
 
 // accept reports whether a datagram is new, and records it.
 func (r *replayWindows) accept(incarnation, sequence uint64) bool {
 	w := r.byIncarnation[incarnation]
 	if w == nil {
-		if incarnation <= r.floor || !r.makeRoom(incarnation) {
+		if incarnation <= r.highestDropped || !r.makeRoom(incarnation) {
 			return false
 		}
 		w = &dedup.Window{}
@@ -48,7 +48,7 @@
 		return false
 	}
 	delete(r.byIncarnation, oldest)
-	r.floor = oldest
+	r.highestDropped = oldest
 	return true
 }
 
@@ -56,7 +56,7 @@
 func (s *sealer) acceptNew(e envelope, keys *peerKeys) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remember(keys)
+	s.storeKeys(keys)
 	w := s.windows[e.From]
 	if w == nil {
 		if len(s.windows) >= maxSenders {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// heardWithin returns the number of processes of which a datagram was accepted within the last ms.
-func (s *sealer) heardWithin(ms float64) (n int) {
+// sendersWithin returns the number of processes of which a datagram was accepted within the last ms.
+func (s *sealer) sendersWithin(ms float64) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.windows {
@@ -88,13 +88,13 @@
 func (s *sealer) allow(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	limiter := s.rates[address]
+	limiter := s.limiters[address]
 	if limiter == nil {
-		if len(s.rates) >= maxSenders {
-			clear(s.rates)
+		if len(s.limiters) >= maxSenders {
+			clear(s.limiters)
 		}
-		limiter = rate.NewLimiter(ratePerSender, rateBurst)
-		s.rates[address] = limiter
+		limiter = rate.NewLimiter(ratePerAddress, rateBurst)
+		s.limiters[address] = limiter
 	}
 	return limiter.Allow()
 }
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -33,19 +33,19 @@
 	sequence    atomic.Uint64
 	dropped     dropCounters
 
-	mu               sync.Mutex
-	peerKeys         map[string]*peerKeys
-	certificatesSent map[string]int     // datagrams with the certificate, by receiver
-	requestedAt      map[string]float64 // when the certificate of a sender was requested last, by its name
-	windows          map[string]*replayWindows
-	rates            map[string]*rate.Limiter // by address
+	mu                     sync.Mutex
+	peerKeys               map[string]*peerKeys
+	certificatesSent       map[string]int     // datagrams with the certificate, by receiver
+	certificateRequestedAt map[string]float64 // when the certificate of a sender was requested last, by its name
+	windows                map[string]*replayWindows
+	limiters               map[string]*rate.Limiter // by address
 }
 
 func newSealer(identity *store.Identity, clk *clock.Clock, incarnation uint64) *sealer {
 	return &sealer{
 		identity: identity, clock: clk, incarnation: incarnation,
-		peerKeys: map[string]*peerKeys{}, certificatesSent: map[string]int{}, requestedAt: map[string]float64{},
-		windows: map[string]*replayWindows{}, rates: map[string]*rate.Limiter{},
+		peerKeys: map[string]*peerKeys{}, certificatesSent: map[string]int{}, certificateRequestedAt: map[string]float64{},
+		windows: map[string]*replayWindows{}, limiters: map[string]*rate.Limiter{},
 	}
 }
 
@@ -62,18 +62,18 @@
 		return nil, err
 	}
 	if keys := s.keysOf(to); keys != nil {
-		return sealed(mac(keys.sendKey, raw), raw), nil
+		return joinDatagram(mac(keys.sendKey, raw), raw), nil
 	}
 	sum := sha256.Sum256(raw)
 	signature, err := s.identity.Sign(sum[:])
 	if err != nil {
 		return nil, err
 	}
-	return sealed(signature, raw), nil
+	return joinDatagram(signature, raw), nil
 }
 
-// opened is what a datagram that was opened says.
-type opened struct {
+// openedDatagram is what a datagram that was opened says.
+type openedDatagram struct {
 	from        string
 	incarnation uint64 // of the sender
 	body        []byte
@@ -81,46 +81,46 @@
 
 // open verifies a datagram from an address. A datagram that is dropped is counted, and the error is errDropped or, with the sender's
 // name, errUnknownSender.
-func (s *sealer) open(address string, datagram []byte) (opened, error) {
+func (s *sealer) open(address string, datagram []byte) (openedDatagram, error) {
 	if !s.allow(address) {
 		s.dropped.RateLimited.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
-	seal, raw, e, err := unsealed(datagram)
+	seal, raw, e, err := splitDatagram(datagram)
 	if err != nil || e.From == "" || e.From == s.identity.Name {
 		s.dropped.Malformed.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
 	if e.To != "" && e.To != s.identity.Name {
 		s.dropped.Misdirected.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
 	if age := int64(s.clock.Now()) - e.SentAt; age > maxClockSkew || age < -maxClockSkew {
 		s.dropped.Expired.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
 	keys := s.senderKeys(e)
 	if keys == nil {
 		s.dropped.UnknownSender.Add(1)
-		return opened{from: e.From}, errUnknownSender
+		return openedDatagram{from: e.From}, errUnknownSender
 	}
 	if !keys.verify(seal, raw) {
 		s.dropped.Forged.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
 	if !s.acceptNew(e, keys) {
 		s.dropped.Replayed.Add(1)
-		return opened{}, errDropped
+		return openedDatagram{}, errDropped
 	}
-	return opened{from: e.From, incarnation: e.Incarnation, body: e.Body}, nil
+	return openedDatagram{from: e.From, incarnation: e.Incarnation, body: e.Body}, nil
 }
 
 // senderKeys returns the keys of an envelope's sender, by the certificate that it brings or by one that is known; nil: neither.
 func (s *sealer) senderKeys(e envelope) *peerKeys {
 	keys := s.keysOf(e.From)
 	if len(e.Certificate) > 0 && (keys == nil || !bytes.Equal(keys.certificate, e.Certificate)) {
-		if brought, err := s.verifyCertificate(e.Certificate); err == nil && brought.Name == e.From {
-			return brought
+		if presented, err := s.verifyCertificate(e.Certificate); err == nil && presented.Name == e.From {
+			return presented
 		}
 	}
 	return keys
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -13,16 +13,16 @@
 
 // identities are members a and b of one cluster, and a member of another cluster under the name a.
 func identities(t *testing.T) (a, b, other *store.Identity) {
-	dir, foreign := t.TempDir(), t.TempDir()
+	dir, otherDir := t.TempDir(), t.TempDir()
 	require.NoError(t, store.CreateAuthority(dir, "th"))
-	require.NoError(t, store.CreateAuthority(foreign, "th"))
+	require.NoError(t, store.CreateAuthority(otherDir, "th"))
 	load := func(dir, name string) *store.Identity {
 		require.NoError(t, store.IssueCertificate(dir, name))
 		id, err := store.LoadIdentity(dir, name)
 		require.NoError(t, err)
 		return id
 	}
-	return load(dir, "a"), load(dir, "b"), load(foreign, "a")
+	return load(dir, "a"), load(dir, "b"), load(otherDir, "a")
 }
 
 // A datagram that is forged, for another receiver, repeated, expired, or over the rate is dropped, and counted by reason.
@@ -30,12 +30,12 @@
 	idA, idB, idOther := identities(t)
 	clk := clock.Manual(1e12)
 	a, b := newSealer(idA, clk, uint64(clk.Now())), newSealer(idB, clk, uint64(clk.Now()))
-	seal := func(p *sealer, to string) []byte {
-		raw, err := p.seal(to, []byte("hello"))
+	seal := func(from *sealer, to string) []byte {
+		raw, err := from.seal(to, []byte("hello"))
 		require.NoError(t, err)
 		return raw
 	}
-	d := &b.dropped
+	dropped := &b.dropped
 	first := seal(a, "b")
 	datagram, err := b.open("x", first)
 	require.NoError(t, err)
@@ -43,32 +43,32 @@
 
 	_, err = b.open("x", first)
 	require.Error(t, err)
-	require.EqualValues(t, 1, d.Replayed.Load())
+	require.EqualValues(t, 1, dropped.Replayed.Load())
 
 	_, err = b.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
-	require.EqualValues(t, 1, d.Forged.Load(), "the a of another cluster: its signature is not that of the a that is known")
+	require.EqualValues(t, 1, dropped.Forged.Load(), "the a of another cluster: its signature is not that of the a that is known")
 
 	_, err = b.open("x", seal(a, "c"))
 	require.Error(t, err)
-	require.EqualValues(t, 1, d.Misdirected.Load())
+	require.EqualValues(t, 1, dropped.Misdirected.Load())
 
-	for at := range first {
+	for offset := range first {
 		altered := append([]byte(nil), first...)
-		altered[at] ^= 0x40
+		altered[offset] ^= 0x40
 		_, err = b.open("x", altered)
-		require.Error(t, err, "byte %d", at)
+		require.Error(t, err, "byte %d", offset)
 	}
-	for n := range first {
-		_, err = b.open("x", first[:n])
-		require.Error(t, err, "cut at %d", n)
+	for length := range first {
+		_, err = b.open("x", first[:length])
+		require.Error(t, err, "cut at %d", length)
 	}
 	stale := seal(a, "b")
 	clk.Advance(maxClockSkew + 1)
-	before := d.Expired.Load()
+	before := dropped.Expired.Load()
 	_, err = b.open("x", stale)
 	require.Error(t, err)
-	require.Equal(t, before+1, d.Expired.Load())
+	require.Equal(t, before+1, dropped.Expired.Load())
 
 	// Clocks may be 3 s apart; a process that knows nobody accepts a datagram only with a certificate of its own cluster.
 	ahead := newSealer(idA, clock.Manual(clk.Now()+3000), uint64(clk.Now()))
@@ -82,7 +82,7 @@
 	for range 2 * rateBurst {
 		_, _ = b.open("flooder", []byte{9})
 	}
-	require.Positive(t, d.RateLimited.Load())
+	require.Positive(t, dropped.RateLimited.Load())
 	_, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err, "others are not affected")
 }
@@ -112,11 +112,11 @@
 }
 
 // Two that know each other's certificate do not sign any more, and no third process can make what either accepts.
-func TestAcquaintedPeersUseMACs(t *testing.T) {
+func TestPeersWithKnownCertificatesUseMACs(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
 	a, b := newSealer(idA, clk, uint64(clk.Now())), newSealer(idB, clk, uint64(clk.Now()))
-	pass := func(from, to *sealer, name string) int {
+	sendAndOpen := func(from, to *sealer, name string) int {
 		raw, err := from.seal(name, []byte("hello"))
 		require.NoError(t, err)
 		datagram, err := to.open("x", raw)
@@ -124,26 +124,26 @@
 		require.Equal(t, "hello", string(datagram.body))
 		return int(raw[0])
 	}
-	require.Greater(t, pass(a, b, "b"), macSize, "a signature, as a does not know b")
-	require.Equal(t, macSize, pass(b, a, "a"), "as b knows a")
-	require.Equal(t, macSize, pass(a, b, "b"))
+	require.Greater(t, sendAndOpen(a, b, "b"), macSize, "a signature, as a does not know b")
+	require.Equal(t, macSize, sendAndOpen(b, a, "a"), "as b knows a")
+	require.Equal(t, macSize, sendAndOpen(a, b, "b"))
 
 	raw, err := a.seal("b", []byte("hello"))
 	require.NoError(t, err)
-	for _, at := range []int{1, macSize, macSize + 1, len(raw) - 1} {
+	for _, offset := range []int{1, macSize, macSize + 1, len(raw) - 1} {
 		altered := append([]byte(nil), raw...)
-		altered[at] ^= 1
+		altered[offset] ^= 1
 		_, err = b.open("x", altered)
-		require.Error(t, err, "byte %d", at)
+		require.Error(t, err, "byte %d", offset)
 	}
 	// What a has sent is returned to it under b's name: each direction has a key of its own.
-	n := 1 + macSize
+	sealEnd := 1 + macSize
 	var e envelope
-	require.NoError(t, cbor.Unmarshal(raw[n:], &e))
+	require.NoError(t, cbor.Unmarshal(raw[sealEnd:], &e))
 	e.From, e.To = "b", "a"
-	back, err := cbor.Marshal(e)
+	reencoded, err := cbor.Marshal(e)
 	require.NoError(t, err)
-	_, err = a.open("x", append(append([]byte{macSize}, mac(a.peerKeys["b"].sendKey, back)...), back...))
+	_, err = a.open("x", append(append([]byte{macSize}, mac(a.peerKeys["b"].sendKey, reencoded)...), reencoded...))
 	require.Error(t, err)
 	require.Positive(t, a.dropped.Forged.Load())
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,8 +1,8 @@
 package peers
 
-// heardWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before its
+// recentSenderWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before its
 // probes, one after the other, have shown all others as failed.
-const heardWindow = 10_000.0
+const recentSenderWindow = 10_000.0
 
 // Status is the state of this process among its peers, as operators are shown it.
 type Status struct {
@@ -10,7 +10,7 @@
 	Addr          string           `json:"addr"`
 	Alive         int              `json:"alive"` // members
 	Fingerprint   string           `json:"set"`   // of the members that are alive, with their addresses: equal if two processes agree
-	RecentSenders int              `json:"hears"` // other processes of which a datagram was accepted within heardWindow
+	RecentSenders int              `json:"hears"` // other processes of which a datagram was accepted within recentSenderWindow
 	Members       []Member         `json:"members,omitempty"`
 	SentBytes     int64            `json:"sent_bytes"`
 	DigestBytes   int64            `json:"digest_bytes"` // of the bytes sent; the rest is membership
@@ -22,7 +22,7 @@
 // Summary returns the status without the members.
 func (p *Peers) Summary() Status {
 	s := Status{
-		Name: p.options.Name, Addr: p.address(), RecentSenders: p.sealer.heardWithin(heardWindow),
+		Name: p.options.Name, Addr: p.address(), RecentSenders: p.sealer.sendersWithin(recentSenderWindow),
 		SentBytes: p.transport.sentBytes.Load(), DigestBytes: p.transport.digestBytes.Load(),
 		StreamBytes: p.transport.streamBytes.Load(), ReceivedBytes: p.transport.receivedBytes.Load(),
 		Dropped: p.sealer.dropped.byReason(),
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -66,12 +66,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	at := ln.Addr().(*net.TCPAddr)
-	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port}); err != nil {
+	listenAddr := ln.Addr().(*net.TCPAddr)
+	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: listenAddr.IP, Port: listenAddr.Port}); err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	t.tcp, t.advertised = ln, advertisedAddress{at.IP, at.Port}
+	t.tcp, t.advertised = ln, advertisedAddress{listenAddr.IP, listenAddr.Port}
 	if advertise != "" {
 		resolved, err := net.ResolveTCPAddr("tcp", advertise)
 		if err != nil {
