--- a/internal/decide/fleetview/collector.go
+++ b/internal/decide/fleetview/collector.go
@@ -10,38 +10,39 @@
 // defaultRefresh is the Collector's Refresh where none is set.
 const defaultRefresh = 6
 
-// Totals are what one process has counted of one server since its start. See ServerLoad for what counts as a failure, a rejection and
-// overdue.
+// Totals are the counts of one process about one server since the process started. ServerLoad defines failures, rejections and
+// overdue attempts.
 type Totals struct {
 	Attempts, Failures, Rejections, Overdue uint64
 	InFlight                                int64
-	Latency                                 [LatencyBuckets]uint64 // answers, by bucket
+	Latency                                 [LatencyBuckets]uint64 // answers, by LatencyBucket
 }
 
-// Collector makes digests of totals. A digest holds the rates over the last Window of the servers whose figures have changed since
-// they were published, and a few others, so that what was lost on the way is repeated within Refresh digests. It is not safe for
-// concurrent use.
+// Collector makes digests from totals. A digest holds the rates, over the last Window, of the servers whose figures have changed
+// since they were last published. It also repeats some of the unchanged ones in turn, so that an entry that was lost on the way is
+// sent again within Refresh digests. A Collector is not safe for concurrent use.
 type Collector struct {
 	From        string
 	Zone        string
 	Incarnation uint64
 	Window      float64 // ms over which rates are taken
-	Refresh     int     // digests within which every entry is published again; 0: six
+	Refresh     int     // digests within which every entry is published again; 0: defaultRefresh
 
 	version   uint64
 	samples   []sample // oldest first
 	published map[policy.ServerID]ServerLoad
 }
 
-// sample is the totals at one time.
+// sample holds the totals at one time.
 type sample struct {
 	at       float64 // ms
 	arrivals uint64
 	totals   map[policy.ServerID]Totals
 }
 
-// Collect takes the present totals, counted from the process's start, and returns the digest to publish. A server that is no longer
-// among the totals is published once as idle. now is in ms. The totals are retained and must not be changed.
+// Collect takes the current totals, counted since the process started, and returns the digest to publish. A server that is no
+// longer among the totals is published once as idle. now is in ms. The collector retains totals, which must not be changed
+// afterwards.
 func (c *Collector) Collect(now float64, arrivals uint64, totals map[policy.ServerID]Totals, objects []ObjectRate) Digest {
 	c.samples = append(c.samples, sample{now, arrivals, totals})
 	for len(c.samples) > 2 && c.samples[1].at <= now-c.Window {
@@ -72,9 +73,9 @@
 	return d
 }
 
-// selectForDigest decides whether an entry goes into the digest, and then records it as published: one that is new, has changed enough
-// (see near), or is due to be refreshed, which each is once in Refresh digests. A server that is idle and was published as idle is
-// always left out: at receivers that missed its last entry, the older one expires.
+// selectForDigest decides whether an entry goes into the digest, and if so records it as published. An entry is selected if it is
+// new, if it has changed enough (see near), or if its refresh is due, which is the case once in Refresh digests. A server that is
+// idle and was published as idle is always left out: a receiver that missed its last entry holds an older one, which expires.
 func (c *Collector) selectForDigest(load ServerLoad) bool {
 	lastPublished, known := c.published[load.Server]
 	if load.idle() && lastPublished.idle() {
@@ -110,7 +111,8 @@
 	}
 }
 
-// rate returns how much a count has risen a second. A count that fell was started anew, as its server came back: 0.
+// rate returns the increase of a count per second. A count that fell was reset, because its server was removed from the list and
+// came back; its rate is 0.
 func rate(current, earlier uint64, seconds float64) Level {
 	if current < earlier {
 		return 0
--- a/internal/decide/fleetview/doc.go
+++ b/internal/decide/fleetview/doc.go
@@ -1,9 +1,10 @@
 // Package fleetview combines what all processes observe of the servers into one view. Each process publishes small digests of what
-// it has seen itself, and every process merges the digests that it receives. Only a process writes its own entries, and of those the
-// newest, by incarnation and version, stands: merging is idempotent, commutative and associative, so that any order of arrival ends
-// in the same view. Reading goes through estimators that bound the influence of processes that report wrong figures.
+// it has observed itself, and every process merges the digests that it receives. The entries of a process come from that process
+// alone, and of two entries for one server the one with the higher incarnation and version replaces the other. Merging is therefore
+// idempotent, commutative and associative: digests lead to the same view in whatever order they arrive. The view is read through
+// estimators that bound the influence of processes that report wrong figures.
 //
-// The package owns no clock and sends nothing: times come in as Unix ms, and digests go out to internal/peers. What is read here is
-// advice to deciders; it decides nothing itself. Its rules are tested in view_test.go as properties over drawn digests, orders and
-// wrong reports.
+// The package has no clock and sends nothing: callers pass times in Unix ms, and internal/peers sends the digests. The package
+// makes no decisions: its estimates are advice to the code that does. Its rules are tested in view_test.go as properties over
+// randomly drawn digests, orders of arrival and wrong reports.
 package fleetview
--- a/internal/decide/fleetview/estimate.go
+++ b/internal/decide/fleetview/estimate.go
@@ -8,28 +8,28 @@
 	"ravenwheel/policy"
 )
 
-// Estimate is the view's estimate of the figures of one server.
+// Estimate holds the estimated figures of one server.
 type Estimate struct {
-	Reporters int          `json:"Reporters"` // processes that reported lately
-	Load      BoundedValue `json:"Load"`      // attempts a second of all of them
+	Reporters int          `json:"Reporters"` // processes whose report has not expired
+	Load      BoundedValue `json:"Load"`      // attempts per second, of all reporters together
 	Failing   BoundedValue `json:"Failing"`   // fraction of the attempts
 	Overdue   BoundedValue `json:"Overdue"`   // fraction of the attempts
 	P50       float64      `json:"P50"`       // latency, ms
 	P90       float64      `json:"P90"`       // latency, ms
-	// OwnWeight is the weight, from 0 to 1, of this process's own report in Failing and Overdue: at least a half, once the process
-	// has sent the server enough attempts itself.
+	// OwnWeight is the weight, from 0 to 1, of this process's own report in Failing and Overdue. It is at least a half if this
+	// process sends the server minOwnAttempts or more, and 0 otherwise.
 	OwnWeight float64 `json:"OwnPart"`
 }
 
 const (
-	// minOwnAttempts is the rate of attempts a second from which this process's own report outweighs the others; below it there are
-	// too few attempts to judge by, and the report counts as any other.
+	// minOwnAttempts is the rate, in attempts per second, from which this process's own report outweighs the others. Below it there
+	// are too few attempts to judge a server by, and the report counts like any other.
 	minOwnAttempts = 0.6
-	// maxLatencyWeight is the rate of attempts a second above which a reporter has no more weight in the latencies.
+	// maxLatencyWeight is the rate, in attempts per second, above which the weight of a reporter in the latencies grows no further.
 	maxLatencyWeight = 1
 )
 
-// Estimate estimates the figures of a server from all reports. now is in ms.
+// Estimate estimates the figures of a server from the reports of all processes. now is in ms.
 func (v *View) Estimate(now float64, id policy.ServerID) Estimate {
 	var loads, weights, failing, overdue []float64
 	var latency [LatencyBuckets]float64
@@ -66,14 +66,14 @@
 	return estimate
 }
 
-// ownReport weighs this process's own report of a server against those of others.
+// ownReport weighs this process's own report of a server against those of the other processes.
 type ownReport struct {
-	attempts      float64 // a second, of this process
-	totalAttempts float64 // a second, of all reporters, this process among them
+	attempts      float64 // per second, of this process
+	totalAttempts float64 // per second, of all reporters, this process among them
 }
 
-// weight returns the weight of the own report, from 0 to 1. All others together weigh no more than the own report, once this process
-// sends enough attempts to judge for itself; before that its report has no weight of its own.
+// weight returns the weight of this process's own report, from 0 to 1. If this process sends at least minOwnAttempts, all others
+// together weigh no more than its own report. Otherwise the own report counts like any other, and the weight is 0.
 func (o ownReport) weight() float64 {
 	if o.attempts < minOwnAttempts {
 		return 0
@@ -82,7 +82,7 @@
 	return o.attempts / (o.attempts + others)
 }
 
-// blend returns the mean of what all processes report and the own value, with the weight of the own report.
+// blend returns the weighted mean of what all processes report and this process's own value. See weight.
 func (o ownReport) blend(reported BoundedValue, own float64) BoundedValue {
 	if o.attempts < minOwnAttempts {
 		return reported
@@ -102,15 +102,15 @@
 	return histogram.Quantile(0.5), histogram.Quantile(0.9)
 }
 
-// HeavyHitter is an object that the fleet requests often.
+// HeavyHitter is an object that is requested often across the fleet.
 type HeavyHitter struct {
 	Object    uint64       `json:"Object"`
-	Rate      BoundedValue `json:"Rate"` // requests a second, of all processes
-	Reporters int          `json:"Of"`   // processes that name the object
+	Rate      BoundedValue `json:"Rate"` // requests per second, of all processes
+	Reporters int          `json:"Of"`   // processes that report the object
 }
 
-// HeavyHitters returns the n objects that processes report at the highest rate, highest first. A process that does not name an object
-// counts as one that does not request it, so that a few processes cannot make an object a heavy hitter. now is in ms.
+// HeavyHitters returns the n objects with the highest estimated rates, highest first. A process that does not report an object
+// counts as reporting a rate of 0, so that a few processes cannot make an object a heavy hitter. now is in ms.
 func (v *View) HeavyHitters(now float64, n int) []HeavyHitter {
 	ratesByObject, reporters := map[uint64][]float64{}, 0
 	for _, p := range v.peers {
--- a/internal/decide/fleetview/golden_test.go
+++ b/internal/decide/fleetview/golden_test.go
@@ -10,7 +10,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// goldenDigest has every field set.
+// goldenDigest returns a digest with every field set.
 func goldenDigest() Digest {
 	return Digest{
 		From: "proxy-a", Incarnation: 1_780_000_000_123, Version: 42, Zone: "zone-1", Arrivals: LevelOf(765),
@@ -23,7 +23,7 @@
 	}
 }
 
-// Digests of earlier versions are decoded, and are encoded to the same bytes.
+// Digests are encoded to the same bytes as by earlier versions, and theirs are decoded.
 func TestGoldenDigest(t *testing.T) {
 	for name, digest := range map[string]Digest{"digest.cbor": goldenDigest(), "digest_empty.cbor": {}} {
 		raw, err := cbor.Marshal(digest)
@@ -38,7 +38,7 @@
 	}
 }
 
-// equalJSON compares a value with a golden file both ways.
+// equalJSON requires that a value is encoded as a golden file and that the file is decoded to the value.
 func equalJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	raw, err := json.MarshalIndent(value, "", "  ")
@@ -49,7 +49,7 @@
 	require.Equal(t, value, decoded)
 }
 
-// What operators are shown keeps its JSON keys.
+// The JSON keys shown to operators do not change.
 func TestGoldenJSON(t *testing.T) {
 	bounded := func(value float64) BoundedValue { return BoundedValue{Value: value, Low: value - 1, High: value + 1} }
 	equalJSON(t, "peer.json", Peer{Name: "proxy-a", Zone: "zone-1", Incarnation: 3, Age: 812.5, Arrivals: 765, Servers: 9})
--- a/internal/decide/fleetview/latency.go
+++ b/internal/decide/fleetview/latency.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	// LatencyBuckets is how many buckets a latency histogram has. Each is an octave: up to 12.5 ms, 25, 50 and so on; the last one
-	// holds all that is above.
+	// LatencyBuckets is the number of buckets of a latency histogram. Each bucket ends at twice the end of the one before: 12.5 ms,
+	// 25 ms, 50 ms and so on. The last one holds all higher latencies.
 	LatencyBuckets = 10
-	// firstBucketEnd is the upper end of the first bucket, ms.
+	// firstBucketEnd is the upper end of the first bucket, in ms.
 	firstBucketEnd = 12.5
-	// latencyScale is the value of a bucket that holds all answers.
+	// latencyScale is the value, in a Latency, of a bucket that holds all answers.
 	latencyScale = 255
 )
 
-// Latency is a histogram of the latency of answers: each bucket's fraction of them, in 255ths, without the empty buckets at its end.
+// Latency is a histogram of the latency of answers. It holds each bucket's fraction of the answers, in units of 1/255, without the
+// empty buckets at the end.
 type Latency []byte
 
-// LatencyBucket returns the index of the bucket of an answer that took so many ms.
+// LatencyBucket returns the index of the bucket for an answer that took ms milliseconds.
 func LatencyBucket(ms float64) int {
 	if !(ms > firstBucketEnd) {
 		return 0
@@ -23,7 +24,7 @@
 	return min(LatencyBuckets-1, int(math.Ceil(math.Log2(ms/firstBucketEnd))))
 }
 
-// latencyOf returns the histogram of counted answers.
+// latencyOf returns the histogram of answers that were counted by bucket.
 func latencyOf(counts [LatencyBuckets]uint64) Latency {
 	total := uint64(0)
 	for _, n := range counts {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// near reports whether two histograms differ in no bucket by more than a fraction of the answers.
+// near reports whether no bucket of two histograms differs by more than the given fraction of the answers.
 func (l Latency) near(other Latency, fraction float64) bool {
 	for i := range max(len(l), len(other)) {
 		if math.Abs(l.fraction(i)-other.fraction(i)) > fraction {
@@ -60,8 +61,8 @@
 	return float64(l[bucket]) / latencyScale
 }
 
-// Quantile returns the latency, in ms, below which a fraction q of the answers lies, interpolated within its bucket; 0 if there were
-// no answers.
+// Quantile returns the latency, in ms, below which a fraction q of the answers lies, interpolated within its bucket; 0 if there
+// were no answers.
 func (l Latency) Quantile(q float64) float64 {
 	total := 0.0
 	for i := range l {
--- a/internal/decide/fleetview/report.go
+++ b/internal/decide/fleetview/report.go
@@ -8,17 +8,17 @@
 	"ravenwheel/policy"
 )
 
-// Report is what one process reports of a server, as operators are shown it.
+// Report holds what one process reports about a server, in the form that is shown to operators.
 type Report struct {
 	Name     string  `json:"Name"` // of the process
 	Zone     string  `json:"Zone"`
 	Age      float64 `json:"Age"`      // ms
-	Attempts float64 `json:"Attempts"` // a second
+	Attempts float64 `json:"Attempts"` // per second
 	Failing  float64 `json:"Failing"`  // fraction of the attempts
 	Latency  Latency `json:"Latency"`
 }
 
-// Reports returns what each process reports of a server, by the name of the process. now is in ms.
+// Reports returns what each process reports about a server, sorted by the name of the process. now is in ms.
 func (v *View) Reports(now float64, id policy.ServerID) (reports []Report) {
 	for name, p := range v.peers {
 		e, ok := p.servers[id]
@@ -33,17 +33,17 @@
 	return reports
 }
 
-// Peer is one process in the view, as operators are shown it.
+// Peer is one process in the view, in the form that is shown to operators.
 type Peer struct {
 	Name        string  `json:"Name"`
 	Zone        string  `json:"Zone"`
 	Incarnation uint64  `json:"Incarnation"`
-	Age         float64 `json:"Age"`      // ms since its newest digest was received
-	Arrivals    float64 `json:"Arrivals"` // requests a second
-	Servers     int     `json:"Servers"`  // that it reports on
+	Age         float64 `json:"Age"`      // ms since the newest digest of the process was received
+	Arrivals    float64 `json:"Arrivals"` // requests per second
+	Servers     int     `json:"Servers"`  // number of servers that the process reports on
 }
 
-// Peers returns the processes in the view, by name. now is in ms.
+// Peers returns the processes in the view, sorted by name. now is in ms.
 func (v *View) Peers(now float64) (peers []Peer) {
 	for name, p := range v.peers {
 		peers = append(peers, Peer{name, p.zone, p.incarnation, now - p.receivedAt, p.arrivals.Value(), len(p.servers)})
@@ -52,7 +52,7 @@
 	return peers
 }
 
-// Servers returns all servers that any process reports on, in order.
+// Servers returns all servers that any process reports on, sorted by id.
 func (v *View) Servers() []policy.ServerID {
 	all := map[policy.ServerID]bool{}
 	for _, p := range v.peers {
@@ -63,7 +63,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// fraction returns a part as a fraction of a whole, both quantised: from 0 to 1, and 0 of nothing.
+// fraction returns part/whole, from 0 to 1, or 0 if whole is 0. Levels are rounded, so that part may exceed whole.
 func fraction(part, whole Level) float64 {
 	if whole.Value() <= 0 {
 		return 0
--- a/internal/decide/fleetview/robust.go
+++ b/internal/decide/fleetview/robust.go
@@ -6,23 +6,25 @@
 	"slices"
 )
 
-// BoundedValue is an estimate, and the bounds between which the true value lies if no more than the tolerated fraction of the
-// reporters are faulty.
+// BoundedValue is an estimate with the bounds between which the true value lies if no more than the tolerated fraction of the
+// reporters is faulty.
 type BoundedValue struct {
 	Value float64 `json:"Value"`
 	Low   float64 `json:"Low"`
 	High  float64 `json:"High"`
 }
 
-// maxFaulty returns how many of n reporters may be faulty. At least one correct value must be left on each side.
+// maxFaulty returns how many of n reporters may be faulty: the given fraction, rounded up, but fewer than a third, because at least
+// one correct value must be left at each end after those of the faulty reporters are cut off.
 func maxFaulty(n int, faultyFraction float64) int {
 	return max(0, min(int(math.Ceil(faultyFraction*float64(n))), (n-1)/3))
 }
 
-// WinsorizedSum estimates the sum of values of which some may be arbitrary: the given fraction of them, rounded up to f values, but
-// fewer than a third. Each of the f least counts as the one above them, and each of the f greatest as the one below. The sum rises
-// with every value: whatever f of them are replaced by, it stays between the sums with those f at minus and at plus infinity. These
-// are Low and High; they bound the sum of the true values too, and are finite, as both ends are clipped at correct values.
+// WinsorizedSum estimates the sum of values of which f = maxFaulty may be arbitrary. Each of the f lowest values counts as the
+// lowest of the others, and each of the f highest as the highest of the others. The sum never falls when a value rises: whatever f
+// of the values are replaced by, it stays between the sums in which those f are at minus and at plus infinity. These two sums are
+// Low and High. They bound the sum of the true values too, and are finite, because both ends are clipped at values of correct
+// reporters.
 func WinsorizedSum(values []float64, faultyFraction float64) BoundedValue {
 	n := len(values)
 	if n == 0 {
@@ -30,8 +32,8 @@
 	}
 	sorted := slices.Sorted(slices.Values(values))
 	faulty := maxFaulty(n, faultyFraction)
-	// shiftedSum returns the sum with each value replaced by the one that is so many places further up the order. With +faulty it is the
-	// sum with the faulty least values replaced by plus infinity, and clipped as above.
+	// shiftedSum returns the clipped sum with each value replaced by the one that many places higher in the sorted order. With
+	// places = +faulty it equals the sum in which the faulty lowest values are replaced by plus infinity before clipping.
 	shiftedSum := func(places int) float64 {
 		total := 0.0
 		for i := range n {
@@ -43,10 +45,10 @@
 	return BoundedValue{shiftedSum(0), shiftedSum(-faulty), shiftedSum(faulty)}
 }
 
-// TrimmedMean estimates a fraction that reporters have observed, each with a weight (its attempts a second). Of n reporters f may be
-// faulty, see WinsorizedSum. Weights are capped at the (f+1)th greatest. Of the fractions in rising order, those
-// at each end are left out, up to f times that greatest weight. Whatever f reporters report, the result stays between the least and
-// the greatest fraction that the others report.
+// TrimmedMean estimates a fraction that reporters have observed, each with a weight (its attempts per second). f = maxFaulty of the
+// n reporters may be faulty. Weights are capped at the (f+1)th highest. The fractions are sorted, and at each end fractions with a
+// total weight of f times that cap are left out. Whatever f reporters report, the result stays between the lowest and the highest
+// fraction that the others report.
 func TrimmedMean(fractions, weights []float64, faultyFraction float64) BoundedValue {
 	n := len(fractions)
 	if n == 0 {
@@ -60,15 +62,15 @@
 	return BoundedValue{value, min(low, value), max(high, value)}
 }
 
-// weightedValues is values with weights, the latter capped.
+// weightedValues are values with weights. Each weight counts as maxWeight at most.
 type weightedValues struct {
 	values, weights []float64
-	order           []int // indexes, by rising value
+	order           []int // indexes of values, lowest value first
 	maxWeight       float64
 	total           float64 // of the capped weights
 }
 
-// newWeightedValues caps all weights at the (faulty+1)th greatest.
+// newWeightedValues returns values with all weights capped at the (faulty+1)th highest.
 func newWeightedValues(values, weights []float64, faulty int) weightedValues {
 	n := len(values)
 	sorted := slices.Sorted(slices.Values(weights))
@@ -81,9 +83,9 @@
 	return w
 }
 
-// mean returns the mean of the values between two points on the scale of the accumulated weight.
+// mean returns the weighted mean of the sorted values between two points of the accumulated weight, which runs from 0 to w.total.
 func (w *weightedValues) mean(from, to float64) float64 {
-	if to <= from { // everything is cut off: take the value in the middle
+	if to <= from { // nothing is left: use the value in the middle
 		from, to = w.total/2-w.total*1e-9, w.total/2+w.total*1e-9
 	}
 	position, weightedSum, weight := 0.0, 0.0, 0.0
--- a/internal/decide/fleetview/view.go
+++ b/internal/decide/fleetview/view.go
@@ -7,23 +7,24 @@
 	"ravenwheel/policy"
 )
 
-// Settings bound a view. Times are in ms.
+// Settings are the limits of a view. Times are in ms.
 type Settings struct {
-	// FadeAfter and ExpireAfter: what was received longer ago than FadeAfter loses weight in proportion, and has none from
-	// ExpireAfter on, so that the estimates of a process that is cut off fade without a jump.
+	// An entry has its full weight until FadeAfter after it was received, and none from ExpireAfter on. In between the weight falls
+	// linearly, so that the estimates of a process that is cut off from the others fade without a jump.
 	FadeAfter, ExpireAfter float64
-	// MaxPeers, MaxServers and MaxObjects bound the view: processes, servers of each process, and objects of each process.
+	// MaxPeers limits the processes in the view, MaxServers and MaxObjects the servers and the objects of each process.
 	MaxPeers, MaxServers, MaxObjects int
-	// FaultyFraction is the fraction of the reporters that may report anything while estimates stay within their stated bounds.
+	// FaultyFraction is the fraction of the reporters that may report arbitrary figures without moving estimates out of their
+	// bounds.
 	FaultyFraction float64
 }
 
-// DefaultSettings returns the settings for one digest a second: three may be lost before an entry fades.
+// DefaultSettings returns the settings for one digest per second: three in a row may be lost before an entry fades.
 func DefaultSettings() Settings {
 	return Settings{FadeAfter: 4000, ExpireAfter: 15_000, MaxPeers: 4096, MaxServers: 1024, MaxObjects: 16, FaultyFraction: 0.1}
 }
 
-// View holds the digests of all processes, this one's among them. Use New. It is not safe for concurrent use.
+// View holds the newest entries of all processes, this process among them. Use New. It is not safe for concurrent use.
 type View struct {
 	settings Settings
 	self     string
@@ -47,22 +48,22 @@
 	receivedAt float64
 }
 
-// New returns an empty view. self names this process, whose own digests outweigh those of others, see Estimate.
+// New returns an empty view. self is the name of this process, whose own digests outweigh those of others, see Estimate.
 func New(self string, settings Settings) *View {
 	return &View{settings: settings, self: self, peers: map[string]*peer{}}
 }
 
-// MergeResult says what became of a digest.
+// MergeResult is the outcome of a merge.
 type MergeResult int
 
 // The results of a merge.
 const (
 	Accepted      MergeResult = iota
-	Outdated                  // the publisher has published the same or something newer before
-	LimitExceeded             // one of the Settings' limits was met, and what exceeds it was left out
+	Outdated                  // the view already holds the same or newer entries of the publisher
+	LimitExceeded             // one of the limits in Settings was reached, and what exceeds it was left out
 )
 
-// Merge takes in a digest that was received at now, in ms. The caller has verified that it comes from d.From.
+// Merge merges a digest that was received at now, in ms. The caller has verified that it comes from d.From.
 func (v *View) Merge(now float64, d Digest) MergeResult {
 	p := v.peers[d.From]
 	switch {
@@ -93,9 +94,9 @@
 	return result
 }
 
-// Snapshot returns all that a process has published, for a receiver that may know nothing of it yet: a digest for each version of
-// which entries are held, oldest first. Under the newest version alone, an entry that was missed here would replace a newer one at
-// the receiver.
+// Snapshot returns everything that the view holds of a process, for a receiver that may have none of it yet: one digest for each
+// version of which entries are held, oldest first. If all entries went out under the newest version, an outdated entry, whose
+// update was lost on the way to this view, would replace the newer one at the receiver.
 func (v *View) Snapshot(now float64, name string) (digests []Digest) {
 	p := v.peers[name]
 	if p == nil {
@@ -122,10 +123,11 @@
 	return digests
 }
 
-// Forget drops all that a process has published.
+// Forget removes everything that a process has published.
 func (v *View) Forget(name string) { delete(v.peers, name) }
 
-// Expire drops what no longer has any weight, so that a view of many processes that come and go stays bounded. now is in ms.
+// Expire removes the processes and entries that no longer have any weight, so that the view stays bounded while processes come and
+// go. now is in ms.
 func (v *View) Expire(now float64) {
 	maps.DeleteFunc(v.peers, func(_ string, p *peer) bool {
 		maps.DeleteFunc(p.servers, func(_ policy.ServerID, e serverEntry) bool { return now-e.receivedAt >= v.settings.ExpireAfter })
@@ -133,7 +135,7 @@
 	})
 }
 
-// weight returns the weight, from 1 down to 0, of what was received so many ms ago.
+// weight returns the weight, from 1 down to 0, of an entry that was received age ms ago.
 func (v *View) weight(age float64) float64 {
 	return min(1, max(0, (v.settings.ExpireAfter-age)/(v.settings.ExpireAfter-v.settings.FadeAfter)))
 }
--- a/internal/decide/fleetview/view_test.go
+++ b/internal/decide/fleetview/view_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// drawTotals draws counts that rise from earlier ones.
+// drawTotals draws totals of four servers that increase from earlier ones. About one server in ten is not listed.
 func drawTotals(t *rapid.T, earlier map[policy.ServerID]Totals) map[policy.ServerID]Totals {
 	out := map[policy.ServerID]Totals{}
 	for _, id := range []policy.ServerID{1, 2, 3, 4} {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// contents is what a view holds, but for times.
+// contents returns what a view holds, except for times.
 func contents(v *View) map[string]any {
 	out := map[string]any{}
 	for name, p := range v.peers {
@@ -43,7 +43,8 @@
 	return out
 }
 
-// In whatever order digests arrive, however often, and through whichever process: views that have received the same hold the same.
+// Views that have received the same digests hold the same entries, whatever the order of the digests, however often each arrives,
+// and whether it comes from its publisher or from another process.
 func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Digest
@@ -64,12 +65,13 @@
 		order := rapid.Permutation(all).Draw(t, "order")
 		for i, d := range order {
 			shuffled.Merge(float64(i), d)
-			if rapid.Bool().Draw(t, "again") {
+			if rapid.Bool().Draw(t, "repeat") {
 				shuffled.Merge(float64(i), order[rapid.IntRange(0, i).Draw(t, "which")])
 			}
 		}
 		require.Equal(t, contents(inOrder), contents(shuffled))
-		// A third receives part of it itself and the rest from the second; a digest that is passed on is not younger.
+		// A third view receives some digests from the publishers and the rest through snapshots of the shuffled view. Being passed
+		// on does not make an entry younger.
 		relayed := New("z", DefaultSettings())
 		for _, d := range all[:rapid.IntRange(0, len(all)).Draw(t, "received")] {
 			relayed.Merge(5000, d)
@@ -81,11 +83,11 @@
 		}
 		require.Equal(t, contents(inOrder), contents(relayed))
 		relayed.Expire(5000 + DefaultSettings().ExpireAfter)
-		require.Empty(t, relayed.peers, "what was only passed on expires with the rest")
+		require.Empty(t, relayed.peers, "relayed entries expire together with the others")
 	})
 }
 
-// What a collector leaves out of a digest is what a receiver has already, within the least change that is published.
+// A receiver's figures stay within the smallest published change of the true ones, although digests leave out unchanged entries.
 func TestDigestsOfChangesKeepReceiversAccurate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, v := &Collector{From: "a", Incarnation: 1, Window: 3000}, New("b", DefaultSettings())
@@ -108,7 +110,7 @@
 			}
 			for id := range v.peers["a"].servers {
 				if _, listed := totals[id]; !listed {
-					require.Zero(t, v.peers["a"].servers[id].Attempts, "no longer listed, published as idle")
+					require.Zero(t, v.peers["a"].servers[id].Attempts, "a server that is no longer listed is published as idle")
 				}
 			}
 		}
@@ -116,8 +118,8 @@
 	})
 }
 
-// The tolerated number of reporters may report anything, and a sum stays between the bounds that the others alone set; the bounds
-// that are returned with it hold the sum of the true values.
+// While the tolerated number of reporters report arbitrary values, the sum stays within the bounds for the true values, and the
+// bounds returned with it contain the sum of the true values.
 func TestWinsorizedSumBoundsFaultyReporters(t *testing.T) {
 	wrong := rapid.OneOf(rapid.Float64Range(0, 20), rapid.SampledFrom([]float64{0, 1e9, math.MaxFloat64 / 1e6}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,7 +138,8 @@
 	})
 }
 
-// No weight and no fraction that faulty reporters claim moves the mean out of the range that the others report.
+// Whatever weights and fractions the tolerated number of faulty reporters report, the mean stays in the range that the others
+// report.
 func TestTrimmedMeanStaysWithinCorrectReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 40).Draw(t, "n")
@@ -154,6 +157,7 @@
 	})
 }
 
+// digestOfServer returns a digest with an entry for one server.
 func digestOfServer(from string, id policy.ServerID, attempts, failures float64) Digest {
 	return Digest{
 		From: from, Incarnation: 1, Version: 1,
@@ -161,23 +165,24 @@
 	}
 }
 
-// Thirty that report a server as failing do not outweigh what a process sees itself; where it has seen too little, they stand alone.
+// Thirty processes that report a server as failing do not outweigh what this process observes itself. Before it has sent enough
+// attempts, their reports alone decide.
 func TestOwnReportOutweighsOthers(t *testing.T) {
-	v := New("me", DefaultSettings())
+	v := New("self", DefaultSettings())
 	for i := range 30 {
 		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, 10, 10))
 	}
 	require.InDelta(t, 1, v.Estimate(0, 7).Failing.Value, 0.05)
-	v.Merge(0, digestOfServer("me", 7, 2, 0))
+	v.Merge(0, digestOfServer("self", 7, 2, 0))
 	e := v.Estimate(0, 7)
 	require.InDelta(t, 0.5, e.OwnWeight, 0.01)
 	require.LessOrEqual(t, e.Failing.Value, 0.51)
-	require.Empty(t, v.Estimate(0, 8), "nobody has reported on it")
+	require.Empty(t, v.Estimate(0, 8), "no process has reported on server 8")
 }
 
-// What was received loses weight in proportion and without a jump, down to nothing.
+// The weight of reports falls linearly with their age, without a jump, until it is 0.
 func TestReportsFadeWithoutJump(t *testing.T) {
-	v := New("me", DefaultSettings())
+	v := New("self", DefaultSettings())
 	for i := range 10 {
 		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, 10, 0))
 	}
@@ -194,11 +199,12 @@
 	require.Empty(t, v.Peers(20_000))
 }
 
-// A process that floods with names, servers and objects is limited, and takes nothing from the others.
+// The view holds at most the limits of processes, servers and objects, even if a process publishes far more, and that takes no room
+// from other processes.
 func TestMergeLimitsWhatOneProcessPublishes(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MaxPeers, settings.MaxServers, settings.MaxObjects = 3, 5, 2
-	v := New("me", settings)
+	v := New("self", settings)
 	flood := Digest{From: "f", Incarnation: 1, Version: 1, Objects: make([]ObjectRate, 100)}
 	for id := range policy.ServerID(1000) {
 		flood.Servers = append(flood.Servers, ServerLoad{Server: id})
@@ -213,9 +219,9 @@
 	require.Equal(t, LimitExceeded, v.Merge(0, flood))
 }
 
-// An object that one request in ten asks for is found; one that only a few processes report is not.
+// An object that one request in ten asks for is found. An object that only two of twenty processes report, at a high rate, is not.
 func TestHeavyHittersAreFoundUnlessFewReportThem(t *testing.T) {
-	v := New("me", DefaultSettings())
+	v := New("self", DefaultSettings())
 	for i := range 20 {
 		sketch := NewSketch(32)
 		for n := range 2000 {
@@ -253,7 +259,7 @@
 }
 
 func BenchmarkEstimate(b *testing.B) {
-	v := New("me", DefaultSettings())
+	v := New("self", DefaultSettings())
 	for i := range 300 {
 		v.Merge(0, digestOfServer(fmt.Sprint("p", i), 7, float64(i%20), 0))
 	}
