--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -11,30 +11,31 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxMembers is how many members are remembered, gone ones among them, for operators.
+// maxMembers is the number of members from which a new one replaces those that have failed or left, which are kept for operators to
+// see.
 const maxMembers = 1024
 
-// MemberState is what is known of a member. Its text is shown to operators.
+// MemberState is the state of a member. Its text is shown to operators.
 type MemberState string
 
 // The states of a member.
 const (
 	StateAlive  MemberState = "alive"
-	StateFailed MemberState = "gone" // it failed
-	StateLeft   MemberState = "left" // it has left by itself
+	StateFailed MemberState = "gone" // it no longer answers
+	StateLeft   MemberState = "left" // it announced that it leaves
 )
 
-// Member is another process, or this one.
+// Member is a process of the fleet, this one among them.
 type Member struct {
 	Name   string      `json:"name"`
 	Addr   string      `json:"addr"`
 	Zone   string      `json:"zone"`
 	Region string      `json:"region,omitempty"`
 	State  MemberState `json:"state"`
-	Since  float64     `json:"since_ms"` // Unix ms; when it came into that state, as observed here
+	Since  float64     `json:"since_ms"` // Unix ms; when this process noticed that state
 }
 
-// Members returns all members, by name, those that are gone or have left among them.
+// Members returns all members, sorted by name, including those that have failed or left.
 func (p *Peers) Members() []Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,20 +47,20 @@
 	return out
 }
 
-// Forget removes a member that is gone or has left, and its digests. It fails if there is no such member.
+// Forget removes a member that has failed or left, and its digests. It fails if there is no such member.
 func (p *Peers) Forget(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.members[name]
 	if m == nil || m.State == StateAlive {
-		return fmt.Errorf("no member %q is gone", name)
+		return fmt.Errorf("member %q is alive or unknown; only a member that has failed or left can be forgotten", name)
 	}
 	delete(p.members, name)
 	p.view.Forget(name)
 	return nil
 }
 
-// memberChanged records what memberlist reports of a member.
+// memberChanged records the state of a member that memberlist reports.
 func (p *Peers) memberChanged(n *memberlist.Node, state MemberState) {
 	var meta memberMeta
 	_ = cbor.Unmarshal(n.Meta, &meta)
@@ -85,7 +86,7 @@
 	}
 }
 
-// MembersFingerprint returns the fingerprint of a set of members, each as "name address", whatever their order.
+// MembersFingerprint returns the fingerprint of a set of members, each as "name address". It does not depend on their order.
 func MembersFingerprint(members []string) string {
 	var fingerprint uint64
 	for _, m := range members {
@@ -96,8 +97,8 @@
 
 func formatFingerprint(fingerprint uint64) string { return fmt.Sprintf("%016x", fingerprint) }
 
-// memberHash returns the hash of a member. The fingerprint of a set is the exclusive or of its members' hashes: a member is added and
-// removed alike.
+// memberHash returns the hash of a member, given as "name address". The fingerprint of a set is the exclusive or of its members'
+// hashes, so that the same operation adds a member and removes it.
 func memberHash(member string) uint64 {
 	sum := sha256.Sum256([]byte(member))
 	return binary.BigEndian.Uint64(sum[:])
--- a/internal/peers/name_conflict.go
+++ b/internal/peers/name_conflict.go
@@ -3,17 +3,17 @@
 import "github.com/hashicorp/memberlist"
 
 const (
-	// conflictReportInterval is the shortest time between two reports of a conflict about one name, in ms.
+	// conflictReportInterval is the shortest time between two reports of a conflict over one name, in ms.
 	conflictReportInterval = 2000.0
-	// nameConflictDuration is how long a process that was told of a conflict about its name goes on requesting the full state, in ms.
-	// Within it the others count an earlier process of the name as failed, and nameReclaimTime passes.
+	// nameConflictDuration is how long a process that was told of a conflict over its name goes on requesting the full state, in
+	// ms. That is long enough for the others to count an earlier process of that name as failed, and for nameReclaimTime to pass.
 	nameConflictDuration = 30_000.0
 	// maxLoggedAddress is the longest address of another process that is logged, in bytes.
 	maxLoggedAddress = 64
 )
 
-// NotifyConflict implements memberlist.ConflictDelegate: two processes have one name. Each process that notices it tells both. The one
-// that is known would not notice it itself, as no process is sent gossip about its own name.
+// NotifyConflict implements memberlist.ConflictDelegate: two processes use the same name. Each process that detects the conflict
+// tells both of them. The one that is a member would not detect it itself, because no process is sent gossip about its own name.
 func (e events) NotifyConflict(existing, other *memberlist.Node) {
 	if !e.peers.reportNameConflict(existing.Name, existing.Address(), other.Address()) {
 		return
@@ -21,11 +21,12 @@
 	if existing.Name != e.peers.options.Name {
 		_ = e.peers.transport.send(existing.FullAddress(), kindNameConflict, []byte(other.Address()))
 	}
-	// The second one by its address alone: its name resolves to the first.
+	// The second process is addressed by its address alone, because the transport may resolve its name to the address of the first
+	// one.
 	_ = e.peers.transport.send(memberlist.Address{Addr: other.Address()}, kindNameConflict, []byte(existing.Address()))
 }
 
-// receiveNameConflict handles the report of another process that there is a second one with the name of this one.
+// receiveNameConflict handles the report of another process that a process at otherAddress uses the name of this one.
 func (p *Peers) receiveNameConflict(otherAddress string) {
 	p.mu.Lock()
 	p.nameConflictUntil = p.options.Clock.Now() + nameConflictDuration
@@ -33,7 +34,8 @@
 	p.reportNameConflict(p.options.Name, p.address(), otherAddress)
 }
 
-// reportNameConflict logs that two processes have one name. It returns false if that was reported lately: gossip repeats it.
+// reportNameConflict logs that two processes use the same name. It returns false, and logs nothing, if that was reported within
+// conflictReportInterval, because gossip repeats conflicts.
 func (p *Peers) reportNameConflict(name, address, otherAddress string) bool {
 	now := p.options.Clock.Now()
 	p.mu.Lock()
@@ -50,6 +52,7 @@
 		return false
 	}
 	p.options.Log.Error("peers").Str("name", name).Str("addr", address).
-		Str("other", otherAddress[:min(len(otherAddress), maxLoggedAddress)]).Msg("two processes have one name; the second is not a member")
+		Str("other", otherAddress[:min(len(otherAddress), maxLoggedAddress)]).
+		Msg("two processes have one name; the second is not a member while the first is alive: give one of them another name")
 	return true
 }
--- a/internal/peers/remembered.go
+++ b/internal/peers/remembered.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// maxRemembered is how many members are remembered over a restart.
+	// maxRemembered is the number of members that are remembered across a restart.
 	maxRemembered = 16
-	// rememberedFile is the file in which they are stored, as a JSON list of strings "name/host:port".
+	// rememberedFile is the name of the file that holds them, as a JSON list of strings "name/host:port".
 	rememberedFile = "peers.known"
 )
 
-// rememberedMembers are members that were alive when this process ran last, for a start at which all seeds are gone. They are selected by a
-// hash of both names, so that the file changes only when those members do, and hundreds of processes that start together do not all
-// join the same ones.
+// rememberedMembers are members that were alive when this process last ran, for a start at which no seed answers. They are selected
+// by a hash of the names of both processes, so that the file changes only when these members do, and hundreds of processes that
+// start together do not all join the same members.
 type rememberedMembers struct {
-	path      string   // empty: they are not stored
-	addresses []string // as memberlist joins them
+	path      string   // of the file; empty: the members are not stored
+	addresses []string // in the form that memberlist.Join takes
 }
 
-// loadRemembered reads the file in a directory. One that is missing or malformed counts as empty, as it is written anew.
+// loadRemembered reads the file in a directory. A file that is missing or malformed counts as empty, because save writes a new one.
 func loadRemembered(dir string) (r rememberedMembers) {
 	if dir == "" {
 		return r
@@ -42,15 +42,15 @@
 	return r
 }
 
-// validAddress reports whether an address is "name/host:port" with an IP address: no other one was written.
+// validAddress reports whether an entry has the form "name/host:port" with an IP address. save writes no others.
 func validAddress(s string) bool {
 	name, address, _ := strings.Cut(s, "/")
 	host, _, err := net.SplitHostPort(address)
 	return name != "" && err == nil && net.ParseIP(host) != nil
 }
 
-// save stores members that are alive, if they are others than before; alive is reordered. A process that is alone keeps what it has, as it
-// may be the one that is cut off.
+// save stores the members to remember if they differ from those that are stored. It reorders alive, the members that are alive. If
+// no other member is alive, the file stays as it is, because this process may be cut off from the others.
 func (r *rememberedMembers) save(self string, alive []Member) error {
 	if r.path == "" || len(alive) == 0 {
 		return nil
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,22 +1,23 @@
 package peers
 
-// recentSenderWindow is the time, in ms, within which a process counts as heard. A process that is cut off hears nobody long before its
-// probes, one after the other, have shown all others as failed.
+// recentSenderWindow is the time, in ms, for which a process counts as a recent sender after a datagram from it was accepted. A
+// process that is cut off from the others has no recent senders long before its probes, one after the other, have found all others
+// failed.
 const recentSenderWindow = 10_000.0
 
-// Status is the state of this process among its peers, as operators are shown it.
+// Status is the state of this process and its peers, in the form that is shown to operators.
 type Status struct {
 	Name          string           `json:"name"`
 	Addr          string           `json:"addr"`
-	Alive         int              `json:"alive"` // members
-	Fingerprint   string           `json:"set"`   // of the members that are alive, with their addresses: equal if two processes agree
-	RecentSenders int              `json:"hears"` // other processes of which a datagram was accepted within recentSenderWindow
+	Alive         int              `json:"alive"` // number of members, this process among them
+	Fingerprint   string           `json:"set"`   // of the alive members and their addresses; equal if two processes agree
+	RecentSenders int              `json:"hears"` // other processes from which a datagram was accepted within recentSenderWindow
 	Members       []Member         `json:"members,omitempty"`
 	SentBytes     int64            `json:"sent_bytes"`
-	DigestBytes   int64            `json:"digest_bytes"` // of the bytes sent; the rest is membership
-	StreamBytes   int64            `json:"stream_bytes"` // of the bytes sent
+	DigestBytes   int64            `json:"digest_bytes"` // part of SentBytes; the rest is membership
+	StreamBytes   int64            `json:"stream_bytes"` // part of SentBytes
 	ReceivedBytes int64            `json:"received_bytes"`
-	Dropped       map[string]int64 `json:"dropped"` // datagrams, by reason
+	Dropped       map[string]int64 `json:"dropped"` // number of datagrams, by reason
 }
 
 // Summary returns the status without the members.
@@ -34,7 +35,7 @@
 	return s
 }
 
-// byReason returns the counters under the names that operators are shown.
+// byReason returns the counters under the names that are shown to operators.
 func (d *dropCounters) byReason() map[string]int64 {
 	return map[string]int64{
 		"malformed": d.Malformed.Load(), "unknown": d.UnknownSender.Load(), "forged": d.Forged.Load(), "replayed": d.Replayed.Load(),
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -16,47 +16,50 @@
 const (
 	handshakeTimeout = 5 * time.Second
 	maxHandshakes    = 64 // of incoming streams at once
-	// maxQueuedPackets is how many datagrams wait for memberlist.
+	// maxQueuedPackets is how many datagrams may wait until memberlist reads them.
 	maxQueuedPackets = 1024
-	// datagramHeaderBytes is the size of the headers of IP and UDP, which count with what is sent and received.
+	// datagramHeaderBytes is the size of the IP and UDP headers, which are counted with the bytes sent and received.
 	datagramHeaderBytes = 28
-	// acceptRetryDelay is the delay after a failed accept, which a process without free descriptors would otherwise repeat at once.
+	// acceptRetryDelay is the delay after a failed accept. Without it, a process that has no free descriptors would retry in a busy
+	// loop.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// errUnexpectedPeer means that another process than the one that was meant has answered.
+// errUnexpectedPeer means that a process other than the intended one has answered.
 var errUnexpectedPeer = errors.New("peers: unexpected peer")
 
-// advertisedAddress is the address that others are told.
+// advertisedAddress is the address that is announced to other processes.
 type advertisedAddress struct {
 	ip   net.IP
 	port int
 }
 
-// transport carries memberlist's datagrams in sealed envelopes and its streams over mutual TLS, so that no message is accepted from a
-// process without a certificate of the cluster. It implements memberlist.NodeAwareTransport.
+// transport carries memberlist's datagrams in sealed envelopes, and its streams over mutual TLS. No message is accepted from a
+// process that has no certificate of the cluster. transport implements memberlist.NodeAwareTransport.
 type transport struct {
 	sealer           *sealer
 	tlsConfig        *tls.Config
 	udp              *net.UDPConn
 	tcp              net.Listener
 	advertised       advertisedAddress
-	addressOverrides map[string]string // addresses of others as seen from here, by name
+	addressOverrides map[string]string // see Options
 	packets          chan *memberlist.Packet
 	streams          chan net.Conn
 
-	// The receivers of datagrams that are not memberlist's. They are set before run.
+	// Handlers of datagrams that are not memberlist's. They are set before run is called.
 	onDigest       func(from string, incarnation uint64, body []byte)
 	onNameConflict func(otherAddress string)
 
-	// Bytes of datagrams and, without the overhead of TLS, of streams; digestBytes and streamBytes are parts of sentBytes.
+	// Bytes of datagrams with their headers, and of streams without the overhead of TLS. digestBytes and streamBytes are parts of
+	// sentBytes.
 	sentBytes, receivedBytes, digestBytes, streamBytes atomic.Int64
 
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// listen opens the sockets at an address. advertise is the address that others are told; empty: the same.
+// listen opens the sockets at an address. advertise is the address that is announced to other processes; if it is empty, that is
+// the address listened on.
 func listen(address, advertise string, s *sealer, overrides map[string]string) (*transport, error) {
 	t := &transport{
 		sealer: s, tlsConfig: s.identity.TLS(), addressOverrides: overrides,
@@ -77,7 +80,7 @@
 		if err != nil {
 			_ = t.udp.Close()
 			ln.Close()
-			return nil, fmt.Errorf("peers: advertise: %w", err)
+			return nil, fmt.Errorf("peers: resolving the address to advertise: %w", err)
 		}
 		t.advertised = advertisedAddress{resolved.IP, resolved.Port}
 	}
@@ -107,8 +110,8 @@
 		t.receivedBytes.Add(int64(n + datagramHeaderBytes))
 		datagram, err := t.sealer.open(from.String(), buf[:n])
 		if errors.Is(err, errUnknownSender) && t.sealer.mayRequestCertificate(datagram.from) {
-			// The sender may have sent its certificate to an earlier incarnation of this process. Unless it sends it again, this
-			// process drops its answers and takes it for failed.
+			// The sender may have sent its certificate to an earlier incarnation of this process only. Unless it sends the
+			// certificate again, this process drops its answers to probes and counts it as failed.
 			_ = t.send(memberlist.Address{Addr: from.String(), Name: datagram.from}, kindCertificateRequest, nil)
 		}
 		if err != nil || len(datagram.body) == 0 {
@@ -133,7 +136,7 @@
 	}
 }
 
-// acceptStreams accepts streams, and closes those over the limit of handshakes.
+// acceptStreams accepts streams, and closes those that exceed maxHandshakes.
 func (t *transport) acceptStreams(ctx context.Context) {
 	defer t.goroutines.Done()
 	handshakes := make(chan struct{}, maxHandshakes)
@@ -159,7 +162,7 @@
 	}
 }
 
-// acceptStream completes the handshake of an incoming stream, and hands it to memberlist.
+// acceptStream completes the handshake of an incoming stream, and passes the stream to memberlist.
 func (t *transport) acceptStream(ctx context.Context, conn net.Conn) {
 	stream, err := t.handshake(ctx, tls.Server(conn, t.tlsConfig), "")
 	if err != nil {
@@ -173,7 +176,8 @@
 	}
 }
 
-// handshake completes a handshake and learns the certificate of the other end, whose name must be wantName unless that is empty.
+// handshake completes a TLS handshake and stores the certificate of the other end. The certificate must have the name wantName,
+// unless that is empty.
 func (t *transport) handshake(ctx context.Context, conn *tls.Conn, wantName string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -185,12 +189,12 @@
 		return nil, err
 	}
 	if wantName != "" && name != wantName {
-		return nil, fmt.Errorf("%w: %s, not %s", errUnexpectedPeer, name, wantName)
+		return nil, fmt.Errorf("%w: got %s, want %s", errUnexpectedPeer, name, wantName)
 	}
 	return countingConn{conn, t}, nil
 }
 
-// countingConn is a stream whose bytes are counted.
+// countingConn is a stream whose bytes the transport counts.
 type countingConn struct {
 	net.Conn
 	transport *transport
@@ -211,7 +215,7 @@
 	return n, err
 }
 
-// addressOf returns the address of a member as seen from here.
+// addressOf returns the address at which this process reaches a member.
 func (t *transport) addressOf(a memberlist.Address) string {
 	if address, ok := t.addressOverrides[a.Name]; ok && a.Name != "" {
 		return address
@@ -219,7 +223,7 @@
 	return a.Addr
 }
 
-// send sends a datagram of a kind.
+// send sends a datagram of the given kind.
 func (t *transport) send(to memberlist.Address, kind byte, body []byte) error {
 	raw, err := t.sealer.seal(to.Name, append([]byte{kind}, body...))
 	if err != nil {
