--- a/internal/peers/digest.go
+++ b/internal/peers/digest.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// rateWindow is the span over which rates are taken, in ms.
+	// rateWindow is the time over which the rates in digests are measured, in ms.
 	rateWindow = 3000
-	// maxZoneTargets members of this zone and maxRemoteTargets others are sent each digest, drawn anew: what one process sends does not
-	// grow with the fleet.
+	// Each digest is sent to at most maxZoneTargets members of this zone and maxRemoteTargets others, drawn anew for each digest,
+	// so that the number of bytes that a process sends does not grow with the fleet.
 	maxZoneTargets, maxRemoteTargets = 16, 2
-	// maxServersPerDatagram is how many servers of a digest fit into one datagram.
+	// maxServersPerDatagram limits the servers of a digest in one datagram, so that they fit into it.
 	maxServersPerDatagram = 32
-	// sketchSize is how many objects are counted, maxObjects how many of them are published, and sketchDecay the factor by which counts
-	// are multiplied after each digest.
+	// sketchSize limits the objects that are counted, and maxObjects those that are published. sketchDecay is the factor by which
+	// all counts are multiplied after each digest.
 	sketchSize, maxObjects, sketchDecay = 64, 4, 0.75
-	// minObjectRate is the rate, in requests a second of this process, below which an object is not published.
+	// minObjectRate is the rate, in requests per second at this process, below which an object is not published.
 	minObjectRate = 0.5
-	// fingerprintSize is the size of the fingerprint that follows a digest, in bytes.
+	// fingerprintSize is the size, in bytes, of the fingerprint that follows a digest.
 	fingerprintSize = 8
 )
 
-// publishDigest sends what was counted since the last digest. Members of the zone get what has changed, others everything, as they are
-// drawn rarely.
+// publishDigest sends a digest and schedules the next one. The members drawn from this zone get the figures that have changed.
+// Those drawn from other zones get all figures, because each of them is drawn rarely.
 func (p *Peers) publishDigest() {
 	now := p.options.Clock.Now()
 	arrivals, totals := p.options.Totals()
-	nodes := p.memberlist.Members() // before the lock, as memberlist holds its own lock while it reports a member
+	nodes := p.memberlist.Members() // before p.mu is locked, because memberlist holds its own lock while it calls memberChanged
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -47,7 +47,7 @@
 	if len(remoteTargets) > 0 {
 		complete = p.view.Snapshot(now, p.options.Name)
 		for i := range complete {
-			complete[i].Age = 0 // this process publishes it, as of now
+			complete[i].Age = 0 // this process is the publisher, and its figures are current
 		}
 	}
 	p.mu.Unlock()
@@ -57,12 +57,13 @@
 	}
 }
 
-// heavyHitters counts the objects that were requested since the last call, and returns those requested most. The caller holds the lock.
+// heavyHitters counts the objects that were requested since the last call, and returns those requested most with their rates. The
+// caller holds the lock.
 func (p *Peers) heavyHitters() []fleetview.ObjectRate {
 	for _, object := range p.options.Objects() {
 		p.sketch.Add(object)
 	}
-	// A count that keeps the fraction sketchDecay with each digest covers 1/(1-sketchDecay) digests.
+	// A count that is multiplied by sketchDecay after each digest covers the requests of 1/(1-sketchDecay) digests.
 	perSecond := (1 - sketchDecay) * 1000 / p.options.DigestInterval
 	objects := slices.DeleteFunc(p.sketch.Top(maxObjects, perSecond), func(o fleetview.ObjectRate) bool {
 		return o.Rate.Value() < minObjectRate
@@ -71,7 +72,8 @@
 	return objects
 }
 
-// digestTargets draws the members that are sent a digest: some of this zone, and some others. The caller holds the lock.
+// digestTargets draws the members that a digest is sent to: up to maxZoneTargets of this zone, and up to maxRemoteTargets of
+// others. The caller holds the lock.
 func (p *Peers) digestTargets(nodes []*memberlist.Node) (zone, remote []*memberlist.Node) {
 	for _, n := range nodes {
 		m := p.members[n.Name]
@@ -90,8 +92,8 @@
 	return draw(zone, maxZoneTargets), draw(remote, maxRemoteTargets)
 }
 
-// sendDigest sends a digest, in as many datagrams as it takes. Each of them ends with the fingerprint of the members that are alive
-// to this process. The publisher and its incarnation are left out, as the envelope has them.
+// sendDigest sends a digest in as many datagrams as it needs. Each datagram ends with the fingerprint of the members that this
+// process counts as alive. The publisher and its incarnation are left out, because the envelope contains them.
 func (p *Peers) sendDigest(to []*memberlist.Node, d fleetview.Digest) {
 	d.From, d.Incarnation = "", 0
 	p.mu.Lock()
@@ -112,7 +114,9 @@
 	}
 }
 
-// receiveDigest takes in a digest of a verified sender, in one of its incarnations. A digest in the name of another process is rejected.
+// receiveDigest merges a digest that a verified sender published in one of its incarnations, and compares the sender's fingerprint
+// of the alive members with that of this process. A digest that names a publisher itself is rejected, because it may be in the name
+// of another process.
 func (p *Peers) receiveDigest(from string, incarnation uint64, body []byte) {
 	var d fleetview.Digest
 	end := max(0, len(body)-fingerprintSize)
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,7 +1,9 @@
-// Package peers lets the processes of a fleet find each other, detect failed ones, and exchange what they observe: membership by SWIM
-// with Lifeguard's refinements (hashicorp/memberlist), with every datagram and stream bound to its sender by a certificate of the
-// cluster, and digests for the view of the fleet (internal/decide/fleetview). It is off unless the operator's file has "peers".
+// Package peers lets the processes of a fleet find each other, detect failed ones, and exchange what they observe. Membership
+// follows SWIM with the refinements of Lifeguard (hashicorp/memberlist). Every datagram and stream is bound to its sender by a
+// certificate of the cluster. Digests go to the view of the fleet (internal/decide/fleetview). The package is off unless the
+// operator's file has "peers".
 //
-// The package decides nothing about requests or servers. What a digest means is decided, and tested, in internal/decide/fleetview, and
-// which datagrams are repeated in internal/decide/dedup. How membership behaves under faults is tested in internal/lab/multiprocess.
+// The package makes no decisions about requests or servers. What a digest means is decided, and tested, in
+// internal/decide/fleetview, and which datagrams are repeated ones in internal/decide/dedup. Membership under faults is tested in
+// internal/lab/multiprocess.
 package peers
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// incarnationFile is the file in which the number of the last incarnation is stored, in decimal.
+// incarnationFile is the name of the file that holds the number of the last incarnation, in decimal.
 const incarnationFile = "peers.start"
 
-// nextIncarnation returns the number of this start: the time, Unix ms, or one above the number that is stored in a directory if that is
-// higher. It stores the number.
+// nextIncarnation returns the number of this incarnation and stores it in a directory. The number is the current time in Unix ms,
+// or one above the stored number if that is higher, so that it increases even if the clock was set back.
 func nextIncarnation(dir string, now uint64) (uint64, error) {
 	if dir == "" {
 		return now, nil
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -10,22 +10,24 @@
 	"ravenwheel/internal/logs"
 )
 
-// Settings of memberlist, for fleets of some hundred processes: also where a third of them fail at once, all are noticed within seconds.
+// Settings of memberlist, for fleets of some hundred processes. Even if a third of the processes fail at once, all failures are
+// detected within seconds.
 const (
-	// probeInterval is the time between two probes of one member by each process, and probeTimeout how long an answer may take. With
-	// shorter times, processes on busy machines miss so many probes that they suspect each other permanently.
+	// probeInterval is the time between two probes by each process, each of one member, and probeTimeout is how long an answer may
+	// take. With shorter times, processes on busy machines miss so many probes that they suspect each other permanently.
 	probeInterval, probeTimeout = 700 * time.Millisecond, 400 * time.Millisecond
-	// suspicionMultiplier * probeInterval * log10(fleet size), with a logarithm of at least 1, is how long a member is suspected before it counts as failed.
+	// A member is suspected for suspicionMultiplier * probeInterval * max(1, log10(fleet size)) before it counts as failed.
 	suspicionMultiplier = 3
-	// maxAwarenessMultiplier bounds the factor by which a process whose probes are not answered lengthens its probe times, as it may
-	// be slow itself (Lifeguard). memberlist's default, 8, detects failures too slowly where a third of the members have failed.
+	// maxAwarenessMultiplier bounds the factor by which a process whose probes are not answered lengthens its probe times, because
+	// it may be slow itself (Lifeguard). With memberlist's default of 8, failures are detected too slowly if a third of the members
+	// fail.
 	maxAwarenessMultiplier = 3
-	// retransmitMultiplier * log10(fleet size), rounded up, is how often each process passes on an update.
+	// Each process passes on an update retransmitMultiplier * log10(fleet size) times, with the logarithm rounded up.
 	retransmitMultiplier = 4
 	gossipInterval       = 100 * time.Millisecond
 	streamTimeout        = 5 * time.Second
-	// pushPullInterval is the time between two exchanges of the full state with another member, which memberlist extends with the
-	// fleet's size. They repair what both gossip and rejoin have missed.
+	// pushPullInterval is the time between two exchanges of the full state with another member. memberlist extends it in large
+	// fleets. The exchanges repair differences that neither gossip nor rejoin has repaired.
 	pushPullInterval = time.Minute
 	// nameReclaimTime is the time after which a failed member may return under its name at another address.
 	nameReclaimTime = 5 * time.Second
@@ -39,8 +41,8 @@
 	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.TCPTimeout = probeInterval, probeTimeout, gossipInterval, streamTimeout
 	c.DeadNodeReclaimTime, c.PushPullInterval = nameReclaimTime, pushPullInterval
 	c.SuspicionMult, c.RetransmitMult, c.AwarenessMaxMultiplier = suspicionMultiplier, retransmitMultiplier, maxAwarenessMultiplier
-	c.DisableTcpPings = true    // they cost a handshake for each late answer, and digests need datagrams anyway
-	c.EnableCompression = false // it costs a quarter of the processor time, and saves a tenth of the bytes
+	c.DisableTcpPings = true    // TCP pings cost a handshake for each late answer, and digests need datagrams anyway
+	c.EnableCompression = false // compression costs a quarter of the processor time and saves a tenth of the bytes
 	c.Delegate, c.Events, c.Conflict = delegate{p}, events{p}, events{p}
 	c.LogOutput = logWriter{p.options.Log}
 	return c
@@ -53,7 +55,7 @@
 	Region string
 }
 
-// delegate tells memberlist the metadata of this process. It implements memberlist.Delegate.
+// delegate passes the metadata of this process to memberlist. It implements memberlist.Delegate.
 type delegate struct{ peers *Peers }
 
 // NodeMeta implements memberlist.Delegate.
@@ -80,7 +82,8 @@
 // events receives changes of the membership. It implements memberlist.EventDelegate and memberlist.ConflictDelegate.
 type events struct{ peers *Peers }
 
-// NotifyJoin implements memberlist.EventDelegate. The member may have restarted, and know no other process's certificate.
+// NotifyJoin implements memberlist.EventDelegate. It makes the next datagrams to the member contain the certificate, because a
+// member that has restarted has no certificates of other processes.
 func (e events) NotifyJoin(n *memberlist.Node) {
 	e.peers.sealer.resendCertificate(n.Name)
 	e.peers.memberChanged(n, StateAlive)
@@ -98,7 +101,7 @@
 	e.peers.memberChanged(n, state)
 }
 
-// logWriter passes memberlist's log lines on, at the level of debugging: what matters is logged by this package.
+// logWriter logs memberlist's lines at the debug level. Events that matter to operators are logged by this package.
 type logWriter struct{ log *logs.Log }
 
 // Write implements io.Writer.
--- a/internal/peers/peer_keys.go
+++ b/internal/peers/peer_keys.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// firstCertificates is how many datagrams bring the certificate to each receiver at first, and certificateInterval how many
-	// datagrams later there is one with it. The certificate is not part of a member's metadata, which gossip repeats: that would be
-	// six times as long.
+	// The first firstCertificates datagrams to each receiver contain the certificate, and after them every certificateInterval-th
+	// datagram of this process. The certificate is not part of a member's metadata, because gossip repeats the metadata, which
+	// would become six times as long.
 	firstCertificates   = 3
 	certificateInterval = 64
 	// certificateRequestInterval is the shortest time between two requests for one sender's certificate, in ms.
 	certificateRequestInterval = 1000
-	// keyPurpose separates the keys of this package from others that are derived from the same certificates.
+	// keyPurpose separates the keys of this package from keys that are derived from the same certificates for other purposes.
 	keyPurpose = "peers"
 )
 
-// peerKeys is another process whose certificate was verified, with the secrets shared with it.
+// peerKeys holds the verified certificate of another process and the secrets shared with that process.
 type peerKeys struct {
 	store.Peer
 	certificate         []byte
@@ -31,8 +31,9 @@
 	return s.peerKeys[name]
 }
 
-// verifyCertificate verifies a certificate and returns the keys of its owner. The certificate that is known stays in use unless the
-// other one was issued later: a leaked key is useless once a new certificate is issued, which no other process has to restart for.
+// verifyCertificate verifies a certificate and returns the keys of its owner. A certificate that is known already stays in use
+// unless the given one was issued later. A leaked key is therefore useless once its owner has sent a new certificate, and no other
+// process has to restart for that.
 func (s *sealer) verifyCertificate(certificate []byte) (*peerKeys, error) {
 	owner, err := s.identity.VerifyPeer(certificate)
 	if err != nil {
@@ -48,7 +49,8 @@
 	return &peerKeys{Peer: owner, certificate: bytes.Clone(certificate), sendKey: sendKey, receiveKey: receiveKey}, nil
 }
 
-// learnCertificate takes in the certificate of the other end of a stream, which has proven that it has the key. It returns whose it is.
+// learnCertificate verifies and stores the certificate of the other end of a stream, which has proven in the handshake that it has
+// the key. It returns the name of the certificate's owner.
 func (s *sealer) learnCertificate(certificate []byte) (name string, err error) {
 	keys, err := s.verifyCertificate(certificate)
 	if err != nil {
@@ -60,14 +62,15 @@
 	return keys.Name, nil
 }
 
-// storeKeys takes in a peer's keys, unless there are too many. The caller holds the lock.
+// storeKeys stores a peer's keys, unless those of maxSenders other peers are stored. The caller holds the lock.
 func (s *sealer) storeKeys(keys *peerKeys) {
 	if s.peerKeys[keys.Name] != nil || len(s.peerKeys) < maxSenders {
 		s.peerKeys[keys.Name] = keys
 	}
 }
 
-// needsCertificate reports whether a receiver may not know the certificate yet, and counts that it is sent now.
+// needsCertificate reports whether a receiver may not know this process's certificate yet. If so it counts that the certificate is
+// sent now.
 func (s *sealer) needsCertificate(to string) bool {
 	if to == "" {
 		return true
@@ -81,14 +84,15 @@
 	return true
 }
 
-// resendCertificate has the next datagrams to a receiver bring the certificate again, as it has restarted.
+// resendCertificate makes the next datagrams to a receiver contain the certificate again, because the receiver may have restarted.
 func (s *sealer) resendCertificate(to string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.certificatesSent, to)
 }
 
-// mayRequestCertificate reports whether a sender may be asked for its certificate now. The rate is limited, as the name is not proven.
+// mayRequestCertificate reports whether a sender's certificate may be requested now, and records the request. The rate is limited
+// because the sender has not proven its name.
 func (s *sealer) mayRequestCertificate(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,28 +18,29 @@
 	"ravenwheel/policy"
 )
 
-// leaveTimeout is how long Close waits until the others have been told.
+// leaveTimeout is how long Close waits at most until the other processes have been told that this one leaves.
 const leaveTimeout = 500 * time.Millisecond
 
-// Options configure this process among its peers. Times are in ms.
+// Options configure Peers. Times are in ms.
 type Options struct {
 	Name             string
-	Listen           string            // address of UDP and TCP
-	Advertise        string            // the address that others are told; empty: Listen
-	Seeds            []string          // addresses of any other processes, as seen from here
-	AddressOverrides map[string]string // addresses of other processes as seen from here, by name, where they advertise another one
+	Listen           string            // address for UDP and TCP
+	Advertise        string            // address that is announced to other processes; empty: Listen
+	Seeds            []string          // addresses of any other processes, as this process reaches them
+	AddressOverrides map[string]string // by name: addresses at which this process reaches others, if not at their advertised ones
 	Zone, Region     string
 	DigestInterval   float64 // between two digests
-	Dir              string  // where incarnations and members are stored; empty: nowhere, and incarnations are numbered by the clock
+	Dir              string  // where the incarnation and members are stored; empty: nowhere, and the incarnation is the start time
 	Identity         *store.Identity
 	Clock            *clock.Clock
 	Log              *logs.Log
-	// Totals returns what this process has counted so far, and Objects the objects that were requested since the last call.
-	Totals  func() (arrivals uint64, servers map[policy.ServerID]fleetview.Totals)
+	// Totals returns what this process has counted since it started.
+	Totals func() (arrivals uint64, servers map[policy.ServerID]fleetview.Totals)
+	// Objects returns the objects that were requested since the last call.
 	Objects func() []uint64
 }
 
-// Peers is this process among the others.
+// Peers holds this process's membership in the fleet and exchanges digests with the other members. Use Start.
 type Peers struct {
 	options    Options
 	sealer     *sealer
@@ -53,20 +54,20 @@
 	rng              *rand.Rand
 	members          map[string]*Member
 	aliveCount       int    // members that are alive
-	aliveFingerprint uint64 // of those members, see memberHash
+	aliveFingerprint uint64 // fingerprint of the members that are alive, see memberHash
 	closed           bool
-	cancelTick       func() // of the next digest
+	cancelTick       func() // cancels the next digest
 
 	rejoinState
-	conflictReportedAt map[string]float64 // when a conflict was reported last, by name
+	conflictReportedAt map[string]float64 // time of the last report of a name conflict, in ms, by name
 
-	// RejectedDigests counts digests that were not taken in, or not completely: malformed, in the name of another process, or over a
-	// limit of the view.
+	// RejectedDigests counts digests that were not merged, or not completely, because they were malformed, in the name of another
+	// process, or over a limit of the view.
 	RejectedDigests atomic.Int64
 }
 
-// Start joins the other processes. That none of them answers is no error, as the first process is alone. It returns an error if the
-// incarnation can't be stored in Options.Dir, or the address can't be used.
+// Start joins the other processes. It is not an error if none of them answers, because the first process of a fleet is alone. Start
+// returns an error if the incarnation can't be stored in Options.Dir or the address can't be used.
 func Start(o Options) (*Peers, error) {
 	incarnation, err := nextIncarnation(o.Dir, uint64(o.Clock.Now()))
 	if err != nil {
@@ -97,20 +98,20 @@
 	return p, nil
 }
 
-// View calls read with the view of the fleet, which is locked meanwhile, and the present time in ms.
+// View calls read with the current time in ms and the view of the fleet, which stays locked until read returns.
 func (p *Peers) View(read func(now float64, v *fleetview.View)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	read(p.options.Clock.Now(), p.view)
 }
 
-// address returns the address that others are told.
+// address returns the address that is announced to other processes.
 func (p *Peers) address() string {
 	return net.JoinHostPort(p.transport.advertised.ip.String(), strconv.Itoa(p.transport.advertised.port))
 }
 
-// Ping probes a member and returns how long its answer took, in ms. It fails if no member of that name is alive, or if it does not
-// answer.
+// Ping probes a member and returns how long its answer took, in ms. It fails if no member of that name is alive or if the member
+// does not answer.
 func (p *Peers) Ping(name string) (float64, error) {
 	for _, n := range p.memberlist.Members() {
 		if n.Name != name {
@@ -126,7 +127,7 @@
 	return 0, fmt.Errorf("no member %q is alive", name)
 }
 
-// Close tells the other processes that this one leaves, and ends.
+// Close tells the other processes that this one leaves, and stops all exchange with them.
 func (p *Peers) Close() {
 	p.mu.Lock()
 	closed := p.closed
--- a/internal/peers/replay.go
+++ b/internal/peers/replay.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxIncarnations is how many incarnations of one sender have a window.
+	// maxIncarnations limits the incarnations of one sender that have a window.
 	maxIncarnations = 4
-	// ratePerAddress bounds the datagrams a second from one address, and rateBurst how many come at once, before a signature is verified.
+	// ratePerAddress limits the datagrams per second from one address, and rateBurst those that may arrive at once. The limit
+	// applies before a signature is verified.
 	ratePerAddress, rateBurst = 1000, 2000
 )
 
-// replayWindows are the windows of the newest incarnations of a sender. Each incarnation has its own, because two processes may have one
-// name by mistake: in a common window the datagrams of the later one would make all those of the earlier one, which is the member, count
-// as outdated.
+// replayWindows are the windows of the newest incarnations of a sender. Each incarnation has a window of its own, because two
+// processes may have the same name by mistake. In a common window the datagrams of the process that started later would make all
+// datagrams of the earlier one, which is the member, count as outdated.
 type replayWindows struct {
 	lastAcceptedAt float64 // when the last datagram was accepted, ms
 	byIncarnation  map[uint64]*dedup.Window
-	highestDropped uint64 // incarnations up to this one have no window any more, and are not accepted
+	highestDropped uint64 // incarnations up to this one have lost their window, and are no longer accepted
 }
 
 // accept reports whether a datagram is new, and records it.
@@ -38,7 +39,8 @@
 	return w.Accept(incarnation, sequence)
 }
 
-// makeRoom drops the oldest window if there are too many. It returns false if that would be the one for this incarnation.
+// makeRoom removes the window of the oldest incarnation if there are maxIncarnations of them. It returns false if the given
+// incarnation is older than all of them.
 func (r *replayWindows) makeRoom(incarnation uint64) bool {
 	if len(r.byIncarnation) < maxIncarnations {
 		return true
@@ -52,7 +54,7 @@
 	return true
 }
 
-// acceptNew reports whether a datagram whose seal was verified is new, and records it and its sender's keys.
+// acceptNew reports whether a datagram whose seal was verified is new, and records the datagram and its sender's keys.
 func (s *sealer) acceptNew(e envelope, keys *peerKeys) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +74,7 @@
 	return true
 }
 
-// sendersWithin returns the number of processes of which a datagram was accepted within the last ms.
+// sendersWithin returns the number of processes from which a datagram was accepted within the last ms milliseconds.
 func (s *sealer) sendersWithin(ms float64) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +86,8 @@
 	return n
 }
 
-// allow reports whether one more datagram of an address may be opened: verifying a signature costs more than sending a forged one.
+// allow reports whether one more datagram from an address may be opened. The rate is limited because verifying a signature costs
+// more than sending a forged one.
 func (s *sealer) allow(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peers/sealer.go
+++ b/internal/peers/sealer.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// maxDatagram is the largest datagram that is read, in bytes. memberlist keeps to 1,400; a certificate and the envelope are added.
+	// maxDatagram is the largest datagram that is read, in bytes. A message of memberlist has 1,400 bytes at most, to which a
+	// certificate and the envelope are added.
 	maxDatagram = 4096
-	// maxClockSkew is how far the time of a datagram may be off, in ms, for clocks and delay together. A process that has
-	// restarted could not tell an older one from a replay.
+	// maxClockSkew is how far the time at which a datagram was sent may differ from this process's clock, in ms. It covers both the
+	// difference of the clocks and the delay. Older datagrams are dropped, because a process that has restarted could not tell them
+	// from replays.
 	maxClockSkew = 60_000
-	// maxSenders is how many senders are remembered, with their keys, windows and rates.
+	// maxSenders limits the senders whose keys, replay windows and rates are held.
 	maxSenders = 8192
 )
 
-// sealer seals datagrams to other processes, and opens theirs.
+// sealer seals datagrams to other processes, and verifies and opens the datagrams that they send.
 type sealer struct {
 	identity    *store.Identity
 	clock       *clock.Clock
@@ -35,8 +37,8 @@
 
 	mu                     sync.Mutex
 	peerKeys               map[string]*peerKeys
-	certificatesSent       map[string]int     // datagrams with the certificate, by receiver
-	certificateRequestedAt map[string]float64 // when the certificate of a sender was requested last, by its name
+	certificatesSent       map[string]int     // number of datagrams sent with the certificate, by receiver
+	certificateRequestedAt map[string]float64 // time of the last request for a sender's certificate, in ms, by the sender's name
 	windows                map[string]*replayWindows
 	limiters               map[string]*rate.Limiter // by address
 }
@@ -49,7 +51,7 @@
 	}
 }
 
-// seal returns a datagram for one receiver; to is empty if its name is not known yet.
+// seal returns a datagram for one receiver. to is the name of the receiver, or empty if that is not known yet.
 func (s *sealer) seal(to string, body []byte) ([]byte, error) {
 	e := envelope{
 		From: s.identity.Name, To: to, Incarnation: s.incarnation, Sequence: s.sequence.Add(1), SentAt: int64(s.clock.Now()), Body: body,
@@ -72,15 +74,15 @@
 	return joinDatagram(signature, raw), nil
 }
 
-// openedDatagram is what a datagram that was opened says.
+// openedDatagram is the content of a datagram that was verified.
 type openedDatagram struct {
 	from        string
 	incarnation uint64 // of the sender
 	body        []byte
 }
 
-// open verifies a datagram from an address. A datagram that is dropped is counted, and the error is errDropped or, with the sender's
-// name, errUnknownSender.
+// open verifies a datagram that came from an address and returns its content. A datagram that is not accepted is counted in
+// dropped. The error is then errUnknownSender, with the sender's unproven name in the result, or errDropped.
 func (s *sealer) open(address string, datagram []byte) (openedDatagram, error) {
 	if !s.allow(address) {
 		s.dropped.RateLimited.Add(1)
@@ -115,7 +117,8 @@
 	return openedDatagram{from: e.From, incarnation: e.Incarnation, body: e.Body}, nil
 }
 
-// senderKeys returns the keys of an envelope's sender, by the certificate that it brings or by one that is known; nil: neither.
+// senderKeys returns the keys of an envelope's sender, by a valid certificate in the envelope or by one that is known already. It
+// returns nil if there is neither.
 func (s *sealer) senderKeys(e envelope) *peerKeys {
 	keys := s.keysOf(e.From)
 	if len(e.Certificate) > 0 && (keys == nil || !bytes.Equal(keys.certificate, e.Certificate)) {
@@ -126,7 +129,7 @@
 	return keys
 }
 
-// verify reports whether a seal is that of the peer.
+// verify reports whether the seal of an encoded envelope was made by the peer.
 func (k *peerKeys) verify(seal, raw []byte) bool {
 	if len(seal) == macSize {
 		return hmac.Equal(seal, mac(k.receiveKey, raw))
