--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -21,7 +21,8 @@
 // goldenTime is the time at which the golden datagrams were made, Unix ms.
 const goldenTime = 1_780_000_000_000
 
-// goldenSealers are two members with keys that do not change, in testdata; their certificates are valid until 2126.
+// goldenSealers returns the sealers of two members. Their keys and certificates are in testdata and do not change; the certificates
+// are valid until 2126.
 func goldenSealers(t *testing.T) (a, b *sealer) {
 	t.Helper()
 	load := func(name string, incarnation uint64) *sealer {
@@ -32,7 +33,8 @@
 	return load("a", goldenTime-5000), load("b", goldenTime-4000)
 }
 
-// sealersThatKnowEachOther are two members that know each other's certificate: they seal with MACs, which are the same each time.
+// sealersThatKnowEachOther returns the sealers of two members that know each other's certificate. They seal with MACs, which are
+// the same each time.
 func sealersThatKnowEachOther(t *testing.T) (a, b *sealer) {
 	t.Helper()
 	a, b = goldenSealers(t)
@@ -43,7 +45,7 @@
 	return a, b
 }
 
-// Envelopes are encoded, before they are sealed, as by earlier versions.
+// Envelopes, before they are sealed, are encoded to the same bytes as by earlier versions, and theirs are decoded.
 func TestGoldenEnvelope(t *testing.T) {
 	for name, e := range map[string]envelope{
 		"envelope.cbor": {
@@ -65,7 +67,8 @@
 	}
 }
 
-// Datagrams of every kind between two that know each other are sealed to the same bytes, and opened.
+// Datagrams of every kind between two members that know each other's certificate are sealed to the same bytes as by earlier
+// versions, and theirs are opened.
 func TestGoldenDatagrams(t *testing.T) {
 	for name, body := range map[string][]byte{
 		"datagram_member.bin": {kindMembership, 1, 2, 3}, "datagram_digest.bin": {kindDigest, 4}, "datagram_ask.bin": {kindCertificateRequest},
@@ -85,7 +88,8 @@
 	require.Equal(t, []byte{0, 1, 2, 3}, []byte{kindMembership, kindDigest, kindNameConflict, kindCertificateRequest})
 }
 
-// A signature is another one each time: a datagram that an earlier version has signed is opened by a process that knows nobody yet.
+// A process that knows no certificate yet opens a datagram that an earlier version has signed. Signed datagrams can't be compared
+// byte for byte, because a signature is different each time.
 func TestGoldenSignedDatagram(t *testing.T) {
 	_, b := goldenSealers(t)
 	datagram, err := b.open("x", golden.Read(t, "datagram_signed.bin"))
@@ -95,7 +99,7 @@
 	require.Equal(t, []byte{kindMembership, 1, 2, 3}, datagram.body)
 }
 
-// goldenDigest has every field set that is sent.
+// goldenDigest returns a digest with every field set that is sent.
 func goldenDigest() fleetview.Digest {
 	return fleetview.Digest{
 		Version: 42, Zone: "zone-1", Arrivals: fleetview.LevelOf(765),
@@ -107,7 +111,8 @@
 	}
 }
 
-// A digest is sent, with the fingerprint of the members that are alive after it, as by earlier versions, and theirs are taken in.
+// A digest, followed by the fingerprint of the alive members, is sent as the same bytes as by earlier versions, and theirs are
+// merged.
 func TestGoldenDigestBody(t *testing.T) {
 	a, b := sealersThatKnowEachOther(t)
 	senderConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -143,7 +148,7 @@
 	require.Equal(t, fleetview.Latency{200, 40}, reports[0].Latency)
 }
 
-// The metadata of a member.
+// The metadata of a member is encoded to the same bytes as by earlier versions, and theirs are decoded.
 func TestGoldenMeta(t *testing.T) {
 	p := &Peers{options: Options{Zone: "zone-1", Region: "region-1"}}
 	golden.Equal(t, "meta.cbor", delegate{p}.NodeMeta(512))
@@ -152,7 +157,8 @@
 	require.Equal(t, memberMeta{Zone: "zone-1", Region: "region-1"}, decoded)
 }
 
-// The files of remembered members and of incarnations are read and written as by earlier versions.
+// The files of remembered members and of the incarnation are written with the same bytes as by earlier versions, and theirs are
+// read.
 func TestGoldenFiles(t *testing.T) {
 	copyGolden := func(dir, name string) {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, name), 0o600))
@@ -183,7 +189,7 @@
 	require.EqualValues(t, goldenTime+1, incarnation)
 }
 
-// What operators are shown keeps its JSON keys, and a set of members its fingerprint.
+// The JSON keys shown to operators and the fingerprint of a set of members do not change.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {
--- a/internal/peers/rejoin_test.go
+++ b/internal/peers/rejoin_test.go
@@ -12,7 +12,8 @@
 	"ravenwheel/policy"
 )
 
-// Two pairs that started apart, as the seed of one was not running, become one once that seed is there.
+// Two pairs of processes that started separately, because the seed that they share was not running, become one fleet once the seed
+// runs, because each process goes on joining the seeds that are not members.
 func TestSeparateGroupsMerge(t *testing.T) {
 	clk, dir := clock.Manual(1e12), t.TempDir()
 	require.NoError(t, store.CreateAuthority(dir, "th"))
@@ -33,11 +34,11 @@
 	}
 	expectMembers := func(name string, n int) {
 		t.Helper()
-		require.Eventually(t, func() bool { return peersByName[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s sees %d", name, n)
+		require.Eventually(t, func() bool { return peersByName[name].memberlist.NumMembers() == n }, time.Minute, 5*time.Millisecond, "%s must have %d members", name, n)
 	}
 	a := start("a", "127.0.0.1:0")
 	c := start("c", "127.0.0.1:0")
-	peersByName["c"].Close() // its address is known, and nobody is there yet
+	peersByName["c"].Close() // b and d know its address as a seed, but no process listens there yet
 	start("b", "127.0.0.1:0", a, c)
 	expectMembers("b", 2)
 	start("c", c)
--- a/internal/peers/sealer_test.go
+++ b/internal/peers/sealer_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/store"
 )
 
-// identities are members a and b of one cluster, and a member of another cluster under the name a.
+// identities returns the identities of members a and b of one cluster, and of a member of another cluster that is also named a.
 func identities(t *testing.T) (a, b, other *store.Identity) {
 	dir, otherDir := t.TempDir(), t.TempDir()
 	require.NoError(t, store.CreateAuthority(dir, "th"))
@@ -25,7 +25,7 @@
 	return load(dir, "a"), load(dir, "b"), load(otherDir, "a")
 }
 
-// A datagram that is forged, for another receiver, repeated, expired, or over the rate is dropped, and counted by reason.
+// Datagrams that are forged, for another receiver, repeated, expired, or over the rate limit are dropped, and counted by reason.
 func TestOpenDropsInvalidDatagrams(t *testing.T) {
 	idA, idB, idOther := identities(t)
 	clk := clock.Manual(1e12)
@@ -39,7 +39,7 @@
 	first := seal(a, "b")
 	datagram, err := b.open("x", first)
 	require.NoError(t, err)
-	require.Equal(t, "a hello", datagram.from+" "+string(datagram.body), "its first datagrams bring its certificate")
+	require.Equal(t, "a hello", datagram.from+" "+string(datagram.body), "the first datagrams of a contain its certificate")
 
 	_, err = b.open("x", first)
 	require.Error(t, err)
@@ -47,7 +47,7 @@
 
 	_, err = b.open("x", seal(newSealer(idOther, clk, uint64(clk.Now())), "b"))
 	require.Error(t, err)
-	require.EqualValues(t, 1, dropped.Forged.Load(), "the a of another cluster: its signature is not that of the a that is known")
+	require.EqualValues(t, 1, dropped.Forged.Load(), "the signature does not match the certificate of a that is known")
 
 	_, err = b.open("x", seal(a, "c"))
 	require.Error(t, err)
@@ -70,7 +70,8 @@
 	require.Error(t, err)
 	require.Equal(t, before+1, dropped.Expired.Load())
 
-	// Clocks may be 3 s apart; a process that knows nobody accepts a datagram only with a certificate of its own cluster.
+	// Clocks may be 3 s apart. A process that knows no certificates yet accepts a datagram only with a certificate of its own
+	// cluster.
 	ahead := newSealer(idA, clock.Manual(clk.Now()+3000), uint64(clk.Now()))
 	_, err = b.open("x", seal(ahead, "b"))
 	require.NoError(t, err)
@@ -84,10 +85,11 @@
 	}
 	require.Positive(t, dropped.RateLimited.Load())
 	_, err = b.open("x", seal(ahead, "b"))
-	require.NoError(t, err, "others are not affected")
+	require.NoError(t, err, "the rate limit of one address does not affect other addresses")
 }
 
-// A process that has restarted knows nobody: it requests the certificate of a sender that had sent it before.
+// A process that has restarted knows no certificates. It requests the certificate of a sender that had sent it to its earlier
+// incarnation, and accepts the sender's datagrams once the certificate is sent again.
 func TestRestartedReceiverRequestsCertificate(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
@@ -102,7 +104,7 @@
 	datagram, err := b.open("x", raw)
 	require.ErrorIs(t, err, errUnknownSender)
 	require.True(t, b.mayRequestCertificate(datagram.from))
-	require.False(t, b.mayRequestCertificate(datagram.from), "once a second")
+	require.False(t, b.mayRequestCertificate(datagram.from), "at most one request per second")
 	a.resendCertificate("b")
 	raw, err = a.seal("b", []byte("hello"))
 	require.NoError(t, err)
@@ -111,7 +113,8 @@
 	require.Equal(t, "a", datagram.from)
 }
 
-// Two that know each other's certificate do not sign any more, and no third process can make what either accepts.
+// Two peers that know each other's certificate use MACs in place of signatures, and no third process can make a datagram that
+// either accepts: one that is altered, or returned to its sender under the receiver's name, is dropped.
 func TestPeersWithKnownCertificatesUseMACs(t *testing.T) {
 	idA, idB, _ := identities(t)
 	clk := clock.Manual(1e12)
@@ -124,8 +127,8 @@
 		require.Equal(t, "hello", string(datagram.body))
 		return int(raw[0])
 	}
-	require.Greater(t, sendAndOpen(a, b, "b"), macSize, "a signature, as a does not know b")
-	require.Equal(t, macSize, sendAndOpen(b, a, "a"), "as b knows a")
+	require.Greater(t, sendAndOpen(a, b, "b"), macSize, "a signs, as it does not know b's certificate")
+	require.Equal(t, macSize, sendAndOpen(b, a, "a"), "b uses a MAC, as it knows a's certificate")
 	require.Equal(t, macSize, sendAndOpen(a, b, "b"))
 
 	raw, err := a.seal("b", []byte("hello"))
@@ -136,7 +139,8 @@
 		_, err = b.open("x", altered)
 		require.Error(t, err, "byte %d", offset)
 	}
-	// What a has sent is returned to it under b's name: each direction has a key of its own.
+	// A datagram of a is returned to a under b's name, with a's own MAC. It is not accepted, because each direction has a key of
+	// its own.
 	sealEnd := 1 + macSize
 	var e envelope
 	require.NoError(t, cbor.Unmarshal(raw[sealEnd:], &e))
@@ -148,7 +152,8 @@
 	require.Positive(t, a.dropped.Forged.Load())
 }
 
-// A member with a new certificate is accepted by those that know its old one, and the old one is useless from then on.
+// Processes that know the old certificate of a member accept a renewed one. From then on they reject the old one, so that a leaked
+// key is useless.
 func TestRenewedCertificateReplacesOld(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, store.CreateAuthority(dir, "th"))
@@ -160,7 +165,7 @@
 	}
 	clk := clock.Manual(1e12)
 	old, b := newSealer(load("a"), clk, 1), newSealer(load("b"), clk, 1)
-	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // certificates have their time to the second
+	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // the time of issue is in whole seconds
 	renewed := newSealer(load("a"), clk, 2)
 	for i, p := range []*sealer{old, renewed, old, renewed} {
 		raw, err := p.seal("b", []byte("hello"))
