--- a/internal/decide/fleetview/report.go
+++ b/internal/decide/fleetview/report.go
@@ -12,7 +12,7 @@
 type Report struct {
 	Name     string  `json:"Name"` // of the process
 	Zone     string  `json:"Zone"`
-	Age      float64 `json:"Age"`      // ms
+	Age      float64 `json:"Age"`      // ms since the report was received
 	Attempts float64 `json:"Attempts"` // per second
 	Failing  float64 `json:"Failing"`  // fraction of the attempts
 	Latency  Latency `json:"Latency"`
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxMembers is the number of members from which a new one replaces those that have failed or left, which are kept for operators to
-// see.
+// maxMembers is how many members are held, including those that have failed or left, which operators can see. When it is reached, a
+// new member removes all that have failed or left.
 const maxMembers = 1024
 
 // MemberState is the state of a member. Its text is shown to operators.
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -17,7 +17,7 @@
 	DigestBytes   int64            `json:"digest_bytes"` // part of SentBytes; the rest is membership
 	StreamBytes   int64            `json:"stream_bytes"` // part of SentBytes
 	ReceivedBytes int64            `json:"received_bytes"`
-	Dropped       map[string]int64 `json:"dropped"` // number of datagrams, by reason
+	Dropped       map[string]int64 `json:"dropped"` // datagrams by reason; "refused" counts RejectedDigests
 }
 
 // Summary returns the status without the members.
