--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,7 +1,8 @@
 package policy
 
-// maySendTo reports whether another attempt at the server can have no second effect. For a request with an
-// idempotency key that holds in the scope of caches that discard duplicates, and while they remember the key.
+// maySendTo reports whether an attempt at the server is safe: the request cannot take effect a second time.
+// For a request with an idempotency key that holds at the caches of its DedupScope, until DedupWindow has
+// passed since the first attempt that may have executed it.
 func (req *openRequest) maySendTo(now Time, to *server) bool {
 	first := req.firstPossiblyExecuted()
 	if first == nil || req.class.Idempotency == Idempotent {
@@ -19,8 +20,8 @@
 	return true
 }
 
-// mayReject reports whether the client may be told that a retry is harmless. A client's retry may reach any
-// cache, so an idempotency key protects it only if all caches discard its duplicates.
+// mayReject reports whether a rejection is safe: it tells the client that it may retry. A client's retry may
+// reach any cache, so an idempotency key makes it safe only if all caches discard duplicates together.
 func (req *openRequest) mayReject() bool {
 	class := req.class
 	dedupedEverywhere := class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll
--- a/policy/members.go
+++ b/policy/members.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// watchRetryDelay is the wait before discovery is watched again after a failure.
+// watchRetryDelay is the time after a failed list before discovery is watched again.
 const watchRetryDelay = time.Second
 
-// handleMembers applies a list of servers, or changes to it. A server that is missing from a full or cached
-// list is no longer used.
+// handleMembers applies a list of servers, or changes to the list. A server that is missing from a full or
+// cached list is no longer used.
 func (r *Router) handleMembers(e Members) {
 	if r.settings.WatchDiscovery && !r.watching {
 		r.watching = true
@@ -32,7 +32,8 @@
 	}
 }
 
-// updateMember applies one entry. A server with a new start time is judged anew and begins its slow start.
+// updateMember applies one entry. A server with a new start time begins its slow start, and what was learned
+// about its health is reset.
 func (r *Router) updateMember(member Member) {
 	server, known := r.servers[member.ID]
 	if !known {
@@ -62,7 +63,8 @@
 	}
 }
 
-// scaleLimits adapts slots, and first limits of sources, to the link capacity (weight) of the zone's caches.
+// scaleLimits adapts the number of attempts that a slot stands for, and the initial limits of sources, to the
+// link capacities (weights) of the zone's caches.
 func (r *Router) scaleLimits() {
 	total := 0.0
 	for _, cache := range r.caches {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -11,7 +11,8 @@
 	outcomeGain    = 1.0 / 8         // weight of the newest outcome in a failure rate or late rate
 	probeInterval  = 5 * time.Second // between two probes of a server that is down
 	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down. For
-	// rarely used servers rarelyUsedMaxUnanswered are enough, if they have not answered for unresponsivePeriod.
+	// rarely used servers rarelyUsedMaxUnanswered are enough, if they have not answered for
+	// unresponsivePeriod.
 	maxConsecutiveUnanswered, rarelyUsedMaxUnanswered, unresponsivePeriod = 20, 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// countAdmitted is how many of a hundred routers send a request where slots are occupied: of caches, the zone's link or
-// the sources. So many are occupied that a whole limit admits it and lowValueLimitFraction of it does not.
+// countAdmitted is how many of a hundred routers send a request where slots are occupied: of caches, the
+// zone's link or the sources. So many are occupied that a whole limit admits it and lowValueLimitFraction of
+// it does not.
 func countAdmitted(t *testing.T, set Settings, q Request, at func(r *Router) []*server) (count int) {
 	t.Helper()
 	for seed := range 100 {
--- a/policy/purge.go
+++ b/policy/purge.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// minCopyAge is the least maximum age that is sent, since 0 stands for the class's own.
+// minCopyAge is the lowest Fetch.MaxAge after a purge, since 0 means the class's FreshFor.
 const minCopyAge = time.Microsecond
 
-// handlePurged remembers the latest purge of an object or of a group.
+// handlePurged records the time of the latest purge of an object or a group.
 func (r *Router) handlePurged(e Purged) {
 	purgedAt := r.now - e.Age
 	if e.Object != "" {
@@ -17,14 +17,14 @@
 	r.groupPurges.put(e.Group, max(purgedAt, previous))
 }
 
-// handleDiscoveryOverdue makes copies from before a time count as purged for as long as discovery is overdue
-// and may have purges from before it to report.
+// handleDiscoveryOverdue treats copies from before a given time as purged for as long as discovery is
+// overdue, since purges made until then may not have been reported.
 func (r *Router) handleDiscoveryOverdue(e DiscoveryOverdue) {
 	r.discoveryOverdue, r.unseenPurgesUntil = e.Overdue, r.now-e.Age
 }
 
-// maxAge is the maximum age of a copy that may answer the request, and whether a purge bounds it. Counted
-// from the latest purge, it excludes every copy from before, at the cache and at its source.
+// maxAge returns the maximum age of a copy that may answer the request, and whether a purge limits it. The
+// age is the time since the latest purge, so it excludes every earlier copy, at the cache and at its source.
 func (r *Router) maxAge(req *openRequest) (age time.Duration, purged bool) {
 	purgedAt, purged := r.objectPurges.get(req.Object)
 	if groupAt, found := r.groupPurges.get(req.Group); found && (!purged || groupAt > purgedAt) {
@@ -33,7 +33,7 @@
 	if r.discoveryOverdue && (!purged || r.unseenPurgesUntil > purgedAt) {
 		purgedAt, purged = r.unseenPurgesUntil, true
 	}
-	// Twice, as an old copy may have been on its way from a source when the source dropped its own.
+	// Twice, as an old copy may have been in transfer from a source when the source dropped its own.
 	if !purged || r.now-purgedAt > 2*r.settings.PurgeDuration {
 		return 0, false
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	typicalSizeFraction = 0.7 // size of an object where it is unknown, as a fraction of its class's mean
+	typicalSizeFraction = 0.7 // assumed size of an object of unknown size, as a fraction of its class's mean
 	newObjectRank       = 1   // Fetch.RetainRank of an object without a recent hit
-	repeatedObjectRank  = 2   // Fetch.RetainRank of an object with one
+	repeatedObjectRank  = 2   // Fetch.RetainRank of an object with a recent hit
 )
 
-// handleRequest makes a request's first attempt. One of unknown class or with no time left is rejected, and
-// one whose id is in use is ignored.
+// handleRequest makes a request's first attempt. It rejects a request of an unknown class or with no time
+// left, and ignores one whose id is in use.
 func (r *Router) handleRequest(e Request) {
 	if r.requests[e.ID] != nil {
 		return
@@ -31,12 +31,13 @@
 		req.cacheHash = mix(req.objectHash + uint64(e.Part))
 	}
 	r.requests[e.ID] = req
-	// A request ends at its deadline even if no outcome arrives.
+	// The request gets its final answer at its deadline even if no outcome arrives.
 	r.setTimer(e.TimeLeft, timer{kind: deadlineTimer, request: req})
 	r.dispatch(req)
 }
 
-// handleStreamStarted binds a streamed request to the attempt whose answer has begun: it is not retried.
+// handleStreamStarted binds a streamed request to the attempt whose answer has begun, so that it is not
+// retried.
 func (r *Router) handleStreamStarted(e StreamStarted) {
 	attempt := r.requests[e.ID].attempt(e.Attempt)
 	if attempt == nil || !attempt.request.class.Streamed || attempt.request.done {
@@ -46,8 +47,9 @@
 	r.recordAnswer(attempt.server)
 }
 
-// giveUp gives the final answer: a rejection where a retry by the client is harmless, otherwise a failure.
-// Retry-After is drawn from the upper half of its range, so that clients return at different times.
+// giveUp gives the final answer: a rejection where a retry by the client is safe, otherwise a failure. The
+// Retry-After is random, between half of its maximum and its maximum, so that clients return at different
+// times.
 func (r *Router) giveUp(req *openRequest) {
 	if req.done {
 		return
@@ -64,8 +66,8 @@
 	r.finish(req)
 }
 
-// dispatch makes the next attempt of a request, lets it wait for a retry, or gives it up. A request that has
-// an open attempt, is being streamed or waits for its retry already is left alone.
+// dispatch makes the next attempt of a request, schedules a retry, or gives the request up. It does nothing
+// for a request that has an open attempt, is being streamed or already waits for its retry.
 func (r *Router) dispatch(req *openRequest) {
 	if req.done || req.streaming || req.openAttempts > 0 || req.awaitingRetry {
 		return
@@ -92,13 +94,13 @@
 			r.retryLater(req)
 			return
 		}
-		source = to // no fill is possible, but a first attempt may still find a copy at its cache
+		source = to // no fill is possible, but a first attempt may find a copy at the cache
 	}
 	r.send(req, to, source, options, cmp.Or(probed, probedSource))
 }
 
-// chooseServer returns the server of the next attempt, nil if there is none, and the server that it probes,
-// if any. Uncached requests go straight to the origin where the topology allows it.
+// chooseServer returns the server for the next attempt, nil if there is none, and the server that the attempt
+// probes, nil if it is no probe. Uncached requests go directly to the origin if Settings.MayBypassCaches.
 func (r *Router) chooseServer(req *openRequest) (to, probed *server) {
 	direct := req.class.Uncached && r.settings.MayBypassCaches && r.origin.usable()
 	if direct && !slices.Contains(req.failedSources, r.origin) && req.maySendTo(r.now, r.origin) {
@@ -110,14 +112,14 @@
 	return to, probed
 }
 
-// send makes an attempt at a server. source is where a miss is filled from: nil to name no source, the server
-// itself for no fill. probed is the server that the attempt probes, or nil.
+// send sends an attempt to a server. A miss is filled from source: nil names no source, and the server itself
+// means no fill. probed is the server that the attempt probes, or nil.
 func (r *Router) send(req *openRequest, to, source *server, options FillOptions, probed *server) {
 	attempt := r.openAttempt(req, to, source, options, probed)
 	objective := r.latencyObjective(req)
 	timeLeft, timeout := req.deadline-r.now, req.deadline-r.now
 	if probed != nil {
-		timeout = min(timeLeft/2, objective) // leaves time for an attempt elsewhere
+		timeout = min(timeLeft/2, objective) // leaves time for an attempt at another server
 		probed.probing, probed.NextProbe = true, r.now+probeInterval
 	}
 	if objective < timeLeft {
@@ -132,8 +134,9 @@
 	r.emit(fetch)
 }
 
-// setCaching decides which copies may answer, and the rank of a new one: parents and the origin have no
-// ranks. After a purge no fill is joined, as it may have begun before, and no expiring copy is served.
+// setCaching sets which copies may answer a fetch, and the eviction rank of a new copy; parents and the
+// origin have no ranks. After a purge no fill is joined, as it may have begun before the purge, and no
+// expiring copy is served.
 func (r *Router) setCaching(fetch *Fetch, req *openRequest, to *server) {
 	if req.class.Uncached {
 		return
@@ -155,8 +158,8 @@
 	}
 }
 
-// latencyObjective is the time within which an answer earns the request's full priority weight: that of the
-// class, extended in proportion to the request's own transfer time. Each attempt may take all of it.
+// latencyObjective returns the time within which an answer earns the request's full priority weight: the
+// objective of its class, extended in proportion to its own transfer time. Each attempt may take all of it.
 func (r *Router) latencyObjective(req *openRequest) time.Duration {
 	transfer := cmp.Or(r.knownTransferTime(req), typicalSizeFraction*r.classTransferTime(req))
 	stretch := req.class.ObjectiveStretch * transfer * float64(time.Second)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	maxRequestErrors     = 2                     // after which a request is taken to be at fault itself
-	maxRequestRejections = 2                     // after which retries would only add to the overload
-	retryPause           = 50 * time.Millisecond // before a retry, multiplied by 1 + the attempts made
+	maxRequestErrors     = 2                     // after so many errors the request is taken to be the cause
+	maxRequestRejections = 2                     // after so many rejections a retry would add to the overload
+	retryPause           = 50 * time.Millisecond // before a retry; multiplied by 1 + the number of attempts
 )
 
-// handleOutcome closes an attempt, learns from its outcome and decides what becomes of the request.
+// handleOutcome closes an attempt, updates what the router has learned with its outcome, and then finishes
+// the request, retries it or gives it up.
 func (r *Router) handleOutcome(outcome Outcome) {
 	req := r.requests[outcome.ID]
 	attempt := req.attempt(outcome.Attempt)
@@ -42,22 +43,22 @@
 	}
 	r.excludeFailed(req, attempt, outcome)
 	if noFill {
-		r.retryLater(req) // the next parent would lack the object too, the next cache have no slot for a fill
+		r.retryLater(req) // another parent would have no copy either, another cache no slot for a fill
 		return
 	}
 	r.dispatch(req)
 }
 
-// fillImpossible reports whether an attempt failed for want of a fill: the cache had no slot for one, or the
-// parent had no copy. A parent reports that only of a CachedOnly fill, which is made while the origin is over
-// its limit.
+// fillImpossible reports whether an attempt failed because a fill was not possible: the cache had no slot for
+// one, or the parent had no copy. A parent reports that it has no copy only for a CachedOnly fill, which is
+// requested while the origin is over its limit.
 func (a *attempt) fillImpossible(outcome Outcome) bool {
 	parentMiss := outcome.Note == NoteSourceMiss && a.source != nil && a.source.role == roleParent
 	return outcome.Note == NoteNoFillSlot || parentMiss
 }
 
-// excludeFailed keeps the next attempts, until retryLater, away from what failed: the source, the source and
-// the origin, or the attempt's server.
+// excludeFailed excludes from the next attempts, until retryLater, what has failed: the source, the source
+// and the origin, or the server of the attempt.
 func (r *Router) excludeFailed(req *openRequest, attempt *attempt, outcome Outcome) {
 	switch {
 	case attempt.source != nil && outcome.sourceFailed():
@@ -72,8 +73,8 @@
 	}
 }
 
-// retryLater lets a request wait before a retry, for which no server or source is excluded any more. It gives
-// up a request that would miss its class's latency objective by then, or that had no attempt yet.
+// retryLater schedules a retry after a pause. No server or source is excluded from that retry. A request that
+// would miss the latency objective of its class by then, or that had no attempt yet, is given up instead.
 func (r *Router) retryLater(req *openRequest) {
 	wait := retryPause * time.Duration(1+len(req.attempts))
 	arrival := req.deadline - req.TimeLeft
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not the load of
-// servers.
+// ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not
+// the load of servers.
 type ruleChecker struct {
 	set        Settings
 	reqs       map[string]*entry
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a rule.
+// runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a
+// rule.
 func runRandomEvents(seed int64) ([]Action, error) {
 	rnd := rand.New(rand.NewSource(seed))
 	set := settings()
--- a/policy/server_pick.go
+++ b/policy/server_pick.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// spilloverOccupancyFactor: a request that is passed on by a cache over its limit goes only to one that would
-// be within its own limit with so many times the slots that are occupied there. Load that moves between busy
-// caches would lower their hit rates.
+// spilloverOccupancyFactor multiplies the occupied slots of a cache that is considered in place of one over
+// its limit: it gets the request only if it would still be within its own limit. Otherwise load would move
+// between caches that are nearly at their limits, and lower their hit rates.
 const spilloverOccupancyFactor = 2
 
-// pickCache returns the cache for the next attempt, nil if there is none, and the cache that it probes, if
-// any. It goes through the caches in rendezvous order: first through those that have not failed this request
-// and that serve the object by now in their slow start, then through all. A cache over its limit is passed
-// over even if all are, except that the second time it takes an uncached request.
+// pickCache returns the cache for the next attempt, nil if there is none, and the cache that the attempt
+// probes, nil if it is no probe. It tries the caches in rendezvous order, in two passes. The first pass skips
+// caches that have failed this request, and caches in slow start that don't serve the object yet; the second
+// pass does not. Both skip caches over their limits, even if no other cache is left, but the second pass does
+// not do so for an uncached request.
 func (r *Router) pickCache(req *openRequest) (cache, probed *server) {
 	order := rendezvousOrder(r.caches, req.cacheHash, r.settings.WeightsKnown)
 	for _, preferred := range []bool{true, false} {
@@ -42,8 +43,9 @@
 	return nil, nil
 }
 
-// bypassCaches returns a source that serves the request directly, for a zone in which no cache is up. Caches
-// that are only over their limits are not bypassed: that would move their overload to the parents.
+// bypassCaches returns a parent or the origin that serves the request directly while no cache of the zone is
+// up, and the server that the attempt probes, if any. Caches that are only over their limits are not
+// bypassed, as that would move their overload to the parents.
 func (r *Router) bypassCaches(req *openRequest) (to, probed *server) {
 	if slices.ContainsFunc(r.caches, func(cache *server) bool { return cache.State == Ready && !cache.Down }) {
 		return nil, nil
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -81,8 +81,8 @@
 	c.routers[i] = r
 }
 
-// play sends the routers ten times the work that the server may get, to some ten times as much as to others, and
-// restarts the given fraction of them a second. There are no requests until quiet has passed.
+// play sends the routers ten times the work that the server may get, to some ten times as much as to others,
+// and restarts the given fraction of them a second. There are no requests until quiet has passed.
 func (c *warmUpFleet) play(t *testing.T, length, quiet time.Duration, restarts float64) {
 	const step = 10 * ms
 	rate, total := make([]float64, len(c.routers)), 0.0
--- a/policy/source_chain.go
+++ b/policy/source_chain.go
@@ -3,8 +3,9 @@
 import "slices"
 
 // chooseSource returns the source that a miss at the given server is filled from, nil if there is none, the
-// options of the fill, and the parent that it probes, if any. If to is nil the source serves the request
-// itself. An uncached request, or one that is sent to a parent, has the origin as its only source.
+// options of the fill, and the parent that the fill probes, if any. If to is nil, the source serves the
+// request itself. The origin is the only source for an uncached request and for a request that is sent to a
+// parent.
 func (r *Router) chooseSource(
 	req *openRequest, to *server,
 ) (source *server, options FillOptions, probed *server) {
@@ -22,7 +23,7 @@
 	}
 	originOverLimit := r.origin != nil && r.overLimit(req, r.origin, r.occupied(r.origin))
 	if originOverLimit {
-		options = CachedOnly // a fill that needs the origin would time out there
+		options = CachedOnly // a fill that reaches the origin would time out there
 	}
 	for _, parent := range rendezvousOrder(r.parents, req.objectHash, r.settings.WeightsKnown) {
 		excluded := parent.State != Ready || slices.Contains(req.failedSources, parent)
@@ -42,8 +43,8 @@
 	return nil, 0, nil
 }
 
-// recentHitServer returns the cache or parent that recently had the object, if it may be named as the source
-// of a fill at the given server; nil otherwise.
+// recentHitServer returns the cache or parent that recently served the object from its copy, if it may be the
+// source of a fill at the given server; nil otherwise.
 func (r *Router) recentHitServer(req *openRequest, to *server) *server {
 	hit, _ := r.recentHits.get(objectPart{req.Object, req.Part})
 	source := hit.server
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// serverRole is what a server is to this router.
+// serverRole is the use that this router makes of a server.
 type serverRole int
 
 const (
-	roleCache serverRole = iota // of this router's zone
+	roleCache serverRole = iota // a cache of this router's zone
 	roleParent
 	roleOrigin
 	roleOtherZone // a cache of another zone
 )
 
-// server is a cache, a parent or the origin. The zone's link is one too, for its limit and rates: its role is
-// roleCache, so that its limit has the bounds of a cache's.
+// server is a cache, a parent or the origin. The zone's inbound link is represented as a server too, since it
+// has a limit and a late rate. Its role is roleCache, so that its limit has the bounds of a cache's.
 type server struct {
 	Member
 	ServerStats
 	role            serverRole
 	listed          bool
 	idHash          uint64
-	rendezvousScore float64 // of the last rendezvousOrder
+	rendezvousScore float64 // computed by the last rendezvousOrder
 
 	probing         bool // a probe is in flight
-	overloadedUntil Time // it gets no request until then
-	noFillsUntil    Time // it gets no request that may need a fill until then
+	overloadedUntil Time // until then it gets no request
+	noFillsUntil    Time // until then it gets no request that may need a fill
 	openFills       int  // open attempts that name it as their source
-	originFills     int  // of the origin: open fills at parents that may reach it
-	exemptAttempts  int  // open attempts here that occupy no slot
+	originFills     int  // for the origin: open fills at parents that may reach it
+	exemptAttempts  int  // open attempts sent to it that occupy no slot
 
-	inFlight []*attempt // attempts sent here, oldest first
+	inFlight []*attempt // open attempts sent to it, oldest first
 }
 
 // usable reports whether a server may be named in an action: it is listed and not draining.
@@ -48,40 +48,41 @@
 	request         *openRequest
 	index           int
 	server          *server
-	source          *server // nil: none is named; server itself: no fill
+	source          *server // nil: none is named; equal to server: no fill
 	sentAt          Time
-	open            bool // it has no outcome yet
-	mayHaveExecuted bool
+	open            bool    // it has no outcome yet
+	mayHaveExecuted bool    // its outcome does not exclude that the request was executed
 	fillCost        float64 // charged to the source's warm-up budget, in seconds of transfer time
 	probed          *server // the server that it probes; nil: none
 	late            bool    // its latency objective has passed
-	limitExempt     bool    // it occupies no slot at its server, see occupied
-	failed          bool    // it ended in an error: the server's fault, or the request's
-	origin          *server // the origin, if its fill at a parent may reach it
+	limitExempt     bool    // it occupies no slot at its server; see occupied
+	failed          bool    // it ended in an error, caused by the server or by the request itself
+	origin          *server // the origin, if the fill at a parent may reach it; otherwise nil
 }
 
 // hasSource reports whether the attempt names another server as its source.
 func (a *attempt) hasSource() bool { return a.source != nil && a.source != a.server }
 
-// openRequest is a request that has no final answer yet, or whose attempts have no outcome yet.
+// openRequest is a request without a final answer, or with an attempt that has no outcome yet.
 type openRequest struct {
 	Request
 	class         *Class
 	objectHash    uint64 // determines the order of parents
-	cacheHash     uint64 // of the object or part that a cache retains; determines the order of caches
+	cacheHash     uint64 // of the object, or of the part if it is multipart; determines the order of caches
 	deadline      Time
 	attempts      []*attempt
 	openAttempts  int
-	done          bool
-	streaming     bool
-	awaitingRetry bool
+	done          bool      // it has its final answer or needs none
+	streaming     bool      // its streamed answer has begun
+	awaitingRetry bool      // it waits for its retryTimer
 	admissionDraw float64   // random, between 0 and 1; see overLimit
 	errors        int       // attempts that ended in an error
 	rejections    int       // attempts that ended in an overload
-	failedServers []*server // servers that failed this request, of any role
-	failedSources []*server // sources that failed this request
+	failedServers []*server // excluded from the next attempts; servers of any role
+	failedSources []*server // excluded as sources of the next attempts
 }
 
+// attempt returns the attempt with the given index; nil if there is none.
 func (req *openRequest) attempt(index int) *attempt {
 	if req == nil || index < 0 || index >= len(req.attempts) {
 		return nil
@@ -89,7 +90,8 @@
 	return req.attempts[index]
 }
 
-// firstPossiblyExecuted is the earliest attempt that may have been executed; nil if none can have been.
+// firstPossiblyExecuted returns the earliest attempt that may have executed the request; nil if none can
+// have.
 func (req *openRequest) firstPossiblyExecuted() *attempt {
 	for _, attempt := range req.attempts {
 		if attempt.open || attempt.mayHaveExecuted {
@@ -99,18 +101,19 @@
 	return nil
 }
 
-// objectPart is the key of a recent hit.
+// objectPart identifies an object, or one part of a multipart object.
 type objectPart struct {
 	object string
 	part   int
 }
 
+// recentHit says where an object was found, and when.
 type recentHit struct {
 	server *server
 	at     Time
 }
 
-// Router decides for one router instance. See New.
+// Router makes the decisions of one router instance. Routers are created by New.
 type Router struct {
 	settings  Settings
 	rng       uint64 // state of the random sequence
@@ -125,23 +128,26 @@
 	caches      []*server // listed ones of this zone, by id
 	parents     []*server // listed ones, by id
 	origin      *server
-	link        *server // the zone's link in, which all its fills share
-	watching    bool
-	limitScale  float64 // attempts per slot of a limit
+	link        *server // the zone's inbound link, which all fills of its caches share
+	watching    bool    // a Watch was requested
+	limitScale  float64 // number of attempts that one slot stands for; see referenceLinkTransfers
 
 	recentHits        *boundedMap[objectPart, recentHit]
 	objectPurges      *boundedMap[string, Time]
 	groupPurges       *boundedMap[int, Time]
 	discoveryOverdue  bool
-	unseenPurgesUntil Time // while discoveryOverdue: purges made until then may be unknown
+	unseenPurgesUntil Time // while discoveryOverdue: purges made until then may not have been reported
 
 	transferTime        []float64 // by class, in seconds, without the effects of overload
 	recentTransferTime  []float64 // by class, in seconds
 	transferTimeUpdated []Time    // by class
 	fillRate            Fraction  // fraction of answers that needed a fill
 	originRate          Fraction  // fraction of answers that needed the origin
-	servedRate          [roleOtherZone + 1]decayingRate
-	peakLoad            [roleOtherZone + 1]float64 // most transfers at once that a server of the role did here
+
+	// By role: the work that its servers do for this router, and the highest average load per server, in
+	// concurrent transfers. See recordServed.
+	servedRate [roleOtherZone + 1]decayingRate
+	peakLoad   [roleOtherZone + 1]float64
 }
 
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
@@ -152,7 +158,7 @@
 	return uniform(r.rng)
 }
 
-// finish marks a request as answered; it is forgotten once its last attempt has an outcome.
+// finish marks a request as done, and removes it once its last attempt has an outcome.
 func (r *Router) finish(req *openRequest) {
 	if req == nil {
 		return
@@ -163,7 +169,7 @@
 	}
 }
 
-// exemptFromLimit lets an open attempt occupy no slot at its server any more.
+// exemptFromLimit stops counting an open attempt against the limit of its server.
 func (r *Router) exemptFromLimit(attempt *attempt) {
 	if !attempt.limitExempt && attempt.open {
 		attempt.limitExempt = true
@@ -171,8 +177,8 @@
 	}
 }
 
-// openAttempt records a new attempt, and the fill that it may cause, as in flight, and charges the warm-up
-// budgets of its server and source with the transfer time of its class.
+// openAttempt counts a new attempt, and the fill that it may cause, as in flight. It charges the transfer
+// time of the request's class to the warm-up budgets of the server and the source.
 func (r *Router) openAttempt(
 	req *openRequest, to, source *server, options FillOptions, probed *server,
 ) *attempt {
@@ -201,7 +207,7 @@
 	return a
 }
 
-// closeAttempt removes an attempt from all counts of what is in flight.
+// closeAttempt removes an attempt and its fill from all counts of what is in flight.
 func (r *Router) closeAttempt(attempt *attempt) {
 	if !attempt.open {
 		return
@@ -222,8 +228,8 @@
 }
 
 // rebuildLists sorts the listed servers by role and id, so that no decision depends on the order of a map,
-// and forgets servers that are neither listed nor in use. All but new servers are in order already, which
-// keeps the sort of a large fleet short.
+// and removes servers that are neither listed nor in use. Only new servers are out of order, so the sort is
+// fast even for a large fleet.
 func (r *Router) rebuildLists() {
 	slices.SortFunc(r.serversByID, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	r.caches, r.parents, r.origin = make([]*server, 0, len(r.caches)+1), nil, nil
@@ -244,16 +250,16 @@
 	})
 }
 
-// classTransferTime is the estimated transfer time of an answer of the request's class, in seconds.
+// classTransferTime returns the estimated transfer time of an answer of the request's class, in seconds.
 func (r *Router) classTransferTime(req *openRequest) float64 { return r.transferTime[req.Class] }
 
-// knownTransferTime is the transfer time of the request's own bytes in seconds; 0 if its size or the pace of
-// a transfer is unknown.
+// knownTransferTime returns the time that the transfer of the request's own bytes takes at least, in seconds;
+// 0 if the size or the rate of a transfer is unknown.
 func (r *Router) knownTransferTime(req *openRequest) float64 {
 	return req.SizeKB / cmp.Or(max(0, r.settings.TransferKBPerS), math.Inf(1))
 }
 
-// warmUp is what the settings say about the warm-up of servers of this role.
+// warmUp returns the settings for the warm-up of servers of this role.
 func (r *Router) warmUp(server *server) WarmUp {
 	if server.role == roleParent {
 		return r.settings.ParentWarmUp
@@ -261,8 +267,8 @@
 	return r.settings.CacheWarmUp
 }
 
-// routersSharing is the number of routers that send to a server: for a cache those of its zone, if that
-// number is known, otherwise all.
+// routersSharing returns the number of routers that send requests to a server: for a cache the routers of its
+// zone, if their number is known, otherwise all routers.
 func (r *Router) routersSharing(server *server) int {
 	zone, counts := server.Zone, r.settings.ZoneRouters
 	if server.role == roleCache && zone >= 0 && zone < len(counts) && counts[zone] > 0 {
@@ -271,12 +277,12 @@
 	return r.settings.Routers
 }
 
-// rendezvousOrder sorts servers by their rendezvous score for a key, the highest first. With weights a server
-// gets a fraction of all keys in proportion to its weight.
+// rendezvousOrder returns the servers sorted by their score for a key in rendezvous hashing, the highest
+// first. With weights, the fraction of keys for which a server comes first is proportional to its weight.
 func rendezvousOrder(servers []*server, key uint64, weighted bool) []*server {
 	order := append(make([]*server, 0, len(servers)), servers...)
 	for _, server := range order {
-		// Without weights the hash itself sorts as its logarithm would.
+		// Without weights the logarithm is not needed, as it would not change the order.
 		if server.rendezvousScore = uniform(mix(key ^ server.idHash)); weighted {
 			server.rendezvousScore = -cmp.Or(max(0, server.Weight), 1) / math.Log(server.rendezvousScore)
 		}
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// abandonedRequestTimeout is how long after its deadline a request is forgotten whose attempts have no
-// outcome.
+// abandonedRequestTimeout is the time after its deadline at which a request is removed although some of its
+// attempts have no outcome.
 const abandonedRequestTimeout = time.Minute
 
+// timerKind says what happens when a timer is due.
 type timerKind int
 
 const (
-	deadlineTimer  timerKind = iota // the request's deadline
-	objectiveTimer                  // the attempt's latency objective
-	retryTimer                      // the end of a pause before a retry
-	watchTimer                      // discovery is to be watched again
-	forgetTimer                     // the request is to be forgotten
+	deadlineTimer  timerKind = iota // the request's deadline has passed
+	objectiveTimer                  // the attempt's latency objective has passed
+	retryTimer                      // the pause before the request's retry is over
+	watchTimer                      // a new Watch of discovery is due after a failure
+	forgetTimer                     // the request is removed; see abandonedRequestTimeout
 )
 
-// timer is what a token of SetTimer stands for.
+// timer is a timer that was requested with SetTimer.
 type timer struct {
 	kind    timerKind
 	request *openRequest
