--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// Limits are in slots, each for one attempt or fill in flight.
+// A limit is a number of slots, each for one attempt or fill in flight, or for several on large links: see
+// referenceLinkTransfers. An attempt or answer is late once the latency objective of its request has passed.
 const (
-	// The first and the lowest limit of a cache or of the zone's link, for all routers that share it
-	// together.
+	// Initial and lowest limit of a cache or of the zone's link, for all routers that share it together.
 	cacheLimitStart, cacheLimitMin = 16.0, 9.0
-	// The first and the lowest limit of a source, for one router. The first is at most
-	// sourceLimitLinkFraction of its part of its caches' links, so that many routers do not overload a source
-	// as they start.
+	// Initial and lowest limit of a source, for one router. The initial limit is at most
+	// sourceLimitLinkFraction of this router's share of the link capacity of its zone's caches, so that many
+	// routers do not overload a source when they start.
 	sourceLimitStart, sourceLimitMin, sourceLimitLinkFraction = 16.0, 0.2, 0.25
-	// A source's limit rises only while no more than this is free beyond twice what is in flight, so that
-	// many routers with few fills do not all raise theirs.
+	// A source's limit rises only while it exceeds twice the occupied slots by no more than sourceLimitSpare.
+	// Otherwise many routers with few fills each would all raise their limits.
 	sourceLimitSpare = 0.5
-	// Additive increase, multiplicative decrease: a late answer multiplies a limit by limitDecrease. One in
-	// time adds limitIncreaseFraction of the limit, but at most limitIncreaseMax divided by the limit: that
-	// is limitIncreaseMax slots after one answer for each slot.
+	// Additive increase, multiplicative decrease: a late answer multiplies a limit by limitDecrease. An
+	// answer in time adds limitIncreaseFraction of the limit, but at most limitIncreaseMax divided by the
+	// limit, so one answer for each slot adds limitIncreaseMax slots.
 	limitDecrease, limitIncreaseFraction, limitIncreaseMax = 0.9, 0.1, 2.0
-	// The weight of an outcome is the number of limitUpdateIntervals since the last one, from 1 to
-	// limitMaxUpdateWeight, so that the limit of a rarely used server adapts as quickly.
+	// The weight of an outcome is the time since the last one in units of limitUpdateInterval, from 1 to
+	// limitMaxUpdateWeight, so that the limit of a rarely used server adapts as quickly as others.
 	limitUpdateInterval, limitMaxUpdateWeight = 100 * time.Millisecond, 8.0
-	// Capacity, in transfers, of a cache link for which a slot stands for one attempt; more on larger links.
+	// Capacity, in concurrent transfers, of a cache's link up to which a slot stands for one attempt. On
+	// larger links a slot stands for proportionally more attempts.
 	referenceLinkTransfers = 8.0
-	// lowValueLimitFraction of a limit is open to requests whose weight per transfer time is lowValueRatio
-	// times below the best class's, and its square at lowestValueRatio times below.
+	// A request's value is its weight divided by its transfer time. A request with a value lowValueRatio
+	// times below that of the best class may use lowValueLimitFraction of a limit, and one with a value
+	// lowestValueRatio times below it the square of that fraction.
 	lowValueLimitFraction, lowValueRatio, lowestValueRatio = 0.75, 2.0, 8.0
 )
 
-// overLimit reports whether a server or link takes no attempt of this request for now: it was overloaded
-// lately or is at its limit. The request's random draw lets a limit below one slot admit that fraction of
-// requests.
+// overLimit reports whether a server or link cannot take this request now: it rejected a request for overload
+// within the last overloadPause, or it is at its limit. The request's random admissionDraw makes a limit
+// below one slot admit that fraction of requests.
 func (r *Router) overLimit(req *openRequest, server *server, occupied float64) bool {
 	slots := server.Limit * r.limitScale
 	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.admissionDraw > slots
 }
 
-// limitFraction is the fraction of a limit that a request may use: an overload leaves slots to those with the
-// most weight per transfer time. A client's retry has less, as its latency counts from the client's first
-// attempt.
+// limitFraction returns the fraction of a limit that a request may use. Under overload this leaves slots to
+// the requests with the highest weight per transfer time. A client's retry may use less, as its latency
+// counts from the client's first attempt.
 func (r *Router) limitFraction(req *openRequest) float64 {
 	bestValue := 0.0
 	for i, class := range r.settings.Classes {
@@ -60,17 +62,17 @@
 	return fraction
 }
 
-// occupied is the number of slots that this router occupies at a server: its attempts in flight there and the
-// expected fraction of the fills that name the server as their source.
+// occupied returns the number of slots that this router occupies at a server: its attempts in flight there,
+// and the expected fraction of the fills that name the server as their source.
 func (r *Router) occupied(server *server) float64 {
 	fills := float64(r.fillRate)*float64(server.openFills) + float64(r.originRate)*float64(server.originFills)
-	if server.role == roleOrigin { // which executes uncached requests, so none is exempt
+	if server.role == roleOrigin { // the origin executes uncached requests, so they are not exempt there
 		return float64(len(server.inFlight)) + fills
 	}
 	return float64(len(server.inFlight)-server.exemptAttempts) + fills
 }
 
-// adjustLimits lowers or raises the limits of the servers and the link that an outcome says something about.
+// adjustLimits lowers or raises the limits of the servers, and of the link, that caused an outcome.
 func (r *Router) adjustLimits(attempt *attempt, outcome Outcome) {
 	slowest := r.attributeLatency(attempt, outcome)
 	sourceRejected := outcome.Note == NoteSourceRejected || outcome.Note == NoteOriginFailed
@@ -78,24 +80,29 @@
 	case outcome.Note == NoteNoFillSlot:
 		r.adjustLimit(r.link, true)
 	case outcome.Result == OK && attempt.request.class.Uncached && !attempt.late:
-		// It occupied no slot: that it was in time does not show that there is room for more.
+		// The attempt occupied no slot, so an answer in time does not show that the limit can rise.
 	case outcome.Result == OK:
 		attempt.server.LateRate.add(attempt.late, outcomeGain)
 		r.adjustLimit(slowest, attempt.late)
 	case sourceRejected && attempt.source != nil:
 		r.adjustLimit(attempt.source, true)
 		if attempt.origin != nil {
-			r.adjustLimit(attempt.origin, true) // the reason may be the origin behind the source
+			r.adjustLimit(attempt.origin, true) // the cause may be the origin, from which the source fills
 		}
-	case attempt.server.overloadedUntil > r.now: // by this outcome, or by one shortly before
+	case attempt.server.overloadedUntil > r.now: // set by this outcome, or by one within overloadPause before
 		r.adjustLimit(attempt.server, true)
 	}
 }
 
-// attributeLatency returns the server or link that determined how long an answer took: for a fill the source,
-// or the zone's link if the first byte came soon and the link's fills are late more often than the source's,
-// or the origin if the fill reached it and the first byte came late. It also updates their late rates, and
-// raises the limits of the link and the origin where they were not late.
+// attributeLatency returns the server or link that determined how long an answer took. Without a fill that is
+// the server of the attempt, and for a fill it is one of these:
+//   - the zone's link, if the answer was late although its first byte came early, and the link's late rate is
+//     at least that of the source
+//   - the origin, if the fill reached it and both the answer and its first byte were late
+//   - otherwise the source
+//
+// It also updates the late rates of these, and raises the limits of the link and the origin if they were in
+// time.
 func (r *Router) attributeLatency(attempt *attempt, outcome Outcome) *server {
 	slowest := attempt.server
 	firstByteEarly := outcome.SourceWait <= attempt.request.class.LatencyObjective/2
@@ -119,12 +126,12 @@
 	return slowest
 }
 
-// adjustLimit lowers a limit after a late answer and raises it after one in time. It stays while less than
-// half of its slots are occupied, as single large objects are late without an overload. An outcome counts
-// 1/limitScale, as that many attempts share a slot.
+// adjustLimit lowers a limit after a late answer and raises it after an answer in time. A limit of which less
+// than half is occupied does not change, as a single large object can be late without an overload. An outcome
+// counts for 1/limitScale, as a slot stands for limitScale attempts.
 func (r *Router) adjustLimit(server *server, late bool) {
 	minLimit, routers := sourceLimitMin, 1.0
-	if server.role == roleCache { // routers that share a cache raise their limits together
+	if server.role == roleCache { // all routers that share a cache raise their limits for it
 		routers = float64(r.routersSharing(server))
 		minLimit = cacheLimitMin / routers
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	maxFailureRate = 0.5             // fraction of recent attempts that failed above which a server is down
+	maxFailureRate = 0.5             // a server with a higher failure rate is marked down
 	outcomeGain    = 1.0 / 8         // weight of the newest outcome in a failure rate or late rate
-	probeInterval  = 5 * time.Second // between two probes of a server that is down
-	// maxConsecutiveUnanswered attempts past their objective, with no answer between, mark a server down. For
-	// rarely used servers rarelyUsedMaxUnanswered are enough, if they have not answered for
-	// unresponsivePeriod.
+	probeInterval  = 5 * time.Second // time between two probes of a server that is down
+	// A server is marked down after maxConsecutiveUnanswered attempts past their objectives without an answer
+	// in between. For a server that has not answered for unresponsivePeriod, rarelyUsedMaxUnanswered such
+	// attempts are enough, because it may be rarely used.
 	maxConsecutiveUnanswered, rarelyUsedMaxUnanswered, unresponsivePeriod = 20, 3, 5 * time.Second
 	// Failures within connectionBreakWindow count once, as a broken connection ends all attempts on it.
 	connectionBreakWindow = 50 * time.Millisecond
-	// overloadPause is how long a server that was overloaded gets no attempt, and a cache without a slot none
-	// that may need a fill.
+	// overloadPause is the time for which an overloaded server gets no attempt, and for which a cache that
+	// had no slot for a fill gets no attempt that may need one.
 	overloadPause = 100 * time.Millisecond
 )
 
-// probeDue reports whether a request may probe a server that is down: the first attempt of an idempotent
-// request may, as a probe can end in a timeout, if none is in flight and the last one is probeInterval ago.
+// probeDue reports whether a request may probe a server that is down. Only the first attempt of an idempotent
+// request may, as a probe can end in a timeout, and only if no probe is in flight and the last one was sent
+// at least probeInterval ago.
 func (r *Router) probeDue(server *server, req *openRequest) bool {
 	firstAttempt := req.class.Idempotency == Idempotent && len(req.attempts) == 0
 	return !server.probing && r.now >= server.NextProbe && firstAttempt
 }
 
-// objectiveMissed records an attempt past its latency objective. The server involved that is late most often
-// has its limit lowered. The attempt counts as unanswered for its server, if that has answered nothing since
-// it was sent, otherwise for its source.
+// objectiveMissed records that an attempt is past its latency objective. It lowers the limit of the server
+// with the highest late rate among the attempt's server, its source and the origin. The attempt counts as
+// unanswered for its server if that has answered nothing since the attempt was sent, and otherwise for its
+// source if that has answered nothing since.
 func (r *Router) objectiveMissed(attempt *attempt) {
 	attempt.late = true
 	mostOftenLate := attempt.server
@@ -46,23 +48,24 @@
 	if attempt.server.LastAnswer < attempt.sentAt {
 		r.recordUnanswered(attempt.server)
 	} else if attempt.hasSource() && attempt.source.LastAnswer < attempt.sentAt {
-		// An attempt that waits for its source must not take up the slots that hits need at the cache.
+		// An attempt that waits for its source must not occupy slots at the cache that hits need.
 		r.exemptFromLimit(attempt)
 		r.recordUnanswered(attempt.source)
 	}
 }
 
-// recordUnanswered counts an attempt that a server has not answered within its objective, and marks the
-// server down if there are too many.
+// recordUnanswered counts an attempt that a server has not answered within the latency objective, and marks
+// the server down if there are too many of them.
 func (r *Router) recordUnanswered(server *server) {
 	server.ConsecutiveUnanswered++
 	unresponsive := server.ConsecutiveUnanswered >= rarelyUsedMaxUnanswered && r.now-server.LastAnswer >= unresponsivePeriod
 	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || unresponsive {
-		r.markDown(server, "silent")
+		r.markDown(server, "attempts not answered in time")
 	}
 }
 
-// recordFailure counts a broken connection, or an error with a request that another server could serve.
+// recordFailure counts a broken connection, or an error for a request that another server has served, and
+// marks the server down if its failure rate is too high.
 func (r *Router) recordFailure(server *server) {
 	if server.LastFailure > 0 && r.now-server.LastFailure < connectionBreakWindow {
 		return
@@ -70,12 +73,12 @@
 	server.LastFailure = r.now
 	server.FailureRate.add(true, outcomeGain)
 	if server.FailureRate > maxFailureRate {
-		r.markDown(server, "failing")
+		r.markDown(server, "failure rate too high")
 	}
 }
 
-// recordEarlierErrors counts the errors of a request against the servers that returned them once another
-// server has served it: until then the request may be at fault.
+// recordEarlierErrors counts the errors of a request as failures of the servers that returned them, once
+// another server has served it. Until then the request itself may have caused them.
 func (r *Router) recordEarlierErrors(req *openRequest, servedBy *server) {
 	for _, earlier := range req.attempts {
 		if earlier.failed && earlier.server != servedBy {
@@ -84,14 +87,14 @@
 	}
 }
 
-// recordAnswer notes that a server has answered, whatever it said.
+// recordAnswer records that a server has answered, with whatever result.
 func (r *Router) recordAnswer(server *server) {
 	server.ConsecutiveUnanswered, server.LastAnswer = 0, r.now
 	server.FailureRate.add(false, outcomeGain)
 }
 
-// markDown takes a server out of use until a probe succeeds, and cancels the idempotent attempts that wait
-// for it, so that they are made elsewhere.
+// markDown takes a server out of use until a probe succeeds, and cancels the attempts of idempotent requests
+// that wait for it, so that they are sent to other servers.
 func (r *Router) markDown(target *server, cause string) {
 	if target.Down || target == r.origin {
 		return
@@ -107,11 +110,11 @@
 			}
 		}
 	}
-	r.emit(Log{Text: fmt.Sprintf("%d down: %s", target.ID, cause)})
+	r.emit(Log{Text: fmt.Sprintf("server %d marked down: %s", target.ID, cause)})
 }
 
-// markUp puts a server back into use with a slow start. One that was unreachable may have restarted with an
-// empty cache, even if discovery has not reported it yet, so its warm-up begins too.
+// markUp puts a server back into use with a slow start. A server that was unreachable may have restarted with
+// an empty cache, even if discovery has not reported that yet, so its warm-up begins too.
 func (r *Router) markUp(server *server) {
 	server.Down, server.ConsecutiveUnanswered, server.FailureRate = false, 0, 0
 	server.RampStart, server.Ramping = r.now, true
@@ -119,10 +122,10 @@
 		server.Unreachable = false
 		r.startWarmUp(server, r.now)
 	}
-	r.emit(Log{Text: fmt.Sprintf("%d up", server.ID)})
+	r.emit(Log{Text: fmt.Sprintf("server %d marked up", server.ID)})
 }
 
-// updateServerHealth evaluates an outcome for what it says about the server of the attempt.
+// updateServerHealth updates the state of an attempt's server with its outcome.
 func (r *Router) updateServerHealth(attempt *attempt, outcome Outcome) {
 	server := attempt.server
 	sourceFaults := []Note{NoteSourceRejected, NoteSourceLost, NoteOriginFailed}
@@ -132,17 +135,17 @@
 	case alive:
 		r.recordAnswer(server)
 		if outcome.Note == NoteNoFillSlot {
-			server.noFillsUntil = r.now + overloadPause // hits need no slot and go on
+			server.noFillsUntil = r.now + overloadPause // hits need no slot, so the cache still serves them
 		} else if outcome.Result == Overloaded && !sourceFault {
 			server.overloadedUntil = r.now + overloadPause
 		}
 	case outcome.Result == ConnectFailed:
 		server.Unreachable = true
 		r.markDown(server, "connection failed")
-	case outcome.Result == Reset: // one connection broke; a process that has died refuses the next one
+	case outcome.Result == Reset: // one connection broke; if the process has died, the next one is refused
 		r.recordFailure(server)
 	case outcome.Result == Failed || outcome.Result == Unknown:
-		// The request may be at fault itself: see recordEarlierErrors.
+		// The request itself may be the cause; see recordEarlierErrors.
 		attempt.failed = true
 		attempt.request.errors++
 	case outcome.Result == TimedOut && !attempt.late:
@@ -156,10 +159,10 @@
 	}
 }
 
-// updateSourceHealth evaluates an outcome for what it says about the source of the fill.
+// updateSourceHealth updates the state of the source of a fill with the attempt's outcome.
 func (r *Router) updateSourceHealth(attempt *attempt, outcome Outcome) {
 	source := attempt.source
-	// Without detailed outcomes, every success may have involved the source.
+	// Without DetailAll, every success without a note may have involved the source.
 	alive := outcome.Result == OK && r.settings.OutcomeDetail != DetailAll && outcome.Note == NoteNone
 	switch outcome.Note {
 	case NoteFilled, NoteFilledOrigin, NoteOriginFailed, NoteSourceMiss:
@@ -184,6 +187,6 @@
 	if alive && source.Down {
 		r.markUp(source)
 	} else if outcome.Note != NoteSourceLost {
-		source.NextProbe = r.now // a hit did not reach the source: the next request probes it
+		source.NextProbe = r.now // the attempt did not probe the source, so the next request may
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,8 +1,8 @@
 package policy
 
-// A server that has started, or is up again, has an empty or outdated cache. Two rules protect it: the ramp
-// (slow start) gives it a growing fraction of the objects, and the warm-up budget bounds the work, in seconds
-// of transfer time, that all routers together send to it while its capacity grows.
+// A server that has started, or is up again, has an empty or outdated cache. Two rules protect it. The ramp
+// (slow start) sends it a growing fraction of its objects. The warm-up budget limits the work, in seconds of
+// transfer time, that all routers together send to it while its capacity grows.
 
 import (
 	"cmp"
@@ -12,16 +12,17 @@
 )
 
 const (
-	rampInitialFraction       = 0.1              // of its objects that a server gets at the start of its ramp
-	rampWarmUpFraction        = 0.6              // length of the ramp, as a fraction of the warm-up's duration
-	rampDefaultDuration       = 10 * time.Second // length of the ramp where the settings give no warm-up
-	warmUpBudgetSafetyFactor  = 0.6              // of a budget that is used; the rest is for inexact weights
-	warmUpBudgetBurstFraction = 0.5              // of one window's budget that may be saved up
-	servedRateTimeConstant    = 15 * time.Second // over which the work that a role serves is averaged
+	rampInitialFraction       = 0.1              // fraction of its objects at the start of a server's ramp
+	rampWarmUpFraction        = 0.6              // length of the ramp, as a fraction of WarmUp.Duration
+	rampDefaultDuration       = 10 * time.Second // length of the ramp if the settings have no WarmUp.Duration
+	warmUpBudgetSafetyFactor  = 0.6              // used fraction of a budget; the rest is for inexact weights
+	warmUpBudgetBurstFraction = 0.5              // maximum credit, as a fraction of one window's budget
+	servedRateTimeConstant    = 15 * time.Second // of the average of the work that a role serves
 )
 
-// inRampedFraction reports whether an object belongs to the fraction that a server gets by now. The fraction
-// rises linearly to 1; an object that is in it stays in it.
+// inRampedFraction reports whether an object belongs to the fraction of objects that a server gets at this
+// time of its ramp. The fraction rises linearly to 1, and an object that belongs to it continues to. It ends
+// a ramp that is over.
 func (r *Router) inRampedFraction(server *server, objectHash uint64) bool {
 	if !server.Ramping {
 		return true
@@ -36,10 +37,11 @@
 	return uniform(mix(mix(objectHash)+uint64(server.ID))) < fraction
 }
 
-// withinWarmUpBudget reports whether a server that is warming up can take another attempt. All routers
-// together are bound to its capacity; this one keeps to its part, a credit in seconds of transfer time that
-// accrues with time and that one attempt may overdraw. Where a part is far below one attempt the routers take
-// turns: each starts with a random debt, and a turn that is not used expires. It ends a warm-up that is over.
+// withinWarmUpBudget reports whether a server that is warming up can take another attempt. The budget limits
+// all routers together. Each router uses only its share, which it keeps like a token bucket: a credit in
+// seconds of transfer time that accrues with time and that one attempt may overdraw. If a share is far below
+// the cost of one attempt, the routers take turns: each starts with a random debt, and credit that was not
+// used for an attempt in time expires. It ends a warm-up that is over.
 func (r *Router) withinWarmUpBudget(server *server) bool {
 	if !server.WarmingUp || server.role == roleOrigin {
 		return true
@@ -55,7 +57,8 @@
 }
 
 // accrueCredit adds the credit that has accrued since the last call, at a rate in seconds of transfer time
-// per second, and bounds it.
+// per second, and limits it. If the maximum is below the cost of the longest attempt, credit above it expires
+// in steps of that cost.
 func (r *Router) accrueCredit(server *server, rate float64, window time.Duration) {
 	maxCredit := rate * window.Seconds() * warmUpBudgetBurstFraction
 	server.Credit += rate * (r.now - server.CreditUpdated).Seconds()
@@ -66,8 +69,9 @@
 	server.Credit = min(server.Credit, maxCredit)
 }
 
-// warmUpRate is the work that this router may give to a warming server, in seconds of transfer time per
-// second; for all routers together it is at least one attempt of the longest class a window.
+// warmUpRate returns the work that this router may send to a server that is warming up, in seconds of
+// transfer time per second. For all routers together it is at least one attempt of the longest class per
+// window.
 func (r *Router) warmUpRate(server *server, warmUp WarmUp, elapsed time.Duration) float64 {
 	progress := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
 	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, progress)
@@ -75,16 +79,17 @@
 	return max(warmUpBudgetSafetyFactor*warmUp.OverloadMultiple*capacity*r.linkShare(server), minRate)
 }
 
-// startWarmUp begins the warm-up of a server that has started, or may have restarted, at the given time.
+// startWarmUp begins the warm-up of a server that has started, or may have restarted, at the given time. See
+// withinWarmUpBudget for the debt.
 func (r *Router) startWarmUp(server *server, startedAt Time) {
 	debt := r.random() * slices.Max(r.transferTime)
 	server.WarmUpStart, server.WarmingUp = startedAt, true
 	server.Credit, server.CreditUpdated = -debt, r.now
 }
 
-// linkShare is this router's part of the capacity of a server's link, in transfers at once: from the weight
-// of the server where weights are known, otherwise the most work that servers of its role have done for this
-// router.
+// linkShare returns this router's share of the capacity of a server's link, in concurrent transfers. It is
+// computed from the server's weight; if weights are not known, it is the highest load that servers of its
+// role have had from this router.
 func (r *Router) linkShare(server *server) float64 {
 	if r.settings.WeightsKnown && server.Weight > 0 {
 		return server.Weight / float64(r.routersSharing(server))
@@ -93,7 +98,7 @@
 }
 
 // recordServed adds an answer, with its transfer time in seconds, to the work that servers of a role do.
-// Attempts are not counted: an overload would pass for a large link.
+// Attempts without an answer are not counted, as an overload would then be taken for a large link.
 func (r *Router) recordServed(server *server, transferTime float64) {
 	sameRole := r.caches
 	if server.role == roleParent {
