--- a/policy/containers.go
+++ b/policy/containers.go
@@ -9,8 +9,8 @@
 // boundedMap is a map with a maximum number of entries. When it is full, a new key replaces the oldest one.
 type boundedMap[K comparable, V any] struct {
 	values map[K]V
-	keys   []K // in the order in which they came, as a ring
-	oldest int
+	keys   []K // ring buffer, in the order of insertion
+	oldest int // index of the oldest key, once the ring is full
 }
 
 func newBoundedMap[K comparable, V any](maxEntries int) *boundedMap[K, V] {
@@ -35,10 +35,11 @@
 	b.values[key] = value
 }
 
-// Fraction is the fraction of cases that were true, between 0 and 1, with exponentially decreasing weight.
+// Fraction is the fraction of cases that were true, between 0 and 1, as an exponentially weighted moving
+// average.
 type Fraction float64
 
-// add includes one more case, whose weight is gain.
+// add adds one case, with the weight gain.
 func (f *Fraction) add(isTrue bool, gain float64) {
 	*f -= Fraction(gain) * *f
 	if isTrue {
@@ -46,7 +47,8 @@
 	}
 }
 
-// decayingRate is an amount per second, averaged with exponential decay.
+// decayingRate is an amount per second, averaged with exponential decay. Its methods must all be called with
+// the same time constant.
 type decayingRate struct {
 	decayingSum float64
 	updatedAt   Time
@@ -64,7 +66,7 @@
 	return d.sumAt(now, timeConstant) / timeConstant.Seconds()
 }
 
-// mix spreads the bits of x (the finaliser of splitmix64).
+// mix hashes x with the finaliser of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -72,7 +74,7 @@
 	return x ^ x>>31
 }
 
-// hash is the 64-bit FNV-1a hash of s, mixed.
+// hash returns the 64-bit FNV-1a hash of s, mixed.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -81,11 +83,11 @@
 	return mix(h)
 }
 
-// uniform maps random bits to a number between 0 and 1, both excluded.
+// uniform maps random bits to a number between 0 and 1, exclusive.
 func uniform(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
-// removeFirst removes the first x from list and keeps the order. slices.Delete clears the slot at the end, so
-// that the list does not keep the removed element reachable.
+// removeFirst removes the first x from list and keeps the order of the others. slices.Delete clears the last
+// element of the old list, so that the removed x is not kept reachable.
 func removeFirst[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	recentHitMaxAge      = 10 * time.Second // for which a server that answered a hit is preferred as a source
-	recentHitsMaxEntries = 1 << 14          // of the memory of recent hits, and of purges
+	recentHitMaxAge      = 10 * time.Second // time for which a server with a hit is preferred as a source
+	recentHitsMaxEntries = 1 << 14          // maximum number of recent hits, and of each kind of purge
 	estimateGain         = 1.0 / 64         // weight of the newest answer in an estimate
-	initialFillRate      = 0.5              // fraction of answers assumed to need a fill before there are any
-	initialOriginRate    = 0.1              // fraction of answers assumed to need the origin
+	initialFillRate      = 0.5              // assumed fraction of answers that need a fill, before any answer
+	initialOriginRate    = 0.1              // assumed fraction of answers that need the origin
 	// Transfer time that is assumed for a class before any answer, as a fraction of its deadline.
 	initialTransferTimeFraction = 1.0 / 20
-	// Fraction by which a transfer time may rise in a second: little, as an overload makes all answers slow
-	// and must not pass for large objects.
+	// Fraction by which an estimated transfer time may rise per second. It is low because an overload makes
+	// all answers slow, which must not be taken for large objects.
 	transferTimeDriftPerSecond = 0.005
 )
 
-// updateEstimates learns from an outcome.
+// updateEstimates updates limits, fill rates, transfer times and recent hits with an outcome.
 func (r *Router) updateEstimates(attempt *attempt, outcome Outcome) {
 	r.refundFill(attempt, outcome)
 	r.adjustLimits(attempt, outcome)
@@ -46,8 +46,8 @@
 	}
 }
 
-// refundFill returns the cost of a fill, charged when the attempt was sent, to its source's warm-up budget if
-// the source was not used. A lookup there that found nothing has used its capacity.
+// refundFill returns the cost of a fill, charged when the attempt was sent, to the warm-up budget of its
+// source if the source was not used. A lookup at the source that found no copy has used its capacity.
 func (r *Router) refundFill(attempt *attempt, outcome Outcome) {
 	hit := outcome.Result == OK && !outcome.filled()
 	if attempt.fillCost > 0 && (hit || outcome.Result == ConnectFailed || outcome.Note == NoteNoFillSlot) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// updateTransferTime learns a class's transfer time, in seconds, from the size of an answer or, if that is
-// unknown, from the latency of an answer without a fill.
+// updateTransferTime updates the transfer time of a request's class, in seconds, from the size of the answer
+// or, if that is unknown, from the latency of an answer without a fill.
 func (r *Router) updateTransferTime(req *openRequest, outcome Outcome) {
 	observed := r.knownTransferTime(req)
 	if observed == 0 && !outcome.filled() {
