--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -29,11 +29,12 @@
 	Link    ServerStats              `cbor:"Link"` // the zone's inbound link
 	// TransferTime and RecentTransferTime are by class, in seconds. TransferTime leaves out the effects of
 	// overload.
-	TransferTime       []float64                  `cbor:"MeanSend"`
-	RecentTransferTime []float64                  `cbor:"MeanTook"`
-	FillRate           Fraction                   `cbor:"FillShare"`   // fraction of answers that needed a fill
-	OriginRate         Fraction                   `cbor:"OriginShare"` // fraction of answers that needed the origin
-	PeakLoad           [roleOtherZone + 1]float64 `cbor:"LinkSeen"`    // by role, see linkShare; in transfers
+	TransferTime       []float64 `cbor:"MeanSend"`
+	RecentTransferTime []float64 `cbor:"MeanTook"`
+	// FillRate and OriginRate are the fractions of answers that needed a fill, and the origin.
+	FillRate   Fraction                   `cbor:"FillShare"`
+	OriginRate Fraction                   `cbor:"OriginShare"`
+	PeakLoad   [roleOtherZone + 1]float64 `cbor:"LinkSeen"` // by role, see linkShare; in concurrent transfers
 }
 
 // LearnedState returns the state with which a router that replaces this one may start. Its slices are not
