--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,32 +8,32 @@
 
 // Limits grow with the capacity of the caches' links.
 func TestLimitsScaleWithLinkCapacity(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		weight float64
 		most   int // requests rejected of 100 that arrive at once
 		least  int
 	}{{weight: 10, least: 50, most: 100}, {weight: 200, most: 0}} {
-		r, err := New(Settings{
+		router, err := New(Settings{
 			Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: DetailAll, MaxAttempts: 4, WeightsKnown: true,
 			Classes: []Class{{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
 		}, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(1, Members{Kind: ListFull, Entries: []Member{
-			{ID: 1, Weight: c.weight}, {ID: 11, Kind: 1, Weight: 4 * c.weight}, {ID: 20, Kind: 2, Weight: 1},
+		router.Handle(1, Members{Kind: ListFull, Entries: []Member{
+			{ID: 1, Weight: test.weight}, {ID: 11, Kind: 1, Weight: 4 * test.weight}, {ID: 20, Kind: 2, Weight: 1},
 		}}, nil)
-		refused := 0
+		rejected := 0
 		for i := range 100 {
-			e := Request{ID: fmt.Sprint(i), Object: fmt.Sprint(i), TimeLeft: time.Second, Group: -1}
-			for _, a := range r.Handle(2, e, nil) {
-				if _, ok := a.(Reject); ok {
-					refused++
+			request := Request{ID: fmt.Sprint(i), Object: fmt.Sprint(i), TimeLeft: time.Second, Group: -1}
+			for _, action := range router.Handle(2, request, nil) {
+				if _, ok := action.(Reject); ok {
+					rejected++
 				}
 			}
 		}
-		if refused < c.least || refused > c.most {
-			t.Errorf("links of %v: rejected %d of 100, want %d to %d", c.weight, refused, c.least, c.most)
+		if rejected < test.least || rejected > test.most {
+			t.Errorf("links of %v: rejected %d of 100, want %d to %d", test.weight, rejected, test.least, test.most)
 		}
 	}
 }
@@ -43,59 +43,59 @@
 func TestMostCachesReplacedAtOnce(t *testing.T) {
 	const latency, step = 300 * ms, 100 * ms
 	for _, routers := range []int{1, 7} {
-		set := settings()
-		set.Routers, set.ZoneRouters = routers, []int{0, 0, routers}
-		m, changes := fleet(), Members{Kind: ListChanges}
-		m.Entries = m.Entries[3:]
+		settings := testSettings()
+		settings.Routers, settings.ZoneRouters = routers, []int{0, 0, routers}
+		members, changes := testMembers(), Members{Kind: ListChanges}
+		members.Entries = members.Entries[3:]
 		for id := ServerID(1); id <= 10; id++ {
-			m.Entries = append(m.Entries, Member{ID: id, Zone: 2, Weight: 10})
+			members.Entries = append(members.Entries, Member{ID: id, Zone: 2, Weight: 10})
 			if id <= 6 {
 				changes.Entries = append(changes.Entries, Member{ID: id, Zone: 2, State: Gone},
 					Member{ID: id + 30, Zone: 2, Weight: 10, Started: time.Minute})
 			}
 		}
-		var all []*script
+		var harnesses []*routerHarness
 		for i := range routers {
-			s := startRouter(t, set, m)
-			s.r.rng = mix(uint64(i))
-			open := s.fetch(s.handle(newRequest("open", "o")))
-			s.handle(changes)
-			if s.answer("open", open, NoteHit, latency); len(s.r.requests) > 0 {
+			h := startRouter(t, settings, members)
+			h.router.rng = mix(uint64(i))
+			open := h.requireFetch(h.handle(newRequest("open", "o")))
+			h.handle(changes)
+			if h.answer("open", open, NoteHit, latency); len(h.router.requests) > 0 {
 				t.Fatal("an attempt open when the list arrived has not ended")
 			}
-			all = append(all, s)
+			harnesses = append(harnesses, h)
 		}
-		sent := map[ServerID][]float64{} // by step
-		for n := range 80 {
-			for i, s := range all {
-				s.now = time.Minute + time.Duration(n)*step
+		workSent := map[ServerID][]float64{} // by step
+		for stepIndex := range 80 {
+			for i, h := range harnesses {
+				h.now = time.Minute + time.Duration(stepIndex)*step
 				for k := range 60 / routers {
-					id := fmt.Sprint(n, i, k)
-					g, ok := find[Fetch](s.handle(newRequest(id, id)))
+					id := fmt.Sprint(stepIndex, i, k)
+					fetch, ok := findAction[Fetch](h.handle(newRequest(id, id)))
 					if !ok {
 						continue
-					} else if g.Server <= 6 {
-						t.Fatalf("sent to %d, which is gone", g.Server)
+					} else if fetch.Server <= 6 {
+						t.Fatalf("sent to %d, which is gone", fetch.Server)
 					}
-					s.answer(id, g, NoteHit, latency)
-					if len(sent[g.Server]) == 0 {
-						sent[g.Server] = make([]float64, 80)
+					h.answer(id, fetch, NoteHit, latency)
+					if len(workSent[fetch.Server]) == 0 {
+						workSent[fetch.Server] = make([]float64, 80)
 					}
-					sent[g.Server][n] += latency.Seconds()
+					workSent[fetch.Server][stepIndex] += latency.Seconds()
 				}
 			}
-			for id, by := range sent {
+			for id, workByStep := range workSent {
 				work := 0.0
-				for _, s := range by[max(0, n-19) : n+1] {
-					work += s
+				for _, stepWork := range workByStep[max(0, stepIndex-19) : stepIndex+1] {
+					work += stepWork
 				}
-				if budget := 3 * 10 * (0.2 + 0.8*float64(n)*step.Seconds()/16) * 2; id > 30 && work > budget {
+				if budget := 3 * 10 * (0.2 + 0.8*float64(stepIndex)*step.Seconds()/16) * 2; id > 30 && work > budget {
 					t.Fatalf("%d routers: %d got work of %.1f s in 2 s, budget %.1f", routers, id, work, budget)
 				}
 			}
 		}
-		if len(sent) != 10 {
-			t.Errorf("%d of 10 caches were used", len(sent))
+		if len(workSent) != 10 {
+			t.Errorf("%d of 10 caches were used", len(workSent))
 		}
 	}
 }
@@ -104,24 +104,24 @@
 // requests are still looked up in the caches.
 func TestOriginLimitHoldsWithNoParentUp(t *testing.T) {
 	for _, routers := range []int{1, 80} {
-		set := settings()
-		set.Routers, set.ZoneRouters = routers, []int{0, 0, min(7, routers)}
-		m := fleet()
-		m.Entries = append(m.Entries[:3], m.Entries[5])
-		out, lookups := 0, 0
+		settings := testSettings()
+		settings.Routers, settings.ZoneRouters = routers, []int{0, 0, min(7, routers)}
+		members := testMembers()
+		members.Entries = append(members.Entries[:3], members.Entries[5])
+		originFills, lookups := 0, 0
 		for range routers {
-			s := startRouter(t, set, m)
+			h := startRouter(t, settings, members)
 			for i := range 100 {
 				id := fmt.Sprint(i)
-				if g, ok := find[Fetch](s.handle(newRequest(id, id))); ok && g.Source == 20 {
-					out++
-				} else if ok && g.Source == g.Server {
+				if fetch, ok := findAction[Fetch](h.handle(newRequest(id, id))); ok && fetch.Source == 20 {
+					originFills++
+				} else if ok && fetch.Source == fetch.Server {
 					lookups++
 				}
 			}
 		}
-		if out < routers || float64(out) > max(20, 3*float64(routers)) || lookups == 0 {
-			t.Errorf("%d routers: %d in flight at the origin, %d cached lookups", routers, out, lookups)
+		if originFills < routers || float64(originFills) > max(20, 3*float64(routers)) || lookups == 0 {
+			t.Errorf("%d routers: %d in flight at the origin, %d cached lookups", routers, originFills, lookups)
 		}
 	}
 }
@@ -130,26 +130,26 @@
 // eighty, whether a router has a request every two seconds or forty a second.
 func TestDownCacheIsProbedOncePerInterval(t *testing.T) {
 	for _, routers := range []int{1, 80} {
-		for _, every := range []time.Duration{25 * ms, 2 * time.Second} {
-			set := settings()
-			set.Routers, set.ZoneRouters = routers, []int{0, 0, min(7, routers)}
-			tried := 0
+		for _, interval := range []time.Duration{25 * ms, 2 * time.Second} {
+			settings := testSettings()
+			settings.Routers, settings.ZoneRouters = routers, []int{0, 0, min(7, routers)}
+			probes := 0
 			for range routers {
-				s := startRouter(t, set, fleet())
-				for n := 0; s.now < time.Minute+30*time.Second; n++ {
+				h := startRouter(t, settings, testMembers())
+				for n := 0; h.now < time.Minute+30*time.Second; n++ {
 					id := fmt.Sprint(n)
-					g, ok := find[Fetch](s.handle(newRequest(id, id)))
-					if ok && g.Server == 1 {
-						tried++
-						s.handle(Outcome{ID: id, Server: 1, Result: ConnectFailed})
+					fetch, ok := findAction[Fetch](h.handle(newRequest(id, id)))
+					if ok && fetch.Server == 1 {
+						probes++
+						h.handle(Outcome{ID: id, Server: 1, Result: ConnectFailed})
 					} else if ok {
-						s.answer(id, g, NoteHit, 10*ms)
+						h.answer(id, fetch, NoteHit, 10*ms)
 					}
-					s.now += every
+					h.now += interval
 				}
 			}
-			if tried < routers || tried > 7*routers {
-				t.Errorf("%d routers, a request in %v: %d tries in 30 s", routers, every, tried)
+			if probes < routers || probes > 7*routers {
+				t.Errorf("%d routers, a request in %v: %d tries in 30 s", routers, interval, probes)
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 
 // BenchmarkMemberChange applies a change of one member of a fleet of ten thousand.
 func BenchmarkMemberChange(b *testing.B) {
-	r, err := New(Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []Class{{Deadline: time.Second}}}, 7)
+	router, err := New(Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []Class{{Deadline: time.Second}}}, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -165,11 +165,11 @@
 	for id := range 10_000 {
 		list = append(list, Member{ID: ServerID(id), Zone: id % 20, Weight: 4})
 	}
-	r.Handle(1, Members{Kind: ListFull, Entries: list}, nil)
+	router.Handle(1, Members{Kind: ListFull, Entries: list}, nil)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		m := list[i*37%len(list)]
-		m.State = State(i % 3)
-		r.Handle(Time(i), Members{Entries: []Member{m}}, nil)
+		member := list[i*37%len(list)]
+		member.State = State(i % 3)
+		router.Handle(Time(i), Members{Entries: []Member{member}}, nil)
 	}
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -7,22 +7,22 @@
 
 // A request that is not idempotent and may have been executed is neither retried nor rejected.
 func TestNonIdempotentRequestIsNeitherRetriedNorRejected(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		result Result
 		again  bool
 	}{{TimedOut, false}, {Failed, false}, {Reset, false}, {Cancelled, false}, {Unknown, false}, {Overloaded, true}, {ConnectFailed, true}, {Miss, true}} {
-		s := startRouter(t, settings(), fleet())
-		q := newRequest("a", "o")
-		q.Class = 1
-		g := s.fetch(s.handle(q))
-		if g.Source != 20 || g.RetainRank != 0 {
-			t.Fatalf("an uncached request got source %d, rank %d", g.Source, g.RetainRank)
+		h := startRouter(t, testSettings(), testMembers())
+		request := newRequest("a", "o")
+		request.Class = 1
+		fetch := h.requireFetch(h.handle(request))
+		if fetch.Source != 20 || fetch.RetainRank != 0 {
+			t.Fatalf("an uncached request got source %d, rank %d", fetch.Source, fetch.RetainRank)
 		}
-		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: c.result})
-		_, sent := find[Fetch](acts)
-		_, failed := find[Fail](acts)
-		if sent != c.again || failed == c.again {
-			t.Errorf("after result %d: %v", c.result, acts)
+		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: test.result})
+		_, gotRetry := findAction[Fetch](actions)
+		_, gotFail := findAction[Fail](actions)
+		if gotRetry != test.again || gotFail == test.again {
+			t.Errorf("after result %d: %v", test.result, actions)
 		}
 	}
 }
@@ -30,9 +30,9 @@
 // A request with an idempotency key that may have been executed is retried only in its deduplication scope
 // and window.
 func TestKeyedRequestIsRetriedWithinDedupScopeAndWindow(t *testing.T) {
-	set := settings()
-	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
-	for name, c := range map[string]struct {
+	settings := testSettings()
+	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
+	for name, test := range map[string]struct {
 		cell func(ServerID) int
 		wait time.Duration
 		sent bool
@@ -41,19 +41,19 @@
 		"none in the cell":      {func(id ServerID) int { return int(id) }, 0, true}, // the same cache again
 		"the window has passed": {func(ServerID) int { return 1 }, time.Second, false},
 	} {
-		m := fleet()
-		for i := range m.Entries {
-			m.Entries[i].Cell = c.cell(m.Entries[i].ID)
+		members := testMembers()
+		for i := range members.Entries {
+			members.Entries[i].Cell = test.cell(members.Entries[i].ID)
 		}
-		s := startRouter(t, set, m)
-		g := s.fetch(s.handle(newRequest("a", "o")))
-		s.now += c.wait
-		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: Reset})
-		n, sent := find[Fetch](acts)
-		if sent != c.sent || sent && c.cell(n.Server) != c.cell(g.Server) {
-			t.Errorf("%s: %v", name, acts)
+		h := startRouter(t, settings, members)
+		fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+		h.now += test.wait
+		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Reset})
+		retry, sent := findAction[Fetch](actions)
+		if sent != test.sent || sent && test.cell(retry.Server) != test.cell(fetch.Server) {
+			t.Errorf("%s: %v", name, actions)
 		}
-		if _, refused := find[Reject](acts); refused {
+		if _, rejected := findAction[Reject](actions); rejected {
 			t.Errorf("%s: rejected though it may have been executed", name)
 		}
 	}
--- a/policy/members_test.go
+++ b/policy/members_test.go
@@ -6,41 +6,41 @@
 
 // A cache that is draining, or missing from a full list, gets no request and is named as no source.
 func TestDrainingServersGetNoRequests(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
-	g := s.fetch(s.handle(newRequest("a", "o")))
-	s.handle(Outcome{ID: "a", Server: g.Server, Result: OK, Note: NoteHit, Final: true})
-	s.handle(Members{Kind: ListChanges, Entries: []Member{{ID: g.Server, Zone: 2, State: Draining, Weight: 10}}})
-	if g2 := s.fetch(s.handle(newRequest("b", "o"))); g2.Server == g.Server || g2.Source == g.Server {
-		t.Fatalf("draining cache %d named: %+v", g.Server, g2)
+	h := startRouter(t, testSettings(), testMembers())
+	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: OK, Note: NoteHit, Final: true})
+	h.handle(Members{Kind: ListChanges, Entries: []Member{{ID: fetch.Server, Zone: 2, State: Draining, Weight: 10}}})
+	if next := h.requireFetch(h.handle(newRequest("b", "o"))); next.Server == fetch.Server || next.Source == fetch.Server {
+		t.Fatalf("draining cache %d named: %+v", fetch.Server, next)
 	}
-	m := fleet()
-	m.Kind, m.Entries = ListFull, m.Entries[3:]
-	s.handle(m)
-	if acts := s.handle(newRequest("c", "o")); len(acts) == 0 {
+	members := testMembers()
+	members.Kind, members.Entries = ListFull, members.Entries[3:]
+	h.handle(members)
+	if actions := h.handle(newRequest("c", "o")); len(actions) == 0 {
 		t.Fatal("no answer")
-	} else if _, ok := find[Reject](acts); !ok {
-		t.Fatalf("no cache is left, and no rejection: %v", acts)
+	} else if _, ok := findAction[Reject](actions); !ok {
+		t.Fatalf("no cache is left, and no rejection: %v", actions)
 	}
 }
 
 // Memory stays bounded while servers are replaced and while discovery fails repeatedly.
 func TestReplacedServersAreForgotten(t *testing.T) {
-	set := settings()
-	set.WatchDiscovery = true
-	s := startRouter(t, set, Members{Kind: ListCached})
+	settings := testSettings()
+	settings.WatchDiscovery = true
+	h := startRouter(t, settings, Members{Kind: ListCached})
 	for i := range 1000 {
-		m := fleet()
-		m.Kind, m.Entries[0].ID = ListFull, ServerID(1000+i)
-		s.handle(m)
+		members := testMembers()
+		members.Kind, members.Entries[0].ID = ListFull, ServerID(1000+i)
+		h.handle(members)
 	}
-	if n := len(s.r.servers); n > 7 {
+	if n := len(h.router.servers); n > 7 {
 		t.Errorf("%d servers are retained", n)
 	}
-	tm, ok := find[SetTimer](s.handle(Members{Kind: ListFailed}))
+	setTimer, ok := findAction[SetTimer](h.handle(Members{Kind: ListFailed}))
 	if !ok {
 		t.Fatal("no timer after discovery failed")
 	}
-	if w, ok := find[Watch](s.handle(Timer{Token: tm.Token})); !ok || !w.On {
+	if watch, ok := findAction[Watch](h.handle(Timer{Token: setTimer.Token})); !ok || !watch.On {
 		t.Error("discovery was not watched again")
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,13 +8,13 @@
 
 // A failed connection marks a cache down, and the request is retried at the next cache in rendezvous order.
 func TestConnectFailureMarksCacheDownAndRetries(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
-	g := s.fetch(s.handle(newRequest("a", "o")))
-	next := s.fetch(s.handle(Outcome{ID: "a", Server: g.Server, Result: ConnectFailed}))
-	if next.Server == g.Server {
+	h := startRouter(t, testSettings(), testMembers())
+	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+	next := h.requireFetch(h.handle(Outcome{ID: "a", Server: fetch.Server, Result: ConnectFailed}))
+	if next.Server == fetch.Server {
 		t.Fatal("the same cache again")
 	}
-	if again := s.fetch(s.handle(newRequest("b", "o"))); again.Server != next.Server {
+	if again := h.requireFetch(h.handle(newRequest("b", "o"))); again.Server != next.Server {
 		t.Fatalf("cache %d, want %d", again.Server, next.Server)
 	}
 }
@@ -22,83 +22,83 @@
 // A cache is marked down after a number of consecutive attempts past their objective, and what waits there is
 // cancelled.
 func TestOverdueAttemptsMarkCacheDown(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
-	g := s.fetch(s.handle(newRequest("a", "o")))
-	c := s.r.servers[g.Server]
-	c.Limit = 100
+	h := startRouter(t, testSettings(), testMembers())
+	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+	cache := h.router.servers[fetch.Server]
+	cache.Limit = 100
 	for i := range maxConsecutiveUnanswered - 1 {
-		s.handle(newRequest(string(rune('A'+i)), "o"))
+		h.handle(newRequest(string(rune('A'+i)), "o"))
 	}
-	s.now += time.Second
+	h.now += time.Second
 	cancelled := 0
-	for _, a := range append([]*attempt(nil), c.inFlight...) {
-		for k, tm := range s.r.timers {
-			if tm.kind == objectiveTimer && tm.attempt == a {
-				for _, x := range s.handle(Timer{Token: k}) {
-					if _, ok := x.(Cancel); ok {
+	for _, waiting := range append([]*attempt(nil), cache.inFlight...) {
+		for token, timer := range h.router.timers {
+			if timer.kind == objectiveTimer && timer.attempt == waiting {
+				for _, action := range h.handle(Timer{Token: token}) {
+					if _, ok := action.(Cancel); ok {
 						cancelled++
 					}
 				}
 			}
 		}
 	}
-	if !c.Down || cancelled != maxConsecutiveUnanswered {
-		t.Fatalf("down %v, %d cancelled", c.Down, cancelled)
+	if !cache.Down || cancelled != maxConsecutiveUnanswered {
+		t.Fatalf("down %v, %d cancelled", cache.Down, cancelled)
 	}
 	// It was silent, not unreachable: after a successful probe it is in its ramp but not in a warm-up.
-	s.now += probeInterval
-	g = s.fetch(s.handle(newRequest("t", "o")))
-	if g.Server != c.ID {
-		t.Fatalf("the probe went to %d", g.Server)
+	h.now += probeInterval
+	fetch = h.requireFetch(h.handle(newRequest("t", "o")))
+	if fetch.Server != cache.ID {
+		t.Fatalf("the probe went to %d", fetch.Server)
 	}
-	s.answer("t", g, NoteHit, 10*ms)
-	if c.Down || c.WarmingUp || !c.Ramping {
-		t.Errorf("down %v, warming up %v, ramping %v", c.Down, c.WarmingUp, c.Ramping)
+	h.answer("t", fetch, NoteHit, 10*ms)
+	if cache.Down || cache.WarmingUp || !cache.Ramping {
+		t.Errorf("down %v, warming up %v, ramping %v", cache.Down, cache.WarmingUp, cache.Ramping)
 	}
 }
 
 // Three overdue attempts are enough for a cache that each of many routers uses every twenty seconds.
 func TestOverdueAttemptsMarkRarelyUsedCacheDown(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
-	g := s.fetch(s.handle(newRequest("first", "o")))
-	s.answer("first", g, NoteHit, 10*ms)
-	c, lost := s.r.servers[g.Server], 0
-	for ; !c.Down && lost < maxConsecutiveUnanswered; lost++ {
-		s.now += 20 * time.Second
-		id := fmt.Sprint(lost)
-		s.handle(newRequest(id, "o"))
-		a := s.r.requests[id].attempts[0]
-		s.r.objectiveMissed(a)
-		s.handle(Outcome{ID: id, Server: g.Server, Result: TimedOut, Final: true})
+	h := startRouter(t, testSettings(), testMembers())
+	fetch := h.requireFetch(h.handle(newRequest("first", "o")))
+	h.answer("first", fetch, NoteHit, 10*ms)
+	cache, unanswered := h.router.servers[fetch.Server], 0
+	for ; !cache.Down && unanswered < maxConsecutiveUnanswered; unanswered++ {
+		h.now += 20 * time.Second
+		id := fmt.Sprint(unanswered)
+		h.handle(newRequest(id, "o"))
+		attempt := h.router.requests[id].attempts[0]
+		h.router.objectiveMissed(attempt)
+		h.handle(Outcome{ID: id, Server: fetch.Server, Result: TimedOut, Final: true})
 	}
-	if lost != rarelyUsedMaxUnanswered {
-		t.Errorf("down after %d", lost)
+	if unanswered != rarelyUsedMaxUnanswered {
+		t.Errorf("down after %d", unanswered)
 	}
 }
 
 // A cache whose connections break again and again, or that fails requests which others serve, is marked down.
 func TestFailureRateMarksCacheDown(t *testing.T) {
 	for _, result := range []Result{Reset, Failed} {
-		s := startRouter(t, settings(), fleet())
-		g := s.fetch(s.handle(newRequest("a", "o")))
-		c := s.r.servers[g.Server]
+		h := startRouter(t, testSettings(), testMembers())
+		fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+		cache := h.router.servers[fetch.Server]
 		for i := range 8 {
-			s.now += time.Second
+			h.now += time.Second
 			id := string(rune('A' + i))
-			if g := s.fetch(s.handle(newRequest(id, "o"))); g.Server == c.ID {
-				next := s.fetch(s.handle(Outcome{ID: id, Server: c.ID, Result: result}))
-				s.handle(Outcome{ID: id, Attempt: 1, Server: next.Server, Result: OK, Note: NoteHit})
+			if fetch := h.requireFetch(h.handle(newRequest(id, "o"))); fetch.Server == cache.ID {
+				next := h.requireFetch(h.handle(Outcome{ID: id, Server: cache.ID, Result: result}))
+				h.handle(Outcome{ID: id, Attempt: 1, Server: next.Server, Result: OK, Note: NoteHit})
 			}
 		}
-		if !c.Down {
-			t.Errorf("result %d: failure rate %v and still up", result, c.FailureRate)
+		if !cache.Down {
+			t.Errorf("result %d: failure rate %v and still up", result, cache.FailureRate)
 		}
 		// No connection was refused, so its process has not restarted and needs no warm-up.
-		s.now += probeInterval
-		s.handle(newRequest("probe", "o"))
-		s.handle(Outcome{ID: "probe", Server: c.ID, Result: OK, Note: NoteHit})
-		if c.Down || c.WarmingUp {
-			t.Errorf("result %d: after its probe down %v, warming up %v", result, c.Down, c.WarmingUp)
+		h.now += probeInterval
+		h.handle(newRequest("probe", "o"))
+		h.handle(Outcome{ID: "probe", Server: cache.ID, Result: OK, Note: NoteHit})
+		if cache.Down || cache.WarmingUp {
+			t.Errorf("result %d: after its probe down %v, warming up %v", result, cache.Down, cache.WarmingUp)
 		}
 	}
 }
@@ -106,36 +106,36 @@
 // A request that fails at two caches is given up and counted against neither, so that invalid requests mark
 // no cache down.
 func TestRequestFailingEverywhereIsGivenUp(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
+	h := startRouter(t, testSettings(), testMembers())
 	for i := range 20 {
 		id := fmt.Sprint("bad", i)
-		s.now += time.Second
-		g := s.fetch(s.handle(newRequest(id, "o")))
-		g = s.fetch(s.handle(Outcome{ID: id, Server: g.Server, Result: Failed}))
-		if _, ok := find[Reject](s.handle(Outcome{ID: id, Attempt: 1, Server: g.Server, Result: Failed})); !ok {
+		h.now += time.Second
+		fetch := h.requireFetch(h.handle(newRequest(id, "o")))
+		fetch = h.requireFetch(h.handle(Outcome{ID: id, Server: fetch.Server, Result: Failed}))
+		if _, ok := findAction[Reject](h.handle(Outcome{ID: id, Attempt: 1, Server: fetch.Server, Result: Failed})); !ok {
 			t.Fatal("it was tried a third time")
 		}
 	}
-	for _, c := range s.r.caches {
-		if c.Down || c.FailureRate > 0 {
-			t.Errorf("cache %d: down %v, failure rate %v", c.ID, c.Down, c.FailureRate)
+	for _, cache := range h.router.caches {
+		if cache.Down || cache.FailureRate > 0 {
+			t.Errorf("cache %d: down %v, failure rate %v", cache.ID, cache.Down, cache.FailureRate)
 		}
 	}
 }
 
 // A broken connection ends all its attempts and counts as one failure.
 func TestBrokenConnectionCountsAsOneFailure(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
+	h := startRouter(t, testSettings(), testMembers())
 	for i := range 12 {
-		s.handle(newRequest(fmt.Sprint(i), "o"))
+		h.handle(newRequest(fmt.Sprint(i), "o"))
 	}
-	c := s.r.requests["0"].attempts[0].server
+	cache := h.router.requests["0"].attempts[0].server
 	for i := range 12 {
-		if a := s.r.requests[fmt.Sprint(i)].attempts[0]; a.server == c {
-			s.handle(Outcome{ID: fmt.Sprint(i), Server: c.ID, Result: Reset})
+		if attempt := h.router.requests[fmt.Sprint(i)].attempts[0]; attempt.server == cache {
+			h.handle(Outcome{ID: fmt.Sprint(i), Server: cache.ID, Result: Reset})
 		}
 	}
-	if c.Down || c.FailureRate != outcomeGain {
-		t.Errorf("down %v, failure rate %v", c.Down, c.FailureRate)
+	if cache.Down || cache.FailureRate != outcomeGain {
+		t.Errorf("down %v, failure rate %v", cache.Down, cache.FailureRate)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// settings describe a zone with parents and an origin; tests change what they need.
-func settings() Settings {
+// testSettings describe a zone with parents and an origin; tests change what they need.
+func testSettings() Settings {
 	return Settings{
 		Routers: 2, Zone: 2, ZoneRouters: []int{0, 0, 1, 1}, ParentKind: 1, OriginKind: 2,
 		Classes: []Class{
@@ -26,55 +26,55 @@
 	}
 }
 
-// fleet returns caches 1 to 3 of the zone, parents 11 and 12 and origin 20.
-func fleet() Members {
-	m := Members{Kind: ListCached}
+// testMembers returns caches 1 to 3 of the zone, parents 11 and 12 and origin 20.
+func testMembers() Members {
+	members := Members{Kind: ListCached}
 	for _, id := range []ServerID{1, 2, 3} {
-		m.Entries = append(m.Entries, Member{ID: id, Zone: 2, Weight: 10})
+		members.Entries = append(members.Entries, Member{ID: id, Zone: 2, Weight: 10})
 	}
 	for _, id := range []ServerID{11, 12} {
-		m.Entries = append(m.Entries, Member{ID: id, Zone: 0, Kind: 1, Weight: 20})
+		members.Entries = append(members.Entries, Member{ID: id, Zone: 0, Kind: 1, Weight: 20})
 	}
-	m.Entries = append(m.Entries, Member{ID: 20, Kind: 2, Weight: 50})
-	return m
+	members.Entries = append(members.Entries, Member{ID: 20, Kind: 2, Weight: 50})
+	return members
 }
 
-// script drives one router with events at its own time.
-type script struct {
-	t   *testing.T
-	r   *Router
-	now Time
+// routerHarness drives one router with events at its own time.
+type routerHarness struct {
+	t      *testing.T
+	router *Router
+	now    Time
 }
 
-func startRouter(t *testing.T, s Settings, m Members) *script {
+func startRouter(t *testing.T, settings Settings, members Members) *routerHarness {
 	t.Helper()
-	r, err := New(s, 7)
+	router, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc := &script{t: t, r: r, now: time.Minute}
-	sc.handle(m)
-	return sc
+	h := &routerHarness{t: t, router: router, now: time.Minute}
+	h.handle(members)
+	return h
 }
 
-func (s *script) handle(e Event) []Action { return s.r.Handle(s.now, e, nil) }
+func (h *routerHarness) handle(e Event) []Action { return h.router.Handle(h.now, e, nil) }
 
-func find[A Action](acts []Action) (got A, ok bool) {
-	for _, a := range acts {
-		if x, is := a.(A); is {
-			return x, true
+func findAction[A Action](actions []Action) (found A, ok bool) {
+	for _, action := range actions {
+		if match, matches := action.(A); matches {
+			return match, true
 		}
 	}
-	return got, false
+	return found, false
 }
 
-func (s *script) fetch(acts []Action) Fetch {
-	s.t.Helper()
-	g, ok := find[Fetch](acts)
+func (h *routerHarness) requireFetch(actions []Action) Fetch {
+	h.t.Helper()
+	fetch, ok := findAction[Fetch](actions)
 	if !ok {
-		s.t.Fatalf("no fill was sent: %v", acts)
+		h.t.Fatalf("no fill was sent: %v", actions)
 	}
-	return g
+	return fetch
 }
 
 func newRequest(id, object string) Request {
@@ -83,13 +83,13 @@
 
 // New reports which setting is invalid.
 func TestNewReportsInvalidField(t *testing.T) {
-	for name, s := range map[string]Settings{
+	for want, settings := range map[string]Settings{
 		"Settings.Classes is empty":       {},
 		"Settings.Classes[0].Idempotency": {Classes: []Class{{Idempotency: 9, Deadline: 1}}},
 		"Settings.Classes[0].Deadline":    {Classes: []Class{{}}},
 	} {
-		if _, err := New(s, 1); err == nil || !contains(err.Error(), name) {
-			t.Errorf("%s: got %v", name, err)
+		if _, err := New(settings, 1); err == nil || !contains(err.Error(), want) {
+			t.Errorf("%s: got %v", want, err)
 		}
 	}
 }
@@ -104,16 +104,16 @@
 }
 
 // answer ends a fetch with the given note after the given latency.
-func (s *script) answer(id string, g Fetch, note Note, latency time.Duration) {
-	s.handle(Outcome{ID: id, Server: g.Server, Result: OK, Note: note, Latency: latency, Final: true})
+func (h *routerHarness) answer(id string, fetch Fetch, note Note, latency time.Duration) {
+	h.handle(Outcome{ID: id, Server: fetch.Server, Result: OK, Note: note, Latency: latency, Final: true})
 }
 
 // When nothing is in flight no slot is occupied, also after outcomes that are late, repeated, or from
 // replaced caches.
 func TestNothingInFlightOccupiesNoSlots(t *testing.T) {
-	set := settings()
-	set.Routers, set.ZoneRouters = 200, []int{0, 0, 12}
-	s := startRouter(t, set, fleet())
+	settings := testSettings()
+	settings.Routers, settings.ZoneRouters = 200, []int{0, 0, 12}
+	h := startRouter(t, settings, testMembers())
 	notes := []Note{NoteHit, NoteFilled, NoteFilledOrigin, NoteSourceLost, NoteSourceRejected, NoteNoFillSlot, NoteSourceMiss}
 	results := []Result{OK, OK, OK, Overloaded, Overloaded, Overloaded, Miss}
 	type attempted struct {
@@ -121,60 +121,60 @@
 		no    int
 		cache ServerID
 	}
-	var waiting []attempted
+	var open []attempted
 	sent := map[string]int{}
-	take := func(acts []Action) {
-		for _, a := range acts {
-			if g, ok := a.(Fetch); ok {
-				waiting = append(waiting, attempted{g.ID, sent[g.ID], g.Server})
-				sent[g.ID]++
+	collect := func(actions []Action) {
+		for _, action := range actions {
+			if fetch, ok := action.(Fetch); ok {
+				open = append(open, attempted{fetch.ID, sent[fetch.ID], fetch.Server})
+				sent[fetch.ID]++
 			}
 		}
 	}
 	for i := range 300 {
-		s.now += 10 * ms
-		e := newRequest(fmt.Sprint(i), fmt.Sprint("o", i%40))
-		e.Class = i % 3
-		take(s.handle(e))
+		h.now += 10 * ms
+		request := newRequest(fmt.Sprint(i), fmt.Sprint("o", i%40))
+		request.Class = i % 3
+		collect(h.handle(request))
 		if i == 150 {
-			m := fleet()
-			m.Kind, m.Entries[0].ID, m.Entries[0].Started = ListFull, 4, s.now
-			take(s.handle(m))
+			members := testMembers()
+			members.Kind, members.Entries[0].ID, members.Entries[0].Started = ListFull, 4, h.now
+			collect(h.handle(members))
 		}
 		if i%5 == 0 {
-			for _, tm := range s.r.timers {
-				if tm.kind == objectiveTimer && tm.attempt.open {
-					s.r.objectiveMissed(tm.attempt)
+			for _, timer := range h.router.timers {
+				if timer.kind == objectiveTimer && timer.attempt.open {
+					h.router.objectiveMissed(timer.attempt)
 				}
 			}
 		}
 	}
-	for n := 0; len(waiting) > 0; n++ {
-		w := waiting[0]
-		waiting = waiting[1:]
-		o := Outcome{ID: w.id, Attempt: w.no, Server: w.cache, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
-		take(s.handle(o))
-		take(s.handle(o)) // twice
+	for n := 0; len(open) > 0; n++ {
+		next := open[0]
+		open = open[1:]
+		outcome := Outcome{ID: next.id, Attempt: next.no, Server: next.cache, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
+		collect(h.handle(outcome))
+		collect(h.handle(outcome)) // twice
 	}
-	for id, c := range s.r.servers {
-		if len(c.inFlight)+c.openFills+c.exemptAttempts != 0 {
-			t.Errorf("%d: %d in flight, %d fills, %d exempt from the limit", id, len(c.inFlight), c.openFills, c.exemptAttempts)
+	for id, server := range h.router.servers {
+		if len(server.inFlight)+server.openFills+server.exemptAttempts != 0 {
+			t.Errorf("%d: %d in flight, %d fills, %d exempt from the limit", id, len(server.inFlight), server.openFills, server.exemptAttempts)
 		}
 	}
-	if s.r.link.openFills != 0 {
-		t.Errorf("%d fills left on the link", s.r.link.openFills)
+	if h.router.link.openFills != 0 {
+		t.Errorf("%d fills left on the link", h.router.link.openFills)
 	}
 }
 
 // An attempt with an outcome is not reachable any more from the list of attempts in flight.
 func TestEndedAttemptsAreNotRetained(t *testing.T) {
 	list := []*attempt{{index: 0}, {index: 1}, {index: 2}}
-	for _, a := range slices.Clone(list) {
-		list = removeFirst(list, a)
+	for _, attempt := range slices.Clone(list) {
+		list = removeFirst(list, attempt)
 	}
-	for i, a := range list[:cap(list)] {
-		if a != nil {
-			t.Errorf("slot %d still refers to attempt %d", i, a.index)
+	for i, attempt := range list[:cap(list)] {
+		if attempt != nil {
+			t.Errorf("slot %d still refers to attempt %d", i, attempt.index)
 		}
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -7,29 +7,29 @@
 
 // A request whose outcomes never arrive gets its final answer at its deadline, once.
 func TestDeadlineGivesOneFinalAnswer(t *testing.T) {
-	s := startRouter(t, settings(), fleet())
-	acts := s.handle(newRequest("a", "o"))
-	tm, _ := find[SetTimer](acts)
-	s.now += 3 * time.Second
-	if _, ok := find[Reject](s.handle(Timer{Token: tm.Token})); !ok {
+	h := startRouter(t, testSettings(), testMembers())
+	actions := h.handle(newRequest("a", "o"))
+	setTimer, _ := findAction[SetTimer](actions)
+	h.now += 3 * time.Second
+	if _, ok := findAction[Reject](h.handle(Timer{Token: setTimer.Token})); !ok {
 		t.Fatal("no final answer")
 	}
-	if acts := s.handle(Outcome{ID: "a", Result: TimedOut}); len(acts) != 0 {
-		t.Fatalf("after the final answer: %v", acts)
+	if actions := h.handle(Outcome{ID: "a", Result: TimedOut}); len(actions) != 0 {
+		t.Fatalf("after the final answer: %v", actions)
 	}
 }
 
 // The parts of an object are spread over the zone's caches, and are filled from one parent.
 func TestPartsSpreadOverCachesAndShareParent(t *testing.T) {
-	set := settings()
-	set.Classes[0].Multipart = true
-	s := startRouter(t, set, fleet())
+	settings := testSettings()
+	settings.Classes[0].Multipart = true
+	h := startRouter(t, settings, testMembers())
 	caches, parents := map[ServerID]bool{}, map[ServerID]bool{}
 	for part := range 12 {
-		q := newRequest(string(rune('a'+part)), "o")
-		q.Part = part
-		g := s.fetch(s.handle(q))
-		caches[g.Server], parents[g.Source] = true, true
+		request := newRequest(string(rune('a'+part)), "o")
+		request.Part = part
+		fetch := h.requireFetch(h.handle(request))
+		caches[fetch.Server], parents[fetch.Source] = true, true
 	}
 	if len(caches) < 2 || len(parents) != 1 {
 		t.Errorf("parts went to caches %v and parents %v", caches, parents)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -12,100 +12,100 @@
 // ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not
 // the load of servers.
 type ruleChecker struct {
-	set        Settings
-	reqs       map[string]*entry
-	state      map[ServerID]State
+	settings   Settings
+	requests   map[string]*trackedRequest
+	states     map[ServerID]State
 	notifiedAt map[ServerID]Time
 	members    map[ServerID]Member
 	purged     map[string][2]Time // object: time of the purge, time of its notice
 }
 
-// entry is a request as the checker sees it.
-type entry struct {
-	q     Request
-	due   Time
-	over  bool
-	sends []sent
+// trackedRequest is a request as the checker sees it.
+type trackedRequest struct {
+	request  Request
+	deadline Time
+	done     bool
+	attempts []trackedAttempt
 }
 
-type sent struct {
-	cache     ServerID
-	at        Time
-	open, ran bool
+type trackedAttempt struct {
+	server                ServerID
+	sentAt                Time
+	open, mayHaveExecuted bool
 }
 
-func newRuleChecker(s Settings) *ruleChecker {
-	return &ruleChecker{set: s, reqs: map[string]*entry{}, state: map[ServerID]State{}, notifiedAt: map[ServerID]Time{},
+func newRuleChecker(settings Settings) *ruleChecker {
+	return &ruleChecker{settings: settings, requests: map[string]*trackedRequest{}, states: map[ServerID]State{}, notifiedAt: map[ServerID]Time{},
 		members: map[ServerID]Member{}, purged: map[string][2]Time{}}
 }
 
-func (b *ruleChecker) event(now Time, e Event) {
+func (checker *ruleChecker) event(now Time, e Event) {
 	switch e := e.(type) {
 	case Members:
 		listed := map[ServerID]bool{}
-		for _, m := range e.Entries {
-			listed[m.ID] = true
-			if m.State != b.state[m.ID] {
-				b.notifiedAt[m.ID] = now
+		for _, members := range e.Entries {
+			listed[members.ID] = true
+			if members.State != checker.states[members.ID] {
+				checker.notifiedAt[members.ID] = now
 			}
-			b.state[m.ID], b.members[m.ID] = m.State, m
+			checker.states[members.ID], checker.members[members.ID] = members.State, members
 		}
 		if e.Kind == ListFull || e.Kind == ListCached {
-			for id := range b.members {
-				if !listed[id] && b.state[id] != Gone {
-					b.state[id], b.notifiedAt[id] = Gone, now
+			for id := range checker.members {
+				if !listed[id] && checker.states[id] != Gone {
+					checker.states[id], checker.notifiedAt[id] = Gone, now
 				}
 			}
 		}
 	case Request:
-		if b.reqs[e.ID] == nil {
-			b.reqs[e.ID] = &entry{q: e, due: now + e.TimeLeft}
+		if checker.requests[e.ID] == nil {
+			checker.requests[e.ID] = &trackedRequest{request: e, deadline: now + e.TimeLeft}
 		}
 	case Outcome:
-		q := b.reqs[e.ID]
-		if q == nil || e.Attempt >= len(q.sends) || !q.sends[e.Attempt].open {
+		request := checker.requests[e.ID]
+		if request == nil || e.Attempt >= len(request.attempts) || !request.attempts[e.Attempt].open {
 			return
 		}
-		s := &q.sends[e.Attempt]
-		s.open = false
-		s.ran = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Skipped && e.Result != Miss
-		q.over = q.over || e.Final
+		attempt := &request.attempts[e.Attempt]
+		attempt.open = false
+		attempt.mayHaveExecuted = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Skipped && e.Result != Miss
+		request.done = request.done || e.Final
 	case ClientLeft:
-		if q := b.reqs[e.ID]; q != nil {
-			q.over = true
+		if request := checker.requests[e.ID]; request != nil {
+			request.done = true
 		}
 	case Purged:
-		b.purged[e.Object] = [2]Time{now - e.Age, now}
+		checker.purged[e.Object] = [2]Time{now - e.Age, now}
 	}
 }
 
 // action checks one action and applies it.
-func (b *ruleChecker) action(now Time, a Action) error {
+func (checker *ruleChecker) action(now Time, a Action) error {
 	switch a := a.(type) {
 	case Reject:
-		return b.finalAnswer(a.ID, true)
+		return checker.finalAnswer(a.ID, true)
 	case Fail:
-		return b.finalAnswer(a.ID, false)
+		return checker.finalAnswer(a.ID, false)
 	case Lookup:
-		return b.send(now, a.ID, a.Server, a.Server, 0, b.members[a.Server].Kind == b.set.OriginKind)
+		return checker.send(now, a.ID, a.Server, a.Server, 0, checker.members[a.Server].Kind == checker.settings.OriginKind)
 	case Fetch:
-		return b.send(now, a.ID, a.Server, a.Source, a.MaxAge, false)
+		return checker.send(now, a.ID, a.Server, a.Source, a.MaxAge, false)
 	}
 	return nil
 }
 
 // finalAnswer checks that there is one final answer, and that a rejection is harmless.
-func (b *ruleChecker) finalAnswer(id string, reject bool) error {
-	q := b.reqs[id]
-	if q == nil || q.over {
+func (checker *ruleChecker) finalAnswer(id string, isReject bool) error {
+	request := checker.requests[id]
+	if request == nil || request.done {
 		return fmt.Errorf("second final answer for %s", id)
 	}
-	q.over = true
-	c := b.set.Classes[q.q.Class]
-	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll
-	if reject && !harmless {
-		for _, s := range q.sends {
-			if s.open || s.ran {
+	request.done = true
+	class := checker.settings.Classes[request.request.Class]
+	harmless := class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll
+	if isReject && !harmless {
+		for _, attempt := range request.attempts {
+			if attempt.open || attempt.mayHaveExecuted {
 				return fmt.Errorf("%s rejected though it may have been executed", id)
 			}
 		}
@@ -114,42 +114,42 @@
 }
 
 // send checks an attempt with the given maximum age. origin says that it goes straight to the origin.
-func (b *ruleChecker) send(now Time, id string, cache, source ServerID, age time.Duration, origin bool) error {
-	q := b.reqs[id]
-	if q == nil || q.over {
+func (checker *ruleChecker) send(now Time, id string, to, source ServerID, maxAge time.Duration, toOrigin bool) error {
+	request := checker.requests[id]
+	if request == nil || request.done {
 		return fmt.Errorf("%s sent after its final answer", id)
 	}
-	for _, t := range []ServerID{cache, source} {
-		if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
-			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
+	for _, named := range []ServerID{to, source} {
+		if member, known := checker.members[named]; !known || checker.states[named] != Ready && now-checker.notifiedAt[named] > checker.settings.DrainGrace {
+			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, named, member)
 		}
 	}
-	if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
+	if checker.settings.MaxAttempts > 0 && len(request.attempts) >= checker.settings.MaxAttempts {
 		return fmt.Errorf("%s exceeds the attempt limit", id)
 	}
-	if err := b.retry(now, q, cache); err != nil {
+	if err := checker.retry(now, request, to); err != nil {
 		return err
 	}
-	uncached := b.set.Classes[q.q.Class].Uncached
-	if p, ok := b.purged[q.q.Object]; ok && !origin && !uncached && now-p[1] > b.set.PurgeGrace &&
-		now-p[0] < b.set.PurgeDuration && (age == 0 || age > now-p[0]) && now > p[0] {
-		return fmt.Errorf("%s may be answered from before its purge: age %v", id, age)
+	uncached := checker.settings.Classes[request.request.Class].Uncached
+	if purge, ok := checker.purged[request.request.Object]; ok && !toOrigin && !uncached && now-purge[1] > checker.settings.PurgeGrace &&
+		now-purge[0] < checker.settings.PurgeDuration && (maxAge == 0 || maxAge > now-purge[0]) && now > purge[0] {
+		return fmt.Errorf("%s may be answered from before its purge: age %v", id, maxAge)
 	}
-	q.sends = append(q.sends, sent{cache: cache, at: now, open: true})
+	request.attempts = append(request.attempts, trackedAttempt{server: to, sentAt: now, open: true})
 	return nil
 }
 
 // retry checks that another attempt at a cache can have no second effect.
-func (b *ruleChecker) retry(now Time, q *entry, cache ServerID) error {
-	c := b.set.Classes[q.q.Class]
-	for _, s := range q.sends {
-		if s.open {
-			return fmt.Errorf("%s has two attempts in flight", q.q.ID)
+func (checker *ruleChecker) retry(now Time, request *trackedRequest, to ServerID) error {
+	class := checker.settings.Classes[request.request.Class]
+	for _, earlier := range request.attempts {
+		if earlier.open {
+			return fmt.Errorf("%s has two attempts in flight", request.request.ID)
 		}
-		if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
-			c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
-			c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
-			return fmt.Errorf("%s retried though it may have been executed", q.q.ID)
+		if (earlier.open || earlier.mayHaveExecuted) && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (now-earlier.sentAt >= class.DedupWindow ||
+			class.DedupScope == DedupZone && checker.members[to].Zone != checker.members[earlier.server].Zone ||
+			class.DedupScope == DedupCell && checker.members[to].Cell != checker.members[earlier.server].Cell)) {
+			return fmt.Errorf("%s retried though it may have been executed", request.request.ID)
 		}
 	}
 	return nil
@@ -158,19 +158,19 @@
 // runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a
 // rule.
 func runRandomEvents(seed int64) ([]Action, error) {
-	rnd := rand.New(rand.NewSource(seed))
-	set := settings()
-	set.MayBypassCaches = rnd.Intn(2) == 0
-	set.SiblingFills, set.OutcomeDetail = SiblingScope(rnd.Intn(3)), OutcomeDetail(rnd.Intn(3))
-	set.WeightsKnown, set.MaxAttempts = rnd.Intn(2) == 0, 1+rnd.Intn(8)
-	set.Classes = append(set.Classes,
-		Class{LatencyObjective: 200 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupScope(rnd.Intn(3)), DedupWindow: time.Second})
-	r, err := New(set, uint64(seed))
+	rng := rand.New(rand.NewSource(seed))
+	settings := testSettings()
+	settings.MayBypassCaches = rng.Intn(2) == 0
+	settings.SiblingFills, settings.OutcomeDetail = SiblingScope(rng.Intn(3)), OutcomeDetail(rng.Intn(3))
+	settings.WeightsKnown, settings.MaxAttempts = rng.Intn(2) == 0, 1+rng.Intn(8)
+	settings.Classes = append(settings.Classes,
+		Class{LatencyObjective: 200 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupScope(rng.Intn(3)), DedupWindow: time.Second})
+	router, err := New(settings, uint64(seed))
 	if err != nil {
 		return nil, err
 	}
-	b, now := newRuleChecker(set), Time(seed%7)*time.Second
-	var all []Action
+	checker, now := newRuleChecker(settings), Time(seed%7)*time.Second
+	var allActions []Action
 	type due struct {
 		at    Time
 		token uint64
@@ -178,29 +178,29 @@
 	var timers []due
 	var open []Outcome
 	handle := func(e Event) error {
-		b.event(now, e)
-		for _, a := range r.Handle(now, e, nil) {
-			all = append(all, a)
-			if err := b.action(now, a); err != nil {
+		checker.event(now, e)
+		for _, a := range router.Handle(now, e, nil) {
+			allActions = append(allActions, a)
+			if err := checker.action(now, a); err != nil {
 				return err
 			}
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, due{now + a.After, a.Token})
 			case Lookup:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(checker.requests[a.ID].attempts) - 1, Server: a.Server})
 			case Fetch:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(checker.requests[a.ID].attempts) - 1, Server: a.Server})
 			}
 		}
 		return nil
 	}
-	list := fleet()
-	if err := handle(list); err != nil {
+	members := testMembers()
+	if err := handle(members); err != nil {
 		return nil, err
 	}
 	for step := range 1500 {
-		now += time.Duration(rnd.Intn(20)) * ms
+		now += time.Duration(rng.Intn(20)) * ms
 		for i := 0; i < len(timers); i++ {
 			if t := timers[i]; t.at <= now {
 				timers = append(timers[:i], timers[i+1:]...)
@@ -211,64 +211,64 @@
 			}
 		}
 		var e Event
-		switch k := rnd.Intn(20); {
-		case k < 8:
-			e = Request{ID: fmt.Sprint(step), Class: rnd.Intn(len(set.Classes)), Object: fmt.Sprint(rnd.Intn(20)),
-				TimeLeft: time.Duration(1+rnd.Intn(3000)) * ms, Group: rnd.Intn(4)}
-		case k < 16 && len(open) > 0:
-			i := rnd.Intn(len(open))
-			o := open[i]
+		switch kind := rng.Intn(20); {
+		case kind < 8:
+			e = Request{ID: fmt.Sprint(step), Class: rng.Intn(len(settings.Classes)), Object: fmt.Sprint(rng.Intn(20)),
+				TimeLeft: time.Duration(1+rng.Intn(3000)) * ms, Group: rng.Intn(4)}
+		case kind < 16 && len(open) > 0:
+			i := rng.Intn(len(open))
+			outcome := open[i]
 			open = append(open[:i], open[i+1:]...)
-			o.Result, o.Note = Result(rnd.Intn(10)), Note(rnd.Intn(11))
-			o.Latency = time.Duration(rnd.Intn(900)) * ms
-			o.Final = o.Result == OK || b.reqs[o.ID].over
-			e = o
-		case k == 16:
-			m := list.Entries[rnd.Intn(len(list.Entries)-1)]
-			m.State = State(rnd.Intn(3))
-			if m.State == Ready && rnd.Intn(2) == 0 {
+			outcome.Result, outcome.Note = Result(rng.Intn(10)), Note(rng.Intn(11))
+			outcome.Latency = time.Duration(rng.Intn(900)) * ms
+			outcome.Final = outcome.Result == OK || checker.requests[outcome.ID].done
+			e = outcome
+		case kind == 16:
+			m := members.Entries[rng.Intn(len(members.Entries)-1)]
+			m.State = State(rng.Intn(3))
+			if m.State == Ready && rng.Intn(2) == 0 {
 				m.Started = now
 			}
 			e = Members{Kind: ListChanges, Entries: []Member{m}}
-		case k == 17:
-			e = Members{Kind: ListFull, Entries: list.Entries[rnd.Intn(4):]}
-		case k == 18:
-			e = Purged{Object: fmt.Sprint(rnd.Intn(20)), Group: -1, Age: time.Duration(rnd.Intn(300)) * ms}
+		case kind == 17:
+			e = Members{Kind: ListFull, Entries: members.Entries[rng.Intn(4):]}
+		case kind == 18:
+			e = Purged{Object: fmt.Sprint(rng.Intn(20)), Group: -1, Age: time.Duration(rng.Intn(300)) * ms}
 		default:
-			e = ClientLeft{ID: fmt.Sprint(rnd.Intn(step + 1))}
+			e = ClientLeft{ID: fmt.Sprint(rng.Intn(step + 1))}
 		}
 		if err := handle(e); err != nil {
 			return nil, fmt.Errorf("step %d: %w", step, err)
 		}
-		for id, q := range b.reqs {
-			if !q.over && now > q.due+20*ms {
+		for id, request := range checker.requests {
+			if !request.done && now > request.deadline+20*ms {
 				return nil, fmt.Errorf("step %d: %s has no final answer at its deadline", step, id)
 			}
 		}
 	}
-	return all, nil
+	return allActions, nil
 }
 
 // The rules of the protocol hold for arbitrary events, and equal events yield equal actions, alone or beside
 // other routers.
 func TestRulesHoldUnderArbitraryEvents(t *testing.T) {
 	const seeds = 60
-	alone := make([][]Action, seeds)
-	for seed := range alone {
-		acts, err := runRandomEvents(int64(seed))
+	sequential := make([][]Action, seeds)
+	for seed := range sequential {
+		actions, err := runRandomEvents(int64(seed))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		alone[seed] = acts
+		sequential[seed] = actions
 	}
-	beside := make([][]Action, seeds)
-	var all sync.WaitGroup
-	for seed := range beside {
-		all.Go(func() { beside[seed], _ = runRandomEvents(int64(seed)) })
+	concurrent := make([][]Action, seeds)
+	var group sync.WaitGroup
+	for seed := range concurrent {
+		group.Go(func() { concurrent[seed], _ = runRandomEvents(int64(seed)) })
 	}
-	all.Wait()
-	for seed := range alone {
-		if !reflect.DeepEqual(alone[seed], beside[seed]) {
+	group.Wait()
+	for seed := range sequential {
+		if !reflect.DeepEqual(sequential[seed], concurrent[seed]) {
 			t.Errorf("seed %d: equal events gave different actions", seed)
 		}
 	}
@@ -285,8 +285,8 @@
 
 // The checker detects each kind of wrong action.
 func TestCheckerDetectsViolations(t *testing.T) {
-	set := settings()
-	for name, c := range map[string]struct {
+	settings := testSettings()
+	for name, test := range map[string]struct {
 		before []Event
 		acts   []Action
 	}{
@@ -298,18 +298,18 @@
 		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
 		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
 	} {
-		b := newRuleChecker(set)
-		b.event(0, fleet())
-		b.event(0, newRequest("a", "o"))
-		u := newRequest("u", "p")
-		u.Class = 1
-		b.event(0, u)
-		for _, e := range c.before {
-			b.event(0, e)
+		checker := newRuleChecker(settings)
+		checker.event(0, testMembers())
+		checker.event(0, newRequest("a", "o"))
+		uncachedRequest := newRequest("u", "p")
+		uncachedRequest.Class = 1
+		checker.event(0, uncachedRequest)
+		for _, e := range test.before {
+			checker.event(0, e)
 		}
 		var err error
-		for _, a := range c.acts {
-			if e := b.action(time.Second, a); e != nil {
+		for _, a := range test.acts {
+			if e := checker.action(time.Second, a); e != nil {
 				err = e
 			}
 		}
