--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Late answers lower the concurrency limit, and requests beyond it are rejected at once, with a Retry-After.
+// Late answers lower a cache's limit. Requests are rejected at once, with a Retry-After, while all caches are
+// at their limits.
 func TestLateAnswersLowerLimit(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	var fetches []Fetch
@@ -16,24 +17,24 @@
 	}
 	cache := h.router.servers[fetches[0].Server]
 	h.now += time.Second
-	for _, a := range cache.inFlight[:2] {
-		a.late = true
+	for _, attempt := range cache.inFlight[:2] {
+		attempt.late = true
 	}
 	h.answer("A", fetches[0], NoteHit, time.Second)
 	h.now += limitUpdateInterval
 	h.answer("B", fetches[1], NoteHit, time.Second)
 	if cache.Limit > cacheLimitStart*limitDecrease*limitDecrease+0.01 {
-		t.Errorf("the limit is %v after two late answers", cache.Limit)
+		t.Errorf("got limit %v after two late answers, want two steps down", cache.Limit)
 	}
 	for _, cache := range h.router.caches {
 		cache.Limit = 0
 	}
-	if a, ok := findAction[Reject](h.handle(newRequest("z", "o"))); !ok || a.RetryAfter <= 0 {
+	if reject, ok := findAction[Reject](h.handle(newRequest("z", "o"))); !ok || reject.RetryAfter <= 0 {
 		t.Error("with every cache at its limit the request was not rejected with a Retry-After")
 	}
 }
 
-// A late answer of a mostly idle cache is taken for a large object and leaves the limit as it is.
+// A late answer of a mostly idle cache is attributed to a large object and does not change the limit.
 func TestLateAnswerAtIdleCacheKeepsLimit(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
@@ -41,23 +42,24 @@
 	cache.inFlight[0].late = true
 	h.answer("a", fetch, NoteHit, 5*time.Second)
 	if cache.Limit != cacheLimitStart {
-		t.Errorf("the limit is %v", cache.Limit)
+		t.Errorf("got limit %v, want it unchanged", cache.Limit)
 	}
 }
 
-// A cache without a slot for a fill still serves hits.
-func TestNoFillSlotStillServesHits(t *testing.T) {
+// A cache that has no slot for a fill still serves hits.
+func TestCacheWithoutFillSlotStillServesHits(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Overloaded, Note: NoteNoFillSlot})
 	if next := h.requireFetch(h.handle(newRequest("b", "o"))); next.Server != fetch.Server || next.Source != fetch.Server {
-		t.Errorf("got %+v, want cache %d asked only for its copy", next, fetch.Server)
+		t.Errorf("got %+v, want a fetch from cache %d without a fill", next, fetch.Server)
 	}
 }
 
-// Timeouts lower the limit of the server involved that is late most often, be it the parent, the cache or the
-// origin: a server that answers some requests is never marked down for silence.
-func TestTimeoutsLowerLimitOfMostOverdueServer(t *testing.T) {
+// Timeouts lower the limit of the involved server with the highest late rate: the cache, the parent or the
+// origin. A server that answers some of its requests is never marked down for those it does not answer, so
+// its limit must fall.
+func TestTimeoutsLowerLimitOfServerWithHighestLateRate(t *testing.T) {
 	for _, failing := range []ServerID{1, 11, 20} {
 		h := startRouter(t, testSettings(), testMembers())
 		observed := []*server{h.router.servers[11], h.router.origin}
@@ -68,7 +70,7 @@
 			id := fmt.Sprint(i)
 			fetch, sent := findAction[Fetch](h.handle(newRequest(id, fmt.Sprint("o", i))))
 			if h.now += 200 * ms; !sent {
-				continue // the draw was above the limit
+				continue // the request's admissionDraw exceeded the limit
 			}
 			parentMisses := i%2 == 0 // every second object is missing at its parent
 			switch cache := h.router.servers[fetch.Server]; {
@@ -85,14 +87,14 @@
 		}
 		for _, server := range observed {
 			if (server.Limit < 1.2) != (server.ID == failing) {
-				t.Errorf("%d times out; the limit of %d went from 1.5 to %v", failing, server.ID, server.Limit)
+				t.Errorf("requests at server %d time out: the limit of server %d went from 1.5 to %v", failing, server.ID, server.Limit)
 			}
 		}
 	}
 }
 
-// An attempt lowers a limit as soon as its objective has passed, with the weight of the time since the last
-// answer.
+// An attempt lowers a limit as soon as its latency objective has passed, before it has an outcome. Its weight
+// grows with the time since the limit was last adjusted.
 func TestMissedObjectiveLowersLimitBeforeOutcome(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	parent := h.router.servers[11]
@@ -110,17 +112,17 @@
 			}
 		}
 		if want := 1.5 * math.Pow(limitDecrease, limitMaxUpdateWeight/h.router.limitScale); math.Abs(parent.Limit-want) > 1e-9 {
-			t.Errorf("overdue after 2 s of silence, the limit is %v, want %v", parent.Limit, want)
+			t.Errorf("got limit %v for an attempt that is late 2 s after the last adjustment, want %v", parent.Limit, want)
 		}
 		return
 	}
 	t.Fatal("no fill went to parent 11")
 }
 
-// A fill that is late after an early first byte lowers the limit of the parent, or of the zone's link if all
-// fills are late. Bytes that the origin delivered in time do not lower the origin's limit.
+// A late fill whose first byte came early lowers the limit of the parent, or of the zone's link if that has
+// the higher late rate. It does not lower the limit of the origin, which delivered its bytes in time.
 func TestLateFillAfterEarlyFirstByteLowersLinkLimit(t *testing.T) {
-	for _, linkLateRate := range []Fraction{0, 1} { // late rate of the link so far
+	for _, linkLateRate := range []Fraction{0, 1} {
 		h := startRouter(t, testSettings(), testMembers())
 		fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 		link, source, origin := h.router.link, h.router.servers[fetch.Source], h.router.origin
@@ -131,12 +133,12 @@
 		h.router.requests["a"].attempts[0].late = true
 		h.handle(Outcome{ID: "a", Server: fetch.Server, Result: OK, Note: NoteFilledOrigin, Latency: time.Second, SourceWait: 20 * ms})
 		if (link.Limit != 0.4) != (linkLateRate == 1) || (source.Limit < 0.4) != (linkLateRate == 0) || origin.Limit <= 0.4 {
-			t.Errorf("link late %v: limits of link, parent, origin %v, %v, %v", linkLateRate, link.Limit, source.Limit, origin.Limit)
+			t.Errorf("late rate %v of the link: limits of link, parent and origin went from 0.4 to %v, %v and %v", linkLateRate, link.Limit, source.Limit, origin.Limit)
 		}
 	}
 }
 
-// A parent that quickly answers that it has no copy does not lower its late rate by that.
+// The quick answer of a parent that it has no copy does not lower the parent's late rate.
 func TestSourceMissKeepsLateRate(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	h.router.origin.Limit = 0.01
@@ -144,11 +146,12 @@
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Miss, Note: NoteSourceMiss})
 	if lateRate := h.router.servers[fetch.Source].LateRate; fetch.Options&CachedOnly == 0 || lateRate != 0.5 {
-		t.Errorf("after a source miss at %d (options %b) its late rate went from 0.5 to %v", fetch.Source, fetch.Options, lateRate)
+		t.Errorf("after a source miss at parent %d (options %b), the late rate went from 0.5 to %v, want it unchanged", fetch.Source, fetch.Options, lateRate)
 	}
 }
 
-// A parent's rejection, or its report of a failed origin, lowers the limits of both.
+// A parent's rejection, or its report that the origin failed, lowers the limits of both the parent and the
+// origin.
 func TestRejectionLowersLimitsOfParentAndOrigin(t *testing.T) {
 	for _, note := range []Note{NoteSourceRejected, NoteOriginFailed} {
 		h := startRouter(t, testSettings(), testMembers())
@@ -156,24 +159,24 @@
 		h.router.origin.Limit, h.router.servers[fetch.Source].Limit = 0.5, 1
 		h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Overloaded, Note: note})
 		if h.router.origin.Limit >= 0.5 || h.router.servers[fetch.Source].Limit >= 1 {
-			t.Errorf("note %v: limits %v of the origin, %v of the parent", note, h.router.origin.Limit, h.router.servers[fetch.Source].Limit)
+			t.Errorf("note %v: the origin's limit went from 0.5 to %v and the parent's from 1 to %v, want both lower", note, h.router.origin.Limit, h.router.servers[fetch.Source].Limit)
 		}
 	}
 }
 
-// Routers that share a zone begin with their part of a cache's limit.
-func TestCacheLimitStartsAtRoutersPart(t *testing.T) {
+// A router of a zone with several routers starts with its share of a cache's limit.
+func TestCacheLimitStartsAtRoutersShare(t *testing.T) {
 	settings := testSettings()
 	settings.ZoneRouters = []int{0, 0, 4, 1}
 	h := startRouter(t, settings, testMembers())
 	if limit := h.router.servers[1].Limit; limit != cacheLimitStart/4 {
-		t.Errorf("the limit starts at %v", limit)
+		t.Errorf("got initial limit %v, want a quarter of cacheLimitStart", limit)
 	}
 }
 
-// Routers that have one fill in flight now and then leave the origin's limit at their part: all together
-// would otherwise overload it after a purge of everything.
-func TestRarelyUsedSourceKeepsFirstLimit(t *testing.T) {
+// A router that only now and then has a fill in flight does not raise its limit for the origin. Otherwise all
+// routers together would overload the origin after a purge of everything.
+func TestRarelyUsedSourceKeepsInitialLimit(t *testing.T) {
 	for _, routers := range []int{1, 80, 800} {
 		settings := testSettings()
 		settings.Routers, settings.ZoneRouters = routers, []int{0, 0, min(7, routers)}
@@ -183,16 +186,16 @@
 			h.answer(fmt.Sprint(i), h.requireFetch(h.handle(newRequest(fmt.Sprint(i), fmt.Sprint(i)))), NoteFilledOrigin, 50*ms)
 		}
 		if total := float64(routers) * h.router.origin.Limit; total > 1.1*max(16, float64(routers)) {
-			t.Errorf("%d routers allow themselves %v fills at the origin", routers, total)
+			t.Errorf("the limits of %d routers for the origin add up to %v fills", routers, total)
 		}
 	}
 }
 
-// Fills that are late after an early first byte lower the limit of the zone's link. While it is reached,
-// caches are asked only for their copies.
+// A late fill whose first byte came early lowers the limit of the zone's link. While the link is at its
+// limit, caches serve requests only from their copies.
 func TestLinkAtLimitStopsFills(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
-	h.router.link.openFills = 20 // so that the limit decides
+	h.router.link.openFills = 20 // enough that the limit changes
 	linkLimitBefore := h.router.link.Limit
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	source := h.router.servers[fetch.Source]
@@ -200,15 +203,15 @@
 	h.router.requests["a"].attempts[0].late = true
 	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: OK, Note: NoteFilled, Latency: 2 * time.Second, SourceWait: 20 * ms})
 	if h.router.link.Limit >= linkLimitBefore || source.Limit != sourceLimitBefore {
-		t.Fatalf("link %v to %v, source %v to %v", linkLimitBefore, h.router.link.Limit, sourceLimitBefore, source.Limit)
+		t.Fatalf("the link's limit went from %v to %v, the source's from %v to %v; want only the link's lower", linkLimitBefore, h.router.link.Limit, sourceLimitBefore, source.Limit)
 	}
 	h.router.link.Limit = 0
 	if fetch := h.requireFetch(h.handle(newRequest("b", "p"))); fetch.Source != fetch.Server {
-		t.Errorf("got %+v, want the cache asked only for its copy", fetch)
+		t.Errorf("got %+v, want a fetch without a fill", fetch)
 	}
 }
 
-// A limit below one attempt admits a matching fraction of requests.
+// A limit below one slot admits that fraction of requests.
 func TestLimitBelowOneAdmitsFraction(t *testing.T) {
 	const routers = 200
 	sent := 0
@@ -227,27 +230,29 @@
 		}
 	}
 	if sent < routers/20 || sent > routers/5 {
-		t.Errorf("%d of %d routers named a parent with a limit of a tenth", sent, routers)
+		t.Errorf("%d of %d routers named a parent with limit 0.1 as the source, want a tenth of them", sent, routers)
 	}
 }
 
-// An attempt that waits for a silent source occupies no slot at its cache, and frees none twice.
-func TestWaitingForSilentSourceOccupiesNoSlot(t *testing.T) {
+// An attempt whose source does not answer occupies no slot at its cache, and its outcome does not free the
+// slot a second time.
+func TestAttemptWaitingForSourceOccupiesNoSlot(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	cache, attempt := h.router.servers[fetch.Server], h.router.requests["a"].attempts[0]
 	h.now += time.Second
 	cache.LastAnswer = h.now
 	if h.router.objectiveMissed(attempt); h.router.occupied(cache) != 0 {
-		t.Errorf("%v slots occupied while it waits", h.router.occupied(cache))
+		t.Errorf("got %v occupied slots while the attempt waits for its source, want none", h.router.occupied(cache))
 	}
 	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: TimedOut})
 	if cache.exemptAttempts != 0 {
-		t.Errorf("%d still counted as exempt from the limit", cache.exemptAttempts)
+		t.Errorf("got %d exempt attempts after the outcome, want none", cache.exemptAttempts)
 	}
 }
 
-// Writes are sent to the origin regardless of its limit, and their quick answers do not raise it for fills.
+// Writes are sent to the origin regardless of its limit, so their quick answers do not raise the limit for
+// fills.
 func TestWritesDoNotRaiseLimits(t *testing.T) {
 	for _, writes := range []int{0, 40} {
 		h := startRouter(t, testSettings(), testMembers())
@@ -273,7 +278,7 @@
 			}
 		}
 		if limit := h.router.origin.Limit; limit > 3 {
-			t.Errorf("%d writes in time to ten fills that are late: the origin's limit is %.2f", writes, limit)
+			t.Errorf("with %d writes in time for every ten late fills, the origin's limit is %.2f, want at most 3", writes, limit)
 		}
 	}
 }
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// Many small objects between few large ones do not lower the estimated transfer time, on which warm-up
-// budgets rest.
-func TestTransferTimeOfHeavyTailedSizes(t *testing.T) {
+// Many small objects between a few large ones do not lower the estimated transfer time below the mean.
+// Warm-up budgets are computed from that estimate.
+func TestTransferTimeIsMeanOfHeavyTailedSizes(t *testing.T) {
 	settings := testSettings()
 	settings.TransferKBPerS = 1000
 	h := startRouter(t, settings, testMembers())
 	for i := range 2000 {
 		request := newRequest(fmt.Sprint(i), "o")
 		if request.SizeKB = 50; i%10 == 0 {
-			request.SizeKB = 2550 // the mean is 0.3 s
+			request.SizeKB = 2550 // the mean size of all is 300 KB, which takes 0.3 s
 		}
 		fetch := h.requireFetch(h.handle(request))
 		h.now += 20 * ms
 		h.handle(Outcome{ID: request.ID, Server: fetch.Server, Result: OK, Note: NoteHit, Latency: 10 * ms})
 	}
 	if transferTime := h.router.transferTime[0]; transferTime < 0.2 || transferTime > 0.4 {
-		t.Errorf("the transfer time came out at %.3f s, want 0.3", transferTime)
+		t.Errorf("got transfer time %.3f s, want 0.3 s", transferTime)
 	}
 }
 
-// A lookup that found nothing at a warming parent stays charged to its budget in full.
+// A lookup that finds no copy at a parent in its warm-up is not refunded: its full cost stays charged to the
+// parent's budget.
 func TestSourceMissIsChargedToWarmUpBudget(t *testing.T) {
 	members := testMembers()
 	members.Entries = append(members.Entries[:4], members.Entries[5:]...) // one parent
-	members.Entries[3].Started = time.Minute - 30*time.Second             // after its ramp
+	members.Entries[3].Started = time.Minute - 30*time.Second             // so that its ramp is over
 	settings := testSettings()
 	settings.ParentWarmUp.Duration = 40 * time.Second
 	h := startRouter(t, settings, members)
@@ -45,6 +46,6 @@
 	}
 	h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Miss, Note: NoteSourceMiss})
 	if spent := creditBefore - parent.Credit; spent < h.router.transferTime[0]*0.99 {
-		t.Errorf("a source miss left %v s charged, want %v", spent, h.router.transferTime[0])
+		t.Errorf("after a source miss %v s are charged, want %v s", spent, h.router.transferTime[0])
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Limits grow with the capacity of the caches' links.
+// Limits grow with the capacity of the caches' links, so that larger links get more of a burst of requests.
 func TestLimitsScaleWithLinkCapacity(t *testing.T) {
 	for _, test := range []struct {
-		weight float64
-		most   int // requests rejected of 100 that arrive at once
-		least  int
-	}{{weight: 10, least: 50, most: 100}, {weight: 200, most: 0}} {
+		weight      float64
+		maxRejected int // of 100 requests that arrive at once
+		minRejected int
+	}{{weight: 10, minRejected: 50, maxRejected: 100}, {weight: 200, maxRejected: 0}} {
 		router, err := New(Settings{
 			Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: DetailAll, MaxAttempts: 4, WeightsKnown: true,
 			Classes: []Class{{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
@@ -32,14 +32,15 @@
 				}
 			}
 		}
-		if rejected < test.least || rejected > test.most {
-			t.Errorf("links of %v: rejected %d of 100, want %d to %d", test.weight, rejected, test.least, test.most)
+		if rejected < test.minRejected || rejected > test.maxRejected {
+			t.Errorf("links of weight %v: %d of 100 requests were rejected, want %d to %d", test.weight, rejected, test.minRejected, test.maxRejected)
 		}
 	}
 }
 
-// Six caches in ten are replaced in one change while the routers start: those that are gone get nothing more,
-// what is open there ends, and the new ones get no more than their warm-up budget from one router or seven.
+// Six of ten caches are replaced in one change while the routers start. The caches that are gone get no more
+// requests and their open attempts end, and the new caches get no more than their warm-up budget, from one
+// router or from seven.
 func TestMostCachesReplacedAtOnce(t *testing.T) {
 	const latency, step = 300 * ms, 100 * ms
 	for _, routers := range []int{1, 7} {
@@ -61,11 +62,11 @@
 			open := h.requireFetch(h.handle(newRequest("open", "o")))
 			h.handle(changes)
 			if h.answer("open", open, NoteHit, latency); len(h.router.requests) > 0 {
-				t.Fatal("an attempt open when the list arrived has not ended")
+				t.Fatal("an attempt that was in flight when the list arrived has not ended")
 			}
 			harnesses = append(harnesses, h)
 		}
-		workSent := map[ServerID][]float64{} // by step
+		workSent := map[ServerID][]float64{} // by cache and step, in seconds of transfer time
 		for stepIndex := range 80 {
 			for i, h := range harnesses {
 				h.now = time.Minute + time.Duration(stepIndex)*step
@@ -75,7 +76,7 @@
 					if !ok {
 						continue
 					} else if fetch.Server <= 6 {
-						t.Fatalf("sent to %d, which is gone", fetch.Server)
+						t.Fatalf("a request was sent to cache %d, which is gone", fetch.Server)
 					}
 					h.answer(id, fetch, NoteHit, latency)
 					if len(workSent[fetch.Server]) == 0 {
@@ -90,18 +91,18 @@
 					work += stepWork
 				}
 				if budget := 3 * 10 * (0.2 + 0.8*float64(stepIndex)*step.Seconds()/16) * 2; id > 30 && work > budget {
-					t.Fatalf("%d routers: %d got work of %.1f s in 2 s, budget %.1f", routers, id, work, budget)
+					t.Fatalf("%d routers: cache %d got %.1f s of work in 2 s, want at most %.1f s", routers, id, work, budget)
 				}
 			}
 		}
 		if len(workSent) != 10 {
-			t.Errorf("%d of 10 caches were used", len(workSent))
+			t.Errorf("%d caches got requests, want 10", len(workSent))
 		}
 	}
 }
 
-// With no parent up, fills from the origin keep to the routers' limits, from one router to eighty, and other
-// requests are still looked up in the caches.
+// With no parent up, fills from the origin stay within the routers' limits, from one router to eighty.
+// Requests beyond the limits are still looked up in the caches.
 func TestOriginLimitHoldsWithNoParentUp(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		settings := testSettings()
@@ -121,13 +122,13 @@
 			}
 		}
 		if originFills < routers || float64(originFills) > max(20, 3*float64(routers)) || lookups == 0 {
-			t.Errorf("%d routers: %d in flight at the origin, %d cached lookups", routers, originFills, lookups)
+			t.Errorf("%d routers: %d fills in flight at the origin, %d lookups in caches without a fill", routers, originFills, lookups)
 		}
 	}
 }
 
-// A cache that refuses connections is probed by each router once per probe interval, from one router to
-// eighty, whether a router has a request every two seconds or forty a second.
+// Each router probes a cache that refuses connections once per probeInterval, from one router to eighty,
+// whether it has a request every two seconds or forty requests per second.
 func TestDownCacheIsProbedOncePerInterval(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		for _, interval := range []time.Duration{25 * ms, 2 * time.Second} {
@@ -149,13 +150,13 @@
 				}
 			}
 			if probes < routers || probes > 7*routers {
-				t.Errorf("%d routers, a request in %v: %d tries in 30 s", routers, interval, probes)
+				t.Errorf("%d routers with a request every %v: %d attempts in 30 s, want 1 to 7 per router", routers, interval, probes)
 			}
 		}
 	}
 }
 
-// BenchmarkMemberChange applies a change of one member of a fleet of ten thousand.
+// BenchmarkMemberChange measures a change of one member in a list of ten thousand.
 func BenchmarkMemberChange(b *testing.B) {
 	router, err := New(Settings{Routers: 1, ParentKind: 1, OriginKind: 2, Classes: []Class{{Deadline: time.Second}}}, 7)
 	if err != nil {
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -8,38 +8,38 @@
 // A request that is not idempotent and may have been executed is neither retried nor rejected.
 func TestNonIdempotentRequestIsNeitherRetriedNorRejected(t *testing.T) {
 	for _, test := range []struct {
-		result Result
-		again  bool
+		result    Result
+		wantRetry bool
 	}{{TimedOut, false}, {Failed, false}, {Reset, false}, {Cancelled, false}, {Unknown, false}, {Overloaded, true}, {ConnectFailed, true}, {Miss, true}} {
 		h := startRouter(t, testSettings(), testMembers())
 		request := newRequest("a", "o")
 		request.Class = 1
 		fetch := h.requireFetch(h.handle(request))
 		if fetch.Source != 20 || fetch.RetainRank != 0 {
-			t.Fatalf("an uncached request got source %d, rank %d", fetch.Source, fetch.RetainRank)
+			t.Fatalf("an uncached request got source %d and rank %d, want the origin and rank 0", fetch.Source, fetch.RetainRank)
 		}
 		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: test.result})
 		_, gotRetry := findAction[Fetch](actions)
 		_, gotFail := findAction[Fail](actions)
-		if gotRetry != test.again || gotFail == test.again {
-			t.Errorf("after result %d: %v", test.result, actions)
+		if gotRetry != test.wantRetry || gotFail == test.wantRetry {
+			t.Errorf("after result %d: got actions %v, want a retry only if the request cannot have been executed, otherwise a failure", test.result, actions)
 		}
 	}
 }
 
-// A request with an idempotency key that may have been executed is retried only in its deduplication scope
-// and window.
+// A request with an idempotency key that may have been executed is retried only at caches of its DedupScope
+// and within its DedupWindow.
 func TestKeyedRequestIsRetriedWithinDedupScopeAndWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
 	for name, test := range map[string]struct {
-		cell func(ServerID) int
-		wait time.Duration
-		sent bool
+		cell      func(ServerID) int
+		wait      time.Duration
+		wantRetry bool
 	}{
-		"others in the cell":    {func(ServerID) int { return 1 }, 0, true},
-		"none in the cell":      {func(id ServerID) int { return int(id) }, 0, true}, // the same cache again
-		"the window has passed": {func(ServerID) int { return 1 }, time.Second, false},
+		"other caches in the cell":   {func(ServerID) int { return 1 }, 0, true},
+		"no other cache in the cell": {func(id ServerID) int { return int(id) }, 0, true}, // retried at the same cache
+		"after the dedup window":     {func(ServerID) int { return 1 }, time.Second, false},
 	} {
 		members := testMembers()
 		for i := range members.Entries {
@@ -49,12 +49,12 @@
 		fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 		h.now += test.wait
 		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Reset})
-		retry, sent := findAction[Fetch](actions)
-		if sent != test.sent || sent && test.cell(retry.Server) != test.cell(fetch.Server) {
-			t.Errorf("%s: %v", name, actions)
+		retry, retried := findAction[Fetch](actions)
+		if retried != test.wantRetry || retried && test.cell(retry.Server) != test.cell(fetch.Server) {
+			t.Errorf("%s: got actions %v", name, actions)
 		}
 		if _, rejected := findAction[Reject](actions); rejected {
-			t.Errorf("%s: rejected though it may have been executed", name)
+			t.Errorf("%s: the request was rejected although it may have been executed", name)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -12,16 +12,16 @@
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	next := h.requireFetch(h.handle(Outcome{ID: "a", Server: fetch.Server, Result: ConnectFailed}))
 	if next.Server == fetch.Server {
-		t.Fatal("the same cache again")
+		t.Fatal("the retry went to the cache that refused the connection")
 	}
 	if again := h.requireFetch(h.handle(newRequest("b", "o"))); again.Server != next.Server {
-		t.Fatalf("cache %d, want %d", again.Server, next.Server)
+		t.Fatalf("the next request went to cache %d, want cache %d", again.Server, next.Server)
 	}
 }
 
-// A cache is marked down after a number of consecutive attempts past their objective, and what waits there is
-// cancelled.
-func TestOverdueAttemptsMarkCacheDown(t *testing.T) {
+// A cache is marked down after maxConsecutiveUnanswered attempts that are past their latency objectives, and
+// its open attempts are cancelled.
+func TestUnansweredAttemptsMarkCacheDown(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	cache := h.router.servers[fetch.Server]
@@ -43,22 +43,23 @@
 		}
 	}
 	if !cache.Down || cancelled != maxConsecutiveUnanswered {
-		t.Fatalf("down %v, %d cancelled", cache.Down, cancelled)
+		t.Fatalf("cache down %v, %d attempts cancelled; want it down and all cancelled", cache.Down, cancelled)
 	}
-	// It was silent, not unreachable: after a successful probe it is in its ramp but not in a warm-up.
+	// The cache was reachable but did not answer. After a successful probe it has a ramp but no warm-up.
 	h.now += probeInterval
 	fetch = h.requireFetch(h.handle(newRequest("t", "o")))
 	if fetch.Server != cache.ID {
-		t.Fatalf("the probe went to %d", fetch.Server)
+		t.Fatalf("the probe went to cache %d", fetch.Server)
 	}
 	h.answer("t", fetch, NoteHit, 10*ms)
 	if cache.Down || cache.WarmingUp || !cache.Ramping {
-		t.Errorf("down %v, warming up %v, ramping %v", cache.Down, cache.WarmingUp, cache.Ramping)
+		t.Errorf("after the probe: down %v, warming up %v, ramping %v; want only ramping", cache.Down, cache.WarmingUp, cache.Ramping)
 	}
 }
 
-// Three overdue attempts are enough for a cache that each of many routers uses every twenty seconds.
-func TestOverdueAttemptsMarkRarelyUsedCacheDown(t *testing.T) {
+// Three unanswered attempts mark a cache down that a router uses only every twenty seconds, as each router of
+// a large fleet may.
+func TestUnansweredAttemptsMarkRarelyUsedCacheDown(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("first", "o")))
 	h.answer("first", fetch, NoteHit, 10*ms)
@@ -72,11 +73,11 @@
 		h.handle(Outcome{ID: id, Server: fetch.Server, Result: TimedOut, Final: true})
 	}
 	if unanswered != rarelyUsedMaxUnanswered {
-		t.Errorf("down after %d", unanswered)
+		t.Errorf("the cache was marked down after %d unanswered attempts", unanswered)
 	}
 }
 
-// A cache whose connections break again and again, or that fails requests which others serve, is marked down.
+// A cache whose connections break repeatedly, or that fails requests that other caches serve, is marked down.
 func TestFailureRateMarksCacheDown(t *testing.T) {
 	for _, result := range []Result{Reset, Failed} {
 		h := startRouter(t, testSettings(), testMembers())
@@ -91,20 +92,20 @@
 			}
 		}
 		if !cache.Down {
-			t.Errorf("result %d: failure rate %v and still up", result, cache.FailureRate)
+			t.Errorf("result %d: the cache is up at failure rate %v, want it down", result, cache.FailureRate)
 		}
-		// No connection was refused, so its process has not restarted and needs no warm-up.
+		// No connection was refused, so the cache's process has not restarted and needs no warm-up.
 		h.now += probeInterval
 		h.handle(newRequest("probe", "o"))
 		h.handle(Outcome{ID: "probe", Server: cache.ID, Result: OK, Note: NoteHit})
 		if cache.Down || cache.WarmingUp {
-			t.Errorf("result %d: after its probe down %v, warming up %v", result, cache.Down, cache.WarmingUp)
+			t.Errorf("result %d: after the probe, down %v and warming up %v, want neither", result, cache.Down, cache.WarmingUp)
 		}
 	}
 }
 
-// A request that fails at two caches is given up and counted against neither, so that invalid requests mark
-// no cache down.
+// A request that fails at two caches is given up and does not count as a failure of either, so that invalid
+// requests do not mark caches down.
 func TestRequestFailingEverywhereIsGivenUp(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	for i := range 20 {
@@ -113,17 +114,17 @@
 		fetch := h.requireFetch(h.handle(newRequest(id, "o")))
 		fetch = h.requireFetch(h.handle(Outcome{ID: id, Server: fetch.Server, Result: Failed}))
 		if _, ok := findAction[Reject](h.handle(Outcome{ID: id, Attempt: 1, Server: fetch.Server, Result: Failed})); !ok {
-			t.Fatal("it was tried a third time")
+			t.Fatal("the request was not rejected after its second failure")
 		}
 	}
 	for _, cache := range h.router.caches {
 		if cache.Down || cache.FailureRate > 0 {
-			t.Errorf("cache %d: down %v, failure rate %v", cache.ID, cache.Down, cache.FailureRate)
+			t.Errorf("cache %d: down %v, failure rate %v, want it up and 0", cache.ID, cache.Down, cache.FailureRate)
 		}
 	}
 }
 
-// A broken connection ends all its attempts and counts as one failure.
+// A broken connection ends all attempts on it, which count as one failure.
 func TestBrokenConnectionCountsAsOneFailure(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	for i := range 12 {
@@ -136,6 +137,6 @@
 		}
 	}
 	if cache.Down || cache.FailureRate != outcomeGain {
-		t.Errorf("down %v, failure rate %v", cache.Down, cache.FailureRate)
+		t.Errorf("down %v, failure rate %v, want one failure", cache.Down, cache.FailureRate)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// sizedRequest is a request whose transfer takes the given time.
+// sizedRequest returns a request whose transfer takes the given time.
 func sizedRequest(id string, transferTime time.Duration) Request {
 	request := newRequest(id, "o"+id)
 	request.SizeKB = transferTime.Seconds() * sizedTransferKBPerS
 	return request
 }
 
-// sizedTransferKBPerS is the pace of a transfer in KB/s where sizes are known.
+// sizedTransferKBPerS is the rate of a transfer, in KB/s, in tests of requests of known size.
 const sizedTransferKBPerS = 1000
 
+// sizedSettings returns settings with which the transfer time of a request of known size is known.
 func sizedSettings() Settings {
 	settings := testSettings()
 	settings.TransferKBPerS = sizedTransferKBPerS
 	return settings
 }
 
-// A request whose transfer alone would take longer than the time left is answered at once, and one that just
-// fits is sent.
+// A request whose transfer alone would take longer than the time left is rejected at once. One whose transfer
+// just fits is sent.
 func TestRequestTooLargeForDeadlineIsGivenUp(t *testing.T) {
 	h := startRouter(t, sizedSettings(), testMembers())
 	actions := h.handle(sizedRequest("a", 3100*ms))
 	if reject, ok := findAction[Reject](actions); !ok || reject.RetryAfter <= 0 {
-		t.Errorf("got %v, want a rejection with a Retry-After at once", actions)
+		t.Errorf("got %v, want an immediate rejection with a Retry-After", actions)
 	}
 	if len(h.router.requests) != 0 {
-		t.Error("the request was not forgotten")
+		t.Error("the rejected request was not removed")
 	}
 	fetch := h.requireFetch(h.handle(sizedRequest("b", 2900*ms)))
-	// A second attempt has less time left, and the same bytes to come.
+	// A second attempt has less time left for the same transfer.
 	h.now += 200 * ms
 	if _, ok := findAction[Reject](h.handle(Outcome{ID: "b", Server: fetch.Server, Result: ConnectFailed})); !ok {
-		t.Error("a transfer longer than the time left was sent again")
+		t.Error("a request whose transfer takes longer than the time left was retried")
 	}
 }
 
-// countAdmitted is how many of a hundred routers send a request where slots are occupied: of caches, the
-// zone's link or the sources. So many are occupied that a whole limit admits it and lowValueLimitFraction of
-// it does not.
+// countAdmitted returns how many of a hundred routers send a request while slots of the given servers are
+// occupied: of caches, the zone's link or the sources. The number of occupied slots is such that a whole
+// limit admits the request, and lowValueLimitFraction of the limit does not.
 func countAdmitted(t *testing.T, settings Settings, request Request, serversAtLimit func(router *Router) []*server) (count int) {
 	t.Helper()
 	for seed := range 100 {
@@ -67,8 +68,8 @@
 	return count
 }
 
-// When a cache, the link or all sources are at their limits, requests with the most weight per transfer time
-// are admitted, judged by their own size; client retries are not.
+// When the caches, the link or all sources are close to their limits, only requests with the highest weight
+// per transfer time are admitted, according to their own size. Client retries are not admitted.
 func TestOverloadAdmitsHighestValue(t *testing.T) {
 	cases := map[string]func(r *Router) []*server{
 		"caches": func(r *Router) []*server { return r.caches },
@@ -82,19 +83,19 @@
 	for name, serversAtLimit := range cases {
 		settings := sizedSettings()
 		for kind, test := range map[string]struct {
-			q           Request
-			least, most int
+			request                  Request
+			minAdmitted, maxAdmitted int
 		}{
-			"small": {sizedRequest("s", 50*ms), 100, 100}, "large": {sizedRequest("l", 1200*ms), 0, 0}, "repeat": {clientRetry, 0, 0},
+			"small": {sizedRequest("s", 50*ms), 100, 100}, "large": {sizedRequest("l", 1200*ms), 0, 0}, "client retry": {clientRetry, 0, 0},
 		} {
-			if admitted := countAdmitted(t, settings, test.q, serversAtLimit); admitted < test.least || admitted > test.most {
-				t.Errorf("%s at their limits: %d of 100 admitted the %s one, want %d to %d", name, admitted, kind, test.least, test.most)
+			if admitted := countAdmitted(t, settings, test.request, serversAtLimit); admitted < test.minAdmitted || admitted > test.maxAdmitted {
+				t.Errorf("%s close to their limits: %d of 100 routers admitted the %s request, want %d to %d", name, admitted, kind, test.minAdmitted, test.maxAdmitted)
 			}
 		}
 	}
 }
 
-// The high weight of writes, which no limit binds, does not lower the fraction of a limit that other classes
+// The weight of writes, to which no limit applies, does not affect the fraction of a limit that other classes
 // may use.
 func TestWritesDoNotAffectLimitFraction(t *testing.T) {
 	for _, weight := range []float64{0.001, 1000} {
@@ -103,7 +104,7 @@
 		h := startRouter(t, settings, testMembers())
 		h.handle(sizedRequest("a", 50*ms))
 		if fraction := h.router.limitFraction(h.router.requests["a"]); fraction != 1 {
-			t.Errorf("writes of weight %v leave a small object %v of a limit, want all", weight, fraction)
+			t.Errorf("with writes of weight %v, a small object may use fraction %v of a limit, want 1", weight, fraction)
 		}
 	}
 }
@@ -117,14 +118,14 @@
 		h.handle(sizedRequest(id, transferTime))
 		fraction := h.router.limitFraction(h.router.requests[id])
 		if i > 0 && fraction >= previous || fraction <= 0.4 {
-			t.Errorf("an object of %v may use %v of a limit, after %v", transferTime, fraction, previous)
+			t.Errorf("an object with transfer time %v may use fraction %v of a limit, after fraction %v for a smaller one", transferTime, fraction, previous)
 		}
 		previous = fraction
 	}
 }
 
-// With no cache of the zone up, a request sent to a parent that is down is a probe: one at a time, with a
-// probe's timeout, and its answer marks the parent up.
+// With no cache of the zone up, a request that is sent to a parent that is down is a probe. There is one
+// probe at a time, it has a probe's timeout, and its answer marks the parent up.
 func TestBypassToDownParentIsProbe(t *testing.T) {
 	settings := testSettings()
 	settings.MayBypassCaches = true
@@ -138,10 +139,10 @@
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	parent := h.router.servers[fetch.Server]
 	if parent.role != 1 || !parent.probing || fetch.Timeout > 1500*ms {
-		t.Fatalf("got %+v, want a probe of a parent for half of the time at most", fetch)
+		t.Fatalf("got %+v, want a probe of a parent with at most half of the time left", fetch)
 	}
 	if next := h.requireFetch(h.handle(newRequest("b", "o"))); next.Server == fetch.Server {
-		t.Errorf("parent %d is probed twice at once", next.Server)
+		t.Errorf("parent %d has two probes in flight", next.Server)
 	}
 	h.answer("a", fetch, NoteFilledOrigin, 10*ms)
 	if parent.Down {
@@ -149,41 +150,41 @@
 	}
 }
 
-// A parent or the origin that is asked directly gets no rank for the copy, as only caches have ranks.
-func TestRetainRankIsSetOnlyAtCaches(t *testing.T) {
+// A fetch that goes directly to a parent or the origin has no RetainRank, as only caches rank their copies.
+func TestRetainRankIsSetOnlyForCaches(t *testing.T) {
 	settings := testSettings()
 	settings.MayBypassCaches = true
 	h := startRouter(t, settings, testMembers())
 	if fetch := h.requireFetch(h.handle(newRequest("a", "o"))); fetch.RetainRank == 0 {
-		t.Errorf("got %+v, want a copy retained at the cache", fetch)
+		t.Errorf("got %+v, want a rank for the copy at the cache", fetch)
 	}
 	for _, cache := range h.router.caches {
 		cache.Down, cache.NextProbe = true, h.now+time.Minute
 	}
 	if fetch := h.requireFetch(h.handle(newRequest("b", "p"))); h.router.servers[fetch.Server].role != roleParent || fetch.RetainRank != 0 {
-		t.Errorf("got %+v, want a parent and no rank", fetch)
+		t.Errorf("got %+v, want a fetch from a parent without a rank", fetch)
 	}
 }
 
-// A write whose connection to the origin failed is retried after a pause, as the origin may be restarting.
-func TestWriteRetriesAfterPauseWhenOriginConnectionFails(t *testing.T) {
+// A write is not retried at once if the connection to the origin failed, as the origin may be restarting.
+func TestWriteIsNotRetriedAtOnceWhenOriginConnectionFails(t *testing.T) {
 	settings := testSettings()
 	settings.MayBypassCaches, settings.MaxAttempts = true, 8
 	h := startRouter(t, settings, testMembers())
 	request := newRequest("a", "o")
 	request.Class = 1
 	actions := h.handle(request)
-	if a, ok := findAction[Lookup](actions); !ok || a.Server != 20 {
+	if lookup, ok := findAction[Lookup](actions); !ok || lookup.Server != 20 {
 		t.Fatalf("got %v, want an attempt at the origin", actions)
 	}
 	actions = h.handle(Outcome{ID: "a", Server: 20, Result: ConnectFailed})
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch retry := action.(type) {
 		case Lookup:
-			t.Errorf("%d retried at once", a.Server)
+			t.Errorf("server %d: the write was retried at once", retry.Server)
 		case Fetch:
-			if a.Source == 20 {
-				t.Errorf("origin retried at once, by cache %d", a.Server)
+			if retry.Source == 20 {
+				t.Errorf("the write was retried at the origin at once, through cache %d", retry.Server)
 			}
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// testSettings describe a zone with parents and an origin; tests change what they need.
+// testSettings returns the settings of a router in a zone with parents and an origin. Tests change what they
+// need.
 func testSettings() Settings {
 	return Settings{
 		Routers: 2, Zone: 2, ZoneRouters: []int{0, 0, 1, 1}, ParentKind: 1, OriginKind: 2,
@@ -26,7 +27,7 @@
 	}
 }
 
-// testMembers returns caches 1 to 3 of the zone, parents 11 and 12 and origin 20.
+// testMembers returns a list of caches 1 to 3 in the router's zone, parents 11 and 12, and origin 20.
 func testMembers() Members {
 	members := Members{Kind: ListCached}
 	for _, id := range []ServerID{1, 2, 3} {
@@ -39,13 +40,14 @@
 	return members
 }
 
-// routerHarness drives one router with events at its own time.
+// routerHarness passes events to one router at a time that the test sets.
 type routerHarness struct {
 	t      *testing.T
 	router *Router
 	now    Time
 }
 
+// startRouter starts a router and passes it a list of servers.
 func startRouter(t *testing.T, settings Settings, members Members) *routerHarness {
 	t.Helper()
 	router, err := New(settings, 7)
@@ -59,6 +61,7 @@
 
 func (h *routerHarness) handle(e Event) []Action { return h.router.Handle(h.now, e, nil) }
 
+// findAction returns the first action of type A.
 func findAction[A Action](actions []Action) (found A, ok bool) {
 	for _, action := range actions {
 		if match, matches := action.(A); matches {
@@ -68,11 +71,12 @@
 	return found, false
 }
 
+// requireFetch returns the first Fetch, and fails the test if there is none.
 func (h *routerHarness) requireFetch(actions []Action) Fetch {
 	h.t.Helper()
 	fetch, ok := findAction[Fetch](actions)
 	if !ok {
-		h.t.Fatalf("no fill was sent: %v", actions)
+		h.t.Fatalf("got actions %v, want a Fetch", actions)
 	}
 	return fetch
 }
@@ -81,7 +85,7 @@
 	return Request{ID: id, Object: object, TimeLeft: 3 * time.Second, Group: 1}
 }
 
-// New reports which setting is invalid.
+// The error of New names the invalid setting.
 func TestNewReportsInvalidField(t *testing.T) {
 	for want, settings := range map[string]Settings{
 		"Settings.Classes is empty":       {},
@@ -89,7 +93,7 @@
 		"Settings.Classes[0].Deadline":    {Classes: []Class{{}}},
 	} {
 		if _, err := New(settings, 1); err == nil || !contains(err.Error(), want) {
-			t.Errorf("%s: got %v", want, err)
+			t.Errorf("got error %[2]v, want one that contains %[1]q", want, err)
 		}
 	}
 }
@@ -103,30 +107,30 @@
 	return false
 }
 
-// answer ends a fetch with the given note after the given latency.
+// answer reports that a fetch succeeded with the given note after the given latency.
 func (h *routerHarness) answer(id string, fetch Fetch, note Note, latency time.Duration) {
 	h.handle(Outcome{ID: id, Server: fetch.Server, Result: OK, Note: note, Latency: latency, Final: true})
 }
 
-// When nothing is in flight no slot is occupied, also after outcomes that are late, repeated, or from
-// replaced caches.
-func TestNothingInFlightOccupiesNoSlots(t *testing.T) {
+// Once nothing is in flight, no slot is occupied, even if outcomes were late, were reported twice, or came
+// from caches that have been replaced.
+func TestIdleRouterOccupiesNoSlots(t *testing.T) {
 	settings := testSettings()
 	settings.Routers, settings.ZoneRouters = 200, []int{0, 0, 12}
 	h := startRouter(t, settings, testMembers())
 	notes := []Note{NoteHit, NoteFilled, NoteFilledOrigin, NoteSourceLost, NoteSourceRejected, NoteNoFillSlot, NoteSourceMiss}
 	results := []Result{OK, OK, OK, Overloaded, Overloaded, Overloaded, Miss}
-	type attempted struct {
-		id    string
-		no    int
-		cache ServerID
+	type sentAttempt struct {
+		requestID string
+		index     int
+		server    ServerID
 	}
-	var open []attempted
+	var open []sentAttempt
 	sent := map[string]int{}
 	collect := func(actions []Action) {
 		for _, action := range actions {
 			if fetch, ok := action.(Fetch); ok {
-				open = append(open, attempted{fetch.ID, sent[fetch.ID], fetch.Server})
+				open = append(open, sentAttempt{fetch.ID, sent[fetch.ID], fetch.Server})
 				sent[fetch.ID]++
 			}
 		}
@@ -152,21 +156,22 @@
 	for n := 0; len(open) > 0; n++ {
 		next := open[0]
 		open = open[1:]
-		outcome := Outcome{ID: next.id, Attempt: next.no, Server: next.cache, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
+		outcome := Outcome{ID: next.requestID, Attempt: next.index, Server: next.server, Result: results[n%7], Note: notes[n%7], Latency: 300 * ms}
 		collect(h.handle(outcome))
-		collect(h.handle(outcome)) // twice
+		collect(h.handle(outcome)) // an outcome that is reported twice counts once
 	}
 	for id, server := range h.router.servers {
 		if len(server.inFlight)+server.openFills+server.exemptAttempts != 0 {
-			t.Errorf("%d: %d in flight, %d fills, %d exempt from the limit", id, len(server.inFlight), server.openFills, server.exemptAttempts)
+			t.Errorf("server %d: got %d attempts in flight, %d fills and %d exempt attempts, want none", id, len(server.inFlight), server.openFills, server.exemptAttempts)
 		}
 	}
 	if h.router.link.openFills != 0 {
-		t.Errorf("%d fills left on the link", h.router.link.openFills)
+		t.Errorf("got %d fills in flight on the link, want none", h.router.link.openFills)
 	}
 }
 
-// An attempt with an outcome is not reachable any more from the list of attempts in flight.
+// An attempt that has ended is not reachable from the list of attempts in flight, so that it can be collected
+// as garbage.
 func TestEndedAttemptsAreNotRetained(t *testing.T) {
 	list := []*attempt{{index: 0}, {index: 1}, {index: 2}}
 	for _, attempt := range slices.Clone(list) {
@@ -174,7 +179,7 @@
 	}
 	for i, attempt := range list[:cap(list)] {
 		if attempt != nil {
-			t.Errorf("slot %d still refers to attempt %d", i, attempt.index)
+			t.Errorf("element %d of the list still refers to attempt %d", i, attempt.index)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not
-// the load of servers.
+// ruleChecker checks the actions of one router against the rules of the protocol. It sees only the router's
+// events and actions, not the load of the servers.
 type ruleChecker struct {
 	settings   Settings
 	requests   map[string]*trackedRequest
 	states     map[ServerID]State
 	notifiedAt map[ServerID]Time
 	members    map[ServerID]Member
-	purged     map[string][2]Time // object: time of the purge, time of its notice
+	purged     map[string][2]Time // by object: time of the purge, time of its notice
 }
 
-// trackedRequest is a request as the checker sees it.
+// trackedRequest is a request as the checker has seen it.
 type trackedRequest struct {
 	request  Request
 	deadline Time
@@ -39,18 +39,19 @@
 		members: map[ServerID]Member{}, purged: map[string][2]Time{}}
 }
 
-func (checker *ruleChecker) event(now Time, e Event) {
-	switch e := e.(type) {
+// event applies one event.
+func (checker *ruleChecker) event(now Time, event Event) {
+	switch event := event.(type) {
 	case Members:
 		listed := map[ServerID]bool{}
-		for _, members := range e.Entries {
-			listed[members.ID] = true
-			if members.State != checker.states[members.ID] {
-				checker.notifiedAt[members.ID] = now
+		for _, member := range event.Entries {
+			listed[member.ID] = true
+			if member.State != checker.states[member.ID] {
+				checker.notifiedAt[member.ID] = now
 			}
-			checker.states[members.ID], checker.members[members.ID] = members.State, members
+			checker.states[member.ID], checker.members[member.ID] = member.State, member
 		}
-		if e.Kind == ListFull || e.Kind == ListCached {
+		if event.Kind == ListFull || event.Kind == ListCached {
 			for id := range checker.members {
 				if !listed[id] && checker.states[id] != Gone {
 					checker.states[id], checker.notifiedAt[id] = Gone, now
@@ -58,24 +59,24 @@
 			}
 		}
 	case Request:
-		if checker.requests[e.ID] == nil {
-			checker.requests[e.ID] = &trackedRequest{request: e, deadline: now + e.TimeLeft}
+		if checker.requests[event.ID] == nil {
+			checker.requests[event.ID] = &trackedRequest{request: event, deadline: now + event.TimeLeft}
 		}
 	case Outcome:
-		request := checker.requests[e.ID]
-		if request == nil || e.Attempt >= len(request.attempts) || !request.attempts[e.Attempt].open {
+		tracked := checker.requests[event.ID]
+		if tracked == nil || event.Attempt >= len(tracked.attempts) || !tracked.attempts[event.Attempt].open {
 			return
 		}
-		attempt := &request.attempts[e.Attempt]
+		attempt := &tracked.attempts[event.Attempt]
 		attempt.open = false
-		attempt.mayHaveExecuted = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Skipped && e.Result != Miss
-		request.done = request.done || e.Final
+		attempt.mayHaveExecuted = event.Result != Overloaded && event.Result != ConnectFailed && event.Result != Skipped && event.Result != Miss
+		tracked.done = tracked.done || event.Final
 	case ClientLeft:
-		if request := checker.requests[e.ID]; request != nil {
-			request.done = true
+		if tracked := checker.requests[event.ID]; tracked != nil {
+			tracked.done = true
 		}
 	case Purged:
-		checker.purged[e.Object] = [2]Time{now - e.Age, now}
+		checker.purged[event.Object] = [2]Time{now - event.Age, now}
 	}
 }
 
@@ -94,69 +95,71 @@
 	return nil
 }
 
-// finalAnswer checks that there is one final answer, and that a rejection is harmless.
+// finalAnswer checks that a request gets only one final answer, and that a rejection is safe: the request was
+// not executed, or can be repeated.
 func (checker *ruleChecker) finalAnswer(id string, isReject bool) error {
-	request := checker.requests[id]
-	if request == nil || request.done {
-		return fmt.Errorf("second final answer for %s", id)
+	tracked := checker.requests[id]
+	if tracked == nil || tracked.done {
+		return fmt.Errorf("request %s has a second final answer", id)
 	}
-	request.done = true
-	class := checker.settings.Classes[request.request.Class]
+	tracked.done = true
+	class := checker.settings.Classes[tracked.request.Class]
 	harmless := class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll
 	if isReject && !harmless {
-		for _, attempt := range request.attempts {
+		for _, attempt := range tracked.attempts {
 			if attempt.open || attempt.mayHaveExecuted {
-				return fmt.Errorf("%s rejected though it may have been executed", id)
+				return fmt.Errorf("request %s was rejected although it may have been executed", id)
 			}
 		}
 	}
 	return nil
 }
 
-// send checks an attempt with the given maximum age. origin says that it goes straight to the origin.
+// send checks an attempt that accepts copies up to maxAge; 0 means the class's own. toOrigin says that the
+// attempt goes directly to the origin.
 func (checker *ruleChecker) send(now Time, id string, to, source ServerID, maxAge time.Duration, toOrigin bool) error {
-	request := checker.requests[id]
-	if request == nil || request.done {
-		return fmt.Errorf("%s sent after its final answer", id)
+	tracked := checker.requests[id]
+	if tracked == nil || tracked.done {
+		return fmt.Errorf("request %s was sent after its final answer", id)
 	}
 	for _, named := range []ServerID{to, source} {
 		if member, known := checker.members[named]; !known || checker.states[named] != Ready && now-checker.notifiedAt[named] > checker.settings.DrainGrace {
-			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, named, member)
+			return fmt.Errorf("request %s names server %d (%+v), which is draining or unknown", id, named, member)
 		}
 	}
-	if checker.settings.MaxAttempts > 0 && len(request.attempts) >= checker.settings.MaxAttempts {
-		return fmt.Errorf("%s exceeds the attempt limit", id)
+	if checker.settings.MaxAttempts > 0 && len(tracked.attempts) >= checker.settings.MaxAttempts {
+		return fmt.Errorf("request %s has more attempts than MaxAttempts", id)
 	}
-	if err := checker.retry(now, request, to); err != nil {
+	if err := checker.retry(now, tracked, to); err != nil {
 		return err
 	}
-	uncached := checker.settings.Classes[request.request.Class].Uncached
-	if purge, ok := checker.purged[request.request.Object]; ok && !toOrigin && !uncached && now-purge[1] > checker.settings.PurgeGrace &&
+	uncached := checker.settings.Classes[tracked.request.Class].Uncached
+	if purge, ok := checker.purged[tracked.request.Object]; ok && !toOrigin && !uncached && now-purge[1] > checker.settings.PurgeGrace &&
 		now-purge[0] < checker.settings.PurgeDuration && (maxAge == 0 || maxAge > now-purge[0]) && now > purge[0] {
-		return fmt.Errorf("%s may be answered from before its purge: age %v", id, maxAge)
+		return fmt.Errorf("request %s may be answered from a copy that is older than its purge: maximum age %v", id, maxAge)
 	}
-	request.attempts = append(request.attempts, trackedAttempt{server: to, sentAt: now, open: true})
+	tracked.attempts = append(tracked.attempts, trackedAttempt{server: to, sentAt: now, open: true})
 	return nil
 }
 
-// retry checks that another attempt at a cache can have no second effect.
-func (checker *ruleChecker) retry(now Time, request *trackedRequest, to ServerID) error {
-	class := checker.settings.Classes[request.request.Class]
-	for _, earlier := range request.attempts {
+// retry checks that another attempt at a server cannot execute the request a second time with effect.
+func (checker *ruleChecker) retry(now Time, tracked *trackedRequest, to ServerID) error {
+	class := checker.settings.Classes[tracked.request.Class]
+	for _, earlier := range tracked.attempts {
 		if earlier.open {
-			return fmt.Errorf("%s has two attempts in flight", request.request.ID)
+			return fmt.Errorf("request %s has two attempts in flight", tracked.request.ID)
 		}
 		if (earlier.open || earlier.mayHaveExecuted) && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (now-earlier.sentAt >= class.DedupWindow ||
 			class.DedupScope == DedupZone && checker.members[to].Zone != checker.members[earlier.server].Zone ||
 			class.DedupScope == DedupCell && checker.members[to].Cell != checker.members[earlier.server].Cell)) {
-			return fmt.Errorf("%s retried though it may have been executed", request.request.ID)
+			return fmt.Errorf("request %s was retried although it may have been executed", tracked.request.ID)
 		}
 	}
 	return nil
 }
 
-// runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a
-// rule.
+// runRandomEvents passes random valid events, generated from a seed, to a router. It returns all actions, or
+// the first violation of a rule.
 func runRandomEvents(seed int64) ([]Action, error) {
 	rng := rand.New(rand.NewSource(seed))
 	settings := testSettings()
@@ -171,11 +174,11 @@
 	}
 	checker, now := newRuleChecker(settings), Time(seed%7)*time.Second
 	var allActions []Action
-	type due struct {
+	type pendingTimer struct {
 		at    Time
 		token uint64
 	}
-	var timers []due
+	var timers []pendingTimer
 	var open []Outcome
 	handle := func(e Event) error {
 		checker.event(now, e)
@@ -186,7 +189,7 @@
 			}
 			switch a := a.(type) {
 			case SetTimer:
-				timers = append(timers, due{now + a.After, a.Token})
+				timers = append(timers, pendingTimer{now + a.After, a.Token})
 			case Lookup:
 				open = append(open, Outcome{ID: a.ID, Attempt: len(checker.requests[a.ID].attempts) - 1, Server: a.Server})
 			case Fetch:
@@ -240,17 +243,17 @@
 		if err := handle(e); err != nil {
 			return nil, fmt.Errorf("step %d: %w", step, err)
 		}
-		for id, request := range checker.requests {
-			if !request.done && now > request.deadline+20*ms {
-				return nil, fmt.Errorf("step %d: %s has no final answer at its deadline", step, id)
+		for id, tracked := range checker.requests {
+			if !tracked.done && now > tracked.deadline+20*ms {
+				return nil, fmt.Errorf("step %d: request %s has no final answer 20 ms after its deadline", step, id)
 			}
 		}
 	}
 	return allActions, nil
 }
 
-// The rules of the protocol hold for arbitrary events, and equal events yield equal actions, alone or beside
-// other routers.
+// The rules of the protocol hold for arbitrary events, and equal events yield equal actions, also while other
+// routers run concurrently.
 func TestRulesHoldUnderArbitraryEvents(t *testing.T) {
 	const seeds = 60
 	sequential := make([][]Action, seeds)
@@ -269,7 +272,7 @@
 	group.Wait()
 	for seed := range sequential {
 		if !reflect.DeepEqual(sequential[seed], concurrent[seed]) {
-			t.Errorf("seed %d: equal events gave different actions", seed)
+			t.Errorf("seed %d: equal events gave different actions when routers ran concurrently", seed)
 		}
 	}
 }
@@ -283,20 +286,20 @@
 	})
 }
 
-// The checker detects each kind of wrong action.
+// The checker detects an action that violates a rule, for each rule.
 func TestCheckerDetectsViolations(t *testing.T) {
 	settings := testSettings()
 	for name, test := range map[string]struct {
-		before []Event
-		acts   []Action
+		before  []Event
+		actions []Action
 	}{
-		"two answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
-		"sent after its final answer": {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Server: 1, Source: 11}}},
-		"two in flight":               {nil, []Action{Fetch{ID: "a", Server: 1, Source: 11}, Fetch{ID: "a", Server: 2, Source: 11}}},
-		"non-idempotent rejected":     {nil, []Action{Fetch{ID: "u", Server: 1, Source: 20}, Reject{ID: "u"}}},
-		"draining cache":              {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
-		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
-		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"two final answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
+		"sent after its final answer":       {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Server: 1, Source: 11}}},
+		"two attempts in flight":            {nil, []Action{Fetch{ID: "a", Server: 1, Source: 11}, Fetch{ID: "a", Server: 2, Source: 11}}},
+		"non-idempotent request rejected":   {nil, []Action{Fetch{ID: "u", Server: 1, Source: 20}, Reject{ID: "u"}}},
+		"sent to a draining cache":          {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"filled from a server that is gone": {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"copy from before a purge":          {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
 	} {
 		checker := newRuleChecker(settings)
 		checker.event(0, testMembers())
@@ -308,13 +311,13 @@
 			checker.event(0, e)
 		}
 		var err error
-		for _, a := range test.acts {
+		for _, a := range test.actions {
 			if e := checker.action(time.Second, a); e != nil {
 				err = e
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("%s: the checker reported no violation", name)
 		}
 	}
 }
--- a/policy/server_pick_test.go
+++ b/policy/server_pick_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A cache over its limit yields only to a cache with half of its slots free.
-func TestCacheOverLimitYieldsOnlyToHalfEmptyCache(t *testing.T) {
+// A request for a cache over its limit goes only to a cache with at least half of its slots free.
+func TestSpilloverGoesOnlyToHalfEmptyCache(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
-	h.router.servers[fetch.Server].Limit = 0.5 // below its one attempt, whatever the draw and the limit fraction
+	h.router.servers[fetch.Server].Limit = 0.5 // below one attempt with any admissionDraw
 	next := h.requireFetch(h.handle(newRequest("b", "o")))
 	if next.Server == fetch.Server {
-		t.Fatal("a cache over its limit did not yield")
+		t.Fatal("the request went to a cache over its limit")
 	}
 	for _, cache := range h.router.caches {
 		if cache.ID != fetch.Server {
@@ -21,12 +21,12 @@
 	}
 	h.requireFetch(h.handle(newRequest("c", "o")))
 	if _, ok := findAction[Reject](h.handle(newRequest("d", "o"))); !ok {
-		t.Error("yielded to a cache that was not half empty")
+		t.Error("the request was not rejected, though no cache was half empty")
 	}
 }
 
-// Caches that are only over their limits are not bypassed; with none up they are.
-func TestBypassOnlyWithNoCacheUp(t *testing.T) {
+// Caches are bypassed while none of them is up, but not while they are only over their limits.
+func TestCachesAreBypassedOnlyWithNoneUp(t *testing.T) {
 	settings := testSettings()
 	settings.MayBypassCaches = true
 	h := startRouter(t, settings, testMembers())
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// warmUpFleet is a fleet of routers that all use a cache, or a parent, which has just started.
+// warmUpFleet is a fleet of routers that all use a server, a cache or a parent, that has just started.
 type warmUpFleet struct {
 	settings     Settings
 	members      Members
@@ -20,7 +20,7 @@
 	transferTime time.Duration
 	rng          *rand.Rand
 	routers      []*Router
-	arrivals     []Time // when an attempt or a fill reached the one that started
+	arrivals     []Time // of attempts or fills at the server that started, in order
 }
 
 func newWarmUpFleet(seed uint64, routers int, parent bool, weight float64, transferTime time.Duration) *warmUpFleet {
@@ -40,14 +40,16 @@
 	return f
 }
 
-// budget is how many requests of mean work the settings let the server get in a window at the given time.
+// budget returns the number of requests of mean work that the settings allow the server to get in a window
+// that begins at the given time.
 func (f *warmUpFleet) budget(now Time) float64 {
 	progress := min(1, float64(now-f.startedAt)/float64(f.warmUp.Duration))
 	return f.warmUp.OverloadMultiple * (f.warmUp.InitialCapacity + (1-f.warmUp.InitialCapacity)*progress) * f.weight * f.warmUp.OverloadWindow.Seconds() / f.transferTime.Seconds()
 }
 
-// overBudget is the fraction of windows, one begun every 20 ms, in which the server got more than n + 2*sqrt(n) + 2
-// requests, and the highest ratio to that bound.
+// overBudget returns the fraction of windows, one begun every 20 ms, in which the server got more requests
+// than the bound n + 2*sqrt(n) + 2, where n is the budget. worst is the highest ratio of requests to that
+// bound.
 func (f *warmUpFleet) overBudget(until Time) (fraction, worst float64) {
 	windows, exceeded, first, last := 0, 0, 0, 0
 	for start := f.startedAt; start+f.warmUp.OverloadWindow <= until; start += 20 * ms {
@@ -57,7 +59,7 @@
 		for first < last && f.arrivals[first] < start {
 			first++
 		}
-		budget := f.budget(start) // the smallest value within the window
+		budget := f.budget(start) // the budget rises, so this is its smallest value in the window
 		bound := budget + 2*math.Sqrt(budget) + 2
 		if windows++; float64(last-first) > bound {
 			exceeded++
@@ -67,22 +69,23 @@
 	return float64(exceeded) / float64(windows), worst
 }
 
-// startRouter replaces a router by a new one that gets the members, with the start time of the server.
+// startRouter replaces a router by a new one that gets the list of members with the start time of the server.
 func (f *warmUpFleet) startRouter(t *testing.T, i int, now Time) {
 	router, err := New(f.settings, f.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
 	router.Handle(now, f.members, nil)
-	// High limits, so that only the budget counts.
+	// Limits are high, so that only the budget decides.
 	for _, target := range append([]*server{router.link}, router.serversByID...) {
 		target.Limit = 1e6
 	}
 	f.routers[i] = router
 }
 
-// run sends the routers ten times the work that the server may get, to some ten times as much as to others,
-// and restarts the given fraction of them a second. There are no requests until quiet has passed.
+// run sends requests to the routers: ten times the work that the server may get, unevenly, with up to ten
+// times as much for one router as for another. It restarts the given fraction of the routers per second, and
+// sends no requests until idle has passed.
 func (f *warmUpFleet) run(t *testing.T, length, idle time.Duration, restarts float64) {
 	const step = 10 * ms
 	demand, totalDemand := make([]float64, len(f.routers)), 0.0
@@ -119,25 +122,25 @@
 	}
 }
 
-// A server that has just started gets no more work from all routers together than its budget n +
-// 2*sqrt(n) + 2, in any window of the budget: from twenty routers to three hundred, with uneven demand, with
-// restarts, and all at once after a quiet time.
+// A server that has just started gets no more work from all routers together than its bound n + 2*sqrt(n) +
+// 2, in any window of the budget n. This holds for twenty to three hundred routers with uneven demand, with
+// restarts of routers, and with a burst after an idle time.
 func TestWarmUpBudgetHoldsForFleet(t *testing.T) {
 	for _, routers := range []int{20, 30, 300} {
 		for _, parent := range []bool{false, true} {
 			for _, weight := range []float64{1, 4, 20} {
 				for _, test := range []struct {
 					restarts float64
-					quiet    time.Duration
-				}{{}, {restarts: 0.3}, {quiet: 4 * time.Second}} {
-					seed, length, restarts, idle := uint64(routers), 8*time.Second, test.restarts, test.quiet
+					idle     time.Duration
+				}{{}, {restarts: 0.3}, {idle: 4 * time.Second}} {
+					seed, length, restarts, idle := uint64(routers), 8*time.Second, test.restarts, test.idle
 					f := newWarmUpFleet(seed, routers, parent, weight, 300*ms)
 					f.run(t, length, idle, restarts)
 					fraction, worst := f.overBudget(f.startedAt + length)
-					t.Logf("%d routers, parent %v, %.1f allowed at first, restarts %v, quiet for %v: %.4f of the windows over, at most %.2f of the bound, %d sent",
+					t.Logf("%d routers, parent %v, initial budget %.1f, restarts %v/s, idle for %v: fraction %.4f of the windows over the bound, highest ratio %.2f, %d requests",
 						routers, parent, f.budget(f.startedAt), restarts, idle, fraction, worst, len(f.arrivals))
 					if fraction > 0 {
-						t.Errorf("%d routers, parent %v, weight %v, restarts %v, quiet for %v: %.4f of the windows are over the bound, the worst %.2f times",
+						t.Errorf("%d routers, parent %v, weight %v, restarts %v/s, idle for %v: fraction %.4f of the windows over the bound, highest ratio %.2f",
 							routers, parent, weight, restarts, idle, fraction, worst)
 					}
 				}
@@ -146,8 +149,8 @@
 	}
 }
 
-// The warm-up budget also holds in a window of 1.5 s, where it is half as large while each router may still
-// overdraw it by one attempt.
+// The warm-up budget also holds in a window of 1.5 s. There the budget is about half as large, while each
+// router may still overdraw its share by one attempt.
 func TestWarmUpBudgetHoldsInShortWindow(t *testing.T) {
 	short := WarmUp{InitialCapacity: 0.2, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms}
 	shortParent := WarmUp{InitialCapacity: 0.063, Duration: 21 * time.Second, OverloadMultiple: 2, OverloadWindow: 1500 * ms}
@@ -163,10 +166,10 @@
 					const length = 8 * time.Second
 					f.run(t, length, 0, restarts)
 					fraction, worst := f.overBudget(f.startedAt + length)
-					t.Logf("%d routers, parent %v, weight %v, restarts %v: %.1f allowed at first, at most %.2f of the line, %d sent",
+					t.Logf("%d routers, parent %v, weight %v, restarts %v/s: initial budget %.1f, highest ratio to the bound %.2f, %d requests",
 						routers, parent, weight, restarts, f.budget(f.startedAt), worst, len(f.arrivals))
 					if fraction > 0 {
-						t.Errorf("%d routers, parent %v, weight %v, restarts %v: %.4f of the windows are over the bound, the worst %.2f times",
+						t.Errorf("%d routers, parent %v, weight %v, restarts %v/s: fraction %.4f of the windows over the bound, highest ratio %.2f",
 							routers, parent, weight, restarts, fraction, worst)
 					}
 				}
@@ -175,11 +178,11 @@
 	}
 }
 
-// All routers of a zone together keep a warming cache within its budget in any window, also where the part of
-// one router is far below one attempt, and still use most of the budget.
+// All routers of a zone together keep a cache in its warm-up within its budget in any window, even if the
+// share of one router is far below one attempt, and still use a good part of the budget.
 func TestWarmUpBudgetIsSharedByRouters(t *testing.T) {
 	const latency, step = 300 * ms, 100 * ms
-	for name, routers := range map[string]int{"one": 1, "a few": 5, "more than its transfers": 200} {
+	for name, routers := range map[string]int{"one router": 1, "a few routers": 5, "more routers than transfers": 200} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.Routers, settings.ZoneRouters = routers, []int{0, 0, routers}
@@ -195,7 +198,7 @@
 				router.Handle(time.Minute, members, nil)
 				allRouters = append(allRouters, router)
 			}
-			var sent []int // by step
+			var sent []int // requests by step
 			for stepIndex := range 80 {
 				now := time.Minute + time.Duration(stepIndex)*step
 				sent = append(sent, 0)
@@ -215,7 +218,7 @@
 				}
 				capacity := 10 * (0.2 + 0.8*float64(stepIndex)*step.Seconds()/16)
 				if budget := 3 * capacity * 2; work > budget || stepIndex == 79 && work < budget/4 {
-					t.Fatalf("at %v it got work of %.1f s in 2 s, budget %.1f", now-time.Minute, work, budget)
+					t.Fatalf("%v after its start the cache got %.1f s of work in 2 s, budget %.1f s", now-time.Minute, work, budget)
 				}
 			}
 		})
