--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,8 +1,8 @@
 package policy
 
 // maySendTo reports whether an attempt at the server is safe: the request cannot take effect a second time.
-// For a request with an idempotency key that holds at the caches of its DedupScope, until DedupWindow has
-// passed since the first attempt that may have executed it.
+// With an idempotency key, an attempt is safe at the caches of the request's DedupScope until DedupWindow has
+// passed since the first attempt that may have executed the request.
 func (req *openRequest) maySendTo(now Time, to *server) bool {
 	first := req.firstPossiblyExecuted()
 	if first == nil || req.class.Idempotency == Idempotent {
--- a/policy/learned_state.go
+++ b/policy/learned_state.go
@@ -50,7 +50,7 @@
 	return state
 }
 
-// Restore replaces what the router has learned by the state of another router. Servers that have started
+// Restore replaces what the router has learned with the state of another router. Servers that have started
 // since keep their own.
 func (r *Router) Restore(state LearnedState) {
 	for id, stats := range state.Servers {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -60,7 +60,7 @@
 	server.ConsecutiveUnanswered++
 	unresponsive := server.ConsecutiveUnanswered >= rarelyUsedMaxUnanswered && r.now-server.LastAnswer >= unresponsivePeriod
 	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || unresponsive {
-		r.markDown(server, "attempts not answered in time")
+		r.markDown(server, "silent")
 	}
 }
 
@@ -73,7 +73,7 @@
 	server.LastFailure = r.now
 	server.FailureRate.add(true, outcomeGain)
 	if server.FailureRate > maxFailureRate {
-		r.markDown(server, "failure rate too high")
+		r.markDown(server, "failing")
 	}
 }
 
@@ -93,8 +93,9 @@
 	server.FailureRate.add(false, outcomeGain)
 }
 
-// markDown takes a server out of use until a probe succeeds, and cancels the attempts of idempotent requests
-// that wait for it, so that they are sent to other servers.
+// markDown takes a server out of use until a probe succeeds, logs the cause (silent: attempts not answered in
+// time; failing: failure rate too high), and cancels the attempts of idempotent requests that wait for it, so
+// that they are sent to other servers.
 func (r *Router) markDown(target *server, cause string) {
 	if target.Down || target == r.origin {
 		return
--- a/policy/request.go
+++ b/policy/request.go
@@ -100,7 +100,8 @@
 }
 
 // chooseServer returns the server for the next attempt, nil if there is none, and the server that the attempt
-// probes, nil if it is no probe. Uncached requests go directly to the origin if Settings.MayBypassCaches.
+// probes, nil if it is no probe. Uncached requests go directly to the origin if Settings.MayBypassCaches
+// is set.
 func (r *Router) chooseServer(req *openRequest) (to, probed *server) {
 	direct := req.class.Uncached && r.settings.MayBypassCaches && r.origin.usable()
 	if direct && !slices.Contains(req.failedSources, r.origin) && req.maySendTo(r.now, r.origin) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -21,8 +21,8 @@
 )
 
 // inRampedFraction reports whether an object belongs to the fraction of objects that a server gets at this
-// time of its ramp. The fraction rises linearly to 1, and an object that belongs to it continues to. It ends
-// a ramp that is over.
+// time of its ramp. The fraction rises linearly to 1, and an object that belongs to it continues to.
+// inRampedFraction also ends a ramp that is over.
 func (r *Router) inRampedFraction(server *server, objectHash uint64) bool {
 	if !server.Ramping {
 		return true
@@ -41,7 +41,7 @@
 // all routers together. Each router uses only its share, which it keeps like a token bucket: a credit in
 // seconds of transfer time that accrues with time and that one attempt may overdraw. If a share is far below
 // the cost of one attempt, the routers take turns: each starts with a random debt, and credit that was not
-// used for an attempt in time expires. It ends a warm-up that is over.
+// used for an attempt in time expires. withinWarmUpBudget also ends a warm-up that is over.
 func (r *Router) withinWarmUpBudget(server *server) bool {
 	if !server.WarmingUp || server.role == roleOrigin {
 		return true
