--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -38,7 +38,7 @@
 		wantRetry bool
 	}{
 		"other caches in the cell":   {func(ServerID) int { return 1 }, 0, true},
-		"no other cache in the cell": {func(id ServerID) int { return int(id) }, 0, true}, // at the same cache
+		"no other cache in the cell": {func(id ServerID) int { return int(id) }, 0, true}, // same cache
 		"after the dedup window":     {func(ServerID) int { return 1 }, time.Second, false},
 	} {
 		members := testMembers()
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -14,7 +14,7 @@
 	objectiveTimer                  // the attempt's latency objective has passed
 	retryTimer                      // the pause before the request's retry is over
 	watchTimer                      // a new Watch of discovery is due after a failure
-	forgetTimer                     // the request is removed; see abandonedRequestTimeout
+	abandonedTimer                  // the request is removed; see abandonedRequestTimeout
 )
 
 // timer is a timer that was requested with SetTimer.
@@ -42,9 +42,9 @@
 			r.giveUp(t.request)
 		}
 		if t.request.openAttempts > 0 && !t.request.streaming {
-			r.setTimer(abandonedRequestTimeout, timer{kind: forgetTimer, request: t.request})
+			r.setTimer(abandonedRequestTimeout, timer{kind: abandonedTimer, request: t.request})
 		}
-	case forgetTimer:
+	case abandonedTimer:
 		for _, attempt := range t.request.attempts {
 			r.closeAttempt(attempt)
 		}
