--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxRequestErrors     = 2                     // after this many errors the request is taken to be the cause
-	maxRequestRejections = 2                     // after this many rejections a retry would add to the overload
+	maxRequestErrors     = 2                     // after this many errors the request counts as their cause
+	maxRequestRejections = 2                     // after this many rejections a retry would add to overload
 	retryPause           = 50 * time.Millisecond // before a retry; multiplied by 1 + the number of attempts
 )
 
