--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -286,7 +286,7 @@
 	})
 }
 
-// The checker detects an action that violates a rule, for each rule.
+// The checker detects wrong actions of each of these kinds.
 func TestCheckerDetectsViolations(t *testing.T) {
 	settings := testSettings()
 	for name, test := range map[string]struct {
--- a/policy/source_chain_test.go
+++ b/policy/source_chain_test.go
@@ -19,11 +19,11 @@
 	}
 	sourceLost.Attempt = 1
 	if third := h.requireFetch(h.handle(sourceLost)); third.Source != 20 {
-		t.Fatalf("with no parent up came source %d", third.Source)
+		t.Fatalf("with no parent up, the source was %d, want the origin", third.Source)
 	}
 	// Both parents are down now, so the first attempt of the next request is filled from the origin.
 	if fetch := h.requireFetch(h.handle(newRequest("b", "p"))); fetch.Source != 20 {
-		t.Fatalf("with no parent up came source %d", fetch.Source)
+		t.Fatalf("with no parent up, the source was %d, want the origin", fetch.Source)
 	}
 	// After probeInterval one request probes the parent, and its answer marks the parent up.
 	h.now += probeInterval
@@ -78,9 +78,9 @@
 	}
 }
 
-// A fill that its source rejects lowers the limit of the source, and the retry uses another one. After two
-// such rejections the request is rejected.
-func TestRejectingSourceIsAvoided(t *testing.T) {
+// A source that rejects a fill has its limit lowered, although only the cache reports the rejection. After
+// two such rejections the request is rejected.
+func TestSourceRejectionsLowerLimitAndEndRequest(t *testing.T) {
 	h := startRouter(t, testSettings(), testMembers())
 	fetch := h.requireFetch(h.handle(newRequest("a", "o")))
 	source := h.router.servers[fetch.Source]
