--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -7,54 +7,54 @@
 
 // A request that is not idempotent and may have been executed is neither retried nor rejected.
 func TestNonIdempotentRequestIsNeitherRetriedNorRejected(t *testing.T) {
-	for _, c := range []struct {
-		result Result
-		again  bool
+	for _, test := range []struct {
+		result    Result
+		wantRetry bool
 	}{{TimedOut, false}, {Failed, false}, {Reset, false}, {Cancelled, false}, {Unknown, false}, {Overloaded, true}, {ConnectFailed, true}, {Miss, true}} {
-		s := startRouter(t, settings(), fleet())
-		q := newRequest("a", "o")
-		q.Class = 1
-		g := s.fetch(s.handle(q))
-		if g.Source != 20 || g.RetainRank != 0 {
-			t.Fatalf("an uncached request got source %d, rank %d", g.Source, g.RetainRank)
+		h := startRouter(t, testSettings(), testMembers())
+		request := newRequest("a", "o")
+		request.Class = 1
+		fetch := h.requireFetch(h.handle(request))
+		if fetch.Source != 20 || fetch.RetainRank != 0 {
+			t.Fatalf("an uncached request got source %d and rank %d, want the origin and rank 0", fetch.Source, fetch.RetainRank)
 		}
-		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: c.result})
-		_, sent := find[Fetch](acts)
-		_, failed := find[Fail](acts)
-		if sent != c.again || failed == c.again {
-			t.Errorf("after result %d: %v", c.result, acts)
+		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: test.result})
+		_, gotRetry := findAction[Fetch](actions)
+		_, gotFail := findAction[Fail](actions)
+		if gotRetry != test.wantRetry || gotFail == test.wantRetry {
+			t.Errorf("after result %d: got actions %v, want a retry only if the request cannot have been executed, otherwise a failure", test.result, actions)
 		}
 	}
 }
 
-// A request with an idempotency key that may have been executed is retried only in its deduplication scope
-// and window.
+// A request with an idempotency key that may have been executed is retried only at caches of its DedupScope
+// and within its DedupWindow.
 func TestKeyedRequestIsRetriedWithinDedupScopeAndWindow(t *testing.T) {
-	set := settings()
-	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
-	for name, c := range map[string]struct {
-		cell func(ServerID) int
-		wait time.Duration
-		sent bool
+	settings := testSettings()
+	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope, settings.Classes[0].DedupWindow = IdempotentByKey, DedupCell, time.Second
+	for name, test := range map[string]struct {
+		cell      func(ServerID) int
+		wait      time.Duration
+		wantRetry bool
 	}{
-		"others in the cell":    {func(ServerID) int { return 1 }, 0, true},
-		"none in the cell":      {func(id ServerID) int { return int(id) }, 0, true}, // the same cache again
-		"the window has passed": {func(ServerID) int { return 1 }, time.Second, false},
+		"other caches in the cell":   {func(ServerID) int { return 1 }, 0, true},
+		"no other cache in the cell": {func(id ServerID) int { return int(id) }, 0, true}, // same cache
+		"after the dedup window":     {func(ServerID) int { return 1 }, time.Second, false},
 	} {
-		m := fleet()
-		for i := range m.Entries {
-			m.Entries[i].Cell = c.cell(m.Entries[i].ID)
+		members := testMembers()
+		for i := range members.Entries {
+			members.Entries[i].Cell = test.cell(members.Entries[i].ID)
 		}
-		s := startRouter(t, set, m)
-		g := s.fetch(s.handle(newRequest("a", "o")))
-		s.now += c.wait
-		acts := s.handle(Outcome{ID: "a", Server: g.Server, Result: Reset})
-		n, sent := find[Fetch](acts)
-		if sent != c.sent || sent && c.cell(n.Server) != c.cell(g.Server) {
-			t.Errorf("%s: %v", name, acts)
+		h := startRouter(t, settings, members)
+		fetch := h.requireFetch(h.handle(newRequest("a", "o")))
+		h.now += test.wait
+		actions := h.handle(Outcome{ID: "a", Server: fetch.Server, Result: Reset})
+		retry, retried := findAction[Fetch](actions)
+		if retried != test.wantRetry || retried && test.cell(retry.Server) != test.cell(fetch.Server) {
+			t.Errorf("%s: got actions %v", name, actions)
 		}
-		if _, refused := find[Reject](acts); refused {
-			t.Errorf("%s: rejected though it may have been executed", name)
+		if _, rejected := findAction[Reject](actions); rejected {
+			t.Errorf("%s: the request was rejected although it may have been executed", name)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,197 +9,201 @@
 	"time"
 )
 
-// ruleChecker checks the actions of one router against the rules of the protocol. It knows events only, not the load of
-// servers.
+// ruleChecker checks the actions of one router against the rules of the protocol. It sees only the router's
+// events and actions, not the load of the servers.
 type ruleChecker struct {
-	set        Settings
-	reqs       map[string]*entry
-	state      map[ServerID]State
+	settings   Settings
+	requests   map[string]*trackedRequest
+	states     map[ServerID]State
 	notifiedAt map[ServerID]Time
 	members    map[ServerID]Member
-	purged     map[string][2]Time // object: time of the purge, time of its notice
+	purged     map[string][2]Time // by object: time of the purge, time of its notice
 }
 
-// entry is a request as the checker sees it.
-type entry struct {
-	q     Request
-	due   Time
-	over  bool
-	sends []sent
+// trackedRequest is a request as the checker has seen it.
+type trackedRequest struct {
+	request  Request
+	deadline Time
+	done     bool
+	attempts []trackedAttempt
 }
 
-type sent struct {
-	cache     ServerID
-	at        Time
-	open, ran bool
+type trackedAttempt struct {
+	server                ServerID
+	sentAt                Time
+	open, mayHaveExecuted bool
 }
 
-func newRuleChecker(s Settings) *ruleChecker {
-	return &ruleChecker{set: s, reqs: map[string]*entry{}, state: map[ServerID]State{}, notifiedAt: map[ServerID]Time{},
+func newRuleChecker(settings Settings) *ruleChecker {
+	return &ruleChecker{settings: settings, requests: map[string]*trackedRequest{}, states: map[ServerID]State{}, notifiedAt: map[ServerID]Time{},
 		members: map[ServerID]Member{}, purged: map[string][2]Time{}}
 }
 
-func (b *ruleChecker) event(now Time, e Event) {
-	switch e := e.(type) {
+// event applies one event.
+func (checker *ruleChecker) event(now Time, event Event) {
+	switch event := event.(type) {
 	case Members:
 		listed := map[ServerID]bool{}
-		for _, m := range e.Entries {
-			listed[m.ID] = true
-			if m.State != b.state[m.ID] {
-				b.notifiedAt[m.ID] = now
+		for _, member := range event.Entries {
+			listed[member.ID] = true
+			if member.State != checker.states[member.ID] {
+				checker.notifiedAt[member.ID] = now
 			}
-			b.state[m.ID], b.members[m.ID] = m.State, m
+			checker.states[member.ID], checker.members[member.ID] = member.State, member
 		}
-		if e.Kind == ListFull || e.Kind == ListCached {
-			for id := range b.members {
-				if !listed[id] && b.state[id] != Gone {
-					b.state[id], b.notifiedAt[id] = Gone, now
+		if event.Kind == ListFull || event.Kind == ListCached {
+			for id := range checker.members {
+				if !listed[id] && checker.states[id] != Gone {
+					checker.states[id], checker.notifiedAt[id] = Gone, now
 				}
 			}
 		}
 	case Request:
-		if b.reqs[e.ID] == nil {
-			b.reqs[e.ID] = &entry{q: e, due: now + e.TimeLeft}
+		if checker.requests[event.ID] == nil {
+			checker.requests[event.ID] = &trackedRequest{request: event, deadline: now + event.TimeLeft}
 		}
 	case Outcome:
-		q := b.reqs[e.ID]
-		if q == nil || e.Attempt >= len(q.sends) || !q.sends[e.Attempt].open {
+		tracked := checker.requests[event.ID]
+		if tracked == nil || event.Attempt >= len(tracked.attempts) || !tracked.attempts[event.Attempt].open {
 			return
 		}
-		s := &q.sends[e.Attempt]
-		s.open = false
-		s.ran = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Skipped && e.Result != Miss
-		q.over = q.over || e.Final
+		attempt := &tracked.attempts[event.Attempt]
+		attempt.open = false
+		attempt.mayHaveExecuted = event.Result != Overloaded && event.Result != ConnectFailed && event.Result != Skipped && event.Result != Miss
+		tracked.done = tracked.done || event.Final
 	case ClientLeft:
-		if q := b.reqs[e.ID]; q != nil {
-			q.over = true
+		if tracked := checker.requests[event.ID]; tracked != nil {
+			tracked.done = true
 		}
 	case Purged:
-		b.purged[e.Object] = [2]Time{now - e.Age, now}
+		checker.purged[event.Object] = [2]Time{now - event.Age, now}
 	}
 }
 
 // action checks one action and applies it.
-func (b *ruleChecker) action(now Time, a Action) error {
+func (checker *ruleChecker) action(now Time, a Action) error {
 	switch a := a.(type) {
 	case Reject:
-		return b.finalAnswer(a.ID, true)
+		return checker.finalAnswer(a.ID, true)
 	case Fail:
-		return b.finalAnswer(a.ID, false)
+		return checker.finalAnswer(a.ID, false)
 	case Lookup:
-		return b.send(now, a.ID, a.Server, a.Server, 0, b.members[a.Server].Kind == b.set.OriginKind)
+		return checker.send(now, a.ID, a.Server, a.Server, 0, checker.members[a.Server].Kind == checker.settings.OriginKind)
 	case Fetch:
-		return b.send(now, a.ID, a.Server, a.Source, a.MaxAge, false)
+		return checker.send(now, a.ID, a.Server, a.Source, a.MaxAge, false)
 	}
 	return nil
 }
 
-// finalAnswer checks that there is one final answer, and that a rejection is harmless.
-func (b *ruleChecker) finalAnswer(id string, reject bool) error {
-	q := b.reqs[id]
-	if q == nil || q.over {
-		return fmt.Errorf("second final answer for %s", id)
+// finalAnswer checks that a request gets only one final answer, and that a rejection is safe: the request was
+// not executed, or can be repeated.
+func (checker *ruleChecker) finalAnswer(id string, isReject bool) error {
+	tracked := checker.requests[id]
+	if tracked == nil || tracked.done {
+		return fmt.Errorf("request %s has a second final answer", id)
 	}
-	q.over = true
-	c := b.set.Classes[q.q.Class]
-	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll
-	if reject && !harmless {
-		for _, s := range q.sends {
-			if s.open || s.ran {
-				return fmt.Errorf("%s rejected though it may have been executed", id)
+	tracked.done = true
+	class := checker.settings.Classes[tracked.request.Class]
+	harmless := class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.DedupScope == DedupAll
+	if isReject && !harmless {
+		for _, attempt := range tracked.attempts {
+			if attempt.open || attempt.mayHaveExecuted {
+				return fmt.Errorf("request %s was rejected although it may have been executed", id)
 			}
 		}
 	}
 	return nil
 }
 
-// send checks an attempt with the given maximum age. origin says that it goes straight to the origin.
-func (b *ruleChecker) send(now Time, id string, cache, source ServerID, age time.Duration, origin bool) error {
-	q := b.reqs[id]
-	if q == nil || q.over {
-		return fmt.Errorf("%s sent after its final answer", id)
+// send checks an attempt that accepts copies up to maxAge; 0 means the class's own. toOrigin says that the
+// attempt goes directly to the origin.
+func (checker *ruleChecker) send(now Time, id string, to, source ServerID, maxAge time.Duration, toOrigin bool) error {
+	tracked := checker.requests[id]
+	if tracked == nil || tracked.done {
+		return fmt.Errorf("request %s was sent after its final answer", id)
 	}
-	for _, t := range []ServerID{cache, source} {
-		if m, known := b.members[t]; !known || b.state[t] != Ready && now-b.notifiedAt[t] > b.set.DrainGrace {
-			return fmt.Errorf("%s names %d (%+v), which is draining or unknown", id, t, m)
+	for _, named := range []ServerID{to, source} {
+		if member, known := checker.members[named]; !known || checker.states[named] != Ready && now-checker.notifiedAt[named] > checker.settings.DrainGrace {
+			return fmt.Errorf("request %s names server %d (%+v), which is draining or unknown", id, named, member)
 		}
 	}
-	if b.set.MaxAttempts > 0 && len(q.sends) >= b.set.MaxAttempts {
-		return fmt.Errorf("%s exceeds the attempt limit", id)
+	if checker.settings.MaxAttempts > 0 && len(tracked.attempts) >= checker.settings.MaxAttempts {
+		return fmt.Errorf("request %s has more attempts than MaxAttempts", id)
 	}
-	if err := b.retry(now, q, cache); err != nil {
+	if err := checker.retry(now, tracked, to); err != nil {
 		return err
 	}
-	uncached := b.set.Classes[q.q.Class].Uncached
-	if p, ok := b.purged[q.q.Object]; ok && !origin && !uncached && now-p[1] > b.set.PurgeGrace &&
-		now-p[0] < b.set.PurgeDuration && (age == 0 || age > now-p[0]) && now > p[0] {
-		return fmt.Errorf("%s may be answered from before its purge: age %v", id, age)
+	uncached := checker.settings.Classes[tracked.request.Class].Uncached
+	if purge, ok := checker.purged[tracked.request.Object]; ok && !toOrigin && !uncached && now-purge[1] > checker.settings.PurgeGrace &&
+		now-purge[0] < checker.settings.PurgeDuration && (maxAge == 0 || maxAge > now-purge[0]) && now > purge[0] {
+		return fmt.Errorf("request %s may be answered from a copy that is older than its purge: maximum age %v", id, maxAge)
 	}
-	q.sends = append(q.sends, sent{cache: cache, at: now, open: true})
+	tracked.attempts = append(tracked.attempts, trackedAttempt{server: to, sentAt: now, open: true})
 	return nil
 }
 
-// retry checks that another attempt at a cache can have no second effect.
-func (b *ruleChecker) retry(now Time, q *entry, cache ServerID) error {
-	c := b.set.Classes[q.q.Class]
-	for _, s := range q.sends {
-		if s.open {
-			return fmt.Errorf("%s has two attempts in flight", q.q.ID)
+// retry checks that another attempt at a server cannot execute the request a second time with effect.
+func (checker *ruleChecker) retry(now Time, tracked *trackedRequest, to ServerID) error {
+	class := checker.settings.Classes[tracked.request.Class]
+	for _, earlier := range tracked.attempts {
+		if earlier.open {
+			return fmt.Errorf("request %s has two attempts in flight", tracked.request.ID)
 		}
-		if (s.open || s.ran) && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (now-s.at >= c.DedupWindow ||
-			c.DedupScope == DedupZone && b.members[cache].Zone != b.members[s.cache].Zone ||
-			c.DedupScope == DedupCell && b.members[cache].Cell != b.members[s.cache].Cell)) {
-			return fmt.Errorf("%s retried though it may have been executed", q.q.ID)
+		if (earlier.open || earlier.mayHaveExecuted) && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (now-earlier.sentAt >= class.DedupWindow ||
+			class.DedupScope == DedupZone && checker.members[to].Zone != checker.members[earlier.server].Zone ||
+			class.DedupScope == DedupCell && checker.members[to].Cell != checker.members[earlier.server].Cell)) {
+			return fmt.Errorf("request %s was retried although it may have been executed", tracked.request.ID)
 		}
 	}
 	return nil
 }
 
-// runRandomEvents generates valid events from a seed and returns all actions, or the first violation of a rule.
+// runRandomEvents passes random valid events, generated from a seed, to a router. It returns all actions, or
+// the first violation of a rule.
 func runRandomEvents(seed int64) ([]Action, error) {
-	rnd := rand.New(rand.NewSource(seed))
-	set := settings()
-	set.MayBypassCaches = rnd.Intn(2) == 0
-	set.SiblingFills, set.OutcomeDetail = SiblingScope(rnd.Intn(3)), OutcomeDetail(rnd.Intn(3))
-	set.WeightsKnown, set.MaxAttempts = rnd.Intn(2) == 0, 1+rnd.Intn(8)
-	set.Classes = append(set.Classes,
-		Class{LatencyObjective: 200 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupScope(rnd.Intn(3)), DedupWindow: time.Second})
-	r, err := New(set, uint64(seed))
+	rng := rand.New(rand.NewSource(seed))
+	settings := testSettings()
+	settings.MayBypassCaches = rng.Intn(2) == 0
+	settings.SiblingFills, settings.OutcomeDetail = SiblingScope(rng.Intn(3)), OutcomeDetail(rng.Intn(3))
+	settings.WeightsKnown, settings.MaxAttempts = rng.Intn(2) == 0, 1+rng.Intn(8)
+	settings.Classes = append(settings.Classes,
+		Class{LatencyObjective: 200 * ms, Deadline: 3 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupScope(rng.Intn(3)), DedupWindow: time.Second})
+	router, err := New(settings, uint64(seed))
 	if err != nil {
 		return nil, err
 	}
-	b, now := newRuleChecker(set), Time(seed%7)*time.Second
-	var all []Action
-	type due struct {
+	checker, now := newRuleChecker(settings), Time(seed%7)*time.Second
+	var allActions []Action
+	type pendingTimer struct {
 		at    Time
 		token uint64
 	}
-	var timers []due
+	var timers []pendingTimer
 	var open []Outcome
 	handle := func(e Event) error {
-		b.event(now, e)
-		for _, a := range r.Handle(now, e, nil) {
-			all = append(all, a)
-			if err := b.action(now, a); err != nil {
+		checker.event(now, e)
+		for _, a := range router.Handle(now, e, nil) {
+			allActions = append(allActions, a)
+			if err := checker.action(now, a); err != nil {
 				return err
 			}
 			switch a := a.(type) {
 			case SetTimer:
-				timers = append(timers, due{now + a.After, a.Token})
+				timers = append(timers, pendingTimer{now + a.After, a.Token})
 			case Lookup:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(checker.requests[a.ID].attempts) - 1, Server: a.Server})
 			case Fetch:
-				open = append(open, Outcome{ID: a.ID, Attempt: len(b.reqs[a.ID].sends) - 1, Server: a.Server})
+				open = append(open, Outcome{ID: a.ID, Attempt: len(checker.requests[a.ID].attempts) - 1, Server: a.Server})
 			}
 		}
 		return nil
 	}
-	list := fleet()
-	if err := handle(list); err != nil {
+	members := testMembers()
+	if err := handle(members); err != nil {
 		return nil, err
 	}
 	for step := range 1500 {
-		now += time.Duration(rnd.Intn(20)) * ms
+		now += time.Duration(rng.Intn(20)) * ms
 		for i := 0; i < len(timers); i++ {
 			if t := timers[i]; t.at <= now {
 				timers = append(timers[:i], timers[i+1:]...)
@@ -210,65 +214,65 @@
 			}
 		}
 		var e Event
-		switch k := rnd.Intn(20); {
-		case k < 8:
-			e = Request{ID: fmt.Sprint(step), Class: rnd.Intn(len(set.Classes)), Object: fmt.Sprint(rnd.Intn(20)),
-				TimeLeft: time.Duration(1+rnd.Intn(3000)) * ms, Group: rnd.Intn(4)}
-		case k < 16 && len(open) > 0:
-			i := rnd.Intn(len(open))
-			o := open[i]
+		switch kind := rng.Intn(20); {
+		case kind < 8:
+			e = Request{ID: fmt.Sprint(step), Class: rng.Intn(len(settings.Classes)), Object: fmt.Sprint(rng.Intn(20)),
+				TimeLeft: time.Duration(1+rng.Intn(3000)) * ms, Group: rng.Intn(4)}
+		case kind < 16 && len(open) > 0:
+			i := rng.Intn(len(open))
+			outcome := open[i]
 			open = append(open[:i], open[i+1:]...)
-			o.Result, o.Note = Result(rnd.Intn(10)), Note(rnd.Intn(11))
-			o.Latency = time.Duration(rnd.Intn(900)) * ms
-			o.Final = o.Result == OK || b.reqs[o.ID].over
-			e = o
-		case k == 16:
-			m := list.Entries[rnd.Intn(len(list.Entries)-1)]
-			m.State = State(rnd.Intn(3))
-			if m.State == Ready && rnd.Intn(2) == 0 {
+			outcome.Result, outcome.Note = Result(rng.Intn(10)), Note(rng.Intn(11))
+			outcome.Latency = time.Duration(rng.Intn(900)) * ms
+			outcome.Final = outcome.Result == OK || checker.requests[outcome.ID].done
+			e = outcome
+		case kind == 16:
+			m := members.Entries[rng.Intn(len(members.Entries)-1)]
+			m.State = State(rng.Intn(3))
+			if m.State == Ready && rng.Intn(2) == 0 {
 				m.Started = now
 			}
 			e = Members{Kind: ListChanges, Entries: []Member{m}}
-		case k == 17:
-			e = Members{Kind: ListFull, Entries: list.Entries[rnd.Intn(4):]}
-		case k == 18:
-			e = Purged{Object: fmt.Sprint(rnd.Intn(20)), Group: -1, Age: time.Duration(rnd.Intn(300)) * ms}
+		case kind == 17:
+			e = Members{Kind: ListFull, Entries: members.Entries[rng.Intn(4):]}
+		case kind == 18:
+			e = Purged{Object: fmt.Sprint(rng.Intn(20)), Group: -1, Age: time.Duration(rng.Intn(300)) * ms}
 		default:
-			e = ClientLeft{ID: fmt.Sprint(rnd.Intn(step + 1))}
+			e = ClientLeft{ID: fmt.Sprint(rng.Intn(step + 1))}
 		}
 		if err := handle(e); err != nil {
 			return nil, fmt.Errorf("step %d: %w", step, err)
 		}
-		for id, q := range b.reqs {
-			if !q.over && now > q.due+20*ms {
-				return nil, fmt.Errorf("step %d: %s has no final answer at its deadline", step, id)
+		for id, tracked := range checker.requests {
+			if !tracked.done && now > tracked.deadline+20*ms {
+				return nil, fmt.Errorf("step %d: request %s has no final answer 20 ms after its deadline", step, id)
 			}
 		}
 	}
-	return all, nil
+	return allActions, nil
 }
 
-// The rules of the protocol hold for arbitrary events, and equal events yield equal actions, alone or beside
-// other routers.
+// The rules of the protocol hold for arbitrary events, and equal events yield equal actions, also while other
+// routers run concurrently.
 func TestRulesHoldUnderArbitraryEvents(t *testing.T) {
 	const seeds = 60
-	alone := make([][]Action, seeds)
-	for seed := range alone {
-		acts, err := runRandomEvents(int64(seed))
+	sequential := make([][]Action, seeds)
+	for seed := range sequential {
+		actions, err := runRandomEvents(int64(seed))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		alone[seed] = acts
+		sequential[seed] = actions
 	}
-	beside := make([][]Action, seeds)
-	var all sync.WaitGroup
-	for seed := range beside {
-		all.Go(func() { beside[seed], _ = runRandomEvents(int64(seed)) })
+	concurrent := make([][]Action, seeds)
+	var group sync.WaitGroup
+	for seed := range concurrent {
+		group.Go(func() { concurrent[seed], _ = runRandomEvents(int64(seed)) })
 	}
-	all.Wait()
-	for seed := range alone {
-		if !reflect.DeepEqual(alone[seed], beside[seed]) {
-			t.Errorf("seed %d: equal events gave different actions", seed)
+	group.Wait()
+	for seed := range sequential {
+		if !reflect.DeepEqual(sequential[seed], concurrent[seed]) {
+			t.Errorf("seed %d: equal events gave different actions when routers ran concurrently", seed)
 		}
 	}
 }
@@ -282,38 +286,38 @@
 	})
 }
 
-// The checker detects each kind of wrong action.
+// The checker detects wrong actions of each of these kinds.
 func TestCheckerDetectsViolations(t *testing.T) {
-	set := settings()
-	for name, c := range map[string]struct {
-		before []Event
-		acts   []Action
+	settings := testSettings()
+	for name, test := range map[string]struct {
+		before  []Event
+		actions []Action
 	}{
-		"two answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
-		"sent after its final answer": {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Server: 1, Source: 11}}},
-		"two in flight":               {nil, []Action{Fetch{ID: "a", Server: 1, Source: 11}, Fetch{ID: "a", Server: 2, Source: 11}}},
-		"non-idempotent rejected":     {nil, []Action{Fetch{ID: "u", Server: 1, Source: 20}, Reject{ID: "u"}}},
-		"draining cache":              {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
-		"draining source":             {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
-		"purged, any age":             {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"two final answers":                 {nil, []Action{Fail{ID: "a"}, Fail{ID: "a"}}},
+		"sent after its final answer":       {nil, []Action{Fail{ID: "a"}, Fetch{ID: "a", Server: 1, Source: 11}}},
+		"two attempts in flight":            {nil, []Action{Fetch{ID: "a", Server: 1, Source: 11}, Fetch{ID: "a", Server: 2, Source: 11}}},
+		"non-idempotent request rejected":   {nil, []Action{Fetch{ID: "u", Server: 1, Source: 20}, Reject{ID: "u"}}},
+		"sent to a draining cache":          {[]Event{Members{Entries: []Member{{ID: 1, State: Draining}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"filled from a server that is gone": {[]Event{Members{Entries: []Member{{ID: 11, State: Gone}}}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
+		"copy from before a purge":          {[]Event{Purged{Object: "o"}}, []Action{Fetch{ID: "a", Server: 1, Source: 11}}},
 	} {
-		b := newRuleChecker(set)
-		b.event(0, fleet())
-		b.event(0, newRequest("a", "o"))
-		u := newRequest("u", "p")
-		u.Class = 1
-		b.event(0, u)
-		for _, e := range c.before {
-			b.event(0, e)
+		checker := newRuleChecker(settings)
+		checker.event(0, testMembers())
+		checker.event(0, newRequest("a", "o"))
+		uncachedRequest := newRequest("u", "p")
+		uncachedRequest.Class = 1
+		checker.event(0, uncachedRequest)
+		for _, e := range test.before {
+			checker.event(0, e)
 		}
 		var err error
-		for _, a := range c.acts {
-			if e := b.action(time.Second, a); e != nil {
+		for _, a := range test.actions {
+			if e := checker.action(time.Second, a); e != nil {
 				err = e
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("%s: the checker reported no violation", name)
 		}
 	}
 }
