--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -55,7 +55,7 @@
 		return 0, 0
 	case d.shutdownStartedAt != 0:
 		return RejectShutdown, d.settings.MaxBackoff
-	case len(d.subscriptions) >= d.admission.limit && d.find(m.Name) == nil:
+	case len(d.subscriptions) >= d.admission.limit && d.findSubscription(m.Name) == nil:
 		return RejectFull, d.settings.MaxBackoff
 	}
 	if retryAfter := d.admission.takeToken(d.now); retryAfter > 0 {
@@ -66,7 +66,7 @@
 
 // nextDismissalAt is when the next subscriber is dismissed during a shutdown: one after the other over FailoverSpread.
 func (d *Distributor) nextDismissalAt() float64 {
-	return d.shutdownStartedAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.toDismiss))
+	return d.shutdownStartedAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.subscribersAtShutdown))
 }
 
 // dismissDue sends subscribers to other distributors while the process shuts down.
--- a/internal/decide/distribution/atomic_batch_test.go
+++ b/internal/decide/distribution/atomic_batch_test.go
@@ -37,49 +37,49 @@
 // A relay that fell behind passes the snapshot on as one atomic batch. Its sequences say only the order: "late" was committed at 160 and
 // has 140 here. A subscriber that comes from another distributor and is at 150 would miss it in a part of the batch.
 func TestSubscriberWithinAtomicBatchGetsSnapshot(t *testing.T) {
-	set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
-	set.MaxFrame = 1 // what is not atomic is split into batches of one entry
-	mark := func(sequence uint64) distribution.Watermark {
+	settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
+	settings.MaxFrame = 1 // what is not atomic is split into batches of one entry
+	watermarkAt := func(sequence uint64) distribution.Watermark {
 		return distribution.Watermark{Sequence: sequence, At: 1000}
 	}
-	relay := distribution.NewDistributor(set)
+	relay := distribution.NewDistributor(settings)
 	relay.Handle(1000, distribution.InstallSnapshot{
-		Epoch: 1, Through: 100, Watermark: mark(100), Entries: []distribution.Entry{purgeEntry(90, "early")},
+		Epoch: 1, Through: 100, Watermark: watermarkAt(100), Entries: []distribution.Entry{purgeEntry(90, "early")},
 	})
 	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
 
 	snapshot := []distribution.Entry{purgeEntry(139, "early"), purgeEntry(140, "late"), purgeEntry(200, "later")}
-	got := messagesTo(t, 1, relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: mark(200), Entries: snapshot}))
-	require.Len(t, got, 1)
-	bridge := got[0].(distribution.Batch)
+	messages := messagesTo(t, 1, relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: watermarkAt(200), Entries: snapshot}))
+	require.Len(t, messages, 1)
+	bridge := messages[0].(distribution.Batch)
 	require.True(t, bridge.Atomic)
 	require.Equal(t, [2]uint64{100, 200}, [2]uint64{bridge.After, bridge.Through})
 	require.Len(t, bridge.Entries, 2, "early is in force already")
 
-	var chunks []string
+	var snapshotNames []string
 	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeFrom("from elsewhere", 150)})) {
 		_, isBatch := m.(distribution.Batch)
 		require.False(t, isBatch)
 		if c, isChunk := m.(distribution.SnapshotChunk); isChunk {
 			for _, e := range c.Entries {
-				chunks = append(chunks, e.Name)
+				snapshotNames = append(snapshotNames, e.Name)
 			}
 		}
 	}
-	require.Equal(t, []string{"early", "late", "later"}, chunks)
+	require.Equal(t, []string{"early", "late", "later"}, snapshotNames)
 
-	next := distribution.NewDistributor(set) // the level below must not split it either
-	next.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: mark(100)})
-	next.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
-	got = messagesTo(t, 1, next.Handle(1001, distribution.Apply{
-		Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: mark(200), Entries: bridge.Entries,
+	child := distribution.NewDistributor(settings) // the level below must not split it either
+	child.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: watermarkAt(100)})
+	child.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
+	messages = messagesTo(t, 1, child.Handle(1001, distribution.Apply{
+		Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: watermarkAt(200), Entries: bridge.Entries,
 	}))
-	require.Len(t, got, 1)
-	require.True(t, got[0].(distribution.Batch).Atomic)
+	require.Len(t, messages, 1)
+	require.True(t, messages[0].(distribution.Batch).Atomic)
 }
 
 // A batch follows an atomic one: a subscriber at the end of the latter continues with it.
-func TestBacklogContinuesBehindAtomicBatch(t *testing.T) {
+func TestBacklogContinuesAfterAtomicBatch(t *testing.T) {
 	relay := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
 	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: distribution.Watermark{Sequence: 100, At: 1000}})
 	relay.Handle(1001, distribution.InstallSnapshot{
@@ -91,11 +91,11 @@
 		Entries: []distribution.Entry{purgeEntry(203, "y")},
 	})
 	for _, from := range []uint64{200, 203} {
-		got := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{
+		messages := messagesTo(t, distribution.Link(from), relay.Handle(1003, distribution.Received{
 			Link: distribution.Link(from), Message: subscribeFrom("s", from),
 		}))
-		require.Len(t, got, 2)
-		batch := got[1].(distribution.Batch)
+		require.Len(t, messages, 2)
+		batch := messages[1].(distribution.Batch)
 		require.False(t, batch.Atomic)
 		require.Equal(t, [2]uint64{200, 205}, [2]uint64{batch.After, batch.Through})
 	}
--- a/internal/decide/distribution/distributor.go
+++ b/internal/decide/distribution/distributor.go
@@ -17,10 +17,10 @@
 	links         map[Link]*subscription
 	admission     admission
 
-	heartbeatAt       float64
-	shutdownStartedAt float64 // when the shutdown began; 0: it has not
-	dismissed         int     // subscribers moved to other distributors since
-	toDismiss         int     // subscribers there were then
+	heartbeatAt           float64
+	shutdownStartedAt     float64 // when the shutdown began; 0: it has not
+	dismissed             int     // subscribers moved to other distributors since
+	subscribersAtShutdown int     // subscribers there were then
 
 	now     float64
 	actions []Action
@@ -62,16 +62,16 @@
 	case InstallSnapshot:
 		d.installSnapshot(e)
 	case AdvanceWatermark:
-		d.advance(e)
+		d.advanceWatermark(e)
 	case Received:
 		d.receive(e)
 	case Disconnected:
-		d.remove(e.Link)
+		d.removeSubscription(e.Link)
 	case Demand:
 		d.admission.setDemand(e)
 	case Shutdown:
 		if d.shutdownStartedAt == 0 {
-			d.shutdownStartedAt, d.toDismiss = now, len(d.subscriptions)
+			d.shutdownStartedAt, d.subscribersAtShutdown = now, len(d.subscriptions)
 		}
 	}
 	if now >= d.heartbeatAt {
@@ -197,8 +197,8 @@
 	return true
 }
 
-// advance takes in a watermark. At the root it also moves the head, if the store's log went on without an entry of this stream.
-func (d *Distributor) advance(e AdvanceWatermark) {
+// advanceWatermark takes in a watermark. At the root it also moves the head, if the store's log went on without an entry of this stream.
+func (d *Distributor) advanceWatermark(e AdvanceWatermark) {
 	if d.epoch == 0 || e.Epoch != d.epoch {
 		return
 	}
--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -13,9 +13,9 @@
 	c.backoffs = maps.Clone(s.backoffs)
 	c.actions = nil
 	if s.assembly != nil {
-		g := *s.assembly
-		g.entries = slices.Clone(g.entries)
-		c.assembly = &g
+		assembly := *s.assembly
+		assembly.entries = slices.Clone(assembly.entries)
+		c.assembly = &assembly
 	}
 	return &c
 }
@@ -36,10 +36,10 @@
 		c.backlog.segments[i] = &copied
 	}
 	c.subscriptions, c.links = make([]*subscription, len(d.subscriptions)), map[Link]*subscription{}
-	for i, m := range d.subscriptions {
-		copied := *m
+	for i, sub := range d.subscriptions {
+		copied := *sub
 		c.subscriptions[i] = &copied
-		c.links[m.link] = &copied
+		c.links[sub.link] = &copied
 	}
 	return &c
 }
@@ -88,13 +88,13 @@
 	p.flags(s.hasState, s.freshness.Restricted, s.assembly != nil)
 	p.watermark(s.pendingWatermark)
 	p.watermark(s.watermark)
-	if g := s.assembly; g != nil {
-		p.numbers(g.epoch, g.through, uint64(g.nextChunk))
-		p.entries(g.entries)
+	if assembly := s.assembly; assembly != nil {
+		p.numbers(assembly.epoch, assembly.through, uint64(assembly.nextChunk))
+		p.entries(assembly.entries)
 	}
 	for _, c := range s.candidates {
-		t := s.backoffs[c.Name]
-		p.floats(t.until, float64(t.attempts))
+		candidateBackoff := s.backoffs[c.Name]
+		p.floats(candidateBackoff.until, float64(candidateBackoff.attempts))
 	}
 	return p
 }
@@ -117,13 +117,13 @@
 	if d.lastSnapshot != nil {
 		p.numbers(d.lastSnapshot.through)
 	}
-	for _, m := range d.subscriptions {
-		p = append(p, m.name...)
-		p.numbers(uint64(m.window), uint64(int64(m.credit)), m.sentBytes, m.cursor, uint64(m.nextChunk))
-		p.floats(m.lastReceivedAt, m.lastSentAt)
-		p.flags(m.needsSnapshot, m.snapshot != nil)
-		if m.snapshot != nil {
-			p.numbers(m.snapshot.through)
+	for _, sub := range d.subscriptions {
+		p = append(p, sub.name...)
+		p.numbers(uint64(sub.window), uint64(int64(sub.credit)), sub.sentBytes, sub.cursor, uint64(sub.nextChunk))
+		p.floats(sub.lastReceivedAt, sub.lastSentAt)
+		p.flags(sub.needsSnapshot, sub.snapshot != nil)
+		if sub.snapshot != nil {
+			p.numbers(sub.snapshot.through)
 		}
 	}
 	return p
@@ -159,15 +159,15 @@
 
 // ResetCredits gives every subscriber its full credit.
 func (d *Distributor) ResetCredits() {
-	for _, m := range d.subscriptions {
-		m.credit = m.window
+	for _, sub := range d.subscriptions {
+		sub.credit = sub.window
 	}
 }
 
-// UnlimitBacklog has the Distributor retain everything.
-func (d *Distributor) UnlimitBacklog() {
+// RemoveBacklogLimits has the Distributor retain everything.
+func (d *Distributor) RemoveBacklogLimits() {
 	d.settings.MaxBacklogEntries, d.settings.MaxBacklogBytes = 1<<30, 1<<30
 }
 
-// PretendFullBacklog has the Distributor take its backlog for one that begins with the stream.
-func (d *Distributor) PretendFullBacklog() { d.backlog.floor = 0 }
+// TreatBacklogAsComplete has the Distributor take its backlog for one that begins with the stream.
+func (d *Distributor) TreatBacklogAsComplete() { d.backlog.floor = 0 }
--- a/internal/decide/distribution/failover_test.go
+++ b/internal/decide/distribution/failover_test.go
@@ -15,7 +15,7 @@
 type zoneSimulation struct {
 	now            float64
 	queue          eventQueue
-	order          int
+	lastOrder      int
 	distributors   map[string]*distribution.Distributor
 	failed         map[string]bool
 	subscribers    []*distribution.Subscriber
@@ -27,7 +27,7 @@
 }
 
 type simulatedLink struct {
-	sub          int
+	subscriber   int
 	link         distribution.Link
 	to           string
 	disconnected bool
@@ -54,8 +54,8 @@
 }
 
 func (z *zoneSimulation) after(ms float64, do func()) {
-	z.order++
-	heap.Push(&z.queue, scheduledEvent{z.now + ms, z.order, do})
+	z.lastOrder++
+	heap.Push(&z.queue, scheduledEvent{z.now + ms, z.lastOrder, do})
 }
 
 func (z *zoneSimulation) run(until float64) {
@@ -67,7 +67,7 @@
 	z.now = until
 }
 
-const oneWay = 20
+const oneWayDelay = 20
 
 func (z *zoneSimulation) handleSubscriber(i int, e distribution.Event) {
 	for _, a := range z.subscribers[i].Handle(z.now, e) {
@@ -76,15 +76,15 @@
 			z.connect(i, a)
 		case distribution.SendMessage:
 			for number, l := range z.links {
-				if l.sub == i && l.link == a.Link && !l.disconnected {
-					z.after(oneWay, func() { z.handleDistributor(l.to, distribution.Received{Link: number, Message: a.Message}) })
+				if l.subscriber == i && l.link == a.Link && !l.disconnected {
+					z.after(oneWayDelay, func() { z.handleDistributor(l.to, distribution.Received{Link: number, Message: a.Message}) })
 				}
 			}
 		case distribution.Disconnect:
 			for number, l := range z.links {
-				if l.sub == i && l.link == a.Link {
+				if l.subscriber == i && l.link == a.Link {
 					delete(z.links, number)
-					z.after(oneWay, func() { z.handleDistributor(l.to, distribution.Disconnected{Link: number}) })
+					z.after(oneWayDelay, func() { z.handleDistributor(l.to, distribution.Disconnected{Link: number}) })
 				}
 			}
 		case distribution.Wake:
@@ -102,9 +102,9 @@
 // connect takes a round trip; a distributor that has failed does not answer.
 func (z *zoneSimulation) connect(i int, a distribution.Connect) {
 	z.lastLink++
-	z.links[z.lastLink] = simulatedLink{sub: i, link: a.Link, to: a.To.Name}
+	z.links[z.lastLink] = simulatedLink{subscriber: i, link: a.Link, to: a.To.Name}
 	if !z.failed[a.To.Name] {
-		z.after(2*oneWay, func() { z.handleSubscriber(i, distribution.Connected{Link: a.Link}) })
+		z.after(2*oneWayDelay, func() { z.handleSubscriber(i, distribution.Connected{Link: a.Link}) })
 	}
 }
 
@@ -125,14 +125,14 @@
 			}
 			for _, to := range a.Links {
 				if l, open := z.links[to]; open {
-					z.after(oneWay, func() {
-						z.handleSubscriber(l.sub, distribution.Received{Link: l.link, Message: m, Bytes: len(a.Frame.Bytes)})
+					z.after(oneWayDelay, func() {
+						z.handleSubscriber(l.subscriber, distribution.Received{Link: l.link, Message: m, Bytes: len(a.Frame.Bytes)})
 					})
 				}
 			}
 		case distribution.CloseLink:
 			if l, open := z.links[a.Link]; open {
-				z.after(oneWay+1, func() { z.handleSubscriber(l.sub, distribution.Disconnected{Link: l.link}) })
+				z.after(oneWayDelay+1, func() { z.handleSubscriber(l.subscriber, distribution.Disconnected{Link: l.link}) })
 			}
 		}
 	}
@@ -158,9 +158,9 @@
 	}
 	z.feed(peers)
 	for i := range subscribers {
-		set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"})
-		set.Seed = uint64(i) + 1
-		z.subscribers = append(z.subscribers, distribution.NewSubscriber(set))
+		settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"})
+		settings.Seed = uint64(i) + 1
+		z.subscribers = append(z.subscribers, distribution.NewSubscriber(settings))
 		z.handleSubscriber(i, distribution.Candidates{Peers: peers})
 	}
 	return z
@@ -175,14 +175,14 @@
 }
 
 // worstLag returns the largest lag, and how many subscribers are within MaxLag.
-func (z *zoneSimulation) worstLag() (behind float64, within int) {
+func (z *zoneSimulation) worstLag() (worst float64, withinMaxLag int) {
 	for _, s := range z.subscribers {
-		behind = max(behind, s.Lag(z.now))
+		worst = max(worst, s.Lag(z.now))
 		if s.Lag(z.now) <= distribution.DefaultSettings(distribution.Purges, distribution.Peer{}).MaxLag {
-			within++
+			withinMaxLag++
 		}
 	}
-	return behind, within
+	return worst, withinMaxLag
 }
 
 // Of four distributors with 233 subscribers in a zone one fails silently: its subscribers, about 60, move to the others, none of which
@@ -190,11 +190,11 @@
 func TestSubscribersOfFailedDistributorAreSpread(t *testing.T) {
 	z := newZoneSimulation(4, 233)
 	z.run(z.now + 15_000)
-	_, within := z.worstLag()
-	require.Equal(t, 233, within, "all have started")
-	bound := int(math.Ceil(1.25 * 233 / 4))
+	_, withinMaxLag := z.worstLag()
+	require.Equal(t, 233, withinMaxLag, "all have started")
+	maxAdmitted := int(math.Ceil(1.25 * 233 / 4))
 	for name, n := range z.maxSubscribers {
-		require.LessOrEqual(t, n, bound, name)
+		require.LessOrEqual(t, n, maxAdmitted, name)
 	}
 	lost := z.distributors["d0"].Subscribers()
 	require.Positive(t, lost)
@@ -208,11 +208,11 @@
 			}
 		}
 		z.run(z.now + 100)
-		behind, _ := z.worstLag()
-		worst = max(worst, behind)
+		lag, _ := z.worstLag()
+		worst = max(worst, lag)
 	}
-	_, within = z.worstLag()
-	require.Equal(t, 233, within)
+	_, withinMaxLag = z.worstLag()
+	require.Equal(t, 233, withinMaxLag)
 	for name, n := range z.maxSubscribers {
 		require.LessOrEqual(t, n, int(math.Ceil(1.25*233/3)), name)
 	}
--- a/internal/decide/distribution/freshness_test.go
+++ b/internal/decide/distribution/freshness_test.go
@@ -8,14 +8,14 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-func newStrictGate() *distribution.FreshnessGate {
-	set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{})
-	set.Classes = map[string]distribution.StalePolicy{"prices": distribution.PolicyStrict, "pictures": distribution.PolicyServeStale}
-	return distribution.NewFreshnessGate(set)
+func newTestGate() *distribution.FreshnessGate {
+	settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{})
+	settings.Classes = map[string]distribution.StalePolicy{"prices": distribution.PolicyStrict, "pictures": distribution.PolicyServeStale}
+	return distribution.NewFreshnessGate(settings)
 }
 
 func TestPolicyOfEachClassPastMaxLag(t *testing.T) {
-	g := newStrictGate()
+	g := newTestGate()
 	g.Update(distribution.Freshness{FreshUntil: 5000, WatermarkTime: 2000})
 	require.Equal(t, distribution.VerdictServe, g.Decide(4999, "prices", 100), "within MaxLag")
 	require.Equal(t, distribution.VerdictServe, g.Decide(5000, "prices", 2000), "no older than the watermark")
@@ -24,13 +24,13 @@
 	require.Equal(t, distribution.VerdictServeStale, g.Decide(5000, "not named", 1999))
 }
 
-func TestNothingIsServedBeforeFirstWatermark(t *testing.T) {
-	require.Equal(t, distribution.VerdictFetchOrigin, newStrictGate().Decide(1e12, "prices", 1e12))
+func TestStrictClassServesNoCopyBeforeFirstWatermark(t *testing.T) {
+	require.Equal(t, distribution.VerdictFetchOrigin, newTestGate().Decide(1e12, "prices", 1e12))
 }
 
 // Of ten thousand requests a second that ask for the origin, over ten seconds, 20 a second are admitted, and no more than one in twenty.
 func TestRequestsToOriginAreLimited(t *testing.T) {
-	g := newStrictGate()
+	g := newTestGate()
 	origin := 0
 	for i := range 100_000 {
 		if g.Decide(float64(i)/10, "prices", 0) == distribution.VerdictFetchOrigin {
@@ -39,7 +39,7 @@
 	}
 	require.LessOrEqual(t, origin, 20+10*20)
 	require.Greater(t, origin, 10*20-20)
-	g, origin = newStrictGate(), 0
+	g, origin = newTestGate(), 0
 	for i := range 100 { // ten a second: the fraction is the limit
 		if g.Decide(float64(i)*100, "prices", 0) == distribution.VerdictFetchOrigin {
 			origin++
@@ -50,11 +50,11 @@
 
 // A thousand processes that have caught up end the restriction of strict classes over a span, none before it is within MaxLag.
 func TestRestrictionEndsStaggered(t *testing.T) {
-	ended := map[int]int{} // by second
+	endedInSecond := map[int]int{} // by second
 	for i := range 1000 {
-		set := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "p", Rank: 3})
-		set.Seed = uint64(i)
-		s := distribution.NewSubscriber(set)
+		settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "p", Rank: 3})
+		settings.Seed = uint64(i)
+		s := distribution.NewSubscriber(settings)
 		var state distribution.Freshness
 		var link distribution.Link
 		now := 1e6
@@ -86,16 +86,16 @@
 		require.True(t, state.Restricted)
 		receiveSnapshot()
 		require.True(t, state.Restricted, "it has only just caught up")
-		back := now
+		caughtUpAt := now
 		for state.Restricted {
 			now += 100
 			handle(distribution.Received{Link: link, Bytes: 10, Message: distribution.Heartbeat{Stream: distribution.Purges, Epoch: 1,
 				Watermark: distribution.Watermark{Sequence: 1, At: int64(now)}}})
-			require.Less(t, now, back+10_200)
+			require.Less(t, now, caughtUpAt+10_200)
 		}
-		ended[int((now-back)/1000)]++
+		endedInSecond[int((now-caughtUpAt)/1000)]++
 	}
-	for second, n := range ended {
+	for second, n := range endedInSecond {
 		require.Less(t, n, 200, "in second %d", second)
 	}
 }
--- a/internal/decide/distribution/golden_test.go
+++ b/internal/decide/distribution/golden_test.go
@@ -14,20 +14,20 @@
 	return []distribution.Entry{
 		{
 			Sequence: 101, Kind: distribution.PurgeObject, Name: "/a/b.webp", Group: -17, GroupKnown: true,
-			EffectiveAt: timeInTests - 1500, ExpiresAt: timeInTests + 3_600_000,
+			EffectiveAt: testTime - 1500, ExpiresAt: testTime + 3_600_000,
 		},
-		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: timeInTests + 5},
-		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: timeInTests - 2, ExpiresAt: timeInTests + 1},
-		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: timeInTests},
+		{Sequence: 102, Kind: distribution.PurgeObject, Name: "/no/group", EffectiveAt: testTime + 5},
+		{Sequence: 105, Kind: distribution.PurgeGroup, Group: 900_000_000_000, EffectiveAt: testTime - 2, ExpiresAt: testTime + 1},
+		{Sequence: 400, Kind: distribution.Revision, Name: "zone-1", Version: 12, Body: []byte("limits"), EffectiveAt: testTime},
 		{Sequence: 401, Kind: distribution.List, Name: "source-1", Version: 1 << 40, Body: []byte{0, 1, 0xff}},
-		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", EffectiveAt: timeInTests - 86_400_000},
+		{Sequence: 402, Kind: distribution.Drain, Name: "cache-7", EffectiveAt: testTime - 86_400_000},
 		{Sequence: 900, Kind: distribution.DrainEnded, Name: "cache-7"},
 	}
 }
 
 // Frames of earlier versions are decoded, and are encoded to the same bytes.
 func TestGoldenFrames(t *testing.T) {
-	mark := distribution.Watermark{Sequence: 1000, At: timeInTests}
+	watermark := distribution.Watermark{Sequence: 1000, At: testTime}
 	purges, configuration := distribution.Purges, distribution.Configuration
 	for name, message := range map[string]distribution.Message{
 		"subscribe.bin": distribution.Subscribe{Stream: purges, Name: "proxy-a", Rank: 3, From: distribution.Position{Epoch: 12, Sequence: 99},
@@ -36,27 +36,27 @@
 		"credit.bin":                 distribution.Credit{Stream: purges, Bytes: 128 << 10},
 		"credit_none.bin":            distribution.Credit{Stream: configuration},
 		"leave.bin":                  distribution.Unsubscribe{Stream: configuration},
-		"batch.bin": distribution.Batch{Stream: purges, Epoch: 12, After: 99, Through: 950, Watermark: mark,
+		"batch.bin": distribution.Batch{Stream: purges, Epoch: 12, After: 99, Through: 950, Watermark: watermark,
 			Entries: goldenEntries()},
-		"batch_whole.bin": distribution.Batch{Stream: purges, Epoch: 12, Atomic: true, After: 99, Through: 950, Watermark: mark,
+		"batch_whole.bin": distribution.Batch{Stream: purges, Epoch: 12, Atomic: true, After: 99, Through: 950, Watermark: watermark,
 			Entries: goldenEntries()},
 		"batch_empty.bin": distribution.Batch{Stream: configuration, Epoch: 1, Through: 3},
-		"chunk.bin": distribution.SnapshotChunk{Stream: configuration, Epoch: 12, Through: 1000, Watermark: mark, Index: 3,
+		"chunk.bin": distribution.SnapshotChunk{Stream: configuration, Epoch: 12, Through: 1000, Watermark: watermark, Index: 3,
 			Entries: goldenEntries()},
-		"chunk_last.bin": distribution.SnapshotChunk{Stream: purges, Epoch: 12, Through: 1000, Watermark: mark, Index: 4, Last: true},
-		"heartbeat.bin":  distribution.Heartbeat{Stream: purges, Epoch: 12, Watermark: mark},
+		"chunk_last.bin": distribution.SnapshotChunk{Stream: purges, Epoch: 12, Through: 1000, Watermark: watermark, Index: 4, Last: true},
+		"heartbeat.bin":  distribution.Heartbeat{Stream: purges, Epoch: 12, Watermark: watermark},
 		"refused.bin":    distribution.Rejected{Stream: purges, Reason: distribution.RejectBusy, RetryAfter: 8000},
 	} {
 		golden.Equal(t, name, distribution.Encode(message).Bytes)
-		back, err := distribution.Decode(golden.Read(t, name))
+		decoded, err := distribution.Decode(golden.Read(t, name))
 		require.NoError(t, err, name)
-		require.Equal(t, message, back, name)
-		golden.Equal(t, name, distribution.Encode(back).Bytes)
+		require.Equal(t, message, decoded, name)
+		golden.Equal(t, name, distribution.Encode(decoded).Bytes)
 	}
 }
 
 // The numbers that are sent on the wire stay the same.
-func TestGoldenNumbers(t *testing.T) {
+func TestGoldenWireNumbers(t *testing.T) {
 	require.Equal(t, []distribution.Stream{1, 2}, []distribution.Stream{distribution.Purges, distribution.Configuration})
 	require.Equal(t, []distribution.Kind{1, 2, 3, 4, 5, 6}, []distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup,
 		distribution.Revision, distribution.List, distribution.Drain, distribution.DrainEnded})
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -14,11 +14,11 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// breakage is a fault other than the loss or the duplication of a message.
-type breakage int
+// componentFault is a fault other than the loss or the duplication of a message.
+type componentFault int
 
 const (
-	linkCuts breakage = iota
+	linkCuts componentFault = iota
 	processCrashes
 	processPauses
 	newEpochs
@@ -27,126 +27,126 @@
 
 // search is one exhaustive search: all orders of all steps, up to a depth.
 type search struct {
-	name          string
-	absent        int
-	depth         int
-	faults        int // messages that are lost or duplicated
-	breakages     int
-	breakageKinds []breakage
-	commits       int // entries that are committed and not delivered at the beginning
-	prepare       func(w *world)
-	healEvery     int // from one state in so many all faults end, and every process must become complete
+	name                string
+	absentProcess       int
+	depth               int
+	messageFaults       int // messages that are lost or duplicated
+	componentFaults     int
+	componentFaultKinds []componentFault
+	pendingCommits      int // entries that are committed and not delivered at the beginning
+	prepare             func(w *world)
+	healEvery           int // from one state in so many all faults end, and every process must become complete
 }
 
 var searches = []search{
-	{name: "loss", absent: atRight, depth: 7, faults: 2, healEvery: 11},
-	{name: "cut", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts}, healEvery: 11},
-	{name: "crash", absent: atRight, depth: 7, breakages: 2, breakageKinds: []breakage{linkCuts, processCrashes}, healEvery: 11},
-	{name: "stop", absent: atRight, depth: 7, breakages: 1, breakageKinds: []breakage{processPauses}, healEvery: 11},
-	{name: "epoch", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, healEvery: 11},
-	{name: "behind", absent: atRight, depth: 7, faults: 1, breakages: 1, breakageKinds: []breakage{linkCuts}, commits: 4, healEvery: 11},
-	{name: "restart", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts}, healEvery: 5},
+	{name: "loss", absentProcess: rightIndex, depth: 7, messageFaults: 2, healEvery: 11},
+	{name: "cut", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, healEvery: 11},
+	{name: "crash", absentProcess: rightIndex, depth: 7, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, processCrashes}, healEvery: 11},
+	{name: "stop", absentProcess: rightIndex, depth: 7, componentFaults: 1, componentFaultKinds: []componentFault{processPauses}, healEvery: 11},
+	{name: "epoch", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{newEpochs}, healEvery: 11},
+	{name: "behind", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, pendingCommits: 4, healEvery: 11},
+	{name: "restart", absentProcess: rightIndex, depth: 6, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, rootRestarts}, healEvery: 5},
 	{
-		name: "far behind", absent: atRight, depth: 6, breakages: 2, breakageKinds: []breakage{linkCuts, rootRestarts},
-		prepare: leftCutOff, healEvery: 5,
+		name: "far behind", absentProcess: rightIndex, depth: 6, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, rootRestarts},
+		prepare: cutOffLeftRelay, healEvery: 5,
 	},
-	{name: "old", absent: atRight, depth: 6, faults: 1, breakages: 1, breakageKinds: []breakage{newEpochs}, prepare: leftRestoring, healEvery: 11},
-	{name: "old chunks", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochChunks, healEvery: 11},
-	{name: "old batch", absent: atRight, depth: 5, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: oldEpochBatch, healEvery: 11},
-	{name: "asleep", absent: atRight, depth: 6, breakages: 1, breakageKinds: []breakage{linkCuts}, prepare: leafPaused, healEvery: 11},
+	{name: "old", absentProcess: rightIndex, depth: 6, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{newEpochs}, prepare: restartLeftRelay, healEvery: 11},
+	{name: "old chunks", absentProcess: rightIndex, depth: 5, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochChunks, healEvery: 11},
+	{name: "old batch", absentProcess: rightIndex, depth: 5, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochBatch, healEvery: 11},
+	{name: "asleep", absentProcess: rightIndex, depth: 6, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: pauseLeaf, healEvery: 11},
 	{
-		name: "four", depth: 5, faults: 1, breakages: 1,
-		breakageKinds: []breakage{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23,
+		name: "four", depth: 5, messageFaults: 1, componentFaults: 1,
+		componentFaultKinds: []componentFault{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23,
 	},
 }
 
 // step is one step of the model; the text is for the path to a failure.
 type step struct {
-	text string
-	take func(w *world)
+	description string
+	run         func(w *world)
 }
 
 func (r search) steps(w *world) []step {
 	var all []step
-	add := func(make func(*world), format string, values ...any) {
-		all = append(all, step{fmt.Sprintf(format, values...), make})
+	add := func(run func(*world), format string, values ...any) {
+		all = append(all, step{fmt.Sprintf(format, values...), run})
 	}
 	for at, l := range w.links {
-		pair := names[l.from] + "-" + names[l.to]
-		if len(l.up) > 0 && !w.stopped[l.to] {
-			add(func(w *world) { w.deliverUp(at) }, "%s up", pair)
+		pair := processNames[l.from] + "-" + processNames[l.to]
+		if len(l.toDistributor) > 0 && !w.paused[l.to] {
+			add(func(w *world) { w.deliverToDistributor(at) }, "%s up", pair)
 		}
-		if len(l.down) > 0 && !w.stopped[l.from] {
-			add(func(w *world) { w.deliverDown(at) }, "%s down", pair)
+		if len(l.toSubscriber) > 0 && !w.paused[l.from] {
+			add(func(w *world) { w.deliverToSubscriber(at) }, "%s down", pair)
 		}
-		if w.faultsLeft > 0 {
-			r.addFaults(w, at, pair, add)
+		if w.messageFaultsLeft > 0 {
+			r.addMessageFaults(w, at, pair, add)
 		}
-		if w.breakagesLeft > 0 && l.open && r.allows(linkCuts) {
-			add(func(w *world) { w.breakagesLeft--; w.cut(at) }, "%s cut", pair)
+		if w.componentFaultsLeft > 0 && l.open && r.allows(linkCuts) {
+			add(func(w *world) { w.componentFaultsLeft--; w.cut(at) }, "%s cut", pair)
 		}
 	}
 	if w.nextEntry < len(w.script) {
 		add(func(w *world) { w.commit() }, "commit %d", w.nextEntry)
 	}
 	add(func(w *world) { w.advanceTime() }, "time")
-	for _, i := range []int{atLeft, atLeaf} {
+	for _, i := range []int{leftIndex, leafIndex} {
 		switch {
-		case w.stopped[i]:
-			add(func(w *world) { w.resume(i) }, "%s resumes", names[i])
-		case w.breakagesLeft > 0 && r.allows(processPauses):
-			add(func(w *world) { w.breakagesLeft--; w.stopped[i] = true }, "%s pauses", names[i])
+		case w.paused[i]:
+			add(func(w *world) { w.resume(i) }, "%s resumes", processNames[i])
+		case w.componentFaultsLeft > 0 && r.allows(processPauses):
+			add(func(w *world) { w.componentFaultsLeft--; w.paused[i] = true }, "%s pauses", processNames[i])
 		}
 	}
-	if w.breakagesLeft > 0 && r.allows(processCrashes) {
-		add(func(w *world) { w.breakagesLeft--; w.crash(atLeft) }, "left crashes")
+	if w.componentFaultsLeft > 0 && r.allows(processCrashes) {
+		add(func(w *world) { w.componentFaultsLeft--; w.crash(leftIndex) }, "left crashes")
 	}
-	if w.breakagesLeft > 0 && r.allows(rootRestarts) {
-		add(func(w *world) { w.breakagesLeft--; w.restartRoot() }, "root restarts")
-		add(func(w *world) { w.breakagesLeft--; w.restoreRoot() }, "root restores its state")
+	if w.componentFaultsLeft > 0 && r.allows(rootRestarts) {
+		add(func(w *world) { w.componentFaultsLeft--; w.restartRoot() }, "root restarts")
+		add(func(w *world) { w.componentFaultsLeft--; w.restoreRoot() }, "root restores its state")
 	}
-	if w.breakagesLeft > 0 && r.allows(newEpochs) {
-		add(func(w *world) { w.breakagesLeft--; w.beginEpoch() }, "a new epoch")
+	if w.componentFaultsLeft > 0 && r.allows(newEpochs) {
+		add(func(w *world) { w.componentFaultsLeft--; w.beginEpoch() }, "a new epoch")
 	}
 	return all
 }
 
-func (r search) addFaults(w *world, at int, pair string, add func(func(*world), string, ...any)) {
+func (r search) addMessageFaults(w *world, at int, pair string, add func(func(*world), string, ...any)) {
 	l := w.links[at]
-	if len(l.up) > 0 && l.up[0] != nil {
-		add(func(w *world) { w.faultsLeft--; w.links[at].up = w.links[at].up[1:] }, "%s up is lost", pair)
+	if len(l.toDistributor) > 0 && l.toDistributor[0] != nil {
+		add(func(w *world) { w.messageFaultsLeft--; w.links[at].toDistributor = w.links[at].toDistributor[1:] }, "%s up is lost", pair)
 	}
-	if len(l.down) == 0 || l.down[0] == nil {
+	if len(l.toSubscriber) == 0 || l.toSubscriber[0] == nil {
 		return
 	}
-	add(func(w *world) { w.faultsLeft--; w.dropMessage(at) }, "%s down is lost", pair)
-	add(func(w *world) { w.faultsLeft--; w.duplicateMessage(at) }, "%s down is duplicated, late", pair)
+	add(func(w *world) { w.messageFaultsLeft--; w.dropMessage(at) }, "%s down is lost", pair)
+	add(func(w *world) { w.messageFaultsLeft--; w.duplicateMessage(at) }, "%s down is duplicated, late", pair)
 }
 
 // dropMessage loses the first message to a subscriber.
 func (w *world) dropMessage(at int) {
 	l := &w.links[at]
-	if m := l.down[0]; countsAgainstCredit(m) {
+	if m := l.toSubscriber[0]; countsAgainstCredit(m) {
 		l.bytesInFlight -= len(distribution.Encode(m).Bytes)
 		l.framesInFlight--
 	}
-	l.down = l.down[1:]
+	l.toSubscriber = l.toSubscriber[1:]
 }
 
 // duplicateMessage has the first message arrive once more, behind all others.
 func (w *world) duplicateMessage(at int) {
 	l := &w.links[at]
-	m := l.down[0]
+	m := l.toSubscriber[0]
 	if countsAgainstCredit(m) {
 		size := len(distribution.Encode(m).Bytes)
 		l.bytesInFlight, l.duplicatedBytes = l.bytesInFlight+size, l.duplicatedBytes+size
 		l.framesInFlight++
 	}
-	l.down = append(l.down, m)
+	l.toSubscriber = append(l.toSubscriber, m)
 }
 
-func (r search) allows(b breakage) bool {
-	for _, k := range r.breakageKinds {
+func (r search) allows(b componentFault) bool {
+	for _, k := range r.componentFaultKinds {
 		if k == b {
 			return true
 		}
@@ -154,15 +154,15 @@
 	return false
 }
 
-// leftRestoring has a relay that has just restarted, with its snapshot in flight.
-func leftRestoring(w *world) {
-	w.crash(atLeft)
+// restartLeftRelay has a relay that has just restarted, with its snapshot in flight.
+func restartLeftRelay(w *world) {
+	w.crash(leftIndex)
 	for range 20 {
 		for at := range w.links {
-			if w.links[at].from == atLeft && len(w.links[at].up) > 0 {
-				w.deliverUp(at)
+			if w.links[at].from == leftIndex && len(w.links[at].toDistributor) > 0 {
+				w.deliverToDistributor(at)
 			}
-			if w.links[at].from == atLeft && len(w.links[at].down) > 2 {
+			if w.links[at].from == leftIndex && len(w.links[at].toSubscriber) > 2 {
 				return
 			}
 		}
@@ -171,46 +171,46 @@
 	}
 }
 
-// leftCutOff has a relay that has lost its link, and more entries committed than the backlog retains.
-func leftCutOff(w *world) {
-	w.cut(w.openLinkFrom(atLeft))
+// cutOffLeftRelay has a relay that has lost its link, and more entries committed than the backlog retains.
+func cutOffLeftRelay(w *world) {
+	w.cut(w.openLinkIndex(leftIndex))
 	for range 4 {
 		w.commit()
 	}
 }
 
-// deliverLate has messages of the epoch before arrive at the left relay behind those of the new one.
-func (w *world) deliverLate(messages []distribution.Message) {
+// deliverAfterNewEpoch has messages of the epoch before arrive at the left relay behind those of the new one.
+func (w *world) deliverAfterNewEpoch(messages []distribution.Message) {
 	w.deliverAll()
 	w.beginEpoch()
 	w.deliverAll()
-	at := w.openLinkFrom(atLeft)
-	w.links[at].down = append(w.links[at].down, messages...)
+	at := w.openLinkIndex(leftIndex)
+	w.links[at].toSubscriber = append(w.links[at].toSubscriber, messages...)
 }
 
-func (w *world) openLinkFrom(from int) int {
+func (w *world) openLinkIndex(from int) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.open })
 }
 
-func oldEpochChunks(w *world) {
-	leftRestoring(w)
+func deliverOldEpochChunks(w *world) {
+	restartLeftRelay(w)
 	var messages []distribution.Message
-	for _, m := range w.links[w.openLinkFrom(atLeft)].down {
+	for _, m := range w.links[w.openLinkIndex(leftIndex)].toSubscriber {
 		if _, isChunk := m.(distribution.SnapshotChunk); isChunk {
 			messages = append(messages, m)
 		}
 	}
-	w.deliverLate(messages)
+	w.deliverAfterNewEpoch(messages)
 }
 
-func oldEpochBatch(w *world) {
+func deliverOldEpochBatch(w *world) {
 	w.commit()
-	w.deliverLate(slices.Clone(w.links[w.openLinkFrom(atLeft)].down))
+	w.deliverAfterNewEpoch(slices.Clone(w.links[w.openLinkIndex(leftIndex)].toSubscriber))
 }
 
-// leafPaused has a leaf that was paused for longer than MaxLag, and what was sent meanwhile.
-func leafPaused(w *world) {
-	w.stopped[atLeaf] = true
+// pauseLeaf has a leaf that was paused for longer than MaxLag, and what was sent meanwhile.
+func pauseLeaf(w *world) {
+	w.paused[leafIndex] = true
 	w.commit()
 	for until := w.now + 3000; w.now < until; {
 		w.deliverAll()
@@ -238,19 +238,19 @@
 		}
 		return last
 	}
-	start := newWorld(r.absent, m)
-	for range r.commits {
+	start := newWorld(r.absentProcess, m)
+	for range r.pendingCommits {
 		start.commit()
 	}
 	if r.prepare != nil {
 		r.prepare(start)
 	}
-	start.faultsLeft, start.breakagesLeft = r.faults, r.breakages
+	start.messageFaultsLeft, start.componentFaultsLeft = r.messageFaults, r.componentFaults
 	if start.violation != nil {
 		return searchResult{err: start.violation, path: "the start"}
 	}
-	var out searchResult
-	known := map[uint64]bool{}
+	var result searchResult
+	visited := map[uint64]bool{}
 	level := []*node{{w: start}}
 	var buffer []byte
 	for depth := 0; depth < r.depth && len(level) > 0; depth++ {
@@ -258,42 +258,42 @@
 		for _, n := range level {
 			for _, step := range r.steps(n.w) {
 				w := n.w.clone()
-				step.take(w)
+				step.run(w)
 				w.dropEndedLinks()
 				if w.violation != nil {
-					out.err, out.path = w.violation, path(n, step.text)
-					return out
+					result.err, result.path = w.violation, path(n, step.description)
+					return result
 				}
 				buffer = w.appendFingerprint(buffer[:0])
-				if sum := xxhash.Sum64(buffer); known[sum] {
+				if sum := xxhash.Sum64(buffer); visited[sum] {
 					continue
 				} else {
-					known[sum] = true
+					visited[sum] = true
 				}
-				out.states++
-				if out.states%r.healEvery == 0 {
-					out.healed++
+				result.states++
+				if result.states%r.healEvery == 0 {
+					result.healed++
 					if err := w.clone().heal(); err != nil {
-						out.err, out.path = err, path(n, step.text+"; all heals")
-						return out
+						result.err, result.path = err, path(n, step.description+"; all heals")
+						return result
 					}
 				}
-				next = append(next, &node{w: w, from: n, text: step.text})
+				next = append(next, &node{w: w, from: n, text: step.description})
 			}
 			n.w = nil
 		}
 		level = next
 	}
-	return out
+	return result
 }
 
 func TestRulesHoldInEveryOrderOfEvents(t *testing.T) {
 	for _, r := range searches {
 		t.Run(r.name, func(t *testing.T) {
 			t.Parallel()
-			f := r.explore(mutation{})
-			require.NoError(t, f.err, "after %s", f.path)
-			t.Logf("%d states, %d healed", f.states, f.healed)
+			result := r.explore(mutation{})
+			require.NoError(t, result.err, "after %s", result.path)
+			t.Logf("%d states, %d healed", result.states, result.healed)
 		})
 	}
 }
@@ -302,9 +302,9 @@
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			f := m.caught()
-			require.Error(t, f.err, "%s does not catch it in %d states", m.search, f.states)
-			t.Logf("%s after %d states: %v (%s)", m.search, f.states, f.err, f.path)
+			result := m.runSearch()
+			require.Error(t, result.err, "%s does not catch it in %d states", m.search, result.states)
+			t.Logf("%s after %d states: %v (%s)", m.search, result.states, result.err, result.path)
 		})
 	}
 }
--- a/internal/decide/distribution/mutation_test.go
+++ b/internal/decide/distribution/mutation_test.go
@@ -4,54 +4,54 @@
 
 // mutation is one way in which the machines, their shell or the wire could be wrong. The zero value changes nothing.
 type mutation struct {
-	name          string
-	search        string // that catches it
-	onEvent       func(s *distribution.Subscriber, e distribution.Event) distribution.Event
-	onAfter       func(s *distribution.Subscriber)
-	onAction      func(s *distribution.Subscriber, a distribution.Action) distribution.Action
-	onGuard       func(g distribution.Freshness) distribution.Freshness
-	onDistributor func(d *distribution.Distributor)
-	onSend        func(w *world, m distribution.Message) distribution.Message
+	name              string
+	search            string // that catches it
+	changeEvent       func(s *distribution.Subscriber, e distribution.Event) distribution.Event
+	afterEvent        func(s *distribution.Subscriber)
+	changeAction      func(s *distribution.Subscriber, a distribution.Action) distribution.Action
+	changeFreshness   func(g distribution.Freshness) distribution.Freshness
+	changeDistributor func(d *distribution.Distributor)
+	changeMessage     func(w *world, m distribution.Message) distribution.Message
 }
 
-func (m mutation) event(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-	if m.onEvent == nil {
+func (m mutation) mutateEvent(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+	if m.changeEvent == nil {
 		return e
 	}
-	return m.onEvent(s, e)
+	return m.changeEvent(s, e)
 }
 
-func (m mutation) after(s *distribution.Subscriber) {
-	if m.onAfter != nil {
-		m.onAfter(s)
+func (m mutation) mutateAfterEvent(s *distribution.Subscriber) {
+	if m.afterEvent != nil {
+		m.afterEvent(s)
 	}
 }
 
-func (m mutation) action(s *distribution.Subscriber, a distribution.Action) distribution.Action {
-	if m.onAction == nil {
+func (m mutation) mutateAction(s *distribution.Subscriber, a distribution.Action) distribution.Action {
+	if m.changeAction == nil {
 		return a
 	}
-	return m.onAction(s, a)
+	return m.changeAction(s, a)
 }
 
-func (m mutation) guard(g distribution.Freshness) distribution.Freshness {
-	if m.onGuard == nil {
+func (m mutation) mutateFreshness(g distribution.Freshness) distribution.Freshness {
+	if m.changeFreshness == nil {
 		return g
 	}
-	return m.onGuard(g)
+	return m.changeFreshness(g)
 }
 
-func (m mutation) distributor(d *distribution.Distributor) {
-	if m.onDistributor != nil {
-		m.onDistributor(d)
+func (m mutation) mutateDistributor(d *distribution.Distributor) {
+	if m.changeDistributor != nil {
+		m.changeDistributor(d)
 	}
 }
 
-func (m mutation) send(w *world, x distribution.Message) distribution.Message {
-	if m.onSend == nil {
+func (m mutation) mutateMessage(w *world, x distribution.Message) distribution.Message {
+	if m.changeMessage == nil {
 		return x
 	}
-	return m.onSend(w, x)
+	return m.changeMessage(w, x)
 }
 
 // batchIn returns the batch in an event, if there is one.
@@ -68,7 +68,7 @@
 var mutations = []mutation{
 	{
 		name: "a gap is not noticed", search: "loss",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, b, ok := batchIn(s, e); ok && b.After > s.AppliedSequence() {
 				b.After = s.AppliedSequence()
 				r.Message = b
@@ -79,7 +79,7 @@
 	},
 	{
 		name: "a duplicate is applied again", search: "loss",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
 				s.RewindTo(b.After)
 			}
@@ -88,7 +88,7 @@
 	},
 	{
 		name: "a batch of an old epoch passes the fence", search: "old batch",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, b, ok := batchIn(s, e); ok && b.Epoch < s.Position().Epoch {
 				b.Epoch = s.Position().Epoch
 				r.Message = b
@@ -99,7 +99,7 @@
 	},
 	{
 		name: "an old epoch is not fenced off", search: "old chunks",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
 					s.ForgetHigherEpochs(c.Epoch)
@@ -110,11 +110,11 @@
 	},
 	{
 		name: "a watermark holds before its sequence is applied", search: "loss",
-		onAfter: func(s *distribution.Subscriber) { s.TrustPendingWatermark() },
+		afterEvent: func(s *distribution.Subscriber) { s.TrustPendingWatermark() },
 	},
 	{
 		name: "a batch claims its own end, with gaps that later entries cover", search: "loss",
-		onSend: func(w *world, m distribution.Message) distribution.Message {
+		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if b, ok := m.(distribution.Batch); ok {
 				b.Watermark.Sequence = b.Through
 				return b
@@ -124,7 +124,7 @@
 	},
 	{
 		name: "a relay passes on its own end as complete", search: "loss",
-		onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
+		changeAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
 			if x, ok := a.(distribution.Apply); ok {
 				x.Watermark.Sequence = x.Through
 				return x
@@ -134,7 +134,7 @@
 	},
 	{
 		name: "the newest purge does not carry what it covers", search: "crash",
-		onSend: func(w *world, m distribution.Message) distribution.Message {
+		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if c, ok := m.(distribution.SnapshotChunk); ok {
 				for i, e := range c.Entries {
 					if e.Name == script[2].Name && e.Sequence > 4 { // effective before the one that it covers
@@ -147,7 +147,7 @@
 	},
 	{
 		name: "a group's purge covers what ends later", search: "loss",
-		onSend: func(w *world, m distribution.Message) distribution.Message {
+		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			b, ok := m.(distribution.Batch)
 			for i, e := range b.Entries {
 				if ok && e.Name == "y" && e.ExpiresAt < 20_000 {
@@ -160,7 +160,7 @@
 	},
 	{
 		name: "a lost chunk is not noticed", search: "epoch",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
 					c.Index = s.NextChunk()
@@ -173,7 +173,7 @@
 	},
 	{
 		name: "a snapshot ends a chunk early", search: "loss",
-		onSend: func(w *world, m distribution.Message) distribution.Message {
+		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if c, ok := m.(distribution.SnapshotChunk); ok && c.Index == 0 {
 				c.Last = true
 				return c
@@ -183,7 +183,7 @@
 	},
 	{
 		name: "a snapshot of an earlier position is installed", search: "old",
-		onEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
+		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.AppliedSequence() {
 					s.RewindTo(c.Through)
@@ -194,7 +194,7 @@
 	},
 	{
 		name: "a subscriber resumes behind entries that it lacks", search: "loss",
-		onAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
+		changeAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
 			if x, ok := a.(distribution.SendMessage); ok {
 				if m, isSubscribe := x.Message.(distribution.Subscribe); isSubscribe && m.From.Epoch != 0 {
 					m.From.Sequence += 2
@@ -207,7 +207,7 @@
 	},
 	{
 		name: "a relay sends its own time as the store's", search: "loss",
-		onSend: func(w *world, m distribution.Message) distribution.Message {
+		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if h, ok := m.(distribution.Heartbeat); ok {
 				h.Watermark.At = int64(w.now)
 				return h
@@ -217,26 +217,26 @@
 	},
 	{
 		name: "credit is not counted", search: "crash",
-		onDistributor: func(d *distribution.Distributor) { d.ResetCredits() },
+		changeDistributor: func(d *distribution.Distributor) { d.ResetCredits() },
 	},
 	{
 		name: "the backlog is not trimmed", search: "loss",
-		onDistributor: func(d *distribution.Distributor) { d.UnlimitBacklog() },
+		changeDistributor: func(d *distribution.Distributor) { d.RemoveBacklogLimits() },
 	},
 	{
 		name: "a subscriber behind the backlog gets no snapshot", search: "cut",
-		onDistributor: func(d *distribution.Distributor) { d.PretendFullBacklog() },
+		changeDistributor: func(d *distribution.Distributor) { d.TreatBacklogAsComplete() },
 	},
 	{
 		name: "MaxLag is checked by Ticks only", search: "asleep",
-		onGuard: func(g distribution.Freshness) distribution.Freshness {
+		changeFreshness: func(g distribution.Freshness) distribution.Freshness {
 			g.FreshUntil = 1e18
 			return g
 		},
 	},
 	{
 		name: "the oldest copy is raised to some time before the watermark", search: "asleep",
-		onGuard: func(g distribution.Freshness) distribution.Freshness {
+		changeFreshness: func(g distribution.Freshness) distribution.Freshness {
 			g.OldestCopy -= 500
 			g.WatermarkTime -= 500
 			return g
@@ -244,8 +244,8 @@
 	},
 }
 
-// caught runs the search that is to catch a mutation.
-func (m mutation) caught() searchResult {
+// runSearch runs the search that is to catch a mutation.
+func (m mutation) runSearch() searchResult {
 	for _, r := range searches {
 		if r.name == m.search {
 			return r.explore(m)
--- a/internal/decide/distribution/parent_selection.go
+++ b/internal/decide/distribution/parent_selection.go
@@ -12,11 +12,11 @@
 type tier int
 
 const (
-	tierSite      tier = iota // at the same site
-	tierZone                  // in the same zone
-	tierRegion                // in the same region
-	tierRoot                  // a member of the store, of any region
-	tierElsewhere             // in another region
+	tierSite        tier = iota // at the same site
+	tierZone                    // in the same zone
+	tierRegion                  // in the same region
+	tierRoot                    // a member of the store, of any region
+	tierOtherRegion             // in another region
 )
 
 func tierOf(self, p Peer) tier {
@@ -24,7 +24,7 @@
 	case p.Rank == 0:
 		return tierRoot
 	case p.Region != self.Region:
-		return tierElsewhere
+		return tierOtherRegion
 	case p.Zone != self.Zone:
 		return tierRegion
 	case p.Site != self.Site || self.Site == "":
@@ -59,7 +59,7 @@
 			cmp.Compare(a.peer.Name, b.peer.Name))
 	})
 	var order []Peer
-	perTier := [tierElsewhere + 1]int{}
+	perTier := [tierOtherRegion + 1]int{}
 	for _, c := range all {
 		if perTier[c.tier]++; perTier[c.tier] <= maxPerTier {
 			order = append(order, c.peer)
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -46,13 +46,13 @@
 func TestDistributorRejectsWrongRank(t *testing.T) {
 	d := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
 	d.Handle(0, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: 1}})
-	for rank, taken := range map[int]int{1: 0, 2: 0, 3: 1} {
+	for rank, subscribers := range map[int]int{1: 0, 2: 0, 3: 1} {
 		d.Handle(1, distribution.Received{
 			Link:    distribution.Link(rank),
 			Message: distribution.Subscribe{Stream: distribution.Purges, Name: fmt.Sprint(rank), Rank: rank, Credit: 1000},
 		})
 		if rank == 3 {
-			require.Equal(t, taken, d.Subscribers())
+			require.Equal(t, subscribers, d.Subscribers())
 		}
 	}
 	require.Equal(t, 1, d.Subscribers())
@@ -77,17 +77,17 @@
 }
 
 // The loss of one of a zone's distributors moves only its own subscribers, and spreads them.
-func TestLossMovesOnlyItsOwnSubscribers(t *testing.T) {
+func TestLostDistributorMovesOnlyItsOwnSubscribers(t *testing.T) {
 	var peers []distribution.Peer
 	for i := range 6 {
 		peers = append(peers, distribution.Peer{Name: fmt.Sprint("d", i), Rank: 2, Region: "r", Zone: "z"})
 	}
-	moved, had := map[string]int{}, 0
+	moved, affected := map[string]int{}, 0
 	for i := range 600 {
 		self := distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"}
 		before, after := distribution.OrderParents(self, peers)[0], distribution.OrderParents(self, peers[1:])[0]
 		if before.Name == "d0" {
-			had++
+			affected++
 			moved[after.Name]++
 			continue
 		}
@@ -95,6 +95,6 @@
 	}
 	require.Len(t, moved, 5)
 	for name, n := range moved {
-		require.Less(t, n, had/2, name)
+		require.Less(t, n, affected/2, name)
 	}
 }
--- a/internal/decide/distribution/subscription.go
+++ b/internal/decide/distribution/subscription.go
@@ -64,13 +64,13 @@
 
 // closeEarlierLink closes an earlier link of the same subscriber, whose end was not noticed yet.
 func (d *Distributor) closeEarlierLink(name string) {
-	if s := d.find(name); s != nil {
+	if s := d.findSubscription(name); s != nil {
 		d.closeLink(s.link, CauseFinished)
 	}
 }
 
-// find returns the subscription of a subscriber, or nil.
-func (d *Distributor) find(name string) *subscription {
+// findSubscription returns the subscription of a subscriber, or nil.
+func (d *Distributor) findSubscription(name string) *subscription {
 	for _, s := range d.subscriptions {
 		if s.name == name {
 			return s
@@ -88,10 +88,10 @@
 
 func (d *Distributor) closeLink(link Link, cause Cause) {
 	d.emit(CloseLink{Link: link, Cause: cause})
-	d.remove(link)
+	d.removeSubscription(link)
 }
 
-func (d *Distributor) remove(link Link) {
+func (d *Distributor) removeSubscription(link Link) {
 	if d.links[link] == nil {
 		return
 	}
--- a/internal/decide/distribution/wire.go
+++ b/internal/decide/distribution/wire.go
@@ -64,12 +64,12 @@
 
 // encodeChunk encodes a chunk. Its index and whether it is the last one share a number.
 func encodeChunk(m SnapshotChunk) []byte {
-	last := uint64(0)
+	lastBit := uint64(0)
 	if m.Last {
-		last = 1
+		lastBit = 1
 	}
 	b := make([]byte, 0, frameOverhead+sizeOf(m.Entries))
-	b = appendNumbers(append(b, wireChunk, byte(m.Stream)), m.Epoch, m.Through, uint64(m.Index)<<1|last)
+	b = appendNumbers(append(b, wireChunk, byte(m.Stream)), m.Epoch, m.Through, uint64(m.Index)<<1|lastBit)
 	b = appendWatermark(b, m.Watermark)
 	return appendEntries(b, 0, m.Watermark.At, m.Entries)
 }
--- a/internal/decide/distribution/wire_test.go
+++ b/internal/decide/distribution/wire_test.go
@@ -10,8 +10,8 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// timeInTests is a time in 2026, Unix ms.
-const timeInTests = 1_780_000_000_000
+// testTime is a time in 2026, Unix ms.
+const testTime = 1_780_000_000_000
 
 func drawEntry(t *rapid.T, sequence uint64) distribution.Entry {
 	e := distribution.Entry{
@@ -21,7 +21,7 @@
 			distribution.Drain, distribution.DrainEnded,
 		}).Draw(t, "kind"),
 		Name:        rapid.StringN(0, 40, 80).Draw(t, "name"),
-		EffectiveAt: timeInTests - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
+		EffectiveAt: testTime - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
 	}
 	if rapid.Bool().Draw(t, "ends") {
 		e.ExpiresAt = e.EffectiveAt + rapid.Int64Range(1, 86_400_000).Draw(t, "until")
@@ -48,7 +48,7 @@
 
 func drawMessage(t *rapid.T) distribution.Message {
 	after := rapid.Uint64Range(0, 1<<33).Draw(t, "after")
-	mark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "mark"), At: timeInTests}
+	watermark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "mark"), At: testTime}
 	epoch := rapid.Uint64().Draw(t, "epoch")
 	number := rapid.IntRange(0, 1<<30).Draw(t, "number")
 	entries := drawEntries(t, after)
@@ -60,12 +60,12 @@
 		},
 		distribution.Credit{Stream: distribution.Configuration, Bytes: number},
 		distribution.Unsubscribe{Stream: distribution.Purges},
-		distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: mark, Entries: entries},
+		distribution.Batch{Stream: distribution.Purges, Epoch: epoch, After: after, Through: through, Watermark: watermark, Entries: entries},
 		distribution.SnapshotChunk{
-			Stream: distribution.Configuration, Epoch: epoch, Through: through, Watermark: mark, Index: number / 2,
+			Stream: distribution.Configuration, Epoch: epoch, Through: through, Watermark: watermark, Index: number / 2,
 			Last: number%2 == 1, Entries: entries,
 		},
-		distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: mark},
+		distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: watermark},
 		distribution.Rejected{Stream: distribution.Purges, Reason: distribution.RejectFull, RetryAfter: number},
 	}).Draw(t, "message")
 }
@@ -73,9 +73,9 @@
 func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
-		back, err := distribution.Decode(distribution.Encode(m).Bytes)
+		decoded, err := distribution.Decode(distribution.Encode(m).Bytes)
 		require.NoError(t, err)
-		require.Equal(t, m, back)
+		require.Equal(t, m, decoded)
 	})
 }
 
@@ -90,7 +90,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: timeInTests}}).Bytes)
+	f.Add(distribution.Encode(distribution.Heartbeat{Stream: 1, Epoch: 2, Watermark: distribution.Watermark{Sequence: 3, At: testTime}}).Bytes)
 	f.Add(distribution.Encode(distribution.Batch{
 		Stream: 1, Epoch: 2, After: 3, Through: 9,
 		Entries: []distribution.Entry{{Sequence: 5, Kind: distribution.PurgeObject, Name: "x"}},
@@ -101,25 +101,25 @@
 		if err != nil {
 			return
 		}
-		again, err := distribution.Decode(distribution.Encode(m).Bytes)
+		decodedAgain, err := distribution.Decode(distribution.Encode(m).Bytes)
 		require.NoError(t, err)
-		require.Equal(t, fmt.Sprintf("%#v", m), fmt.Sprintf("%#v", again))
+		require.Equal(t, fmt.Sprintf("%#v", m), fmt.Sprintf("%#v", decodedAgain))
 	})
 }
 
 func TestEncodedSizeIsUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		with := distribution.Batch{
+		batch := distribution.Batch{
 			Stream: 1, Epoch: 1, After: 1 << 32, Through: 1<<32 + 2000,
-			Watermark: distribution.Watermark{Sequence: 1 << 33, At: timeInTests},
+			Watermark: distribution.Watermark{Sequence: 1 << 33, At: testTime},
 		}
-		without := len(distribution.Encode(with).Bytes)
-		with.Entries = drawEntries(t, 1<<32)
+		emptySize := len(distribution.Encode(batch).Bytes)
+		batch.Entries = drawEntries(t, 1<<32)
 		bound := 0
-		for _, e := range with.Entries {
+		for _, e := range batch.Entries {
 			bound += distribution.EncodedSize(e)
 		}
-		require.LessOrEqual(t, len(distribution.Encode(with).Bytes)-without, bound)
+		require.LessOrEqual(t, len(distribution.Encode(batch).Bytes)-emptySize, bound)
 	})
 }
 
@@ -128,20 +128,20 @@
 	var entries []distribution.Entry
 	for i := range 87 {
 		entries = append(entries, distribution.Entry{Sequence: 1_000_000 + uint64(i), Kind: distribution.PurgeObject, Group: int64(i), GroupKnown: true,
-			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: timeInTests - int64(i*11), ExpiresAt: timeInTests + 3_600_000})
+			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: testTime - int64(i*11), ExpiresAt: testTime + 3_600_000})
 	}
 	bytes := 0
 	for _, e := range entries { // the worst case: each alone in a batch
 		b := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: e.Sequence - 1, Through: e.Sequence,
-			Watermark: distribution.Watermark{Sequence: e.Sequence, At: timeInTests}, Entries: []distribution.Entry{e}}
+			Watermark: distribution.Watermark{Sequence: e.Sequence, At: testTime}, Entries: []distribution.Entry{e}}
 		size := len(distribution.Encode(b).Bytes)
 		require.Less(t, size, 195)
 		bytes += size
 	}
-	together := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
-		Watermark: distribution.Watermark{Sequence: 1_000_086, At: timeInTests}, Entries: entries}
+	oneBatch := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
+		Watermark: distribution.Watermark{Sequence: 1_000_086, At: testTime}, Entries: entries}
 	t.Logf(
 		"names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87,
-		len(distribution.Encode(together).Bytes)/87,
+		len(distribution.Encode(oneBatch).Bytes)/87,
 	)
 }
--- a/internal/decide/distribution/world_test.go
+++ b/internal/decide/distribution/world_test.go
@@ -11,14 +11,14 @@
 
 // The processes of the model: the distributor at the store, two of the level below, and one that only subscribes.
 const (
-	atRoot = iota
-	atLeft
-	atRight
-	atLeaf
-	processes
+	rootIndex = iota
+	leftIndex
+	rightIndex
+	leafIndex
+	processCount
 )
 
-var names = [processes]string{"root", "left", "right", "leaf"}
+var processNames = [processCount]string{"root", "left", "right", "leaf"}
 
 var peers = []distribution.Peer{
 	{Name: "root", Rank: 0, Region: "r", Zone: "z"},
@@ -27,8 +27,8 @@
 }
 
 func (w *world) settings(i int) distribution.Settings {
-	self := distribution.Peer{Name: names[i], Rank: min(2, i), Region: "r", Zone: "z"}
-	if i == atRight {
+	self := distribution.Peer{Name: processNames[i], Rank: min(2, i), Region: "r", Zone: "z"}
+	if i == rightIndex {
 		self.Rank = 1
 	}
 	s := distribution.DefaultSettings(w.stream, self)
@@ -44,28 +44,28 @@
 
 // modelLink is a link from a subscriber to a distributor. A nil message is its end.
 type modelLink struct {
-	from            int
-	fromLink        distribution.Link
-	to              int
-	toLink          distribution.Link
-	open            bool // on the subscriber's side
-	up, down        []distribution.Message
-	bytesInFlight   int // of batches and chunks
-	framesInFlight  int
-	duplicatedBytes int // of those that were duplicated
+	from                        int
+	fromLink                    distribution.Link
+	to                          int
+	toLink                      distribution.Link
+	open                        bool // on the subscriber's side
+	toDistributor, toSubscriber []distribution.Message
+	bytesInFlight               int // of batches and chunks
+	framesInFlight              int
+	duplicatedBytes             int // of those that were duplicated
 }
 
 // world is one state of the model.
 type world struct {
 	now               float64
 	history           *check.History
-	subscribers       [processes]*distribution.Subscriber // nil: of the root
-	distributors      [processes]*distribution.Distributor
-	observed          [processes]*check.Process
-	freshness         [processes]distribution.Freshness
-	subscriberWakeAt  [processes]float64
-	distributorWakeAt [processes]float64
-	stopped           [processes]bool
+	subscribers       [processCount]*distribution.Subscriber // nil: of the root
+	distributors      [processCount]*distribution.Distributor
+	observed          [processCount]*check.Process
+	freshness         [processCount]distribution.Freshness
+	subscriberWakeAt  [processCount]float64
+	distributorWakeAt [processCount]float64
+	paused            [processCount]bool
 	links             []modelLink
 	lastLink          distribution.Link
 
@@ -74,14 +74,14 @@
 	nextEntry  int // of the script
 	advancedAt float64
 
-	faultsLeft     int
-	breakagesLeft  int
-	mutation       mutation
-	violation      error
-	absent         int // a process that does not run
-	stream         distribution.Stream
-	script         []distribution.Entry
-	initialEntries int // how many of the script an epoch begins with
+	messageFaultsLeft   int
+	componentFaultsLeft int
+	mutation            mutation
+	violation           error
+	absentProcess       int // a process that does not run
+	stream              distribution.Stream
+	script              []distribution.Entry
+	initialEntries      int // how many of the script an epoch begins with
 }
 
 // script is what is committed in each epoch. Entries cover the same object, a group's objects, a purge that is effective earlier than
@@ -96,8 +96,8 @@
 }
 
 // newWorld returns a world in which all processes run but one (0: all), and have the first entries of the script.
-func newWorld(without int, m mutation) *world {
-	w := &world{mutation: m, absent: without, stream: distribution.Purges, script: script, initialEntries: 2}
+func newWorld(absent int, m mutation) *world {
+	w := &world{mutation: m, absentProcess: absent, stream: distribution.Purges, script: script, initialEntries: 2}
 	w.start()
 	return w
 }
@@ -105,8 +105,8 @@
 // start starts all processes, and runs until all of them are connected and complete.
 func (w *world) start() {
 	w.now, w.history = 10_000, &check.History{}
-	for i := range processes {
-		if w.absent == atRoot || i != w.absent {
+	for i := range processCount {
+		if w.absentProcess == rootIndex || i != w.absentProcess {
 			w.startProcess(i)
 		}
 	}
@@ -126,11 +126,11 @@
 	w.observed[i] = check.NewProcess(w.history)
 	w.freshness[i] = distribution.Freshness{Restricted: true, OldestCopy: math.Inf(1), FreshUntil: math.Inf(-1), WatermarkTime: math.Inf(1)}
 	w.subscriberWakeAt[i], w.distributorWakeAt[i] = math.Inf(1), math.Inf(1)
-	w.stopped[i] = false
-	if i != atLeaf {
+	w.paused[i] = false
+	if i != leafIndex {
 		w.distributors[i] = distribution.NewDistributor(w.settings(i))
 	}
-	if i != atRoot {
+	if i != rootIndex {
 		w.subscribers[i] = distribution.NewSubscriber(w.settings(i))
 		w.handleSubscriber(i, distribution.Candidates{Peers: w.peers()})
 	}
@@ -138,7 +138,9 @@
 
 // peers returns the distributors that run.
 func (w *world) peers() []distribution.Peer {
-	return slices.DeleteFunc(slices.Clone(peers), func(p distribution.Peer) bool { return w.absent != atRoot && p.Name == names[w.absent] })
+	return slices.DeleteFunc(slices.Clone(peers), func(p distribution.Peer) bool {
+		return w.absentProcess != rootIndex && p.Name == processNames[w.absentProcess]
+	})
 }
 
 // beginEpoch begins an epoch of the store with the first entries of the script, none of which covers another.
@@ -150,7 +152,7 @@
 	for range w.initialEntries {
 		all = append(all, w.commitNext())
 	}
-	w.handleDistributor(atRoot, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: all})
+	w.handleDistributor(rootIndex, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: all})
 }
 
 // restoreRoot has the root read its state back: facts joined by their key, with sequences that say only an order of its own.
@@ -158,39 +160,39 @@
 	existing := map[string]distribution.Entry{}
 	var order []string
 	for _, e := range w.script[:w.nextEntry] {
-		name := fmt.Sprint(e.Kind, e.Name, e.Group)
+		key := fmt.Sprint(e.Kind, e.Name, e.Group)
 		if e.Kind == distribution.DrainEnded {
 			delete(existing, fmt.Sprint(distribution.Drain, e.Name, e.Group))
 			continue
 		}
 		e.EffectiveAt += int64(w.epoch) * 1000
-		if old, again := existing[name]; again && w.stream == distribution.Purges {
-			e.EffectiveAt = max(e.EffectiveAt, old.EffectiveAt)
-			if old.ExpiresAt == 0 || e.ExpiresAt != 0 && e.ExpiresAt < old.ExpiresAt {
-				e.ExpiresAt = old.ExpiresAt
+		if earlier, exists := existing[key]; exists && w.stream == distribution.Purges {
+			e.EffectiveAt = max(e.EffectiveAt, earlier.EffectiveAt)
+			if earlier.ExpiresAt == 0 || e.ExpiresAt != 0 && e.ExpiresAt < earlier.ExpiresAt {
+				e.ExpiresAt = earlier.ExpiresAt
 			}
-		} else if again && e.Kind == distribution.Drain {
-			e.EffectiveAt = min(e.EffectiveAt, old.EffectiveAt)
+		} else if exists && e.Kind == distribution.Drain {
+			e.EffectiveAt = min(e.EffectiveAt, earlier.EffectiveAt)
 		}
-		existing[name] = e
-		order = append(order, name)
+		existing[key] = e
+		order = append(order, key)
 	}
 	var entries []distribution.Entry
-	for _, name := range slices.Backward(order) {
-		if e, still := existing[name]; still {
+	for _, key := range slices.Backward(order) {
+		if e, exists := existing[key]; exists {
 			entries = append(entries, e)
-			delete(existing, name)
+			delete(existing, key)
 		}
 	}
 	for i := range entries {
 		entries[i].Sequence = w.sequence - uint64(len(entries)-1-i)
 	}
-	w.handleDistributor(atRoot, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: entries})
+	w.handleDistributor(rootIndex, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: entries})
 }
 
 // restartRoot restarts the root with the state that it reads back.
 func (w *world) restartRoot() {
-	w.crash(atRoot)
+	w.crash(rootIndex)
 	w.restoreRoot()
 }
 
@@ -212,14 +214,14 @@
 func (w *world) commit() {
 	after := w.sequence
 	e := w.commitNext()
-	w.handleDistributor(atRoot, distribution.Apply{Epoch: w.epoch, After: after, Through: w.sequence, Watermark: w.watermark(),
+	w.handleDistributor(rootIndex, distribution.Apply{Epoch: w.epoch, After: after, Through: w.sequence, Watermark: w.watermark(),
 		Entries: []distribution.Entry{e}})
 }
 
 func (w *world) clone() *world {
 	c := *w
 	c.history = w.history.Clone()
-	for i := range processes {
+	for i := range processCount {
 		if w.observed[i] != nil {
 			c.observed[i] = w.observed[i].Clone(c.history)
 		}
@@ -232,8 +234,8 @@
 	}
 	c.links = slices.Clone(w.links)
 	for i := range c.links {
-		c.links[i].up = slices.Clone(w.links[i].up)
-		c.links[i].down = slices.Clone(w.links[i].down)
+		c.links[i].toDistributor = slices.Clone(w.links[i].toDistributor)
+		c.links[i].toSubscriber = slices.Clone(w.links[i].toSubscriber)
 	}
 	return &c
 }
@@ -246,11 +248,11 @@
 	number(int(w.advancedAt))
 	number(w.nextEntry)
 	number(int(w.epoch))
-	number(w.faultsLeft<<8 | w.breakagesLeft)
-	for i := range processes {
+	number(w.messageFaultsLeft<<8 | w.componentFaultsLeft)
+	for i := range processCount {
 		number(int(w.subscriberWakeAt[i]))
 		number(int(w.distributorWakeAt[i]))
-		if w.stopped[i] {
+		if w.paused[i] {
 			b = append(b, 1)
 		}
 		if w.subscribers[i] != nil {
@@ -262,7 +264,7 @@
 	}
 	for _, l := range w.links {
 		number(l.from<<4 | l.to)
-		for _, queue := range [][]distribution.Message{l.up, l.down} {
+		for _, queue := range [][]distribution.Message{l.toDistributor, l.toSubscriber} {
 			for _, m := range queue {
 				if m == nil {
 					b = append(b, 0xff)
@@ -286,14 +288,14 @@
 // handleSubscriber has a Subscriber handle an event, and carries out its actions.
 func (w *world) handleSubscriber(i int, e distribution.Event) {
 	s := w.subscribers[i]
-	e = w.mutation.event(s, e)
+	e = w.mutation.mutateEvent(s, e)
 	if e == nil {
 		return
 	}
 	actions := s.Handle(w.now, e)
-	w.mutation.after(s)
+	w.mutation.mutateAfterEvent(s)
 	for _, a := range actions {
-		w.carryOut(i, w.mutation.action(s, a))
+		w.carryOut(i, w.mutation.mutateAction(s, a))
 	}
 	w.record(w.observed[i].CheckWatermark(s.Watermark()))
 	w.checkServing(i)
@@ -308,27 +310,27 @@
 			w.handleDistributor(i, a.(distribution.Event))
 		}
 	case distribution.SetFreshness:
-		w.freshness[i] = w.mutation.guard(a.State)
+		w.freshness[i] = w.mutation.mutateFreshness(a.State)
 	case distribution.Connect:
 		w.lastLink++
-		w.links = append(w.links, modelLink{from: i, fromLink: a.Link, to: slices.Index(names[:], a.To.Name), toLink: w.lastLink, open: true})
+		w.links = append(w.links, modelLink{from: i, fromLink: a.Link, to: slices.Index(processNames[:], a.To.Name), toLink: w.lastLink, open: true})
 		w.handleSubscriber(i, distribution.Connected{Link: a.Link})
 	case distribution.Disconnect:
-		if at := w.linkOf(i, a.Link); at >= 0 {
+		if at := w.subscriberLinkIndex(i, a.Link); at >= 0 {
 			w.links[at].open = false
-			w.links[at].up, w.links[at].down = append(w.links[at].up, nil), nil
+			w.links[at].toDistributor, w.links[at].toSubscriber = append(w.links[at].toDistributor, nil), nil
 		}
 	case distribution.SendMessage:
-		if at := w.linkOf(i, a.Link); at >= 0 {
-			w.links[at].up = append(w.links[at].up, w.transmit(a.Message))
+		if at := w.subscriberLinkIndex(i, a.Link); at >= 0 {
+			w.links[at].toDistributor = append(w.links[at].toDistributor, w.encodeAndDecode(a.Message))
 		}
 	case distribution.Wake:
 		w.subscriberWakeAt[i] = w.now + a.After
 	}
 }
 
-// transmit returns a message as it is decoded at the other end.
-func (w *world) transmit(m distribution.Message) distribution.Message {
+// encodeAndDecode returns a message as it is decoded at the other end.
+func (w *world) encodeAndDecode(m distribution.Message) distribution.Message {
 	out, err := distribution.Decode(distribution.Encode(m).Bytes)
 	if err != nil {
 		panic(err)
@@ -336,14 +338,14 @@
 	return out
 }
 
-func (w *world) linkOf(from int, link distribution.Link) int {
+func (w *world) subscriberLinkIndex(from int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.fromLink == link && l.open })
 }
 
 // handleDistributor has a Distributor handle an event, and carries out its actions.
 func (w *world) handleDistributor(i int, e distribution.Event) {
 	d := w.distributors[i]
-	w.mutation.distributor(d)
+	w.mutation.mutateDistributor(d)
 	for _, a := range d.Handle(w.now, e) {
 		switch a := a.(type) {
 		case distribution.SendFrame:
@@ -351,8 +353,8 @@
 				w.send(i, to, a.Frame)
 			}
 		case distribution.CloseLink:
-			if at := w.linkTo(i, a.Link); at >= 0 {
-				w.links[at].down = append(w.links[at].down, nil)
+			if at := w.distributorLinkIndex(i, a.Link); at >= 0 {
+				w.links[at].toSubscriber = append(w.links[at].toSubscriber, nil)
 			}
 		case distribution.Wake:
 			w.distributorWakeAt[i] = w.now + a.After
@@ -361,12 +363,12 @@
 	w.record(check.CheckBacklog(w.settings(i), d))
 }
 
-func (w *world) linkTo(to int, link distribution.Link) int {
+func (w *world) distributorLinkIndex(to int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.to == to && l.toLink == link && l.open })
 }
 
 func (w *world) send(i int, to distribution.Link, f *distribution.Frame) {
-	at := w.linkTo(i, to)
+	at := w.distributorLinkIndex(i, to)
 	if at < 0 {
 		return
 	}
@@ -380,7 +382,7 @@
 		l.framesInFlight++
 		w.record(check.CheckCredit(w.settings(l.from).Credit+l.duplicatedBytes, l.framesInFlight, l.bytesInFlight))
 	}
-	l.down = append(l.down, w.mutation.send(w, m))
+	l.toSubscriber = append(l.toSubscriber, w.mutation.mutateMessage(w, m))
 }
 
 // countsAgainstCredit reports whether a message counts against the credit.
@@ -394,24 +396,24 @@
 
 // checkServing has a process decide on requests of a strict class with copies of all ages, by the freshness that it published last.
 func (w *world) checkServing(i int) {
-	if w.stopped[i] {
+	if w.paused[i] {
 		return
 	}
-	mark := w.subscribers[i].Watermark()
-	for _, made := range []float64{w.now - 5000, float64(mark.At) - 1, float64(mark.At), w.now} {
+	watermark := w.subscribers[i].Watermark()
+	for _, madeAt := range []float64{w.now - 5000, float64(watermark.At) - 1, float64(watermark.At), w.now} {
 		g := distribution.NewFreshnessGate(w.settings(i))
 		g.Update(w.freshness[i])
-		w.record(check.CheckServed(w.settings(i), mark, w.now, "strict", made, g.Decide(w.now, "strict", made)))
+		w.record(check.CheckServed(w.settings(i), watermark, w.now, "strict", madeAt, g.Decide(w.now, "strict", madeAt)))
 	}
 }
 
-// deliverDown delivers the first message of a link to the subscriber.
-func (w *world) deliverDown(at int) {
+// deliverToSubscriber delivers the first message of a link to the subscriber.
+func (w *world) deliverToSubscriber(at int) {
 	l := &w.links[at]
-	m := l.down[0]
-	l.down = l.down[1:]
+	m := l.toSubscriber[0]
+	l.toSubscriber = l.toSubscriber[1:]
 	if m == nil {
-		l.open, l.down = false, nil
+		l.open, l.toSubscriber = false, nil
 		w.handleSubscriber(l.from, distribution.Disconnected{Link: l.fromLink})
 		return
 	}
@@ -423,16 +425,16 @@
 	w.handleSubscriber(l.from, distribution.Received{Link: l.fromLink, Message: m, Bytes: size})
 }
 
-// deliverUp delivers the first message of a link to the distributor.
-func (w *world) deliverUp(at int) {
+// deliverToDistributor delivers the first message of a link to the distributor.
+func (w *world) deliverToDistributor(at int) {
 	l := &w.links[at]
-	m := l.up[0]
-	l.up = l.up[1:]
+	m := l.toDistributor[0]
+	l.toDistributor = l.toDistributor[1:]
 	if m == nil {
 		to, link := l.to, l.toLink
-		l.up, l.down = nil, nil
+		l.toDistributor, l.toSubscriber = nil, nil
 		if l.open { // it ends at both sides
-			l.down = append(l.down, nil)
+			l.toSubscriber = append(l.toSubscriber, nil)
 		}
 		if w.distributors[to] != nil {
 			w.handleDistributor(to, distribution.Disconnected{Link: link})
