--- a/internal/decide/dedup/window.go
+++ b/internal/decide/dedup/window.go
@@ -27,19 +27,19 @@
 func (w *Window) Accept(incarnation, sequence uint64) bool {
 	if !w.accepted || incarnation > w.incarnation {
 		*w = Window{incarnation: incarnation, highest: sequence, accepted: true}
-		w.mark(sequence)
+		w.setSeen(sequence)
 		return true
 	}
 	if incarnation < w.incarnation || sequence+WindowSize < w.highest {
 		return false
 	}
-	if sequence <= w.highest && w.marked(sequence) {
+	if sequence <= w.highest && w.isSeen(sequence) {
 		return false
 	}
 	if sequence > w.highest {
 		w.advance(sequence)
 	}
-	w.mark(sequence)
+	w.setSeen(sequence)
 	return true
 }
 
@@ -52,10 +52,10 @@
 	w.highest = sequence
 }
 
-func (w *Window) mark(sequence uint64) {
+func (w *Window) setSeen(sequence uint64) {
 	w.seen[sequence/wordBits%windowWords] |= 1 << (sequence % wordBits)
 }
 
-func (w *Window) marked(sequence uint64) bool {
+func (w *Window) isSeen(sequence uint64) bool {
 	return w.seen[sequence/wordBits%windowWords]&(1<<(sequence%wordBits)) != 0
 }
--- a/internal/decide/dedup/window_test.go
+++ b/internal/decide/dedup/window_test.go
@@ -17,23 +17,23 @@
 		var w Window
 		accepted, incarnation, highest := map[[2]uint64]bool{}, uint64(0), uint64(0)
 		for range 300 {
-			drawn := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
+			messageIncarnation := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 			step := rapid.OneOf(rapid.IntRange(-20, 20), rapid.IntRange(-2*WindowSize, 2*WindowSize)).Draw(t, "step")
 			sequence := uint64(max(0, int(highest)+step))
-			message := [2]uint64{drawn, sequence}
-			got := w.Accept(drawn, sequence)
-			require.False(t, got && accepted[message], "accepted twice")
+			message := [2]uint64{messageIncarnation, sequence}
+			isNew := w.Accept(messageIncarnation, sequence)
+			require.False(t, isNew && accepted[message], "accepted twice")
 			switch {
-			case drawn > incarnation:
-				require.True(t, got)
-				incarnation, highest = drawn, sequence
-			case drawn == incarnation:
-				require.Equal(t, !accepted[message] && sequence+WindowSize >= highest, got, "%d behind %d", sequence, highest)
+			case messageIncarnation > incarnation:
+				require.True(t, isNew)
+				incarnation, highest = messageIncarnation, sequence
+			case messageIncarnation == incarnation:
+				require.Equal(t, !accepted[message] && sequence+WindowSize >= highest, isNew, "%d behind %d", sequence, highest)
 				highest = max(highest, sequence)
 			default:
-				require.False(t, got, "of an earlier incarnation")
+				require.False(t, isNew, "of an earlier incarnation")
 			}
-			if got {
+			if isNew {
 				accepted[message] = true
 			}
 		}
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -15,18 +15,18 @@
 )
 
 // A subscriber gets what was committed before it subscribed and after, each fact once and in order.
-func TestSubscriberGetsEachFactOnceInOrder(t *testing.T) {
+func TestSubscriberGetsEachChangeOnceInOrder(t *testing.T) {
 	tr := newTree(t)
 	a := tr.log.newMember()
 	tr.log.commitPurge("before")
 	tr.start(newPeer("a", 0), a, true)
 	tr.log.commit(storestate.Change{Kind: storestate.StartDrain, Name: "s-1"})
 	p := tr.start(newPeer("p", 9), nil, false, "a")
-	tr.caughtUp("p")
+	tr.waitUntilCaughtUp("p")
 	tr.log.commitPurge("after")
 	tr.log.commit(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	a.apply()
-	tr.caughtUp("p")
+	tr.waitUntilCaughtUp("p")
 	eventually(t, "the drain's end", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -47,8 +47,8 @@
 	require.Equal(t, []string{fmt.Sprint(storestate.StartDrain, "s-1"), fmt.Sprint(storestate.EndDrain, "s-1")}, drains)
 }
 
-// levels starts two roots, two distributors and four proxies.
-func levels(t *testing.T) (*tree, *member, *member) {
+// startThreeLevels starts two roots, two distributors and four proxies.
+func startThreeLevels(t *testing.T) (*tree, *fakeMember, *fakeMember) {
 	tr := newTree(t)
 	a, b := tr.log.newMember(), tr.log.newMember()
 	tr.start(newPeer("a", 0), a, true)
@@ -61,88 +61,88 @@
 	tr.log.commitPurge("first")
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	return tr, a, b
 }
 
 // A distributor that closes during a burst, with all its links, loses no subscriber a fact; restarted, it serves again.
 func TestSubscribersMoveWhenDistributorCloses(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	for i := range 200 {
 		tr.log.commitPurge(fmt.Sprint("burst-", i))
 		a.apply()
 		b.apply()
 		if i == 100 {
-			tr.nodes["d1"].node.Close()
+			tr.processes["d1"].node.Close()
 		}
 	}
-	tr.caughtUp("d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d2", "p0", "p1", "p2", "p3")
 	for i := range 4 {
-		require.Equal(t, "d2", tr.nodes[fmt.Sprint("p", i)].at())
+		require.Equal(t, "d2", tr.processes[fmt.Sprint("p", i)].parent())
 	}
 	tr.start(newPeer("d1", 1), nil, true, "a", "b")
-	tr.nodes["d2"].node.Shutdown(60_000)
-	tr.nodes["d2"].node.Close()
+	tr.processes["d2"].node.Shutdown(60_000)
+	tr.processes["d2"].node.Close()
 	tr.log.commitPurge("later")
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
 // What a member has committed and sent to nobody when it fails arrives by another member.
-func TestCommittedFactArrivesByAnotherMember(t *testing.T) {
-	tr, a, b := levels(t)
-	tr.nodes["a"].node.Close() // it has the purge in its log, and has sent nothing of it
+func TestCommittedChangeArrivesThroughAnotherMember(t *testing.T) {
+	tr, a, b := startThreeLevels(t)
+	tr.processes["a"].node.Close() // it has the purge in its log, and has sent nothing of it
 	tr.log.commitPurge("committed")
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
 // A region that is cut off restricts its strict classes past MaxLag, and catches up after the cut is healed.
 func TestCutOffRegionRestrictsStrictClasses(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	for _, d := range []string{"d1", "d2"} {
-		tr.cut(d, "a", true)
-		tr.cut(d, "b", true)
+		tr.setCut(d, "a", true)
+		tr.setCut(d, "b", true)
 	}
-	p := tr.nodes["p0"]
-	mark := decider.Watermark{}
-	old := tr.log.clk.Now() - 60_000 // when the copy was made
+	p := tr.processes["p0"]
+	watermark := decider.Watermark{}
+	copyMadeAt := tr.log.clk.Now() - 60_000 // when the copy was made
 	eventually(t, "strict classes are restricted", func() bool {
 		now := tr.log.clk.Now()
-		mark.At = p.node.Status()[0].WatermarkMs
-		mark.Sequence = 1
+		watermark.At = p.node.Status()[0].WatermarkMs
+		watermark.Sequence = 1
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		v := p.gate.Decide(now, "strict", old)
-		if unchanged := p.node.Status()[0].WatermarkMs == mark.At; unchanged {
-			require.NoError(t, check.CheckServed(settings(p.peer), mark, now, "strict", old, v))
+		v := p.gate.Decide(now, "strict", copyMadeAt)
+		if unchanged := p.node.Status()[0].WatermarkMs == watermark.At; unchanged {
+			require.NoError(t, check.CheckServed(settings(p.peer), watermark, now, "strict", copyMadeAt, v))
 		}
-		require.NotContains(t, []decider.Verdict{decider.VerdictFetchOrigin, decider.VerdictReject}, p.gate.Decide(now, "other", old))
+		require.NotContains(t, []decider.Verdict{decider.VerdictFetchOrigin, decider.VerdictReject}, p.gate.Decide(now, "other", copyMadeAt))
 		return v == decider.VerdictFetchOrigin || v == decider.VerdictReject
 	})
 	tr.log.commitPurge("meanwhile")
 	a.apply()
 	b.apply()
 	for _, d := range []string{"d1", "d2"} {
-		tr.cut(d, "a", false)
-		tr.cut(d, "b", false)
+		tr.setCut(d, "a", false)
+		tr.setCut(d, "b", false)
 	}
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	eventually(t, "the restriction ends", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.gate.Decide(tr.log.clk.Now(), "strict", old) == decider.VerdictServe
+		return p.gate.Decide(tr.log.clk.Now(), "strict", copyMadeAt) == decider.VerdictServe
 	})
 }
 
 // A store without a quorum confirms nothing: strict classes are restricted, although the links are open.
 func TestNoQuorumRestrictsStrictClasses(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
-	p := tr.nodes["p0"]
+	p := tr.processes["p0"]
 	restricted := func() bool { return p.node.Status()[0].Restricted }
 	eventually(t, "restricted", restricted)
 	a.setWithoutQuorum(false)
@@ -151,10 +151,10 @@
 }
 
 // Processes that restart all at once get the complete state.
-func TestAllGetStateAfterRestartWave(t *testing.T) {
-	tr, a, b := levels(t)
+func TestAllGetStateAfterSimultaneousRestart(t *testing.T) {
+	tr, a, b := startThreeLevels(t)
 	for i := range 4 {
-		tr.nodes[fmt.Sprint("p", i)].node.Close()
+		tr.processes[fmt.Sprint("p", i)].node.Close()
 	}
 	for i := range 300 {
 		tr.log.commitPurge(fmt.Sprint("while-away-", i))
@@ -167,38 +167,38 @@
 	tr.log.commitPurge("while they start")
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
 // A distributor of an old epoch is fenced off by processes that have seen the new one, in which the sequence begins anew.
 func TestOldEpochIsFenced(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
-	tr.nodes["b"].node.Close()
-	old := tr.nodes["a"] // it goes on serving
+	tr.processes["b"].node.Close()
+	oldRoot := tr.processes["a"] // it goes on serving
 	tr.log.mu.Lock()
 	tr.log.epoch, tr.log.changes = 2, nil
 	tr.log.mu.Unlock()
-	c := tr.log.newMember()
-	tr.start(newPeer("b", 0), c, true)
+	newMember := tr.log.newMember()
+	tr.start(newPeer("b", 0), newMember, true)
 	tr.log.commitPurge("anew")
-	c.apply()
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	newMember.apply()
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	// For a while only the old one is left: they rather stay restricted than go back.
-	tr.nodes["b"].node.Close()
-	eventually(t, "restricted", func() bool { return tr.nodes["p0"].node.Status()[0].Restricted })
-	require.Equal(t, uint64(2), tr.nodes["p0"].node.Status()[0].Epoch)
-	require.Equal(t, uint64(1), old.node.Status()[0].Epoch)
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.processes["b"].node.Close()
+	eventually(t, "restricted", func() bool { return tr.processes["p0"].node.Status()[0].Restricted })
+	require.Equal(t, uint64(2), tr.processes["p0"].node.Status()[0].Epoch)
+	require.Equal(t, uint64(1), oldRoot.node.Status()[0].Epoch)
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
 // A subscriber that reads 1 KB a second delays no other one.
-func TestSlowSubscriberDelaysNobody(t *testing.T) {
-	tr, a, b := levels(t)
-	tr.slow["slow"] = 1 << 10
+func TestSlowSubscriberDelaysNoOther(t *testing.T) {
+	tr, a, b := startThreeLevels(t)
+	tr.bytesPerSecond["slow"] = 1 << 10
 	p := tr.start(newPeer("slow", 9), nil, false, "d1")
-	eventually(t, "subscribed", func() bool { return p.at() == "d1" })
+	eventually(t, "subscribed", func() bool { return p.parent() == "d1" })
 	for i := range 4000 {
 		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		if i%100 == 0 {
@@ -208,7 +208,7 @@
 	}
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "d2", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	require.NoError(t, p.violation)
@@ -216,7 +216,7 @@
 
 // A subscriber that gets a snapshot while purges go on misses none of them.
 func TestSnapshotMissesNoConcurrentPurge(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	for i := range 3000 {
 		tr.log.commitPurge(fmt.Sprint("held-", i))
 	}
@@ -230,29 +230,29 @@
 		a.apply()
 		b.apply()
 	}
-	tr.caughtUp("late", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("late", "p0", "p1", "p2", "p3")
 }
 
 // A distributor that freezes during a burst, its links open, is left for another; resumed, it continues from its position, and serves
 // again.
 func TestFrozenDistributorIsLeft(t *testing.T) {
-	tr, a, b := levels(t)
+	tr, a, b := startThreeLevels(t)
 	for i := range 200 {
 		tr.log.commitPurge(fmt.Sprint("burst-", i))
 		a.apply()
 		b.apply()
 		if i == 100 {
-			tr.freeze("d1", true)
+			tr.setFrozen("d1", true)
 		}
 	}
-	tr.caughtUp("d2", "p0", "p1", "p2", "p3")
-	tr.freeze("d1", false)
-	tr.caughtUp("d1")
-	tr.nodes["d2"].node.Close()
+	tr.waitUntilCaughtUp("d2", "p0", "p1", "p2", "p3")
+	tr.setFrozen("d1", false)
+	tr.waitUntilCaughtUp("d1")
+	tr.processes["d2"].node.Close()
 	tr.log.commitPurge("later")
 	a.apply()
 	b.apply()
-	tr.caughtUp("d1", "p0", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
 // A process with a certificate of the cluster that subscribes under another name gets no answer, nor does one that begins with another
@@ -261,18 +261,18 @@
 	tr := newTree(t)
 	tr.start(newPeer("a", 0), tr.log.newMember(), true)
 	p := tr.start(newPeer("p", 9), nil, false, "a")
-	tr.caughtUp("p")
-	eventually(t, "subscribed", func() bool { return p.at() == "a" })
-	id, err := store.LoadIdentity(tr.keys, "p")
+	tr.waitUntilCaughtUp("p")
+	eventually(t, "subscribed", func() bool { return p.parent() == "a" })
+	id, err := store.LoadIdentity(tr.keyDir, "p")
 	require.NoError(t, err)
 	for _, m := range []decider.Message{
 		decider.Subscribe{Stream: decider.Purges, Name: "q", Rank: 9, Credit: 1 << 20}, decider.Credit{Stream: decider.Purges},
 		decider.Subscribe{Stream: 7, Name: "p", Rank: 9, Credit: 1 << 20},
 	} {
-		l, err := store.DialLink(id, tr.addrs["a"], patience, nil)
+		l, err := store.DialLink(id, tr.addrs["a"], waitTimeout, nil)
 		require.NoError(t, err)
-		require.NoError(t, l.Send(decider.Encode(m).Bytes, patience))
-		_, err = l.Receive(1<<20, patience)
+		require.NoError(t, l.Send(decider.Encode(m).Bytes, waitTimeout))
+		_, err = l.Receive(1<<20, waitTimeout)
 		require.ErrorIs(t, err, io.EOF)
 		l.Close()
 	}
@@ -282,17 +282,17 @@
 
 // What a subscriber's credit does not cover waits in the distributor's backlog, and is not queued on the link.
 func TestCreditBoundsQueuedBytes(t *testing.T) {
-	tr, a, b := levels(t)
-	tr.freeze("p0", true)
+	tr, a, b := startThreeLevels(t)
+	tr.setFrozen("p0", true)
 	for i := range 4000 {
 		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		a.apply()
 		b.apply()
 	}
-	tr.caughtUp("d1", "d2", "p1", "p2", "p3")
+	tr.waitUntilCaughtUp("d1", "d2", "p1", "p2", "p3")
 	for _, d := range []string{"d1", "d2"} {
-		require.LessOrEqual(t, tr.nodes[d].node.Status()[0].QueuedBytes, settings(newPeer("p0", 9)).Credit+4096)
+		require.LessOrEqual(t, tr.processes[d].node.Status()[0].QueuedBytes, settings(newPeer("p0", 9)).Credit+4096)
 	}
-	tr.freeze("p0", false)
-	tr.caughtUp("p0")
+	tr.setFrozen("p0", false)
+	tr.waitUntilCaughtUp("p0")
 }
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -71,16 +71,16 @@
 	if err != nil {
 		return nil, err
 	}
-	out := map[decider.Stream][]decider.Entry{decider.Configuration: configuration}
+	entriesByStream := map[decider.Stream][]decider.Entry{decider.Configuration: configuration}
 	if purges := purgeEntries(s); len(purges) > 0 {
-		out[decider.Purges] = purges
+		entriesByStream[decider.Purges] = purges
 	}
-	for _, entries := range out {
+	for _, entries := range entriesByStream {
 		if err := orderEntries(entries); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return entriesByStream, nil
 }
 
 // indexOf returns the index in the log of the change that brought a fact; 0 if it came before the state had indexes.
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -42,15 +42,15 @@
 	}
 }
 
-// frame is entries as they are sent.
-func frame(entries []decider.Entry) []byte {
+// encodeEntries is entries as they are sent.
+func encodeEntries(entries []decider.Entry) []byte {
 	return decider.Encode(decider.Batch{
 		Stream: decider.Purges, Epoch: 1, Through: 1000, Watermark: decider.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
 	}).Bytes
 }
 
-// entriesIn decodes what another version has sent.
-func entriesIn(t *testing.T, name string) []decider.Entry {
+// readGoldenEntries decodes what another version has sent.
+func readGoldenEntries(t *testing.T, name string) []decider.Entry {
 	t.Helper()
 	message, err := decider.Decode(golden.Read(t, name))
 	require.NoError(t, err)
@@ -65,16 +65,16 @@
 		require.NoError(t, err)
 		entries = append(entries, entry)
 	}
-	golden.Equal(t, "changes.bin", frame(entries))
+	golden.Equal(t, "changes.bin", encodeEntries(entries))
 
 	var changes []storestate.Change
 	var revisions []storestate.Revision
-	s := newEntryApplier(&Options{
+	applier := newEntryApplier(&Options{
 		ApplyChange:   func(c storestate.Change) { changes = append(changes, c) },
 		ApplyRevision: func(r storestate.Revision) { revisions = append(revisions, r) },
 	})
-	for _, entry := range entriesIn(t, "changes.bin") {
-		require.NoError(t, s.apply(entry))
+	for _, entry := range readGoldenEntries(t, "changes.bin") {
+		require.NoError(t, applier.apply(entry))
 	}
 	require.Equal(t, []storestate.Revision{goldenRevision()}, revisions)
 	list := goldenList()
@@ -101,13 +101,13 @@
 		storestate.FactKey(storestate.AddPurge, "/a/b.webp"): 5, storestate.FactKey(storestate.AddPurge, "group 17"): 3, storestate.FactKey(storestate.SetConfig, ""): 30,
 		storestate.FactKey(storestate.SetList, "source-1"): 20, storestate.FactKey(storestate.StartDrain, "cache-7"): 25,
 	}
-	all, err := snapshotEntries(state)
+	entriesByStream, err := snapshotEntries(state)
 	require.NoError(t, err)
 	for name, entries := range map[string][]decider.Entry{
-		"state_purges.bin": all[decider.Purges], "state_configuration.bin": all[decider.Configuration],
+		"state_purges.bin": entriesByStream[decider.Purges], "state_configuration.bin": entriesByStream[decider.Configuration],
 	} {
-		golden.Equal(t, name, frame(entries))
-		require.Equal(t, entries, entriesIn(t, name))
+		golden.Equal(t, name, encodeEntries(entries))
+		require.Equal(t, entries, readGoldenEntries(t, name))
 	}
 }
 
@@ -121,9 +121,9 @@
 		raw, err := json.MarshalIndent(status, "", "  ")
 		require.NoError(t, err)
 		golden.Equal(t, name, raw)
-		var back Status
-		require.NoError(t, json.Unmarshal(golden.Read(t, name), &back))
-		require.Equal(t, status, back)
+		var decoded Status
+		require.NoError(t, json.Unmarshal(golden.Read(t, name), &decoded))
+		require.Equal(t, status, decoded)
 	}
 	require.Equal(t, map[decider.Stream]string{1: "purges", 2: "configuration"}, streamNames)
 }
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -120,7 +120,7 @@
 	for _, s := range n.streams {
 		s.post(input{toDistributor: true, event: decider.Shutdown{}})
 	}
-	for end := n.options.Clock.Now() + timeout; n.options.Clock.Now() < end; n.pause(shutdownPoll) {
+	for deadline := n.options.Clock.Now() + timeout; n.options.Clock.Now() < deadline; n.pause(shutdownPoll) {
 		subscribers := 0
 		for _, s := range n.streams {
 			subscribers += s.status.Load().Subscribers
--- a/internal/distribution/outbox.go
+++ b/internal/distribution/outbox.go
@@ -25,10 +25,10 @@
 	wake chan struct{}   // there may be something to do
 	done <-chan struct{} // closed when the node ends
 
-	mu     sync.Mutex
-	frames [][]byte
-	queued int // bytes of the frames, and of the one that is being written
-	closed bool
+	mu         sync.Mutex
+	frames     [][]byte
+	queuedSize int // bytes of the frames, and of the one that is being written
+	closed     bool
 }
 
 // newOutbox starts to write, in a goroutine of a group, until the outbox or done is closed.
@@ -36,13 +36,13 @@
 	o := &outbox{link: l, wake: make(chan struct{}, 1), done: done}
 	group.Go(func() {
 		defer l.Close()
-		for o.wait() {
+		for o.waitForWork() {
 			for {
 				frame, ok := o.pop()
 				if !ok {
 					break
 				}
-				o.written(len(frame), l.Send(frame, writeTimeout))
+				o.recordWrite(len(frame), l.Send(frame, writeTimeout))
 			}
 		}
 	})
@@ -56,18 +56,18 @@
 	if o.closed {
 		return
 	}
-	if len(o.frames) >= maxQueuedFrames || o.queued > maxQueuedBytes {
-		o.drop()
+	if len(o.frames) >= maxQueuedFrames || o.queuedSize > maxQueuedBytes {
+		o.closeAndDrop()
 		o.link.Close()
 	} else {
 		o.frames = append(o.frames, frame)
-		o.queued += len(frame)
+		o.queuedSize += len(frame)
 	}
 	o.signal()
 }
 
-// drop closes the queue and drops its frames. The caller holds the lock.
-func (o *outbox) drop() { o.closed, o.frames, o.queued = true, nil, 0 }
+// closeAndDrop closes the queue and drops its frames. The caller holds the lock.
+func (o *outbox) closeAndDrop() { o.closed, o.frames, o.queuedSize = true, nil, 0 }
 
 // close closes the link after the frames that are queued, or after flushTimeout.
 func (o *outbox) close() {
@@ -85,7 +85,7 @@
 func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.queued
+	return o.queuedSize
 }
 
 func (o *outbox) signal() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// wait waits for something to do. It returns false once the link is closed and everything is written.
-func (o *outbox) wait() bool {
+// waitForWork waits for something to do. It returns false once the link is closed and everything is written.
+func (o *outbox) waitForWork() bool {
 	o.mu.Lock()
 	finished := o.closed && len(o.frames) == 0
 	o.mu.Unlock()
@@ -123,12 +123,12 @@
 	return frame, true
 }
 
-// written records that a frame was written. After an error the queue is dropped.
-func (o *outbox) written(bytes int, err error) {
+// recordWrite records that a frame was written. After an error the queue is dropped.
+func (o *outbox) recordWrite(bytes int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.queued = max(0, o.queued-bytes)
+	o.queuedSize = max(0, o.queuedSize-bytes)
 	if err != nil {
-		o.drop()
+		o.closeAndDrop()
 	}
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -22,38 +22,38 @@
 // Status returns the state of both streams.
 func (n *Node) Status() []Status {
 	now := n.options.Clock.Now()
-	var out []Status
+	var all []Status
 	for _, id := range Streams {
 		s := *n.streams[id].status.Load()
 		s.LagMs = noLag
 		if s.WatermarkMs > 0 {
 			s.LagMs = now - float64(s.WatermarkMs) + n.options.Settings.MaxClockSkew
 		}
-		out = append(out, s)
+		all = append(all, s)
 	}
-	return out
+	return all
 }
 
 // publishStatus publishes the present state of the stream.
 func (s *stream) publishStatus() {
 	root := s.node.options.Source != nil
 	sizes := s.relay.Distributor.Sizes()
-	st := &Status{
+	status := &Status{
 		Stream: streamNames[s.id], Root: root, Subscribers: s.relay.Distributor.Subscribers(),
 		Entries: sizes.Entries, Backlog: sizes.BacklogEntries,
 	}
-	for _, out := range s.children {
-		st.QueuedBytes = max(st.QueuedBytes, out.queuedBytes())
+	for _, child := range s.children {
+		status.QueuedBytes = max(status.QueuedBytes, child.queuedBytes())
 	}
 	position, watermark := s.relay.Subscriber.Position(), s.relay.Subscriber.Watermark()
 	if root {
 		position, watermark = s.relay.Distributor.Position(), s.rootWatermark
 	} else {
-		st.Restricted = s.freshness.Restricted || s.freshness.FreshUntil <= s.node.options.Clock.Now()
+		status.Restricted = s.freshness.Restricted || s.freshness.FreshUntil <= s.node.options.Clock.Now()
 	}
 	if parent, ok := s.relay.Subscriber.Parent(); ok {
-		st.Parent = parent.Name
+		status.Parent = parent.Name
 	}
-	st.Epoch, st.Sequence, st.WatermarkMs = position.Epoch, position.Sequence, watermark.At
-	s.status.Store(st)
+	status.Epoch, status.Sequence, status.WatermarkMs = position.Epoch, position.Sequence, watermark.At
+	s.status.Store(status)
 }
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -114,8 +114,8 @@
 	if s.parent != nil {
 		s.parent.close()
 	}
-	for _, out := range s.children {
-		out.close()
+	for _, child := range s.children {
+		child.close()
 	}
 }
 
@@ -148,9 +148,9 @@
 		s.carryOut(subscriber, s.relay.Subscriber.Handle(now, e))
 		return
 	}
-	above, below := s.relay.HandleParentEvent(now, e)
-	s.carryOut(subscriber, above)
-	s.carryOut(distributor, below)
+	subscriberActions, distributorActions := s.relay.HandleParentEvent(now, e)
+	s.carryOut(subscriber, subscriberActions)
+	s.carryOut(distributor, distributorActions)
 }
 
 // handleDistributor has the distributor handle an event of the level below or of the store.
@@ -214,8 +214,8 @@
 			Stringer("why", a.Cause).Msg("unsubscribed from distributor")
 	case decider.SendFrame:
 		for _, link := range a.Links {
-			if out := s.children[link]; out != nil {
-				out.send(a.Frame.Bytes)
+			if child := s.children[link]; child != nil {
+				child.send(a.Frame.Bytes)
 			}
 		}
 	case decider.CloseLink:
@@ -232,8 +232,8 @@
 }
 
 func (s *stream) closeChild(link decider.Link) {
-	if out := s.children[link]; out != nil {
-		out.close()
+	if child := s.children[link]; child != nil {
+		child.close()
 		delete(s.children, link)
 	}
 }
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -20,26 +20,26 @@
 	"ravenwheel/internal/store"
 )
 
-// patience bounds a wait; it is no expectation of speed.
-const patience = 60 * time.Second
+// waitTimeout bounds a wait; it is no expectation of speed.
+const waitTimeout = 60 * time.Second
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, patience, 5*time.Millisecond, what)
+	require.Eventually(t, ok, waitTimeout, 5*time.Millisecond, what)
 }
 
-// member is a member of a store that a tree begins at: it applies what was committed when a test has it do so.
-type member struct {
-	log *log
+// fakeMember is a member of a store that a tree begins at: it applies what was committed when a test has it do so.
+type fakeMember struct {
+	log *committedLog
 
 	mu            sync.Mutex
 	state         *storestate.State
-	follower      store.Observer
+	observer      store.Observer
 	withoutQuorum bool // no quorum
 }
 
-// log is what the members of a store have committed, and what processes are checked against.
-type log struct {
+// committedLog is what the members of a store have committed, and what processes are checked against.
+type committedLog struct {
 	clk *clock.Clock
 
 	mu      sync.Mutex
@@ -48,8 +48,8 @@
 	history map[decider.Stream]*check.History
 }
 
-func newLog() *log {
-	l := &log{clk: clock.System(), epoch: 1, history: map[decider.Stream]*check.History{}}
+func newCommittedLog() *committedLog {
+	l := &committedLog{clk: clock.System(), epoch: 1, history: map[decider.Stream]*check.History{}}
 	for _, s := range distribution.Streams {
 		l.history[s] = &check.History{}
 	}
@@ -57,7 +57,7 @@
 }
 
 // commit adds a change; members get it by apply.
-func (l *log) commit(c storestate.Change) {
+func (l *committedLog) commit(c storestate.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.ProposedAt = l.clk.Now()
@@ -79,18 +79,18 @@
 	l.history[stream].Commit(l.epoch, e, int64(c.ProposedAt))
 }
 
-func (l *log) commitPurge(object string) {
-	made := l.clk.Now()
+func (l *committedLog) commitPurge(object string) {
+	issuedAt := l.clk.Now()
 	l.commit(storestate.Change{
-		Kind: storestate.AddPurge, ExpiresAt: float64(int64(made)) + 1e6,
-		Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(made))},
+		Kind: storestate.AddPurge, ExpiresAt: float64(int64(issuedAt)) + 1e6,
+		Purge: &storestate.Purge{Object: object, IssuedAt: float64(int64(issuedAt))},
 	})
 }
 
-func (l *log) newMember() *member { return &member{log: l, state: storestate.New()} }
+func (l *committedLog) newMember() *fakeMember { return &fakeMember{log: l, state: storestate.New()} }
 
 // apply has the member apply everything that was committed.
-func (m *member) apply() {
+func (m *fakeMember) apply() {
 	m.log.mu.Lock()
 	changes := m.log.changes
 	m.log.mu.Unlock()
@@ -99,24 +99,24 @@
 	for m.state.AppliedIndex < uint64(len(changes)) {
 		c := changes[m.state.AppliedIndex]
 		m.state.AppliedIndex++
-		if m.state.Apply(c); m.follower != nil {
-			m.follower.ChangeApplied(m.state.AppliedIndex, c, m.state.Revision())
+		if m.state.Apply(c); m.observer != nil {
+			m.observer.ChangeApplied(m.state.AppliedIndex, c, m.state.Revision())
 		}
 	}
 }
 
-func (m *member) Observe(f store.Observer) {
+func (m *fakeMember) Observe(observer store.Observer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.follower = f
-	f.StateReplaced(m.state)
+	m.observer = observer
+	observer.StateReplaced(m.state)
 }
 
-func (m *member) ReadIndex() (uint64, float64, error) {
+func (m *fakeMember) ReadIndex() (uint64, float64, error) {
 	m.mu.Lock()
-	alone := m.withoutQuorum
+	withoutQuorum := m.withoutQuorum
 	m.mu.Unlock()
-	if alone {
+	if withoutQuorum {
 		return 0, 0, store.ErrUnavailable
 	}
 	at := m.log.clk.Now()
@@ -126,26 +126,26 @@
 	return m.state.AppliedIndex, at, nil
 }
 
-func (m *member) setWithoutQuorum(alone bool) {
+func (m *fakeMember) setWithoutQuorum(withoutQuorum bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.withoutQuorum = alone
+	m.withoutQuorum = withoutQuorum
 }
 
 // tree is nodes on loopback, whose links can be cut.
 type tree struct {
-	t    *testing.T
-	keys string
-	log  *log
-
-	mu       sync.Mutex
-	addrs    map[string]string
-	nodes    map[string]*process
-	cutLinks map[[2]string]bool
-	conns    map[[2]string][]net.Conn
-	names    map[string]string // by address
-	slow     map[string]int    // bytes a second that a process reads
-	frozen   map[string]bool   // processes that neither read nor are read from, as when stopped by a signal
+	t      *testing.T
+	keyDir string
+	log    *committedLog
+
+	mu             sync.Mutex
+	addrs          map[string]string
+	processes      map[string]*process
+	cutLinks       map[[2]string]bool
+	conns          map[[2]string][]net.Conn
+	names          map[string]string // by address
+	bytesPerSecond map[string]int    // bytes a second that a process reads
+	frozen         map[string]bool   // processes that neither read nor are read from, as when stopped by a signal
 }
 
 // process is a node, and what the checker observed of it.
@@ -162,13 +162,13 @@
 
 func newTree(t *testing.T) *tree {
 	tr := &tree{
-		t: t, keys: t.TempDir(), log: newLog(), addrs: map[string]string{}, nodes: map[string]*process{},
-		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, slow: map[string]int{},
+		t: t, keyDir: t.TempDir(), log: newCommittedLog(), addrs: map[string]string{}, processes: map[string]*process{},
+		cutLinks: map[[2]string]bool{}, conns: map[[2]string][]net.Conn{}, names: map[string]string{}, bytesPerSecond: map[string]int{},
 		frozen: map[string]bool{},
 	}
-	require.NoError(t, store.CreateAuthority(tr.keys, "th"))
+	require.NoError(t, store.CreateAuthority(tr.keyDir, "th"))
 	t.Cleanup(func() {
-		for _, p := range tr.nodes {
+		for _, p := range tr.processes {
 			p.node.Close()
 		}
 	})
@@ -192,39 +192,39 @@
 }
 
 // start starts a node: of rank 0 with a member of the store, else with the candidates above. With serves it listens.
-func (tr *tree) start(p decider.Peer, source *member, serves bool, above ...string) *process {
+func (tr *tree) start(p decider.Peer, source *fakeMember, listens bool, parents ...string) *process {
 	tr.t.Helper()
 	if _, known := tr.addrs[p.Name]; !known {
-		require.NoError(tr.t, store.IssueCertificate(tr.keys, p.Name))
+		require.NoError(tr.t, store.IssueCertificate(tr.keyDir, p.Name))
 		tr.addrs[p.Name] = "127.0.74.1:0"
 	}
-	id, err := store.LoadIdentity(tr.keys, p.Name)
+	id, err := store.LoadIdentity(tr.keyDir, p.Name)
 	require.NoError(tr.t, err)
-	x := &process{peer: p, observed: map[decider.Stream]*check.Process{}}
+	started := &process{peer: p, observed: map[decider.Stream]*check.Process{}}
 	for _, s := range distribution.Streams {
-		x.observed[s] = check.NewProcess(tr.log.history[s])
+		started.observed[s] = check.NewProcess(tr.log.history[s])
 	}
-	set := settings(p)
-	x.gate = decider.NewFreshnessGate(set)
+	nodeSettings := settings(p)
+	started.gate = decider.NewFreshnessGate(nodeSettings)
 	o := distribution.Options{
-		Settings: set, Identity: id, Clock: tr.log.clk, MaxLinks: 256, Epoch: tr.log.epoch, ApplyChange: x.applyChange, ApplyRevision: func(storestate.Revision) {},
-		Observe: func(s decider.Stream, a decider.Action) { tr.observe(x, s, a) },
+		Settings: nodeSettings, Identity: id, Clock: tr.log.clk, MaxLinks: 256, Epoch: tr.log.epoch, ApplyChange: started.applyChange, ApplyRevision: func(storestate.Revision) {},
+		Observe: func(s decider.Stream, a decider.Action) { tr.observe(started, s, a) },
 		SetFreshness: func(s decider.Stream, g decider.Freshness) {
 			if s == decider.Purges {
-				x.mu.Lock()
-				x.gate.Update(g)
-				x.mu.Unlock()
+				started.mu.Lock()
+				started.gate.Update(g)
+				started.mu.Unlock()
 			}
 		},
-		Dial: func(addr string, wait time.Duration) (net.Conn, error) { return tr.dial(p.Name, addr, wait) },
+		Dial: func(addr string, timeout time.Duration) (net.Conn, error) { return tr.dial(p.Name, addr, timeout) },
 	}
 	if source != nil {
 		o.Source = source
 	}
-	for _, name := range above {
-		o.Candidates = append(o.Candidates, distribution.Candidate{Peer: tr.nodes[name].peer, Address: tr.addrs[name]})
+	for _, name := range parents {
+		o.Candidates = append(o.Candidates, distribution.Candidate{Peer: tr.processes[name].peer, Address: tr.addrs[name]})
 	}
-	if serves {
+	if listens {
 		ln, err := net.Listen("tcp", tr.addrs[p.Name])
 		require.NoError(tr.t, err)
 		tr.addrs[p.Name] = ln.Addr().String()
@@ -233,10 +233,10 @@
 		tr.mu.Unlock()
 		o.Listen = ln
 	}
-	x.node, err = distribution.Start(o)
+	started.node, err = distribution.Start(o)
 	require.NoError(tr.t, err)
-	tr.nodes[p.Name] = x
-	return x
+	tr.processes[p.Name] = started
+	return started
 }
 
 func (p *process) applyChange(c storestate.Change) {
@@ -260,44 +260,44 @@
 	}
 }
 
-func (tr *tree) dial(from, addr string, wait time.Duration) (net.Conn, error) {
+func (tr *tree) dial(from, addr string, timeout time.Duration) (net.Conn, error) {
 	tr.mu.Lock()
 	link := [2]string{from, tr.names[addr]}
-	cut, slow := tr.cutLinks[link], tr.slow[from]
+	cut, perSecond := tr.cutLinks[link], tr.bytesPerSecond[from]
 	tr.mu.Unlock()
 	if cut {
 		return nil, fmt.Errorf("%s is cut off from %s", from, link[1])
 	}
-	nc, err := net.DialTimeout("tcp", addr, wait)
+	nc, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	x := &conn{Conn: nc, tree: tr, link: link, perSecond: slow}
-	if slow > 0 {
+	c := &conn{Conn: nc, tree: tr, link: link, bytesPerSecond: perSecond}
+	if perSecond > 0 {
 		_ = nc.(*net.TCPConn).SetReadBuffer(1)
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.conns[link] = append(tr.conns[link], x)
-	return x, nil
+	tr.conns[link] = append(tr.conns[link], c)
+	return c, nil
 }
 
 // conn reads so many bytes a second (0: unlimited) after the handshake, and nothing while either end is frozen.
 type conn struct {
 	net.Conn
-	tree            *tree
-	link            [2]string
-	perSecond, read int
-	closed          atomic.Bool
+	tree                      *tree
+	link                      [2]string
+	bytesPerSecond, bytesRead int
+	closed                    atomic.Bool
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	if c.perSecond > 0 && c.read > 4096 {
-		b = b[:min(len(b), max(1, c.perSecond/20))]
+	if c.bytesPerSecond > 0 && c.bytesRead > 4096 {
+		b = b[:min(len(b), max(1, c.bytesPerSecond/20))]
 		time.Sleep(50 * time.Millisecond)
 	}
 	n, err := c.Conn.Read(b)
-	c.read += n
+	c.bytesRead += n
 	for !c.closed.Load() && c.tree.isFrozen(c.link) {
 		time.Sleep(time.Millisecond)
 	}
@@ -315,14 +315,14 @@
 	return tr.frozen[link[0]] || tr.frozen[link[1]]
 }
 
-func (tr *tree) freeze(name string, frozen bool) {
+func (tr *tree) setFrozen(name string, frozen bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.frozen[name] = frozen
 }
 
-// cut cuts one process off from another, or reconnects it.
-func (tr *tree) cut(from, to string, cut bool) {
+// setCut cuts one process off from another, or reconnects it.
+func (tr *tree) setCut(from, to string, cut bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	link := [2]string{from, to}
@@ -333,13 +333,13 @@
 	delete(tr.conns, link)
 }
 
-// caughtUp waits until everything that was committed is in effect in some processes, and checks that no rule was violated.
-func (tr *tree) caughtUp(names ...string) {
+// waitUntilCaughtUp waits until everything that was committed is in effect in some processes, and checks that no rule was violated.
+func (tr *tree) waitUntilCaughtUp(names ...string) {
 	tr.t.Helper()
 	for _, name := range names {
-		p := tr.nodes[name]
+		p := tr.processes[name]
 		var last error
-		ok := func() bool {
+		caughtUp := func() bool {
 			tr.log.mu.Lock()
 			defer tr.log.mu.Unlock()
 			p.mu.Lock()
@@ -353,7 +353,7 @@
 			}
 			return last == nil || p.violation != nil
 		}
-		if !assert.Eventually(tr.t, ok, patience, 5*time.Millisecond, "%s has caught up", name) {
+		if !assert.Eventually(tr.t, caughtUp, waitTimeout, 5*time.Millisecond, "%s has caught up", name) {
 			require.NoError(tr.t, last)
 		}
 		p.mu.Lock()
@@ -362,5 +362,5 @@
 	}
 }
 
-// at returns the distributor at which a process is subscribed for purges.
-func (p *process) at() string { return p.node.Status()[0].Parent }
+// parent returns the distributor at which a process is subscribed for purges.
+func (p *process) parent() string { return p.node.Status()[0].Parent }
