--- a/internal/decide/distribution/admission.go
+++ b/internal/decide/distribution/admission.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// admission decides whether a subscription may begin: up to a limit of subscribers, and at a bounded rate (a token bucket).
+// admission decides whether a subscription may begin. It limits the number of subscribers, and the rate of new ones (a token bucket).
 type admission struct {
 	settings    Settings
 	limit       int     // of subscribers
 	tokens      float64 // subscriptions that may begin now
 	refilledAt  float64 // when tokens were added last; minus infinity: never
-	nextRetryAt float64 // when the subscriber that was rejected last is to return
+	nextRetryAt float64 // when the subscriber that was last rejected for lack of a token is to return
 }
 
 func newAdmission(s Settings) admission {
@@ -24,7 +24,7 @@
 	}
 }
 
-// takeToken takes a token and returns 0. If there is none it returns after how many ms the subscriber is to return: rejected
+// takeToken takes a token and returns 0. If there is no token, it returns after how many ms the subscriber is to try again: rejected
 // subscribers return one after the other at the admitted rate, and after MaxBackoff at the latest.
 func (a *admission) takeToken(now float64) (retryAfter float64) {
 	if now > a.refilledAt {
@@ -41,8 +41,8 @@
 	return a.nextRetryAt - now
 }
 
-// admit decides on a Subscribe. It returns 0, or why it is rejected and for how many ms the subscriber is to stay away. isNew is false
-// for a subscription that is restarted on its link: limits do not apply to it.
+// admit decides on a Subscribe. It returns 0, or the reason of the rejection and after how many ms the subscriber may try again. isNew
+// is false for a subscription that is restarted on its link, to which the limits do not apply.
 func (d *Distributor) admit(isNew bool, m Subscribe) (reason RejectReason, retryAfter float64) {
 	switch {
 	case m.Stream != d.settings.Stream || d.epoch == 0:
@@ -64,12 +64,12 @@
 	return 0, 0
 }
 
-// nextDismissalAt is when the next subscriber is dismissed during a shutdown: one after the other over FailoverSpread.
+// nextDismissalAt returns when the next subscriber is dismissed during a shutdown. The dismissals are spread evenly over FailoverSpread.
 func (d *Distributor) nextDismissalAt() float64 {
 	return d.shutdownStartedAt + d.settings.FailoverSpread*float64(d.dismissed)/float64(max(1, d.subscribersAtShutdown))
 }
 
-// dismissDue sends subscribers to other distributors while the process shuts down.
+// dismissDue rejects the subscribers whose dismissal is due, so that they move to other distributors while this process shuts down.
 func (d *Distributor) dismissDue() {
 	for d.shutdownStartedAt != 0 && len(d.subscriptions) > 0 && d.now >= d.nextDismissalAt() {
 		d.dismissed++
--- a/internal/decide/distribution/backlog.go
+++ b/internal/decide/distribution/backlog.go
@@ -14,17 +14,17 @@
 	frame          *Frame // the encoded batch; nil: it has to be encoded
 }
 
-// backlog is the latest part of the stream, which subscribers resume from. Its segments follow each other without a gap.
+// backlog is the latest part of the stream, from which subscribers resume. Its segments follow each other without a gap.
 type backlog struct {
 	segments       []*segment
 	floor          uint64 // the sequence after which the first segment begins: a subscriber below it needs a snapshot
 	entries, bytes int    // of all segments
 }
 
-// reset drops all segments: the stream continues after the sequence floor.
+// reset drops all segments. The stream continues after the sequence floor.
 func (b *backlog) reset(floor uint64) { *b = backlog{floor: floor} }
 
-// append adds a range, split into segments of at most maxBytes. An entry that is larger is alone in its segment.
+// append adds a range, split into segments of at most maxBytes. A larger entry is alone in its segment.
 func (b *backlog) append(after, through uint64, entries []Entry, maxBytes int) {
 	after = b.removeEmptyTail(after)
 	s := &segment{after: after}
@@ -47,8 +47,8 @@
 	b.push(&segment{after: after, through: through, atomic: true, entries: entries, bytes: sizeOf(entries)})
 }
 
-// removeEmptyTail removes a last segment without entries, and returns where the next one begins: where the removed one did, or at
-// after.
+// removeEmptyTail removes the last segment if it has no entries, and returns the sequence after which the next segment begins: that
+// of the removed segment, or else the parameter after.
 func (b *backlog) removeEmptyTail(after uint64) uint64 {
 	last := len(b.segments) - 1
 	if last < 0 || len(b.segments[last].entries) > 0 || b.segments[last].atomic {
@@ -65,7 +65,7 @@
 	b.bytes += s.bytes
 }
 
-// find returns the index of the first segment that ends after the sequence cursor; the number of segments if none does.
+// find returns the index of the first segment that ends after the sequence cursor, or the number of segments if there is none.
 func (b *backlog) find(cursor uint64) int {
 	return sort.Search(len(b.segments), func(i int) bool { return b.segments[i].through > cursor })
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// trim drops the oldest segments until no more than so many entries and bytes are left.
+// trim drops the oldest segments until at most maxEntries entries and maxBytes bytes are left.
 func (b *backlog) trim(maxEntries, maxBytes int) {
 	for len(b.segments) > 0 && (b.entries > maxEntries || b.bytes > maxBytes) {
 		s := b.segments[0]
--- a/internal/decide/distribution/check/history.go
+++ b/internal/decide/distribution/check/history.go
@@ -12,7 +12,7 @@
 	committedAt int64 // Unix ms
 }
 
-// History is what the store has committed, by epoch. The zero value is empty.
+// History holds what the store has committed, by epoch. The zero value is empty.
 type History struct {
 	epochs map[uint64][]fact
 	latest distribution.Position
@@ -29,7 +29,7 @@
 	}
 }
 
-// Begin records that the store begins an epoch at a position, up to which nothing holds but what is committed next.
+// Begin records that the store begins an epoch at a position. Up to there the epoch has only the entries that are committed after Begin.
 func (h *History) Begin(at distribution.Position) {
 	if h.latest.Before(at) {
 		h.latest = at
@@ -45,10 +45,10 @@
 	return c
 }
 
-// Latest returns the position of the last entry.
+// Latest returns the position of the last entry, or the start of the last epoch if that is later.
 func (h *History) Latest() distribution.Position { return h.latest }
 
-// find returns the last fact up to a sequence that has the content of an entry. An entry that is a purge may void more.
+// find returns the last fact up to a sequence that has the content of an entry. A purge may void more copies than the fact does.
 func (h *History) find(epoch, through uint64, e distribution.Entry) (found fact, known bool) {
 	for _, f := range h.epochs[epoch] {
 		switch {
@@ -62,7 +62,7 @@
 	return found, known
 }
 
-// factKey is what an entry is about.
+// factKey identifies the subject of an entry. A later entry replaces an earlier one with the same key.
 type factKey struct {
 	kind  distribution.Kind
 	name  string
@@ -84,11 +84,11 @@
 	return k == distribution.PurgeObject || k == distribution.PurgeGroup
 }
 
-// subsumes reports whether a purge voids every copy that another one voids, if both are of the same object or group. It is written again
-// here, as the checker trusts nothing of what it checks.
+// subsumes reports whether a purge voids every copy that another purge of the same object or group voids. It duplicates the function of
+// the checked package, because the checker must not rely on the code that it checks.
 func subsumes(purge, other distribution.Entry) bool {
 	return purge.EffectiveAt >= other.EffectiveAt && outlasts(purge.ExpiresAt, other.ExpiresAt)
 }
 
-// outlasts reports whether what expires at expiresAt (0: never) holds at least as long as what expires at other.
+// outlasts reports whether an entry that expires at expiresAt (0: never) holds at least as long as one that expires at other.
 func outlasts(expiresAt, other int64) bool { return expiresAt == 0 || other != 0 && expiresAt >= other }
--- a/internal/decide/distribution/check/process.go
+++ b/internal/decide/distribution/check/process.go
@@ -2,7 +2,7 @@
 
 import "ravenwheel/internal/decide/distribution"
 
-// Process is what a process has in effect, by the actions that it was given.
+// Process holds the entries that one process has in effect, as follows from the actions of its Subscriber.
 type Process struct {
 	history   *History
 	hasState  bool
@@ -27,13 +27,13 @@
 	return &c
 }
 
-// Position returns the position up to which everything is in effect.
+// Position returns the position up to which all entries are in effect.
 func (p *Process) Position() distribution.Position { return p.position }
 
 // EntryCount returns how many entries are in effect.
 func (p *Process) EntryCount() int { return len(p.effective) }
 
-// Observe takes in an action of the process's Subscriber. It returns a Violation if a rule does not hold.
+// Observe records an action of the process's Subscriber. It returns a Violation if the action breaks a rule.
 func (p *Process) Observe(a distribution.Action) error {
 	switch a := a.(type) {
 	case distribution.Apply:
@@ -46,19 +46,19 @@
 
 func (p *Process) apply(a distribution.Apply) error {
 	if !p.hasState || a.Epoch != p.position.Epoch {
-		return violated(RuleEpochs, "entries of epoch %d at epoch %d", a.Epoch, p.position.Epoch)
+		return violated(RuleEpochs, "entries of epoch %d applied at epoch %d", a.Epoch, p.position.Epoch)
 	}
 	if a.After != p.position.Sequence || a.Through < a.After {
-		return violated(RuleOrder, "entries (%d, %d] at %d", a.After, a.Through, p.position.Sequence)
+		return violated(RuleOrder, "entries (%d, %d] applied at sequence %d", a.After, a.Through, p.position.Sequence)
 	}
 	last := a.After
 	for _, e := range a.Entries {
 		if e.Sequence <= last || e.Sequence > a.Through {
-			return violated(RuleOrder, "entry %d behind %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
+			return violated(RuleOrder, "entry %d follows entry %d in (%d, %d]", e.Sequence, last, a.After, a.Through)
 		}
 		last = e.Sequence
 		if existing, known := p.effective[factKeyOf(e)]; known && existing.Sequence >= e.Sequence {
-			return violated(RuleOrder, "entry %d/%d comes when %d is in effect", a.Epoch, e.Sequence, existing.Sequence)
+			return violated(RuleOrder, "entry %d/%d applied when entry %d is already in effect", a.Epoch, e.Sequence, existing.Sequence)
 		}
 		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
 			return err
@@ -70,14 +70,14 @@
 
 func (p *Process) installSnapshot(a distribution.InstallSnapshot) error {
 	if p.hasState && (a.Epoch < p.position.Epoch || a.Epoch == p.position.Epoch && a.Through < p.position.Sequence) {
-		return violated(RuleEpochs, "a snapshot of %d/%d at %d/%d", a.Epoch, a.Through, p.position.Epoch, p.position.Sequence)
+		return violated(RuleEpochs, "snapshot of %d/%d installed at %d/%d", a.Epoch, a.Through, p.position.Epoch, p.position.Sequence)
 	}
 	for key := range p.effective {
 		if !isPurge(key.kind) {
 			delete(p.effective, key)
 		}
 	}
-	if a.Epoch != p.position.Epoch { // sequences of two epochs are not compared
+	if a.Epoch != p.position.Epoch { // sequences of two epochs cannot be compared
 		for key, e := range p.effective {
 			e.Sequence = 0
 			p.effective[key] = e
@@ -87,7 +87,7 @@
 	last := uint64(0)
 	for _, e := range a.Entries {
 		if e.Sequence <= last || e.Sequence > a.Through {
-			return violated(RuleOrder, "entry %d behind %d in a snapshot of %d", e.Sequence, last, a.Through)
+			return violated(RuleOrder, "entry %d follows entry %d in a snapshot of sequence %d", e.Sequence, last, a.Through)
 		}
 		last = e.Sequence
 		if err := p.putInEffect(a.Epoch, a.Through, e); err != nil {
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// putInEffect puts one entry into effect. It must have the content of a fact that was committed by then; its sequence may differ, as a
-// store that reads its state back has facts without their sequences.
+// putInEffect records that an entry is in effect. The entry must have the content of a fact that was committed up to the sequence
+// through; its own sequence may differ, because a store that reads its state from disk has facts without their sequences.
 func (p *Process) putInEffect(epoch, through uint64, e distribution.Entry) error {
 	f, known := p.history.find(epoch, through, e)
 	if !known {
-		return violated(RuleCommitted, "entry %d/%d is not what was committed", epoch, e.Sequence)
+		return violated(RuleCommitted, "entry %d/%d does not match any committed entry", epoch, e.Sequence)
 	}
 	key := factKeyOf(e)
 	if e.Kind == distribution.DrainEnded {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// CheckWatermark takes the watermark that the process goes by, and checks that it is true.
+// CheckWatermark records the watermark that the process has in effect, and checks that all entries that it promises are in effect.
 func (p *Process) CheckWatermark(w distribution.Watermark) error {
 	if w == p.watermark || w == (distribution.Watermark{}) {
 		return nil
@@ -130,16 +130,16 @@
 	return p.checkComplete(func(f fact) bool { return f.committedAt < w.At || f.Sequence <= w.Sequence }, w.At)
 }
 
-// CheckCaughtUp checks that everything that was committed by now, Unix ms, is in effect.
+// CheckCaughtUp checks that all committed entries are in effect, except purges that have expired by now, Unix ms.
 func (p *Process) CheckCaughtUp(now int64) error {
 	if p.position.Epoch != p.history.latest.Epoch || p.position.Sequence < p.history.latest.Sequence {
-		return violated(RuleComplete, "at %d/%d, the store is at %d/%d", p.position.Epoch, p.position.Sequence,
+		return violated(RuleComplete, "process is at %d/%d, store at %d/%d", p.position.Epoch, p.position.Sequence,
 			p.history.latest.Epoch, p.history.latest.Sequence)
 	}
 	return p.checkComplete(func(fact) bool { return true }, now)
 }
 
-// checkComplete checks that the facts of the epoch that are expected are in effect, or can void nothing after now.
+// checkComplete checks that each expected fact of the epoch is in effect, replaced by a later one, or a purge that has expired by now.
 func (p *Process) checkComplete(expected func(fact) bool, now int64) error {
 	last := map[factKey]fact{}
 	for _, f := range p.history.epochs[p.position.Epoch] {
@@ -153,17 +153,17 @@
 		if f.ExpiresAt != 0 && f.ExpiresAt <= now || p.covered(f.Entry) {
 			continue
 		}
-		return violated(RuleComplete, "purge %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
+		return violated(RuleComplete, "purge %d/%d is not in effect at sequence %d", p.position.Epoch, f.Sequence, p.position.Sequence)
 	}
 	for key, f := range last {
 		if p.missing(key, f) {
-			return violated(RuleComplete, "entry %d/%d is not in effect at %d", p.position.Epoch, f.Sequence, p.position.Sequence)
+			return violated(RuleComplete, "entry %d/%d is not in effect at sequence %d", p.position.Epoch, f.Sequence, p.position.Sequence)
 		}
 	}
 	return nil
 }
 
-// missing reports whether the last expected fact of a key is not in effect, nor a later one.
+// missing reports whether neither the last expected fact of a key nor a later one is in effect.
 func (p *Process) missing(key factKey, f fact) bool {
 	existing, known := p.effective[key]
 	if f.Kind == distribution.DrainEnded {
@@ -172,7 +172,7 @@
 	return (!known || existing.Sequence < f.Sequence) && !p.drainEnded(key, f.Sequence)
 }
 
-// drainEnded reports whether a drain that is not in effect has ended behind a sequence.
+// drainEnded reports whether a drain was ended after a sequence, and at the latest at the process's position.
 func (p *Process) drainEnded(key factKey, sequence uint64) bool {
 	for _, f := range p.history.epochs[p.position.Epoch] {
 		if f.Kind == distribution.DrainEnded && factKeyOf(f.Entry) == key && f.Sequence > sequence && f.Sequence <= p.position.Sequence {
@@ -182,7 +182,7 @@
 	return false
 }
 
-// covered reports whether every copy that a purge voids is voided by what is in effect.
+// covered reports whether a purge in effect voids every copy that the purge e voids.
 func (p *Process) covered(e distribution.Entry) bool {
 	if existing, known := p.effective[factKeyOf(e)]; known && subsumes(existing, e) {
 		return true
--- a/internal/decide/distribution/decode.go
+++ b/internal/decide/distribution/decode.go
@@ -24,7 +24,7 @@
 	return m, nil
 }
 
-// reader reads the parts of a frame. After the first one that is malformed it returns zero values.
+// reader reads the parts of a frame. After the first malformed part it returns zero values.
 type reader struct {
 	remaining []byte
 	failed    bool
@@ -106,7 +106,7 @@
 	return b
 }
 
-// bytes reads a length and so many bytes, which share memory with the frame.
+// bytes reads a length and that many bytes. They share memory with the frame.
 func (r *reader) bytes() []byte {
 	n := r.number()
 	if n > uint64(len(r.remaining)) {
@@ -122,7 +122,7 @@
 
 func (r *reader) entries(after uint64, at int64) []Entry {
 	count := r.number()
-	if count > maxEntryCount || count > uint64(len(r.remaining)) { // an entry takes more than a byte
+	if count > maxEntryCount || count > uint64(len(r.remaining)) { // each entry takes more than one byte
 		r.fail()
 		return nil
 	}
@@ -157,7 +157,7 @@
 		e.Version = r.number()
 	}
 	if first&entryHasBody != 0 {
-		e.Body = append([]byte(nil), r.bytes()...) // a copy, as it outlives the frame
+		e.Body = append([]byte(nil), r.bytes()...) // a copy, because the body outlives the frame
 	}
 	return e
 }
--- a/internal/decide/distribution/distributor.go
+++ b/internal/decide/distribution/distributor.go
@@ -2,48 +2,48 @@
 
 import "slices"
 
-// Distributor sends a stream to its subscribers. It holds what has the effect of everything up to its position, and a backlog of the
-// latest entries. Use NewDistributor. It is not safe for concurrent use.
+// Distributor sends a stream to its subscribers. It holds the state at its position, which has the effect of all entries up to there,
+// and a backlog of the latest entries. Use NewDistributor. It is not safe for concurrent use.
 type Distributor struct {
 	settings     Settings
 	epoch        uint64 // 0: there is no complete state
-	head         uint64 // the sequence up to which everything is here
+	head         uint64 // the sequence up to which this distributor has all entries, or later ones that cover them
 	watermark    Watermark
 	facts        *factTable
 	backlog      backlog
-	lastSnapshot *snapshot // the latest that was made; nil: none that can be used
+	lastSnapshot *snapshot // the latest snapshot that was encoded; nil: none from which a subscriber could go on with the backlog
 
-	subscriptions []*subscription // in the order in which they began
+	subscriptions []*subscription // in the order in which the subscribers were admitted
 	links         map[Link]*subscription
 	admission     admission
 
-	heartbeatAt           float64
+	heartbeatAt           float64 // when heartbeats are due next
 	shutdownStartedAt     float64 // when the shutdown began; 0: it has not
-	dismissed             int     // subscribers moved to other distributors since
-	subscribersAtShutdown int     // subscribers there were then
+	dismissed             int     // subscribers moved to other distributors since then
+	subscribersAtShutdown int     // number of subscribers when the shutdown began
 
 	now     float64
 	actions []Action
 }
 
-// NewDistributor returns a Distributor that has nothing yet: it rejects subscriptions until its first InstallSnapshot.
+// NewDistributor returns a Distributor without state: it rejects subscriptions until its first InstallSnapshot.
 func NewDistributor(s Settings) *Distributor {
 	return &Distributor{settings: s, facts: newFactTable(), links: map[Link]*subscription{}, admission: newAdmission(s)}
 }
 
-// Position returns the position up to which it has everything.
+// Position returns the position up to which the Distributor has all entries.
 func (d *Distributor) Position() Position { return Position{Epoch: d.epoch, Sequence: d.head} }
 
 // Subscribers returns the number of subscribers.
 func (d *Distributor) Subscribers() int { return len(d.subscriptions) }
 
-// Sizes is how much a Distributor holds. Bytes are those of the encoding.
+// Sizes holds the sizes of a Distributor's state and backlog. Bytes are those of the encoded entries.
 type Sizes struct {
 	Entries, Bytes               int // of the state
 	BacklogEntries, BacklogBytes int
 }
 
-// Sizes returns how much it holds.
+// Sizes returns the sizes of the state and the backlog.
 func (d *Distributor) Sizes() Sizes {
 	return Sizes{
 		Entries: len(d.facts.entries), Bytes: d.facts.bytes, BacklogEntries: d.backlog.entries, BacklogBytes: d.backlog.bytes,
@@ -93,17 +93,17 @@
 	d.emit(Wake{After: max(0, due-d.now)})
 }
 
-// claimableWatermark returns the watermark that may be sent to subscribers. The level above leaves out entries that a later one covers,
-// so that up to that later entry this process may lack some. A subscriber therefore must not count the watermark's time before it has
-// reached the watermark's sequence, and that sequence is never below the head.
+// claimableWatermark returns the watermark that may be sent to subscribers. The level above leaves out entries that a later entry
+// covers, so that this process may lack some until it has that later entry. A subscriber therefore must not use the watermark's time
+// before it has reached the watermark's sequence, and that sequence is never below the head.
 func (d *Distributor) claimableWatermark() Watermark {
 	return Watermark{Sequence: max(d.watermark.Sequence, d.head), At: d.watermark.At}
 }
 
-// gapFree reports whether the head has reached the watermark's sequence, so that no entry is missing that a later one covers.
+// gapFree reports whether the head has reached the watermark's sequence. Then no entry is missing whose covering entry is still to come.
 func (d *Distributor) gapFree() bool { return d.head >= d.watermark.Sequence }
 
-// apply takes entries in and passes them on.
+// apply adds entries to the state and sends them to the subscribers.
 func (d *Distributor) apply(e Apply) {
 	if d.epoch == 0 || e.Epoch != d.epoch || e.After > d.head {
 		d.reset()
@@ -117,7 +117,8 @@
 	d.sendPending(d.subscriptions)
 }
 
-// extend moves the head to the sequence through and takes in the entries after the present head; earlier ones are known already.
+// extend moves the head to the sequence through, and adds the entries after the present head to the state and the backlog. Earlier
+// entries are known already.
 func (d *Distributor) extend(through uint64, entries []Entry, atomic bool) {
 	var added []Entry
 	covered := map[uint64]bool{}
@@ -149,8 +150,8 @@
 	}
 }
 
-// installSnapshot replaces the state. The sequences of a snapshot's entries give only their order, as a member of the store may have
-// numbered them itself when it read its state from disk. Which entries are new is therefore decided by their content.
+// installSnapshot replaces the state. The sequences of a snapshot's entries give only their order, because a member of the store may
+// have numbered them itself when it read its state from disk. Which entries are new is therefore decided by their content.
 func (d *Distributor) installSnapshot(e InstallSnapshot) {
 	if e.Epoch < d.epoch || e.Epoch == d.epoch && e.Through < d.head {
 		return
@@ -172,10 +173,10 @@
 	d.sendPending(d.subscriptions)
 }
 
-// bridgeSnapshot passes what a snapshot of the present epoch adds on as one atomic batch, so that the subscribers of a distributor
-// that fell behind need no snapshot themselves. It reports whether that was possible. The batch must fit into one
-// frame, as a position within it exists at no other distributor. It is done for the stream of purges only: a snapshot ends a list or
-// a drain by leaving it out, which a batch cannot express.
+// bridgeSnapshot sends the entries that a snapshot of the present epoch adds as one atomic batch, so that the subscribers of a
+// distributor that fell behind need no snapshot themselves. It reports whether that was possible. The batch must fit into one frame,
+// because a position within it exists at no other distributor. It is done for the stream of purges only: a snapshot ends a list or a
+// drain by leaving it out, which a batch cannot express.
 func (d *Distributor) bridgeSnapshot(e InstallSnapshot) bool {
 	var added []Entry
 	for _, entry := range e.Entries {
@@ -186,7 +187,7 @@
 	if uint64(len(added)) > e.Through-d.head || 2*sizeOf(added) > d.settings.Credit {
 		return false
 	}
-	for i := range added { // sequences that no entry here has
+	for i := range added { // new sequences after the head, which no entry of this distributor has
 		added[i].Sequence = e.Through - uint64(len(added)-1-i)
 	}
 	d.watermark = joinWatermarks(d.watermark, e.Watermark)
@@ -197,7 +198,8 @@
 	return true
 }
 
-// advanceWatermark takes in a watermark. At the root it also moves the head, if the store's log went on without an entry of this stream.
+// advanceWatermark joins a watermark with the present one. At the root it also moves the head, if the store's log went on without an
+// entry of this stream.
 func (d *Distributor) advanceWatermark(e AdvanceWatermark) {
 	if d.epoch == 0 || e.Epoch != d.epoch {
 		return
@@ -211,8 +213,8 @@
 	d.sendHeartbeat(d.subscriptions)
 }
 
-// reset drops everything, because what was received does not continue what this process has. All subscribers are rejected with
-// RejectNotReady, and subscribe at other distributors.
+// reset drops the whole state, because the entries that were received do not follow the state of this process. All subscribers are
+// rejected with RejectNotReady, and subscribe to other distributors.
 func (d *Distributor) reset() {
 	for _, s := range slices.Clone(d.subscriptions) {
 		d.reject(s.link, RejectNotReady, d.settings.MinBackoff)
--- a/internal/decide/distribution/event.go
+++ b/internal/decide/distribution/event.go
@@ -3,13 +3,13 @@
 // Event is an input of a machine.
 type Event interface{ event() }
 
-// Link identifies a connection. A Subscriber numbers its own links, from 1, in Connect; a Distributor's shell numbers incoming ones,
-// each with a number not used before. Events of a link that was given up may still be delivered, and are ignored.
+// Link identifies a connection. A Subscriber numbers the links that it opens, from 1, in Connect. The caller of a Distributor numbers
+// incoming links, and uses each number once. Events of a link that the machine has closed may still be delivered, and are ignored.
 type Link uint64
 
 // Events of both machines.
 type (
-	// Tick reports that the latest Wake is due. An early or repeated one does no harm.
+	// Tick reports that the latest Wake is due. An early or repeated Tick does no harm.
 	Tick struct{}
 	// Received is a message on a link, with its size on the wire.
 	Received struct {
@@ -23,25 +23,25 @@
 
 // Events of a Subscriber.
 type (
-	// Candidates are all distributors that are known. They are delivered once at the start, and whenever they change.
+	// Candidates holds all known distributors. It is delivered once at the start, and whenever the distributors change.
 	Candidates struct{ Peers []Peer }
-	// Connected reports that the link of a Connect is established.
+	// Connected reports that the link that a Connect requested is established.
 	Connected struct{ Link Link }
 )
 
 // Events of a Distributor, beside Apply, InstallSnapshot and AdvanceWatermark.
 type (
-	// Demand is how many subscribers and distributors there are that share the load (of one zone, say), from the registry.
+	// Demand is the number of subscribers, and of distributors that share them (those of one zone, say), from the registry.
 	Demand struct{ Subscribers, Distributors int }
-	// Shutdown begins a graceful shutdown: subscribers are moved to other distributors, spread over Settings.FailoverSpread.
+	// Shutdown begins a graceful shutdown: the subscribers are moved to other distributors, spread over Settings.FailoverSpread.
 	Shutdown struct{}
 )
 
-// Changes of the state. They are actions of a Subscriber, which has them put into force, and events of a Distributor, which passes them
-// on: that is how levels are chained, see Relay. At the root the shell makes them from what the store commits.
+// Changes of the state. They are actions of a Subscriber, whose process applies them, and events of a Distributor, which passes them
+// on to its subscribers; Relay chains levels that way. At the root, internal/distribution makes them from what the store commits.
 type (
-	// Apply adds entries, in order, each once. Afterwards everything up to Through is there, but for what something up to
-	// Watermark.Sequence covers.
+	// Apply adds entries, in order, each once. Afterwards the state has every entry up to Through, except those that a later entry
+	// up to Watermark.Sequence covers.
 	Apply struct {
 		Epoch          uint64
 		Atomic         bool // see Batch
@@ -50,15 +50,15 @@
 		Entries        []Entry
 	}
 	// InstallSnapshot replaces the state: revisions, lists and drains are those of Entries and no others. Purges are merged with
-	// those in force (the latest EffectiveAt and ExpiresAt of each hold), which end when they expire. What is in force already is not
-	// put into force again.
+	// those in effect (the latest EffectiveAt and ExpiresAt of each hold), which end when they expire. Entries that are in effect
+	// already are not applied again.
 	InstallSnapshot struct {
 		Epoch     uint64
 		Through   uint64
 		Watermark Watermark
 		Entries   []Entry
 	}
-	// AdvanceWatermark reports that there is nothing new up to Watermark.Sequence. The watermark is later than the last one.
+	// AdvanceWatermark reports that there is no new entry up to Watermark.Sequence. The watermark is later than the last one.
 	AdvanceWatermark struct {
 		Epoch     uint64
 		Watermark Watermark
--- a/internal/decide/distribution/fact_table.go
+++ b/internal/decide/distribution/fact_table.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// factKey is what an entry is about: a later entry replaces an earlier one with the same key.
+// factKey identifies the subject of an entry: a later entry replaces an earlier one with the same key.
 type factKey struct {
 	kind  Kind
 	name  string
@@ -24,7 +24,7 @@
 	}
 }
 
-// noExpiry is the ExpiresAt of an entry that never expires.
+// noExpiry is the value of ExpiresAt in an entry that never expires.
 const noExpiry = 0
 
 // outlasts reports whether an entry that expires at expiresAt holds at least as long as one that expires at other.
@@ -32,7 +32,8 @@
 	return expiresAt == noExpiry || other != noExpiry && expiresAt >= other
 }
 
-// subsumes reports whether a purge voids every copy that another one, of the same object or of one of its group's objects, voids.
+// subsumes reports whether a purge voids every copy that another purge voids. Both are of the same object or group, or the former is of
+// the group of the latter's object.
 func subsumes(purge, other Entry) bool {
 	return purge.EffectiveAt >= other.EffectiveAt && outlasts(purge.ExpiresAt, other.ExpiresAt)
 }
@@ -45,16 +46,16 @@
 		if outlasts(earlier.ExpiresAt, later.ExpiresAt) {
 			later.ExpiresAt = earlier.ExpiresAt
 		}
-	case Drain: // a drain counts from its first beginning
+	case Drain: // a drain that is started again keeps its first start time
 		later.EffectiveAt = min(later.EffectiveAt, earlier.EffectiveAt)
 	}
 	return later
 }
 
-// factTable is everything in force at a position: for each key one entry, which has the effect of all earlier entries with that key.
+// factTable is the state at a position: for each key one entry, which has the effect of all earlier entries with that key.
 type factTable struct {
 	entries        map[factKey]Entry
-	objectsByGroup map[int64]map[string]struct{} // objects with a purge whose group is known
+	objectsByGroup map[int64]map[string]struct{} // names of the purged objects whose group is known
 	expiries       expiryHeap
 	bytes          int // of the entries, encoded
 }
@@ -63,7 +64,7 @@
 	return &factTable{entries: map[factKey]Entry{}, objectsByGroup: map[int64]map[string]struct{}{}}
 }
 
-// add takes an entry in. It returns the entry joined with the one that it replaces, and the sequences of the entries that it covers.
+// add adds an entry. It returns the entry joined with the one that it replaces, and the sequences of the entries that it covers.
 func (t *factTable) add(e Entry) (joined Entry, covered []uint64) {
 	key := factKeyOf(e)
 	if old, known := t.entries[key]; known {
@@ -91,7 +92,7 @@
 	return e, covered
 }
 
-// coverObjects removes the purges of a group's objects that the group's purge covers, and returns their sequences.
+// coverObjects removes the object purges that a purge of their group covers, and returns their sequences.
 func (t *factTable) coverObjects(group Entry) []uint64 {
 	var covered []uint64
 	for name := range t.objectsByGroup[group.Group] {
@@ -105,7 +106,7 @@
 	return covered
 }
 
-// covers reports whether a purge adds nothing to what the table holds.
+// covers reports whether the table already has the effect of a purge.
 func (t *factTable) covers(purge Entry) bool {
 	if existing, known := t.entries[factKeyOf(purge)]; known && subsumes(existing, purge) {
 		return true
@@ -145,14 +146,14 @@
 	return expired
 }
 
-// current reports whether the entry of an expiry is still in the table.
+// current reports whether the table still holds the entry that an expiry belongs to.
 func (t *factTable) current(x expiry) bool {
 	e, exists := t.entries[x.key]
 	return exists && e.Sequence == x.sequence
 }
 
-// maxStaleExpiries is how many expiries of entries that are no longer in the table may stay in the heap, beside one for each entry. The
-// fewer, the more often the heap is cleaned up.
+// maxStaleExpiries bounds the expiries in the heap whose entries are no longer in the table: there may be this many more than the table
+// has entries. With a lower bound the heap is cleaned up more often.
 const maxStaleExpiries = 1024
 
 func (t *factTable) dropStaleExpiries() {
@@ -170,7 +171,7 @@
 	return entries
 }
 
-// expiry is when an entry expires, if it is still in the table then.
+// expiry is the time at which an entry expires, if the entry is still in the table then.
 type expiry struct {
 	expiresAt int64 // Unix ms
 	key       factKey
--- a/internal/decide/distribution/jitter.go
+++ b/internal/decide/distribution/jitter.go
@@ -1,6 +1,6 @@
 package distribution
 
-// jitter draws random numbers from a seed (splitmix64), so that a machine with the same seed and events behaves alike. Its state is
+// jitter draws random numbers from a seed (splitmix64), so that machines with the same seed and events behave alike. Its state is
 // one number, which a model can copy.
 type jitter struct{ state uint64 }
 
--- a/internal/decide/distribution/parent_selection.go
+++ b/internal/decide/distribution/parent_selection.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tier is how far away a distributor is, the closest first. The members of the store (tierRoot) are tried after all
-// other distributors of the region, so that thousands of processes do not subscribe at them.
+// tier is how far away a distributor is, the closest first. The members of the store (tierRoot) are tried after all other
+// distributors of the region, so that thousands of processes do not subscribe to them.
 type tier int
 
 const (
@@ -34,14 +34,14 @@
 	}
 }
 
-// maxPerTier bounds the candidates of one tier that a subscriber considers, and with them the memory for their backoffs. A tier is
-// given up only if all of them fail.
+// maxPerTier bounds the candidates of one tier that a subscriber considers, and with them the memory for their backoffs. A subscriber
+// goes on to the next tier only if all candidates of a tier fail.
 const maxPerTier = 8
 
-// OrderParents returns the distributors that a process may subscribe at, in the order in which it tries them: closer ones first; of one
-// tier those of the higher rank; and then by rendezvous hashing, so that each process has an order of its own and the loss of one
-// distributor moves only its own subscribers. Only distributors of a lower rank than the process's are returned: each chain of
-// subscriptions goes down in rank with each step, and ends at the store.
+// OrderParents returns the distributors that a process may subscribe to, in the order in which it tries them: closer tiers first; in one
+// tier the higher rank first; and then by rendezvous hashing, so that each process has an order of its own and the loss of one
+// distributor moves only its own subscribers. Only distributors of a lower rank than the process's are returned: the rank falls with
+// each step of a chain of subscriptions, so that the chain ends at the store.
 func OrderParents(self Peer, peers []Peer) []Peer {
 	type candidate struct {
 		peer  Peer
@@ -71,12 +71,12 @@
 // backoff says until when a candidate is not tried again.
 type backoff struct {
 	until     float64 // Unix ms
-	attempts  int     // that ended since the candidate last advanced this process's watermark
-	retrySoon bool    // it answered RejectBusy or RejectNotReady: it is alive, and may admit this process soon
+	attempts  int     // subscriptions and attempts that ended since the candidate last advanced this process's watermark
+	retrySoon bool    // the candidate answered RejectBusy or RejectNotReady: it is alive, and may admit this process soon
 }
 
 // maxSoonRetries is how often a subscriber waits for a candidate with retrySoon before it tries a tier that is farther away. When all
-// processes start at once, each level is ready only after the one above it; without the wait all of them would subscribe at the
+// processes start at once, each level is ready only after the level above it; without the wait all of them would subscribe to the
 // members of the store.
 const maxSoonRetries = 4
 
@@ -95,7 +95,7 @@
 	s.backoffs[name] = b
 }
 
-// handleRejected leaves a distributor that has rejected the subscription, for as long as it asks.
+// handleRejected leaves a distributor that has rejected the subscription, for at least the RetryAfter of its message.
 func (s *Subscriber) handleRejected(m Rejected) {
 	name := s.parent.Name
 	s.disconnect(CauseRejected, float64(m.RetryAfter))
@@ -105,8 +105,8 @@
 	s.connectNext()
 }
 
-// connectNext connects to the first candidate that is not backed off, or waits until the backoff of one ends. It does not go on to the
-// next tier while a closer candidate is to be tried again soon, see maxSoonRetries.
+// connectNext connects to the first candidate without a present backoff, or waits until the first backoff ends. It does not go on to
+// the next tier while a closer candidate is to be tried again soon, see maxSoonRetries.
 func (s *Subscriber) connectNext() {
 	if len(s.candidates) == 0 {
 		s.phase = phaseIdle
@@ -137,8 +137,8 @@
 	s.emit(Connect{Link: s.link, To: p})
 }
 
-// leave leaves the present distributor for another one: at once, or, with spread, after a delay drawn from 0 to FailoverSpread, as
-// others may be leaving it too. The distributor is not tried again for at least minBackoff ms.
+// leave leaves the present distributor for another one: at once, or, with spread, after a delay drawn from 0 to FailoverSpread, because
+// other subscribers may be leaving it too. The distributor is not tried again for at least minBackoff ms.
 func (s *Subscriber) leave(cause Cause, minBackoff float64, spread bool) {
 	s.disconnect(cause, minBackoff)
 	if !spread {
@@ -148,7 +148,8 @@
 	s.phase, s.backoffUntil = phaseBackingOff, s.now+s.jitter.upTo(s.settings.FailoverSpread)
 }
 
-// disconnect ends the present link. The distributor is not tried again for at least minBackoff ms, unless it is left for a closer one.
+// disconnect closes the present link. The distributor is not tried again for at least minBackoff ms, unless the subscriber leaves it for
+// a closer one.
 func (s *Subscriber) disconnect(cause Cause, minBackoff float64) {
 	if cause != CauseDisconnected {
 		s.emit(Disconnect{Link: s.link})
@@ -160,7 +161,7 @@
 	s.assembly, s.unreturnedCredit = nil, 0
 }
 
-// setCandidates takes a new list of distributors. The first connection is made after a delay drawn from 0 to MinBackoff, as all
+// setCandidates replaces the list of distributors. The first connection is made after a delay drawn from 0 to MinBackoff, because all
 // processes of a site may start at once, after a power failure for example.
 func (s *Subscriber) setCandidates(peers []Peer) {
 	first := s.candidates == nil
@@ -191,7 +192,7 @@
 	}
 }
 
-// tryCloserParent leaves for a closer distributor, if there is one that is not backed off.
+// tryCloserParent leaves the present distributor for a closer one, if there is one without a present backoff.
 func (s *Subscriber) tryCloserParent() {
 	for _, p := range s.candidates {
 		if s.closer(p) && s.backoffs[p.Name].until <= s.now {
--- a/internal/decide/distribution/receiving.go
+++ b/internal/decide/distribution/receiving.go
@@ -1,6 +1,6 @@
 package distribution
 
-// snapshotAssembly is a snapshot of which some chunks have been received.
+// snapshotAssembly is a snapshot that is being assembled from its chunks.
 type snapshotAssembly struct {
 	epoch, through   uint64
 	watermark        Watermark
@@ -8,7 +8,8 @@
 	entries          []Entry
 }
 
-// receive handles a message of the distributor. One of another stream, or of an epoch below one that was seen, ends the subscription.
+// receive handles a message of the distributor. A message of another stream, or of an epoch below one that this process has seen, ends
+// the subscription.
 func (s *Subscriber) receive(e Received) {
 	s.lastReceivedAt = s.now
 	if m, isRejected := e.Message.(Rejected); isRejected && m.Stream == s.settings.Stream {
@@ -38,7 +39,7 @@
 	}
 }
 
-// streamAndEpoch returns the stream and the epoch of a message that has both; zero for others.
+// streamAndEpoch returns the stream and the epoch of a message that has both; zero values for other messages.
 func streamAndEpoch(m Message) (Stream, uint64) {
 	switch m := m.(type) {
 	case Batch:
@@ -51,16 +52,17 @@
 	return 0, 0
 }
 
-// leaveProtocolError leaves a distributor that has sent what the protocol does not allow.
+// leaveProtocolError leaves a distributor that has sent something that the protocol does not allow.
 func (s *Subscriber) leaveProtocolError() { s.leave(CauseProtocolError, s.settings.MaxBackoff, true) }
 
-// countReceived counts bytes against the credit.
+// countReceived counts received bytes against the credit.
 func (s *Subscriber) countReceived(bytes int) {
 	s.unreturnedCredit += bytes
 	s.receivedBytes += uint64(bytes)
 }
 
-// returnCredit returns credit once half of it is used up, after what was received is in force, or as a keepalive.
+// returnCredit returns the credit of received bytes once half of the credit is used up, or as a keepalive. It runs after the actions
+// that apply what was received.
 func (s *Subscriber) returnCredit() {
 	if !s.hasLink() {
 		return
@@ -78,14 +80,14 @@
 	s.advanceWatermark(m.Watermark)
 }
 
-// advanceWatermark takes in a watermark, and passes it on if the one that holds here has risen.
+// advanceWatermark joins a watermark with the pending one, and emits the watermark in effect if that has risen.
 func (s *Subscriber) advanceWatermark(w Watermark) {
 	if s.joinWatermark(w) {
 		s.emit(AdvanceWatermark{Epoch: s.epoch, Watermark: s.watermark})
 	}
 }
 
-// joinWatermark takes in a watermark, and reports whether the one that holds here has risen.
+// joinWatermark joins a watermark with the pending one, and reports whether the watermark in effect has risen.
 func (s *Subscriber) joinWatermark(w Watermark) bool {
 	s.pendingWatermark = joinWatermarks(s.pendingWatermark, w)
 	if s.applied < s.pendingWatermark.Sequence || s.pendingWatermark == s.watermark {
@@ -99,7 +101,7 @@
 	return true
 }
 
-// handleBatch puts a batch into force that follows the present position, or begins before it and ends after it.
+// handleBatch applies a batch that begins at or before the present position and ends after it.
 func (s *Subscriber) handleBatch(m Batch) {
 	switch {
 	case !validRange(m):
@@ -111,7 +113,7 @@
 	case m.Atomic && m.After < s.applied && s.applied < m.Through:
 		s.leaveProtocolError()
 		return
-	case m.Through <= s.applied: // a duplicate, whose watermark holds all the same
+	case m.Through <= s.applied: // a duplicate; its watermark is valid nevertheless
 		s.advanceWatermark(m.Watermark)
 		return
 	}
@@ -127,7 +129,7 @@
 	})
 }
 
-// validRange reports whether the sequences of a batch are as the protocol has them.
+// validRange reports whether the sequences of a batch are in the order and range that the protocol requires.
 func validRange(m Batch) bool {
 	if m.Through < m.After || m.Watermark.Sequence < m.Through {
 		return false
@@ -142,8 +144,8 @@
 	return true
 }
 
-// handleChunk adds a chunk to the snapshot that is being assembled, and installs that when it is complete. A snapshot of an earlier
-// position is ignored.
+// handleChunk adds a chunk to the snapshot that is being assembled, and installs the snapshot when it is complete. A snapshot of an
+// earlier position than the present one is ignored.
 func (s *Subscriber) handleChunk(m SnapshotChunk) {
 	if s.hasState && m.Epoch == s.epoch && m.Through < s.applied {
 		s.assembly = nil
@@ -173,7 +175,7 @@
 	return m.Epoch == a.epoch && m.Through == a.through && m.Watermark == a.watermark && m.Index == a.nextChunk
 }
 
-// add adds a chunk, and reports whether its sequences are as the protocol has them.
+// add adds a chunk, and reports whether its sequences are in the order and range that the protocol requires.
 func (a *snapshotAssembly) add(m SnapshotChunk) bool {
 	for _, e := range m.Entries {
 		if e.Sequence > m.Through || len(a.entries) > 0 && e.Sequence <= a.entries[len(a.entries)-1].Sequence {
@@ -186,7 +188,7 @@
 	return m.Watermark.Sequence <= m.Through
 }
 
-// installSnapshot puts a snapshot into force. Only here may the sequence begin anew, with a higher epoch.
+// installSnapshot replaces the state by a snapshot. Only a snapshot may bring a higher epoch, in which the sequence starts again.
 func (s *Subscriber) installSnapshot(a *snapshotAssembly) {
 	s.assembly = nil
 	if !s.hasState || a.epoch != s.epoch {
--- a/internal/decide/distribution/relay.go
+++ b/internal/decide/distribution/relay.go
@@ -1,7 +1,7 @@
 package distribution
 
-// Relay is the Subscriber and the Distributor of one stream in one process: what the Subscriber puts into force the Distributor passes
-// on.
+// Relay is the Subscriber and the Distributor of one stream in one process: the Distributor sends on what the Subscriber receives and
+// has applied.
 type Relay struct {
 	Subscriber  *Subscriber
 	Distributor *Distributor
@@ -12,8 +12,8 @@
 	return &Relay{Subscriber: NewSubscriber(s), Distributor: NewDistributor(s)}
 }
 
-// HandleParentEvent processes an event of the level above, or a Tick of the Subscriber. It returns the Subscriber's actions, and those
-// of the Distributor that follow from them. Events of the level below go to the Distributor's own Handle.
+// HandleParentEvent processes an event of the level above, or a Tick of the Subscriber. It returns the Subscriber's actions, and the
+// Distributor's actions that follow from them. Events of the level below are passed to the Distributor's own Handle.
 func (r *Relay) HandleParentEvent(now float64, e Event) (subscriber, distributor []Action) {
 	subscriber = r.Subscriber.Handle(now, e)
 	for _, a := range subscriber {
--- a/internal/decide/distribution/sending.go
+++ b/internal/decide/distribution/sending.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// snapshot is everything that holds at a sequence, encoded once for all subscribers that need it.
+// snapshot holds all entries in effect at a sequence, encoded once for all subscribers that need them.
 type snapshot struct {
-	number  int // of the snapshots made so far
+	number  int // counts the snapshots
 	through uint64
 	chunks  []*Frame
 }
 
-// frameOrder is the order of the frames of one transmission: all subscribers get those that they get of them in this order.
+// frameOrder is the position of a frame in one transmission. Each subscriber gets its frames in this order.
 type frameOrder struct {
-	inBacklog bool // a segment of the backlog: after all snapshots
-	snapshot  int  // its number
+	inBacklog bool // the frame is a segment of the backlog, which comes after all snapshots; else a chunk of a snapshot
+	snapshot  int  // number of the snapshot
 	index     int  // of the chunk, or of the backlog's segment
 }
 
@@ -30,7 +30,7 @@
 	return cmp.Or(cmp.Compare(o.snapshot, other.snapshot), cmp.Compare(o.index, other.index))
 }
 
-// outgoing is a frame and the links that it is sent on.
+// outgoing is a frame, the links that it is sent on, and its position in the transmission.
 type outgoing struct {
 	order frameOrder
 	send  SendFrame
@@ -39,12 +39,12 @@
 // transmission collects the frames for several subscribers, so that each frame is sent once for all of them.
 type transmission struct {
 	now    float64
-	frames map[*Frame]int // indexes in all
+	frames map[*Frame]int // index of each frame in all
 	all    []outgoing
 }
 
-// add sends a frame to a subscriber, and reports whether its credit allows that. A frame larger than the whole window is sent if
-// nothing else is in flight.
+// add adds a frame for a subscriber, and reports whether the subscriber's credit allows that. A frame larger than the whole window is
+// sent if nothing else is in flight.
 func (t *transmission) add(s *subscription, order frameOrder, f *Frame) bool {
 	if s.credit < len(f.Bytes) && s.credit < s.window {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// sendPending sends each of some subscribers what its credit allows. None waits for another.
+// sendPending sends each of the given subscribers as many pending frames as its credit allows. No subscriber waits for another.
 func (d *Distributor) sendPending(to []*subscription) {
 	if d.epoch == 0 {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendSnapshot sends a subscriber the chunks of a snapshot that it needs, and reports whether it can go on with the backlog.
+// sendSnapshot sends a subscriber that needs a snapshot its next chunks, and reports whether the subscriber can go on with the backlog.
 func (d *Distributor) sendSnapshot(s *subscription, t *transmission) bool {
 	if !s.needsSnapshot && s.cursor < d.backlog.floor {
 		s.needsSnapshot = true
@@ -107,7 +107,7 @@
 func (d *Distributor) sendBacklog(s *subscription, t *transmission) {
 	for i := d.backlog.find(s.cursor); i < len(d.backlog.segments); i++ {
 		segment := d.backlog.segments[i]
-		if segment.atomic && s.cursor > segment.after { // it comes from another distributor, and its position lies within
+		if segment.atomic && s.cursor > segment.after { // the subscriber came from another distributor with a position within the batch
 			s.needsSnapshot = true
 			d.sendSnapshot(s, t)
 			return
@@ -129,7 +129,7 @@
 	})
 }
 
-// currentSnapshot returns the latest snapshot if at least half of the backlog follows it, or makes a new one.
+// currentSnapshot returns the latest snapshot if at most half of the backlog follows it, and otherwise makes a new one.
 func (d *Distributor) currentSnapshot() *snapshot {
 	if d.lastSnapshot != nil && d.lastSnapshot.through >= d.backlog.middle() {
 		return d.lastSnapshot
@@ -142,7 +142,7 @@
 	return d.lastSnapshot
 }
 
-// encodeSnapshot encodes everything that holds, in chunks of at most MaxFrame bytes.
+// encodeSnapshot encodes all entries in effect, in chunks of at most MaxFrame bytes.
 func (d *Distributor) encodeSnapshot() (chunks []*Frame) {
 	c := SnapshotChunk{Stream: d.settings.Stream, Epoch: d.epoch, Through: d.head, Watermark: d.claimableWatermark()}
 	bytes := 0
--- a/internal/decide/distribution/subscriber.go
+++ b/internal/decide/distribution/subscriber.go
@@ -25,23 +25,23 @@
 	backoffUntil     float64
 	link             Link
 	parent           Peer    // the present distributor
-	lastReceivedAt   float64 // the last message, or the start of waiting for one
-	subscribedAt     float64 // the last Subscribe
-	progressAt       float64 // the last message that brought something new, or the last Subscribe
-	resubscribes     int     // since then
-	lastSentAt       float64 // the last message to the distributor
+	lastReceivedAt   float64 // when the last message was received, or when the subscriber began to wait for one
+	subscribedAt     float64 // when the last Subscribe was sent
+	progressAt       float64 // when a message last brought something new, or when the last Subscribe was sent
+	resubscribes     int     // number of repeated Subscribes since a message last brought something new
+	lastSentAt       float64 // when the last message was sent to the distributor
 	watermarkRoseAt  float64 // when the watermark last rose, or the link was established
-	unreturnedCredit int     // bytes that were processed, and whose credit was not returned
+	unreturnedCredit int     // bytes that were processed, and whose credit was not returned yet
 	receivedBytes    uint64  // on this link
 
 	closerParentAt float64 // when a closer distributor is tried; 0: there is none
 
 	hasState         bool
 	epoch            uint64
-	applied          uint64    // the sequence up to which everything was put into force
-	highestEpoch     uint64    // that was seen: messages of lower ones are fenced off
-	pendingWatermark Watermark // holds once its sequence is applied: before, entries may be missing that later ones cover
-	watermark        Watermark // holds
+	applied          uint64    // the sequence up to which all entries were applied
+	highestEpoch     uint64    // the highest epoch seen: a distributor that sends a message of a lower epoch is left
+	pendingWatermark Watermark // in effect once its sequence is applied: until then entries that later ones cover may be missing
+	watermark        Watermark // in effect
 	assembly         *snapshotAssembly
 
 	freshness Freshness
@@ -51,18 +51,18 @@
 	actions []Action
 }
 
-// NewSubscriber returns a Subscriber that has nothing yet; it begins with the first Candidates.
+// NewSubscriber returns a Subscriber without state. It begins to connect with the first Candidates.
 func NewSubscriber(s Settings) *Subscriber {
 	return &Subscriber{settings: s, jitter: jitter{s.Seed}, backoffs: map[string]backoff{}, freshness: unknownFreshness}
 }
 
-// Position returns the position up to which everything was put into force.
+// Position returns the position up to which all entries were applied.
 func (s *Subscriber) Position() Position { return Position{Epoch: s.epoch, Sequence: s.applied} }
 
-// Watermark returns up to when it is complete; the zero value before the first.
+// Watermark returns the watermark in effect, or the zero value if there is none yet.
 func (s *Subscriber) Watermark() Watermark { return s.watermark }
 
-// Lag returns how far this process may be behind, in ms: the age of the watermark plus MaxClockSkew.
+// Lag returns how far this process may be behind, in ms: the age of the watermark plus MaxClockSkew, or infinity without a watermark.
 func (s *Subscriber) Lag(now float64) float64 {
 	if s.watermark == (Watermark{}) {
 		return math.Inf(1)
@@ -70,13 +70,13 @@
 	return now - float64(s.watermark.At) + s.settings.MaxClockSkew
 }
 
-// Parent returns the distributor that it is subscribed at, if there is one.
+// Parent returns the distributor that the Subscriber is subscribed to, and whether there is one.
 func (s *Subscriber) Parent() (Peer, bool) { return s.parent, s.phase == phaseSubscribed }
 
 // Handle processes an event and returns the resulting actions. now is Unix ms.
 func (s *Subscriber) Handle(now float64, e Event) []Action {
 	s.now, s.actions = now, nil
-	s.updateFreshness() // first, as the process may have been stopped for long
+	s.updateFreshness() // first, because the process may have been paused for long
 	switch e := e.(type) {
 	case Candidates:
 		s.setCandidates(e.Peers)
@@ -131,8 +131,8 @@
 	})
 }
 
-// resubscribe subscribes again because something is missing: at once the first time, and then only if ConnectTimeout has passed since
-// the last Subscribe, as an answer may take that long.
+// resubscribe subscribes again because entries are missing: at once the first time, and then only if ConnectTimeout has passed since
+// the last Subscribe, because an answer may take that long.
 func (s *Subscriber) resubscribe() {
 	if s.resubscribes > 0 && s.now < s.subscribedAt+s.settings.ConnectTimeout {
 		return
--- a/internal/decide/distribution/subscription.go
+++ b/internal/decide/distribution/subscription.go
@@ -10,12 +10,12 @@
 	link           Link
 	name           string
 	window         int       // bytes that may be in flight
-	credit         int       // what is left of the window
-	sentBytes      uint64    // that count against it, since the link was opened
-	needsSnapshot  bool      // the backlog begins after its cursor, so that it cannot resume
-	cursor         uint64    // the sequence up to which everything was sent, unless it needs a snapshot
-	snapshot       *snapshot // that is being sent; nil: none
-	nextChunk      int       // of the snapshot
+	credit         int       // bytes that may still be sent within the window
+	sentBytes      uint64    // bytes of batches and chunks sent since the link was opened
+	needsSnapshot  bool      // the subscriber cannot resume from the backlog, which begins after its cursor or is of another epoch
+	cursor         uint64    // the sequence up to which all entries were sent, unless the subscriber needs a snapshot
+	snapshot       *snapshot // the snapshot that is being sent; nil: none
+	nextChunk      int       // index of the snapshot's chunk that is sent next
 	lastReceivedAt float64
 	lastSentAt     float64
 }
@@ -53,7 +53,7 @@
 		d.links[link] = s
 		d.subscriptions = append(d.subscriptions, s)
 	}
-	// What was sent on this link and has not been received yet still counts against the new credit.
+	// Bytes that were sent on this link and have not been received yet still count against the new credit.
 	inFlight := s.sentBytes - min(m.ReceivedBytes, s.sentBytes)
 	s.window, s.credit, s.lastReceivedAt = m.Credit, m.Credit-int(inFlight), d.now
 	s.cursor, s.snapshot, s.nextChunk = m.From.Sequence, nil, 0
@@ -62,7 +62,7 @@
 	d.sendPending([]*subscription{s})
 }
 
-// closeEarlierLink closes an earlier link of the same subscriber, whose end was not noticed yet.
+// closeEarlierLink closes an earlier link of the same subscriber, whose end this process has not noticed yet.
 func (d *Distributor) closeEarlierLink(name string) {
 	if s := d.findSubscription(name); s != nil {
 		d.closeLink(s.link, CauseFinished)
@@ -99,8 +99,8 @@
 	d.subscriptions = slices.DeleteFunc(d.subscriptions, func(s *subscription) bool { return s.link == link })
 }
 
-// sendHeartbeats sends a heartbeat to subscribers that were sent nothing for an interval, and drops those that sent nothing for several
-// keepalive intervals.
+// sendHeartbeats sends a heartbeat to subscribers to which nothing was sent for HeartbeatInterval, and drops those that sent nothing
+// for maxMissedKeepalives keepalive intervals.
 func (d *Distributor) sendHeartbeats() {
 	var idle []*subscription
 	for _, s := range slices.Clone(d.subscriptions) {
--- a/internal/decide/distribution/timers.go
+++ b/internal/decide/distribution/timers.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// maxResubscribes is how often a subscriber that makes no progress requests again what is missing before it leaves the distributor.
+	// maxResubscribes is how often a subscriber that makes no progress sends Subscribe again before it leaves the distributor.
 	maxResubscribes = 2
-	// staleParentFactor: a distributor whose watermark has not risen for so many times MaxLag is left. By then it has had the time to
-	// leave its own parent.
+	// staleParentFactor is the multiple of MaxLag after which a subscriber leaves a distributor whose watermark has not risen. By then
+	// the distributor has had the time to leave its own parent.
 	staleParentFactor = 2
-	// minWake is the shortest time until a Wake, in ms: what is due within it is done together.
+	// minWake is the shortest time until a Tick, in ms: timers that are due within it run together.
 	minWake = 1
 )
 
-// runTimers does what is due.
+// runTimers carries out the timers that are due.
 func (s *Subscriber) runTimers() {
 	if s.phase == phaseBackingOff && s.now >= s.backoffUntil {
 		s.connectNext()
@@ -50,10 +50,10 @@
 	return s.settings.SilenceTimeout
 }
 
-// staleParentTimeout returns how long a distributor's watermark may stand still while it sends heartbeats, in ms.
+// staleParentTimeout returns for how long a distributor that sends heartbeats may have an unchanged watermark, in ms.
 func (s *Subscriber) staleParentTimeout() float64 { return staleParentFactor * s.settings.MaxLag }
 
-// incomplete reports whether the distributor has announced more than is here.
+// incomplete reports whether the distributor has announced more than this process has applied.
 func (s *Subscriber) incomplete() bool {
 	return !s.hasState || s.epoch != s.highestEpoch || s.applied < s.pendingWatermark.Sequence
 }
--- a/internal/decide/distribution/wire.go
+++ b/internal/decide/distribution/wire.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// The first byte of a frame: the kind of the message. The numbers are on the wire: new ones are appended.
+// Values of a frame's first byte: the kind of the message. The numbers are on the wire: new ones are appended.
 const (
 	wireSubscribe = iota + 1
 	wireCredit
@@ -14,7 +14,7 @@
 	wireAtomicBatch
 )
 
-// The first byte of an entry: its kind, and which optional fields follow.
+// Bits of an entry's first byte: its kind, and which optional fields follow.
 const (
 	entryKindMask   = 0x0f
 	entryHasGroup   = 0x10
@@ -23,7 +23,7 @@
 	entryHasBody    = 0x80
 )
 
-// Encode encodes a message. It returns nil for a type that is not sent.
+// Encode encodes a message. It returns nil for a type that has no encoding.
 func Encode(m Message) *Frame {
 	var b []byte
 	switch m := m.(type) {
@@ -62,7 +62,7 @@
 	return appendEntries(b, m.After, m.Watermark.At, m.Entries)
 }
 
-// encodeChunk encodes a chunk. Its index and whether it is the last one share a number.
+// encodeChunk encodes a chunk. One number holds its index, and in the lowest bit whether it is the last one.
 func encodeChunk(m SnapshotChunk) []byte {
 	lastBit := uint64(0)
 	if m.Last {
@@ -89,8 +89,8 @@
 	return binary.AppendVarint(binary.AppendUvarint(b, w.Sequence), w.At)
 }
 
-// appendEntries encodes sequences as differences from the one before, and times as differences from the watermark's time at: a purge
-// is issued shortly before the watermark, and expires after some minutes.
+// appendEntries encodes sequences as differences from the previous one, and times as differences from the watermark's time at, which
+// are small: a purge is issued shortly before the watermark, and expires after some minutes.
 func appendEntries(b []byte, after uint64, at int64, entries []Entry) []byte {
 	b = binary.AppendUvarint(b, uint64(len(entries)))
 	for _, e := range entries {
@@ -135,18 +135,18 @@
 	return first
 }
 
-// frameOverhead bounds what a batch or chunk takes beside its entries: two bytes, and eight numbers of ten bytes at most.
+// frameOverhead bounds the bytes of a batch or chunk beside its entries: two bytes, and eight numbers of ten bytes at most.
 const frameOverhead = 2 + 8*binary.MaxVarintLen64
 
-// Bounds of the numbers of one entry, in bytes. They hold for sequences that follow each other closely, and for times within some years
-// of the watermark, which is what is sent. Encode reserves memory by them, and grows beyond if it has to.
+// Maximum sizes of the numbers of one entry, in bytes. They hold for sequences that follow each other closely, and for times within some
+// years of the watermark, as in the entries that are sent. Encode reserves memory by them, and reserves more if an entry is larger.
 const (
 	sequenceSize = 5
 	timeSize     = 6
 	versionSize  = binary.MaxVarintLen64
 )
 
-// EncodedSize returns how many bytes an entry takes in a batch or chunk, at most.
+// EncodedSize returns the maximum number of bytes that an entry takes in a batch or chunk.
 func EncodedSize(e Entry) int {
 	size := 1 + sequenceSize + lengthSize(len(e.Name)) + len(e.Name) + timeSize
 	if hasGroup(e.Kind, e.GroupKnown) {
