--- a/internal/decide/distribution/atomic_batch_test.go
+++ b/internal/decide/distribution/atomic_batch_test.go
@@ -12,7 +12,7 @@
 	return distribution.Entry{Sequence: sequence, Kind: distribution.PurgeObject, Name: name, EffectiveAt: 5}
 }
 
-// messagesTo returns the messages that actions send on one link.
+// messagesTo returns the messages that the actions send on one link.
 func messagesTo(t *testing.T, link distribution.Link, actions []distribution.Action) []distribution.Message {
 	var all []distribution.Message
 	for _, a := range actions {
@@ -34,11 +34,12 @@
 		From: distribution.Position{Epoch: 1, Sequence: sequence}}
 }
 
-// A relay that fell behind passes the snapshot on as one atomic batch. Its sequences say only the order: "late" was committed at 160 and
-// has 140 here. A subscriber that comes from another distributor and is at 150 would miss it in a part of the batch.
+// A relay that fell behind sends the new entries of a snapshot as one atomic batch. The sequences in it give only the order: "late" was
+// committed at 160 and has the sequence 140 here. A subscriber that comes from another distributor and is at 150 would miss "late" if it
+// got a part of the batch, so it must get a snapshot.
 func TestSubscriberWithinAtomicBatchGetsSnapshot(t *testing.T) {
 	settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1})
-	settings.MaxFrame = 1 // what is not atomic is split into batches of one entry
+	settings.MaxFrame = 1 // batches that are not atomic are split into batches of one entry
 	watermarkAt := func(sequence uint64) distribution.Watermark {
 		return distribution.Watermark{Sequence: sequence, At: 1000}
 	}
@@ -46,7 +47,7 @@
 	relay.Handle(1000, distribution.InstallSnapshot{
 		Epoch: 1, Through: 100, Watermark: watermarkAt(100), Entries: []distribution.Entry{purgeEntry(90, "early")},
 	})
-	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
+	relay.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("resuming", 100)})
 
 	snapshot := []distribution.Entry{purgeEntry(139, "early"), purgeEntry(140, "late"), purgeEntry(200, "later")}
 	messages := messagesTo(t, 1, relay.Handle(1001, distribution.InstallSnapshot{Epoch: 1, Through: 200, Watermark: watermarkAt(200), Entries: snapshot}))
@@ -54,10 +55,10 @@
 	bridge := messages[0].(distribution.Batch)
 	require.True(t, bridge.Atomic)
 	require.Equal(t, [2]uint64{100, 200}, [2]uint64{bridge.After, bridge.Through})
-	require.Len(t, bridge.Entries, 2, "early is in force already")
+	require.Len(t, bridge.Entries, 2, "early is in effect already")
 
 	var snapshotNames []string
-	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeFrom("from elsewhere", 150)})) {
+	for _, m := range messagesTo(t, 2, relay.Handle(1002, distribution.Received{Link: 2, Message: subscribeFrom("moved", 150)})) {
 		_, isBatch := m.(distribution.Batch)
 		require.False(t, isBatch)
 		if c, isChunk := m.(distribution.SnapshotChunk); isChunk {
@@ -68,9 +69,9 @@
 	}
 	require.Equal(t, []string{"early", "late", "later"}, snapshotNames)
 
-	child := distribution.NewDistributor(settings) // the level below must not split it either
+	child := distribution.NewDistributor(settings) // the level below must not split the batch either
 	child.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: watermarkAt(100)})
-	child.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("near", 100)})
+	child.Handle(1000, distribution.Received{Link: 1, Message: subscribeFrom("resuming", 100)})
 	messages = messagesTo(t, 1, child.Handle(1001, distribution.Apply{
 		Epoch: 1, Atomic: bridge.Atomic, After: 100, Through: 200, Watermark: watermarkAt(200), Entries: bridge.Entries,
 	}))
@@ -78,7 +79,8 @@
 	require.True(t, messages[0].(distribution.Batch).Atomic)
 }
 
-// A batch follows an atomic one: a subscriber at the end of the latter continues with it.
+// A batch follows an atomic one: a subscriber whose position is at the end of the atomic batch or later must continue with that batch, and
+// must not need a snapshot.
 func TestBacklogContinuesAfterAtomicBatch(t *testing.T) {
 	relay := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "relay", Rank: 1}))
 	relay.Handle(1000, distribution.InstallSnapshot{Epoch: 1, Through: 100, Watermark: distribution.Watermark{Sequence: 100, At: 1000}})
--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Clone copies the Subscriber for a model that branches.
+// Clone copies the Subscriber for another branch of the model.
 func (s *Subscriber) Clone() *Subscriber {
 	c := *s
 	c.backoffs = maps.Clone(s.backoffs)
@@ -20,7 +20,7 @@
 	return &c
 }
 
-// Clone copies the Distributor for a model that branches.
+// Clone copies the Distributor for another branch of the model.
 func (d *Distributor) Clone() *Distributor {
 	c := *d
 	c.actions = nil
@@ -44,7 +44,7 @@
 	return &c
 }
 
-// fingerprint is a fingerprint that is being made.
+// fingerprint collects the bytes of a machine's fingerprint.
 type fingerprint []byte
 
 func (p *fingerprint) numbers(numbers ...uint64) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// AppendFingerprint appends everything that decides what the Subscriber does next, but for the state of its jitter and link numbers.
+// AppendFingerprint appends the state that decides what the Subscriber does next, except that of its jitter and its link numbers.
 func (s *Subscriber) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(uint64(s.phase), uint64(s.resubscribes), uint64(s.unreturnedCredit), s.receivedBytes, s.epoch, s.applied, s.highestEpoch)
@@ -99,7 +99,7 @@
 	return p
 }
 
-// AppendFingerprint appends everything that decides what the Distributor does next, but for link numbers.
+// AppendFingerprint appends the state that decides what the Distributor does next, except its link numbers.
 func (d *Distributor) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(d.epoch, d.head, d.backlog.floor, uint64(len(d.subscriptions)))
@@ -129,18 +129,18 @@
 	return p
 }
 
-// The mutations of the model use the following to get past what guards against them.
+// The mutations of the model use the following functions to bypass the checks that would prevent them.
 
-// AppliedSequence returns the sequence up to which everything was put into force.
+// AppliedSequence returns the sequence up to which all entries were applied.
 func (s *Subscriber) AppliedSequence() uint64 { return s.applied }
 
-// PendingWatermark returns the watermark that does not hold yet.
+// PendingWatermark returns the watermark that may not be in effect yet.
 func (s *Subscriber) PendingWatermark() Watermark { return s.pendingWatermark }
 
-// AcceptsMessages reports whether messages are received.
+// AcceptsMessages reports whether the Subscriber has a link on which it handles messages.
 func (s *Subscriber) AcceptsMessages() bool { return s.phase >= phaseSubscribing }
 
-// NextChunk returns the index of the chunk that is expected next.
+// NextChunk returns the index of the chunk that the Subscriber expects next.
 func (s *Subscriber) NextChunk() int {
 	if s.assembly == nil {
 		return 0
@@ -148,13 +148,13 @@
 	return s.assembly.nextChunk
 }
 
-// RewindTo sets the Subscriber back.
+// RewindTo sets the Subscriber's position back to an earlier sequence.
 func (s *Subscriber) RewindTo(applied uint64) { s.applied = applied }
 
-// TrustPendingWatermark has the watermark hold at once.
+// TrustPendingWatermark puts the pending watermark into effect at once.
 func (s *Subscriber) TrustPendingWatermark() { s.watermark = s.pendingWatermark }
 
-// ForgetHigherEpochs has the Subscriber forget the epochs that it has seen above one.
+// ForgetHigherEpochs has the Subscriber forget that it has seen epochs above the given one.
 func (s *Subscriber) ForgetHigherEpochs(epoch uint64) { s.highestEpoch = min(s.highestEpoch, epoch) }
 
 // ResetCredits gives every subscriber its full credit.
@@ -164,10 +164,10 @@
 	}
 }
 
-// RemoveBacklogLimits has the Distributor retain everything.
+// RemoveBacklogLimits has the Distributor retain all entries in its backlog.
 func (d *Distributor) RemoveBacklogLimits() {
 	d.settings.MaxBacklogEntries, d.settings.MaxBacklogBytes = 1<<30, 1<<30
 }
 
-// TreatBacklogAsComplete has the Distributor take its backlog for one that begins with the stream.
+// TreatBacklogAsComplete has the Distributor treat its backlog as if that began at the start of the stream.
 func (d *Distributor) TreatBacklogAsComplete() { d.backlog.floor = 0 }
--- a/internal/decide/distribution/failover_test.go
+++ b/internal/decide/distribution/failover_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// zoneSimulation is some distributors and many subscribers in virtual time; each message takes 20 ms.
+// zoneSimulation runs some distributors and many subscribers in virtual time. Each message takes oneWayDelay.
 type zoneSimulation struct {
 	now            float64
 	queue          eventQueue
@@ -19,13 +19,14 @@
 	distributors   map[string]*distribution.Distributor
 	failed         map[string]bool
 	subscribers    []*distribution.Subscriber
-	links          map[distribution.Link]simulatedLink // by the distributor's number
+	links          map[distribution.Link]simulatedLink // by the distributor's number of the link
 	lastLink       distribution.Link
 	wakeAt         []float64
-	maxSubscribers map[string]int // at once
-	rejected       map[string]int // subscriptions
+	maxSubscribers map[string]int // the most subscribers at once, by distributor
+	rejected       map[string]int // rejected subscriptions, by distributor
 }
 
+// simulatedLink is a link from a subscriber, under the subscriber's number, to a distributor.
 type simulatedLink struct {
 	subscriber   int
 	link         distribution.Link
@@ -33,6 +34,7 @@
 	disconnected bool
 }
 
+// scheduledEvent runs do at a time. Events of the same time run in the order in which they were scheduled.
 type scheduledEvent struct {
 	at    float64
 	order int
@@ -53,11 +55,13 @@
 	return last
 }
 
+// after schedules do to run after a delay.
 func (z *zoneSimulation) after(ms float64, do func()) {
 	z.lastOrder++
 	heap.Push(&z.queue, scheduledEvent{z.now + ms, z.lastOrder, do})
 }
 
+// run runs the events that are due until a time.
 func (z *zoneSimulation) run(until float64) {
 	for len(z.queue) > 0 && z.queue[0].at <= until {
 		e := heap.Pop(&z.queue).(scheduledEvent)
@@ -67,8 +71,10 @@
 	z.now = until
 }
 
+// oneWayDelay is how long a message takes, in ms.
 const oneWayDelay = 20
 
+// handleSubscriber passes an event to a subscriber, and carries out its actions.
 func (z *zoneSimulation) handleSubscriber(i int, e distribution.Event) {
 	for _, a := range z.subscribers[i].Handle(z.now, e) {
 		switch a := a.(type) {
@@ -99,7 +105,7 @@
 	}
 }
 
-// connect takes a round trip; a distributor that has failed does not answer.
+// connect opens a link, which takes a round trip. A distributor that has failed does not answer.
 func (z *zoneSimulation) connect(i int, a distribution.Connect) {
 	z.lastLink++
 	z.links[z.lastLink] = simulatedLink{subscriber: i, link: a.Link, to: a.To.Name}
@@ -108,6 +114,7 @@
 	}
 }
 
+// handleDistributor passes an event to a distributor, unless that has failed, and carries out its actions.
 func (z *zoneSimulation) handleDistributor(name string, e distribution.Event) {
 	if z.failed[name] {
 		return
@@ -120,7 +127,7 @@
 			if err != nil {
 				panic(err)
 			}
-			if _, refused := m.(distribution.Rejected); refused {
+			if _, rejected := m.(distribution.Rejected); rejected {
 				z.rejected[name]++
 			}
 			for _, to := range a.Links {
@@ -139,12 +146,13 @@
 	z.maxSubscribers[name] = max(z.maxSubscribers[name], d.Subscribers())
 }
 
-// newZoneSimulation returns so many distributors of one zone and one of its region, all fed by AdvanceWatermark, and so many subscribers.
-func newZoneSimulation(distributors, subscribers int) *zoneSimulation {
+// newZoneSimulation returns a simulation of distributorCount distributors of one zone, one distributor of its region, and
+// subscriberCount subscribers. All distributors get their watermarks by AdvanceWatermark.
+func newZoneSimulation(distributorCount, subscriberCount int) *zoneSimulation {
 	z := &zoneSimulation{now: 1_000_000, distributors: map[string]*distribution.Distributor{}, failed: map[string]bool{}, links: map[distribution.Link]simulatedLink{},
-		maxSubscribers: map[string]int{}, rejected: map[string]int{}, wakeAt: make([]float64, subscribers)}
+		maxSubscribers: map[string]int{}, rejected: map[string]int{}, wakeAt: make([]float64, subscriberCount)}
 	peers := []distribution.Peer{{Name: "region", Rank: 1, Region: "r", Zone: "other"}}
-	for i := range distributors {
+	for i := range distributorCount {
 		peers = append(peers, distribution.Peer{Name: fmt.Sprint("d", i), Rank: 2, Region: "r", Zone: "z"})
 	}
 	for i, p := range peers {
@@ -153,11 +161,11 @@
 			Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)},
 		})
 		if i > 0 {
-			z.handleDistributor(p.Name, distribution.Demand{Subscribers: subscribers, Distributors: distributors})
+			z.handleDistributor(p.Name, distribution.Demand{Subscribers: subscriberCount, Distributors: distributorCount})
 		}
 	}
 	z.feed(peers)
-	for i := range subscribers {
+	for i := range subscriberCount {
 		settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"})
 		settings.Seed = uint64(i) + 1
 		z.subscribers = append(z.subscribers, distribution.NewSubscriber(settings))
@@ -166,6 +174,7 @@
 	return z
 }
 
+// feed gives all distributors a new watermark, every 500 ms.
 func (z *zoneSimulation) feed(peers []distribution.Peer) {
 	for _, p := range peers {
 		z.handleDistributor(p.Name, distribution.AdvanceWatermark{Epoch: 1, Watermark: distribution.Watermark{Sequence: 1, At: int64(z.now)}})
@@ -174,7 +183,7 @@
 	z.after(500, func() { z.feed(peers) })
 }
 
-// worstLag returns the largest lag, and how many subscribers are within MaxLag.
+// worstLag returns the largest lag of all subscribers, in ms, and how many of them are within MaxLag.
 func (z *zoneSimulation) worstLag() (worst float64, withinMaxLag int) {
 	for _, s := range z.subscribers {
 		worst = max(worst, s.Lag(z.now))
@@ -185,37 +194,37 @@
 	return worst, withinMaxLag
 }
 
-// Of four distributors with 233 subscribers in a zone one fails silently: its subscribers, about 60, move to the others, none of which
-// admits more than its limit, and nobody lags by more than 6.8 s.
+// One of four distributors with 233 subscribers in a zone fails without closing its links. Its subscribers, about 60, must move to the
+// others, none of which may admit more than its limit, and no subscriber may lag by more than 6.8 s.
 func TestSubscribersOfFailedDistributorAreSpread(t *testing.T) {
 	z := newZoneSimulation(4, 233)
 	z.run(z.now + 15_000)
 	_, withinMaxLag := z.worstLag()
-	require.Equal(t, 233, withinMaxLag, "all have started")
+	require.Equal(t, 233, withinMaxLag, "subscribers within MaxLag after the start")
 	maxAdmitted := int(math.Ceil(1.25 * 233 / 4))
 	for name, n := range z.maxSubscribers {
 		require.LessOrEqual(t, n, maxAdmitted, name)
 	}
-	lost := z.distributors["d0"].Subscribers()
-	require.Positive(t, lost)
+	lostSubscribers := z.distributors["d0"].Subscribers()
+	require.Positive(t, lostSubscribers)
 	z.failed["d0"] = true
 	z.maxSubscribers, z.rejected = map[string]int{}, map[string]int{}
-	worst, start := 0.0, z.now
+	worstLag, start := 0.0, z.now
 	for z.now < start+10_000 {
-		if z.now == start+3000 { // the registry has noticed
+		if z.now == start+3000 { // the registry has noticed the failure
 			for name := range z.distributors {
 				z.handleDistributor(name, distribution.Demand{Subscribers: 233, Distributors: 3})
 			}
 		}
 		z.run(z.now + 100)
 		lag, _ := z.worstLag()
-		worst = max(worst, lag)
+		worstLag = max(worstLag, lag)
 	}
 	_, withinMaxLag = z.worstLag()
 	require.Equal(t, 233, withinMaxLag)
 	for name, n := range z.maxSubscribers {
 		require.LessOrEqual(t, n, int(math.Ceil(1.25*233/3)), name)
 	}
-	require.LessOrEqual(t, worst, 6800.0)
-	t.Logf("%d lost theirs; worst lag %.0f ms; most at once %v; rejected %v", lost, worst, z.maxSubscribers, z.rejected)
+	require.LessOrEqual(t, worstLag, 6800.0)
+	t.Logf("%d subscribers lost their distributor; worst lag %.0f ms; most subscribers at once %v; rejected %v", lostSubscribers, worstLag, z.maxSubscribers, z.rejected)
 }
--- a/internal/decide/distribution/freshness_test.go
+++ b/internal/decide/distribution/freshness_test.go
@@ -8,6 +8,7 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
+// newTestGate returns a gate with the strict class "prices" and the class "pictures", which may be served stale.
 func newTestGate() *distribution.FreshnessGate {
 	settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{})
 	settings.Classes = map[string]distribution.StalePolicy{"prices": distribution.PolicyStrict, "pictures": distribution.PolicyServeStale}
@@ -21,14 +22,15 @@
 	require.Equal(t, distribution.VerdictServe, g.Decide(5000, "prices", 2000), "no older than the watermark")
 	require.Equal(t, distribution.VerdictFetchOrigin, g.Decide(5000, "prices", 1999))
 	require.Equal(t, distribution.VerdictServeStale, g.Decide(5000, "pictures", 1999))
-	require.Equal(t, distribution.VerdictServeStale, g.Decide(5000, "not named", 1999))
+	require.Equal(t, distribution.VerdictServeStale, g.Decide(5000, "class without a policy", 1999))
 }
 
 func TestStrictClassServesNoCopyBeforeFirstWatermark(t *testing.T) {
 	require.Equal(t, distribution.VerdictFetchOrigin, newTestGate().Decide(1e12, "prices", 1e12))
 }
 
-// Of ten thousand requests a second that ask for the origin, over ten seconds, 20 a second are admitted, and no more than one in twenty.
+// 10,000 requests a second ask for the origin over ten seconds: at most 20 a second are admitted, beside the 20 with which the gate
+// starts. Of 100 requests at ten a second at most one in twenty is admitted, beside the one with which the gate starts.
 func TestRequestsToOriginAreLimited(t *testing.T) {
 	g := newTestGate()
 	origin := 0
@@ -40,7 +42,7 @@
 	require.LessOrEqual(t, origin, 20+10*20)
 	require.Greater(t, origin, 10*20-20)
 	g, origin = newTestGate(), 0
-	for i := range 100 { // ten a second: the fraction is the limit
+	for i := range 100 { // ten a second: OriginFraction is the limit
 		if g.Decide(float64(i)*100, "prices", 0) == distribution.VerdictFetchOrigin {
 			origin++
 		}
@@ -48,9 +50,10 @@
 	require.LessOrEqual(t, origin, 6)
 }
 
-// A thousand processes that have caught up end the restriction of strict classes over a span, none before it is within MaxLag.
+// 1,000 processes that have caught up must end the restriction of strict classes spread over RelaxSpread, and none before it is within
+// MaxLag. If all ended it at once, the load of the whole fleet would change in one instant.
 func TestRestrictionEndsStaggered(t *testing.T) {
-	endedInSecond := map[int]int{} // by second
+	endedInSecond := map[int]int{} // number of processes, by the second after they caught up
 	for i := range 1000 {
 		settings := distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "p", Rank: 3})
 		settings.Seed = uint64(i)
@@ -79,13 +82,13 @@
 		now += handle(distribution.Candidates{Peers: peers})
 		handle(distribution.Tick{})
 		receiveSnapshot()
-		require.False(t, state.Restricted, "it has just started")
+		require.False(t, state.Restricted, "the restriction of a process that has just started ends at once")
 		handle(distribution.Disconnected{Link: link})
 		now += 20_000
 		handle(distribution.Tick{})
 		require.True(t, state.Restricted)
 		receiveSnapshot()
-		require.True(t, state.Restricted, "it has only just caught up")
+		require.True(t, state.Restricted, "the restriction goes on after the process has caught up")
 		caughtUpAt := now
 		for state.Restricted {
 			now += 100
--- a/internal/decide/distribution/golden_test.go
+++ b/internal/decide/distribution/golden_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// goldenEntries have every kind, with and without what is optional.
+// goldenEntries returns entries of every kind, with and without the optional fields.
 func goldenEntries() []distribution.Entry {
 	return []distribution.Entry{
 		{
@@ -25,27 +25,27 @@
 	}
 }
 
-// Frames of earlier versions are decoded, and are encoded to the same bytes.
+// Frames of earlier versions must still be decoded, and be encoded to the same bytes.
 func TestGoldenFrames(t *testing.T) {
 	watermark := distribution.Watermark{Sequence: 1000, At: testTime}
-	purges, configuration := distribution.Purges, distribution.Configuration
+	purgeStream, configurationStream := distribution.Purges, distribution.Configuration
 	for name, message := range map[string]distribution.Message{
-		"subscribe.bin": distribution.Subscribe{Stream: purges, Name: "proxy-a", Rank: 3, From: distribution.Position{Epoch: 12, Sequence: 99},
+		"subscribe.bin": distribution.Subscribe{Stream: purgeStream, Name: "proxy-a", Rank: 3, From: distribution.Position{Epoch: 12, Sequence: 99},
 			Credit: 256 << 10, ReceivedBytes: 1 << 33},
-		"subscribe_from_nothing.bin": distribution.Subscribe{Stream: configuration, Name: "p"},
-		"credit.bin":                 distribution.Credit{Stream: purges, Bytes: 128 << 10},
-		"credit_none.bin":            distribution.Credit{Stream: configuration},
-		"leave.bin":                  distribution.Unsubscribe{Stream: configuration},
-		"batch.bin": distribution.Batch{Stream: purges, Epoch: 12, After: 99, Through: 950, Watermark: watermark,
+		"subscribe_from_nothing.bin": distribution.Subscribe{Stream: configurationStream, Name: "p"},
+		"credit.bin":                 distribution.Credit{Stream: purgeStream, Bytes: 128 << 10},
+		"credit_none.bin":            distribution.Credit{Stream: configurationStream},
+		"leave.bin":                  distribution.Unsubscribe{Stream: configurationStream},
+		"batch.bin": distribution.Batch{Stream: purgeStream, Epoch: 12, After: 99, Through: 950, Watermark: watermark,
 			Entries: goldenEntries()},
-		"batch_whole.bin": distribution.Batch{Stream: purges, Epoch: 12, Atomic: true, After: 99, Through: 950, Watermark: watermark,
+		"batch_whole.bin": distribution.Batch{Stream: purgeStream, Epoch: 12, Atomic: true, After: 99, Through: 950, Watermark: watermark,
 			Entries: goldenEntries()},
-		"batch_empty.bin": distribution.Batch{Stream: configuration, Epoch: 1, Through: 3},
-		"chunk.bin": distribution.SnapshotChunk{Stream: configuration, Epoch: 12, Through: 1000, Watermark: watermark, Index: 3,
+		"batch_empty.bin": distribution.Batch{Stream: configurationStream, Epoch: 1, Through: 3},
+		"chunk.bin": distribution.SnapshotChunk{Stream: configurationStream, Epoch: 12, Through: 1000, Watermark: watermark, Index: 3,
 			Entries: goldenEntries()},
-		"chunk_last.bin": distribution.SnapshotChunk{Stream: purges, Epoch: 12, Through: 1000, Watermark: watermark, Index: 4, Last: true},
-		"heartbeat.bin":  distribution.Heartbeat{Stream: purges, Epoch: 12, Watermark: watermark},
-		"refused.bin":    distribution.Rejected{Stream: purges, Reason: distribution.RejectBusy, RetryAfter: 8000},
+		"chunk_last.bin": distribution.SnapshotChunk{Stream: purgeStream, Epoch: 12, Through: 1000, Watermark: watermark, Index: 4, Last: true},
+		"heartbeat.bin":  distribution.Heartbeat{Stream: purgeStream, Epoch: 12, Watermark: watermark},
+		"refused.bin":    distribution.Rejected{Stream: purgeStream, Reason: distribution.RejectBusy, RetryAfter: 8000},
 	} {
 		golden.Equal(t, name, distribution.Encode(message).Bytes)
 		decoded, err := distribution.Decode(golden.Read(t, name))
@@ -55,7 +55,7 @@
 	}
 }
 
-// The numbers that are sent on the wire stay the same.
+// The numbers of streams, kinds and reasons are on the wire, and must stay the same.
 func TestGoldenWireNumbers(t *testing.T) {
 	require.Equal(t, []distribution.Stream{1, 2}, []distribution.Stream{distribution.Purges, distribution.Configuration})
 	require.Equal(t, []distribution.Kind{1, 2, 3, 4, 5, 6}, []distribution.Kind{distribution.PurgeObject, distribution.PurgeGroup,
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -22,74 +22,75 @@
 	processCrashes
 	processPauses
 	newEpochs
-	rootRestarts
+	rootRestarts // with the state that the root reads from disk, with or without the loss of its links
 )
 
-// search is one exhaustive search: all orders of all steps, up to a depth.
+// search is one exhaustive search of the model: it takes all steps in all orders, up to a depth.
 type search struct {
-	name                string
-	absentProcess       int
-	depth               int
-	messageFaults       int // messages that are lost or duplicated
-	componentFaults     int
-	componentFaultKinds []componentFault
-	pendingCommits      int // entries that are committed and not delivered at the beginning
-	prepare             func(w *world)
-	healEvery           int // from one state in so many all faults end, and every process must become complete
+	name            string
+	absent          int // index of a process that does not run; rootIndex: all run
+	depth           int // number of steps
+	messageFaults   int // messages that may be lost or duplicated
+	componentFaults int // component faults that may occur
+	faultKinds      []componentFault
+	pendingCommits  int            // entries that are committed and not yet delivered at the beginning
+	prepare         func(w *world) // brings the model into the state in which the search begins; nil: as newWorld returns it
+	healEvery       int            // in one of healEvery states all faults end, and every process must then catch up
 }
 
 var searches = []search{
-	{name: "loss", absentProcess: rightIndex, depth: 7, messageFaults: 2, healEvery: 11},
-	{name: "cut", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, healEvery: 11},
-	{name: "crash", absentProcess: rightIndex, depth: 7, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, processCrashes}, healEvery: 11},
-	{name: "stop", absentProcess: rightIndex, depth: 7, componentFaults: 1, componentFaultKinds: []componentFault{processPauses}, healEvery: 11},
-	{name: "epoch", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{newEpochs}, healEvery: 11},
-	{name: "behind", absentProcess: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, pendingCommits: 4, healEvery: 11},
-	{name: "restart", absentProcess: rightIndex, depth: 6, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, rootRestarts}, healEvery: 5},
+	{name: "message loss", absent: rightIndex, depth: 7, messageFaults: 2, healEvery: 11},
+	{name: "link cut", absent: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, faultKinds: []componentFault{linkCuts}, healEvery: 11},
+	{name: "crash", absent: rightIndex, depth: 7, componentFaults: 2, faultKinds: []componentFault{linkCuts, processCrashes}, healEvery: 11},
+	{name: "pause", absent: rightIndex, depth: 7, componentFaults: 1, faultKinds: []componentFault{processPauses}, healEvery: 11},
+	{name: "new epoch", absent: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, faultKinds: []componentFault{newEpochs}, healEvery: 11},
+	{name: "pending commits", absent: rightIndex, depth: 7, messageFaults: 1, componentFaults: 1, faultKinds: []componentFault{linkCuts}, pendingCommits: 4, healEvery: 11},
+	{name: "root restart", absent: rightIndex, depth: 6, componentFaults: 2, faultKinds: []componentFault{linkCuts, rootRestarts}, healEvery: 5},
 	{
-		name: "far behind", absentProcess: rightIndex, depth: 6, componentFaults: 2, componentFaultKinds: []componentFault{linkCuts, rootRestarts},
+		name: "relay behind the backlog", absent: rightIndex, depth: 6, componentFaults: 2, faultKinds: []componentFault{linkCuts, rootRestarts},
 		prepare: cutOffLeftRelay, healEvery: 5,
 	},
-	{name: "old", absentProcess: rightIndex, depth: 6, messageFaults: 1, componentFaults: 1, componentFaultKinds: []componentFault{newEpochs}, prepare: restartLeftRelay, healEvery: 11},
-	{name: "old chunks", absentProcess: rightIndex, depth: 5, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochChunks, healEvery: 11},
-	{name: "old batch", absentProcess: rightIndex, depth: 5, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochBatch, healEvery: 11},
-	{name: "asleep", absentProcess: rightIndex, depth: 6, componentFaults: 1, componentFaultKinds: []componentFault{linkCuts}, prepare: pauseLeaf, healEvery: 11},
+	{name: "new epoch during relay restart", absent: rightIndex, depth: 6, messageFaults: 1, componentFaults: 1, faultKinds: []componentFault{newEpochs}, prepare: restartLeftRelay, healEvery: 11},
+	{name: "chunks of an old epoch", absent: rightIndex, depth: 5, componentFaults: 1, faultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochChunks, healEvery: 11},
+	{name: "batch of an old epoch", absent: rightIndex, depth: 5, componentFaults: 1, faultKinds: []componentFault{linkCuts}, prepare: deliverOldEpochBatch, healEvery: 11},
+	{name: "leaf paused past MaxLag", absent: rightIndex, depth: 6, componentFaults: 1, faultKinds: []componentFault{linkCuts}, prepare: pauseLeaf, healEvery: 11},
 	{
-		name: "four", depth: 5, messageFaults: 1, componentFaults: 1,
-		componentFaultKinds: []componentFault{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23,
+		name: "all four processes", depth: 5, messageFaults: 1, componentFaults: 1,
+		faultKinds: []componentFault{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}, healEvery: 23,
 	},
 }
 
-// step is one step of the model; the text is for the path to a failure.
+// step is one step of the model.
 type step struct {
 	description string
 	run         func(w *world)
 }
 
+// steps returns all steps that are possible in a state.
 func (r search) steps(w *world) []step {
 	var all []step
 	add := func(run func(*world), format string, values ...any) {
 		all = append(all, step{fmt.Sprintf(format, values...), run})
 	}
-	for at, l := range w.links {
-		pair := processNames[l.from] + "-" + processNames[l.to]
+	for linkIndex, l := range w.links {
+		linkName := processNames[l.from] + "-" + processNames[l.to]
 		if len(l.toDistributor) > 0 && !w.paused[l.to] {
-			add(func(w *world) { w.deliverToDistributor(at) }, "%s up", pair)
+			add(func(w *world) { w.deliverToDistributor(linkIndex) }, "%s delivers to the distributor", linkName)
 		}
 		if len(l.toSubscriber) > 0 && !w.paused[l.from] {
-			add(func(w *world) { w.deliverToSubscriber(at) }, "%s down", pair)
+			add(func(w *world) { w.deliverToSubscriber(linkIndex) }, "%s delivers to the subscriber", linkName)
 		}
 		if w.messageFaultsLeft > 0 {
-			r.addMessageFaults(w, at, pair, add)
+			r.addMessageFaults(w, linkIndex, linkName, add)
 		}
 		if w.componentFaultsLeft > 0 && l.open && r.allows(linkCuts) {
-			add(func(w *world) { w.componentFaultsLeft--; w.cut(at) }, "%s cut", pair)
+			add(func(w *world) { w.componentFaultsLeft--; w.cut(linkIndex) }, "%s is cut", linkName)
 		}
 	}
 	if w.nextEntry < len(w.script) {
-		add(func(w *world) { w.commit() }, "commit %d", w.nextEntry)
+		add(func(w *world) { w.commit() }, "the store commits entry %d of the script", w.nextEntry)
 	}
-	add(func(w *world) { w.advanceTime() }, "time")
+	add(func(w *world) { w.advanceTime() }, "time advances")
 	for _, i := range []int{leftIndex, leafIndex} {
 		switch {
 		case w.paused[i]:
@@ -99,33 +100,36 @@
 		}
 	}
 	if w.componentFaultsLeft > 0 && r.allows(processCrashes) {
-		add(func(w *world) { w.componentFaultsLeft--; w.crash(leftIndex) }, "left crashes")
+		add(func(w *world) { w.componentFaultsLeft--; w.crash(leftIndex) }, "left crashes and restarts")
 	}
 	if w.componentFaultsLeft > 0 && r.allows(rootRestarts) {
 		add(func(w *world) { w.componentFaultsLeft--; w.restartRoot() }, "root restarts")
 		add(func(w *world) { w.componentFaultsLeft--; w.restoreRoot() }, "root restores its state")
 	}
 	if w.componentFaultsLeft > 0 && r.allows(newEpochs) {
-		add(func(w *world) { w.componentFaultsLeft--; w.beginEpoch() }, "a new epoch")
+		add(func(w *world) { w.componentFaultsLeft--; w.beginEpoch() }, "a new epoch begins")
 	}
 	return all
 }
 
-func (r search) addMessageFaults(w *world, at int, pair string, add func(func(*world), string, ...any)) {
-	l := w.links[at]
+func (r search) addMessageFaults(w *world, linkIndex int, linkName string, add func(func(*world), string, ...any)) {
+	l := w.links[linkIndex]
 	if len(l.toDistributor) > 0 && l.toDistributor[0] != nil {
-		add(func(w *world) { w.messageFaultsLeft--; w.links[at].toDistributor = w.links[at].toDistributor[1:] }, "%s up is lost", pair)
+		add(func(w *world) {
+			w.messageFaultsLeft--
+			w.links[linkIndex].toDistributor = w.links[linkIndex].toDistributor[1:]
+		}, "%s loses a message to the distributor", linkName)
 	}
 	if len(l.toSubscriber) == 0 || l.toSubscriber[0] == nil {
 		return
 	}
-	add(func(w *world) { w.messageFaultsLeft--; w.dropMessage(at) }, "%s down is lost", pair)
-	add(func(w *world) { w.messageFaultsLeft--; w.duplicateMessage(at) }, "%s down is duplicated, late", pair)
+	add(func(w *world) { w.messageFaultsLeft--; w.dropMessage(linkIndex) }, "%s loses a message to the subscriber", linkName)
+	add(func(w *world) { w.messageFaultsLeft--; w.duplicateMessage(linkIndex) }, "%s delivers a message to the subscriber again later", linkName)
 }
 
-// dropMessage loses the first message to a subscriber.
-func (w *world) dropMessage(at int) {
-	l := &w.links[at]
+// dropMessage loses the first message in flight to a link's subscriber.
+func (w *world) dropMessage(linkIndex int) {
+	l := &w.links[linkIndex]
 	if m := l.toSubscriber[0]; countsAgainstCredit(m) {
 		l.bytesInFlight -= len(distribution.Encode(m).Bytes)
 		l.framesInFlight--
@@ -133,9 +137,9 @@
 	l.toSubscriber = l.toSubscriber[1:]
 }
 
-// duplicateMessage has the first message arrive once more, behind all others.
-func (w *world) duplicateMessage(at int) {
-	l := &w.links[at]
+// duplicateMessage queues the first message in flight to a link's subscriber once more, after all others.
+func (w *world) duplicateMessage(linkIndex int) {
+	l := &w.links[linkIndex]
 	m := l.toSubscriber[0]
 	if countsAgainstCredit(m) {
 		size := len(distribution.Encode(m).Bytes)
@@ -146,7 +150,7 @@
 }
 
 func (r search) allows(b componentFault) bool {
-	for _, k := range r.componentFaultKinds {
+	for _, k := range r.faultKinds {
 		if k == b {
 			return true
 		}
@@ -154,15 +158,15 @@
 	return false
 }
 
-// restartLeftRelay has a relay that has just restarted, with its snapshot in flight.
+// restartLeftRelay restarts the left relay without state, and returns while its snapshot is in flight.
 func restartLeftRelay(w *world) {
 	w.crash(leftIndex)
 	for range 20 {
-		for at := range w.links {
-			if w.links[at].from == leftIndex && len(w.links[at].toDistributor) > 0 {
-				w.deliverToDistributor(at)
+		for linkIndex := range w.links {
+			if w.links[linkIndex].from == leftIndex && len(w.links[linkIndex].toDistributor) > 0 {
+				w.deliverToDistributor(linkIndex)
 			}
-			if w.links[at].from == leftIndex && len(w.links[at].toSubscriber) > 2 {
+			if w.links[linkIndex].from == leftIndex && len(w.links[linkIndex].toSubscriber) > 2 {
 				return
 			}
 		}
@@ -171,7 +175,7 @@
 	}
 }
 
-// cutOffLeftRelay has a relay that has lost its link, and more entries committed than the backlog retains.
+// cutOffLeftRelay cuts the left relay's link, and commits more entries than the backlog retains.
 func cutOffLeftRelay(w *world) {
 	w.cut(w.openLinkIndex(leftIndex))
 	for range 4 {
@@ -179,13 +183,13 @@
 	}
 }
 
-// deliverAfterNewEpoch has messages of the epoch before arrive at the left relay behind those of the new one.
+// deliverAfterNewEpoch begins a new epoch, and queues messages of the previous epoch to the left relay after those of the new one.
 func (w *world) deliverAfterNewEpoch(messages []distribution.Message) {
 	w.deliverAll()
 	w.beginEpoch()
 	w.deliverAll()
-	at := w.openLinkIndex(leftIndex)
-	w.links[at].toSubscriber = append(w.links[at].toSubscriber, messages...)
+	linkIndex := w.openLinkIndex(leftIndex)
+	w.links[linkIndex].toSubscriber = append(w.links[linkIndex].toSubscriber, messages...)
 }
 
 func (w *world) openLinkIndex(from int) int {
@@ -208,7 +212,7 @@
 	w.deliverAfterNewEpoch(slices.Clone(w.links[w.openLinkIndex(leftIndex)].toSubscriber))
 }
 
-// pauseLeaf has a leaf that was paused for longer than MaxLag, and what was sent meanwhile.
+// pauseLeaf pauses the leaf for longer than MaxLag. The messages that are sent to it meanwhile stay in flight.
 func pauseLeaf(w *world) {
 	w.paused[leafIndex] = true
 	w.commit()
@@ -218,27 +222,27 @@
 	}
 }
 
-// searchResult is the result of a search.
+// searchResult is the result of a search. err is the first violation of a rule, and path the steps that led to it.
 type searchResult struct {
-	states, healed int
+	states, healed int // states visited, and those of them from which the end of all faults was checked
 	path           string
 	err            error
 }
 
-// explore visits all states, breadth first.
+// explore visits all states breadth first, with a mutation, until a rule is violated or the depth is reached.
 func (r search) explore(m mutation) searchResult {
 	type node struct {
-		w    *world
-		from *node
-		text string
+		w           *world
+		previous    *node
+		description string
 	}
 	path := func(n *node, last string) string {
-		for ; n != nil; n = n.from {
-			last = n.text + "; " + last
+		for ; n != nil; n = n.previous {
+			last = n.description + "; " + last
 		}
 		return last
 	}
-	start := newWorld(r.absentProcess, m)
+	start := newWorld(r.absent, m)
 	for range r.pendingCommits {
 		start.commit()
 	}
@@ -247,7 +251,7 @@
 	}
 	start.messageFaultsLeft, start.componentFaultsLeft = r.messageFaults, r.componentFaults
 	if start.violation != nil {
-		return searchResult{err: start.violation, path: "the start"}
+		return searchResult{err: start.violation, path: "the initial steps"}
 	}
 	var result searchResult
 	visited := map[uint64]bool{}
@@ -274,11 +278,11 @@
 				if result.states%r.healEvery == 0 {
 					result.healed++
 					if err := w.clone().heal(); err != nil {
-						result.err, result.path = err, path(n, step.description+"; all heals")
+						result.err, result.path = err, path(n, step.description+"; all faults end")
 						return result
 					}
 				}
-				next = append(next, &node{w: w, from: n, text: step.description})
+				next = append(next, &node{w: w, previous: n, description: step.description})
 			}
 			n.w = nil
 		}
@@ -293,7 +297,7 @@
 			t.Parallel()
 			result := r.explore(mutation{})
 			require.NoError(t, result.err, "after %s", result.path)
-			t.Logf("%d states, %d healed", result.states, result.healed)
+			t.Logf("%d states visited, %d checked to recover", result.states, result.healed)
 		})
 	}
 }
@@ -303,8 +307,8 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			result := m.runSearch()
-			require.Error(t, result.err, "%s does not catch it in %d states", m.search, result.states)
-			t.Logf("%s after %d states: %v (%s)", m.search, result.states, result.err, result.path)
+			require.Error(t, result.err, "search %q does not catch the mutation in %d states", m.search, result.states)
+			t.Logf("search %q caught it after %d states: %v (%s)", m.search, result.states, result.err, result.path)
 		})
 	}
 }
--- a/internal/decide/distribution/mutation_test.go
+++ b/internal/decide/distribution/mutation_test.go
@@ -2,10 +2,10 @@
 
 import "ravenwheel/internal/decide/distribution"
 
-// mutation is one way in which the machines, their shell or the wire could be wrong. The zero value changes nothing.
+// mutation is a fault of the machines, of their caller or of the wire, which the checker must catch. The zero value changes nothing.
 type mutation struct {
 	name              string
-	search            string // that catches it
+	search            string // name of the search that catches the mutation
 	changeEvent       func(s *distribution.Subscriber, e distribution.Event) distribution.Event
 	afterEvent        func(s *distribution.Subscriber)
 	changeAction      func(s *distribution.Subscriber, a distribution.Action) distribution.Action
@@ -54,8 +54,8 @@
 	return m.changeMessage(w, x)
 }
 
-// batchIn returns the batch in an event, if there is one.
-func batchIn(s *distribution.Subscriber, e distribution.Event) (distribution.Received, distribution.Batch, bool) {
+// batchOf returns the event as a Received and the batch in it, if it holds one.
+func batchOf(s *distribution.Subscriber, e distribution.Event) (distribution.Received, distribution.Batch, bool) {
 	r, isMessage := e.(distribution.Received)
 	if !isMessage {
 		return r, distribution.Batch{}, false
@@ -64,12 +64,12 @@
 	return r, b, isBatch
 }
 
-// mutations are what could be wrong. Each must be caught by one of the searches.
+// mutations must each be caught by the search that they name.
 var mutations = []mutation{
 	{
-		name: "a gap is not noticed", search: "loss",
+		name: "a gap is not noticed", search: "message loss",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-			if r, b, ok := batchIn(s, e); ok && b.After > s.AppliedSequence() {
+			if r, b, ok := batchOf(s, e); ok && b.After > s.AppliedSequence() {
 				b.After = s.AppliedSequence()
 				r.Message = b
 				return r
@@ -78,18 +78,18 @@
 		},
 	},
 	{
-		name: "a duplicate is applied again", search: "loss",
+		name: "a duplicate is applied again", search: "message loss",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-			if _, b, ok := batchIn(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
+			if _, b, ok := batchOf(s, e); ok && b.Epoch == s.Position().Epoch && b.Through <= s.AppliedSequence() {
 				s.RewindTo(b.After)
 			}
 			return e
 		},
 	},
 	{
-		name: "a batch of an old epoch passes the fence", search: "old batch",
+		name: "a batch of an old epoch is taken for one of the present epoch", search: "batch of an old epoch",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
-			if r, b, ok := batchIn(s, e); ok && b.Epoch < s.Position().Epoch {
+			if r, b, ok := batchOf(s, e); ok && b.Epoch < s.Position().Epoch {
 				b.Epoch = s.Position().Epoch
 				r.Message = b
 				return r
@@ -98,7 +98,7 @@
 		},
 	},
 	{
-		name: "an old epoch is not fenced off", search: "old chunks",
+		name: "a snapshot of an old epoch is not rejected", search: "chunks of an old epoch",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
@@ -109,11 +109,11 @@
 		},
 	},
 	{
-		name: "a watermark holds before its sequence is applied", search: "loss",
+		name: "a watermark is used before its sequence is applied", search: "message loss",
 		afterEvent: func(s *distribution.Subscriber) { s.TrustPendingWatermark() },
 	},
 	{
-		name: "a batch claims its own end, with gaps that later entries cover", search: "loss",
+		name: "a batch's watermark ends with the batch, despite gaps that later entries cover", search: "message loss",
 		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if b, ok := m.(distribution.Batch); ok {
 				b.Watermark.Sequence = b.Through
@@ -123,7 +123,7 @@
 		},
 	},
 	{
-		name: "a relay passes on its own end as complete", search: "loss",
+		name: "a relay's watermark ends with the applied batch, despite gaps", search: "message loss",
 		changeAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
 			if x, ok := a.(distribution.Apply); ok {
 				x.Watermark.Sequence = x.Through
@@ -133,11 +133,11 @@
 		},
 	},
 	{
-		name: "the newest purge does not carry what it covers", search: "crash",
+		name: "the newest purge lacks the effect of the purge that it covers", search: "crash",
 		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if c, ok := m.(distribution.SnapshotChunk); ok {
 				for i, e := range c.Entries {
-					if e.Name == script[2].Name && e.Sequence > 4 { // effective before the one that it covers
+					if e.Name == script[2].Name && e.Sequence > 4 { // this purge is effective before the purge that it covers
 						c.Entries[i].EffectiveAt = script[2].EffectiveAt + int64(w.epoch)*1000
 					}
 				}
@@ -146,7 +146,7 @@
 		},
 	},
 	{
-		name: "a group's purge covers what ends later", search: "loss",
+		name: "a group purge covers an object purge that expires later", search: "message loss",
 		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			b, ok := m.(distribution.Batch)
 			for i, e := range b.Entries {
@@ -159,7 +159,7 @@
 		},
 	},
 	{
-		name: "a lost chunk is not noticed", search: "epoch",
+		name: "a lost chunk is not noticed", search: "new epoch",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk {
@@ -172,7 +172,7 @@
 		},
 	},
 	{
-		name: "a snapshot ends a chunk early", search: "loss",
+		name: "a snapshot ends with its first chunk", search: "message loss",
 		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if c, ok := m.(distribution.SnapshotChunk); ok && c.Index == 0 {
 				c.Last = true
@@ -182,7 +182,7 @@
 		},
 	},
 	{
-		name: "a snapshot of an earlier position is installed", search: "old",
+		name: "a snapshot of an earlier position is installed", search: "new epoch during relay restart",
 		changeEvent: func(s *distribution.Subscriber, e distribution.Event) distribution.Event {
 			if r, isMessage := e.(distribution.Received); isMessage {
 				if c, isChunk := r.Message.(distribution.SnapshotChunk); isChunk && c.Epoch == s.Position().Epoch && c.Through < s.AppliedSequence() {
@@ -193,7 +193,7 @@
 		},
 	},
 	{
-		name: "a subscriber resumes behind entries that it lacks", search: "loss",
+		name: "a subscriber resumes after entries that it lacks", search: "message loss",
 		changeAction: func(s *distribution.Subscriber, a distribution.Action) distribution.Action {
 			if x, ok := a.(distribution.SendMessage); ok {
 				if m, isSubscribe := x.Message.(distribution.Subscribe); isSubscribe && m.From.Epoch != 0 {
@@ -206,7 +206,7 @@
 		},
 	},
 	{
-		name: "a relay sends its own time as the store's", search: "loss",
+		name: "a heartbeat carries the relay's time instead of the store's", search: "message loss",
 		changeMessage: func(w *world, m distribution.Message) distribution.Message {
 			if h, ok := m.(distribution.Heartbeat); ok {
 				h.Watermark.At = int64(w.now)
@@ -220,22 +220,22 @@
 		changeDistributor: func(d *distribution.Distributor) { d.ResetCredits() },
 	},
 	{
-		name: "the backlog is not trimmed", search: "loss",
+		name: "the backlog is not trimmed", search: "message loss",
 		changeDistributor: func(d *distribution.Distributor) { d.RemoveBacklogLimits() },
 	},
 	{
-		name: "a subscriber behind the backlog gets no snapshot", search: "cut",
+		name: "a subscriber behind the backlog gets no snapshot", search: "link cut",
 		changeDistributor: func(d *distribution.Distributor) { d.TreatBacklogAsComplete() },
 	},
 	{
-		name: "MaxLag is checked by Ticks only", search: "asleep",
+		name: "MaxLag is checked only at Ticks", search: "leaf paused past MaxLag",
 		changeFreshness: func(g distribution.Freshness) distribution.Freshness {
 			g.FreshUntil = 1e18
 			return g
 		},
 	},
 	{
-		name: "the oldest copy is raised to some time before the watermark", search: "asleep",
+		name: "the oldest copy allowed is older than the watermark", search: "leaf paused past MaxLag",
 		changeFreshness: func(g distribution.Freshness) distribution.Freshness {
 			g.OldestCopy -= 500
 			g.WatermarkTime -= 500
@@ -244,7 +244,7 @@
 	},
 }
 
-// runSearch runs the search that is to catch a mutation.
+// runSearch runs the search that must catch the mutation.
 func (m mutation) runSearch() searchResult {
 	for _, r := range searches {
 		if r.name == m.search {
--- a/internal/decide/distribution/parent_selection_test.go
+++ b/internal/decide/distribution/parent_selection_test.go
@@ -15,7 +15,8 @@
 	return distribution.Peer{Name: name, Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Region: draw("region"), Zone: draw("zone"), Site: draw("site")}
 }
 
-// Whichever of its candidates each process subscribes at, there is no cycle, and each chain ends at the store.
+// Whichever of its candidates each process subscribes to, there must be no cycle, and each chain must end at the store. Processes in a
+// cycle would get no entries.
 func TestSubscriptionsFormNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []distribution.Peer{{Name: "store"}}
@@ -35,14 +36,14 @@
 		for _, p := range peers {
 			for steps := 0; p.Rank > 0; steps++ {
 				require.Less(t, chosen[p.Name].Rank, p.Rank)
-				require.Less(t, steps, 4, "a chain that does not end")
+				require.Less(t, steps, 4, "the chain does not end at the store")
 				p = chosen[p.Name]
 			}
 		}
 	})
 }
 
-// A distributor rejects a subscriber whose rank is not above its own, whatever the candidates of the subscriber were.
+// A distributor must reject a subscriber whose rank is not above its own, whatever the candidates of the subscriber were.
 func TestDistributorRejectsWrongRank(t *testing.T) {
 	d := distribution.NewDistributor(distribution.DefaultSettings(distribution.Purges, distribution.Peer{Name: "d", Rank: 2}))
 	d.Handle(0, distribution.InstallSnapshot{Epoch: 1, Through: 1, Watermark: distribution.Watermark{Sequence: 1, At: 1}})
@@ -61,40 +62,40 @@
 func TestOrderParentsPrefersCloser(t *testing.T) {
 	self := distribution.Peer{Name: "self", Rank: 3, Region: "r", Zone: "z", Site: "s"}
 	peers := []distribution.Peer{
-		{Name: "far", Rank: 2, Region: "q", Zone: "y", Site: "t"},
+		{Name: "other region", Rank: 2, Region: "q", Zone: "y", Site: "t"},
 		{Name: "store", Rank: 0, Region: "r", Zone: "z", Site: "s"},
 		{Name: "region", Rank: 1, Region: "r", Zone: "y", Site: "t"},
-		{Name: "next zone", Rank: 2, Region: "r", Zone: "x", Site: "t"},
+		{Name: "other zone", Rank: 2, Region: "r", Zone: "x", Site: "t"},
 		{Name: "zone", Rank: 2, Region: "r", Zone: "z", Site: "t"},
 		{Name: "site", Rank: 2, Region: "r", Zone: "z", Site: "s"},
-		{Name: "beside", Rank: 3, Region: "r", Zone: "z", Site: "s"},
+		{Name: "same rank", Rank: 3, Region: "r", Zone: "z", Site: "s"},
 	}
 	var order []string
 	for _, p := range distribution.OrderParents(self, peers) {
 		order = append(order, p.Name)
 	}
-	require.Equal(t, []string{"site", "zone", "next zone", "region", "store", "far"}, order)
+	require.Equal(t, []string{"site", "zone", "other zone", "region", "store", "other region"}, order)
 }
 
-// The loss of one of a zone's distributors moves only its own subscribers, and spreads them.
+// The loss of one of a zone's distributors must move only its own subscribers, and spread them over the others.
 func TestLostDistributorMovesOnlyItsOwnSubscribers(t *testing.T) {
 	var peers []distribution.Peer
 	for i := range 6 {
 		peers = append(peers, distribution.Peer{Name: fmt.Sprint("d", i), Rank: 2, Region: "r", Zone: "z"})
 	}
-	moved, affected := map[string]int{}, 0
+	movedTo, affected := map[string]int{}, 0
 	for i := range 600 {
 		self := distribution.Peer{Name: fmt.Sprint("proxy", i), Rank: 3, Region: "r", Zone: "z"}
 		before, after := distribution.OrderParents(self, peers)[0], distribution.OrderParents(self, peers[1:])[0]
 		if before.Name == "d0" {
 			affected++
-			moved[after.Name]++
+			movedTo[after.Name]++
 			continue
 		}
 		require.Equal(t, before, after)
 	}
-	require.Len(t, moved, 5)
-	for name, n := range moved {
+	require.Len(t, movedTo, 5)
+	for name, n := range movedTo {
 		require.Less(t, n, affected/2, name)
 	}
 }
--- a/internal/decide/distribution/random_faults_test.go
+++ b/internal/decide/distribution/random_faults_test.go
@@ -11,13 +11,13 @@
 	"ravenwheel/internal/decide/distribution/check"
 )
 
-// drawScript draws what the store commits: few names, so that much is covered by something later.
+// drawScript draws the entries that the store commits. They have few names, so that many are covered by later ones.
 func drawScript(t *rapid.T, stream distribution.Stream) []distribution.Entry {
 	var all []distribution.Entry
 	for i := range rapid.IntRange(1, 25).Draw(t, "commits") {
 		name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name")
-		effectiveAt := rapid.Int64Range(100, 200).Draw(t, "made")
-		expiresAt := rapid.SampledFrom([]int64{0, 13_000, 20_000, 90_000}).Draw(t, "until")
+		effectiveAt := rapid.Int64Range(100, 200).Draw(t, "effectiveAt")
+		expiresAt := rapid.SampledFrom([]int64{0, 13_000, 20_000, 90_000}).Draw(t, "expiresAt")
 		e := distribution.Entry{
 			Kind: distribution.PurgeObject, Name: name, Group: int64(name[0]) % 2, GroupKnown: name != "z",
 			EffectiveAt: effectiveAt, ExpiresAt: expiresAt,
@@ -31,25 +31,26 @@
 			if kind == distribution.Revision || kind == distribution.List {
 				e.Version, e.Body = uint64(i+1), []byte(name)
 			}
-		case rapid.IntRange(0, 3).Draw(t, "group") == 0:
-			e = distribution.Entry{Kind: distribution.PurgeGroup, Group: rapid.Int64Range(0, 1).Draw(t, "which"), EffectiveAt: effectiveAt, ExpiresAt: expiresAt}
+		case rapid.IntRange(0, 3).Draw(t, "isGroup") == 0:
+			e = distribution.Entry{Kind: distribution.PurgeGroup, Group: rapid.Int64Range(0, 1).Draw(t, "group"), EffectiveAt: effectiveAt, ExpiresAt: expiresAt}
 		}
 		all = append(all, e)
 	}
 	return all
 }
 
-// checkRandomWalk plays long walks of the model, with four processes and all faults: deeper than the exhaustive search.
+// checkRandomWalk takes long random walks through the model, with four processes and all faults: more steps than the exhaustive search
+// takes.
 func checkRandomWalk(t *testing.T, stream distribution.Stream) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{stream: stream, script: drawScript(t, stream)}
 		w.start()
-		w.messageFaultsLeft = rapid.IntRange(0, 15).Draw(t, "faults")
-		w.componentFaultsLeft = rapid.IntRange(0, 8).Draw(t, "breaks")
-		r := search{componentFaultKinds: []componentFault{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}}
-		for range rapid.IntRange(1, 150).Draw(t, "moves") {
-			moves := r.steps(w)
-			moves[rapid.IntRange(0, len(moves)-1).Draw(t, "move")].run(w)
+		w.messageFaultsLeft = rapid.IntRange(0, 15).Draw(t, "messageFaults")
+		w.componentFaultsLeft = rapid.IntRange(0, 8).Draw(t, "componentFaults")
+		r := search{faultKinds: []componentFault{linkCuts, processCrashes, processPauses, newEpochs, rootRestarts}}
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			steps := r.steps(w)
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")].run(w)
 			w.dropEndedLinks()
 			require.NoError(t, w.violation)
 		}
@@ -63,14 +64,14 @@
 	checkRandomWalk(t, distribution.Configuration)
 }
 
-// referenceSubscriber is a subscriber of a stream in which nothing is covered, written as plainly as possible.
+// referenceSubscriber is a simple implementation of a subscriber, for a stream in which no entry covers another.
 type referenceSubscriber struct {
 	hasState     bool
 	position     distribution.Position
 	highestEpoch uint64
 	chunks       []distribution.SnapshotChunk
-	fenced       bool
-	timesApplied map[uint64]int // of the epoch: how often each sequence was put into force
+	fenced       bool           // the last message was of an epoch below the highest one
+	timesApplied map[uint64]int // how often each sequence of the present epoch was applied
 }
 
 func (r *referenceSubscriber) receive(m distribution.Message) {
@@ -129,7 +130,7 @@
 	epoch := rapid.Uint64Range(1, 2).Draw(t, "epoch")
 	through := rapid.Uint64Range(1, 10).Draw(t, "through")
 	watermark := distribution.Watermark{Sequence: through, At: int64(through) * 100}
-	switch rapid.IntRange(0, 3).Draw(t, "what") {
+	switch rapid.IntRange(0, 3).Draw(t, "messageType") {
 	case 0:
 		return distribution.Heartbeat{Stream: distribution.Purges, Epoch: epoch, Watermark: watermark}
 	case 1:
@@ -159,10 +160,11 @@
 	return entries
 }
 
-// A subscriber that receives valid messages in any order, some twice or never, is always at the position of the reference.
+// A subscriber that receives valid messages in any order, some twice or never, must always be at the position of the reference. It must
+// apply each entry once.
 func TestSubscriberMatchesReference(t *testing.T) {
 	totalMessages := 0
-	defer func() { t.Logf("%d messages", totalMessages) }()
+	defer func() { t.Logf("%d messages received", totalMessages) }()
 	rapid.Check(t, func(t *rapid.T) {
 		h := &check.History{}
 		for epoch := uint64(1); epoch <= 2; epoch++ {
@@ -184,8 +186,8 @@
 		}
 		handle(distribution.Candidates{Peers: peers})
 		for range rapid.IntRange(1, 60).Draw(t, "messages") {
-			for !s.AcceptsMessages() { // it has a link at all times, whatever made it leave the last one
-				reference.chunks = nil // what was in flight is void with the link
+			for !s.AcceptsMessages() { // connect again, for whatever reason the subscriber has left the last link
+				reference.chunks = nil // the chunks received on the last link are dropped with it
 				now += 50
 				handle(distribution.Tick{})
 				handle(distribution.Connected{Link: link})
@@ -199,7 +201,7 @@
 			}
 			require.Equal(t, reference.position, s.Position())
 			for sequence, times := range reference.timesApplied {
-				require.Equal(t, 1, times, "entry %d", sequence)
+				require.Equal(t, 1, times, "times that entry %d was applied", sequence)
 			}
 		}
 		totalMessages += messages
--- a/internal/decide/distribution/steps_test.go
+++ b/internal/decide/distribution/steps_test.go
@@ -12,26 +12,27 @@
 	w.links = slices.DeleteFunc(w.links, func(l modelLink) bool { return !l.open && len(l.toDistributor) == 0 && len(l.toSubscriber) == 0 })
 }
 
-// cut ends a link at both sides; what is in flight is lost.
-func (w *world) cut(at int) {
-	w.links[at].toDistributor, w.links[at].toSubscriber = []distribution.Message{nil}, []distribution.Message{nil}
+// cut ends a link at both sides. The messages in flight are lost.
+func (w *world) cut(linkIndex int) {
+	w.links[linkIndex].toDistributor, w.links[linkIndex].toSubscriber = []distribution.Message{nil}, []distribution.Message{nil}
 }
 
-// crash restarts a process with no state.
+// crash ends a process and its links, and starts it again without state.
 func (w *world) crash(i int) {
-	for at, l := range w.links {
+	for linkIndex, l := range w.links {
 		if l.to == i {
-			w.links[at].toDistributor, w.links[at].toSubscriber = nil, []distribution.Message{nil}
+			w.links[linkIndex].toDistributor, w.links[linkIndex].toSubscriber = nil, []distribution.Message{nil}
 		}
 		if l.from == i {
-			w.links[at].open = false
-			w.links[at].toDistributor, w.links[at].toSubscriber = []distribution.Message{nil}, nil
+			w.links[linkIndex].open = false
+			w.links[linkIndex].toDistributor, w.links[linkIndex].toSubscriber = []distribution.Message{nil}, nil
 		}
 	}
 	w.startProcess(i)
 }
 
-// advanceTime moves the time to the next wake-up, and handles it.
+// advanceTime advances the time to the next requested Tick, and delivers the Ticks that are due. Every 500 ms the root also gets a
+// new watermark.
 func (w *world) advanceTime() {
 	next := math.Inf(1)
 	for i := range processCount {
@@ -49,7 +50,7 @@
 			continue
 		}
 		if w.subscribers[i] != nil {
-			w.checkServing(i) // before its Tick
+			w.checkServing(i) // a request may come before the Tick
 		}
 		if w.distributorWakeAt[i] <= w.now {
 			w.distributorWakeAt[i] = math.Inf(1)
@@ -62,11 +63,12 @@
 	}
 }
 
+// idle reports whether no message is in flight.
 func (w *world) idle() bool {
 	return !slices.ContainsFunc(w.links, func(l modelLink) bool { return len(l.toDistributor) > 0 || len(l.toSubscriber) > 0 })
 }
 
-// caughtUp reports whether every process has everything that was committed.
+// caughtUp reports whether every process has all committed entries.
 func (w *world) caughtUp() bool {
 	for i := range processCount {
 		if w.subscribers[i] != nil && w.observed[i].CheckCaughtUp(int64(w.now)) != nil {
@@ -76,7 +78,7 @@
 	return true
 }
 
-// resume resumes a paused process; a request may come before anything else.
+// resume resumes a paused process. A request may come before any event.
 func (w *world) resume(i int) {
 	w.paused[i] = false
 	w.checkServing(i)
@@ -86,13 +88,13 @@
 func (w *world) deliverAll() {
 	for range 10_000 {
 		delivered := false
-		for at := range w.links {
-			if l := w.links[at]; len(l.toDistributor) > 0 && !w.paused[l.to] {
-				w.deliverToDistributor(at)
+		for linkIndex := range w.links {
+			if l := w.links[linkIndex]; len(l.toDistributor) > 0 && !w.paused[l.to] {
+				w.deliverToDistributor(linkIndex)
 				delivered = true
 			}
-			if l := w.links[at]; len(l.toSubscriber) > 0 && !w.paused[l.from] {
-				w.deliverToSubscriber(at)
+			if l := w.links[linkIndex]; len(l.toSubscriber) > 0 && !w.paused[l.from] {
+				w.deliverToSubscriber(linkIndex)
 				delivered = true
 			}
 		}
@@ -101,10 +103,10 @@
 			return
 		}
 	}
-	panic("messages without end")
+	panic("messages are still in flight after 10,000 rounds of delivery")
 }
 
-// heal ends all faults, and checks that every process gets everything in the end.
+// heal ends all faults, and checks that every process catches up with all committed entries.
 func (w *world) heal() error {
 	for i := range processCount {
 		if w.paused[i] {
--- a/internal/decide/distribution/wire_test.go
+++ b/internal/decide/distribution/wire_test.go
@@ -21,17 +21,17 @@
 			distribution.Drain, distribution.DrainEnded,
 		}).Draw(t, "kind"),
 		Name:        rapid.StringN(0, 40, 80).Draw(t, "name"),
-		EffectiveAt: testTime - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "made"),
+		EffectiveAt: testTime - rapid.Int64Range(-60_000, 86_400_000).Draw(t, "effectiveAt"),
 	}
-	if rapid.Bool().Draw(t, "ends") {
-		e.ExpiresAt = e.EffectiveAt + rapid.Int64Range(1, 86_400_000).Draw(t, "until")
+	if rapid.Bool().Draw(t, "expires") {
+		e.ExpiresAt = e.EffectiveAt + rapid.Int64Range(1, 86_400_000).Draw(t, "expiresAt")
 	}
-	if e.Kind == distribution.PurgeGroup || rapid.Bool().Draw(t, "grouped") {
+	if e.Kind == distribution.PurgeGroup || rapid.Bool().Draw(t, "hasGroup") {
 		e.Group = rapid.Int64().Draw(t, "group")
 		e.GroupKnown = e.Kind != distribution.PurgeGroup
 	}
 	if e.Kind == distribution.Revision || e.Kind == distribution.List {
-		e.Version = rapid.Uint64Range(1, 1<<40).Draw(t, "number")
+		e.Version = rapid.Uint64Range(1, 1<<40).Draw(t, "version")
 		e.Body = rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "body")
 	}
 	return e
@@ -48,7 +48,7 @@
 
 func drawMessage(t *rapid.T) distribution.Message {
 	after := rapid.Uint64Range(0, 1<<33).Draw(t, "after")
-	watermark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "mark"), At: testTime}
+	watermark := distribution.Watermark{Sequence: rapid.Uint64().Draw(t, "watermark"), At: testTime}
 	epoch := rapid.Uint64().Draw(t, "epoch")
 	number := rapid.IntRange(0, 1<<30).Draw(t, "number")
 	entries := drawEntries(t, after)
@@ -123,7 +123,7 @@
 	})
 }
 
-// A purge may take 195 bytes: 17 KB/s for 87 purges a second.
+// A purge must take less than 195 bytes on the wire: 87 purges a second then take 17 KB/s on each link.
 func TestPurgeFrameSize(t *testing.T) {
 	var entries []distribution.Entry
 	for i := range 87 {
@@ -131,7 +131,7 @@
 			Name: fmt.Sprintf("/catalogue/pictures/by-size/1280x720/%032x.webp", i), EffectiveAt: testTime - int64(i*11), ExpiresAt: testTime + 3_600_000})
 	}
 	bytes := 0
-	for _, e := range entries { // the worst case: each alone in a batch
+	for _, e := range entries { // the largest size: each purge alone in a batch
 		b := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: e.Sequence - 1, Through: e.Sequence,
 			Watermark: distribution.Watermark{Sequence: e.Sequence, At: testTime}, Entries: []distribution.Entry{e}}
 		size := len(distribution.Encode(b).Bytes)
@@ -141,7 +141,7 @@
 	oneBatch := distribution.Batch{Stream: distribution.Purges, Epoch: 12, After: 999_999, Through: 1_000_086,
 		Watermark: distribution.Watermark{Sequence: 1_000_086, At: testTime}, Entries: entries}
 	t.Logf(
-		"names of %d bytes: %d bytes a purge in batches of one, %d in one of 87", len(entries[0].Name), bytes/87,
+		"names of %d bytes: %d bytes for a purge in batches of one, %d in a batch of 87", len(entries[0].Name), bytes/87,
 		len(distribution.Encode(oneBatch).Bytes)/87,
 	)
 }
--- a/internal/decide/distribution/world_test.go
+++ b/internal/decide/distribution/world_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/decide/distribution/check"
 )
 
-// The processes of the model: the distributor at the store, two of the level below, and one that only subscribes.
+// Indexes of the model's processes: the distributor at the store, two relays of the level below, and a process that only subscribes.
 const (
 	rootIndex = iota
 	leftIndex
@@ -20,12 +20,14 @@
 
 var processNames = [processCount]string{"root", "left", "right", "leaf"}
 
+// peers are the distributors of the model.
 var peers = []distribution.Peer{
 	{Name: "root", Rank: 0, Region: "r", Zone: "z"},
 	{Name: "left", Rank: 1, Region: "r", Zone: "z"},
 	{Name: "right", Rank: 1, Region: "r", Zone: "z"},
 }
 
+// settings returns the settings of a process, with short times and small bounds.
 func (w *world) settings(i int) distribution.Settings {
 	self := distribution.Peer{Name: processNames[i], Rank: min(2, i), Region: "r", Zone: "z"}
 	if i == rightIndex {
@@ -35,14 +37,15 @@
 	s.Seed = uint64(i)
 	s.HeartbeatInterval, s.SilenceTimeout, s.ConnectTimeout = 500, 1000, 1000
 	s.FailoverSpread, s.MinBackoff, s.MaxBackoff, s.RelaxSpread = 100, 100, 400, 400
-	s.MaxFrame, s.Credit = 1, 100 // one entry a frame, two frames in flight
+	s.MaxFrame, s.Credit = 1, 100 // one entry in each frame, and two frames in flight
 	s.MaxBacklogEntries, s.MaxBacklogBytes = 3, 1000
 	s.MaxLag, s.MaxClockSkew = 2000, 0
 	s.Classes = map[string]distribution.StalePolicy{"strict": distribution.PolicyStrict}
 	return s
 }
 
-// modelLink is a link from a subscriber to a distributor. A nil message is its end.
+// modelLink is a link from a subscriber to a distributor. toDistributor and toSubscriber are the messages in flight, of which a nil
+// message reports the end of the link.
 type modelLink struct {
 	from                        int
 	fromLink                    distribution.Link
@@ -50,16 +53,16 @@
 	toLink                      distribution.Link
 	open                        bool // on the subscriber's side
 	toDistributor, toSubscriber []distribution.Message
-	bytesInFlight               int // of batches and chunks
-	framesInFlight              int
-	duplicatedBytes             int // of those that were duplicated
+	bytesInFlight               int // of batches and chunks to the subscriber
+	framesInFlight              int // number of those batches and chunks
+	duplicatedBytes             int // bytes of batches and chunks that a fault has duplicated
 }
 
-// world is one state of the model.
+// world is one state of the model: the store's history, all processes, and the messages in flight.
 type world struct {
 	now               float64
 	history           *check.History
-	subscribers       [processCount]*distribution.Subscriber // nil: of the root
+	subscribers       [processCount]*distribution.Subscriber // nil for the root
 	distributors      [processCount]*distribution.Distributor
 	observed          [processCount]*check.Process
 	freshness         [processCount]distribution.Freshness
@@ -71,21 +74,21 @@
 
 	epoch      uint64
 	sequence   uint64
-	nextEntry  int // of the script
-	advancedAt float64
+	nextEntry  int     // index of the script's entry that is committed next
+	advancedAt float64 // when the root last got a new watermark, Unix ms
 
 	messageFaultsLeft   int
 	componentFaultsLeft int
 	mutation            mutation
 	violation           error
-	absentProcess       int // a process that does not run
+	absentProcess       int // index of a process that does not run; rootIndex: all run
 	stream              distribution.Stream
 	script              []distribution.Entry
-	initialEntries      int // how many of the script an epoch begins with
+	initialEntries      int // number of entries of the script that an epoch begins with
 }
 
-// script is what is committed in each epoch. Entries cover the same object, a group's objects, a purge that is effective earlier than
-// one before it, one that expires early, and nothing.
+// script holds the entries that the store commits in each epoch. Among them are purges that cover one of the same object, a purge that
+// covers a group's objects, one that is effective before the purge that it covers, one that expires early, and one that covers nothing.
 var script = []distribution.Entry{
 	{Kind: distribution.PurgeObject, Name: "x", Group: 1, GroupKnown: true, EffectiveAt: 100, ExpiresAt: 90_000},
 	{Kind: distribution.PurgeObject, Name: "y", Group: 1, GroupKnown: true, EffectiveAt: 90, ExpiresAt: 95_000},
@@ -95,14 +98,14 @@
 	{Kind: distribution.PurgeObject, Name: "w", EffectiveAt: 150},
 }
 
-// newWorld returns a world in which all processes run but one (0: all), and have the first entries of the script.
+// newWorld returns a world in which all processes run except absent (rootIndex: all run), and have the first entries of the script.
 func newWorld(absent int, m mutation) *world {
 	w := &world{mutation: m, absentProcess: absent, stream: distribution.Purges, script: script, initialEntries: 2}
 	w.start()
 	return w
 }
 
-// start starts all processes, and runs until all of them are connected and complete.
+// start starts the processes, and runs the model until all of them are connected and have caught up.
 func (w *world) start() {
 	w.now, w.history = 10_000, &check.History{}
 	for i := range processCount {
@@ -118,10 +121,10 @@
 		w.deliverAll()
 		w.advanceTime()
 	}
-	panic("the model does not become complete at the start")
+	panic("the model's processes did not catch up after their start")
 }
 
-// startProcess starts a process with no state.
+// startProcess starts a process without state.
 func (w *world) startProcess(i int) {
 	w.observed[i] = check.NewProcess(w.history)
 	w.freshness[i] = distribution.Freshness{Restricted: true, OldestCopy: math.Inf(1), FreshUntil: math.Inf(-1), WatermarkTime: math.Inf(1)}
@@ -155,7 +158,8 @@
 	w.handleDistributor(rootIndex, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: all})
 }
 
-// restoreRoot has the root read its state back: facts joined by their key, with sequences that say only an order of its own.
+// restoreRoot has the root read its state from disk: entries joined by their key, with sequences that give only an order of the root's
+// own.
 func (w *world) restoreRoot() {
 	existing := map[string]distribution.Entry{}
 	var order []string
@@ -190,13 +194,13 @@
 	w.handleDistributor(rootIndex, distribution.InstallSnapshot{Epoch: w.epoch, Through: w.sequence, Watermark: w.watermark(), Entries: entries})
 }
 
-// restartRoot restarts the root with the state that it reads back.
+// restartRoot restarts the root with the state that it reads from disk.
 func (w *world) restartRoot() {
 	w.crash(rootIndex)
 	w.restoreRoot()
 }
 
-// commitNext has the store commit the next entry of the script. Some sequences are left out.
+// commitNext has the store commit the next entry of the script, and returns it. Some sequences are left out.
 func (w *world) commitNext() distribution.Entry {
 	e := w.script[w.nextEntry]
 	w.nextEntry++
@@ -207,10 +211,12 @@
 	return e
 }
 
+// watermark returns the store's present watermark.
 func (w *world) watermark() distribution.Watermark {
 	return distribution.Watermark{Sequence: w.sequence, At: int64(w.now)}
 }
 
+// commit has the store commit the next entry of the script, and the root apply it.
 func (w *world) commit() {
 	after := w.sequence
 	e := w.commitNext()
@@ -218,6 +224,7 @@
 		Entries: []distribution.Entry{e}})
 }
 
+// clone copies the state for another branch of the model.
 func (w *world) clone() *world {
 	c := *w
 	c.history = w.history.Clone()
@@ -240,7 +247,7 @@
 	return &c
 }
 
-// appendFingerprint appends what tells states apart.
+// appendFingerprint appends what distinguishes states of the model.
 func (w *world) appendFingerprint(b []byte) []byte {
 	number := func(n int) { b = append(b, byte(n), byte(n>>8)) }
 	number(int(w.now))
@@ -278,14 +285,14 @@
 	return b
 }
 
-// record keeps the first violation of a rule.
+// record records a violation of a rule, unless there was one before.
 func (w *world) record(err error) {
 	if w.violation == nil {
 		w.violation = err
 	}
 }
 
-// handleSubscriber has a Subscriber handle an event, and carries out its actions.
+// handleSubscriber passes an event to a Subscriber, and carries out its actions.
 func (w *world) handleSubscriber(i int, e distribution.Event) {
 	s := w.subscribers[i]
 	e = w.mutation.mutateEvent(s, e)
@@ -316,20 +323,20 @@
 		w.links = append(w.links, modelLink{from: i, fromLink: a.Link, to: slices.Index(processNames[:], a.To.Name), toLink: w.lastLink, open: true})
 		w.handleSubscriber(i, distribution.Connected{Link: a.Link})
 	case distribution.Disconnect:
-		if at := w.subscriberLinkIndex(i, a.Link); at >= 0 {
-			w.links[at].open = false
-			w.links[at].toDistributor, w.links[at].toSubscriber = append(w.links[at].toDistributor, nil), nil
+		if linkIndex := w.subscriberLinkIndex(i, a.Link); linkIndex >= 0 {
+			w.links[linkIndex].open = false
+			w.links[linkIndex].toDistributor, w.links[linkIndex].toSubscriber = append(w.links[linkIndex].toDistributor, nil), nil
 		}
 	case distribution.SendMessage:
-		if at := w.subscriberLinkIndex(i, a.Link); at >= 0 {
-			w.links[at].toDistributor = append(w.links[at].toDistributor, w.encodeAndDecode(a.Message))
+		if linkIndex := w.subscriberLinkIndex(i, a.Link); linkIndex >= 0 {
+			w.links[linkIndex].toDistributor = append(w.links[linkIndex].toDistributor, w.encodeAndDecode(a.Message))
 		}
 	case distribution.Wake:
 		w.subscriberWakeAt[i] = w.now + a.After
 	}
 }
 
-// encodeAndDecode returns a message as it is decoded at the other end.
+// encodeAndDecode returns a message as the other end decodes it.
 func (w *world) encodeAndDecode(m distribution.Message) distribution.Message {
 	out, err := distribution.Decode(distribution.Encode(m).Bytes)
 	if err != nil {
@@ -338,11 +345,12 @@
 	return out
 }
 
+// subscriberLinkIndex returns the index of the open link that a subscriber numbers so; -1: there is none.
 func (w *world) subscriberLinkIndex(from int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.fromLink == link && l.open })
 }
 
-// handleDistributor has a Distributor handle an event, and carries out its actions.
+// handleDistributor passes an event to a Distributor, and carries out its actions.
 func (w *world) handleDistributor(i int, e distribution.Event) {
 	d := w.distributors[i]
 	w.mutation.mutateDistributor(d)
@@ -353,8 +361,8 @@
 				w.send(i, to, a.Frame)
 			}
 		case distribution.CloseLink:
-			if at := w.distributorLinkIndex(i, a.Link); at >= 0 {
-				w.links[at].toSubscriber = append(w.links[at].toSubscriber, nil)
+			if linkIndex := w.distributorLinkIndex(i, a.Link); linkIndex >= 0 {
+				w.links[linkIndex].toSubscriber = append(w.links[linkIndex].toSubscriber, nil)
 			}
 		case distribution.Wake:
 			w.distributorWakeAt[i] = w.now + a.After
@@ -363,20 +371,22 @@
 	w.record(check.CheckBacklog(w.settings(i), d))
 }
 
+// distributorLinkIndex returns the index of the open link that a distributor numbers so; -1: there is none.
 func (w *world) distributorLinkIndex(to int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.to == to && l.toLink == link && l.open })
 }
 
+// send has a distributor send a frame on one of its links.
 func (w *world) send(i int, to distribution.Link, f *distribution.Frame) {
-	at := w.distributorLinkIndex(i, to)
-	if at < 0 {
+	linkIndex := w.distributorLinkIndex(i, to)
+	if linkIndex < 0 {
 		return
 	}
 	m, err := distribution.Decode(f.Bytes)
 	if err != nil {
 		panic(err)
 	}
-	l := &w.links[at]
+	l := &w.links[linkIndex]
 	if countsAgainstCredit(m) {
 		l.bytesInFlight += len(f.Bytes)
 		l.framesInFlight++
@@ -394,7 +404,8 @@
 	return false
 }
 
-// checkServing has a process decide on requests of a strict class with copies of all ages, by the freshness that it published last.
+// checkServing checks the decisions on requests of a strict class with copies of several ages, by the Freshness that a process has
+// published last.
 func (w *world) checkServing(i int) {
 	if w.paused[i] {
 		return
@@ -407,9 +418,9 @@
 	}
 }
 
-// deliverToSubscriber delivers the first message of a link to the subscriber.
-func (w *world) deliverToSubscriber(at int) {
-	l := &w.links[at]
+// deliverToSubscriber delivers the first message in flight to a link's subscriber.
+func (w *world) deliverToSubscriber(linkIndex int) {
+	l := &w.links[linkIndex]
 	m := l.toSubscriber[0]
 	l.toSubscriber = l.toSubscriber[1:]
 	if m == nil {
@@ -425,15 +436,15 @@
 	w.handleSubscriber(l.from, distribution.Received{Link: l.fromLink, Message: m, Bytes: size})
 }
 
-// deliverToDistributor delivers the first message of a link to the distributor.
-func (w *world) deliverToDistributor(at int) {
-	l := &w.links[at]
+// deliverToDistributor delivers the first message in flight to a link's distributor.
+func (w *world) deliverToDistributor(linkIndex int) {
+	l := &w.links[linkIndex]
 	m := l.toDistributor[0]
 	l.toDistributor = l.toDistributor[1:]
 	if m == nil {
 		to, link := l.to, l.toLink
 		l.toDistributor, l.toSubscriber = nil, nil
-		if l.open { // it ends at both sides
+		if l.open { // the link ends at both sides
 			l.toSubscriber = append(l.toSubscriber, nil)
 		}
 		if w.distributors[to] != nil {
