--- a/internal/decide/dedup/window_test.go
+++ b/internal/decide/dedup/window_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// No message is accepted twice, in whatever order they come, and one that is new and within the window is always accepted.
+// In whatever order messages arrive, none may be accepted twice, and one that is new and within the window must be accepted.
 func TestWindowAcceptsEachMessageOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
@@ -22,16 +22,16 @@
 			sequence := uint64(max(0, int(highest)+step))
 			message := [2]uint64{messageIncarnation, sequence}
 			isNew := w.Accept(messageIncarnation, sequence)
-			require.False(t, isNew && accepted[message], "accepted twice")
+			require.False(t, isNew && accepted[message], "message accepted twice")
 			switch {
 			case messageIncarnation > incarnation:
 				require.True(t, isNew)
 				incarnation, highest = messageIncarnation, sequence
 			case messageIncarnation == incarnation:
-				require.Equal(t, !accepted[message] && sequence+WindowSize >= highest, isNew, "%d behind %d", sequence, highest)
+				require.Equal(t, !accepted[message] && sequence+WindowSize >= highest, isNew, "sequence %d, highest %d", sequence, highest)
 				highest = max(highest, sequence)
 			default:
-				require.False(t, isNew, "of an earlier incarnation")
+				require.False(t, isNew, "message of an earlier incarnation accepted")
 			}
 			if isNew {
 				accepted[message] = true
--- a/internal/distribution/applier.go
+++ b/internal/distribution/applier.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// bodyDecoder bounds what the body of an entry may announce.
+// bodyDecoder decodes the bodies of entries, and bounds the array lengths and the nesting that a body may announce.
 var bodyDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
@@ -20,13 +20,13 @@
 	return m
 }()
 
-// entryApplier puts entries into force, by the same functions as a member of the store does.
+// entryApplier applies entries, by the same functions as a member of the store.
 type entryApplier struct {
 	applyChange   func(storestate.Change)
 	applyRevision func(storestate.Revision)
 
-	// What of the configuration is in force, so that of a snapshot only the differences are applied.
-	revision uint64
+	// The configuration in effect, so that only the differences of a snapshot are applied.
+	revision uint64            // number
 	lists    map[string]uint64 // generations, by source
 	drains   map[string]bool   // by server
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// apply puts one entry into force. It fails for an entry that this version cannot read, which is then left out, as the store does.
+// apply applies one entry. It fails for an entry that this version cannot read. The caller then skips the entry, as the store does.
 func (a *entryApplier) apply(e decider.Entry) error {
 	c := storestate.Change{Name: e.Name, ProposedAt: float64(e.EffectiveAt), ExpiresAt: float64(e.ExpiresAt)}
 	switch e.Kind {
@@ -52,19 +52,19 @@
 	case decider.List:
 		c.Kind, c.List = storestate.SetList, &storestate.List{}
 		if err := bodyDecoder.Unmarshal(e.Body, c.List); err != nil {
-			return fmt.Errorf("distribution: list %q: %w", e.Name, err)
+			return fmt.Errorf("distribution: decode list %q: %w", e.Name, err)
 		}
 		a.lists[e.Name] = e.Version
 	case decider.Revision:
 		var r storestate.Revision
 		if err := bodyDecoder.Unmarshal(e.Body, &r); err != nil {
-			return fmt.Errorf("distribution: revision %d: %w", e.Version, err)
+			return fmt.Errorf("distribution: decode revision %d: %w", e.Version, err)
 		}
 		a.revision = e.Version
 		a.applyRevision(r)
 		return nil
 	default:
-		return fmt.Errorf("distribution: an entry of kind %d", e.Kind)
+		return fmt.Errorf("distribution: unknown kind of entry: %d", e.Kind)
 	}
 	a.applyChange(c)
 	return nil
@@ -80,8 +80,8 @@
 	return p
 }
 
-// applySnapshot puts the entries of a snapshot into force that are not yet, and ends the drains that it does not hold. Errors of
-// entries are reported and skipped.
+// applySnapshot applies the entries of a snapshot that are not in effect yet, and ends the drains that are not in the snapshot. An entry
+// that cannot be applied is reported and skipped.
 func (a *entryApplier) applySnapshot(entries []decider.Entry, report func(error)) {
 	drains := map[string]bool{}
 	for _, e := range entries {
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, e := range entries {
-		if a.inForce(e) {
+		if a.inEffect(e) {
 			continue
 		}
 		if err := a.apply(e); err != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// inForce reports whether an entry of the configuration is in force already.
-func (a *entryApplier) inForce(e decider.Entry) bool {
+// inEffect reports whether an entry of the configuration is in effect already. It returns false for purges.
+func (a *entryApplier) inEffect(e decider.Entry) bool {
 	switch e.Kind {
 	case decider.Drain:
 		return a.drains[e.Name]
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/store"
 )
 
-// A subscriber gets what was committed before it subscribed and after, each fact once and in order.
+// A subscriber must get the changes that were committed before it subscribed and after, each change once and in order.
 func TestSubscriberGetsEachChangeOnceInOrder(t *testing.T) {
 	tr := newTree(t)
 	a := tr.log.newMember()
@@ -27,7 +27,7 @@
 	tr.log.commit(storestate.Change{Kind: storestate.EndDrain, Name: "s-1"})
 	a.apply()
 	tr.waitUntilCaughtUp("p")
-	eventually(t, "the drain's end", func() bool {
+	eventually(t, "the drain's end is not applied", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.changes[len(p.changes)-1].Kind == storestate.EndDrain || len(p.changes) > 1 && p.changes[len(p.changes)-2].Kind == storestate.EndDrain
@@ -47,7 +47,7 @@
 	require.Equal(t, []string{fmt.Sprint(storestate.StartDrain, "s-1"), fmt.Sprint(storestate.EndDrain, "s-1")}, drains)
 }
 
-// startThreeLevels starts two roots, two distributors and four proxies.
+// startThreeLevels starts two roots, two distributors and four proxies, and waits until all have a first purge.
 func startThreeLevels(t *testing.T) (*tree, *fakeMember, *fakeMember) {
 	tr := newTree(t)
 	a, b := tr.log.newMember(), tr.log.newMember()
@@ -65,7 +65,8 @@
 	return tr, a, b
 }
 
-// A distributor that closes during a burst, with all its links, loses no subscriber a fact; restarted, it serves again.
+// When a distributor closes all its links during a burst, none of its subscribers may miss a change. After its restart it must serve
+// again.
 func TestSubscribersMoveWhenDistributorCloses(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	for i := range 200 {
@@ -89,17 +90,17 @@
 	tr.waitUntilCaughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
-// What a member has committed and sent to nobody when it fails arrives by another member.
+// A change that is committed must arrive through another member if the member that committed it fails before it has sent it.
 func TestCommittedChangeArrivesThroughAnotherMember(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
-	tr.processes["a"].node.Close() // it has the purge in its log, and has sent nothing of it
+	tr.processes["a"].node.Close() // a gets the purge below into its log, but can no longer send it
 	tr.log.commitPurge("committed")
 	a.apply()
 	b.apply()
 	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A region that is cut off restricts its strict classes past MaxLag, and catches up after the cut is healed.
+// A region that is cut off from the store must restrict its strict classes past MaxLag, and catch up when it can connect again.
 func TestCutOffRegionRestrictsStrictClasses(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	for _, d := range []string{"d1", "d2"} {
@@ -109,7 +110,7 @@
 	p := tr.processes["p0"]
 	watermark := decider.Watermark{}
 	copyMadeAt := tr.log.clk.Now() - 60_000 // when the copy was made
-	eventually(t, "strict classes are restricted", func() bool {
+	eventually(t, "strict classes are not restricted", func() bool {
 		now := tr.log.clk.Now()
 		watermark.At = p.node.Status()[0].WatermarkMs
 		watermark.Sequence = 1
@@ -130,27 +131,27 @@
 		tr.setCut(d, "b", false)
 	}
 	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
-	eventually(t, "the restriction ends", func() bool {
+	eventually(t, "the restriction has not ended", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.gate.Decide(tr.log.clk.Now(), "strict", copyMadeAt) == decider.VerdictServe
 	})
 }
 
-// A store without a quorum confirms nothing: strict classes are restricted, although the links are open.
+// A store without a quorum confirms no watermark: strict classes must be restricted, although the links are open.
 func TestNoQuorumRestrictsStrictClasses(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
 	p := tr.processes["p0"]
 	restricted := func() bool { return p.node.Status()[0].Restricted }
-	eventually(t, "restricted", restricted)
+	eventually(t, "strict classes are not restricted", restricted)
 	a.setWithoutQuorum(false)
 	b.setWithoutQuorum(false)
-	eventually(t, "the restriction ends", func() bool { return !restricted() })
+	eventually(t, "the restriction has not ended", func() bool { return !restricted() })
 }
 
-// Processes that restart all at once get the complete state.
+// Processes that all restart at once must get the complete state.
 func TestAllGetStateAfterSimultaneousRestart(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	for i := range 4 {
@@ -170,13 +171,13 @@
 	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A distributor of an old epoch is fenced off by processes that have seen the new one, in which the sequence begins anew.
+// Processes that have seen a new epoch, in which the sequence starts again, must take nothing from a distributor of an old epoch.
 func TestOldEpochIsFenced(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	a.setWithoutQuorum(true)
 	b.setWithoutQuorum(true)
 	tr.processes["b"].node.Close()
-	oldRoot := tr.processes["a"] // it goes on serving
+	oldRoot := tr.processes["a"] // it goes on serving the old epoch
 	tr.log.mu.Lock()
 	tr.log.epoch, tr.log.changes = 2, nil
 	tr.log.mu.Unlock()
@@ -185,20 +186,20 @@
 	tr.log.commitPurge("anew")
 	newMember.apply()
 	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
-	// For a while only the old one is left: they rather stay restricted than go back.
+	// Only the distributor of the old epoch is left: the processes must stay restricted, and must not go back to the old epoch.
 	tr.processes["b"].node.Close()
-	eventually(t, "restricted", func() bool { return tr.processes["p0"].node.Status()[0].Restricted })
+	eventually(t, "strict classes are not restricted", func() bool { return tr.processes["p0"].node.Status()[0].Restricted })
 	require.Equal(t, uint64(2), tr.processes["p0"].node.Status()[0].Epoch)
 	require.Equal(t, uint64(1), oldRoot.node.Status()[0].Epoch)
 	tr.waitUntilCaughtUp("d1", "d2", "p0", "p1", "p2", "p3")
 }
 
-// A subscriber that reads 1 KB a second delays no other one.
+// A subscriber that reads 1 KB a second must not delay the others.
 func TestSlowSubscriberDelaysNoOther(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	tr.bytesPerSecond["slow"] = 1 << 10
 	p := tr.start(newPeer("slow", 9), nil, false, "d1")
-	eventually(t, "subscribed", func() bool { return p.parent() == "d1" })
+	eventually(t, "the slow process is not subscribed", func() bool { return p.parent() == "d1" })
 	for i := range 4000 {
 		tr.log.commitPurge(fmt.Sprintf("an object with a name that takes some room %d", i))
 		if i%100 == 0 {
@@ -214,7 +215,7 @@
 	require.NoError(t, p.violation)
 }
 
-// A subscriber that gets a snapshot while purges go on misses none of them.
+// A subscriber that gets a snapshot while purges are committed must miss none of them.
 func TestSnapshotMissesNoConcurrentPurge(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	for i := range 3000 {
@@ -233,8 +234,8 @@
 	tr.waitUntilCaughtUp("late", "p0", "p1", "p2", "p3")
 }
 
-// A distributor that freezes during a burst, its links open, is left for another; resumed, it continues from its position, and serves
-// again.
+// When a distributor freezes during a burst with its links open, its subscribers must move to another. Once it runs again, it must
+// continue from its position and serve again.
 func TestFrozenDistributorIsLeft(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	for i := range 200 {
@@ -255,14 +256,14 @@
 	tr.waitUntilCaughtUp("d1", "p0", "p1", "p2", "p3")
 }
 
-// A process with a certificate of the cluster that subscribes under another name gets no answer, nor does one that begins with another
-// message.
+// A process with a certificate of the cluster that subscribes under another name must get no answer, nor must one whose first message is
+// no Subscribe or names an unknown stream.
 func TestSubscriberNameMustMatchCertificate(t *testing.T) {
 	tr := newTree(t)
 	tr.start(newPeer("a", 0), tr.log.newMember(), true)
 	p := tr.start(newPeer("p", 9), nil, false, "a")
 	tr.waitUntilCaughtUp("p")
-	eventually(t, "subscribed", func() bool { return p.parent() == "a" })
+	eventually(t, "the process is not subscribed", func() bool { return p.parent() == "a" })
 	id, err := store.LoadIdentity(tr.keyDir, "p")
 	require.NoError(t, err)
 	for _, m := range []decider.Message{
@@ -277,10 +278,10 @@
 		l.Close()
 	}
 	_, err = distribution.Start(distribution.Options{Settings: settings(newPeer("q", 9)), Identity: id})
-	require.Error(t, err, "another's identity")
+	require.Error(t, err, "identity of another process")
 }
 
-// What a subscriber's credit does not cover waits in the distributor's backlog, and is not queued on the link.
+// Entries that a subscriber's credit does not cover must stay in the distributor's backlog, and must not be queued on the link.
 func TestCreditBoundsQueuedBytes(t *testing.T) {
 	tr, a, b := startThreeLevels(t)
 	tr.setFrozen("p0", true)
--- a/internal/distribution/entry.go
+++ b/internal/distribution/entry.go
@@ -16,7 +16,8 @@
 // noStream is the stream of changes that are not distributed.
 const noStream decider.Stream = 0
 
-// entryOf returns a change of the store as an entry of a stream, or noStream. r is the revision of the configuration after the change.
+// entryOf returns a change of the store as an entry, and its stream, or noStream for a change that is not distributed. r is the revision
+// of the configuration after the change.
 func entryOf(index uint64, c storestate.Change, r storestate.Revision) (decider.Stream, decider.Entry, error) {
 	switch c.Kind {
 	case storestate.AddPurge:
@@ -36,7 +37,7 @@
 	}
 }
 
-// purgeEntry returns the entry of a purge. expiresAt is Unix ms; 0 and less become 1, as 0 stands for never in an entry.
+// purgeEntry returns the entry of a purge. expiresAt is Unix ms; 0 and less become 1, because 0 means never in an entry.
 func purgeEntry(index uint64, p storestate.Purge, expiresAt float64) decider.Entry {
 	e := decider.Entry{
 		Sequence: index, Kind: decider.PurgeObject, Name: p.Object,
@@ -62,10 +63,10 @@
 	return decider.Entry{Sequence: index, Kind: decider.Revision, Version: r.Number, Body: body}, err
 }
 
-// roundUp rounds a time up to whole ms, within what an entry can hold.
+// roundUp rounds a time up to whole ms, and limits it to values that an entry can hold.
 func roundUp(ms float64) int64 { return int64(min(math.Ceil(ms), math.MaxInt64/2)) }
 
-// snapshotEntries returns the entries of everything that a state holds, by stream and in the order of the log.
+// snapshotEntries returns the entries of a whole state of the store, by stream and in the order of the log.
 func snapshotEntries(s *storestate.State) (map[decider.Stream][]decider.Entry, error) {
 	configuration, err := configurationEntries(s)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return entriesByStream, nil
 }
 
-// indexOf returns the index in the log of the change that brought a fact; 0 if it came before the state had indexes.
+// indexOf returns the log index of the change that set a fact; 0 if the change was made before the state recorded indexes.
 func indexOf(s *storestate.State, k storestate.Kind, name string) uint64 {
 	return s.FactIndexes[storestate.FactKey(k, name)]
 }
@@ -117,8 +118,8 @@
 	return entries, nil
 }
 
-// orderEntries sorts entries by sequence. Those without an index come first and are numbered from 1: they are older than anything that
-// a subscriber resumes from. It fails if two entries have the same sequence.
+// orderEntries sorts entries by sequence. Entries without an index come first and are numbered from 1: they are older than any position
+// that a subscriber resumes from. It fails if an entry's sequence is then not higher than that of the previous entry.
 func orderEntries(entries []decider.Entry) error {
 	slices.SortStableFunc(entries, func(a, b decider.Entry) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	for i := range entries {
@@ -126,7 +127,7 @@
 			entries[i].Sequence = uint64(i) + 1
 		}
 		if i > 0 && entries[i].Sequence <= entries[i-1].Sequence {
-			return fmt.Errorf("distribution: the indexes of the state do not rise at %d", entries[i].Sequence)
+			return fmt.Errorf("distribution: sequence %d in the store's state is not higher than the previous entry's", entries[i].Sequence)
 		}
 	}
 	return nil
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -26,7 +26,7 @@
 	return storestate.Revision{Number: 12, CreatedAt: goldenTime + 0.5, Author: "operator", Text: `{"limits": {}}`, RollbackOf: 9}
 }
 
-// goldenChanges are of every kind that is passed on.
+// goldenChanges returns changes of every kind that is distributed.
 func goldenChanges() []storestate.Change {
 	list := goldenList()
 	return []storestate.Change{
@@ -42,14 +42,14 @@
 	}
 }
 
-// encodeEntries is entries as they are sent.
+// encodeEntries returns entries as they are sent.
 func encodeEntries(entries []decider.Entry) []byte {
 	return decider.Encode(decider.Batch{
 		Stream: decider.Purges, Epoch: 1, Through: 1000, Watermark: decider.Watermark{Sequence: 1000, At: goldenTime}, Entries: entries,
 	}).Bytes
 }
 
-// readGoldenEntries decodes what another version has sent.
+// readGoldenEntries decodes the entries of a golden file, which an earlier version has encoded.
 func readGoldenEntries(t *testing.T, name string) []decider.Entry {
 	t.Helper()
 	message, err := decider.Decode(golden.Read(t, name))
@@ -57,7 +57,7 @@
 	return message.(decider.Batch).Entries
 }
 
-// A change of the store is encoded to the same bytes as by earlier versions, and theirs are applied as the same change.
+// A change of the store must be encoded to the same bytes as by earlier versions, and their entries must be applied as the same change.
 func TestGoldenChanges(t *testing.T) {
 	var entries []decider.Entry
 	for i, change := range goldenChanges() {
@@ -88,7 +88,7 @@
 	}, changes)
 }
 
-// The same holds for everything in a state of the store.
+// The entries of a state of the store must be encoded to the same bytes as by earlier versions, and be decoded to the same entries.
 func TestGoldenState(t *testing.T) {
 	state := storestate.New()
 	state.AppliedIndex = 500
@@ -111,7 +111,7 @@
 	}
 }
 
-// What operators are shown keeps its JSON keys.
+// The status that operators are shown must keep its JSON keys.
 func TestGoldenStatus(t *testing.T) {
 	for name, status := range map[string]Status{
 		"status.json": {Stream: "purges", Epoch: 12, Sequence: 900, WatermarkMs: goldenTime, LagMs: 751.5, Parent: "d1", Root: true, Restricted: true,
--- a/internal/distribution/node.go
+++ b/internal/distribution/node.go
@@ -15,7 +15,7 @@
 	"ravenwheel/internal/store"
 )
 
-// Candidate is a distributor that a node may subscribe at, and its address.
+// Candidate is a distributor that a node may subscribe to, and its address.
 type Candidate struct {
 	Peer    decider.Peer
 	Address string
@@ -23,71 +23,75 @@
 
 // Source is a member of the store.
 type Source interface {
+	// Observe has the member report its state and each later change to an observer.
 	Observe(store.Observer)
+	// ReadIndex returns a log index and a time, Unix ms, such that the changes up to the index include all that the store had committed
+	// before the time. It fails without a quorum.
 	ReadIndex() (index uint64, at float64, err error)
 }
 
 // Options configure a Node.
 type Options struct {
-	// Settings are those of both streams. Stream and Seed are set for each of them.
+	// Settings are the settings of both streams. The node sets Stream for each stream, and draws each stream's Seed from Settings.Seed.
 	Settings decider.Settings
 	Identity *store.Identity
 	Clock    *clock.Clock
 	Log      *logs.Log
 
-	// Listen is where processes of the level below subscribe; nil: nowhere. MaxLinks bounds their links, of both streams together.
+	// Listen accepts the links of processes of the level below; nil: this node distributes to none. MaxLinks bounds these links, of both
+	// streams together.
 	Listen   net.Listener
 	MaxLinks int
-	// Source is the member of the store that a tree begins at, and Epoch the number of the store's history. nil: the node subscribes
-	// at one of the Candidates.
+	// Source is the member of the store whose changes a root of the tree distributes, and Epoch the number of the store's history. Without
+	// a Source the node subscribes to one of the Candidates.
 	Source     Source
 	Epoch      uint64
 	Candidates []Candidate
 
-	// ApplyChange puts a list, drain or purge into force, ApplyRevision a revision of the configuration, and SetFreshness gets the
-	// restrictions of the request path. Each stream calls them in a goroutine of its own, in order. They are not used with a Source.
+	// ApplyChange applies a list, drain or purge, ApplyRevision a revision of the configuration, and SetFreshness the restrictions of the
+	// request path. Each stream calls them in a goroutine of its own, in order. They are not called with a Source.
 	ApplyChange   func(storestate.Change)
 	ApplyRevision func(storestate.Revision)
 	SetFreshness  func(decider.Stream, decider.Freshness)
-	// Observe is called for each action of the subscribers before it is carried out; may be nil.
+	// Observe is called for each action of the two streams' subscribers before it is carried out; may be nil.
 	Observe func(decider.Stream, decider.Action)
 	// Dial opens connections; nil: TCP.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// validate checks that the options fit together.
+// validate checks that the options are consistent.
 func (o *Options) validate() error {
 	switch {
 	case o.Identity == nil || o.Identity.Name != o.Settings.Self.Name:
-		return fmt.Errorf("distribution: %q needs an identity of that name", o.Settings.Self.Name)
+		return fmt.Errorf("distribution: process %q has no identity, or one of another name", o.Settings.Self.Name)
 	case o.Source == nil && len(o.Candidates) == 0:
-		return errors.New("distribution: neither a store nor a distributor to subscribe at")
+		return errors.New("distribution: neither a member of the store nor a distributor to subscribe to is configured")
 	case o.Source != nil && o.Listen == nil:
-		return errors.New("distribution: a member of the store needs an address at which others subscribe")
+		return errors.New("distribution: a member of the store needs an address to listen on for subscribers")
 	case o.Source != nil && o.Epoch == 0:
-		return errors.New("distribution: epochs count from 1")
+		return errors.New("distribution: epoch is 0, but must be 1 or more")
 	}
 	return nil
 }
 
-// Node is one process in the tree. Whoever starts a Node closes it.
+// Node is one process in the tree of distributors. The caller of Start must close the Node.
 type Node struct {
 	options       Options
 	streams       map[decider.Stream]*stream
 	addresses     map[string]string   // of the candidates, by name
-	listener      *store.LinkListener // nil: nobody subscribes here
-	lastChildLink atomic.Uint64       // numbers the links of the level below
+	listener      *store.LinkListener // nil: this node distributes to none
+	lastChildLink atomic.Uint64       // number of the last link of the level below
 	done          chan struct{}       // closed when the node ends
 	closeOnce     sync.Once
-	goroutines    sync.WaitGroup // all but those of the listener
+	goroutines    sync.WaitGroup // all goroutines except those of the listener
 }
 
-// Streams are all streams.
+// Streams lists all streams.
 var Streams = []decider.Stream{decider.Purges, decider.Configuration}
 
 var streamNames = map[decider.Stream]string{decider.Purges: "purges", decider.Configuration: "configuration"}
 
-// Start starts a node. It fails if the options do not fit together.
+// Start starts a node. It fails if the options are inconsistent.
 func Start(o Options) (*Node, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -114,8 +118,8 @@
 // shutdownPoll is how often Shutdown checks whether all subscribers have left, in ms.
 const shutdownPoll = 10
 
-// Shutdown moves the subscribers to other distributors. It returns when all have left, or after timeout ms. The node still has to be
-// closed.
+// Shutdown moves the subscribers to other distributors. It returns when all have left, or after timeout ms. The caller must still close
+// the node.
 func (n *Node) Shutdown(timeout float64) {
 	for _, s := range n.streams {
 		s.post(input{toDistributor: true, event: decider.Shutdown{}})
@@ -131,7 +135,7 @@
 	}
 }
 
-// pause waits for so many ms, or until the node ends.
+// pause waits for a time in ms, or until the node ends.
 func (n *Node) pause(ms float64) {
 	elapsed := make(chan struct{})
 	cancel := n.options.Clock.After(ms, func() { close(elapsed) })
@@ -154,14 +158,14 @@
 }
 
 const (
-	// maxChildMessage bounds a message of the level below, in bytes.
+	// maxChildMessage bounds the size of a message of the level below, in bytes.
 	maxChildMessage = 4 << 10
-	// firstMessageTimeout bounds the time until the first one.
+	// firstMessageTimeout bounds the time until the first message on a link of the level below.
 	firstMessageTimeout = 5 * time.Second
 )
 
-// accept serves a link of the level below, in a goroutine of the listener. A link carries one stream, which its first message names. A
-// subscriber under another name than that of its certificate gets no answer.
+// accept serves a link of the level below, in a goroutine of the listener. A link carries one stream, which its first message names. If
+// that message is not a Subscribe with the name of the peer's certificate, the link is closed without an answer.
 func (n *Node) accept(l *store.Link) {
 	raw, err := l.Receive(maxChildMessage, firstMessageTimeout)
 	if err != nil {
--- a/internal/distribution/outbox.go
+++ b/internal/distribution/outbox.go
@@ -7,31 +7,31 @@
 	"ravenwheel/internal/store"
 )
 
-// Bounds of one link. The machines bound by credit what is in flight in batches and chunks; other frames are small.
+// Bounds of one link. The machines' credit bounds the bytes of batches and chunks in flight; other frames are small.
 const (
-	// maxQueuedFrames and maxQueuedBytes bound what is queued on a link: a peer that sends keepalives and reads nothing is
+	// maxQueuedFrames and maxQueuedBytes bound the queue of a link, so that a peer that sends keepalives but reads nothing is
 	// disconnected.
 	maxQueuedFrames = 8192
 	maxQueuedBytes  = 2 << 20
-	// writeTimeout is how long a peer may take to read a frame of 32 KB: 1 KB a second is enough.
+	// writeTimeout bounds the time to write a frame. A peer that reads 1 KB a second is fast enough for a frame of 32 KB.
 	writeTimeout = 40 * time.Second
-	// flushTimeout is how long the frames that are queued when a link is closed may take to be written.
+	// flushTimeout bounds the time to write the frames that are queued when a link is closed.
 	flushTimeout = time.Second
 )
 
-// outbox is the sending half of a link, with a goroutine that writes. Its methods never block.
+// outbox is the sending half of a link, with a goroutine that writes the queued frames. send and close never block.
 type outbox struct {
 	link *store.Link
-	wake chan struct{}   // there may be something to do
+	wake chan struct{}   // signals that there may be a frame to write, or that the outbox was closed
 	done <-chan struct{} // closed when the node ends
 
 	mu         sync.Mutex
 	frames     [][]byte
-	queuedSize int // bytes of the frames, and of the one that is being written
+	queuedSize int // bytes of the queued frames, and of the frame that is being written
 	closed     bool
 }
 
-// newOutbox starts to write, in a goroutine of a group, until the outbox or done is closed.
+// newOutbox returns an outbox for a link. Its goroutine, of the given group, writes until the outbox or done is closed.
 func newOutbox(l *store.Link, group *sync.WaitGroup, done <-chan struct{}) *outbox {
 	o := &outbox{link: l, wake: make(chan struct{}, 1), done: done}
 	group.Go(func() {
@@ -49,7 +49,7 @@
 	return o
 }
 
-// send queues a frame, which is not changed. A link whose queue is full is closed.
+// send queues a frame, which the caller must not change afterwards. If the queue is full, the link is closed.
 func (o *outbox) send(frame []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,7 +69,7 @@
 // closeAndDrop closes the queue and drops its frames. The caller holds the lock.
 func (o *outbox) closeAndDrop() { o.closed, o.frames, o.queuedSize = true, nil, 0 }
 
-// close closes the link after the frames that are queued, or after flushTimeout.
+// close closes the link after the queued frames are written, or after flushTimeout.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,17 +77,18 @@
 		return
 	}
 	o.closed = true
-	time.AfterFunc(flushTimeout, o.link.Close) // by the system's clock, as the deadlines of sockets are
+	time.AfterFunc(flushTimeout, o.link.Close) // by the system's clock, like the deadlines of sockets
 	o.signal()
 }
 
-// queuedBytes returns how many bytes have not been written.
+// queuedBytes returns how many bytes are not written yet.
 func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.queuedSize
 }
 
+// signal wakes the goroutine that writes.
 func (o *outbox) signal() {
 	select {
 	case o.wake <- struct{}{}:
@@ -95,7 +96,8 @@
 	}
 }
 
-// waitForWork waits for something to do. It returns false once the link is closed and everything is written.
+// waitForWork waits until there may be a frame to write. It returns false once the outbox is closed and all frames are written, or the
+// node ends.
 func (o *outbox) waitForWork() bool {
 	o.mu.Lock()
 	finished := o.closed && len(o.frames) == 0
@@ -111,6 +113,7 @@
 	}
 }
 
+// pop removes the first queued frame and returns it.
 func (o *outbox) pop() (frame []byte, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,12 +121,12 @@
 		return nil, false
 	}
 	frame = o.frames[0]
-	o.frames[0] = nil // so that the frame can be freed while the array is in use
+	o.frames[0] = nil // so that the frame can be freed while the slice's array is still in use
 	o.frames = o.frames[1:]
 	return frame, true
 }
 
-// recordWrite records that a frame was written. After an error the queue is dropped.
+// recordWrite records that a frame was written. After an error it closes the queue and drops its frames.
 func (o *outbox) recordWrite(bytes int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -1,22 +1,22 @@
 package distribution
 
-// Status is the state of one stream in a process, as operators are shown it.
+// Status is the state of one stream in a process, as it is shown to operators.
 type Status struct {
 	Stream      string  `json:"stream"`
 	Epoch       uint64  `json:"epoch"`
 	Sequence    uint64  `json:"sequence"`
-	WatermarkMs int64   `json:"watermark_ms"`  // Unix ms; everything that was committed before is in force
-	LagMs       float64 `json:"behind_ms"`     // at most, with the bound on the skew of clocks; -1: there is no watermark yet
-	Parent      string  `json:"at,omitempty"`  // the distributor that it is subscribed at
-	Root        bool    `json:"root"`          // it is a member of the store
-	Restricted  bool    `json:"held"`          // strict classes are restricted, see distribution.Freshness
-	Subscribers int     `json:"subscribers"`   // of the level below
-	Entries     int     `json:"entries"`       // of a snapshot for a new subscriber
-	Backlog     int     `json:"backlog"`       // entries
-	QueuedBytes int     `json:"waiting_bytes"` // to be written, on the link that has most
+	WatermarkMs int64   `json:"watermark_ms"`  // Unix ms; all entries that were committed before are in effect
+	LagMs       float64 `json:"behind_ms"`     // upper bound, which includes Settings.MaxClockSkew; -1: there is no watermark yet
+	Parent      string  `json:"at,omitempty"`  // the distributor that the process is subscribed to
+	Root        bool    `json:"root"`          // the process is a member of the store
+	Restricted  bool    `json:"held"`          // strict classes are restricted, see Freshness in internal/decide/distribution
+	Subscribers int     `json:"subscribers"`   // number of subscribers of the level below
+	Entries     int     `json:"entries"`       // number of entries of a snapshot for a new subscriber
+	Backlog     int     `json:"backlog"`       // number of entries in the backlog
+	QueuedBytes int     `json:"waiting_bytes"` // bytes still to be written, on the link that has most
 }
 
-// noLag is the LagMs of a stream without a watermark.
+// noLag is the value of LagMs for a stream without a watermark.
 const noLag = -1
 
 // Status returns the state of both streams.
--- a/internal/distribution/store_feed.go
+++ b/internal/distribution/store_feed.go
@@ -8,18 +8,18 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// storeFeed turns what a member of the store applies into events of the distributors of both streams. It posts none before a
-// first ReadIndex has succeeded: a member that was cut off may hold an outdated state until then.
+// storeFeed turns the changes that a member of the store applies into events of the distributors of both streams. It posts no event
+// before a first ReadIndex has succeeded: until then a member that was cut off may have an outdated state.
 type storeFeed struct {
 	node *Node
 
 	mu          sync.Mutex
-	confirmedAt float64 // Unix ms; everything that was committed before is here
+	confirmedAt float64 // Unix ms; the member has all changes that were committed before
 
-	lastSequence map[decider.Stream]uint64 // of the latest event of each stream
+	lastSequence map[decider.Stream]uint64 // sequence of each stream's latest Apply or InstallSnapshot
 }
 
-// run calls ReadIndex once each heartbeat interval, and posts what it confirms as the new watermark.
+// run calls ReadIndex once each heartbeat interval, and posts the confirmed index and time as the new watermark.
 func (f *storeFeed) run() {
 	f.lastSequence = map[decider.Stream]uint64{}
 	observing := false
@@ -52,10 +52,12 @@
 	}
 }
 
+// post queues an event for the distributor of a stream.
 func (f *storeFeed) post(id decider.Stream, e decider.Event) {
 	f.node.streams[id].post(input{toDistributor: true, event: e})
 }
 
+// watermark returns the watermark of a log index with the time that was confirmed last.
 func (f *storeFeed) watermark(index uint64) decider.Watermark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +68,7 @@
 func (f *storeFeed) StateReplaced(s *storestate.State) {
 	entries, err := snapshotEntries(s)
 	if err != nil {
-		f.node.options.Log.Error("distribution").Err(err).Msg("state of the store not distributed")
+		f.node.options.Log.Error("distribution").Err(err).Msg("state of the store can't be converted to entries; it is not distributed")
 		return
 	}
 	watermark := f.watermark(s.AppliedIndex)
@@ -82,7 +84,7 @@
 func (f *storeFeed) ChangeApplied(index uint64, c storestate.Change, r storestate.Revision) {
 	id, entry, err := entryOf(index, c, r)
 	if err != nil {
-		f.node.options.Log.Error("distribution").Err(err).Uint64("index", index).Msg("change not distributed")
+		f.node.options.Log.Error("distribution").Err(err).Uint64("index", index).Msg("change of the store can't be converted to an entry; it is not distributed")
 		return
 	}
 	if id == noStream {
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxQueuedInputs is how many inputs wait for the goroutine of a stream; a sender of more blocks.
+	// maxQueuedInputs is how many inputs may be queued for the goroutine of a stream. post blocks while the queue is full.
 	maxQueuedInputs = 256
-	// maxBody is the largest list or revision, in bytes: as large as the largest call of the store.
+	// maxBody is the maximum size of a list or revision, in bytes: that of the largest call of the store.
 	maxBody = 32 << 20
 )
 
@@ -26,13 +26,13 @@
 
 // input is an event of one of the machines, or a link that was opened.
 type input struct {
-	toDistributor bool // else to the subscriber
+	toDistributor bool // for the distributor; else for the subscriber
 	event         decider.Event
-	link          decider.Link
-	opened        *outbox // nil: it is an event
+	link          decider.Link // the link that was opened
+	opened        *outbox      // of the link that was opened; nil: the input is an event
 }
 
-// stream is one stream in one process: its machines, and the goroutine that they run in, which owns the links.
+// stream is one stream in one process: its machines, and the goroutine in which they run, which owns the links.
 type stream struct {
 	node     *Node
 	id       decider.Stream
@@ -44,12 +44,12 @@
 	ticks      [machines]chan struct{}
 	cancelWake [machines]func()
 
-	parentLink decider.Link // the link to the level above that the subscriber wants; 0: none
-	parent     *outbox      // of that link; nil: it is not open
+	parentLink decider.Link // the link to the level above that the subscriber requested last; 0: none
+	parent     *outbox      // of parentLink; nil: the link is not open
 	children   map[decider.Link]*outbox
 
 	freshness     decider.Freshness
-	rootWatermark decider.Watermark // at a root: the latest of the store
+	rootWatermark decider.Watermark // at a root: the store's latest watermark
 	status        atomic.Pointer[Status]
 }
 
@@ -59,7 +59,7 @@
 	if id == decider.Configuration {
 		settings.MaxEntry = maxBody
 	}
-	// Both streams with one seed would draw alike, and do at one time what is to be spread.
+	// With the same seed both streams would draw the same delays, and act at the same time instead of spread over time.
 	settings.Seed = rand.New(rand.NewPCG(settings.Seed, uint64(id))).Uint64()
 	s := &stream{
 		node: n, id: id, settings: settings, relay: decider.NewRelay(settings), applier: newEntryApplier(&n.options),
@@ -129,7 +129,7 @@
 			s.closeChild(e.Link)
 		}
 	case in.opened != nil && in.link != s.parentLink:
-		in.opened.close() // the subscriber has given it up meanwhile
+		in.opened.close() // the subscriber has left this link meanwhile
 	case in.opened != nil:
 		s.parent = in.opened
 		s.handleSubscriber(decider.Connected{Link: in.link})
@@ -141,7 +141,7 @@
 	}
 }
 
-// handleSubscriber has the subscriber handle an event, and the distributor the events that follow from it.
+// handleSubscriber passes an event to the subscriber, and the changes of the state that follow from it to the distributor.
 func (s *stream) handleSubscriber(e decider.Event) {
 	now := s.node.options.Clock.Now()
 	if s.node.options.Listen == nil {
@@ -153,7 +153,7 @@
 	s.carryOut(distributor, distributorActions)
 }
 
-// handleDistributor has the distributor handle an event of the level below or of the store.
+// handleDistributor passes an event of the level below or of the store to the distributor.
 func (s *stream) handleDistributor(e decider.Event) {
 	if s.node.options.Listen == nil {
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-// carryOutOnLink carries out an action that concerns a link.
+// carryOutOnLink carries out an action on a link.
 func (s *stream) carryOutOnLink(a decider.Action) {
 	switch a := a.(type) {
 	case decider.Connect:
@@ -238,14 +238,14 @@
 	}
 }
 
-// logSkipped logs the error of an entry that could not be applied; nil: there is none.
+// logSkipped logs the error of an entry that could not be applied. It does nothing if err is nil.
 func (s *stream) logSkipped(err error) {
 	if err != nil {
-		s.node.options.Log.Error("distribution").Str("stream", streamNames[s.id]).Err(err).Msg("entry skipped: this version cannot use it")
+		s.node.options.Log.Error("distribution").Str("stream", streamNames[s.id]).Err(err).Msg("entry can't be applied by this version; skipped")
 	}
 }
 
-// wake has a machine handle a Tick later, in place of the one that was requested before.
+// wake has a machine handle a Tick after a delay in ms. It replaces the Tick that the machine requested before.
 func (s *stream) wake(m machine, after float64) {
 	s.cancelWake[m]()
 	tick := s.ticks[m]
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -20,25 +20,26 @@
 	"ravenwheel/internal/store"
 )
 
-// waitTimeout bounds a wait; it is no expectation of speed.
+// waitTimeout bounds a wait. It is long, so that a slow machine does not fail a test.
 const waitTimeout = 60 * time.Second
 
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	require.Eventually(t, ok, waitTimeout, 5*time.Millisecond, what)
 }
 
-// fakeMember is a member of a store that a tree begins at: it applies what was committed when a test has it do so.
+// fakeMember is a member of the store at a root of the tree. It applies the committed changes when a test calls apply, or at ReadIndex.
 type fakeMember struct {
 	log *committedLog
 
 	mu            sync.Mutex
 	state         *storestate.State
 	observer      store.Observer
-	withoutQuorum bool // no quorum
+	withoutQuorum bool // ReadIndex fails with store.ErrUnavailable
 }
 
-// committedLog is what the members of a store have committed, and what processes are checked against.
+// committedLog holds the changes that the members of a store have committed, and their history, against which processes are checked.
 type committedLog struct {
 	clk *clock.Clock
 
@@ -56,7 +57,7 @@
 	return l
 }
 
-// commit adds a change; members get it by apply.
+// commit adds a change. Members apply it in apply.
 func (l *committedLog) commit(c storestate.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +90,7 @@
 
 func (l *committedLog) newMember() *fakeMember { return &fakeMember{log: l, state: storestate.New()} }
 
-// apply has the member apply everything that was committed.
+// apply has the member apply all committed changes.
 func (m *fakeMember) apply() {
 	m.log.mu.Lock()
 	changes := m.log.changes
@@ -132,23 +133,23 @@
 	m.withoutQuorum = withoutQuorum
 }
 
-// tree is nodes on loopback, whose links can be cut.
+// tree runs nodes on loopback addresses. Tests can cut their links, freeze processes and limit how fast they read.
 type tree struct {
 	t      *testing.T
 	keyDir string
 	log    *committedLog
 
 	mu             sync.Mutex
-	addrs          map[string]string
+	addrs          map[string]string // addresses of the processes, by name
 	processes      map[string]*process
 	cutLinks       map[[2]string]bool
 	conns          map[[2]string][]net.Conn
-	names          map[string]string // by address
+	names          map[string]string // names of the processes, by address
 	bytesPerSecond map[string]int    // bytes a second that a process reads
 	frozen         map[string]bool   // processes that neither read nor are read from, as when stopped by a signal
 }
 
-// process is a node, and what the checker observed of it.
+// process is a node, and the state that the checker has observed of it.
 type process struct {
 	node *distribution.Node
 	peer decider.Peer
@@ -175,7 +176,7 @@
 	return tr
 }
 
-// settings returns short timeouts, so that failures are noticed soon; a test waits for what follows and not for a time.
+// settings returns settings with short timeouts, so that processes notice failures soon. Tests wait for the outcome, not for a time.
 func settings(self decider.Peer) decider.Settings {
 	s := decider.DefaultSettings(0, self)
 	s.Seed = uint64(len(self.Name)) + uint64(self.Name[len(self.Name)-1])
@@ -191,7 +192,7 @@
 	return decider.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
 }
 
-// start starts a node: of rank 0 with a member of the store, else with the candidates above. With serves it listens.
+// start starts a node: a root with the member source, or else one whose candidates are parents. With listens it accepts subscribers.
 func (tr *tree) start(p decider.Peer, source *fakeMember, listens bool, parents ...string) *process {
 	tr.t.Helper()
 	if _, known := tr.addrs[p.Name]; !known {
@@ -228,7 +229,7 @@
 		ln, err := net.Listen("tcp", tr.addrs[p.Name])
 		require.NoError(tr.t, err)
 		tr.addrs[p.Name] = ln.Addr().String()
-		tr.mu.Lock() // nodes that run already dial
+		tr.mu.Lock() // running nodes read names when they dial
 		tr.names[ln.Addr().String()] = p.Name
 		tr.mu.Unlock()
 		o.Listen = ln
@@ -245,7 +246,7 @@
 	p.changes = append(p.changes, c)
 }
 
-// observe checks each action of a subscriber against what was committed.
+// observe checks an action of a process's subscriber against the committed changes.
 func (tr *tree) observe(p *process, s decider.Stream, a decider.Action) {
 	tr.log.mu.Lock()
 	defer tr.log.mu.Unlock()
@@ -282,7 +283,8 @@
 	return c, nil
 }
 
-// conn reads so many bytes a second (0: unlimited) after the handshake, and nothing while either end is frozen.
+// conn reads at most bytesPerSecond (0: unlimited) after the first 4 KiB, which hold the handshake, and nothing while either end is
+// frozen.
 type conn struct {
 	net.Conn
 	tree                      *tree
@@ -321,7 +323,7 @@
 	tr.frozen[name] = frozen
 }
 
-// setCut cuts one process off from another, or reconnects it.
+// setCut closes the links from one process to another and lets new ones fail, or lets the process connect again.
 func (tr *tree) setCut(from, to string, cut bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -333,7 +335,7 @@
 	delete(tr.conns, link)
 }
 
-// waitUntilCaughtUp waits until everything that was committed is in effect in some processes, and checks that no rule was violated.
+// waitUntilCaughtUp waits until the given processes have all committed changes in effect, and checks that they violated no rule.
 func (tr *tree) waitUntilCaughtUp(names ...string) {
 	tr.t.Helper()
 	for _, name := range names {
@@ -353,7 +355,7 @@
 			}
 			return last == nil || p.violation != nil
 		}
-		if !assert.Eventually(tr.t, caughtUp, waitTimeout, 5*time.Millisecond, "%s has caught up", name) {
+		if !assert.Eventually(tr.t, caughtUp, waitTimeout, 5*time.Millisecond, "%s has not caught up", name) {
 			require.NoError(tr.t, last)
 		}
 		p.mu.Lock()
@@ -362,5 +364,5 @@
 	}
 }
 
-// parent returns the distributor at which a process is subscribed for purges.
+// parent returns the distributor to which a process is subscribed for purges.
 func (p *process) parent() string { return p.node.Status()[0].Parent }
