--- a/internal/decide/distribution/distributor.go
+++ b/internal/decide/distribution/distributor.go
@@ -85,6 +85,7 @@
 
 func (d *Distributor) emit(a Action) { d.actions = append(d.actions, a) }
 
+// requestWake requests a Tick for the next heartbeats or the next dismissal.
 func (d *Distributor) requestWake() {
 	due := d.heartbeatAt
 	if d.shutdownStartedAt != 0 && len(d.subscriptions) > 0 {
--- a/internal/decide/distribution/failover_test.go
+++ b/internal/decide/distribution/failover_test.go
@@ -21,7 +21,7 @@
 	subscribers    []*distribution.Subscriber
 	links          map[distribution.Link]simulatedLink // by the distributor's number of the link
 	lastLink       distribution.Link
-	wakeAt         []float64
+	wakeAt         []float64      // when each subscriber's Tick is due
 	maxSubscribers map[string]int // the most subscribers at once, by distributor
 	rejected       map[string]int // rejected subscriptions, by distributor
 }
--- a/internal/decide/distribution/model_test.go
+++ b/internal/decide/distribution/model_test.go
@@ -104,7 +104,7 @@
 	}
 	if w.componentFaultsLeft > 0 && r.allows(rootRestarts) {
 		add(func(w *world) { w.componentFaultsLeft--; w.restartRoot() }, "root restarts")
-		add(func(w *world) { w.componentFaultsLeft--; w.restoreRoot() }, "root restores its state")
+		add(func(w *world) { w.componentFaultsLeft--; w.restoreRoot() }, "root installs its state from disk")
 	}
 	if w.componentFaultsLeft > 0 && r.allows(newEpochs) {
 		add(func(w *world) { w.componentFaultsLeft--; w.beginEpoch() }, "a new epoch begins")
@@ -112,6 +112,7 @@
 	return all
 }
 
+// addMessageFaults adds the steps that lose or duplicate the first message of a link.
 func (r search) addMessageFaults(w *world, linkIndex int, linkName string, add func(func(*world), string, ...any)) {
 	l := w.links[linkIndex]
 	if len(l.toDistributor) > 0 && l.toDistributor[0] != nil {
@@ -149,9 +150,10 @@
 	l.toSubscriber = append(l.toSubscriber, m)
 }
 
-func (r search) allows(b componentFault) bool {
-	for _, k := range r.faultKinds {
-		if k == b {
+// allows reports whether a kind of component fault may occur in the search.
+func (r search) allows(fault componentFault) bool {
+	for _, allowed := range r.faultKinds {
+		if allowed == fault {
 			return true
 		}
 	}
@@ -192,10 +194,12 @@
 	w.links[linkIndex].toSubscriber = append(w.links[linkIndex].toSubscriber, messages...)
 }
 
+// openLinkIndex returns the index of a subscriber's open link; -1: there is none.
 func (w *world) openLinkIndex(from int) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.open })
 }
 
+// deliverOldEpochChunks has chunks of a snapshot of the previous epoch in flight after a new epoch has begun.
 func deliverOldEpochChunks(w *world) {
 	restartLeftRelay(w)
 	var messages []distribution.Message
@@ -207,6 +211,7 @@
 	w.deliverAfterNewEpoch(messages)
 }
 
+// deliverOldEpochBatch has a batch of the previous epoch in flight after a new epoch has begun.
 func deliverOldEpochBatch(w *world) {
 	w.commit()
 	w.deliverAfterNewEpoch(slices.Clone(w.links[w.openLinkIndex(leftIndex)].toSubscriber))
@@ -291,6 +296,7 @@
 	return result
 }
 
+// In each search the rules of package check must hold in every state, and every process must catch up once all faults end.
 func TestRulesHoldInEveryOrderOfEvents(t *testing.T) {
 	for _, r := range searches {
 		t.Run(r.name, func(t *testing.T) {
@@ -302,6 +308,7 @@
 	}
 }
 
+// A checker that reports no mutation would pass faulty code: each mutation must break a rule in the search that it names.
 func TestCheckerCatchesMutations(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/decide/distribution/mutation_test.go
+++ b/internal/decide/distribution/mutation_test.go
@@ -64,7 +64,7 @@
 	return r, b, isBatch
 }
 
-// mutations must each be caught by the search that they name.
+// mutations lists faults, each of which the search that it names must catch.
 var mutations = []mutation{
 	{
 		name: "a gap is not noticed", search: "message loss",
--- a/internal/decide/distribution/random_faults_test.go
+++ b/internal/decide/distribution/random_faults_test.go
@@ -93,6 +93,7 @@
 	}
 }
 
+// receiveEpoch records the epoch of a message.
 func (r *referenceSubscriber) receiveEpoch(epoch uint64) {
 	r.fenced = epoch < r.highestEpoch
 	r.highestEpoch = max(r.highestEpoch, epoch)
@@ -152,6 +153,7 @@
 	}
 }
 
+// validEntries returns the entries (after, through] of an epoch, each a purge of another object.
 func validEntries(epoch, after, through uint64) []distribution.Entry {
 	var entries []distribution.Entry
 	for s := after + 1; s <= through; s++ {
--- a/internal/decide/distribution/world_test.go
+++ b/internal/decide/distribution/world_test.go
@@ -72,13 +72,13 @@
 	links             []modelLink
 	lastLink          distribution.Link
 
-	epoch      uint64
-	sequence   uint64
+	epoch      uint64  // of the store
+	sequence   uint64  // of the store's last entry, or of the epoch's begin
 	nextEntry  int     // index of the script's entry that is committed next
 	advancedAt float64 // when the root last got a new watermark, Unix ms
 
-	messageFaultsLeft   int
-	componentFaultsLeft int
+	messageFaultsLeft   int // message faults that may still occur
+	componentFaultsLeft int // component faults that may still occur
 	mutation            mutation
 	violation           error
 	absentProcess       int // index of a process that does not run; rootIndex: all run
@@ -247,7 +247,7 @@
 	return &c
 }
 
-// appendFingerprint appends what distinguishes states of the model.
+// appendFingerprint appends the bytes by which states of the model are told apart.
 func (w *world) appendFingerprint(b []byte) []byte {
 	number := func(n int) { b = append(b, byte(n), byte(n>>8)) }
 	number(int(w.now))
@@ -345,7 +345,7 @@
 	return out
 }
 
-// subscriberLinkIndex returns the index of the open link that a subscriber numbers so; -1: there is none.
+// subscriberLinkIndex returns the index of a subscriber's open link, by the subscriber's number of the link; -1: there is none.
 func (w *world) subscriberLinkIndex(from int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.from == from && l.fromLink == link && l.open })
 }
@@ -371,7 +371,7 @@
 	w.record(check.CheckBacklog(w.settings(i), d))
 }
 
-// distributorLinkIndex returns the index of the open link that a distributor numbers so; -1: there is none.
+// distributorLinkIndex returns the index of an open link to a distributor, by the distributor's number of the link; -1: there is none.
 func (w *world) distributorLinkIndex(to int, link distribution.Link) int {
 	return slices.IndexFunc(w.links, func(l modelLink) bool { return l.to == to && l.toLink == link && l.open })
 }
--- a/internal/distribution/stream.go
+++ b/internal/distribution/stream.go
@@ -21,7 +21,7 @@
 const (
 	subscriber machine = iota
 	distributor
-	machines
+	machineCount
 )
 
 // input is an event of one of the machines, or a link that was opened.
@@ -41,8 +41,8 @@
 	applier  *entryApplier
 
 	inputs     chan input
-	ticks      [machines]chan struct{}
-	cancelWake [machines]func()
+	ticks      [machineCount]chan struct{}
+	cancelWake [machineCount]func()
 
 	parentLink decider.Link // the link to the level above that the subscriber requested last; 0: none
 	parent     *outbox      // of parentLink; nil: the link is not open
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -23,10 +23,10 @@
 // waitTimeout bounds a wait. It is long, so that a slow machine does not fail a test.
 const waitTimeout = 60 * time.Second
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits until a condition holds. Otherwise the test fails, and failure says what was not reached.
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, waitTimeout, 5*time.Millisecond, what)
+	require.Eventually(t, condition, waitTimeout, 5*time.Millisecond, failure)
 }
 
 // fakeMember is a member of the store at a root of the tree. It applies the committed changes when a test calls apply, or at ReadIndex.
@@ -80,6 +80,7 @@
 	l.history[stream].Commit(l.epoch, e, int64(c.ProposedAt))
 }
 
+// commitPurge adds a purge of an object, issued now, that expires after 1,000 s.
 func (l *committedLog) commitPurge(object string) {
 	issuedAt := l.clk.Now()
 	l.commit(storestate.Change{
@@ -188,6 +189,7 @@
 	return s
 }
 
+// newPeer returns a process of the one zone of these tests.
 func newPeer(name string, rank int) decider.Peer {
 	return decider.Peer{Name: name, Rank: rank, Region: "r", Zone: "z"}
 }
@@ -261,6 +263,7 @@
 	}
 }
 
+// dial connects a process to an address, unless the link is cut.
 func (tr *tree) dial(from, addr string, timeout time.Duration) (net.Conn, error) {
 	tr.mu.Lock()
 	link := [2]string{from, tr.names[addr]}
@@ -317,6 +320,7 @@
 	return tr.frozen[link[0]] || tr.frozen[link[1]]
 }
 
+// setFrozen freezes a process, or lets it run again.
 func (tr *tree) setFrozen(name string, frozen bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
