--- a/internal/decide/distribution/export_test.go
+++ b/internal/decide/distribution/export_test.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Clone copies the Subscriber for a model that branches.
+// Clone copies the Subscriber for another branch of the model.
 func (s *Subscriber) Clone() *Subscriber {
 	c := *s
 	c.backoffs = maps.Clone(s.backoffs)
 	c.actions = nil
 	if s.assembly != nil {
-		g := *s.assembly
-		g.entries = slices.Clone(g.entries)
-		c.assembly = &g
+		assembly := *s.assembly
+		assembly.entries = slices.Clone(assembly.entries)
+		c.assembly = &assembly
 	}
 	return &c
 }
 
-// Clone copies the Distributor for a model that branches.
+// Clone copies the Distributor for another branch of the model.
 func (d *Distributor) Clone() *Distributor {
 	c := *d
 	c.actions = nil
@@ -36,15 +36,15 @@
 		c.backlog.segments[i] = &copied
 	}
 	c.subscriptions, c.links = make([]*subscription, len(d.subscriptions)), map[Link]*subscription{}
-	for i, m := range d.subscriptions {
-		copied := *m
+	for i, sub := range d.subscriptions {
+		copied := *sub
 		c.subscriptions[i] = &copied
-		c.links[m.link] = &copied
+		c.links[sub.link] = &copied
 	}
 	return &c
 }
 
-// fingerprint is a fingerprint that is being made.
+// fingerprint collects the bytes of a machine's fingerprint.
 type fingerprint []byte
 
 func (p *fingerprint) numbers(numbers ...uint64) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// AppendFingerprint appends everything that decides what the Subscriber does next, but for the state of its jitter and link numbers.
+// AppendFingerprint appends the state that decides what the Subscriber does next, except that of its jitter and its link numbers.
 func (s *Subscriber) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(uint64(s.phase), uint64(s.resubscribes), uint64(s.unreturnedCredit), s.receivedBytes, s.epoch, s.applied, s.highestEpoch)
@@ -88,18 +88,18 @@
 	p.flags(s.hasState, s.freshness.Restricted, s.assembly != nil)
 	p.watermark(s.pendingWatermark)
 	p.watermark(s.watermark)
-	if g := s.assembly; g != nil {
-		p.numbers(g.epoch, g.through, uint64(g.nextChunk))
-		p.entries(g.entries)
+	if assembly := s.assembly; assembly != nil {
+		p.numbers(assembly.epoch, assembly.through, uint64(assembly.nextChunk))
+		p.entries(assembly.entries)
 	}
 	for _, c := range s.candidates {
-		t := s.backoffs[c.Name]
-		p.floats(t.until, float64(t.attempts))
+		candidateBackoff := s.backoffs[c.Name]
+		p.floats(candidateBackoff.until, float64(candidateBackoff.attempts))
 	}
 	return p
 }
 
-// AppendFingerprint appends everything that decides what the Distributor does next, but for link numbers.
+// AppendFingerprint appends the state that decides what the Distributor does next, except its link numbers.
 func (d *Distributor) AppendFingerprint(b []byte) []byte {
 	p := fingerprint(b)
 	p.numbers(d.epoch, d.head, d.backlog.floor, uint64(len(d.subscriptions)))
@@ -117,30 +117,30 @@
 	if d.lastSnapshot != nil {
 		p.numbers(d.lastSnapshot.through)
 	}
-	for _, m := range d.subscriptions {
-		p = append(p, m.name...)
-		p.numbers(uint64(m.window), uint64(int64(m.credit)), m.sentBytes, m.cursor, uint64(m.nextChunk))
-		p.floats(m.lastReceivedAt, m.lastSentAt)
-		p.flags(m.needsSnapshot, m.snapshot != nil)
-		if m.snapshot != nil {
-			p.numbers(m.snapshot.through)
+	for _, sub := range d.subscriptions {
+		p = append(p, sub.name...)
+		p.numbers(uint64(sub.window), uint64(int64(sub.credit)), sub.sentBytes, sub.cursor, uint64(sub.nextChunk))
+		p.floats(sub.lastReceivedAt, sub.lastSentAt)
+		p.flags(sub.needsSnapshot, sub.snapshot != nil)
+		if sub.snapshot != nil {
+			p.numbers(sub.snapshot.through)
 		}
 	}
 	return p
 }
 
-// The mutations of the model use the following to get past what guards against them.
+// The mutations of the model use the following functions to bypass the checks that would prevent them.
 
-// AppliedSequence returns the sequence up to which everything was put into force.
+// AppliedSequence returns the sequence up to which all entries were applied.
 func (s *Subscriber) AppliedSequence() uint64 { return s.applied }
 
-// PendingWatermark returns the watermark that does not hold yet.
+// PendingWatermark returns the watermark that may not be in effect yet.
 func (s *Subscriber) PendingWatermark() Watermark { return s.pendingWatermark }
 
-// AcceptsMessages reports whether messages are received.
+// AcceptsMessages reports whether the Subscriber has a link on which it handles messages.
 func (s *Subscriber) AcceptsMessages() bool { return s.phase >= phaseSubscribing }
 
-// NextChunk returns the index of the chunk that is expected next.
+// NextChunk returns the index of the chunk that the Subscriber expects next.
 func (s *Subscriber) NextChunk() int {
 	if s.assembly == nil {
 		return 0
@@ -148,26 +148,26 @@
 	return s.assembly.nextChunk
 }
 
-// RewindTo sets the Subscriber back.
+// RewindTo sets the Subscriber's position back to an earlier sequence.
 func (s *Subscriber) RewindTo(applied uint64) { s.applied = applied }
 
-// TrustPendingWatermark has the watermark hold at once.
+// TrustPendingWatermark puts the pending watermark into effect at once.
 func (s *Subscriber) TrustPendingWatermark() { s.watermark = s.pendingWatermark }
 
-// ForgetHigherEpochs has the Subscriber forget the epochs that it has seen above one.
+// ForgetHigherEpochs has the Subscriber forget that it has seen epochs above the given one.
 func (s *Subscriber) ForgetHigherEpochs(epoch uint64) { s.highestEpoch = min(s.highestEpoch, epoch) }
 
 // ResetCredits gives every subscriber its full credit.
 func (d *Distributor) ResetCredits() {
-	for _, m := range d.subscriptions {
-		m.credit = m.window
+	for _, sub := range d.subscriptions {
+		sub.credit = sub.window
 	}
 }
 
-// UnlimitBacklog has the Distributor retain everything.
-func (d *Distributor) UnlimitBacklog() {
+// RemoveBacklogLimits has the Distributor retain all entries in its backlog.
+func (d *Distributor) RemoveBacklogLimits() {
 	d.settings.MaxBacklogEntries, d.settings.MaxBacklogBytes = 1<<30, 1<<30
 }
 
-// PretendFullBacklog has the Distributor take its backlog for one that begins with the stream.
-func (d *Distributor) PretendFullBacklog() { d.backlog.floor = 0 }
+// TreatBacklogAsComplete has the Distributor treat its backlog as if that began at the start of the stream.
+func (d *Distributor) TreatBacklogAsComplete() { d.backlog.floor = 0 }
