--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -217,7 +217,7 @@
 	s := signer{t: t, base: base, now: (p.Clock.Now() + skew) / 1000, serverNow: p.Clock.Now() / 1000, key: key}
 	script = s.fill(strings.ReplaceAll(script, "{expiry}", fmt.Sprint(briefFor+1)))
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{
-		"b": scenario.NewBrowser(base), "s": p.Cache, "drop": operator(st.DeleteKey), "quorum": operator(shut),
+		"b": scenario.NewHTTPClient(base), "s": p.Cache, "drop": operator(st.DeleteKey), "quorum": operator(shut),
 		"step": operator(func(ms string) error {
 			by, err := strconv.ParseFloat(ms, 64)
 			p.Clock.StepWall(by)
--- a/internal/scenario/attempt_sender.go
+++ b/internal/scenario/attempt_sender.go
@@ -11,8 +11,8 @@
 // attemptTimeout is the time of an attempt, in ms.
 const attemptTimeout = 1000
 
-// resultWords are the results as a script has them.
-var resultWords = map[policy.Result]string{
+// resultNames are the results as a script has them.
+var resultNames = map[policy.Result]string{
 	policy.OK:            "ok",
 	policy.Failed:        "failed",
 	policy.Overloaded:    "full",
@@ -26,9 +26,9 @@
 // AttemptSender sends attempts to the cache server without a core: "send ID [once]", with once for an attempt that may not be repeated. It
 // receives "ID RESULT".
 type AttemptSender struct {
-	pools   *upstream.Pools
-	inbox   inbox
-	written atomic.Bool
+	pools             *upstream.Pools
+	inbox             inbox
+	writtenCompletely atomic.Bool
 }
 
 // NewAttemptSender returns an actor over pools.
@@ -37,7 +37,7 @@
 }
 
 // WrittenCompletely reports whether the attempt that ended last had been written completely.
-func (a *AttemptSender) WrittenCompletely() bool { return a.written.Load() }
+func (a *AttemptSender) WrittenCompletely() bool { return a.writtenCompletely.Load() }
 
 // Send implements Actor.
 func (a *AttemptSender) Send(words []string) error {
@@ -51,15 +51,15 @@
 		NonIdempotent: len(words) > 1,
 	}
 	a.pools.Send(attempt, func(outcome core.Outcome) {
-		a.written.Store(outcome.Written)
-		a.inbox <- message{words: []string{words[0], resultWords[outcome.Result]}}
+		a.writtenCompletely.Store(outcome.Written)
+		a.inbox <- message{words: []string{words[0], resultNames[outcome.Result]}}
 	})
 	return nil
 }
 
 // Receive implements Actor.
 func (a *AttemptSender) Receive() ([]string, error) {
-	m, err := a.inbox.take()
+	m, err := a.inbox.next()
 	return m.words, err
 }
 
--- a/internal/scenario/client.go
+++ b/internal/scenario/client.go
@@ -30,7 +30,7 @@
 
 // Receive implements Actor.
 func (c *Client) Receive() ([]string, error) {
-	m, err := c.inbox.take()
+	m, err := c.inbox.next()
 	return m.words, err
 }
 
--- a/internal/scenario/browser.go
+++ b/internal/scenario/http_client.go
@@ -9,30 +9,32 @@
 	"strings"
 )
 
-// Browser is an HTTP client: "send METHOD PATH [NAME:VALUE...] [BODY]", with + for a space in values. It receives "STATUS RETRY BODY", where
+// HTTPClient is an HTTP client: "send METHOD PATH [NAME:VALUE...] [BODY]", with + for a space in values. It receives "STATUS RETRY BODY", where
 // RETRY is Retry-After:SECONDS, or "-" without that header.
-type Browser struct {
+type HTTPClient struct {
 	base  string
 	inbox inbox
 	stop  chan struct{}
 }
 
-// NewBrowser returns a client of the server at a base URL.
-func NewBrowser(base string) *Browser { return &Browser{base, newInbox(), make(chan struct{})} }
+// NewHTTPClient returns a client of the server at a base URL.
+func NewHTTPClient(base string) *HTTPClient {
+	return &HTTPClient{base, newInbox(), make(chan struct{})}
+}
 
 // Send implements Actor. It does not wait for the answer.
-func (b *Browser) Send(words []string) error {
+func (b *HTTPClient) Send(words []string) error {
 	request, err := b.newRequest(words)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(request.Context())
 	go func() { <-b.stop; cancel() }()
-	go func() { b.inbox <- message{words: do(request.WithContext(ctx))} }()
+	go func() { b.inbox <- message{words: roundTrip(request.WithContext(ctx))} }()
 	return nil
 }
 
-func (b *Browser) newRequest(words []string) (*http.Request, error) {
+func (b *HTTPClient) newRequest(words []string) (*http.Request, error) {
 	var body string
 	header := http.Header{}
 	for _, word := range words[2:] {
@@ -50,29 +52,29 @@
 	return request, nil
 }
 
-// do returns the answer to a request as words.
-func do(request *http.Request) []string {
+// roundTrip returns the answer to a request as words.
+func roundTrip(request *http.Request) []string {
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return []string{"closed"}
 	}
 	defer answer.Body.Close()
 	body, _ := io.ReadAll(answer.Body)
-	retry := "-"
+	retryAfter := "-"
 	if seconds := answer.Header.Get("Retry-After"); seconds != "" {
-		retry = "Retry-After:" + seconds
+		retryAfter = "Retry-After:" + seconds
 	}
-	return append([]string{fmt.Sprint(answer.StatusCode), retry}, strings.Fields(string(body))...)
+	return append([]string{fmt.Sprint(answer.StatusCode), retryAfter}, strings.Fields(string(body))...)
 }
 
 // Receive implements Actor.
-func (b *Browser) Receive() ([]string, error) {
-	m, err := b.inbox.take()
+func (b *HTTPClient) Receive() ([]string, error) {
+	m, err := b.inbox.next()
 	return m.words, err
 }
 
 // Close cancels the open requests.
-func (b *Browser) Close() error {
+func (b *HTTPClient) Close() error {
 	close(b.stop)
 	return nil
 }
--- a/internal/scenario/inbox.go
+++ b/internal/scenario/inbox.go
@@ -30,8 +30,8 @@
 
 func newInbox() inbox { return make(inbox, inboxSize) }
 
-// take returns the next message.
-func (in inbox) take() (message, error) {
+// next returns the next message.
+func (in inbox) next() (message, error) {
 	select {
 	case m := <-in:
 		return m, nil
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -34,40 +34,40 @@
 // Run plays a script. It ends the test at the first line that fails.
 func Run(t *testing.T, clk *clock.Clock, actors map[string]Actor, script string) {
 	t.Helper()
-	ids := map[string]string{} // by actor: the id in the message that it expected last
+	lastIDs := map[string]string{} // by actor: the id in the message that it expected last
 	for n, line := range strings.Split(script, "\n") {
 		words := strings.Fields(line)
 		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
 			continue
 		}
-		place := fmt.Sprintf("line %d: %s", n+1, strings.TrimSpace(line))
+		location := fmt.Sprintf("line %d: %s", n+1, strings.TrimSpace(line))
 		if words[0] == "wait" {
 			var ms float64
 			_, err := fmt.Sscan(words[1], &ms)
-			require.NoError(t, err, place)
+			require.NoError(t, err, location)
 			clk.Advance(ms)
 			continue
 		}
 		name, verb, args := words[0], words[1], words[2:]
 		actor := actors[name]
-		require.NotNil(t, actor, place)
+		require.NotNil(t, actor, location)
 		for i := range args {
-			args[i] = strings.ReplaceAll(args[i], "$id", ids[name])
+			args[i] = strings.ReplaceAll(args[i], "$id", lastIDs[name])
 		}
 		switch verb {
 		case "send":
-			require.NoError(t, actor.Send(args), place)
+			require.NoError(t, actor.Send(args), location)
 		case "close":
-			require.NoError(t, actor.Close(), place)
+			require.NoError(t, actor.Close(), location)
 		case "expect", "await":
 			got, err := receive(actor, clk, verb == "await")
-			require.NoError(t, err, place)
-			require.True(t, match(args, got), "%s: got %q", place, got)
+			require.NoError(t, err, location)
+			require.True(t, match(args, got), "%s: got %q", location, got)
 			if len(got) > 1 {
-				ids[name] = got[1]
+				lastIDs[name] = got[1]
 			}
 		default:
-			require.Fail(t, "unknown verb", place)
+			require.Fail(t, "unknown verb", location)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // receive returns an actor's next message, if asked with the clock advancing while it is waited for.
 func receive(actor Actor, clk *clock.Clock, advancing bool) ([]string, error) {
 	if advancing {
-		defer advance(clk)()
+		defer keepAdvancing(clk)()
 	}
 	return actor.Receive()
 }
@@ -87,8 +87,8 @@
 	awaitInterval = time.Millisecond
 )
 
-// advance advances the clock until stop is called. A single step might come before the program has set the timer that it waits for.
-func advance(clk *clock.Clock) (stop func()) {
+// keepAdvancing advances the clock until stop is called. A single step might come before the program has set the timer that it waits for.
+func keepAdvancing(clk *clock.Clock) (stop func()) {
 	stopping, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/scenario/server.go
+++ b/internal/scenario/server.go
@@ -19,9 +19,9 @@
 	conns []net.Conn
 
 	// Of the test's goroutine alone.
-	last  net.Conn            // of the last message
-	byID  map[string]net.Conn // of the last message with each id
-	first map[string]net.Conn // of the first message with each id
+	lastConn      net.Conn            // of the last message
+	lastConnByID  map[string]net.Conn // of the last message with each id
+	firstConnByID map[string]net.Conn // of the first message with each id
 }
 
 // Loopback is an address to listen on: of this process's own, so that no other run of these tests takes a port between its close and its
@@ -32,7 +32,7 @@
 func Listen(t *testing.T) *Server {
 	listener, err := net.Listen("tcp", Loopback())
 	require.NoError(t, err)
-	s := &Server{listener: listener, inbox: newInbox(), byID: map[string]net.Conn{}, first: map[string]net.Conn{}}
+	s := &Server{listener: listener, inbox: newInbox(), lastConnByID: map[string]net.Conn{}, firstConnByID: map[string]net.Conn{}}
 	t.Cleanup(func() { _ = s.Close() })
 	go s.accept()
 	return s
@@ -76,11 +76,11 @@
 // message. With "at ID" before the words, it is that of the first message with this id.
 func (s *Server) Send(words []string) error {
 	if words[0] == "at" {
-		_, err := s.first[words[1]].Write(encode(words[2:]))
+		_, err := s.firstConnByID[words[1]].Write(encode(words[2:]))
 		return err
 	}
-	conn := s.last
-	if known := s.byID[words[0]]; known != nil {
+	conn := s.lastConn
+	if known := s.lastConnByID[words[0]]; known != nil {
 		conn = known
 	}
 	_, err := conn.Write(encode(words))
@@ -89,13 +89,13 @@
 
 // Receive implements Actor.
 func (s *Server) Receive() ([]string, error) {
-	m, err := s.inbox.take()
-	s.last = m.from
+	m, err := s.inbox.next()
+	s.lastConn = m.from
 	if len(m.words) > 1 {
 		id := m.words[1]
-		s.byID[id] = m.from
-		if s.first[id] == nil {
-			s.first[id] = m.from
+		s.lastConnByID[id] = m.from
+		if s.firstConnByID[id] == nil {
+			s.firstConnByID[id] = m.from
 		}
 	}
 	return m.words, err
