--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -54,7 +54,7 @@
 	"a write fails if its connection breaks, and is not retried": `
 		c send w1 seat-claim
 		s expect fetch w1 * -
-		s send raw noise
+		s send line noise
 		c expect w1 failed -
 		s expect closed
 		c send r1 asset
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -41,7 +41,7 @@
 		s expect fetch 00000000000000b1 * -
 		half send RPC.HEALTH 1
 		half expect 1 yes
-		half send half *2`)
+		half send bytes *2`)
 	now := p.Clock.Now()
 	f.SetReady(false)
 	f.SetDrainPlan(drain.Plan{Active: true, CloseIdleFrom: now + 300, RejectFrom: now + 700})
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -79,18 +79,18 @@
 		c expect 1 ok - BYTES`,
 	// redcon's reader panics on this length: the connection ends before, and the others stay.
 	"a frame that can't be read ends its connection only": `
-		c send raw *2\r\n$9223372036854775807
+		c send line *2\r\n$9223372036854775807
 		c expect closed
 		d send RPC.HEALTH 8
 		d expect 8 yes`,
 	// They would hold all slots. A connection that was answered, or waits for an answer, may stay.
 	"silent, or half a frame: closed within 3 s; the others stay": `
-		d send half $
+		d send bytes $
 		e send RPC.HEALTH 8
 		e expect 8 yes
 		f send ` + strings.Replace(asset, "900", "2500", 1) + `
 		s expect fetch * * -
-		f send half *
+		f send bytes *
 		wait 1000
 		s send $id crashed
 		s expect fetch * * -
@@ -106,7 +106,7 @@
 		e send RPC.HEALTH 10
 		e expect 10 yes`,
 	"a frame that claims more than a client may send fails at its header": `
-		c send raw *2\r\n$60000000
+		c send line *2\r\n$60000000
 		c expect closed`,
 	"a tag that is open can't be used again": `
 		c send ` + asset + `
--- a/internal/scenario/attempt_sender.go
+++ b/internal/scenario/attempt_sender.go
@@ -15,16 +15,15 @@
 var resultNames = map[policy.Result]string{
 	policy.OK:            "ok",
 	policy.Failed:        "failed",
-	policy.Overloaded:    "full",
-	policy.TimedOut:      "timeout",
-	policy.ConnectFailed: "unconnected",
+	policy.Overloaded:    "overloaded",
+	policy.TimedOut:      "timed-out",
+	policy.ConnectFailed: "connect-failed",
 	policy.Reset:         "reset",
-	policy.Skipped:       "moot",
+	policy.Skipped:       "skipped",
 	policy.Miss:          "miss",
 }
 
-// AttemptSender sends attempts to the cache server without a core: "send ID [once]", with once for an attempt that may not be repeated. It
-// receives "ID RESULT".
+// AttemptSender sends attempts to the cache server without a core: "send ID [non-idempotent]". It receives "ID RESULT".
 type AttemptSender struct {
 	pools             *upstream.Pools
 	inbox             inbox
--- a/internal/scenario/inbox.go
+++ b/internal/scenario/inbox.go
@@ -60,14 +60,14 @@
 	}
 }
 
-// encode makes one frame of words. With "raw" first it is the bytes of the second word with a line's end behind them, and with "half" the
-// bytes alone.
+// encode returns the bytes to send for words: one frame that holds the words. Two first words ask for bytes that need not be a frame:
+// "bytes TEXT" for the bytes of TEXT, and "line TEXT" for those followed by CR LF. In both, \r\n in TEXT stands for CR LF.
 func encode(words []string) []byte {
-	if words[0] != "raw" && words[0] != "half" {
+	if words[0] != "line" && words[0] != "bytes" {
 		return resp.AppendFrame(nil, words...)
 	}
 	b := []byte(strings.ReplaceAll(words[1], `\r\n`, "\r\n"))
-	if words[0] == "raw" {
+	if words[0] == "line" {
 		b = append(b, "\r\n"...)
 	}
 	return b
--- a/internal/scenario/server.go
+++ b/internal/scenario/server.go
@@ -72,10 +72,11 @@
 // Addr is the stand-in's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Send writes the words as one frame, on the connection of the last message with the id that is their first word, else on that of the last
-// message. With "at ID" before the words, it is that of the first message with this id.
+// Send writes the words as encode has them. The first word is the id of a message, and the words are written to the connection that this
+// message arrived on last; if there was none, to the connection of the last message. With "on-conn-of ID" before the words, they are written
+// to the connection that a message with this id arrived on first.
 func (s *Server) Send(words []string) error {
-	if words[0] == "at" {
+	if words[0] == "on-conn-of" {
 		_, err := s.firstConnByID[words[1]].Write(encode(words[2:]))
 		return err
 	}
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -174,7 +174,7 @@
 		err     error
 		answers bool
 		want    string
-	}{{timeout, true, "moot"}, {timeout, false, "unconnected"}, {refused, true, "unconnected"}} {
+	}{{timeout, true, "skipped"}, {timeout, false, "connect-failed"}, {refused, true, "connect-failed"}} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		var dials atomic.Int32
 		gate := make(chan struct{})
@@ -190,7 +190,7 @@
 			up send r1
 			s expect fetch r1 * -
 			wait 1
-			up send w1 once`)
+			up send w1 non-idempotent`)
 		require.Eventually(t, func() bool { return dials.Load() == 2 }, time.Minute, time.Millisecond)
 		if c.answers {
 			scenario.Run(t, clk, actors, `
@@ -234,7 +234,7 @@
 	}
 	sent := int64(0)
 	trickle := func(text string) error {
-		err := cache.Send([]string{"at", "r1", "half", text})
+		err := cache.Send([]string{"on-conn-of", "r1", "bytes", text})
 		sent += int64(len(strings.ReplaceAll(text, `\r\n`, "\r\n")))
 		return err
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -37,7 +37,7 @@
 // scenarios are played against a scripted cache server.
 var scenarios = map[string]string{
 	"an unreadable answer ends the reads of its connection and no write": `
-		up send w1 once
+		up send w1 non-idempotent
 		s expect fetch w1 * -` + five + `
 		s send r4 served notafield
 		up expect r? reset
@@ -52,14 +52,14 @@
 	"an answer that announces 3 GB fails at its header": `
 		up send r1
 		s expect fetch r1 * -
-		s send raw *4\r\n$2\r\nr1\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000
+		s send line *4\r\n$2\r\nr1\r\n$6\r\nserved\r\n$1\r\n-\r\n$3000000000
 		up expect r1 reset`,
 	"a stalled answer ends the calls of its connection soon": `
 		up send r1
 		s expect fetch r1 * -
 		up send r2
 		s expect fetch r2 * -
-		s send half *2\r\n$2\r\nr1\r\n$6\r\nserved\r\n*2\r\n$2\r\nr2\r\n$6\r\nser
+		s send bytes *2\r\n$2\r\nr1\r\n$6\r\nserved\r\n*2\r\n$2\r\nr2\r\n$6\r\nser
 		up expect r1 ok
 		s await closed
 		up expect r2 reset`,
@@ -90,20 +90,20 @@
 		s expect fetch r1 * -
 		s send r1 served -
 		up expect r1 ok
-		s send raw noise
+		s send line noise
 		s expect closed
 		up send r2
 		s expect fetch r2 * -
 		s send r2 served -
 		up expect r2 ok`,
 	"a late duplicate answer is not taken for the answer to a retry": `
-		up send w1 once
+		up send w1 non-idempotent
 		s expect fetch w1 * -
 		s send w1 overload
-		up expect w1 full
-		up send w1 once
+		up expect w1 overloaded
+		up send w1 non-idempotent
 		s expect fetch w1 * -
-		s send at w1 w1 overload
+		s send on-conn-of w1 w1 overload
 		up send r1
 		s expect fetch r1 * -
 		s send r1 served -
@@ -114,7 +114,7 @@
 		up send r1
 		s expect fetch r1 * -
 		wait 1000
-		up expect r1 timeout
+		up expect r1 timed-out
 		s expect abort r1
 		s expect closed
 		up send r2
@@ -182,7 +182,7 @@
 // An attempt that a broken connection has written in part was not executed and is skipped, also if it is not
 // idempotent. One that was written completely may have been executed.
 func TestPartlyWrittenAttemptHasNotRun(t *testing.T) {
-	for limit, want := range map[int]string{0: "moot", 5: "moot", 1 << 10: "reset"} {
+	for limit, want := range map[int]string{0: "skipped", 5: "skipped", 1 << 10: "reset"} {
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		broken := false
 		pools := newPools(clk, cache, upstream.Limits{Write: func(fd int, b []byte) (int, error) {
@@ -209,7 +209,7 @@
 				require.NoError(t, err)
 				got[words[0]] = words[1]
 			}
-			require.Equal(t, map[string]string{"r1": "reset", "r2": "moot"}, got)
+			require.Equal(t, map[string]string{"r1": "reset", "r2": "skipped"}, got)
 			continue
 		}
 		scenario.Run(t, clk, actors, `
@@ -235,8 +235,8 @@
 	scenario.Run(t, clk, map[string]scenario.Actor{"up": scenario.NewAttemptSender(pools), "s": cache}, `
 		up send r1
 		s expect fetch r1 * -
-		up send w1 once
-		up expect w1 unconnected
+		up send w1 non-idempotent
+		up expect w1 connect-failed
 		s send r1 served -
 		up expect r1 ok`)
 }
@@ -257,9 +257,9 @@
 		short.Store(true)
 		scenario.Run(t, clk, actors, `
 			up send r1
-			up await r1 moot
-			up send w1 once
-			up await w1 moot`)
+			up await r1 skipped
+			up send w1 non-idempotent
+			up await w1 skipped`)
 		short.Store(false)
 		scenario.Run(t, clk, actors, `
 			up send r2
@@ -286,7 +286,7 @@
 		clk, cache := clock.Manual(0), scenario.Listen(t)
 		actors := map[string]scenario.Actor{"up": scenario.NewAttemptSender(newPools(clk, cache, upstream.Limits{Dial: dial})), "s": cache}
 		scenario.Run(t, clk, actors, `
-			up send r1 once`)
+			up send r1 non-idempotent`)
 		require.Eventually(t, func() bool {
 			if due, ok := clk.NextTimer(); ok && due <= clk.Now()+pause {
 				clk.Advance(due - clk.Now())
@@ -319,8 +319,8 @@
 		s expect fetch r1 * -`)
 	for range 20 {
 		scenario.Run(t, clk, actors, `
-			up send w1 once
-			up expect w1 moot`)
+			up send w1 non-idempotent
+			up expect w1 skipped`)
 	}
 	scenario.Run(t, clk, actors, `
 		s send r1 served -
