--- a/internal/front/resp/client_left_test.go
+++ b/internal/front/resp/client_left_test.go
@@ -30,10 +30,10 @@
 			for range 50 { // the order of goroutines varies
 				nc, err := net.Dial("tcp", f.Addr())
 				require.NoError(t, err)
-				asked := gate.read.Load()
+				before := gate.bytesRead.Load()
 				_, err = nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", "9"))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return gate.wanted.Load() > asked && f.Idle() }, time.Minute, time.Millisecond)
+				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() > before && f.Idle() }, time.Minute, time.Millisecond)
 				gate.mu.Lock()
 				_, err = nc.Write(call)
 				require.NoError(t, err)
@@ -41,7 +41,7 @@
 				time.Sleep(time.Millisecond)
 				gate.mu.Unlock()
 				if name == "cancels" {
-					require.Eventually(t, func() bool { return f.Idle() && gate.wanted.Load() >= asked+int64(len(call)) }, time.Minute, 100*time.Microsecond)
+					require.Eventually(t, func() bool { return f.Idle() && gate.bytesBeforeRead.Load() >= before+int64(len(call)) }, time.Minute, 100*time.Microsecond)
 					require.NoError(t, nc.Close())
 				}
 				require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
--- a/internal/front/resp/closing_test.go
+++ b/internal/front/resp/closing_test.go
@@ -22,20 +22,20 @@
 	"ravenwheel/internal/scenario"
 )
 
-// gated is a listener whose connections are not read while mu is held.
-type gated struct {
+// gatedListener is a listener whose connections are not read while mu is held.
+type gatedListener struct {
 	*net.TCPListener
-	mu     sync.RWMutex
-	read   atomic.Int64 // bytes so far
-	wanted atomic.Int64 // read when the last call of Read began
+	mu              sync.RWMutex
+	bytesRead       atomic.Int64 // bytes so far
+	bytesBeforeRead atomic.Int64 // read when the last call of Read began
 }
 
 type gatedConn struct {
 	*net.TCPConn
-	by *gated
+	listener *gatedListener
 }
 
-func (g *gated) Accept() (net.Conn, error) {
+func (g *gatedListener) Accept() (net.Conn, error) {
 	nc, err := g.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -45,16 +45,16 @@
 
 // Read polls the connection, and reads nothing while mu is held.
 func (c gatedConn) Read(p []byte) (int, error) {
-	c.by.wanted.Store(c.by.read.Load())
+	c.listener.bytesBeforeRead.Store(c.listener.bytesRead.Load())
 	for {
-		c.by.mu.RLock()
+		c.listener.mu.RLock()
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		n, err := c.TCPConn.Read(p)
-		c.by.mu.RUnlock()
+		c.listener.mu.RUnlock()
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			continue
 		}
-		c.by.read.Add(int64(n))
+		c.listener.bytesRead.Add(int64(n))
 		return n, err
 	}
 }
@@ -62,8 +62,8 @@
 // In each case a request reaches an idle connection in the instant in which the front closes it, and is unread by then. It is not
 // forwarded, and its client sees an orderly end and no reset, which would drop what the client has not read yet.
 func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
-	const rests = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
-	for name, end := range map[string]func(t *testing.T, p *scenario.Proxy, f *resp.Front){
+	const healthFrame = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
+	for name, closeConn := range map[string]func(t *testing.T, p *scenario.Proxy, f *resp.Front){
 		"a slot is needed": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
@@ -79,38 +79,38 @@
 			p := scenario.NewProxy(t)
 			ln, err := net.Listen("tcp", scenario.Loopback())
 			require.NoError(t, err)
-			gate := &gated{TCPListener: ln.(*net.TCPListener)}
+			gate := &gatedListener{TCPListener: ln.(*net.TCPListener)}
 			f := resp.New(gate, 1, p.Clock, p.Core)
 			go func() { _ = f.Serve() }()
 			defer f.Close()
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
 			defer nc.Close()
-			_, err = io.WriteString(nc, rests)
+			_, err = io.WriteString(nc, healthFrame)
 			require.NoError(t, err)
 			answer := make([]byte, 64)
 			n, err := nc.Read(answer)
 			require.NoError(t, err)
 			require.Contains(t, string(answer[:n]), "yes")
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-			begins := strings.HasPrefix(name, "half")
+			isPartial := strings.HasPrefix(name, "half")
 			call := frames.AppendFrame(nil, strings.Fields(asset)...)
-			if begins {
+			if isPartial {
 				_, err = nc.Write(call[:9])
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return gate.wanted.Load() == int64(len(rests)+9) }, time.Minute, time.Millisecond)
+				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == int64(len(healthFrame)+9) }, time.Minute, time.Millisecond)
 			}
 			gate.mu.Lock()
-			ended := make(chan struct{})
-			go func() { end(t, p, f); close(ended) }()
+			closed := make(chan struct{})
+			go func() { closeConn(t, p, f); close(closed) }()
 			read := make([]byte, 1)
 			_, err = nc.Read(read)
 			require.ErrorIs(t, err, io.EOF, "our side is closed, not reset")
-			<-ended
+			<-closed
 			_, err = nc.Write(call)
 			require.NoError(t, err)
 			gate.mu.Unlock()
-			require.Eventually(t, func() bool { return gate.read.Load() >= int64(len(rests)+len(call)) }, time.Minute, time.Millisecond)
+			require.Eventually(t, func() bool { return gate.bytesRead.Load() >= int64(len(healthFrame)+len(call)) }, time.Minute, time.Millisecond)
 			_, err = nc.Write(call) // would meet a socket that is gone
 			require.NoError(t, err)
 			require.NoError(t, nc.(*net.TCPConn).CloseWrite())
@@ -142,33 +142,33 @@
 
 // Lingering connections whose clients do not close hold at most one in eight slots beyond the front's limit.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
-	const most = 16
+	const maxConns = 16
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	f := resp.New(ln, most, p.Clock, p.Core)
+	f := resp.New(ln, maxConns, p.Clock, p.Core)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
-	for i := range 10 * most {
+	for i := range 10 * maxConns {
 		c := scenario.Dial(t, f.Addr())
 		require.NoError(t, c.Send([]string{"RPC.HEALTH", "1"}))
 		words, err := c.Receive()
 		require.NoError(t, err, i)
 		require.Equal(t, []string{"1", "yes"}, words, "each new client is served")
-		require.Eventually(t, func() bool { return f.Idle() && f.OpenConns() <= most+1+most/8 }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return f.Idle() && f.OpenConns() <= maxConns+1+maxConns/8 }, time.Minute, time.Millisecond)
 	}
 }
 
-// exhausted is a listener that is out of descriptors for a while.
-type exhausted struct {
+// exhaustedListener is a listener that is out of descriptors for a while.
+type exhaustedListener struct {
 	net.Listener
-	out    atomic.Bool
-	failed atomic.Int32
+	noDescriptors atomic.Bool
+	failures      atomic.Int32
 }
 
-func (b *exhausted) Accept() (net.Conn, error) {
-	if b.out.Load() {
-		b.failed.Add(1)
+func (b *exhaustedListener) Accept() (net.Conn, error) {
+	if b.noDescriptors.Load() {
+		b.failures.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return b.Listener.Accept()
@@ -179,21 +179,21 @@
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	b := &exhausted{Listener: ln}
-	b.out.Store(true)
-	f := resp.New(b, 10, p.Clock, p.Core)
+	listener := &exhaustedListener{Listener: ln}
+	listener.noDescriptors.Store(true)
+	f := resp.New(listener, 10, p.Clock, p.Core)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
 	c := scenario.Dial(t, f.Addr())
 	require.NoError(t, c.Send([]string{"RPC.HEALTH", "1"}))
-	for moved := range 6 {
+	for advances := range 6 {
 		for range 50 {
 			time.Sleep(50 * time.Microsecond)
-			require.LessOrEqual(t, int(b.failed.Load()), moved+1, "no retry before the delay")
+			require.LessOrEqual(t, int(listener.failures.Load()), advances+1, "no retry before the delay")
 		}
 		p.Clock.Advance(10)
 	}
-	b.out.Store(false)
+	listener.noDescriptors.Store(false)
 	require.Eventually(t, func() bool { p.Clock.Advance(10); return f.OpenConns() == 1 }, time.Minute, time.Millisecond)
 	words, err := c.Receive()
 	require.NoError(t, err)
@@ -219,14 +219,14 @@
 	require.Eventually(t, func() bool { return counters.Requests.Load() == 32 }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool { return counters.Attempts.Load()+counters.Rejected.Load() == 32 }, time.Minute, time.Millisecond)
 	body := strings.Repeat("x", 240_000)
-	out := int(counters.Attempts.Load())
-	require.Greater(t, out, 8)
-	for range out - 2 {
+	attempts := int(counters.Attempts.Load())
+	require.Greater(t, attempts, 8)
+	for range attempts - 2 {
 		scenario.Run(t, p.Clock, actors, `
 			s expect fetch * * -
 			s send $id served why=local,version=v1 `+body)
 	}
-	require.Eventually(t, func() bool { return p.Core.Counters.Served.Load() == int64(out-2) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return p.Core.Counters.Served.Load() == int64(attempts-2) }, time.Minute, time.Millisecond)
 	require.False(t, f.Idle(), "answers wait to be written")
 	require.NoError(t, nc.(*net.TCPConn).CloseWrite())
 	require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() && p.Core.Counters.InFlight.Load() == 0 }, time.Minute, time.Millisecond)
@@ -241,15 +241,15 @@
 	}
 }
 
-// stalled is a core whose requests stay open until their client has left.
-type stalled struct {
+// blockingHandler is a core whose requests stay open until their client has left.
+type blockingHandler struct {
 	resp.RequestHandler
-	open, most atomic.Int64
+	open, maxOpen atomic.Int64
 }
 
-func (h *stalled) Do(ctx context.Context, _ core.Request) core.Answer {
-	if n := h.open.Add(1); n > h.most.Load() {
-		h.most.Store(n)
+func (h *blockingHandler) Do(ctx context.Context, _ core.Request) core.Answer {
+	if n := h.open.Add(1); n > h.maxOpen.Load() {
+		h.maxOpen.Store(n)
 	}
 	<-ctx.Done()
 	h.open.Add(-1)
@@ -259,35 +259,35 @@
 // A client sends thousands of requests at once: 32 are open, each further one gets one answer, a fault, and never reaches the core.
 // Another client is answered meanwhile, and nothing stays open once the first has left.
 func TestFloodGetsOneAnswerPerRequest(t *testing.T) {
-	const calls, most = 5000, 32
+	const total, maxOpen = 5000, 32
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	h := &stalled{RequestHandler: p.Core}
+	h := &blockingHandler{RequestHandler: p.Core}
 	f := resp.New(ln, 20, p.Clock, h)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
 	nc, err := net.Dial("tcp", f.Addr())
 	require.NoError(t, err)
 	defer nc.Close()
-	var all []byte
-	for i := range calls {
-		all = frames.AppendFrame(all, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
+	var allCalls []byte
+	for i := range total {
+		allCalls = frames.AppendFrame(allCalls, "RPC.CALL", fmt.Sprint(i+1), "asset", fmt.Sprintf("rid=%016x,budget=2400,obj=%016x,nth=0,batch=17", i+1, i+1))
 	}
-	go func() { _, _ = nc.Write(all) }()
+	go func() { _, _ = nc.Write(allCalls) }()
 	buf := frames.Buffer{MaxFrameSize: frames.MaxResponseSize}
-	for i := range calls - most {
+	for i := range total - maxOpen {
 		parts, _, err := buf.Next(nc)
 		require.NoError(t, err)
-		require.Equal(t, []string{fmt.Sprint(i + 1 + most), "fault"}, []string{string(parts[0]), string(parts[1])})
+		require.Equal(t, []string{fmt.Sprint(i + 1 + maxOpen), "fault"}, []string{string(parts[0]), string(parts[1])})
 	}
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"other": scenario.Dial(t, f.Addr())}, `
 		other send RPC.HEALTH 1
 		other expect 1 yes`)
-	require.Eventually(t, func() bool { return h.open.Load() == most }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return h.open.Load() == maxOpen }, time.Minute, time.Millisecond)
 	require.NoError(t, nc.Close())
 	require.Eventually(t, func() bool { return h.open.Load() == 0 && f.OpenConns() == 1 && f.Idle() }, time.Minute, time.Millisecond)
-	require.EqualValues(t, most, h.most.Load())
+	require.EqualValues(t, maxOpen, h.maxOpen.Load())
 	require.Zero(t, invariant.Violations())
 }
 
--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -76,7 +76,7 @@
 // Read returns bytes of complete frames. Once the connection is to end, it reads and drops the rest and returns net.ErrClosed.
 func (c *conn) Read(p []byte) (n int, err error) {
 	if len(c.unconsumed) == 0 {
-		if _, c.unconsumed, err = c.frames.Next(frameSource{c}); err == nil && !c.noteRead(false) {
+		if _, c.unconsumed, err = c.frames.Next(frameSource{c}); err == nil && !c.recordRead(false) {
 			err = net.ErrClosed
 		}
 	}
@@ -112,7 +112,7 @@
 // Read implements io.Reader.
 func (s frameSource) Read(p []byte) (int, error) {
 	if s.conn.frames.Buffered() > 0 {
-		s.conn.noteRead(true)
+		s.conn.recordRead(true)
 	}
 	if cl := s.conn.client; cl != nil && len(cl.unstarted) > 0 && !s.conn.hasUnreadBytes() && !s.conn.peerClosed() {
 		cl.startRequests()
@@ -120,9 +120,9 @@
 	return s.conn.Conn.Read(p)
 }
 
-// noteRead notes that a part of a frame has arrived, or a complete one. serving is false once the connection is to end: a request
+// recordRead notes that a part of a frame has arrived, or a complete one. serving is false once the connection is to end: a request
 // that is read then must not be started.
-func (c *conn) noteRead(partial bool) (serving bool) {
+func (c *conn) recordRead(partial bool) (serving bool) {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
 	c.lastRead = c.front.clock.Now() // some clients write slowly: a frame of which bytes arrive is not silence
@@ -150,8 +150,8 @@
 // beginLinger decides to end the connection, unless its client waits for an answer. Deciding and refusing later requests is one
 // step: a request that arrived between would be forwarded, and its answer lost. Called under the front's lock.
 func (c *conn) beginLinger() (lingering bool) {
-	firstFramePassedOn := c.client != nil || !c.hasFrame
-	if c.stage != stageServing || !firstFramePassedOn {
+	redconIsDone := c.client != nil || !c.hasFrame
+	if c.stage != stageServing || !redconIsDone {
 		return false
 	}
 	if c.client != nil && !c.client.closeIfIdle() {
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-func newFront(t *testing.T, names ...string) (*scenario.Proxy, *resp.Front, map[string]scenario.Actor) {
+func newFront(t *testing.T, clients ...string) (*scenario.Proxy, *resp.Front, map[string]scenario.Actor) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -22,7 +22,7 @@
 	go func() { _ = f.Serve() }()
 	t.Cleanup(func() { _ = f.Close() })
 	actors := map[string]scenario.Actor{"s": p.Cache}
-	for _, n := range names {
+	for _, n := range clients {
 		actors[n] = scenario.Dial(t, ln.Addr().String())
 	}
 	return p, f, actors
@@ -67,8 +67,8 @@
 	require.EqualValues(t, 1, p.Core.Counters.NeverSent.Load())
 	f.SetDrainPlan(drain.Plan{})
 	f.SetReady(true)
-	ends := p.Clock.Now() + 5000
-	for f.OpenConns() > 0 && p.Clock.Now() < ends { // the lingering connections end
+	end := p.Clock.Now() + 5000
+	for f.OpenConns() > 0 && p.Clock.Now() < end { // the lingering connections end
 		p.Clock.Advance(10)
 		time.Sleep(time.Millisecond)
 	}
@@ -106,17 +106,17 @@
 // A front that leaves new connections to another process keeps its open ones, and accepts new ones again afterwards.
 func TestSetAcceptingKeepsOpenConnections(t *testing.T) {
 	p, f, actors := newFront(t, "held")
-	held := `
+	exchange := `
 		held send RPC.HEALTH 1
 		held expect 1 yes`
-	scenario.Run(t, p.Clock, actors, held)
+	scenario.Run(t, p.Clock, actors, exchange)
 	f.SetAccepting(false)
 	f.SetAccepting(false)
 	// One more may be accepted, by an accept that had checked its deadline before it was set: it is served here.
 	actors["slips"] = scenario.Dial(t, f.Addr())
 	actors["queued"] = scenario.Dial(t, f.Addr())
 	scenario.Run(t, p.Clock, actors, `
-		queued send RPC.HEALTH 1`+held)
+		queued send RPC.HEALTH 1`+exchange)
 	require.LessOrEqual(t, f.OpenConns(), 2)
 	f.SetAccepting(true)
 	scenario.Run(t, p.Clock, actors, `
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -107,7 +107,7 @@
 }
 
 // IsAccepting reports whether this process accepts new connections.
-func (f *Front) IsAccepting() bool { return f.pausedAccept() == nil }
+func (f *Front) IsAccepting() bool { return f.acceptResumed() == nil }
 
 // SetAccepting has new connections accepted here, or left to another process that shares the listener.
 func (f *Front) SetAccepting(on bool) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// pausedAccept is closed once connections are accepted again; nil: they are accepted.
-func (f *Front) pausedAccept() chan struct{} {
+// acceptResumed is closed once connections are accepted again; nil: they are accepted.
+func (f *Front) acceptResumed() chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resume
--- a/internal/front/resp/golden_test.go
+++ b/internal/front/resp/golden_test.go
@@ -19,17 +19,17 @@
 	"ravenwheel/internal/scenario"
 )
 
-// prepared is a core that gives prepared answers, by the requests' ids, and notes what it was asked.
-type prepared struct {
+// fakeHandler is a core that gives prepared answers, by the requests' ids, and notes what it was asked.
+type fakeHandler struct {
 	resp.RequestHandler
-	answers map[string]core.Answer
-	asked   bytes.Buffer
+	answers  map[string]core.Answer
+	requests bytes.Buffer
 }
 
-func (p *prepared) Do(_ context.Context, q core.Request) core.Answer {
-	fmt.Fprintf(&p.asked, "%s: class %d, object %s, part %d, group %d, size %v, repeat %v, holds %q, key %q, body %q, deadline %v\n",
+func (h *fakeHandler) Do(_ context.Context, q core.Request) core.Answer {
+	fmt.Fprintf(&h.requests, "%s: class %d, object %s, part %d, group %d, size %v, repeat %v, holds %q, key %q, body %q, deadline %v\n",
 		q.ID, q.Class, q.Object, q.Part, q.Group, q.SizeKB, q.ClientRetry, q.CachedTag, q.IdempotencyKey, q.Body, q.Deadline)
-	return p.answers[q.ID]
+	return h.answers[q.ID]
 }
 
 // Each kind of answer has the bytes, and each kind of request the meaning, that it had before.
@@ -37,7 +37,7 @@
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	doer := &prepared{RequestHandler: p.Core, answers: map[string]core.Answer{
+	handler := &fakeHandler{RequestHandler: p.Core, answers: map[string]core.Answer{
 		"00000000000000a1": {Verdict: core.Served, Body: []byte("BYTES"), Tag: "v1"},
 		"00000000000000a2": {Verdict: core.Served, NotModified: true, Tag: "v7"},
 		"00000000000000a3": {Verdict: core.Served},
@@ -46,7 +46,7 @@
 		"00000000000000a6": {Verdict: core.Rejected, RetryAfter: 250.75},
 		"00000000000000a7": {Verdict: core.Failed},
 	}}
-	f := resp.New(ln, 20, p.Clock, doer)
+	f := resp.New(ln, 20, p.Clock, handler)
 	go func() { _ = f.Serve() }()
 	defer f.Close()
 	nc, err := net.Dial("tcp", f.Addr())
@@ -55,7 +55,7 @@
 	require.NoError(t, nc.SetReadDeadline(time.Now().Add(time.Minute)))
 	buf := frames.Buffer{MaxFrameSize: frames.MaxResponseSize}
 	var out bytes.Buffer
-	ask := func(words ...string) {
+	exchange := func(words ...string) {
 		_, err := nc.Write(frames.AppendFrame(nil, words...))
 		require.NoError(t, err)
 		_, raw, err := buf.Next(nc)
@@ -63,7 +63,7 @@
 		fmt.Fprintf(&out, "%s\n%q\n", strings.Join(words, " "), raw)
 	}
 	call := func(tag, class, fields string, body ...string) {
-		ask(append([]string{"RPC.CALL", tag, class, fields}, body...)...)
+		exchange(append([]string{"RPC.CALL", tag, class, fields}, body...)...)
 	}
 	const object = ",obj=7f3a9c21e0b4d655"
 	call("1", "replay", "rid=00000000000000a1,budget=900"+object+",nth=3,batch=17,mem=40,again=1,got=v7,acct=club,token=28ca688e")
@@ -75,12 +75,12 @@
 	call("7", "seat-claim", "rid=00000000000000a7,budget=900"+object+",nth=0,batch=255", "seat9")
 	call("8", "nosuch", "rid=00000000000000a8,budget=900"+object)
 	call("9", "asset", "rid=00000000000000a9,budget=2501"+object)
-	ask("RPC.OTHER", "10", "x")
-	ask("RPC.HEALTH", "11")
+	exchange("RPC.OTHER", "10", "x")
+	exchange("RPC.HEALTH", "11")
 	f.SetReady(false)
-	ask("RPC.HEALTH", "12")
+	exchange("RPC.HEALTH", "12")
 	f.SetDrainPlan(drain.Plan{Active: true, RejectFrom: 1})
 	call("13", "asset", "rid=00000000000000a1,budget=900"+object)
 	golden.Equal(t, "answers.txt", out.Bytes())
-	golden.Equal(t, "requests.txt", doer.asked.Bytes())
+	golden.Equal(t, "requests.txt", handler.requests.Bytes())
 }
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -16,8 +16,8 @@
 // at once after any other, and out of descriptors it would take the core that open connections need to end and free some.
 func (l boundedListener) Accept() (net.Conn, error) {
 	for {
-		if paused := l.front.pausedAccept(); paused != nil {
-			<-paused
+		if resumed := l.front.acceptResumed(); resumed != nil {
+			<-resumed
 		}
 		l.front.awaitEvictedClosed()
 		nc, err := l.Listener.Accept()
--- a/internal/front/resp/quiescence_test.go
+++ b/internal/front/resp/quiescence_test.go
@@ -42,26 +42,26 @@
 
 // wait returns once the process is quiescent.
 func (q *quiescence) wait() {
-	for began := time.Now(); ; time.Sleep(50 * time.Microsecond) {
+	for start := time.Now(); ; time.Sleep(50 * time.Microsecond) {
 		why := q.busy()
 		if why == "" {
 			return
 		}
-		require.Less(q.t, time.Since(began), quiescenceTimeout, "never quiescent: %s", why)
+		require.Less(q.t, time.Since(start), quiescenceTimeout, "never quiescent: %s", why)
 	}
 }
 
 // busy names what is still under way; empty: nothing. The sockets are looked at before and after the goroutines: if one of
 // those moved a byte between, the counts differ.
 func (q *quiescence) busy() (why string) {
-	before, why := sockets()
+	before, why := socketByteCounts()
 	if why != "" {
 		return why
 	}
-	if why = q.runs(); why != "" {
+	if why = q.unparkedGoroutine(); why != "" {
 		return why
 	}
-	after, why := sockets()
+	after, why := socketByteCounts()
 	if why == "" && !maps.Equal(before, after) {
 		why = "bytes have moved"
 	}
@@ -74,23 +74,23 @@
 	"sync.RWMutex.RLock": true, "sync.RWMutex.Lock": true, "sync.WaitGroup.Wait": true, "sync.Cond.Wait": true,
 }
 
-// runs is a goroutine other than the one that asks which is not parked, or which waits for a connection to come up.
-func (q *quiescence) runs() (why string) {
+// unparkedGoroutine is a goroutine other than the one that asks which is not parked, or which waits for a connection to come up.
+func (q *quiescence) unparkedGoroutine() (why string) {
 	n := runtime.Stack(q.stack, true)
 	for n == len(q.stack) {
 		q.stack = make([]byte, 2*n)
 		n = runtime.Stack(q.stack, true)
 	}
-	for i, one := range bytes.Split(q.stack[:n], []byte("\n\n")) {
+	for i, goroutine := range bytes.Split(q.stack[:n], []byte("\n\n")) {
 		if i == 0 {
 			continue // it is this one's
 		}
-		_, state, _ := bytes.Cut(one, []byte("["))
+		_, state, _ := bytes.Cut(goroutine, []byte("["))
 		if end := bytes.IndexAny(state, ",]"); end >= 0 {
 			state = state[:end]
 		}
-		if !parked[string(state)] || bytes.Contains(one, []byte("net.(*netFD).connect(")) {
-			return string(one)
+		if !parked[string(state)] || bytes.Contains(goroutine, []byte("net.(*netFD).connect(")) {
+			return string(goroutine)
 		}
 	}
 	return ""
@@ -102,31 +102,31 @@
 	port int
 }
 
-func addressOf(at unix.Sockaddr) address {
-	in, ok := at.(*unix.SockaddrInet4)
+func addressOf(sockaddr unix.Sockaddr) address {
+	in, ok := sockaddr.(*unix.SockaddrInet4)
 	if !ok {
 		return address{}
 	}
 	return address{in.Addr, in.Port}
 }
 
-// ends are where a socket is and whom it is connected to.
-type ends struct{ here, there address }
+// endpoints are where a socket is and whom it is connected to.
+type endpoints struct{ local, remote address }
 
-// moved is what a socket has sent and been given so far, in bytes.
-type moved struct{ sent, got uint64 }
+// byteCounts is what a socket has sent and been given so far, in bytes.
+type byteCounts struct{ sent, received uint64 }
 
 // The states of TCP, as the kernel numbers them.
 const tcpEstablished, tcpListen = 1, 10
 
-// sockets counts what has moved over each connection of this process, whose both ends are here. why is not empty while one
+// socketByteCounts counts what has moved over each connection of this process, whose both ends are here. why is not empty while one
 // is coming up or ending, or something has not arrived or was not read.
-func sockets() (all map[ends]moved, why string) {
+func socketByteCounts() (all map[endpoints]byteCounts, why string) {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return nil, err.Error()
 	}
-	all = map[ends]moved{}
+	all = map[endpoints]byteCounts{}
 	for _, entry := range list {
 		fd, err := strconv.Atoi(entry.Name())
 		if err != nil {
@@ -142,17 +142,17 @@
 			}
 			continue
 		}
-		here, err1 := unix.Getsockname(fd)
-		there, err2 := unix.Getpeername(fd)
+		local, err1 := unix.Getsockname(fd)
+		remote, err2 := unix.Getpeername(fd)
 		unread, err3 := unix.IoctlGetInt(fd, unix.TIOCINQ)
 		if err := errors.Join(err1, err2, err3); err != nil || info.State != tcpEstablished || unread > 0 || info.Notsent_bytes > 0 {
 			return nil, fmt.Sprintf("socket %d: state %d, %d bytes unread, %d not sent, %v", fd, info.State, unread, info.Notsent_bytes, err)
 		}
-		all[ends{addressOf(here), addressOf(there)}] = moved{info.Bytes_sent - info.Bytes_retrans, info.Bytes_received}
+		all[endpoints{addressOf(local), addressOf(remote)}] = byteCounts{info.Bytes_sent - info.Bytes_retrans, info.Bytes_received}
 	}
-	for at, one := range all {
-		if peer, ok := all[ends{at.there, at.here}]; !ok || peer.got != one.sent {
-			return nil, fmt.Sprintf("%v: %d bytes sent, %d arrived at the other end", at, one.sent, peer.got)
+	for pair, counts := range all {
+		if peer, ok := all[endpoints{pair.remote, pair.local}]; !ok || peer.received != counts.sent {
+			return nil, fmt.Sprintf("%v: %d bytes sent, %d arrived at the other end", pair, counts.sent, peer.received)
 		}
 	}
 	return all, ""
--- a/internal/front/resp/request.go
+++ b/internal/front/resp/request.go
@@ -116,13 +116,13 @@
 
 // number reads a number with inclusive bounds. Where the field is not given it returns absent, which need not be within them. What it
 // returns once valid is false has no meaning.
-func (r *fieldReader) number(name string, least, most, absent float64) float64 {
+func (r *fieldReader) number(name string, minimum, maximum, absent float64) float64 {
 	text, given := r.text[name]
 	if !given {
 		return absent
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	r.valid = r.valid && err == nil && value >= least && value <= most && !math.IsNaN(value)
+	r.valid = r.valid && err == nil && value >= minimum && value <= maximum && !math.IsNaN(value)
 	return value
 }
 
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -19,7 +19,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	maxConns := int(f.maxConns.Load())
-	if len(f.conns)-len(f.lingering) >= maxConns && !f.lingerIdlest() {
+	if len(f.conns)-len(f.lingering) >= maxConns && !f.lingerLowestRanked() {
 		return nil, false
 	}
 	if len(f.lingering) > 0 && len(f.conns) > maxConns+maxConns/lingeringDivisor {
@@ -38,9 +38,9 @@
 	rankNew                       // accepted just now: its first request may be on the way
 )
 
-// lingerIdlest ends the connection of the lowest rank that has been silent for longest. A connection whose client waits for an
+// lingerLowestRanked ends the connection of the lowest rank that has been silent for longest. A connection whose client waits for an
 // answer, or whose request is not read yet, is never ended. found is false if there is no other. Called under the front's lock.
-func (f *Front) lingerIdlest() (found bool) {
+func (f *Front) lingerLowestRanked() (found bool) {
 	now := f.clock.Now()
 	rank := func(c *conn) closingRank {
 		switch {
@@ -51,10 +51,10 @@
 		}
 		return rankNew
 	}
-	order := slices.SortedFunc(maps.Keys(f.conns), func(a, b *conn) int {
+	byRank := slices.SortedFunc(maps.Keys(f.conns), func(a, b *conn) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.lastRead, b.lastRead))
 	})
-	for _, c := range order {
+	for _, c := range byRank {
 		if !c.hasUnreadBytes() && c.beginLinger() {
 			f.lingerUnanswered(c)
 			return true
@@ -78,8 +78,8 @@
 func (f *Front) linger(c *conn) {
 	f.lingering = append(f.lingering, c)
 	go func() {
-		half, ok := c.Conn.(interface{ CloseWrite() error })
-		if ok && half.CloseWrite() == nil {
+		halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+		if ok && halfCloser.CloseWrite() == nil {
 			f.clock.After(lingerTimeout, c.abort)
 			return
 		}
--- a/internal/front/resp/slow_reader_test.go
+++ b/internal/front/resp/slow_reader_test.go
@@ -20,20 +20,20 @@
 	"ravenwheel/internal/scenario"
 )
 
-// immediate is a core that answers each request at once with the largest object, and counts them.
-type immediate struct {
+// immediateHandler is a core that answers each request at once with the largest object, and counts them.
+type immediateHandler struct {
 	resp.RequestHandler
 	answered atomic.Int64
 }
 
-func (a *immediate) Do(context.Context, core.Request) core.Answer {
-	a.answered.Add(1)
+func (h *immediateHandler) Do(context.Context, core.Request) core.Answer {
+	h.answered.Add(1)
 	return core.Answer{Verdict: core.Served, Body: []byte(strings.Repeat("x", 240_000))}
 }
 
-// smallBuffer accepts connections, the first of which has a small send buffer, and counts the writes on that one that are in
+// smallBufferListener accepts connections, the first of which has a small send buffer, and counts the writes on that one that are in
 // progress.
-type smallBuffer struct {
+type smallBufferListener struct {
 	*net.TCPListener
 	accepted bool
 	writing  atomic.Int64
@@ -44,7 +44,7 @@
 	writing *atomic.Int64
 }
 
-func (s *smallBuffer) Accept() (net.Conn, error) {
+func (s *smallBufferListener) Accept() (net.Conn, error) {
 	nc, err := s.AcceptTCP()
 	if err != nil || s.accepted {
 		return nc, err
@@ -65,88 +65,88 @@
 	return errors.Join(err, failed)
 }
 
-// blockedClient is a front with two clients: one that reads nothing, whose first answer blocks as it is larger than the buffers of the
+// blockedClientHarness is a front with two clients: one that reads nothing, whose first answer blocks as it is larger than the buffers of the
 // sockets; and another.
-type blockedClient struct {
+type blockedClientHarness struct {
 	t       *testing.T
 	proxy   *scenario.Proxy
 	front   *resp.Front
-	core    *immediate
+	handler *immediateHandler
 	blocked net.Conn
 	other   *scenario.Client
-	asked   int
+	lastTag int
 }
 
-func newBlockedClient(t *testing.T) *blockedClient {
+func newBlockedClientHarness(t *testing.T) *blockedClientHarness {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	x := &blockedClient{t: t, proxy: p, core: &immediate{RequestHandler: p.Core}}
-	narrow := &smallBuffer{TCPListener: ln.(*net.TCPListener)}
-	x.front = resp.New(narrow, 20, p.Clock, x.core)
-	go func() { _ = x.front.Serve() }()
-	t.Cleanup(func() { _ = x.front.Close() })
+	h := &blockedClientHarness{t: t, proxy: p, handler: &immediateHandler{RequestHandler: p.Core}}
+	listener := &smallBufferListener{TCPListener: ln.(*net.TCPListener)}
+	h.front = resp.New(listener, 20, p.Clock, h.handler)
+	go func() { _ = h.front.Serve() }()
+	t.Cleanup(func() { _ = h.front.Close() })
 	dial := net.Dialer{Control: smallReceiveBuffer}
-	x.blocked, err = dial.Dial("tcp", x.front.Addr())
+	h.blocked, err = dial.Dial("tcp", h.front.Addr())
 	require.NoError(t, err)
-	t.Cleanup(func() { x.blocked.Close() })
-	x.callBlocked()
-	require.Eventually(t, func() bool { return narrow.writing.Load() == 1 }, time.Minute, time.Millisecond)
-	x.other = scenario.Dial(t, x.front.Addr())
-	require.Eventually(t, func() bool { return x.front.OpenConns() == 2 }, time.Minute, time.Millisecond)
-	return x
+	t.Cleanup(func() { h.blocked.Close() })
+	h.callBlocked()
+	require.Eventually(t, func() bool { return listener.writing.Load() == 1 }, time.Minute, time.Millisecond)
+	h.other = scenario.Dial(t, h.front.Addr())
+	require.Eventually(t, func() bool { return h.front.OpenConns() == 2 }, time.Minute, time.Millisecond)
+	return h
 }
 
 // callBlocked sends a request of the client that reads nothing, and waits until it is answered.
-func (x *blockedClient) callBlocked() {
-	x.asked++
-	was := x.core.answered.Load()
-	_, err := x.blocked.Write(frames.AppendFrame(nil, call(x.asked)...))
-	require.NoError(x.t, err)
-	require.Eventually(x.t, func() bool { return x.core.answered.Load() > was }, time.Minute, 100*time.Microsecond)
+func (h *blockedClientHarness) callBlocked() {
+	h.lastTag++
+	before := h.handler.answered.Load()
+	_, err := h.blocked.Write(frames.AppendFrame(nil, callWords(h.lastTag)...))
+	require.NoError(h.t, err)
+	require.Eventually(h.t, func() bool { return h.handler.answered.Load() > before }, time.Minute, 100*time.Microsecond)
 }
 
 // callOther sends a request of the other client, which is answered while the first one blocks.
-func (x *blockedClient) callOther() {
-	x.asked++
-	require.NoError(x.t, x.other.Send(call(x.asked)))
-	words, err := x.other.Receive()
-	require.NoError(x.t, err)
-	require.Equal(x.t, []string{fmt.Sprint(x.asked), "ok"}, words[:2])
-	require.Len(x.t, words[3], 240_000)
+func (h *blockedClientHarness) callOther() {
+	h.lastTag++
+	require.NoError(h.t, h.other.Send(callWords(h.lastTag)))
+	words, err := h.other.Receive()
+	require.NoError(h.t, err)
+	require.Equal(h.t, []string{fmt.Sprint(h.lastTag), "ok"}, words[:2])
+	require.Len(h.t, words[3], 240_000)
 }
 
-func call(n int) []string {
+func callWords(n int) []string {
 	return []string{"RPC.CALL", fmt.Sprint(n), "asset", fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=17", n, n)}
 }
 
 // A client reads nothing of its answer for 10 s: it is disconnected then and not before, and can tell that its answer is
 // incomplete. Others are answered all the time.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
-	x := newBlockedClient(t)
+	h := newBlockedClientHarness(t)
 	for range 39 {
-		x.proxy.Clock.Advance(250)
-		x.callOther()
-		require.Equal(t, 2, x.front.OpenConns(), "it has its 10 s")
+		h.proxy.Clock.Advance(250)
+		h.callOther()
+		require.Equal(t, 2, h.front.OpenConns(), "it has its 10 s")
 	}
-	x.proxy.Clock.Advance(500)
-	require.Eventually(t, func() bool { return x.front.OpenConns() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
-	x.callOther()
-	_, _, err := (&frames.Buffer{MaxFrameSize: frames.MaxResponseSize}).Next(x.blocked)
+	h.proxy.Clock.Advance(500)
+	require.Eventually(t, func() bool { return h.front.OpenConns() == 1 && h.front.Idle() }, time.Minute, time.Millisecond)
+	h.callOther()
+	_, _, err := (&frames.Buffer{MaxFrameSize: frames.MaxResponseSize}).Next(h.blocked)
 	require.Error(t, err)
 }
 
 // A client reads nothing and sends more requests: once more answers wait than a connection may have, it is disconnected while the
 // clock stands. Others are answered all the time.
 func TestClientWithTooManyUnreadAnswersIsDisconnected(t *testing.T) {
-	const room = 33 // answers that may wait: the last one exceeds the bound of a connection
-	x := newBlockedClient(t)
-	for range room - 1 {
-		x.callBlocked()
-		x.callOther()
-		require.Equal(t, 2, x.front.OpenConns(), "so many may wait")
+	const maxUnread = 33 // answers that may wait: the last one exceeds the bound of a connection
+	h := newBlockedClientHarness(t)
+	for range maxUnread - 1 {
+		h.callBlocked()
+		h.callOther()
+		require.Equal(t, 2, h.front.OpenConns(), "so many may wait")
 	}
-	x.callBlocked()
-	require.Eventually(t, func() bool { return x.front.OpenConns() == 1 && x.front.Idle() }, time.Minute, time.Millisecond)
-	x.callOther()
+	h.callBlocked()
+	require.Eventually(t, func() bool { return h.front.OpenConns() == 1 && h.front.Idle() }, time.Minute, time.Millisecond)
+	h.callOther()
 }
--- a/internal/front/resp/slow_writer_test.go
+++ b/internal/front/resp/slow_writer_test.go
@@ -15,11 +15,11 @@
 )
 
 // gatedFront is a front with so many slots whose reads pass a gate.
-func gatedFront(t *testing.T, p *scenario.Proxy, most int) (*resp.Front, *gated) {
+func gatedFront(t *testing.T, p *scenario.Proxy, maxConns int) (*resp.Front, *gatedListener) {
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	gate := &gated{TCPListener: ln.(*net.TCPListener)}
-	f := resp.New(gate, most, p.Clock, p.Core)
+	gate := &gatedListener{TCPListener: ln.(*net.TCPListener)}
+	f := resp.New(gate, maxConns, p.Clock, p.Core)
 	go func() { _ = f.Serve() }()
 	t.Cleanup(func() { f.Close() })
 	return f, gate
@@ -38,7 +38,7 @@
 		_, err := nc.Write(b)
 		require.NoError(t, err)
 		sent += int64(len(b))
-		require.Eventually(t, func() bool { return gate.wanted.Load() == sent }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == sent }, 10*time.Second, time.Millisecond)
 	}
 	for _, tag := range []string{"1", "2"} {
 		call := frames.AppendFrame(nil, "RPC.CALL", tag, "asset", "rid=00000000000000a"+tag+",budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17")
@@ -66,21 +66,21 @@
 
 // A request whose halves arrive two seconds apart on a new connection is served. A connection with half a frame and no more is closed
 // within three seconds of connecting.
-func TestHalfFrameTimesOut(t *testing.T) {
+func TestPartialFrameTimesOut(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
 	call := frames.AppendFrame(nil, strings.Fields(asset)...)
-	half := func() net.Conn {
+	sendPartialFrame := func() net.Conn {
 		nc, err := net.Dial("tcp", f.Addr())
 		require.NoError(t, err)
 		t.Cleanup(func() { nc.Close() })
-		before := gate.read.Load()
+		before := gate.bytesRead.Load()
 		_, err = nc.Write(call[:40])
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return gate.wanted.Load() == before+40 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == before+40 }, 10*time.Second, time.Millisecond)
 		return nc
 	}
-	nc := half()
+	nc := sendPartialFrame()
 	p.Clock.Advance(2000)
 	_, err := nc.Write(call[40:])
 	require.NoError(t, err)
@@ -91,42 +91,42 @@
 	n, err := nc.Read(read)
 	require.NoError(t, err)
 	require.Contains(t, string(read[:n]), "BYTES")
-	rest := half()
+	silent := sendPartialFrame()
 	p.Clock.Advance(2990)
-	_, err = rest.Read(read)
+	_, err = silent.Read(read)
 	require.ErrorIs(t, err, io.EOF)
 }
 
 // A request has reached a connection and is not read yet, as the reader is held up. The connection is closed neither for a new one nor
 // for its half frame; the request is served, and so is that of the new connection.
 func TestUnreadRequestKeepsConnectionOpen(t *testing.T) {
-	const rests = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
-	for name, half := range map[string]bool{"a slot is needed": false, "half a frame, for too long": true} {
+	const healthFrame = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
+	for name, isPartial := range map[string]bool{"a slot is needed": false, "half a frame, for too long": true} {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 1)
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
 			defer nc.Close()
-			_, err = io.WriteString(nc, rests)
+			_, err = io.WriteString(nc, healthFrame)
 			require.NoError(t, err)
 			answer := make([]byte, 64)
 			_, err = nc.Read(answer)
 			require.NoError(t, err)
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 			call := frames.AppendFrame(nil, strings.Fields(asset)...)
-			begun := 0
-			if half {
-				begun = 9
-				_, err = nc.Write(call[:begun])
+			partialLen := 0
+			if isPartial {
+				partialLen = 9
+				_, err = nc.Write(call[:partialLen])
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return gate.wanted.Load() == int64(len(rests)+begun) }, time.Minute, time.Millisecond)
+				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == int64(len(healthFrame)+partialLen) }, time.Minute, time.Millisecond)
 			}
 			gate.mu.Lock()
-			_, err = nc.Write(call[begun:])
+			_, err = nc.Write(call[partialLen:])
 			require.NoError(t, err)
 			actors := map[string]scenario.Actor{"s": p.Cache}
-			if half {
+			if isPartial {
 				p.Clock.Advance(2750)
 			} else {
 				actors["comes"] = scenario.Dial(t, f.Addr())
@@ -142,7 +142,7 @@
 			n, err := nc.Read(answer)
 			require.NoError(t, err)
 			require.Contains(t, string(answer[:n]), "BYTES")
-			if !half {
+			if !isPartial {
 				scenario.Run(t, p.Clock, actors, `
 					comes await 1 yes`)
 			}
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -21,14 +21,14 @@
 	"ravenwheel/policy"
 )
 
-// soak is the length of a soak test: the minutes until the tables are full, those that are read early and late, and the rate.
-type soak struct {
-	fill, read, minutes int
-	fillPerS, perS      int
+// soakPlan is the length of a soak test: the minutes until the tables are full, those that are read early and late, and the rate.
+type soakPlan struct {
+	fillMinutes, readMinutes, minutes int
+	fillRate, rate                    int
 }
 
 // The clock of a soak moves on by so many ms at a time, while requests are open and once all are answered.
-const openStep, idleStep = 50, 250
+const waitingStep, idleStep = 50, 250
 
 // burstSize is how many requests are sent in one instant. Of a whole second's requests in one instant, the module would reject those
 // that find none of the others answered yet.
@@ -39,14 +39,14 @@
 // entries each, and the caches' copies. From then on, at one rate, the heap after a collection stays within a twentieth.
 // CI plays thirteen minutes, which find a table that keeps 100 bytes of each request; make soak plays 45.
 func TestSoak(t *testing.T) {
-	s := soak{fill: 7, read: 3, minutes: 13, fillPerS: 90, perS: 60}
+	s := soakPlan{fillMinutes: 7, readMinutes: 3, minutes: 13, fillRate: 90, rate: 60}
 	if os.Getenv("SOAK") != "" {
-		s = soak{fill: 10, read: 10, minutes: 45, fillPerS: 60, perS: 60}
+		s = soakPlan{fillMinutes: 10, readMinutes: 10, minutes: 45, fillRate: 60, rate: 60}
 	}
 	s.run(t)
 }
 
-func (s soak) run(t *testing.T) {
+func (plan soakPlan) run(t *testing.T) {
 	// Few threads: to look at all goroutines stops them, and on a busy machine each further one is waited for.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
 	clk := clock.Manual(1_764_576_000_000)
@@ -62,33 +62,33 @@
 	defer front.Close()
 
 	version := uint64(0)
-	tell := func(whole bool, list ...core.Member) {
+	updateMembers := func(complete bool, members ...core.Member) {
 		version++
-		c.UpdateMembers(membership.Publish{Version: version, Complete: whole, Members: list})
+		c.UpdateMembers(membership.Publish{Version: version, Complete: complete, Members: members})
 	}
-	start := func(id policy.ServerID, role fleet.Role) core.Member {
-		s, err := servers.Start(id, role, "127.0.0.1:0")
+	startServer := func(id policy.ServerID, role fleet.Role) core.Member {
+		plan, err := servers.Start(id, role, "127.0.0.1:0")
 		require.NoError(t, err)
-		m := core.Member{Addr: s.Addr()}
+		m := core.Member{Addr: plan.Addr()}
 		m.ID, m.Kind, m.Weight = id, int(role), 10
 		return m
 	}
-	caches := []core.Member{start(1, fleet.Cache), start(2, fleet.Cache), start(3, fleet.Cache)}
-	tell(true, append(caches[:3:3], start(1001, fleet.Parent), start(1002, fleet.Origin))...)
+	caches := []core.Member{startServer(1, fleet.Cache), startServer(2, fleet.Cache), startServer(3, fleet.Cache)}
+	updateMembers(true, append(caches[:3:3], startServer(1001, fleet.Parent), startServer(1002, fleet.Origin))...)
 
 	clients := make([]*scenario.Client, 3)
-	object, tag, served, asked, purged := 0, 0, 0, 0, 0
-	// ask sends n requests and has the clock move on for a second, each time once the process is quiescent: on a busy
+	lastObject, lastTag, served, sent, purged := 0, 0, 0, 0, 0
+	// sendForOneSecond sends n requests and has the clock move on for a second, each time once the process is quiescent: on a busy
 	// machine, requests that are still under way would run out of time otherwise.
-	idle := newQuiescence(t)
-	ask := func(n int) {
+	q := newQuiescence(t)
+	sendForOneSecond := func(n int) {
 		end := clk.Now() + 1000
-		got := make(chan []string, n)
-		left := n
-		take := func() {
-			for range len(got) {
-				words := <-got
-				left--
+		answers := make(chan []string, n)
+		unanswered := n
+		collectAnswers := func() {
+			for range len(answers) {
+				words := <-answers
+				unanswered--
 				require.Greater(t, len(words), 1, words)
 				require.Contains(t, []string{"ok", "full"}, words[1])
 				if words[1] == "ok" {
@@ -103,33 +103,33 @@
 					for began := time.Now(); err != nil && time.Since(began) < quiescenceTimeout; {
 						words, err = c.Receive()
 					}
-					got <- words
+					answers <- words
 				}
 			}()
 		}
 		for i := range n {
-			tag++
-			asked++
-			obj := max(1, object-i) // what was new a second ago: a hit, whose holder is remembered
+			lastTag++
+			sent++
+			obj := max(1, lastObject-i) // what was new a second ago: a hit, whose holder is remembered
 			if i < n/2 {
-				object++
-				obj = object
+				lastObject++
+				obj = lastObject
 			}
-			require.NoError(t, clients[i%len(clients)].Send([]string{"RPC.CALL", fmt.Sprint(tag), "asset",
-				fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=%d", tag, obj, obj%256)}))
+			require.NoError(t, clients[i%len(clients)].Send([]string{"RPC.CALL", fmt.Sprint(lastTag), "asset",
+				fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=%d", lastTag, obj, obj%256)}))
 			if (i+1)%burstSize == 0 {
-				idle.advance(clk, 1000*burstSize/float64(n), 1000)
+				q.advance(clk, 1000*burstSize/float64(n), 1000)
 			}
 		}
-		for idle.wait(); left > 0; idle.wait() {
-			if take(); left > 0 {
-				require.Less(t, clk.Now(), end+5000, "%d are never answered", left) // twice the budget
-				clk.Advance(openStep)
+		for q.wait(); unanswered > 0; q.wait() {
+			if collectAnswers(); unanswered > 0 {
+				require.Less(t, clk.Now(), end+5000, "%d are never answered", unanswered) // twice the budget
+				clk.Advance(waitingStep)
 			}
 		}
-		idle.advance(clk, max(0, end-clk.Now()), idleStep)
+		q.advance(clk, max(0, end-clk.Now()), idleStep)
 	}
-	heap := func() float64 {
+	heapBytes := func() float64 {
 		servers.DiscardObservations()
 		var m runtime.MemStats
 		runtime.GC()
@@ -140,15 +140,15 @@
 	// early and late are the means of some readings, once the tables are full and at the end: one reading is off by up to 6 %.
 	var early, late float64
 	goroutines := 0
-	for minute := range s.minutes {
+	for minute := range plan.minutes {
 		// The one that is listed longest drains, and is gone with its machine; another comes.
-		old := caches[0]
-		old.State = policy.Draining
-		caches = append(caches[1:], start(policy.ServerID(10+minute), fleet.Cache))
-		tell(false, old, caches[2])
-		perS := s.perS // half of them new objects: the tables are full within the minutes to fill
-		if minute < s.fill {
-			perS = s.fillPerS
+		replaced := caches[0]
+		replaced.State = policy.Draining
+		caches = append(caches[1:], startServer(policy.ServerID(10+minute), fleet.Cache))
+		updateMembers(false, replaced, caches[2])
+		rate := plan.rate // half of them new objects: the tables are full within the minutes to fill
+		if minute < plan.fillMinutes {
+			rate = plan.fillRate
 		}
 		for second := range 60 {
 			if second%20 == 0 {
@@ -161,27 +161,27 @@
 					clients[1], clients[2] = scenario.Dial(t, ln.Addr().String()), scenario.Dial(t, ln.Addr().String())
 				}
 			}
-			for range perS / 2 {
+			for range rate / 2 {
 				purged++
 				c.ApplyPurge(core.Purge{Object: fmt.Sprintf("%016x", 1<<40+purged), At: clk.Now()})
 			}
-			ask(perS)
+			sendForOneSecond(rate)
 		}
-		old.State = policy.Gone
-		tell(false, old)
-		servers.Server(old.ID).Kill()
-		servers.Server(old.ID).DropCopies() // the stand-in's own memory
-		switch now := heap(); {
-		case minute >= s.minutes-s.read:
-			late += now / float64(s.read)
+		replaced.State = policy.Gone
+		updateMembers(false, replaced)
+		servers.Server(replaced.ID).Kill()
+		servers.Server(replaced.ID).DropCopies() // the stand-in's own memory
+		switch now := heapBytes(); {
+		case minute >= plan.minutes-plan.readMinutes:
+			late += now / float64(plan.readMinutes)
 			require.LessOrEqual(t, runtime.NumGoroutine(), goroutines+10)
-		case minute >= s.fill && minute < s.fill+s.read:
-			early += now / float64(s.read)
+		case minute >= plan.fillMinutes && minute < plan.fillMinutes+plan.readMinutes:
+			early += now / float64(plan.readMinutes)
 			goroutines = runtime.NumGoroutine()
 		}
 	}
-	t.Logf("%d of %d served, the heap at the end %.3f of what it was once the tables were full", served, asked, late/early)
+	t.Logf("%d of %d served, the heap at the end %.3f of what it was once the tables were full", served, sent, late/early)
 	require.LessOrEqual(t, late, early*1.05, "%.0f KB after collections at the end, %.0f once the tables were full", late/1024, early/1024)
-	require.Greater(t, served, asked*99/100, "of %d", asked)
+	require.Greater(t, served, sent*99/100, "of %d", sent)
 	require.Zero(t, invariant.Violations())
 }
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -33,7 +33,7 @@
 				return
 			}
 			var open bool
-			if bytes, open = cl.written(len(bytes)); !open {
+			if bytes, open = cl.removeWritten(len(bytes)); !open {
 				return
 			}
 		}
@@ -41,9 +41,9 @@
 	}
 }
 
-// written removes n bytes from the front of the output, in place, and returns what is to write next. open is false once the
+// removeWritten removes n bytes from the front of the output, in place, and returns what is to write next. open is false once the
 // client is closed.
-func (cl *client) written(n int) (next []byte, open bool) {
+func (cl *client) removeWritten(n int) (next []byte, open bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if cl.closed {
