--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -13,28 +13,29 @@
 	"ravenwheel/internal/resp"
 )
 
-// client is a connection that has sent its first frame. One goroutine reads commands and one writes answers; each request has a
-// goroutine of its own.
+// client is a connection that has sent its first frame. One goroutine reads its commands and one writes its answers; each request
+// runs in a goroutine of its own.
 //
-// A tag is the number that a client gives a request, and under which it gets the answer. It is free again once that is given. (The tag
-// of a cached copy, core.Request.CachedTag, is another thing.)
+// A tag is the number that a client gives a request, and which the answer repeats. The client may use it again once the request is
+// answered. (The tag of a cached copy, core.Request.CachedTag, is unrelated.)
 type client struct {
 	front *Front
 	conn  *conn
 
-	// Of the reading goroutine alone.
+	// Used by the reading goroutine only.
 	unstarted      []unstartedRequest
 	unstartedSince float64 // when the first of unstarted was read, in ms of the clock
 
 	mu           sync.Mutex
 	out          []byte                        // answers to write
 	cancels      map[string]context.CancelFunc // of open requests, by tag
-	writingSince float64                       // since when the writer has had the same bytes to write, in ms of the clock; 0: it has none
+	writingSince float64                       // when the write in progress began, in ms of the clock; 0: none is in progress
 	closed       bool
 	wake         chan struct{} // wakes the writer
 }
 
-// errBadTag is the error of a command whose tag is no number, or that of an open request: an answer could not be told from another.
+// errBadTag is the error of a command whose tag is not a number above 0, or is the tag of an open request: the answers of both
+// requests could not be told apart.
 var errBadTag = errors.New("tag is malformed or in use")
 
 // serve reads commands until the connection ends, which cancels all open requests.
@@ -54,13 +55,13 @@
 		}
 	}
 	cancelAll()
-	cl.startRequests() // each ends as a request whose client has left
+	cl.startRequests() // their context is cancelled, so each ends as a request whose client has left
 	cl.conn.finishReading()
 	cl.close()
 }
 
-// mustStartRequests reports whether the unstarted requests are started although more has arrived: a client that never stops sending
-// would hold them up.
+// mustStartRequests reports whether the unstarted requests must be started although more input has arrived: a client that never
+// stops sending would otherwise delay them forever.
 func (cl *client) mustStartRequests() bool {
 	if len(cl.unstarted) == 0 {
 		return false
@@ -68,7 +69,7 @@
 	return len(cl.unstarted) >= maxOpenPerConn || cl.front.clock.Now()-cl.unstartedSince >= maxStartDelay
 }
 
-// handleCommand carries out one command. Its error ends the connection.
+// handleCommand carries out one command. An error ends the connection.
 func (cl *client) handleCommand(ctx context.Context, args [][]byte) error {
 	if len(args) < 2 || !isTag(args[1]) {
 		return errBadTag
@@ -102,8 +103,8 @@
 	}
 }
 
-// openRequest opens a request, which is started once everything that has arrived is read. A request that is invalid, one too many
-// or too late is answered at once. Its error ends the connection.
+// openRequest opens a request, which is started once all input that has arrived is read. A request that is invalid, comes too late
+// or exceeds the number of open requests is answered at once. An error ends the connection.
 func (cl *client) openRequest(ctx context.Context, tag string, args [][]byte) error {
 	now, plan := cl.front.clock.Now(), cl.front.plan.Load()
 	request, valid := parseRequest(args, now, cl.front.handler)
@@ -133,15 +134,15 @@
 	return nil
 }
 
-// reserveTag books a tag for a valid request. reserved is false if the request gets its answer at once: it is invalid, or too
-// many are open.
+// reserveTag reserves the tag of a valid request. reserved is false if the request must be answered at once, because it is invalid
+// or too many requests are open.
 func (cl *client) reserveTag(tag string, valid bool, cancel context.CancelFunc) (reserved bool, err error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	switch {
 	case cl.closed:
 		return false, net.ErrClosed
-	case cl.cancels[tag] != nil: // an answer now would be a second one under this tag
+	case cl.cancels[tag] != nil: // both answers would have the same tag
 		return false, errBadTag
 	case !valid || len(cl.cancels) >= maxOpenPerConn:
 		return false, nil
@@ -153,12 +154,12 @@
 func (cl *client) releaseTag(tag string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	invariant.Check(cl.cancels[tag] != nil, "a tag is answered once")
+	invariant.Check(cl.cancels[tag] != nil, "a tag is released only while its request is open")
 	delete(cl.cancels, tag)
 }
 
-// startRequests starts the requests that were read, once nothing more has arrived. A client that closes right behind a request
-// has left by then, and no attempt begins for it.
+// startRequests starts the requests that were read, once all input that has arrived is read. If a client closed its connection
+// right after a request, that is known by then, and no attempt is started for it.
 func (cl *client) startRequests() {
 	for _, p := range cl.unstarted {
 		go cl.handleRequest(p)
@@ -183,7 +184,7 @@
 	cl.send(func(b []byte) []byte { return resp.AppendFrame(b, tag, word) })
 }
 
-// close ends the writer and drops what is not written.
+// close stops the writer and drops the answers that are not written.
 func (cl *client) close() {
 	cl.mu.Lock()
 	cl.closed = true
--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -9,35 +9,36 @@
 	"ravenwheel/internal/resp"
 )
 
-// conn is a client's connection. It reads complete frames only: redcon's own reader panics on a bulk length near the largest
-// integer, spins on a large count and grows without bound. Such bytes end the connection before redcon sees them.
+// conn is a client's connection. It passes only complete, valid frames to redcon: redcon's own reader panics on a bulk length near
+// the largest integer, loops for a very long time on a large count, and lets its buffer grow without bound. Any other bytes end the
+// connection before redcon reads them.
 type conn struct {
 	net.Conn
 	front      *Front
 	frames     resp.Buffer
-	unconsumed []byte // of the last frame, not yet read by redcon
+	unconsumed []byte // the part of the last frame that redcon has not read yet
 
-	// Under the front's lock.
-	client       *client // nil: redcon has not passed the first frame on
+	// Guarded by the front's lock.
+	client       *client // nil until redcon has passed on the first frame
 	stage        stage
-	readDone     bool    // reading has ended
-	hasFrame     bool    // a complete frame has arrived
-	partialFrame bool    // a part of the next one has arrived
-	lastRead     float64 // when it was accepted, or when bytes arrived last, in ms of the clock
+	readDone     bool    // nothing more will be read
+	hasFrame     bool    // at least one complete frame has arrived
+	partialFrame bool    // a part of the next frame has arrived
+	lastRead     float64 // when bytes arrived last, or else when it was accepted, in ms of the clock
 }
 
-// stage is the state of a connection. It only rises.
+// stage is the state of a connection. It never decreases.
 type stage int
 
 const (
 	stageServing   stage = iota
-	stageLingering       // our side is closed, or about to be: what arrives is read and dropped until the client closes
-	stageClosed          // it holds no slot
+	stageLingering       // our side is closed or about to be; input is read and dropped until the client closes its side
+	stageClosed          // the connection holds no slot
 )
 
-// Close is called by redcon, which holds a connection until its first frame is complete and closes what it holds as the listener
-// ends. A connection of which the first frame has just arrived, or may be on its way, is left open: the request is answered, and
-// the drain plan or the sweep closes the connection.
+// Close is called by redcon, which holds each connection until its first frame is complete. redcon closes a connection when reading
+// fails, and closes all that it holds when the listener is closed. A connection whose first frame has just arrived, or may be on
+// its way, stays open: its request is answered first, and the drain plan or the sweep closes the connection later.
 func (c *conn) Close() error {
 	defer c.front.closeEvicted()
 	c.front.mu.Lock()
@@ -61,7 +62,7 @@
 	c.front.evict(c)
 }
 
-// release frees the connection's slot. released is false if it held none. Called under the front's lock.
+// release frees the connection's slot. released is false if it held none. Called with the front's lock held.
 func (c *conn) release() (released bool) {
 	if c.stage == stageClosed {
 		return false
@@ -73,7 +74,7 @@
 	return true
 }
 
-// Read returns bytes of complete frames. Once the connection is to end, it reads and drops the rest and returns net.ErrClosed.
+// Read returns bytes of complete frames. Once the connection is to end, Read drops the rest of the input and returns net.ErrClosed.
 func (c *conn) Read(p []byte) (n int, err error) {
 	if len(c.unconsumed) == 0 {
 		if _, c.unconsumed, err = c.frames.Next(frameSource{c}); err == nil && !c.recordRead(false) {
@@ -89,7 +90,8 @@
 	return n, nil
 }
 
-// finishReading ends reading. A lingering connection is read to its end first: closing over unread bytes would reset it.
+// finishReading ends reading. On a lingering connection it first reads the rest of the input, because closing a socket with unread
+// bytes resets the connection.
 func (c *conn) finishReading() {
 	c.front.mu.Lock()
 	lingering := c.stage == stageLingering
@@ -102,11 +104,12 @@
 	c.front.mu.Unlock()
 }
 
-// readerOnly hides a connection's other methods from io.Copy, which would use splice: the platform may forbid that call.
+// readerOnly hides a connection's other methods from io.Copy, which would otherwise call splice: the platform may forbid that
+// system call.
 type readerOnly struct{ io.Reader }
 
-// frameSource is what a connection's frames are read from. Before it waits for more bytes it notes a partial frame, and starts
-// the requests that were read.
+// frameSource is the reader that a connection's frames are parsed from. Before it waits for more bytes, it records whether a part
+// of a frame has arrived, and starts the requests that were read.
 type frameSource struct{ conn *conn }
 
 // Read implements io.Reader.
@@ -120,12 +123,12 @@
 	return s.conn.Conn.Read(p)
 }
 
-// recordRead notes that a part of a frame has arrived, or a complete one. serving is false once the connection is to end: a request
-// that is read then must not be started.
+// recordRead records that a complete frame has arrived, or only a part of one. serving is false once the connection is to end: a
+// request that is read after that must not be started.
 func (c *conn) recordRead(partial bool) (serving bool) {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
-	c.lastRead = c.front.clock.Now() // some clients write slowly: a frame of which bytes arrive is not silence
+	c.lastRead = c.front.clock.Now() // also for a partial frame: some clients write slowly, and are not silent as long as bytes arrive
 	if c.stage != stageServing {
 		return false
 	}
@@ -134,8 +137,8 @@
 	return true
 }
 
-// readTimedOut reports whether the client has been silent for too long where it has to send: at first, and within a frame. Called
-// under the front's lock.
+// readTimedOut reports whether the client has sent nothing for too long while it has to send: before its first frame, or within a
+// frame. Called with the front's lock held.
 func (c *conn) readTimedOut(now float64) bool {
 	if c.partialFrame {
 		return now-c.lastRead >= partialFrameTimeout
@@ -143,15 +146,16 @@
 	return !c.hasFrame && now-c.lastRead >= firstFrameTimeout
 }
 
-// isNew reports whether the connection was accepted just now and its first request may be on the way. Called under the front's
-// lock.
+// isNew reports whether the connection was accepted so recently that its first request may still be on the way. Called with the
+// front's lock held.
 func (c *conn) isNew(now float64) bool { return !c.hasFrame && now-c.lastRead < newConnGrace }
 
-// beginLinger decides to end the connection, unless its client waits for an answer. Deciding and refusing later requests is one
-// step: a request that arrived between would be forwarded, and its answer lost. Called under the front's lock.
+// beginLinger sets the connection to stageLingering, unless its client waits for an answer. Checking that and refusing later
+// requests happen under the same locks: a request that arrived in between would be forwarded, and its answer lost. Called with the
+// front's lock held.
 func (c *conn) beginLinger() (lingering bool) {
-	redconIsDone := c.client != nil || !c.hasFrame
-	if c.stage != stageServing || !redconIsDone {
+	noFrameInRedcon := c.client != nil || !c.hasFrame
+	if c.stage != stageServing || !noFrameInRedcon {
 		return false
 	}
 	if c.client != nil && !c.client.closeIfIdle() {
@@ -161,7 +165,7 @@
 	return true
 }
 
-// closeIfIdle closes a client that has no open request and no answer to write.
+// closeIfIdle marks a client as closed if it has no open request and no answer to write.
 func (cl *client) closeIfIdle() (closed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -172,7 +176,7 @@
 	return true
 }
 
-// drainState is what the drain plan decides by. Called under the front's lock.
+// drainState returns the state that the drain plan decides by. Called with the front's lock held.
 func (c *conn) drainState(now float64) drain.Conn {
 	state := drain.Conn{PartialFrame: c.partialFrame, New: c.isNew(now), Unread: c.hasUnreadBytes()}
 	if c.client != nil {
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -1,9 +1,9 @@
-// Package resp serves clients over the platform's protocol: RESP arrays, with many open requests on a connection and answers
-// in any order. It owns the clients' connections: which are accepted, when one is closed, and that none is closed over a
-// request that was read or waits to be read. It does not decide what becomes of a request: that is the core's part.
+// Package resp serves clients over the platform's protocol: RESP arrays, with many open requests on a connection and answers in any
+// order. It owns the clients' connections: it decides which are accepted and when each is closed. It closes none that has an open
+// or unread request, unless the client does not read its answers. It never decides how a request is answered: package core does.
 //
-// When a connection at rest is closed while the proxy drains is decided by decide/drain, and tested there. The front's own
-// decisions (slots, timeouts, eviction) are tested here, on real sockets under a manual clock.
+// Package decide/drain decides when an idle connection is closed while the proxy drains, and tests that. The front's own decisions
+// (slots, timeouts, eviction) are tested here, on real sockets under a manual clock.
 package resp
 
 import (
@@ -28,8 +28,8 @@
 	Do(context.Context, core.Request) core.Answer
 	ClassIndex(name string) int // -1: unknown
 	Settings() policy.Settings
-	CountUnansweredConn() // counts a connection that the front closed before it had any answer
-	Reject() core.Answer  // the answer to a request that is rejected as the proxy drains
+	CountUnansweredConn() // counts a connection that the front closed before it sent any answer
+	Reject() core.Answer  // the answer to a request that is rejected because the proxy drains
 }
 
 // Front serves clients on one listener.
@@ -37,26 +37,26 @@
 	clock    *clock.Clock
 	handler  RequestHandler
 	maxConns atomic.Int64
-	// pendingWork is the sum of the open requests and of the answers' bytes that are not yet written. Only 0 has a meaning: nothing is
-	// pending.
+	// pendingWork is the number of open requests plus the number of answer bytes that are not yet written. Only 0 has a meaning:
+	// nothing is pending.
 	pendingWork atomic.Int64
 	ready       atomic.Bool // the answer to health checks
 	plan        atomic.Pointer[drain.Plan]
-	// admitting: an accepted connection waits for a free slot.
+	// admitting is whether an accepted connection is being given a slot, or waits for one.
 	admitting atomic.Bool
 	server    *redcon.Server
 	listener  net.Listener
 
 	mu           sync.Mutex
-	conns        map[*conn]struct{} // all that hold a slot, the lingering among them
-	lingering    []*conn            // the longest first
-	evicted      []*conn            // no longer in conns: their sockets are about to be closed
-	openEvicted  int                // connections that are no longer in conns and whose sockets are open
-	socketClosed sync.Cond          // openEvicted fell; under mu
-	resume       chan struct{}      // closed once connections are accepted again; nil: they are accepted
+	conns        map[*conn]struct{} // all that hold a slot, including the lingering ones
+	lingering    []*conn            // the one that has lingered longest first
+	evicted      []*conn            // removed from conns; closeEvicted closes their sockets
+	openEvicted  int                // number of connections that were removed from conns and whose sockets are still open
+	socketClosed sync.Cond          // signalled when openEvicted has decreased; its lock is mu
+	resume       chan struct{}      // closed when accepting resumes; nil while connections are accepted
 }
 
-// New returns a front on ln that holds at most maxConns connections and accepts none before Serve.
+// New returns a front that holds at most maxConns connections of ln. It accepts none before Serve is called.
 func New(ln net.Listener, maxConns int, c *clock.Clock, h RequestHandler) *Front {
 	f := &Front{clock: c, handler: h, listener: ln, conns: map[*conn]struct{}{}}
 	f.socketClosed.L = &f.mu
@@ -67,39 +67,39 @@
 	return f
 }
 
-// Serve accepts connections until Close, and returns the error of accepting then.
+// Serve accepts connections until Close is called, and returns the error that Accept then returned.
 func (f *Front) Serve() error {
 	f.clock.After(sweepInterval, f.sweep)
 	return f.server.Serve(boundedListener{f.listener, f})
 }
 
-// Close stops accepting. Open connections stay open. It returns the error of closing the listener.
+// Close stops accepting connections. Open connections stay open. It returns the error of closing the listener.
 func (f *Front) Close() error {
 	err := f.listener.Close()
-	f.SetAccepting(true) // a paused accept sees the end
+	f.SetAccepting(true) // lets a paused Accept return the listener's error
 	return err
 }
 
-// SetMaxConns changes how many connections are held. Open ones beyond that stay open.
+// SetMaxConns changes how many connections may be open. Open connections beyond the new limit stay open.
 func (f *Front) SetMaxConns(n int) { f.maxConns.Store(int64(n)) }
 
-// Addr is the listener's address.
+// Addr returns the listener's address.
 func (f *Front) Addr() string { return f.listener.Addr().String() }
 
-// OpenConns is the number of connections, those that are being closed among them.
+// OpenConns returns the number of connections that hold a slot, including the lingering ones.
 func (f *Front) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Idle reports whether no request is open and no answer waits to be written.
+// Idle reports whether no request is open and no answer is waiting to be written.
 func (f *Front) Idle() bool { return f.pendingWork.Load() == 0 }
 
 // SetReady sets the answer to health checks.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// SetDrainPlan has connections closed and requests rejected as a plan says, until the next plan.
+// SetDrainPlan makes the front close connections and reject requests as p says, until the next plan is set.
 func (f *Front) SetDrainPlan(p drain.Plan) {
 	if previous := f.plan.Swap(&p); p.Active && !previous.Active {
 		f.clock.After(drainInterval, f.drainSweep)
@@ -109,7 +109,8 @@
 // IsAccepting reports whether this process accepts new connections.
 func (f *Front) IsAccepting() bool { return f.acceptResumed() == nil }
 
-// SetAccepting has new connections accepted here, or left to another process that shares the listener.
+// SetAccepting starts or stops accepting new connections in this process. While it has stopped, they are left to another process
+// that shares the listener.
 func (f *Front) SetAccepting(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,19 +124,19 @@
 		f.resume = nil
 	case !on && f.resume == nil && isTCP:
 		f.resume = make(chan struct{})
-		_ = ln.SetDeadline(time.Unix(1, 0)) // interrupts the accept in progress
+		_ = ln.SetDeadline(time.Unix(1, 0)) // interrupts the Accept in progress
 	}
 }
 
-// acceptResumed is closed once connections are accepted again; nil: they are accepted.
+// acceptResumed returns a channel that is closed when accepting resumes, or nil while connections are accepted.
 func (f *Front) acceptResumed() chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resume
 }
 
-// HasQueuedConns reports whether connections wait in the listener's queue or for a slot. Their clients have been accepted by the
-// system, and may have sent requests.
+// HasQueuedConns reports whether connections wait in the listener's queue or for a slot. The kernel has completed their handshakes,
+// so their clients may already have sent requests.
 func (f *Front) HasQueuedConns() (queued bool) {
 	if f.admitting.Load() {
 		return true
@@ -150,12 +151,13 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.SOL_TCP, unix.TCP_INFO)
-		queued = err == nil && info.Unacked > 0 // of a listener: the length of its accept queue
+		queued = err == nil && info.Unacked > 0 // for a listening socket, Unacked is the length of its accept queue
 	})
 	return queued
 }
 
-// detach takes a connection with its first command from redcon, whose own loop would answer in the order of the requests.
+// detach takes over a connection from redcon, with its first command. redcon's own loop would answer requests only in the order in
+// which they arrived.
 func (f *Front) detach(rc redcon.Conn, first redcon.Command) {
 	c := rc.NetConn().(*conn)
 	cl := &client{front: f, conn: c, cancels: map[string]context.CancelFunc{}, wake: make(chan struct{}, 1)}
--- a/internal/front/resp/limits.go
+++ b/internal/front/resp/limits.go
@@ -1,16 +1,16 @@
 package resp
 
-// The bounds of one connection, in requests and bytes.
+// The limits of one connection, in requests and bytes.
 const (
-	// maxOpenPerConn is the number of requests that may be open on one connection (the platform's protocol).
+	// maxOpenPerConn is the number of requests that may be open on one connection, as the platform's protocol sets it.
 	maxOpenPerConn = 32
 	// maxObjectBytes is the size of the largest object.
 	maxObjectBytes = 240_000
-	// maxAnswerOverhead bounds what an answer has beside its object.
+	// maxAnswerOverhead bounds the bytes of an answer other than its object.
 	maxAnswerOverhead = 1024
-	// maxOutBytes bounds the answers that wait for a slow reader: one of the largest objects for each open request.
+	// maxOutBytes bounds the answers that wait for a slow reader: one of the largest size for each request that may be open.
 	maxOutBytes = maxOpenPerConn * (maxObjectBytes + maxAnswerOverhead)
-	// maxIdleOutBytes and maxIdleInBytes are the capacities of empty buffers that are kept: larger ones are freed.
+	// maxIdleOutBytes and maxIdleInBytes are the largest capacities of empty buffers that are kept: larger buffers are freed.
 	maxIdleOutBytes = 256 << 10
 	maxIdleInBytes  = 8 << 10
 )
@@ -19,17 +19,17 @@
 const (
 	// firstFrameTimeout is how long a new connection may take to send its first byte.
 	firstFrameTimeout = 1500
-	// partialFrameTimeout is how long a frame may rest between two of its bytes. Some clients write one request over 2 s, and a
-	// connection with half a frame must be closed within 3 s.
+	// partialFrameTimeout is how long a client may pause between two bytes of a frame. Some clients write one request over 2 s, and
+	// a connection with half a frame must be closed within 3 s.
 	partialFrameTimeout = 2400
-	// writeTimeout: a client that has not read what was written so long ago is disconnected. The sweep finds it, so at most
-	// sweepInterval later.
+	// writeTimeout is how long a client may leave what was written unread before it is disconnected. The sweep checks it, so the
+	// client may stay up to sweepInterval longer.
 	writeTimeout = 10_000
-	// lingerTimeout is how long a client has to close a connection of which our side is closed.
+	// lingerTimeout is how long a client may take to close its side of a connection after ours is closed.
 	lingerTimeout = 1000
-	// newConnGrace: a connection that has been silent for less may be about to send its first request, and is not closed.
+	// newConnGrace is how long a silent new connection is not closed, because its first request may be on the way.
 	newConnGrace = 100
-	// maxStartDelay bounds how long requests that were read wait to be started while more arrive.
+	// maxStartDelay bounds how long requests that were read wait to be started while more input arrives.
 	maxStartDelay = 5
 )
 
@@ -37,14 +37,15 @@
 const (
 	// sweepInterval is how often connections are checked for timeouts.
 	sweepInterval = 250
-	// drainInterval is how often connections are checked for rest while the proxy drains.
+	// drainInterval is how often connections are checked for being idle while the proxy drains.
 	drainInterval = 10
 	// acceptRetryDelay is the delay before accepting again after an error, and between two attempts to admit a connection.
 	acceptRetryDelay = 10
-	// admitTimeout is how long an accepted connection waits for a free slot. Those behind it wait in the listener's queue, so a
-	// longer one answers more clients in a crowd, and all of them later.
+	// admitTimeout is how long an accepted connection waits for a free slot. Later connections wait in the listener's queue
+	// meanwhile. During a burst of connections a longer timeout therefore lets more clients be answered, but all of them later.
 	admitTimeout = 500
 )
 
-// lingeringDivisor: beyond the front's limit of connections, one in so many of that number may be held by lingering ones.
+// lingeringDivisor sets the number of slots that lingering connections have beyond the front's limit of connections: that limit
+// divided by lingeringDivisor.
 const lingeringDivisor = 8
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -6,14 +6,15 @@
 	"os"
 )
 
-// boundedListener accepts connections of the front's listener, and no more than the front may hold.
+// boundedListener accepts connections from the front's listener, but no more than the front may hold.
 type boundedListener struct {
 	net.Listener
 	front *Front
 }
 
-// Accept returns the next connection that has a slot, as a *conn. Only the listener's end is an error: redcon would accept again
-// at once after any other, and out of descriptors it would take the core that open connections need to end and free some.
+// Accept returns the next connection that gets a slot, as a *conn. It returns an error only when the listener is closed. After any
+// other error redcon would call Accept again at once: while no file descriptors are left, that loop would use up the CPU core that
+// open connections need to finish and free some.
 func (l boundedListener) Accept() (net.Conn, error) {
 	for {
 		if resumed := l.front.acceptResumed(); resumed != nil {
@@ -38,8 +39,9 @@
 	}
 }
 
-// admitOrWait admits a connection, at once or when a slot becomes free before admitTimeout. For an instant each connection may
-// have an open or unread request; the new one has been accepted by the system, and may have sent one too.
+// admitOrWait admits a connection, at once or when a slot becomes free within admitTimeout. It waits because for a moment every
+// open connection may have an open or unread request, so that none may be closed. The kernel has already accepted the new
+// connection, whose client may have sent a request as well. ok is false if no slot became free.
 func (f *Front) admitOrWait(nc net.Conn) (c *conn, ok bool) {
 	f.admitting.Store(true)
 	defer f.admitting.Store(false)
@@ -50,7 +52,7 @@
 	}
 }
 
-// sleep waits for so many ms of the front's clock.
+// sleep waits for a time in ms of the front's clock.
 func (f *Front) sleep(ms float64) {
 	over := make(chan struct{})
 	f.clock.After(ms, func() { close(over) })
--- a/internal/front/resp/request.go
+++ b/internal/front/resp/request.go
@@ -16,33 +16,33 @@
 // The commands of the protocol. Each is followed by a tag.
 const (
 	commandCall   = "RPC.CALL"   // opens a request
-	commandCancel = "RPC.CANCEL" // cancels one; it has no answer of its own
+	commandCancel = "RPC.CANCEL" // cancels an open request; has no answer of its own
 	commandHealth = "RPC.HEALTH" // asks whether the proxy is ready
 )
 
-// The words with which answers begin.
+// The first words of answers, after the tag.
 const (
 	answerOK       = "ok"
-	answerFull     = "full"  // rejected: not executed
+	answerFull     = "full"  // rejected and not executed
 	answerFault    = "fault" // failed, or not a valid request
 	answerReady    = "yes"
 	answerNotReady = "no"
 )
 
-// idDigits is the length of an id of a request or an object.
+// idDigits is the number of hexadecimal digits in the id of a request or an object.
 const idDigits = 16
 
 // The bounds of a request's fields.
 const (
-	maxWriteBytes = 48_000
+	maxWriteBytes = 48_000 // of the body of a write
 	maxPart       = math.MaxUint16
 	maxGroup      = 255
 	maxSizeKB     = math.MaxInt32
-	noGroup       = -1
+	noGroup       = -1 // the request names no purge group
 )
 
-// opaqueValue is the form of values that are forwarded as they are: the tags of copies and idempotency keys. Any other bytes
-// could break the frame to a cache server, and with it a connection that other requests share.
+// opaqueValue is the form of values that are forwarded unchanged: the tags of copies and idempotency keys. Any other bytes could
+// break the frame to a cache server, and with it a connection that other requests share.
 var opaqueValue = regexp.MustCompile(`^[0-9A-Za-z_-]{0,64}$`)
 
 // unstartedRequest is a request that was read and is not yet started.
@@ -53,7 +53,7 @@
 	request core.Request
 }
 
-// isTag reports whether an answer can be written under a tag: a whole number above 0.
+// isTag reports whether b is a valid tag: a whole number above 0.
 func isTag(b []byte) bool {
 	n, err := strconv.ParseUint(string(b), 10, 63)
 	return err == nil && n > 0
@@ -68,8 +68,8 @@
 	return err == nil
 }
 
-// parseRequest reads the class, the fields and the body of a call that arrived at now, in ms of the clock. ok is false if one of
-// them is invalid, or the time left is not given: such a request must reach neither the module nor a cache server.
+// parseRequest parses the class, the fields and the body of a call that arrived at now, in ms of the clock. ok is false if one of
+// them is invalid, or if the time left is missing: such a request must reach neither the policy nor a cache server.
 func parseRequest(args [][]byte, now float64, h RequestHandler) (q core.Request, ok bool) {
 	if len(args) < 2 {
 		return q, false
@@ -87,7 +87,7 @@
 	q = core.Request{
 		ID:    text["rid"],
 		Class: class,
-		// The module remembers objects for long: a part of the fields' text would keep all of it in memory.
+		// Cloned because the policy remembers objects for long: a substring would keep the text of all fields in memory.
 		Object:         strings.Clone(text["obj"]),
 		ClientRetry:    text["again"] == "1",
 		CachedTag:      text["got"],
@@ -108,14 +108,14 @@
 	return q, ok && len(q.Body) <= maxBody && q.Deadline > now
 }
 
-// fieldReader reads numbers from fields. valid is false once one is malformed or out of range.
+// fieldReader parses numbers in fields. valid becomes false if one is malformed or out of range.
 type fieldReader struct {
 	text  map[string]string
 	valid bool
 }
 
-// number reads a number with inclusive bounds. Where the field is not given it returns absent, which need not be within them. What it
-// returns once valid is false has no meaning.
+// number parses a number within inclusive bounds. If the field is missing it returns absent, which need not be within the bounds.
+// Once valid is false, the results have no meaning.
 func (r *fieldReader) number(name string, minimum, maximum, absent float64) float64 {
 	text, given := r.text[name]
 	if !given {
@@ -126,9 +126,9 @@
 	return value
 }
 
-// appendAnswer appends a final answer, as clients read it, to b.
+// appendAnswer appends the frame of a final answer to b.
 func appendAnswer(b []byte, tag string, a core.Answer) []byte {
-	const minBackoffMs = 1 // a shorter one would be written as 0
+	const minBackoffMs = 1 // a shorter delay would be written as 0
 	switch {
 	case a.Verdict == core.Rejected && a.RetryAfter >= minBackoffMs:
 		return resp.AppendFrame(b, tag, answerFull, "backoff="+strconv.Itoa(int(a.RetryAfter)))
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -9,9 +9,9 @@
 	"ravenwheel/internal/resp"
 )
 
-// admit gives a new connection a slot. With all slots taken it closes an idle connection for it: hundreds of clients may connect
-// and say nothing, or stay after one request. Lingering connections have slots of their own, beyond which the longest lingering
-// is evicted. ok is false if no slot could be freed.
+// admit gives a new connection a slot. If all slots are taken, it closes an idle connection to free one: hundreds of clients may
+// connect and send nothing, or stay connected after one request. Lingering connections have additional slots; if those are taken
+// too, the connection that has lingered longest is evicted. ok is false if no slot could be freed.
 func (f *Front) admit(nc net.Conn) (c *conn, ok bool) {
 	c = &conn{Conn: nc, front: f, lastRead: f.clock.Now()}
 	c.frames.MaxFrameSize, c.frames.MaxRetained = resp.MaxRequestSize, maxIdleInBytes
@@ -29,17 +29,18 @@
 	return c, true
 }
 
-// closingRank orders the connections that may be closed for a new one: the lowest is closed first.
+// closingRank orders the connections that may be closed to free a slot: those of the lowest rank are closed first.
 type closingRank int
 
 const (
-	rankSilent closingRank = iota // accepted a while ago and without any frame
+	rankSilent closingRank = iota // accepted newConnGrace ago or earlier, and no complete frame has arrived
 	rankIdle                      // between two requests
-	rankNew                       // accepted just now: its first request may be on the way
+	rankNew                       // accepted just now; its first request may be on the way
 )
 
-// lingerLowestRanked ends the connection of the lowest rank that has been silent for longest. A connection whose client waits for an
-// answer, or whose request is not read yet, is never ended. found is false if there is no other. Called under the front's lock.
+// lingerLowestRanked ends the connection of the lowest rank that has been silent for longest. It never ends a connection whose
+// client waits for an answer, or whose request is not read yet. found is false if there is no other. Called with the front's lock
+// held.
 func (f *Front) lingerLowestRanked() (found bool) {
 	now := f.clock.Now()
 	rank := func(c *conn) closingRank {
@@ -63,8 +64,8 @@
 	return false
 }
 
-// lingerUnanswered ends a connection for want of a request or of a slot, and counts it if it had no answer. Called under the
-// front's lock.
+// lingerUnanswered ends a connection because it sent no request or because its slot is needed, and counts it if it had no answer.
+// Called with the front's lock held.
 func (f *Front) lingerUnanswered(c *conn) {
 	if !c.hasFrame {
 		f.handler.CountUnansweredConn()
@@ -72,9 +73,10 @@
 	f.linger(c)
 }
 
-// linger closes our side of a connection, reads and drops what the client still sends, and closes the rest once the client has
-// closed its side. Closing over unread bytes would reset the connection: a slow reader would lose what it has not read, and a
-// request that crosses the close would look lost. Called under the front's lock.
+// linger closes our side of a connection, reads and drops what the client still sends, and closes the socket once the client has
+// closed its side, at the latest after lingerTimeout. Closing a socket with unread bytes resets the connection: a slow reader would
+// lose the bytes that it has not read, and a request that is sent during the close would seem to be lost. Called with the front's
+// lock held.
 func (f *Front) linger(c *conn) {
 	f.lingering = append(f.lingering, c)
 	go func() {
@@ -87,16 +89,16 @@
 	}()
 }
 
-// evict frees a connection's slot, and has its socket closed by closeEvicted. Called under the front's lock.
+// evict frees a connection's slot. closeEvicted closes its socket. Called with the front's lock held.
 func (f *Front) evict(c *conn) {
 	if c.release() {
 		f.evicted = append(f.evicted, c)
 	}
 }
 
-// closeEvicted closes the sockets of evicted connections. Whoever may have evicted some calls it as soon as the front's lock is
-// free: a connection must not be accepted before the descriptor of the one that it replaces is freed, or a crowd would take more
-// descriptors than there are.
+// closeEvicted closes the sockets of evicted connections. Each function that may evict one calls it as soon as the front's lock is
+// released: the socket of an evicted connection must be closed before another connection is accepted in its place, or a burst of
+// connections would need more file descriptors than there are.
 func (f *Front) closeEvicted() {
 	f.mu.Lock()
 	evicted := f.evicted
@@ -111,8 +113,8 @@
 	f.socketClosed.Broadcast()
 }
 
-// awaitEvictedClosed returns once no evicted connection has a descriptor. On a busy machine the goroutine that closes one may be
-// held up.
+// awaitEvictedClosed returns once the sockets of all evicted connections are closed. On a busy machine the goroutine that closes
+// one may be delayed.
 func (f *Front) awaitEvictedClosed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/front/resp/socket.go
+++ b/internal/front/resp/socket.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnreadBytes reports whether the socket holds bytes that were not read.
+// hasUnreadBytes reports whether the socket has received bytes that were not read yet.
 func (c *conn) hasUnreadBytes() (unread bool) {
 	c.withSocket(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
@@ -15,8 +15,8 @@
 	return unread
 }
 
-// peerClosed reports whether the client has closed the connection, also where its end is behind bytes that were not read. No
-// attempt begins for a client that has left.
+// peerClosed reports whether the client has closed the connection, even if bytes that it sent before are not read yet. No attempt
+// is started for a client that has closed its connection.
 func (c *conn) peerClosed() (closed bool) {
 	isOpen := c.withSocket(func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.SOL_TCP, unix.TCP_INFO)
@@ -25,11 +25,11 @@
 	return !isOpen || closed
 }
 
-// withSocket calls f with the connection's socket. isOpen is false where the socket is closed, and f was not called.
+// withSocket calls f with the connection's file descriptor. isOpen is false if the socket is closed; f is not called then.
 func (c *conn) withSocket(f func(fd int)) (isOpen bool) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return true // a test's connection without a socket
+		return true // a connection without a socket, used by tests
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
--- a/internal/front/resp/sweep.go
+++ b/internal/front/resp/sweep.go
@@ -2,7 +2,7 @@
 
 import "ravenwheel/internal/decide/drain"
 
-// sweep ends the connections whose clients have been silent for too long where they have to send, or have not read their answers
+// sweep ends the connections whose clients have sent nothing for too long while they have to send, or have not read their answers
 // for too long. It runs every sweepInterval.
 func (f *Front) sweep() {
 	f.clock.After(sweepInterval, f.sweep)
@@ -13,14 +13,14 @@
 	for c := range f.conns {
 		switch {
 		case c.client != nil && c.client.writeTimedOut(now):
-			go c.abort() // its reader cancels the open requests
+			go c.abort() // its reading goroutine then cancels the open requests
 		case c.readTimedOut(now) && !c.hasUnreadBytes() && c.beginLinger():
 			f.lingerUnanswered(c)
 		}
 	}
 }
 
-// drainSweep ends the connections that the drain plan ends. It runs every drainInterval while the plan is on.
+// drainSweep ends the connections that the drain plan says to close. It runs every drainInterval while the plan is active.
 func (f *Front) drainSweep() {
 	plan := f.plan.Load()
 	if !plan.Active {
@@ -36,8 +36,8 @@
 	}
 }
 
-// closeIfDrained checks a connection whose last answer was just written, once the plan rejects requests: a client that sends its
-// next request at once would be at rest in no sweep.
+// closeIfDrained applies the drain plan to a connection whose last answer was just written, once the plan rejects requests: a
+// client that always sends its next request at once would never be idle when drainSweep runs.
 func (f *Front) closeIfDrained(cl *client) {
 	plan, now := f.plan.Load(), f.clock.Now()
 	if plan.AcceptsRequest(now) {
@@ -49,7 +49,7 @@
 	f.lingerIfDrained(cl.conn, now, plan)
 }
 
-// lingerIfDrained ends a connection if the plan says so. Called under the front's lock.
+// lingerIfDrained ends a connection if the drain plan says so. Called with the front's lock held.
 func (f *Front) lingerIfDrained(c *conn, now float64, plan *drain.Plan) {
 	if c.stage == stageServing && plan.ShouldClose(now, c.drainState(now)) && c.beginLinger() {
 		f.linger(c)
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -1,6 +1,6 @@
 package resp
 
-// send appends one complete answer to the output and wakes the writer. A client that reads too little for too many answers is
+// send appends one complete answer to the output and wakes the writer. A client that leaves too many bytes of answers unread is
 // disconnected.
 func (cl *client) send(appendTo func([]byte) []byte) {
 	cl.mu.Lock()
@@ -10,7 +10,7 @@
 	}
 	before := len(cl.out)
 	if before > maxOutBytes {
-		go cl.conn.abort() // the reader sees the end, and closes the client
+		go cl.conn.abort() // the reading goroutine then fails to read, and closes the client
 		return
 	}
 	cl.out = appendTo(cl.out)
@@ -41,7 +41,7 @@
 	}
 }
 
-// removeWritten removes n bytes from the front of the output, in place, and returns what is to write next. open is false once the
+// removeWritten removes the first n bytes of the output, in place, and returns what is to be written next. open is false once the
 // client is closed.
 func (cl *client) removeWritten(n int) (next []byte, open bool) {
 	cl.mu.Lock()
@@ -58,7 +58,7 @@
 	return next, true
 }
 
-// nextWrite returns the whole output, and notes since when it is being written. Called under the client's lock.
+// nextWrite returns the whole output, and records when writing it begins. Called with the client's lock held.
 func (cl *client) nextWrite() []byte {
 	cl.writingSince = 0
 	if len(cl.out) > 0 {
@@ -67,7 +67,7 @@
 	return cl.out[:len(cl.out):len(cl.out)]
 }
 
-// writeTimedOut reports whether the bytes that are being written have not been read for too long.
+// writeTimedOut reports whether the write in progress has waited too long for the client to read.
 func (cl *client) writeTimedOut(now float64) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
