--- a/internal/front/resp/client_left_test.go
+++ b/internal/front/resp/client_left_test.go
@@ -12,8 +12,8 @@
 	"ravenwheel/internal/scenario"
 )
 
-// The reader is held up, and finds a request with its client's end right behind it: a close, a reset, or a cancel. No attempt begins
-// for a client that has left, and no retry after a failed attempt.
+// The front's reader is delayed, and then finds a request directly followed by the client's close, reset or cancel. No attempt may
+// start for a client that has left, and no retry may start after an attempt that failed.
 func TestNoAttemptForClientThatLeft(t *testing.T) {
 	call := frames.AppendFrame(nil, strings.Fields(asset)...)
 	for name, leave := range map[string]func(nc *net.TCPConn) error{
@@ -27,7 +27,7 @@
 		t.Run("first attempt, "+name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 10)
-			for range 50 { // the order of goroutines varies
+			for range 50 { // the order in which goroutines run varies
 				nc, err := net.Dial("tcp", f.Addr())
 				require.NoError(t, err)
 				before := gate.bytesRead.Load()
@@ -51,7 +51,7 @@
 		if name == "cancels" {
 			continue
 		}
-		t.Run("further attempt, "+name, func(t *testing.T) {
+		t.Run("retry, "+name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 10)
 			nc, err := net.Dial("tcp", f.Addr())
--- a/internal/front/resp/closing_test.go
+++ b/internal/front/resp/closing_test.go
@@ -26,8 +26,8 @@
 type gatedListener struct {
 	*net.TCPListener
 	mu              sync.RWMutex
-	bytesRead       atomic.Int64 // bytes so far
-	bytesBeforeRead atomic.Int64 // read when the last call of Read began
+	bytesRead       atomic.Int64 // by all connections so far
+	bytesBeforeRead atomic.Int64 // what bytesRead was when the last call of Read began: the front has handled so many bytes
 }
 
 type gatedConn struct {
@@ -59,8 +59,9 @@
 	}
 }
 
-// In each case a request reaches an idle connection in the instant in which the front closes it, and is unread by then. It is not
-// forwarded, and its client sees an orderly end and no reset, which would drop what the client has not read yet.
+// In each case a request reaches an idle connection at the moment in which the front closes it, and is not read by then. The
+// request must not be forwarded, and its client must see an orderly end of the connection. A reset would discard data that the
+// client has not read yet.
 func TestRequestCrossingCloseIsNotForwarded(t *testing.T) {
 	const healthFrame = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
 	for name, closeConn := range map[string]func(t *testing.T, p *scenario.Proxy, f *resp.Front){
@@ -69,7 +70,7 @@
 			require.NoError(t, err)
 			t.Cleanup(func() { nc.Close() })
 		},
-		"half a frame, for too long": func(t *testing.T, p *scenario.Proxy, _ *resp.Front) { p.Clock.Advance(2750) },
+		"a partial frame times out": func(t *testing.T, p *scenario.Proxy, _ *resp.Front) { p.Clock.Advance(2750) },
 		"the proxy drains and rejects requests": func(t *testing.T, p *scenario.Proxy, f *resp.Front) {
 			f.SetDrainPlan(drain.Plan{Active: true})
 			p.Clock.Advance(20)
@@ -93,7 +94,7 @@
 			require.NoError(t, err)
 			require.Contains(t, string(answer[:n]), "yes")
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-			isPartial := strings.HasPrefix(name, "half")
+			isPartial := strings.HasPrefix(name, "a partial frame")
 			call := frames.AppendFrame(nil, strings.Fields(asset)...)
 			if isPartial {
 				_, err = nc.Write(call[:9])
@@ -105,13 +106,13 @@
 			go func() { closeConn(t, p, f); close(closed) }()
 			read := make([]byte, 1)
 			_, err = nc.Read(read)
-			require.ErrorIs(t, err, io.EOF, "our side is closed, not reset")
+			require.ErrorIs(t, err, io.EOF, "the front closes its side and does not reset the connection")
 			<-closed
 			_, err = nc.Write(call)
 			require.NoError(t, err)
 			gate.mu.Unlock()
 			require.Eventually(t, func() bool { return gate.bytesRead.Load() >= int64(len(healthFrame)+len(call)) }, time.Minute, time.Millisecond)
-			_, err = nc.Write(call) // would meet a socket that is gone
+			_, err = nc.Write(call) // fails if the front has closed the whole socket
 			require.NoError(t, err)
 			require.NoError(t, nc.(*net.TCPConn).CloseWrite())
 			_, err = nc.Read(read)
@@ -123,24 +124,24 @@
 	}
 }
 
-// A client of which our side is closed, and which goes on sending, is disconnected after lingerTimeout.
+// After the front has closed its side, a client that goes on sending is disconnected after lingerTimeout.
 func TestLingeringClientIsDisconnected(t *testing.T) {
-	p, f, actors := newFront(t, "stays")
+	p, f, actors := newFront(t, "lingering")
 	scenario.Run(t, p.Clock, actors, `
-		stays send RPC.HEALTH 1
-		stays expect 1 yes`)
+		lingering send RPC.HEALTH 1
+		lingering expect 1 yes`)
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 	f.SetDrainPlan(drain.Plan{Active: true})
 	p.Clock.Advance(20)
 	scenario.Run(t, p.Clock, actors, `
-		stays expect closed
-		stays send RPC.HEALTH 2`)
+		lingering expect closed
+		lingering send RPC.HEALTH 2`)
 	require.Equal(t, 1, f.OpenConns())
 	require.Eventually(t, func() bool { p.Clock.Advance(100); return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
-	require.NoError(t, actors["stays"].Close(), "not before: only the front has closed it")
+	require.NoError(t, actors["lingering"].Close(), "the client closes its side only now: until then only the front has closed the connection")
 }
 
-// Lingering connections whose clients do not close hold at most one in eight slots beyond the front's limit.
+// Lingering connections whose clients do not close them hold at most one eighth more slots than the front's limit.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
 	const maxConns = 16
 	p := scenario.NewProxy(t)
@@ -159,7 +160,7 @@
 	}
 }
 
-// exhaustedListener is a listener that is out of descriptors for a while.
+// exhaustedListener is a listener whose Accept fails for lack of file descriptors while noDescriptors is set.
 type exhaustedListener struct {
 	net.Listener
 	noDescriptors atomic.Bool
@@ -174,7 +175,8 @@
 	return b.Listener.Accept()
 }
 
-// Out of descriptors, the front waits before it accepts again: retrying at once would take the core that open connections need to end.
+// When Accept fails for lack of file descriptors, the front waits before it accepts again: retrying at once would use up the CPU
+// core that open connections need to finish.
 func TestAcceptOutOfDescriptorsWaits(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
@@ -200,8 +202,8 @@
 	require.Equal(t, []string{"1", "yes"}, words)
 }
 
-// A client sends as many requests as may be open at once, reads no answer until writing them blocks, and closes its side: all of its
-// requests and its connection end while the clock stands, those with an answer and those in flight.
+// A client sends as many requests as may be open at once, reads no answer until writing them blocks, and closes its side. All of
+// its requests, those with an answer and those in flight, and its connection must end although the clock does not advance.
 func TestFinBehindPipelineEndsAllRequests(t *testing.T) {
 	p, f, actors := newFront(t)
 	nc, err := net.Dial("tcp", f.Addr())
@@ -214,7 +216,7 @@
 	}
 	_, err = nc.Write(calls)
 	require.NoError(t, err)
-	// A request is counted before it is decided. Once each has an attempt or a refusal, the number of attempts is final.
+	// A request is counted before it is decided. Once each has an attempt or a rejection, the number of attempts is final.
 	counters := &p.Core.Counters
 	require.Eventually(t, func() bool { return counters.Requests.Load() == 32 }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool { return counters.Attempts.Load()+counters.Rejected.Load() == 32 }, time.Minute, time.Millisecond)
@@ -241,7 +243,7 @@
 	}
 }
 
-// blockingHandler is a core whose requests stay open until their client has left.
+// blockingHandler keeps each request open until its client has left.
 type blockingHandler struct {
 	resp.RequestHandler
 	open, maxOpen atomic.Int64
@@ -256,8 +258,8 @@
 	return core.Answer{Verdict: core.Abandoned}
 }
 
-// A client sends thousands of requests at once: 32 are open, each further one gets one answer, a fault, and never reaches the core.
-// Another client is answered meanwhile, and nothing stays open once the first has left.
+// A client sends thousands of requests at once: 32 are open, and each further one gets exactly one answer, a fault, and never
+// reaches the handler. Another client is answered meanwhile, and no request stays open once the first client has left.
 func TestFloodGetsOneAnswerPerRequest(t *testing.T) {
 	const total, maxOpen = 5000, 32
 	p := scenario.NewProxy(t)
@@ -291,7 +293,8 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// Whatever well-formed frame comes first on a connection, its slot is freed in the end: redcon's own reader can read the frame.
+// Whatever well-formed frame comes first on a connection, its slot is freed in the end. Both the front's and redcon's reader must
+// be able to parse the frame.
 func TestUnusualFirstFramesFreeTheirSlot(t *testing.T) {
 	_, f, _ := newFront(t)
 	empty := "$0\r\n\r\n"
@@ -304,7 +307,7 @@
 		_, err = nc.Write([]byte(first))
 		require.NoError(t, err)
 		_, err = io.ReadAll(nc)
-		require.NoError(t, err, "%q: an orderly end", first)
+		require.NoError(t, err, "the connection does not end in order after %q", first)
 		require.NoError(t, nc.Close())
 	}
 	require.Eventually(t, func() bool { return f.OpenConns() == 0 }, time.Minute, time.Millisecond)
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -19,6 +19,7 @@
 	claim = "RPC.CALL 1 seat-claim rid=00000000000000b1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,mem=4 seat9"
 )
 
+// In the scenarios, c, d, e and f are clients, and s is the cache server.
 var scenarios = map[string]string{
 	"served, in any order": `
 		c send ` + asset + `
@@ -30,7 +31,7 @@
 		s send 00000000000000a1 served why=pulled,version=v1,stamp=1,took=3.5 BYTES
 		c expect 1 ok - BYTES`,
 	// Only a cache server may say that the client's copy is current.
-	"a copy is called current only where a cache server names the very one": `
+	"a copy is called current only if a cache server names the same version": `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,got=v7
 		s expect fetch * *,holds=v7 -
 		s send $id still_good why=local,version=v8
@@ -43,12 +44,12 @@
 		s expect fetch * * -
 		s send $id still_good why=local
 		c expect 2 full backoff=*`,
-	"health and an unknown verb": `
+	"health check and unknown command": `
 		c send RPC.HEALTH 8
 		c expect 8 yes
 		c send RPC.OTHER 9 x
 		c expect 9 fault`,
-	"a field that can't be used gets one answer": `
+	"a request with an invalid field gets one answer": `
 		c send RPC.CALL 1 asset rid=zz,budget=900,obj=7f3a9c21e0b4d655
 		c expect 1 fault
 		c send RPC.CALL 2 nosuch rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655
@@ -69,7 +70,7 @@
 		c expect 9 fault
 		c send RPC.CALL 10 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,token=a\r\n
 		c expect 10 fault`,
-	// Without the key a cache server could not tell a retry from another request.
+	// Without the key a cache server could not tell a retry from a new request.
 	"the client's idempotency key goes with every attempt": `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,acct=club,token=28ca688e,obj=7f3a9c21e0b4d655,nth=0,batch=17
 		s expect fetch 00000000000000a1 *,dedupe=28ca688e -
@@ -77,14 +78,14 @@
 		s expect fetch 00000000000000a1 *,dedupe=28ca688e -
 		s send $id served why=local,version=v1 BYTES
 		c expect 1 ok - BYTES`,
-	// redcon's reader panics on this length: the connection ends before, and the others stay.
-	"a frame that can't be read ends its connection only": `
+	// redcon's reader would panic on this length. The front ends the connection first, and other connections stay open.
+	"an unreadable frame ends only its own connection": `
 		c send line *2\r\n$9223372036854775807
 		c expect closed
 		d send RPC.HEALTH 8
 		d expect 8 yes`,
-	// They would hold all slots. A connection that was answered, or waits for an answer, may stay.
-	"silent, or half a frame: closed within 3 s; the others stay": `
+	// Silent connections would occupy all slots. A connection that was answered, or waits for an answer, may stay.
+	"silent connections and partial frames are closed within 3 s, others stay open": `
 		d send bytes $
 		e send RPC.HEALTH 8
 		e expect 8 yes
@@ -105,16 +106,16 @@
 		f await closed
 		e send RPC.HEALTH 10
 		e expect 10 yes`,
-	"a frame that claims more than a client may send fails at its header": `
+	"a frame whose header announces more than a client may send is rejected at the header": `
 		c send line *2\r\n$60000000
 		c expect closed`,
-	"a tag that is open can't be used again": `
+	"the tag of an open request can't be used again": `
 		c send ` + asset + `
 		s expect fetch * * -
 		c send ` + asset + `
 		c expect closed
 		s expect abort $id`,
-	"cancelled: no answer, and the attempt is given up": `
+	"a cancelled request gets no answer, and its attempt is aborted": `
 		c send ` + asset + `
 		s expect fetch * * -
 		c send RPC.CANCEL 1
@@ -122,37 +123,37 @@
 		s send $id served why=local,version=v1 LATE
 		c send RPC.HEALTH 8
 		c expect 8 yes`,
-	"silence: one final answer at the deadline, with advice": `
+	"a server that does not respond: one final answer at the deadline, with a back-off": `
 		c send ` + asset + `
 		s expect fetch * * -
 		wait 900
 		c expect 1 full backoff=*
 		s expect abort $id`,
-	"a write that died with its connection is not sent again": `
+	"a write whose connection to the server breaks is not sent again": `
 		c send ` + claim + `
 		s expect fetch 00000000000000b1 lane=seat-claim,*,fetch=s-00000014 seat9
 		s close
 		c expect 1 fault`,
-	"a write that never ran may be refused": `
+	"a write that was never sent may be rejected": `
 		s close
 		c send ` + claim + `
 		c expect 1 full backoff=*`,
-	"a read that crashed is tried again": `
+	"a read that fails with a crash is retried": `
 		c send ` + asset + `
 		s expect fetch * * -
 		s send $id crashed
 		s expect fetch * * -
 		s send $id served why=local,version=v1 BYTES
 		c expect 1 ok - BYTES`,
-	"an upstream frame that can't be read is a reset": `
+	"an unreadable frame from a server counts as a reset": `
 		c send ` + claim + `
 		s expect fetch * * seat9
 		s send $id served notafield
 		c expect 1 fault`,
 }
 
-// When all slots are taken, the connection that has been silent for longest is closed, then the one idle for longest, but none that
-// waits for an answer.
+// When all slots are taken, the connection that has been silent longest is closed first, then the one that has been idle longest,
+// but none that waits for an answer.
 func TestFullFrontClosesLongestSilent(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
@@ -168,12 +169,12 @@
 		idle send RPC.HEALTH 1
 		idle expect 1 yes
 		wait 1`)
-	// The client may have the answer before the front knows that it is written; until then it is not closed.
+	// The client may have the answer before the front has recorded that it is written. Until then the connection is not closed.
 	require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 	dial("silent")
-	dial("waits")
+	dial("waiting")
 	play(`
-		waits send ` + asset + `
+		waiting send ` + asset + `
 		s expect fetch * * -
 		wait 100`)
 	dial("new")
@@ -187,8 +188,8 @@
 		last send RPC.HEALTH 1
 		last expect 1 yes
 		s send 00000000000000a1 served why=local,version=v1 BYTES
-		waits expect 1 ok - BYTES`)
-	require.EqualValues(t, 1, p.Core.Counters.UnansweredConns.Load(), "the silent one; the idle one had an answer")
+		waiting expect 1 ok - BYTES`)
+	require.EqualValues(t, 1, p.Core.Counters.UnansweredConns.Load(), "only the silent connection had no answer")
 }
 
 func TestFrontScenarios(t *testing.T) {
@@ -213,7 +214,7 @@
 
 var _ resp.RequestHandler = (*core.Core)(nil)
 
-// A proxy that has just started knows of no copy, and forwards the client's tag as the one before it did.
+// A proxy that has just started has no record of any copy, but forwards the client's tag all the same.
 func TestClientTagIsSentAfterRestart(t *testing.T) {
 	script := `
 		c send RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,got=v7
--- a/internal/front/resp/golden_test.go
+++ b/internal/front/resp/golden_test.go
@@ -19,7 +19,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-// fakeHandler is a core that gives prepared answers, by the requests' ids, and notes what it was asked.
+// fakeHandler gives prepared answers, by the ids of the requests, and records the requests.
 type fakeHandler struct {
 	resp.RequestHandler
 	answers  map[string]core.Answer
@@ -32,7 +32,7 @@
 	return h.answers[q.ID]
 }
 
-// Each kind of answer has the bytes, and each kind of request the meaning, that it had before.
+// The bytes of each kind of answer, and the values that each kind of request is parsed to, stay as recorded.
 func TestGoldenAnswers(t *testing.T) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
--- a/internal/front/resp/linger_test.go
+++ b/internal/front/resp/linger_test.go
@@ -24,7 +24,7 @@
 func (l lateFrameConn) Read(p []byte) (int, error) { return l.frame.Read(p) }
 func (lateFrameConn) Close() error                 { return nil }
 
-// countingHandler is a core that counts unanswered connections.
+// countingHandler counts unanswered connections.
 type countingHandler struct {
 	RequestHandler
 	unanswered int
@@ -32,7 +32,7 @@
 
 func (c *countingHandler) CountUnansweredConn() { c.unanswered++ }
 
-// A request that crosses the close of its connection is dropped: its answer would be lost.
+// A request that arrives after the front has decided to close its connection is dropped: its answer would be lost.
 func TestRequestArrivingWhileLingeringIsDropped(t *testing.T) {
 	clk := clock.Manual(0)
 	handler := &countingHandler{}
@@ -41,13 +41,13 @@
 	c, ok := f.admit(lateFrameConn{frame: strings.NewReader("*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n")})
 	require.True(t, ok)
 	_, ok = f.admit(lateFrameConn{})
-	require.True(t, ok, "the first one is closed for it")
+	require.True(t, ok, "the first connection is closed to free its slot")
 	_, err := c.Read(make([]byte, 99))
 	require.ErrorIs(t, err, net.ErrClosed)
 	require.Equal(t, 1, handler.unanswered)
 }
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a connection.
 func tcpPair(t *testing.T) (server, client *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -60,8 +60,8 @@
 	return got.(*net.TCPConn), nc.(*net.TCPConn)
 }
 
-// As the listener closes, redcon closes all connections that it holds. One whose first frame has just arrived stays open; one without
-// any frame ends in order, and a request that arrives then is dropped.
+// When the listener closes, redcon closes all connections that it holds. One whose first frame has just arrived stays open. One
+// without any frame is closed in order, and a request that arrives after that is dropped.
 func TestListenerCloseKeepsFirstFrame(t *testing.T) {
 	const frame = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
 	for _, frameArrived := range []bool{true, false} {
@@ -79,17 +79,17 @@
 		}
 		if !frameArrived {
 			require.NoError(t, c.Close())
-			require.Equal(t, 1, f.OpenConns(), "it was accepted just now")
+			require.Equal(t, 1, f.OpenConns(), "a connection that was accepted just now stays open")
 			clk.Advance(newConnGrace)
 		}
 		require.NoError(t, c.Close())
 		if frameArrived {
 			for range 20 {
-				time.Sleep(time.Millisecond) // a close would be in progress
+				time.Sleep(time.Millisecond) // time enough for a wrong close
 				require.Equal(t, 1, f.OpenConns())
 			}
 			_, err := c.Write([]byte("x"))
-			require.NoError(t, err, "its answer can be written")
+			require.NoError(t, err, "the answer to its request can still be written")
 			n, err := client.Read(make([]byte, 9))
 			require.NoError(t, err)
 			require.Equal(t, 1, n)
@@ -107,7 +107,7 @@
 	}
 }
 
-// neverClosingConn is a connection whose client never closes it. held counts open ones.
+// neverClosingConn is a connection whose client never closes it. openSockets counts those that are open.
 type neverClosingConn struct {
 	net.Conn
 	openSockets *atomic.Int64
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// Connections arrive faster than any other goroutine runs, and no client closes its own: each one is admitted only once the socket of
-// the evicted one is closed.
+// Connections arrive faster than any other goroutine runs, and no client closes its own. Each is admitted only once the socket of
+// the connection evicted for it is closed.
 func TestManyConnectionsStayWithinSlots(t *testing.T) {
 	const maxConns = 16
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -140,7 +140,7 @@
 	require.EqualValues(t, peak, f.OpenConns())
 }
 
-// Nothing is accepted while the socket of an evicted connection is open, however late the goroutine runs that closes it.
+// No connection is accepted while the socket of an evicted one is open, however late the goroutine that closes it runs.
 func TestAcceptWaitsForEvictedSockets(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -159,14 +159,14 @@
 	}
 	select {
 	case <-mayAccept:
-		require.Fail(t, "accepted while an evicted connection has a descriptor")
+		require.Fail(t, "accepted while an evicted connection still has its file descriptor")
 	default:
 	}
 	f.closeEvicted()
 	<-mayAccept
 }
 
-// All connections linger at once, as the proxy drains, and nobody needs their slots: none is evicted.
+// All connections linger at once while the proxy drains, and no new connection needs their slots: none is evicted.
 func TestDrainEvictsNoLingeringConnection(t *testing.T) {
 	const maxConns = 16
 	f := &Front{clock: clock.Manual(0), handler: &countingHandler{}, conns: map[*conn]struct{}{}}
--- a/internal/front/resp/quiescence_test.go
+++ b/internal/front/resp/quiescence_test.go
@@ -17,9 +17,9 @@
 	"ravenwheel/internal/clock"
 )
 
-// quiescence reports when this whole process, the program and its stand-ins, has nothing left to do until the clock moves: every
-// other goroutine is parked, and no byte, connection or end of one is on the way between two of its sockets. It judges by
-// state alone, however busy the machine is.
+// quiescence reports when this whole process, the program and the fake servers and clients, has nothing left to do until the clock
+// advances: every other goroutine is parked, and no byte, connection or FIN is in transit between two of its sockets. It decides by
+// state alone, so it does not depend on how busy the machine is.
 type quiescence struct {
 	t     *testing.T
 	stack []byte
@@ -27,10 +27,11 @@
 
 func newQuiescence(t *testing.T) *quiescence { return &quiescence{t: t, stack: make([]byte, 1<<20)} }
 
-// quiescenceTimeout bounds how long quiescence is waited for; it is no measure of speed.
+// quiescenceTimeout bounds how long wait waits. It does not measure speed.
 const quiescenceTimeout = 3 * time.Minute
 
-// advance moves a clock in steps, each once the process is quiescent, so that everything that a step has set off is over before the next.
+// advance advances a clock in steps, each once the process is quiescent, so that everything set off by a step is over before the
+// next step.
 func (q *quiescence) advance(clk *clock.Clock, ms, step float64) {
 	for end := clk.Now() + ms; ; clk.Advance(min(step, end-clk.Now())) {
 		q.wait()
@@ -47,12 +48,12 @@
 		if why == "" {
 			return
 		}
-		require.Less(q.t, time.Since(start), quiescenceTimeout, "never quiescent: %s", why)
+		require.Less(q.t, time.Since(start), quiescenceTimeout, "the process is not quiescent in time: %s", why)
 	}
 }
 
-// busy names what is still under way; empty: nothing. The sockets are looked at before and after the goroutines: if one of
-// those moved a byte between, the counts differ.
+// busy returns what the process still has to do, or nothing. It counts the bytes of the sockets before and after it looks at the
+// goroutines: if one of those moved a byte in between, the counts differ.
 func (q *quiescence) busy() (why string) {
 	before, why := socketByteCounts()
 	if why != "" {
@@ -63,18 +64,19 @@
 	}
 	after, why := socketByteCounts()
 	if why == "" && !maps.Equal(before, after) {
-		why = "bytes have moved"
+		why = "bytes were moved while the goroutines were looked at"
 	}
 	return why
 }
 
-// parked are the states in which a goroutine waits for another, or for its socket.
+// parked are the states of a goroutine that waits for another goroutine or for a socket.
 var parked = map[string]bool{
 	"IO wait": true, "chan receive": true, "chan send": true, "select": true, "semacquire": true, "sync.Mutex.Lock": true,
 	"sync.RWMutex.RLock": true, "sync.RWMutex.Lock": true, "sync.WaitGroup.Wait": true, "sync.Cond.Wait": true,
 }
 
-// unparkedGoroutine is a goroutine other than the one that asks which is not parked, or which waits for a connection to come up.
+// unparkedGoroutine returns the stack of a goroutine other than the caller's that is not parked or that waits for a connection to
+// be established, or nothing.
 func (q *quiescence) unparkedGoroutine() (why string) {
 	n := runtime.Stack(q.stack, true)
 	for n == len(q.stack) {
@@ -83,7 +85,7 @@
 	}
 	for i, goroutine := range bytes.Split(q.stack[:n], []byte("\n\n")) {
 		if i == 0 {
-			continue // it is this one's
+			continue // the first stack is that of this goroutine
 		}
 		_, state, _ := bytes.Cut(goroutine, []byte("["))
 		if end := bytes.IndexAny(state, ",]"); end >= 0 {
@@ -96,7 +98,7 @@
 	return ""
 }
 
-// address is an IPv4 one.
+// address is an IPv4 address and port.
 type address struct {
 	ip   [4]byte
 	port int
@@ -110,17 +112,17 @@
 	return address{in.Addr, in.Port}
 }
 
-// endpoints are where a socket is and whom it is connected to.
+// endpoints are the two addresses of a socket's connection.
 type endpoints struct{ local, remote address }
 
-// byteCounts is what a socket has sent and been given so far, in bytes.
+// byteCounts is how many bytes a socket has sent and received so far.
 type byteCounts struct{ sent, received uint64 }
 
-// The states of TCP, as the kernel numbers them.
+// States of a TCP socket, as the kernel numbers them.
 const tcpEstablished, tcpListen = 1, 10
 
-// socketByteCounts counts what has moved over each connection of this process, whose both ends are here. why is not empty while one
-// is coming up or ending, or something has not arrived or was not read.
+// socketByteCounts returns what was sent and received over each connection of this process; both ends of each are in this process.
+// why is not empty while a connection is being established or closed, or bytes have not arrived or were not read.
 func socketByteCounts() (all map[endpoints]byteCounts, why string) {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -134,10 +136,10 @@
 		}
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
-			continue // no connection
+			continue // not a TCP socket
 		}
 		if info.State == tcpListen {
-			if info.Unacked > 0 { // there: how many wait to be accepted
+			if info.Unacked > 0 { // for a listening socket: how many connections wait to be accepted
 				return nil, "a connection is not accepted yet"
 			}
 			continue
--- a/internal/front/resp/slow_reader_test.go
+++ b/internal/front/resp/slow_reader_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-// immediateHandler is a core that answers each request at once with the largest object, and counts them.
+// immediateHandler answers each request at once with an object of the largest size, and counts the requests.
 type immediateHandler struct {
 	resp.RequestHandler
 	answered atomic.Int64
@@ -31,8 +31,8 @@
 	return core.Answer{Verdict: core.Served, Body: []byte(strings.Repeat("x", 240_000))}
 }
 
-// smallBufferListener accepts connections, the first of which has a small send buffer, and counts the writes on that one that are in
-// progress.
+// smallBufferListener gives the first connection that it accepts a small send buffer, and counts the writes in progress on that
+// connection.
 type smallBufferListener struct {
 	*net.TCPListener
 	accepted bool
@@ -59,14 +59,14 @@
 	return c.TCPConn.Write(b)
 }
 
-// smallReceiveBuffer gives a socket a small receive buffer; it has to be set before it is connected.
+// smallReceiveBuffer gives a socket a small receive buffer, which has to be set before the socket is connected.
 func smallReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	failed := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1<<14) })
 	return errors.Join(err, failed)
 }
 
-// blockedClientHarness is a front with two clients: one that reads nothing, whose first answer blocks as it is larger than the buffers of the
-// sockets; and another.
+// blockedClientHarness is a front with two clients. The first one reads nothing, and its first answer blocks because it is larger
+// than the buffers of the sockets.
 type blockedClientHarness struct {
 	t       *testing.T
 	proxy   *scenario.Proxy
@@ -97,7 +97,7 @@
 	return h
 }
 
-// callBlocked sends a request of the client that reads nothing, and waits until it is answered.
+// callBlocked sends a request of the client that reads nothing, and waits until the handler has answered it.
 func (h *blockedClientHarness) callBlocked() {
 	h.lastTag++
 	before := h.handler.answered.Load()
@@ -106,7 +106,7 @@
 	require.Eventually(h.t, func() bool { return h.handler.answered.Load() > before }, time.Minute, 100*time.Microsecond)
 }
 
-// callOther sends a request of the other client, which is answered while the first one blocks.
+// callOther sends a request of the other client, which must be answered while the first client's answers are blocked.
 func (h *blockedClientHarness) callOther() {
 	h.lastTag++
 	require.NoError(h.t, h.other.Send(callWords(h.lastTag)))
@@ -120,14 +120,14 @@
 	return []string{"RPC.CALL", fmt.Sprint(n), "asset", fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=17", n, n)}
 }
 
-// A client reads nothing of its answer for 10 s: it is disconnected then and not before, and can tell that its answer is
-// incomplete. Others are answered all the time.
+// A client that reads nothing of its answer for 10 s is disconnected then and not before, and can tell that its answer is
+// incomplete. The other client is answered all the time.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	h := newBlockedClientHarness(t)
 	for range 39 {
 		h.proxy.Clock.Advance(250)
 		h.callOther()
-		require.Equal(t, 2, h.front.OpenConns(), "it has its 10 s")
+		require.Equal(t, 2, h.front.OpenConns(), "disconnected before 10 s have passed")
 	}
 	h.proxy.Clock.Advance(500)
 	require.Eventually(t, func() bool { return h.front.OpenConns() == 1 && h.front.Idle() }, time.Minute, time.Millisecond)
@@ -136,15 +136,15 @@
 	require.Error(t, err)
 }
 
-// A client reads nothing and sends more requests: once more answers wait than a connection may have, it is disconnected while the
-// clock stands. Others are answered all the time.
+// A client that reads nothing and sends more requests is disconnected, although the clock does not advance, once more answers wait
+// than a connection may have. The other client is answered all the time.
 func TestClientWithTooManyUnreadAnswersIsDisconnected(t *testing.T) {
-	const maxUnread = 33 // answers that may wait: the last one exceeds the bound of a connection
+	const maxUnread = 33 // answers that may wait: the last of them exceeds maxOutBytes
 	h := newBlockedClientHarness(t)
 	for range maxUnread - 1 {
 		h.callBlocked()
 		h.callOther()
-		require.Equal(t, 2, h.front.OpenConns(), "so many may wait")
+		require.Equal(t, 2, h.front.OpenConns(), "disconnected although the limit of unread answers is not reached")
 	}
 	h.callBlocked()
 	require.Eventually(t, func() bool { return h.front.OpenConns() == 1 && h.front.Idle() }, time.Minute, time.Millisecond)
--- a/internal/front/resp/slow_writer_test.go
+++ b/internal/front/resp/slow_writer_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-// gatedFront is a front with so many slots whose reads pass a gate.
+// gatedFront starts a front with maxConns slots that reads its connections through a gatedListener.
 func gatedFront(t *testing.T, p *scenario.Proxy, maxConns int) (*resp.Front, *gatedListener) {
 	ln, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
@@ -25,8 +25,8 @@
 	return f, gate
 }
 
-// The bytes of a frame arrive a second apart, for several times as long as a silent client has. The request is served, the first one
-// on a connection and a later one.
+// The parts of a frame arrive a second apart, and take several times as long as a silent client may. The request is served, both
+// the first one on a connection and a later one.
 func TestSlowWriterIsServed(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
@@ -61,11 +61,11 @@
 	write([]byte("*4\r\n$8"))
 	p.Clock.Advance(3000)
 	_, err = nc.Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "half a frame without more bytes ends its connection")
+	require.ErrorIs(t, err, io.EOF, "a partial frame that no more bytes follow ends its connection")
 }
 
-// A request whose halves arrive two seconds apart on a new connection is served. A connection with half a frame and no more is closed
-// within three seconds of connecting.
+// A request whose two parts arrive 2 s apart on a new connection is served. A connection with a partial frame that is not completed
+// is closed within 3 s of connecting.
 func TestPartialFrameTimesOut(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
@@ -97,11 +97,11 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A request has reached a connection and is not read yet, as the reader is held up. The connection is closed neither for a new one nor
-// for its half frame; the request is served, and so is that of the new connection.
+// A request has reached a connection but is not read yet, because the reader is delayed. The connection is closed neither to free
+// its slot for a new one nor because of its partial frame. Both this request and that of the new connection are answered.
 func TestUnreadRequestKeepsConnectionOpen(t *testing.T) {
 	const healthFrame = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
-	for name, isPartial := range map[string]bool{"a slot is needed": false, "half a frame, for too long": true} {
+	for name, isPartial := range map[string]bool{"a slot is needed": false, "a partial frame times out": true} {
 		t.Run(name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 1)
@@ -129,11 +129,11 @@
 			if isPartial {
 				p.Clock.Advance(2750)
 			} else {
-				actors["comes"] = scenario.Dial(t, f.Addr())
-				require.NoError(t, actors["comes"].Send([]string{"RPC.HEALTH", "1"}))
+				actors["new"] = scenario.Dial(t, f.Addr())
+				require.NoError(t, actors["new"].Send([]string{"RPC.HEALTH", "1"}))
 			}
 			for range 20 {
-				time.Sleep(time.Millisecond) // a close would be in progress
+				time.Sleep(time.Millisecond) // time enough for a wrong close
 			}
 			gate.mu.Unlock()
 			scenario.Run(t, p.Clock, actors, `
@@ -144,7 +144,7 @@
 			require.Contains(t, string(answer[:n]), "BYTES")
 			if !isPartial {
 				scenario.Run(t, p.Clock, actors, `
-					comes await 1 yes`)
+					new await 1 yes`)
 			}
 		})
 	}
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -21,23 +21,25 @@
 	"ravenwheel/policy"
 )
 
-// soakPlan is the length of a soak test: the minutes until the tables are full, those that are read early and late, and the rate.
+// soakPlan is the course of a soak test: how long it runs, how long it fills the tables, over how many minutes the early and the
+// late size of the heap are averaged, and the rates of requests.
 type soakPlan struct {
 	fillMinutes, readMinutes, minutes int
 	fillRate, rate                    int
 }
 
-// The clock of a soak moves on by so many ms at a time, while requests are open and once all are answered.
+// How far, in ms, the clock of a soak test advances at a time while requests are open, and once all are answered.
 const waitingStep, idleStep = 50, 250
 
-// burstSize is how many requests are sent in one instant. Of a whole second's requests in one instant, the module would reject those
-// that find none of the others answered yet.
+// burstSize is how many requests are sent at the same time. If all requests of a second came at once, the policy would reject those
+// that arrive before any of the others is answered.
 const burstSize = 15
 
-// TestSoak plays minutes of churn: new objects all the time, caches are replaced, connections open and close, objects are purged.
-// What may grow is bounded and full when the first heap is read: the module's memory of cached copies and of purges, 16,384
-// entries each, and the caches' copies. From then on, at one rate, the heap after a collection stays within a twentieth.
-// CI plays thirteen minutes, which find a table that keeps 100 bytes of each request; make soak plays 45.
+// TestSoak simulates minutes of churn: new objects all the time, caches that are replaced, connections that open and close, objects
+// that are purged. What may grow is bounded, and is full when the heap is first measured: the policy's record of cached copies and
+// of purges, 16,384 entries each, and the caches' copies. From then on, at a constant rate, the heap after a garbage collection may
+// grow by at most a twentieth. CI simulates 13 minutes, which find a table that keeps 100 bytes of each request; make soak
+// simulates 45.
 func TestSoak(t *testing.T) {
 	s := soakPlan{fillMinutes: 7, readMinutes: 3, minutes: 13, fillRate: 90, rate: 60}
 	if os.Getenv("SOAK") != "" {
@@ -47,7 +49,7 @@
 }
 
 func (plan soakPlan) run(t *testing.T) {
-	// Few threads: to look at all goroutines stops them, and on a busy machine each further one is waited for.
+	// Few threads: to inspect all goroutines stops them, and on a busy machine each additional thread takes longer to stop.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
 	clk := clock.Manual(1_764_576_000_000)
 	servers := fleet.New(fleet.Options{Clock: clk, MaxCopies: 256})
@@ -78,8 +80,8 @@
 
 	clients := make([]*scenario.Client, 3)
 	lastObject, lastTag, served, sent, purged := 0, 0, 0, 0, 0
-	// sendForOneSecond sends n requests and has the clock move on for a second, each time once the process is quiescent: on a busy
-	// machine, requests that are still under way would run out of time otherwise.
+	// sendForOneSecond sends n requests while the clock advances by a second, each time once the process is quiescent: on a busy
+	// machine, requests in progress would otherwise run out of time.
 	q := newQuiescence(t)
 	sendForOneSecond := func(n int) {
 		end := clk.Now() + 1000
@@ -110,7 +112,7 @@
 		for i := range n {
 			lastTag++
 			sent++
-			obj := max(1, lastObject-i) // what was new a second ago: a hit, whose holder is remembered
+			obj := max(1, lastObject-i) // an object that was new a second ago: a hit on a cache that the policy has recorded
 			if i < n/2 {
 				lastObject++
 				obj = lastObject
@@ -123,7 +125,7 @@
 		}
 		for q.wait(); unanswered > 0; q.wait() {
 			if collectAnswers(); unanswered > 0 {
-				require.Less(t, clk.Now(), end+5000, "%d are never answered", unanswered) // twice the budget
+				require.Less(t, clk.Now(), end+5000, "%d requests were not answered within twice their budget", unanswered)
 				clk.Advance(waitingStep)
 			}
 		}
@@ -137,16 +139,17 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	// early and late are the means of some readings, once the tables are full and at the end: one reading is off by up to 6 %.
+	// early and late are the mean heap sizes in bytes when the tables have just become full, and at the end. A single measurement
+	// is off by up to 6 %.
 	var early, late float64
 	goroutines := 0
 	for minute := range plan.minutes {
-		// The one that is listed longest drains, and is gone with its machine; another comes.
+		// The cache that has been listed longest drains and then stops; another cache replaces it.
 		replaced := caches[0]
 		replaced.State = policy.Draining
 		caches = append(caches[1:], startServer(policy.ServerID(10+minute), fleet.Cache))
 		updateMembers(false, replaced, caches[2])
-		rate := plan.rate // half of them new objects: the tables are full within the minutes to fill
+		rate := plan.rate // half of the requests are for new objects, which fill the tables within fillMinutes
 		if minute < plan.fillMinutes {
 			rate = plan.fillRate
 		}
@@ -170,7 +173,7 @@
 		replaced.State = policy.Gone
 		updateMembers(false, replaced)
 		servers.Server(replaced.ID).Kill()
-		servers.Server(replaced.ID).DropCopies() // the stand-in's own memory
+		servers.Server(replaced.ID).DropCopies() // the fake server's own memory, which is not measured here
 		switch now := heapBytes(); {
 		case minute >= plan.minutes-plan.readMinutes:
 			late += now / float64(plan.readMinutes)
