--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,8 +15,8 @@
 
 // Clock tells the time and runs timers.
 type Clock struct {
-	started time.Time // of a system clock, with its monotonic reading
-	origin  float64   // what Now was when it started, in ms
+	startTime  time.Time // of a system clock, with its monotonic reading
+	nowAtStart float64   // what Now was when it started, in ms
 
 	manual bool
 
@@ -38,7 +38,7 @@
 // SystemAhead returns the clock of a machine whose wall clock is so many ms ahead of this one's, for tests of clocks that disagree.
 func SystemAhead(aheadMs float64) *Clock {
 	started := time.Now()
-	return &Clock{started: started, origin: unixMs(started) + aheadMs, wallOffset: aheadMs}
+	return &Clock{startTime: started, nowAtStart: unixMs(started) + aheadMs, wallOffset: aheadMs}
 }
 
 // Manual returns a clock that stands at a time until Advance moves it.
@@ -47,7 +47,7 @@
 // Now is a point in time in ms. It starts at the machine's Unix time and runs evenly from there, whatever becomes of the wall clock.
 func (c *Clock) Now() float64 {
 	if !c.manual {
-		return c.origin + Ms(time.Since(c.started))
+		return c.nowAtStart + Ms(time.Since(c.startTime))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,11 +9,11 @@
 // A step of the wall clock leaves Now as it is, on a manual clock and on the machine's.
 func TestStepWallDoesNotMoveNow(t *testing.T) {
 	for _, c := range []*Clock{Manual(1e12), System()} {
-		began, wall := c.Now(), c.Wall()
-		require.InDelta(t, began, wall, minShiftMs)
+		now, wall := c.Now(), c.Wall()
+		require.InDelta(t, now, wall, minShiftMs)
 		c.StepWall(-3_600_000)
-		require.GreaterOrEqual(t, c.Now(), began)
-		require.Less(t, c.Now(), began+60_000)
+		require.GreaterOrEqual(t, c.Now(), now)
+		require.Less(t, c.Now(), now+60_000)
 		require.InDelta(t, wall-3_600_000, c.Wall(), 60_000)
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -110,8 +110,8 @@
 	c.unfinished = append(c.unfinished, conn)
 }
 
-// finished notes that the line of a connection is complete, or that its caller has left or took too long.
-func (c *Console) finished(conn net.Conn) {
+// removeUnfinished notes that the line of a connection is complete, or that its caller has left or took too long.
+func (c *Console) removeUnfinished(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if i := slices.Index(c.unfinished, conn); i >= 0 {
@@ -124,7 +124,7 @@
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(lineTimeout))
 	line, ok := readLine(conn)
-	c.finished(conn)
+	c.removeUnfinished(conn)
 	if !ok {
 		return
 	}
@@ -140,8 +140,8 @@
 func readLine(conn net.Conn) (line string, ok bool) {
 	buf, n := make([]byte, maxLine+1), 0
 	for {
-		got, err := conn.Read(buf[n:])
-		n += got
+		read, err := conn.Read(buf[n:])
+		n += read
 		if end := bytes.IndexByte(buf[:n], '\n'); end >= 0 {
 			return string(bytes.TrimSuffix(buf[:end], []byte("\r"))), true
 		}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -57,7 +57,7 @@
 	return nc.(*net.TCPConn)
 }
 
-func call(t *testing.T, c *Console, text string) string {
+func exchange(t *testing.T, c *Console, text string) string {
 	nc := dial(t, c)
 	_, _ = nc.Write([]byte(text)) // a line too long is answered before it has all been sent
 	_ = nc.CloseWrite()           // the answer, and the close behind it, may have come already
@@ -78,7 +78,7 @@
 		"STATUS\nPAUSE\n": "SUCCESS serving\n", "\x00\xff\xfe\n": "FAILURE unknown call\n",
 		strings.Repeat("x", 5000): "FAILURE unknown call\n", "": "",
 	} {
-		got := call(t, c, line)
+		got := exchange(t, c, line)
 		if len(line) > maxLine && got == "" {
 			continue // its rest was in flight with the answer: a reset may discard the answer
 		}
@@ -86,7 +86,7 @@
 	}
 	require.ElementsMatch(t, []string{"drain", "restore", "pause", "resume"}, controller.calls)
 	controller.ready = false
-	require.Equal(t, "FAILURE serving\n", call(t, c, "STATUS\n"))
+	require.Equal(t, "FAILURE serving\n", exchange(t, c, "STATUS\n"))
 }
 
 // Many more callers than are admitted connect and do not finish their lines: others are still answered.
@@ -100,7 +100,7 @@
 		}
 	}
 	for range maxUnfinished {
-		require.Equal(t, "SUCCESS serving\n", call(t, c, "STATUS\n"))
+		require.Equal(t, "SUCCESS serving\n", exchange(t, c, "STATUS\n"))
 	}
 	c.mu.Lock()
 	unfinished := len(c.unfinished)
@@ -122,7 +122,7 @@
 		go func() {
 			defer wait.Done()
 			for range 20 {
-				if got := call(t, c, "SUSPEND s-00000001\n"); got != "SUCCESS\n" {
+				if got := exchange(t, c, "SUSPEND s-00000001\n"); got != "SUCCESS\n" {
 					t.Errorf("got %q", got)
 				}
 			}
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -22,7 +22,7 @@
 )
 
 // soakPlan is the course of a soak test: how long it runs, how long it fills the tables, over how many minutes the early and the
-// late size of the heap are averaged, and the rates of requests.
+// late size of the heap are averaged, and the requests per second.
 type soakPlan struct {
 	fillMinutes, readMinutes, minutes int
 	fillRate, rate                    int
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case err != nil:
-		f.deny(w, err)
+		f.writeDenied(w, err)
 	case a.Verdict == core.Served && a.NotModified:
 		w.WriteHeader(http.StatusNotModified)
 	case a.Verdict == core.Served:
@@ -32,7 +32,7 @@
 	case f.clock.Now() >= q.Deadline-timerSlackMs:
 		writeError(w, http.StatusGatewayTimeout, "timed out")
 	case a.Verdict == core.Rejected:
-		f.overloaded(w, a.RetryAfter)
+		f.writeOverloaded(w, a.RetryAfter)
 	default:
 		writeError(w, http.StatusBadGateway, "upstream failed")
 	}
@@ -46,9 +46,9 @@
 	case a.Verdict == core.Served:
 		writeObject(w, a)
 	case a.Verdict == core.Rejected && now >= t.validUntil: // it never ran
-		f.deny(w, errExpired)
+		f.writeDenied(w, errExpired)
 	case a.Verdict == core.Rejected:
-		f.overloaded(w, a.RetryAfter)
+		f.writeOverloaded(w, a.RetryAfter)
 	case now >= q.Deadline-timerSlackMs:
 		writeError(w, http.StatusGatewayTimeout, "timed out: effect unknown")
 	default:
@@ -67,8 +67,8 @@
 
 func writeError(w http.ResponseWriter, status int, text string) { http.Error(w, text, status) }
 
-// deny answers a request whose token is not accepted. Only an expired token is told apart from others.
-func (f *Front) deny(w http.ResponseWriter, err error) {
+// writeDenied answers a request whose token is not accepted. Only an expired token is told apart from others.
+func (f *Front) writeDenied(w http.ResponseWriter, err error) {
 	if errors.Is(err, errExpired) {
 		writeError(w, http.StatusForbidden, "expired")
 		return
@@ -77,8 +77,8 @@
 	writeError(w, http.StatusUnauthorized, "unauthorised")
 }
 
-// overloaded answers a request that was rejected. retryAfter is in ms; clients are told whole seconds, 1 at least.
-func (f *Front) overloaded(w http.ResponseWriter, retryAfter float64) {
+// writeOverloaded answers a request that was rejected. retryAfter is in ms; clients are told whole seconds, 1 at least.
+func (f *Front) writeOverloaded(w http.ResponseWriter, retryAfter float64) {
 	const msPerSecond = 1000
 	seconds := max(1, int(math.Ceil(retryAfter/msPerSecond)))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -95,7 +95,7 @@
 	}
 	t, err := f.verify(raw, uri, request.write)
 	if err != nil {
-		f.deny(w, err)
+		f.writeDenied(w, err)
 		return
 	}
 	if request.write {
@@ -122,7 +122,7 @@
 		writeError(w, http.StatusConflict, "replayed")
 		return
 	case err != nil:
-		f.overloaded(w, spendRetryAfter)
+		f.writeOverloaded(w, spendRetryAfter)
 		return
 	}
 	q.SendBy = t.validUntil
--- a/internal/front/signed/front_test.go
+++ b/internal/front/signed/front_test.go
@@ -28,8 +28,8 @@
 const (
 	object = "7f3a9c21e0b4d655"
 	leeway = 3000.0
-	// briefFor is how long, in ms, a brief link stays valid: it expires before the deadline of its request.
-	briefFor = 1500.0
+	// briefValidity is how long, in ms, a brief link stays valid: it expires before the deadline of its request.
+	briefValidity = 1500.0
 )
 
 // signer signs tokens by a clock that differs from the server's.
@@ -43,13 +43,13 @@
 }
 
 // sign returns a JWT for a path, 10 s good, with some claims changed (nil: removed).
-func (s *signer) sign(path string, change jwt.MapClaims, method jwt.SigningMethod, kid string, key any) string {
+func (s *signer) sign(path string, changes jwt.MapClaims, method jwt.SigningMethod, kid string, key any) string {
 	sum := sha256.Sum256([]byte(s.base + path))
 	c := jwt.MapClaims{
 		"aud": "tabletop", "iat": s.now, "nbf": s.now, "exp": s.now + 10, "jti": "j1",
 		"cdniv": 1, "cdniuc": "hash:sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:]),
 	}
-	maps.Copy(c, change)
+	maps.Copy(c, changes)
 	maps.DeleteFunc(c, func(_ string, v any) bool { return v == nil })
 	tok := jwt.NewWithClaims(method, c)
 	tok.Header["kid"] = kid
@@ -58,32 +58,32 @@
 	return raw
 }
 
-// fill replaces {good}, {write} and so on in a script by tokens.
-func (s *signer) fill(script string) string {
+// insertTokens replaces {good}, {write} and so on in a script by tokens.
+func (s *signer) insertTokens(script string) string {
 	read, write := "/asset/"+object, "/seat-claim/"+object
-	es := func(path string, change jwt.MapClaims) string {
-		return s.sign(path, change, jwt.SigningMethodES256, "k1", s.key)
+	signES256 := func(path string, changes jwt.MapClaims) string {
+		return s.sign(path, changes, jwt.SigningMethodES256, "k1", s.key)
 	}
 	der, err := x509.MarshalPKIXPublicKey(&s.key.PublicKey)
 	require.NoError(s.t, err)
 	for name, raw := range map[string]string{
-		"good":      es(read, nil),
-		"brief":     es(read, jwt.MapClaims{"exp": s.serverNow + (briefFor-leeway)/1000}),
-		"write":     es(write, nil),
-		"nojti":     es(write, jwt.MapClaims{"jti": nil}),
-		"noexp":     es(read, jwt.MapClaims{"exp": nil}),
-		"aud":       es(read, jwt.MapClaims{"aud": "other"}),
-		"other":     es("/asset/0000000000000001", nil),
-		"regex":     es(read, jwt.MapClaims{"cdniuc": "regex:http://[^/]+/asset/[0-9a-f]+"}),
-		"halfregex": es(read, jwt.MapClaims{"cdniuc": "regex:http://[^/]+/asset/"}),
-		"nouc":      es(read, jwt.MapClaims{"cdniuc": nil}),
-		"crit":      es(read, jwt.MapClaims{"cdnicrit": "exp,cdniets", "cdniets": 5}),
-		"critok":    es(read, jwt.MapClaims{"cdnicrit": "exp,cdniuc"}),
-		"v2":        es(read, jwt.MapClaims{"cdniv": 2}),
-		"ip":        es(read, jwt.MapClaims{"cdniip": "x"}),
-		"old":       es(read, jwt.MapClaims{"exp": s.now - 60}),
-		"oldaud":    es(read, jwt.MapClaims{"exp": s.now - 60, "aud": "other"}),
-		"early":     es(read, jwt.MapClaims{"nbf": s.now + 60}),
+		"good":      signES256(read, nil),
+		"brief":     signES256(read, jwt.MapClaims{"exp": s.serverNow + (briefValidity-leeway)/1000}),
+		"write":     signES256(write, nil),
+		"nojti":     signES256(write, jwt.MapClaims{"jti": nil}),
+		"noexp":     signES256(read, jwt.MapClaims{"exp": nil}),
+		"aud":       signES256(read, jwt.MapClaims{"aud": "other"}),
+		"other":     signES256("/asset/0000000000000001", nil),
+		"regex":     signES256(read, jwt.MapClaims{"cdniuc": "regex:http://[^/]+/asset/[0-9a-f]+"}),
+		"halfregex": signES256(read, jwt.MapClaims{"cdniuc": "regex:http://[^/]+/asset/"}),
+		"nouc":      signES256(read, jwt.MapClaims{"cdniuc": nil}),
+		"crit":      signES256(read, jwt.MapClaims{"cdnicrit": "exp,cdniets", "cdniets": 5}),
+		"critok":    signES256(read, jwt.MapClaims{"cdnicrit": "exp,cdniuc"}),
+		"v2":        signES256(read, jwt.MapClaims{"cdniv": 2}),
+		"ip":        signES256(read, jwt.MapClaims{"cdniip": "x"}),
+		"old":       signES256(read, jwt.MapClaims{"exp": s.now - 60}),
+		"oldaud":    signES256(read, jwt.MapClaims{"exp": s.now - 60, "aud": "other"}),
+		"early":     signES256(read, jwt.MapClaims{"nbf": s.now + 60}),
 		"second":    s.sign(read, jwt.MapClaims{"jti": "j2"}, jwt.SigningMethodHS256, "k2", []byte("secret of the second key")),
 		"badkid":    s.sign(read, nil, jwt.SigningMethodES256, "k9", s.key),
 		"confused":  s.sign(read, nil, jwt.SigningMethodHS256, "k1", der), // a public key as an HMAC secret
@@ -95,18 +95,18 @@
 }
 
 const (
-	link    = "b send GET /asset/" + object + "?URISigningPackage="
-	post    = "b send POST /seat-claim/" + object + " Authorization:Bearer+"
-	arrived = "\ns expect fetch * lane=asset,* -\n"
-	claimed = "\ns expect fetch * lane=seat-claim,* seat9\n"
-	served  = "s send $id served why=local,version=v1 BYTES\nb expect 200 - BYTES\n"
+	getWithLink   = "b send GET /asset/" + object + "?URISigningPackage="
+	postWithToken = "b send POST /seat-claim/" + object + " Authorization:Bearer+"
+	expectRead    = "\ns expect fetch * lane=asset,* -\n"
+	expectWrite   = "\ns expect fetch * lane=seat-claim,* seat9\n"
+	respondServed = "s send $id served why=local,version=v1 BYTES\nb expect 200 - BYTES\n"
 )
 
 var scenarios = map[string]string{
-	"a signed link":       link + "{good}" + arrived + served,
-	"as a cookie":         "b send GET /asset/" + object + " Cookie:URISigningPackage={good}" + arrived + served,
-	"a regex container":   link + "{regex}" + arrived + served,
-	"critical, all known": link + "{critok}" + arrived + served,
+	"a signed link":       getWithLink + "{good}" + expectRead + respondServed,
+	"as a cookie":         "b send GET /asset/" + object + " Cookie:URISigningPackage={good}" + expectRead + respondServed,
+	"a regex container":   getWithLink + "{regex}" + expectRead + respondServed,
+	"critical, all known": getWithLink + "{critok}" + expectRead + respondServed,
 	"not signed":          "b send GET /asset/" + object + "\nb expect 401 - unauthorised",
 	"bad requests": `
 		b send GET /asset/xyz
@@ -115,82 +115,82 @@
 		b expect 400 - bad request
 		b send GET /asset/` + object + ` X-Budget-Ms:-1
 		b expect 400 - bad request`,
-	"refused on arrival": deny("noexp", "aud", "other", "halfregex", "nouc", "crit", "v2", "ip", "early", "badkid",
-		"confused", "none", "oldaud") + link + "{old}\nb expect 403 - expired",
+	"refused on arrival": expectUnauthorised("noexp", "aud", "other", "halfregex", "nouc", "crit", "v2", "ip", "early", "badkid",
+		"confused", "none", "oldaud") + getWithLink + "{old}\nb expect 403 - expired",
 	// A link that expires while its request waits: one 403, and the attempt is aborted.
-	"expiry in the queue": link + "{brief} X-Budget-Ms:60000" + arrived + "wait {expiry}\nb expect 403 - expired\ns expect abort $id",
+	"expiry in the queue": getWithLink + "{brief} X-Budget-Ms:60000" + expectRead + "wait {expiry}\nb expect 403 - expired\ns expect abort $id",
 	// A step of the wall clock while the request waits changes nothing of the time that the link has left.
-	"stepped back in the queue":    link + "{brief} X-Budget-Ms:60000" + arrived + "step send -3600000\nwait {expiry}\nb expect 403 - expired\ns expect abort $id",
-	"stepped forward in the queue": link + "{good}" + arrived + "step send 3600000\n" + served,
-	"timed out":                    link + "{good} X-Budget-Ms:900" + arrived + "wait 900\nb expect 504 - timed out\ns expect abort $id",
-	"revoked while it waits": link + "{good}" + arrived + `
+	"stepped back in the queue":    getWithLink + "{brief} X-Budget-Ms:60000" + expectRead + "step send -3600000\nwait {expiry}\nb expect 403 - expired\ns expect abort $id",
+	"stepped forward in the queue": getWithLink + "{good}" + expectRead + "step send 3600000\n" + respondServed,
+	"timed out":                    getWithLink + "{good} X-Budget-Ms:900" + expectRead + "wait 900\nb expect 504 - timed out\ns expect abort $id",
+	"revoked while it waits": getWithLink + "{good}" + expectRead + `
 		revoke send j1
 		s send $id served why=local,version=v1 BYTES
 		b expect 401 - unauthorised`,
-	"upstream fails":  link + "{good}\n" + strings.Repeat("s expect fetch * * -\ns send $id crashed\n", 2) + "b expect 503 Retry-After:* overloaded",
-	"client leaves":   link + "{good}" + arrived + "b close\nb expect closed\ns expect abort $id",
-	"a seat claim":    post + "{write} seat9" + claimed + served,
+	"upstream fails":  getWithLink + "{good}\n" + strings.Repeat("s expect fetch * * -\ns send $id crashed\n", 2) + "b expect 503 Retry-After:* overloaded",
+	"client leaves":   getWithLink + "{good}" + expectRead + "b close\nb expect closed\ns expect abort $id",
+	"a seat claim":    postWithToken + "{write} seat9" + expectWrite + respondServed,
 	"a write by link": "b send POST /seat-claim/" + object + "?URISigningPackage={write} seat9\nb expect 401 - unauthorised",
-	"a replay": post + "{write} seat9" + claimed + served +
-		post + "{write} seat9\nb expect 409 - replayed",
-	"a write without jti": post + "{nojti} seat9\nb expect 401 - unauthorised",
+	"a replay": postWithToken + "{write} seat9" + expectWrite + respondServed +
+		postWithToken + "{write} seat9\nb expect 409 - replayed",
+	"a write without jti": postWithToken + "{nojti} seat9\nb expect 401 - unauthorised",
 	// The token expires and its key is deleted after the write may have run: its outcome is answered all the same.
-	"expiry after a write may have run": post + "{write} X-Budget-Ms:60000 seat9" + claimed + `
+	"expiry after a write may have run": postWithToken + "{write} X-Budget-Ms:60000 seat9" + expectWrite + `
 		drop send k1
 		wait 2900
-		` + served,
-	"a write that died is not sent again": post + "{write} seat9" + claimed + `
+		` + respondServed,
+	"a write that died is not sent again": postWithToken + "{write} seat9" + expectWrite + `
 		drop send k1
 		s close
 		b expect 502 - upstream failed: effect unknown`,
-	"a write in silence": post + "{write} seat9" + claimed + "wait 3000\nb expect 504 - timed out: effect unknown\ns expect abort $id",
-	"a write that never ran": post + "{write} seat9" + claimed + "s send $id overload" + claimed + `
+	"a write in silence": postWithToken + "{write} seat9" + expectWrite + "wait 3000\nb expect 504 - timed out: effect unknown\ns expect abort $id",
+	"a write that never ran": postWithToken + "{write} seat9" + expectWrite + "s send $id overload" + expectWrite + `
 		s send $id overload
 		b expect 503 Retry-After:* overloaded`,
 	"no quorum": `
 		quorum close
-		` + post + `{write} seat9
+		` + postWithToken + `{write} seat9
 		b expect 503 Retry-After:1 overloaded`,
-	"rotation": link + "{second}" + arrived + served + `
+	"rotation": getWithLink + "{second}" + expectRead + respondServed + `
 		drop send k1
-		` + link + `{good}
+		` + getWithLink + `{good}
 		b expect 401 - unauthorised
-		` + link + "{second}" + arrived + served + `
+		` + getWithLink + "{second}" + expectRead + respondServed + `
 		drop send k2
-		` + link + `{second}
+		` + getWithLink + `{second}
 		b expect 401 - unauthorised`,
 }
 
-func deny(names ...string) (script string) {
+func expectUnauthorised(names ...string) (script string) {
 	for _, n := range names {
-		script += link + "{" + n + "}\nb expect 401 - unauthorised\n"
+		script += getWithLink + "{" + n + "}\nb expect 401 - unauthorised\n"
 	}
 	return script
 }
 
-// operator is an actor that changes the store.
-type operator func(string) error
+// storeOperation is an actor that changes the store.
+type storeOperation func(string) error
 
-func (o operator) Send(words []string) error { return o(words[0]) }
-func (operator) Receive() ([]string, error)  { return nil, nil }
-func (o operator) Close() error              { return o("") }
+func (o storeOperation) Send(words []string) error { return o(words[0]) }
+func (storeOperation) Receive() ([]string, error)  { return nil, nil }
+func (o storeOperation) Close() error              { return o("") }
 
 func TestSignedScenarios(t *testing.T) {
-	for skewName, skew := range map[string]float64{"even": 0, "ahead": 2000, "behind": -2000} {
+	for skewName, issuerAhead := range map[string]float64{"even": 0, "ahead": 2000, "behind": -2000} {
 		for name, script := range scenarios {
 			t.Run(skewName+"/"+name, func(t *testing.T) {
-				play(t, skew, script)
+				runScenario(t, issuerAhead, script)
 			})
 		}
 	}
 }
 
-func play(t *testing.T, skew float64, script string) {
+func runScenario(t *testing.T, issuerAhead float64, script string) {
 	p := scenario.NewProxy(t)
 	st, err := store.Open(store.Options{Clock: p.Clock, Timeout: time.Second})
 	require.NoError(t, err)
 	closed := false
-	shut := func(string) error { closed = true; return st.Close() }
+	closeStore := func(string) error { closed = true; return st.Close() }
 	defer func() {
 		if !closed {
 			_ = st.Close()
@@ -214,16 +214,16 @@
 		_ = f.Shutdown(ctx)
 	}()
 	base := (&url.URL{Scheme: "http", Host: ln.Addr().String()}).String()
-	s := signer{t: t, base: base, now: (p.Clock.Now() + skew) / 1000, serverNow: p.Clock.Now() / 1000, key: key}
-	script = s.fill(strings.ReplaceAll(script, "{expiry}", fmt.Sprint(briefFor+1)))
+	s := signer{t: t, base: base, now: (p.Clock.Now() + issuerAhead) / 1000, serverNow: p.Clock.Now() / 1000, key: key}
+	script = s.insertTokens(strings.ReplaceAll(script, "{expiry}", fmt.Sprint(briefValidity+1)))
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{
-		"b": scenario.NewHTTPClient(base), "s": p.Cache, "drop": operator(st.DeleteKey), "quorum": operator(shut),
-		"step": operator(func(ms string) error {
+		"b": scenario.NewHTTPClient(base), "s": p.Cache, "drop": storeOperation(st.DeleteKey), "quorum": storeOperation(closeStore),
+		"step": storeOperation(func(ms string) error {
 			by, err := strconv.ParseFloat(ms, 64)
 			p.Clock.StepWall(by)
 			return err
 		}),
-		"revoke": operator(func(jti string) error { return st.RevokeToken(jti, p.Clock.Now()+1e6) }),
+		"revoke": storeOperation(func(jti string) error { return st.RevokeToken(jti, p.Clock.Now()+1e6) }),
 	}, script)
 	n := &p.Core.Counters
 	require.Eventually(t, func() bool {
--- a/internal/front/signed/golden_test.go
+++ b/internal/front/signed/golden_test.go
@@ -24,27 +24,27 @@
 	"ravenwheel/policy"
 )
 
-// prepared is a core that gives one prepared answer after some time, and notes what it was asked.
-type prepared struct {
-	clock  *clock.Clock
-	answer core.Answer
-	after  float64 // ms
-	asked  string
+// fakeHandler is a core that gives one prepared answer after some time, and notes what it was asked.
+type fakeHandler struct {
+	clock   *clock.Clock
+	answer  core.Answer
+	delay   float64 // ms
+	request string
 }
 
-func (p *prepared) Do(_ context.Context, q core.Request) core.Answer {
-	now := p.clock.Now()
-	p.asked = fmt.Sprintf("id of %d digits, class %d, object %s, part %d, group %d, holds %q, body %q, deadline in %v ms, last send in %v ms\n",
+func (h *fakeHandler) Do(_ context.Context, q core.Request) core.Answer {
+	now := h.clock.Now()
+	h.request = fmt.Sprintf("id of %d digits, class %d, object %s, part %d, group %d, holds %q, body %q, deadline in %v ms, last send in %v ms\n",
 		len(q.ID), q.Class, q.Object, q.Part, q.Group, q.CachedTag, q.Body, q.Deadline-now, max(0, q.SendBy-now))
-	p.clock.Advance(p.after)
-	return p.answer
+	h.clock.Advance(h.delay)
+	return h.answer
 }
 
-func (p *prepared) ClassIndex(name string) int {
+func (h *fakeHandler) ClassIndex(name string) int {
 	return map[string]int{"replay": 0, "asset": 1, "seat-claim": 2, "": -1}[name]
 }
 
-func (p *prepared) Settings() policy.Settings { return scenario.Settings() }
+func (h *fakeHandler) Settings() policy.Settings { return scenario.Settings() }
 
 // Each kind of answer has the status, the headers and the body that it had before.
 func TestGoldenAnswers(t *testing.T) {
@@ -60,9 +60,9 @@
 	require.Eventually(t, st.IsLeader, time.Minute, time.Millisecond)
 	require.NoError(t, st.PutKey("k2", store.Key{Alg: "HS256", Data: secret}))
 	require.NoError(t, st.RevokeToken("revoked", clk.Now()+1e9))
-	doer := &prepared{clock: clk}
-	front := signed.New(signed.Options{Audience: "tabletop", Leeway: leeway, Clock: clk, Store: st, Core: doer})
-	token := func(path, id string, seconds float64) string {
+	handler := &fakeHandler{clock: clk}
+	front := signed.New(signed.Options{Audience: "tabletop", Leeway: leeway, Clock: clk, Store: st, Core: handler})
+	signToken := func(path, id string, seconds float64) string {
 		sum := sha256.Sum256([]byte("http://proxy" + path))
 		claims := jwt.MapClaims{
 			"aud": "tabletop", "exp": clk.Wall()/1000 + seconds, "jti": id, "cdniv": 1,
@@ -77,10 +77,10 @@
 	var out bytes.Buffer
 	for i, c := range []struct {
 		name, method, path, id, header string
-		lasts                          float64 // s that the token is good
+		validFor                       float64 // how long the token is valid, in s
 		body                           string
 		answer                         core.Answer
-		after                          float64 // ms
+		delay                          float64 // ms
 	}{
 		{"a read that is served", "GET", read, "r", "If-None-Match: \"v6\"", 10, "", core.Answer{Body: []byte("BYTES"), Tag: "v7"}, 5},
 		{"a read of a part", "GET", read + "?part=3", "r", "X-Budget-Ms: 700", 10, "", core.Answer{Body: []byte("PART")}, 5},
@@ -101,22 +101,22 @@
 		{"a write that timed out", "POST", write, "w4", "X-Budget-Ms: 900", 10, "seat9", core.Answer{Verdict: core.Failed}, 900},
 		{"a write whose token expired unsent", "POST", write, "w5", "", 1, "seat9", core.Answer{Verdict: core.Rejected}, 4000},
 	} {
-		doer.answer, doer.after, doer.asked = c.answer, c.after, "not asked\n"
+		handler.answer, handler.delay, handler.request = c.answer, c.delay, "not asked\n"
 		r := httptest.NewRequest(c.method, "http://proxy"+c.path, strings.NewReader(c.body))
 		if name, value, ok := strings.Cut(c.header, ": "); ok {
 			r.Header.Set(name, value)
 		}
 		if signedPath := c.path; c.method == http.MethodPost {
-			r.Header.Set("Authorization", "Bearer "+token(signedPath, c.id, c.lasts))
+			r.Header.Set("Authorization", "Bearer "+signToken(signedPath, c.id, c.validFor))
 		} else {
 			if c.header == "wrong" {
 				signedPath = "/asset/0000000000000001"
 			}
-			r.AddCookie(&http.Cookie{Name: "URISigningPackage", Value: token(signedPath, c.id, c.lasts)})
+			r.AddCookie(&http.Cookie{Name: "URISigningPackage", Value: signToken(signedPath, c.id, c.validFor)})
 		}
 		w := httptest.NewRecorder()
 		front.ServeHTTP(w, r)
-		fmt.Fprintf(&out, "%d %s\n%s%d\n", i, c.name, doer.asked, w.Code)
+		fmt.Fprintf(&out, "%d %s\n%s%d\n", i, c.name, handler.request, w.Code)
 		require.NoError(t, w.Header().Write(&out)) // sorted by name
 		fmt.Fprintf(&out, "%q\n\n", w.Body.String())
 	}
--- a/internal/front/signed/request.go
+++ b/internal/front/signed/request.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	objectForm    = regexp.MustCompile(`^[0-9a-f]{16}$`)
-	cachedTagForm = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
+	objectPattern    = regexp.MustCompile(`^[0-9a-f]{16}$`)
+	cachedTagPattern = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 )
 
 // parsedRequest is a request for the core. write: it is of a class that runs at the origin, and its token may be used once.
@@ -41,7 +41,7 @@
 func (f *Front) parseRequest(r *http.Request, now float64) (p parsedRequest, ok bool) {
 	className, object, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := f.handler.ClassIndex(className)
-	if class < 0 || !objectForm.MatchString(object) {
+	if class < 0 || !objectPattern.MatchString(object) {
 		return p, false
 	}
 	settings := f.handler.Settings().Classes[class]
@@ -75,7 +75,7 @@
 		}
 		p.Deadline = min(p.Deadline, now+float64(ms))
 	}
-	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); cachedTagForm.MatchString(tag) {
+	if tag := strings.Trim(r.Header.Get("If-None-Match"), `"`); cachedTagPattern.MatchString(tag) {
 		p.CachedTag = tag
 	}
 	return true
