--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// timerSlackMs: a timer may fire so many ms before the time that it was set for.
+	// timerSlackMs is how many ms a timer may fire before the time that it was set for.
 	timerSlackMs = 1
-	// spendRetryAfter is the advice in ms to a client whose token the store could not use up in time.
+	// spendRetryAfter is the delay in ms after which a client should retry if the store could not record its token as spent in
+	// time.
 	spendRetryAfter = 1000
 )
 
-// answerRead verifies the token again, as a copy is not served after its link's expiry, and writes the answer.
+// answerRead verifies the token again, because a copy must not be served after its link's expiry, and writes the answer.
 func (f *Front) answerRead(w http.ResponseWriter, a core.Answer, q core.Request, t token) {
 	err := f.verifyAgain(t)
 	if a.Verdict != core.Served && f.clock.Now() >= t.validUntil-timerSlackMs {
-		err = errExpired // the request failed at its deadline, which was the token's expiry
+		err = errExpired // the request's deadline was the token's expiry
 	}
 	switch {
 	case err != nil:
@@ -38,14 +39,13 @@
 	}
 }
 
-// answerWrite writes the outcome as it is, whatever has become of the token since: the token's expiry can't undo a write that
-// ran.
+// answerWrite writes the outcome, whatever has become of the token since: the token's expiry can't undo a write that was executed.
 func (f *Front) answerWrite(w http.ResponseWriter, a core.Answer, q core.Request, t token) {
 	now := f.clock.Now()
 	switch {
 	case a.Verdict == core.Served:
 		writeObject(w, a)
-	case a.Verdict == core.Rejected && now >= t.validUntil: // it never ran
+	case a.Verdict == core.Rejected && now >= t.validUntil: // the write was not executed
 		f.writeDenied(w, errExpired)
 	case a.Verdict == core.Rejected:
 		f.writeOverloaded(w, a.RetryAfter)
@@ -67,7 +67,7 @@
 
 func writeError(w http.ResponseWriter, status int, text string) { http.Error(w, text, status) }
 
-// writeDenied answers a request whose token is not accepted. Only an expired token is told apart from others.
+// writeDenied answers a request whose token is not accepted. The client learns only whether the token has expired.
 func (f *Front) writeDenied(w http.ResponseWriter, err error) {
 	if errors.Is(err, errExpired) {
 		writeError(w, http.StatusForbidden, "expired")
@@ -77,7 +77,7 @@
 	writeError(w, http.StatusUnauthorized, "unauthorised")
 }
 
-// writeOverloaded answers a request that was rejected. retryAfter is in ms; clients are told whole seconds, 1 at least.
+// writeOverloaded answers a request that was rejected. retryAfter is in ms; clients are sent whole seconds, at least 1.
 func (f *Front) writeOverloaded(w http.ResponseWriter, retryAfter float64) {
 	const msPerSecond = 1000
 	seconds := max(1, int(math.Ceil(retryAfter/msPerSecond)))
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -1,6 +1,6 @@
-// Package signed serves signed links and tokens over HTTP: URI Signing as in RFC 9246 for reads, and bearer tokens for
-// writes. It owns the checks of a token, on arrival and before the answer's first byte, and the mapping of answers to HTTP
-// statuses. What becomes of an accepted request is decided by the core, as for every other front.
+// Package signed serves signed links and tokens over HTTP: URI Signing as in RFC 9246 for reads, and bearer tokens for writes. It
+// owns the checks of a token, on arrival and before the first byte of the answer, and the mapping of answers to HTTP statuses. It
+// never decides what becomes of an accepted request: package core does, as for every other front.
 //
 // Its rules are tested here, by scenarios on real sockets and by golden files.
 package signed
@@ -30,12 +30,12 @@
 
 // Options configure a front.
 type Options struct {
-	Audience string  // that tokens must name
-	Leeway   float64 // ms that the clocks of issuers may be off
+	Audience string  // the audience that tokens must name
+	Leeway   float64 // how many ms the clocks of issuers may differ from this one
 	Clock    *clock.Clock
-	Store    *store.Store // of signing keys, revocations and spent tokens
+	Store    *store.Store // holds signing keys, revocations and spent tokens
 	Core     RequestHandler
-	Log      *logs.Log // of errors below HTTP; nil: not logged
+	Log      *logs.Log // for errors of the HTTP server; nil: they are not logged
 }
 
 // Front serves GET /CLASS/OBJECT[?part=N] with a signed link, and POST of the classes that write with a bearer token.
@@ -53,7 +53,7 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// New returns a front that serves nothing until Serve.
+// New returns a front that serves nothing until Serve is called.
 func New(o Options) *Front {
 	f := &Front{verifier: verifier{clock: o.Clock, store: o.Store, audience: o.Audience}, handler: o.Core}
 	f.SetLeeway(o.Leeway)
@@ -68,10 +68,10 @@
 	return f
 }
 
-// SetLeeway changes by how many ms the clocks of issuers may be off.
+// SetLeeway changes how many ms the clocks of issuers may differ from this one.
 func (f *Front) SetLeeway(ms float64) { f.leeway.Store(math.Float64bits(ms)) }
 
-// Serve accepts connections on ln until Shutdown. It returns the error of accepting; after Shutdown, nil.
+// Serve accepts connections on ln until Shutdown is called. It returns the error of accepting, or nil after Shutdown.
 func (f *Front) Serve(ln net.Listener) error {
 	if err := f.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// Shutdown stops accepting and waits for open requests. It returns the error of a ctx that ends first.
+// Shutdown stops accepting and waits for open requests. If ctx ends first, it returns the error of ctx.
 func (f *Front) Shutdown(ctx context.Context) error { return f.server.Shutdown(ctx) }
 
-// ServeHTTP answers one request: it verifies the token on arrival, and that of a read again before the first byte.
+// ServeHTTP answers one request. It verifies the token on arrival, and that of a read again before the first byte of the answer.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	request, ok := f.parseRequest(r, f.clock.Now())
 	if !ok {
@@ -105,7 +105,7 @@
 	}
 }
 
-// serveRead answers a read. Its deadline is never after the token's expiry.
+// serveRead answers a read. The deadline of the request is at the latest the expiry of the token.
 func (f *Front) serveRead(w http.ResponseWriter, r *http.Request, q core.Request, t token) {
 	q.Deadline = min(q.Deadline, t.validUntil)
 	answer := f.handler.Do(r.Context(), q)
@@ -114,8 +114,9 @@
 	}
 }
 
-// serveWrite uses the token up and answers a write. The token authorises it once, before its first attempt: from then on only
-// the outcome counts. No attempt starts after the token's expiry; one that may have run is waited for.
+// serveWrite spends the token and answers a write. A token authorises one write, once, before the first attempt; after that the
+// outcome alone decides the answer. No attempt starts after the token's expiry, but the answer to an attempt that may have been
+// executed is waited for.
 func (f *Front) serveWrite(w http.ResponseWriter, r *http.Request, q core.Request, t token) {
 	switch err := f.store.SpendToken(t.id, t.expiresUnix); {
 	case errors.Is(err, store.ErrTokenSpent):
--- a/internal/front/signed/golden_test.go
+++ b/internal/front/signed/golden_test.go
@@ -24,7 +24,7 @@
 	"ravenwheel/policy"
 )
 
-// fakeHandler is a core that gives one prepared answer after some time, and notes what it was asked.
+// fakeHandler gives one prepared answer after a delay, and records the request.
 type fakeHandler struct {
 	clock   *clock.Clock
 	answer  core.Answer
@@ -46,7 +46,7 @@
 
 func (h *fakeHandler) Settings() policy.Settings { return scenario.Settings() }
 
-// Each kind of answer has the status, the headers and the body that it had before.
+// The status, the headers and the body of each kind of answer, and the request that the core is given, stay as recorded.
 func TestGoldenAnswers(t *testing.T) {
 	const (
 		read  = "/asset/" + object
--- a/internal/front/signed/request.go
+++ b/internal/front/signed/request.go
@@ -17,9 +17,9 @@
 const (
 	// maxWriteBytes bounds the body of a write.
 	maxWriteBytes = 48_000
-	// budgetHeader carries how long the client waits, in ms from when it sent the request.
+	// budgetHeader is the header that says how long the client waits for the answer, in ms from when it sent the request.
 	budgetHeader = "X-Budget-Ms"
-	// noGroup is the purge group of a request that names none.
+	// noGroup is the purge group of a request that names no group.
 	noGroup = -1
 	// tokenParameter is the query parameter or cookie that carries a signed link's JWT (RFC 9246, section 2).
 	tokenParameter = "URISigningPackage"
@@ -30,13 +30,13 @@
 	cachedTagPattern = regexp.MustCompile(`^[0-9A-Za-z_-]{1,64}$`)
 )
 
-// parsedRequest is a request for the core. write: it is of a class that runs at the origin, and its token may be used once.
+// parsedRequest is a request for the core. write is whether its class runs at the origin, so that its token may be used only once.
 type parsedRequest struct {
 	core.Request
 	write bool
 }
 
-// parseRequest makes a request for the core of one over HTTP that came at now, in ms of the clock. ok is false if it is
+// parseRequest converts an HTTP request that arrived at now, in ms of the clock, to a request for the core. ok is false if it is
 // malformed.
 func (f *Front) parseRequest(r *http.Request, now float64) (p parsedRequest, ok bool) {
 	className, object, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -59,7 +59,7 @@
 	return p, ok
 }
 
-// parseOptions reads the part, the budget and the tag of the client's copy, where they are given.
+// parseOptions parses the part, the budget and the tag of the client's copy, as far as they are given.
 func (p *parsedRequest) parseOptions(r *http.Request, now float64) (ok bool) {
 	if part := r.URL.Query().Get("part"); part != "" {
 		number, err := strconv.ParseUint(part, 10, 31)
@@ -88,7 +88,8 @@
 	return http.MethodGet
 }
 
-// readBody reads the body, which only a write may have.
+// readBody reads the body, which only a write may have. ok is false if there is an error, or a body that is too large or not
+// allowed.
 func readBody(r *http.Request, write bool) (body []byte, ok bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxWriteBytes+1))
 	if err != nil || len(body) > maxWriteBytes || !write && len(body) > 0 {
@@ -103,8 +104,8 @@
 	return hex.EncodeToString(id[:])
 }
 
-// splitToken returns the JWT of a signed link, and the URI that was signed: the request's without the JWT. The JWT is in the
-// query or in a cookie; empty: neither has one.
+// splitToken returns the JWT of a signed link and the URI that was signed, which is the request's URI without the JWT. The JWT is
+// in the query or in a cookie; raw is empty if neither has one.
 func splitToken(r *http.Request) (raw, uri string) {
 	var query []string
 	for _, parameter := range strings.Split(r.URL.RawQuery, "&") {
@@ -131,7 +132,7 @@
 	return raw, uri
 }
 
-// bearerToken is the token of the Authorization header; empty: there is none.
+// bearerToken returns the token of the Authorization header, or "" if there is none.
 func bearerToken(r *http.Request) string {
 	scheme, raw, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -19,13 +19,13 @@
 	"ravenwheel/internal/store"
 )
 
-// Why a token is rejected, as far as clients are told.
+// The reasons for which a token is rejected, as far as clients learn them.
 var (
 	errUnauthorised = errors.New("unauthorised")
 	errExpired      = errors.New("expired")
 )
 
-// claims are those that RFC 9246 registers for URI Signing, and those of RFC 7519.
+// claims are the claims that RFC 9246 registers for URI Signing, and those of RFC 7519.
 type claims struct {
 	jwt.RegisteredClaims
 	Version   *int   `json:"cdniv"`
@@ -39,15 +39,15 @@
 // supportedVersion is the version of URI Signing that this front implements.
 const supportedVersion = 1
 
-// supportedClaims may be listed as critical.
+// supportedClaims are the claims that a token may list as critical.
 var supportedClaims = []string{"iss", "sub", "aud", "exp", "nbf", "iat", "jti", "cdniv", "cdnicrit", "cdniuc"}
 
-// token is a JWT that was accepted.
+// token is what is kept of a JWT that was accepted.
 type token struct {
 	keyID       string
 	id          string
-	expiresUnix float64 // Unix ms: its exp and the leeway
-	validUntil  float64 // the same in ms of this machine's clock, which wall-clock steps do not move
+	expiresUnix float64 // its exp plus the leeway, in Unix ms
+	validUntil  float64 // the same point in time in ms of Clock.Now, which steps of the wall clock do not change
 }
 
 // verifier verifies tokens against the keys and the revocations in the store.
@@ -55,13 +55,13 @@
 	clock    *clock.Clock
 	store    *store.Store
 	audience string
-	leeway   atomic.Uint64 // the bits of a float64, ms
+	leeway   atomic.Uint64 // the bits of a float64, in ms
 }
 
 func (v *verifier) leewayMs() float64 { return math.Float64frombits(v.leeway.Load()) }
 
-// verify verifies a JWT for a URI. The token of a write is used up later, so it needs an id. The error wraps errExpired or
-// errUnauthorised.
+// verify verifies a JWT for a URI. The token of a write must have an id, by which the store records later that it was spent. The
+// error wraps errExpired or errUnauthorised.
 func (v *verifier) verify(raw, uri string, write bool) (token, error) {
 	var c claims
 	parsed, err := jwt.ParseWithClaims(raw, &c, v.signingKey, v.parserOptions()...)
@@ -92,14 +92,14 @@
 	}
 }
 
-// isOnlyExpired reports whether a token is valid but for its age. A forged token is never told apart by its age: its signature
-// fails first.
+// isOnlyExpired reports whether the only fault of a token is its age. A forged token is never reported as expired, because its
+// signature is checked first.
 func isOnlyExpired(err error) bool {
 	return errors.Is(err, jwt.ErrTokenExpired) && !errors.Is(err, jwt.ErrTokenNotValidYet) &&
 		!errors.Is(err, jwt.ErrTokenInvalidAudience) && !errors.Is(err, jwt.ErrTokenUsedBeforeIssued)
 }
 
-// checkClaims checks what the JWT parser does not.
+// checkClaims checks the claims that the JWT parser does not check.
 func (v *verifier) checkClaims(c *claims, header map[string]any, uri string, write bool) error {
 	switch {
 	case c.Version != nil && *c.Version != supportedVersion:
@@ -107,11 +107,11 @@
 	case c.ClientIP != "": // encrypted to a key that this front does not have
 		return errors.New("cdniip is not supported")
 	case write && c.ID == "":
-		return errors.New("a write needs a jti")
+		return errors.New("jti is missing, which a write needs")
 	case c.ID != "" && v.store.IsRevoked(c.ID):
-		return errors.New("revoked")
+		return errors.New("the token is revoked")
 	case header["crit"] != nil:
-		return errors.New("a critical header is not supported")
+		return errors.New("crit headers are not supported")
 	}
 	if err := checkCritical(c.Critical); err != nil {
 		return err
@@ -119,8 +119,8 @@
 	return checkContainer(c.Container, uri)
 }
 
-// signingKey returns the key that a token names. The token's algorithm must be the key's own: a public key must never verify
-// an HMAC.
+// signingKey returns the key that a token names. The token's algorithm must be that of the key: otherwise a forger could use a
+// public key as the secret of an HMAC.
 func (v *verifier) signingKey(t *jwt.Token) (any, error) {
 	keyID, _ := t.Header["kid"].(string)
 	key, ok := v.store.Key(keyID)
@@ -128,7 +128,7 @@
 		return nil, errors.New("unknown kid")
 	}
 	if key.Alg != t.Method.Alg() {
-		return nil, errors.New("the algorithm is not the key's")
+		return nil, errors.New("the token's algorithm is not that of the key")
 	}
 	if key.Alg == "HS256" {
 		return key.Data, nil
@@ -136,7 +136,8 @@
 	return x509.ParsePKIXPublicKey(key.Data)
 }
 
-// verifyAgain verifies a token that was accepted on arrival: by its age, its key and the revocations.
+// verifyAgain verifies a token that was accepted on arrival: that it has not expired, that its key still exists, and that it has
+// not been revoked.
 func (v *verifier) verifyAgain(t token) error {
 	if v.clock.Now() >= t.validUntil {
 		return errExpired
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// checkCritical rejects a list, separated by commas, that names a claim which is not in supportedClaims. An empty list passes.
+// checkCritical returns an error if a comma-separated list names a claim that is not in supportedClaims. An empty list is valid.
 func checkCritical(list string) error {
 	if list == "" {
 		return nil
@@ -162,8 +163,8 @@
 
 var errOutsideContainer = errors.New("cdniuc does not contain the URI")
 
-// checkContainer checks that a URI container ("hash:" or "regex:") contains the URI. None is contained without a container, in one of
-// another kind, or in a regular expression that is malformed. The error is errOutsideContainer.
+// checkContainer checks that a URI container ("hash:" or "regex:") contains the URI. An empty container, one of another kind, and a
+// malformed regular expression contain none. The error is errOutsideContainer.
 func checkContainer(container, uri string) error {
 	kind, value, _ := strings.Cut(container, ":")
 	switch kind {
