--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock is the program's source of time, in float64 milliseconds. It separates two times. Now runs evenly: every deadline,
-// timeout and delay is a span between two of its readings. Wall is the machine's Unix time, which may be stepped forward or back at any
-// moment: it is for timestamps that other machines send or receive, and for printing.
+// Package clock is the program's source of time, in float64 milliseconds. It separates two kinds of time. Now advances evenly: each
+// deadline, timeout and delay is a difference between two readings of it. Wall is the machine's Unix time, which may be stepped
+// forward or back at any moment: it is for timestamps that other machines send or receive, and for printing.
 //
-// Tests replace it by a manual clock, under which nothing happens until they advance it.
+// Tests use a manual clock instead, under which no time passes until they advance it.
 package clock
 
 import (
@@ -13,38 +13,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time and runs timers.
+// Clock gives the time and runs timers.
 type Clock struct {
-	startTime  time.Time // of a system clock, with its monotonic reading
-	nowAtStart float64   // what Now was when it started, in ms
+	startTime  time.Time // when a system clock was created, with the monotonic reading
+	nowAtStart float64   // Now at startTime, in ms
 
 	manual bool
 
 	mu         sync.Mutex
-	wallOffset float64  // ms by which the wall clock is ahead of the machine's, or of a manual clock's Now
-	now        float64  // of a manual clock
+	wallOffset float64  // how many ms Wall is ahead of the machine's wall clock, or of a manual clock's Now
+	now        float64  // of a manual clock, in ms
 	timers     []*timer // of a manual clock
 }
 
 // timer is a function that a manual clock runs once.
 type timer struct {
-	due float64 // ms, as Now
+	due float64 // in ms of Now
 	run func()
 }
 
 // System returns the machine's clock.
 func System() *Clock { return SystemAhead(0) }
 
-// SystemAhead returns the clock of a machine whose wall clock is so many ms ahead of this one's, for tests of clocks that disagree.
+// SystemAhead returns the clock of a machine whose wall clock is aheadMs ms ahead of this machine's, for tests with clocks that
+// differ.
 func SystemAhead(aheadMs float64) *Clock {
 	started := time.Now()
 	return &Clock{startTime: started, nowAtStart: unixMs(started) + aheadMs, wallOffset: aheadMs}
 }
 
-// Manual returns a clock that stands at a time until Advance moves it.
+// Manual returns a clock whose time, in ms, stays at now until Advance moves it.
 func Manual(now float64) *Clock { return &Clock{manual: true, now: now} }
 
-// Now is a point in time in ms. It starts at the machine's Unix time and runs evenly from there, whatever becomes of the wall clock.
+// Now returns the time in ms. It starts at the machine's Unix time and advances evenly from there, whatever happens to the wall
+// clock.
 func (c *Clock) Now() float64 {
 	if !c.manual {
 		return c.nowAtStart + Ms(time.Since(c.startTime))
@@ -54,7 +56,7 @@
 	return c.now
 }
 
-// Wall is the machine's Unix time in ms. It may be stepped: the difference of two readings is not a span of time.
+// Wall returns the machine's Unix time in ms. It may be stepped, so the difference of two readings is not a duration.
 func (c *Clock) Wall() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,15 +66,15 @@
 	return unixMs(time.Now()) + c.wallOffset
 }
 
-// StepWall steps the wall clock forward by so many ms, or back.
+// StepWall steps the wall clock forward by ms milliseconds, or back if ms is negative.
 func (c *Clock) StepWall(ms float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wallOffset += ms
 }
 
-// Epoch is what Now was when the machine's monotonic clock was 0. Processes of one machine, each of which has a Now of its own, compare
-// times by it. ok is false where the machine has no monotonic clock.
+// Epoch returns what Now was when the machine's monotonic clock was 0. Now differs between the processes of a machine; they compare
+// times by their epochs. ok is false if the machine has no monotonic clock.
 func (c *Clock) Epoch() (ms float64, ok bool) {
 	if c.manual {
 		return 0, true
@@ -85,11 +87,13 @@
 	return c.Now() - float64(monotonic.Nano())/nanosecondsPerMs, true
 }
 
-// minShiftMs: epochs of one machine that differ by less were read at slightly different moments, and mean the same.
+// minShiftMs is the least difference between two epochs that counts as a step of the wall clock. Smaller differences arise because
+// the two clocks are not read at exactly the same time.
 const minShiftMs = 500
 
-// Shift is how many ms to add to a time of another process of this machine, a reading of its Now, to have a time of this clock. It is not
-// 0 where the wall clock was stepped between the starts of both. epoch is the other process's Epoch; 0: not known, and the shift is 0.
+// Shift returns how many ms to add to a reading of Now in another process of this machine to get the same time on this clock. It is
+// not 0 if the wall clock was stepped between the starts of the two processes. epoch is the other process's Epoch; if it is 0, it
+// is unknown, and the shift is 0.
 func (c *Clock) Shift(epoch float64) float64 {
 	own, ok := c.Epoch()
 	if shift := own - epoch; ok && epoch != 0 && math.Abs(shift) >= minShiftMs {
@@ -100,7 +104,8 @@
 
 func unixMs(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// After runs f once, ms from now: in a goroutine of its own, or on a manual clock in that of Advance. stop keeps it from starting.
+// After runs f once, in ms milliseconds: in a goroutine of its own, or on a manual clock in the goroutine that calls Advance. stop
+// cancels it if it has not started.
 func (c *Clock) After(ms float64, f func()) (stop func()) {
 	if !c.manual {
 		t := time.AfterFunc(Duration(max(0, ms)), f)
@@ -124,7 +129,7 @@
 	}
 }
 
-// Advance moves a manual clock by so many ms and runs the timers that fall due, in the order of their times.
+// Advance moves a manual clock forward by ms milliseconds and runs the timers that fall due, in the order of their times.
 func (c *Clock) Advance(ms float64) {
 	c.mu.Lock()
 	end := c.now + ms
@@ -139,8 +144,8 @@
 	c.mu.Unlock()
 }
 
-// NextTimer returns the time of a manual clock, in ms, at which its next timer falls due, for tests that must not move the clock
-// further than that. ok is false if no timer is set.
+// NextTimer returns when the next timer of a manual clock falls due, in ms, for tests that must not advance the clock further than
+// that. ok is false if no timer is set.
 func (c *Clock) NextTimer() (due float64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +156,8 @@
 	return next.due, true
 }
 
-// nextTimer is the timer that falls due first, not after end; nil: none. Of two at the same time it is the one set first. Called under
-// the lock.
+// nextTimer returns the timer that falls due first and not after end, or nil if there is none. Of two timers with the same time it
+// returns the one that was set first. Called with the lock held.
 func (c *Clock) nextTimer(end float64) (next *timer) {
 	for _, t := range c.timers {
 		if t.due <= end && (next == nil || t.due < next.due) {
@@ -162,7 +167,7 @@
 	return next
 }
 
-// Duration converts ms for packages that count in time.Duration.
+// Duration converts ms to a time.Duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Ms converts a duration to ms.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A step of the wall clock leaves Now as it is, on a manual clock and on the machine's.
+// A step of the wall clock does not change Now, neither on a manual clock nor on a system clock.
 func TestStepWallDoesNotMoveNow(t *testing.T) {
 	for _, c := range []*Clock{Manual(1e12), System()} {
 		now, wall := c.Now(), c.Wall()
@@ -18,7 +18,7 @@
 	}
 }
 
-// Times of another process of this machine are shifted only where the wall clock was stepped between the starts.
+// Times of another process of this machine are shifted only if the wall clock was stepped between the starts of the two processes.
 func TestShiftFollowsStepsBetweenStarts(t *testing.T) {
 	here := System()
 	for ahead, want := range map[float64]float64{0: 0, 100: 0, 7000: -7000, -3_600_000: 3_600_000} {
@@ -26,7 +26,7 @@
 		require.True(t, ok)
 		require.InDelta(t, want, here.Shift(epoch), 100)
 	}
-	require.Zero(t, here.Shift(0), "the epoch is not known")
+	require.Zero(t, here.Shift(0), "an unknown epoch gives no shift")
 }
 
 func TestNextTimerIsTheEarliest(t *testing.T) {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,7 @@
-// Package console is the operators' interface of the platform: a TCP address where a connection brings one line and gets
-// one back, which begins with SUCCESS or FAILURE. (The operators' own interface, JSON over HTTP, is package admin.) The
-// package turns a line into a call of a Controller and decides nothing. It runs on goroutines of its own, and no client's
-// request ever waits for it. The protocol, slow callers and floods of callers are tested here.
+// Package console is the operators' interface of the platform: on a TCP address, a caller opens a connection, sends one line and
+// gets one line back, which begins with SUCCESS or FAILURE. (The operators' own interface, JSON over HTTP, is package admin.) The
+// package turns a line into a call of a Controller and never decides anything itself. It runs in goroutines of its own, and no
+// client's request ever waits for it. The protocol, slow callers and many callers at once are tested here.
 package console
 
 import (
@@ -21,7 +21,7 @@
 	"ravenwheel/policy"
 )
 
-// Controller carries out what operators ask of a proxy. The text of an error is the reason that they are shown.
+// Controller carries out what operators ask of a proxy. The texts of its errors are sent to the operators as reasons.
 type Controller interface {
 	Status() (text string, ready bool)
 	// SetServerDrained starts or ends a drain of one cache server.
@@ -31,38 +31,39 @@
 }
 
 const (
-	// maxLine bounds a line, in bytes.
+	// maxLine is the largest length of a line, in bytes.
 	maxLine = 128
-	// maxUnfinished bounds the connections whose line is not complete. One more closes the oldest.
+	// maxUnfinished is how many connections may have sent no complete line yet. One more closes the oldest of them.
 	maxUnfinished = 16
-	// maxTrailing bounds what is read behind a line, in bytes. It is read until lineTimeout at most.
+	// maxTrailing is how many bytes after a line are read and dropped, until lineTimeout at the latest.
 	maxTrailing = 1 << 20
-	// lineTimeout bounds all reading and writing of a connection, from when it is accepted. Callers wait a second for the answer.
+	// lineTimeout is how long reading and writing a connection may take in all, from when it is accepted. Callers wait 1 s for the
+	// answer.
 	lineTimeout = 2 * time.Second
 )
 
 // The commands of the protocol.
 const (
-	commandStatus  = "STATUS"  // is the proxy ready?
+	commandStatus  = "STATUS"  // report whether the proxy is ready
 	commandPause   = "PAUSE"   // drain the proxy
-	commandResume  = "RESUME"  // end that
+	commandResume  = "RESUME"  // end the drain of the proxy
 	commandSuspend = "SUSPEND" // drain a cache server, named by its id
-	commandRestore = "RESTORE" // end that
+	commandRestore = "RESTORE" // end the drain of a cache server
 )
 
-// The answers of the protocol. A text may follow.
+// The first words of answers. A text may follow.
 const (
 	answerSuccess = "SUCCESS"
 	answerFailure = "FAILURE"
 )
 
-// Errors of lines that are no valid call.
+// The errors of lines that are not valid calls.
 var (
 	errUnknownCall   = errors.New("unknown call")
 	errUnknownServer = errors.New("no such cache server")
 )
 
-// Console serves operators on a listener. See Listen and Serve.
+// Console serves operators on a listener.
 type Console struct {
 	ln         net.Listener
 	controller Controller
@@ -72,7 +73,7 @@
 	unfinished []net.Conn // connections whose line is not complete, the oldest first
 }
 
-// Listen opens a TCP address, host:port.
+// Listen starts to listen on a TCP address, host:port. The console serves calls once Serve is called.
 func Listen(addr string, c Controller, log *logs.Log) (*Console, error) {
 	ln, err := transient.ListenWithRetry(func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
@@ -84,7 +85,7 @@
 // Addr returns the address of the listener.
 func (c *Console) Addr() string { return c.ln.Addr().String() }
 
-// Close ends Serve. Calls in flight are answered.
+// Close stops Serve. Calls in progress are still answered.
 func (c *Console) Close() { _ = c.ln.Close() }
 
 // Serve answers calls until Close.
@@ -99,7 +100,7 @@
 	}
 }
 
-// admit notes a new connection. If there are too many, it closes the one that has taken the longest to send its line.
+// admit records a new connection whose line is not complete. If there are too many such connections, it closes the oldest.
 func (c *Console) admit(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 	c.unfinished = append(c.unfinished, conn)
 }
 
-// removeUnfinished notes that the line of a connection is complete, or that its caller has left or took too long.
+// removeUnfinished is called when the line of a connection is complete, or its caller has left or taken too long.
 func (c *Console) removeUnfinished(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,14 +130,14 @@
 		return
 	}
 	_, _ = conn.Write([]byte(c.Answer(line) + "\n"))
-	// A close with unread data would reset the connection, and the answer could be lost.
+	// Closing a socket with unread data resets the connection, and the answer could be lost.
 	if tcp, ok := conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxTrailing))
 	}
 }
 
-// readLine returns a line without its end, which a caller may also send by closing its side. ok is false if the caller
-// left or took too long. A line that is too long is cut, and is no valid call.
+// readLine returns a line without its end. A caller may also end the line by closing its side. ok is false if the caller left or
+// took too long. A line that is too long is cut, and is then not a valid call.
 func readLine(conn net.Conn) (line string, ok bool) {
 	buf, n := make([]byte, maxLine+1), 0
 	for {
@@ -154,7 +155,7 @@
 	}
 }
 
-// Answer carries out the call of a line, and returns the line to answer, without its end.
+// Answer carries out the call in a line and returns the answer, without a line end.
 func (c *Console) Answer(line string) string {
 	command, argument, hasArgument := strings.Cut(line, " ")
 	if command == commandStatus && !hasArgument {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/policy"
 )
 
-// fakeController records its calls, and rejects server 9.
+// fakeController records the calls it gets, and rejects those for server 9.
 type fakeController struct {
 	mu    sync.Mutex
 	calls []string
@@ -59,13 +59,13 @@
 
 func exchange(t *testing.T, c *Console, text string) string {
 	nc := dial(t, c)
-	_, _ = nc.Write([]byte(text)) // a line too long is answered before it has all been sent
-	_ = nc.CloseWrite()           // the answer, and the close behind it, may have come already
+	_, _ = nc.Write([]byte(text)) // fails if a line that is too long is answered before all of it is sent
+	_ = nc.CloseWrite()           // fails if the console has already answered and closed the connection
 	answer, _ := io.ReadAll(nc)
 	return string(answer)
 }
 
-// Each line gets one answer and the close. Only valid calls are carried out.
+// Each line gets one answer, after which the connection is closed. Only valid calls are carried out.
 func TestAnswersEachLineAndExecutesValidCalls(t *testing.T) {
 	controller := &fakeController{ready: true}
 	c := start(t, controller)
@@ -80,7 +80,7 @@
 	} {
 		got := exchange(t, c, line)
 		if len(line) > maxLine && got == "" {
-			continue // its rest was in flight with the answer: a reset may discard the answer
+			continue // the rest of the line was still being sent: the reset that follows may discard the answer
 		}
 		require.Equal(t, want, got, "%q", line)
 	}
@@ -89,7 +89,7 @@
 	require.Equal(t, "FAILURE serving\n", exchange(t, c, "STATUS\n"))
 }
 
-// Many more callers than are admitted connect and do not finish their lines: others are still answered.
+// Far more callers than are admitted connect and do not complete their lines. Others are still answered.
 func TestUnfinishedLinesDoNotBlockOthers(t *testing.T) {
 	c := start(t, &fakeController{ready: true})
 	for i := range 3 * maxUnfinished {
@@ -109,7 +109,7 @@
 	last := dial(t, c)
 	require.NoError(t, last.SetReadDeadline(time.Now().Add(time.Minute)))
 	text, err := io.ReadAll(last)
-	require.NoError(t, err, "a caller that sends nothing is closed")
+	require.NoError(t, err, "the connection of a caller that sends nothing is closed in order")
 	require.Empty(t, text)
 }
 
@@ -131,7 +131,7 @@
 	wait.Wait()
 }
 
-// Data behind the line is dropped without a reset, which could discard the answer.
+// Data after the line is dropped without a reset, which could discard the answer.
 func TestTrailingDataDoesNotResetAnswer(t *testing.T) {
 	c := start(t, &fakeController{ready: true})
 	for range 20 {
@@ -140,7 +140,7 @@
 		require.NoError(t, err)
 		require.NoError(t, nc.CloseWrite())
 		answer, err := io.ReadAll(nc)
-		require.NoError(t, err, "no reset")
+		require.NoError(t, err, "the connection was reset")
 		require.Equal(t, "SUCCESS serving\n", string(answer))
 	}
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -7,7 +7,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// The lines of the platform's protocol, each call with its answer.
+// Each call of the platform's protocol gets the recorded answer, from a proxy that is ready and from one that is not.
 func TestGoldenLines(t *testing.T) {
 	var transcript strings.Builder
 	for _, ready := range []bool{true, false} {
