--- a/internal/scenario/attempt_sender.go
+++ b/internal/scenario/attempt_sender.go
@@ -8,10 +8,10 @@
 	"ravenwheel/policy"
 )
 
-// attemptTimeout is the time of an attempt, in ms.
+// attemptTimeout is how long an attempt may take, in ms.
 const attemptTimeout = 1000
 
-// resultNames are the results as a script has them.
+// resultNames are the names of results in scripts.
 var resultNames = map[policy.Result]string{
 	policy.OK:            "ok",
 	policy.Failed:        "failed",
@@ -23,19 +23,20 @@
 	policy.Miss:          "miss",
 }
 
-// AttemptSender sends attempts to the cache server without a core: "send ID [non-idempotent]". It receives "ID RESULT".
+// AttemptSender sends attempts to the cache server without a core. A script sends "ID" or "ID non-idempotent" with it; it receives
+// "ID RESULT", where RESULT is one of resultNames.
 type AttemptSender struct {
 	pools             *upstream.Pools
 	inbox             inbox
 	writtenCompletely atomic.Bool
 }
 
-// NewAttemptSender returns an actor over pools.
+// NewAttemptSender returns an AttemptSender that sends over pools.
 func NewAttemptSender(pools *upstream.Pools) *AttemptSender {
 	return &AttemptSender{pools: pools, inbox: newInbox()}
 }
 
-// WrittenCompletely reports whether the attempt that ended last had been written completely.
+// WrittenCompletely reports whether the last attempt that ended had been written completely.
 func (a *AttemptSender) WrittenCompletely() bool { return a.writtenCompletely.Load() }
 
 // Send implements Actor.
--- a/internal/scenario/client.go
+++ b/internal/scenario/client.go
@@ -13,7 +13,7 @@
 	inbox inbox
 }
 
-// Dial connects a client.
+// Dial connects a client to a front.
 func Dial(t *testing.T, addr string) *Client {
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 	return m.words, err
 }
 
-// TryReceive is Receive without waiting: there are no words if no message has arrived.
+// TryReceive is like Receive, but does not wait: it returns no words if no message has arrived.
 func (c *Client) TryReceive() ([]string, error) {
 	select {
 	case m := <-c.inbox:
--- a/internal/scenario/http_client.go
+++ b/internal/scenario/http_client.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// HTTPClient is an HTTP client: "send METHOD PATH [NAME:VALUE...] [BODY]", with + for a space in values. It receives "STATUS RETRY BODY", where
-// RETRY is Retry-After:SECONDS, or "-" without that header.
+// HTTPClient is an HTTP client. A script sends "METHOD PATH [NAME:VALUE...] [BODY]" with it, with + for a space in the values of
+// headers. It receives "STATUS RETRY BODY", where RETRY is Retry-After:SECONDS, or "-" if the answer has no such header.
 type HTTPClient struct {
 	base  string
 	inbox inbox
@@ -52,7 +52,7 @@
 	return request, nil
 }
 
-// roundTrip returns the answer to a request as words.
+// roundTrip sends a request and returns the answer as words.
 func roundTrip(request *http.Request) []string {
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
--- a/internal/scenario/inbox.go
+++ b/internal/scenario/inbox.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// receiveTimeout bounds how long a message is waited for; it is no measure of speed.
+	// receiveTimeout bounds how long an actor waits for a message. It does not measure speed.
 	receiveTimeout = 10 * time.Second
 	// inboxSize is how many messages may wait to be received.
 	inboxSize = 100
 )
 
-// errNoMessage is of a message that did not arrive within receiveTimeout.
-var errNoMessage = errors.New("nothing came")
+// errNoMessage is the error if no message arrives within receiveTimeout.
+var errNoMessage = errors.New("no message arrived in time")
 
 // message is what an actor receives.
 type message struct {
 	words []string
-	from  net.Conn // nil: of no connection
+	from  net.Conn // nil: it did not arrive on a connection
 }
 
-// inbox holds messages in their order.
+// inbox holds messages in the order in which they arrived.
 type inbox chan message
 
 func newInbox() inbox { return make(inbox, inboxSize) }
@@ -40,7 +40,7 @@
 	}
 }
 
-// readFrames puts a connection's frames into the inbox, until it ends. Empty parts become "-".
+// readFrames puts the frames of a connection into the inbox until the connection ends. An empty part of a frame becomes "-".
 func (in inbox) readFrames(nc net.Conn) {
 	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
--- a/internal/scenario/proxy.go
+++ b/internal/scenario/proxy.go
@@ -13,14 +13,14 @@
 	"ravenwheel/policy"
 )
 
-// The ids of the servers. On the sockets they are s-00000001 and so on.
+// The ids of the servers, which are s-00000001 and so on in frames.
 const (
 	CacheID  policy.ServerID = 1
 	ParentID policy.ServerID = 11
 	OriginID policy.ServerID = 20
 )
 
-// Settings are those of a small deployment with two classes of reads and one of writes.
+// Settings returns the settings of a small deployment with two classes of reads and one of writes.
 func Settings() policy.Settings {
 	return policy.Settings{
 		Routers: 1, ParentKind: 1, OriginKind: 2, OutcomeDetail: policy.DetailAll, MaxAttempts: 4, CanCancel: true,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Proxy is a core with real sockets to a stand-in, under a manual clock.
+// Proxy is a core with real sockets to a fake cache server, under a manual clock.
 type Proxy struct {
 	Clock *clock.Clock
 	Core  *core.Core
@@ -42,10 +42,10 @@
 	Cache *Server
 }
 
-// startMs is when scenarios start: 2025-12-01 08:00 UTC, in Unix ms.
+// startMs is the time at which scenarios start: 2025-12-01 08:00 UTC, in Unix ms.
 const startMs = 1_764_576_000_000
 
-// NewProxy starts a core with one cache server, a stand-in. Nobody listens at the addresses of its parent and of the origin.
+// NewProxy starts a core with one cache server, which is a fake. Nothing listens at the addresses of its parent and of the origin.
 func NewProxy(t *testing.T) *Proxy {
 	p := &Proxy{Clock: clock.Manual(startMs), Cache: Listen(t)}
 	p.Pools = upstream.New(p.Clock, upstream.Limits{AttemptsPerConn: 100, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 30_000})
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,13 +1,14 @@
-// Package scenario is the small language in which tests on sockets are written, and its actors: clients, stand-ins for servers, and a core
-// between them under a manual clock. A line names an actor and what it does. A word may contain *, which matches anything, and $id, the id
-// in the message that the actor expected last. Only tests import it, and it is tested by them.
+// Package scenario provides the small script language for tests on real sockets, and the actors in those scripts: clients, fake
+// servers, and a core between them under a manual clock. A line names an actor and what it does. A word that is expected may
+// contain *, which matches anything. $id stands for the id in the message that the actor expected last. Only tests import the
+// package, and they test it.
 //
 //	c send RPC.CALL 1 asset rid=...,budget=900,...
 //	s1 expect fetch * lane=asset,*
 //	s1 send $id served why=local,version=v1 BYTES
 //	c expect 1 ok * BYTES
-//	wait 250        advances the clock by so many ms
-//	c await closed  expects it while the clock advances
+//	wait 250        advances the clock by 250 ms
+//	c await closed  expects a message while the clock advances
 //	c close
 package scenario
 
@@ -23,18 +24,18 @@
 	"ravenwheel/internal/clock"
 )
 
-// Actor takes part in a scenario.
+// Actor takes part in a scenario: it sends and receives messages when the script says so.
 type Actor interface {
 	Send(words []string) error
-	// Receive returns the next message as words; "closed" alone once no more can arrive.
+	// Receive returns the next message as words. The message is "closed" alone once no more can arrive.
 	Receive() ([]string, error)
 	Close() error
 }
 
-// Run plays a script. It ends the test at the first line that fails.
+// Run runs a script. It ends the test at the first line that fails.
 func Run(t *testing.T, clk *clock.Clock, actors map[string]Actor, script string) {
 	t.Helper()
-	lastIDs := map[string]string{} // by actor: the id in the message that it expected last
+	lastIDs := map[string]string{} // by actor: the id in the last message that it expected
 	for n, line := range strings.Split(script, "\n") {
 		words := strings.Fields(line)
 		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
@@ -72,7 +73,7 @@
 	}
 }
 
-// receive returns an actor's next message, if asked with the clock advancing while it is waited for.
+// receive returns an actor's next message. If advancing is set, the clock advances while receive waits.
 func receive(actor Actor, clk *clock.Clock, advancing bool) ([]string, error) {
 	if advancing {
 		defer keepAdvancing(clk)()
@@ -81,13 +82,14 @@
 }
 
 const (
-	// awaitStep is by how many ms the clock advances at a time while an actor awaits a message.
+	// awaitStep is how many ms the clock advances at a time while an actor awaits a message.
 	awaitStep = 50
 	// awaitInterval is the real time between two steps.
 	awaitInterval = time.Millisecond
 )
 
-// keepAdvancing advances the clock until stop is called. A single step might come before the program has set the timer that it waits for.
+// keepAdvancing advances the clock until stop is called. It advances more than once, because a single step could come before the
+// program has set the timer that is waited for.
 func keepAdvancing(clk *clock.Clock) (stop func()) {
 	stopping, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -104,7 +106,7 @@
 	return func() { close(stopping); <-done }
 }
 
-// match reports whether a message is as expected, word by word.
+// match reports whether a message matches the expected words, word by word.
 func match(want, got []string) bool {
 	if len(want) != len(got) {
 		return false
--- a/internal/scenario/seeded/seeded.go
+++ b/internal/scenario/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded runs the property tests of a package from a fixed seed, so that each run has the same verdict. With SOAK set in the
-// environment ("make soak") they draw a new one. Only tests import it.
+// Package seeded runs the property tests of a package with a fixed seed, so that each run has the same result. If SOAK is set in
+// the environment ("make soak"), each run uses a new seed. Only tests import it.
 package seeded
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// defaultSeed is used where neither the command line nor SOAK asks for another one.
+// defaultSeed is the seed unless the command line sets another one or SOAK is set.
 const defaultSeed = "7"
 
 // Main runs the tests and ends the process. TestMain calls it.
--- a/internal/scenario/server.go
+++ b/internal/scenario/server.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Server is a stand-in for a cache server, a parent or the origin.
+// Server is a fake cache server, parent or origin.
 type Server struct {
 	listener net.Listener
 	inbox    inbox
@@ -18,17 +18,17 @@
 	mu    sync.Mutex
 	conns []net.Conn
 
-	// Of the test's goroutine alone.
-	lastConn      net.Conn            // of the last message
-	lastConnByID  map[string]net.Conn // of the last message with each id
-	firstConnByID map[string]net.Conn // of the first message with each id
+	// Used by the test's goroutine only.
+	lastConn      net.Conn            // of the last message received
+	lastConnByID  map[string]net.Conn // by id: of the last message with that id
+	firstConnByID map[string]net.Conn // by id: of the first message with that id
 }
 
-// Loopback is an address to listen on: of this process's own, so that no other run of these tests takes a port between its close and its
-// next use, with a port from the kernel.
+// Loopback returns an address to listen on: a loopback IP of this process's own and a port that the kernel chooses. Another run of
+// these tests has another IP, so it cannot take a port between its close and its next use.
 func Loopback() string { return fmt.Sprintf("127.73.%d.%d:0", os.Getpid()>>8&255, os.Getpid()&255) }
 
-// Listen starts a stand-in, until the test ends.
+// Listen starts a fake server that runs until the test ends.
 func Listen(t *testing.T) *Server {
 	listener, err := net.Listen("tcp", Loopback())
 	require.NoError(t, err)
@@ -51,7 +51,8 @@
 	}
 }
 
-// ServeConnsInTurn serves one connection after the other, each until serve returns, until the test ends. It returns its address.
+// ServeConnsInTurn listens until the test ends and serves one connection after another, each until serve returns. It returns the
+// address.
 func ServeConnsInTurn(t *testing.T, serve func(net.Conn)) string {
 	listener, err := net.Listen("tcp", Loopback())
 	require.NoError(t, err)
@@ -69,12 +70,12 @@
 	return listener.Addr().String()
 }
 
-// Addr is the stand-in's address.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Send writes the words as encode has them. The first word is the id of a message, and the words are written to the connection that this
-// message arrived on last; if there was none, to the connection of the last message. With "on-conn-of ID" before the words, they are written
-// to the connection that a message with this id arrived on first.
+// Send writes words, encoded by encode. The first word is the id of a message, and the words are written to the connection on which
+// a message with this id arrived last, or, if there was none, on which the last message arrived. With "on-conn-of ID" before the
+// words, they are written to the connection on which a message with that ID arrived first.
 func (s *Server) Send(words []string) error {
 	if words[0] == "on-conn-of" {
 		_, err := s.firstConnByID[words[1]].Write(encode(words[2:]))
@@ -102,7 +103,7 @@
 	return m.words, err
 }
 
-// Close ends the stand-in as a process that is killed: its connections are reset.
+// Close ends the server like a process that is killed: its connections are reset.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
