--- a/internal/front/resp/client.go
+++ b/internal/front/resp/client.go
@@ -27,7 +27,7 @@
 	unstartedSince float64 // when the first of unstarted was read, in ms of the clock
 
 	mu           sync.Mutex
-	out          []byte                        // answers to write
+	output       []byte                        // answers to write
 	cancels      map[string]context.CancelFunc // of open requests, by tag
 	writingSince float64                       // when the write in progress began, in ms of the clock; 0: none is in progress
 	closed       bool
@@ -161,21 +161,21 @@
 // startRequests starts the requests that were read, once all input that has arrived is read. If a client closed its connection
 // right after a request, that is known by then, and no attempt is started for it.
 func (cl *client) startRequests() {
-	for _, p := range cl.unstarted {
-		go cl.handleRequest(p)
+	for _, unstarted := range cl.unstarted {
+		go cl.handleRequest(unstarted)
 	}
 	clear(cl.unstarted)
 	cl.unstarted = cl.unstarted[:0]
 }
 
 // handleRequest answers one request.
-func (cl *client) handleRequest(p unstartedRequest) {
+func (cl *client) handleRequest(unstarted unstartedRequest) {
 	defer cl.front.pendingWork.Add(-1)
-	defer p.cancel()
-	answer := cl.front.handler.Do(p.ctx, p.request)
-	cl.releaseTag(p.tag)
+	defer unstarted.cancel()
+	answer := cl.front.handler.Do(unstarted.ctx, unstarted.request)
+	cl.releaseTag(unstarted.tag)
 	if answer.Verdict != core.Abandoned {
-		cl.send(func(b []byte) []byte { return appendAnswer(b, p.tag, answer) })
+		cl.send(func(b []byte) []byte { return appendAnswer(b, unstarted.tag, answer) })
 	}
 }
 
@@ -188,8 +188,8 @@
 func (cl *client) close() {
 	cl.mu.Lock()
 	cl.closed = true
-	cl.front.pendingWork.Add(-int64(len(cl.out)))
-	cl.out = nil
+	cl.front.pendingWork.Add(-int64(len(cl.output)))
+	cl.output = nil
 	close(cl.wake)
 	cl.mu.Unlock()
 	cl.conn.abort()
--- a/internal/front/resp/client_left_test.go
+++ b/internal/front/resp/client_left_test.go
@@ -15,7 +15,7 @@
 // The front's reader is delayed, and then finds a request directly followed by the client's close, reset or cancel. No attempt may
 // start for a client that has left, and no retry may start after an attempt that failed.
 func TestNoAttemptForClientThatLeft(t *testing.T) {
-	call := frames.AppendFrame(nil, strings.Fields(asset)...)
+	frame := frames.AppendFrame(nil, strings.Fields(assetCall)...)
 	for name, leave := range map[string]func(nc *net.TCPConn) error{
 		"closes": (*net.TCPConn).Close,
 		"resets": func(nc *net.TCPConn) error { _ = nc.SetLinger(0); return nc.Close() },
@@ -35,13 +35,13 @@
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() > before && f.Idle() }, time.Minute, time.Millisecond)
 				gate.mu.Lock()
-				_, err = nc.Write(call)
+				_, err = nc.Write(frame)
 				require.NoError(t, err)
 				require.NoError(t, leave(nc.(*net.TCPConn)))
 				time.Sleep(time.Millisecond)
 				gate.mu.Unlock()
 				if name == "cancels" {
-					require.Eventually(t, func() bool { return f.Idle() && gate.bytesBeforeRead.Load() >= before+int64(len(call)) }, time.Minute, 100*time.Microsecond)
+					require.Eventually(t, func() bool { return f.Idle() && gate.bytesBeforeRead.Load() >= before+int64(len(frame)) }, time.Minute, 100*time.Microsecond)
 					require.NoError(t, nc.Close())
 				}
 				require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
@@ -56,7 +56,7 @@
 			f, gate := gatedFront(t, p, 10)
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
-			_, err = nc.Write(call)
+			_, err = nc.Write(frame)
 			require.NoError(t, err)
 			actors := map[string]scenario.Actor{"s": p.Cache}
 			scenario.Run(t, p.Clock, actors, `
--- a/internal/front/resp/closing_test.go
+++ b/internal/front/resp/closing_test.go
@@ -95,9 +95,9 @@
 			require.Contains(t, string(answer[:n]), "yes")
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
 			isPartial := strings.HasPrefix(name, "a partial frame")
-			call := frames.AppendFrame(nil, strings.Fields(asset)...)
+			frame := frames.AppendFrame(nil, strings.Fields(assetCall)...)
 			if isPartial {
-				_, err = nc.Write(call[:9])
+				_, err = nc.Write(frame[:9])
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == int64(len(healthFrame)+9) }, time.Minute, time.Millisecond)
 			}
@@ -108,11 +108,11 @@
 			_, err = nc.Read(read)
 			require.ErrorIs(t, err, io.EOF, "the front closes its side and does not reset the connection")
 			<-closed
-			_, err = nc.Write(call)
+			_, err = nc.Write(frame)
 			require.NoError(t, err)
 			gate.mu.Unlock()
-			require.Eventually(t, func() bool { return gate.bytesRead.Load() >= int64(len(healthFrame)+len(call)) }, time.Minute, time.Millisecond)
-			_, err = nc.Write(call) // fails if the front has closed the whole socket
+			require.Eventually(t, func() bool { return gate.bytesRead.Load() >= int64(len(healthFrame)+len(frame)) }, time.Minute, time.Millisecond)
+			_, err = nc.Write(frame) // fails if the front has closed the whole socket
 			require.NoError(t, err)
 			require.NoError(t, nc.(*net.TCPConn).CloseWrite())
 			_, err = nc.Read(read)
--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -169,7 +169,7 @@
 func (cl *client) closeIfIdle() (closed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if len(cl.cancels) > 0 || len(cl.out) > 0 {
+	if len(cl.cancels) > 0 || len(cl.output) > 0 {
 		return false
 	}
 	cl.closed = true
@@ -181,7 +181,7 @@
 	state := drain.Conn{PartialFrame: c.partialFrame, New: c.isNew(now), Unread: c.hasUnreadBytes()}
 	if c.client != nil {
 		c.client.mu.Lock()
-		state.Pending = len(c.client.cancels) + len(c.client.out)
+		state.Pending = len(c.client.cancels) + len(c.client.output)
 		c.client.mu.Unlock()
 	}
 	return state
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -35,7 +35,7 @@
 	scenario.Run(t, p.Clock, actors, `
 		idle send RPC.HEALTH 1
 		idle expect 1 yes
-		waiting send `+strings.Replace(asset, "900", "2500", 1)+`
+		waiting send `+strings.Replace(assetCall, "900", "2500", 1)+`
 		s expect fetch 00000000000000a1 * -
 		busy send RPC.CALL 1 replay rid=00000000000000b1,budget=5000,obj=7f3a9c21e0b4d656,nth=0,batch=17
 		s expect fetch 00000000000000b1 * -
@@ -82,7 +82,7 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	body := strings.Repeat("x", 200_000)
-	_, err = nc.Write(frames.AppendFrame(nil, strings.Fields(strings.Replace(asset, "900", "2000", 1))...))
+	_, err = nc.Write(frames.AppendFrame(nil, strings.Fields(strings.Replace(assetCall, "900", "2000", 1))...))
 	require.NoError(t, err)
 	scenario.Run(t, p.Clock, actors, `
 		s expect fetch 00000000000000a1 * -
--- a/internal/front/resp/front.go
+++ b/internal/front/resp/front.go
@@ -141,11 +141,11 @@
 	if f.admitting.Load() {
 		return true
 	}
-	sc, ok := f.listener.(syscall.Conn)
+	syscallConn, ok := f.listener.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
--- a/internal/front/resp/front_test.go
+++ b/internal/front/resp/front_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	asset = "RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,mem=40"
-	claim = "RPC.CALL 1 seat-claim rid=00000000000000b1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,mem=4 seat9"
+	assetCall = "RPC.CALL 1 asset rid=00000000000000a1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,mem=40"
+	claimCall = "RPC.CALL 1 seat-claim rid=00000000000000b1,budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17,mem=4 seat9"
 )
 
 // In the scenarios, c, d, e and f are clients, and s is the cache server.
 var scenarios = map[string]string{
 	"served, in any order": `
-		c send ` + asset + `
+		c send ` + assetCall + `
 		s expect fetch 00000000000000a1 lane=asset,name=7f3a9c21e0b4d655,piece=0,ttl=900,fetch=s-0000000b,retain=1 -
 		c send RPC.CALL 2 replay rid=00000000000000a2,budget=900,obj=7f3a9c21e0b4d655,nth=3,batch=17,got=v7
 		s expect fetch 00000000000000a2 lane=replay,name=7f3a9c21e0b4d655,piece=3,*,holds=v7 -
@@ -89,7 +89,7 @@
 		d send bytes $
 		e send RPC.HEALTH 8
 		e expect 8 yes
-		f send ` + strings.Replace(asset, "900", "2500", 1) + `
+		f send ` + strings.Replace(assetCall, "900", "2500", 1) + `
 		s expect fetch * * -
 		f send bytes *
 		wait 1000
@@ -110,13 +110,13 @@
 		c send line *2\r\n$60000000
 		c expect closed`,
 	"the tag of an open request can't be used again": `
-		c send ` + asset + `
+		c send ` + assetCall + `
 		s expect fetch * * -
-		c send ` + asset + `
+		c send ` + assetCall + `
 		c expect closed
 		s expect abort $id`,
 	"a cancelled request gets no answer, and its attempt is aborted": `
-		c send ` + asset + `
+		c send ` + assetCall + `
 		s expect fetch * * -
 		c send RPC.CANCEL 1
 		s expect abort $id
@@ -124,29 +124,29 @@
 		c send RPC.HEALTH 8
 		c expect 8 yes`,
 	"a server that does not respond: one final answer at the deadline, with a back-off": `
-		c send ` + asset + `
+		c send ` + assetCall + `
 		s expect fetch * * -
 		wait 900
 		c expect 1 full backoff=*
 		s expect abort $id`,
 	"a write whose connection to the server breaks is not sent again": `
-		c send ` + claim + `
+		c send ` + claimCall + `
 		s expect fetch 00000000000000b1 lane=seat-claim,*,fetch=s-00000014 seat9
 		s close
 		c expect 1 fault`,
 	"a write that was never sent may be rejected": `
 		s close
-		c send ` + claim + `
+		c send ` + claimCall + `
 		c expect 1 full backoff=*`,
 	"a read that fails with a crash is retried": `
-		c send ` + asset + `
+		c send ` + assetCall + `
 		s expect fetch * * -
 		s send $id crashed
 		s expect fetch * * -
 		s send $id served why=local,version=v1 BYTES
 		c expect 1 ok - BYTES`,
 	"an unreadable frame from a server counts as a reset": `
-		c send ` + claim + `
+		c send ` + claimCall + `
 		s expect fetch * * seat9
 		s send $id served notafield
 		c expect 1 fault`,
@@ -174,7 +174,7 @@
 	dial("silent")
 	dial("waiting")
 	play(`
-		waiting send ` + asset + `
+		waiting send ` + assetCall + `
 		s expect fetch * * -
 		wait 100`)
 	dial("new")
--- a/internal/front/resp/linger_test.go
+++ b/internal/front/resp/linger_test.go
@@ -21,7 +21,7 @@
 	frame *strings.Reader
 }
 
-func (l lateFrameConn) Read(p []byte) (int, error) { return l.frame.Read(p) }
+func (c lateFrameConn) Read(p []byte) (int, error) { return c.frame.Read(p) }
 func (lateFrameConn) Close() error                 { return nil }
 
 // countingHandler counts unanswered connections.
--- a/internal/front/resp/slow_writer_test.go
+++ b/internal/front/resp/slow_writer_test.go
@@ -41,10 +41,10 @@
 		require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == sent }, 10*time.Second, time.Millisecond)
 	}
 	for _, tag := range []string{"1", "2"} {
-		call := frames.AppendFrame(nil, "RPC.CALL", tag, "asset", "rid=00000000000000a"+tag+",budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17")
-		for size := len(call)/7 + 1; len(call) > 0; call = call[min(size, len(call)):] {
-			write(call[:min(size, len(call))])
-			if len(call) > size {
+		frame := frames.AppendFrame(nil, "RPC.CALL", tag, "asset", "rid=00000000000000a"+tag+",budget=900,obj=7f3a9c21e0b4d655,nth=0,batch=17")
+		for size := len(frame)/7 + 1; len(frame) > 0; frame = frame[min(size, len(frame)):] {
+			write(frame[:min(size, len(frame))])
+			if len(frame) > size {
 				p.Clock.Advance(1000)
 			}
 		}
@@ -69,20 +69,20 @@
 func TestPartialFrameTimesOut(t *testing.T) {
 	p := scenario.NewProxy(t)
 	f, gate := gatedFront(t, p, 10)
-	call := frames.AppendFrame(nil, strings.Fields(asset)...)
+	frame := frames.AppendFrame(nil, strings.Fields(assetCall)...)
 	sendPartialFrame := func() net.Conn {
 		nc, err := net.Dial("tcp", f.Addr())
 		require.NoError(t, err)
 		t.Cleanup(func() { nc.Close() })
 		before := gate.bytesRead.Load()
-		_, err = nc.Write(call[:40])
+		_, err = nc.Write(frame[:40])
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == before+40 }, 10*time.Second, time.Millisecond)
 		return nc
 	}
 	nc := sendPartialFrame()
 	p.Clock.Advance(2000)
-	_, err := nc.Write(call[40:])
+	_, err := nc.Write(frame[40:])
 	require.NoError(t, err)
 	scenario.Run(t, p.Clock, map[string]scenario.Actor{"s": p.Cache}, `
 		s expect fetch 00000000000000a1 * -
@@ -114,16 +114,16 @@
 			_, err = nc.Read(answer)
 			require.NoError(t, err)
 			require.Eventually(t, f.Idle, time.Minute, time.Millisecond)
-			call := frames.AppendFrame(nil, strings.Fields(asset)...)
+			frame := frames.AppendFrame(nil, strings.Fields(assetCall)...)
 			partialLen := 0
 			if isPartial {
 				partialLen = 9
-				_, err = nc.Write(call[:partialLen])
+				_, err = nc.Write(frame[:partialLen])
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() == int64(len(healthFrame)+partialLen) }, time.Minute, time.Millisecond)
 			}
 			gate.mu.Lock()
-			_, err = nc.Write(call[partialLen:])
+			_, err = nc.Write(frame[partialLen:])
 			require.NoError(t, err)
 			actors := map[string]scenario.Actor{"s": p.Cache}
 			if isPartial {
--- a/internal/front/resp/socket.go
+++ b/internal/front/resp/socket.go
@@ -27,11 +27,11 @@
 
 // withSocket calls f with the connection's file descriptor. isOpen is false if the socket is closed; f is not called then.
 func (c *conn) withSocket(f func(fd int)) (isOpen bool) {
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true // a connection without a socket, used by tests
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -8,13 +8,13 @@
 	if cl.closed {
 		return
 	}
-	before := len(cl.out)
+	before := len(cl.output)
 	if before > maxOutBytes {
 		go cl.conn.abort() // the reading goroutine then fails to read, and closes the client
 		return
 	}
-	cl.out = appendTo(cl.out)
-	cl.front.pendingWork.Add(int64(len(cl.out) - before))
+	cl.output = appendTo(cl.output)
+	cl.front.pendingWork.Add(int64(len(cl.output) - before))
 	select {
 	case cl.wake <- struct{}{}:
 	default:
@@ -50,10 +50,10 @@
 		return nil, false
 	}
 	cl.front.pendingWork.Add(-int64(n))
-	cl.out = cl.out[:copy(cl.out, cl.out[n:])]
+	cl.output = cl.output[:copy(cl.output, cl.output[n:])]
 	next = cl.nextWrite()
-	if len(next) == 0 && cap(cl.out) > maxIdleOutBytes {
-		cl.out = nil
+	if len(next) == 0 && cap(cl.output) > maxIdleOutBytes {
+		cl.output = nil
 	}
 	return next, true
 }
@@ -61,10 +61,10 @@
 // nextWrite returns the whole output, and records when writing it begins. Called with the client's lock held.
 func (cl *client) nextWrite() []byte {
 	cl.writingSince = 0
-	if len(cl.out) > 0 {
+	if len(cl.output) > 0 {
 		cl.writingSince = cl.front.clock.Now()
 	}
-	return cl.out[:len(cl.out):len(cl.out)]
+	return cl.output[:len(cl.output):len(cl.output)]
 }
 
 // writeTimedOut reports whether the write in progress has waited too long for the client to read.
--- a/internal/scenario/http_client.go
+++ b/internal/scenario/http_client.go
@@ -12,9 +12,9 @@
 // HTTPClient is an HTTP client. A script sends "METHOD PATH [NAME:VALUE...] [BODY]" with it, with + for a space in the values of
 // headers. It receives "STATUS RETRY BODY", where RETRY is Retry-After:SECONDS, or "-" if the answer has no such header.
 type HTTPClient struct {
-	base  string
-	inbox inbox
-	stop  chan struct{}
+	base   string
+	inbox  inbox
+	closed chan struct{}
 }
 
 // NewHTTPClient returns a client of the server at a base URL.
@@ -23,32 +23,32 @@
 }
 
 // Send implements Actor. It does not wait for the answer.
-func (b *HTTPClient) Send(words []string) error {
-	request, err := b.newRequest(words)
+func (c *HTTPClient) Send(words []string) error {
+	request, err := c.newRequest(words)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(request.Context())
-	go func() { <-b.stop; cancel() }()
-	go func() { b.inbox <- message{words: roundTrip(request.WithContext(ctx))} }()
+	go func() { <-c.closed; cancel() }()
+	go func() { c.inbox <- message{words: roundTrip(request.WithContext(ctx))} }()
 	return nil
 }
 
-func (b *HTTPClient) newRequest(words []string) (*http.Request, error) {
+func (c *HTTPClient) newRequest(words []string) (*http.Request, error) {
 	var body string
-	header := http.Header{}
+	headers := http.Header{}
 	for _, word := range words[2:] {
 		if name, value, ok := strings.Cut(word, ":"); ok {
-			header.Set(name, strings.ReplaceAll(value, "+", " "))
+			headers.Set(name, strings.ReplaceAll(value, "+", " "))
 		} else {
 			body = word
 		}
 	}
-	request, err := http.NewRequest(words[0], b.base+words[1], bytes.NewBufferString(body))
+	request, err := http.NewRequest(words[0], c.base+words[1], bytes.NewBufferString(body))
 	if err != nil {
 		return nil, err
 	}
-	request.Header = header
+	request.Header = headers
 	return request, nil
 }
 
@@ -68,13 +68,13 @@
 }
 
 // Receive implements Actor.
-func (b *HTTPClient) Receive() ([]string, error) {
-	m, err := b.inbox.next()
+func (c *HTTPClient) Receive() ([]string, error) {
+	m, err := c.inbox.next()
 	return m.words, err
 }
 
 // Close cancels the open requests.
-func (b *HTTPClient) Close() error {
-	close(b.stop)
+func (c *HTTPClient) Close() error {
+	close(c.closed)
 	return nil
 }
--- a/internal/scenario/inbox.go
+++ b/internal/scenario/inbox.go
@@ -22,7 +22,7 @@
 // message is what an actor receives.
 type message struct {
 	words []string
-	from  net.Conn // nil: it did not arrive on a connection
+	conn  net.Conn // nil: it did not arrive on a connection
 }
 
 // inbox holds messages in the order in which they arrived.
@@ -46,10 +46,10 @@
 	for {
 		parts, _, err := buf.Next(nc)
 		if err != nil {
-			in <- message{words: []string{"closed"}, from: nc}
+			in <- message{words: []string{"closed"}, conn: nc}
 			return
 		}
-		m := message{from: nc}
+		m := message{conn: nc}
 		for _, part := range parts {
 			if len(part) == 0 {
 				part = []byte("-")
--- a/internal/scenario/server.go
+++ b/internal/scenario/server.go
@@ -92,12 +92,12 @@
 // Receive implements Actor.
 func (s *Server) Receive() ([]string, error) {
 	m, err := s.inbox.next()
-	s.lastConn = m.from
+	s.lastConn = m.conn
 	if len(m.words) > 1 {
 		id := m.words[1]
-		s.lastConnByID[id] = m.from
+		s.lastConnByID[id] = m.conn
 		if s.firstConnByID[id] == nil {
-			s.firstConnByID[id] = m.from
+			s.firstConnByID[id] = m.conn
 		}
 	}
 	return m.words, err
