--- a/internal/front/resp/closing_test.go
+++ b/internal/front/resp/closing_test.go
@@ -167,12 +167,12 @@
 	failures      atomic.Int32
 }
 
-func (b *exhaustedListener) Accept() (net.Conn, error) {
-	if b.noDescriptors.Load() {
-		b.failures.Add(1)
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.noDescriptors.Load() {
+		l.failures.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	return b.Listener.Accept()
+	return l.Listener.Accept()
 }
 
 // When Accept fails for lack of file descriptors, the front waits before it accepts again: retrying at once would use up the CPU
@@ -293,8 +293,8 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// Whatever well-formed frame comes first on a connection, its slot is freed in the end. Both the front's and redcon's reader must
-// be able to parse the frame.
+// Whatever well-formed frame comes first on a connection, its slot is freed in the end: redcon's reader must be able to parse each
+// frame that the front's reader accepts.
 func TestUnusualFirstFramesFreeTheirSlot(t *testing.T) {
 	_, f, _ := newFront(t)
 	empty := "$0\r\n\r\n"
--- a/internal/front/resp/drain_test.go
+++ b/internal/front/resp/drain_test.go
@@ -14,6 +14,7 @@
 	"ravenwheel/internal/scenario"
 )
 
+// newFront starts a front with 20 slots and connects a client for each name. Its actors are the clients and s, the cache server.
 func newFront(t *testing.T, clients ...string) (*scenario.Proxy, *resp.Front, map[string]scenario.Actor) {
 	p := scenario.NewProxy(t)
 	ln, err := net.Listen("tcp", scenario.Loopback())
--- a/internal/front/resp/linger_test.go
+++ b/internal/front/resp/linger_test.go
@@ -30,7 +30,7 @@
 	unanswered int
 }
 
-func (c *countingHandler) CountUnansweredConn() { c.unanswered++ }
+func (h *countingHandler) CountUnansweredConn() { h.unanswered++ }
 
 // A request that arrives after the front has decided to close its connection is dropped: its answer would be lost.
 func TestRequestArrivingWhileLingeringIsDropped(t *testing.T) {
--- a/internal/front/resp/listener.go
+++ b/internal/front/resp/listener.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// sleep waits for a time in ms of the front's clock.
+// sleep waits for ms milliseconds of the front's clock.
 func (f *Front) sleep(ms float64) {
 	over := make(chan struct{})
 	f.clock.After(ms, func() { close(over) })
--- a/internal/front/resp/soak_test.go
+++ b/internal/front/resp/soak_test.go
@@ -69,9 +69,9 @@
 		c.UpdateMembers(membership.Publish{Version: version, Complete: complete, Members: members})
 	}
 	startServer := func(id policy.ServerID, role fleet.Role) core.Member {
-		plan, err := servers.Start(id, role, "127.0.0.1:0")
+		server, err := servers.Start(id, role, "127.0.0.1:0")
 		require.NoError(t, err)
-		m := core.Member{Addr: plan.Addr()}
+		m := core.Member{Addr: server.Addr()}
 		m.ID, m.Kind, m.Weight = id, int(role), 10
 		return m
 	}
