--- a/internal/front/resp/conn.go
+++ b/internal/front/resp/conn.go
@@ -146,8 +146,8 @@
 	return !c.hasFrame && now-c.lastRead >= firstFrameTimeout
 }
 
-// isNew reports whether the connection was accepted so recently that its first request may still be on the way. Called with the
-// front's lock held.
+// isNew reports whether no frame is complete and the connection was accepted, or bytes arrived, so recently that the first request
+// may still be on the way. Called with the front's lock held.
 func (c *conn) isNew(now float64) bool { return !c.hasFrame && now-c.lastRead < newConnGrace }
 
 // beginLinger sets the connection to stageLingering, unless its client waits for an answer. Checking that and refusing later
--- a/internal/front/resp/slots.go
+++ b/internal/front/resp/slots.go
@@ -33,9 +33,9 @@
 type closingRank int
 
 const (
-	rankSilent closingRank = iota // accepted newConnGrace ago or earlier, and no complete frame has arrived
+	rankSilent closingRank = iota // no complete frame has arrived, and no bytes for newConnGrace
 	rankIdle                      // between two requests
-	rankNew                       // accepted just now; its first request may be on the way
+	rankNew                       // accepted just now, or is still sending its first frame
 )
 
 // lingerLowestRanked ends the connection of the lowest rank that has been silent for longest. It never ends a connection whose
