--- a/internal/front/resp/client_left_test.go
+++ b/internal/front/resp/client_left_test.go
@@ -12,10 +12,10 @@
 	"ravenwheel/internal/scenario"
 )
 
-// The reader is held up, and finds a request with its client's end right behind it: a close, a reset, or a cancel. No attempt begins
-// for a client that has left, and no retry after a failed attempt.
+// The front's reader is delayed, and then finds a request directly followed by the client's close, reset or cancel. No attempt may
+// start for a client that has left, and no retry may start after an attempt that failed.
 func TestNoAttemptForClientThatLeft(t *testing.T) {
-	call := frames.AppendFrame(nil, strings.Fields(asset)...)
+	frame := frames.AppendFrame(nil, strings.Fields(assetCall)...)
 	for name, leave := range map[string]func(nc *net.TCPConn) error{
 		"closes": (*net.TCPConn).Close,
 		"resets": func(nc *net.TCPConn) error { _ = nc.SetLinger(0); return nc.Close() },
@@ -27,21 +27,21 @@
 		t.Run("first attempt, "+name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 10)
-			for range 50 { // the order of goroutines varies
+			for range 50 { // the order in which goroutines run varies
 				nc, err := net.Dial("tcp", f.Addr())
 				require.NoError(t, err)
-				asked := gate.read.Load()
+				before := gate.bytesRead.Load()
 				_, err = nc.Write(frames.AppendFrame(nil, "RPC.HEALTH", "9"))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return gate.wanted.Load() > asked && f.Idle() }, time.Minute, time.Millisecond)
+				require.Eventually(t, func() bool { return gate.bytesBeforeRead.Load() > before && f.Idle() }, time.Minute, time.Millisecond)
 				gate.mu.Lock()
-				_, err = nc.Write(call)
+				_, err = nc.Write(frame)
 				require.NoError(t, err)
 				require.NoError(t, leave(nc.(*net.TCPConn)))
 				time.Sleep(time.Millisecond)
 				gate.mu.Unlock()
 				if name == "cancels" {
-					require.Eventually(t, func() bool { return f.Idle() && gate.wanted.Load() >= asked+int64(len(call)) }, time.Minute, 100*time.Microsecond)
+					require.Eventually(t, func() bool { return f.Idle() && gate.bytesBeforeRead.Load() >= before+int64(len(frame)) }, time.Minute, 100*time.Microsecond)
 					require.NoError(t, nc.Close())
 				}
 				require.Eventually(t, func() bool { return f.OpenConns() == 0 && f.Idle() }, time.Minute, 100*time.Microsecond)
@@ -51,12 +51,12 @@
 		if name == "cancels" {
 			continue
 		}
-		t.Run("further attempt, "+name, func(t *testing.T) {
+		t.Run("retry, "+name, func(t *testing.T) {
 			p := scenario.NewProxy(t)
 			f, gate := gatedFront(t, p, 10)
 			nc, err := net.Dial("tcp", f.Addr())
 			require.NoError(t, err)
-			_, err = nc.Write(call)
+			_, err = nc.Write(frame)
 			require.NoError(t, err)
 			actors := map[string]scenario.Actor{"s": p.Cache}
 			scenario.Run(t, p.Clock, actors, `
--- a/internal/front/resp/writer.go
+++ b/internal/front/resp/writer.go
@@ -1,6 +1,6 @@
 package resp
 
-// send appends one complete answer to the output and wakes the writer. A client that reads too little for too many answers is
+// send appends one complete answer to the output and wakes the writer. A client that leaves too many bytes of answers unread is
 // disconnected.
 func (cl *client) send(appendTo func([]byte) []byte) {
 	cl.mu.Lock()
@@ -8,13 +8,13 @@
 	if cl.closed {
 		return
 	}
-	before := len(cl.out)
+	before := len(cl.output)
 	if before > maxOutBytes {
-		go cl.conn.abort() // the reader sees the end, and closes the client
+		go cl.conn.abort() // the reading goroutine then fails to read, and closes the client
 		return
 	}
-	cl.out = appendTo(cl.out)
-	cl.front.pendingWork.Add(int64(len(cl.out) - before))
+	cl.output = appendTo(cl.output)
+	cl.front.pendingWork.Add(int64(len(cl.output) - before))
 	select {
 	case cl.wake <- struct{}{}:
 	default:
@@ -33,7 +33,7 @@
 				return
 			}
 			var open bool
-			if bytes, open = cl.written(len(bytes)); !open {
+			if bytes, open = cl.removeWritten(len(bytes)); !open {
 				return
 			}
 		}
@@ -41,33 +41,33 @@
 	}
 }
 
-// written removes n bytes from the front of the output, in place, and returns what is to write next. open is false once the
+// removeWritten removes the first n bytes of the output, in place, and returns what is to be written next. open is false once the
 // client is closed.
-func (cl *client) written(n int) (next []byte, open bool) {
+func (cl *client) removeWritten(n int) (next []byte, open bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if cl.closed {
 		return nil, false
 	}
 	cl.front.pendingWork.Add(-int64(n))
-	cl.out = cl.out[:copy(cl.out, cl.out[n:])]
+	cl.output = cl.output[:copy(cl.output, cl.output[n:])]
 	next = cl.nextWrite()
-	if len(next) == 0 && cap(cl.out) > maxIdleOutBytes {
-		cl.out = nil
+	if len(next) == 0 && cap(cl.output) > maxIdleOutBytes {
+		cl.output = nil
 	}
 	return next, true
 }
 
-// nextWrite returns the whole output, and notes since when it is being written. Called under the client's lock.
+// nextWrite returns the whole output, and records when writing it begins. Called with the client's lock held.
 func (cl *client) nextWrite() []byte {
 	cl.writingSince = 0
-	if len(cl.out) > 0 {
+	if len(cl.output) > 0 {
 		cl.writingSince = cl.front.clock.Now()
 	}
-	return cl.out[:len(cl.out):len(cl.out)]
+	return cl.output[:len(cl.output):len(cl.output)]
 }
 
-// writeTimedOut reports whether the bytes that are being written have not been read for too long.
+// writeTimedOut reports whether the write in progress has waited too long for the client to read.
 func (cl *client) writeTimedOut(now float64) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/scenario/attempt_sender.go
+++ b/internal/scenario/attempt_sender.go
@@ -8,36 +8,36 @@
 	"ravenwheel/policy"
 )
 
-// attemptTimeout is the time of an attempt, in ms.
+// attemptTimeout is how long an attempt may take, in ms.
 const attemptTimeout = 1000
 
-// resultWords are the results as a script has them.
-var resultWords = map[policy.Result]string{
+// resultNames are the names of results in scripts.
+var resultNames = map[policy.Result]string{
 	policy.OK:            "ok",
 	policy.Failed:        "failed",
-	policy.Overloaded:    "full",
-	policy.TimedOut:      "timeout",
-	policy.ConnectFailed: "unconnected",
+	policy.Overloaded:    "overloaded",
+	policy.TimedOut:      "timed-out",
+	policy.ConnectFailed: "connect-failed",
 	policy.Reset:         "reset",
-	policy.Skipped:       "moot",
+	policy.Skipped:       "skipped",
 	policy.Miss:          "miss",
 }
 
-// AttemptSender sends attempts to the cache server without a core: "send ID [once]", with once for an attempt that may not be repeated. It
-// receives "ID RESULT".
+// AttemptSender sends attempts to the cache server without a core. A script sends "ID" or "ID non-idempotent" with it; it receives
+// "ID RESULT", where RESULT is one of resultNames.
 type AttemptSender struct {
-	pools   *upstream.Pools
-	inbox   inbox
-	written atomic.Bool
+	pools             *upstream.Pools
+	inbox             inbox
+	writtenCompletely atomic.Bool
 }
 
-// NewAttemptSender returns an actor over pools.
+// NewAttemptSender returns an AttemptSender that sends over pools.
 func NewAttemptSender(pools *upstream.Pools) *AttemptSender {
 	return &AttemptSender{pools: pools, inbox: newInbox()}
 }
 
-// WrittenCompletely reports whether the attempt that ended last had been written completely.
-func (a *AttemptSender) WrittenCompletely() bool { return a.written.Load() }
+// WrittenCompletely reports whether the last attempt that ended had been written completely.
+func (a *AttemptSender) WrittenCompletely() bool { return a.writtenCompletely.Load() }
 
 // Send implements Actor.
 func (a *AttemptSender) Send(words []string) error {
@@ -51,15 +51,15 @@
 		NonIdempotent: len(words) > 1,
 	}
 	a.pools.Send(attempt, func(outcome core.Outcome) {
-		a.written.Store(outcome.Written)
-		a.inbox <- message{words: []string{words[0], resultWords[outcome.Result]}}
+		a.writtenCompletely.Store(outcome.Written)
+		a.inbox <- message{words: []string{words[0], resultNames[outcome.Result]}}
 	})
 	return nil
 }
 
 // Receive implements Actor.
 func (a *AttemptSender) Receive() ([]string, error) {
-	m, err := a.inbox.take()
+	m, err := a.inbox.next()
 	return m.words, err
 }
 
