--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -82,9 +82,9 @@
 
 // Endpoint serves operators. See Listen and Serve.
 type Endpoint struct {
-	opt    Options
-	server *http.Server
-	ln     net.Listener
+	options  Options
+	server   *http.Server
+	listener net.Listener
 }
 
 // Listen opens the address. It fails if another process listens there.
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	e := &Endpoint{opt: o, ln: ln}
+	e := &Endpoint{options: o, listener: ln}
 	e.server = &http.Server{
 		Handler: e.handler(), ErrorLog: log.New(o.Log.Writer("admin"), "", 0), ReadTimeout: requestTimeout,
 		WriteTimeout: requestTimeout, IdleTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -139,22 +139,22 @@
 	mux.HandleFunc("POST /v1/purge", e.postPurge)
 	mux.HandleFunc("POST /v1/drain", e.postDrain)
 	mux.HandleFunc("POST /v1/list", e.postList)
-	if e.opt.Controller != nil {
+	if e.options.Controller != nil {
 		mux.HandleFunc("GET /v1/status", e.getStatus)
 		mux.HandleFunc("POST /v1/pause", e.postPause)
 	}
-	if e.opt.Peers != nil {
+	if e.options.Peers != nil {
 		mux.HandleFunc("GET /v1/peers", e.getPeers)
 		mux.HandleFunc("POST /v1/peers", e.postPeers)
 		mux.HandleFunc("GET /v1/view", e.getView)
 	}
-	if e.opt.Discovery != nil {
-		mux.HandleFunc("GET /v1/discovery", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.opt.Discovery()) })
+	if e.options.Discovery != nil {
+		mux.HandleFunc("GET /v1/discovery", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.options.Discovery()) })
 	}
-	if e.opt.Distribution != nil {
-		mux.HandleFunc("GET /v1/distribution", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.opt.Distribution()) })
+	if e.options.Distribution != nil {
+		mux.HandleFunc("GET /v1/distribution", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.options.Distribution()) })
 	}
-	if e.opt.Store != nil {
+	if e.options.Store != nil {
 		mux.HandleFunc("GET /v1/config", e.getConfig)
 		mux.HandleFunc("POST /v1/config", e.postConfig)
 	}
@@ -163,16 +163,16 @@
 
 // Addr returns the address of the listener, in the form of Options.Listen.
 func (e *Endpoint) Addr() string {
-	if network, _ := splitNetwork(e.opt.Listen); network == "unix" {
-		return e.opt.Listen
+	if network, _ := splitNetwork(e.options.Listen); network == "unix" {
+		return e.options.Listen
 	}
-	return e.ln.Addr().String()
+	return e.listener.Addr().String()
 }
 
 // Serve answers requests until Close.
 func (e *Endpoint) Serve() {
-	if err := e.server.Serve(transient.KeepAccepting(e.ln)); !errors.Is(err, http.ErrServerClosed) {
-		e.opt.Log.Error("admin").Err(err).Msg("admin listener failed")
+	if err := e.server.Serve(transient.KeepAccepting(e.listener)); !errors.Is(err, http.ErrServerClosed) {
+		e.options.Log.Error("admin").Err(err).Msg("admin listener failed")
 	}
 }
 
--- a/internal/admin/config.go
+++ b/internal/admin/config.go
@@ -16,8 +16,8 @@
 }
 
 func (e *Endpoint) getConfig(w http.ResponseWriter, _ *http.Request) {
-	out := ConfigResponse{StaleMs: e.opt.Store.Status().StaleMs}
-	e.opt.Store.ReadLocal(func(s *storestate.State) {
+	out := ConfigResponse{StaleMs: e.options.Store.Status().StaleMs}
+	e.options.Store.ReadLocal(func(s *storestate.State) {
 		out.InForce, out.Revisions = s.Revision().Number, slices.Clone(s.Revisions)
 	})
 	reply(w, out)
@@ -54,10 +54,10 @@
 
 func (e *Endpoint) changeConfig(c ConfigRequest) (revision uint64, err error) {
 	if c.RollbackTo > 0 {
-		return e.opt.Store.Rollback(c.RollbackTo, c.Author)
+		return e.options.Store.Rollback(c.RollbackTo, c.Author)
 	}
 	if _, err := config.ParseLive("revision", c.Text); err != nil {
 		return 0, err
 	}
-	return e.opt.Store.SetConfig(c.Base, c.Text, c.Author)
+	return e.options.Store.SetConfig(c.Base, c.Text, c.Author)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -26,8 +26,8 @@
 	"ravenwheel/policy"
 )
 
-// goldenForm compares a form with its golden file, encoded as an answer is, and decodes that file to the same value.
-func goldenForm[T any](t *testing.T, name string, value T) {
+// checkMessage compares a form with its golden file, encoded as an answer is, and decodes that file to the same value.
+func checkMessage[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	reply(w, value)
@@ -40,8 +40,8 @@
 	golden.Equal(t, name, w.Body.Bytes())
 }
 
-func TestGoldenForms(t *testing.T) {
-	goldenForm(t, "servers.json", ServersResponse{
+func TestGoldenMessages(t *testing.T) {
+	checkMessage(t, "servers.json", ServersResponse{
 		Version: 9, NowMs: 1000.5, Servers: []ServerStatus{{
 			ID: "s-00c41f7a", Addr: "10.1.0.9:4100", Zone: "east", Kind: "std", Phase: "draining", Weight: 4, TargetWeight: 8,
 			SinceMs: 900.25,
@@ -49,35 +49,35 @@
 		}},
 		List: &filewatch.Status{Path: "servers.jsonc", Generation: 7, AcceptedMs: 1, Reasons: []string{"torn"}, RejectedMs: 2, Reads: 3, Accepted: 4, Rejected: 5},
 	})
-	goldenForm(t, "servers-empty.json", ServersResponse{Servers: []ServerStatus{{ID: "s-00000001"}}})
+	checkMessage(t, "servers-empty.json", ServersResponse{Servers: []ServerStatus{{ID: "s-00000001"}}})
 	group, zero := 17, 0
-	goldenForm(t, "purge-object.json", PurgeRequest{Object: "7f3a9c21e0b4d655"})
-	goldenForm(t, "purge-group.json", PurgeRequest{Group: &group})
-	goldenForm(t, "purge-group-0.json", PurgeRequest{Group: &zero})
-	goldenForm(t, "status.json", StatusResponse{Ready: true, Phase: "serving"})
-	goldenForm(t, "pause.json", PauseRequest{On: true})
-	goldenForm(t, "drain.json", DrainRequest{ID: "s-00c41f7a", On: true})
-	goldenForm(t, "list.json", PushListRequest{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
-	goldenForm(t, "config.json", ConfigResponse{
+	checkMessage(t, "purge-object.json", PurgeRequest{Object: "7f3a9c21e0b4d655"})
+	checkMessage(t, "purge-group.json", PurgeRequest{Group: &group})
+	checkMessage(t, "purge-group-0.json", PurgeRequest{Group: &zero})
+	checkMessage(t, "status.json", StatusResponse{Ready: true, Phase: "serving"})
+	checkMessage(t, "pause.json", PauseRequest{On: true})
+	checkMessage(t, "drain.json", DrainRequest{ID: "s-00c41f7a", On: true})
+	checkMessage(t, "list.json", PushListRequest{File: "servers.jsonc", Text: "{\"generation\": 1}\n"})
+	checkMessage(t, "config.json", ConfigResponse{
 		InForce: 2, StaleMs: 3.5,
 		Revisions: []storestate.Revision{{Number: 1, CreatedAt: 10.5, Author: "ann", Text: "{}", RollbackOf: 4}, {Number: 2, CreatedAt: 11, Text: "{}"}},
 	})
-	goldenForm(t, "configure.json", ConfigRequest{Base: 1, Text: "{}", Author: "ann", RollbackTo: 2})
-	goldenForm(t, "peer-call.json", PeerRequest{Action: "ping", Name: "proxy-1"})
-	figure := fleetview.BoundedValue{Value: 1.5, Low: 1, High: 2}
-	goldenForm(t, "view.json", ViewResponse{
+	checkMessage(t, "configure.json", ConfigRequest{Base: 1, Text: "{}", Author: "ann", RollbackTo: 2})
+	checkMessage(t, "peer-call.json", PeerRequest{Action: "ping", Name: "proxy-1"})
+	value := fleetview.BoundedValue{Value: 1.5, Low: 1, High: 2}
+	checkMessage(t, "view.json", ViewResponse{
 		Peers: []fleetview.Peer{{Name: "proxy-1", Zone: "east", Incarnation: 5, Age: 100.5, Arrivals: 20, Servers: 3}},
 		Servers: []ServerEstimate{
 			{
 				ID:       "s-00c41f7a",
-				Estimate: fleetview.Estimate{Reporters: 2, Load: figure, Failing: figure, Overdue: figure, P50: 3, P90: 9, OwnWeight: 0.5},
+				Estimate: fleetview.Estimate{Reporters: 2, Load: value, Failing: value, Overdue: value, P50: 3, P90: 9, OwnWeight: 0.5},
 				Reports:  []fleetview.Report{{Name: "proxy-1", Zone: "east", Age: 7, Attempts: 8, Failing: 0.25, Latency: fleetview.Latency{1, 2}}},
 			},
 			{ID: "s-00000001"},
 		},
-		HeavyHitters: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: figure, Reporters: 2}},
+		HeavyHitters: []fleetview.HeavyHitter{{Object: 0x7f3a9c21e0b4d655, Rate: value, Reporters: 2}},
 	})
-	goldenForm(t, "discovery.json", discoveryclient.Status{
+	checkMessage(t, "discovery.json", discoveryclient.Status{
 		Address: "127.0.0.1:4200", LastEvent: 1, Calls: 2, Responded: 3, Failed: 4, Disconnected: 5, Closed: 6, AddressChanges: 7,
 		Frames: 8, EventsAfterSilence: 9,
 		Overdue: 10, SinceLastFrameMs: 11.5, LongestSilenceMs: 12,
@@ -96,24 +96,24 @@
 	}
 }
 
-// goldenOperations stand for what carries out calls. All of them fail with err, if it is set.
-type goldenOperations struct{ err error }
+// fakeOperations stand for what carries out calls. All of them fail with err, if it is set.
+type fakeOperations struct{ err error }
 
-func (g goldenOperations) Status() (string, bool)                       { return "draining, 3 connections left", false }
-func (g goldenOperations) SetDraining(bool) error                       { return g.err }
-func (g goldenOperations) SetServerDrained(policy.ServerID, bool) error { return g.err }
-func (g goldenOperations) Purge(core.Purge) error                       { return g.err }
-func (g goldenOperations) Drain(policy.ServerID, bool) error            { return g.err }
-func (g goldenOperations) PushList(string, []byte) (*serverlist.List, error) {
+func (g fakeOperations) Status() (string, bool)                       { return "draining, 3 connections left", false }
+func (g fakeOperations) SetDraining(bool) error                       { return g.err }
+func (g fakeOperations) SetServerDrained(policy.ServerID, bool) error { return g.err }
+func (g fakeOperations) Purge(core.Purge) error                       { return g.err }
+func (g fakeOperations) Drain(policy.ServerID, bool) error            { return g.err }
+func (g fakeOperations) PushList(string, []byte) (*serverlist.List, error) {
 	return &serverlist.List{Generation: 8, Servers: make([]serverlist.Server, 2)}, g.err
 }
 
-func goldenAdmin(t *testing.T, err error) *Endpoint {
-	ready := membership.ServerStatus{
+func startEndpoint(t *testing.T, err error) *Endpoint {
+	readyServer := membership.ServerStatus{
 		Phase: membership.Ready, Since: 900.25, Reason: "board 7", Source: "board", TargetWeight: 8,
 		Member: membership.Member{Addr: "10.1.0.9:4100", Member: policy.Member{ID: 0x00c41f7a, Zone: 1, Kind: 0, Weight: 4}},
 	}
-	unnamed := membership.ServerStatus{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
+	unknownKindServer := membership.ServerStatus{Phase: membership.Gone, Member: membership.Member{Member: policy.Member{ID: 1, Zone: 7, Kind: -1}}}
 	proxy := &core.Core{}
 	for i, counter := range []interface{ Add(int64) int64 }{
 		&proxy.Counters.Requests, &proxy.Counters.Served, &proxy.Counters.Rejected, &proxy.Counters.Failed, &proxy.Counters.Abandoned,
@@ -123,24 +123,26 @@
 	} {
 		counter.Add(int64(i + 1))
 	}
-	a, listenErr := Listen(Options{
+	endpoint, listenErr := Listen(Options{
 		Listen: "127.0.0.1:0", Clock: clock.Manual(1_764_576_000_000),
 		Names: discoveryclient.Names{Zones: []string{"hub", "east"}, Kinds: []string{"std"}},
-		Core:  proxy, Servers: func() ([]membership.ServerStatus, uint64) { return []membership.ServerStatus{ready, unnamed}, 9 },
+		Core:  proxy, Servers: func() ([]membership.ServerStatus, uint64) {
+			return []membership.ServerStatus{readyServer, unknownKindServer}, 9
+		},
 		ListStatus:   func() filewatch.Status { return filewatch.Status{Path: "servers.jsonc", Generation: 7} },
 		Discovery:    func() discoveryclient.Status { return discoveryclient.Status{Address: "127.0.0.1:4200", LastEvent: 1} },
 		Distribution: func() []distribution.Status { return nil },
-		Operations:   goldenOperations{err}, Controller: goldenOperations{err},
+		Operations:   fakeOperations{err}, Controller: fakeOperations{err},
 	})
 	require.NoError(t, listenErr)
-	go a.Serve()
-	t.Cleanup(a.Close)
-	return a
+	go endpoint.Serve()
+	t.Cleanup(endpoint.Close)
+	return endpoint
 }
 
-// goldenCall makes one call and writes down what was answered.
-func goldenCall(t *testing.T, a *Endpoint, transcript *bytes.Buffer, method, path, body string) {
-	request, err := http.NewRequest(method, "http://"+a.Addr()+path, strings.NewReader(body))
+// recordCall makes one call and writes down what was answered.
+func recordCall(t *testing.T, endpoint *Endpoint, transcript *bytes.Buffer, method, path, body string) {
+	request, err := http.NewRequest(method, "http://"+endpoint.Addr()+path, strings.NewReader(body))
 	require.NoError(t, err)
 	answer, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
@@ -156,9 +158,9 @@
 // Calls as operators make them, with their answers, and what is answered where a call can't be carried out.
 func TestGoldenCalls(t *testing.T) {
 	var transcript bytes.Buffer
-	a := goldenAdmin(t, nil)
+	a := startEndpoint(t, nil)
 	for _, path := range []string{"servers", "counters", "state", "status", "discovery", "distribution", "config", "peers", "view", "none"} {
-		goldenCall(t, a, &transcript, http.MethodGet, "/v1/"+path, "")
+		recordCall(t, a, &transcript, http.MethodGet, "/v1/"+path, "")
 	}
 	for _, call := range [][2]string{
 		{"purge", `{"object":"7f3a9c21e0b4d655"}`}, {"purge", `{"group":17}`}, {"purge", `{"group":0}`}, {"purge", `{"group":256}`},
@@ -170,16 +172,16 @@
 		{"pause", `{"on":true}`}, {"pause", `{"on":false}`}, {"pause", `{`},
 		{"list", `{"file":"servers.jsonc","text":"{}"}`}, {"list", `{`}, {"config", `{}`}, {"peers", `{}`}, {"servers", `{}`},
 	} {
-		goldenCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
+		recordCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
 	}
 	failures := []error{errors.New("disk full"), ErrNotMember}
 	for _, failure := range failures {
-		a := goldenAdmin(t, failure)
+		a := startEndpoint(t, failure)
 		for _, call := range [][2]string{
 			{"purge", `{"group":17}`}, {"drain", `{"id":"s-00c41f7a","on":true}`}, {"pause", `{"on":true}`},
 			{"list", `{"file":"servers.jsonc","text":"{}"}`},
 		} {
-			goldenCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
+			recordCall(t, a, &transcript, http.MethodPost, "/v1/"+call[0], call[1])
 		}
 	}
 	golden.Equal(t, "calls.txt", transcript.Bytes())
--- a/internal/admin/peers.go
+++ b/internal/admin/peers.go
@@ -12,10 +12,10 @@
 // for hundreds of members each would be a load of its own.
 func (e *Endpoint) getPeers(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("members") == "no" {
-		reply(w, e.opt.Peers.Summary())
+		reply(w, e.options.Peers.Summary())
 		return
 	}
-	reply(w, e.opt.Peers.Status())
+	reply(w, e.options.Peers.Status())
 }
 
 // The actions of a PeerRequest.
@@ -52,9 +52,9 @@
 func (e *Endpoint) peerAction(request PeerRequest) (tookMs float64, err error) {
 	switch request.Action {
 	case peerPing:
-		return e.opt.Peers.Ping(request.Name)
+		return e.options.Peers.Ping(request.Name)
 	case peerForget:
-		return 0, e.opt.Peers.Forget(request.Name)
+		return 0, e.options.Peers.Forget(request.Name)
 	}
 	return 0, fmt.Errorf("%q is neither ping nor forget", request.Action)
 }
@@ -80,7 +80,7 @@
 func (e *Endpoint) getView(w http.ResponseWriter, r *http.Request) {
 	only := r.URL.Query().Get("server")
 	out := ViewResponse{Servers: []ServerEstimate{}}
-	e.opt.Peers.View(func(now float64, v *fleetview.View) {
+	e.options.Peers.View(func(now float64, v *fleetview.View) {
 		out.Peers, out.HeavyHitters = v.Peers(now), v.HeavyHitters(now, maxHeavyHitters)
 		for _, id := range v.Servers() {
 			name := serverlist.FormatID(id)
--- a/internal/admin/proxy.go
+++ b/internal/admin/proxy.go
@@ -8,39 +8,39 @@
 	"ravenwheel/internal/core"
 )
 
-// CountersResponse answers GET /v1/counters: the counters of core.Counters, which only rise but for Open.
+// CountersResponse answers GET /v1/counters: the counters of core.Counters, which only rise, except InFlight.
 type CountersResponse struct {
-	Attempts   int64 `json:"attempts"`
-	Failed     int64 `json:"failed"`
-	Gone       int64 `json:"gone"` // abandoned by their clients
-	Misnamed   int64 `json:"misnamed"`
-	Notices    int64 `json:"notices"` // of purges and of members, to the router
-	Open       int64 `json:"open"`    // in flight
-	Refused    int64 `json:"refused"` // rejected
-	Requests   int64 `json:"requests"`
-	Served     int64 `json:"served"`
-	Stale      int64 `json:"stale"` // skipped
-	Timeouts   int64 `json:"timeouts"`
-	Unanswered int64 `json:"unanswered"` // connections closed without an answer
-	Unsent     int64 `json:"unsent"`
+	Attempts        int64 `json:"attempts"`
+	Failed          int64 `json:"failed"`
+	Abandoned       int64 `json:"gone"` // abandoned by their clients
+	WrongTags       int64 `json:"misnamed"`
+	Notifications   int64 `json:"notices"` // of purges and of members, to the router
+	InFlight        int64 `json:"open"`    // in flight
+	Rejected        int64 `json:"refused"` // rejected
+	Requests        int64 `json:"requests"`
+	Served          int64 `json:"served"`
+	Skipped         int64 `json:"stale"` // skipped
+	Timeouts        int64 `json:"timeouts"`
+	UnansweredConns int64 `json:"unanswered"` // connections closed without an answer
+	NeverSent       int64 `json:"unsent"`
 }
 
 func (e *Endpoint) getCounters(w http.ResponseWriter, _ *http.Request) {
-	n := &e.opt.Core.Counters
+	n := &e.options.Core.Counters
 	reply(w, CountersResponse{
-		Attempts: n.Attempts.Load(), Failed: n.Failed.Load(), Gone: n.Abandoned.Load(), Misnamed: n.WrongTags.Load(),
-		Notices: n.Notifications.Load(), Open: n.InFlight.Load(), Refused: n.Rejected.Load(), Requests: n.Requests.Load(),
-		Served: n.Served.Load(), Stale: n.Skipped.Load(), Timeouts: n.Timeouts.Load(), Unanswered: n.UnansweredConns.Load(),
-		Unsent: n.NeverSent.Load(),
+		Attempts: n.Attempts.Load(), Failed: n.Failed.Load(), Abandoned: n.Abandoned.Load(), WrongTags: n.WrongTags.Load(),
+		Notifications: n.Notifications.Load(), InFlight: n.InFlight.Load(), Rejected: n.Rejected.Load(), Requests: n.Requests.Load(),
+		Served: n.Served.Load(), Skipped: n.Skipped.Load(), Timeouts: n.Timeouts.Load(), UnansweredConns: n.UnansweredConns.Load(),
+		NeverSent: n.NeverSent.Load(),
 	})
 }
 
 func (e *Endpoint) getState(w http.ResponseWriter, _ *http.Request) {
-	if e.opt.State == nil {
+	if e.options.State == nil {
 		http.Error(w, "no state is kept", http.StatusNotFound)
 		return
 	}
-	reply(w, e.opt.State.Status())
+	reply(w, e.options.State.Status())
 }
 
 // PurgeRequest is the body of POST /v1/purge: it names an object, in 16 hexadecimal digits, or a group.
@@ -83,16 +83,16 @@
 		http.Error(w, errPurgeRequest.Error(), http.StatusBadRequest)
 		return
 	}
-	purge, err := request.purge(e.opt.Clock.Now())
+	purge, err := request.purge(e.options.Clock.Now())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := e.opt.Operations.Purge(purge); err != nil {
+	if err := e.options.Operations.Purge(purge); err != nil {
 		replyFailure(w, "in force here, but not kept: ", err)
 		return
 	}
-	e.opt.Log.Info("purge").Str("object", purge.Object).Int("group", purge.Group).Msg("purged by an operator")
+	e.options.Log.Info("purge").Str("object", purge.Object).Int("group", purge.Group).Msg("purged by an operator")
 	reply(w, PurgeResponse{PurgedMs: purge.At})
 }
 
@@ -103,7 +103,7 @@
 }
 
 func (e *Endpoint) getStatus(w http.ResponseWriter, _ *http.Request) {
-	text, ready := e.opt.Controller.Status()
+	text, ready := e.options.Controller.Status()
 	reply(w, StatusResponse{Ready: ready, Phase: text})
 }
 
@@ -118,12 +118,12 @@
 	var request PauseRequest
 	err := decode(r, maxRequestBytes, &request)
 	if err == nil {
-		err = e.opt.Controller.SetDraining(request.On)
+		err = e.options.Controller.SetDraining(request.On)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	e.opt.Log.Info("pause").Bool("on", request.On).Msg("manual drain of the proxy changed")
+	e.options.Log.Info("pause").Bool("on", request.On).Msg("manual drain of the proxy changed")
 	e.getStatus(w, r)
 }
--- a/internal/admin/servers.go
+++ b/internal/admin/servers.go
@@ -36,13 +36,13 @@
 }
 
 func (e *Endpoint) getServers(w http.ResponseWriter, _ *http.Request) {
-	servers, version := e.opt.Servers()
-	out := ServersResponse{Version: version, NowMs: e.opt.Clock.Now(), Servers: make([]ServerStatus, len(servers))}
+	servers, version := e.options.Servers()
+	out := ServersResponse{Version: version, NowMs: e.options.Clock.Now(), Servers: make([]ServerStatus, len(servers))}
 	for i, s := range servers {
 		out.Servers[i] = e.serverStatus(s)
 	}
-	if e.opt.ListStatus != nil {
-		status := e.opt.ListStatus()
+	if e.options.ListStatus != nil {
+		status := e.options.ListStatus()
 		out.List = &status
 	}
 	reply(w, out)
@@ -51,7 +51,7 @@
 func (e *Endpoint) serverStatus(s membership.ServerStatus) ServerStatus {
 	m := s.Member
 	return ServerStatus{
-		ID: serverlist.FormatID(m.ID), Addr: m.Addr, Zone: nameAt(e.opt.Names.Zones, m.Zone), Kind: nameAt(e.opt.Names.Kinds, m.Kind),
+		ID: serverlist.FormatID(m.ID), Addr: m.Addr, Zone: nameAt(e.options.Names.Zones, m.Zone), Kind: nameAt(e.options.Names.Kinds, m.Kind),
 		Phase: s.Phase.String(), Weight: m.Weight, TargetWeight: s.TargetWeight, SinceMs: s.Since, Reason: s.Reason, Source: s.Source,
 	}
 }
@@ -78,25 +78,25 @@
 	if decode(r, maxRequestBytes, &request) == nil {
 		id, ok = serverlist.ParseID(request.ID)
 	}
-	if !ok || request.On && !e.known(id) {
+	if !ok || request.On && !e.hasServer(id) {
 		http.Error(w, fmt.Sprintf("no server %q", request.ID), http.StatusBadRequest)
 		return
 	}
-	drain := e.opt.Operations.Drain
-	if e.opt.Controller != nil {
-		drain = e.opt.Controller.SetServerDrained // which also passes it to a process that takes over
+	drain := e.options.Operations.Drain
+	if e.options.Controller != nil {
+		drain = e.options.Controller.SetServerDrained // which also passes it to a process that takes over
 	}
 	if err := drain(id, request.On); err != nil {
 		replyFailure(w, "not kept: ", err)
 		return
 	}
-	e.opt.Log.Info("drain").Str("id", request.ID).Bool("on", request.On).Msg("manual drain of a server changed")
+	e.options.Log.Info("drain").Str("id", request.ID).Bool("on", request.On).Msg("manual drain of a server changed")
 	reply(w, request)
 }
 
-// known reports whether a server is listed or still remembered.
-func (e *Endpoint) known(id policy.ServerID) bool {
-	servers, _ := e.opt.Servers()
+// hasServer reports whether a server is listed or still remembered.
+func (e *Endpoint) hasServer(id policy.ServerID) bool {
+	servers, _ := e.options.Servers()
 	return slices.ContainsFunc(servers, func(s membership.ServerStatus) bool { return s.Member.ID == id })
 }
 
@@ -121,7 +121,7 @@
 	err := decode(r, maxListRequestBytes, &request)
 	var list *serverlist.List
 	if err == nil {
-		list, err = e.opt.Operations.PushList(request.File, []byte(request.Text))
+		list, err = e.options.Operations.PushList(request.File, []byte(request.Text))
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/codecheck/pages_test.go
+++ b/internal/codecheck/pages_test.go
@@ -32,7 +32,7 @@
 		references := reference.FindAllStringSubmatch(string(content), -1)
 		require.NotEmpty(t, references, page)
 		for _, match := range references {
-			if !exists(packages, match[1]) {
+			if !referenceExists(packages, match[1]) {
 				t.Errorf("%s names `%s`, which does not exist", page, match[1])
 			}
 		}
@@ -56,8 +56,8 @@
 	require.NotZero(t, rows)
 }
 
-// exists tells whether a reference names a file, a directory, or a name that a package declares.
-func exists(packages map[string]packageNames, reference string) bool {
+// referenceExists tells whether a reference names a file, a directory, or a name that a package declares.
+func referenceExists(packages map[string]packageNames, reference string) bool {
 	if _, err := os.Stat(filepath.Join(root, filepath.FromSlash(reference))); err == nil {
 		return true
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -132,8 +132,8 @@
 	line("ask discovery", s.WatchDiscovery)
 	line("ask within", s.PollInterval)
 	line("drain grace", s.DrainGrace)
-	for name, fall := range []policy.WarmUp{s.CacheWarmUp, s.ParentWarmUp} {
-		line(fmt.Sprint("fall ", name), fmt.Sprint(fall.InitialCapacity, fall.Duration, fall.OverloadMultiple, fall.OverloadWindow))
+	for name, warmUp := range []policy.WarmUp{s.CacheWarmUp, s.ParentWarmUp} {
+		line(fmt.Sprint("fall ", name), fmt.Sprint(warmUp.InitialCapacity, warmUp.Duration, warmUp.OverloadMultiple, warmUp.OverloadWindow))
 	}
 	line("answer slack", s.FinalAnswerGrace)
 	line("weights told", s.WeightsKnown)
@@ -193,7 +193,7 @@
 	for _, text := range []string{`{"limits": {}}`, `{"proxy": {}}`, `{`, ``} {
 		_, err := config.ParseOperatorFile("o", []byte(text))
 		require.Error(t, err, text)
-		fmt.Fprintf(&out, "%s\n%s\n\n", text, sorted(err))
+		fmt.Fprintf(&out, "%s\n%s\n\n", text, sortedLines(err))
 	}
 	for _, text := range []string{`{"site": {}}`, `{"log": {"level": "loud", "format": "json"}}`, `{"limits": {"requests": 0}}`, `{"keys": {"k": {"alg": "x", "key": ""}}}`} {
 		_, err := config.ParseLive("revision 4", text)
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/policy"
 )
 
-func example(t *testing.T) string {
+func readExample(t *testing.T) string {
 	raw, err := os.ReadFile("../../deploy/standalone.jsonc")
 	require.NoError(t, err)
 	return string(raw)
@@ -33,27 +33,27 @@
 	require.Equal(t, 2, c.Settings.Routers)
 	require.NotZero(t, c.Seed)
 	require.False(t, c.Settings.MayBypassCaches || c.Settings.CoalescesFills)
-	o, err = config.ParseOperatorFile("o", []byte(strings.Replace(example(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
+	o, err = config.ParseOperatorFile("o", []byte(strings.Replace(readExample(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
 	require.NoError(t, err)
 	c, err = config.Read(func(string) string { return "" }, o)
 	require.NoError(t, err)
 	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "a deployment whose requests may go straight up, or join a fill")
 	raw, err := os.ReadFile("../../deploy/servers.example.jsonc")
 	require.NoError(t, err)
-	d, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
-	require.NoError(t, bad.Err())
+	d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
+	require.NoError(t, defects.Err())
 	answers := map[string]serverlist.Resolution{}
 	for _, h := range d.Hosts() {
 		answers[h] = serverlist.Resolution{Addrs: []string{h}}
 	}
-	set, bad := d.Resolve(answers, nil)
-	require.NoError(t, bad.Err())
-	again, bad := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(set)}}, c.ListRequirements(0.34))
-	require.NoError(t, bad.Err())
-	written, bad := again.Resolve(answers, set)
-	require.NoError(t, bad.Err())
-	require.Same(t, set, written, "what is written reads as the same list")
-	entries := c.Entries(set)
+	list, defects := d.Resolve(answers, nil)
+	require.NoError(t, defects.Err())
+	reparsed, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(list)}}, c.ListRequirements(0.34))
+	require.NoError(t, defects.Err())
+	reread, defects := reparsed.Resolve(answers, list)
+	require.NoError(t, defects.Err())
+	require.Same(t, list, reread, "what is written reads as the same list")
+	entries := c.Entries(list)
 	require.Equal(t, policy.Draining, entries[4].State)
 	require.Equal(t, 3, entries[4].Zone)
 
@@ -73,7 +73,7 @@
 
 // Each change of the example is rejected with this line.
 func TestInvalidOperatorFileIsRejected(t *testing.T) {
-	text := example(t)
+	text := readExample(t)
 	for _, c := range []struct{ from, to, want string }{
 		{`"listen": "127.0.20.100:4100"`, `"listen": "localhost:4100"`, `o:9:15: listen "localhost:4100" is not of the form 127.0.0.1:4100`},
 		{`"zone": "bangkok"`, `"zone": "bangkock"`, `o:10:13: unknown zone "bangkock"`},
@@ -103,12 +103,12 @@
 	_, err := config.ParseOperatorFile("o", []byte(`{"limits": {}, "proxy": {"name": "x"}}`))
 	require.Equal(t, "o:1:25: proxy needs classes: the program is to run without the platform\n"+
 		"o:1:25: proxy needs servers: there is no notice board to tell them\n"+
-		"o:1:25: proxy needs site: the program is to run without the platform", sorted(err))
+		"o:1:25: proxy needs site: the program is to run without the platform", sortedLines(err))
 	_, err = config.ParseOperatorFile("o", []byte(`{"limits": {}}`))
 	require.EqualError(t, err, "o:1:12: limits goes with proxy: without it the platform tells this")
 }
 
-func sorted(err error) string {
+func sortedLines(err error) string {
 	lines := strings.Split(err.Error(), "\n")
 	for i := range lines {
 		for j := range i {
--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -42,14 +42,14 @@
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 
 	// Numbers in another form are the same numbers.
-	other := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
-	again, err := parse(other)
+	otherNumberForms := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
+	again, err := parse(otherNumberForms)
 	require.NoError(t, err)
 	require.Equal(t, c, again)
 
 	// Absent limits have defaults: without, connecting would take minutes to fail, and a connection would carry one attempt.
-	bare := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
-	c, err = parse(bare)
+	withoutLimits := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
+	c, err = parse(withoutLimits)
 	require.NoError(t, err)
 	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
@@ -107,7 +107,7 @@
 	// A configuration of which one field is absent or has another type is rejected in one line, or starts a router.
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(platform), &root))
-	visit(root, func() {
+	forEachMutation(root, func() {
 		raw, err := json.Marshal(root)
 		require.NoError(t, err)
 		c, err := parse(string(raw))
@@ -120,8 +120,8 @@
 	})
 }
 
-// visit calls try with each field below at absent, null, or of another type in turn.
-func visit(at any, try func()) {
+// forEachMutation calls try with each field below at absent, null, or of another type in turn.
+func forEachMutation(at any, try func()) {
 	switch x := at.(type) {
 	case map[string]any:
 		for k, v := range x {
@@ -132,7 +132,7 @@
 				try()
 			}
 			x[k] = v
-			visit(v, try)
+			forEachMutation(v, try)
 		}
 	case []any:
 		for i, v := range x {
@@ -141,7 +141,7 @@
 				try()
 			}
 			x[i] = v
-			visit(v, try)
+			forEachMutation(v, try)
 		}
 	}
 }
--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -38,9 +38,9 @@
 }
 
 // Entries returns the servers of a list as the membership decider takes them.
-func (c *Config) Entries(set *serverlist.List) []membership.Entry {
-	entries := make([]membership.Entry, len(set.Servers))
-	for i, server := range set.Servers {
+func (c *Config) Entries(list *serverlist.List) []membership.Entry {
+	entries := make([]membership.Entry, len(list.Servers))
+	for i, server := range list.Servers {
 		entry := &entries[i]
 		entry.ID, entry.Addr, entry.Cell, entry.Weight, entry.Warm = server.ID, server.Addr, server.Cell, server.Weight, server.Warm
 		entry.Zone, entry.Kind = slices.Index(c.Names.Zones, server.Zone), slices.Index(c.Names.Kinds, server.Kind)
--- a/internal/snmp/agent_test.go
+++ b/internal/snmp/agent_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/core"
 )
 
-func start(t *testing.T) (*gosnmp.GoSNMP, *core.Counters, []Scalar) {
+func startAgent(t *testing.T) (*gosnmp.GoSNMP, *core.Counters, []Scalar) {
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var n core.Counters
@@ -31,7 +31,7 @@
 }
 
 func TestAgentAnswersGetWalkAndSet(t *testing.T) {
-	c, n, scalars := start(t)
+	c, n, scalars := startAgent(t)
 	n.Requests.Store(1 << 40)
 	n.InFlight.Store(5)
 
@@ -56,7 +56,7 @@
 }
 
 func TestMIBNamesEachObject(t *testing.T) {
-	_, _, scalars := start(t)
+	_, _, scalars := startAgent(t)
 	raw, err := os.ReadFile("../../mibs/RAVENWHEEL-MIB.txt")
 	require.NoError(t, err)
 	for i := range scalars {
--- a/internal/snmp/golden_test.go
+++ b/internal/snmp/golden_test.go
@@ -16,7 +16,7 @@
 
 // Each object has the OID, the type and the source that it had before, and the MIB describes it so.
 func TestGoldenObjects(t *testing.T) {
-	client, counters, _ := start(t)
+	client, counters, _ := startAgent(t)
 	counters.Requests.Store(101)
 	counters.Served.Store(102)
 	counters.Rejected.Store(103)
--- a/internal/strictjson/document.go
+++ b/internal/strictjson/document.go
@@ -34,16 +34,16 @@
 	File    string
 	Defects Defects
 
-	lineStarts []int        // offsets
-	root       hujson.Value // searched for places as they are needed: few are
-	fields     map[reflect.Type]map[string]int
-	unreported int // defects beyond maxDefects
+	lineOffsets []int        // offsets
+	root        hujson.Value // searched for places as they are needed: few are
+	fields      map[reflect.Type]map[string]int
+	unreported  int // defects beyond maxDefects
 }
 
 // Decode decodes a text into target, a pointer to a struct with json tags. file names the text in defects. The Document is never nil: its
 // Defects say what can't be used, and Failf adds those that the caller finds.
 func Decode(file string, text []byte, target any) *Document {
-	d := &Document{File: file, lineStarts: lineStarts(text), fields: map[reflect.Type]map[string]int{}}
+	d := &Document{File: file, lineOffsets: lineStarts(text), fields: map[reflect.Type]map[string]int{}}
 	switch {
 	case len(text) > MaxBytes:
 		d.report(noOffset, fmt.Sprintf("larger than %d bytes", MaxBytes))
@@ -172,7 +172,7 @@
 	line, _ := strconv.Atoi(found[1])
 	col, _ := strconv.Atoi(found[2])
 	reason := found[3]
-	if line >= len(d.lineStarts) && strings.Contains(reason, "EOF") {
+	if line >= len(d.lineOffsets) && strings.Contains(reason, "EOF") {
 		reason = "ends too early: " + reason
 	}
 	d.Defects = append(d.Defects, Defect{File: d.File, Line: line, Col: col, Reason: reason})
@@ -180,11 +180,11 @@
 
 // position is the line and column of an offset, both from 1.
 func (d *Document) position(offset int) (line, col int) {
-	i, found := slices.BinarySearch(d.lineStarts, offset)
+	i, found := slices.BinarySearch(d.lineOffsets, offset)
 	if !found {
 		i--
 	}
-	return i + 1, offset - d.lineStarts[i] + 1
+	return i + 1, offset - d.lineOffsets[i] + 1
 }
 
 func lineStarts(text []byte) []int {
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/strictjson"
 )
 
-type form struct {
+type target struct {
 	Name    string             `json:"name"`
 	Size    int                `json:"size"`
 	Seed    uint64             `json:"seed"`
@@ -50,15 +50,15 @@
 
 func TestInvalidTextIsReported(t *testing.T) {
 	for text, want := range invalidTexts {
-		require.EqualError(t, strictjson.Decode("f", []byte(text), &form{}).Defects, want, text)
+		require.EqualError(t, strictjson.Decode("f", []byte(text), &target{}).Defects, want, text)
 	}
 }
 
 func TestDefectsHavePositions(t *testing.T) {
-	var f form
+	var f target
 	d := strictjson.Decode("f", []byte("{ // by hand\n  \"name\": \"a\", /* [[ */\n  \"parts\": [\n    {\"file\": \"x\"},\n  ],\n}"), &f)
 	require.NoError(t, d.Defects.Err())
-	require.Equal(t, form{Name: "a", Parts: []part{{"x"}}}, f)
+	require.Equal(t, target{Name: "a", Parts: []part{{"x"}}}, f)
 	require.True(t, d.Has("parts[0].file") && !d.Has("size"))
 	require.Equal(t, "4:14", d.Position("parts[0].file"))
 	d.Failf("parts[0].file", "no such file %q", "x")
@@ -71,7 +71,7 @@
 func TestTruncatedTextIsInvalid(t *testing.T) {
 	text := `{"name":"a","size":12,"parts":[{"file":"x"}],"weights":{"a":1.5}}` + "\n\n"
 	for i := range text {
-		var f form
+		var f target
 		d := strictjson.Decode("f", []byte(text[:i]), &f)
 		require.Equal(t, i > strings.LastIndex(text, "}"), d.Valid(), text[:i])
 	}
@@ -92,7 +92,7 @@
 	}
 	f.Add([]byte(`{"name":"a","parts":[{"file":"\ud800"}],} /*`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var v form
+		var v target
 		for _, x := range strictjson.Decode("f", text, &v).Defects {
 			require.NotContains(t, x.Error(), "\n")
 		}
