--- a/cmd/ravenwheel/store_members_test.go
+++ b/cmd/ravenwheel/store_members_test.go
@@ -94,10 +94,10 @@
 	put("{\"limits\": {\"requests\": 0}}\n")
 	out, code = run("config", "set", rev, "--operator", file("a"))
 	require.Equal(t, 1, code)
-	require.Equal(t, rev+":1:25: requests 0 is not 1 to 1048576\n", out)
+	require.Equal(t, rev+":1:25: requests 0 is not from 1 to 1048576\n", out)
 	put("{\"site\": {}}\n")
 	out, _ = run("config", "set", rev, "--operator", file("a"))
-	require.Contains(t, out, "site is not changed in service: it takes a restart")
+	require.Contains(t, out, "site can't be changed without a restart: set it in the operator's file")
 	require.Equal(t, "revision 3\n", ok("config", "rollback", "1", "--operator", file("c")))
 	eventually("history", func() bool {
 		out, _ := run("config", "history", "--operator", file("a"))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -70,7 +70,7 @@
 
 // ErrNotMember is the error of a command that only a member of the store can carry out, in a process that subscribes to
 // the store. Nothing was done.
-var ErrNotMember = errors.New("this process only subscribes to the store: tell a member of the store")
+var ErrNotMember = errors.New("this process only subscribes to the store: call a member of the store instead")
 
 // Bounds of a request.
 const (
@@ -109,7 +109,7 @@
 	// A process that was killed leaves its socket behind; one that is in use stays.
 	if conn, err := net.DialTimeout(network, addr, dialTimeout); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("%s is in use", addr)
+		return nil, fmt.Errorf("%s is already in use", addr)
 	}
 	_ = os.Remove(addr)
 	ln, err := net.Listen(network, addr)
@@ -172,7 +172,7 @@
 // Serve answers requests until Close.
 func (e *Endpoint) Serve() {
 	if err := e.server.Serve(transient.KeepAccepting(e.listener)); !errors.Is(err, http.ErrServerClosed) {
-		e.options.Log.Error("admin").Err(err).Msg("admin listener failed")
+		e.options.Log.Error("admin").Err(err).Msg("admin listener failed; operators get no further answers")
 	}
 }
 
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -24,7 +24,7 @@
 }
 
 // Error implements error.
-func (e *CallError) Error() string { return fmt.Sprintf("the proxy at %s says: %s", e.Listen, e.Text) }
+func (e *CallError) Error() string { return fmt.Sprintf("the proxy at %s returned an error: %s", e.Listen, e.Text) }
 
 // Call calls the proxy at an admin address, in the form of Options.Listen, and decodes its answer into out. path may have
 // a query. With body nil the method is GET, else POST. It fails with a CallError if the proxy answers with a failure.
@@ -35,7 +35,7 @@
 	}
 	response, err := send(newClient(listen), target.String(), body)
 	if err != nil {
-		return fmt.Errorf("asking the proxy at %s: %w", listen, errors.Unwrap(err))
+		return fmt.Errorf("calling the proxy at %s: %w", listen, errors.Unwrap(err))
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
--- a/internal/admin/peers.go
+++ b/internal/admin/peers.go
@@ -56,7 +56,7 @@
 	case peerForget:
 		return 0, e.options.Peers.Forget(request.Name)
 	}
-	return 0, fmt.Errorf("%q is neither ping nor forget", request.Action)
+	return 0, fmt.Errorf("action %q is neither ping nor forget", request.Action)
 }
 
 // ViewResponse answers GET /v1/view: the load and health that the peers report.
--- a/internal/admin/proxy.go
+++ b/internal/admin/proxy.go
@@ -37,7 +37,7 @@
 
 func (e *Endpoint) getState(w http.ResponseWriter, _ *http.Request) {
 	if e.options.State == nil {
-		http.Error(w, "no state is kept", http.StatusNotFound)
+		http.Error(w, "no state is stored", http.StatusNotFound)
 		return
 	}
 	reply(w, e.options.State.Status())
@@ -57,7 +57,7 @@
 // maxGroup is the highest number of a purge group.
 const maxGroup = 255
 
-var errPurgeRequest = errors.New("wants an object of 16 hexadecimal digits, or a group from 0 to 255")
+var errPurgeRequest = errors.New("request must name either an object of 16 hexadecimal digits or a group from 0 to 255")
 
 // purge returns the purge of an object, or of a group. A copy made in the same millisecond counts as older.
 func (p PurgeRequest) purge(now float64) (core.Purge, error) {
@@ -89,7 +89,7 @@
 		return
 	}
 	if err := e.options.Operations.Purge(purge); err != nil {
-		replyFailure(w, "in force here, but not kept: ", err)
+		replyFailure(w, "in force here, but not stored: ", err)
 		return
 	}
 	e.options.Log.Info("purge").Str("object", purge.Object).Int("group", purge.Group).Msg("purged by an operator")
--- a/internal/admin/servers.go
+++ b/internal/admin/servers.go
@@ -87,7 +87,7 @@
 		drain = e.options.Controller.SetServerDrained // which also passes it to a process that takes over
 	}
 	if err := drain(id, request.On); err != nil {
-		replyFailure(w, "not kept: ", err)
+		replyFailure(w, "drain change not completed: ", err)
 		return
 	}
 	e.options.Log.Info("drain").Str("id", request.ID).Bool("on", request.On).Msg("manual drain of a server changed")
--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -59,7 +59,7 @@
 		*value = r.defaultValue
 	}
 	if *value < r.least || *value > r.most {
-		c.doc.Failf(c.path(field), "%s %.10g is not %.10g to %.10g", field, *value, r.least, r.most)
+		c.doc.Failf(c.path(field), "%s %.10g is not from %.10g to %.10g", field, *value, r.least, r.most)
 	}
 }
 
@@ -76,16 +76,16 @@
 	ip, notIP := netip.ParseAddr(host)
 	switch {
 	case err != nil || port == "" || notIP != nil:
-		c.doc.Failf(c.path(field), "%s %q is not of the form 127.0.0.1:4100", field, value)
+		c.doc.Failf(c.path(field), "%s %q is not an IP address with a port, such as 127.0.0.1:4100", field, value)
 	case loopback && !ip.IsLoopback():
-		c.doc.Failf(c.path(field), "%s %q is not on loopback", field, value)
+		c.doc.Failf(c.path(field), "%s %q is not a loopback address", field, value)
 	}
 }
 
 // oneOf reports a value that is none of the words. An empty word, which comes first, is not named in the report.
 func (c checker) oneOf(field, value string, words ...string) {
 	if !slices.Contains(words, value) {
-		c.doc.Failf(c.path(field), "%s %q is none of %s", field, value, strings.TrimPrefix(strings.Join(words, ", "), ", "))
+		c.doc.Failf(c.path(field), "%s %q is not one of %s", field, value, strings.TrimPrefix(strings.Join(words, ", "), ", "))
 	}
 }
 
@@ -103,7 +103,7 @@
 		entry := checker{c.doc, c.path(id)}
 		data, err := base64.StdEncoding.DecodeString(key.Base64)
 		if err != nil || len(data) == 0 {
-			c.doc.Failf(entry.path("key"), "key %q is not base64", id)
+			c.doc.Failf(entry.path("key"), "key %q is empty or not valid base64", id)
 		}
 		entry.oneOf("alg", key.Algorithm, signatureAlgorithms...)
 		ring[id] = store.Key{Alg: key.Algorithm, Data: data}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -57,7 +57,7 @@
 	}
 	c := checker{doc, "distribution"}
 	if doc.Has(c.path("strict")) {
-		doc.Failf(c.path("strict"), "strict is not carried to the request path yet")
+		doc.Failf(c.path("strict"), "strict is not supported yet: requests would not take it into account")
 	}
 	if d.Listen != "" {
 		c.address("listen", d.Listen, false)
@@ -70,7 +70,7 @@
 	}
 	d.checkSubscriber(c)
 	if f.Signed != nil {
-		doc.Failf("signed", "signed goes with a member of the store: spent tokens are not distributed")
+		doc.Failf("signed", "signed is only allowed in a member of the store: spent tokens are not distributed")
 	}
 }
 
@@ -86,14 +86,14 @@
 func (d *Distribution) checkRoot(c checker, s Store) {
 	for _, field := range []string{"name", "identity", "upstream"} {
 		if c.doc.Has(c.path(field)) {
-			c.doc.Failf(c.path(field), "a member of the store has no %s of its own for distribution", field)
+			c.doc.Failf(c.path(field), "%s is not allowed in a member of the store: it has the store's name and identity, and no upstream", field)
 		}
 	}
 	if d.Epoch == 0 {
-		c.doc.Failf(c.path("epoch"), "a member of the store needs epoch, from 1: the number of the store's history")
+		c.doc.Failf(c.path("epoch"), "a member of the store needs epoch: from 1, and higher each time the store begins anew")
 	}
 	if d.Listen == "" {
-		c.doc.Failf(c.path("listen"), "a member of the store needs listen: others subscribe there")
+		c.doc.Failf(c.path("listen"), "a member of the store needs listen: the address at which others subscribe")
 	}
 	c.count("rank", &d.Rank, valueRange{0, 0, 0})
 	d.Name, d.Identity = s.Name, s.Identity
@@ -102,15 +102,15 @@
 func (d *Distribution) checkSubscriber(c checker) {
 	c.required("identity", d.Identity)
 	if c.doc.Has(c.path("epoch")) {
-		c.doc.Failf(c.path("epoch"), "epoch is told by the members of the store")
+		c.doc.Failf(c.path("epoch"), "epoch is only allowed in a member of the store: others receive it from there")
 	}
 	if d.Listen != "" && !c.doc.Has(c.path("rank")) {
-		c.doc.Failf(c.path("rank"), "a distributor needs rank: those that subscribe at it have a higher one")
+		c.doc.Failf(c.path("rank"), "a distributor needs rank: its subscribers must have a higher one")
 	} else {
 		c.count("rank", &d.Rank, valueRange{leafRank, 1, maxRank})
 	}
 	if len(d.Distributors) == 0 {
-		c.doc.Failf(c.path("upstream"), "a process that is not a member of the store needs upstream: where it subscribes")
+		c.doc.Failf(c.path("upstream"), "a process that is not a member of the store needs upstream: the distributors at which it may subscribe")
 	}
 	names := map[string]bool{d.Name: true}
 	for i, distributor := range d.Distributors {
@@ -123,10 +123,10 @@
 // check validates one distributor; ownRank is that of the subscriber.
 func (d Distributor) check(c checker, repeated bool, ownRank int) {
 	if repeated || strings.TrimSpace(d.Name) == "" {
-		c.doc.Failf(c.path("name"), "distributor %q is empty, named twice or this process itself", d.Name)
+		c.doc.Failf(c.path("name"), "distributor name %q is empty, named twice or the name of this process", d.Name)
 	}
 	c.address("addr", d.Addr, false)
 	if d.Rank < 0 || d.Rank >= ownRank {
-		c.doc.Failf(c.path("rank"), "rank %d of %q is not 0 to %d: this process has rank %d", d.Rank, d.Name, ownRank-1, ownRank)
+		c.doc.Failf(c.path("rank"), "rank %d of %q is not from 0 to %d: it must be lower than the rank of this process, %d", d.Rank, d.Name, ownRank-1, ownRank)
 	}
 }
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -53,33 +53,33 @@
 // Each change of a valid file is rejected with this line.
 func TestInvalidDistributionIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, from, to, want string }{
-		{rootText, `"epoch": 1, `, ``, "o:3:19: a member of the store needs epoch, from 1: the number of the store's history"},
-		{rootText, `"epoch": 1, "listen": "127.0.0.1:4500"`, `"epoch": 1`, "o:3:19: a member of the store needs listen: others subscribe there"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "rank": 1`, "o:4:25: rank 1 is not 0 to 0"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "name": "x"`, "o:4:25: a member of the store has no name of its own for distribution"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "identity": "x"`, "o:4:29: a member of the store has no identity of its own for distribution"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "upstream": []`, "o:4:29: a member of the store has no upstream of its own for distribution"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "strict": ["asset"]`, "o:4:27: strict is not carried to the request path yet"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "strict": []`, "o:4:27: strict is not carried to the request path yet"},
-		{rootText, `:4500"`, `"`, `o:4:27: listen "127.0.0.1" is not of the form 127.0.0.1:4100`},
-		{rootText, `"epoch": 1`, `"epoch": 1, "most_links": 1`, "o:4:31: most_links 1 is not 2 to 65536"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "silent_ms": 100`, "o:4:30: silent_ms 100 is not 1500 to 86400000"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "bound_ms": 100`, "o:4:29: bound_ms 100 is not 1800 to 86400000"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "heartbeat_ms": 1`, "o:4:33: heartbeat_ms 1 is not 10 to 60000"},
-		{rootText, `"epoch": 1`, `"epoch": 1, "clock_bound_ms": -1`, "o:4:35: clock_bound_ms -1 is not 0 to 60000"},
+		{rootText, `"epoch": 1, `, ``, "o:3:19: a member of the store needs epoch: from 1, and higher each time the store begins anew"},
+		{rootText, `"epoch": 1, "listen": "127.0.0.1:4500"`, `"epoch": 1`, "o:3:19: a member of the store needs listen: the address at which others subscribe"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "rank": 1`, "o:4:25: rank 1 is not from 0 to 0"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "name": "x"`, "o:4:25: name is not allowed in a member of the store: it has the store's name and identity, and no upstream"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "identity": "x"`, "o:4:29: identity is not allowed in a member of the store: it has the store's name and identity, and no upstream"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "upstream": []`, "o:4:29: upstream is not allowed in a member of the store: it has the store's name and identity, and no upstream"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "strict": ["asset"]`, "o:4:27: strict is not supported yet: requests would not take it into account"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "strict": []`, "o:4:27: strict is not supported yet: requests would not take it into account"},
+		{rootText, `:4500"`, `"`, `o:4:27: listen "127.0.0.1" is not an IP address with a port, such as 127.0.0.1:4100`},
+		{rootText, `"epoch": 1`, `"epoch": 1, "most_links": 1`, "o:4:31: most_links 1 is not from 2 to 65536"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "silent_ms": 100`, "o:4:30: silent_ms 100 is not from 1500 to 86400000"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "bound_ms": 100`, "o:4:29: bound_ms 100 is not from 1800 to 86400000"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "heartbeat_ms": 1`, "o:4:33: heartbeat_ms 1 is not from 10 to 60000"},
+		{rootText, `"epoch": 1`, `"epoch": 1, "clock_bound_ms": -1`, "o:4:35: clock_bound_ms -1 is not from 0 to 60000"},
 		{rootText, `"epoch": 1`, `"epoh": 1`, `o:4:5: unknown field "epoh"; did you mean "epoch"?`},
 		{distributorText, `"identity": "keys", `, ``, "o:2:19: distribution needs identity"},
-		{distributorText, `"rank": 1, `, ``, "o:2:19: a distributor needs rank: those that subscribe at it have a higher one"},
-		{distributorText, `"rank": 1`, `"rank": 101`, "o:3:75: rank 101 is not 1 to 100"},
-		{distributorText, `"rank": 1`, `"rank": 1, "epoch": 3`, "o:3:87: epoch is told by the members of the store"},
-		{distributorText, `:4502"`, `"`, `o:6:30: addr "127.0.0.1" is not of the form 127.0.0.1:4100`},
-		{distributorText, `"m2"`, `"m1"`, `o:6:16: distributor "m1" is empty, named twice or this process itself`},
-		{distributorText, `"m2"`, `"d1"`, `o:6:16: distributor "d1" is empty, named twice or this process itself`},
-		{distributorText, `"name": "m2"`, `"rank": 1, "name": "m2"`, `o:6:16: rank 1 of "m2" is not 0 to 0: this process has rank 1`},
-		{distributorText, `"upstream"`, `"strict": ["asset"], "upstream"`, "o:4:15: strict is not carried to the request path yet"},
+		{distributorText, `"rank": 1, `, ``, "o:2:19: a distributor needs rank: its subscribers must have a higher one"},
+		{distributorText, `"rank": 1`, `"rank": 101`, "o:3:75: rank 101 is not from 1 to 100"},
+		{distributorText, `"rank": 1`, `"rank": 1, "epoch": 3`, "o:3:87: epoch is only allowed in a member of the store: others receive it from there"},
+		{distributorText, `:4502"`, `"`, `o:6:30: addr "127.0.0.1" is not an IP address with a port, such as 127.0.0.1:4100`},
+		{distributorText, `"m2"`, `"m1"`, `o:6:16: distributor name "m1" is empty, named twice or the name of this process`},
+		{distributorText, `"m2"`, `"d1"`, `o:6:16: distributor name "d1" is empty, named twice or the name of this process`},
+		{distributorText, `"name": "m2"`, `"rank": 1, "name": "m2"`, `o:6:16: rank 1 of "m2" is not from 0 to 0: it must be lower than the rank of this process, 1`},
+		{distributorText, `"upstream"`, `"strict": ["asset"], "upstream"`, "o:4:15: strict is not supported yet: requests would not take it into account"},
 		{distributorText, `{
   "dist`, `{"signed": {"audience": "x", "listen": "127.0.0.1:4200"},
-  "dist`, "o:1:12: signed goes with a member of the store: spent tokens are not distributed"},
+  "dist`, "o:1:12: signed is only allowed in a member of the store: spent tokens are not distributed"},
 	} {
 		require.Contains(t, c.text, c.from)
 		_, err := config.ParseOperatorFile("o", []byte(strings.Replace(c.text, c.from, c.to, 1)))
@@ -88,5 +88,5 @@
 		}
 	}
 	_, err := config.ParseOperatorFile("o", []byte(`{"distribution": {"identity": "keys"}}`))
-	require.EqualError(t, err, "o:1:18: a process that is not a member of the store needs upstream: where it subscribes")
+	require.EqualError(t, err, "o:1:18: a process that is not a member of the store needs upstream: the distributors at which it may subscribe")
 }
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -52,7 +52,7 @@
 	undecoded := strictjson.Decode(name, []byte(text), &nothing)
 	for _, part := range restartParts {
 		if undecoded.Has(part) {
-			doc.Failf("", "%s is not changed in service: it takes a restart", part)
+			doc.Failf("", "%s can't be changed without a restart: set it in the operator's file", part)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	if l.Log != nil {
 		checker{doc, "log"}.oneOf("level", l.Log.Level, "debug", "info", "warn", "error")
 		if l.Log.Format != "" {
-			doc.Failf("log.format", "the form of the log takes a restart")
+			doc.Failf("log.format", "format can't be changed without a restart: set it in the operator's file")
 		}
 	}
 	if l.Limits != nil {
--- a/internal/config/operator_file.go
+++ b/internal/config/operator_file.go
@@ -94,13 +94,13 @@
 	} {
 		switch {
 		case part.given && !standalone:
-			doc.Failf(part.name, "%s goes with proxy: without it the platform tells this", part.name)
+			doc.Failf(part.name, "%s is only allowed with proxy: without it, the platform configures this", part.name)
 		case !part.given && standalone:
-			doc.Failf("proxy", "proxy needs %s: the program is to run without the platform", part.name)
+			doc.Failf("proxy", "proxy needs %s: with proxy, the program runs without the platform", part.name)
 		}
 	}
 	if standalone && f.Servers == nil {
-		doc.Failf("proxy", "proxy needs servers: there is no notice board to tell them")
+		doc.Failf("proxy", "proxy needs servers: with proxy, there is no discovery that lists them")
 	}
 }
 
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -60,7 +60,7 @@
 	raw, err = os.ReadFile("../../deploy/operator.example.jsonc")
 	require.NoError(t, err)
 	_, err = config.ParseOperatorFile("o", raw)
-	require.EqualError(t, err, `o:10:42: key "2026-12" is not base64`, "its key must be filled in, and nothing else")
+	require.EqualError(t, err, `o:10:42: key "2026-12" is empty or not valid base64`, "its key must be filled in, and nothing else")
 	_, err = config.ParseOperatorFile("o", []byte(strings.Replace(string(raw), `"key": ""`, `"key": "eA=="`, 1)))
 	require.NoError(t, err)
 	o, err = config.LoadOperatorFile("")
@@ -75,22 +75,22 @@
 func TestInvalidOperatorFileIsRejected(t *testing.T) {
 	text := readExample(t)
 	for _, c := range []struct{ from, to, want string }{
-		{`"listen": "127.0.20.100:4100"`, `"listen": "localhost:4100"`, `o:9:15: listen "localhost:4100" is not of the form 127.0.0.1:4100`},
+		{`"listen": "127.0.20.100:4100"`, `"listen": "localhost:4100"`, `o:9:15: listen "localhost:4100" is not an IP address with a port, such as 127.0.0.1:4100`},
 		{`"zone": "bangkok"`, `"zone": "bangkock"`, `o:10:13: unknown zone "bangkock"`},
-		{`"sockets": 1024`, `"sockets": 3`, "o:16:16: sockets 3 is not 32 to 1048576"},
+		{`"sockets": 1024`, `"sockets": 3`, "o:16:16: sockets 3 is not from 32 to 1048576"},
 		{`"tries": 8`, `"trys": 8`, `o:18:5: unknown field "trys"`},
 		{`"chiang-mai": "north-hub"`, `"chiang-mai": "west-hub"`, `o:25:56: unknown zone "west-hub"`},
-		{`"proxies": {"bangkok": 1,`, `"proxies": {`, `o:26:16: zone "bangkok" has this proxy, and proxies counts none there`},
-		{`"origin_kind": "origin"`, `"origin_kind": "parent"`, "o:29:20: parents and the origin are of kinds of their own"},
-		{`"siblings": "location"`, `"siblings": "all"`, `o:31:17: siblings "all" is none of none, location, any`},
-		{`"stretch": 2, `, `"stretch": -2, `, "o:39:52: stretch -2 is not 0 to 1000"},
-		{`"name": "asset"`, `"name": "replay"`, `o:39:14: class "replay" is empty, named twice or can't be written in a field`},
-		{`"effect": "at_most_once"`, `"effect": "once"`, `o:41:89: effect "once" is none of idempotent, deduplicated, at_most_once`},
+		{`"proxies": {"bangkok": 1,`, `"proxies": {`, `o:26:16: this proxy is in zone "bangkok", but proxies has no count of 1 or more for that zone`},
+		{`"origin_kind": "origin"`, `"origin_kind": "parent"`, "o:29:20: origin_kind is also parent_kind: parents and the origin must be of different kinds"},
+		{`"siblings": "location"`, `"siblings": "all"`, `o:31:17: siblings "all" is not one of none, location, any`},
+		{`"stretch": 2, `, `"stretch": -2, `, "o:39:52: stretch -2 is not from 0 to 1000"},
+		{`"name": "asset"`, `"name": "replay"`, `o:39:14: class name "replay" is empty, named twice or contains a space, a comma, an equals sign or a line break`},
+		{`"effect": "at_most_once"`, `"effect": "once"`, `o:41:89: effect "once" is not one of idempotent, deduplicated, at_most_once`},
 		{`"effect": "at_most_once"`, `"effect": "deduplicated"`, "o:41:5: a deduplicated class needs window_ms: for how long repeats are discarded"},
-		{`"uncached": true}`, `"uncached": true, "fresh_ms": 5}`, "o:41:135: an uncached class keeps nothing that could be fresh"},
-		{`"most_dropped": 0.34`, `"most_dropped": 34`, "o:50:21: most_dropped 34 is not 0 to 1"},
-		{`"listen": "127.0.20.100:4101"`, `"listen": "10.0.0.1:4101"`, `o:54:23: listen "10.0.0.1:4101" is not on loopback`},
-		{`"level": "info"`, `"level": "loud"`, `o:56:20: level "loud" is none of debug, info, warn, error`},
+		{`"uncached": true}`, `"uncached": true, "fresh_ms": 5}`, "o:41:135: fresh_ms is not allowed with uncached: answers of an uncached class are never cached"},
+		{`"most_dropped": 0.34`, `"most_dropped": 34`, "o:50:21: most_dropped 34 is not from 0 to 1"},
+		{`"listen": "127.0.20.100:4101"`, `"listen": "10.0.0.1:4101"`, `o:54:23: listen "10.0.0.1:4101" is not a loopback address`},
+		{`"level": "info"`, `"level": "loud"`, `o:56:20: level "loud" is not one of debug, info, warn, error`},
 		{`"proxy": {`, `"proxie": {`, `o:7:3: unknown field "proxie"`},
 		{`"servers": {`, `"admin": {`, `o:54:3: "admin" is given twice`},
 	} {
@@ -101,11 +101,11 @@
 		}
 	}
 	_, err := config.ParseOperatorFile("o", []byte(`{"limits": {}, "proxy": {"name": "x"}}`))
-	require.Equal(t, "o:1:25: proxy needs classes: the program is to run without the platform\n"+
-		"o:1:25: proxy needs servers: there is no notice board to tell them\n"+
-		"o:1:25: proxy needs site: the program is to run without the platform", sortedLines(err))
+	require.Equal(t, "o:1:25: proxy needs classes: with proxy, the program runs without the platform\n"+
+		"o:1:25: proxy needs servers: with proxy, there is no discovery that lists them\n"+
+		"o:1:25: proxy needs site: with proxy, the program runs without the platform", sortedLines(err))
 	_, err = config.ParseOperatorFile("o", []byte(`{"limits": {}}`))
-	require.EqualError(t, err, "o:1:12: limits goes with proxy: without it the platform tells this")
+	require.EqualError(t, err, "o:1:12: limits is only allowed with proxy: without it, the platform configures this")
 }
 
 func sortedLines(err error) string {
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -115,13 +115,13 @@
 func (k platformClass) check(path string, repeated bool) error {
 	switch {
 	case !validClassName(k.Name, repeated):
-		return settingErrorf(path+".Name", "class %q is empty, named twice or can't be written in a field", k.Name)
+		return settingErrorf(path+".Name", "class name %q is empty, named twice or contains a space, a comma, an equals sign or a line break", k.Name)
 	case !slices.Contains(effects, k.Effect):
-		return settingErrorf(path+".Effect", "%q is none of %s", k.Effect, strings.Join(effects, ", "))
+		return settingErrorf(path+".Effect", "%q is not one of %s", k.Effect, strings.Join(effects, ", "))
 	case k.DeadlineUs <= 0:
 		return settingErrorf(path+".DeadlineUs", "%v is not above 0", k.DeadlineUs)
 	case k.Effect == effectDeduplicated && k.DedupWindowUs <= 0:
-		return settingErrorf(path+".WindowUs", "%v is not above 0, and repeats of the class are discarded for so long", k.DedupWindowUs)
+		return settingErrorf(path+".WindowUs", "%v is not above 0: a deduplicated class needs the time during which repeats are discarded", k.DedupWindowUs)
 	}
 	return notNegative(path, map[string]float64{
 		"TargetUs": k.LatencyObjectiveUs, "WindowUs": k.DedupWindowUs, "AimStretch": k.ObjectiveStretch, "Worth": k.PriorityWeight,
@@ -173,11 +173,11 @@
 func (s *platformSettings) checkIndexes() error {
 	zones, kinds := len(s.Zones), len(s.Kinds)
 	if zones > 0 && (s.Zone < 0 || int(s.Zone) >= zones) {
-		return settingErrorf("settings.Zone", "%v is no place in %d zones", s.Zone, zones)
+		return settingErrorf("settings.Zone", "%v is not an index of one of the %d zones", s.Zone, zones)
 	}
 	for i, hub := range s.Site.ZoneHomeHub {
 		if int(hub) >= zones {
-			return settingErrorf(fmt.Sprintf("settings.FamilyInfo.HomeHub[%d]", i), "%v is no place in %d zones", hub, zones)
+			return settingErrorf(fmt.Sprintf("settings.FamilyInfo.HomeHub[%d]", i), "%v is not an index of one of the %d zones", hub, zones)
 		}
 	}
 	for _, kind := range []struct {
@@ -188,7 +188,7 @@
 		{"SecondTierKind", s.Site.ParentKind},
 	} {
 		if kind.index != nil && int(*kind.index) >= kinds {
-			return settingErrorf("settings.FamilyInfo."+kind.name, "%v is no place in %d kinds", *kind.index, kinds)
+			return settingErrorf("settings.FamilyInfo."+kind.name, "%v is not an index of one of the %d kinds", *kind.index, kinds)
 		}
 	}
 	return nil
@@ -197,7 +197,7 @@
 func (s *platformSettings) checkKinds() error {
 	origin, parent := s.Site.OriginKind, s.Site.ParentKind
 	if origin != nil && parent != nil && *origin >= 0 && *origin == *parent {
-		return settingErrorf("settings.FamilyInfo.RootKind", "parents and the origin are of kinds of their own, both are %v", *origin)
+		return settingErrorf("settings.FamilyInfo.RootKind", "%v is also SecondTierKind: parents and the origin must be of different kinds", *origin)
 	}
 	return nil
 }
@@ -252,7 +252,7 @@
 	}
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
-		return settingErrorf(typeError.Field, "%s found where it can't stand", typeError.Value)
+		return settingErrorf(typeError.Field, "unexpected %s", typeError.Value)
 	}
 	return err
 }
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if path == "" || len(path) > maxSocketPath {
-		doc.Failf("admin.listen", "a unix socket needs a path of 1 to %d characters", maxSocketPath)
+		doc.Failf("admin.listen", "the path of a unix socket must have 1 to %d bytes", maxSocketPath)
 	}
 }
 
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -152,7 +152,7 @@
 	}
 	c.knownName("origin_kind", "kind", s.OriginKind, s.Kinds)
 	if s.ParentKind == s.OriginKind {
-		c.doc.Failf(c.path("origin_kind"), "parents and the origin are of kinds of their own")
+		c.doc.Failf(c.path("origin_kind"), "origin_kind is also parent_kind: parents and the origin must be of different kinds")
 	}
 }
 
@@ -165,16 +165,16 @@
 	for zone, count := range s.Proxies {
 		c.knownName("proxies."+zone, "zone", zone, s.Zones)
 		if count < 0 || count > maxProxies {
-			c.doc.Failf(c.path("proxies."+zone), "%d proxies are not 0 to %d", count, maxProxies)
+			c.doc.Failf(c.path("proxies."+zone), "proxies %d is not from 0 to %d", count, maxProxies)
 		}
 	}
 	if s.Proxies[ownZone] < 1 && slices.Contains(s.Zones, ownZone) {
-		c.doc.Failf(c.path("proxies"), "zone %q has this proxy, and proxies counts none there", ownZone)
+		c.doc.Failf(c.path("proxies"), "this proxy is in zone %q, but proxies has no count of 1 or more for that zone", ownZone)
 	}
 	for zone, rate := range s.LinkKBPerSecond {
 		c.knownName("link_kb_per_s."+zone, "zone", zone, s.Zones)
 		if rate < 0 {
-			c.doc.Failf(c.path("link_kb_per_s."+zone), "a link of %v KB a second", rate)
+			c.doc.Failf(c.path("link_kb_per_s."+zone), "link rate %v KB/s is below 0", rate)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 
 func (k *Class) check(c checker, repeated bool) {
 	if !validClassName(k.Name, repeated) {
-		c.doc.Failf(c.path("name"), "class %q is empty, named twice or can't be written in a field", k.Name)
+		c.doc.Failf(c.path("name"), "class name %q is empty, named twice or contains a space, a comma, an equals sign or a line break", k.Name)
 	}
 	k.Effect = cmp.Or(k.Effect, effectIdempotent)
 	c.oneOf("effect", k.Effect, effects...)
@@ -220,6 +220,6 @@
 	c.number("stale_ms", &k.StaleMs, valueRange{0, 0, 365 * dayMs})
 	c.number("stale_worth", &k.StaleFraction, valueRange{0.7, 0, 1})
 	if k.Uncached && k.FreshMs > 0 {
-		c.doc.Failf(c.path("fresh_ms"), "an uncached class keeps nothing that could be fresh")
+		c.doc.Failf(c.path("fresh_ms"), "fresh_ms is not allowed with uncached: answers of an uncached class are never cached")
 	}
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -57,7 +57,7 @@
 func (s *Store) checkUnnamed(c checker) {
 	for _, field := range []string{"listen", "peers", "join", "dir", "identity"} {
 		if c.doc.Has(c.path(field)) {
-			c.doc.Failf(c.path(field), "%s goes with name: a store without one is alone and in memory", field)
+			c.doc.Failf(c.path(field), "%s is only allowed with name: a store without a name has no other members and is in memory", field)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	c.required("dir", s.Dir)
 	c.required("identity", s.Identity)
 	if (len(s.Peers) == 0) == (s.Join == "") {
-		c.doc.Failf(c.part, "store needs peers, of a new cluster, or join, the address of a member of one")
+		c.doc.Failf(c.part, "store needs either peers, all members of a new cluster, or join, the address of a member of an existing cluster")
 	}
 	if s.Join != "" {
 		c.address("join", s.Join, false)
@@ -78,6 +78,6 @@
 		listed = listed || peer.Name == s.Name && peer.Addr == s.Listen
 	}
 	if !listed {
-		c.doc.Failf("store.peers", "peers do not hold %q at %s", s.Name, s.Listen)
+		c.doc.Failf("store.peers", "peers must include this member: %q at %s", s.Name, s.Listen)
 	}
 }
--- a/internal/decide/serverlist/list_test.go
+++ b/internal/decide/serverlist/list_test.go
@@ -95,7 +95,7 @@
 		"an unknown state":       {list(1, origin, east1, replace(east2, `"weight"`, `"state": "up", "weight"`)), `l:4:90: state "up" is neither ready nor draining`},
 		"no weight":              {list(1, origin, east1, replace(east2, `, "weight": 4`, "")), "l:4:1: weight is missing"},
 		"weight 0":               {list(1, origin, east1, replace(east2, `: 4}`, ": 0}")), "l:4:91: weight 0 is not above 0 and at most 1e+06"},
-		"an infinite weight":     {list(1, origin, east1, replace(east2, `: 4}`, ": 1e999}")), "l:4:91: wants a finite number, not 1e999"},
+		"an infinite weight":     {list(1, origin, east1, replace(east2, `: 4}`, ": 1e999}")), "l:4:91: must be a finite number, not 1e999"},
 		"no origin":              {list(1, east1), `l:1:30: no ready server of kind "origin", which request classes that write need`},
 		"no cache for clients": {list(1, origin, replace(east1, `"weight"`, `"state": "draining", "weight"`), west4),
 			`l:1:30: no ready cache in zone "east", which has clients`},
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -63,7 +63,7 @@
 func New(w io.Writer, o Options, c *clock.Clock) (*Log, error) {
 	level, ok := parseLevel(o.Level)
 	if !ok {
-		return nil, fmt.Errorf("log level %q is none of debug, info, warn, error", o.Level)
+		return nil, fmt.Errorf("log level %q is not one of debug, info, warn, error", o.Level)
 	}
 	w, err := formatWriter(w, o.Format)
 	if err != nil {
@@ -98,7 +98,7 @@
 	case "json":
 		return w, nil
 	}
-	return nil, fmt.Errorf("log format %q is none of auto, text, json", format)
+	return nil, fmt.Errorf("log format %q is not one of auto, text, json", format)
 }
 
 func textWriter(w io.Writer) io.Writer {
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -17,7 +17,7 @@
 func (d *Document) decode(v *hujson.Value, target reflect.Value) {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == 'n' {
 		if !nullable(target.Kind()) {
-			d.report(v.StartOffset, "null is no value here")
+			d.report(v.StartOffset, "null is not allowed here")
 		}
 		return
 	}
@@ -99,7 +99,7 @@
 		name := stringOf(literal)
 		switch {
 		case bytes.IndexByte(literal, '\\') >= 0:
-			d.report(m.Name.StartOffset, "a name is written without escapes")
+			d.report(m.Name.StartOffset, "a field name must not contain escapes")
 		case repeated(o, i):
 			d.report(m.Name.StartOffset, fmt.Sprintf("%q is given twice", name))
 		default:
@@ -186,7 +186,7 @@
 	switch target.Kind() {
 	case reflect.String:
 		if literal.Kind() != '"' {
-			d.reportType(v, "a text")
+			d.reportType(v, "a string")
 			return
 		}
 		target.SetString(stringOf(literal))
@@ -199,7 +199,7 @@
 	case reflect.Int, reflect.Int64, reflect.Uint64, reflect.Float64:
 		d.decodeNumber(v, literal, target)
 	default:
-		d.report(v.StartOffset, "can't be given here")
+		d.report(v.StartOffset, "has a type that is not supported here")
 	}
 }
 
@@ -233,7 +233,7 @@
 func scalarName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	}
@@ -255,5 +255,5 @@
 			found = found[:maxQuoted] + "..."
 		}
 	}
-	d.report(v.StartOffset, "wants "+wanted+", not "+found)
+	d.report(v.StartOffset, "must be "+wanted+", not "+found)
 }
