--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -212,7 +212,7 @@
 	} {
 		out, code := f.run(append(args, "--admin", f.sock(fleetFirst))...)
 		require.Equal(t, 1, code, out)
-		require.Contains(t, out, "call a member of the store instead")
+		require.Contains(t, out, "tell a member of the store")
 	}
 	require.Zero(t, f.purges(fleetFirst))
 	out := f.ok("servers", "show", "--admin", f.sock(fleetFirst))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -70,7 +70,7 @@
 
 // ErrNotMember is the error of a command that only a member of the store can carry out, in a process that subscribes to
 // the store. Nothing was done.
-var ErrNotMember = errors.New("this process only subscribes to the store: call a member of the store instead")
+var ErrNotMember = errors.New("this process only subscribes to the store: tell a member of the store")
 
 // Bounds of a request.
 const (
