--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -11,16 +11,16 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// dayMs is the upper bound of most durations, in ms: a longer one is a mistake.
+// dayMs is one day in ms. It is the upper bound of most durations: a longer one is taken for a mistake.
 const dayMs = 24 * 3600 * 1000
 
-// maxCount bounds sizes and counts that the machine limits.
+// maxCount is the upper bound of sizes and counts that the machine limits anyway, such as memory in MB.
 const maxCount = 1 << 20
 
 // valueRange is the default of a number and its inclusive bounds.
 type valueRange struct{ defaultValue, least, most float64 }
 
-// The ranges of values that both an operator's file and a live revision set.
+// The ranges of values that both an operator's file and a revision of the shared configuration set.
 var (
 	openRequestsRange     = valueRange{4096, 1, maxCount}
 	attemptsPerConnRange  = valueRange{defaultAttemptsPerConn, 1, 1000}
@@ -32,13 +32,13 @@
 // signatureAlgorithms are the JWT algorithms that a signing key may have.
 var signatureAlgorithms = []string{"HS256", "ES256", "EdDSA"}
 
-// checker applies defaults to the fields of one part of a file and reports the ones that are invalid, as defects of the document.
+// checker applies defaults to the fields of one part of a file and reports invalid ones as defects of the document.
 type checker struct {
 	doc  *strictjson.Document
-	part string // path of the part; empty: the file as a whole
+	part string // path of the part in the file; empty: the whole file
 }
 
-// path is the path of a field in the file.
+// path returns the path of a field of the part, as seen from the root of the file.
 func (c checker) path(field string) string {
 	if c.part == "" {
 		return field
@@ -46,14 +46,14 @@
 	return c.part + "." + field
 }
 
-// required reports a text field that is empty.
+// required reports a string field that is empty.
 func (c checker) required(field, value string) {
 	if value == "" {
 		c.doc.Failf(c.path(field), "%s needs %s", c.part, field)
 	}
 }
 
-// number applies the default to a field that is absent and reports a value that is out of range.
+// number sets a field that is absent to its default and reports a value that is out of range.
 func (c checker) number(field string, value *float64, r valueRange) {
 	if !c.doc.Has(c.path(field)) {
 		*value = r.defaultValue
@@ -63,14 +63,14 @@
 	}
 }
 
-// count is number for an integer.
+// count does for an integer what number does for a float64.
 func (c checker) count(field string, value *int, r valueRange) {
 	number := float64(*value)
 	c.number(field, &number, r)
 	*value = int(number)
 }
 
-// address reports a value that is not an IP address with a port, or not on loopback where it has to be.
+// address reports a value that is not an IP address with a port, or, if loopback is set, not a loopback address.
 func (c checker) address(field, value string, loopback bool) {
 	host, port, err := net.SplitHostPort(value)
 	ip, notIP := netip.ParseAddr(host)
@@ -82,21 +82,21 @@
 	}
 }
 
-// oneOf reports a value that is none of the words. An empty word, which comes first, is not named in the report.
+// oneOf reports a value that is not one of the words. If the first word is empty, the report does not list it.
 func (c checker) oneOf(field, value string, words ...string) {
 	if !slices.Contains(words, value) {
 		c.doc.Failf(c.path(field), "%s %q is not one of %s", field, value, strings.TrimPrefix(strings.Join(words, ", "), ", "))
 	}
 }
 
-// knownName reports a name that is not in the list of all names of its kind.
+// knownName reports a name that is not in all. kind says in the report what the name stands for, such as zone.
 func (c checker) knownName(field, kind, name string, all []string) {
 	if !slices.Contains(all, name) {
 		c.doc.Failf(c.path(field), "unknown %s %q", kind, name)
 	}
 }
 
-// signingKeys decodes the keys of the part and reports those that are invalid.
+// signingKeys decodes signing keys, given by key id, and reports invalid ones.
 func (c checker) signingKeys(keys map[string]Key) KeyRing {
 	ring := KeyRing{}
 	for id, key := range keys {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,10 @@
-// Package config reads and validates how a steering proxy is configured: by the platform (LB_CONFIG and its overrides), by
-// an operator's file that takes the platform's place or enables what is off there, and by live revisions of the
-// configuration that processes share. It owns the default values and bounds of every key, and maps the names of the platform's
-// settings to those of the code. It opens no socket and starts nothing but, with Store.Open, a member of the store.
+// Package config reads and validates the configuration of a steering proxy. It has three sources: the platform's file
+// (LB_CONFIG and the variables that override it); an operator's file, which replaces the platform's or enables features that
+// are off there; and revisions of the configuration that the members of a store share, which apply without a restart.
 //
-// Its rules are tested here: each key, default and defect against golden files.
+// The package owns the default and the bounds of every key, and maps the names of the platform's settings to those of the
+// code. It opens no socket and starts nothing, except for a member of the store in Store.Open. Its rules are tested here: each
+// key, default and defect against golden files.
 package config
 
 import (
@@ -23,31 +24,31 @@
 type Config struct {
 	Name          string
 	Listen        string // address for clients
-	DiscoveryAddr string // empty: there is no discovery
-	ConsoleAddr   string // of the platform's console; empty: none
-	HandoverDir   string // shared with a process that takes over; empty: none takes over
-	Seed          uint64 // of all random draws
+	DiscoveryAddr string // empty: discovery is off
+	ConsoleAddr   string // address of the platform's console; empty: the console is off
+	HandoverDir   string // directory shared with a process that takes over; empty: takeover is off
+	Seed          uint64 // of the random number generator
 	Cores         float64
-	MemoryMB      int // 0: not bounded
-	Sockets       int // descriptors for connections; 0: the program's default
+	MemoryMB      int // 0: not limited
+	Sockets       int // file descriptors for connections; 0: the program's default
 
 	Settings policy.Settings
 	Classes  []string // names, in the order of Settings.Classes
 	Names    discoveryclient.Names
 
-	InitialEvents   []discoveryclient.Event // what discovery held when the platform wrote the configuration
-	InitialRevision uint64                  // discovery's event number, as of these
+	InitialEvents   []discoveryclient.Event // discovery's events when the platform wrote the configuration
+	InitialRevision uint64                  // discovery's event number after InitialEvents
 
-	MaxOpenRequests  int // 0: the core's default
+	MaxOpenRequests  int // 0: the default of package core
 	AttemptsPerConn  int // attempts in flight on one connection to a server
 	IdleTimeoutMs    float64
 	ConnectTimeoutMs float64
 }
 
-// ErrNoPlatformConfig is returned where the environment names no configuration of the platform.
+// ErrNoPlatformConfig is the error of Load if the environment names no configuration file of the platform.
 var ErrNoPlatformConfig = errors.New("LB_CONFIG is not set")
 
-// Read returns the configuration that a proxy starts with: that of an operator's file with "proxy", else the platform's.
+// Read returns the configuration that a proxy starts with: the one in an operator's file that has "proxy", else the platform's.
 func Read(getenv func(string) string, file *OperatorFile) (*Config, error) {
 	if file.Proxy == nil {
 		return Load(getenv)
@@ -55,8 +56,9 @@
 	return file.standaloneConfig(), nil
 }
 
-// Load reads the platform's configuration from the file that LB_CONFIG names. LB_NAME, LB_LISTEN and LB_CONSOLE override what
-// it says. The error is ErrNoPlatformConfig, that of reading the file, or that of Parse with the file's name.
+// Load reads the platform's configuration from the file that LB_CONFIG names. LB_NAME, LB_LISTEN and LB_CONSOLE override the
+// file's values. The error is ErrNoPlatformConfig, the error of reading the file, or the error of Parse prefixed with the
+// file's path.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
@@ -73,7 +75,7 @@
 	return c, nil
 }
 
-// platformFile is the file that the platform writes. Keys are matched in any case; errors name them as the tags do.
+// platformFile is the file that the platform writes. Keys match regardless of case; errors name them as in the tags.
 type platformFile struct {
 	Name      string          `json:"Name"`
 	Listen    string          `json:"Listen"`
@@ -85,15 +87,15 @@
 	Settings  json.RawMessage `json:"Settings"`
 }
 
-// platformLimits are numbers of any form: 192 and 192.0 are the same.
+// platformLimits are the limits of the process. All are float64, so that 192.0 is accepted where 192 is meant.
 type platformLimits struct {
 	Cores    float64 `json:"Cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64 `json:"Sockets"`
 }
 
-// Parse decodes and validates the text of the platform's configuration. The error is a SettingError for a value that can't be
-// used, else that of the decoder with the place.
+// Parse decodes and validates the text of the platform's configuration. The error is a SettingError for an invalid value, or
+// the decoder's error with the position in the text.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -117,7 +119,7 @@
 	return c, nil
 }
 
-// applyPlatformFile validates the file and takes over its seed, its settings and what discovery held.
+// applyPlatformFile validates the file and sets the seed, the settings and the initial events of discovery from it.
 func (c *Config) applyPlatformFile(file *platformFile) (err error) {
 	limits := file.Limits
 	if err := notNegative("limits", map[string]float64{
@@ -141,7 +143,7 @@
 	return err
 }
 
-// applyPlatformSettings decodes the settings for the module, and those for the proxy itself.
+// applyPlatformSettings decodes the settings of package policy, and those that the proxy itself uses.
 func (c *Config) applyPlatformSettings(raw json.RawMessage) (err error) {
 	if c.Settings, err = wire.DecodeSettings(raw); err != nil {
 		return err
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -7,30 +7,31 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Distribution is how processes that are not members of the store get what it holds. A member of the store is the root of a
-// tree of distributors; any other process subscribes at one, and serves others where it listens. Times are in ms.
+// Distribution configures the tree through which the contents of the store reach processes that are not members of it. Members
+// of the store are the roots of the tree. Any other process subscribes at a distributor, which is a root or a process nearer to
+// one, and is a distributor itself if it has a Listen address. Times are in ms.
 type Distribution struct {
-	Name     string `json:"name"`     // of the certificate; empty: the proxy's. A member has that of the store
-	Identity string `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key. A member has that of the store
+	Name     string `json:"name"`     // in the certificate; empty: the proxy's name. A member uses the store's name
+	Identity string `json:"identity"` // directory of ca.crt, NAME.crt and NAME.key. A member uses the store's
 
-	Epoch            uint64        `json:"epoch"`      // of a member: the number of the store's history, from 1. A store that begins anew needs a higher one
-	Listen           string        `json:"listen"`     // for subscribers, over mutual TLS; empty: none
-	MaxLinks         int           `json:"most_links"` // two to a subscriber
-	Rank             int           `json:"rank"`       // 0: a member of the store; others subscribe only at a lower rank
+	Epoch            uint64        `json:"epoch"`      // of a member: number of the store's history, from 1; higher if the store begins anew
+	Listen           string        `json:"listen"`     // address for subscribers, over mutual TLS; empty: not a distributor
+	MaxLinks         int           `json:"most_links"` // from subscribers; each uses two
+	Rank             int           `json:"rank"`       // 0: a member of the store; others subscribe only at lower ranks
 	Site             string        `json:"site"`
 	Zone             string        `json:"zone"`
 	Region           string        `json:"region"`
-	Distributors     []Distributor `json:"upstream"`       // at which it may subscribe; the nearest is preferred
-	HeartbeatMs      float64       `json:"heartbeat_ms"`   // between two watermarks
-	SilenceTimeoutMs float64       `json:"silent_ms"`      // a distributor that sends nothing for so long is left
-	MaxLagMs         float64       `json:"bound_ms"`       // how far a process may be behind before it reports that
-	MaxClockSkewMs   float64       `json:"clock_bound_ms"` // between two machines
-	StrictClasses    []string      `json:"strict"`         // rejected: not implemented
+	Distributors     []Distributor `json:"upstream"`       // where this process may subscribe; the nearest one is preferred
+	HeartbeatMs      float64       `json:"heartbeat_ms"`   // interval between two watermarks of a stream
+	SilenceTimeoutMs float64       `json:"silent_ms"`      // after so long without data, the process changes to another distributor
+	MaxLagMs         float64       `json:"bound_ms"`       // a process that is further behind reports it
+	MaxClockSkewMs   float64       `json:"clock_bound_ms"` // largest difference between the clocks of two machines
+	StrictClasses    []string      `json:"strict"`         // not implemented: a file that sets it is rejected
 }
 
-// Distributor is a process to subscribe at.
+// Distributor is a process at which others subscribe.
 type Distributor struct {
-	Name   string `json:"name"` // of its certificate
+	Name   string `json:"name"` // in its certificate
 	Addr   string `json:"addr"`
 	Rank   int    `json:"rank"`
 	Site   string `json:"site"`
@@ -39,13 +40,13 @@
 }
 
 const (
-	// leafRank is the rank of a process at which nobody subscribes.
+	// leafRank is the default rank of a process that is not a distributor.
 	leafRank = 100
-	// maxRank is the highest rank: that of a leaf.
+	// maxRank is the highest rank, the one of a leaf of the tree.
 	maxRank = 100
-	// minMissedHeartbeats is how many heartbeats are missed, at least, before a distributor is left.
+	// minMissedHeartbeats is the smallest number of missed heartbeats after which a process may change to another distributor.
 	minMissedHeartbeats = 3
-	// defaultSilenceTimeoutMs and defaultMaxLagMs are raised to their lower bounds where those are higher.
+	// defaultSilenceTimeoutMs and defaultMaxLagMs apply unless the lower bound of the value, which depends on others, is higher.
 	defaultSilenceTimeoutMs = 1800
 	defaultMaxLagMs         = 6800
 )
@@ -82,7 +83,7 @@
 	c.number("clock_bound_ms", &d.MaxClockSkewMs, valueRange{250, 0, 60_000})
 }
 
-// checkRoot validates a member of the store: it is the root of a tree, and subscribes nowhere.
+// checkRoot validates the configuration of a member of the store, which is a root of the tree and subscribes nowhere.
 func (d *Distribution) checkRoot(c checker, s Store) {
 	for _, field := range []string{"name", "identity", "upstream"} {
 		if c.doc.Has(c.path(field)) {
@@ -120,7 +121,7 @@
 	}
 }
 
-// check validates one distributor; ownRank is that of the subscriber.
+// check validates one distributor. repeated says that its name was used before; ownRank is the rank of the subscriber.
 func (d Distributor) check(c checker, repeated bool, ownRank int) {
 	if repeated || strings.TrimSpace(d.Name) == "" {
 		c.doc.Failf(c.path("name"), "distributor name %q is empty, named twice or the name of this process", d.Name)
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -43,14 +43,14 @@
 	leaf := strings.Replace(distributorText, `"listen": "127.0.0.1:4501", "rank": 1, `, `"heartbeat_ms": 5000, `, 1)
 	o, err = config.ParseOperatorFile("/etc/o", []byte(leaf))
 	require.NoError(t, err)
-	require.Equal(t, 100, o.Distribution.Rank, "below any distributor")
+	require.Equal(t, 100, o.Distribution.Rank, "the highest rank is the default")
 	require.Equal(t, []float64{15_000, 15_000}, []float64{o.Distribution.SilenceTimeoutMs, o.Distribution.MaxLagMs})
 	o, err = config.ParseOperatorFile("/etc/o", []byte(`{}`))
 	require.NoError(t, err)
-	require.Nil(t, o.Distribution, "off unless it is asked for")
+	require.Nil(t, o.Distribution, "distribution is off by default")
 }
 
-// Each change of a valid file is rejected with this line.
+// Each invalid change of a valid file is rejected with the line want.
 func TestInvalidDistributionIsRejected(t *testing.T) {
 	for _, c := range []struct{ text, from, to, want string }{
 		{rootText, `"epoch": 1, `, ``, "o:3:19: a member of the store needs epoch: from 1, and higher each time the store begins anew"},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/policy"
 )
 
-// encode is the JSON of a decoded file, keys as in the file.
+// encode returns a decoded file as indented JSON, with the keys of the file.
 func encode(t *testing.T, v any) []byte {
 	t.Helper()
 	out, err := json.MarshalIndent(v, "", " ")
@@ -22,10 +22,10 @@
 	return append(out, '\n')
 }
 
-// noEnvironment is an environment without any variable.
+// noEnvironment is a getenv function of an environment without variables.
 func noEnvironment(string) string { return "" }
 
-// The operator's file with every key decodes to what it decoded to before, and what is decoded has the same keys again.
+// An operator's file with every key decodes to the values in the golden files, and encoding the decoded file yields the same keys.
 func TestGoldenOperatorFile(t *testing.T) {
 	file, err := config.ParseOperatorFile("/etc/ravenwheel/operator.jsonc", golden.Read(t, "operator.jsonc"))
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 	require.Equal(t, encoded, encode(t, &again))
 }
 
-// The operator's files with few keys have the same default values as before.
+// Absent keys of an operator's file have the default values in the golden files.
 func TestGoldenOperatorDefaults(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty": `{}`,
@@ -60,7 +60,7 @@
 	}
 }
 
-// A revision of the shared configuration decodes to what it decoded to before.
+// A revision of the shared configuration decodes to the values in the golden file.
 func TestGoldenLive(t *testing.T) {
 	live, err := config.ParseLive("revision 3", string(golden.Read(t, "live.jsonc")))
 	require.NoError(t, err)
@@ -68,7 +68,8 @@
 	golden.Equal(t, "live-keys.txt", fmt.Appendf(nil, "keys %v\n", live.SigningKeys))
 }
 
-// What the platform writes, and an operator's file that stands alone, configure the proxy as before.
+// The platform's file, the same file with overrides from the environment, and an operator's file with "proxy" give the
+// configurations in the golden files.
 func TestGoldenConfig(t *testing.T) {
 	environment := map[string]string{"LB_NAME": "n7", "LB_LISTEN": "127.0.0.1:4107", "LB_CONSOLE": "127.0.0.1:9097", "TMPDIR": "/run/rw"}
 	fromPlatform, err := config.Parse(golden.Read(t, "config.json"), noEnvironment)
@@ -85,7 +86,7 @@
 	golden.Equal(t, "config-standalone.txt", describe(standalone))
 }
 
-// describe writes all of a configuration, one value a line.
+// describe formats all values of a configuration, one a line.
 func describe(c *config.Config) []byte {
 	var out bytes.Buffer
 	line := func(name string, value any) { fmt.Fprintf(&out, "%s: %v\n", name, value) }
@@ -149,7 +150,7 @@
 	}
 }
 
-// Bad files are refused with the same lines, at the same places.
+// Invalid files are rejected with the errors in the golden file, at the same lines and columns.
 func TestGoldenDefects(t *testing.T) {
 	good := string(golden.Read(t, "operator.jsonc"))
 	var out bytes.Buffer
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -2,18 +2,18 @@
 
 import "ravenwheel/internal/strictjson"
 
-// Live is what a revision of the shared configuration may change without a restart. A part that is absent stays as the
-// operator's file has it.
+// Live is a revision of the shared configuration: the values that may change without a restart. Where a part is absent, the
+// values of the operator's file stay in force.
 type Live struct {
 	Log    *Log           `json:"log"`
 	Limits *LiveLimits    `json:"limits"`
 	Signed *LiveSigned    `json:"signed"`
-	Keys   map[string]Key `json:"keys"` // all signing keys: others are dropped; absent: the keys stay
+	Keys   map[string]Key `json:"keys"` // the complete set of signing keys; absent: the keys do not change
 
-	SigningKeys KeyRing `json:"-"` // the decoded Keys; nil: absent
+	SigningKeys KeyRing `json:"-"` // the decoded Keys; nil: Keys is absent
 }
 
-// LiveLimits are the limits of service that a revision changes, each to its default where it is absent.
+// LiveLimits are the limits that a revision changes. A limit that is absent is set to its default.
 type LiveLimits struct {
 	MaxOpenRequests  int     `json:"requests"`
 	ConnectTimeoutMs float64 `json:"connect_ms"`
@@ -21,7 +21,7 @@
 	AttemptsPerConn  int     `json:"streams_per_connection"`
 }
 
-// LiveSigned is what a revision changes of the signed front.
+// LiveSigned is the setting of the signed front that a revision changes.
 type LiveSigned struct {
 	LeewayMs float64 `json:"leeway_ms"`
 }
@@ -29,8 +29,7 @@
 // restartParts are the parts of an operator's file that a revision can't change.
 var restartParts = []string{"proxy", "site", "classes", "servers", "admin", "state", "store", "snmp"}
 
-// ParseLive decodes and validates the text of a revision. name stands in place of a file's name in the error, which is
-// strictjson.Defects.
+// ParseLive decodes and validates the text of a revision. The error is strictjson.Defects, with name in place of a file's name.
 func ParseLive(name, text string) (*Live, error) {
 	live := &Live{}
 	doc := strictjson.Decode(name, []byte(text), live)
@@ -46,7 +45,8 @@
 	return live, nil
 }
 
-// reportRestartParts adds a defect for each part that takes a restart, which is to the decoder an unknown field.
+// reportRestartParts adds a defect for each part that can't change without a restart. The decoder has reported such a part only
+// as an unknown field.
 func reportRestartParts(doc *strictjson.Document, name, text string) {
 	var nothing struct{}
 	undecoded := strictjson.Decode(name, []byte(text), &nothing)
--- a/internal/config/operator_file.go
+++ b/internal/config/operator_file.go
@@ -9,8 +9,9 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// OperatorFile is the file that enables what is off on the platform, as JSON with comments. A part that is absent stays
-// off. With "proxy" it holds everything that the platform would configure, and the program runs without the platform.
+// OperatorFile is an operator's configuration file, in JSON with comments. It enables features that are off on the platform; a
+// feature whose part is absent stays off. With "proxy", the file has everything that the platform would configure, and the
+// program runs without the platform.
 type OperatorFile struct {
 	Proxy        *Proxy        `json:"proxy"`
 	Limits       *Limits       `json:"limits"`
@@ -26,16 +27,16 @@
 	Peers        *Peers        `json:"peers"`
 	Distribution *Distribution `json:"distribution"`
 
-	Path        string       `json:"-"` // of the file; empty: there is none
-	SigningKeys KeyRing      `json:"-"` // the decoded keys of Signed
-	LogOptions  logs.Options `json:"-"` // what Log says
+	Path        string       `json:"-"` // of the file; empty: there is no file
+	SigningKeys KeyRing      `json:"-"` // the decoded Signed.Keys
+	LogOptions  logs.Options `json:"-"` // from Log
 }
 
 // KeyRing holds signing keys by their key id.
 type KeyRing map[string]store.Key
 
-// LoadOperatorFile reads an operator's file. An empty path is a file without any part. The error is that of reading the file,
-// or strictjson.Defects.
+// LoadOperatorFile reads an operator's file. An empty path gives a file without any part. The error is that of reading the
+// file, or strictjson.Defects.
 func LoadOperatorFile(path string) (*OperatorFile, error) {
 	if path == "" {
 		return &OperatorFile{}, nil
@@ -48,7 +49,7 @@
 }
 
 // ParseOperatorFile decodes and validates the text of an operator's file, applies the default values, and resolves relative
-// paths against the directory of path. The error is strictjson.Defects: everything that is invalid, by line.
+// paths against the directory of path. The error is strictjson.Defects, which has everything that is invalid, sorted by line.
 func ParseOperatorFile(path string, raw []byte) (*OperatorFile, error) {
 	file := &OperatorFile{Path: path, SigningKeys: KeyRing{}}
 	doc := strictjson.Decode(path, raw, file)
@@ -63,8 +64,8 @@
 	return file, nil
 }
 
-// check validates the parts. Those of a proxy without the platform come first: the deadlines of its classes are the default of
-// other values.
+// check validates all parts. The parts of a proxy without the platform come first, since other defaults depend on the
+// deadlines of its classes.
 func (f *OperatorFile) check(doc *strictjson.Document) {
 	f.checkParts(doc)
 	if f.Proxy != nil && f.Limits != nil && f.Site != nil {
@@ -81,7 +82,7 @@
 	f.checkSNMP(doc)
 }
 
-// checkParts reports parts that are missing beside "proxy", and those that make no sense without it.
+// checkParts reports parts that "proxy" needs and that are missing, and parts that are only allowed with "proxy".
 func (f *OperatorFile) checkParts(doc *strictjson.Document) {
 	standalone := f.Proxy != nil
 	for _, part := range []struct {
@@ -104,7 +105,8 @@
 	}
 }
 
-// resolvePaths makes relative paths relative to a directory. A watched list and a state directory are always given.
+// resolvePaths resolves relative paths against a directory. Paths that may be empty stay empty: only the path of a watched list
+// and the directory of the state are always set.
 func (f *OperatorFile) resolvePaths(dir string) {
 	resolve := func(path *string) {
 		if !filepath.IsAbs(*path) {
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -20,7 +20,8 @@
 	return string(raw)
 }
 
-// The example files are valid, and that of the README configures everything that the platform would.
+// The example files in deploy are valid. standalone.jsonc, which the README uses, configures everything that the platform
+// would. A server list that is formatted and parsed again is the same list.
 func TestExampleFilesAreValid(t *testing.T) {
 	o, err := config.LoadOperatorFile("../../deploy/standalone.jsonc")
 	require.NoError(t, err)
@@ -37,7 +38,7 @@
 	require.NoError(t, err)
 	c, err = config.Read(func(string) string { return "" }, o)
 	require.NoError(t, err)
-	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "a deployment whose requests may go straight up, or join a fill")
+	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "requests may bypass caches and join fills")
 	raw, err := os.ReadFile("../../deploy/servers.example.jsonc")
 	require.NoError(t, err)
 	d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
@@ -52,7 +53,7 @@
 	require.NoError(t, defects.Err())
 	reread, defects := reparsed.Resolve(answers, list)
 	require.NoError(t, defects.Err())
-	require.Same(t, list, reread, "what is written reads as the same list")
+	require.Same(t, list, reread, "a formatted list is parsed as the same list")
 	entries := c.Entries(list)
 	require.Equal(t, policy.Draining, entries[4].State)
 	require.Equal(t, 3, entries[4].Zone)
@@ -60,7 +61,7 @@
 	raw, err = os.ReadFile("../../deploy/operator.example.jsonc")
 	require.NoError(t, err)
 	_, err = config.ParseOperatorFile("o", raw)
-	require.EqualError(t, err, `o:10:42: key "2026-12" is empty or not valid base64`, "its key must be filled in, and nothing else")
+	require.EqualError(t, err, `o:10:42: key "2026-12" is empty or not valid base64`, "the key must be filled in, and everything else is valid")
 	_, err = config.ParseOperatorFile("o", []byte(strings.Replace(string(raw), `"key": ""`, `"key": "eA=="`, 1)))
 	require.NoError(t, err)
 	o, err = config.LoadOperatorFile("")
@@ -71,7 +72,7 @@
 	require.Error(t, err)
 }
 
-// Each change of the example is rejected with this line.
+// Each invalid change of the example is rejected with the error want.
 func TestInvalidOperatorFileIsRejected(t *testing.T) {
 	text := readExample(t)
 	for _, c := range []struct{ from, to, want string }{
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// The defaults of what the platform's settings may leave out. They are also those of an operator's file.
+// The defaults of values that may be absent from the platform's settings, and from an operator's file.
 const (
-	// defaultAttemptsPerConn is the number of attempts in flight on one connection.
+	// defaultAttemptsPerConn is the maximum number of attempts in flight on one connection.
 	defaultAttemptsPerConn = 32
-	// defaultConnectTimeoutMs bounds connecting: the system's own timeout is minutes.
+	// defaultConnectTimeoutMs is the timeout of connecting: the operating system's own timeout is minutes.
 	defaultConnectTimeoutMs = 400
 )
 
-// SettingError is a value of the platform's configuration that can't be used.
+// SettingError reports an invalid value in the platform's configuration.
 type SettingError struct {
-	Path   string // as in settings.Grades[0].Name
+	Path   string // path of the value, such as settings.Grades[0].Name
 	Reason string
 }
 
@@ -31,10 +31,10 @@
 	return &SettingError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// platformSettings are the platform's settings as far as the proxy itself reads them or validates them before it starts. The
-// module reads the rest. The tags are the platform's names. A list that is absent is nil.
+// platformSettings are those of the platform's settings that the proxy itself uses, or validates before it starts. Package wire
+// decodes the rest. The tags are the platform's names. A list that is absent is nil.
 type platformSettings struct {
-	Zone    float64         `json:"Zone"` // index into Zones
+	Zone    float64         `json:"Zone"` // index of this proxy's zone in Zones
 	Zones   []string        `json:"Zones"`
 	Kinds   []string        `json:"Kinds"` // of servers
 	Classes []platformClass `json:"Grades"`
@@ -71,7 +71,7 @@
 	ConnectTimeoutUs float64 `json:"ConnectTimeoutUs"`
 }
 
-// platformSite are facts of the site. The lists are by class or by zone.
+// platformSite describes the site. Its lists have a value for each class or each zone.
 type platformSite struct {
 	ClassFreshUs    []float64 `json:"ClassFreshUs"`
 	ClassStaleUs    []float64 `json:"StaleForUs"`
@@ -91,7 +91,7 @@
 	ParentOverloadMultiple float64  `json:"ParentBreaksAt"`
 }
 
-// check returns the first value that can't be used, as a SettingError.
+// check returns a SettingError for the first invalid value.
 func (s *platformSettings) check() error {
 	if len(s.Classes) == 0 {
 		return settingErrorf("settings.Grades", "there are no classes")
@@ -129,20 +129,20 @@
 	})
 }
 
-// validClassName reports whether a class has a name of its own that can be written in a field of a frame.
+// validClassName reports whether a class name is set, is not repeated, and can be written in a field of a frame.
 func validClassName(name string, repeated bool) bool {
 	const separators = " ,=\r\n"
 	return name != "" && !repeated && !strings.ContainsAny(name, separators)
 }
 
-// checkLengths compares the lists with the number of classes or zones that they describe: in a shorter one, the values of the
-// last class or zone would be missing.
+// checkLengths compares the length of each list with the number of classes or zones: in a shorter list, the last class or zone
+// would have no value.
 func (s *platformSettings) checkLengths() error {
 	site := &s.Site
 	for _, list := range []struct {
-		name       string
-		given, due int
-		of         string
+		name        string
+		given, want int
+		of          string
 	}{
 		{"ClassFreshUs", len(site.ClassFreshUs), len(s.Classes), "classes"},
 		{"ClassStaleWorth", len(site.ClassStaleValue), len(s.Classes), "classes"},
@@ -153,8 +153,8 @@
 		{"ZoneBalancers", len(site.ZoneProxies), len(s.Zones), "zones"},
 		{"ZoneLinkKbPerS", len(site.ZoneLinkKBPerS), len(s.Zones), "zones"},
 	} {
-		if list.given > 0 && list.given != list.due {
-			return settingErrorf("settings.FamilyInfo."+list.name, "%d values for %d %s", list.given, list.due, list.of)
+		if list.given > 0 && list.given != list.want {
+			return settingErrorf("settings.FamilyInfo."+list.name, "%d values for %d %s", list.given, list.want, list.of)
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// checkIndexes validates the indexes into the lists of zones and kinds.
+// checkIndexes validates indexes of zones and kinds.
 func (s *platformSettings) checkIndexes() error {
 	zones, kinds := len(s.Zones), len(s.Kinds)
 	if zones > 0 && (s.Zone < 0 || int(s.Zone) >= zones) {
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// checkNumbers validates what can't be below 0.
+// checkNumbers validates the numbers that must not be below 0.
 func (s *platformSettings) checkNumbers() error {
 	rules, bounds, site := &s.Rules, &s.Bounds, &s.Site
 	for i, count := range site.ZoneProxies {
@@ -226,7 +226,7 @@
 	)
 }
 
-// notNegative returns an error for the first of the values, by name, that is below 0.
+// notNegative returns an error for the first value, in the order of their names, that is below 0.
 func notNegative(path string, values map[string]float64) error {
 	negative := ""
 	for name, value := range values {
@@ -240,8 +240,8 @@
 	return settingErrorf(path+"."+negative, "%v is below 0", values[negative])
 }
 
-// withPlace adds to a decoder's error the place in the text, in one line: line:column, both from 1, of a syntax error, and the path of
-// a value of the wrong type, as a SettingError. Any other error is returned as it is.
+// withPlace adds the place in the text to a decoder's error, which stays on one line: for a syntax error, line:column, both
+// from 1; for a value of the wrong type, its path, as a SettingError. Any other error is returned unchanged.
 func withPlace(raw []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -11,8 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// platform is the platform's configuration of a deployment with a deduplicated class, known link rates, no cells, and requests
-// that may go straight to the origin.
+// platform is a valid configuration of the platform. It has a deduplicated class and known link rates, has no cells, and lets
+// requests bypass caches.
 const platform = `{"name":"n0","listen":"127.0.0.1:4100","seed":"8c1f30d27a5be964","board":"127.0.0.1:9092",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"rev":1,"notices":[{"rev":1,"pool":{"reset":true,"instances":[
@@ -41,13 +41,14 @@
 	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 
-	// Numbers in another form are the same numbers.
+	// Other forms of the same numbers are accepted.
 	otherNumberForms := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
 	again, err := parse(otherNumberForms)
 	require.NoError(t, err)
 	require.Equal(t, c, again)
 
-	// Absent limits have defaults: without, connecting would take minutes to fail, and a connection would carry one attempt.
+	// Absent limits have defaults. Without them, connecting would take minutes to fail, and a connection would carry one attempt
+	// at a time.
 	withoutLimits := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
 	c, err = parse(withoutLimits)
 	require.NoError(t, err)
@@ -55,7 +56,7 @@
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 }
 
-// Each change of valid settings is rejected with this one line.
+// Each invalid change of a valid configuration is rejected with the one line want.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"Grades":[`, `"Grads":[`, "settings.Grades: there are no classes"},
@@ -97,14 +98,14 @@
 	}
 }
 
-// Every truncated configuration is rejected, in one line.
+// A truncated configuration is rejected with a one-line error. A configuration of which one field is absent or has another type
+// is either rejected with a one-line error or can start a router.
 func TestTruncatedOrMistypedConfigIsRejected(t *testing.T) {
 	for n := range len(platform) {
 		_, err := parse(platform[:n])
 		require.Error(t, err, n)
 		require.NotContains(t, err.Error(), "\n")
 	}
-	// A configuration of which one field is absent or has another type is rejected in one line, or starts a router.
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(platform), &root))
 	forEachMutation(root, func() {
@@ -116,11 +117,11 @@
 			return
 		}
 		_, err = policy.New(c.Settings, c.Seed)
-		require.NoError(t, err, "a router starts with every accepted configuration")
+		require.NoError(t, err, "a router must start with every accepted configuration")
 	})
 }
 
-// forEachMutation calls try with each field below at absent, null, or of another type in turn.
+// forEachMutation calls try once for each change of a field below at: absent, null, or of another type.
 func forEachMutation(at any, try func()) {
 	switch x := at.(type) {
 	case map[string]any:
--- a/internal/config/server_list.go
+++ b/internal/config/server_list.go
@@ -8,8 +8,8 @@
 	"ravenwheel/policy"
 )
 
-// ListRequirements returns what server lists are validated against. maxDroppedFraction is the fraction of the ready servers that one
-// list may remove.
+// ListRequirements returns the requirements that a server list must meet under this configuration. maxDroppedFraction is the
+// fraction of the ready servers that one list may remove.
 func (c *Config) ListRequirements(maxDroppedFraction float64) serverlist.Requirements {
 	requirements := serverlist.Requirements{
 		Zones:      c.Names.Zones,
@@ -29,7 +29,7 @@
 	return requirements
 }
 
-// kindName is the name of a kind of server; empty: there is none with this index.
+// kindName returns the name of a kind of server; empty: no kind has this index.
 func (c *Config) kindName(index int) string {
 	if index < 0 || index >= len(c.Names.Kinds) {
 		return ""
@@ -37,7 +37,7 @@
 	return c.Names.Kinds[index]
 }
 
-// Entries returns the servers of a list as the membership decider takes them.
+// Entries converts the servers of a list to the entries that package membership works with.
 func (c *Config) Entries(list *serverlist.List) []membership.Entry {
 	entries := make([]membership.Entry, len(list.Servers))
 	for i, server := range list.Servers {
--- a/internal/config/servers.go
+++ b/internal/config/servers.go
@@ -5,30 +5,30 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Servers is the server list that is watched on disk.
+// Servers configures the server list that is read from disk and watched for changes.
 type Servers struct {
-	Path               string  `json:"path"`         // of a file or a directory; relative to that of the operator's file
-	QuietMs            float64 `json:"quiet_ms"`     // how long the files must stay unchanged before they are read
-	MaxWaitMs          float64 `json:"most_wait_ms"` // files that never stay unchanged are read after so long
+	Path               string  `json:"path"`         // a file or a directory, relative to the directory of the operator's file
+	QuietMs            float64 `json:"quiet_ms"`     // how long files must stay unchanged before they are read
+	MaxWaitMs          float64 `json:"most_wait_ms"` // after so long, files are read even if they still change
 	PollMs             float64 `json:"poll_ms"`
-	DrainMs            float64 `json:"drain_ms"`    // how long a server that is no longer listed drains
-	RememberMs         float64 `json:"remember_ms"` // how long a server that is gone is remembered
-	MaxDroppedFraction float64 `json:"most_dropped"`
-	WeightStep         float64 `json:"weight_step"` // factor by which a weight changes at most at once
+	DrainMs            float64 `json:"drain_ms"`     // how long a server drains after it left the list
+	RememberMs         float64 `json:"remember_ms"`  // how long a server is remembered after its drain
+	MaxDroppedFraction float64 `json:"most_dropped"` // of the ready servers, that one list may remove
+	WeightStep         float64 `json:"weight_step"`  // largest factor by which a weight changes in one step
 	WeightIntervalMs   float64 `json:"weight_every_ms"`
 	ResolveTimeoutMs   float64 `json:"resolve_ms"`
 	ResolveTTLMs       float64 `json:"ttl_ms"`
 }
 
-// Debounce returns when a change of the files is read.
+// Debounce returns the settings that decide when changed files are read.
 func (s *Servers) Debounce() debounce.Settings {
 	return debounce.Settings{QuietPeriod: s.QuietMs, MaxDelay: s.MaxWaitMs, PollInterval: s.PollMs}
 }
 
 const (
-	// minLongestDeadlineMs: servers drain at least as long as the longest deadline that the platform has.
+	// minLongestDeadlineMs is the longest deadline that the platform has. The default drain is not based on a shorter one.
 	minLongestDeadlineMs = 3000
-	// drainMarginMs is added to the longest deadline for the default drain.
+	// drainMarginMs is added to the longest deadline to get the default drain time.
 	drainMarginMs = 1000
 )
 
--- a/internal/config/services.go
+++ b/internal/config/services.go
@@ -10,12 +10,12 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Admin is the operators' HTTP address: a unix socket (unix:PATH) or one on loopback.
+// Admin configures the HTTP interface for operators. Its address is a unix socket (unix:PATH) or a loopback address.
 type Admin struct {
 	Listen string `json:"listen"`
 }
 
-// maxSocketPath is the length in bytes of the longest path of a unix socket.
+// maxSocketPath is the maximum length, in bytes, of the path of a unix socket.
 const maxSocketPath = 100
 
 func (f *OperatorFile) checkAdmin(doc *strictjson.Document) {
@@ -32,10 +32,10 @@
 	}
 }
 
-// State is the journal that a process alone recovers from after a crash.
+// State configures the journal from which a process recovers its state after a crash.
 type State struct {
 	Dir          string  `json:"dir"`      // relative to the directory of the operator's file
-	BatchDelayMs float64 `json:"delay_ms"` // how long a write waits for others to be written with it
+	BatchDelayMs float64 `json:"delay_ms"` // how long a write waits for others, to be written in one batch
 }
 
 func (f *OperatorFile) checkState(doc *strictjson.Document) {
@@ -47,7 +47,7 @@
 	c.number("delay_ms", &f.State.BatchDelayMs, valueRange{0, 0, 1000})
 }
 
-// Log is the lowest level that is logged, and the format of the lines. Empty: info, and auto.
+// Log configures the log: the lowest level that is logged (empty: info) and the format of the lines (empty: auto).
 type Log struct {
 	Level  string `json:"level"`  // debug, info, warn or error
 	Format string `json:"format"` // auto, text or json
@@ -60,15 +60,15 @@
 	c.oneOf("format", f.Log.Format, "", "auto", "text", "json")
 }
 
-// Signed is the HTTP front that serves signed links and tokens.
+// Signed configures the HTTP front that serves requests with signed links and tokens.
 type Signed struct {
 	Listen   string         `json:"listen"`
-	Audience string         `json:"audience"`  // that tokens must name
-	LeewayMs float64        `json:"leeway_ms"` // how far the clocks of issuers may be off
-	Keys     map[string]Key `json:"keys"`      // by key id; put into the store at the start
+	Audience string         `json:"audience"`  // the audience that tokens must name
+	LeewayMs float64        `json:"leeway_ms"` // tolerated error of the clocks of token issuers
+	Keys     map[string]Key `json:"keys"`      // by key id; written to the store when the process starts
 }
 
-// Key is a signing key: the PKIX DER of a public key, or an HMAC secret, both in base64.
+// Key is a signing key: a public key as PKIX DER, or an HMAC secret, encoded in base64.
 type Key struct {
 	Algorithm string `json:"alg"`
 	Base64    string `json:"key"`
@@ -85,7 +85,7 @@
 	f.SigningKeys = checker{doc, "signed.keys"}.signingKeys(f.Signed.Keys)
 }
 
-// SNMP is the SNMP agent.
+// SNMP configures the SNMP agent.
 type SNMP struct {
 	Listen    string `json:"listen"`
 	Community string `json:"community"`
@@ -100,18 +100,18 @@
 	c.required("community", f.SNMP.Community)
 }
 
-// Peers is the membership and gossip among processes.
+// Peers configures the membership and gossip among processes.
 type Peers struct {
-	Name             string            `json:"name"`      // empty: the proxy's
-	Listen           string            `json:"listen"`    // for other processes, over UDP and TCP
-	Advertise        string            `json:"advertise"` // the address that others are given; empty: Listen
-	Seeds            []string          `json:"seeds"`     // addresses of any others
-	AddressesByName  map[string]string `json:"as_seen"`   // of others, where they differ from what those advertise
-	Zone             string            `json:"zone"`      // empty: the proxy's
+	Name             string            `json:"name"`      // empty: the proxy's name
+	Listen           string            `json:"listen"`    // address for other processes, over UDP and TCP
+	Advertise        string            `json:"advertise"` // address that other processes are told; empty: Listen
+	Seeds            []string          `json:"seeds"`     // addresses of processes to contact first
+	AddressesByName  map[string]string `json:"as_seen"`   // addresses of other processes, where they differ from the advertised ones
+	Zone             string            `json:"zone"`      // empty: the proxy's zone
 	Region           string            `json:"region"`
-	Identity         string            `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key
-	Dir              string            `json:"dir"`      // where starts are counted; empty: the clock numbers them
-	DigestIntervalMs float64           `json:"every_ms"`
+	Identity         string            `json:"identity"` // directory of ca.crt, NAME.crt and NAME.key
+	Dir              string            `json:"dir"`      // stores incarnations and members; empty: the clock numbers incarnations
+	DigestIntervalMs float64           `json:"every_ms"` // interval between two digests
 }
 
 func (f *OperatorFile) checkPeers(doc *strictjson.Document) {
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -11,37 +11,37 @@
 // Proxy is the identity of a proxy that runs without the platform.
 type Proxy struct {
 	Name   string `json:"name"`
-	Listen string `json:"listen"` // for clients
+	Listen string `json:"listen"` // address for clients
 	Zone   string `json:"zone"`
-	Seed   uint64 `json:"seed"` // of all random draws; 0: drawn at the start
-	Rank   int    `json:"rank"` // among all proxies, from 0
+	Seed   uint64 `json:"seed"` // of the random number generator; 0: chosen at random at the start
+	Rank   int    `json:"rank"` // index of this proxy among all proxies, from 0
 }
 
 // Limits bound the resources that a proxy uses and the requests that it accepts.
 type Limits struct {
 	Cores            float64 `json:"cores"`
-	MemoryMB         int     `json:"memory_mb"` // 0: not bounded
+	MemoryMB         int     `json:"memory_mb"` // 0: not limited
 	Sockets          int     `json:"sockets"`
 	MaxOpenRequests  int     `json:"requests"`
-	MaxAttempts      int     `json:"tries"`                  // for one request
+	MaxAttempts      int     `json:"tries"`                  // of one request
 	AttemptsPerConn  int     `json:"streams_per_connection"` // attempts in flight on one connection
 	ConnectTimeoutMs float64 `json:"connect_ms"`
-	IdleTimeoutMs    float64 `json:"idle_ms"`    // after which a cache server closes an idle connection
-	MaxRetryAfterMs  float64 `json:"backoff_ms"` // advice to clients with a rejection; 0: none
+	IdleTimeoutMs    float64 `json:"idle_ms"`    // idle time after which a cache server closes a connection
+	MaxRetryAfterMs  float64 `json:"backoff_ms"` // longest Retry-After that a rejected client gets; 0: none is sent
 }
 
-// Site is what all proxies of a site share.
+// Site is the part of the configuration that all proxies of a site share.
 type Site struct {
 	Zones               []string           `json:"zones"`
-	HomeHub             map[string]string  `json:"home_hub"`      // by zone, the hub zone to which it is attached; of zones with clients
-	Proxies             map[string]int     `json:"proxies"`       // how many, by zone; a zone without has no clients
+	HomeHub             map[string]string  `json:"home_hub"`      // hub zone of each zone that has clients
+	Proxies             map[string]int     `json:"proxies"`       // number of proxies by zone; a zone without proxies has no clients
 	LinkKBPerSecond     map[string]float64 `json:"link_kb_per_s"` // by zone
-	Kinds               []string           `json:"kinds"`         // of servers
+	Kinds               []string           `json:"kinds"`         // of servers: all names
 	ParentKind          string             `json:"parent_kind"`   // empty: there are no parents
 	OriginKind          string             `json:"origin_kind"`
 	TransferKBPerSecond float64            `json:"flow_kb_per_s"` // of one transfer to a client; 0: not known
-	SiblingFills        string             `json:"siblings"`      // from which siblings a server may fill: none, location or any
-	HedgedRequests      bool               `json:"second_copies"` // read for compatibility, and not used
+	SiblingFills        string             `json:"siblings"`      // siblings from which a server may fill: none, location or any
+	HedgedRequests      bool               `json:"second_copies"` // accepted for compatibility and ignored
 	MayBypassCaches     bool               `json:"direct"`        // a request may go straight to a parent or the origin
 	CoalescesFills      bool               `json:"joins"`         // a request may join a fill that is in flight
 	DrainGraceMs        float64            `json:"drain_grace_ms"`
@@ -52,15 +52,15 @@
 	ParentWarmUp        *WarmUp            `json:"parent_cold"`
 }
 
-// WarmUp is how much load a server takes after its start, and what overloads it.
+// WarmUp describes how much load a server takes after its start, and which load overloads it.
 type WarmUp struct {
 	InitialCapacity  float64 `json:"from"`            // fraction of the full capacity at the start
-	DurationMs       float64 `json:"warm_within_ms"`  // until the full capacity
-	OverloadMultiple float64 `json:"falls_at"`        // a load of so many times the present capacity
-	OverloadWindowMs float64 `json:"falls_within_ms"` // crashes the server within so long
+	DurationMs       float64 `json:"warm_within_ms"`  // from the start until the full capacity
+	OverloadMultiple float64 `json:"falls_at"`        // load that overloads a server, as a multiple of its present capacity
+	OverloadWindowMs float64 `json:"falls_within_ms"` // time under such a load after which the server crashes
 }
 
-// The effects of a class: what repeating a request may do.
+// The effects of a class say whether its requests may be repeated.
 const (
 	effectIdempotent   = "idempotent"
 	effectDeduplicated = "deduplicated"
@@ -72,22 +72,22 @@
 // Class is one class of requests.
 type Class struct {
 	Name               string  `json:"name"`
-	LatencyObjectiveMs float64 `json:"target_ms"` // the latency objective
-	ObjectiveStretch   float64 `json:"stretch"`   // the objective grows by so many times the transfer time
+	LatencyObjectiveMs float64 `json:"target_ms"` // latency objective
+	ObjectiveStretch   float64 `json:"stretch"`   // multiple of the transfer time that is added to the objective
 	DeadlineMs         float64 `json:"deadline_ms"`
 	PriorityWeight     float64 `json:"worth"`
-	LateFraction       float64 `json:"late_value"` // of the weight, for an answer after the objective
+	LateFraction       float64 `json:"late_value"` // fraction of the weight that an answer after the objective is worth
 	Effect             string  `json:"effect"`     // idempotent, deduplicated or at_most_once
-	DedupScope         string  `json:"group"`      // of deduplicated requests: all, zone or cell
-	DedupWindowMs      float64 `json:"window_ms"`  // of deduplicated requests: how long repeats are discarded
-	Uncached           bool    `json:"uncached"`   // runs at the origin and is never cached
-	InParts            bool    `json:"in_parts"`   // objects are requested part by part
-	FreshMs            float64 `json:"fresh_ms"`   // 0: until purged
-	StaleMs            float64 `json:"stale_ms"`   // how long after that a stale copy may be served
+	DedupScope         string  `json:"group"`      // caches that share the discarding of repeats: all, zone or cell
+	DedupWindowMs      float64 `json:"window_ms"`  // how long repeats of a deduplicated request are discarded
+	Uncached           bool    `json:"uncached"`   // requests run at the origin, and answers are never cached
+	InParts            bool    `json:"in_parts"`   // objects are requested in parts
+	FreshMs            float64 `json:"fresh_ms"`   // how long a copy is fresh; 0: until purged
+	StaleMs            float64 `json:"stale_ms"`   // how long a copy may be served after FreshMs, as stale
 	StaleFraction      float64 `json:"stale_worth"`
 }
 
-// checkStandalone validates the parts that take the place of the platform's configuration.
+// checkStandalone validates the parts that replace the platform's configuration.
 func (f *OperatorFile) checkStandalone(doc *strictjson.Document) {
 	c := checker{doc, "proxy"}
 	c.required("name", f.Proxy.Name)
@@ -112,9 +112,9 @@
 }
 
 const (
-	// maxNames bounds the zones and the kinds of a site.
+	// maxNames is the maximum number of zones, and of kinds, of a site.
 	maxNames = 256
-	// maxProxies bounds the proxies of a zone, and the ranks.
+	// maxProxies is the maximum number of proxies of a zone, and the highest rank.
 	maxProxies = 10_000
 )
 
@@ -134,7 +134,7 @@
 	s.ParentWarmUp = checkWarmUp(checker{c.doc, "site.parent_cold"}, s.ParentWarmUp, WarmUp{0.06, 22_000, 2, 3000})
 }
 
-// names reports a list that is empty or too long, and names that are empty or repeated.
+// names reports a list that is empty or too long, and names in it that are empty or repeated.
 func (c checker) names(field string, list []string) {
 	if len(list) == 0 || len(list) > maxNames {
 		c.doc.Failf(c.path(field), "site needs 1 to %d %s", maxNames, field)
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkZones validates what is given by zone.
+// checkZones validates the fields that have a value for each zone. ownZone is the zone of this proxy.
 func (s *Site) checkZones(c checker, ownZone string) {
 	for zone, hub := range s.HomeHub {
 		c.knownName("home_hub."+zone, "zone", zone, s.Zones)
@@ -179,7 +179,7 @@
 	}
 }
 
-// checkWarmUp validates one slow start, and returns it with the defaults in place of what is absent.
+// checkWarmUp validates one warm-up and returns it, with defaults for the values that are absent. given is nil if all are absent.
 func checkWarmUp(c checker, given *WarmUp, defaults WarmUp) *WarmUp {
 	if given == nil {
 		given = &WarmUp{}
--- a/internal/config/standalone_config.go
+++ b/internal/config/standalone_config.go
@@ -9,7 +9,7 @@
 	"ravenwheel/policy"
 )
 
-// The module's terms for the words of an operator's file.
+// The values of package policy for the words that an operator's file may use.
 var (
 	siblingScopes = map[string]policy.SiblingScope{"none": policy.SiblingsNone, "location": policy.SiblingsInZone, "any": policy.SiblingsAny}
 	idempotencies = map[string]policy.Idempotency{
@@ -20,7 +20,7 @@
 	}
 )
 
-// standaloneConfig returns the configuration of a validated file that has "proxy".
+// standaloneConfig converts a validated file that has "proxy" to a Config.
 func (f *OperatorFile) standaloneConfig() *Config {
 	proxy, limits := f.Proxy, f.Limits
 	c := &Config{
@@ -55,7 +55,7 @@
 	return c
 }
 
-// settings returns the module's settings that the site determines.
+// settings returns the settings of package policy that the site determines.
 func (s *Site) settings() policy.Settings {
 	settings := policy.Settings{
 		ParentKind:       slices.Index(s.Kinds, s.ParentKind),
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -11,22 +11,23 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Store is this member of the replicated store. Without a name the store has no other members and is in memory.
+// Store configures this process as a member of the replicated store. Without a name, the store has no other members and is
+// kept in memory.
 type Store struct {
 	Name      string         `json:"name"`
-	Listen    string         `json:"listen"`   // for other members, over mutual TLS
-	Peers     []store.Member `json:"peers"`    // all members of a new cluster, this one among them
-	Join      string         `json:"join"`     // in place of Peers: the address of a member of a cluster to join
-	Dir       string         `json:"dir"`      // of the log
-	Identity  string         `json:"identity"` // the directory of ca.crt, NAME.crt and NAME.key
+	Listen    string         `json:"listen"`   // address for other members, over mutual TLS
+	Peers     []store.Member `json:"peers"`    // all members of a new cluster, including this one
+	Join      string         `json:"join"`     // instead of Peers: address of a member of the cluster to join
+	Dir       string         `json:"dir"`      // directory of the log
+	Identity  string         `json:"identity"` // directory of ca.crt, NAME.crt and NAME.key
 	TimeoutMs float64        `json:"timeout_ms"`
 }
 
-// Timeout is how long a change of the store may take.
+// Timeout returns how long a change of the store may take.
 func (s *Store) Timeout() time.Duration { return clock.Duration(s.TimeoutMs) }
 
-// Open starts this member. onChange is store.Options.OnChange. It returns the errors of reading the identity, of making the
-// directory and of store.Open.
+// Open starts this member of the store. onChange is passed on as store.Options.OnChange. The error is that of reading the
+// identity, of creating the directory, or of store.Open.
 func (s *Store) Open(clk *clock.Clock, onChange func(storestate.Change)) (*store.Store, error) {
 	options := store.Options{Timeout: s.Timeout(), Clock: clk, Peers: s.Peers, Join: s.Join, Dir: s.Dir, OnChange: onChange}
 	if s.Name == "" {
@@ -53,7 +54,7 @@
 	}
 }
 
-// checkUnnamed reports what only a member of a cluster has.
+// checkUnnamed reports fields that only a member of a cluster may have.
 func (s *Store) checkUnnamed(c checker) {
 	for _, field := range []string{"listen", "peers", "join", "dir", "identity"} {
 		if c.doc.Has(c.path(field)) {
