--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,8 @@
-// Package admin is the operators' own interface: JSON over HTTP, on a unix socket or a loopback address, off unless it is
-// configured. (The platform's interface, a line over TCP, is package console.) It shows what a running proxy uses and
-// passes operators' commands on; Call is its client. It decides nothing: what a command does is up to Operations and
-// Controller. Its requests and answers are tested here byte by byte, its effects in cmd/ravenwheel.
+// Package admin serves the admin interface for operators: JSON over HTTP, on a unix socket or a loopback address. It is off
+// unless it is configured. (Package console serves the platform's interface, lines over TCP.) The package owns the requests
+// and answers of the interface, which show the state of a running proxy and carry operators' commands; Call is its client.
+// It makes no decisions: Operations and Controller carry out the commands. Its requests and answers are tested here byte by
+// byte, and the effects of commands in cmd/ravenwheel.
 package admin
 
 import (
@@ -29,7 +30,7 @@
 	"ravenwheel/policy"
 )
 
-// Options configure an Endpoint. Calls about what is nil are answered with status 404.
+// Options configure an Endpoint. A call that needs a field that is nil is answered with status 404.
 type Options struct {
 	Listen     string // unix:PATH or a loopback address, host:port
 	Clock      *clock.Clock
@@ -37,20 +38,21 @@
 	Names      discoveryclient.Names
 	Core       *core.Core
 	Servers    func() (servers []membership.ServerStatus, version uint64)
-	ListStatus func() filewatch.Status // nil: no list is watched
-	State      *state.Recorder         // nil: no state is stored
-	Store      *store.Store            // nil: the process is no member of a store
+	ListStatus func() filewatch.Status // nil: no server list is watched
+	State      *state.Recorder         // nil: the process stores no state
+	Store      *store.Store            // nil: the process is not a member of a store
 	Peers      *peers.Peers            // nil: the process has no peers
-	// Distribution returns the state of this process in the distribution tree; nil: it is in none.
+	// Distribution returns the state of this process in the distribution tree; nil: the process is not in a tree.
 	Distribution func() []distribution.Status
-	// Discovery returns the state of the discovery client; nil: there is none.
+	// Discovery returns the state of the discovery client; nil: discovery is off.
 	Discovery  func() discoveryclient.Status
 	Operations Operations
-	Controller Controller // nil: this proxy can't be drained by operators
+	Controller Controller // nil: operators can't drain this proxy
 }
 
-// Controller carries out commands about this proxy as a whole.
+// Controller carries out commands that apply to this proxy only.
 type Controller interface {
+	// Status returns the phase of the proxy as text, and whether it is ready for clients.
 	Status() (text string, ready bool)
 	// SetDraining starts or ends a drain of the whole proxy.
 	SetDraining(on bool) error
@@ -58,36 +60,37 @@
 	SetServerDrained(id policy.ServerID, on bool) error
 }
 
-// Operations carries out commands that apply to all members of a store, or to this proxy if there is none. Each returns
-// once the change is stored, and fails with ErrNotMember in a process that only subscribes.
+// Operations carries out commands that apply to all members of a store, or to this proxy if it has no store. Each method
+// returns once the change is stored, and fails with ErrNotMember in a process that only subscribes to a store.
 type Operations interface {
+	// Purge invalidates the copies of an object or of a group.
 	Purge(core.Purge) error
 	// Drain starts or ends a drain of one cache server.
 	Drain(id policy.ServerID, on bool) error
-	// PushList puts a server list in use. file is the name that its defects show.
+	// PushList validates a server list and puts it in use. Errors name the list file.
 	PushList(file string, text []byte) (*serverlist.List, error)
 }
 
-// ErrNotMember is the error of a command that only a member of the store can carry out, in a process that subscribes to
-// the store. Nothing was done.
+// ErrNotMember is the error of a command that only a member of the store can carry out, in a process that only subscribes to
+// the store. The command had no effect.
 var ErrNotMember = errors.New("this process only subscribes to the store: tell a member of the store")
 
-// Bounds of a request.
+// The limits of a request.
 const (
 	requestTimeout  = 5 * time.Second
-	dialTimeout     = time.Second // of the check whether a socket is in use
+	dialTimeout     = time.Second // for the check whether another process uses the socket
 	maxRequestBytes = 1 << 20
 	maxHeaderBytes  = 8 << 10
 )
 
-// Endpoint serves operators. See Listen and Serve.
+// Endpoint is the server of the admin interface. Listen creates it, and Serve runs it.
 type Endpoint struct {
 	options  Options
 	server   *http.Server
 	listener net.Listener
 }
 
-// Listen opens the address. It fails if another process listens there.
+// Listen creates an Endpoint that listens at o.Listen. It fails if another process listens there.
 func Listen(o Options) (*Endpoint, error) {
 	ln, err := listen(o.Listen)
 	if err != nil {
@@ -106,7 +109,8 @@
 	if network != "unix" {
 		return net.Listen(network, addr)
 	}
-	// A process that was killed leaves its socket behind; one that is in use stays.
+	// A process that was killed leaves its socket file behind, and the file is removed. A socket that accepts connections is in
+	// use by another process, and is left alone.
 	if conn, err := net.DialTimeout(network, addr, dialTimeout); err == nil {
 		conn.Close()
 		return nil, fmt.Errorf("%s is already in use", addr)
@@ -176,5 +180,5 @@
 	}
 }
 
-// Close ends Serve, and requests in flight.
+// Close ends Serve and aborts requests in flight.
 func (e *Endpoint) Close() { _ = e.server.Close() }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -13,21 +13,24 @@
 	"strings"
 )
 
-// maxFailureBytes bounds the text of a failed call.
+// maxFailureBytes is the maximum number of bytes that are read from the answer to a failed call.
 const maxFailureBytes = 1 << 10
 
-// CallError is the error of a call that a proxy answered with a failure.
+// CallError is the error of a call to which the proxy answered with another status than 200.
 type CallError struct {
 	Listen string // the proxy's admin address
-	Status int    // of HTTP
-	Text   string // the proxy's reason
+	Status int    // HTTP status code
+	Text   string // the reason that the proxy gave
 }
 
 // Error implements error.
-func (e *CallError) Error() string { return fmt.Sprintf("the proxy at %s returned an error: %s", e.Listen, e.Text) }
+func (e *CallError) Error() string {
+	return fmt.Sprintf("the proxy at %s returned an error: %s", e.Listen, e.Text)
+}
 
-// Call calls the proxy at an admin address, in the form of Options.Listen, and decodes its answer into out. path may have
-// a query. With body nil the method is GET, else POST. It fails with a CallError if the proxy answers with a failure.
+// Call sends a request to the proxy at an admin address, in the form of Options.Listen, and decodes the answer into out. path
+// may have a query. The method is GET if body is nil, else POST. The error is a CallError if the proxy answered with another
+// status than 200.
 func Call(listen, path string, body, out any) error {
 	target, err := url.Parse("http://admin" + path)
 	if err != nil {
@@ -45,7 +48,7 @@
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-// newClient returns a client whose calls go to an admin address, whatever host their URL has.
+// newClient returns an HTTP client that connects to an admin address for every request, whatever the host in the URL.
 func newClient(listen string) *http.Client {
 	network, addr := splitNetwork(listen)
 	return &http.Client{Timeout: 2 * requestTimeout, Transport: &http.Transport{
--- a/internal/admin/config.go
+++ b/internal/admin/config.go
@@ -10,9 +10,9 @@
 
 // ConfigResponse answers GET /v1/config.
 type ConfigResponse struct {
-	InForce   uint64                `json:"in_force"`  // revision
-	Revisions []storestate.Revision `json:"revisions"` // those that are stored, the oldest first
-	StaleMs   float64               `json:"stale_ms"`  // since this member has heard of a leader
+	InForce   uint64                `json:"in_force"`  // number of the revision in force
+	Revisions []storestate.Revision `json:"revisions"` // the stored revisions, oldest first
+	StaleMs   float64               `json:"stale_ms"`  // time since this member last had contact with a leader
 }
 
 func (e *Endpoint) getConfig(w http.ResponseWriter, _ *http.Request) {
@@ -23,12 +23,12 @@
 	reply(w, out)
 }
 
-// ConfigRequest is the body of POST /v1/config: it replaces the revision Base by Text, or goes back to RollbackTo.
+// ConfigRequest is the body of POST /v1/config. It replaces revision Base with Text, or rolls back to revision RollbackTo.
 type ConfigRequest struct {
 	Base       uint64 `json:"base"`
 	Text       string `json:"text"`
 	Author     string `json:"by"`
-	RollbackTo uint64 `json:"back"` // 0: Text counts
+	RollbackTo uint64 `json:"back"` // 0: no rollback, Text is the new revision
 }
 
 // ConfigChangeResponse answers POST /v1/config.
@@ -36,8 +36,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// postConfig changes the shared configuration. It answers 409 with the reason if that is not accepted, or cannot
-// be read.
+// postConfig changes the shared configuration. It answers 409 with the reason if the change is not accepted, or if the request
+// can't be decoded.
 func (e *Endpoint) postConfig(w http.ResponseWriter, r *http.Request) {
 	var request ConfigRequest
 	err := decode(r, maxRequestBytes, &request)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -26,7 +26,8 @@
 	"ravenwheel/policy"
 )
 
-// checkMessage compares a form with its golden file, encoded as an answer is, and decodes that file to the same value.
+// checkMessage encodes a message as an answer is encoded and compares it with its golden file. It also decodes that file, which
+// must give the same value.
 func checkMessage[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -84,7 +85,7 @@
 	})
 }
 
-// What calls answer that have a form of their own.
+// PeerResponse and ConfigChangeResponse are encoded as in the golden files.
 func TestGoldenResults(t *testing.T) {
 	for name, result := range map[string]any{
 		"peer-result.json":      PeerResponse{TookMs: 1.5},
@@ -96,7 +97,7 @@
 	}
 }
 
-// fakeOperations stand for what carries out calls. All of them fail with err, if it is set.
+// fakeOperations implements Operations and Controller. If err is set, every change fails with it.
 type fakeOperations struct{ err error }
 
 func (g fakeOperations) Status() (string, bool)                       { return "draining, 3 connections left", false }
@@ -140,7 +141,8 @@
 	return endpoint
 }
 
-// recordCall makes one call and writes down what was answered.
+// recordCall makes one call and appends the request and the answer to the transcript. Of a failure, it appends no text: that is
+// for people, and may change.
 func recordCall(t *testing.T, endpoint *Endpoint, transcript *bytes.Buffer, method, path, body string) {
 	request, err := http.NewRequest(method, "http://"+endpoint.Addr()+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -155,7 +157,8 @@
 	fmt.Fprintf(transcript, "> %s %s %s\n< %d %s\n%s\n", method, path, body, answer.StatusCode, answer.Header.Get("Content-Type"), text)
 }
 
-// Calls as operators make them, with their answers, and what is answered where a call can't be carried out.
+// Every call of the admin interface, with valid and invalid requests, and with failing operations, has the status and answer in
+// the golden file.
 func TestGoldenCalls(t *testing.T) {
 	var transcript bytes.Buffer
 	a := startEndpoint(t, nil)
--- a/internal/admin/message.go
+++ b/internal/admin/message.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// decode reads the JSON body of a request, of limit bytes at most.
+// decode decodes the JSON body of a request into a value. It reads at most limit bytes.
 func decode(r *http.Request, limit int64, into any) error {
 	return json.NewDecoder(io.LimitReader(r.Body, limit)).Decode(into)
 }
@@ -17,8 +17,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// replyFailure answers a command that failed: with the error after what it says about the outcome, or that a member of
-// the store is to be called.
+// replyFailure answers a command that failed: with status 409 if err is ErrNotMember, which tells the operator to call a member
+// of the store; else with status 507 and the error, preceded by the command's outcome.
 func replyFailure(w http.ResponseWriter, outcome string, err error) {
 	if errors.Is(err, ErrNotMember) {
 		http.Error(w, ErrNotMember.Error(), http.StatusConflict)
--- a/internal/admin/peers.go
+++ b/internal/admin/peers.go
@@ -8,8 +8,8 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// getPeers answers with the state of the peers, or, with members=no, without its members: to ask hundreds of processes
-// for hundreds of members each would be a load of its own.
+// getPeers answers with the state of the peers. With members=no in the query, the answer has no list of members: a caller that
+// asks hundreds of processes would otherwise get hundreds of members from each, which is a load of its own.
 func (e *Endpoint) getPeers(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("members") == "no" {
 		reply(w, e.options.Peers.Summary())
@@ -32,7 +32,7 @@
 
 // PeerResponse answers POST /v1/peers.
 type PeerResponse struct {
-	TookMs float64 `json:"took_ms"` // the round trip of a ping
+	TookMs float64 `json:"took_ms"` // round-trip time of a ping; 0 for other actions
 }
 
 func (e *Endpoint) postPeers(w http.ResponseWriter, r *http.Request) {
@@ -59,24 +59,24 @@
 	return 0, fmt.Errorf("action %q is neither ping nor forget", request.Action)
 }
 
-// ViewResponse answers GET /v1/view: the load and health that the peers report.
+// ViewResponse answers GET /v1/view with the load and health of cache servers as the peers report them.
 type ViewResponse struct {
 	Peers        []fleetview.Peer        `json:"peers"`
 	Servers      []ServerEstimate        `json:"servers"`
-	HeavyHitters []fleetview.HeavyHitter `json:"heavy"` // maxHeavyHitters at most
+	HeavyHitters []fleetview.HeavyHitter `json:"heavy"` // at most maxHeavyHitters
 }
 
-// ServerEstimate is one cache server in a ViewResponse.
+// ServerEstimate is the estimate for one cache server in a ViewResponse.
 type ServerEstimate struct {
 	ID string `json:"id"`
 	fleetview.Estimate
-	Reports []fleetview.Report `json:"said,omitempty"` // of each peer; only if a single server was requested
+	Reports []fleetview.Report `json:"said,omitempty"` // one of each peer; only if the request names a server
 }
 
-// maxHeavyHitters bounds the objects in a ViewResponse.
+// maxHeavyHitters is the maximum number of heavy hitters in a ViewResponse.
 const maxHeavyHitters = 20
 
-// getView answers with all servers, or with the one that the parameter server names.
+// getView answers with the estimates for all servers, or for the one that the query parameter server names.
 func (e *Endpoint) getView(w http.ResponseWriter, r *http.Request) {
 	only := r.URL.Query().Get("server")
 	out := ViewResponse{Servers: []ServerEstimate{}}
--- a/internal/admin/proxy.go
+++ b/internal/admin/proxy.go
@@ -8,20 +8,20 @@
 	"ravenwheel/internal/core"
 )
 
-// CountersResponse answers GET /v1/counters: the counters of core.Counters, which only rise, except InFlight.
+// CountersResponse answers GET /v1/counters with the counters of core.Counters. All but InFlight only rise.
 type CountersResponse struct {
 	Attempts        int64 `json:"attempts"`
 	Failed          int64 `json:"failed"`
-	Abandoned       int64 `json:"gone"` // abandoned by their clients
+	Abandoned       int64 `json:"gone"` // requests that their clients abandoned
 	WrongTags       int64 `json:"misnamed"`
-	Notifications   int64 `json:"notices"` // of purges and of members, to the router
-	InFlight        int64 `json:"open"`    // in flight
-	Rejected        int64 `json:"refused"` // rejected
+	Notifications   int64 `json:"notices"` // of purges and of changed members, to the router
+	InFlight        int64 `json:"open"`    // requests that have no answer yet
+	Rejected        int64 `json:"refused"`
 	Requests        int64 `json:"requests"`
 	Served          int64 `json:"served"`
-	Skipped         int64 `json:"stale"` // skipped
+	Skipped         int64 `json:"stale"`
 	Timeouts        int64 `json:"timeouts"`
-	UnansweredConns int64 `json:"unanswered"` // connections closed without an answer
+	UnansweredConns int64 `json:"unanswered"` // connections that were closed without an answer
 	NeverSent       int64 `json:"unsent"`
 }
 
@@ -43,7 +43,7 @@
 	reply(w, e.options.State.Status())
 }
 
-// PurgeRequest is the body of POST /v1/purge: it names an object, in 16 hexadecimal digits, or a group.
+// PurgeRequest is the body of POST /v1/purge. It names either an object, in 16 hexadecimal digits, or a group.
 type PurgeRequest struct {
 	Object string `json:"object,omitempty"`
 	Group  *int   `json:"group,omitempty"`
@@ -51,15 +51,15 @@
 
 // PurgeResponse answers POST /v1/purge.
 type PurgeResponse struct {
-	PurgedMs float64 `json:"purged_ms"` // Unix ms; copies of before are invalid
+	PurgedMs float64 `json:"purged_ms"` // Unix ms; older copies are invalid
 }
 
-// maxGroup is the highest number of a purge group.
+// maxGroup is the highest number that a purge group can have.
 const maxGroup = 255
 
 var errPurgeRequest = errors.New("request must name either an object of 16 hexadecimal digits or a group from 0 to 255")
 
-// purge returns the purge of an object, or of a group. A copy made in the same millisecond counts as older.
+// purge converts the request to a purge at the time now, in Unix ms. A copy made in the same millisecond counts as older.
 func (p PurgeRequest) purge(now float64) (core.Purge, error) {
 	q := core.Purge{Object: p.Object, Group: -1, At: now + core.TimestampResolution}
 	if p.Group == nil {
@@ -75,8 +75,8 @@
 	return q, nil
 }
 
-// postPurge purges an object or a group. It answers 400 for a request that names neither, 409 in a process that is no
-// member of the store, and 507 if the purge is in force but not stored.
+// postPurge purges an object or a group. It answers 400 for a request that does not name exactly one of them, 409 in a process
+// that is not a member of the store, and 507 if the purge is in force but not stored.
 func (e *Endpoint) postPurge(w http.ResponseWriter, r *http.Request) {
 	var request PurgeRequest
 	if err := decode(r, maxRequestBytes, &request); err != nil {
@@ -99,7 +99,7 @@
 // StatusResponse answers GET /v1/status and POST /v1/pause.
 type StatusResponse struct {
 	Ready bool   `json:"ready"` // for clients
-	Phase string `json:"phase"` // as text, for people
+	Phase string `json:"phase"` // a text for people, not for programs
 }
 
 func (e *Endpoint) getStatus(w http.ResponseWriter, _ *http.Request) {
@@ -107,13 +107,13 @@
 	reply(w, StatusResponse{Ready: ready, Phase: text})
 }
 
-// PauseRequest is the body of POST /v1/pause: it starts or ends a drain of the whole proxy.
+// PauseRequest is the body of POST /v1/pause. It starts or ends a drain of the whole proxy.
 type PauseRequest struct {
 	On bool `json:"on"`
 }
 
-// postPause drains this proxy, or ends its drain. It answers 409 in a phase in which that has no
-// effect, and for a request that cannot be read.
+// postPause starts or ends a drain of this proxy. It answers 409 in a phase in which that has no effect, and for a request that
+// can't be decoded.
 func (e *Endpoint) postPause(w http.ResponseWriter, r *http.Request) {
 	var request PauseRequest
 	err := decode(r, maxRequestBytes, &request)
--- a/internal/admin/servers.go
+++ b/internal/admin/servers.go
@@ -19,20 +19,20 @@
 	Addr         string  `json:"addr"`
 	Zone         string  `json:"zone"`
 	Kind         string  `json:"kind"`
-	Phase        string  `json:"phase"` // of membership.Phase
+	Phase        string  `json:"phase"` // name of the membership.Phase
 	Weight       float64 `json:"weight"`
 	TargetWeight float64 `json:"wanted_weight"`
-	SinceMs      float64 `json:"since_ms"` // start of the phase, Unix ms
-	Reason       string  `json:"why"`      // for the phase
+	SinceMs      float64 `json:"since_ms"` // time at which the phase started, Unix ms
+	Reason       string  `json:"why"`      // why the server is in this phase
 	Source       string  `json:"source,omitempty"`
 }
 
 // ServersResponse answers GET /v1/servers.
 type ServersResponse struct {
-	Version uint64            `json:"version"` // of the list in use
+	Version uint64            `json:"version"` // of the set of servers in use
 	NowMs   float64           `json:"now_ms"`  // Unix ms
 	Servers []ServerStatus    `json:"servers"`
-	List    *filewatch.Status `json:"list,omitempty"` // nil: no list is watched
+	List    *filewatch.Status `json:"list,omitempty"` // nil: no server list is watched
 }
 
 func (e *Endpoint) getServers(w http.ResponseWriter, _ *http.Request) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// nameAt returns a name by its index, or the index if there is none.
+// nameAt returns the name at an index, or the index as text if it is out of range.
 func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return strconv.Itoa(i)
@@ -64,14 +64,14 @@
 	return names[i]
 }
 
-// DrainRequest is the body of POST /v1/drain, and its answer: it starts or ends a drain of one cache server.
+// DrainRequest is the body of POST /v1/drain, and also its answer. It starts or ends a drain of one cache server.
 type DrainRequest struct {
 	ID string `json:"id"`
 	On bool   `json:"on"`
 }
 
-// postDrain drains a server that is listed or still remembered, or ends the drain of any server. It answers 400 for
-// another server, 409 in a process that is no member of the store, and 507 with the reason for any other failure.
+// postDrain starts a drain of a server that is listed or still remembered, or ends the drain of any server. It answers 400 for
+// a drain of any other server, 409 in a process that is not a member of the store, and 507 with the reason for other failures.
 func (e *Endpoint) postDrain(w http.ResponseWriter, r *http.Request) {
 	var request DrainRequest
 	id, ok := policy.ServerID(0), false
@@ -84,7 +84,7 @@
 	}
 	drain := e.options.Operations.Drain
 	if e.options.Controller != nil {
-		drain = e.options.Controller.SetServerDrained // which also passes it to a process that takes over
+		drain = e.options.Controller.SetServerDrained // also tells a process that takes over
 	}
 	if err := drain(id, request.On); err != nil {
 		replyFailure(w, "drain change not completed: ", err)
@@ -100,9 +100,9 @@
 	return slices.ContainsFunc(servers, func(s membership.ServerStatus) bool { return s.Member.ID == id })
 }
 
-// PushListRequest is the body of POST /v1/list: it puts a server list in use at all members of the store.
+// PushListRequest is the body of POST /v1/list. It puts a server list in use at all members of the store.
 type PushListRequest struct {
-	File string `json:"file"` // the name that defects show
+	File string `json:"file"` // name of the list in errors
 	Text string `json:"text"`
 }
 
@@ -112,10 +112,10 @@
 	Servers    int    `json:"servers"`
 }
 
-// maxListRequestBytes bounds a pushed list: its escapes may double its length.
+// maxListRequestBytes is the maximum size of a PushListRequest. JSON escapes may double the length of a list.
 const maxListRequestBytes = 2 * strictjson.MaxBytes
 
-// postList puts a list in use. It answers 400 for one that is not accepted, with its defects.
+// postList puts a list in use. It answers 400, with the defects, for a list that is not accepted.
 func (e *Endpoint) postList(w http.ResponseWriter, r *http.Request) {
 	var request PushListRequest
 	err := decode(r, maxListRequestBytes, &request)
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -14,7 +14,7 @@
 	Name     string `json:"name"`     // in the certificate; empty: the proxy's name. A member uses the store's name
 	Identity string `json:"identity"` // directory of ca.crt, NAME.crt and NAME.key. A member uses the store's
 
-	Epoch            uint64        `json:"epoch"`      // of a member: number of the store's history, from 1; higher if the store begins anew
+	Epoch            uint64        `json:"epoch"`      // of a member: number of the store's history, from 1; rises if it begins anew
 	Listen           string        `json:"listen"`     // address for subscribers, over mutual TLS; empty: not a distributor
 	MaxLinks         int           `json:"most_links"` // from subscribers; each uses two
 	Rank             int           `json:"rank"`       // 0: a member of the store; others subscribe only at lower ranks
