--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -13,7 +13,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// decode puts a parsed value into the target.
+// decode stores a parsed value in the target and reports what does not fit.
 func (d *Document) decode(v *hujson.Value, target reflect.Value) {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == 'n' {
 		if !nullable(target.Kind()) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// nullable reports whether null is a value of a kind: it leaves the target as it is.
+// nullable reports whether null is allowed for a kind of target. Null leaves such a target unchanged.
 func nullable(kind reflect.Kind) bool {
 	return kind == reflect.Pointer || kind == reflect.Map || kind == reflect.Slice
 }
@@ -91,7 +91,7 @@
 	target.Set(list)
 }
 
-// eachMember calls f for an object's members, each name once.
+// eachMember calls f for the members of an object. It reports repeated names and names with escapes instead.
 func (d *Document) eachMember(o *hujson.Object, f func(name string, m *hujson.ObjectMember)) {
 	for i := range o.Members {
 		m := &o.Members[i]
@@ -108,7 +108,8 @@
 	}
 }
 
-// repeated reports whether the name of a member is that of one before it. Objects are small: a map for each would cost more.
+// repeated reports whether an earlier member of the object has the same name. Objects are small, so that comparing all pairs is
+// cheaper than a map for each object.
 func repeated(o *hujson.Object, index int) bool {
 	name := string(o.Members[index].Name.Value.(hujson.Literal))
 	for i := range index {
@@ -119,7 +120,8 @@
 	return false
 }
 
-// stringOf is the string of a quoted literal. Most have no escape: unquoting them all takes half the time of a large list.
+// stringOf returns the string of a quoted literal. Most literals have no escape and are not unquoted: unquoting all of them would
+// take half the time of decoding a large list.
 func stringOf(literal hujson.Literal) string {
 	if bytes.IndexByte(literal, '\\') >= 0 || !utf8.Valid(literal) {
 		return literal.String()
@@ -127,7 +129,7 @@
 	return string(literal[1 : len(literal)-1])
 }
 
-// fieldsOf maps the names in a type's json tags to the numbers of its fields.
+// fieldsOf returns the field indexes of a struct type by the names in its json tags.
 func (d *Document) fieldsOf(t reflect.Type) map[string]int {
 	if fields := d.fields[t]; fields != nil {
 		return fields
@@ -158,7 +160,7 @@
 	return ""
 }
 
-// oneEdit reports whether inserting, deleting or changing one letter makes b of a.
+// oneEdit reports whether inserting, deleting or changing one byte turns a into b. It is false if both are shorter than 3 bytes.
 func oneEdit(a, b string) bool {
 	if len(a) > len(b) {
 		a, b = b, a
@@ -215,7 +217,7 @@
 		target.SetUint(n)
 	case reflect.Float64:
 		n, err := strconv.ParseFloat(string(literal), 64)
-		if !isNumber || err != nil || math.IsInf(n, 0) { // some readers take 1e999 for infinity
+		if !isNumber || err != nil || math.IsInf(n, 0) { // other parsers accept 1e999 as infinity
 			d.reportType(v, "a finite number")
 			return
 		}
@@ -240,10 +242,10 @@
 	return "a number"
 }
 
-// maxQuoted is how many bytes of a literal a defect quotes.
+// maxQuoted is the maximum number of bytes of a literal that a defect quotes.
 const maxQuoted = 40
 
-// reportType reports a value of another type than the one that is wanted.
+// reportType reports a value whose type is not the wanted one.
 func (d *Document) reportType(v *hujson.Value, wanted string) {
 	found := "an object"
 	switch value := v.Value.(type) {
--- a/internal/strictjson/defect.go
+++ b/internal/strictjson/defect.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Defect is one reason why a file can't be used, and its place.
+// Defect is one reason why a file is invalid, with its position.
 type Defect struct {
 	File      string
-	Line, Col int // from 1; 0: the file as a whole
+	Line, Col int // from 1; 0: the defect has no position
 	Reason    string
 }
 
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", d.File, d.Line, d.Col, d.Reason)
 }
 
-// Defects are all defects of one or more files.
+// Defects are the defects of one or more files.
 type Defects []Defect
 
 // Error returns the defects, one a line.
@@ -34,7 +34,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the defects as an error; nil: there are none.
+// Err returns the defects as an error, or nil if there are none.
 func (d Defects) Err() error {
 	if len(d) == 0 {
 		return nil
@@ -42,7 +42,7 @@
 	return d
 }
 
-// Sort sorts the defects by file and place. Those at one place stay in their order.
+// Sort sorts the defects by file and position. Defects at the same position keep their order.
 func (d Defects) Sort() {
 	slices.SortStableFunc(d, func(a, b Defect) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), a.Line-b.Line, a.Col-b.Col)
--- a/internal/strictjson/document.go
+++ b/internal/strictjson/document.go
@@ -1,9 +1,10 @@
-// Package strictjson decodes JSON with comments (JWCC: https://nigeltao.github.io/blog/2021/json-with-commas-comments.html) into Go values,
-// and reports file, line and column of everything that can't be used. It owns the form of defects and the places of values. What a value
-// means is for its callers to check, and to report at its place. It reads no file.
+// Package strictjson decodes JSON with comments (JWCC: https://nigeltao.github.io/blog/2021/json-with-commas-comments.html) into Go
+// values, and reports everything that is invalid with file, line and column. It owns the form of defects and the positions of
+// values. It does not know what a value means: callers check that, and report defects at the position of the value. It reads no
+// file.
 //
-// A field that the target lacks, a name that is given twice and a number that does not fit are defects, never guesses. Decoding goes on
-// after a defect, so that one run reports all of them. The rules are tested here, by cases and a fuzzer.
+// A field that the target lacks, a name that is given twice and a number that does not fit are defects; the decoder never guesses
+// what was meant. It goes on after a defect, so that one run reports all of them. The rules are tested here, by cases and a fuzzer.
 package strictjson
 
 import (
@@ -17,31 +18,33 @@
 	"github.com/tailscale/hujson"
 )
 
-// The bounds of a text. Larger or deeper ones are no configuration.
+// The limits of a text. No valid configuration exceeds them.
 const (
-	// MaxBytes is the size of the largest text.
+	// MaxBytes is the maximum size of a text.
 	MaxBytes = 32 << 20
-	// maxDepth is the number of nested objects and lists.
+	// maxDepth is the maximum nesting depth of objects and lists.
 	maxDepth = 32
-	// maxMembers is the number of fields of an object: their names are compared in pairs.
+	// maxMembers is the maximum number of fields of an object. It bounds the time of finding repeated names, which compares all
+	// pairs.
 	maxMembers = 1000
-	// maxDefects is the number of defects that are reported for one file; the last one counts the rest.
+	// maxDefects is the maximum number of defects that are reported for one file. If there are more, the last one gives the number
+	// of the others.
 	maxDefects = 100
 )
 
-// Document is one decoded text, with the places of its values and its defects.
+// Document is one decoded text, with the positions of its values and its defects.
 type Document struct {
 	File    string
 	Defects Defects
 
-	lineOffsets []int        // offsets
-	root        hujson.Value // searched for places as they are needed: few are
+	lineOffsets []int        // offset of the first byte of each line
+	root        hujson.Value // searched again for each position: few positions are needed
 	fields      map[reflect.Type]map[string]int
-	unreported  int // defects beyond maxDefects
+	unreported  int // number of defects beyond maxDefects
 }
 
-// Decode decodes a text into target, a pointer to a struct with json tags. file names the text in defects. The Document is never nil: its
-// Defects say what can't be used, and Failf adds those that the caller finds.
+// Decode decodes a text into target, a pointer to a struct with json tags. file is the name of the text in defects. The Document is
+// never nil. Its Defects are what is invalid, and Failf adds defects that the caller finds.
 func Decode(file string, text []byte, target any) *Document {
 	d := &Document{File: file, lineOffsets: lineStarts(text), fields: map[reflect.Type]map[string]int{}}
 	switch {
@@ -66,16 +69,16 @@
 	return d
 }
 
-// Valid reports whether no defect was found so far.
+// Valid reports whether the text has no defect so far.
 func (d *Document) Valid() bool { return len(d.Defects) == 0 }
 
-// Has reports whether the text has a value at a path, as in servers[3].addr.
+// Has reports whether the text has a value at a path, such as servers[3].addr.
 func (d *Document) Has(path string) bool {
 	_, ok := d.find(path)
 	return ok
 }
 
-// Position is where the value at a path begins, as line:column; empty: there is none.
+// Position returns where the value at a path begins, as line:column; empty: the text has no such value.
 func (d *Document) Position(path string) string {
 	offset, ok := d.find(path)
 	if !ok {
@@ -85,7 +88,7 @@
 	return fmt.Sprintf("%d:%d", line, col)
 }
 
-// Failf adds a defect at the value of a path, or at the innermost value around it that the text has.
+// Failf adds a defect at the value of a path. If the text has no such value, the defect is at the innermost enclosing value.
 func (d *Document) Failf(path, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
 	for {
@@ -101,7 +104,7 @@
 	}
 }
 
-// find returns the offset of the value at a path.
+// find returns the offset of the value at a path, and whether the text has that value.
 func (d *Document) find(path string) (offset int, ok bool) {
 	value, rest := &d.root, path
 	for rest != "" {
@@ -120,7 +123,8 @@
 	return value.StartOffset, value.Value != nil
 }
 
-// member returns the member with which a path begins, and the rest of the path; nil: there is none. A name may contain dots.
+// member returns the value of the member with which a path begins, and the rest of the path; nil: the object has no such member.
+// The name of a member may contain dots.
 func member(o *hujson.Object, path string) (value *hujson.Value, rest string) {
 	for i := range o.Members {
 		name := stringOf(o.Members[i].Name.Value.(hujson.Literal))
@@ -132,7 +136,8 @@
 	return nil, ""
 }
 
-// element returns the element with whose index, as in [3], a path begins, and the rest of the path; nil: there is none.
+// element returns the element that the index at the start of a path, such as [3], selects, and the rest of the path; nil: the list
+// has no such element.
 func element(a *hujson.Array, path string) (value *hujson.Value, rest string) {
 	number, rest, _ := strings.Cut(strings.TrimPrefix(path, "["), "]")
 	i, err := strconv.Atoi(number)
@@ -142,10 +147,10 @@
 	return &a.Elements[i], rest
 }
 
-// noOffset is the offset of a defect of the text as a whole.
+// noOffset is the offset of a defect that has no position in the text.
 const noOffset = -1
 
-// report adds a defect at an offset.
+// report adds a defect at an offset, up to maxDefects of them.
 func (d *Document) report(offset int, reason string) {
 	if len(d.Defects) >= maxDefects {
 		d.unreported++
@@ -159,10 +164,10 @@
 	d.Defects = append(d.Defects, defect)
 }
 
-// parserPosition is the form of the parser's errors.
+// parserPosition matches the text of the parser's errors.
 var parserPosition = regexp.MustCompile(`line (\d+), column (\d+): (.*)$`)
 
-// reportSyntax adds the defect of an error of the parser.
+// reportSyntax adds a defect for an error of the parser.
 func (d *Document) reportSyntax(err error) {
 	found := parserPosition.FindStringSubmatch(strings.ReplaceAll(err.Error(), "\n", " "))
 	if found == nil {
@@ -178,7 +183,7 @@
 	d.Defects = append(d.Defects, Defect{File: d.File, Line: line, Col: col, Reason: reason})
 }
 
-// position is the line and column of an offset, both from 1.
+// position returns the line and column of an offset, both from 1.
 func (d *Document) position(offset int) (line, col int) {
 	i, found := slices.BinarySearch(d.lineOffsets, offset)
 	if !found {
@@ -197,7 +202,8 @@
 	return starts
 }
 
-// tooDeep finds nesting beyond maxDepth. The parser calls itself for each level, and a text of brackets alone would exhaust the stack.
+// tooDeep returns the offset of the first nesting beyond maxDepth, if there is one. The parser calls itself for each level, so that
+// a text of nothing but brackets would exhaust the stack.
 func tooDeep(text []byte) (offset int, deep bool) {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -24,7 +24,7 @@
 	File string `json:"file"`
 }
 
-// Each text has this defect, and no other.
+// invalidTexts are texts with exactly one defect each, by text.
 var invalidTexts = map[string]string{
 	"":                              "f: empty",
 	" \n":                           "f: empty",
@@ -67,7 +67,7 @@
 	require.EqualError(t, d.Defects, "f:4:14: no such file \"x\"\nf:4:5: is missing\nf:1:1: is missing")
 }
 
-// A truncated text has a defect unless only the space behind its last brace is missing.
+// A truncated text has a defect, unless only the white space behind its last brace is missing.
 func TestTruncatedTextIsInvalid(t *testing.T) {
 	text := `{"name":"a","size":12,"parts":[{"file":"x"}],"weights":{"a":1.5}}` + "\n\n"
 	for i := range text {
