--- a/internal/logs/golden_test.go
+++ b/internal/logs/golden_test.go
@@ -13,7 +13,8 @@
 	"ravenwheel/internal/logs"
 )
 
-// A line of each level has the form that it had before, as JSON and as text.
+// A line of each level, a line of a library, and the first line after dropped ones have the form in the golden files, as JSON and
+// as text.
 func TestGoldenLines(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC
@@ -28,7 +29,7 @@
 		log.Warn("list").Strs("names", []string{"a", "b"}).Bool("on", true).Msg("a line of level warn")
 		log.Error("list").Err(errors.New("connection refused")).Msg("a line of level error")
 		_, _ = log.Writer("signed").Write([]byte("a line of a library\n"))
-		for range 60 { // 50 of a kind may come at once
+		for range 60 { // more than the 50 lines of a kind that may be written in a burst
 			log.Info("storm").Msg("one of many")
 		}
 		out.Truncate(bytes.Index(out.Bytes(), []byte("one of many")))
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,9 @@
-// Package logs is the program's log: structured lines on rs/zerolog, as text on a terminal and as JSON elsewhere. It owns the form of a
-// line and the rate at which lines are written: every line has a kind, and each kind has a rate limit of its own, so that a storm of one
-// neither hides the others nor uses up the processor. No line is written for a single request.
+// Package logs is the program's log. It writes structured lines with rs/zerolog, as text on a terminal and as JSON elsewhere. It
+// owns the format of a line and the rate at which lines are written: every line has a kind, and each kind has its own rate limit,
+// so that a burst of one kind neither hides other kinds nor uses up the processor. The program never logs a line for a single
+// request.
 //
-// The form and the rate limit are tested here.
+// The format and the rate limit are tested here.
 package logs
 
 import (
@@ -22,19 +23,19 @@
 	"ravenwheel/internal/clock"
 )
 
-// The rate limit of one kind.
+// The rate limit of each kind.
 const (
 	linesPerSecond = 2
 	burstLines     = 50
 )
 
-// The levels and formats that Options take; an empty one is the first of these defaults.
+// The level and the format of Options that leave them empty.
 const (
 	defaultLevel  = "info"
 	defaultFormat = "auto"
 )
 
-// levels are the names of the levels that a log may have.
+// levels are the names that Options.Level and SetLevel accept. Zerolog has further levels, which the program does not use.
 var levels = []string{"debug", "info", "warn", "error"}
 
 // Options configure a log. The zero value logs from level info on, in the format that suits the output.
@@ -56,10 +57,10 @@
 // kindLimit is the rate limit of one kind.
 type kindLimit struct {
 	limiter *rate.Limiter
-	dropped int // lines since the last one that was written
+	dropped int // lines dropped since the last one that was written
 }
 
-// New returns a log on w. The error names a level or a format that is none.
+// New returns a log that writes to w. It fails if the options have an unknown level or format.
 func New(w io.Writer, o Options, c *clock.Clock) (*Log, error) {
 	level, ok := parseLevel(o.Level)
 	if !ok {
@@ -85,7 +86,7 @@
 	return level, err == nil
 }
 
-// formatWriter returns what lines in a format are written to. Lines are JSON unless they are formatWriter as text.
+// formatWriter returns a writer that takes JSON lines and writes them to w in a format.
 func formatWriter(w io.Writer, format string) (io.Writer, error) {
 	switch format {
 	case "", defaultFormat:
@@ -105,15 +106,15 @@
 	return zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: true}
 }
 
-// SetLevel changes the lowest level that is logged. A name that is no level changes nothing.
+// SetLevel changes the lowest level that is logged. The name of an unknown level has no effect.
 func (l *Log) SetLevel(name string) {
 	if level, ok := parseLevel(name); l != nil && ok {
 		l.level.Store(int32(level))
 	}
 }
 
-// Debug begins a line of a kind. It returns nil, on which fields and a message may be set as on any line, where the level or the rate
-// limit of the kind drops it. The next line of the kind that is written has the number of those dropped.
+// Debug begins a line of a kind. It returns nil if the log level or the rate limit of the kind drops the line; fields and a message
+// may be set on nil, too. The next line of the kind that is written has the number of lines that the rate limit dropped before it.
 func (l *Log) Debug(kind string) *zerolog.Event { return l.begin(zerolog.DebugLevel, kind) }
 
 // Info begins a line as Debug does.
@@ -142,7 +143,8 @@
 	return event
 }
 
-// allow reports whether the rate limit of a kind allows a line at a time, and how many were dropped before this one.
+// allow reports whether the rate limit of a kind allows a line at the time now, and how many lines it dropped since the last line
+// that it allowed.
 func (l *Log) allow(kind string, now time.Time) (allowed bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +162,7 @@
 	return true, dropped
 }
 
-// Writer returns a writer that logs each write as a line of level warn, for libraries that log to one.
+// Writer returns a writer that logs each write as a line of level warn. It is for libraries that log to an io.Writer.
 func (l *Log) Writer(kind string) io.Writer { return lineWriter{l, kind} }
 
 type lineWriter struct {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -24,7 +24,7 @@
 	clk.Advance(1000)
 	l.Warn("peer").Msg("breaks off")
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
-	require.Len(t, lines, 52, "50 of the storm, one of the other kind, one after it")
+	require.Len(t, lines, 52, "50 lines of the burst, one of the other kind, and one after the burst")
 	var last struct {
 		Level, Kind, Message, Time string
 		Dropped                    int `json:"dropped_before"`
@@ -45,7 +45,7 @@
 	require.Contains(t, out.String(), "yes kind=x")
 	require.NotContains(t, out.String(), "no")
 	var none *logs.Log
-	none.Info("x").Msg("taken and dropped")
+	none.Info("x").Msg("dropped by a nil log")
 	for _, o := range []logs.Options{{Level: "loud"}, {Format: "xml"}, {Level: "fatal"}} {
 		_, err := logs.New(&out, o, clk)
 		require.Error(t, err)
--- a/internal/snmp/agent.go
+++ b/internal/snmp/agent.go
@@ -1,5 +1,5 @@
-// Package snmp is a read-only SNMP v2c agent over the counters of the proxy. It owns the order of the MIB's objects and the answers to
-// requests; the codec is gosnmp's. Nothing can be set.
+// Package snmp is a read-only SNMP v2c agent for the counters of the proxy. It owns the order of the MIB's objects and the answers
+// to requests. It decodes and encodes packets with gosnmp, and never sets a value.
 //
 // The objects and their answers are tested here, against mibs/RAVENWHEEL-MIB.txt.
 package snmp
@@ -18,20 +18,21 @@
 	"ravenwheel/internal/invariant"
 )
 
-// objectsOID is ravenwheelObjects of mibs/RAVENWHEEL-MIB.txt. Object i, from 1, has the OID objectsOID + "i.0".
+// objectsOID is the OID of ravenwheelObjects in mibs/RAVENWHEEL-MIB.txt, with a dot. Object i, from 1, has the OID objectsOID +
+// "i.0".
 const objectsOID = ".1.3.6.1.4.1.32473.1.1."
 
-// maxRepetitions bounds the answer to a GetBulk, for each of its variables.
+// maxRepetitions is the maximum number of objects in the answer to a GetBulk, for each of its variables.
 const maxRepetitions = 64
 
-// Scalar is one object of the MIB.
+// Scalar is one scalar object of the MIB.
 type Scalar struct {
-	Gauge bool         // else it is a counter
-	Read  func() int64 // called for each request
+	Gauge bool         // a Gauge32; else a Counter64
+	Read  func() int64 // returns the current value; called for each request
 }
 
-// Scalars returns the MIB's objects, in its order, each with its name there. lateAnswers counts answers that came after their attempt was over, and openConns is
-// the number of connections to servers.
+// Scalars returns the objects in the order of the MIB; the comments give their names there. lateAnswers returns the number of
+// answers that came after their attempt was over, and openConns the number of connections to servers.
 func Scalars(n *core.Counters, lateAnswers, openConns func() int64) []Scalar {
 	return []Scalar{
 		{Read: n.Requests.Load},              // rwRequests
@@ -53,24 +54,24 @@
 	}
 }
 
-// Agent answers requests on one UDP socket.
+// Agent answers the requests of one community.
 type Agent struct {
 	community string
 	scalars   []Scalar
 }
 
-// New returns an agent for one community.
+// New returns an agent that serves the scalars to one community.
 func New(community string, scalars []Scalar) *Agent { return &Agent{community, scalars} }
 
 const (
 	// maxDatagram is the largest UDP datagram, in bytes.
 	maxDatagram = 64 << 10
-	// readRetryDelay is the delay after a read that failed.
+	// readRetryDelay is the delay before reading again after an error.
 	readRetryDelay = 10 * time.Millisecond
 )
 
-// Serve answers until the socket is closed, and returns nil then. Datagrams that can't be decoded, and those of another community, get
-// no answer.
+// Serve answers requests on a UDP socket until the socket is closed, and then returns nil. A datagram that can't be decoded, or
+// that has another community, gets no answer.
 func (a *Agent) Serve(socket net.PacketConn) error {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -78,7 +79,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // an error of one datagram, or a lack of memory
+		if err != nil { // an error of a single datagram, or out of memory
 			time.Sleep(readRetryDelay)
 			continue
 		}
@@ -88,8 +89,8 @@
 	}
 }
 
-// answer encodes the answer to a datagram; nil: it gets none. A datagram on which the codec panics gets none, as any that can't be
-// decoded.
+// answer returns the encoded answer to a datagram; nil: no answer. A datagram on which gosnmp panics gets no answer, like one that
+// can't be decoded.
 func (a *Agent) answer(datagram []byte) (answer []byte) {
 	defer func() {
 		if recover() != nil {
@@ -111,7 +112,7 @@
 	return answer
 }
 
-// response is the response to a request; nil: there is none to its type.
+// response returns the response to a request; nil: requests of its type get no answer.
 func (a *Agent) response(request *gosnmp.SnmpPacket) *gosnmp.SnmpPacket {
 	response := &gosnmp.SnmpPacket{
 		Version:   request.Version,
@@ -139,7 +140,8 @@
 	return response
 }
 
-// bulk returns the objects behind each variable: one for the first NonRepeaters, up to MaxRepetitions for the others.
+// bulk returns the objects after each variable: one object for each of the first NonRepeaters variables, up to MaxRepetitions
+// objects for each of the others.
 func (a *Agent) bulk(request *gosnmp.SnmpPacket) (objects []gosnmp.SnmpPDU) {
 	for i, v := range request.Variables {
 		repetitions := 1
@@ -157,7 +159,7 @@
 	return objects
 }
 
-// value reads the object at an index, from 0.
+// value reads the object at an index, which counts from 0.
 func (a *Agent) value(index int) gosnmp.SnmpPDU {
 	scalar := a.scalars[index]
 	object := gosnmp.SnmpPDU{Name: fmt.Sprintf("%s%d.0", objectsOID, index+1)}
@@ -169,7 +171,7 @@
 	return object
 }
 
-// get returns the object with an OID.
+// get returns the object with an OID, or one of type NoSuchObject.
 func (a *Agent) get(oid string) gosnmp.SnmpPDU {
 	if rest, ok := strings.CutPrefix(oid, objectsOID); ok {
 		number, ok := strings.CutSuffix(rest, ".0")
@@ -180,7 +182,7 @@
 	return gosnmp.SnmpPDU{Name: oid, Type: gosnmp.NoSuchObject}
 }
 
-// next returns the first object behind an OID.
+// next returns the first object after an OID, or one of type EndOfMibView.
 func (a *Agent) next(oid string) gosnmp.SnmpPDU {
 	for i := range a.scalars {
 		if object := a.value(i); oidBefore(oid, object.Name) {
@@ -190,7 +192,7 @@
 	return gosnmp.SnmpPDU{Name: oid, Type: gosnmp.EndOfMibView}
 }
 
-// oidBefore reports whether OID a comes before OID b: by the first number in which they differ, else the shorter one.
+// oidBefore reports whether OID a comes before OID b. The first number that differs decides, else the shorter OID comes first.
 func oidBefore(a, b string) bool {
 	as, bs := strings.Split(strings.Trim(a, "."), "."), strings.Split(strings.Trim(b, "."), ".")
 	for i := range min(len(as), len(bs)) {
--- a/internal/snmp/golden_test.go
+++ b/internal/snmp/golden_test.go
@@ -14,7 +14,7 @@
 	"ravenwheel/internal/golden"
 )
 
-// Each object has the OID, the type and the source that it had before, and the MIB describes it so.
+// Each object has the OID, the type and the counter in the golden file, and the MIB gives it the same OID and type.
 func TestGoldenObjects(t *testing.T) {
 	client, counters, _ := startAgent(t)
 	counters.Requests.Store(101)
