--- a/internal/codecheck/comments_test.go
+++ b/internal/codecheck/comments_test.go
@@ -1,5 +1,5 @@
-// Package codecheck holds tests of the source tree itself: that every package and exported name has a doc comment, and that
-// the pages which describe the code name only what exists in it. It has no code of its own.
+// Package codecheck has tests of the source tree itself: every package and every exported name has a doc comment, and the
+// pages that describe the code name only what exists. It has no code other than tests.
 package codecheck
 
 import (
@@ -14,23 +14,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// root is the repository's root, seen from this package.
+// root is the path of the repository's root from this package.
 const root = "../.."
 
-// undocumentedMethods need no comment of their own: their meaning is fixed by the interface of the standard library that
-// they implement.
+// undocumentedMethods are names of methods that need no doc comment, since they implement an interface of the standard library
+// that defines what they do.
 var undocumentedMethods = map[string]bool{
 	"String": true, "Error": true, "Unwrap": true, "Is": true,
 	"Len": true, "Less": true, "Swap": true, "Push": true, "Pop": true,
 }
 
-// sourceFile is one Go file of the tree that is no test.
+// sourceFile is one Go file of the tree that is not a test.
 type sourceFile struct {
 	path   string // from the root, with slashes
 	syntax *ast.File
 }
 
-// sourceFiles parses all Go files of the tree but its tests and nested modules.
+// sourceFiles parses all Go files of the tree, except tests and nested modules.
 func sourceFiles(t *testing.T, fileSet *token.FileSet) []sourceFile {
 	t.Helper()
 	var files []sourceFile
@@ -68,7 +68,7 @@
 	comments := map[string]int{}
 	for _, file := range sourceFiles(t, token.NewFileSet()) {
 		directory := filepath.Dir(file.path)
-		comments[directory] += 0 // a package without a comment has its entry, too
+		comments[directory] += 0 // so that a package without a comment has an entry, too
 		if file.syntax.Doc != nil {
 			comments[directory]++
 		}
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestUndocumentedNamesAreFound shows the check itself a file in which every exported name but two lacks its comment.
+// The check for doc comments finds all exported names in a sample that have none. In the sample, Documented has a comment, and
+// String needs none.
 func TestUndocumentedNamesAreFound(t *testing.T) {
 	const source = `package sample
 
@@ -123,8 +124,8 @@
 	require.Equal(t, []string{"Type", "Function", "Method", "Constant"}, names)
 }
 
-// undocumented returns the exported names that a top-level declaration leaves without a doc comment. The comment of a group
-// of constants or variables counts for each of them.
+// undocumented returns the exported names of a top-level declaration that have no doc comment. The comment of a group of
+// types, constants or variables counts for each of them.
 func undocumented(declaration ast.Decl) []*ast.Ident {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -159,8 +160,8 @@
 	return names
 }
 
-// exempt tells whether a function may go without a comment: methods of unexported types, and those that a standard interface
-// defines.
+// exempt reports whether a function needs no doc comment, because it is a method of an unexported type or is in
+// undocumentedMethods.
 func exempt(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return false
--- a/internal/codecheck/pages_test.go
+++ b/internal/codecheck/pages_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pages describe the code; each name of the code that they put into backquotes has to exist.
+// pages are the documents that describe the code. Each name of the code that they have in backquotes must exist.
 var pages = []string{"docs/GLOSSARY.md", "docs/ARCHITECTURE.md"}
 
-// reference is how the pages name code: a package's directory or a file from the root, and for a name in a package a dot, the
-// name and, for a member of a type, a dot and its name: `internal/core.Core.Do`.
+// reference matches how the pages name code: with the path of a package's directory or a file from the root. A name in a
+// package follows after a dot, and the name of a type's member after another dot, as in `internal/core.Core.Do`.
 var reference = regexp.MustCompile("`((?:internal|policy|wire|cmd|deploy|lab|mibs)(?:/[A-Za-z0-9_./-]+)?(?:\\.[A-Za-z_][A-Za-z0-9_.]*)?)`")
 
-// packageNames holds the names that a package declares: "Core" for what stands at the top level, "Core.Do" for a method, a field
+// packageNames is the set of names that a package declares: "Core" for a name at the top level, "Core.Do" for a method, a field
 // or a method of an interface.
 type packageNames map[string]bool
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestEachRowOfTheGlossaryNamesAPlace holds each row of the glossary's tables to at least one reference to the code.
+// Each row of the glossary's tables has at least one reference to the code.
 func TestEachRowOfTheGlossaryNamesAPlace(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs/GLOSSARY.md"))
 	require.NoError(t, err)
@@ -50,13 +50,13 @@
 		}
 		rows++
 		if !reference.MatchString(line) {
-			t.Errorf("no place in the code: %s", line)
+			t.Errorf("row of the glossary without a reference to the code: %s", line)
 		}
 	}
 	require.NotZero(t, rows)
 }
 
-// referenceExists tells whether a reference names a file, a directory, or a name that a package declares.
+// referenceExists reports whether a reference names a file, a directory, or a name that a package declares.
 func referenceExists(packages map[string]packageNames, reference string) bool {
 	if _, err := os.Stat(filepath.Join(root, filepath.FromSlash(reference))); err == nil {
 		return true
--- a/internal/golden/directory.go
+++ b/internal/golden/directory.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Directory returns a copy, which the test may change, of the golden directory with this name. With -update-golden it has
-// create fill one that does not exist yet.
+// Directory returns the path of a copy of the golden directory with this name. The test may change the copy. With
+// -update-golden, a golden directory that does not exist yet is made and filled by create.
 func Directory(t testing.TB, name string, create func(dir string)) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares encoded data with files that an earlier version wrote, so that a change of names in the code
-// cannot change what is stored or sent. Only tests import it.
+// Package golden compares encoded data with files that an earlier version of the program wrote, so that a renamed identifier
+// can't change what the program stores or sends. Only tests import it.
 package golden
 
 import (
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// update lets a test write the golden file of a new form. A file that exists was written by a version whose data must stay
-// readable, and is never overwritten.
+// update lets tests write golden files that do not exist yet. A golden file that exists is never overwritten: a version whose
+// data must stay readable wrote it.
 var update = flag.Bool("update-golden", false, "write the golden files that do not exist yet")
 
-// directory holds the golden files of a package, beside its tests.
+// directory is where a package has its golden files, relative to its tests.
 const directory = "testdata/golden"
 
-// Read returns the content of the golden file with this name. It ends the test if there is none.
+// Read returns the content of the golden file with this name. It ends the test if the file can't be read.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(directory, name))
@@ -27,8 +27,8 @@
 	return content
 }
 
-// Equal fails the test unless got is, byte for byte, what the golden file with this name holds. With -update-golden it
-// writes a file that does not exist yet; a file that exists is never overwritten.
+// Equal fails the test unless got equals the golden file with this name, byte for byte. With -update-golden it writes a file
+// that does not exist yet; a file that exists is never overwritten.
 func Equal(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(directory, name)
