--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -29,25 +29,25 @@
 
 // Absent keys have their default values, and a member of the store uses the store's name and identity.
 func TestDistributionDefaults(t *testing.T) {
-	o, err := config.ParseOperatorFile("/etc/o", []byte(rootText))
+	file, err := config.ParseOperatorFile("/etc/o", []byte(rootText))
 	require.NoError(t, err)
-	d := o.Distribution
+	d := file.Distribution
 	require.Equal(t, config.Distribution{
 		Name: "m1", Identity: "/etc/keys", Epoch: 1, Listen: "127.0.0.1:4500", MaxLinks: 1024,
 		HeartbeatMs: 500, SilenceTimeoutMs: 1800, MaxLagMs: 6800, MaxClockSkewMs: 250,
 	}, *d)
-	o, err = config.ParseOperatorFile("/etc/o", []byte(distributorText))
+	file, err = config.ParseOperatorFile("/etc/o", []byte(distributorText))
 	require.NoError(t, err)
-	require.Equal(t, "/etc/keys", o.Distribution.Identity)
-	require.Len(t, o.Distribution.Distributors, 2)
+	require.Equal(t, "/etc/keys", file.Distribution.Identity)
+	require.Len(t, file.Distribution.Distributors, 2)
 	leaf := strings.Replace(distributorText, `"listen": "127.0.0.1:4501", "rank": 1, `, `"heartbeat_ms": 5000, `, 1)
-	o, err = config.ParseOperatorFile("/etc/o", []byte(leaf))
+	file, err = config.ParseOperatorFile("/etc/o", []byte(leaf))
 	require.NoError(t, err)
-	require.Equal(t, 100, o.Distribution.Rank, "the highest rank is the default")
-	require.Equal(t, []float64{15_000, 15_000}, []float64{o.Distribution.SilenceTimeoutMs, o.Distribution.MaxLagMs})
-	o, err = config.ParseOperatorFile("/etc/o", []byte(`{}`))
+	require.Equal(t, 100, file.Distribution.Rank, "the highest rank is the default")
+	require.Equal(t, []float64{15_000, 15_000}, []float64{file.Distribution.SilenceTimeoutMs, file.Distribution.MaxLagMs})
+	file, err = config.ParseOperatorFile("/etc/o", []byte(`{}`))
 	require.NoError(t, err)
-	require.Nil(t, o.Distribution, "distribution is off by default")
+	require.Nil(t, file.Distribution, "distribution is off by default")
 }
 
 // Each invalid change of a valid file is rejected with the line want.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -33,9 +33,9 @@
 	golden.Equal(t, "operator-decoded.json", encoded)
 	golden.Equal(t, "operator-keys.txt", fmt.Appendf(nil, "path %s\nkeys %v\nlog %v\n", file.Path, file.SigningKeys, file.LogOptions))
 
-	var again config.OperatorFile
-	require.NoError(t, json.Unmarshal(encoded, &again))
-	require.Equal(t, encoded, encode(t, &again))
+	var redecoded config.OperatorFile
+	require.NoError(t, json.Unmarshal(encoded, &redecoded))
+	require.Equal(t, encoded, encode(t, &redecoded))
 }
 
 // Absent keys of an operator's file have the default values in the golden files.
--- a/internal/config/operator_file_test.go
+++ b/internal/config/operator_file_test.go
@@ -23,9 +23,9 @@
 // The example files in deploy are valid. standalone.jsonc, which the README uses, configures everything that the platform
 // would. A server list that is formatted and parsed again is the same list.
 func TestExampleFilesAreValid(t *testing.T) {
-	o, err := config.LoadOperatorFile("../../deploy/standalone.jsonc")
+	file, err := config.LoadOperatorFile("../../deploy/standalone.jsonc")
 	require.NoError(t, err)
-	c, err := config.Read(func(string) string { return "" }, o)
+	c, err := config.Read(func(string) string { return "" }, file)
 	require.NoError(t, err)
 	require.Equal(t, []string{"replay", "asset", "seat-claim"}, c.Classes)
 	require.Equal(t, policy.NotIdempotent, c.Settings.Classes[2].Idempotency)
@@ -34,24 +34,24 @@
 	require.Equal(t, 2, c.Settings.Routers)
 	require.NotZero(t, c.Seed)
 	require.False(t, c.Settings.MayBypassCaches || c.Settings.CoalescesFills)
-	o, err = config.ParseOperatorFile("o", []byte(strings.Replace(readExample(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
+	file, err = config.ParseOperatorFile("o", []byte(strings.Replace(readExample(t), `"siblings"`, `"direct": true, "joins": true, "siblings"`, 1)))
 	require.NoError(t, err)
-	c, err = config.Read(func(string) string { return "" }, o)
+	c, err = config.Read(func(string) string { return "" }, file)
 	require.NoError(t, err)
 	require.True(t, c.Settings.MayBypassCaches && c.Settings.CoalescesFills, "requests may bypass caches and join fills")
 	raw, err := os.ReadFile("../../deploy/servers.example.jsonc")
 	require.NoError(t, err)
-	d, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
+	draft, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: raw}}, c.ListRequirements(0.34))
 	require.NoError(t, defects.Err())
-	answers := map[string]serverlist.Resolution{}
-	for _, h := range d.Hosts() {
-		answers[h] = serverlist.Resolution{Addrs: []string{h}}
+	resolutions := map[string]serverlist.Resolution{}
+	for _, host := range draft.Hosts() {
+		resolutions[host] = serverlist.Resolution{Addrs: []string{host}}
 	}
-	list, defects := d.Resolve(answers, nil)
+	list, defects := draft.Resolve(resolutions, nil)
 	require.NoError(t, defects.Err())
 	reparsed, defects := serverlist.Parse([]serverlist.File{{Name: "l", Data: serverlist.Format(list)}}, c.ListRequirements(0.34))
 	require.NoError(t, defects.Err())
-	reread, defects := reparsed.Resolve(answers, list)
+	reread, defects := reparsed.Resolve(resolutions, list)
 	require.NoError(t, defects.Err())
 	require.Same(t, list, reread, "a formatted list is parsed as the same list")
 	entries := c.Entries(list)
@@ -64,9 +64,9 @@
 	require.EqualError(t, err, `o:10:42: key "2026-12" is empty or not valid base64`, "the key must be filled in, and everything else is valid")
 	_, err = config.ParseOperatorFile("o", []byte(strings.Replace(string(raw), `"key": ""`, `"key": "eA=="`, 1)))
 	require.NoError(t, err)
-	o, err = config.LoadOperatorFile("")
+	file, err = config.LoadOperatorFile("")
 	require.NoError(t, err)
-	_, err = config.Read(func(string) string { return "" }, o)
+	_, err = config.Read(func(string) string { return "" }, file)
 	require.EqualError(t, err, "LB_CONFIG is not set")
 	_, err = config.LoadOperatorFile(filepath.Join(t.TempDir(), "none"))
 	require.Error(t, err)
--- a/internal/config/platform_settings.go
+++ b/internal/config/platform_settings.go
@@ -73,14 +73,14 @@
 
 // platformSite describes the site. Its lists have a value for each class or each zone.
 type platformSite struct {
-	ClassFreshUs    []float64 `json:"ClassFreshUs"`
-	ClassStaleUs    []float64 `json:"StaleForUs"`
-	ClassStaleValue []float64 `json:"ClassStaleWorth"`
-	ClassInParts    []bool    `json:"InParts"`
-	ClassUncached   []bool    `json:"Uncached"`
-	ZoneProxies     []float64 `json:"ZoneBalancers"`
-	ZoneHomeHub     []float64 `json:"HomeHub"`
-	ZoneLinkKBPerS  []float64 `json:"ZoneLinkKbPerS"`
+	ClassFreshUs       []float64 `json:"ClassFreshUs"`
+	ClassStaleUs       []float64 `json:"StaleForUs"`
+	ClassStaleFraction []float64 `json:"ClassStaleWorth"`
+	ClassMultipart     []bool    `json:"InParts"`
+	ClassUncached      []bool    `json:"Uncached"`
+	ZoneProxies        []float64 `json:"ZoneBalancers"`
+	ZoneHomeHub        []float64 `json:"HomeHub"`
+	ZoneLinkKBPerS     []float64 `json:"ZoneLinkKbPerS"`
 
 	OriginKind             *float64 `json:"RootKind"`       // index into Kinds
 	ParentKind             *float64 `json:"SecondTierKind"` // index into Kinds
@@ -145,8 +145,8 @@
 		of          string
 	}{
 		{"ClassFreshUs", len(site.ClassFreshUs), len(s.Classes), "classes"},
-		{"ClassStaleWorth", len(site.ClassStaleValue), len(s.Classes), "classes"},
-		{"InParts", len(site.ClassInParts), len(s.Classes), "classes"},
+		{"ClassStaleWorth", len(site.ClassStaleFraction), len(s.Classes), "classes"},
+		{"InParts", len(site.ClassMultipart), len(s.Classes), "classes"},
 		{"StaleForUs", len(site.ClassStaleUs), len(s.Classes), "classes"},
 		{"Uncached", len(site.ClassUncached), len(s.Classes), "classes"},
 		{"HomeHub", len(site.ZoneHomeHub), len(s.Zones), "zones"},
--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -43,12 +43,12 @@
 
 	// Other forms of the same numbers are accepted.
 	otherNumberForms := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
-	again, err := parse(otherNumberForms)
+	reparsed, err := parse(otherNumberForms)
 	require.NoError(t, err)
-	require.Equal(t, c, again)
+	require.Equal(t, c, reparsed)
 
 	// Absent limits have defaults. Without them, connecting would take minutes to fail, and a connection would carry one attempt
-	// at a time.
+	// value a time.
 	withoutLimits := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
 	c, err = parse(withoutLimits)
 	require.NoError(t, err)
@@ -121,9 +121,9 @@
 	})
 }
 
-// forEachMutation calls try once for each change of a field below at: absent, null, or of another type.
-func forEachMutation(at any, try func()) {
-	switch x := at.(type) {
+// forEachMutation calls try once for each change of a field below value: absent, null, or of another type.
+func forEachMutation(value any, try func()) {
+	switch x := value.(type) {
 	case map[string]any:
 		for k, v := range x {
 			delete(x, k)
--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -14,7 +14,7 @@
 	Listen string `json:"listen"` // address for clients
 	Zone   string `json:"zone"`
 	Seed   uint64 `json:"seed"` // of the random number generator; 0: chosen at random at the start
-	Rank   int    `json:"rank"` // index of this proxy among all proxies, from 0
+	Index  int    `json:"rank"` // index of this proxy among all proxies, from 0
 }
 
 // Limits bound the resources that a proxy uses and the requests that it accepts.
@@ -81,7 +81,7 @@
 	DedupScope         string  `json:"group"`      // caches that share the discarding of repeats: all, zone or cell
 	DedupWindowMs      float64 `json:"window_ms"`  // how long repeats of a deduplicated request are discarded
 	Uncached           bool    `json:"uncached"`   // requests run at the origin, and answers are never cached
-	InParts            bool    `json:"in_parts"`   // objects are requested in parts
+	Multipart          bool    `json:"in_parts"`   // objects are requested in parts
 	FreshMs            float64 `json:"fresh_ms"`   // how long a copy is fresh; 0: until purged
 	StaleMs            float64 `json:"stale_ms"`   // how long a copy may be served after FreshMs, as stale
 	StaleFraction      float64 `json:"stale_worth"`
@@ -92,7 +92,7 @@
 	c := checker{doc, "proxy"}
 	c.required("name", f.Proxy.Name)
 	c.address("listen", f.Proxy.Listen, false)
-	c.count("rank", &f.Proxy.Rank, valueRange{0, 0, maxProxies})
+	c.count("rank", &f.Proxy.Index, valueRange{0, 0, maxProxies})
 	c.knownName("zone", "zone", f.Proxy.Zone, f.Site.Zones)
 	f.Limits.check(checker{doc, "limits"})
 	f.Site.check(checker{doc, "site"}, f.Proxy.Zone)
--- a/internal/config/standalone_config.go
+++ b/internal/config/standalone_config.go
@@ -41,7 +41,7 @@
 		c.Seed = rand.Uint64()
 	}
 	settings := &c.Settings
-	settings.RouterIndex = proxy.Rank
+	settings.RouterIndex = proxy.Index
 	settings.Zone = slices.Index(f.Site.Zones, proxy.Zone)
 	settings.MaxAttempts = limits.MaxAttempts
 	settings.CanCancel = true
@@ -102,7 +102,7 @@
 		DedupScope:       dedupScopes[k.DedupScope],
 		DedupWindow:      clock.Duration(k.DedupWindowMs),
 		Uncached:         k.Uncached,
-		Multipart:        k.InParts,
+		Multipart:        k.Multipart,
 		FreshFor:         clock.Duration(k.FreshMs),
 		StaleFor:         clock.Duration(k.StaleMs),
 		StaleFraction:    k.StaleFraction,
--- a/internal/lab/demo/traffic.go
+++ b/internal/lab/demo/traffic.go
@@ -58,7 +58,7 @@
 		c := load.Class{
 			Name: class.Name, Fraction: classFractions[i%len(classFractions)], DeadlineMs: class.DeadlineMs, Write: class.Uncached, PartsPerObject: 1,
 		}
-		if class.InParts {
+		if class.Multipart {
 			c.PartsPerObject = partsPerObject
 		}
 		classes = append(classes, c)
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -44,8 +44,8 @@
 	l.Error("x").Msg("yes")
 	require.Contains(t, out.String(), "yes kind=x")
 	require.NotContains(t, out.String(), "no")
-	var none *logs.Log
-	none.Info("x").Msg("dropped by a nil log")
+	var nilLog *logs.Log
+	nilLog.Info("x").Msg("dropped by a nil log")
 	for _, o := range []logs.Options{{Level: "loud"}, {Format: "xml"}, {Level: "fatal"}} {
 		_, err := logs.New(&out, o, clk)
 		require.Error(t, err)
