--- a/internal/config/standalone.go
+++ b/internal/config/standalone.go
@@ -114,7 +114,7 @@
 const (
 	// maxNames is the maximum number of zones, and of kinds, of a site.
 	maxNames = 256
-	// maxProxies is the maximum number of proxies of a zone, and the highest rank.
+	// maxProxies is the maximum number of proxies of a zone, and the highest Proxy.Index.
 	maxProxies = 10_000
 )
 
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -24,7 +24,7 @@
 	File string `json:"file"`
 }
 
-// invalidTexts are texts with exactly one defect each, by text.
+// invalidTexts maps texts to the only defect that each of them has.
 var invalidTexts = map[string]string{
 	"":                              "f: empty",
 	" \n":                           "f: empty",
