--- a/internal/config/platform_settings_test.go
+++ b/internal/config/platform_settings_test.go
@@ -11,8 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// platform is the platform's configuration of a deployment with a deduplicated class, known link rates, no cells, and requests
-// that may go straight to the origin.
+// platform is a valid configuration of the platform. It has a deduplicated class and known link rates, has no cells, and lets
+// requests bypass caches.
 const platform = `{"name":"n0","listen":"127.0.0.1:4100","seed":"8c1f30d27a5be964","board":"127.0.0.1:9092",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"rev":1,"notices":[{"rev":1,"pool":{"reset":true,"instances":[
@@ -41,49 +41,50 @@
 	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 
-	// Numbers in another form are the same numbers.
-	other := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
-	again, err := parse(other)
+	// Other forms of the same numbers are accepted.
+	otherNumberForms := strings.NewReplacer("192", "192.0", "1024", "1.024e3", "6000000", "6e6", `"Zone":2`, `"Zone":2.0`, ":32,", ":32.0,").Replace(platform)
+	reparsed, err := parse(otherNumberForms)
 	require.NoError(t, err)
-	require.Equal(t, c, again)
+	require.Equal(t, c, reparsed)
 
-	// Absent limits have defaults: without, connecting would take minutes to fail, and a connection would carry one attempt.
-	bare := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
-	c, err = parse(bare)
+	// Absent limits have defaults. Without them, connecting would take minutes to fail, and a connection would carry one attempt
+	// value a time.
+	withoutLimits := strings.Replace(strings.Replace(platform, `"ConnectTimeoutUs":400000,`, "", 1), `"StreamsPerConn":32,`, "", 1)
+	c, err = parse(withoutLimits)
 	require.NoError(t, err)
 	require.Equal(t, 32, c.AttemptsPerConn)
 	require.Equal(t, 400.0, c.ConnectTimeoutMs)
 }
 
-// Each change of valid settings is rejected with this one line.
+// Each invalid change of a valid configuration is rejected with the one line want.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"Grades":[`, `"Grads":[`, "settings.Grades: there are no classes"},
 		{`"DeadlineUs":6000000`, `"DeadlineUs":0`, "settings.Grades[0].DeadlineUs: 0 is not above 0"},
 		{`,"DeadlineUs":3000000`, ``, "settings.Grades[1].DeadlineUs: 0 is not above 0"},
-		{`"Effect":"idempotent"`, `"Effect":"safe"`, `settings.Grades[0].Effect: "safe" is none of idempotent, deduplicated, at_most_once`},
+		{`"Effect":"idempotent"`, `"Effect":"safe"`, `settings.Grades[0].Effect: "safe" is not one of idempotent, deduplicated, at_most_once`},
 		{`"Effect":"deduplicated","Group":"all"`, `"Effect":"deduplicated","Group":"hall"`, `settings.Grades[1].Group: unknown group "hall", want all, zone or cell`},
-		{`"WindowUs":6000000,`, ``, "settings.Grades[1].WindowUs: 0 is not above 0, and repeats of the class are discarded for so long"},
-		{`"Name":"reports"`, `"Name":"tiles"`, `settings.Grades[1].Name: class "tiles" is empty, named twice or can't be written in a field`},
-		{`"Name":"reports"`, `"Name":"a=b"`, `settings.Grades[1].Name: class "a=b" is empty, named twice or can't be written in a field`},
+		{`"WindowUs":6000000,`, ``, "settings.Grades[1].WindowUs: 0 is not above 0: a deduplicated class needs the time during which repeats are discarded"},
+		{`"Name":"reports"`, `"Name":"tiles"`, `settings.Grades[1].Name: class name "tiles" is empty, named twice or contains a space, a comma, an equals sign or a line break`},
+		{`"Name":"reports"`, `"Name":"a=b"`, `settings.Grades[1].Name: class name "a=b" is empty, named twice or contains a space, a comma, an equals sign or a line break`},
 		{`"Worth":3`, `"Worth":-3`, "settings.Grades[1].Worth: -3 is below 0"},
 		{`"ClassFreshUs":[0,0]`, `"ClassFreshUs":[0]`, "settings.FamilyInfo.ClassFreshUs: 1 values for 2 classes"},
 		{`"Uncached":[false,true]`, `"Uncached":[false]`, "settings.FamilyInfo.Uncached: 1 values for 2 classes"},
 		{`"InParts":[false,false]`, `"InParts":[false,false,true]`, "settings.FamilyInfo.InParts: 3 values for 2 classes"},
 		{`"ZoneBalancers":[0,0,2,1]`, `"ZoneBalancers":[0,0,2]`, "settings.FamilyInfo.ZoneBalancers: 3 values for 4 zones"},
 		{`"HomeHub":[0,1,0,1]`, `"HomeHub":[0,1]`, "settings.FamilyInfo.HomeHub: 2 values for 4 zones"},
-		{`"HomeHub":[0,1,0,1]`, `"HomeHub":[0,1,0,4]`, "settings.FamilyInfo.HomeHub[3]: 4 is no place in 4 zones"},
+		{`"HomeHub":[0,1,0,1]`, `"HomeHub":[0,1,0,4]`, "settings.FamilyInfo.HomeHub[3]: 4 is not an index of one of the 4 zones"},
 		{`"ZoneLinkKbPerS":[0,0,`, `"ZoneLinkKbPerS":[0,`, "settings.FamilyInfo.ZoneLinkKbPerS: 3 values for 4 zones"},
-		{`"Zone":2`, `"Zone":4`, "settings.Zone: 4 is no place in 4 zones"},
+		{`"Zone":2`, `"Zone":4`, "settings.Zone: 4 is not an index of one of the 4 zones"},
 		{`"south"`, `"north"`, `settings.Zones[1]: "north" is named twice`},
-		{`"RootKind":2`, `"RootKind":3`, "settings.FamilyInfo.RootKind: 3 is no place in 3 kinds"},
-		{`"RootKind":2`, `"RootKind":1`, "settings.FamilyInfo.RootKind: parents and the origin are of kinds of their own, both are 1"},
+		{`"RootKind":2`, `"RootKind":3`, "settings.FamilyInfo.RootKind: 3 is not an index of one of the 3 kinds"},
+		{`"RootKind":2`, `"RootKind":1`, "settings.FamilyInfo.RootKind: 1 is also SecondTierKind: parents and the origin must be of different kinds"},
 		{`"FallUs":1500000`, `"FallUs":-1`, "settings.Rules.FallUs: -1 is below 0"},
 		{`"MostTries":8`, `"MostTries":-8`, "settings.Bounds.MostTries: -8 is below 0"},
 		{`"DeadlineUs":6000000`, `"DeadlineUs":"6 s"`, "settings.Grades.DeadlineUs: string found, number wanted"},
-		{`"StreamsPerConn":32`, `"StreamsPerConn":"32"`, "settings.Bounds.StreamsPerConn: string found where it can't stand"},
-		{`"Zones":["north"`, `"Zones":[7`, "settings.Zones: number found where it can't stand"},
-		{`"memory_mb":192`, `"memory_mb":"192"`, "Limits.memory_mb: string found where it can't stand"},
+		{`"StreamsPerConn":32`, `"StreamsPerConn":"32"`, "settings.Bounds.StreamsPerConn: unexpected string"},
+		{`"Zones":["north"`, `"Zones":[7`, "settings.Zones: unexpected number"},
+		{`"memory_mb":192`, `"memory_mb":"192"`, "Limits.memory_mb: unexpected string"},
 		{`"sockets":1024`, `"sockets":-1`, "limits.sockets: -1 is below 0"},
 		{`"cores":1.0,`, `"cores":1.0,,`, "2:24: invalid character ',' looking for beginning of object key string"},
 		{`"settings":`, `"setings":`, "settings or known is missing"},
@@ -97,17 +98,17 @@
 	}
 }
 
-// Every truncated configuration is rejected, in one line.
+// A truncated configuration is rejected with a one-line error. A configuration of which one field is absent or has another type
+// is either rejected with a one-line error or can start a router.
 func TestTruncatedOrMistypedConfigIsRejected(t *testing.T) {
 	for n := range len(platform) {
 		_, err := parse(platform[:n])
 		require.Error(t, err, n)
 		require.NotContains(t, err.Error(), "\n")
 	}
-	// A configuration of which one field is absent or has another type is rejected in one line, or starts a router.
 	var root any
 	require.NoError(t, json.Unmarshal([]byte(platform), &root))
-	visit(root, func() {
+	forEachMutation(root, func() {
 		raw, err := json.Marshal(root)
 		require.NoError(t, err)
 		c, err := parse(string(raw))
@@ -116,13 +117,13 @@
 			return
 		}
 		_, err = policy.New(c.Settings, c.Seed)
-		require.NoError(t, err, "a router starts with every accepted configuration")
+		require.NoError(t, err, "a router must start with every accepted configuration")
 	})
 }
 
-// visit calls try with each field below at absent, null, or of another type in turn.
-func visit(at any, try func()) {
-	switch x := at.(type) {
+// forEachMutation calls try once for each change of a field below value: absent, null, or of another type.
+func forEachMutation(value any, try func()) {
+	switch x := value.(type) {
 	case map[string]any:
 		for k, v := range x {
 			delete(x, k)
@@ -132,7 +133,7 @@
 				try()
 			}
 			x[k] = v
-			visit(v, try)
+			forEachMutation(v, try)
 		}
 	case []any:
 		for i, v := range x {
@@ -141,7 +142,7 @@
 				try()
 			}
 			x[i] = v
-			visit(v, try)
+			forEachMutation(v, try)
 		}
 	}
 }
--- a/internal/snmp/golden_test.go
+++ b/internal/snmp/golden_test.go
@@ -14,9 +14,9 @@
 	"ravenwheel/internal/golden"
 )
 
-// Each object has the OID, the type and the source that it had before, and the MIB describes it so.
+// Each object has the OID, the type and the counter in the golden file, and the MIB gives it the same OID and type.
 func TestGoldenObjects(t *testing.T) {
-	client, counters, _ := start(t)
+	client, counters, _ := startAgent(t)
 	counters.Requests.Store(101)
 	counters.Served.Store(102)
 	counters.Rejected.Store(103)
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -13,11 +13,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// decode puts a parsed value into the target.
+// decode stores a parsed value in the target and reports what does not fit.
 func (d *Document) decode(v *hujson.Value, target reflect.Value) {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == 'n' {
 		if !nullable(target.Kind()) {
-			d.report(v.StartOffset, "null is no value here")
+			d.report(v.StartOffset, "null is not allowed here")
 		}
 		return
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-// nullable reports whether null is a value of a kind: it leaves the target as it is.
+// nullable reports whether null is allowed for a kind of target. Null leaves such a target unchanged.
 func nullable(kind reflect.Kind) bool {
 	return kind == reflect.Pointer || kind == reflect.Map || kind == reflect.Slice
 }
@@ -91,7 +91,7 @@
 	target.Set(list)
 }
 
-// eachMember calls f for an object's members, each name once.
+// eachMember calls f for the members of an object. It reports repeated names and names with escapes instead.
 func (d *Document) eachMember(o *hujson.Object, f func(name string, m *hujson.ObjectMember)) {
 	for i := range o.Members {
 		m := &o.Members[i]
@@ -99,7 +99,7 @@
 		name := stringOf(literal)
 		switch {
 		case bytes.IndexByte(literal, '\\') >= 0:
-			d.report(m.Name.StartOffset, "a name is written without escapes")
+			d.report(m.Name.StartOffset, "a field name must not contain escapes")
 		case repeated(o, i):
 			d.report(m.Name.StartOffset, fmt.Sprintf("%q is given twice", name))
 		default:
@@ -108,7 +108,8 @@
 	}
 }
 
-// repeated reports whether the name of a member is that of one before it. Objects are small: a map for each would cost more.
+// repeated reports whether an earlier member of the object has the same name. Objects are small, so that comparing all pairs is
+// cheaper than a map for each object.
 func repeated(o *hujson.Object, index int) bool {
 	name := string(o.Members[index].Name.Value.(hujson.Literal))
 	for i := range index {
@@ -119,7 +120,8 @@
 	return false
 }
 
-// stringOf is the string of a quoted literal. Most have no escape: unquoting them all takes half the time of a large list.
+// stringOf returns the string of a quoted literal. Most literals have no escape and are not unquoted: unquoting all of them would
+// take half the time of decoding a large list.
 func stringOf(literal hujson.Literal) string {
 	if bytes.IndexByte(literal, '\\') >= 0 || !utf8.Valid(literal) {
 		return literal.String()
@@ -127,7 +129,7 @@
 	return string(literal[1 : len(literal)-1])
 }
 
-// fieldsOf maps the names in a type's json tags to the numbers of its fields.
+// fieldsOf returns the field indexes of a struct type by the names in its json tags.
 func (d *Document) fieldsOf(t reflect.Type) map[string]int {
 	if fields := d.fields[t]; fields != nil {
 		return fields
@@ -158,7 +160,7 @@
 	return ""
 }
 
-// oneEdit reports whether inserting, deleting or changing one letter makes b of a.
+// oneEdit reports whether inserting, deleting or changing one byte turns a into b. It is false if both are shorter than 3 bytes.
 func oneEdit(a, b string) bool {
 	if len(a) > len(b) {
 		a, b = b, a
@@ -186,7 +188,7 @@
 	switch target.Kind() {
 	case reflect.String:
 		if literal.Kind() != '"' {
-			d.reportType(v, "a text")
+			d.reportType(v, "a string")
 			return
 		}
 		target.SetString(stringOf(literal))
@@ -199,7 +201,7 @@
 	case reflect.Int, reflect.Int64, reflect.Uint64, reflect.Float64:
 		d.decodeNumber(v, literal, target)
 	default:
-		d.report(v.StartOffset, "can't be given here")
+		d.report(v.StartOffset, "has a type that is not supported here")
 	}
 }
 
@@ -215,7 +217,7 @@
 		target.SetUint(n)
 	case reflect.Float64:
 		n, err := strconv.ParseFloat(string(literal), 64)
-		if !isNumber || err != nil || math.IsInf(n, 0) { // some readers take 1e999 for infinity
+		if !isNumber || err != nil || math.IsInf(n, 0) { // other parsers accept 1e999 as infinity
 			d.reportType(v, "a finite number")
 			return
 		}
@@ -233,17 +235,17 @@
 func scalarName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
 		return "true or false"
 	}
 	return "a number"
 }
 
-// maxQuoted is how many bytes of a literal a defect quotes.
+// maxQuoted is the maximum number of bytes of a literal that a defect quotes.
 const maxQuoted = 40
 
-// reportType reports a value of another type than the one that is wanted.
+// reportType reports a value whose type is not the wanted one.
 func (d *Document) reportType(v *hujson.Value, wanted string) {
 	found := "an object"
 	switch value := v.Value.(type) {
@@ -255,5 +257,5 @@
 			found = found[:maxQuoted] + "..."
 		}
 	}
-	d.report(v.StartOffset, "wants "+wanted+", not "+found)
+	d.report(v.StartOffset, "must be "+wanted+", not "+found)
 }
