--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -147,7 +147,7 @@
 			return err
 		}
 	}
-	err = e.Play(cmd.Context(), runs, o.workers, func(r experiment.Run, done, total int) {
+	err = e.RunRemaining(cmd.Context(), runs, o.workers, func(r experiment.Run, done, total int) {
 		runs = append(runs, r)
 		if o.runsPath != "" {
 			if err := experiment.Append(o.runsPath, r); err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -67,7 +67,7 @@
 	require.NoError(t, defects.Err())
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	ctx, stop := context.WithCancel(context.Background())
-	err := e.Play(ctx, nil, 2, func(r experiment.Run, played, total int) {
+	err := e.RunRemaining(ctx, nil, 2, func(r experiment.Run, played, total int) {
 		require.Equal(t, 8, total)
 		require.NoError(t, experiment.Append(path, r))
 		if played == 3 {
@@ -84,10 +84,10 @@
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(done), 3)
 	runs := done
-	require.NoError(t, e.Play(context.Background(), done, 3, func(r experiment.Run, _, _ int) { runs = append(runs, r) }))
+	require.NoError(t, e.RunRemaining(context.Background(), done, 3, func(r experiment.Run, _, _ int) { runs = append(runs, r) }))
 	require.Len(t, runs, 8)
 	uninterrupted := map[string]string{}
-	require.NoError(t, e.Play(context.Background(), nil, 1, func(r experiment.Run, _, _ int) {
+	require.NoError(t, e.RunRemaining(context.Background(), nil, 1, func(r experiment.Run, _, _ int) {
 		encoded, _ := json.Marshal(r.Result)
 		uninterrupted[r.Variant+string(rune(r.Seed))] = string(encoded)
 	}))
--- a/internal/lab/experiment/policy_floors_test.go
+++ b/internal/lab/experiment/policy_floors_test.go
@@ -24,11 +24,11 @@
 type thirds [3]sim.Period
 
 // playAll plays the first scenario of a file with each of its seeds and sums the results by class.
-func playAll(t *testing.T, e *experiment.Experiment, p sim.Player) map[string]*thirds {
+func playAll(t *testing.T, e *experiment.Experiment, p sim.Strategy) map[string]*thirds {
 	t.Helper()
 	sums := map[string]*thirds{}
 	for seed := range uint64(e.Seeds) {
-		r, err := sim.Play(context.Background(), e.Variants[0].Scenario, seed+1, p)
+		r, err := sim.RunStrategy(context.Background(), e.Variants[0].Scenario, seed+1, p)
 		require.NoError(t, err)
 		for _, c := range r.Classes {
 			require.Equal(t, c.Requests, c.Served+c.Abandoned, "%s, seed %d, %s: every request ends", p.Name, seed+1, c.Name)
@@ -73,8 +73,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := readFile(t, name)
-			module := playAll(t, e, sim.Module)
-			random, late := playAll(t, e, sim.Random), playAll(t, e, sim.LateSeeing(viewDelay))
+			module := playAll(t, e, sim.RouterStrategy)
+			random, late := playAll(t, e, sim.RandomStrategy), playAll(t, e, sim.DelayedViewStrategy(viewDelay))
 			require.Len(t, module, len(want))
 			for class, f := range want {
 				for i, m := range module[class] {
--- a/internal/lab/experiment/runs.go
+++ b/internal/lab/experiment/runs.go
@@ -77,10 +77,10 @@
 	seed    uint64
 }
 
-// Play plays the runs that are not among done, several at a time (workers; 0: one for each core). It calls finished for each
+// RunRemaining plays the runs that are not among done, several at a time (workers; 0: one for each core). It calls finished for each
 // run, one at a time, with the number of runs played so far and in total. It returns when all are played, or when ctx ends,
 // which drops the runs in progress; the error is the first of any run.
-func (e *Experiment) Play(ctx context.Context, done []Run, workers int, finished func(r Run, played, total int)) error {
+func (e *Experiment) RunRemaining(ctx context.Context, done []Run, workers int, finished func(r Run, played, total int)) error {
 	jobs := e.jobs(done)
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -9,16 +9,16 @@
 	"ravenwheel/policy"
 )
 
-// Random is a player that sends requests to any ready cache of its branch, fills from any parent, and retries elsewhere while
+// RandomStrategy is a player that sends requests to any ready cache of its branch, fills from any parent, and retries elsewhere while
 // that is allowed and time is left. It learns nothing.
-var Random = Player{Name: "random", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
+var RandomStrategy = Strategy{Name: "random", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
 	return newBaseline(s, seed, nil), nil
 }}
 
-// LateSeeing returns a player that sees the true state of the fleet with a delay in ms. It sends requests to the least utilized
+// DelayedViewStrategy returns a player that sees the true state of the fleet with a delay in ms. It sends requests to the least utilized
 // cache that has the object or, if none has it, to the least utilized one, and fills from parents in the same way.
-func LateSeeing(delay float64) Player {
-	return Player{Name: "late-seeing", ViewDelay: delay, New: func(s policy.Settings, seed uint64, v View) (Decider, error) {
+func DelayedViewStrategy(delay float64) Strategy {
+	return Strategy{Name: "late-seeing", ViewDelay: delay, New: func(s policy.Settings, seed uint64, v View) (Decider, error) {
 		return newBaseline(s, seed, v), nil
 	}}
 }
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -41,9 +41,9 @@
 		s.lose(s.branches[rng.IntN(len(s.branches))].caches, f.Duration)
 	case CrashCaches:
 		s.lose(drawFraction(s.serversOf(kindCache), f.Magnitude, rng), f.Duration)
-	case RollCaches:
+	case RestartCaches:
 		s.rollCaches(s.serversOf(kindCache), end)
-	case RollProxies:
+	case RestartProxies:
 		s.rollProxies(drawFraction(s.proxies, f.Magnitude, rng), end, f.Extra*1000)
 	case StaleList:
 		s.listDelay = f.Magnitude * 1000
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -11,14 +11,14 @@
 
 // Run plays a scenario with the proxy's own policy. If ctx ends, it returns what was played until then, with an error.
 func Run(ctx context.Context, s Scenario, seed uint64) (*Result, error) {
-	return Play(ctx, s, seed, Module)
+	return RunStrategy(ctx, s, seed, RouterStrategy)
 }
 
 // cancelInterval is the number of events between two checks whether the run is cancelled.
 const cancelInterval = 1 << 16
 
-// Play is Run with another player. Equal seeds give all players the same requests and faults.
-func Play(ctx context.Context, scenario Scenario, seed uint64, player Player) (*Result, error) {
+// RunStrategy is Run with another player. Equal seeds give all players the same requests and faults.
+func RunStrategy(ctx context.Context, scenario Scenario, seed uint64, player Strategy) (*Result, error) {
 	s, err := newSimulation(scenario, seed, player)
 	if err != nil {
 		return nil, err
--- a/internal/lab/sim/scenario.go
+++ b/internal/lab/sim/scenario.go
@@ -145,7 +145,7 @@
 	// Magnitude is the fraction of the servers, proxies or objects that are affected; of Burst the multiple of the traffic, of
 	// OriginSlow the multiple of the time of an answer, of StaleList seconds, of LargeObjects the multiple of the mean size.
 	Magnitude float64 `json:"size"`
-	// Extra is, of LargeObjects, the fraction of the class's requests; of RollProxies the seconds that each is down.
+	// Extra is, of LargeObjects, the fraction of the class's requests; of RestartProxies the seconds that each is down.
 	Extra float64 `json:"extra"`
 }
 
@@ -154,19 +154,19 @@
 
 // The kinds of faults.
 const (
-	Burst        FaultKind = "burst"
-	PurgeObjects FaultKind = "purge"        // a fraction of the objects, at once
-	HangCaches   FaultKind = "hang"         // they accept requests and do not answer
-	HangParents  FaultKind = "hang_parents" // they accept requests and do not answer
-	LoseHub      FaultKind = "hub_lost"     // the parents of a hub die and return without copies
-	LoseBranch   FaultKind = "branch_lost"  // the caches of a branch die and return without copies
-	OriginSlow   FaultKind = "origin_slow"
-	RollCaches   FaultKind = "roll"  // all caches drain and restart in turn
-	DropCopies   FaultKind = "empty" // all caches lose their copies and keep running
-	CrashCaches  FaultKind = "crash" // a fraction of the caches die and return without copies
-	RollProxies  FaultKind = "proxy_roll"
-	StaleList    FaultKind = "stale_list" // proxies are notified of changes later
-	LargeObjects FaultKind = "heavy"      // some requests of the first class are for new, large objects
+	Burst          FaultKind = "burst"
+	PurgeObjects   FaultKind = "purge"        // a fraction of the objects, at once
+	HangCaches     FaultKind = "hang"         // they accept requests and do not answer
+	HangParents    FaultKind = "hang_parents" // they accept requests and do not answer
+	LoseHub        FaultKind = "hub_lost"     // the parents of a hub die and return without copies
+	LoseBranch     FaultKind = "branch_lost"  // the caches of a branch die and return without copies
+	OriginSlow     FaultKind = "origin_slow"
+	RestartCaches  FaultKind = "roll"  // all caches drain and restart in turn
+	DropCopies     FaultKind = "empty" // all caches lose their copies and keep running
+	CrashCaches    FaultKind = "crash" // a fraction of the caches die and return without copies
+	RestartProxies FaultKind = "proxy_roll"
+	StaleList      FaultKind = "stale_list" // proxies are notified of changes later
+	LargeObjects   FaultKind = "heavy"      // some requests of the first class are for new, large objects
 )
 
 // largeObjectsClass is the index of the class that LargeObjects affects.
@@ -175,7 +175,7 @@
 // The values that a file may have, in the order in which messages list them.
 var (
 	faultKinds = []FaultKind{
-		Burst, PurgeObjects, HangCaches, HangParents, LoseHub, LoseBranch, OriginSlow, RollCaches, DropCopies, CrashCaches, RollProxies,
+		Burst, PurgeObjects, HangCaches, HangParents, LoseHub, LoseBranch, OriginSlow, RestartCaches, DropCopies, CrashCaches, RestartProxies,
 		StaleList, LargeObjects,
 	}
 	backoffKinds = []BackoffKind{ExponentialBackoff, FixedBackoff, NoBackoff}
--- a/internal/lab/sim/settings_test.go
+++ b/internal/lab/sim/settings_test.go
@@ -46,7 +46,7 @@
 	s.Seconds = 20
 	s.Fleet.BranchCaches, s.Fleet.BranchProxies, s.Fleet.CacheSizes = []int{4, 1, 1}, []int{2, 1, 1}, []float64{1, 2}
 	s.Fleet.LinksKnown, s.Fleet.MayBypassCaches, s.Fleet.CoalescesFills, s.Fleet.ParentInitialCapacity, s.Fleet.ParentOverloadMultiple = true, true, true, 0.06, 2
-	sim, err := newSimulation(s, 1, Module)
+	sim, err := newSimulation(s, 1, RouterStrategy)
 	require.NoError(t, err)
 	settings := s.Settings(0, 0)
 	require.Equal(t, 4, settings.Routers)
@@ -68,7 +68,7 @@
 func manualSimulation(t *testing.T, s Scenario) (*simulation, *proxy, func(class int, object int32) *request) {
 	t.Helper()
 	s.Traffic.Rate, s.Traffic.PurgeRate = 0, 0
-	sim, err := newSimulation(s, 1, Player{New: func(policy.Settings, uint64, View) (Decider, error) { return idleDecider{}, nil }})
+	sim, err := newSimulation(s, 1, Strategy{New: func(policy.Settings, uint64, View) (Decider, error) { return idleDecider{}, nil }})
 	require.NoError(t, err)
 	p := sim.proxies[0]
 	return sim, p, func(class int, object int32) *request {
@@ -235,7 +235,7 @@
 	s := DefaultScenario()
 	s.Seconds, s.Clients.BackoffKind = 30, FixedBackoff
 	s.Faults = []Fault{
-		{At: 5, Duration: 10, Kind: RollProxies, Magnitude: 1, Extra: 1}, {At: 2, Duration: 6, Kind: CrashCaches, Magnitude: 0.2},
+		{At: 5, Duration: 10, Kind: RestartProxies, Magnitude: 1, Extra: 1}, {At: 2, Duration: 6, Kind: CrashCaches, Magnitude: 0.2},
 	}
 	r := play(t, s, 4)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
@@ -275,7 +275,7 @@
 	}
 	s := DefaultScenario()
 	s.Seconds, s.Clients.MinAttemptFraction = 10, 1
-	sim, err := newSimulation(s, 1, Module)
+	sim, err := newSimulation(s, 1, RouterStrategy)
 	require.NoError(t, err)
 	for range 200 {
 		sim.makeRequest(sim.branches[0], sim.traffic[0])
@@ -295,13 +295,13 @@
 	s.Traffic.Classes[0].LocalFraction = 0.3
 	s.Faults = []Fault{
 		{At: 1, Duration: 4, Kind: LargeObjects, Magnitude: 10, Extra: 0.1}, {At: 2, Duration: 5, Kind: StaleList, Magnitude: 4},
-		{At: 3, Duration: 2, Kind: CrashCaches, Magnitude: 0.3}, {At: 4, Duration: 3, Kind: RollProxies, Magnitude: 0.5, Extra: 0.5},
+		{At: 3, Duration: 2, Kind: CrashCaches, Magnitude: 0.3}, {At: 4, Duration: 3, Kind: RestartProxies, Magnitude: 0.5, Extra: 0.5},
 	}
 	want := play(t, s, 2)
-	for _, p := range []Player{Random, LateSeeing(300)} {
-		got, err := Play(t.Context(), s, 2, p)
+	for _, p := range []Strategy{RandomStrategy, DelayedViewStrategy(300)} {
+		got, err := RunStrategy(t.Context(), s, 2, p)
 		require.NoError(t, err)
-		again, err := Play(t.Context(), s, 2, p)
+		again, err := RunStrategy(t.Context(), s, 2, p)
 		require.NoError(t, err)
 		require.Equal(t, got.Classes, again.Classes, "the same each time")
 		for i := range want.Classes {
@@ -323,7 +323,7 @@
 // The view shows the state of the fleet with its delay.
 func TestDelayedView(t *testing.T) {
 	s := DefaultScenario()
-	sim, err := newSimulation(s, 1, LateSeeing(300))
+	sim, err := newSimulation(s, 1, DelayedViewStrategy(300))
 	require.NoError(t, err)
 	cache := sim.branches[0].caches[0]
 	sim.view.takeSnapshot()
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -13,7 +13,7 @@
 	eventQueue
 	scenario Scenario
 	seed     uint64
-	player   Player
+	player   Strategy
 
 	branches     []*branch
 	hubs         [][]*server // the parents, by hub
@@ -49,7 +49,7 @@
 	inbound *link
 }
 
-func newSimulation(scenario Scenario, seed uint64, player Player) (*simulation, error) {
+func newSimulation(scenario Scenario, seed uint64, player Strategy) (*simulation, error) {
 	s := &simulation{
 		scenario: scenario, seed: seed, player: player, trafficMultiple: 1, chance: stream(seed, "chance"), keyedRuns: map[uint64]float64{},
 	}
--- a/internal/lab/sim/simulation_test.go
+++ b/internal/lab/sim/simulation_test.go
@@ -144,7 +144,7 @@
 	const c, service, load = 8, 10.0, 0.8
 	s := DefaultScenario()
 	s.Fleet.OriginSlots, s.Fleet.OriginTime, s.Fleet.OriginQueue = c, service, 1<<20
-	sim, err := newSimulation(s, 1, Module)
+	sim, err := newSimulation(s, 1, RouterStrategy)
 	require.NoError(t, err)
 	rng := stream(5, "arrivals")
 	total, n := 0.0, 0
@@ -259,7 +259,7 @@
 // The checker detects a violation of each rule.
 func TestCheckerDetectsViolations(t *testing.T) {
 	s := DefaultScenario()
-	sim, err := newSimulation(s, 9, Module)
+	sim, err := newSimulation(s, 9, RouterStrategy)
 	require.NoError(t, err)
 	p, cache := sim.proxies[0], sim.branches[0].caches[0]
 	client := &clientRequest{sim: sim, branch: p.branch, rng: sim.chance, number: 1, attempts: 1}
--- a/internal/lab/sim/player.go
+++ b/internal/lab/sim/strategy.go
@@ -20,16 +20,16 @@
 	Holds(id policy.ServerID, object string, part int) bool
 }
 
-// Player makes the deciders of a run.
-type Player struct {
+// Strategy makes the deciders of a run.
+type Strategy struct {
 	Name      string
 	ViewDelay float64 // ms; 0: no View
 	// New returns a decider for a start of a proxy. The view is nil without ViewDelay.
 	New func(s policy.Settings, seed uint64, v View) (Decider, error)
 }
 
-// Module plays with the proxy's own policy.
-var Module = Player{Name: "module", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
+// RouterStrategy plays with the proxy's own policy.
+var RouterStrategy = Strategy{Name: "module", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
 	return policy.New(s, seed)
 }}
 
