--- a/internal/lab/bounds/bounds.go
+++ b/internal/lab/bounds/bounds.go
@@ -1,5 +1,5 @@
-// Package bounds checks values of the scenario files of the lab. It reports defects to the document that they were read from, and
-// decides no bound itself; the packages that own the files do. Their tests check the messages.
+// Package bounds checks values of the lab's scenario files. It reports defects to the document that the values were read from. It
+// never decides a bound: the packages that own the files do, and their tests check the messages.
 package bounds
 
 import (
@@ -9,23 +9,23 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Checker reports values of a document that cannot be used.
+// Checker reports values of a document that are not allowed.
 type Checker struct{ *strictjson.Document }
 
-// Within reports a defect unless the value at a path lies within bounds. NaN lies within none.
+// Within reports a defect unless the value at a path is from least to most. NaN is always a defect.
 func (c Checker) Within(path string, value, least, most float64) {
 	if !(value >= least && value <= most) {
 		c.Failf(path, "%s %.10g is not %.10g to %.10g", lastKey(path), value, least, most)
 	}
 }
 
-// CountWithin is Within for a number of things.
+// CountWithin is Within for an int.
 func (c Checker) CountWithin(path string, value, least, most int) {
 	c.Within(path, float64(value), float64(least), float64(most))
 }
 
-// OneOf reports a defect unless the value at a path is one of those allowed. The message leaves out an empty one, which stands
-// for a key that is left out.
+// OneOf reports a defect unless the value at a path is one of the allowed ones. The message does not list an allowed empty value,
+// because that is the value of a key that is left out.
 func OneOf[T ~string](c Checker, path string, value T, allowed []T) {
 	if slices.Contains(allowed, value) {
 		return
@@ -36,7 +36,7 @@
 			names = append(names, string(name))
 		}
 	}
-	c.Failf(path, "%s %q is none of %s", lastKey(path), value, strings.Join(names, ", "))
+	c.Failf(path, "%s %q is not one of %s", lastKey(path), value, strings.Join(names, ", "))
 }
 
 // lastKey returns the last key of a path.
--- a/internal/lab/sim/baseline.go
+++ b/internal/lab/sim/baseline.go
@@ -9,36 +9,37 @@
 	"ravenwheel/policy"
 )
 
-// RandomStrategy is a player that sends requests to any ready cache of its branch, fills from any parent, and retries elsewhere while
-// that is allowed and time is left. It learns nothing.
+// RandomStrategy sends each request to a random ready cache of its branch, fills misses from a random parent, and retries at other
+// servers while a retry is safe and the deadline has not passed. It learns nothing from outcomes.
 var RandomStrategy = Strategy{Name: "random", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
 	return newBaseline(s, seed, nil), nil
 }}
 
-// DelayedViewStrategy returns a player that sees the true state of the fleet with a delay in ms. It sends requests to the least utilized
-// cache that has the object or, if none has it, to the least utilized one, and fills from parents in the same way.
+// DelayedViewStrategy returns a strategy that sees the true state of the fleet with a delay in ms. It sends a request to the least
+// utilized cache that holds the part or, if none does, to the least utilized cache. It chooses the parent for a fill in the same
+// way.
 func DelayedViewStrategy(delay float64) Strategy {
 	return Strategy{Name: "late-seeing", ViewDelay: delay, New: func(s policy.Settings, seed uint64, v View) (Decider, error) {
 		return newBaseline(s, seed, v), nil
 	}}
 }
 
-// baseline is a decider that keeps the rules on drains, retries and purges, and does nothing else: it has no limits, warm-up,
-// retry budget or outlier detection.
+// baseline is a decider that follows the rules on drains, retries and purges, and does nothing else: it has no concurrency limits,
+// warm-up, retry budget or outlier detection.
 type baseline struct {
 	settings  policy.Settings
 	rng       *rand.Rand
-	view      View            // nil: servers are chosen at random
-	members   []policy.Member // ready ones, by id
+	view      View            // nil for a random choice of servers
+	members   []policy.Member // the ready members, ordered by id
 	requests  map[string]*baselineRequest
-	timers    map[uint64]string // ids of requests, by token
+	timers    map[uint64]string // request ids, by timer token
 	lastToken uint64
-	purges    map[string]policy.Time // by object
+	purges    map[string]policy.Time // time of the last purge, by object
 }
 
 type baselineRequest struct {
 	policy.Request
-	due      policy.Time
+	deadline policy.Time
 	attempts []baselineAttempt
 }
 
@@ -80,7 +81,7 @@
 }
 
 func (b *baseline) handleRequest(now policy.Time, e policy.Request, actions []policy.Action) []policy.Action {
-	r := &baselineRequest{Request: e, due: now + e.TimeLeft}
+	r := &baselineRequest{Request: e, deadline: now + e.TimeLeft}
 	b.requests[e.ID] = r
 	b.lastToken++
 	b.timers[b.lastToken] = e.ID
@@ -115,24 +116,24 @@
 	slices.SortFunc(b.members, func(x, y policy.Member) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// mayRetry reports whether another attempt can have no second effect: the same rule as the module's.
+// mayRetry reports whether another attempt is certain to have no second effect. policy.Router follows the same rule.
 func (b *baseline) mayRetry(now policy.Time, r *baselineRequest) bool {
 	class := b.settings.Classes[r.Class]
 	for _, a := range r.attempts {
 		if !a.mayHaveRun {
 			continue
 		}
-		forgotten := class.Idempotency == policy.IdempotentByKey && now-a.sent >= class.DedupWindow
-		if class.Idempotency == policy.NotIdempotent || forgotten {
+		keyExpired := class.Idempotency == policy.IdempotentByKey && now-a.sent >= class.DedupWindow
+		if class.Idempotency == policy.NotIdempotent || keyExpired {
 			return false
 		}
 	}
 	return true
 }
 
-// send sends an attempt, or gives the request up if that is not allowed or there is no server for it.
+// send sends an attempt, or gives the request up if another attempt is not allowed or no server is left for it.
 func (b *baseline) send(now policy.Time, r *baselineRequest, actions []policy.Action) []policy.Action {
-	if now >= r.due || len(r.attempts) >= maxBaselineAttempts || !b.mayRetry(now, r) {
+	if now >= r.deadline || len(r.attempts) >= maxBaselineAttempts || !b.mayRetry(now, r) {
 		return b.giveUp(r, actions)
 	}
 	target, ok := b.choose(r, func(m policy.Member) bool {
@@ -146,7 +147,7 @@
 		return b.giveUp(r, actions)
 	}
 	r.attempts = append(r.attempts, baselineAttempt{target: target, source: source, sent: now, mayHaveRun: true})
-	fetch := policy.Fetch{ID: r.ID, Server: target, Source: source, Timeout: r.due - now, RetainRank: 1}
+	fetch := policy.Fetch{ID: r.ID, Server: target, Source: source, Timeout: r.deadline - now, RetainRank: 1}
 	purged, known := b.purges[r.Object]
 	switch {
 	case b.settings.Classes[r.Class].Uncached:
@@ -159,7 +160,8 @@
 	return append(actions, fetch)
 }
 
-// giveUp answers a request that is not served. It is rejected unless it may have run and must not run twice.
+// giveUp answers a request that was not served. It rejects the request, which tells the client that a retry is safe, unless the
+// request may have run and must not run twice; then it fails the request.
 func (b *baseline) giveUp(r *baselineRequest, actions []policy.Action) []policy.Action {
 	delete(b.requests, r.ID)
 	for _, a := range r.attempts {
@@ -170,7 +172,8 @@
 	return append(actions, policy.Reject{ID: r.ID})
 }
 
-// chooseSource chooses where a miss is filled from: a parent for what is cached, else the origin.
+// chooseSource chooses where a miss is filled from: a parent for a class that is cached, else the origin. The origin also serves
+// if no parent can be chosen.
 func (b *baseline) chooseSource(r *baselineRequest) (policy.ServerID, bool) {
 	if !b.settings.Classes[r.Class].Uncached {
 		parent := func(m policy.Member) bool { return m.Kind == b.settings.ParentKind }
@@ -181,7 +184,8 @@
 	return b.choose(r, func(m policy.Member) bool { return m.Kind == b.settings.OriginKind })
 }
 
-// choose chooses one of the eligible members that the request has not used: the best one in the view, or any without a view.
+// choose chooses one of the eligible members that the request has not used yet: the best one according to the view, or a random
+// one without a view.
 func (b *baseline) choose(r *baselineRequest, eligible func(policy.Member) bool) (best policy.ServerID, ok bool) {
 	var candidates []policy.Member
 	for _, m := range b.members {
@@ -201,8 +205,8 @@
 	return b.chooseByView(r, candidates)
 }
 
-// chooseByView chooses the least utilized server of those that hold the part; if none holds it, of all. A holder that is fully
-// utilized counts as any other: it would serve late what another one can fill in time.
+// chooseByView chooses the least utilized of the servers that hold the part or, if none does, of all candidates. A fully utilized
+// server does not count as holding the part: it would serve late what another server can fill in time.
 func (b *baseline) chooseByView(r *baselineRequest, candidates []policy.Member) (best policy.ServerID, ok bool) {
 	lowest, bestHolds := 0.0, false
 	for _, m := range candidates {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -7,31 +7,31 @@
 	"ravenwheel/policy"
 )
 
-// clientRequest is what a client wants, over all its attempts.
+// clientRequest is a request of a client, over all of its attempts.
 type clientRequest struct {
 	sim            *simulation
 	branch         *branch
 	rng            *rand.Rand
-	number         uint64 // among all requests
+	number         uint64 // sequence number among the requests of all clients
 	class          int
 	key            partKey
 	kb             float64
-	first          float64 // ms at which it was made
+	first          float64 // ms at which the client made it
 	attemptTimeout float64 // ms
 	attempts       int
 	current        *request // the last attempt
 	ended          bool
 }
 
-// idleInterval is how often, in ms, a branch without traffic checks whether it has traffic again.
-const idleInterval = 100
+// idleCheckInterval is the time, in ms, between checks whether a branch without traffic has traffic again.
+const idleCheckInterval = 100
 
-// scheduleArrival schedules the next request of a branch's clients, and those after it: a Poisson process.
+// scheduleArrival schedules the next request of a branch's clients and, when it arrives, the one after it: a Poisson process.
 func (s *simulation) scheduleArrival(b *branch) {
-	rng := s.traffic[b.number]
+	rng := s.arrivalRNGs[b.number]
 	rate := s.scenario.Traffic.Rate * s.scenario.Fleet.relativeSize(b.number) * s.trafficMultiple / 1000
 	if rate <= 0 {
-		s.after(idleInterval, func() { s.scheduleArrival(b) })
+		s.after(idleCheckInterval, func() { s.scheduleArrival(b) })
 		return
 	}
 	s.after(-math.Log(1-rng.Float64())/rate, func() {
@@ -43,7 +43,7 @@
 	})
 }
 
-// firstLocalObject is the first number of objects that are requested in one branch only. Objects that are requested once have
+// firstLocalObject is the lowest number of an object that is requested in one branch only. Objects that are requested once have
 // lower numbers.
 const firstLocalObject = 200_000_000
 
@@ -51,13 +51,13 @@
 func (s *simulation) makeRequest(b *branch, rng *rand.Rand) {
 	class := s.drawClass(rng)
 	c := s.scenario.Traffic.Classes[class]
-	s.requests++
-	// What a client does later is drawn from a stream of its own. Otherwise later requests would depend on how earlier ones
-	// were answered.
-	own := rand.New(rand.NewPCG(s.seed, s.requests))
-	r := &clientRequest{sim: s, branch: b, rng: own, class: class, first: s.now, number: s.requests}
+	s.clientRequests++
+	// What the client does later is drawn from a random stream of the request's own. Otherwise later requests would depend on how
+	// earlier ones were answered.
+	own := rand.New(rand.NewPCG(s.seed, s.clientRequests))
+	r := &clientRequest{sim: s, branch: b, rng: own, class: class, first: s.now, number: s.clientRequests}
 	object, large := s.drawObject(b, class, rng)
-	// Classes have different objects.
+	// No two classes share an object.
 	r.key.object = object*int32(len(s.scenario.Traffic.Classes)) + int32(class)
 	if c.PartsPerObject > 1 {
 		r.key.part = int32(rng.IntN(c.PartsPerObject))
@@ -68,7 +68,7 @@
 	}
 	minFraction := s.scenario.Clients.MinAttemptFraction
 	r.attemptTimeout = c.Deadline * (minFraction + (1-minFraction)*rng.Float64())
-	s.result.requested(class, s.now, c.PriorityWeight)
+	s.result.countRequest(class, s.now, c.PriorityWeight)
 	r.send()
 }
 
@@ -90,7 +90,7 @@
 	return class
 }
 
-// drawObject draws an object for a request of a class, and whether it is one of a LargeObjects fault.
+// drawObject draws an object for a request of a class, and whether it is large because of a LargeObjects fault.
 func (s *simulation) drawObject(b *branch, class int, rng *rand.Rand) (object int32, large bool) {
 	t := s.scenario.Traffic
 	local := t.Classes[class].LocalFraction
@@ -113,9 +113,9 @@
 	return object
 }
 
-// partSize returns the size of a part in KB: exponentially distributed, and always the same for a part.
+// partSize returns the size of a part in KB. Sizes are exponentially distributed; a part always has the same size.
 func partSize(key partKey, mean float64) float64 {
-	// The finalizer of splitmix64 (Steele, Lea, Flood, 2014). The constant is added first, because 0 would stay 0.
+	// This is the finalizer of splitmix64 (Steele, Lea, Flood, 2014). The constant is added first, because 0 would hash to 0.
 	h := uint64(key.object)<<20 ^ uint64(key.part) + 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
@@ -124,12 +124,12 @@
 	return max(0.5, -math.Log(uniform)*mean)
 }
 
-// send makes an attempt at a random proxy of the branch. The client waits for the answer no longer than the attempt's timeout
-// and the grace period.
+// send makes an attempt at a random proxy of the branch. The client waits for the answer no longer than the sum of the attempt's
+// timeout and the grace period for answers.
 func (r *clientRequest) send() {
 	s := r.sim
 	r.attempts++
-	s.result.clientAttempt(r.first)
+	s.result.countClientAttempt(r.first)
 	p := r.branch.proxies[r.rng.IntN(len(r.branch.proxies))]
 	attempt := r.attempts
 	s.after(s.scenario.Fleet.BranchLatency, func() { p.receive(r) })
@@ -140,8 +140,9 @@
 	})
 }
 
-// attemptEnded handles the outcome of an attempt. One that was not served is retried after a backoff, or after retryAfter where
-// the client honours it, unless it may have run and must not run twice.
+// attemptEnded handles the outcome of an attempt. The client retries an attempt that was not served after a backoff, or after
+// retryAfter (ms) if that is longer and the client honours it. It makes no further attempt once it has used its retries, or if
+// the request may have run and must not run twice.
 func (r *clientRequest) attemptEnded(attempt *request, o outcome, retryAfter float64) {
 	if r.ended || attempt != r.current {
 		return
@@ -156,14 +157,14 @@
 		if latency > objective {
 			value *= class.LateFraction
 		}
-		s.result.served(r.class, r.first, latency, value)
+		s.result.countServed(r.class, r.first, latency, value)
 		return
 	}
-	s.result.attemptFailed(s.now, o)
+	s.result.countFailedAttempt(s.now, o)
 	mayRetry := o == outcomeRejected || class.idempotency() != policy.NotIdempotent
 	if !mayRetry || r.attempts > s.scenario.Clients.Retries {
 		r.ended = true
-		s.result.abandoned(r.class, r.first)
+		s.result.countAbandoned(r.class, r.first)
 		return
 	}
 	wait := s.scenario.Clients.backoff(r.attempts) * (0.5 + r.rng.Float64())
@@ -173,7 +174,7 @@
 	s.after(wait, r.send)
 }
 
-// backoff returns the mean time, in ms, that clients wait after a number of attempts.
+// backoff returns the mean time, in ms, that a client waits after this number of attempts.
 func (c Clients) backoff(attempts int) float64 {
 	switch c.BackoffKind {
 	case NoBackoff:
--- a/internal/lab/sim/event_queue.go
+++ b/internal/lab/sim/event_queue.go
@@ -1,6 +1,6 @@
 package sim
 
-// event is a function that is called at a time. Events at the same time are called in the order in which they were scheduled.
+// event is a function to be called at a virtual time. Events at the same time are called in the order in which they were scheduled.
 type event struct {
 	at       float64 // ms
 	sequence uint64
@@ -11,18 +11,19 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// arity of the heap: higher than 2, as its queues are of many thousands and a flatter heap is faster.
+// arity is the number of children of a node of the heap. It is higher than 2, because a queue holds many thousands of events and a
+// flatter heap is faster.
 const arity = 4
 
 // eventQueue is a heap of events, and the virtual clock.
 type eventQueue struct {
 	heap     []event
-	sequence uint64  // of the last event or transfer
+	sequence uint64  // of the last event or transfer; orders those that are due at the same time
 	now      float64 // ms
-	handled  uint64  // number of events taken off
+	handled  uint64  // number of events removed by next
 }
 
-// at schedules a call at a time; one in the past counts as now.
+// at schedules a call at a time in ms; a time in the past counts as now.
 func (q *eventQueue) at(at float64, call func()) {
 	q.sequence++
 	q.heap = append(q.heap, event{max(at, q.now), q.sequence, call})
@@ -37,10 +38,10 @@
 	}
 }
 
-// after schedules a call in some ms.
+// after schedules a call in this many ms.
 func (q *eventQueue) after(ms float64, call func()) { q.at(q.now+ms, call) }
 
-// next takes off the next event and moves the clock to it. ok is false if there is none.
+// next removes the next event and advances the clock to its time. ok is false if there is none.
 func (q *eventQueue) next() (e event, ok bool) {
 	n := len(q.heap)
 	if n == 0 {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -36,18 +36,18 @@
 			cache.store.clear()
 		}
 	case LoseHub:
-		s.lose(s.hubs[rng.IntN(len(s.hubs))], f.Duration)
+		s.crash(s.hubs[rng.IntN(len(s.hubs))], f.Duration)
 	case LoseBranch:
-		s.lose(s.branches[rng.IntN(len(s.branches))].caches, f.Duration)
+		s.crash(s.branches[rng.IntN(len(s.branches))].caches, f.Duration)
 	case CrashCaches:
-		s.lose(drawFraction(s.serversOf(kindCache), f.Magnitude, rng), f.Duration)
+		s.crash(drawFraction(s.serversOf(kindCache), f.Magnitude, rng), f.Duration)
 	case RestartCaches:
-		s.rollCaches(s.serversOf(kindCache), end)
+		s.restartCaches(s.serversOf(kindCache), end)
 	case RestartProxies:
-		s.rollProxies(drawFraction(s.proxies, f.Magnitude, rng), end, f.Extra*1000)
+		s.restartProxies(drawFraction(s.proxies, f.Magnitude, rng), end, f.Extra*1000)
 	case StaleList:
-		s.listDelay = f.Magnitude * 1000
-		s.after(end, func() { s.listDelay = 0 })
+		s.extraDiscoveryDelay = f.Magnitude * 1000
+		s.after(end, func() { s.extraDiscoveryDelay = 0 })
 	case LargeObjects:
 		s.largeObjects = f
 		s.after(end, func() { s.largeObjects = Fault{} })
@@ -86,7 +86,7 @@
 	return objects
 }
 
-// hang has servers not answer for some ms. Those that are killed meanwhile stay killed.
+// hang makes servers accept requests without answering, for this many ms. Those that are killed meanwhile stay killed.
 func (s *simulation) hang(servers []*server, duration float64) {
 	for _, server := range servers {
 		server.state = serverHung
@@ -98,31 +98,32 @@
 	}
 }
 
-// maxRollDowntime bounds, in seconds, how long a cache is down while all are rolled.
-const maxRollDowntime = 2
+// maxRestartDowntime bounds, in seconds, how long a cache is down during a rolling restart.
+const maxRestartDowntime = 2
 
-// rollCaches drains each cache in turn, kills it and restarts it, in some ms for all.
-func (s *simulation) rollCaches(caches []*server, duration float64) {
+// restartCaches is a rolling restart: it drains, kills and restarts one cache after the other. The drains begin at equal intervals
+// within duration ms. A cache is killed only after all proxies were notified of its drain and the grace period has passed.
+func (s *simulation) restartCaches(caches []*server, duration float64) {
 	interval := duration / float64(max(1, len(caches)))
 	for i, cache := range caches {
 		s.after(interval*float64(i), func() {
 			s.notifyMembers([]policy.Member{cache.member(policy.Draining)})
 			s.after(s.scenario.Fleet.DiscoveryDelay+s.scenario.Rules.DrainGrace, func() {
-				s.lose([]*server{cache}, min(interval/1000, maxRollDowntime))
+				s.crash([]*server{cache}, min(interval/1000, maxRestartDowntime))
 			})
 		})
 	}
 }
 
-// rollProxies restarts proxies one after the other, each with a downtime, in some ms for all.
-func (s *simulation) rollProxies(proxies []*proxy, duration, downtime float64) {
+// restartProxies restarts proxies at equal intervals within duration ms. Each is down for downtime ms.
+func (s *simulation) restartProxies(proxies []*proxy, duration, downtime float64) {
 	for i, p := range proxies {
 		s.after(duration*float64(i)/float64(len(proxies)), func() { p.restart(downtime) })
 	}
 }
 
-// lose kills servers and restarts them after some seconds, without copies.
-func (s *simulation) lose(servers []*server, seconds float64) {
+// crash kills servers and restarts them, without copies, after this many seconds.
+func (s *simulation) crash(servers []*server, seconds float64) {
 	for _, server := range servers {
 		server.kill()
 		s.resetAttempts(server)
--- a/internal/lab/sim/fill.go
+++ b/internal/lab/sim/fill.go
@@ -15,18 +15,18 @@
 	classMeanKB    float64
 	retainRank     int
 	options        policy.FillOptions
-	oldest         float64 // ms; the oldest acceptable creation time
+	oldest         float64 // ms; the oldest creation time of a copy that may be used
 	began          float64 // ms
-	epoch          int     // of the target's process
+	epoch          int     // of the target's process when the fill began
 	waiting        []*attempt
 	transfers      []*transfer
 	pending        int  // transfers that have not ended
-	found          bool // the source has the part, and transfers it
+	found          bool // the source has the part and transfers it
 	ended          bool
 	created        float64 // ms at which the origin served the part
 }
 
-// startFill has the attempt's target fill the part from the source, or join a fill in progress there.
+// startFill makes the attempt's target fill the part from the source, or share a fill of the part that is in progress there.
 func (a *attempt) startFill(fetch policy.Fetch, oldest float64) {
 	s, client := a.request.proxy.sim, a.request.client
 	if s.scenario.Fleet.CoalescesFills && fetch.Options&policy.Coalesce != 0 {
@@ -52,7 +52,7 @@
 	s.after(f.roundTrip(a.request.proxy.branch), f.request)
 }
 
-// roundTrip returns the latency of the request to the source and of the first byte of its answer.
+// roundTrip returns the time, in ms, from the request to the source until the first byte of its answer.
 func (f *fill) roundTrip(b *branch) float64 {
 	switch {
 	case f.target.kind != kindCache:
@@ -63,13 +63,13 @@
 	return 2 * f.sim.hubLatency(b, f.source.zone)
 }
 
-// alive reports whether the fill is in progress at a process that still runs.
-func (f *fill) alive() bool { return !f.ended && f.epoch == f.target.epoch }
+// inProgress reports whether the fill has not ended and the target's process that began it still runs.
+func (f *fill) inProgress() bool { return !f.ended && f.epoch == f.target.epoch }
 
-// request handles the fill when it reaches its source.
+// submit handles the fill when it reaches its source.
 func (f *fill) request() {
 	s, source := f.sim, f.source
-	if !f.alive() {
+	if !f.inProgress() {
 		return
 	}
 	switch source.state {
@@ -82,7 +82,7 @@
 	}
 	source.addLoad(f.classMeanKB)
 	if source.kind == kindOrigin {
-		s.originServer.request(func(ok bool) {
+		s.originServer.submit(func(ok bool) {
 			if !ok {
 				f.fail(policy.NoteSourceRejected, 0)
 				return
@@ -105,7 +105,8 @@
 // originFetch is a parent's fetch from the origin, for the fills that wait for it.
 type originFetch struct{ fills []*fill }
 
-// fetchFromOrigin has a parent fetch a part that it lacks. Where parents coalesce, fills share a fetch in progress.
+// fetchFromOrigin makes a parent fetch a part that it does not hold. With ParentsCoalesce, fills of the same part share a fetch in
+// progress.
 func (s *server) fetchFromOrigin(f *fill) {
 	fetch := &originFetch{[]*fill{f}}
 	if s.sim.scenario.Fleet.ParentsCoalesce {
@@ -116,7 +117,7 @@
 		s.originFetches[f.key] = fetch
 	}
 	s.sim.after(2*s.sim.scenario.Fleet.HubLatency, func() {
-		s.sim.originServer.request(func(ok bool) {
+		s.sim.originServer.submit(func(ok bool) {
 			if s.originFetches[f.key] == fetch {
 				delete(s.originFetches, f.key)
 			}
@@ -125,19 +126,19 @@
 	})
 }
 
-// endOriginFetch gives the fills what the origin answered. The parent stores the part once.
+// endOriginFetch passes the origin's answer to the fills. The parent stores the part once.
 func (s *server) endOriginFetch(fetch *originFetch, ok bool) {
 	stored := false
 	for _, f := range fetch.fills {
 		switch {
-		case !f.alive():
+		case !f.inProgress():
 		case !ok:
 			f.fail(policy.NoteOriginFailed, 0)
 		default:
 			if !stored {
-				s.sim.result.originFill(s.sim.now)
+				s.sim.result.countOriginFill(s.sim.now)
 				if f.options&policy.ParentPassThrough == 0 {
-					s.keep(f.key, f.kb, s.sim.now, 1)
+					s.storeCopy(f.key, f.kb, s.sim.now, 1)
 				}
 			}
 			stored = true
@@ -146,16 +147,16 @@
 	}
 }
 
-// begin handles the first byte of the part. The fill forwards what it receives: its transfers over the source's link and the
-// branch's and those of its answers run at the same time.
+// begin handles the first byte of the part. The target forwards the part while it receives it, so the transfers from the source
+// and those of the answers run at the same time.
 func (f *fill) begin(created float64, note policy.Note) {
-	if !f.alive() {
+	if !f.inProgress() {
 		return
 	}
 	f.found, f.created = true, created
-	f.target.keep(f.key, f.kb, created, f.retainRank)
+	f.target.storeCopy(f.key, f.kb, created, f.retainRank)
 	if f.source.kind == kindOrigin {
-		f.sim.result.originFill(f.sim.now)
+		f.sim.result.countOriginFill(f.sim.now)
 	} else {
 		f.transfer(f.source.outbound)
 	}
@@ -170,7 +171,7 @@
 	}
 }
 
-// transfer transfers the part over a link. When the last transfer has ended, so has the fill.
+// transfer transfers the part over a link. The fill ends with its last transfer.
 func (f *fill) transfer(l *link) {
 	f.pending++
 	f.transfers = append(f.transfers, l.start(f.kb, func() {
@@ -186,13 +187,13 @@
 	}))
 }
 
-// answer begins the answer to an attempt that waits.
+// answer begins the answer to an attempt that waits for the fill.
 func (f *fill) answer(a *attempt, note policy.Note) {
 	a.sourceWait, a.created = f.sim.now-f.began, f.created
 	a.serve(note)
 }
 
-// join has an attempt share the fill.
+// join makes an attempt share the fill.
 func (f *fill) join(a *attempt) {
 	a.fill = f
 	f.waiting = append(f.waiting, a)
@@ -201,22 +202,23 @@
 	}
 }
 
-// fail ends the fill without the part, and has the attempts that wait answered with a miss.
+// fail ends the fill without the part, and answers the attempts that wait with a miss. sourceWait is the time, in ms, that the
+// target waited for the source.
 func (f *fill) fail(note policy.Note, sourceWait float64) {
-	if !f.alive() {
+	if !f.inProgress() {
 		return
 	}
 	waiting := slices.Clone(f.waiting)
 	f.end()
 	for _, a := range waiting {
-		if a.alive() {
+		if a.inProgress() {
 			a.sourceWait = sourceWait
 			a.respond(policy.Miss, note)
 		}
 	}
 }
 
-// leave removes an attempt that does not wait any more. The last one ends the fill, unless fills outlive their clients.
+// leave removes an attempt that no longer waits. When none is left, the fill ends, unless fills outlive their clients.
 func (f *fill) leave(a *attempt) {
 	f.waiting = slices.DeleteFunc(f.waiting, func(waiting *attempt) bool { return waiting == a })
 	if f.ended || len(f.waiting) > 0 || f.sim.scenario.Fleet.FillsOutliveClients {
--- a/internal/lab/sim/link.go
+++ b/internal/lab/sim/link.go
@@ -2,24 +2,24 @@
 
 import "container/heap"
 
-// link shares its bandwidth equally among its transfers (processor sharing), up to the rate of a single transfer. It counts what
-// each transfer has received since the start, as all receive the same; so starting and ending one costs O(log n).
+// link shares its bandwidth equally among its transfers (processor sharing), up to the maximum rate of a single transfer. As all
+// active transfers receive the same, it keeps one count for all of them; so starting and ending a transfer costs O(log n).
 type link struct {
-	queue     *eventQueue
-	bandwidth float64 // KB/ms
-	maxRate   float64 // KB/ms of one transfer; 0: unlimited
-	received  float64 // KB that a transfer has received if it is active since the start
-	updated   float64 // ms at which received was brought up to date
-	active    transferHeap
-	wakeUp    uint64  // number of the scheduled wake-up that counts
-	totalKB   float64 // transferred
+	queue         *eventQueue
+	bandwidth     float64 // KB/ms
+	maxRate       float64 // KB/ms of one transfer; 0 for unlimited
+	receivedKB    float64 // KB that a transfer would have received that was active all the time; reset to 0 while none is
+	updatedAt     float64 // ms at which receivedKB was brought up to date
+	active        transferHeap
+	currentWakeUp uint64  // number of the last scheduled wake-up; earlier ones are ignored
+	totalKB       float64 // transferred by all transfers since the link was made
 }
 
 // transfer is a transfer on a link.
 type transfer struct {
 	link     *link
-	end      float64 // value of link.received at which it ends
-	index    int     // in the heap; -1: not active
+	endsAtKB float64 // value of link.receivedKB at which the transfer ends
+	index    int     // in the heap; -1 if the transfer is not active
 	sequence uint64
 	done     func()
 }
@@ -30,7 +30,7 @@
 func (h transferHeap) Len() int { return len(h) }
 
 func (h transferHeap) Less(i, j int) bool {
-	return h[i].end < h[j].end || h[i].end == h[j].end && h[i].sequence < h[j].sequence
+	return h[i].endsAtKB < h[j].endsAtKB || h[i].endsAtKB == h[j].endsAtKB && h[i].sequence < h[j].sequence
 }
 
 func (h transferHeap) Swap(i, j int) {
@@ -54,7 +54,7 @@
 	return t
 }
 
-// rate returns the present rate of one transfer, in KB/ms.
+// rate returns the current rate of one transfer, in KB/ms.
 func (l *link) rate() float64 {
 	if len(l.active) == 0 {
 		return 0
@@ -66,28 +66,28 @@
 	return rate
 }
 
-// update brings the counts up to now.
+// update brings the counts up to date.
 func (l *link) update() {
-	received := l.rate() * (l.queue.now - l.updated)
-	l.received += received
+	received := l.rate() * (l.queue.now - l.updatedAt)
+	l.receivedKB += received
 	l.totalKB += received * float64(len(l.active))
-	l.updated = l.queue.now
+	l.updatedAt = l.queue.now
 	if len(l.active) == 0 {
-		l.received = 0 // keeps it small, so that it stays precise over a long run
+		l.receivedKB = 0 // a small value stays precise over a long run
 	}
 }
 
 // start starts a transfer and calls done when it has ended.
 func (l *link) start(kb float64, done func()) *transfer {
 	l.update()
-	t := &transfer{link: l, end: l.received + kb, done: done, sequence: l.queue.sequence}
+	t := &transfer{link: l, endsAtKB: l.receivedKB + kb, done: done, sequence: l.queue.sequence}
 	l.queue.sequence++
 	heap.Push(&l.active, t)
 	l.schedule()
 	return t
 }
 
-// stop stops a transfer that has not ended. done is not called.
+// stop stops the transfer, without calling done. It does nothing if the transfer has ended.
 func (t *transfer) stop() {
 	if t == nil || t.index < 0 {
 		return
@@ -104,23 +104,24 @@
 	l.schedule()
 }
 
-// schedule schedules a wake-up for the end of the next transfer, in place of the one before. Without bandwidth no transfer ends.
+// schedule schedules a wake-up for when the next transfer ends, in place of the previous wake-up. Without bandwidth no transfer
+// ends, so there is no wake-up.
 func (l *link) schedule() {
-	l.wakeUp++
+	l.currentWakeUp++
 	rate := l.rate()
 	if len(l.active) == 0 || rate <= 0 {
 		return
 	}
-	number := l.wakeUp
-	l.queue.after(max(0, l.active[0].end-l.received)/rate, func() {
-		if number == l.wakeUp {
+	wakeUp := l.currentWakeUp
+	l.queue.after(max(0, l.active[0].endsAtKB-l.receivedKB)/rate, func() {
+		if wakeUp == l.currentWakeUp {
 			l.endTransfers()
 		}
 	})
 }
 
-// timeResolution is the time, in ms, within which a transfer counts as ended. Late in a long run, the time until its end may be
-// too small to advance the clock, which would schedule wake-ups forever.
+// timeResolution is the time, in ms, before its end from which a transfer counts as ended. Late in a long run, the remaining time
+// may be too small to advance the clock, a float64, and wake-ups would be scheduled forever.
 const timeResolution = 1e-6
 
 // endTransfers ends the transfers that are due.
@@ -128,7 +129,7 @@
 	l.update()
 	var ended []*transfer
 	tolerance := l.rate() * timeResolution
-	for len(l.active) > 0 && l.active[0].end <= l.received+tolerance {
+	for len(l.active) > 0 && l.active[0].endsAtKB <= l.receivedKB+tolerance {
 		ended = append(ended, heap.Pop(&l.active).(*transfer))
 	}
 	l.schedule()
--- a/internal/lab/sim/origin.go
+++ b/internal/lab/sim/origin.go
@@ -5,17 +5,19 @@
 	"math/rand/v2"
 )
 
-// originQueue models the origin as an M/M/c queue of limited length, for which there is a formula to test it against.
+// originQueue models the origin as an M/M/c queue of limited length. Erlang's formula gives the mean wait of such a queue, and a
+// test compares the model with it.
 type originQueue struct {
 	sim      *simulation
 	rng      *rand.Rand
-	busy     int
+	busy     int // answers in progress
 	waiting  []func(ok bool)
-	slowdown float64 // multiple of the mean time of an answer
+	slowdown float64 // factor on the mean time of an answer; 1 without a fault
 }
 
-// request calls done when the origin has answered (ok), or at once if it rejects the request.
-func (o *originQueue) request(done func(ok bool)) {
+// submit sends a request to the origin. It calls done(true) when the origin has answered, or done(false) at once if all slots are
+// in use and the queue is full.
+func (o *originQueue) submit(done func(ok bool)) {
 	f := o.sim.scenario.Fleet
 	switch {
 	case o.busy < f.OriginSlots:
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -10,38 +10,38 @@
 	"ravenwheel/policy"
 )
 
-// proxy is one proxy, over all its starts.
+// proxy is one proxy. Its process may be restarted, each time with a new decider.
 type proxy struct {
-	sim     *simulation
-	number  int // among all
-	branch  *branch
-	decider Decider
-	starts  int
-	down    bool
-	members []policy.Member     // as notified last; a process that restarts begins with them
-	live    map[string]*request // by id; iterated only where the result is sorted
+	sim      *simulation
+	number   int // index among all proxies
+	branch   *branch
+	decider  Decider
+	starts   int // of the process, so far
+	down     bool
+	members  []policy.Member     // last known state; the process gets them when it restarts
+	requests map[string]*request // in flight, by id; wherever they are iterated, the result is sorted
 
-	inbox    []policy.Event
-	handling bool
-	actions  []policy.Action
+	inbox    []policy.Event  // for the decider
+	handling bool            // handle is taking events from the inbox
+	actions  []policy.Action // buffer that is reused for each event
 
 	// For the checker: when the proxy was notified of drains, and of purges by object.
 	drains map[policy.ServerID]float64
 	purges map[int32]purgeNotification
 }
 
-// request is one attempt of a client at a proxy.
+// request is one attempt of a client, as the proxy sees it.
 type request struct {
 	id       string
 	client   *clientRequest
 	proxy    *proxy
-	due      float64 // ms
+	deadline float64 // ms
 	attempts []*attempt
 	answered bool
-	dead     bool // the proxy's process ended, so no answer is due
+	aborted  bool // the proxy was down or its process ended, so no answer is required
 }
 
-// outcome is the final answer to a client's attempt, or that there was none.
+// outcome is how a client's attempt ended.
 type outcome int
 
 const (
@@ -62,12 +62,12 @@
 	if s.view != nil {
 		view = s.view
 	}
-	p.decider, err = s.player.New(s.scenario.Settings(p.branch.number, p.number), stream(s.seed, name).Uint64(), view)
+	p.decider, err = s.strategy.New(s.scenario.Settings(p.branch.number, p.number), stream(s.seed, name).Uint64(), view)
 	p.starts++
 	return err
 }
 
-// rememberMembers keeps the members for the next start of the process.
+// rememberMembers records changed members for the next start of the process.
 func (p *proxy) rememberMembers(changes []policy.Member) {
 	for _, m := range changes {
 		i := slices.IndexFunc(p.members, func(known policy.Member) bool { return known.ID == m.ID })
@@ -79,20 +79,21 @@
 	}
 }
 
-// restart ends the proxy's process, with all it has in flight, and starts it after a downtime in ms with the last members.
+// restart ends the proxy's process and all it has in flight. After a downtime, in ms, it starts the process with the last known
+// members.
 func (p *proxy) restart(downtime float64) {
 	s := p.sim
 	for _, a := range p.openAttempts(func(*attempt) bool { return true }) {
 		a.release()
 		a.open = false
 	}
-	for _, r := range p.liveRequests() {
+	for _, r := range p.sortedRequests() {
 		if !r.answered {
-			r.dead = true
+			r.aborted = true
 			p.closeConnection(r)
 		}
 	}
-	p.live, p.inbox, p.down, p.purges = map[string]*request{}, nil, true, nil
+	p.requests, p.inbox, p.down, p.purges = map[string]*request{}, nil, true, nil
 	s.after(downtime, func() {
 		if err := p.start(); err != nil {
 			s.checker.violation("restart", err.Error())
@@ -104,28 +105,28 @@
 	})
 }
 
-// closeConnection has the client of a request notice that its connection ended.
+// closeConnection closes the connection of a request, which its client notices after the latency of the branch.
 func (p *proxy) closeConnection(r *request) {
 	p.sim.after(p.sim.scenario.Fleet.BranchLatency, func() { r.client.attemptEnded(r, outcomeUnanswered, 0) })
 }
 
-// liveRequests returns the requests in flight, ordered by when they arrived.
-func (p *proxy) liveRequests() (requests []*request) {
-	for _, r := range p.live {
+// sortedRequests returns the requests in flight in the order of their arrival.
+func (p *proxy) sortedRequests() (requests []*request) {
+	for _, r := range p.requests {
 		requests = append(requests, r)
 	}
 	slices.SortFunc(requests, compareIDs)
 	return requests
 }
 
-// compareIDs orders requests by when they arrived: ids are increasing numbers.
+// compareIDs orders requests by their arrival: ids are increasing numbers in base 36, so a shorter one is lower.
 func compareIDs(a, b *request) int {
 	return cmp.Or(len(a.id)-len(b.id), strings.Compare(a.id, b.id))
 }
 
-// openAttempts returns the attempts in flight that are selected, ordered by when they were sent.
+// openAttempts returns the selected attempts in flight in the order in which they were sent.
 func (p *proxy) openAttempts(selected func(*attempt) bool) (attempts []*attempt) {
-	for _, r := range p.live {
+	for _, r := range p.requests {
 		for _, a := range r.attempts {
 			if a.open && selected(a) {
 				attempts = append(attempts, a)
@@ -138,7 +139,7 @@
 	return attempts
 }
 
-// handle gives the decider an event. Events that its actions cause are handled after it.
+// handle passes an event to the decider and executes its actions. Events that the actions cause are handled afterwards.
 func (p *proxy) handle(e policy.Event) {
 	if p.down {
 		return
@@ -180,21 +181,21 @@
 	}
 }
 
-// receive receives an attempt of a client. A proxy that is down does not listen.
+// receive receives an attempt of a client. If the proxy is down, the client finds its connection closed.
 func (p *proxy) receive(client *clientRequest) {
 	s := p.sim
-	s.requestIDs++
+	s.lastRequestID++
 	r := &request{
-		id: strconv.FormatUint(s.requestIDs, 36), client: client, proxy: p, due: s.now + client.attemptTimeout,
+		id: strconv.FormatUint(s.lastRequestID, 36), client: client, proxy: p, deadline: s.now + client.attemptTimeout,
 	}
 	client.current = r
 	if p.down {
-		r.dead = true
+		r.aborted = true
 		p.closeConnection(r)
 		return
 	}
-	p.live[r.id] = r
-	s.checker.received(r)
+	p.requests[r.id] = r
+	s.checker.requestReceived(r)
 	p.handle(policy.Request{
 		ID: r.id, TimeLeft: duration(client.attemptTimeout), Class: client.class, Object: s.objectName(client.key.object),
 		Part: int(client.key.part), Group: -1, SizeKB: client.kb, ClientRetry: client.attempts > 1,
@@ -202,7 +203,7 @@
 	})
 }
 
-// objectName returns an object in the form that proxies know.
+// objectName returns the hexadecimal name by which proxies know an object.
 func (s *simulation) objectName(object int32) string {
 	if int(object) < len(s.objectNames) {
 		return s.objectNames[object]
@@ -213,16 +214,16 @@
 // send sends an attempt for a request to a server.
 func (p *proxy) send(id string, fetch policy.Fetch) {
 	s := p.sim
-	r := p.live[id]
+	r := p.requests[id]
 	if r == nil || r.answered {
-		s.checker.violation("an attempt for a request that is over", id)
+		s.checker.violation("attempt for a request that has ended", id)
 		return
 	}
 	a := &attempt{request: r, number: len(r.attempts), target: s.server(fetch.Server), source: s.server(fetch.Source), sent: s.now, open: true}
 	r.attempts = append(r.attempts, a)
-	s.result.upstreamAttempt(r.client.first)
-	s.checker.sent(a)
-	timeout := r.due - s.now
+	s.result.countUpstreamAttempt(r.client.first)
+	s.checker.attemptSent(a)
+	timeout := r.deadline - s.now
 	if fetch.Timeout > 0 {
 		timeout = min(timeout, float64(fetch.Timeout)/1e6)
 	}
@@ -241,7 +242,7 @@
 
 // cancel cancels an attempt that is in flight.
 func (p *proxy) cancel(c policy.Cancel) {
-	r := p.live[c.ID]
+	r := p.requests[c.ID]
 	if r == nil || c.Attempt >= len(r.attempts) {
 		return
 	}
@@ -258,11 +259,11 @@
 		ID: a.request.id, Attempt: a.number, Server: a.target.id, Result: result, Note: a.note, Final: final,
 		Latency: duration(p.sim.now - a.sent), SourceWait: duration(a.sourceWait),
 	})
-	p.forget(a.request)
+	p.dropIfDone(a.request)
 }
 
-// forget drops a request that is answered and has no attempt in flight.
-func (p *proxy) forget(r *request) {
+// dropIfDone removes a request that is answered and has no attempt in flight.
+func (p *proxy) dropIfDone(r *request) {
 	if !r.answered {
 		return
 	}
@@ -271,19 +272,19 @@
 			return
 		}
 	}
-	delete(p.live, r.id)
+	delete(p.requests, r.id)
 }
 
-// answer sends the final answer of a request.
+// answer sends a request's final answer to the client. retryAfter is in ms; 0 for none.
 func (p *proxy) answer(id string, o outcome, retryAfter float64) {
 	s := p.sim
-	r := p.live[id]
+	r := p.requests[id]
 	if r == nil {
-		s.checker.violation("an answer to nothing", id)
+		s.checker.violation("answer to a request that is not in flight", id)
 		return
 	}
-	s.checker.answered(r, o)
+	s.checker.requestAnswered(r, o)
 	r.answered = true
-	p.forget(r)
+	p.dropIfDone(r)
 	s.after(s.scenario.Fleet.BranchLatency, func() { r.client.attemptEnded(r, o, retryAfter) })
 }
--- a/internal/lab/sim/purge.go
+++ b/internal/lab/sim/purge.go
@@ -24,8 +24,8 @@
 	next()
 }
 
-// purge purges all copies of some objects that were created up to now. Proxies are notified with a delay, and servers drop their
-// copies within PurgeDuration.
+// purge purges the copies of some objects that were created before now. Proxies are notified after a random delay, and servers drop
+// their copies within PurgeDuration.
 func (s *simulation) purge(objects []int32) {
 	at := s.now
 	purged := make(map[int32]bool, len(objects))
@@ -33,7 +33,7 @@
 		purged[object] = true
 	}
 	for _, p := range s.proxies {
-		delay := s.scenario.Fleet.PurgeNotificationDelay * s.chance.Float64()
+		delay := s.scenario.Fleet.PurgeNotificationDelay * s.delayRNG.Float64()
 		s.after(delay, func() { p.receivePurge(objects, at) })
 	}
 	parts := 1
@@ -47,14 +47,14 @@
 				server.store.purge(at, purged, objects, parts)
 			}
 		}
-		// Each server drops its copies at a random time, and again at the end: meanwhile, it may have been filled from a server
-		// that had not dropped its copy yet.
-		s.after(s.scenario.Fleet.PurgeDuration*s.chance.Float64(), drop)
+		// Each server drops its copies at a random time, and again when PurgeDuration ends: in between, it may have been filled
+		// from a server that had not dropped its copy yet.
+		s.after(s.scenario.Fleet.PurgeDuration*s.delayRNG.Float64(), drop)
 		s.after(s.scenario.Fleet.PurgeDuration, drop)
 	}
 }
 
-// receivePurge notifies the proxy of a purge at a time. A proxy that is down is not notified.
+// receivePurge notifies the proxy of a purge that was made at a time. A proxy that is down is not notified.
 func (p *proxy) receivePurge(objects []int32, at float64) {
 	for _, object := range objects {
 		if p.down {
--- a/internal/lab/sim/random.go
+++ b/internal/lab/sim/random.go
@@ -6,13 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stream returns a random number generator for one purpose, so that draws for one purpose do not change those for another. Names
-// of streams must not change: they are part of the seed.
+// stream returns the random number generator for one purpose. Each purpose has its own, so that more draws for one do not change
+// those for another. The names must not change, because they are part of the seed.
 func stream(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
 
-// aliasTable draws from weights in constant time (Walker's alias method with the table of Vose, 1991).
+// aliasTable draws indices with probabilities in proportion to their weights, in constant time (Walker's alias method, with the
+// table of Vose, 1991).
 type aliasTable struct {
 	probability []float64
 	alias       []int32
@@ -51,7 +52,7 @@
 	return t
 }
 
-// draw returns the index of a weight.
+// draw returns a random index.
 func (t *aliasTable) draw(rng *rand.Rand) int {
 	i := rng.IntN(len(t.probability))
 	if rng.Float64() < t.probability[i] {
--- a/internal/lab/sim/result.go
+++ b/internal/lab/sim/result.go
@@ -6,39 +6,39 @@
 	"ravenwheel/policy"
 )
 
-// Result is the result of a run. Equal scenarios and seeds give equal results. "Value" is the priority weight of requests, less
-// for those that are served late. Counts leave out the warm-up.
+// Result is the result of a run. Equal scenarios and seeds give equal results. The value of a request is the priority weight of its
+// class, or a fraction of it if the request is served late. Counts leave out the warm-up.
 type Result struct {
 	Name             string        `json:"name"`
 	Seed             uint64        `json:"seed"`
-	ServedValue      float64       `json:"worth"`    // over the value requested
-	WorstServedValue float64       `json:"worst"`    // the same in the worst ten seconds
+	ServedValue      float64       `json:"worth"`    // as a fraction of the value requested
+	WorstServedValue float64       `json:"worst"`    // the same in the ten consecutive seconds in which it is lowest
 	ClientAttempts   float64       `json:"tries"`    // per request
-	UpstreamAttempts float64       `json:"attempts"` // of proxies, per client attempt
+	UpstreamAttempts float64       `json:"attempts"` // attempts of proxies per client attempt
 	HitRatio         float64       `json:"hits"`
-	SlowFraction     float64       `json:"slow"` // of the requests, which were not served within their latency objective
+	SlowFraction     float64       `json:"slow"` // fraction of requests not served within their latency objective
 	OriginFills      int           `json:"origin_fills"`
 	Rejected         int           `json:"refused"` // client attempts
 	Failed           int           `json:"failed"`  // client attempts
 	Unanswered       int           `json:"missed"`  // client attempts that got no answer in time
 	Events           uint64        `json:"events"`
-	Violations       int           `json:"broken"` // of rules
+	Violations       int           `json:"broken"` // violations of the rules
 	ViolationTexts   []string      `json:"rules,omitempty"`
 	Classes          []ClassResult `json:"classes"`
 	Seconds          []Second      `json:"windows"`
 	CacheLoads       []float64     `json:"loads"` // KB that each cache sent, by id
 
 	scenario         Scenario
-	begin            float64                   // ms at which the warm-up has ended
+	measuredFrom     float64                   // ms; the end of the warm-up
 	latencies        []*hdrhistogram.Histogram // by class, in µs
 	clientAttempts   int
 	upstreamAttempts int
 	answers          int
 	hits             int
-	quick            int // requests served within their latency objective
+	withinObjective  int // requests served within their latency objective
 }
 
-// Second is what happened in one second. Requests count in the second in which they were made first.
+// Second is what happened in one second. A request counts in the second in which the client made it.
 type Second struct {
 	RequestedValue float64 `json:"asked"`
 	ServedValue    float64 `json:"served"`
@@ -59,7 +59,7 @@
 	ServedValue    float64   `json:"served_worth"`
 	P50            float64   `json:"p50_ms"`
 	P99            float64   `json:"p99_ms"`
-	Thirds         [3]Period `json:"thirds"` // of the run; requests count in the one in which they were made first
+	Thirds         [3]Period `json:"thirds"` // of the run; a request counts in the one in which the client made it
 }
 
 // Period is the value requested and served in a part of a run.
@@ -68,14 +68,14 @@
 	ServedValue    float64 `json:"served"`
 }
 
-// maxLatency is the longest latency that is recorded, in µs, with latencyDigits significant digits.
+// maxLatency is the longest latency that is recorded, in µs; latencies have latencyDigits significant digits.
 const (
 	maxLatency    = 600_000_000
 	latencyDigits = 3
 )
 
 func newResult(s Scenario, seed uint64) *Result {
-	r := &Result{Name: s.Name, Seed: seed, scenario: s, begin: s.WarmUpSeconds * 1000, Seconds: make([]Second, int(s.Seconds)+1)}
+	r := &Result{Name: s.Name, Seed: seed, scenario: s, measuredFrom: s.WarmUpSeconds * 1000, Seconds: make([]Second, int(s.Seconds)+1)}
 	for _, c := range s.Traffic.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: c.Name})
 		r.latencies = append(r.latencies, hdrhistogram.New(1, maxLatency, latencyDigits))
@@ -83,22 +83,22 @@
 	return r
 }
 
-// counts reports whether a time is after the warm-up.
-func (r *Result) counts(ms float64) bool { return ms >= r.begin }
+// isMeasured reports whether a time, in ms, is after the warm-up.
+func (r *Result) isMeasured(ms float64) bool { return ms >= r.measuredFrom }
 
-// second returns the second of a time; the last one for times after the end.
+// second returns the second that a time, in ms, is in, or the last one if the time is after the end.
 func (r *Result) second(ms float64) *Second {
-	return &r.Seconds[min(len(r.Seconds)-1, max(0, int((ms-r.begin)/1000)))]
+	return &r.Seconds[min(len(r.Seconds)-1, max(0, int((ms-r.measuredFrom)/1000)))]
 }
 
-// third returns the third of the run in which a time is, for a class.
+// third returns a class's values for the third of the run that a time, in ms, is in.
 func (r *Result) third(class int, ms float64) *Period {
-	return &r.Classes[class].Thirds[min(2, max(0, int((ms-r.begin)*3/(r.scenario.Seconds*1000))))]
+	return &r.Classes[class].Thirds[min(2, max(0, int((ms-r.measuredFrom)*3/(r.scenario.Seconds*1000))))]
 }
 
-// requested counts a request that a client makes at a time.
-func (r *Result) requested(class int, at, value float64) {
-	if !r.counts(at) {
+// countRequest counts a request that a client makes at a time.
+func (r *Result) countRequest(class int, at, value float64) {
+	if !r.isMeasured(at) {
 		return
 	}
 	second := r.second(at)
@@ -109,28 +109,28 @@
 	r.third(class, at).RequestedValue += value
 }
 
-// clientAttempt counts an attempt for a request that was made first at a time.
-func (r *Result) clientAttempt(first float64) {
-	if r.counts(first) {
+// countClientAttempt counts an attempt of a client for a request that it made at first, in ms.
+func (r *Result) countClientAttempt(first float64) {
+	if r.isMeasured(first) {
 		r.clientAttempts++
 	}
 }
 
-// upstreamAttempt counts an attempt of a proxy for a request that was made first at a time.
-func (r *Result) upstreamAttempt(first float64) {
-	if r.counts(first) {
+// countUpstreamAttempt counts an attempt of a proxy for a request that the client made at first, in ms.
+func (r *Result) countUpstreamAttempt(first float64) {
+	if r.isMeasured(first) {
 		r.upstreamAttempts++
 	}
 }
 
-// served counts a request that was made first at a time and served after its latency.
-func (r *Result) served(class int, first, latency, value float64) {
-	if !r.counts(first) {
+// countServed counts a request that the client made at first, and that was served after latency, both in ms.
+func (r *Result) countServed(class int, first, latency, value float64) {
+	if !r.isMeasured(first) {
 		return
 	}
 	r.second(first).ServedValue += value
 	if latency <= r.scenario.Traffic.Classes[class].LatencyObjective {
-		r.quick++
+		r.withinObjective++
 	}
 	r.Classes[class].Served++
 	r.Classes[class].ServedValue += value
@@ -138,16 +138,16 @@
 	_ = r.latencies[class].RecordValue(max(1, int64(latency*1000)))
 }
 
-// abandoned counts a request whose client makes no further attempt.
-func (r *Result) abandoned(class int, first float64) {
-	if r.counts(first) {
+// countAbandoned counts a request that was not served and whose client makes no further attempt.
+func (r *Result) countAbandoned(class int, first float64) {
+	if r.isMeasured(first) {
 		r.Classes[class].Abandoned++
 	}
 }
 
-// attemptFailed counts a client attempt that was not served.
-func (r *Result) attemptFailed(at float64, o outcome) {
-	if !r.counts(at) {
+// countFailedAttempt counts a client attempt that was not served.
+func (r *Result) countFailedAttempt(at float64, o outcome) {
+	if !r.isMeasured(at) {
 		return
 	}
 	switch o {
@@ -160,17 +160,17 @@
 	}
 }
 
-// originFill counts a fill from the origin.
-func (r *Result) originFill(at float64) {
-	if r.counts(at) {
+// countOriginFill counts a fill from the origin.
+func (r *Result) countOriginFill(at float64) {
+	if r.isMeasured(at) {
 		r.OriginFills++
 		r.second(at).OriginFills++
 	}
 }
 
-// answered counts an upstream attempt that was served.
-func (r *Result) answered(at float64, note policy.Note) {
-	if !r.counts(at) {
+// countAnswer counts an upstream attempt that was served.
+func (r *Result) countAnswer(at float64, note policy.Note) {
+	if !r.isMeasured(at) {
 		return
 	}
 	r.answers++
@@ -182,16 +182,16 @@
 	}
 }
 
-// worstSpan is the length, in seconds, of the part of a run with the least served value.
-const worstSpan = 10
+// worstWindowSeconds is the length of the window that WorstServedValue is about.
+const worstWindowSeconds = 10
 
-// finish computes what follows from the counts.
+// finish computes the fractions and quantiles from the counts.
 func (r *Result) finish() {
 	r.ServedValue, r.WorstServedValue = servedValue(r.Seconds), 1
-	for i := 0; i+worstSpan <= len(r.Seconds); i++ {
-		span := r.Seconds[i : i+worstSpan]
-		if requestedValue(span) > 0 {
-			r.WorstServedValue = min(r.WorstServedValue, servedValue(span))
+	for i := 0; i+worstWindowSeconds <= len(r.Seconds); i++ {
+		window := r.Seconds[i : i+worstWindowSeconds]
+		if requestedValue(window) > 0 {
+			r.WorstServedValue = min(r.WorstServedValue, servedValue(window))
 		}
 	}
 	requests := 0
@@ -204,7 +204,7 @@
 	r.ClientAttempts = ratio(float64(r.clientAttempts), float64(requests))
 	r.UpstreamAttempts = ratio(float64(r.upstreamAttempts), float64(r.clientAttempts))
 	if requests > 0 {
-		r.SlowFraction = 1 - ratio(float64(r.quick), float64(requests))
+		r.SlowFraction = 1 - ratio(float64(r.withinObjective), float64(requests))
 	}
 	r.HitRatio = ratio(float64(r.hits), float64(r.answers))
 }
@@ -217,7 +217,7 @@
 	return sum
 }
 
-// servedValue returns the value served over the value requested in some seconds, or 0 if nothing was requested.
+// servedValue returns the value served in some seconds as a fraction of the value requested, or 0 if nothing was requested.
 func servedValue(seconds []Second) float64 {
 	served := 0.0
 	for _, second := range seconds {
--- a/internal/lab/sim/scenario_check.go
+++ b/internal/lab/sim/scenario_check.go
@@ -8,7 +8,8 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Parse reads a scenario; what it leaves out has the values of DefaultScenario. It returns every defect, with its place.
+// Parse reads a scenario. Keys that the text leaves out have the values of DefaultScenario. It returns all defects, with their
+// places in the file.
 func Parse(file string, text []byte) (Scenario, strictjson.Defects) {
 	s := DefaultScenario()
 	doc := strictjson.Decode(file, text, &s)
@@ -24,13 +25,13 @@
 	minSeconds       = 0.1
 	maxSeconds       = 80_000
 	maxWarmUpSeconds = 6400
-	maxServers       = 10_000 // branches, and caches or proxies of a branch
+	maxServers       = 10_000 // number of branches, and of caches or proxies of a branch where branches differ
 	maxHubs          = 1000
-	maxParents       = 1000 // of a hub
-	maxProxies       = 1000 // of a branch, unless branches differ
+	maxParents       = 1000 // of one hub
+	maxProxies       = 1000 // of a branch, where all branches have the same number
 	maxSlots         = 1e6
 	maxQueue         = 1e7
-	maxValue         = 1e12 // of times and sizes that have no bound of their own
+	maxValue         = 1e12 // of values that have no bound of their own
 	minFillTimeout   = 1
 	maxFillTimeout   = 1e6
 	minCapacity      = 0.001
@@ -45,7 +46,7 @@
 	maxKB            = 1e9
 	maxDeadline      = 1e7
 	maxWeight        = 1e6
-	maxMagnitude     = 1000 // of a fault
+	maxMagnitude     = 1000 // also of a fault's extra
 )
 
 func (s *Scenario) check(b bounds.Checker) {
@@ -91,7 +92,7 @@
 func (f Fleet) checkOperatorSettings(b bounds.Checker) {
 	perBranch := func(path string, counts []int) {
 		if len(counts) > 0 && len(counts) != f.Branches {
-			b.Failf(path, "%d numbers for %d branches", len(counts), f.Branches)
+			b.Failf(path, "has %d numbers, but must have one for each of %d branches", len(counts), f.Branches)
 		}
 		for i, count := range counts {
 			b.CountWithin(fmt.Sprintf("%s[%d]", path, i), count, 1, maxServers)
@@ -122,7 +123,7 @@
 	b.Within("traffic.oneoff", t.OneOffFraction, 0, 1)
 	b.Within("traffic.purges_per_s", t.PurgeRate, 0, maxValue)
 	if len(t.Classes) == 0 {
-		b.Failf("traffic.classes", "classes is empty")
+		b.Failf("traffic.classes", "classes is empty, must have at least one class")
 		return
 	}
 	total := 0.0
@@ -131,16 +132,16 @@
 		class.check(b, fmt.Sprintf("traffic.classes[%d]", i))
 	}
 	if !(total > 0) {
-		b.Failf("traffic.classes", "no class has a share")
+		b.Failf("traffic.classes", "all shares are 0, but at least one class must have a share")
 	}
 	if math.IsNaN(total) {
-		b.Failf("traffic.classes", "shares are no numbers")
+		b.Failf("traffic.classes", "a share is not a number")
 	}
 }
 
 func (c Class) check(b bounds.Checker, path string) {
 	if c.Name == "" {
-		b.Failf(path+".name", "a class needs a name")
+		b.Failf(path+".name", "name is empty, but every class must have a name")
 	}
 	b.Within(path+".share", c.Fraction, 0, 1e6)
 	b.Within(path+".kb", c.MeanKB, minKB, maxKB)
@@ -155,7 +156,7 @@
 	case c.Effect == IdempotentByKey:
 		b.Within(path+".window_ms", c.DedupWindow, 1, maxDeadline)
 	case c.DedupWindow != 0:
-		b.Failf(path+".window_ms", "window_ms goes with effect keyed")
+		b.Failf(path+".window_ms", "window_ms is allowed only with effect \"keyed\"")
 	}
 }
 
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -2,12 +2,12 @@
 
 import "ravenwheel/policy"
 
-// serverState is whether a server answers.
+// serverState is whether and how a server answers.
 type serverState int
 
 const (
 	serverUp     serverState = iota
-	serverHung               // accepts connections and requests, and does not answer
+	serverHung               // accepts connections and requests, but does not answer
 	serverKilled             // refuses connections
 )
 
@@ -17,22 +17,22 @@
 	id     policy.ServerID
 	kind   int
 	zone   int
-	branch *branch // of a cache
+	branch *branch // nil except for caches
 	state  serverState
-	epoch  int     // incremented when its process dies or starts; work of an earlier epoch is void
-	weight float64 // that proxies know
+	epoch  int     // incremented when the process dies or starts; what an earlier epoch had in progress is ignored
+	weight float64 // as proxies know it
 
-	fullBandwidth float64 // KB/ms, once it has warmed up
+	fullBandwidth float64 // KB/ms, once the server has warmed up
 	outbound      *link
 	store         *store
-	slots         int
-	inFlight      int
+	slots         int // concurrent requests that a cache or parent accepts
+	inFlight      int // requests in progress
 
-	started     float64 // ms; 0: long ago
-	loadKB      float64 // within the present overload window, while it warms up
-	windowBegan float64 // ms
+	started     float64 // ms at which the process restarted; 0 if it never did
+	loadKB      float64 // load in the current overload window, while the server warms up
+	windowBegan float64 // ms at which the current overload window began
 
-	fills         []*fill // in progress, in the order in which they began
+	fills         []*fill // in progress, oldest first
 	originFetches map[partKey]*originFetch
 }
 
@@ -48,7 +48,7 @@
 	return m
 }
 
-// kill ends the server's process and what is in progress there.
+// kill ends the server's process and the fills in progress there.
 func (s *server) kill() {
 	s.state = serverKilled
 	s.epoch++
@@ -75,7 +75,8 @@
 // warmUpInterval is the time, in ms, between changes of the bandwidth of a server that warms up.
 const warmUpInterval = 500
 
-// updateBandwidth sets the bandwidth to the present capacity, and schedules the next change until the server has warmed up.
+// updateBandwidth sets the bandwidth according to the current capacity, and schedules the next change until the server has warmed
+// up.
 func (s *server) updateBandwidth(epoch int) {
 	if epoch != s.epoch || s.state == serverKilled {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// capacity returns the fraction of its bandwidth that the server has now.
+// capacity returns the fraction of its full bandwidth that the server has now. It rises linearly during the warm-up.
 func (s *server) capacity() float64 {
 	w := s.warmUp()
 	if s.started == 0 || w.Duration <= 0 {
@@ -98,9 +99,9 @@
 
 func (s *server) warmUp() policy.WarmUp { return s.sim.scenario.Fleet.warmUp(s.kind) }
 
-// addLoad counts a request that reaches a server that warms up. A server that gets more than OverloadMultiple of its capacity
-// within OverloadWindow dies. As in the operators' rule, a request counts with the mean size of its class, because a proxy
-// cannot foresee that many large ones arrive together.
+// addLoad counts a request that reaches a server while it warms up. The server dies if its load within OverloadWindow exceeds
+// OverloadMultiple times its capacity. As in the operators' rule, a request counts with the mean size of its class, because a proxy
+// cannot foresee that many large requests arrive together.
 func (s *server) addLoad(meanKB float64) {
 	w := s.warmUp()
 	if s.started == 0 || s.capacity() >= 1 || s.state != serverUp {
@@ -111,13 +112,13 @@
 	}
 	s.loadKB += meanKB
 	if s.loadKB > w.OverloadMultiple*s.fullBandwidth*s.capacity()*milliseconds(w.OverloadWindow) {
-		s.sim.checker.overloaded(s)
+		s.sim.checker.serverOverloaded(s)
 		s.kill()
 	}
 }
 
-// utilization returns the transfers in progress over those that the server can make at full speed; of the origin the requests
-// over its slots.
+// utilization returns the number of transfers in progress over the number that the server can make at full speed. For the origin it
+// returns the number of requests, those that wait included, over its slots.
 func (s *server) utilization() float64 {
 	if s.kind == kindOrigin {
 		o := &s.sim.originServer
@@ -129,7 +130,7 @@
 	return float64(len(s.outbound.active)) * s.outbound.maxRate / s.outbound.bandwidth
 }
 
-// keep stores a copy that was created at a time.
-func (s *server) keep(key partKey, kb, created float64, rank int) {
+// storeCopy stores a copy that the origin served at created, in ms. It does nothing if the rank is 0.
+func (s *server) storeCopy(key partKey, kb, created float64, rank int) {
 	s.store.put(key, kb, created, s.sim.now, rank)
 }
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -6,21 +6,21 @@
 	"ravenwheel/policy"
 )
 
-// The kinds of servers, as the settings number them.
+// The kinds of servers, as policy.Settings numbers them.
 const (
 	kindCache = iota
 	kindParent
 	kindOrigin
 )
 
-// connectTimeout is the time, in ms, after which a connection to a dead server fails.
+// connectTimeout is the connect time-out, in ms, in the proxies' settings. In the model, connecting to a dead server fails at once.
 const connectTimeout = 400
 
-// maxAttempts bounds the attempts of a proxy for one request.
+// maxAttempts is the number of attempts that a proxy may make for one request.
 const maxAttempts = 8
 
-// Settings returns what a proxy of a branch knows when it starts, with its rank among all proxies. Hubs are the first zones, and
-// branches follow.
+// Settings returns the settings of a proxy of a branch; rank is the proxy's index among all proxies. The first zones are the hubs,
+// and the branches follow.
 func (s Scenario) Settings(branch, rank int) policy.Settings {
 	f := s.Fleet
 	out := policy.Settings{
@@ -71,7 +71,7 @@
 	return f.ProxiesPerBranch
 }
 
-// relativeSize returns the number of caches of a branch over the mean of all branches.
+// relativeSize returns the number of caches of a branch over the mean number of all branches.
 func (f Fleet) relativeSize(branch int) float64 {
 	if len(f.BranchCaches) == 0 {
 		return 1
@@ -83,7 +83,7 @@
 	return float64(f.BranchCaches[branch]*f.Branches) / float64(total)
 }
 
-// cacheSize returns the size of a cache, by its number among all, as a multiple of the size in Fleet.
+// cacheSize returns the factor on the bandwidth, KB and slots of a cache; number is the cache's index among all caches.
 func (f Fleet) cacheSize(number int) float64 {
 	if len(f.CacheSizes) == 0 {
 		return 1
@@ -91,7 +91,7 @@
 	return f.CacheSizes[number%len(f.CacheSizes)]
 }
 
-// warmUp returns how servers of a kind warm up. Parents differ from caches where the scenario says so.
+// warmUp returns how servers of a kind warm up. Parents differ from caches where the scenario has values for parents.
 func (f Fleet) warmUp(kind int) policy.WarmUp {
 	w := policy.WarmUp{
 		InitialCapacity: f.InitialCapacity, Duration: duration(f.WarmUpTime), OverloadMultiple: f.OverloadMultiple,
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -13,29 +13,29 @@
 	eventQueue
 	scenario Scenario
 	seed     uint64
-	player   Strategy
+	strategy Strategy
 
 	branches     []*branch
-	hubs         [][]*server // the parents, by hub
-	servers      []*server   // by id, which counts from 1
+	hubs         [][]*server // parents, by hub
+	servers      []*server   // index: id - 1
 	origin       *server
 	originServer originQueue
 	proxies      []*proxy
 
-	popularity  *aliasTable
-	nextOneOff  int32    // next object that is requested once only
-	objectNames []string // of the objects with a popularity
-	traffic     []*rand.Rand
-	chance      *rand.Rand // for the delays of notifications
-	requests    uint64     // of clients, so far
-	requestIDs  uint64     // given by proxies, so far
+	popularity     *aliasTable
+	nextOneOff     int32    // number of the next object that is requested only once
+	objectNames    []string // names of the objects that have a popularity
+	arrivalRNGs    []*rand.Rand
+	delayRNG       *rand.Rand // for delays of notifications and of purges
+	clientRequests uint64     // number of clients' requests so far
+	lastRequestID  uint64     // number of attempts of clients that proxies received so far
 
-	trafficMultiple float64            // during a Burst; else 1
-	listDelay       float64            // ms, added to DiscoveryDelay by StaleList
-	largeObjects    Fault              // the present fault; the zero value if there is none
-	keyedRuns       map[uint64]float64 // when a write with an idempotency key ran last, by client request
+	trafficMultiple     float64            // the factor during a Burst; else 1
+	extraDiscoveryDelay float64            // ms that StaleList adds to DiscoveryDelay
+	largeObjects        Fault              // the LargeObjects fault in progress; the zero value if there is none
+	lastKeyedRun        map[uint64]float64 // ms at which a write with an idempotency key ran last, by client request
 
-	view    *delayedView // nil if the player has none
+	view    *delayedView // nil if the strategy has none
 	result  *Result
 	checker *checker
 }
@@ -49,21 +49,21 @@
 	inbound *link
 }
 
-func newSimulation(scenario Scenario, seed uint64, player Strategy) (*simulation, error) {
+func newSimulation(scenario Scenario, seed uint64, strategy Strategy) (*simulation, error) {
 	s := &simulation{
-		scenario: scenario, seed: seed, player: player, trafficMultiple: 1, chance: stream(seed, "chance"), keyedRuns: map[uint64]float64{},
+		scenario: scenario, seed: seed, strategy: strategy, trafficMultiple: 1, delayRNG: stream(seed, "chance"), lastKeyedRun: map[uint64]float64{},
 	}
 	s.buildServers()
 	s.buildObjects()
 	s.originServer = originQueue{sim: s, rng: stream(seed, "origin"), slowdown: 1}
 	s.result = newResult(scenario, seed)
-	s.checker = &checker{sim: s, runs: map[uint64]int{}}
-	if player.ViewDelay > 0 {
-		s.view = &delayedView{sim: s, delay: player.ViewDelay}
+	s.checker = &checker{sim: s, writeRuns: map[uint64]int{}}
+	if strategy.ViewDelay > 0 {
+		s.view = &delayedView{sim: s, delay: strategy.ViewDelay}
 	}
 	for _, b := range s.branches {
 		for range scenario.Fleet.proxies(b.number) {
-			p := &proxy{sim: s, branch: b, number: len(s.proxies), live: map[string]*request{}}
+			p := &proxy{sim: s, branch: b, number: len(s.proxies), requests: map[string]*request{}}
 			if err := p.start(); err != nil {
 				return nil, err
 			}
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// buildServers makes the servers and the branches.
+// buildServers creates the servers and the branches.
 func (s *simulation) buildServers() {
 	f := s.scenario.Fleet
 	weights := stream(s.seed, "weights")
@@ -99,14 +99,15 @@
 			b.caches = append(b.caches, cache)
 		}
 		s.branches = append(s.branches, b)
-		s.traffic = append(s.traffic, stream(s.seed, fmt.Sprint("traffic ", number)))
+		s.arrivalRNGs = append(s.arrivalRNGs, stream(s.seed, fmt.Sprint("traffic ", number)))
 	}
 }
 
 // transferRate returns the highest rate of one transfer, in KB/ms.
 func (f Fleet) transferRate() float64 { return f.TransferKBPerS / 1000 }
 
-// addServer adds a server with a bandwidth in transfers and a store. The weight that proxies know is drawn from weights.
+// addServer adds a server. Its bandwidth is a number of transfers at full speed. weights is the random stream for the error of the
+// weight that proxies know.
 func (s *simulation) addServer(kind, zone int, bandwidth, storeKB float64, weights *rand.Rand) *server {
 	f := s.scenario.Fleet
 	rate := f.transferRate()
@@ -122,7 +123,7 @@
 // server returns the server with an id.
 func (s *simulation) server(id policy.ServerID) *server { return s.servers[id-1] }
 
-// buildObjects makes the objects that have a popularity.
+// buildObjects creates the objects that have a popularity.
 func (s *simulation) buildObjects() {
 	t := s.scenario.Traffic
 	popularity := make([]float64, t.Objects)
@@ -136,19 +137,19 @@
 	}
 }
 
-// hubLatency returns the latency between a branch and a hub, one way.
+// hubLatency returns the one-way latency, in ms, between a branch and a hub.
 func (s *simulation) hubLatency(b *branch, hub int) float64 {
 	f := s.scenario.Fleet
 	steps := (hub - b.hub + f.Hubs) % f.Hubs
 	return f.HubLatency + f.HubStepLatency*float64(min(steps, f.Hubs-steps))
 }
 
-// notifyMembers notifies all proxies of changed members, each after a delay of its own. Proxies may ignore caches of other
+// notifyMembers notifies all proxies of changed members, each after its own random delay. Proxies may ignore caches of other
 // branches.
 func (s *simulation) notifyMembers(changes []policy.Member) {
 	version := int64(s.sequence)
 	for _, p := range s.proxies {
-		delay := s.scenario.Fleet.DiscoveryDelay*(0.5+s.chance.Float64()/2) + s.listDelay
+		delay := s.scenario.Fleet.DiscoveryDelay*(0.5+s.delayRNG.Float64()/2) + s.extraDiscoveryDelay
 		s.after(delay, func() {
 			s.checker.membersNotified(p, changes)
 			p.rememberMembers(changes)
@@ -179,11 +180,11 @@
 	}
 }
 
-// end returns when the last request of a client arrives.
+// end returns the time, in ms, after which clients make no new requests.
 func (s *simulation) end() float64 { return (s.scenario.WarmUpSeconds + s.scenario.Seconds) * 1000 }
 
-// drainTime returns how long a run goes on after its end, so that all requests are answered.
-func (s *simulation) drainTime() float64 {
+// settleTime returns the time, in ms, that a run continues after its end, so that all requests can be answered.
+func (s *simulation) settleTime() float64 {
 	longest := 0.0
 	for _, class := range s.scenario.Traffic.Classes {
 		longest = max(longest, class.Deadline)
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -8,7 +8,7 @@
 	part   int32
 }
 
-// cachedCopy is a copy of a part in a store.
+// cachedCopy is a copy of a part.
 type cachedCopy struct {
 	key     partKey
 	kb      float64
@@ -18,11 +18,11 @@
 	element *list.Element // in the list of its rank
 }
 
-// retainRanks is the number of ranks of copies; the lowest one is not used.
+// retainRanks is the number of ranks. Copies of rank 0 are not stored.
 const retainRanks = 4
 
-// store is a cache with a limited size. It evicts copies of lower ranks first, and within a rank the least recently used one. A
-// new copy evicts only copies of its own or a lower rank.
+// store holds a server's copies, up to a limited size. It evicts copies of the lowest rank first, and within a rank the least
+// recently used one. A new copy evicts only copies of its own or a lower rank.
 type store struct {
 	capacity float64 // KB
 	used     float64 // KB
@@ -34,7 +34,7 @@
 	return &store{capacity: kb, copies: map[partKey]*cachedCopy{}}
 }
 
-// get returns a copy that was created at oldest or later, or nil. It changes the copy's rank unless rank is 0.
+// get returns the copy of a part if it was created at oldest or later, else nil. It sets the copy's rank unless rank is 0.
 func (s *store) get(key partKey, oldest float64, rank int) *cachedCopy {
 	c := s.copies[key]
 	if c == nil || c.created < oldest {
@@ -48,7 +48,8 @@
 	return c
 }
 
-// put stores a copy, at the time now, and evicts others for it. It does nothing if the rank is 0 or there is no room.
+// put stores a copy at the time now, and evicts other copies to make room. It reports whether it stored the copy. It does not store
+// a copy if the rank is 0 or there is no room.
 func (s *store) put(key partKey, kb, created, now float64, rank int) (stored bool) {
 	if rank <= 0 || kb > s.capacity {
 		return false
@@ -77,9 +78,9 @@
 	s.used -= c.kb
 }
 
-// purge removes the copies of some objects that were created before a time. purged has the same objects as the list, which have
-// at most some parts each. A few objects are looked up one by one, as most purges are of one object, and iterating over all
-// copies of all stores would take most of the time of a run.
+// purge removes the copies of some objects that were created before a time. purged and objects hold the same objects, which have at
+// most the given number of parts each. A few objects are looked up one by one: most purges are of one object, and iterating over
+// all copies of all stores for them would take most of the time of a run.
 func (s *store) purge(before float64, purged map[int32]bool, objects []int32, parts int) {
 	if len(objects)*parts < len(s.copies) {
 		for _, object := range objects {
--- a/internal/lab/sim/strategy.go
+++ b/internal/lab/sim/strategy.go
@@ -6,44 +6,45 @@
 	"ravenwheel/policy"
 )
 
-// Decider decides for one proxy. *policy.Router is the proxy's own; others are baselines to compare it with.
+// Decider decides for one proxy. *policy.Router is what the real proxy uses; the others are baselines to compare it with.
 type Decider interface {
-	// Handle handles an event at a time and appends the actions that follow from it.
+	// Handle handles an event that happens at now. It appends the actions to take to actions, and returns the result.
 	Handle(now policy.Time, e policy.Event, actions []policy.Action) []policy.Action
 }
 
-// View is the true state of the fleet some time ago, which no real proxy can know.
+// View is the true state of the fleet some time ago. No real proxy can know it.
 type View interface {
-	// Utilization returns a server's utilization: 1 is all that it can transfer at full speed. up is false if it did not answer.
+	// Utilization returns a server's load over what it can transfer at full speed: 1 is fully utilized. up is false if the
+	// server did not answer then.
 	Utilization(id policy.ServerID) (utilization float64, up bool)
 	// Holds reports whether a server had a copy of a part then, and still has it.
 	Holds(id policy.ServerID, object string, part int) bool
 }
 
-// Strategy makes the deciders of a run.
+// Strategy makes the deciders for the proxies of a run.
 type Strategy struct {
 	Name      string
-	ViewDelay float64 // ms; 0: no View
-	// New returns a decider for a start of a proxy. The view is nil without ViewDelay.
+	ViewDelay float64 // ms; 0 for a strategy without a View
+	// New returns the decider of a proxy; it is called at every start of the proxy's process. The view is nil without ViewDelay.
 	New func(s policy.Settings, seed uint64, v View) (Decider, error)
 }
 
-// RouterStrategy plays with the proxy's own policy.
+// RouterStrategy uses the real proxy's policy. Results name it "module".
 var RouterStrategy = Strategy{Name: "module", New: func(s policy.Settings, seed uint64, _ View) (Decider, error) {
 	return policy.New(s, seed)
 }}
 
-// delayedView implements View with snapshots that are taken regularly.
+// delayedView implements View with snapshots of the fleet that are taken every snapshotInterval.
 type delayedView struct {
 	sim       *simulation
 	delay     float64    // ms
-	snapshots []snapshot // the first one is the one that is shown
+	snapshots []snapshot // oldest first; the first one is shown
 }
 
 // snapshot is the state of the servers at a time.
 type snapshot struct {
 	at      float64        // ms
-	servers []serverStatus // by id, which counts from 1
+	servers []serverStatus // index: id - 1
 }
 
 type serverStatus struct {
@@ -54,7 +55,7 @@
 // snapshotInterval is the time between snapshots, in ms.
 const snapshotInterval = 50
 
-// takeSnapshot takes a snapshot, drops those that are too old, and schedules the next one.
+// takeSnapshot takes a snapshot, drops snapshots that are too old, and schedules the next one.
 func (v *delayedView) takeSnapshot() {
 	s := v.sim
 	taken := snapshot{at: s.now, servers: make([]serverStatus, len(s.servers))}
@@ -65,7 +66,7 @@
 	for len(v.snapshots) > 1 && v.snapshots[1].at <= s.now-v.delay {
 		v.snapshots = v.snapshots[1:]
 	}
-	if s.now < s.end()+s.drainTime() {
+	if s.now < s.end()+s.settleTime() {
 		s.after(snapshotInterval, v.takeSnapshot)
 	}
 }
@@ -76,7 +77,8 @@
 	return status.utilization, status.up
 }
 
-// Holds implements View. Copies that were evicted since do not count, which favours the player.
+// Holds implements View. A copy that was evicted since then does not count. That favours the strategy, as it never expects a hit
+// on such a copy.
 func (v *delayedView) Holds(id policy.ServerID, object string, part int) bool {
 	number, err := strconv.ParseInt(object, 16, 32)
 	if err != nil {
