--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment plays many scenarios of the model in internal/lab/sim: variants of one base, a sweep over a parameter, and
-// several seeds of each, in parallel and resumable. It also reduces a scenario that breaks a rule. Its files are JSON with
-// comments; JSON pointers (RFC 6901) name what a variant changes. "ravenlab run", "sweep" and "shrink" use it. Its tests also
-// hold the proxy's policy to what it must serve in the scenarios of lab/.
+// Package experiment runs many scenarios of the model in internal/lab/sim: variants of one base, a sweep over a parameter, and
+// several seeds of each. It runs them in parallel, and resumes an interrupted experiment. It also reduces a scenario that breaks a
+// rule. Its files are JSON with comments; JSON pointers (RFC 6901) name what a variant changes. "ravenlab run", "sweep" and
+// "shrink" use it. Its tests also check how much the proxy's policy serves in the scenarios of lab/.
 package experiment
 
 import (
@@ -16,17 +16,17 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Experiment is the content of a file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name     string
-	Seeds    int // each variant is played with the seeds from 1 to Seeds
+	Seeds    int // each variant is run with the seeds from 1 to Seeds
 	Variants []Variant
 }
 
 // Variant is one scenario of an experiment.
 type Variant struct {
 	Name       string
-	SweepValue float64 // of the parameter that is swept; 0 without a sweep
+	SweepValue float64 // value of the parameter that is swept; 0 without a sweep
 	Scenario   sim.Scenario
 }
 
@@ -36,16 +36,16 @@
 	maxVariants = 200
 )
 
-// document is a file, taken apart.
+// document holds the parts of an experiment file.
 type document struct {
 	base     hujson.Value // the scenario
 	seeds    int
-	variants hujson.Value // changes of the scenario, by name; the zero value if there are none
-	sweep    hujson.Value // a pointer with values; the zero value if there is none
+	variants hujson.Value // changes to the base, by name of the variant; the zero value if there are none
+	sweep    hujson.Value // a JSON pointer with a list of values; the zero value if there is none
 }
 
-// Parse reads an experiment: a scenario, and besides its keys "seeds", "variants" and "sweep". It returns what is wrong with
-// the file, or with the scenario of a variant.
+// Parse reads an experiment: a scenario that may also have the keys "seeds", "variants" and "sweep". It returns the defects of the
+// file, or of the first variant whose scenario has any.
 func Parse(file string, text []byte) (*Experiment, strictjson.Defects) {
 	var probe struct{}
 	probed := strictjson.Decode(file, text, &probe)
@@ -76,15 +76,15 @@
 	}
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		return doc, errors.New("wants an object")
+		return doc, errors.New("must be an object")
 	}
 	scenario := object.Members[:0:0]
 	for _, member := range object.Members {
-		switch name(member) {
+		switch memberName(member) {
 		case "seeds":
 			doc.seeds, err = strconv.Atoi(strings.TrimSpace(member.Value.String()))
 			if err != nil || doc.seeds < 1 || doc.seeds > maxSeeds {
-				return doc, fmt.Errorf("seeds is not 1 to %d", maxSeeds)
+				return doc, fmt.Errorf("seeds is not from 1 to %d", maxSeeds)
 			}
 		case "variants":
 			doc.variants = member.Value
@@ -98,11 +98,13 @@
 	return doc, nil
 }
 
-// name returns the name of a member.
-func name(member hujson.ObjectMember) string { return member.Name.Value.(hujson.Literal).String() }
+// memberName returns the name of a member of a JSON object.
+func memberName(member hujson.ObjectMember) string {
+	return member.Name.Value.(hujson.Literal).String()
+}
 
-// locate returns the defects of a variant's scenario. If the file has only a scenario, they are those of the file itself, whose
-// places are correct; otherwise places count from what is left of the file.
+// locate returns the defects of a variant's scenario. If the file has only a scenario, they are the defects of the file itself, with
+// their correct places. Otherwise the places are those in the scenario that was made from the base and the variant's changes.
 func (d document) locate(file string, text []byte, defects strictjson.Defects) strictjson.Defects {
 	if len(d.variants.Pack()) == 0 && len(d.sweep.Pack()) == 0 && d.seeds == 1 {
 		_, defects = sim.Parse(file, text)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,15 +14,15 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// smallExperiment has two scenarios with two values each.
+// smallExperiment has a base and one variant, with two values of a sweep each.
 const smallExperiment = `{
-  // ten seconds, three scenarios, two values each
+  // four seconds, two scenarios, two values each
   "name": "small", "seconds": 4, "seeds": 2,
   "variants": {"more": {"/fleet/caches": 5, "/troubles": [{"at_s": 1, "for_s": 1, "kind": "hang", "size": 0.1}]}},
   "sweep": {"/traffic/per_s": [20, 40]},
 }`
 
-// The variants and the sweep are expanded to scenarios, and each defect is reported.
+// Parse makes a scenario for each variant and value of the sweep, and reports defects.
 func TestParseExpandsVariantsAndReportsDefects(t *testing.T) {
 	e, defects := experiment.Parse("f", []byte(smallExperiment))
 	require.NoError(t, defects.Err())
@@ -36,11 +36,11 @@
 	require.Equal(t, sim.HangCaches, e.Variants[3].Scenario.Faults[0].Kind)
 	for text, want := range map[string]string{
 		`{`:                                      "f:1:2: ends too early: parsing value: unexpected EOF",
-		`{"seeds": 0}`:                           "f: seeds is not 1 to 1000",
+		`{"seeds": 0}`:                           "f: seeds is not from 1 to 1000",
 		`{"second": 4}`:                          `f:1:2: unknown field "second"; did you mean "seconds"?`,
-		`{"sweep": {"/traffic/per_s": "x"}}`:     "f: sweep wants one pointer with a list of values",
+		`{"sweep": {"/traffic/per_s": "x"}}`:     "f: sweep must have one pointer with a list of values",
 		`{"variants": {"a": {"/nothing/x": 1}}}`: `f:1:2: unknown field "nothing"`,
-		`{"variants": []}`:                       "f: variants wants an object",
+		`{"variants": []}`:                       "f: variants must be an object",
 	} {
 		_, defects := experiment.Parse("f", []byte(text))
 		require.Error(t, defects.Err(), text)
@@ -61,16 +61,17 @@
 	}
 }
 
-// A sweep that was interrupted resumes, with the same results as an uninterrupted one, and they can be reported.
+// A sweep that was interrupted resumes with the runs that are missing. The results equal those of an uninterrupted sweep, and a
+// report can be written of them.
 func TestInterruptedSweepResumes(t *testing.T) {
 	e, defects := experiment.Parse("f", []byte(smallExperiment))
 	require.NoError(t, defects.Err())
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	ctx, stop := context.WithCancel(context.Background())
-	err := e.RunRemaining(ctx, nil, 2, func(r experiment.Run, played, total int) {
+	err := e.RunRemaining(ctx, nil, 2, func(r experiment.Run, completed, total int) {
 		require.Equal(t, 8, total)
 		require.NoError(t, experiment.Append(path, r))
-		if played == 3 {
+		if completed == 3 {
 			stop()
 		}
 	})
@@ -94,7 +95,7 @@
 	for _, r := range runs {
 		encoded, err := json.Marshal(r.Result)
 		require.NoError(t, err)
-		require.Equal(t, uninterrupted[r.Variant+string(rune(r.Seed))], string(encoded), "a result does not depend on what runs at the same time")
+		require.Equal(t, uninterrupted[r.Variant+string(rune(r.Seed))], string(encoded), "a result does not depend on concurrent runs")
 	}
 	page := filepath.Join(t.TempDir(), "r.html")
 	w, err := os.Create(page)
@@ -107,21 +108,21 @@
 	require.Contains(t, string(text), "<svg")
 }
 
-// A scenario in which caches without copies are overloaded at once is reduced, and still breaks a rule.
+// Shrink reduces a scenario in which restarted caches are overloaded at once, and the smaller one still breaks a rule.
 func TestShrinkKeepsTheViolation(t *testing.T) {
 	s := sim.DefaultScenario()
 	s.Seconds, s.Fleet.OverloadMultiple, s.Fleet.OverloadWindow, s.Fleet.InitialCapacity = 24, 1, 50, 0.05
 	s.Faults = []sim.Fault{
 		{At: 1, Duration: 2, Kind: sim.Burst, Magnitude: 2}, {At: 2, Duration: 2, Kind: sim.LoseBranch}, {At: 5, Duration: 2, Kind: sim.HangCaches},
 	}
-	played := 0
-	smallest, err := experiment.Shrink(context.Background(), s, 2, func(sim.Scenario, bool) { played++ })
+	runs := 0
+	smallest, err := experiment.Shrink(context.Background(), s, 2, func(sim.Scenario, bool) { runs++ })
 	require.NoError(t, err)
 	require.Less(t, len(smallest.Faults), 3)
 	require.Equal(t, sim.LoseBranch, smallest.Faults[len(smallest.Faults)-1].Kind)
-	require.Greater(t, played, 3)
+	require.Greater(t, runs, 3)
 	_, err = experiment.Shrink(context.Background(), sim.Scenario{Seconds: 1, Traffic: sim.DefaultScenario().Traffic, Fleet: sim.DefaultScenario().Fleet}, 1, func(sim.Scenario, bool) {})
-	require.ErrorContains(t, err, "no rule breaks")
+	require.ErrorContains(t, err, "breaks no rule")
 }
 
 func TestBootstrapInterval(t *testing.T) {
--- a/internal/lab/experiment/runs.go
+++ b/internal/lab/experiment/runs.go
@@ -13,7 +13,7 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// Run is the result of one variant with one seed. A file of runs has one as JSON in each line.
+// Run is the result of one variant with one seed. A file of runs has one run, as JSON, in each line.
 type Run struct {
 	Variant    string      `json:"variant"`
 	SweepValue float64     `json:"at"`
@@ -29,14 +29,14 @@
 
 func (r Run) id() runID { return runID{r.Variant, r.Seed} }
 
-// Sizes of the buffer for a line of a file of runs, in bytes.
+// Initial and maximum size, in bytes, of the buffer for a line of a file of runs.
 const (
 	lineBuffer = 1 << 20
 	maxLine    = 256 << 20
 )
 
-// Load reads the runs of a file. A file that does not exist has none. Lines that are not complete, because writing them was
-// interrupted, are skipped.
+// Load reads the runs of a file. If the file does not exist, there are none. Load skips lines that are incomplete because writing
+// them was interrupted.
 func Load(path string) (runs []Run, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -71,26 +71,26 @@
 	return errors.Join(err, file.Close())
 }
 
-// job is a run to be played.
+// job is a run that is still to be made.
 type job struct {
 	variant Variant
 	seed    uint64
 }
 
-// RunRemaining plays the runs that are not among done, several at a time (workers; 0: one for each core). It calls finished for each
-// run, one at a time, with the number of runs played so far and in total. It returns when all are played, or when ctx ends,
-// which drops the runs in progress; the error is the first of any run.
-func (e *Experiment) RunRemaining(ctx context.Context, done []Run, workers int, finished func(r Run, played, total int)) error {
+// RunRemaining makes the runs that are not among done, in as many goroutines as workers says, or one for each core if workers is 0.
+// It calls finished after each run, never concurrently, with the number of runs completed so far and the total. It returns when all
+// runs are completed, or when ctx ends, which drops the runs in progress. The error is the first one of any run.
+func (e *Experiment) RunRemaining(ctx context.Context, done []Run, workers int, finished func(r Run, completed, total int)) error {
 	jobs := e.jobs(done)
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
 	var (
-		queue  = make(chan job)
-		wait   sync.WaitGroup
-		mu     sync.Mutex
-		first  error
-		played int
+		queue     = make(chan job)
+		wait      sync.WaitGroup
+		mu        sync.Mutex
+		first     error
+		completed int
 	)
 	for range min(workers, len(jobs)) {
 		wait.Add(1)
@@ -103,8 +103,8 @@
 					first = err
 				}
 				if err == nil {
-					played++
-					finished(Run{Variant: j.variant.Name, SweepValue: j.variant.SweepValue, Seed: j.seed, Result: result}, played, len(jobs))
+					completed++
+					finished(Run{Variant: j.variant.Name, SweepValue: j.variant.SweepValue, Seed: j.seed, Result: result}, completed, len(jobs))
 				}
 				mu.Unlock()
 			}
--- a/internal/lab/experiment/shrink.go
+++ b/internal/lab/experiment/shrink.go
@@ -8,16 +8,17 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// ErrNoViolation is returned by Shrink for a scenario that breaks no rule.
-var ErrNoViolation = errors.New("no rule breaks with this seed")
+// ErrNoViolation is returned by Shrink if the scenario breaks no rule.
+var ErrNoViolation = errors.New("the scenario breaks no rule with this seed")
 
-// Shrink reduces a scenario that breaks a rule for as long as it still breaks one: fewer faults, less time, a smaller fleet,
-// less traffic. It returns the smallest scenario found, and calls played for each scenario with whether a rule was broken.
-func Shrink(ctx context.Context, s sim.Scenario, seed uint64, played func(s sim.Scenario, violates bool)) (sim.Scenario, error) {
+// Shrink reduces a scenario that breaks a rule as long as the reduced one still breaks a rule: it takes fewer faults, a smaller
+// fleet, less time and less traffic. It returns the smallest scenario found. It calls tried for each scenario that it runs, with
+// whether a rule was broken.
+func Shrink(ctx context.Context, s sim.Scenario, seed uint64, tried func(s sim.Scenario, violates bool)) (sim.Scenario, error) {
 	violates := func(candidate sim.Scenario) bool {
 		result, err := sim.Run(ctx, candidate, seed)
 		violated := err == nil && result.Violations > 0
-		played(candidate, violated)
+		tried(candidate, violated)
 		return violated
 	}
 	if !violates(s) {
@@ -34,7 +35,7 @@
 	return s, ctx.Err()
 }
 
-// reductions returns scenarios that are one step smaller: one without each of the faults, and one with each of the sizes halved.
+// reductions returns all scenarios that are one step smaller: each lacks one of the faults or has one of the sizes halved.
 func reductions(s sim.Scenario) (smaller []sim.Scenario) {
 	for i := range s.Faults {
 		candidate := s
--- a/internal/lab/experiment/variants.go
+++ b/internal/lab/experiment/variants.go
@@ -10,13 +10,13 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// change sets the value at a JSON pointer.
+// change sets the value at a JSON pointer of a scenario.
 type change struct {
 	pointer string
 	value   string // JSON
 }
 
-// plan is how a variant's scenario is made from the base.
+// plan says how to make a variant's scenario from the base.
 type plan struct {
 	name       string
 	sweepValue float64
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	if len(plans) > maxVariants {
-		return nil, fmt.Errorf("%d variants, %d at the most", len(plans), maxVariants)
+		return nil, fmt.Errorf("%d variants, but at most %d are allowed", len(plans), maxVariants)
 	}
 	var variants []Variant
 	for _, p := range plans {
@@ -59,60 +59,60 @@
 	}
 	object, ok := variants.Value.(*hujson.Object)
 	if !ok {
-		return nil, errors.New("variants wants an object")
+		return nil, errors.New("variants must be an object")
 	}
 	for _, member := range object.Members {
 		changes, err := parseChanges(member.Value)
 		if err != nil {
-			return nil, fmt.Errorf("variant %q: %w", name(member), err)
+			return nil, fmt.Errorf("variant %q: %w", memberName(member), err)
 		}
-		plans = append(plans, plan{name: name(member), changes: changes})
+		plans = append(plans, plan{name: memberName(member), changes: changes})
 	}
 	return plans, nil
 }
 
-// parseChanges reads an object of pointers with the values to set there.
+// parseChanges reads an object of JSON pointers and the values to set there.
 func parseChanges(value hujson.Value) (changes []change, err error) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		return nil, errors.New("wants pointers and values")
+		return nil, errors.New("must be an object of JSON pointers and values")
 	}
 	for _, member := range object.Members {
 		standard := member.Value.Clone()
 		standard.Standardize()
-		changes = append(changes, change{pointer: name(member), value: string(standard.Pack())})
+		changes = append(changes, change{pointer: memberName(member), value: string(standard.Pack())})
 	}
 	return changes, nil
 }
 
-// sweepPlans returns each of the plans with every value of the sweep, or the plans as they are if there is no sweep.
+// sweepPlans returns one plan for each combination of a plan and a value of the sweep, or the plans themselves if there is no sweep.
 func sweepPlans(plans []plan, sweep hujson.Value) (swept []plan, err error) {
 	if sweep.Value == nil {
 		return plans, nil
 	}
 	object, ok := sweep.Value.(*hujson.Object)
 	if !ok {
-		return nil, errors.New("sweep wants an object")
+		return nil, errors.New("sweep must be an object")
 	}
 	for _, member := range object.Members {
 		values, ok := member.Value.Value.(*hujson.Array)
 		if !ok || len(object.Members) != 1 {
-			return nil, errors.New("sweep wants one pointer with a list of values")
+			return nil, errors.New("sweep must have one pointer with a list of values")
 		}
 		for _, p := range plans {
 			for _, value := range values.Elements {
 				number, ok := value.Value.(hujson.Literal)
 				if !ok || number.Kind() != '0' {
-					return nil, errors.New("sweep wants numbers")
+					return nil, errors.New("the values of sweep must be numbers")
 				}
-				swept = append(swept, p.withSweepValue(name(member), number))
+				swept = append(swept, p.withSweepValue(memberName(member), number))
 			}
 		}
 	}
 	return swept, nil
 }
 
-// withSweepValue returns the plan with one more change, which its name states.
+// withSweepValue returns the plan with one more change, which is added to its name.
 func (p plan) withSweepValue(pointer string, number hujson.Literal) plan {
 	value := number.Float()
 	return plan{
@@ -133,8 +133,8 @@
 	return scenario, nil
 }
 
-// apply makes the change. Objects on the way that the scenario leaves out are added, empty, so that their other keys keep their
-// defaults.
+// apply makes the change. If the scenario leaves out objects that contain the pointer's value, apply adds them as empty objects, so
+// that their other keys keep their defaults.
 func (c change) apply(scenario *hujson.Value) error {
 	for i, char := range c.pointer {
 		if parent := c.pointer[:i]; char == '/' && i > 0 && scenario.Find(parent) == nil {
