--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -60,7 +60,7 @@
 	var defects strictjson.Defects
 	switch {
 	case errors.As(err, &defects):
-		return nil, doc.locate(file, text, defects)
+		return nil, doc.withFilePlaces(file, text, defects)
 	case err != nil:
 		return nil, strictjson.Defects{{File: file, Reason: err.Error()}}
 	}
@@ -103,9 +103,10 @@
 	return member.Name.Value.(hujson.Literal).String()
 }
 
-// locate returns the defects of a variant's scenario. If the file has only a scenario, they are the defects of the file itself, with
-// their correct places. Otherwise the places are those in the scenario that was made from the base and the variant's changes.
-func (d document) locate(file string, text []byte, defects strictjson.Defects) strictjson.Defects {
+// withFilePlaces returns the defects of a variant's scenario. If the file has only a scenario, they are the defects of the file
+// itself, with their correct places. Otherwise the places are those in the scenario that was made from the base and the variant's
+// changes.
+func (d document) withFilePlaces(file string, text []byte, defects strictjson.Defects) strictjson.Defects {
 	if len(d.variants.Pack()) == 0 && len(d.sweep.Pack()) == 0 && d.seeds == 1 {
 		_, defects = sim.Parse(file, text)
 	}
--- a/internal/lab/experiment/policy_ratios_test.go
+++ b/internal/lab/experiment/policy_ratios_test.go
@@ -78,15 +78,15 @@
 			randomServed, delayedServed := runAllSeeds(t, e, sim.RandomStrategy), runAllSeeds(t, e, sim.DelayedViewStrategy(viewDelay))
 			require.Len(t, served, len(want))
 			for class, minimum := range want {
-				for i, m := range served[class] {
-					r, l := randomServed[class][i], delayedServed[class][i]
-					require.Equal(t, m.RequestedValue, r.RequestedValue, "all strategies get the same requests")
-					require.Equal(t, m.RequestedValue, l.RequestedValue, "all strategies get the same requests")
+				for i, p := range served[class] {
+					r, d := randomServed[class][i], delayedServed[class][i]
+					require.Equal(t, p.RequestedValue, r.RequestedValue, "all strategies get the same requests")
+					require.Equal(t, p.RequestedValue, d.RequestedValue, "all strategies get the same requests")
 					at := fmt.Sprintf("%s, third %d", class, i+1)
 					t.Logf("%-22s served %.3f of the requested value, random %.3f, delayed view %.3f: ratios %.3f, %.3f",
-						at, m.ServedValue/m.RequestedValue, r.ServedValue/r.RequestedValue, l.ServedValue/l.RequestedValue,
-						m.ServedValue/r.ServedValue, m.ServedValue/l.ServedValue)
-					if m.ServedValue < minimum.random[i]*r.ServedValue || m.ServedValue < minimum.delayedView[i]*l.ServedValue {
+						at, p.ServedValue/p.RequestedValue, r.ServedValue/r.RequestedValue, d.ServedValue/d.RequestedValue,
+						p.ServedValue/r.ServedValue, p.ServedValue/d.ServedValue)
+					if p.ServedValue < minimum.random[i]*r.ServedValue || p.ServedValue < minimum.delayedView[i]*d.ServedValue {
 						t.Errorf("%s: served value is below %.2f of the random or %.2f of the delayed-view strategy's", at, minimum.random[i], minimum.delayedView[i])
 					}
 				}
--- a/internal/lab/experiment/variants.go
+++ b/internal/lab/experiment/variants.go
@@ -85,7 +85,7 @@
 	return changes, nil
 }
 
-// sweepPlans returns one plan for each combination of a plan and a value of the sweep, or the plans themselves if there is no sweep.
+// sweepPlans returns one plan for each combination of a plan and a value of the sweep, or the given plans if there is no sweep.
 func sweepPlans(plans []plan, sweep hujson.Value) (swept []plan, err error) {
 	if sweep.Value == nil {
 		return plans, nil
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -16,7 +16,7 @@
 	class          int
 	key            partKey
 	kb             float64
-	first          float64 // ms at which the client made it
+	madeAt         float64 // ms at which the client made it
 	attemptTimeout float64 // ms
 	attempts       int
 	current        *request // the last attempt
@@ -54,8 +54,8 @@
 	s.clientRequests++
 	// What the client does later is drawn from a random stream of the request's own. Otherwise later requests would depend on how
 	// earlier ones were answered.
-	own := rand.New(rand.NewPCG(s.seed, s.clientRequests))
-	r := &clientRequest{sim: s, branch: b, rng: own, class: class, first: s.now, number: s.clientRequests}
+	clientRNG := rand.New(rand.NewPCG(s.seed, s.clientRequests))
+	r := &clientRequest{sim: s, branch: b, rng: clientRNG, class: class, madeAt: s.now, number: s.clientRequests}
 	object, large := s.drawObject(b, class, rng)
 	// No two classes share an object.
 	r.key.object = object*int32(len(s.scenario.Traffic.Classes)) + int32(class)
@@ -129,7 +129,7 @@
 func (r *clientRequest) send() {
 	s := r.sim
 	r.attempts++
-	s.result.countClientAttempt(r.first)
+	s.result.countClientAttempt(r.madeAt)
 	p := r.branch.proxies[r.rng.IntN(len(r.branch.proxies))]
 	attempt := r.attempts
 	s.after(s.scenario.Fleet.BranchLatency, func() { p.receive(r) })
@@ -151,20 +151,20 @@
 	class := s.scenario.Traffic.Classes[r.class]
 	if o == outcomeServed {
 		r.ended = true
-		latency := s.now - r.first
+		latency := s.now - r.madeAt
 		objective := class.LatencyObjective + class.ObjectiveStretch*r.kb/(s.scenario.Fleet.TransferKBPerS/1000)
 		value := class.PriorityWeight
 		if latency > objective {
 			value *= class.LateFraction
 		}
-		s.result.countServed(r.class, r.first, latency, value)
+		s.result.countServed(r.class, r.madeAt, latency, value)
 		return
 	}
 	s.result.countFailedAttempt(s.now, o)
 	mayRetry := o == outcomeRejected || class.idempotency() != policy.NotIdempotent
 	if !mayRetry || r.attempts > s.scenario.Clients.Retries {
 		r.ended = true
-		s.result.countAbandoned(r.class, r.first)
+		s.result.countAbandoned(r.class, r.madeAt)
 		return
 	}
 	wait := s.scenario.Clients.backoff(r.attempts) * (0.5 + r.rng.Float64())
--- a/internal/lab/sim/event_queue.go
+++ b/internal/lab/sim/event_queue.go
@@ -7,7 +7,7 @@
 	call     func()
 }
 
-func (e *event) before(other *event) bool {
+func (e *event) isBefore(other *event) bool {
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
@@ -30,7 +30,7 @@
 	i := len(q.heap) - 1
 	for i > 0 {
 		parent := (i - 1) / arity
-		if !q.heap[i].before(&q.heap[parent]) {
+		if !q.heap[i].isBefore(&q.heap[parent]) {
 			break
 		}
 		q.heap[i], q.heap[parent] = q.heap[parent], q.heap[i]
@@ -66,7 +66,7 @@
 		q.heap[i] = e
 		least, first := i, arity*i+1
 		for child := first; child < min(first+arity, n); child++ {
-			if q.heap[child].before(&q.heap[least]) {
+			if q.heap[child].isBefore(&q.heap[least]) {
 				least = child
 			}
 		}
--- a/internal/lab/sim/fill.go
+++ b/internal/lab/sim/fill.go
@@ -49,7 +49,7 @@
 	}
 	a.fill = f
 	a.target.fills = append(a.target.fills, f)
-	s.after(f.roundTrip(a.request.proxy.branch), f.request)
+	s.after(f.roundTrip(a.request.proxy.branch), f.arrive)
 }
 
 // roundTrip returns the time, in ms, from the request to the source until the first byte of its answer.
@@ -66,8 +66,8 @@
 // inProgress reports whether the fill has not ended and the target's process that began it still runs.
 func (f *fill) inProgress() bool { return !f.ended && f.epoch == f.target.epoch }
 
-// submit handles the fill when it reaches its source.
-func (f *fill) request() {
+// arrive handles the fill when its request reaches the source.
+func (f *fill) arrive() {
 	s, source := f.sim, f.source
 	if !f.inProgress() {
 		return
@@ -87,12 +87,12 @@
 				f.fail(policy.NoteSourceRejected, 0)
 				return
 			}
-			f.begin(s.now, policy.NoteFilledOrigin)
+			f.handleFirstByte(s.now, policy.NoteFilledOrigin)
 		})
 		return
 	}
 	if cached := source.store.get(f.key, f.oldest, 0); cached != nil {
-		f.begin(cached.created, policy.NoteFilled)
+		f.handleFirstByte(cached.created, policy.NoteFilled)
 		return
 	}
 	if source.kind != kindParent || f.options&policy.CachedOnly != 0 {
@@ -142,14 +142,14 @@
 				}
 			}
 			stored = true
-			f.begin(s.sim.now, policy.NoteFilledOrigin)
+			f.handleFirstByte(s.sim.now, policy.NoteFilledOrigin)
 		}
 	}
 }
 
-// begin handles the first byte of the part. The target forwards the part while it receives it, so the transfers from the source
-// and those of the answers run at the same time.
-func (f *fill) begin(created float64, note policy.Note) {
+// handleFirstByte handles the first byte of the part. The target forwards the part while it receives it, so the transfers from
+// the source and those of the answers run at the same time.
+func (f *fill) handleFirstByte(created float64, note policy.Note) {
 	if !f.inProgress() {
 		return
 	}
--- a/internal/lab/sim/link.go
+++ b/internal/lab/sim/link.go
@@ -8,7 +8,7 @@
 	queue         *eventQueue
 	bandwidth     float64 // KB/ms
 	maxRate       float64 // KB/ms of one transfer; 0 for unlimited
-	receivedKB    float64 // KB that a transfer would have received that was active all the time; reset to 0 while none is
+	receivedKB    float64 // KB that a transfer active since the last reset has received; reset to 0 when none is active
 	updatedAt     float64 // ms at which receivedKB was brought up to date
 	active        transferHeap
 	currentWakeUp uint64  // number of the last scheduled wake-up; earlier ones are ignored
--- a/internal/lab/sim/proxy.go
+++ b/internal/lab/sim/proxy.go
@@ -219,9 +219,9 @@
 		s.checker.violation("attempt for a request that has ended", id)
 		return
 	}
-	a := &attempt{request: r, number: len(r.attempts), target: s.server(fetch.Server), source: s.server(fetch.Source), sent: s.now, open: true}
+	a := &attempt{request: r, number: len(r.attempts), target: s.serverByID(fetch.Server), source: s.serverByID(fetch.Source), sent: s.now, open: true}
 	r.attempts = append(r.attempts, a)
-	s.result.countUpstreamAttempt(r.client.first)
+	s.result.countUpstreamAttempt(r.client.madeAt)
 	s.checker.attemptSent(a)
 	timeout := r.deadline - s.now
 	if fetch.Timeout > 0 {
--- a/internal/lab/sim/result.go
+++ b/internal/lab/sim/result.go
@@ -46,7 +46,7 @@
 	ClientAttempts int     `json:"tries"` // not counted by second: always 0
 	OriginFills    int     `json:"origin"`
 	Hits           int     `json:"hits"`
-	Served         int     `json:"answers"` // upstream attempts
+	Served         int     `json:"answers"` // upstream attempts that were served
 }
 
 // ClassResult is the result of one class.
@@ -86,61 +86,61 @@
 // isMeasured reports whether a time, in ms, is after the warm-up.
 func (r *Result) isMeasured(ms float64) bool { return ms >= r.measuredFrom }
 
-// second returns the second that a time, in ms, is in, or the last one if the time is after the end.
-func (r *Result) second(ms float64) *Second {
+// secondAt returns the second that a time, in ms, is in, or the last one if the time is after the end.
+func (r *Result) secondAt(ms float64) *Second {
 	return &r.Seconds[min(len(r.Seconds)-1, max(0, int((ms-r.measuredFrom)/1000)))]
 }
 
-// third returns a class's values for the third of the run that a time, in ms, is in.
-func (r *Result) third(class int, ms float64) *Period {
+// thirdAt returns a class's values for the third of the run that a time, in ms, is in.
+func (r *Result) thirdAt(class int, ms float64) *Period {
 	return &r.Classes[class].Thirds[min(2, max(0, int((ms-r.measuredFrom)*3/(r.scenario.Seconds*1000))))]
 }
 
-// countRequest counts a request that a client makes at a time.
+// countRequest counts a request that a client makes at a time, in ms.
 func (r *Result) countRequest(class int, at, value float64) {
 	if !r.isMeasured(at) {
 		return
 	}
-	second := r.second(at)
+	second := r.secondAt(at)
 	second.RequestedValue += value
 	second.Requests++
 	r.Classes[class].Requests++
 	r.Classes[class].RequestedValue += value
-	r.third(class, at).RequestedValue += value
+	r.thirdAt(class, at).RequestedValue += value
 }
 
-// countClientAttempt counts an attempt of a client for a request that it made at first, in ms.
-func (r *Result) countClientAttempt(first float64) {
-	if r.isMeasured(first) {
+// countClientAttempt counts an attempt of a client for a request that it made at madeAt, in ms.
+func (r *Result) countClientAttempt(madeAt float64) {
+	if r.isMeasured(madeAt) {
 		r.clientAttempts++
 	}
 }
 
-// countUpstreamAttempt counts an attempt of a proxy for a request that the client made at first, in ms.
-func (r *Result) countUpstreamAttempt(first float64) {
-	if r.isMeasured(first) {
+// countUpstreamAttempt counts an attempt of a proxy for a request that the client made at madeAt, in ms.
+func (r *Result) countUpstreamAttempt(madeAt float64) {
+	if r.isMeasured(madeAt) {
 		r.upstreamAttempts++
 	}
 }
 
-// countServed counts a request that the client made at first, and that was served after latency, both in ms.
-func (r *Result) countServed(class int, first, latency, value float64) {
-	if !r.isMeasured(first) {
+// countServed counts a request that the client made at madeAt, and that was served after latency, both in ms.
+func (r *Result) countServed(class int, madeAt, latency, value float64) {
+	if !r.isMeasured(madeAt) {
 		return
 	}
-	r.second(first).ServedValue += value
+	r.secondAt(madeAt).ServedValue += value
 	if latency <= r.scenario.Traffic.Classes[class].LatencyObjective {
 		r.withinObjective++
 	}
 	r.Classes[class].Served++
 	r.Classes[class].ServedValue += value
-	r.third(class, first).ServedValue += value
+	r.thirdAt(class, madeAt).ServedValue += value
 	_ = r.latencies[class].RecordValue(max(1, int64(latency*1000)))
 }
 
 // countAbandoned counts a request that was not served and whose client makes no further attempt.
-func (r *Result) countAbandoned(class int, first float64) {
-	if r.isMeasured(first) {
+func (r *Result) countAbandoned(class int, madeAt float64) {
+	if r.isMeasured(madeAt) {
 		r.Classes[class].Abandoned++
 	}
 }
@@ -164,17 +164,17 @@
 func (r *Result) countOriginFill(at float64) {
 	if r.isMeasured(at) {
 		r.OriginFills++
-		r.second(at).OriginFills++
+		r.secondAt(at).OriginFills++
 	}
 }
 
-// countAnswer counts an upstream attempt that was served.
+// countAnswer counts an upstream attempt that was served at a time; note says how.
 func (r *Result) countAnswer(at float64, note policy.Note) {
 	if !r.isMeasured(at) {
 		return
 	}
 	r.answers++
-	second := r.second(at)
+	second := r.secondAt(at)
 	second.Served++
 	if note == policy.NoteHit {
 		r.hits++
--- a/internal/lab/sim/scenario.go
+++ b/internal/lab/sim/scenario.go
@@ -146,7 +146,7 @@
 	// Magnitude is the fraction of the servers, proxies or objects that are affected. For Burst it is a factor on the traffic, for
 	// OriginSlow on the time of an answer, for LargeObjects on the mean size. For StaleList it is the additional delay in seconds.
 	Magnitude float64 `json:"size"`
-	// Extra is, for LargeObjects, the fraction of the class's requests and, for RestartProxies, the seconds that each proxy is down.
+	// Extra is the fraction of the class's requests for LargeObjects, and the seconds that each proxy is down for RestartProxies.
 	Extra float64 `json:"extra"`
 }
 
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -23,7 +23,7 @@
 // and the branches follow.
 func (s Scenario) Settings(branch, rank int) policy.Settings {
 	f := s.Fleet
-	out := policy.Settings{
+	settings := policy.Settings{
 		RouterIndex: rank, Zone: f.Hubs + branch, ParentKind: kindParent, OriginKind: kindOrigin,
 		SiblingFills: policy.SiblingsInZone, OutcomeDetail: policy.DetailAll, TransferKBPerS: f.TransferKBPerS,
 		PurgeDuration: duration(f.PurgeDuration), PurgeGrace: duration(s.Rules.PurgeGrace), DrainGrace: duration(s.Rules.DrainGrace),
@@ -33,26 +33,26 @@
 		ConnectTimeout: duration(connectTimeout),
 	}
 	for hub := range f.Hubs {
-		out.ZoneRouters = append(out.ZoneRouters, 0)
-		out.HomeHub = append(out.HomeHub, hub)
+		settings.ZoneRouters = append(settings.ZoneRouters, 0)
+		settings.HomeHub = append(settings.HomeHub, hub)
 	}
-	out.LinkKBPerS = make([]float64, f.Hubs+f.Branches)
+	settings.LinkKBPerS = make([]float64, f.Hubs+f.Branches)
 	for b := range f.Branches {
-		out.ZoneRouters = append(out.ZoneRouters, f.proxies(b))
-		out.HomeHub = append(out.HomeHub, b%f.Hubs)
-		out.Routers += f.proxies(b)
+		settings.ZoneRouters = append(settings.ZoneRouters, f.proxies(b))
+		settings.HomeHub = append(settings.HomeHub, b%f.Hubs)
+		settings.Routers += f.proxies(b)
 		if f.LinksKnown {
-			out.LinkKBPerS[f.Hubs+b] = f.BranchBandwidth * f.relativeSize(b) * f.TransferKBPerS
+			settings.LinkKBPerS[f.Hubs+b] = f.BranchBandwidth * f.relativeSize(b) * f.TransferKBPerS
 		}
 	}
 	for _, c := range s.Traffic.Classes {
-		out.Classes = append(out.Classes, policy.Class{
+		settings.Classes = append(settings.Classes, policy.Class{
 			LatencyObjective: duration(c.LatencyObjective), ObjectiveStretch: c.ObjectiveStretch, Deadline: duration(c.Deadline),
 			PriorityWeight: c.PriorityWeight, LateFraction: c.LateFraction, Multipart: c.PartsPerObject > 1, Uncached: c.Write,
 			Idempotency: c.idempotency(), DedupScope: policy.DedupAll, DedupWindow: duration(c.DedupWindow),
 		})
 	}
-	return out
+	return settings
 }
 
 // caches returns the number of caches of a branch.
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -23,12 +23,12 @@
 	proxies      []*proxy
 
 	popularity     *aliasTable
-	nextOneOff     int32    // number of the next object that is requested only once
-	objectNames    []string // names of the objects that have a popularity
-	arrivalRNGs    []*rand.Rand
-	delayRNG       *rand.Rand // for delays of notifications and of purges
-	clientRequests uint64     // number of clients' requests so far
-	lastRequestID  uint64     // number of attempts of clients that proxies received so far
+	nextOneOff     int32        // number of the next object that is requested only once
+	objectNames    []string     // names of the objects that have a popularity
+	arrivalRNGs    []*rand.Rand // for the requests of clients, by branch
+	delayRNG       *rand.Rand   // for delays of notifications and of purges
+	clientRequests uint64       // number of clients' requests so far
+	lastRequestID  uint64       // number of attempts of clients that proxies received so far
 
 	trafficMultiple     float64            // the factor during a Burst; else 1
 	extraDiscoveryDelay float64            // ms that StaleList adds to DiscoveryDelay
@@ -120,8 +120,8 @@
 	return server
 }
 
-// server returns the server with an id.
-func (s *simulation) server(id policy.ServerID) *server { return s.servers[id-1] }
+// serverByID returns the server with an id.
+func (s *simulation) serverByID(id policy.ServerID) *server { return s.servers[id-1] }
 
 // buildObjects creates the objects that have a popularity.
 func (s *simulation) buildObjects() {
--- a/internal/lab/sim/simulation_test.go
+++ b/internal/lab/sim/simulation_test.go
@@ -183,13 +183,13 @@
 		weights[i] = math.Pow(float64(i+1), -0.8)
 		total += weights[i]
 	}
-	table, rng, st := newAliasTable(weights), stream(3, "che"), newStore(capacity)
+	table, rng, cache := newAliasTable(weights), stream(3, "che"), newStore(capacity)
 	hits, n := 0, 0
 	for i := range 400_000 {
 		k := partKey{object: int32(table.draw(rng))}
-		hit := st.get(k, 0, 1) != nil
+		hit := cache.get(k, 0, 1) != nil
 		if !hit {
-			st.put(k, 1, 0, 0, 1)
+			cache.put(k, 1, 0, 0, 1)
 		}
 		if i > 50_000 {
 			if n++; hit {
--- a/internal/lab/sim/strategy.go
+++ b/internal/lab/sim/strategy.go
@@ -84,6 +84,6 @@
 	if err != nil {
 		return false
 	}
-	cached := v.sim.server(id).store.copies[partKey{int32(number), int32(part)}]
+	cached := v.sim.serverByID(id).store.copies[partKey{int32(number), int32(part)}]
 	return cached != nil && cached.stored <= v.sim.now-v.delay
 }
