--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -21,17 +21,17 @@
 
 // The ways in which control traffic is distributed, as --ways names them.
 const (
-	wayLevels = string(hollow.ModeLevels) // over levels of relays
-	wayDirect = string(hollow.ModeDirect) // to every process directly
+	distributionLevels = string(hollow.ModeLevels) // over levels of relays
+	distributionDirect = string(hollow.ModeDirect) // to every process directly
 )
 
 // scaleOptions are the flags of "ravenlab scale".
 type scaleOptions struct {
-	seed          uint64
-	sizes         []int    // numbers of processes; empty: those of the file
-	ways          []string // empty: levels, and direct where the file says so
-	measureLoop   bool     // play once more with empty processes, to measure the event loop
-	dir, pagePath string   // empty: nothing is written there
+	seed           uint64
+	sizes          []int    // numbers of processes; empty: those of the file
+	distributions  []string // empty: levels, and direct where the file says so
+	measureHarness bool     // play once more with empty processes, to measure the event loop
+	dir, pagePath  string   // empty: nothing is written there
 }
 
 // scaleCommand plays scenarios of internal/lab/hollow.
@@ -51,9 +51,9 @@
 		},
 	}
 	cmd.Flags().IntSliceVar(&o.sizes, "sizes", nil, "processes, in place of the file's")
-	cmd.Flags().StringSliceVar(&o.ways, "ways", nil, "levels, direct (default: levels, and direct where the file says so)")
+	cmd.Flags().StringSliceVar(&o.distributions, "ways", nil, "levels, direct (default: levels, and direct where the file says so)")
 	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "in place of the file's")
-	cmd.Flags().BoolVar(&o.measureLoop, "loop", false, "play the loop once more with empty machines, to tell its own share; up to 3.4 GB more")
+	cmd.Flags().BoolVar(&o.measureHarness, "loop", false, "play the loop once more with empty machines, to tell its own share; up to 3.4 GB more")
 	cmd.Flags().StringVar(&o.dir, "dir", "", "write a JSON file of each run into this directory")
 	cmd.Flags().StringVar(&o.pagePath, "html", "", "write a page to this file")
 	cmd.AddCommand(scalePageCommand(), scaleRecordingsCommand())
@@ -78,10 +78,10 @@
 	if len(o.sizes) > 0 {
 		s.Processes = o.sizes
 	}
-	if len(o.ways) == 0 {
-		o.ways = []string{wayLevels}
+	if len(o.distributions) == 0 {
+		o.distributions = []string{distributionLevels}
 		if s.Direct {
-			o.ways = append(o.ways, wayDirect)
+			o.distributions = append(o.distributions, distributionDirect)
 		}
 	}
 	if err := s.Valid(); err != nil {
@@ -99,15 +99,15 @@
 func playScale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) (runs []*hollow.Result, err error) {
 	broken := 0
 	for _, size := range s.Processes {
-		for _, way := range o.ways {
-			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(way), o.measureLoop)
+		for _, distribution := range o.distributions {
+			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(distribution), o.measureHarness)
 			if err != nil {
 				return runs, err
 			}
 			runs = append(runs, result)
 			broken += result.Violations
 			if o.dir != "" {
-				name := fmt.Sprintf("%s-%s-%d.json", s.Name, way, size)
+				name := fmt.Sprintf("%s-%s-%d.json", s.Name, distribution, size)
 				if err := writeIndentedJSON(filepath.Join(o.dir, name), result); err != nil {
 					return runs, err
 				}
@@ -124,8 +124,8 @@
 }
 
 // scaleMode is the mode that --ways names. Any other name than direct stands for levels.
-func scaleMode(way string) hollow.Mode {
-	if way == wayDirect {
+func scaleMode(distribution string) hollow.Mode {
+	if distribution == distributionDirect {
 		return hollow.ModeDirect
 	}
 	return hollow.ModeLevels
@@ -142,14 +142,14 @@
 		fmt.Fprintf(out, "%s: %d, at the last process after p50 %.0f, p99 %.0f, at most %.0f ms; counted from a process's return p99 %.0f, at most %.0f\n",
 			kind, all.Count, all.P50, all.P99, all.Max, afterFault.P99, afterFault.Max)
 	}
-	for _, h := range r.Recoveries {
-		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", h.Fault.Kind, h.Fault.AtSeconds, h.AfterSeconds, h.CountedFromSeconds)
+	for _, recovery := range r.Recoveries {
+		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", recovery.Fault.Kind, recovery.Fault.AtSeconds, recovery.AfterSeconds, recovery.CountedFromSeconds)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "role\tprocesses\tin KB/s\tout KB/s\tmost out\tin /s\tout /s\tus a call\tcore %\theap MB\tlight MB\t")
-	for _, c := range r.RoleCosts {
-		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", c.Role, c.Processes, c.InKBPerS, c.OutKBPerS,
-			c.MaxOutKBPerS, c.MessagesInPerS, c.MessagesOutPerS, c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB)
+	for _, cost := range r.RoleCosts {
+		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", cost.Role, cost.Processes, cost.InKBPerS, cost.OutKBPerS,
+			cost.MaxOutKBPerS, cost.MessagesInPerS, cost.MessagesOutPerS, cost.MicrosPerCall, cost.CPUPercent, cost.HeapMB, cost.LightHeapMB)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/lab/multiprocess/addresses.go
+++ b/internal/lab/multiprocess/addresses.go
@@ -9,21 +9,21 @@
 
 // Host numbers within a zone's part of an address range. Processes have the numbers from 1 on.
 const (
-	movedHost  = 200 // a process that ChangePeerAddress moved
-	serverHost = 250 // the stand-ins
+	changedHost = 200 // a process that ChangePeerAddress moved
+	serverHost  = 250 // the stand-ins
 )
 
-// relayZone is added to the number of a zone for the addresses of the relays through which it sends.
-const relayZone = 100
+// relayZoneOffset is added to the number of a zone for the addresses of the relays through which it sends.
+const relayZoneOffset = 100
 
 // addressRange is the part of 127.0.0.0/8 that one cluster uses. Every process has an IP address of its own, so that nothing
 // else takes its port while it is restarted.
 type addressRange struct{ number int }
 
-// clusters counts the clusters of this process, each of which gets a range of its own.
-var clusters atomic.Int64
+// clusterCount counts the clusters of this process, each of which gets a range of its own.
+var clusterCount atomic.Int64
 
-func newAddressRange() addressRange { return addressRange{int(clusters.Add(1))} }
+func newAddressRange() addressRange { return addressRange{int(clusterCount.Add(1))} }
 
 // ip returns the address of a host of a zone.
 func (a addressRange) ip(zone, host int) string {
--- a/internal/lab/multiprocess/cluster.go
+++ b/internal/lab/multiprocess/cluster.go
@@ -91,7 +91,7 @@
 // The weights of servers, relative to each other.
 const (
 	cacheWeight = 40
-	upperWeight = 400 // of parents and the origin
+	hubWeight   = 400 // of parents and the origin
 )
 
 // ReadyTimeout bounds how long a process may take to become ready or to exit. It only ends a test that hangs.
@@ -147,13 +147,13 @@
 			c.nextCache++
 		}
 	}
-	upperZone := c.options.Zones
+	hubZone := c.options.Zones
 	for i := range c.options.Parents {
-		if err := c.addServer(policy.ServerID(firstParent+i), fleet.Parent, upperZone); err != nil {
+		if err := c.addServer(policy.ServerID(firstParent+i), fleet.Parent, hubZone); err != nil {
 			return err
 		}
 	}
-	return c.addServer(originID, fleet.Origin, upperZone)
+	return c.addServer(originID, fleet.Origin, hubZone)
 }
 
 // addServer starts a stand-in that counts as warm, and lists it as a member.
@@ -175,7 +175,7 @@
 	m.Addr = server.Addr()
 	m.ID, m.Kind, m.Zone, m.Weight, m.Started = id, int(role), zone, cacheWeight, clock.Duration(started)
 	if role != fleet.Cache {
-		m.Weight = upperWeight
+		m.Weight = hubWeight
 	}
 	return m, nil
 }
--- a/internal/lab/multiprocess/gossip_fault_test.go
+++ b/internal/lab/multiprocess/gossip_fault_test.go
@@ -25,14 +25,14 @@
 // zone considers the other dead and itself alive. Afterwards they merge again.
 func TestOneWayPartitionSplitsAndHeals(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 5, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	one, two := cluster.Processes[:5], cluster.Processes[5:]
-	cluster.SetLink(0, 1, multiprocess.Link{Blocked: true})
-	agree(t, one, one)
-	agree(t, two, two)
-	cluster.SetLink(0, 1, multiprocess.Link{})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 5, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	zone0, zone1 := cluster.Processes[:5], cluster.Processes[5:]
+	cluster.SetLinkFault(0, 1, multiprocess.LinkFault{Blocked: true})
+	waitForAgreement(t, zone0, zone0)
+	waitForAgreement(t, zone1, zone1)
+	cluster.SetLinkFault(0, 1, multiprocess.LinkFault{})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
 // One process of twenty is partitioned from all others. They consider it dead; it receives from nobody, which it notices long
@@ -40,63 +40,63 @@
 func TestSingleProcessPartitionedRejoins(t *testing.T) {
 	t.Parallel()
 	const n = 20
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: n, ProcessesPerZone: 1, CachesPerZone: 1, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	setLinks := func(l multiprocess.Link) {
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: n, ProcessesPerZone: 1, CachesPerZone: 1, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	setLinks := func(fault multiprocess.LinkFault) {
 		for z := range n - 1 {
-			cluster.SetLink(z, n-1, l)
-			cluster.SetLink(n-1, z, l)
+			cluster.SetLinkFault(z, n-1, fault)
+			cluster.SetLinkFault(n-1, z, fault)
 		}
 	}
-	setLinks(multiprocess.Link{Blocked: true})
-	agree(t, cluster.Processes[:n-1], cluster.Processes[:n-1])
+	setLinks(multiprocess.LinkFault{Blocked: true})
+	waitForAgreement(t, cluster.Processes[:n-1], cluster.Processes[:n-1])
 	require.Eventually(t, func() bool {
 		s, err := cluster.Processes[n-1].PeerSummary()
 		return err == nil && s.Heard == 0
 	}, multiprocess.ReadyTimeout, pollInterval)
-	setLinks(multiprocess.Link{})
-	agree(t, cluster.Processes, cluster.Processes)
+	setLinks(multiprocess.LinkFault{})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
 // Between zones, a fifth of the datagrams is lost, and the others are delayed by up to 200 ms and reordered; then the links have
 // almost no bandwidth and streams are reset. Processes that are considered dead meanwhile rejoin while the loss lasts.
 func TestMembershipConvergesDespiteLossAndJitter(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 3, ProcessesPerZone: 4, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	setLinks := func(l multiprocess.Link) {
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 3, ProcessesPerZone: 4, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	setLinks := func(fault multiprocess.LinkFault) {
 		for from := range 3 {
 			for to := range 3 {
 				if from != to {
-					cluster.SetLink(from, to, l)
+					cluster.SetLinkFault(from, to, fault)
 				}
 			}
 		}
 	}
-	setLinks(multiprocess.Link{LossFraction: 0.2, Jitter: 200, DuplicateFraction: 0.1})
+	setLinks(multiprocess.LinkFault{LossFraction: 0.2, Jitter: 200, DuplicateFraction: 0.1})
 	killed := cluster.Processes[11]
 	cluster.Kill(killed)
-	agree(t, cluster.Processes[:11], cluster.Processes[:11])
+	waitForAgreement(t, cluster.Processes[:11], cluster.Processes[:11])
 	require.NoError(t, cluster.Start(killed))
-	agree(t, cluster.Processes, cluster.Processes)
-	setLinks(multiprocess.Link{Bandwidth: 4, Reset: true})
-	setLinks(multiprocess.Link{Bandwidth: 20})
-	agree(t, cluster.Processes, cluster.Processes)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	setLinks(multiprocess.LinkFault{Bandwidth: 4, Reset: true})
+	setLinks(multiprocess.LinkFault{Bandwidth: 20})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
 // Every process is restarted twice, a quarter of them at a time, without waiting until the others have noticed.
 func TestRapidRestartsBreakNoRule(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 8, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 8, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 5 })
 	for range 2 {
 		for i := range 4 {
-			some := cluster.Processes[i*4 : i*4+4]
-			require.NoError(t, cluster.Stop(some...))
-			require.NoError(t, cluster.Start(some...))
+			batch := cluster.Processes[i*4 : i*4+4]
+			require.NoError(t, cluster.Stop(batch...))
+			require.NoError(t, cluster.Start(batch...))
 		}
 	}
-	agree(t, cluster.Processes, cluster.Processes)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	stop()
 	require.Empty(t, cluster.Violations())
 	for _, p := range cluster.Processes {
@@ -107,32 +107,32 @@
 // All seeds are dead. A process that restarts joins by the members that it stored before.
 func TestRestartJoinsByStoredPeersWithoutSeeds(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	for _, p := range cluster.Processes {
 		require.Eventually(t, func() bool { return p.KnownPeers() > 0 }, multiprocess.ReadyTimeout, pollInterval)
 	}
-	var seeds, left []*multiprocess.Process
+	var seeds, survivors []*multiprocess.Process
 	for i, p := range cluster.Processes {
 		if i%4 == 0 { // the three seeds: see Cluster.seedsOf
 			seeds = append(seeds, p)
 		} else {
-			left = append(left, p)
+			survivors = append(survivors, p)
 		}
 	}
 	cluster.Kill(seeds...)
-	restarted := left[2]
+	restarted := survivors[2]
 	cluster.Kill(restarted)
-	agree(t, append(left[:2:2], left[3:]...), append(left[:2:2], left[3:]...))
+	waitForAgreement(t, append(survivors[:2:2], survivors[3:]...), append(survivors[:2:2], survivors[3:]...))
 	require.NoError(t, cluster.Start(restarted))
-	agree(t, left, left)
+	waitForAgreement(t, survivors, survivors)
 }
 
 // A process that was killed restarts with its name at another address. The others learn the address.
 func TestRestartAtAnotherAddress(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 10, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 10, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	moved := cluster.Processes[3]
 	cluster.Kill(moved)
 	require.NoError(t, cluster.ChangePeerAddress(moved)) // while the others still consider it alive at the old address
@@ -144,48 +144,48 @@
 			return err == nil && i >= 0 && s.Members[i].State == peers.StateAlive && s.Members[i].Addr == moved.PeerAddr
 		}, multiprocess.ReadyTimeout, pollInterval, "%s", p.Name)
 	}
-	agree(t, cluster.Processes, cluster.Processes)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
 // The clock of one process is 3 s ahead of the others', and of another 3 s behind. All stay alive, and the others accept both
 // processes' reports.
 func TestClockSkewIsTolerated(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 2, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 2, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	for i, ahead := range []float64{3000, -3000} {
 		p := cluster.Processes[6+i]
 		cluster.Kill(p)
-		id, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
+		identity, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
 		require.NoError(t, err)
-		n := uint64(0)
-		s, err := peers.Start(peers.Options{
-			Name: p.Name, Listen: p.PeerAddr, Seeds: []string{cluster.Processes[0].PeerAddr}, Zone: "zone-0", DigestInterval: 500, Identity: id,
+		attempts := uint64(0)
+		gossip, err := peers.Start(peers.Options{
+			Name: p.Name, Listen: p.PeerAddr, Seeds: []string{cluster.Processes[0].PeerAddr}, Zone: "zone-0", DigestInterval: 500, Identity: identity,
 			Clock: clock.SystemAhead(ahead), Objects: func() []uint64 { return nil },
 			Totals: func() (uint64, serverTotals) {
-				n += 50
-				return n, serverTotals{1: {Attempts: n}}
+				attempts += 50
+				return attempts, serverTotals{1: {Attempts: attempts}}
 			},
 		})
 		require.NoError(t, err)
-		t.Cleanup(s.Close)
+		t.Cleanup(gossip.Close)
 	}
-	agree(t, cluster.Processes[:6], cluster.Processes)
-	reportsFrom := func(p *multiprocess.Process) int {
-		v, err := p.FleetView(serverlist.FormatID(1))
+	waitForAgreement(t, cluster.Processes[:6], cluster.Processes)
+	skewedReports := func(p *multiprocess.Process) int {
+		view, err := p.FleetView(serverlist.FormatID(1))
 		require.NoError(t, err)
-		n := 0
-		for _, x := range v.Servers {
-			for _, w := range x.Reports {
-				if w.Attempts > 50 && (w.Name == cluster.Processes[6].Name || w.Name == cluster.Processes[7].Name) {
-					n++
+		count := 0
+		for _, server := range view.Servers {
+			for _, report := range server.Reports {
+				if report.Attempts > 50 && (report.Name == cluster.Processes[6].Name || report.Name == cluster.Processes[7].Name) {
+					count++
 				}
 			}
 		}
-		return n
+		return count
 	}
 	for _, p := range cluster.Processes[:6] {
-		require.Eventually(t, func() bool { return reportsFrom(p) == 2 }, multiprocess.ReadyTimeout, pollInterval)
+		require.Eventually(t, func() bool { return skewedReports(p) == 2 }, multiprocess.ReadyTimeout, pollInterval)
 	}
-	agree(t, cluster.Processes[:6], cluster.Processes)
+	waitForAgreement(t, cluster.Processes[:6], cluster.Processes)
 }
--- a/internal/lab/multiprocess/gossip_test.go
+++ b/internal/lab/multiprocess/gossip_test.go
@@ -20,49 +20,49 @@
 	"ravenwheel/policy"
 )
 
-// agree waits until processes consider exactly the expected members alive.
-func agree(t *testing.T, ps, alive []*multiprocess.Process) {
+// waitForAgreement waits until processes consider exactly the expected members alive.
+func waitForAgreement(t *testing.T, processes, alive []*multiprocess.Process) {
 	t.Helper()
 	var err error
-	began := time.Now()
+	startedAt := time.Now()
 	if !assert.Eventually(t, func() bool {
-		err = multiprocess.CheckAgreement(ps, alive)
+		err = multiprocess.CheckAgreement(processes, alive)
 		return err == nil
 	}, multiprocess.ReadyTimeout, 50*time.Millisecond) {
 		t.Fatal(err)
 	}
-	t.Logf("%d agree on %d after %v", len(ps), len(alive), time.Since(began).Round(100*time.Millisecond))
+	t.Logf("%d agree on %d after %v", len(processes), len(alive), time.Since(startedAt).Round(100*time.Millisecond))
 }
 
 // Half of the processes are killed at the same time. The others agree on who is dead and keep serving; the killed ones rejoin.
 func TestHalfKilledRejoins(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 10, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 10, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
-	var killed, left []*multiprocess.Process
+	var killed, survivors []*multiprocess.Process
 	for i, p := range cluster.Processes {
 		if i%2 == 0 {
 			killed = append(killed, p)
 		} else {
-			left = append(left, p)
+			survivors = append(survivors, p)
 		}
 	}
 	cluster.Kill(killed...)
-	agree(t, left, left)
+	waitForAgreement(t, survivors, survivors)
 	require.NoError(t, cluster.Start(killed...))
-	agree(t, cluster.Processes, cluster.Processes)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	stop()
 	require.Empty(t, cluster.Violations())
-	for _, p := range left {
+	for _, p := range survivors {
 		require.Positive(t, cluster.Served(p))
 		require.Empty(t, cluster.Client(p).Violations())
 	}
 	for _, p := range cluster.Processes { // those that started under load included
-		n, err := p.Counters()
+		counters, err := p.Counters()
 		require.NoError(t, err)
-		require.Zero(t, n["misnamed"])
-		require.LessOrEqual(t, n["unsent"]+n["unanswered"], n["requests"]/200, "%s: %v", p.Name, n)
+		require.Zero(t, counters["misnamed"])
+		require.LessOrEqual(t, counters["unsent"]+counters["unanswered"], counters["requests"]/200, "%s: %v", p.Name, counters)
 	}
 	require.NoError(t, cluster.Stop(cluster.Processes...), "a process that leaves announces it and exits with status 0")
 }
@@ -71,35 +71,35 @@
 // members of both zones any more.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	one, two := cluster.Processes[:6], cluster.Processes[6:]
-	cluster.SetLink(0, 1, multiprocess.Link{Blocked: true})
-	cluster.SetLink(1, 0, multiprocess.Link{Blocked: true})
-	agree(t, one, one)
-	agree(t, two, two)
-	cluster.SetLink(0, 1, multiprocess.Link{})
-	cluster.SetLink(1, 0, multiprocess.Link{})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	zone0, zone1 := cluster.Processes[:6], cluster.Processes[6:]
+	cluster.SetLinkFault(0, 1, multiprocess.LinkFault{Blocked: true})
+	cluster.SetLinkFault(1, 0, multiprocess.LinkFault{Blocked: true})
+	waitForAgreement(t, zone0, zone0)
+	waitForAgreement(t, zone1, zone1)
+	cluster.SetLinkFault(0, 1, multiprocess.LinkFault{})
+	cluster.SetLinkFault(1, 0, multiprocess.LinkFault{})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// startImpostor takes part in gossip with the keys and name of a process.
-func startImpostor(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.ServerID]fleetview.Totals) *peers.Peers {
+// startGossipAs takes part in gossip with the keys and name of a process.
+func startGossipAs(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.ServerID]fleetview.Totals) *peers.Peers {
 	t.Helper()
-	id, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
+	identity, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
 	require.NoError(t, err)
-	s, err := peers.Start(peers.Options{
-		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", DigestInterval: 200, Identity: id, Clock: cluster.Clock,
+	gossip, err := peers.Start(peers.Options{
+		Name: p.Name, Listen: listen, Seeds: []string{seed}, Zone: "zone-0", DigestInterval: 200, Identity: identity, Clock: cluster.Clock,
 		Totals:  func() (uint64, map[policy.ServerID]fleetview.Totals) { return 0, totals() },
 		Objects: func() []uint64 { return nil },
 	})
 	require.NoError(t, err)
-	t.Cleanup(s.Close)
-	return s
+	t.Cleanup(gossip.Close)
+	return gossip
 }
 
-// unknownCache is a cache that does not exist.
-const unknownCache = 99
+// nonexistentCache is a cache that does not exist.
+const nonexistentCache = 99
 
 // falseTotals returns a function that reports, at each call, 200,000 more failed attempts at every cache, and as many successful
 // ones at a cache that does not exist.
@@ -108,9 +108,9 @@
 	return func() map[policy.ServerID]fleetview.Totals {
 		calls++
 		reported := map[policy.ServerID]fleetview.Totals{}
-		for _, id := range append(caches, unknownCache) {
+		for _, id := range append(caches, nonexistentCache) {
 			totals := fleetview.Totals{Attempts: uint64(calls) * 200_000}
-			if id != unknownCache {
+			if id != nonexistentCache {
 				totals.Failures = totals.Attempts
 			}
 			reported[id] = totals
@@ -121,29 +121,29 @@
 
 // requireCorrectEstimates checks that processes received the false reports of another one, and that their estimates of the caches
 // do not follow them.
-func requireCorrectEstimates(t *testing.T, honest []*multiprocess.Process, liar *multiprocess.Process, caches []policy.ServerID) {
+func requireCorrectEstimates(t *testing.T, observers []*multiprocess.Process, falseReporter *multiprocess.Process, caches []policy.ServerID) {
 	t.Helper()
-	lies := 0
-	for _, p := range honest {
-		v, err := p.FleetView("")
+	falseReports := 0
+	for _, p := range observers {
+		view, err := p.FleetView("")
 		require.NoError(t, err)
-		for _, x := range v.Servers {
-			if x.ID == serverlist.FormatID(caches[0]) {
-				details, err := p.FleetView(x.ID)
+		for _, server := range view.Servers {
+			if server.ID == serverlist.FormatID(caches[0]) {
+				details, err := p.FleetView(server.ID)
 				require.NoError(t, err)
-				for _, r := range details.Servers[0].Reports {
-					if r.Name == liar.Name && r.Attempts > 1e4 {
-						lies++
+				for _, report := range details.Servers[0].Reports {
+					if report.Name == falseReporter.Name && report.Attempts > 1e4 {
+						falseReports++
 					}
 				}
 			}
-			if slices.Contains(caches, idOf(t, x.ID)) {
-				require.Less(t, x.Failing.Value, 0.1, "%s of %s", x.ID, p.Name)
-				require.Less(t, x.Load.Value, 1000.0)
+			if slices.Contains(caches, parseServerID(t, server.ID)) {
+				require.Less(t, server.Failing.Value, 0.1, "%s of %s", server.ID, p.Name)
+				require.Less(t, server.Load.Value, 1000.0)
 			}
 		}
 	}
-	require.Positive(t, lies, "the false reports were received")
+	require.Positive(t, falseReports, "the false reports were received")
 }
 
 // One process of eight reports millions of attempts per second, all failing, at every cache, and successes at a cache that does
@@ -151,43 +151,43 @@
 // traffic, the one that does not exist gets none, and all members stay alive.
 func TestFalseReportsAreOutvoted(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 4, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
-	liar, honest := cluster.Processes[7], cluster.Processes[:7]
-	cluster.Kill(liar)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 4, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
+	falseReporter, others := cluster.Processes[7], cluster.Processes[:7]
+	cluster.Kill(falseReporter)
 	caches := cluster.ReadyCaches(0)
-	impostor := startImpostor(t, cluster, liar, liar.PeerAddr, honest[0].PeerAddr, falseTotals(caches))
-	agree(t, honest, cluster.Processes)
+	gossip := startGossipAs(t, cluster, falseReporter, falseReporter.PeerAddr, others[0].PeerAddr, falseTotals(caches))
+	waitForAgreement(t, others, cluster.Processes)
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 20 })
 	defer stop()
 
-	nc, err := net.Dial("udp", honest[0].PeerAddr)
+	nc, err := net.Dial("udp", others[0].PeerAddr)
 	require.NoError(t, err)
 	defer nc.Close()
 	for i := range 3000 {
 		_, _ = nc.Write([]byte(fmt.Sprint("\x48 not a datagram of ours ", i)))
 	}
-	seen := len(cluster.Fleet.Observations())
-	require.Eventually(t, func() bool { return len(cluster.Fleet.Observations()) > seen+1000 }, multiprocess.ReadyTimeout, 10*time.Millisecond)
-	requireCorrectEstimates(t, honest, liar, caches)
-	used := map[policy.ServerID]int{}
-	for _, x := range cluster.Fleet.ObservationsAfter(seen) {
-		used[x.Server]++
+	observed := len(cluster.Fleet.Observations())
+	require.Eventually(t, func() bool { return len(cluster.Fleet.Observations()) > observed+1000 }, multiprocess.ReadyTimeout, 10*time.Millisecond)
+	requireCorrectEstimates(t, others, falseReporter, caches)
+	attempts := map[policy.ServerID]int{}
+	for _, observation := range cluster.Fleet.ObservationsAfter(observed) {
+		attempts[observation.Server]++
 	}
 	for _, id := range caches {
-		require.Positive(t, used[id])
+		require.Positive(t, attempts[id])
 	}
-	require.Zero(t, used[unknownCache])
-	status, err := honest[0].PeerStatus()
+	require.Zero(t, attempts[nonexistentCache])
+	status, err := others[0].PeerStatus()
 	require.NoError(t, err)
 	require.Positive(t, status.Dropped["malformed"]+status.Dropped["flood"])
-	agree(t, honest, cluster.Processes)
+	waitForAgreement(t, others, cluster.Processes)
 	require.Empty(t, cluster.Violations())
-	impostor.Close()
-	agree(t, honest, honest)
+	gossip.Close()
+	waitForAgreement(t, others, others)
 }
 
-func idOf(t *testing.T, name string) policy.ServerID {
+func parseServerID(t *testing.T, name string) policy.ServerID {
 	id, ok := serverlist.ParseID(name)
 	require.True(t, ok, name)
 	return id
@@ -197,18 +197,18 @@
 // kills none of them. A process with a name that is in use is not admitted, and the log names both.
 func TestSuspendedProcessRejoinsAndDuplicateNameIsRejected(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
-	agree(t, cluster.Processes, cluster.Processes)
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 	suspended, others := cluster.Processes[3], slices.Concat(cluster.Processes[:3], cluster.Processes[4:])
 	require.NoError(t, suspended.Signal(syscall.SIGSTOP))
-	agree(t, others, others)
+	waitForAgreement(t, others, others)
 	require.NoError(t, suspended.Signal(syscall.SIGCONT))
-	agree(t, cluster.Processes, cluster.Processes)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 
-	twice := cluster.Processes[1]
-	s := startImpostor(t, cluster, twice, "127.0.0.1:0", cluster.Processes[0].PeerAddr, func() map[policy.ServerID]fleetview.Totals { return nil })
-	require.Eventually(t, func() bool { return strings.Contains(twice.Log(), "two processes have one name") }, multiprocess.ReadyTimeout, 20*time.Millisecond)
-	require.Contains(t, twice.Log(), twice.PeerAddr)
-	require.Contains(t, twice.Log(), s.Status().Addr)
-	agree(t, cluster.Processes, cluster.Processes)
+	duplicated := cluster.Processes[1]
+	duplicate := startGossipAs(t, cluster, duplicated, "127.0.0.1:0", cluster.Processes[0].PeerAddr, func() map[policy.ServerID]fleetview.Totals { return nil })
+	require.Eventually(t, func() bool { return strings.Contains(duplicated.Log(), "two processes have one name") }, multiprocess.ReadyTimeout, 20*time.Millisecond)
+	require.Contains(t, duplicated.Log(), duplicated.PeerAddr)
+	require.Contains(t, duplicated.Log(), duplicate.Status().Addr)
+	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
--- a/internal/lab/multiprocess/inject.go
+++ b/internal/lab/multiprocess/inject.go
@@ -17,9 +17,9 @@
 func (p *player) startInjection(ctx context.Context, f Fault) []policy.ServerID {
 	processes := p.drawProcesses(f)
 	caches := p.drawCaches(f)
-	p.injections.Add(1)
+	p.pendingInjections.Add(1)
 	go func() {
-		defer p.injections.Done()
+		defer p.pendingInjections.Done()
 		if err := p.inject(ctx, f, processes, caches); err != nil && ctx.Err() == nil {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -36,27 +36,27 @@
 func (p *player) inject(ctx context.Context, f Fault, processes []*Process, caches []policy.ServerID) error {
 	switch f.Kind {
 	case KillProcesses:
-		return p.kill(ctx, f, processes)
+		return p.killProcesses(ctx, f, processes)
 	case RestartProcesses:
-		return p.restart(processes)
+		return p.restartProcesses(processes)
 	case SuspendProcesses:
-		p.suspend(ctx, f, processes)
+		p.suspendProcesses(ctx, f, processes)
 	case BlockLink, LoseDatagrams, DelayDatagrams, LimitBandwidth, ResetStreams:
-		p.changeLinks(f, true)
+		p.setLinkFaults(f, true)
 		f.wait(ctx)
-		p.changeLinks(f, false)
+		p.setLinkFaults(f, false)
 	case LoseZone, CrashCaches:
 		p.cluster.KillCaches(caches...)
 		f.wait(ctx)
 		return p.cluster.RestartCaches(caches...)
 	case ReplaceCaches:
-		return p.replace(caches)
+		return p.replaceCaches(caches)
 	case SlowCaches:
-		p.disturb(ctx, f, caches, fleet.Fault{ExtraLatency: f.Magnitude})
+		p.injectServerFault(ctx, f, caches, fleet.Fault{ExtraLatency: f.Magnitude})
 	case FailingCaches:
-		p.disturb(ctx, f, caches, fleet.Fault{Failing: true})
+		p.injectServerFault(ctx, f, caches, fleet.Fault{Failing: true})
 	case SilentCaches:
-		p.disturb(ctx, f, caches, fleet.Fault{Unresponsive: true})
+		p.injectServerFault(ctx, f, caches, fleet.Fault{Unresponsive: true})
 	case PurgeGroups:
 		for group := range int(f.Magnitude * fleet.Groups) {
 			p.cluster.Purge("", group)
@@ -75,8 +75,8 @@
 	}
 }
 
-// kill kills processes, and starts them again if the fault has a duration.
-func (p *player) kill(ctx context.Context, f Fault, processes []*Process) error {
+// killProcesses kills processes, and starts them again if the fault has a duration.
+func (p *player) killProcesses(ctx context.Context, f Fault, processes []*Process) error {
 	p.markInterrupted(processes)
 	p.cluster.Kill(processes...)
 	if f.Duration <= 0 {
@@ -86,8 +86,8 @@
 	return p.cluster.Start(processes...)
 }
 
-// restart stops and starts processes one after the other.
-func (p *player) restart(processes []*Process) error {
+// restartProcesses stops and starts processes one after the other.
+func (p *player) restartProcesses(processes []*Process) error {
 	for _, q := range processes {
 		if err := p.cluster.Stop(q); err != nil {
 			return err
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// suspend suspends processes and takes them out of rotation for the duration of the fault.
-func (p *player) suspend(ctx context.Context, f Fault, processes []*Process) {
+// suspendProcesses suspends processes and takes them out of rotation for the duration of the fault.
+func (p *player) suspendProcesses(ctx context.Context, f Fault, processes []*Process) {
 	p.markInterrupted(processes)
 	for _, q := range processes {
 		q.inRotation.Store(false)
@@ -122,41 +122,41 @@
 	}
 }
 
-// changeLinks sets or clears a fault of the links between two zones, and leaves the links' other faults.
-func (p *player) changeLinks(f Fault, on bool) {
+// setLinkFaults sets or clears a fault of the links between two zones, and leaves the links' other faults.
+func (p *player) setLinkFaults(f Fault, active bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changeLink(f, zonePair{f.From, f.To}, on)
+	p.setLinkFault(f, zonePair{f.From, f.To}, active)
 	if f.BothWays {
-		p.changeLink(f, zonePair{f.To, f.From}, on)
+		p.setLinkFault(f, zonePair{f.To, f.From}, active)
 	}
 }
 
-// changeLink is changeLinks for one direction. The caller holds the lock.
-func (p *player) changeLink(f Fault, direction zonePair, on bool) {
+// setLinkFault is setLinkFaults for one direction. The caller holds the lock.
+func (p *player) setLinkFault(f Fault, direction zonePair, active bool) {
 	magnitude := 0.0
-	if on {
+	if active {
 		magnitude = f.Magnitude
 	}
-	link := p.links[direction]
+	linkFault := p.linkFaults[direction]
 	switch f.Kind {
 	case BlockLink:
-		link.Blocked = on
+		linkFault.Blocked = active
 	case LoseDatagrams:
-		link.LossFraction = magnitude
+		linkFault.LossFraction = magnitude
 	case DelayDatagrams:
-		link.Jitter = magnitude
+		linkFault.Jitter = magnitude
 	case LimitBandwidth:
-		link.Bandwidth = magnitude
+		linkFault.Bandwidth = magnitude
 	case ResetStreams:
-		link.Reset = on
+		linkFault.Reset = active
 	}
-	p.links[direction] = link
-	p.cluster.SetLink(direction.from, direction.to, link)
+	p.linkFaults[direction] = linkFault
+	p.cluster.SetLinkFault(direction.from, direction.to, linkFault)
 }
 
-// replace replaces caches, and removes the old ones after drainTime.
-func (p *player) replace(caches []policy.ServerID) error {
+// replaceCaches replaces caches, and removes the old ones after drainTime.
+func (p *player) replaceCaches(caches []policy.ServerID) error {
 	for _, id := range caches {
 		if err := p.cluster.ReplaceCache(id); err != nil {
 			return err
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// disturb gives the servers of caches a fault for the duration of f.
-func (p *player) disturb(ctx context.Context, f Fault, caches []policy.ServerID, fault fleet.Fault) {
+// injectServerFault gives the servers of caches a fault for the duration of f.
+func (p *player) injectServerFault(ctx context.Context, f Fault, caches []policy.ServerID, fault fleet.Fault) {
 	p.setServerFault(caches, fault)
 	f.wait(ctx)
 	p.setServerFault(caches, fleet.Fault{})
--- a/internal/lab/multiprocess/lifecycle.go
+++ b/internal/lab/multiprocess/lifecycle.go
@@ -14,9 +14,9 @@
 // ForEach calls do for each process, for several at a time, and returns the first error.
 func ForEach(processes []*Process, do func(*Process) error) error {
 	var (
-		first error
-		mu    sync.Mutex
-		wait  sync.WaitGroup
+		firstErr error
+		mu       sync.Mutex
+		wait     sync.WaitGroup
 	)
 	slots := make(chan struct{}, concurrencyPerCore*runtime.NumCPU())
 	for _, p := range processes {
@@ -28,14 +28,14 @@
 			if err := do(p); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				if first == nil {
-					first = err
+				if firstErr == nil {
+					firstErr = err
 				}
 			}
 		}()
 	}
 	wait.Wait()
-	return first
+	return firstErr
 }
 
 // With gossip, processes are started in batches of startBatch. Each batch waits until all processes agree on the members, or
--- a/internal/lab/multiprocess/measure_test.go
+++ b/internal/lab/multiprocess/measure_test.go
@@ -28,21 +28,21 @@
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
-		t.Run(text, func(t *testing.T) { measureWithPeers(t, n) })
+		t.Run(text, func(t *testing.T) { measureGossip(t, n) })
 	}
 }
 
 // measureInterval is how often hundreds of processes are queried: more often would be a load of its own.
 const measureInterval = 500 * time.Millisecond
 
-func measureWithPeers(t *testing.T, n int) {
+func measureGossip(t *testing.T, n int) {
 	zones := max(2, n/25)
-	cluster := start(t, multiprocess.Options{
+	cluster := startCluster(t, multiprocess.Options{
 		Seed: 7, Zones: zones, ProcessesPerZone: n / zones, CachesPerZone: 4, Parents: 4, TransferTime: 5, FillTime: 20,
 		Peers: true, Objects: 2000,
 	})
-	agree := func(what string, processes, alive []*multiprocess.Process) {
-		began := time.Now()
+	waitForAgreement := func(event string, processes, alive []*multiprocess.Process) {
+		startedAt := time.Now()
 		var err error
 		if !assert.Eventually(t, func() bool {
 			err = multiprocess.CheckAgreement(processes, alive)
@@ -50,51 +50,51 @@
 		}, multiprocess.ReadyTimeout, measureInterval) {
 			t.Fatal(err)
 		}
-		t.Logf("%d processes, %d zones: %s after %.1f s", len(cluster.Processes), zones, what, time.Since(began).Seconds())
+		t.Logf("%d processes, %d zones: %s after %.1f s", len(cluster.Processes), zones, event, time.Since(startedAt).Seconds())
 	}
-	agree("all agree that all are alive, once the last was ready,", cluster.Processes, cluster.Processes)
+	waitForAgreement("all agree that all are alive, once the last was ready,", cluster.Processes, cluster.Processes)
 
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
 	time.Sleep(settleTime)
 	measureSteadyState(t, cluster)
 
-	var killed, left []*multiprocess.Process
+	var killed, survivors []*multiprocess.Process
 	for i, p := range cluster.Processes {
 		if i%3 == 0 {
 			killed = append(killed, p)
 		} else {
-			left = append(left, p)
+			survivors = append(survivors, p)
 		}
 	}
 	cluster.Kill(killed...)
-	agree("a third was killed: all survivors agree on who is gone", left, left)
+	waitForAgreement("a third was killed: all survivors agree on who is gone", survivors, survivors)
 	require.NoError(t, cluster.Start(killed...))
-	agree("they are back: all agree", cluster.Processes, cluster.Processes)
+	waitForAgreement("they are back: all agree", cluster.Processes, cluster.Processes)
 	stop()
 	require.Empty(t, cluster.Violations())
-	for _, p := range left {
+	for _, p := range survivors {
 		require.Empty(t, cluster.Client(p).Violations())
 	}
 }
 
 // measureSteadyState logs what each process uses, and how accurate its estimates of the caches' load are.
 func measureSteadyState(t *testing.T, cluster *multiprocess.Cluster) {
-	const span = 20.0 // seconds
+	const spanSeconds = 20.0 // seconds
 	before := usageOf(t, cluster)
-	var viewErrors []float64
+	var estimateErrors []float64
 	for range 4 {
-		time.Sleep(span / 4 * time.Second)
-		viewErrors = append(viewErrors, loadEstimateErrors(t, cluster)...)
+		time.Sleep(spanSeconds / 4 * time.Second)
+		estimateErrors = append(estimateErrors, loadEstimateErrors(t, cluster)...)
 	}
 	after := usageOf(t, cluster)
 	perProcess := func(value func(usage) float64) float64 {
-		return (value(after) - value(before)) / span / float64(len(cluster.Processes))
+		return (value(after) - value(before)) / spanSeconds / float64(len(cluster.Processes))
 	}
-	slices.Sort(viewErrors)
-	good := 0
-	for _, e := range viewErrors {
+	slices.Sort(estimateErrors)
+	accurate := 0
+	for _, e := range estimateErrors {
 		if e <= 0.2 {
-			good++
+			accurate++
 		}
 	}
 	var resident []float64
@@ -107,7 +107,7 @@
 		perProcess(func(u usage) float64 { return u.streams })/1000, perProcess(func(u usage) float64 { return u.received })/1000,
 		100*perProcess(func(u usage) float64 { return u.cpu }), resident[len(resident)/2])
 	t.Logf("view of the caches of one's own zone against what the caches saw over the same 3 s: within 20 %% on %.0f %% of %d readings, median error %.2f, 95th percentile %.2f",
-		100*float64(good)/float64(len(viewErrors)), len(viewErrors), viewErrors[len(viewErrors)/2], viewErrors[len(viewErrors)*95/100])
+		100*float64(accurate)/float64(len(estimateErrors)), len(estimateErrors), estimateErrors[len(estimateErrors)/2], estimateErrors[len(estimateErrors)*95/100])
 }
 
 // settleTime is how long processes that joined are given until gossip has levelled out: a start pulls complete states three
@@ -157,30 +157,30 @@
 
 // loadEstimateErrors returns the relative errors of the estimates that one process of each zone has of the load of the caches
 // in its zone, compared with what these caches received in the last three seconds.
-func loadEstimateErrors(t *testing.T, cluster *multiprocess.Cluster) (out []float64) {
+func loadEstimateErrors(t *testing.T, cluster *multiprocess.Cluster) (relativeErrors []float64) {
 	byZone := map[int]*multiprocess.Process{}
 	for _, p := range cluster.Processes {
 		byZone[p.Zone] = p
 	}
 	now := cluster.Clock.Now()
 	received := map[policy.ServerID]float64{}
-	for _, s := range cluster.Fleet.Observations() {
-		if s.At > now-3000 && !s.Probe {
-			received[s.Server] += 1.0 / 3
+	for _, observation := range cluster.Fleet.Observations() {
+		if observation.At > now-3000 && !observation.Probe {
+			received[observation.Server] += 1.0 / 3
 		}
 	}
 	for zone, p := range byZone {
-		v, err := p.FleetView("")
+		view, err := p.FleetView("")
 		require.NoError(t, err)
 		estimates := map[string]float64{}
-		for _, s := range v.Servers {
-			estimates[s.ID] = s.Load.Value
+		for _, server := range view.Servers {
+			estimates[server.ID] = server.Load.Value
 		}
 		for _, id := range cluster.ReadyCaches(zone) {
-			out = append(out, math.Abs(estimates[serverlist.FormatID(id)]-received[id])/max(received[id], 1))
+			relativeErrors = append(relativeErrors, math.Abs(estimates[serverlist.FormatID(id)]-received[id])/max(received[id], 1))
 		}
 	}
-	return out
+	return relativeErrors
 }
 
 // TestMeasureWithoutPeers measures what a process costs at the same traffic without gossip, with the numbers of processes in
@@ -194,24 +194,24 @@
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
 		zones := max(2, n/25)
-		cluster := start(t, multiprocess.Options{
+		cluster := startCluster(t, multiprocess.Options{
 			Seed: 7, Zones: zones, ProcessesPerZone: n / zones, CachesPerZone: 4, Parents: 4, TransferTime: 5, FillTime: 20,
 			Objects: 2000,
 		})
 		stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
 		time.Sleep(settleTime)
-		const span = 20.0
+		const spanSeconds = 20.0
 		before, after, resident := 0.0, 0.0, []float64{}
 		for _, p := range cluster.Processes {
 			before += cpuTime(t, p.PID())
 		}
-		time.Sleep(span * time.Second)
+		time.Sleep(spanSeconds * time.Second)
 		for _, p := range cluster.Processes {
 			after += cpuTime(t, p.PID())
 			resident = append(resident, residentMemory(t, p.PID()))
 		}
 		stop()
 		slices.Sort(resident)
-		t.Logf("%d processes without peers: %.2f %% of a core each; %.1f MB resident (median)", n, 100*(after-before)/span/float64(len(cluster.Processes)), resident[len(resident)/2])
+		t.Logf("%d processes without peers: %.2f %% of a core each; %.1f MB resident (median)", n, 100*(after-before)/spanSeconds/float64(len(cluster.Processes)), resident[len(resident)/2])
 	}
 }
--- a/internal/lab/multiprocess/page.go
+++ b/internal/lab/multiprocess/page.go
@@ -15,7 +15,7 @@
 )
 
 //go:embed page.html
-var page string
+var pageTemplate string
 
 // Colours of the curves, and of the bands that mark faults.
 var (
@@ -28,13 +28,13 @@
 
 // Sizes of the plots, in points.
 const (
-	plotWidth     = 900
-	chartHeight   = 230
-	heatMapFrame  = 60 // height without the rows
-	heatMapRow    = 7  // one for each cache
-	minHeatMap    = 160
-	curveWidth    = 1.4
-	legendReserve = 1.35 // multiple of the highest value up to which the axis goes, so that the legend has room
+	plotWidth        = 900
+	chartHeight      = 230
+	heatMapMargins   = 60 // height without the rows
+	heatMapRowHeight = 7  // one for each cache
+	minHeatMapHeight = 160
+	curveWidth       = 1.4
+	legendHeadroom   = 1.35 // multiple of the highest value up to which the axis goes, so that the legend has room
 )
 
 // minMarkedDuration is how wide, in seconds, a fault is marked at least.
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := template.New("page").Funcs(template.FuncMap{"inc": func(i int) int { return i + 1 }}).Parse(page)
+	t, err := template.New("page").Funcs(template.FuncMap{"inc": func(i int) int { return i + 1 }}).Parse(pageTemplate)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	if heatMap != nil {
-		height := max(minHeatMap, heatMapFrame+heatMapRow*float64(len(r.Caches)))
+		height := max(minHeatMapHeight, heatMapMargins+heatMapRowHeight*float64(len(r.Caches)))
 		drawn, err := report.SVG(heatMap, plotWidth, height)
 		if err != nil {
 			return nil, err
@@ -169,7 +169,7 @@
 		p.Legend.Add(curve.name, line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	p.Y.Max = highest * legendReserve
+	p.Y.Max = highest * legendHeadroom
 	return p, nil
 }
 
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -85,7 +85,7 @@
 			if p.Zone == zone {
 				continue
 			}
-			r, err := startRelay(c.addresses.ip(relayZone+zone, 1+p.Zone), p.PeerAddr, c.options.Seed*1000+uint64(i))
+			r, err := startRelay(c.addresses.ip(relayZoneOffset+zone, 1+p.Zone), p.PeerAddr, c.options.Seed*1000+uint64(i))
 			if err != nil {
 				return err
 			}
@@ -145,15 +145,15 @@
 	return addresses
 }
 
-// SetLink sets the fault of what the processes of one zone send to those of another: their datagrams, and both the streams
+// SetLinkFault sets the fault of what the processes of one zone send to those of another: their datagrams, and both the streams
 // that they open and their answers on streams that the other zone opened.
-func (c *Cluster) SetLink(from, to int, l Link) {
+func (c *Cluster) SetLinkFault(from, to int, fault LinkFault) {
 	for _, p := range c.Processes {
 		if r := c.relays[from][p.Name]; r != nil && p.Zone == to {
-			r.setForward(l)
+			r.setForwardFault(fault)
 		}
 		if r := c.relays[to][p.Name]; r != nil && p.Zone == from {
-			r.setBackward(l)
+			r.setBackwardFault(fault)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	if p.Running() {
 		return fmt.Errorf("change the address of %s: %w", p.Name, ErrRunning)
 	}
-	if p.PeerAddr, err = unusedPort(c.addresses.ip(p.Zone, movedHost)); err != nil {
+	if p.PeerAddr, err = unusedPort(c.addresses.ip(p.Zone, changedHost)); err != nil {
 		return err
 	}
 	for _, relays := range c.relays {
@@ -230,9 +230,9 @@
 
 // CheckAgreement returns nil if each of the processes has exactly the expected ones as alive members, at their present
 // addresses. Otherwise it returns the first MembershipMismatchError, or why a process could not be queried.
-func CheckAgreement(processes, alive []*Process) error {
-	members := make([]string, 0, len(alive))
-	for _, p := range alive {
+func CheckAgreement(processes, expectedAlive []*Process) error {
+	members := make([]string, 0, len(expectedAlive))
+	for _, p := range expectedAlive {
 		members = append(members, p.Name+" "+p.PeerAddr)
 	}
 	expected := peers.MembersFingerprint(members)
@@ -242,7 +242,7 @@
 			return err
 		}
 		if status.Fingerprint != expected {
-			return MembershipMismatchError{Process: p.Name, Alive: status.Alive, Expected: len(alive)}
+			return MembershipMismatchError{Process: p.Name, Alive: status.Alive, Expected: len(expectedAlive)}
 		}
 		return nil
 	})
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -43,7 +43,7 @@
 	p := newPlayer(c, s, progress)
 	stop := c.StartTraffic(func(*Process) float64 { return s.Rate })
 	p.run(ctx)
-	p.injections.Wait()
+	p.pendingInjections.Wait()
 	stop()
 	p.summarize()
 	p.result.Violations = append(c.Violations(), p.clientViolations()...)
@@ -56,20 +56,20 @@
 
 // player plays a scenario in a cluster.
 type player struct {
-	cluster  *Cluster
-	scenario Scenario
-	rng      *rand.Rand
-	progress func(string)
-	result   *Result
-	began    float64 // ms of the cluster's clock
+	cluster   *Cluster
+	scenario  Scenario
+	rng       *rand.Rand
+	progress  func(string)
+	result    *Result
+	startedAt float64 // ms of the cluster's clock
 
-	injections sync.WaitGroup            // faults that are not undone yet
-	affected   map[int][]policy.ServerID // by index of the fault in the timeline
-	previous   Second                    // totals up to the second that was recorded last
+	pendingInjections sync.WaitGroup            // faults that are not undone yet
+	affected          map[int][]policy.ServerID // by index of the fault in the timeline
+	previousTotals    Second                    // totals up to the second that was recorded last
 
 	mu          sync.Mutex        // guards the fields below and result.NotPlayed
 	interrupted map[*Process]bool // killed or suspended: requests in flight at them may be lost
-	links       map[zonePair]Link
+	linkFaults  map[zonePair]LinkFault
 }
 
 // zonePair is a direction between two zones.
@@ -78,16 +78,16 @@
 func newPlayer(c *Cluster, s Scenario, progress func(string)) *player {
 	return &player{
 		cluster: c, scenario: s, rng: rand.New(rand.NewPCG(s.Seed, injectionStream)), progress: progress,
-		result: &Result{Scenario: s, Timeline: s.Timeline()}, began: c.Clock.Now(),
-		affected: map[int][]policy.ServerID{}, interrupted: map[*Process]bool{}, links: map[zonePair]Link{},
+		result: &Result{Scenario: s, Timeline: s.Timeline()}, startedAt: c.Clock.Now(),
+		affected: map[int][]policy.ServerID{}, interrupted: map[*Process]bool{}, linkFaults: map[zonePair]LinkFault{},
 	}
 }
 
 // elapsed returns the seconds since the start.
-func (p *player) elapsed() float64 { return (p.cluster.Clock.Now() - p.began) / 1000 }
+func (p *player) elapsed() float64 { return (p.cluster.Clock.Now() - p.startedAt) / 1000 }
 
-// faultInterval is how often the player checks whether the next fault is due.
-const faultInterval = 10 * time.Millisecond
+// timelineInterval is how often the player checks whether the next fault is due.
+const timelineInterval = 10 * time.Millisecond
 
 // run injects the faults of the timeline and records every second, until the end of the scenario.
 func (p *player) run(ctx context.Context) {
@@ -100,7 +100,7 @@
 				p.affected[next] = p.startInjection(ctx, fault)
 				next++
 			}
-			time.Sleep(faultInterval)
+			time.Sleep(timelineInterval)
 		}
 		p.recordSecond(second)
 	}
@@ -114,10 +114,10 @@
 		Requested: totals.Requested, Served: totals.Served, Rejected: totals.Rejected - totals.Retried, Failed: totals.Failed, Lost: totals.Lost,
 	}
 	recorded := Second{
-		Requested: current.Requested - p.previous.Requested, Served: current.Served - p.previous.Served,
-		Rejected: current.Rejected - p.previous.Rejected, Failed: current.Failed - p.previous.Failed, Lost: current.Lost - p.previous.Lost,
+		Requested: current.Requested - p.previousTotals.Requested, Served: current.Served - p.previousTotals.Served,
+		Rejected: current.Rejected - p.previousTotals.Rejected, Failed: current.Failed - p.previousTotals.Failed, Lost: current.Lost - p.previousTotals.Lost,
 	}
-	p.previous = current
+	p.previousTotals = current
 	alive := AliveCount{Second: second, Least: len(p.cluster.Processes) + 1}
 	var mu sync.Mutex
 	_ = ForEach(p.cluster.Processes, func(q *Process) error {
--- a/internal/lab/multiprocess/proxy_configuration.go
+++ b/internal/lab/multiprocess/proxy_configuration.go
@@ -108,7 +108,7 @@
 			Rules: serverRules{
 				DrainGraceUs: microseconds(drainGrace), ColdCapacity: 0.25, OverloadMultiple: 2, OverloadRecoveryUs: 1_000_000, WarmUpUs: 10_000_000,
 			},
-			Classes:   classesSettings(c.options.Classes),
+			Classes:   convertClasses(c.options.Classes),
 			Hierarchy: c.hierarchySettings(),
 		},
 	})
@@ -119,8 +119,8 @@
 	return c.options.Seed*1_000_003 + uint64(p.starts)<<32 + hashName(p.Name)
 }
 
-func classesSettings(classes []load.Class) []classSettings {
-	out := make([]classSettings, 0, len(classes))
+func convertClasses(classes []load.Class) []classSettings {
+	converted := make([]classSettings, 0, len(classes))
 	for _, class := range classes {
 		s := classSettings{
 			Name: class.Name, Effect: "idempotent", LatencyObjectiveUs: 400_000, DeadlineUs: microseconds(class.DeadlineMs),
@@ -130,9 +130,9 @@
 			s.Effect = "at_most_once"
 			s.PriorityWeight = 3
 		}
-		out = append(out, s)
+		converted = append(converted, s)
 	}
-	return out
+	return converted
 }
 
 func (c *Cluster) hierarchySettings() hierarchySettings {
--- a/internal/lab/multiprocess/relay.go
+++ b/internal/lab/multiprocess/relay.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Link is the fault of one direction between two zones. The zero value passes everything at once.
-type Link struct {
+// LinkFault is the fault of one direction between two zones. The zero value passes everything at once.
+type LinkFault struct {
 	Blocked           bool    // datagrams are lost and streams stall; connections stay open
 	LossFraction      float64 // of datagrams
 	DuplicateFraction float64 // of datagrams
@@ -39,14 +39,14 @@
 	udp *net.UDPConn
 	tcp net.Listener
 
-	mu       sync.Mutex
-	target   string
-	forward  Link
-	backward Link      // of the target's answers on streams
-	idleAt   time.Time // when the queue of the link with limited bandwidth is empty
-	rng      *rand.Rand
-	conns    map[net.Conn]struct{}
-	closed   bool
+	mu            sync.Mutex
+	target        string
+	forwardFault  LinkFault
+	backwardFault LinkFault // of the target's answers on streams
+	queueEmptyAt  time.Time // when the queue of the link with limited bandwidth is empty
+	rng           *rand.Rand
+	conns         map[net.Conn]struct{}
+	closed        bool
 }
 
 // startRelay opens a relay at an IP address, with the same port for datagrams and streams.
@@ -69,24 +69,24 @@
 
 func (r *relay) addr() string { return r.tcp.Addr().String() }
 
-// setForward sets the fault towards the target.
-func (r *relay) setForward(l Link) {
+// setForwardFault sets the fault towards the target.
+func (r *relay) setForwardFault(fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forward = l
-	r.resetIf(l.Reset)
+	r.forwardFault = fault
+	r.resetStreamsIf(fault.Reset)
 }
 
-// setBackward sets the fault of the target's answers on streams.
-func (r *relay) setBackward(l Link) {
+// setBackwardFault sets the fault of the target's answers on streams.
+func (r *relay) setBackwardFault(fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.backward = l
-	r.resetIf(l.Reset)
+	r.backwardFault = fault
+	r.resetStreamsIf(fault.Reset)
 }
 
-// resetIf resets all connections if reset is set. The caller holds the lock.
-func (r *relay) resetIf(reset bool) {
+// resetStreamsIf resets all connections if reset is set. The caller holds the lock.
+func (r *relay) resetStreamsIf(reset bool) {
 	if !reset {
 		return
 	}
@@ -109,15 +109,15 @@
 }
 
 // enqueue returns for how many ms a datagram queues on a link, and whether the queue is full. The caller holds the lock.
-func (r *relay) enqueue(l Link, bytes int) (wait float64, full bool) {
-	if l.Bandwidth <= 0 {
+func (r *relay) enqueue(fault LinkFault, bytes int) (wait float64, full bool) {
+	if fault.Bandwidth <= 0 {
 		return 0, false
 	}
-	if wait = max(0, milliseconds(time.Until(r.idleAt))); wait > maxQueueTime {
+	if wait = max(0, milliseconds(time.Until(r.queueEmptyAt))); wait > maxQueueTime {
 		return 0, true
 	}
-	wait += float64(bytes) / l.Bandwidth // a KB/s is a byte a ms
-	r.idleAt = time.Now().Add(duration(wait))
+	wait += float64(bytes) / fault.Bandwidth // a KB/s is a byte a ms
+	r.queueEmptyAt = time.Now().Add(duration(wait))
 	return wait, false
 }
 
@@ -135,20 +135,20 @@
 // forwardDatagram sends a datagram on, as the fault of the link says: not at all, later, or twice.
 func (r *relay) forwardDatagram(datagram []byte) {
 	r.mu.Lock()
-	link, target := r.forward, r.target
-	lost := r.rng.Float64() < link.LossFraction
-	twice := r.rng.Float64() < link.DuplicateFraction
-	wait := link.Delay + r.rng.Float64()*link.Jitter
-	queueTime, full := r.enqueue(link, len(datagram))
+	fault, target := r.forwardFault, r.target
+	lost := r.rng.Float64() < fault.LossFraction
+	twice := r.rng.Float64() < fault.DuplicateFraction
+	wait := fault.Delay + r.rng.Float64()*fault.Jitter
+	queueTime, full := r.enqueue(fault, len(datagram))
 	r.mu.Unlock()
-	to, err := net.ResolveUDPAddr("udp", target)
-	if err != nil || link.Blocked || lost || full {
+	addr, err := net.ResolveUDPAddr("udp", target)
+	if err != nil || fault.Blocked || lost || full {
 		return
 	}
 	send := func() {
-		_, _ = r.udp.WriteToUDP(datagram, to)
+		_, _ = r.udp.WriteToUDP(datagram, addr)
 		if twice {
-			_, _ = r.udp.WriteToUDP(datagram, to)
+			_, _ = r.udp.WriteToUDP(datagram, addr)
 		}
 	}
 	wait += queueTime
@@ -172,33 +172,33 @@
 // serveStream copies between a connection and a new one to the target, until one direction ends.
 func (r *relay) serveStream(nc net.Conn) {
 	defer nc.Close()
-	if !r.add(nc) {
+	if !r.register(nc) {
 		return
 	}
-	defer r.remove(nc)
+	defer r.unregister(nc)
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	out, err := net.DialTimeout("tcp", target, dialTimeout)
+	targetConn, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer out.Close()
-	if !r.add(out) {
+	defer targetConn.Close()
+	if !r.register(targetConn) {
 		return
 	}
-	defer r.remove(out)
+	defer r.unregister(targetConn)
 	done := make(chan struct{}, 2)
-	go func() { r.copy(out, nc, &r.forward); done <- struct{}{} }()
-	go func() { r.copy(nc, out, &r.backward); done <- struct{}{} }()
+	go func() { r.copy(targetConn, nc, &r.forwardFault); done <- struct{}{} }()
+	go func() { r.copy(nc, targetConn, &r.backwardFault); done <- struct{}{} }()
 	<-done
 }
 
-// add registers a connection. It resets the connection and returns false if streams are reset now or the relay is closed.
-func (r *relay) add(nc net.Conn) bool {
+// register registers a connection. It resets the connection and returns false if streams are reset now or the relay is closed.
+func (r *relay) register(nc net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.forward.Reset || r.backward.Reset {
+	if r.closed || r.forwardFault.Reset || r.backwardFault.Reset {
 		abort(nc)
 		return false
 	}
@@ -206,19 +206,19 @@
 	return true
 }
 
-func (r *relay) remove(nc net.Conn) {
+func (r *relay) unregister(nc net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, nc)
 }
 
 // copy forwards one direction of a stream through a link, which may change meanwhile, until either end fails.
-func (r *relay) copy(to io.Writer, from io.Reader, link *Link) {
+func (r *relay) copy(to io.Writer, from io.Reader, fault *LinkFault) {
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			r.delayStream(link, n)
+			r.delayStream(fault, n)
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -230,27 +230,27 @@
 }
 
 // delayStream waits until a link is not blocked, and then for as long as the bytes take on it.
-func (r *relay) delayStream(link *Link, bytes int) {
-	now := r.current(link)
-	for ; now.Blocked; now = r.current(link) {
+func (r *relay) delayStream(fault *LinkFault, bytes int) {
+	current := r.currentFault(fault)
+	for ; current.Blocked; current = r.currentFault(fault) {
 		time.Sleep(blockedInterval)
 	}
-	wait := now.Delay
-	if now.Bandwidth > 0 {
-		wait += float64(bytes) / now.Bandwidth
+	wait := current.Delay
+	if current.Bandwidth > 0 {
+		wait += float64(bytes) / current.Bandwidth
 	}
 	if wait > 0 {
 		time.Sleep(duration(wait))
 	}
 }
 
-// current returns the present fault of a link, which is never blocked once the relay is closed.
-func (r *relay) current(link *Link) Link {
+// currentFault returns the present fault of a link, which is never blocked once the relay is closed.
+func (r *relay) currentFault(fault *LinkFault) LinkFault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := *link
-	l.Blocked = l.Blocked && !r.closed
-	return l
+	current := *fault
+	current.Blocked = current.Blocked && !r.closed
+	return current
 }
 
 // close ends the relay and all its streams.
--- a/internal/lab/multiprocess/rolling_restart_test.go
+++ b/internal/lab/multiprocess/rolling_restart_test.go
@@ -35,7 +35,7 @@
 	os.Exit(code)
 }
 
-func start(t *testing.T, o multiprocess.Options) *multiprocess.Cluster {
+func startCluster(t *testing.T, o multiprocess.Options) *multiprocess.Cluster {
 	o.Program, o.Dir = program, t.TempDir()
 	cluster, err := multiprocess.New(o)
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 // 200 is lost, fails or is finally rejected.
 func TestRollingRestartBreaksNoRule(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 10, CachesPerZone: 6, Parents: 2, TransferTime: 3, FillTime: 15})
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 10, CachesPerZone: 6, Parents: 2, TransferTime: 3, FillTime: 15})
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 15 })
 	replaced := append(cluster.ReadyCaches(0)[:3:3], cluster.ReadyCaches(1)[:3]...)
 	tenth := len(cluster.Processes) / 10
@@ -68,9 +68,9 @@
 			cluster.Purge("", 17)
 			cluster.DiscoveryListener.Stall(false)
 		}
-		some := cluster.Processes[step*tenth : (step+1)*tenth]
-		require.NoError(t, cluster.Stop(some...))
-		require.NoError(t, cluster.Start(some...))
+		batch := cluster.Processes[step*tenth : (step+1)*tenth]
+		require.NoError(t, cluster.Stop(batch...))
+		require.NoError(t, cluster.Start(batch...))
 	}
 	for _, id := range replaced {
 		require.NoError(t, cluster.RemoveCache(id))
@@ -85,9 +85,9 @@
 	require.Greater(t, totals.Served, 2000)
 	unserved := totals.Lost + totals.Failed + max(0, totals.Rejected-totals.Retried)
 	require.LessOrEqual(t, unserved, totals.Requested/200, "%+v", totals)
-	for _, c := range cluster.Fleet.Counts() {
-		if !slices.Contains(replaced, c.Server) && c.Role == 0 {
-			require.Positive(t, c.Attempts, "cache %d, which was added or stayed, gets traffic", c.Server)
+	for _, counts := range cluster.Fleet.Counts() {
+		if !slices.Contains(replaced, counts.Server) && counts.Role == 0 {
+			require.Positive(t, counts.Attempts, "cache %d, which was added or stayed, gets traffic", counts.Server)
 		}
 	}
 }
--- a/internal/lab/multiprocess/scenario_test.go
+++ b/internal/lab/multiprocess/scenario_test.go
@@ -39,9 +39,9 @@
 	s.Faults, s.RandomFaults = first, 0
 	encoded, err := os.ReadFile(writeScenario(t, s))
 	require.NoError(t, err)
-	again, defects := multiprocess.ParseScenario("again", encoded)
+	reparsed, defects := multiprocess.ParseScenario("again", encoded)
 	require.Empty(t, defects)
-	require.Equal(t, first, again.Timeline())
+	require.Equal(t, first, reparsed.Timeline())
 }
 
 func writeScenario(t *testing.T, s multiprocess.Scenario) string {
@@ -57,20 +57,20 @@
 	s.Name, s.Seconds, s.RandomFaults, s.Seed = "drawn", 8, 5, 3
 	dir := t.TempDir()
 	faults := 0
-	r, err := multiprocess.Play(context.Background(), s, program, dir, func(string) { faults++ })
+	result, err := multiprocess.Play(context.Background(), s, program, dir, func(string) { faults++ })
 	require.NoError(t, err)
-	require.Empty(t, r.Violations)
+	require.Empty(t, result.Violations)
 	require.Equal(t, 5, faults)
-	require.Len(t, r.Seconds, 8)
-	require.NotEmpty(t, r.Alive)
+	require.Len(t, result.Seconds, 8)
+	require.NotEmpty(t, result.Alive)
 	encoded, err := os.ReadFile(filepath.Join(dir, "scenario.json"))
 	require.NoError(t, err)
-	again, defects := multiprocess.ParseScenario("again", encoded)
+	reparsed, defects := multiprocess.ParseScenario("again", encoded)
 	require.Empty(t, defects)
-	require.Equal(t, r.Timeline, again.Timeline())
+	require.Equal(t, result.Timeline, reparsed.Timeline())
 	require.FileExists(t, filepath.Join(dir, "result.json"))
 	var page bytes.Buffer
-	require.NoError(t, multiprocess.WritePage(&page, r))
+	require.NoError(t, multiprocess.WritePage(&page, result))
 	require.Contains(t, page.String(), "<svg")
 	require.NotContains(t, page.String(), "http-equiv")
 }
--- a/internal/lab/multiprocess/summary.go
+++ b/internal/lab/multiprocess/summary.go
@@ -57,7 +57,7 @@
 }
 
 // secondsAt returns when an attempt was observed, in seconds since the start.
-func (p *player) secondsAt(o fleet.Observation) float64 { return (o.At - p.began) / 1000 }
+func (p *player) secondsAt(o fleet.Observation) float64 { return (o.At - p.startedAt) / 1000 }
 
 // cacheZones returns the zones of the caches that are ready.
 func (p *player) cacheZones() map[policy.ServerID]int {
--- a/internal/lab/multiprocess/zone_loss_test.go
+++ b/internal/lab/multiprocess/zone_loss_test.go
@@ -16,10 +16,10 @@
 // and every process serves.
 func TestZoneReturnsWithoutCopiesDuringPurge(t *testing.T) {
 	t.Parallel()
-	cluster := start(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 4, Parents: 2, TransferTime: 3, FillTime: 15})
+	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 4, Parents: 2, TransferTime: 3, FillTime: 15})
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 20 })
 	time.Sleep(2 * time.Second)
-	restarted, zone := cluster.Processes[0], cluster.ReadyCaches(0)
+	restarted, caches := cluster.Processes[0], cluster.ReadyCaches(0)
 	lost := cluster.ReadyCaches(0)
 	cluster.KillCaches(lost...)
 	for group := range fleet.Groups / 2 {
@@ -30,7 +30,7 @@
 	time.Sleep(time.Second)
 	require.NoError(t, cluster.RestartCaches(lost...))
 	require.NoError(t, cluster.Start(restarted))
-	n := len(cluster.Fleet.Observations())
+	observed := len(cluster.Fleet.Observations())
 	served := map[*multiprocess.Process]int{}
 	for _, p := range cluster.Processes {
 		served[p] = cluster.Served(p)
@@ -39,17 +39,17 @@
 	time.Sleep(9 * time.Second)
 	stop()
 	require.Empty(t, cluster.Violations())
-	used := map[policy.ServerID]int{}
-	for _, s := range cluster.Fleet.ObservationsAfter(n) {
-		used[s.Server]++
+	attempts := map[policy.ServerID]int{}
+	for _, s := range cluster.Fleet.ObservationsAfter(observed) {
+		attempts[s.Server]++
 	}
-	for _, id := range zone {
-		require.Positive(t, used[id], "cache %d gets traffic again", id)
+	for _, id := range caches {
+		require.Positive(t, attempts[id], "cache %d gets traffic again", id)
 	}
 	for _, p := range cluster.Processes {
 		require.Greater(t, cluster.Served(p), served[p], p.Name)
-		for _, w := range cluster.Client(p).Violations() {
-			require.Same(t, restarted, p, "%s: %s", p.Name, w)
+		for _, violation := range cluster.Client(p).Violations() {
+			require.Same(t, restarted, p, "%s: %s", p.Name, violation)
 		}
 	}
 }
