--- a/internal/lab/multiprocess/fault.go
+++ b/internal/lab/multiprocess/fault.go
@@ -7,55 +7,55 @@
 	"slices"
 )
 
-// AllZones as the zone of a fault means that it is not limited to one.
+// AllZones as the zone of a fault means that the fault is not limited to one zone.
 const AllZones = -1
 
-// Fault is one fault of a scenario. Which fields apply depends on the kind.
+// Fault is one fault of a scenario. Its kind determines which of the other fields apply.
 type Fault struct {
-	At       float64   `json:"at_s"`
-	Duration float64   `json:"for_s"` // seconds, after which the fault is undone; 0 for kill: never
+	At       float64   `json:"at_s"`  // seconds from the start of the scenario
+	Duration float64   `json:"for_s"` // seconds until the fault is undone; 0 with kind kill: the processes are not started again
 	Kind     FaultKind `json:"kind"`
-	Fraction float64   `json:"share"` // of the processes or caches, which are drawn from the seed
+	Fraction float64   `json:"share"` // of the processes or caches; which ones are drawn from the scenario's seed
 	Zone     int       `json:"zone"`  // of the processes or caches, or AllZones
 	From     int       `json:"from"`  // faults of links: the sending zone
 	To       int       `json:"to"`    // faults of links: the receiving zone
-	BothWays bool      `json:"both"`  // faults of links: also from To to From
-	// Magnitude depends on the kind: loss and purge a fraction, jitter and slow ms, narrow KB/s.
+	BothWays bool      `json:"both"`  // faults of links: also in the direction from To to From
+	// Magnitude is a fraction with the kinds loss and purge, ms with jitter and slow, and KB/s with narrow.
 	Magnitude float64 `json:"size"`
 }
 
-// FaultKind is what a fault does, by its name in a file.
+// FaultKind is the kind of a fault, as it is named in scenario files.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	KillProcesses    FaultKind = "kill"    // by SIGKILL; they are started again if the fault has a duration
-	RestartProcesses FaultKind = "restart" // by SIGTERM, one after the other
-	SuspendProcesses FaultKind = "stop"    // by SIGSTOP
-	BlockLink        FaultKind = "cut"
+	RestartProcesses FaultKind = "restart" // stopped by SIGTERM and started again, one after the other
+	SuspendProcesses FaultKind = "stop"    // by SIGSTOP; SIGCONT ends it
+	BlockLink        FaultKind = "cut"     // datagrams are lost and streams stall
 	LoseDatagrams    FaultKind = "loss"
 	DelayDatagrams   FaultKind = "jitter"
 	LimitBandwidth   FaultKind = "narrow"
 	ResetStreams     FaultKind = "reset"
-	LoseZone         FaultKind = "lose"    // all caches of a zone; they restart without copies
-	CrashCaches      FaultKind = "crash"   // they restart without copies
-	ReplaceCaches    FaultKind = "replace" // they drain while others start
+	LoseZone         FaultKind = "lose"    // all caches of a zone are killed; they restart without copies
+	CrashCaches      FaultKind = "crash"   // caches are killed; they restart without copies
+	ReplaceCaches    FaultKind = "replace" // caches drain while new ones start
 	SlowCaches       FaultKind = "slow"
 	FailingCaches    FaultKind = "fail"   // they answer with errors
 	SilentCaches     FaultKind = "silent" // they do not answer
-	PurgeGroups      FaultKind = "purge"
-	MoveDiscovery    FaultKind = "move" // and reload the processes
+	PurgeGroups      FaultKind = "purge"  // a fraction of the groups of objects is purged
+	MoveDiscovery    FaultKind = "move"   // the discovery service, to another address; processes reload their configuration
 )
 
-// faultTraits are which fields a kind of fault needs.
+// faultTraits says which fields of Fault a kind uses.
 type faultTraits struct {
-	fraction     bool
-	link         bool
-	caches       bool    // the fault affects caches, whose load is then measured
+	fraction     bool    // Fraction
+	link         bool    // From, To and BothWays
+	caches       bool    // the fault affects caches, and the reaction of their load is measured
 	maxMagnitude float64 // 0: the kind has no magnitude
 }
 
-// faultKinds are all kinds of faults.
+// faultKinds holds the traits of every kind of fault.
 var faultKinds = map[FaultKind]faultTraits{
 	KillProcesses:    {fraction: true},
 	RestartProcesses: {fraction: true},
@@ -75,13 +75,14 @@
 	MoveDiscovery:    {},
 }
 
-// String returns the fault in the form of a file.
+// String returns the fault in JSON, as in a scenario file.
 func (f Fault) String() string {
 	encoded, _ := json.Marshal(f) // cannot fail: plain values
 	return string(encoded)
 }
 
-// Random faults are drawn from these kinds, in this order, and from linkKinds where there are links.
+// The kinds of which random faults are drawn: randomKinds, and also linkKinds if processes of several zones gossip. The order
+// determines which faults a seed draws.
 var (
 	randomKinds = []FaultKind{
 		KillProcesses, RestartProcesses, SuspendProcesses, LoseZone, CrashCaches, ReplaceCaches, SlowCaches, FailingCaches, SilentCaches,
@@ -90,15 +91,14 @@
 	linkKinds = []FaultKind{BlockLink, LoseDatagrams, DelayDatagrams, LimitBandwidth, ResetStreams}
 )
 
-// Random faults begin within the first lastRandomStart of a scenario and last at most maxRandomDuration of it, and at least
-// minRandomDuration seconds.
+// Bounds of the start and duration of random faults.
 const (
-	lastRandomStart   = 0.7
-	maxRandomDuration = 0.2
-	minRandomDuration = 1
+	lastRandomStart   = 0.7 // fraction of the scenario's time
+	maxRandomDuration = 0.2 // fraction of the scenario's time, added to minRandomDuration
+	minRandomDuration = 1   // seconds
 )
 
-// Streams of the random number generators that use a scenario's seed.
+// Second seeds of the random number generators whose first seed is the scenario's, so that their sequences differ.
 const (
 	timelineStream  = 3
 	injectionStream = 4
@@ -120,7 +120,7 @@
 	return timeline
 }
 
-// randomFault draws a fault. Equal seeds must keep drawing equal faults, so the number and order of draws stay as they are.
+// randomFault draws a fault. The number and order of draws must not change, so that a seed keeps drawing the same faults.
 func (s Scenario) randomFault(rng *rand.Rand, kinds []FaultKind) Fault {
 	f := Fault{
 		At:       rng.Float64() * s.Seconds * lastRandomStart,
--- a/internal/lab/multiprocess/inject.go
+++ b/internal/lab/multiprocess/inject.go
@@ -10,10 +10,11 @@
 	"ravenwheel/policy"
 )
 
-// drainTime is how long a cache that is replaced drains before it is removed.
+// drainTime is how long a replaced cache drains before it is removed.
 const drainTime = 8 * time.Second
 
-// startInjection injects a fault and undoes it after its duration, in the background. It returns the caches that it affects.
+// startInjection injects a fault and undoes it after its duration, in a goroutine. It returns the caches whose load the fault
+// affects.
 func (p *player) startInjection(ctx context.Context, f Fault) []policy.ServerID {
 	processes := p.drawProcesses(f)
 	caches := p.drawCaches(f)
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// inject carries out a fault and undoes it after its duration.
+// inject injects a fault into the given processes or caches, and undoes it after its duration.
 func (p *player) inject(ctx context.Context, f Fault, processes []*Process, caches []policy.ServerID) error {
 	switch f.Kind {
 	case KillProcesses:
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// wait waits for the duration of the fault, or until the scenario is cancelled.
+// wait waits for the duration of the fault, or until ctx is cancelled.
 func (f Fault) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -122,7 +123,7 @@
 	}
 }
 
-// setLinkFaults sets or clears a fault of the links between two zones, and leaves the links' other faults.
+// setLinkFaults sets a fault of the link between two zones, or clears it if active is not set. Other faults of the link stay.
 func (p *player) setLinkFaults(f Fault, active bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// setLinkFault is setLinkFaults for one direction. The caller holds the lock.
+// setLinkFault does what setLinkFaults does for one direction. The caller holds the lock.
 func (p *player) setLinkFault(f Fault, direction zonePair, active bool) {
 	magnitude := 0.0
 	if active {
@@ -155,7 +156,7 @@
 	p.cluster.SetLinkFault(direction.from, direction.to, linkFault)
 }
 
-// replaceCaches replaces caches, and removes the old ones after drainTime.
+// replaceCaches drains caches while new ones start, and removes the drained ones after drainTime.
 func (p *player) replaceCaches(caches []policy.ServerID) error {
 	for _, id := range caches {
 		if err := p.cluster.ReplaceCache(id); err != nil {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// injectServerFault gives the servers of caches a fault for the duration of f.
+// injectServerFault sets a fault at the stand-ins of caches for the duration of f.
 func (p *player) injectServerFault(ctx context.Context, f Fault, caches []policy.ServerID, fault fleet.Fault) {
 	p.setServerFault(caches, fault)
 	f.wait(ctx)
@@ -186,7 +187,7 @@
 	}
 }
 
-// moveDiscovery moves the discovery service to another address and reloads the processes that run.
+// moveDiscovery moves the discovery service to another address and makes the running processes reload their configuration.
 func (p *player) moveDiscovery() error {
 	previous, err := p.cluster.MoveDiscovery()
 	if err != nil {
@@ -196,7 +197,7 @@
 	return p.cluster.Reload(p.cluster.running()...)
 }
 
-// drawProcesses draws the processes that a fault affects from those in rotation.
+// drawProcesses draws, from the processes in rotation, those that a fault affects.
 func (p *player) drawProcesses(f Fault) []*Process {
 	if !faultKinds[f.Kind].fraction {
 		return nil
@@ -210,7 +211,7 @@
 	return drawFraction(p, candidates, f.Fraction)
 }
 
-// drawCaches draws the caches that a fault affects from those that are ready.
+// drawCaches draws, from the ready caches, those that a fault affects.
 func (p *player) drawCaches(f Fault) []policy.ServerID {
 	if f.Kind == LoseZone {
 		return p.cluster.ReadyCaches(max(0, f.Zone))
@@ -227,7 +228,7 @@
 	return drawFraction(p, candidates, f.Fraction)
 }
 
-// inZone reports whether the fault affects a zone.
+// inZone reports whether the fault may affect processes or caches of a zone.
 func (f Fault) inZone(zone int) bool { return f.Zone < 0 || f.Zone == zone }
 
 // drawFraction draws a fraction of the candidates, at least one if there are any.
--- a/internal/lab/multiprocess/scenario.go
+++ b/internal/lab/multiprocess/scenario.go
@@ -11,8 +11,8 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Scenario describes a cluster, its traffic and its faults, as a file in JSON with comments does. Times of faults are in
-// seconds from when all processes are ready and traffic starts.
+// Scenario describes a cluster, its traffic and its faults. Its file is JSON with comments. Times of faults are in seconds since
+// all processes were ready and traffic started.
 type Scenario struct {
 	Name             string  `json:"name"`
 	Seed             uint64  `json:"seed"`
@@ -27,10 +27,10 @@
 	Objects          int     `json:"objects"`
 	Peers            bool    `json:"peers"`
 	Faults           []Fault `json:"faults"`
-	RandomFaults     int     `json:"draw"` // number of faults that are drawn from the seed, in addition
+	RandomFaults     int     `json:"draw"` // number of random faults, drawn from the seed, in addition to Faults
 }
 
-// DefaultScenario has the values of keys that a file leaves out.
+// DefaultScenario returns the values of the keys that a file leaves out.
 func DefaultScenario() Scenario {
 	return Scenario{
 		Seed: 1, Seconds: 30, Zones: 2, ProcessesPerZone: 4, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Rate: 10,
@@ -38,23 +38,23 @@
 	}
 }
 
-// Bounds of a scenario: what one machine can run.
+// Bounds of a scenario that one machine can run.
 const (
 	maxProcesses    = 400 // in all zones
 	maxCaches       = 400 // in all zones
 	maxZones        = 100
 	maxParents      = 100
 	maxSeconds      = 3600
-	maxServerTime   = 10_000 // of a transfer or a fill, in ms
+	maxServerTime   = 10_000 // time of a transfer or a fill, in ms
 	minRate         = 0.1    // requests per second
 	maxRate         = 2000
 	maxObjects      = 1e6
 	maxRandomFaults = 100
-	// minPositive is the least fraction or magnitude of a fault that has an effect.
+	// minPositive is the least fraction or magnitude of a fault, so that every fault has an effect.
 	minPositive = 0.0001
 )
 
-// ParseScenario reads the text of a file. It returns every defect, with its line.
+// ParseScenario parses the text of a scenario file. It returns all defects, with their lines.
 func ParseScenario(file string, text []byte) (Scenario, strictjson.Defects) {
 	s := DefaultScenario()
 	doc := strictjson.Decode(file, text, &s)
@@ -99,10 +99,10 @@
 		c.CountWithin(path+".from", f.From, 0, lastZone)
 		c.CountWithin(path+".to", f.To, 0, lastZone)
 		if f.From == f.To {
-			c.Failf(path, "%s is between two zones, not within zone %d", f.Kind, f.From)
+			c.Failf(path, "%s needs two different zones, but from and to are both %d", f.Kind, f.From)
 		}
 		if !s.Peers {
-			c.Failf(path+".kind", "%s needs peers: without them no process sends to another", f.Kind)
+			c.Failf(path+".kind", "%s needs \"peers\": true, since only processes that gossip send to each other", f.Kind)
 		}
 	}
 	if traits.maxMagnitude > 0 {
@@ -110,7 +110,7 @@
 	}
 }
 
-// kindNames returns the kinds of faults, for messages.
+// kindNames returns the names of the kinds of faults, sorted, for messages.
 func kindNames() string {
 	names := make([]string, 0, len(faultKinds))
 	for _, kind := range slices.Sorted(maps.Keys(faultKinds)) {
@@ -119,7 +119,7 @@
 	return strings.Join(names, ", ")
 }
 
-// JSON returns the scenario in the form of a file.
+// JSON returns the scenario as the content of a scenario file.
 func (s Scenario) JSON() []byte {
 	encoded, _ := json.MarshalIndent(s, "", "  ") // cannot fail: plain values
 	return append(encoded, '\n')
--- a/internal/lab/multiprocess/scenario_test.go
+++ b/internal/lab/multiprocess/scenario_test.go
@@ -12,12 +12,13 @@
 	"ravenwheel/internal/lab/multiprocess"
 )
 
-// Defects of a file are reported with their places. Equal seeds draw equal timelines, which are valid in a file.
+// Defects of a scenario file are reported with their lines and columns, and the files in lab/field have none. A seed always draws the
+// same timeline, which is valid in a scenario file.
 func TestParseScenarioAndDrawTimeline(t *testing.T) {
 	_, defects := multiprocess.ParseScenario("f", []byte("{\"zones\": 2, // two\n \"seconds\": 0,\n \"faults\": [{\"kind\": \"kil\", \"at_s\": 1},\n {\"kind\": \"cut\", \"from\": 1, \"to\": 1},\n {\"kind\": \"kill\", \"at_s\": 99}]}"))
 	require.Equal(t, `f:2:13: seconds 0 is not 1 to 3600
 f:3:22: kind "kil" is none of crash, cut, fail, jitter, kill, lose, loss, move, narrow, purge, replace, reset, restart, silent, slow, stop
-f:4:2: cut is between two zones, not within zone 1
+f:4:2: cut needs two different zones, but from and to are both 1
 f:5:2: share 0 is not 0.0001 to 1
 f:5:27: at_s 99 is not 0 to 0`, defects.Error())
 	files, err := filepath.Glob("../../../lab/field/*.jsonc")
@@ -50,7 +51,8 @@
 	return path
 }
 
-// A scenario with random faults breaks no rule. It leaves a scenario file that can be replayed, and a page.
+// Playing a scenario with random faults breaks no rule. It writes a scenario file that can be replayed, and its result can be
+// written as a page.
 func TestPlayRandomFaults(t *testing.T) {
 	t.Parallel()
 	s := multiprocess.DefaultScenario()
