--- a/internal/lab/multiprocess/addresses.go
+++ b/internal/lab/multiprocess/addresses.go
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// Host numbers within a zone's part of an address range. Processes have the numbers from 1 on.
+// Host numbers, which are the last byte of the addresses of a zone. The zone's processes are numbered from 1.
 const (
-	changedHost = 200 // a process that ChangePeerAddress moved
-	serverHost  = 250 // the stand-ins
+	changedHost = 200 // a process whose gossip address ChangePeerAddress replaced
+	serverHost  = 250 // all stand-in servers of the zone
 )
 
-// relayZoneOffset is added to the number of a zone for the addresses of the relays through which it sends.
+// relayZoneOffset is added to the number of a zone in the addresses of the relays through which its processes send.
 const relayZoneOffset = 100
 
-// addressRange is the part of 127.0.0.0/8 that one cluster uses. Every process has an IP address of its own, so that nothing
-// else takes its port while it is restarted.
+// addressRange is the part of 127.0.0.0/8 that one cluster uses. Every process has an IP address of its own, so that no other
+// program takes its port while it is restarted.
 type addressRange struct{ number int }
 
-// clusterCount counts the clusters of this process, each of which gets a range of its own.
+// clusterCount is the number of clusters that this process has created, each of which has an address range of its own.
 var clusterCount atomic.Int64
 
 func newAddressRange() addressRange { return addressRange{int(clusterCount.Add(1))} }
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+(os.Getpid()*5+a.number)%64, zone+1, host)
 }
 
-// unusedPort returns the IP address with a port that the kernel chose.
+// unusedPort returns the IP address with a port on which nothing listens now. The kernel chooses the port.
 func unusedPort(ip string) (string, error) {
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
--- a/internal/lab/multiprocess/build_tags_test.go
+++ b/internal/lab/multiprocess/build_tags_test.go
@@ -2,5 +2,5 @@
 
 package multiprocess_test
 
-// tags that the program is built with: those of the tests.
+// tags are the build tags of the proxy's binary: the same as those of the tests.
 const tags = ""
--- a/internal/lab/multiprocess/cluster.go
+++ b/internal/lab/multiprocess/cluster.go
@@ -1,7 +1,7 @@
 // Package multiprocess runs many real proxy processes on loopback, with stand-ins for everything they talk to: cache servers,
-// parents, the origin, the discovery service and clients. It injects faults on a timeline and checks the rules by what the
-// stand-ins and clients observed, never by what a process reports of itself. It needs no privileges, and it signals only
-// processes that it started. Its scenarios are played by "ravenlab field".
+// parents, the origin, the discovery service and clients. It injects faults on a timeline and checks the proxy's rules against
+// what the stand-ins and clients observed, never against what a process reports about itself. It needs no privileges, and it
+// signals only processes that it started. "ravenlab field" plays its scenarios.
 package multiprocess
 
 import (
@@ -24,11 +24,11 @@
 	Program          string // path of the proxy's binary
 	Dir              string // for configurations, keys and logs
 	Seed             uint64
-	Zones            int // that have clients, caches and processes; the parents and the origin are in one more zone
+	Zones            int // number of zones with clients, caches and processes; the parents and the origin are in one more zone
 	ProcessesPerZone int
 	CachesPerZone    int
 	Parents          int
-	// TransferTime and FillTime, in ms, are as in fleet.Options.
+	// TransferTime and FillTime have the meaning of fleet.Options, in ms.
 	TransferTime, FillTime float64
 	Classes                []load.Class // empty: DefaultClasses
 	Objects                int          // number of objects that clients request; 0: defaultObjects
@@ -58,20 +58,21 @@
 	Processes []*Process
 
 	mu            sync.Mutex
-	members       []membership.Member // as the discovery service lists them
-	notifications []fleet.Notification
-	nextCache     policy.ServerID
-	relays        []map[string]*relay // by sending zone, and by name of the receiving process
+	members       []membership.Member  // as the discovery service lists them
+	notifications []fleet.Notification // of drains and purges, which processes have to follow
+	nextCache     policy.ServerID      // id of the next cache that is started
+	relays        []map[string]*relay  // by sending zone, then by name of the receiving process
 	clients       map[*Process]*load.Client
 }
 
-// The grace periods that processes are configured with, in ms, and the slack with which they are checked.
+// Times in ms that processes are configured with, and by which the rules are checked.
 const (
-	drainGrace = 2000.0
-	purgeGrace = 1000.0
-	purgeDelay = 6000.0
-	ruleSlack  = 100.0
-	// notificationTimeout is when, in ms, an event of the discovery service is deemed received, whether it arrived or not.
+	drainGrace = 2000.0 // after a process learned that a server drains
+	purgeGrace = 1000.0 // after a process learned of a purge
+	purgeDelay = 6000.0 // until servers drop copies that were purged
+	ruleSlack  = 100.0  // added to the grace periods when rules are checked
+	// notificationTimeout is the time after which a process has to follow an event of the discovery service, whether the event
+	// reached the process or not.
 	notificationTimeout = 7000.0
 )
 
@@ -94,10 +95,10 @@
 	hubWeight   = 400 // of parents and the origin
 )
 
-// ReadyTimeout bounds how long a process may take to become ready or to exit. It only ends a test that hangs.
+// ReadyTimeout bounds how long a process may take to become ready or to exit. It is long, since it only ends tests that hang.
 const ReadyTimeout = 2 * time.Minute
 
-// kinds returns the names of the kinds of servers.
+// kinds returns the names of the kinds of servers, by index.
 func (c *Cluster) kinds() []string { return []string{"small", "parent", "origin"} }
 
 // zones returns the names of the zones. The last one is that of the parents and the origin.
@@ -108,7 +109,7 @@
 	return append(names, "hub")
 }
 
-// New starts the stand-ins and writes the processes' configurations. Start starts the processes.
+// New starts the stand-ins and writes the processes' configurations. The processes do not run until Start is called.
 func New(o Options) (*Cluster, error) {
 	if len(o.Classes) == 0 {
 		o.Classes = DefaultClasses
@@ -156,7 +157,7 @@
 	return c.addServer(originID, fleet.Origin, hubZone)
 }
 
-// addServer starts a stand-in that counts as warm, and lists it as a member.
+// addServer starts a stand-in and lists it as a member with a start time long ago, so that processes consider it warm.
 func (c *Cluster) addServer(id policy.ServerID, role fleet.Role, zone int) error {
 	m, err := c.startServer(id, role, zone, 0)
 	if err != nil {
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// startServer starts a stand-in and returns its entry in the endpoint list. started is in Unix ms; 0 means long ago.
+// startServer starts a stand-in and returns its entry for the endpoint list. started is in ms of Unix time; 0 means long ago.
 func (c *Cluster) startServer(id policy.ServerID, role fleet.Role, zone int, started float64) (m membership.Member, err error) {
 	server, err := c.Fleet.Start(id, role, c.addresses.ip(zone, serverHost)+":0")
 	if err != nil {
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// Close kills all processes and stand-ins.
+// Close kills the processes and closes clients, relays and stand-ins.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
 		_ = p.Signal(syscall.SIGKILL)
--- a/internal/lab/multiprocess/lifecycle.go
+++ b/internal/lab/multiprocess/lifecycle.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// concurrencyPerCore is how many processes ForEach handles at a time, for each core.
+// concurrencyPerCore is the number of processes per core that ForEach handles at a time.
 const concurrencyPerCore = 4
 
-// ForEach calls do for each process, for several at a time, and returns the first error.
+// ForEach calls do for each process, for several concurrently. After all calls, it returns the error that occurred first.
 func ForEach(processes []*Process, do func(*Process) error) error {
 	var (
 		firstErr error
@@ -38,17 +38,17 @@
 	return firstErr
 }
 
-// With gossip, processes are started in batches of startBatch. Each batch waits until all processes agree on the members, or
-// until agreementTimeout, and checks that every agreementInterval.
+// Processes that gossip are started in batches of startBatch. After each batch, Start checks every agreementInterval whether all
+// processes agree on the members, and goes on after agreementTimeout even if they do not.
 const (
 	startBatch        = 40
 	agreementTimeout  = 30 * time.Second
 	agreementInterval = 250 * time.Millisecond
 )
 
-// Start starts processes that do not run, with the endpoint list as it is now, and waits until they are ready. Processes that
-// gossip are started in batches: with hundreds at once, every pair would do its TLS handshakes in the same seconds, and the
-// machine that they share would be too slow for them to answer each other in time.
+// Start starts processes that do not run, with the present endpoint list, and waits until they are ready. Processes that gossip
+// are started in batches: if hundreds started at once, every pair would do its TLS handshakes in the same seconds, and the
+// machine, which all of them share, would be too slow for them to answer each other in time.
 func (c *Cluster) Start(processes ...*Process) error {
 	if !c.options.Peers {
 		return c.startBatch(processes)
@@ -98,8 +98,8 @@
 // rotationDelay is how long clients still send to a process after its SIGTERM.
 const rotationDelay = 300 * time.Millisecond
 
-// Stop ends processes by SIGTERM, stops their clients shortly after, and waits until they exit. It returns an error if one
-// exits with another status than 0 or not within ReadyTimeout.
+// Stop sends SIGTERM to processes, stops their clients rotationDelay later, and waits until the processes exit. It returns an
+// error if one exits with a status other than 0 or does not exit within ReadyTimeout.
 func (c *Cluster) Stop(processes ...*Process) error {
 	return ForEach(processes, func(p *Process) error {
 		if err := p.Signal(syscall.SIGTERM); err != nil {
@@ -111,7 +111,7 @@
 	})
 }
 
-// Kill ends processes by SIGKILL, all at the same time. Requests in flight at them are lost.
+// Kill sends SIGKILL to all processes and then waits for their exit. Their requests in flight are lost.
 func (c *Cluster) Kill(processes ...*Process) {
 	for _, p := range processes {
 		p.inRotation.Store(false)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Reload writes the configurations of processes again and sends them SIGHUP.
+// Reload writes the configurations of processes again, with the present endpoint list, and sends the processes SIGHUP.
 func (c *Cluster) Reload(processes ...*Process) error {
 	return ForEach(processes, func(p *Process) error {
 		if err := c.configure(p, c.DiscoveryListener.Addr()); err != nil {
--- a/internal/lab/multiprocess/peers.go
+++ b/internal/lab/multiprocess/peers.go
@@ -11,13 +11,13 @@
 	"ravenwheel/internal/store"
 )
 
-// seedCount is the number of processes that every process contacts when it starts.
+// seedCount is the number of seeds: processes that every process contacts first when it starts.
 const seedCount = 3
 
 // zonesPerRegion is the number of zones of a region.
 const zonesPerRegion = 4
 
-// operatorFile is the part of the operator's file that a process with gossip needs. Names in JSON are the operator's.
+// operatorFile holds the keys of the operator's file that a process needs for gossip. JSON names are those of that file.
 type operatorFile struct {
 	Admin operatorAdmin `json:"admin"`
 	Peers operatorPeers `json:"peers"`
@@ -30,14 +30,14 @@
 type operatorPeers struct {
 	Listen            string            `json:"listen"`
 	Seeds             []string          `json:"seeds"`
-	AddressSubstitute map[string]string `json:"as_seen"` // by name of a process: the address at which this one reaches it
+	AddressSubstitute map[string]string `json:"as_seen"` // by name of another process: the address at which this process reaches it
 	KeysDir           string            `json:"identity"`
 	Dir               string            `json:"dir"`
 	Region            string            `json:"region"`
 }
 
-// configurePeers gives each process keys, a gossip address and an admin address, and starts the relays through which it
-// reaches the processes of other zones.
+// configurePeers assigns keys, a gossip address and an admin address to each process, and starts the relays through which
+// processes reach those of other zones.
 func (c *Cluster) configurePeers() error {
 	if err := c.issueKeys(); err != nil {
 		return err
@@ -66,7 +66,7 @@
 
 func (c *Cluster) choosePeerAddresses() (err error) {
 	for i, p := range c.Processes {
-		// The process does not listen yet, so the kernel may choose its client port again.
+		// The process does not listen yet, so the kernel may choose the port that the process has for clients. Then ask again.
 		for p.PeerAddr = p.Listen; p.PeerAddr == p.Listen; {
 			if p.PeerAddr, err = unusedPort(c.addresses.ip(p.Zone, i%c.options.ProcessesPerZone+1)); err != nil {
 				return err
@@ -98,7 +98,7 @@
 // KeysDir returns the directory with the keys of all processes that gossip.
 func (c *Cluster) KeysDir() string { return filepath.Join(c.options.Dir, "keys") }
 
-// peerAddrFrom returns the address at which the processes of a zone reach a process.
+// peerAddrFrom returns the gossip address at which the processes of a zone reach a process: in another zone, that of a relay.
 func (c *Cluster) peerAddrFrom(zone int, p *Process) string {
 	if r := c.relays[zone][p.Name]; r != nil {
 		return r.addr()
@@ -122,8 +122,8 @@
 	return os.WriteFile(path, encoded, 0o600)
 }
 
-// seedsOf returns the addresses that a process contacts first. They are spread over the cluster, so that each zone has one if
-// there are enough.
+// seedsOf returns the addresses of a process's seeds. The seeds are spread evenly over the cluster's processes, so that each zone
+// has one if there are not more zones than seeds.
 func (c *Cluster) seedsOf(p *Process) []string {
 	seeds := []string{}
 	for i := range seedCount {
@@ -134,7 +134,7 @@
 	return seeds
 }
 
-// relayAddressesOf returns, by name, the addresses at which a process reaches those of other zones.
+// relayAddressesOf returns the addresses at which a process reaches the processes of other zones, by their names.
 func (c *Cluster) relayAddressesOf(p *Process) map[string]string {
 	addresses := map[string]string{}
 	for _, other := range c.Processes {
@@ -145,8 +145,8 @@
 	return addresses
 }
 
-// SetLinkFault sets the fault of what the processes of one zone send to those of another: their datagrams, and both the streams
-// that they open and their answers on streams that the other zone opened.
+// SetLinkFault sets the fault of all that the processes of one zone send to those of another: datagrams, data on streams that
+// they opened, and answers on streams that the other zone opened.
 func (c *Cluster) SetLinkFault(from, to int, fault LinkFault) {
 	for _, p := range c.Processes {
 		if r := c.relays[from][p.Name]; r != nil && p.Zone == to {
@@ -158,7 +158,7 @@
 	}
 }
 
-// ChangePeerAddress gives a process another gossip address for its next start. The relays of other zones lead there at once;
+// ChangePeerAddress gives a process another gossip address for its next start. The relays of other zones forward to it at once;
 // the processes of its own zone learn the address by gossip. It returns ErrRunning if the process runs.
 func (c *Cluster) ChangePeerAddress(p *Process) (err error) {
 	if p.Running() {
@@ -175,7 +175,7 @@
 	return c.writeOperatorFile(p)
 }
 
-// AdminAddr returns where a process with gossip serves its admin API.
+// AdminAddr returns the address at which a process with gossip serves its admin API.
 func (p *Process) AdminAddr() string { return "unix:" + filepath.Join(p.dir, "admin.sock") }
 
 // PeerStatus returns a process's view of the members.
@@ -184,7 +184,7 @@
 	return s, err
 }
 
-// PeerSummary returns the same as PeerStatus without the list of members.
+// PeerSummary returns what PeerStatus returns, without the list of members.
 func (p *Process) PeerSummary() (s peers.Status, err error) {
 	err = admin.Call(p.AdminAddr(), "/v1/peers?members=no", nil, &s)
 	return s, err
@@ -196,8 +196,8 @@
 	return counters, err
 }
 
-// FleetView returns a process's estimates of the servers' health and load; for a single server with the reports behind them.
-// An empty server means all.
+// FleetView returns a process's estimates of the health and load of a server, with the reports that they are computed from. If
+// server is empty, it returns the estimates of all servers, without reports.
 func (p *Process) FleetView(server string) (v admin.ViewResponse, err error) {
 	path := "/v1/view"
 	if server != "" {
@@ -207,7 +207,7 @@
 	return v, err
 }
 
-// KnownPeers returns the number of processes that a process has stored, to contact them beside its seeds at its next start.
+// KnownPeers returns the number of peers that a process has stored. At its next start it contacts them in addition to its seeds.
 func (p *Process) KnownPeers() int {
 	encoded, err := os.ReadFile(filepath.Join(p.dir, "peers.known"))
 	var known []string
@@ -225,11 +225,11 @@
 
 // Error implements error.
 func (e MembershipMismatchError) Error() string {
-	return fmt.Sprintf("%s has %d members alive, expected %d", e.Process, e.Alive, e.Expected)
+	return fmt.Sprintf("process %s has %d members alive, expected %d with their present addresses", e.Process, e.Alive, e.Expected)
 }
 
-// CheckAgreement returns nil if each of the processes has exactly the expected ones as alive members, at their present
-// addresses. Otherwise it returns the first MembershipMismatchError, or why a process could not be queried.
+// CheckAgreement returns nil if each of the processes considers exactly the expected ones alive, at their present addresses.
+// Otherwise it returns the first MembershipMismatchError, or the error of a query that failed.
 func CheckAgreement(processes, expectedAlive []*Process) error {
 	members := make([]string, 0, len(expectedAlive))
 	for _, p := range expectedAlive {
--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -20,8 +20,8 @@
 	resultFile   = "result.json"
 )
 
-// Play plays a scenario with the proxy's binary at a path. It writes scenario, result, and the processes' configurations and
-// logs into dir, and reports each fault to progress as a line of text.
+// Play plays a scenario with the proxy's binary at the path program. It writes the scenario, the result, and the processes'
+// configurations and logs into dir, and calls progress with a line of text for each fault.
 func Play(ctx context.Context, s Scenario, program, dir string, progress func(string)) (*Result, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -63,16 +63,16 @@
 	result    *Result
 	startedAt float64 // ms of the cluster's clock
 
-	pendingInjections sync.WaitGroup            // faults that are not undone yet
-	affected          map[int][]policy.ServerID // by index of the fault in the timeline
-	previousTotals    Second                    // totals up to the second that was recorded last
+	pendingInjections sync.WaitGroup            // of the faults that are not undone yet
+	affected          map[int][]policy.ServerID // caches that a fault affects, by the fault's index in the timeline
+	previousTotals    Second                    // outcomes up to the end of the second that was recorded last
 
 	mu          sync.Mutex        // guards the fields below and result.NotPlayed
-	interrupted map[*Process]bool // killed or suspended: requests in flight at them may be lost
+	interrupted map[*Process]bool // processes that were killed or suspended: their requests in flight may be lost
 	linkFaults  map[zonePair]LinkFault
 }
 
-// zonePair is a direction between two zones.
+// zonePair is the direction of a link between two zones.
 type zonePair struct{ from, to int }
 
 func newPlayer(c *Cluster, s Scenario, progress func(string)) *player {
@@ -83,10 +83,10 @@
 	}
 }
 
-// elapsed returns the seconds since the start.
+// elapsed returns the seconds since the start of the scenario.
 func (p *player) elapsed() float64 { return (p.cluster.Clock.Now() - p.startedAt) / 1000 }
 
-// timelineInterval is how often the player checks whether the next fault is due.
+// timelineInterval is the time between two checks whether the next fault is due.
 const timelineInterval = 10 * time.Millisecond
 
 // run injects the faults of the timeline and records every second, until the end of the scenario.
@@ -106,8 +106,8 @@
 	}
 }
 
-// recordSecond records the outcomes of the requests in a second, how many processes run, and how many members they consider
-// alive.
+// recordSecond records the outcomes of a second's requests, the number of running processes, and the least and the highest number
+// of members that a process considers alive.
 func (p *player) recordSecond(second int) {
 	totals := p.cluster.Totals()
 	current := Second{
@@ -132,7 +132,7 @@
 		}
 		status, err := q.PeerSummary()
 		if err != nil {
-			return nil // it may be about to exit
+			return nil // the process may be about to exit
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// clientViolations returns what clients saw go wrong, except at processes that were interrupted.
+// clientViolations returns the violations that clients observed, except at processes that were killed or suspended.
 func (p *player) clientViolations() (violations []string) {
 	for _, q := range p.cluster.Processes {
 		if p.interrupted[q] {
--- a/internal/lab/multiprocess/process.go
+++ b/internal/lab/multiprocess/process.go
@@ -18,34 +18,35 @@
 	"ravenwheel/internal/resp"
 )
 
-// Process is one proxy process, over all its starts. Its name and client address stay the same.
+// Process is a proxy process that may be started several times. Its name and its address for clients never change.
 type Process struct {
 	Name     string
 	Listen   string // address for clients
-	PeerAddr string // address for gossip; empty without it
+	PeerAddr string // address for gossip; empty if the process does not gossip
 	Zone     int
 
 	program    string
-	dir        string // for its files
+	dir        string // for its configuration, log and stored state
 	args       []string
 	inRotation atomic.Bool // clients send requests to it
 
 	mu      sync.Mutex
-	command *exec.Cmd     // nil while it does not run
-	exited  chan struct{} // closed when the last start has exited
-	err     error         // how the last start exited
-	killed  bool          // by a signal from here, so that its exit is no error
+	command *exec.Cmd     // nil while the process does not run
+	exited  chan struct{} // closed when the process has exited after its last start
+	err     error         // of the exit after the last start; nil for status 0
+	killed  bool          // Signal sent SIGKILL since the last start, so the exit is no error
 	starts  int
 	log     *os.File
 }
 
-// ErrRunning is returned where a process must not run, but does.
+// ErrRunning is returned by calls that need a process not to run, if it runs.
 var ErrRunning = errors.New("process is running")
 
-// ErrNotRunning is returned where a process must run, but does not.
+// ErrNotRunning is returned by calls that need a process to run, if it does not.
 var ErrNotRunning = errors.New("process is not running")
 
-// start starts the process with the configuration in its directory. WaitReady waits until it accepts clients.
+// start starts the process with the configuration in its directory. It does not wait until the process accepts clients, as
+// WaitReady does.
 func (p *Process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +61,7 @@
 	command := exec.Command(p.program, p.args...)
 	command.Env = []string{"LB_NAME=" + p.Name, "LB_LISTEN=" + p.Listen, "LB_CONFIG=" + p.configurationPath(), "TMPDIR=" + p.dir}
 	command.Stdout, command.Stderr = p.log, p.log
-	// The kernel kills it when this process is killed.
+	// The kernel kills the proxy when this process ends, even by SIGKILL.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		p.log.Close()
@@ -75,7 +76,7 @@
 
 func (p *Process) logPath() string { return filepath.Join(p.dir, "log") }
 
-// reap waits for the exit of a start and records how it exited.
+// reap waits until a started process exits, and records its error.
 func (p *Process) reap(command *exec.Cmd, exited chan struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
@@ -88,7 +89,8 @@
 	close(exited)
 }
 
-// exitError returns how the last start exited: nil for status 0, while it runs, and if it was killed from here.
+// exitError returns the error of the exit after the last start. It is nil for status 0, while the process runs, and if Signal
+// killed the process.
 func (p *Process) exitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +125,8 @@
 	return p.command.Process.Signal(s)
 }
 
-// WaitExit waits until the process has exited. It returns an error if that takes longer than timeout or if the process exited
-// with another status than 0, unless it was killed from here.
+// WaitExit waits until the process has exited. It returns an error if that takes longer than timeout, or if the process exited
+// with a status other than 0 and was not killed by Signal.
 func (p *Process) WaitExit(timeout time.Duration) error {
 	p.mu.Lock()
 	exited := p.exited
@@ -135,15 +137,15 @@
 	select {
 	case <-exited:
 		if err := p.exitError(); err != nil {
-			return fmt.Errorf("%s exited: %w\n%s", p.Name, err, p.logTail())
+			return fmt.Errorf("process %s exited: %w\n%s", p.Name, err, p.logTail())
 		}
 		return nil
 	case <-time.After(timeout):
-		return fmt.Errorf("%s did not exit within %v", p.Name, timeout)
+		return fmt.Errorf("process %s did not exit within %v", p.Name, timeout)
 	}
 }
 
-// maxLogTail is how many bytes of a log are shown in an error.
+// maxLogTail is the length in bytes of the end of a log that errors show.
 const maxLogTail = 2000
 
 func (p *Process) logTail() string {
@@ -153,11 +155,11 @@
 
 // Log returns what the process has logged, over all its starts.
 func (p *Process) Log() string {
-	content, _ := os.ReadFile(p.logPath()) // none before the first start
+	content, _ := os.ReadFile(p.logPath()) // no file before the first start
 	return string(content)
 }
 
-// readinessInterval is the time between two health checks of a process that starts.
+// readinessInterval is the time between two health checks of a process that is starting.
 const readinessInterval = 20 * time.Millisecond
 
 // WaitReady waits until the process answers a health check. It returns an error if the process exits or is not ready within
@@ -168,16 +170,16 @@
 			return nil
 		}
 		if !p.Running() {
-			return fmt.Errorf("%s did not start: %w\n%s", p.Name, cmp.Or(p.exitError(), ErrNotRunning), p.logTail())
+			return fmt.Errorf("process %s exited before it was ready: %w\n%s", p.Name, cmp.Or(p.exitError(), ErrNotRunning), p.logTail())
 		}
 	}
-	return fmt.Errorf("%s is not ready after %v\n%s", p.Name, timeout, p.logTail())
+	return fmt.Errorf("process %s is not ready after %v\n%s", p.Name, timeout, p.logTail())
 }
 
-// healthTimeout bounds connecting for a health check, and then its answer.
+// healthTimeout bounds the time to connect for a health check, and then the time until its answer.
 const healthTimeout = time.Second
 
-// healthy reports whether the proxy at an address answers RPC.HEALTH with yes.
+// healthy reports whether the proxy at an address answers RPC.HEALTH with "yes".
 func healthy(addr string) bool {
 	nc, err := net.DialTimeout("tcp", addr, healthTimeout)
 	if err != nil {
@@ -193,7 +195,7 @@
 	return err == nil && len(parts) == 2 && string(parts[1]) == "yes"
 }
 
-// writeConfiguration replaces the configuration, which the process reads when it starts and at SIGHUP.
+// writeConfiguration replaces the file that the process reads when it starts and on SIGHUP.
 func (p *Process) writeConfiguration(c configuration) error {
 	encoded, err := json.Marshal(c)
 	if err != nil {
--- a/internal/lab/multiprocess/proxy_configuration.go
+++ b/internal/lab/multiprocess/proxy_configuration.go
@@ -8,39 +8,40 @@
 	"ravenwheel/internal/lab/load"
 )
 
-// configuration is what the platform gives a proxy process in the file that LB_CONFIG names. Names in JSON are the platform's.
+// configuration is the content of the file by which the platform configures a proxy process; LB_CONFIG holds its path. JSON names
+// are the platform's.
 type configuration struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"board"`
 	Seed      string          `json:"seed"` // 16 hexadecimal digits
 	Limits    resourceLimits  `json:"limits"`
-	Known     json.RawMessage `json:"known"` // events of the discovery service up to now
+	Known     json.RawMessage `json:"known"` // events of the discovery service up to when the file is written
 	Settings  settings        `json:"settings"`
 }
 
-// resourceLimits are what a process may use.
+// resourceLimits bound what a process may use.
 type resourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// settings describe the fleet to a process and the rules that it must keep. Durations are in µs.
+// settings tell a process about the fleet and the rules that it must keep. Durations are in µs.
 type settings struct {
-	Processes int               `json:"NInstances"`
-	Rank      int               `json:"Rank"`    // index of this process among all
-	Zone      int               `json:"Zone"`    // of this process
-	Zones     []string          `json:"Zones"`   // names
-	Kinds     []string          `json:"Kinds"`   // names of the kinds of servers
-	Weights   string            `json:"Weights"` // which weights of servers apply
-	Bounds    requestBounds     `json:"Bounds"`  // of one request
+	Processes int               `json:"NInstances"` // number of all processes
+	Rank      int               `json:"Rank"`       // index of this process among all processes
+	Zone      int               `json:"Zone"`       // of this process
+	Zones     []string          `json:"Zones"`      // names
+	Kinds     []string          `json:"Kinds"`      // names of the kinds of servers
+	Weights   string            `json:"Weights"`    // name of the weights of servers that apply
+	Bounds    requestBounds     `json:"Bounds"`     // of one request
 	Rules     serverRules       `json:"Rules"`
 	Classes   []classSettings   `json:"Grades"`
 	Hierarchy hierarchySettings `json:"FamilyInfo"`
 }
 
-// requestBounds are what the platform permits for one request.
+// requestBounds limit what a process may do for one request.
 type requestBounds struct {
 	Cancel              bool  `json:"Cancel"`
 	RetryAfter          bool  `json:"RetryAfter"`
@@ -52,38 +53,38 @@
 	MaxInFlightRequests int   `json:"MostHeld"`
 }
 
-// serverRules are how servers drain and warm up.
+// serverRules say how servers drain, warm up and collapse under overload.
 type serverRules struct {
 	DrainGraceUs       int64   `json:"DrainGraceUs"`
 	ColdCapacity       float64 `json:"ColdFrom"`     // fraction of a server's capacity when it starts without copies
-	OverloadMultiple   float64 `json:"FallMultiple"` // of the capacity, from which a server collapses
+	OverloadMultiple   float64 `json:"FallMultiple"` // multiple of its capacity from which a server collapses
 	OverloadRecoveryUs int64   `json:"FallUs"`
 	WarmUpUs           int64   `json:"WarmWithinUs"`
 }
 
-// classSettings are those of one class of requests.
+// classSettings describe one class of requests.
 type classSettings struct {
 	Name               string  `json:"Name"`
 	Effect             string  `json:"Effect"` // "idempotent" or "at_most_once"
 	LatencyObjectiveUs int64   `json:"TargetUs"`
-	DeadlineUs         int64   `json:"DeadlineUs"` // from the arrival of a request
+	DeadlineUs         int64   `json:"DeadlineUs"` // from the arrival of the request
 	PriorityWeight     float64 `json:"Worth"`
 	ObjectiveStretch   float64 `json:"AimStretch"`
 }
 
-// hierarchySettings are those of a hierarchy of caches, parents and origin.
+// hierarchySettings describe the hierarchy of caches, parents and origin.
 type hierarchySettings struct {
 	ParentKind          int     `json:"SecondTierKind"`
 	OriginKind          int     `json:"RootKind"`
 	EventDetail         string  `json:"NoteLevel"`
 	FillFromPeers       string  `json:"PeersFill"`
-	SharesFills         bool    `json:"SharesFills"` // servers may merge concurrent fills of one object
+	SharesFills         bool    `json:"SharesFills"` // servers may merge concurrent fills of an object
 	MayBypass           bool    `json:"MayPassBy"`
-	ZoneProcesses       []int   `json:"ZoneBalancers"`
-	Uncached            []bool  `json:"Uncached"`     // by class
-	InParts             []bool  `json:"InParts"`      // by class: objects are divided into parts
-	ClassFreshUs        []int64 `json:"ClassFreshUs"` // by class: age up to which a copy is fresh; 0: any
-	StaleForUs          []int64 `json:"StaleForUs"`   // by class: how much older a copy may be while it is renewed
+	ZoneProcesses       []int   `json:"ZoneBalancers"` // number of processes, by zone
+	Uncached            []bool  `json:"Uncached"`      // by class
+	InParts             []bool  `json:"InParts"`       // by class: objects are divided into parts
+	ClassFreshUs        []int64 `json:"ClassFreshUs"`  // by class: age up to which a copy is fresh; 0: a copy is always fresh
+	StaleForUs          []int64 `json:"StaleForUs"`    // by class: how much older a copy may be while it is renewed
 	PurgeDelayUs        int64   `json:"PurgeTakesUs"`
 	NotificationGraceUs int64   `json:"NoticeTimeUs"`
 	FlowKbPerS          float64 `json:"FlowKbPerS"` // bandwidth of a transfer
@@ -92,7 +93,7 @@
 	ParentWarmUpUs      int64   `json:"ParentWarmsInUs"`
 }
 
-// configure writes the configuration of a process, with the endpoint list as it is now.
+// configure writes the configuration of a process, with the present endpoint list.
 func (c *Cluster) configure(p *Process, discovery string) error {
 	return p.writeConfiguration(configuration{
 		Name: p.Name, Listen: p.Listen, Discovery: discovery, Seed: fmt.Sprintf("%016x", c.processSeed(p)),
@@ -114,7 +115,7 @@
 	})
 }
 
-// processSeed returns the seed of the random numbers of a process, another one for each start.
+// processSeed returns the seed of a process's random numbers, which differs for each start.
 func (c *Cluster) processSeed(p *Process) uint64 {
 	return c.options.Seed*1_000_003 + uint64(p.starts)<<32 + hashName(p.Name)
 }
@@ -157,7 +158,7 @@
 // microseconds converts a time in ms.
 func microseconds(ms float64) int64 { return int64(ms * 1000) }
 
-// hashName returns the FNV-1a hash of a name, to give each process a seed of its own.
+// hashName returns the FNV-1a hash of a name, from which seeds are derived that differ for each process.
 func hashName(name string) uint64 {
 	const offsetBasis, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offsetBasis)
--- a/internal/lab/multiprocess/relay.go
+++ b/internal/lab/multiprocess/relay.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// LinkFault is the fault of one direction between two zones. The zero value passes everything at once.
+// LinkFault is a fault of what one zone sends to another. With the zero value, everything is forwarded at once.
 type LinkFault struct {
 	Blocked           bool    // datagrams are lost and streams stall; connections stay open
 	LossFraction      float64 // of datagrams
 	DuplicateFraction float64 // of datagrams
 	Delay             float64 // ms
-	Jitter            float64 // ms, at most, added at random for each datagram, which reorders them
-	Bandwidth         float64 // KB/s; datagrams that would queue for longer than maxQueueTime are lost. 0: unlimited
-	Reset             bool    // streams are reset, present and new ones
+	Jitter            float64 // ms; up to this much is added at random to the delay of each datagram, which reorders them
+	Bandwidth         float64 // KB/s, 0: unlimited; datagrams that arrive while the queue takes longer than maxQueueTime are lost
+	Reset             bool    // open streams are reset, and new ones when they are accepted
 }
 
-// maxQueueTime bounds how long, in ms, datagrams queue on a link with limited bandwidth.
+// maxQueueTime is the time, in ms, that a link with limited bandwidth may need to send its queue and still accept datagrams.
 const maxQueueTime = 1000.0
 
 // Sizes of buffers, in bytes.
@@ -28,10 +28,10 @@
 	streamBufferSize = 16 << 10
 )
 
-// dialTimeout bounds connecting to the target of a relay.
+// dialTimeout bounds the time to connect to the target of a relay.
 const dialTimeout = time.Second
 
-// blockedInterval is how often a stalled stream checks whether the link is still blocked.
+// blockedInterval is the time between two checks of a stalled stream whether the link is still blocked.
 const blockedInterval = 20 * time.Millisecond
 
 // relay forwards what one zone sends to one process: datagrams to the process, and streams in both directions.
@@ -42,14 +42,14 @@
 	mu            sync.Mutex
 	target        string
 	forwardFault  LinkFault
-	backwardFault LinkFault // of the target's answers on streams
-	queueEmptyAt  time.Time // when the queue of the link with limited bandwidth is empty
+	backwardFault LinkFault // of what the target sends on streams
+	queueEmptyAt  time.Time // when all datagrams in the queue of a link with limited bandwidth are sent
 	rng           *rand.Rand
 	conns         map[net.Conn]struct{}
 	closed        bool
 }
 
-// startRelay opens a relay at an IP address, with the same port for datagrams and streams.
+// startRelay starts a relay at an IP address, with the same port for datagrams and streams, that forwards to target.
 func startRelay(ip, target string, seed uint64) (*relay, error) {
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -69,7 +69,7 @@
 
 func (r *relay) addr() string { return r.tcp.Addr().String() }
 
-// setForwardFault sets the fault towards the target.
+// setForwardFault sets the fault of what is sent to the target.
 func (r *relay) setForwardFault(fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	r.resetStreamsIf(fault.Reset)
 }
 
-// setBackwardFault sets the fault of the target's answers on streams.
+// setBackwardFault sets the fault of what the target sends on streams.
 func (r *relay) setBackwardFault(fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,8 @@
 	r.target = target
 }
 
-// enqueue returns for how many ms a datagram queues on a link, and whether the queue is full. The caller holds the lock.
+// enqueue adds a datagram to the queue of a link with limited bandwidth. It returns how many ms the datagram waits, or that the
+// queue is full. The caller holds the lock.
 func (r *relay) enqueue(fault LinkFault, bytes int) (wait float64, full bool) {
 	if fault.Bandwidth <= 0 {
 		return 0, false
@@ -116,7 +117,7 @@
 	if wait = max(0, milliseconds(time.Until(r.queueEmptyAt))); wait > maxQueueTime {
 		return 0, true
 	}
-	wait += float64(bytes) / fault.Bandwidth // a KB/s is a byte a ms
+	wait += float64(bytes) / fault.Bandwidth // 1 KB/s is 1 byte per ms
 	r.queueEmptyAt = time.Now().Add(duration(wait))
 	return wait, false
 }
@@ -132,7 +133,7 @@
 	}
 }
 
-// forwardDatagram sends a datagram on, as the fault of the link says: not at all, later, or twice.
+// forwardDatagram forwards a datagram. The fault of the link may drop, delay or duplicate it.
 func (r *relay) forwardDatagram(datagram []byte) {
 	r.mu.Lock()
 	fault, target := r.forwardFault, r.target
@@ -194,7 +195,8 @@
 	<-done
 }
 
-// register registers a connection. It resets the connection and returns false if streams are reset now or the relay is closed.
+// register adds a connection to those that the relay resets and closes. If a fault resets streams or the relay is closed, it
+// resets the connection instead and returns false.
 func (r *relay) register(nc net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +214,7 @@
 	delete(r.conns, nc)
 }
 
-// copy forwards one direction of a stream through a link, which may change meanwhile, until either end fails.
+// copy forwards one direction of a stream until either end fails, subject to the fault of the link, which may change meanwhile.
 func (r *relay) copy(to io.Writer, from io.Reader, fault *LinkFault) {
 	buf := make([]byte, streamBufferSize)
 	for {
@@ -229,7 +231,7 @@
 	}
 }
 
-// delayStream waits until a link is not blocked, and then for as long as the bytes take on it.
+// delayStream waits until the link is not blocked, and then for its delay and the time that the bytes take at its bandwidth.
 func (r *relay) delayStream(fault *LinkFault, bytes int) {
 	current := r.currentFault(fault)
 	for ; current.Blocked; current = r.currentFault(fault) {
@@ -244,7 +246,7 @@
 	}
 }
 
-// currentFault returns the present fault of a link, which is never blocked once the relay is closed.
+// currentFault returns the present fault of a link. Once the relay is closed, the link is never blocked, so that streams end.
 func (r *relay) currentFault(fault *LinkFault) LinkFault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -253,7 +255,7 @@
 	return current
 }
 
-// close ends the relay and all its streams.
+// close stops the relay and closes all its streams.
 func (r *relay) close() {
 	_ = r.udp.Close()
 	_ = r.tcp.Close()
--- a/internal/lab/multiprocess/servers.go
+++ b/internal/lab/multiprocess/servers.go
@@ -11,15 +11,15 @@
 	"ravenwheel/policy"
 )
 
-// UnknownServerError is returned for a server that is not a member.
+// UnknownServerError is returned for a server that is not in the endpoint list.
 type UnknownServerError struct{ ID policy.ServerID }
 
 // Error implements error.
 func (e UnknownServerError) Error() string {
-	return fmt.Sprintf("server %s is not a member", serverlist.FormatID(e.ID))
+	return fmt.Sprintf("server %s is not in the endpoint list", serverlist.FormatID(e.ID))
 }
 
-// MoveDiscovery opens the discovery service at another address, which the next Start and Reload configure. It returns the
+// MoveDiscovery opens the discovery service at another address. Processes use it after their next Start or Reload. It returns the
 // previous listener, which the caller closes.
 func (c *Cluster) MoveDiscovery() (previous *fleet.DiscoveryListener, err error) {
 	previous = c.DiscoveryListener
@@ -55,7 +55,7 @@
 	return index, nil
 }
 
-// ReplaceCache drains a cache and starts another one in its zone, which has no copies yet.
+// ReplaceCache drains a cache and starts another one, without copies, in its zone.
 func (c *Cluster) ReplaceCache(id policy.ServerID) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// KillCaches kills caches. The discovery service still lists them as ready.
+// KillCaches kills caches. The discovery service keeps listing them as ready.
 func (c *Cluster) KillCaches(ids ...policy.ServerID) {
 	for _, id := range ids {
 		c.Fleet.Server(id).Kill()
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Purge purges an object, or a group of objects where object is empty, and publishes the purge.
+// Purge purges an object, or a group of objects if object is empty, and publishes the purge.
 func (c *Cluster) Purge(object string, group int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/multiprocess/traffic.go
+++ b/internal/lab/multiprocess/traffic.go
@@ -9,20 +9,20 @@
 	"ravenwheel/internal/lab/load"
 )
 
-// Settings of the client of a process.
+// Settings of the client of each process.
 const (
-	clientConns   = 2
-	clientRetries = 2
+	clientConns   = 2 // connections
+	clientRetries = 2 // at most, of a rejected request, and of a failed one that does not write
 )
 
-// maxLatency is the longest latency that is recorded, in µs, with latencyDigits significant digits.
+// maxLatency is the longest latency that histograms record, in µs, with latencyDigits significant digits.
 const (
 	maxLatency    = 60_000_000
 	latencyDigits = 3
 )
 
-// StartTraffic sends requests to each process at a fixed rate in requests per second, while the process is in rotation. It is
-// an open loop: it does not wait for earlier requests. stop ends it and waits for the requests in flight.
+// StartTraffic sends requests to each process while it is in rotation, at a fixed rate in requests per second that does not depend
+// on the answers (open loop). stop ends the traffic and waits for the requests in flight.
 func (c *Cluster) StartTraffic(rate func(*Process) float64) (stop func()) {
 	stopped := make(chan struct{})
 	var wait sync.WaitGroup
@@ -89,7 +89,7 @@
 	return totals
 }
 
-// Client returns the client of a process. It is created at the first call.
+// Client returns the client of a process. The first call for a process creates it.
 func (c *Cluster) Client(p *Process) *load.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/multiprocess/violations.go
+++ b/internal/lab/multiprocess/violations.go
@@ -7,11 +7,12 @@
 	"ravenwheel/internal/lab/fleet"
 )
 
-// maxViolations bounds how many violations are listed: one cause may break hundreds of rules.
+// maxViolations bounds the number of violations listed, since one cause may break rules hundreds of times.
 const maxViolations = 10
 
-// Violations returns, as text, the rules that stand-ins saw broken: new work sent to draining servers, copies served that are
-// older than a purge, and writes that ran twice. It also returns the processes that crashed or exited by themselves.
+// Violations returns, as text, the violations of rules that the stand-ins observed: new requests sent to draining servers, copies
+// served that are older than a purge, and writes that ran twice. It also returns the processes that crashed, reported a data race
+// or exited unexpectedly.
 func (c *Cluster) Violations() (violations []string) {
 	c.mu.Lock()
 	notifications := slices.Clone(c.notifications)
@@ -24,11 +25,11 @@
 	for _, p := range c.Processes {
 		violations = append(violations, p.crashLines()...)
 		if err := p.exitError(); err != nil {
-			violations = append(violations, fmt.Sprintf("%s ended by itself: %v", p.Name, err))
+			violations = append(violations, fmt.Sprintf("%s exited unexpectedly: %v", p.Name, err))
 		}
 	}
 	if n := len(violations); n > maxViolations {
-		violations = append(violations[:maxViolations], fmt.Sprintf("and %d more", n-maxViolations))
+		violations = append(violations[:maxViolations], fmt.Sprintf("and %d more violations", n-maxViolations))
 	}
 	return violations
 }
