--- a/internal/lab/multiprocess/heat_map.go
+++ b/internal/lab/multiprocess/heat_map.go
@@ -9,14 +9,14 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// maxRelativeLoad is the relative load from which the heat map has its lightest colour.
+// maxRelativeLoad is the load relative to the zone's mean from which the heat map has its lightest colour.
 const maxRelativeLoad = 3
 
-// heatMapColours is the number of different colours of a heat map.
+// heatMapColours is the number of colours of the heat map.
 const heatMapColours = 24
 
-// loadGrid has a row for each cache and a column for each second. Its values are the cache's attempts in that second over the
-// mean of its zone, so 1 is an even load. It implements plotter.GridXYZ.
+// loadGrid has a row for each cache and a column for each second. A value is the number of attempts at the cache in that second,
+// divided by the mean of the zone's caches, so 1 is an even load. It implements plotter.GridXYZ.
 type loadGrid struct{ result *Result }
 
 // Dims implements plotter.GridXYZ.
@@ -28,7 +28,7 @@
 // Y implements plotter.GridXYZ.
 func (g loadGrid) Y(row int) float64 { return float64(row) }
 
-// Z implements plotter.GridXYZ. Caches of a zone without load count as evenly loaded.
+// Z implements plotter.GridXYZ. It returns 1 for caches of a zone without load, as if they were evenly loaded.
 func (g loadGrid) Z(column, row int) float64 {
 	sum, caches := 0, 0
 	for _, c := range g.result.Caches {
@@ -43,13 +43,13 @@
 	return math.Min(maxRelativeLoad, float64(g.result.Caches[row].Attempts[column])*float64(caches)/float64(sum))
 }
 
-// heatMap draws the relative load of each cache over time; nil if there are too few caches or seconds.
+// heatMap draws the relative load of each cache over time. It returns nil if there are fewer than two caches or seconds.
 func (r *Result) heatMap() (*plot.Plot, error) {
 	if len(r.Caches) < 2 || len(r.Seconds) < 2 {
 		return nil, nil
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text = "Load of each cache against the mean of its zone (dark: none, light: three times)", "seconds"
+	p.Title.Text, p.X.Label.Text = "Load of each cache relative to the mean of its zone (dark: none, light: 3 times the mean)", "seconds"
 	h := plotter.NewHeatMap(loadGrid{r}, palette.Heat(heatMapColours, 1))
 	h.Min, h.Max = 0, maxRelativeLoad
 	p.Add(h)
@@ -57,7 +57,7 @@
 	return p, r.markFaults(p, -0.5, float64(len(r.Caches))-0.5)
 }
 
-// zoneTicks labels the first cache of each zone.
+// zoneTicks returns a label for the row of each zone's first cache, and of the first removed cache.
 func (r *Result) zoneTicks() (ticks []plot.Tick) {
 	for i, c := range r.Caches {
 		if i > 0 && c.Zone == r.Caches[i-1].Zone {
@@ -65,7 +65,7 @@
 		}
 		label := fmt.Sprintf("zone %d", c.Zone)
 		if c.Zone == removedZone {
-			label = "left"
+			label = "removed"
 		}
 		ticks = append(ticks, plot.Tick{Value: float64(i), Label: label})
 	}
--- a/internal/lab/multiprocess/page.go
+++ b/internal/lab/multiprocess/page.go
@@ -17,7 +17,7 @@
 //go:embed page.html
 var pageTemplate string
 
-// Colours of the curves, and of the bands that mark faults.
+// Colours of curves and of the bands that mark faults.
 var (
 	blue        = color.RGBA{0x1b, 0x6c, 0xa8, 0xff}
 	red         = color.RGBA{0xc4, 0x4e, 0x2a, 0xff}
@@ -30,14 +30,14 @@
 const (
 	plotWidth        = 900
 	chartHeight      = 230
-	heatMapMargins   = 60 // height without the rows
-	heatMapRowHeight = 7  // one for each cache
+	heatMapMargins   = 60 // height of the heat map without its rows
+	heatMapRowHeight = 7  // height of a row; there is one for each cache
 	minHeatMapHeight = 160
 	curveWidth       = 1.4
-	legendHeadroom   = 1.35 // multiple of the highest value up to which the axis goes, so that the legend has room
+	legendHeadroom   = 1.35 // the y axis ends at this multiple of the highest value, which leaves room for the legend
 )
 
-// minMarkedDuration is how wide, in seconds, a fault is marked at least.
+// minMarkedDuration is the least width of a fault's band, in seconds, so that short faults are visible.
 const minMarkedDuration = 0.2
 
 // WritePage writes a result as an HTML page without external resources.
@@ -52,7 +52,7 @@
 	}
 	title := r.Scenario.Name
 	if title == "" {
-		title = "A field"
+		title = "Scenario with real processes"
 	}
 	return t.Execute(w, struct {
 		Second
@@ -107,24 +107,24 @@
 // charts returns the charts of the page, in order.
 func (r *Result) charts() []chart {
 	return []chart{
-		{"Requests a second", []curve{
-			{"asked", grey, r.points(func(s Second) int { return s.Requested })},
+		{"Requests per second", []curve{
+			{"requested", grey, r.points(func(s Second) int { return s.Requested })},
 			{"served", green, r.points(func(s Second) int { return s.Served })},
-			{"refused, failed or lost", red, r.points(func(s Second) int { return s.Rejected + s.Failed + s.Lost })},
+			{"rejected, failed or lost", red, r.points(func(s Second) int { return s.Rejected + s.Failed + s.Lost })},
 		}},
-		{"Attempts at caches a second", []curve{
+		{"Attempts at caches per second", []curve{
 			{"attempts", blue, r.points(func(s Second) int { return s.Attempts })},
-			{"of them filled", red, r.points(func(s Second) int { return s.Filled })},
+			{"attempts that caused a fill", red, r.points(func(s Second) int { return s.Filled })},
 		}},
-		{"Processes: those that run, and how many others take for alive", []curve{
-			{"run", grey, r.points(func(s Second) int { return s.Running })},
-			{"least that any takes for alive", red, r.alivePoints(func(a AliveCount) int { return a.Least })},
-			{"most", blue, r.alivePoints(func(a AliveCount) int { return a.Most })},
+		{"Processes: running, and considered alive by other processes", []curve{
+			{"running", grey, r.points(func(s Second) int { return s.Running })},
+			{"fewest that a process considers alive", red, r.alivePoints(func(a AliveCount) int { return a.Least })},
+			{"most that a process considers alive", blue, r.alivePoints(func(a AliveCount) int { return a.Most })},
 		}},
 	}
 }
 
-// points returns a value of each second.
+// points returns a curve with a value of each second.
 func (r *Result) points(value func(Second) int) plotter.XYs {
 	points := make(plotter.XYs, len(r.Seconds))
 	for i, second := range r.Seconds {
@@ -133,7 +133,7 @@
 	return points
 }
 
-// alivePoints returns a value of each second for which the numbers of alive members are known.
+// alivePoints returns a curve with a value of each second in which at least one process reported its number of alive members.
 func (r *Result) alivePoints(value func(AliveCount) int) plotter.XYs {
 	points := make(plotter.XYs, len(r.Alive))
 	for i, count := range r.Alive {
@@ -142,7 +142,7 @@
 	return points
 }
 
-// draw makes the plot of a chart, with the faults marked behind its curves.
+// draw returns the plot of a chart, with the faults marked behind its curves.
 func (r *Result) draw(c chart) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Min = c.title, "seconds", 0
@@ -173,7 +173,7 @@
 	return p, nil
 }
 
-// markFaults marks the duration of each fault by a band from low to high, with the fault's number above it.
+// markFaults adds a band from low to high over the duration of each fault, with the fault's number above the band.
 func (r *Result) markFaults(p *plot.Plot, low, high float64) error {
 	for i, f := range r.Timeline {
 		end := f.At + max(f.Duration, minMarkedDuration)
--- a/internal/lab/multiprocess/result.go
+++ b/internal/lab/multiprocess/result.go
@@ -11,25 +11,25 @@
 	Alive      []AliveCount `json:"agreed,omitempty"`
 	Violations []string     `json:"broken"`
 	NotPlayed  []string     `json:"missed,omitempty"` // faults that could not be injected, and why
-	P50        float64      `json:"P50"`              // latency of the requests served, ms
-	P99        float64      `json:"P99"`
-	// Spread of load over windows of spreadWindows: of the whole run, and of the time before the first fault.
+	P50        float64      `json:"P50"`              // median latency of the requests served, ms
+	P99        float64      `json:"P99"`              // 99th percentile, ms
+	// How evenly load was spread over the caches, by the window lengths of spreadWindows: in the whole run, and before the first fault.
 	Spread             [2]loadmetrics.Spread `json:"Spread"`
 	SpreadBeforeFaults [2]loadmetrics.Spread `json:"Calm"`
 	Reactions          []Reaction            `json:"reactions,omitempty"`
 }
 
-// Reaction is how the processes reacted to a fault of a cache. Times are in seconds; -1 means that it did not happen in the
-// time there was.
+// Reaction is how the processes reacted to a fault of a cache. Times are in seconds; -1 means that it did not happen in the time
+// that was measured, which ends at the latest with the next fault or the scenario.
 type Reaction struct {
 	Fault           int     `json:"fault"` // index in the timeline
 	Cache           string  `json:"cache"`
-	TimeToAbandon   float64 `json:"left_s"` // from the start of the fault
-	TimeToRestore   float64 `json:"back_s"` // from the end of the fault
-	SurgeMultiplier float64 `json:"surge"`  // highest load of any cache in one second after the fault, over its mean before
+	TimeToAbandon   float64 `json:"left_s"` // from the start of the fault until the cache's fraction of its zone's load was halved
+	TimeToRestore   float64 `json:"back_s"` // from the end of the fault until four fifths of that fraction were restored
+	SurgeMultiplier float64 `json:"surge"`  // highest load of any cache in one second after the fault, divided by its mean before
 }
 
-// Second is what happened in one second.
+// Second holds the outcomes of the requests sent in one second, the attempts at caches, and the number of running processes.
 type Second struct {
 	Requested int `json:"Asked"`
 	Served    int `json:"Served"`
@@ -37,21 +37,21 @@
 	Failed    int `json:"Failed"`
 	Lost      int `json:"Lost"`
 	Attempts  int `json:"Attempts"` // at caches
-	Filled    int `json:"Filled"`   // of the attempts, those that caused a fill
+	Filled    int `json:"Filled"`   // number of the attempts that caused a fill
 	Running   int `json:"Up"`       // processes
 }
 
 // CacheLoad is the number of attempts at one cache, by second.
 type CacheLoad struct {
 	ID       string `json:"ID"`
-	Zone     int    `json:"Zone"` // removedZone if the cache was removed meanwhile
+	Zone     int    `json:"Zone"` // removedZone if the cache was removed during the run
 	Attempts []int  `json:"Attempts"`
 }
 
-// removedZone stands for the zone of a cache that is not a member any more.
+// removedZone stands for the zone of a cache that is no longer a member.
 const removedZone = -1
 
-// AliveCount is, at a second, the least and the highest number of members that any process considered alive.
+// AliveCount holds the least and the highest number of members that a process considered alive in one second.
 type AliveCount struct {
 	Second int `json:"Second"`
 	Least  int `json:"Least"`
--- a/internal/lab/multiprocess/summary.go
+++ b/internal/lab/multiprocess/summary.go
@@ -14,10 +14,10 @@
 // spreadWindows are the lengths, in seconds, of the windows over which the spread of load is measured.
 var spreadWindows = [2]float64{1, 5}
 
-// maxWarmUp is how many seconds at the start are left out of the spread before faults, at most: caches start without copies.
+// maxWarmUp is the most seconds at the start that the spread before faults leaves out, since caches start without copies.
 const maxWarmUp = 10.0
 
-// summarize adds to the result what follows from the attempts that the servers observed and from the clients' latencies.
+// summarize adds to the result the figures computed from the attempts that the servers observed and from the clients' latencies.
 func (p *player) summarize() {
 	observations := p.cluster.Fleet.Observations()
 	p.countAttempts(observations)
@@ -27,7 +27,7 @@
 	p.measureLoad(observations)
 }
 
-// countAttempts counts the attempts at caches by second.
+// countAttempts counts the attempts at caches by second, in all and for each cache.
 func (p *player) countAttempts(observations []fleet.Observation) {
 	r, seconds := p.result, len(p.result.Seconds)
 	byCache := map[policy.ServerID][]int{}
@@ -56,7 +56,7 @@
 	slices.SortFunc(r.Caches, func(a, b CacheLoad) int { return cmp.Or(a.Zone-b.Zone, cmp.Compare(a.ID, b.ID)) })
 }
 
-// secondsAt returns when an attempt was observed, in seconds since the start.
+// secondsAt returns when an attempt was observed, in seconds since the start of the scenario.
 func (p *player) secondsAt(o fleet.Observation) float64 { return (o.At - p.startedAt) / 1000 }
 
 // cacheZones returns the zones of the caches that are ready.
@@ -70,7 +70,7 @@
 	return zones
 }
 
-// measureLoad measures how evenly load was spread, and the reactions to the faults of caches.
+// measureLoad measures how evenly load was spread over the caches, and how the processes reacted to faults of caches.
 func (p *player) measureLoad(observations []fleet.Observation) {
 	r := p.result
 	trace := p.trace(observations)
@@ -87,7 +87,7 @@
 	for i, f := range r.Timeline {
 		next := end
 		if i+1 < len(r.Timeline) {
-			next = r.Timeline[i+1].At // from then on, load also reacts to that fault
+			next = r.Timeline[i+1].At // from then on, load also reacts to the next fault
 		}
 		ended := min(f.At+f.Duration, next)
 		for _, id := range p.affected[i] {
@@ -104,7 +104,7 @@
 	}
 }
 
-// trace returns the attempts at the caches that are ready.
+// trace returns the attempts for the measurement of load, with the zones and weights of the ready caches.
 func (p *player) trace(observations []fleet.Observation) *loadmetrics.Trace {
 	caches := map[policy.ServerID]loadmetrics.Cache{}
 	for _, m := range p.cluster.Members() {
@@ -121,7 +121,7 @@
 	return loadmetrics.NewTrace(attempts, caches)
 }
 
-// orMinusOne returns a time, or -1 for NaN, which JSON does not have.
+// orMinusOne returns a time, or -1 for NaN, which JSON cannot encode.
 func orMinusOne(seconds float64) float64 {
 	if math.IsNaN(seconds) {
 		return -1
