--- a/internal/lab/multiprocess/golden_test.go
+++ b/internal/lab/multiprocess/golden_test.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/lab/multiprocess"
 )
 
-// goldenScenario has every field set.
+// goldenScenario returns a scenario in which every field is set.
 func goldenScenario() multiprocess.Scenario {
 	return multiprocess.Scenario{
 		Name: "golden", Seed: 2, Seconds: 3, Zones: 4, ProcessesPerZone: 5, CachesPerZone: 6, Parents: 7, TransferTime: 8, FillTime: 9, Rate: 10, Objects: 11,
--- a/internal/lab/multiprocess/gossip_fault_test.go
+++ b/internal/lab/multiprocess/gossip_fault_test.go
@@ -16,13 +16,13 @@
 	"ravenwheel/policy"
 )
 
-// pollInterval is how often tests check a condition.
+// pollInterval is the time between two checks of a condition that a test waits for.
 const pollInterval = 50 * time.Millisecond
 
 type serverTotals = map[policy.ServerID]fleetview.Totals
 
-// What one zone sends to the other is lost, and the other direction works. Probes between the zones are not answered, so each
-// zone considers the other dead and itself alive. Afterwards they merge again.
+// All that one zone sends to the other is lost; the other direction works. No probe between the zones is answered, so the processes
+// of each zone consider those of the other dead and each other alive. After the fault, the zones merge again.
 func TestOneWayPartitionSplitsAndHeals(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 5, CachesPerZone: 2, Parents: 1, Peers: true})
@@ -35,8 +35,8 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// One process of twenty is partitioned from all others. They consider it dead; it receives from nobody, which it notices long
-// before it considers all of them dead. It rejoins afterwards.
+// One process of twenty is partitioned from all others. They consider it dead. It hears from no process, which it notices long
+// before it considers all others dead. After the partition, it rejoins.
 func TestSingleProcessPartitionedRejoins(t *testing.T) {
 	t.Parallel()
 	const n = 20
@@ -58,8 +58,9 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// Between zones, a fifth of the datagrams is lost, and the others are delayed by up to 200 ms and reordered; then the links have
-// almost no bandwidth and streams are reset. Processes that are considered dead meanwhile rejoin while the loss lasts.
+// Between zones, a fifth of the datagrams is lost, a tenth is duplicated, and all are delayed by up to 200 ms and so reordered. A
+// process is killed and rejoins while the loss lasts. Then streams are reset, and the links have almost no bandwidth. All processes
+// agree on the members each time.
 func TestMembershipConvergesDespiteLossAndJitter(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 3, ProcessesPerZone: 4, CachesPerZone: 2, Parents: 1, Peers: true})
@@ -84,7 +85,8 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// Every process is restarted twice, a quarter of them at a time, without waiting until the others have noticed.
+// Every process is restarted twice, a quarter of the processes at a time, without waiting until the others notice. No rule is
+// broken, and all agree on the members in the end.
 func TestRapidRestartsBreakNoRule(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 8, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
@@ -104,7 +106,7 @@
 	}
 }
 
-// All seeds are dead. A process that restarts joins by the members that it stored before.
+// All seeds are dead. A process that restarts joins through the peers that it had stored before.
 func TestRestartJoinsByStoredPeersWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
@@ -114,7 +116,7 @@
 	}
 	var seeds, survivors []*multiprocess.Process
 	for i, p := range cluster.Processes {
-		if i%4 == 0 { // the three seeds: see Cluster.seedsOf
+		if i%4 == 0 { // the three seeds of twelve processes: see Cluster.seedsOf
 			seeds = append(seeds, p)
 		} else {
 			survivors = append(survivors, p)
@@ -128,7 +130,7 @@
 	waitForAgreement(t, survivors, survivors)
 }
 
-// A process that was killed restarts with its name at another address. The others learn the address.
+// A killed process restarts under its name at another address. The others learn the new address.
 func TestRestartAtAnotherAddress(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 10, CachesPerZone: 2, Parents: 1, Peers: true})
@@ -147,8 +149,8 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// The clock of one process is 3 s ahead of the others', and of another 3 s behind. All stay alive, and the others accept both
-// processes' reports.
+// The clock of one process is 3 s ahead of the others' clocks, and that of another one 3 s behind. All stay alive, and the others
+// accept the reports of both. The two run in the test's process, under the names and keys of processes that were killed.
 func TestClockSkewIsTolerated(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 2, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
--- a/internal/lab/multiprocess/gossip_test.go
+++ b/internal/lab/multiprocess/gossip_test.go
@@ -20,7 +20,7 @@
 	"ravenwheel/policy"
 )
 
-// waitForAgreement waits until processes consider exactly the expected members alive.
+// waitForAgreement waits until each of the processes considers exactly the expected members alive, at their present addresses.
 func waitForAgreement(t *testing.T, processes, alive []*multiprocess.Process) {
 	t.Helper()
 	var err error
@@ -31,10 +31,10 @@
 	}, multiprocess.ReadyTimeout, 50*time.Millisecond) {
 		t.Fatal(err)
 	}
-	t.Logf("%d agree on %d after %v", len(processes), len(alive), time.Since(startedAt).Round(100*time.Millisecond))
+	t.Logf("%d processes agree on %d alive members after %v", len(processes), len(alive), time.Since(startedAt).Round(100*time.Millisecond))
 }
 
-// Half of the processes are killed at the same time. The others agree on who is dead and keep serving; the killed ones rejoin.
+// Half of the processes are killed at the same time. The others agree on which are dead and keep serving. The killed ones rejoin.
 func TestHalfKilledRejoins(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 10, CachesPerZone: 3, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
@@ -58,17 +58,17 @@
 		require.Positive(t, cluster.Served(p))
 		require.Empty(t, cluster.Client(p).Violations())
 	}
-	for _, p := range cluster.Processes { // those that started under load included
+	for _, p := range cluster.Processes { // also those that started under load
 		counters, err := p.Counters()
 		require.NoError(t, err)
 		require.Zero(t, counters["misnamed"])
 		require.LessOrEqual(t, counters["unsent"]+counters["unanswered"], counters["requests"]/200, "%s: %v", p.Name, counters)
 	}
-	require.NoError(t, cluster.Stop(cluster.Processes...), "a process that leaves announces it and exits with status 0")
+	require.NoError(t, cluster.Stop(cluster.Processes...), "a stopped process announces that it leaves and exits with status 0")
 }
 
-// Two zones are partitioned until each considers the other dead. They merge after the partition heals, though no process has
-// members of both zones any more.
+// Two zones are partitioned until the processes of each consider those of the other dead. After the partition the zones merge,
+// though no process lists members of both zones any more.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
@@ -83,7 +83,8 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// startGossipAs takes part in gossip with the keys and name of a process.
+// startGossipAs starts gossip in the test's process with the name and keys of a proxy process, at the address listen. It reports the
+// totals that the function returns.
 func startGossipAs(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.ServerID]fleetview.Totals) *peers.Peers {
 	t.Helper()
 	identity, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
@@ -98,11 +99,11 @@
 	return gossip
 }
 
-// nonexistentCache is a cache that does not exist.
+// nonexistentCache is the id of a cache that does not exist.
 const nonexistentCache = 99
 
-// falseTotals returns a function that reports, at each call, 200,000 more failed attempts at every cache, and as many successful
-// ones at a cache that does not exist.
+// falseTotals returns a function whose totals grow at each call by 200,000 failed attempts at every cache, and as many successful
+// ones at nonexistentCache.
 func falseTotals(caches []policy.ServerID) func() map[policy.ServerID]fleetview.Totals {
 	calls := 0
 	return func() map[policy.ServerID]fleetview.Totals {
@@ -119,8 +120,8 @@
 	}
 }
 
-// requireCorrectEstimates checks that processes received the false reports of another one, and that their estimates of the caches
-// do not follow them.
+// requireCorrectEstimates checks that at least one of the observers received false reports of falseReporter, and that no observer's
+// estimates of the caches follow them.
 func requireCorrectEstimates(t *testing.T, observers []*multiprocess.Process, falseReporter *multiprocess.Process, caches []policy.ServerID) {
 	t.Helper()
 	falseReports := 0
@@ -138,17 +139,17 @@
 				}
 			}
 			if slices.Contains(caches, parseServerID(t, server.ID)) {
-				require.Less(t, server.Failing.Value, 0.1, "%s of %s", server.ID, p.Name)
+				require.Less(t, server.Failing.Value, 0.1, "estimate of cache %s by %s", server.ID, p.Name)
 				require.Less(t, server.Load.Value, 1000.0)
 			}
 		}
 	}
-	require.Positive(t, falseReports, "the false reports were received")
+	require.Positive(t, falseReports, "no observer received the false reports")
 }
 
-// One process of eight reports millions of attempts per second, all failing, at every cache, and successes at a cache that does
-// not exist; forged datagrams arrive, too many of them. The other processes' estimates stay correct, every cache keeps its
-// traffic, the one that does not exist gets none, and all members stay alive.
+// One process of eight reports a million failed attempts per second at every cache, and as many successes at a cache that does not
+// exist; another process also receives a flood of forged datagrams. The other processes' estimates stay correct, every cache keeps
+// receiving requests, the nonexistent one gets none, and all members stay alive.
 func TestFalseReportsAreOutvoted(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 1, ProcessesPerZone: 8, CachesPerZone: 4, Parents: 1, TransferTime: 3, FillTime: 15, Peers: true})
@@ -193,8 +194,9 @@
 	return id
 }
 
-// A process is suspended until the others consider it dead. It rejoins when it is resumed, and what it believed of the others
-// kills none of them. A process with a name that is in use is not admitted, and the log names both.
+// A process is suspended until the others consider it dead. It rejoins when it is resumed, and its outdated view of the others makes
+// no process consider them dead. A second process with a name that is in use is not admitted, and the log of the first names both
+// addresses.
 func TestSuspendedProcessRejoinsAndDuplicateNameIsRejected(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
--- a/internal/lab/multiprocess/measure_test.go
+++ b/internal/lab/multiprocess/measure_test.go
@@ -18,8 +18,9 @@
 	"ravenwheel/policy"
 )
 
-// TestMeasureWithPeers measures what gossip costs and how fast it agrees, with the numbers of processes in FIELD, separated by
-// commas ("make field"). CI does not run it. Its figures go to docs/measurements/peers.md; it asserts only what must always hold.
+// TestMeasureWithPeers measures what gossip costs and how fast processes agree on the members, with the numbers of processes in the
+// environment variable FIELD, separated by commas ("make field"). CI does not run it. Its figures go to docs/measurements/peers.md;
+// it asserts only what must hold at every size.
 func TestMeasureWithPeers(t *testing.T) {
 	sizes := os.Getenv("FIELD")
 	if sizes == "" {
@@ -32,7 +33,7 @@
 	}
 }
 
-// measureInterval is how often hundreds of processes are queried: more often would be a load of its own.
+// measureInterval is the time between two queries of hundreds of processes; more frequent queries would load them noticeably.
 const measureInterval = 500 * time.Millisecond
 
 func measureGossip(t *testing.T, n int) {
@@ -50,9 +51,9 @@
 		}, multiprocess.ReadyTimeout, measureInterval) {
 			t.Fatal(err)
 		}
-		t.Logf("%d processes, %d zones: %s after %.1f s", len(cluster.Processes), zones, event, time.Since(startedAt).Seconds())
+		t.Logf("%d processes, %d zones: %s %.1f s", len(cluster.Processes), zones, event, time.Since(startedAt).Seconds())
 	}
-	waitForAgreement("all agree that all are alive, once the last was ready,", cluster.Processes, cluster.Processes)
+	waitForAgreement("time until all agreed that all were alive, from when the last was ready:", cluster.Processes, cluster.Processes)
 
 	stop := cluster.StartTraffic(func(*multiprocess.Process) float64 { return 10 })
 	time.Sleep(settleTime)
@@ -67,9 +68,9 @@
 		}
 	}
 	cluster.Kill(killed...)
-	waitForAgreement("a third was killed: all survivors agree on who is gone", survivors, survivors)
+	waitForAgreement("time until all survivors agreed on the dead third, from when it was killed:", survivors, survivors)
 	require.NoError(t, cluster.Start(killed...))
-	waitForAgreement("they are back: all agree", cluster.Processes, cluster.Processes)
+	waitForAgreement("time until all agreed that all were alive, from when the killed ones were ready again:", cluster.Processes, cluster.Processes)
 	stop()
 	require.Empty(t, cluster.Violations())
 	for _, p := range survivors {
@@ -77,7 +78,7 @@
 	}
 }
 
-// measureSteadyState logs what each process uses, and how accurate its estimates of the caches' load are.
+// measureSteadyState logs the resources that each process uses, and how accurate the estimates of the caches' load are.
 func measureSteadyState(t *testing.T, cluster *multiprocess.Cluster) {
 	const spanSeconds = 20.0 // seconds
 	before := usageOf(t, cluster)
@@ -102,19 +103,19 @@
 		resident = append(resident, residentMemory(t, p.PID()))
 	}
 	slices.Sort(resident)
-	t.Logf("a process: %.1f KB/s sent, of them digests %.1f, streams %.1f, and %.1f received; %.2f %% of a core in all; %.1f MB resident (median)",
+	t.Logf("per process: %.1f KB/s sent, of which digests %.1f and streams %.1f; %.1f KB/s received; %.2f %% of a core in all; %.1f MB resident (median)",
 		perProcess(func(u usage) float64 { return u.sent })/1000, perProcess(func(u usage) float64 { return u.digests })/1000,
 		perProcess(func(u usage) float64 { return u.streams })/1000, perProcess(func(u usage) float64 { return u.received })/1000,
 		100*perProcess(func(u usage) float64 { return u.cpu }), resident[len(resident)/2])
-	t.Logf("view of the caches of one's own zone against what the caches saw over the same 3 s: within 20 %% on %.0f %% of %d readings, median error %.2f, 95th percentile %.2f",
+	t.Logf("estimated load of the caches of the own zone, compared with the attempts that they received in the last 3 s: within 20 %% in %.0f %% of %d samples; median relative error %.2f, 95th percentile %.2f",
 		100*float64(accurate)/float64(len(estimateErrors)), len(estimateErrors), estimateErrors[len(estimateErrors)/2], estimateErrors[len(estimateErrors)*95/100])
 }
 
-// settleTime is how long processes that joined are given until gossip has levelled out: a start pulls complete states three
-// times.
+// settleTime is the time after processes joined until gossip traffic is steady: after its start, each process requests the complete
+// state three times.
 const settleTime = 45 * time.Second
 
-// usage is what all processes used since their starts.
+// usage is the sum of what all processes have used since their starts.
 type usage struct {
 	sent, digests, streams, received float64 // bytes
 	cpu                              float64 // seconds
@@ -138,7 +139,7 @@
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	require.NoError(t, err)
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
-	for _, i := range []int{11, 12} { // utime, stime in hundredths of a second
+	for _, i := range []int{11, 12} { // utime and stime, in hundredths of a second
 		ticks, err := strconv.ParseFloat(fields[i], 64)
 		require.NoError(t, err)
 		seconds += ticks / 100
@@ -146,7 +147,7 @@
 	return seconds
 }
 
-// residentMemory returns the resident set of a process in MB.
+// residentMemory returns the resident set size of a process in MB.
 func residentMemory(t *testing.T, pid int) float64 {
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	require.NoError(t, err)
@@ -155,8 +156,8 @@
 	return pages * float64(os.Getpagesize()) / 1e6
 }
 
-// loadEstimateErrors returns the relative errors of the estimates that one process of each zone has of the load of the caches
-// in its zone, compared with what these caches received in the last three seconds.
+// loadEstimateErrors compares the load of each cache, as one process of its zone estimates it, with the attempts that the cache
+// received in the last 3 s. It returns the relative errors.
 func loadEstimateErrors(t *testing.T, cluster *multiprocess.Cluster) (relativeErrors []float64) {
 	byZone := map[int]*multiprocess.Process{}
 	for _, p := range cluster.Processes {
@@ -183,8 +184,8 @@
 	return relativeErrors
 }
 
-// TestMeasureWithoutPeers measures what a process costs at the same traffic without gossip, with the numbers of processes in
-// FIELD_OFF.
+// TestMeasureWithoutPeers measures the CPU time and memory of a process at the same traffic without gossip, with the numbers of
+// processes in the environment variable FIELD_OFF.
 func TestMeasureWithoutPeers(t *testing.T) {
 	sizes := os.Getenv("FIELD_OFF")
 	if sizes == "" {
@@ -212,6 +213,6 @@
 		}
 		stop()
 		slices.Sort(resident)
-		t.Logf("%d processes without peers: %.2f %% of a core each; %.1f MB resident (median)", n, 100*(after-before)/spanSeconds/float64(len(cluster.Processes)), resident[len(resident)/2])
+		t.Logf("%d processes without gossip: %.2f %% of a core each; %.1f MB resident (median)", n, 100*(after-before)/spanSeconds/float64(len(cluster.Processes)), resident[len(resident)/2])
 	}
 }
--- a/internal/lab/multiprocess/rolling_restart_test.go
+++ b/internal/lab/multiprocess/rolling_restart_test.go
@@ -35,6 +35,7 @@
 	os.Exit(code)
 }
 
+// startCluster starts a cluster and waits until all its processes are ready. It is closed when the test ends.
 func startCluster(t *testing.T, o multiprocess.Options) *multiprocess.Cluster {
 	o.Program, o.Dir = program, t.TempDir()
 	cluster, err := multiprocess.New(o)
@@ -44,8 +45,8 @@
 	return cluster
 }
 
-// All processes are restarted, a tenth at a time, while half of the caches are replaced and the discovery service moves to an
-// address that does not answer at first. No rule is broken, every process starts and exits cleanly, and at most one request in
+// All processes are restarted, a tenth at a time, while half of the caches are replaced and the discovery service moves to another
+// address, where it does not answer at first. No rule is broken, every process starts and exits cleanly, and at most one request in
 // 200 is lost, fails or is finally rejected.
 func TestRollingRestartBreaksNoRule(t *testing.T) {
 	t.Parallel()
@@ -87,7 +88,7 @@
 	require.LessOrEqual(t, unserved, totals.Requested/200, "%+v", totals)
 	for _, counts := range cluster.Fleet.Counts() {
 		if !slices.Contains(replaced, counts.Server) && counts.Role == 0 {
-			require.Positive(t, counts.Attempts, "cache %d, which was added or stayed, gets traffic", counts.Server)
+			require.Positive(t, counts.Attempts, "cache %d was not replaced, but received no attempts", counts.Server)
 		}
 	}
 }
--- a/internal/lab/multiprocess/zone_loss_test.go
+++ b/internal/lab/multiprocess/zone_loss_test.go
@@ -11,9 +11,9 @@
 	"ravenwheel/policy"
 )
 
-// All caches of a zone are lost at once, half of all copies are purged, one of the zone's processes is restarted meanwhile, and
-// the caches return without copies. No rule is broken, not by the restarted process either; in the end every cache gets traffic
-// and every process serves.
+// All caches of a zone are killed at once, half of all copies are purged, one of the zone's processes is restarted meanwhile, and the
+// caches restart without copies. No rule is broken, not even by the restarted process; in the end every cache of the zone receives
+// attempts and every process serves requests.
 func TestZoneReturnsWithoutCopiesDuringPurge(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 4, Parents: 2, TransferTime: 3, FillTime: 15})
@@ -35,7 +35,7 @@
 	for _, p := range cluster.Processes {
 		served[p] = cluster.Served(p)
 	}
-	// Outliers are probed every 5 s, and a purge counts as received after 7 s.
+	// Outliers are probed every 5 s, and processes have to follow a purge after 7 s at the latest.
 	time.Sleep(9 * time.Second)
 	stop()
 	require.Empty(t, cluster.Violations())
@@ -44,7 +44,7 @@
 		attempts[s.Server]++
 	}
 	for _, id := range caches {
-		require.Positive(t, attempts[id], "cache %d gets traffic again", id)
+		require.Positive(t, attempts[id], "cache %d received no attempts after its restart", id)
 	}
 	for _, p := range cluster.Processes {
 		require.Greater(t, cluster.Served(p), served[p], p.Name)
