--- a/cmd/ravenlab/demo.go
+++ b/cmd/ravenlab/demo.go
@@ -8,15 +8,15 @@
 	"ravenwheel/internal/lab/demo"
 )
 
-// demoCommand plays the demonstration of internal/lab/demo.
+// demoCommand returns the command that runs the demonstration of internal/lab/demo.
 func demoCommand() *cobra.Command {
 	o := demo.Options{Out: os.Stdout}
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Run a proxy on stand-ins and switch its server list under traffic", Args: cobra.NoArgs,
+		Use: "demo", Short: "Run a proxy with stand-in servers and replace its server list under traffic", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return demo.Run(cmd.Context(), o) },
 	}
-	cmd.Flags().StringVar(&o.Proxy, "proxy", "bin/ravenwheel", "the program")
-	cmd.Flags().StringVar(&o.Operator, "operator", "deploy/standalone.jsonc", "its file, which stands alone")
-	cmd.Flags().Float64Var(&o.PerS, "per-s", 150, "requests a second")
+	cmd.Flags().StringVar(&o.Proxy, "proxy", "bin/ravenwheel", "path of the proxy's binary")
+	cmd.Flags().StringVar(&o.Operator, "operator", "deploy/standalone.jsonc", "operator's file of the proxy, with the sections proxy and admin")
+	cmd.Flags().Float64Var(&o.PerS, "per-s", 150, "requests per second")
 	return cmd
 }
--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -19,7 +19,7 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// readExperiment reads an experiment. One without a name is named after its file.
+// readExperiment reads an experiment. An experiment without a name gets that of its file.
 func readExperiment(path string) (*experiment.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,15 +35,15 @@
 	return e, nil
 }
 
-// variantFlags select one variant and one seed of an experiment.
+// variantFlags are the flags that select one variant and one seed of an experiment.
 type variantFlags struct {
 	variant string // empty: the first
 	seed    uint64
 }
 
 func (f *variantFlags) register(cmd *cobra.Command) {
-	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "of all that is drawn")
-	cmd.Flags().StringVar(&f.variant, "variant", "", "which (default: the first)")
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the random numbers")
+	cmd.Flags().StringVar(&f.variant, "variant", "", "name of the variant (default: the first variant)")
 }
 
 // read returns the variant that the flags select from the experiment at a path.
@@ -57,16 +57,16 @@
 			return v, nil
 		}
 	}
-	return experiment.Variant{}, fmt.Errorf("no variant %q", f.variant)
+	return experiment.Variant{}, fmt.Errorf("the experiment has no variant %q", f.variant)
 }
 
-// printRuns prints a row for each variant. It returns an error if rules were broken, after printing which.
+// printRuns prints a row for each variant. If rules were broken, it prints the violations and returns an error.
 func printRuns(out io.Writer, runs []experiment.Run) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "variant\tseeds\tworth\tworst 10 s\trecovery s\ttries\tattempts\thits\torigin\tbroken\t")
-	broken := 0
+	fmt.Fprintln(w, "variant\tseeds\tserved value\tworst 10 s\trecovery s\tclient attempts\tupstream attempts\thits\torigin fills\tviolations\t")
+	violations := 0
 	for _, r := range report.Rows(runs) {
-		broken += r.Violations
+		violations += r.Violations
 		fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%d\t\n",
 			r.Name, r.Seeds, r.ServedValue, r.WorstServedValue, r.RecoverySeconds, r.ClientAttempts, r.UpstreamAttempts, r.HitRatio,
 			r.OriginFills, r.Violations)
@@ -74,7 +74,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if broken == 0 {
+	if violations == 0 {
 		return nil
 	}
 	for _, run := range runs {
@@ -82,15 +82,15 @@
 			fmt.Fprintln(out, violation)
 		}
 	}
-	return fmt.Errorf("%d rules broken", broken)
+	return fmt.Errorf("%d rules broken", violations)
 }
 
-// runCommand plays one scenario of an experiment.
+// runCommand returns the command that plays one variant of an experiment with one seed.
 func runCommand() *cobra.Command {
 	var flags variantFlags
 	var jsonPath string
 	cmd := &cobra.Command{
-		Use: "run FILE", Short: "Play one scenario of an experiment with one seed", Args: cobra.ExactArgs(1), Aliases: []string{"replay"},
+		Use: "run FILE", Short: "Play one variant of an experiment with one seed", Args: cobra.ExactArgs(1), Aliases: []string{"replay"},
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := flags.read(args[0])
 			if err != nil {
@@ -109,7 +109,7 @@
 		},
 	}
 	flags.register(cmd)
-	cmd.Flags().StringVar(&jsonPath, "json", "", "write all of the result to this file")
+	cmd.Flags().StringVar(&jsonPath, "json", "", "write the whole result to this file, as JSON")
 	return cmd
 }
 
@@ -117,25 +117,25 @@
 type sweepOptions struct {
 	runsPath string // JSON lines; empty: runs are not stored
 	pagePath string // empty: no page
-	workers  int    // runs at a time; 0: one for each core
+	workers  int    // concurrent runs; 0: one for each core
 }
 
-// sweepCommand plays all scenarios of an experiment.
+// sweepCommand returns the command that plays all variants of an experiment.
 func sweepCommand() *cobra.Command {
 	var o sweepOptions
 	cmd := &cobra.Command{
-		Use: "sweep FILE", Short: "Play all scenarios of an experiment with all their seeds; what --json holds already is not played again",
+		Use: "sweep FILE", Short: "Play all variants of an experiment with all its seeds, except the runs that the file of --json holds",
 		Args: cobra.ExactArgs(1), Aliases: []string{"compare"},
 		RunE: func(cmd *cobra.Command, args []string) error { return sweep(cmd, args[0], o) },
 	}
-	cmd.Flags().StringVar(&o.runsPath, "json", "", "append each run to this file, and go on from what it holds")
+	cmd.Flags().StringVar(&o.runsPath, "json", "", "append each run to this file, and do not play the runs that it holds again")
 	cmd.Flags().StringVar(&o.pagePath, "html", "", "write a report to this file")
-	cmd.Flags().IntVar(&o.workers, "workers", 0, "runs at once (default: one a core)")
+	cmd.Flags().IntVar(&o.workers, "workers", 0, "concurrent runs (default: one for each core)")
 	return cmd
 }
 
-// sweep plays the runs of an experiment that are not stored yet, and reports all. A sweep that is cancelled reports the runs
-// that are done.
+// sweep plays the runs of an experiment that are not stored yet, and reports all runs. If it is cancelled, it reports the runs
+// that have ended.
 func sweep(cmd *cobra.Command, path string, o sweepOptions) error {
 	e, err := readExperiment(path)
 	if err != nil {
@@ -159,7 +159,7 @@
 		}
 	})
 	if errors.Is(err, context.Canceled) {
-		fmt.Fprintf(os.Stderr, "stopped: %d runs are done\n", len(runs))
+		fmt.Fprintf(os.Stderr, "cancelled: reporting the %d runs that have ended\n", len(runs))
 		err = nil
 	}
 	if err != nil || len(runs) == 0 {
@@ -174,7 +174,7 @@
 	return printRuns(cmd.OutOrStdout(), sorted)
 }
 
-// inOrder returns the experiment's runs ordered by variant and seed. It leaves out those that are not done.
+// inOrder returns the experiment's runs ordered by variant and seed. It leaves out runs that have not been played.
 func inOrder(e *experiment.Experiment, runs []experiment.Run) (sorted []experiment.Run) {
 	for _, v := range e.Variants {
 		for seed := uint64(1); seed <= uint64(e.Seeds); seed++ {
@@ -193,10 +193,10 @@
 	return createFile(path, func(w io.Writer) error { return report.Write(w, title, runs) })
 }
 
-// reportCommand writes the page of stored runs.
+// reportCommand returns the command that writes the page of stored runs.
 func reportCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "report RUNS.jsonl OUT.html", Short: "Write a page from runs that were kept", Args: cobra.ExactArgs(2),
+		Use: "report RUNS.jsonl OUT.html", Short: "Write an HTML page of stored runs", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			runs, err := experiment.Load(args[0])
 			if err != nil {
@@ -207,11 +207,11 @@
 	}
 }
 
-// shrinkCommand reduces a scenario that breaks a rule.
+// shrinkCommand returns the command that reduces a scenario that breaks a rule.
 func shrinkCommand() *cobra.Command {
 	var flags variantFlags
 	cmd := &cobra.Command{
-		Use: "shrink FILE", Short: "Make a scenario in which a rule breaks as small as it still does", Args: cobra.ExactArgs(1),
+		Use: "shrink FILE", Short: "Reduce a scenario that breaks a rule as far as it still breaks one", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			v, err := flags.read(args[0])
 			if err != nil {
@@ -234,14 +234,14 @@
 	return cmd
 }
 
-// validateCommand compares the model with the proxy.
+// validateCommand returns the command that compares the simulator with the real proxy.
 func validateCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "validate", Short: "Hold the lab's model against the real proxy on sockets: under a minute, on loopback", Args: cobra.NoArgs,
+		Use: "validate", Short: "Compare the simulator with the real proxy on loopback sockets; takes less than a minute", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			relations, err := crosscheck.Run(cmd.Context(), func(text string) { fmt.Fprintln(os.Stderr, text) })
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "relation\tsockets\tlab\tdifference")
+			fmt.Fprintln(w, "relation\tproxy\tsimulator\tdifference")
 			for _, r := range relations {
 				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.3f\n", r.Name, r.Sockets, r.Lab, r.Difference())
 			}
--- a/cmd/ravenlab/field.go
+++ b/cmd/ravenlab/field.go
@@ -15,16 +15,16 @@
 // fieldOptions are the flags of "ravenlab field" and "ravenlab field replay".
 type fieldOptions struct {
 	program string // path of the proxy's binary
-	dir     string // for scenario, result and logs; empty: a temporary one
+	dir     string // directory for scenario, result and logs; empty: a temporary one
 	page    string // path of the HTML page; empty: none
 }
 
-// fieldCommand plays scenarios of internal/lab/multiprocess.
+// fieldCommand returns the command that plays scenarios of internal/lab/multiprocess.
 func fieldCommand() *cobra.Command {
 	var o fieldOptions
 	var seed uint64
 	cmd := &cobra.Command{
-		Use: "field FILE", Short: "Play many real processes with faults between them, on loopback", Args: cobra.ExactArgs(1),
+		Use: "field FILE", Short: "Play a scenario with many real proxy processes and faults, on loopback", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := readFieldScenario(args[0])
 			if err != nil {
@@ -36,17 +36,17 @@
 			return playField(cmd, s, o)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 0, "in place of the file's")
-	cmd.PersistentFlags().StringVar(&o.program, "proxy", "bin/ravenwheel", "the program")
-	cmd.PersistentFlags().StringVar(&o.dir, "dir", "", "keep scenario, result and logs here (default: only where a rule broke)")
-	cmd.PersistentFlags().StringVar(&o.page, "html", "", "write a report to this file")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed in place of that in the file")
+	cmd.PersistentFlags().StringVar(&o.program, "proxy", "bin/ravenwheel", "path of the proxy's binary")
+	cmd.PersistentFlags().StringVar(&o.dir, "dir", "", "keep scenario, result and logs in this directory (default: a temporary one, kept only if a rule was broken)")
+	cmd.PersistentFlags().StringVar(&o.page, "html", "", "write an HTML page of the result to this file")
 	cmd.AddCommand(fieldReplayCommand(&o))
 	return cmd
 }
 
 func fieldReplayCommand(o *fieldOptions) *cobra.Command {
 	return &cobra.Command{
-		Use: "replay DIR", Short: "Play again what a directory of an earlier field holds", Args: cobra.ExactArgs(1),
+		Use: "replay DIR", Short: "Play the scenario in the directory of an earlier run again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := readFieldScenario(filepath.Join(args[0], multiprocess.ScenarioFile))
 			if err != nil {
@@ -69,7 +69,7 @@
 	return s, defects.Err()
 }
 
-// playField plays a scenario and prints its result. It fails if a rule was broken, and then keeps the directory.
+// playField plays a scenario and prints its result. If a rule was broken, it keeps the directory and returns an error.
 func playField(cmd *cobra.Command, s multiprocess.Scenario, o fieldOptions) (err error) {
 	dir := o.dir
 	if dir == "" {
@@ -98,15 +98,15 @@
 
 func printField(out io.Writer, r *multiprocess.Result) {
 	totals := r.Totals()
-	fmt.Fprintf(out, "asked %d, served %d; p50 %.1f ms, p99 %.1f ms; highest to mean load over 5 s %.2f, 95th percentile %.2f\n",
+	fmt.Fprintf(out, "requested %d, served %d; p50 %.1f ms, p99 %.1f ms; highest load relative to the mean, over 5 s: median %.2f, 95th percentile %.2f\n",
 		totals.Requested, totals.Served, r.P50, r.P99, r.Spread[1].Median, r.Spread[1].P95)
 	for i, window := range []string{"1 s", "5 s"} {
 		spread := r.SpreadBeforeFaults[i]
-		fmt.Fprintf(out, "before the first fault, over %s: highest to mean load %.2f, 95th percentile %.2f, lowest %.2f\n",
+		fmt.Fprintf(out, "before the first fault, load relative to the mean, over %s: highest %.2f (median) and %.2f (95th percentile), lowest %.2f (median)\n",
 			window, spread.Median, spread.P95, spread.Least)
 	}
 	for _, reaction := range r.Reactions {
-		fmt.Fprintf(out, "%s at %s: left after %.1f s, back %.1f s after its end, surge %.1f\n", r.Timeline[reaction.Fault].Kind, reaction.Cache,
+		fmt.Fprintf(out, "%s at %s: abandoned after %.1f s, restored %.1f s after the end of the fault, surge %.1f\n", r.Timeline[reaction.Fault].Kind, reaction.Cache,
 			reaction.TimeToAbandon, reaction.TimeToRestore, reaction.SurgeMultiplier)
 	}
 	for _, text := range append(r.NotPlayed, r.Violations...) {
--- a/cmd/ravenlab/fleet.go
+++ b/cmd/ravenlab/fleet.go
@@ -18,17 +18,17 @@
 	originKind = "origin"
 )
 
-// fleetCommand runs the stand-in servers of internal/lab/fleet.
+// fleetCommand returns the command that runs the stand-in servers of internal/lab/fleet.
 func fleetCommand() *cobra.Command {
 	o := fleet.Options{Clock: clock.System()}
 	cmd := &cobra.Command{
-		Use: "fleet LIST", Short: "Stand in for the servers of a list, at its addresses, until SIGTERM", Args: cobra.ExactArgs(1),
+		Use: "fleet LIST", Short: "Run stand-ins for the servers of a list, at their addresses, until SIGTERM", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return runFleet(cmd, args[0], o) },
 	}
-	cmd.Flags().Float64Var(&o.TransferTime, "serve-ms", 4, "time of a transfer")
-	cmd.Flags().Float64Var(&o.FillTime, "fill-ms", 25, "how much longer one takes that must be fetched")
-	cmd.Flags().Float64Var(&o.PurgeDelay, "purge-takes-ms", 6000, "time after which copies that were purged are dropped")
-	cmd.Flags().IntVar(&o.MaxCopies, "held", 4096, "copies that a cache or parent holds")
+	cmd.Flags().Float64Var(&o.TransferTime, "serve-ms", 4, "time of a transfer, in ms")
+	cmd.Flags().Float64Var(&o.FillTime, "fill-ms", 25, "additional time of a transfer that needs a fill, in ms")
+	cmd.Flags().Float64Var(&o.PurgeDelay, "purge-takes-ms", 6000, "time after which purged copies are dropped, in ms")
+	cmd.Flags().IntVar(&o.MaxCopies, "held", 4096, "maximum number of copies that a cache or parent holds")
 	return cmd
 }
 
@@ -44,7 +44,7 @@
 	if err := servers.StartList(list, parentKind, originKind); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d servers listen\n", len(list.Servers))
+	fmt.Fprintf(cmd.OutOrStdout(), "%d stand-in servers are listening\n", len(list.Servers))
 	<-cmd.Context().Done()
 	return nil
 }
--- a/cmd/ravenlab/load.go
+++ b/cmd/ravenlab/load.go
@@ -11,7 +11,7 @@
 	"ravenwheel/internal/lab/load"
 )
 
-// standardClasses are the classes of deploy/standalone.jsonc.
+// standardClasses are the classes of requests in deploy/standalone.jsonc.
 var standardClasses = []load.Class{
 	{Name: "replay", Fraction: 0.53, DeadlineMs: 5000, PartsPerObject: 12}, {Name: "asset", Fraction: 0.44, DeadlineMs: 2500, PartsPerObject: 1},
 	{Name: "seat-claim", Fraction: 0.03, DeadlineMs: 3000, Write: true, PartsPerObject: 1},
@@ -22,26 +22,26 @@
 	client      load.Options
 	rate        float64 // requests per second
 	seconds     float64
-	schedule    string // phases in place of rate and seconds; empty: none
-	misbehaving string // numbers of misbehaving clients by habit; empty: none
+	schedule    string // phases that replace rate and seconds; empty: none
+	misbehaving string // number of misbehaving clients by kind of misbehaviour; empty: none
 }
 
-// loadCommand runs the clients of internal/lab/load.
+// loadCommand returns the command that runs the clients of internal/lab/load.
 func loadCommand() *cobra.Command {
 	o := loadOptions{client: load.Options{Clock: clock.System(), Classes: standardClasses}}
 	cmd := &cobra.Command{
-		Use: "load", Short: "Send traffic to a proxy for a while and say what became of it", Args: cobra.NoArgs,
+		Use: "load", Short: "Send traffic to a proxy and print the outcomes of the requests", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runLoad(cmd, o) },
 	}
 	cmd.Flags().StringVar(&o.client.Addr, "addr", "127.0.20.100:4100", "the proxy's address")
-	cmd.Flags().Float64Var(&o.rate, "per-s", 150, "requests a second")
-	cmd.Flags().Float64Var(&o.seconds, "seconds", 10, "for how long")
-	cmd.Flags().StringVar(&o.schedule, "phases", "", "a course of rates in place of these: 10:50-200,5:400")
-	cmd.Flags().StringVar(&o.misbehaving, "misbehave", "", "clients that misbehave beside it: idle=100,half=20,noise=5,claim=5,leave=20")
-	cmd.Flags().IntVar(&o.client.Conns, "conns", 8, "connections")
-	cmd.Flags().IntVar(&o.client.Objects, "objects", 400, "objects to draw from")
-	cmd.Flags().IntVar(&o.client.Retries, "retries", 3, "of a request that was refused")
-	cmd.Flags().Uint64Var(&o.client.Seed, "seed", 7, "of what is drawn")
+	cmd.Flags().Float64Var(&o.rate, "per-s", 150, "requests per second")
+	cmd.Flags().Float64Var(&o.seconds, "seconds", 10, "duration of the traffic, in seconds")
+	cmd.Flags().StringVar(&o.schedule, "phases", "", "phases in place of --per-s and --seconds, each SECONDS:RATE or SECONDS:FROM-TO, such as 10:50-200,5:400")
+	cmd.Flags().StringVar(&o.misbehaving, "misbehave", "", "number of additional, misbehaving clients by kind, such as idle=100,half=20,noise=5,claim=5,leave=20")
+	cmd.Flags().IntVar(&o.client.Conns, "conns", 8, "number of connections")
+	cmd.Flags().IntVar(&o.client.Objects, "objects", 400, "number of objects that requests are drawn from")
+	cmd.Flags().IntVar(&o.client.Retries, "retries", 3, "maximum number of retries of a rejected request, or of a failed one that does not write")
+	cmd.Flags().Uint64Var(&o.client.Seed, "seed", 7, "seed of the random numbers")
 	return cmd
 }
 
@@ -56,14 +56,14 @@
 	}
 	out := cmd.OutOrStdout()
 	if o.misbehaving != "" {
-		habits, err := load.ParseMisbehaving(o.misbehaving)
+		counts, err := load.ParseMisbehaving(o.misbehaving)
 		if err != nil {
 			return err
 		}
-		misbehaving := load.StartMisbehaving(o.client.Addr, habits)
+		misbehaving := load.StartMisbehaving(o.client.Addr, counts)
 		defer func() {
 			misbehaving.Stop()
-			fmt.Fprintf(out, "misbehaved on %d connections, of which the proxy ended %d\n", misbehaving.Opened.Load(), misbehaving.Ended.Load())
+			fmt.Fprintf(out, "misbehaving clients: opened %d connections, of which the proxy closed %d\n", misbehaving.Opened.Load(), misbehaving.Ended.Load())
 		}()
 	}
 	client := load.New(o.client)
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// printLoad prints the outcomes by class, and the answers that were wrong.
+// printLoad prints the outcomes by class, and the violations that the client observed.
 func printLoad(out io.Writer, client *load.Client, classes []load.Class) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tasked\tserved\trefused\tfailed\tlost\tp50 ms\tp99 ms\t")
+	fmt.Fprintln(w, "class\trequested\tserved\trejected\tfailed\tlost\tp50 ms\tp99 ms\t")
 	results := client.Results()
 	for _, class := range classes {
 		result := results[class.Name]
@@ -87,6 +87,6 @@
 	}
 	_ = w.Flush()
 	for _, violation := range client.Violations() {
-		fmt.Fprintln(out, "wrong:", violation)
+		fmt.Fprintln(out, "violation:", violation)
 	}
 }
--- a/cmd/ravenlab/main.go
+++ b/cmd/ravenlab/main.go
@@ -1,5 +1,6 @@
-// Command ravenlab is a workbench for the proxy: stand-in servers, clients and demonstrations on loopback, experiments with a
-// model, and the capacity page. Each command is in a file of its own; the work is done in the packages of internal/lab.
+// Command ravenlab tests and measures the proxy: it runs stand-in servers, clients and demonstrations on loopback, plays
+// experiments in a simulator, and writes the capacity page. Commands only read flags and print results; the packages of
+// internal/lab do the work.
 package main
 
 import (
@@ -20,7 +21,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	root := &cobra.Command{Use: "ravenlab", Short: "Stand-ins, load and experiments for ravenwheel", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "ravenlab", Short: "Stand-in servers, load and experiments for ravenwheel", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(
 		fleetCommand(), loadCommand(), demoCommand(),
 		runCommand(), sweepCommand(), reportCommand(), shrinkCommand(), validateCommand(),
@@ -37,7 +38,7 @@
 	return strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 }
 
-// createFile creates a file and writes it. An error of closing it counts, too.
+// createFile creates a file and calls write with it. It returns the errors of creating, writing and closing.
 func createFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -16,10 +16,10 @@
 	"ravenwheel/internal/lab/hollow"
 )
 
-// scaleMemoryLimit bounds the heap of a run, in bytes: near it, garbage is collected more often.
+// scaleMemoryLimit is Go's memory limit for a run, in bytes: near it, garbage is collected more often.
 const scaleMemoryLimit = 7 << 30
 
-// The ways in which control traffic is distributed, as --ways names them.
+// How control traffic is distributed to the processes, as --ways names it.
 const (
 	distributionLevels = string(hollow.ModeLevels) // over levels of relays
 	distributionDirect = string(hollow.ModeDirect) // to every process directly
@@ -28,17 +28,17 @@
 // scaleOptions are the flags of "ravenlab scale".
 type scaleOptions struct {
 	seed           uint64
-	sizes          []int    // numbers of processes; empty: those of the file
-	distributions  []string // empty: levels, and direct where the file says so
-	measureHarness bool     // play once more with empty processes, to measure the event loop
-	dir, pagePath  string   // empty: nothing is written there
+	sizes          []int    // numbers of processes; empty: those in the file
+	distributions  []string // values of --ways; empty: levels, and also direct if the file says so
+	measureHarness bool     // play once more with processes that do nothing, to measure the CPU time of the simulation itself
+	dir, pagePath  string   // for results and for the page; empty: not written
 }
 
-// scaleCommand plays scenarios of internal/lab/hollow.
+// scaleCommand returns the command that plays scenarios of internal/lab/hollow.
 func scaleCommand() *cobra.Command {
 	var o scaleOptions
 	cmd := &cobra.Command{
-		Use: "scale FILE", Short: "Play the control traffic of thousands of hollow processes, with faults, in virtual time", Args: cobra.ExactArgs(1),
+		Use: "scale FILE", Short: "Simulate the control traffic of thousands of processes that serve no requests, with faults, in virtual time", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := readScale(args[0])
 			if err != nil {
@@ -50,17 +50,17 @@
 			return scale(cmd, s, o)
 		},
 	}
-	cmd.Flags().IntSliceVar(&o.sizes, "sizes", nil, "processes, in place of the file's")
-	cmd.Flags().StringSliceVar(&o.distributions, "ways", nil, "levels, direct (default: levels, and direct where the file says so)")
-	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "in place of the file's")
-	cmd.Flags().BoolVar(&o.measureHarness, "loop", false, "play the loop once more with empty machines, to tell its own share; up to 3.4 GB more")
-	cmd.Flags().StringVar(&o.dir, "dir", "", "write a JSON file of each run into this directory")
-	cmd.Flags().StringVar(&o.pagePath, "html", "", "write a page to this file")
+	cmd.Flags().IntSliceVar(&o.sizes, "sizes", nil, "numbers of processes, in place of those in the file")
+	cmd.Flags().StringSliceVar(&o.distributions, "ways", nil, "how control traffic is distributed: levels, direct (default: levels, and also direct if the file says so)")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "seed in place of that in the file")
+	cmd.Flags().BoolVar(&o.measureHarness, "loop", false, "play once more with processes that do nothing, to measure the CPU time of the simulation itself; needs up to 3.4 GB more memory")
+	cmd.Flags().StringVar(&o.dir, "dir", "", "write the result of each run to a JSON file in this directory")
+	cmd.Flags().StringVar(&o.pagePath, "html", "", "write an HTML page of the runs to this file")
 	cmd.AddCommand(scalePageCommand(), scaleRecordingsCommand())
 	return cmd
 }
 
-// readScale reads a scenario. One without a name is named after its file.
+// readScale reads a scenario. A scenario without a name gets that of its file.
 func readScale(path string) (hollow.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,8 @@
 	return s, defects.Err()
 }
 
-// scale plays a scenario in all sizes and ways, and writes a page of the runs, also of those before one that failed.
+// scale plays a scenario with all numbers of processes and distributions, and writes a page of the runs. If a run fails, the page
+// shows the runs before it.
 func scale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) error {
 	if len(o.sizes) > 0 {
 		s.Processes = o.sizes
@@ -97,7 +98,7 @@
 
 // playScale plays, prints and stores the runs. It returns an error at the end if rules were broken.
 func playScale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) (runs []*hollow.Result, err error) {
-	broken := 0
+	violations := 0
 	for _, size := range s.Processes {
 		for _, distribution := range o.distributions {
 			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(distribution), o.measureHarness)
@@ -105,7 +106,7 @@
 				return runs, err
 			}
 			runs = append(runs, result)
-			broken += result.Violations
+			violations += result.Violations
 			if o.dir != "" {
 				name := fmt.Sprintf("%s-%s-%d.json", s.Name, distribution, size)
 				if err := writeIndentedJSON(filepath.Join(o.dir, name), result); err != nil {
@@ -117,13 +118,13 @@
 			}
 		}
 	}
-	if broken > 0 {
-		return runs, fmt.Errorf("%d rules broken, seed %d", broken, s.Seed)
+	if violations > 0 {
+		return runs, fmt.Errorf("%d rules broken, seed %d", violations, s.Seed)
 	}
 	return runs, nil
 }
 
-// scaleMode is the mode that --ways names. Any other name than direct stands for levels.
+// scaleMode returns the mode for a value of --ways: direct, or levels for all other values.
 func scaleMode(distribution string) hollow.Mode {
 	if distribution == distributionDirect {
 		return hollow.ModeDirect
@@ -132,21 +133,21 @@
 }
 
 func printScale(out io.Writer, r *hollow.Result) error {
-	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, processor %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds,
+	fmt.Fprintf(out, "%s, %d processes, %s: %.0f s virtual in %.0f s, CPU time %.1f s, heap %.0f MB\n", r.Name, r.Processes, r.Mode, r.VirtualSeconds,
 		r.WallSeconds, r.CPUSeconds, r.HeapMB)
 	if r.HarnessCPUSeconds >= 0 {
-		fmt.Fprintf(out, "the loop with empty machines: processor %.1f s (whole: %v)\n", r.HarnessCPUSeconds, r.HarnessComplete)
+		fmt.Fprintf(out, "simulation with processes that do nothing: CPU time %.1f s (measured over the whole run: %v)\n", r.HarnessCPUSeconds, r.HarnessComplete)
 	}
 	for i, kind := range []string{"purges", "lists, drains, revisions"} {
 		all, afterFault := r.Propagation[i], r.AfterFault[i]
-		fmt.Fprintf(out, "%s: %d, at the last process after p50 %.0f, p99 %.0f, at most %.0f ms; counted from a process's return p99 %.0f, at most %.0f\n",
+		fmt.Fprintf(out, "%s: %d, applied by the last process after p50 %.0f ms, p99 %.0f ms, at most %.0f ms; counted from when a process was connectable again: p99 %.0f ms, at most %.0f ms\n",
 			kind, all.Count, all.P50, all.P99, all.Max, afterFault.P99, afterFault.Max)
 	}
 	for _, recovery := range r.Recoveries {
-		fmt.Fprintf(out, "%s at %.0f s: healed %.1f s after %.0f s\n", recovery.Fault.Kind, recovery.Fault.AtSeconds, recovery.AfterSeconds, recovery.CountedFromSeconds)
+		fmt.Fprintf(out, "%s at %.0f s: recovered %.1f s after second %.0f\n", recovery.Fault.Kind, recovery.Fault.AtSeconds, recovery.AfterSeconds, recovery.CountedFromSeconds)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "role\tprocesses\tin KB/s\tout KB/s\tmost out\tin /s\tout /s\tus a call\tcore %\theap MB\tlight MB\t")
+	fmt.Fprintln(w, "role\tprocesses\tin KB/s\tout KB/s\tmax out KB/s\tmessages in/s\tmessages out/s\tus per call\tcore %\theap MB\treceive-only heap MB\t")
 	for _, cost := range r.RoleCosts {
 		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%.2f\t%.3f\t\n", cost.Role, cost.Processes, cost.InKBPerS, cost.OutKBPerS,
 			cost.MaxOutKBPerS, cost.MessagesInPerS, cost.MessagesOutPerS, cost.MicrosPerCall, cost.CPUPercent, cost.HeapMB, cost.LightHeapMB)
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// loadScaleRuns reads runs that --dir stored.
+// loadScaleRuns reads the results that --dir stored.
 func loadScaleRuns(paths []string) (runs []*hollow.Result, err error) {
 	for _, path := range paths {
 		encoded, err := os.ReadFile(path)
@@ -176,7 +177,7 @@
 	return runs, nil
 }
 
-// storedRunsCommand returns a command that writes a file from stored runs.
+// storedRunsCommand returns a command that calls write with the stored runs and the file to write.
 func storedRunsCommand(use, short string, write func(io.Writer, []*hollow.Result) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(2),
@@ -191,13 +192,13 @@
 }
 
 func scalePageCommand() *cobra.Command {
-	return storedRunsCommand("page OUT.html RUN.json...", "Write a page from runs that were kept", func(w io.Writer, runs []*hollow.Result) error {
+	return storedRunsCommand("page OUT.html RUN.json...", "Write an HTML page of stored runs", func(w io.Writer, runs []*hollow.Result) error {
 		return hollow.WritePage(w, "Scale", runs)
 	})
 }
 
 func scaleRecordingsCommand() *cobra.Command {
 	machine := fmt.Sprintf("%d processors", runtime.NumCPU())
-	return storedRunsCommand("recordings OUT.json RUN.json...", "Write what runs at several sizes measured as points for the capacity page",
+	return storedRunsCommand("recordings OUT.json RUN.json...", "Write the figures of runs with several numbers of processes as points for the capacity page",
 		func(w io.Writer, runs []*hollow.Result) error { return hollow.WriteRecordings(w, machine, runs) })
 }
