--- a/internal/lab/multiprocess/fault.go
+++ b/internal/lab/multiprocess/fault.go
@@ -40,11 +40,11 @@
 	LoseZone         FaultKind = "lose"    // all caches of a zone are killed; they restart without copies
 	CrashCaches      FaultKind = "crash"   // caches are killed; they restart without copies
 	ReplaceCaches    FaultKind = "replace" // caches drain while new ones start
-	SlowCaches       FaultKind = "slow"
-	FailingCaches    FaultKind = "fail"   // they answer with errors
-	SilentCaches     FaultKind = "silent" // they do not answer
-	PurgeGroups      FaultKind = "purge"  // a fraction of the groups of objects is purged
-	MoveDiscovery    FaultKind = "move"   // the discovery service, to another address; processes reload their configuration
+	SlowCaches       FaultKind = "slow"    // answers take Magnitude longer
+	FailingCaches    FaultKind = "fail"    // they answer with errors
+	SilentCaches     FaultKind = "silent"  // they do not answer
+	PurgeGroups      FaultKind = "purge"   // a fraction of the groups of objects is purged
+	MoveDiscovery    FaultKind = "move"    // the discovery service, to another address; processes reload their configuration
 )
 
 // faultTraits says which fields of Fault a kind uses.
--- a/internal/lab/multiprocess/gossip_test.go
+++ b/internal/lab/multiprocess/gossip_test.go
@@ -83,8 +83,8 @@
 	waitForAgreement(t, cluster.Processes, cluster.Processes)
 }
 
-// startGossipAs starts gossip in the test's process with the name and keys of a proxy process, at the address listen. It reports the
-// totals that the function returns.
+// startGossipAs starts gossip in the test's process with the name and keys of a proxy process, at the address listen. It reports
+// the totals that the given function returns.
 func startGossipAs(t *testing.T, cluster *multiprocess.Cluster, p *multiprocess.Process, listen string, seed string, totals func() map[policy.ServerID]fleetview.Totals) *peers.Peers {
 	t.Helper()
 	identity, err := store.LoadIdentity(cluster.KeysDir(), p.Name)
@@ -194,9 +194,9 @@
 	return id
 }
 
-// A process is suspended until the others consider it dead. It rejoins when it is resumed, and its outdated view of the others makes
-// no process consider them dead. A second process with a name that is in use is not admitted, and the log of the first names both
-// addresses.
+// A process is suspended until the others consider it dead. It rejoins when it is resumed, and its outdated view of the others
+// makes no process consider them dead. A second process with a name that is in use is not admitted, and the log of the first names
+// both addresses.
 func TestSuspendedProcessRejoinsAndDuplicateNameIsRejected(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 2, Parents: 1, Peers: true})
--- a/internal/lab/multiprocess/result.go
+++ b/internal/lab/multiprocess/result.go
@@ -13,7 +13,8 @@
 	NotPlayed  []string     `json:"missed,omitempty"` // faults that could not be injected, and why
 	P50        float64      `json:"P50"`              // median latency of the requests served, ms
 	P99        float64      `json:"P99"`              // 99th percentile, ms
-	// How evenly load was spread over the caches, by the window lengths of spreadWindows: in the whole run, and before the first fault.
+	// How evenly load was spread over the caches, for each window length of spreadWindows: in the whole run, and before the first
+	// fault.
 	Spread             [2]loadmetrics.Spread `json:"Spread"`
 	SpreadBeforeFaults [2]loadmetrics.Spread `json:"Calm"`
 	Reactions          []Reaction            `json:"reactions,omitempty"`
@@ -29,7 +30,7 @@
 	SurgeMultiplier float64 `json:"surge"`  // highest load of any cache in one second after the fault, divided by its mean before
 }
 
-// Second holds the outcomes of the requests sent in one second, the attempts at caches, and the number of running processes.
+// Second holds the numbers of requests sent, of outcomes and of attempts in one second, and how many processes ran at its end.
 type Second struct {
 	Requested int `json:"Asked"`
 	Served    int `json:"Served"`
--- a/internal/lab/multiprocess/scenario_test.go
+++ b/internal/lab/multiprocess/scenario_test.go
@@ -12,8 +12,8 @@
 	"ravenwheel/internal/lab/multiprocess"
 )
 
-// Defects of a scenario file are reported with their lines and columns, and the files in lab/field have none. A seed always draws the
-// same timeline, which is valid in a scenario file.
+// Defects of a scenario file are reported with their lines and columns, and the files in lab/field have none. A seed always draws
+// the same timeline, which is valid in a scenario file.
 func TestParseScenarioAndDrawTimeline(t *testing.T) {
 	_, defects := multiprocess.ParseScenario("f", []byte("{\"zones\": 2, // two\n \"seconds\": 0,\n \"faults\": [{\"kind\": \"kil\", \"at_s\": 1},\n {\"kind\": \"cut\", \"from\": 1, \"to\": 1},\n {\"kind\": \"kill\", \"at_s\": 99}]}"))
 	require.Equal(t, `f:2:13: seconds 0 is not 1 to 3600
--- a/internal/lab/multiprocess/zone_loss_test.go
+++ b/internal/lab/multiprocess/zone_loss_test.go
@@ -11,9 +11,9 @@
 	"ravenwheel/policy"
 )
 
-// All caches of a zone are killed at once, half of all copies are purged, one of the zone's processes is restarted meanwhile, and the
-// caches restart without copies. No rule is broken, not even by the restarted process; in the end every cache of the zone receives
-// attempts and every process serves requests.
+// All caches of a zone are killed at once, half of all copies are purged, one of the zone's processes is restarted meanwhile, and
+// the caches restart without copies. No rule is broken, not even by the restarted process; in the end every cache of the zone
+// receives attempts and every process serves requests.
 func TestZoneReturnsWithoutCopiesDuringPurge(t *testing.T) {
 	t.Parallel()
 	cluster := startCluster(t, multiprocess.Options{Seed: 7, Zones: 2, ProcessesPerZone: 6, CachesPerZone: 4, Parents: 2, TransferTime: 3, FillTime: 15})
