--- a/cmd/ravenlab/load.go
+++ b/cmd/ravenlab/load.go
@@ -38,7 +38,7 @@
 	cmd.Flags().Float64Var(&o.seconds, "seconds", 10, "duration of the traffic, in seconds")
 	cmd.Flags().StringVar(&o.schedule, "phases", "", "phases in place of --per-s and --seconds, each SECONDS:RATE or SECONDS:FROM-TO, such as 10:50-200,5:400")
 	cmd.Flags().StringVar(&o.misbehaving, "misbehave", "", "number of additional, misbehaving clients by kind, such as idle=100,half=20,noise=5,claim=5,leave=20")
-	cmd.Flags().IntVar(&o.client.Conns, "conns", 8, "number of connections")
+	cmd.Flags().IntVar(&o.client.Conns, "conns", 8, "connections")
 	cmd.Flags().IntVar(&o.client.Objects, "objects", 400, "number of objects that requests are drawn from")
 	cmd.Flags().IntVar(&o.client.Retries, "retries", 3, "maximum number of retries of a rejected request, or of a failed one that does not write")
 	cmd.Flags().Uint64Var(&o.client.Seed, "seed", 7, "seed of the random numbers")
@@ -87,6 +87,6 @@
 	}
 	_ = w.Flush()
 	for _, violation := range client.Violations() {
-		fmt.Fprintln(out, "violation:", violation)
+		fmt.Fprintln(out, "wrong:", violation)
 	}
 }
