--- a/internal/lab/multiprocess/play.go
+++ b/internal/lab/multiprocess/play.go
@@ -20,8 +20,8 @@
 	resultFile   = "result.json"
 )
 
-// Play plays a scenario with the proxy's binary at a path. It writes scenario, result, and the processes' configurations and
-// logs into dir, and reports each fault to progress as a line of text.
+// Play plays a scenario with the proxy's binary at the path program. It writes the scenario, the result, and the processes'
+// configurations and logs into dir, and calls progress with a line of text for each fault.
 func Play(ctx context.Context, s Scenario, program, dir string, progress func(string)) (*Result, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	p := newPlayer(c, s, progress)
 	stop := c.StartTraffic(func(*Process) float64 { return s.Rate })
 	p.run(ctx)
-	p.injections.Wait()
+	p.pendingInjections.Wait()
 	stop()
 	p.summarize()
 	p.result.Violations = append(c.Violations(), p.clientViolations()...)
@@ -56,38 +56,38 @@
 
 // player plays a scenario in a cluster.
 type player struct {
-	cluster  *Cluster
-	scenario Scenario
-	rng      *rand.Rand
-	progress func(string)
-	result   *Result
-	began    float64 // ms of the cluster's clock
+	cluster   *Cluster
+	scenario  Scenario
+	rng       *rand.Rand
+	progress  func(string)
+	result    *Result
+	startedAt float64 // ms of the cluster's clock
 
-	injections sync.WaitGroup            // faults that are not undone yet
-	affected   map[int][]policy.ServerID // by index of the fault in the timeline
-	previous   Second                    // totals up to the second that was recorded last
+	pendingInjections sync.WaitGroup            // of the faults that are not undone yet
+	affected          map[int][]policy.ServerID // caches that a fault affects, by the fault's index in the timeline
+	previousTotals    Second                    // outcomes up to the end of the second that was recorded last
 
 	mu          sync.Mutex        // guards the fields below and result.NotPlayed
-	interrupted map[*Process]bool // killed or suspended: requests in flight at them may be lost
-	links       map[zonePair]Link
+	interrupted map[*Process]bool // processes that were killed or suspended: their requests in flight may be lost
+	linkFaults  map[zonePair]LinkFault
 }
 
-// zonePair is a direction between two zones.
+// zonePair is the direction of a link between two zones.
 type zonePair struct{ from, to int }
 
 func newPlayer(c *Cluster, s Scenario, progress func(string)) *player {
 	return &player{
 		cluster: c, scenario: s, rng: rand.New(rand.NewPCG(s.Seed, injectionStream)), progress: progress,
-		result: &Result{Scenario: s, Timeline: s.Timeline()}, began: c.Clock.Now(),
-		affected: map[int][]policy.ServerID{}, interrupted: map[*Process]bool{}, links: map[zonePair]Link{},
+		result: &Result{Scenario: s, Timeline: s.Timeline()}, startedAt: c.Clock.Now(),
+		affected: map[int][]policy.ServerID{}, interrupted: map[*Process]bool{}, linkFaults: map[zonePair]LinkFault{},
 	}
 }
 
-// elapsed returns the seconds since the start.
-func (p *player) elapsed() float64 { return (p.cluster.Clock.Now() - p.began) / 1000 }
+// elapsed returns the seconds since the start of the scenario.
+func (p *player) elapsed() float64 { return (p.cluster.Clock.Now() - p.startedAt) / 1000 }
 
-// faultInterval is how often the player checks whether the next fault is due.
-const faultInterval = 10 * time.Millisecond
+// timelineInterval is the time between two checks whether the next fault is due.
+const timelineInterval = 10 * time.Millisecond
 
 // run injects the faults of the timeline and records every second, until the end of the scenario.
 func (p *player) run(ctx context.Context) {
@@ -100,24 +100,24 @@
 				p.affected[next] = p.startInjection(ctx, fault)
 				next++
 			}
-			time.Sleep(faultInterval)
+			time.Sleep(timelineInterval)
 		}
 		p.recordSecond(second)
 	}
 }
 
-// recordSecond records the outcomes of the requests in a second, how many processes run, and how many members they consider
-// alive.
+// recordSecond records the outcomes of a second's requests, the number of running processes, and the least and the highest number
+// of members that a process considers alive.
 func (p *player) recordSecond(second int) {
 	totals := p.cluster.Totals()
 	current := Second{
 		Requested: totals.Requested, Served: totals.Served, Rejected: totals.Rejected - totals.Retried, Failed: totals.Failed, Lost: totals.Lost,
 	}
 	recorded := Second{
-		Requested: current.Requested - p.previous.Requested, Served: current.Served - p.previous.Served,
-		Rejected: current.Rejected - p.previous.Rejected, Failed: current.Failed - p.previous.Failed, Lost: current.Lost - p.previous.Lost,
+		Requested: current.Requested - p.previousTotals.Requested, Served: current.Served - p.previousTotals.Served,
+		Rejected: current.Rejected - p.previousTotals.Rejected, Failed: current.Failed - p.previousTotals.Failed, Lost: current.Lost - p.previousTotals.Lost,
 	}
-	p.previous = current
+	p.previousTotals = current
 	alive := AliveCount{Second: second, Least: len(p.cluster.Processes) + 1}
 	var mu sync.Mutex
 	_ = ForEach(p.cluster.Processes, func(q *Process) error {
@@ -132,7 +132,7 @@
 		}
 		status, err := q.PeerSummary()
 		if err != nil {
-			return nil // it may be about to exit
+			return nil // the process may be about to exit
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// clientViolations returns what clients saw go wrong, except at processes that were interrupted.
+// clientViolations returns the violations that clients observed, except at processes that were killed or suspended.
 func (p *player) clientViolations() (violations []string) {
 	for _, q := range p.cluster.Processes {
 		if p.interrupted[q] {
