--- a/cmd/ravenlab/demo.go
+++ b/cmd/ravenlab/demo.go
@@ -17,6 +17,6 @@
 	}
 	cmd.Flags().StringVar(&o.Proxy, "proxy", "bin/ravenwheel", "the program")
 	cmd.Flags().StringVar(&o.Operator, "operator", "deploy/standalone.jsonc", "its file, which stands alone")
-	cmd.Flags().Float64Var(&o.PerS, "per-s", 150, "requests a second")
+	cmd.Flags().Float64Var(&o.Rate, "per-s", 150, "requests a second")
 	return cmd
 }
--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -243,7 +243,7 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "relation\tsockets\tlab\tdifference")
 			for _, r := range relations {
-				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.3f\n", r.Name, r.Sockets, r.Lab, r.Difference())
+				fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.3f\n", r.Name, r.Sockets, r.Model, r.Difference())
 			}
 			return errors.Join(err, w.Flush())
 		},
--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -33,7 +33,7 @@
 	s.plan.discovery = true
 	s.plan.runs = time.Duration(9000+s.rng.IntN(5000)) * time.Millisecond
 	for len(s.listeners) < discoveryAddrs {
-		d, err := s.service.Open("127.0.0.1:0")
+		d, err := s.service.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
 		s.listeners = append(s.listeners, d)
@@ -77,9 +77,9 @@
 func (s *soak) discoveryFault() {
 	switch s.rng.IntN(6) {
 	case 0, 1: // it moves
-		s.listeners[s.at].Stall(true)
+		s.listeners[s.at].SetStalled(true)
 		s.at = (s.at + 1 + s.rng.IntN(len(s.listeners)-1)) % len(s.listeners)
-		s.listeners[s.at].Stall(false)
+		s.listeners[s.at].SetStalled(false)
 		s.treatCallers(fleet.CallerFault{Unresponsive: true}, 2)
 		s.write(s.at)
 		s.reload()
@@ -120,7 +120,7 @@
 	now := s.now()
 	s.stalled = max(s.stalled, now+ms)
 	for i := range s.told {
-		if t := &s.told[i]; len(t.Returns) == 0 && t.At > now-moment {
+		if t := &s.told[i]; len(t.Ready) == 0 && t.At > now-moment {
 			t.At = max(t.At, s.stalled)
 		}
 	}
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -68,7 +68,7 @@
 func startFollower(t *testing.T, bin string, seed, listeners int, args ...string) *follower {
 	f := &follower{t: t, answers: &recordingCache{}, service: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range listeners {
-		d, err := f.service.Open("127.0.0.1:0")
+		d, err := f.service.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
 		f.listeners = append(f.listeners, d)
@@ -104,7 +104,7 @@
 
 // move writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
 func (f *follower) move(from, to int) {
-	f.listeners[from].Stall(true)
+	f.listeners[from].SetStalled(true)
 	f.edit(func(c map[string]any) { c["board"] = f.listeners[to].Addr() })
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
@@ -137,12 +137,12 @@
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				f := startFollower(t, bin, seed, 4)
-				f.listeners[1].Stall(true)
-				f.listeners[2].Stall(true)
+				f.listeners[1].SetStalled(true)
+				f.listeners[2].SetStalled(true)
 				f.listeners[3].SetCallerFault(func(caller int64) fleet.CallerFault {
 					return fleet.CallerFault{Unresponsive: name == "silent" && caller == 1, Disconnect: name == "broken off" && caller <= 5}
 				})
-				f.listeners[0].Stall(true)
+				f.listeners[0].SetStalled(true)
 				f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
 				var last time.Time
 				for to := 1; to <= 3; to++ {
@@ -186,7 +186,7 @@
 			t.Parallel()
 			f := startFollower(t, bin, seed, 1)
 			time.Sleep(500 * time.Millisecond) // between two frames
-			f.listeners[0].Stall(true)
+			f.listeners[0].SetStalled(true)
 			since := time.Now()
 			purged := since.UnixMilli()
 			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -166,9 +166,9 @@
 		one := fleet.Notification{At: u.at}
 		for id := policy.ServerID(1); id <= 20; id++ {
 			if u.ready[id] {
-				one.Returns = append(one.Returns, id)
+				one.Ready = append(one.Ready, id)
 			} else if i > 0 {
-				one.Drains = append(one.Drains, id)
+				one.Draining = append(one.Draining, id)
 			}
 		}
 		told = append(told, one)
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -116,7 +116,7 @@
 		}
 		q.answered, q.word = now, string(parts[1])
 		if q.word == "ok" && q.class == "asset" {
-			if _, err := fleet.Check(parts[3], q.object, 0); err != nil {
+			if _, err := fleet.CheckContent(parts[3], q.object, 0); err != nil {
 				c.s.fail("client %d: %v", c.n, err)
 			}
 		}
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -140,7 +140,7 @@
 	}
 	s.service = fleet.NewDiscoveryService(s.clk, []string{"z"}, []string{"small", "parent", "origin"}, members)
 	for range 2 {
-		d, err := s.service.Open("127.0.0.1:0")
+		d, err := s.service.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(d.Close)
 		s.listeners = append(s.listeners, d)
@@ -283,10 +283,10 @@
 func (s *soak) recordNotification(t fleet.Notification) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t.Made = s.now()
-	t.At = max(t.Made, s.stalled)
-	if len(t.Returns) > 0 { // what it may be sent again, it may be sent at once
-		t.At = t.Made
+	t.PurgedAt = s.now()
+	t.At = max(t.PurgedAt, s.stalled)
+	if len(t.Ready) > 0 { // what it may be sent again, it may be sent at once
+		t.At = t.PurgedAt
 		for i := range s.told {
 			s.told[i].At = min(s.told[i].At, t.At)
 		}
@@ -322,16 +322,16 @@
 		m := s.start(id)
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
 		s.list[id] = m
-		s.recordNotification(fleet.Notification{Returns: []policy.ServerID{id}})
+		s.recordNotification(fleet.Notification{Ready: []policy.ServerID{id}})
 		s.service.Change(m)
 	case 5:
 		m := s.list[id]
 		m.State = policy.Draining
 		s.list[id] = m
-		s.recordNotification(fleet.Notification{Drains: []policy.ServerID{id}})
+		s.recordNotification(fleet.Notification{Draining: []policy.ServerID{id}})
 		s.service.Change(m)
 	case 6:
-		group := s.rng.IntN(fleet.Groups)
+		group := s.rng.IntN(fleet.GroupCount)
 		s.recordNotification(fleet.Notification{Purge: true, Group: group})
 		s.service.Purge("", group, s.servers.Purge("", group))
 	case 7: // an event during a stop counts as notified 4 s later
@@ -339,8 +339,8 @@
 		s.stalled = s.now() + 4000
 		s.mu.Unlock()
 		listener := s.listeners[s.rng.IntN(len(s.listeners))]
-		listener.Stall(true)
-		time.AfterFunc(time.Second, func() { listener.Stall(false) })
+		listener.SetStalled(true)
+		time.AfterFunc(time.Second, func() { listener.SetStalled(false) })
 	case 8:
 		s.write(s.rng.IntN(len(s.listeners)))
 		s.mu.Lock()
@@ -412,10 +412,10 @@
 		if q.class == "claim" && q.word == "full" && a.Answer == "served" {
 			s.fail("claim %s: refused as harmless, and it ran", a.RequestID)
 		}
-		if a.Key != "" && a.Answer != "overload" && a.Answer != "not_here" {
-			first, known := firsts[a.RequestID+a.Key]
+		if a.IdempotencyKey != "" && a.Answer != "overload" && a.Answer != "not_here" {
+			first, known := firsts[a.RequestID+a.IdempotencyKey]
 			if !known {
-				firsts[a.RequestID+a.Key] = a.At
+				firsts[a.RequestID+a.IdempotencyKey] = a.At
 			} else if a.At > first+clock.Ms(s.plan.window)+slack {
 				s.fail("report %s: repeated %.0f ms after its first attempt", a.RequestID, a.At-first)
 			}
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -186,7 +186,7 @@
 			if inUse := x.ready(box); x.use(rest, patience) && inUse {
 				// Until the drain is over. Its end is counted from the latest that it can have begun.
 				now := x.clk.Now()
-				x.told = append(x.told, fleet.Notification{At: now, Drains: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{box}})
+				x.told = append(x.told, fleet.Notification{At: now, Draining: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Ready: []policy.ServerID{box}})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(60)) * time.Millisecond)
 			x.kill()
@@ -194,7 +194,7 @@
 			x.gen++
 			require.NoError(t, os.WriteFile(x.list, []byte(x.text(all)), 0o600))
 		case 1: // notified of a purge, and killed at once
-			group := x.rng.IntN(fleet.Groups)
+			group := x.rng.IntN(fleet.GroupCount)
 			object := load.Object(uint64(x.rng.IntN(5)))
 			x.fleet.Purge(object, group)
 			at := x.clk.Now()
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -78,7 +78,7 @@
 			cache, listen := scenario.Listen(t), freeAddr(t)
 			// Its first event is the one that the configuration knows, and it says each second that it is there.
 			service := fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
-			listener, err := service.Open("127.0.0.1:0")
+			listener, err := service.Listen("127.0.0.1:0")
 			require.NoError(t, err)
 			defer listener.Close()
 			answers := &recordingCache{}
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -14,14 +14,14 @@
 	"ravenwheel/policy"
 )
 
-// Relation is a figure of the proxy on sockets and of the model, each from 0 to 1.
-type Relation struct {
-	Name         string
-	Sockets, Lab float64
+// Figure is a figure of the proxy on sockets and of the model, each from 0 to 1.
+type Figure struct {
+	Name           string
+	Sockets, Model float64
 }
 
 // Difference returns by how much the model's figure is higher.
-func (r Relation) Difference() float64 { return r.Lab - r.Sockets }
+func (r Figure) Difference() float64 { return r.Model - r.Sockets }
 
 // fraction returns a of b, or 0 for b = 0.
 func fraction(a, b int) float64 { return float64(a) / float64(max(1, b)) }
@@ -29,7 +29,7 @@
 // comparison plays a site on sockets and in the model, and returns the relations between them.
 type comparison struct {
 	description string
-	run         func(context.Context) ([]Relation, error)
+	run         func(context.Context) ([]Figure, error)
 }
 
 // comparisons are all comparisons, in order.
@@ -38,7 +38,7 @@
 	for _, copies := range []int{60, 150, 350} {
 		all = append(all, comparison{
 			description: fmt.Sprintf("stores of %d copies", copies),
-			run:         func(ctx context.Context) ([]Relation, error) { return compareStoreSize(ctx, copies) },
+			run:         func(ctx context.Context) ([]Figure, error) { return compareStoreSize(ctx, copies) },
 		})
 	}
 	return append(all,
@@ -49,7 +49,7 @@
 }
 
 // Run makes all comparisons and reports the start of each to progress. With an error it returns the relations up to then.
-func Run(ctx context.Context, progress func(string)) (relations []Relation, err error) {
+func Run(ctx context.Context, progress func(string)) (relations []Figure, err error) {
 	for _, c := range comparisons() {
 		progress(c.description)
 		more, err := c.run(ctx)
@@ -65,7 +65,7 @@
 const ampleCopies = 4096
 
 // compareStoreSize compares the hit ratio of caches with a limited number of copies, after the first seconds.
-func compareStoreSize(ctx context.Context, copies int) ([]Relation, error) {
+func compareStoreSize(ctx context.Context, copies int) ([]Figure, error) {
 	const from, to = 2, 6 // seconds
 	sockets, err := playOnSockets(ctx, socketRun{seconds: to, copies: copies})
 	if err != nil {
@@ -84,7 +84,7 @@
 		modelHits += second.Hits
 		modelServed += second.Served
 	}
-	return []Relation{{
+	return []Figure{{
 		fmt.Sprintf("share of hits, stores of %d of 1200 parts", copies),
 		fraction(socketHits, socketServed), fraction(modelHits, modelServed),
 	}}, nil
@@ -94,13 +94,13 @@
 const eventAt = 5
 
 // comparePurge compares the fills from the origin before and after a purge of all objects.
-func comparePurge(ctx context.Context) ([]Relation, error) {
+func comparePurge(ctx context.Context) ([]Figure, error) {
 	const seconds = 9
 	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, c *core.Core) {
 		if second != eventAt {
 			return
 		}
-		for group := range fleet.Groups {
+		for group := range fleet.GroupCount {
 			at := servers.Purge("", group)
 			c.ApplyPurge(core.Purge{Group: group, At: at + 1})
 		}
@@ -114,20 +114,20 @@
 	if err != nil {
 		return nil, err
 	}
-	originFills := func(name string, second int) Relation {
-		return Relation{
+	originFills := func(name string, second int) Figure {
+		return Figure{
 			name, fraction(sockets.seconds[second].originFills, sockets.seconds[second].served),
 			fraction(model.Seconds[second].OriginFills, model.Seconds[second].Served),
 		}
 	}
-	return []Relation{
+	return []Figure{
 		originFills("fills by the origin, of answers, in the second before a purge of all", eventAt-1),
 		originFills("the same in the second after it", eventAt),
 	}, nil
 }
 
 // compareUnresponsiveCache compares the requests that miss their latency objective while a cache does not answer.
-func compareUnresponsiveCache(ctx context.Context) ([]Relation, error) {
+func compareUnresponsiveCache(ctx context.Context) ([]Figure, error) {
 	const seconds, from, to = 8, 2, 6
 	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, _ *core.Core) {
 		if second == from || second == to {
@@ -143,11 +143,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return []Relation{{"wants not served within 100 ms, one cache of three hanging for 4 s of 8", sockets.slow, model.SlowFraction}}, nil
+	return []Figure{{"wants not served within 100 ms, one cache of three hanging for 4 s of 8", sockets.slow, model.SlowFraction}}, nil
 }
 
 // compareLostCopies compares the hit ratio after all caches have lost their copies.
-func compareLostCopies(ctx context.Context) ([]Relation, error) {
+func compareLostCopies(ctx context.Context) ([]Figure, error) {
 	const seconds = 10
 	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, _ *core.Core) {
 		if second != eventAt {
@@ -166,10 +166,10 @@
 	if err != nil {
 		return nil, err
 	}
-	var relations []Relation
+	var relations []Figure
 	for _, after := range []int{0, 2, 4} {
 		second := eventAt + after
-		relations = append(relations, Relation{
+		relations = append(relations, Figure{
 			fmt.Sprintf("share of hits in second %d after a branch lost its copies", after+1),
 			fraction(sockets.seconds[second].hits, sockets.seconds[second].served),
 			fraction(model.Seconds[second].Hits, model.Seconds[second].Served),
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -109,9 +109,9 @@
 	s.publish(false, m)
 	notification := fleet.Notification{At: s.clock.Now()}
 	if state == policy.Ready {
-		notification.Returns = []policy.ServerID{id}
+		notification.Ready = []policy.ServerID{id}
 	} else {
-		notification.Drains = []policy.ServerID{id}
+		notification.Draining = []policy.ServerID{id}
 	}
 	s.notifications = append(s.notifications, notification)
 }
@@ -119,7 +119,7 @@
 func (s *site) purge(group int) {
 	at := s.fleet.Purge("", group)
 	s.core.ApplyPurge(core.Purge{Group: group, At: at})
-	s.notifications = append(s.notifications, fleet.Notification{At: s.clock.Now(), Purge: true, Group: group, Made: at})
+	s.notifications = append(s.notifications, fleet.Notification{At: s.clock.Now(), Purge: true, Group: group, PurgedAt: at})
 }
 
 // clients send requests of all classes over a few connections, many at a time, and record every answer.
@@ -214,7 +214,7 @@
 	}
 	q.answers = append(q.answers, string(parts[1]))
 	if string(parts[1]) == "ok" && !q.class.Write {
-		if _, err := fleet.Check(parts[3], q.object, 0); err != nil {
+		if _, err := fleet.CheckContent(parts[3], q.object, 0); err != nil {
 			c.violations = append(c.violations, err.Error())
 		}
 	}
@@ -295,7 +295,7 @@
 			setFault(id, fleet.Fault{})
 		}
 	}
-	for g := range fleet.Groups {
+	for g := range fleet.GroupCount {
 		s.purge(g)
 	}
 	s.setState(2, policy.Draining)
@@ -359,8 +359,8 @@
 		require.NotNil(t, q, "no client sent %s", x.RequestID)
 		require.Equal(t, q.class.Name, x.Class)
 		require.Equal(t, q.object, x.Object)
-		require.Equal(t, q.key, x.Key, "%s of %s", x.RequestID, x.Class)
-		require.Equal(t, q.class.Effect == sim.IdempotentByKey, x.Key != "")
+		require.Equal(t, q.key, x.IdempotencyKey, "%s of %s", x.RequestID, x.Class)
+		require.Equal(t, q.class.Effect == sim.IdempotentByKey, x.IdempotencyKey != "")
 		require.Equal(t, q.class.Write, x.Write)
 		require.NotEqual(t, otherZone, x.Server, "a cache of another zone")
 		require.NotEqual(t, otherZone, x.Source, "a cache of another zone")
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -179,7 +179,7 @@
 			continue
 		}
 		counts[second].served++
-		switch o.Why {
+		switch o.Note {
 		case "local":
 			counts[second].hits++
 		case "pulled_far":
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -25,7 +25,7 @@
 type Options struct {
 	Proxy    string  // path of the proxy's binary
 	Operator string  // path of the operator's file, which must have the sections proxy and admin
-	PerS     float64 // requests per second
+	Rate     float64 // requests per second
 	Out      io.Writer
 }
 
--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -126,7 +126,7 @@
 // removeServer replaces the list by one without removedServer, which then drains.
 func (d *demonstration) removeServer(ctx context.Context, list *serverlist.List) error {
 	d.notifications = append(d.notifications, fleet.Notification{
-		At: d.clock.Now() + drainNotificationTimeout, Drains: []policy.ServerID{removedServer},
+		At: d.clock.Now() + drainNotificationTimeout, Draining: []policy.ServerID{removedServer},
 	})
 	if err := d.replaceAccepted(ctx, list, "a list without %s: it drains", serverlist.FormatID(removedServer)); err != nil {
 		return err
@@ -166,6 +166,6 @@
 		return err
 	}
 	d.printf("%s has drained and is gone", id)
-	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Returns: []policy.ServerID{removedServer}})
+	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Ready: []policy.ServerID{removedServer}})
 	return d.replaceAccepted(ctx, list, "rolled back: %s is listed again, and taken for freshly started", id)
 }
--- a/internal/lab/demo/traffic.go
+++ b/internal/lab/demo/traffic.go
@@ -32,7 +32,7 @@
 		defer wait.Done()
 		d.sendRequests(stopped)
 	}()
-	d.printf("clients ask %.0f times a second: replays in parts, assets, seat claims", d.options.PerS)
+	d.printf("clients ask %.0f times a second: replays in parts, assets, seat claims", d.options.Rate)
 	return func() {
 		close(stopped)
 		wait.Wait()
@@ -40,7 +40,7 @@
 }
 
 func (d *demonstration) sendRequests(stopped <-chan struct{}) {
-	ticker := time.NewTicker(time.Duration(float64(time.Second) / d.options.PerS))
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / d.options.Rate))
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/lab/fleet/content.go
+++ b/internal/lab/fleet/content.go
@@ -11,11 +11,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Groups is the number of purge groups.
-const Groups = 256
+// GroupCount is the number of purge groups.
+const GroupCount = 256
 
 // Group returns the purge group of an object.
-func Group(object string) int { return int(xxhash.Sum64String(object) % Groups) }
+func Group(object string) int { return int(xxhash.Sum64String(object) % GroupCount) }
 
 // Content returns the bytes of a part as the origin makes them at a time (Unix ms): a line that names them, pseudo-random bytes
 // and a checksum. The length depends on the part, from 1 to 24 KB.
@@ -30,9 +30,9 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
 }
 
-// Check verifies that a body is the content of the part that a client requested. It returns the time at which the origin made
+// CheckContent verifies that a body is the content of the part that a client requested. It returns the time at which the origin made
 // it, in Unix ms.
-func Check(b []byte, object string, part int) (stamp float64, err error) {
+func CheckContent(b []byte, object string, part int) (stamp float64, err error) {
 	line, _, found := bytes.Cut(b, []byte("\n"))
 	words := bytes.Fields(line)
 	if !found || len(words) != 3 || len(b) < 4 {
--- a/internal/lab/fleet/discovery_listener.go
+++ b/internal/lab/fleet/discovery_listener.go
@@ -32,8 +32,8 @@
 	ByteInterval float64 // ms between two bytes; 0 sends frames at once
 }
 
-// Open serves the events at an address. Port 0 lets the kernel choose one.
-func (s *DiscoveryService) Open(addr string) (*DiscoveryListener, error) {
+// Listen serves the events at an address. Port 0 lets the kernel choose one.
+func (s *DiscoveryService) Listen(addr string) (*DiscoveryListener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("discovery service: %w", err)
@@ -59,8 +59,8 @@
 // Addr returns the address at which it listens.
 func (l *DiscoveryListener) Addr() string { return l.ln.Addr().String() }
 
-// Stall makes the listener accept connections and send nothing, or ends that.
-func (l *DiscoveryListener) Stall(on bool) {
+// SetStalled makes the listener accept connections and send nothing, or ends that.
+func (l *DiscoveryListener) SetStalled(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stalled = on
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -55,22 +55,22 @@
 
 // Observation is one attempt as a server received it.
 type Observation struct {
-	At            float64 // ms at which it was completely received
-	Server        policy.ServerID
-	RequestID     string
-	Class         string
-	Object        string
-	Part          int
-	Source        policy.ServerID // from which a miss was to be filled; the server itself means no fill
-	OldestAllowed float64         // creation time of the oldest acceptable copy; 0 accepts any
-	RemainingMs   float64         // time left to the client, as stated by the proxy
-	Probe         bool
-	Write         bool
-	Key           string // idempotency key; empty: none
-	Answer        string
-	Why           string  // how the answer came about, in the protocol's words
-	Stamp         float64 // creation time of the copy that was served, in ms
-	Address       string
+	At             float64 // ms at which it was completely received
+	Server         policy.ServerID
+	RequestID      string
+	Class          string
+	Object         string
+	Part           int
+	Source         policy.ServerID // from which a miss was to be filled; the server itself means no fill
+	OldestAllowed  float64         // creation time of the oldest acceptable copy; 0 accepts any
+	RemainingMs    float64         // time left to the client, as stated by the proxy
+	Probe          bool
+	Write          bool
+	IdempotencyKey string // idempotency key; empty: none
+	Answer         string
+	Note           string  // how the answer came about, in the protocol's words
+	Stamp          float64 // creation time of the copy that was served, in ms
+	Address        string
 }
 
 // defaultMaxCopies is the number of copies of a server where Options set none.
@@ -230,7 +230,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at -= f.discarded; at >= 0 {
-		f.observations[at].Answer, f.observations[at].Why, f.observations[at].Stamp = word, why, stamp
+		f.observations[at].Answer, f.observations[at].Note, f.observations[at].Stamp = word, why, stamp
 	}
 }
 
--- a/internal/lab/fleet/request.go
+++ b/internal/lab/fleet/request.go
@@ -161,7 +161,7 @@
 	part, _ := strconv.Atoi(fields["piece"])
 	o := Observation{
 		At: now, Server: s.ID, RequestID: id, Class: fields["lane"], Object: fields["name"], Part: part, Source: s.ID, Address: s.Addr(),
-		Key: fields["dedupe"],
+		IdempotencyKey: fields["dedupe"],
 	}
 	if source := fields["fetch"]; source != "" {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(source, "s-"), 16, 32)
@@ -204,7 +204,7 @@
 func (s *Server) answer(o Observation, fields map[string]string) answer {
 	f := s.fleet
 	if o.Write {
-		f.runWrite(o.RequestID, o.Key)
+		f.runWrite(o.RequestID, o.IdempotencyKey)
 		return answer{wordServed, whyFilled, f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime}
 	}
 	part := partKey{o.Object, o.Part}
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -12,13 +12,13 @@
 // Notification is an event of which the proxy was notified, for checking what the servers received against the rules. Times are
 // in ms.
 type Notification struct {
-	At      float64
-	Drains  []policy.ServerID // draining from At on
-	Returns []policy.ServerID // ready again from At on
-	Object  string            // the purged object; empty: the group
-	Group   int
-	Purge   bool
-	Made    float64 // when it was purged, where the notification came later; 0: At
+	At       float64
+	Draining []policy.ServerID // draining from At on
+	Ready    []policy.ServerID // ready again from At on
+	Object   string            // the purged object; empty: the group
+	Group    int
+	Purge    bool
+	PurgedAt float64 // when it was purged, where the notification came later; 0: At
 }
 
 // Rules are the grace periods after a notification, in ms.
@@ -57,7 +57,7 @@
 		return nil
 	}
 	for _, n := range notifications {
-		purged := cmp.Or(n.Made, n.At)
+		purged := cmp.Or(n.PurgedAt, n.At)
 		inForce := o.At > n.At+r.Purge+r.Slack
 		if n.Purge && inForce && o.Stamp <= purged && n.covers(o.Object) {
 			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
@@ -77,9 +77,9 @@
 	for _, n := range notifications {
 		switch {
 		case n.At > at:
-		case slices.Contains(n.Returns, id):
+		case slices.Contains(n.Ready, id):
 			drains = false
-		case slices.Contains(n.Drains, id) && !drains:
+		case slices.Contains(n.Draining, id) && !drains:
 			since, drains = n.At, true
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -196,7 +196,7 @@
 	case wordServed:
 		counts.Served++
 		_ = counts.Latency.RecordValue(max(1, int64((c.options.Clock.Now()-q.began)*1000)))
-		if _, err := fleet.Check(result.body, q.object, q.part); err != nil {
+		if _, err := fleet.CheckContent(result.body, q.object, q.part); err != nil {
 			c.violation("%s: %v", q.class.Name, err)
 		}
 	case wordRejected:
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -55,9 +55,9 @@
 	return phase, nil
 }
 
-// Schedule calls each with the time, in ms from the start, at which each request is due, until it returns false. The nth is due
+// ForEachDueTime calls each with the time, in ms from the start, at which each request is due, until it returns false. The nth is due
 // when the area under the rate has reached n.
-func Schedule(phases []Phase, each func(ms float64) bool) {
+func ForEachDueTime(phases []Phase, each func(ms float64) bool) {
 	const step = 1.0 // ms
 	start, due := 0.0, 0.0
 	for _, phase := range phases {
@@ -78,7 +78,7 @@
 // not from when it could be sent, so that a proxy that stalls does not hide the requests delayed by it (coordinated omission).
 func (c *Client) FollowSchedule(ctx context.Context, phases []Phase) {
 	began := c.options.Clock.Now()
-	Schedule(phases, func(ms float64) bool {
+	ForEachDueTime(phases, func(ms float64) bool {
 		if !c.waitUntil(ctx, began+ms) {
 			return false
 		}
--- a/internal/lab/load/schedule_test.go
+++ b/internal/lab/load/schedule_test.go
@@ -15,7 +15,7 @@
 	phases, err := ParsePhases("10:50-150, 5:400")
 	require.NoError(t, err)
 	var due []float64
-	Schedule(phases, func(ms float64) bool { due = append(due, ms); return true })
+	ForEachDueTime(phases, func(ms float64) bool { due = append(due, ms); return true })
 	require.InDelta(t, 10*100+5*400, len(due), 1)
 	require.IsNonDecreasing(t, due)
 	first := 0
@@ -30,7 +30,7 @@
 		require.Error(t, err, bad)
 	}
 	n := 0
-	Schedule(phases, func(float64) bool { n++; return n < 7 })
+	ForEachDueTime(phases, func(float64) bool { n++; return n < 7 })
 	require.Equal(t, 7, n)
 }
 
--- a/internal/lab/multiprocess/cluster.go
+++ b/internal/lab/multiprocess/cluster.go
@@ -123,7 +123,7 @@
 	}
 	var err error
 	c.Discovery = fleet.NewDiscoveryService(c.Clock, c.zones(), c.kinds(), c.members)
-	if c.DiscoveryListener, err = c.Discovery.Open("127.0.0.1:0"); err != nil {
+	if c.DiscoveryListener, err = c.Discovery.Listen("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	if err := c.addProcesses(); err != nil {
--- a/internal/lab/multiprocess/inject.go
+++ b/internal/lab/multiprocess/inject.go
@@ -58,7 +58,7 @@
 	case SilentCaches:
 		p.disturb(ctx, f, caches, fleet.Fault{Unresponsive: true})
 	case PurgeGroups:
-		for group := range int(f.Magnitude * fleet.Groups) {
+		for group := range int(f.Magnitude * fleet.GroupCount) {
 			p.cluster.Purge("", group)
 		}
 	case MoveDiscovery:
--- a/internal/lab/multiprocess/rolling_restart_test.go
+++ b/internal/lab/multiprocess/rolling_restart_test.go
@@ -60,13 +60,13 @@
 		if step == 4 {
 			old, err := cluster.MoveDiscovery()
 			require.NoError(t, err)
-			cluster.DiscoveryListener.Stall(true)
+			cluster.DiscoveryListener.SetStalled(true)
 			running := cluster.Processes
 			require.NoError(t, cluster.Reload(running...))
 			require.Eventually(t, func() bool { return cluster.DiscoveryListener.Calls.Load() >= int64(len(running)) }, multiprocess.ReadyTimeout, 10*time.Millisecond)
 			old.Close()
 			cluster.Purge("", 17)
-			cluster.DiscoveryListener.Stall(false)
+			cluster.DiscoveryListener.SetStalled(false)
 		}
 		some := cluster.Processes[step*tenth : (step+1)*tenth]
 		require.NoError(t, cluster.Stop(some...))
--- a/internal/lab/multiprocess/servers.go
+++ b/internal/lab/multiprocess/servers.go
@@ -23,7 +23,7 @@
 // previous listener, which the caller closes.
 func (c *Cluster) MoveDiscovery() (previous *fleet.DiscoveryListener, err error) {
 	previous = c.DiscoveryListener
-	if c.DiscoveryListener, err = c.Discovery.Open("127.0.0.1:0"); err != nil {
+	if c.DiscoveryListener, err = c.Discovery.Listen("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	return previous, nil
@@ -69,7 +69,7 @@
 	}
 	c.nextCache++
 	c.members[index].State = policy.Draining
-	c.notifications = append(c.notifications, fleet.Notification{At: c.Clock.Now() + notificationTimeout, Drains: []policy.ServerID{id}})
+	c.notifications = append(c.notifications, fleet.Notification{At: c.Clock.Now() + notificationTimeout, Draining: []policy.ServerID{id}})
 	c.Discovery.Change(c.members[index], successor)
 	c.members = append(c.members, successor)
 	return nil
@@ -124,6 +124,6 @@
 	at := c.Fleet.Purge(object, group)
 	c.Discovery.Purge(object, group, at)
 	c.notifications = append(c.notifications, fleet.Notification{
-		At: at + notificationTimeout, Made: at, Purge: true, Object: object, Group: group,
+		At: at + notificationTimeout, PurgedAt: at, Purge: true, Object: object, Group: group,
 	})
 }
--- a/internal/lab/multiprocess/summary.go
+++ b/internal/lab/multiprocess/summary.go
@@ -41,7 +41,7 @@
 		}
 		byCache[o.Server][second]++
 		r.Seconds[second].Attempts++
-		if o.Why == "pulled" || o.Why == "pulled_far" {
+		if o.Note == "pulled" || o.Note == "pulled_far" {
 			r.Seconds[second].Filled++
 		}
 	}
--- a/internal/lab/multiprocess/zone_loss_test.go
+++ b/internal/lab/multiprocess/zone_loss_test.go
@@ -22,7 +22,7 @@
 	restarted, zone := cluster.Processes[0], cluster.ReadyCaches(0)
 	lost := cluster.ReadyCaches(0)
 	cluster.KillCaches(lost...)
-	for group := range fleet.Groups / 2 {
+	for group := range fleet.GroupCount / 2 {
 		cluster.Purge("", group)
 	}
 	time.Sleep(time.Second)
