--- a/cmd/ravenlab/load.go
+++ b/cmd/ravenlab/load.go
@@ -47,7 +47,7 @@
 
 // runLoad sends traffic to a proxy and prints the outcomes.
 func runLoad(cmd *cobra.Command, o loadOptions) error {
-	phases := []load.Phase{{Seconds: o.seconds, From: o.rate, To: o.rate}}
+	phases := []load.Phase{{Seconds: o.seconds, FromRate: o.rate, ToRate: o.rate}}
 	var err error
 	if o.schedule != "" {
 		if phases, err = load.ParsePhases(o.schedule); err != nil {
--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -38,7 +38,7 @@
 	for _, copies := range []int{60, 150, 350} {
 		all = append(all, comparison{
 			description: fmt.Sprintf("stores of %d copies", copies),
-			run:         func(ctx context.Context) ([]Figure, error) { return compareStoreSize(ctx, copies) },
+			run:         func(ctx context.Context) ([]Figure, error) { return compareCacheSize(ctx, copies) },
 		})
 	}
 	return append(all,
@@ -64,14 +64,14 @@
 // ampleCopies is a size of the stores at which no copy is evicted.
 const ampleCopies = 4096
 
-// compareStoreSize compares the hit ratio of caches with a limited number of copies, after the first seconds.
-func compareStoreSize(ctx context.Context, copies int) ([]Figure, error) {
+// compareCacheSize compares the hit ratio of caches with a limited number of copies, after the first seconds.
+func compareCacheSize(ctx context.Context, copies int) ([]Figure, error) {
 	const from, to = 2, 6 // seconds
-	sockets, err := playOnSockets(ctx, socketRun{seconds: to, copies: copies})
+	sockets, err := runOnSockets(ctx, socketRun{seconds: to, copies: copies})
 	if err != nil {
 		return nil, err
 	}
-	model, err := playModel(modelScenario(to, copies))
+	model, err := runModel(modelScenario(to, copies))
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 // comparePurge compares the fills from the origin before and after a purge of all objects.
 func comparePurge(ctx context.Context) ([]Figure, error) {
 	const seconds = 9
-	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, c *core.Core) {
+	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, c *core.Core) {
 		if second != eventAt {
 			return
 		}
@@ -110,7 +110,7 @@
 	}
 	scenario := modelScenario(seconds, ampleCopies)
 	scenario.Faults = []sim.Fault{{At: eventAt, Kind: sim.PurgeObjects, Magnitude: 1}}
-	model, err := playModel(scenario)
+	model, err := runModel(scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 // compareUnresponsiveCache compares the requests that miss their latency objective while a cache does not answer.
 func compareUnresponsiveCache(ctx context.Context) ([]Figure, error) {
 	const seconds, from, to = 8, 2, 6
-	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, _ *core.Core) {
+	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, _ *core.Core) {
 		if second == from || second == to {
 			servers.Server(firstCache).SetFault(fleet.Fault{Unresponsive: second == from})
 		}
@@ -139,7 +139,7 @@
 	}
 	scenario := modelScenario(seconds, ampleCopies)
 	scenario.Faults = []sim.Fault{{At: from, Duration: to - from, Kind: sim.HangCaches, Magnitude: 0.3}}
-	model, err := playModel(scenario)
+	model, err := runModel(scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 // compareLostCopies compares the hit ratio after all caches have lost their copies.
 func compareLostCopies(ctx context.Context) ([]Figure, error) {
 	const seconds = 10
-	sockets, err := playOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, each: func(second int, servers *fleet.Fleet, _ *core.Core) {
+	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, _ *core.Core) {
 		if second != eventAt {
 			return
 		}
@@ -162,7 +162,7 @@
 	}
 	scenario := modelScenario(seconds, ampleCopies)
 	scenario.Faults = []sim.Fault{{At: eventAt, Kind: sim.DropCopies}}
-	model, err := playModel(scenario)
+	model, err := runModel(scenario)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/crosscheck/model.go
+++ b/internal/lab/crosscheck/model.go
@@ -29,6 +29,6 @@
 	return s
 }
 
-func playModel(s sim.Scenario) (*sim.Result, error) {
+func runModel(s sim.Scenario) (*sim.Result, error) {
 	return sim.Run(context.Background(), s, modelSeed)
 }
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -26,8 +26,8 @@
 	"ravenwheel/policy"
 )
 
-// site is the proxy's front end, core and connections with the settings of a scenario file, on stand-in servers.
-type site struct {
+// testSite is the proxy's front end, core and connections with the settings of a scenario file, on stand-in servers.
+type testSite struct {
 	t             *testing.T
 	clock         *clock.Clock
 	scenario      sim.Scenario
@@ -51,7 +51,7 @@
 	requestTimeout = 1200
 )
 
-func openSite(t *testing.T, name string) *site {
+func newTestSite(t *testing.T, name string) *testSite {
 	t.Helper()
 	path := "../../../lab/" + name + ".jsonc"
 	text, err := os.ReadFile(path)
@@ -60,7 +60,7 @@
 	require.NoError(t, defects.Err())
 	scenario := e.Variants[0].Scenario
 	scenario.Rules.DrainGrace, scenario.Rules.PurgeGrace, scenario.Fleet.PurgeDuration = gracePeriod, gracePeriod, 4*gracePeriod
-	s := &site{t: t, clock: clock.System(), scenario: scenario, settings: scenario.Settings(0, 0)}
+	s := &testSite{t: t, clock: clock.System(), scenario: scenario, settings: scenario.Settings(0, 0)}
 	window := 0.0
 	var names []string
 	for _, c := range scenario.Traffic.Classes {
@@ -89,7 +89,7 @@
 	return s
 }
 
-func (s *site) start(id policy.ServerID, role fleet.Role, zone, kind int) {
+func (s *testSite) start(id policy.ServerID, role fleet.Role, zone, kind int) {
 	server, err := s.fleet.Start(id, role, "127.0.0.1:0")
 	require.NoError(s.t, err)
 	m := membership.Member{Addr: server.Addr()}
@@ -97,13 +97,13 @@
 	s.members = append(s.members, m)
 }
 
-func (s *site) publish(complete bool, members ...membership.Member) {
+func (s *testSite) publish(complete bool, members ...membership.Member) {
 	s.version++
 	s.core.UpdateMembers(membership.Publish{Version: s.version, Complete: complete, Members: members})
 }
 
 // setState publishes a cache's state, and records it for the checks.
-func (s *site) setState(id policy.ServerID, state policy.State) {
+func (s *testSite) setState(id policy.ServerID, state policy.State) {
 	m := s.members[slices.IndexFunc(s.members, func(m membership.Member) bool { return m.ID == id })]
 	m.State = state
 	s.publish(false, m)
@@ -116,7 +116,7 @@
 	s.notifications = append(s.notifications, notification)
 }
 
-func (s *site) purge(group int) {
+func (s *testSite) purge(group int) {
 	at := s.fleet.Purge("", group)
 	s.core.ApplyPurge(core.Purge{Group: group, At: at})
 	s.notifications = append(s.notifications, fleet.Notification{At: s.clock.Now(), Purge: true, Group: group, PurgedAt: at})
@@ -256,7 +256,7 @@
 }
 
 // sendRound sends some requests of each class, all at once, and retries those that failed and may be retried.
-func (s *site) sendRound(perClass int) {
+func (s *testSite) sendRound(perClass int) {
 	c := s.clients
 	c.dial()
 	defer c.close()
@@ -285,7 +285,7 @@
 }
 
 // sendWithFaults sends rounds while servers have faults in turn, states change and objects are purged.
-func (s *site) sendWithFaults() {
+func (s *testSite) sendWithFaults() {
 	setFault := func(id policy.ServerID, f fleet.Fault) { s.fleet.Server(id).SetFault(f) }
 	s.sendRound(12)
 	for _, f := range []fleet.Fault{{Overloaded: true}, {Failing: true}, {Unresponsive: true}, {ExtraLatency: 50}} {
@@ -320,7 +320,7 @@
 	for _, name := range []string{"terminal-maps", "tabletop"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := openSite(t, name)
+			s := newTestSite(t, name)
 			s.sendWithFaults()
 			s.clients.checkAnswers()
 			s.checkObservations()
@@ -344,7 +344,7 @@
 }
 
 // checkObservations checks what the servers received, without relying on what the proxy reports.
-func (s *site) checkObservations() {
+func (s *testSite) checkObservations() {
 	t := s.t
 	byID := map[string]*request{}
 	for _, q := range s.clients.all {
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -68,8 +68,8 @@
 type socketRun struct {
 	seconds float64
 	copies  int // of each cache and parent, at most
-	// each is called at the start of every second, and may change the servers; nil does nothing.
-	each func(second int, servers *fleet.Fleet, c *core.Core)
+	// everySecond is called at the start of every second, and may change the servers; nil does nothing.
+	everySecond func(second int, servers *fleet.Fleet, c *core.Core)
 }
 
 // socketResult is what was observed in a socketRun.
@@ -81,8 +81,8 @@
 // secondCounts are the attempts that servers served in one second.
 type secondCounts struct{ served, hits, originFills int }
 
-// playOnSockets plays the site with the real proxy.
-func playOnSockets(ctx context.Context, run socketRun) (socketResult, error) {
+// runOnSockets plays the site with the real proxy.
+func runOnSockets(ctx context.Context, run socketRun) (socketResult, error) {
 	clk := clock.System()
 	servers := fleet.New(fleet.Options{
 		Clock: clk, TransferTime: transferTime, FillTime: fillTime, PurgeDelay: purgeDelay, MaxCopies: run.copies,
@@ -109,10 +109,10 @@
 	})
 	defer client.Close()
 	began := clk.Now()
-	if run.each != nil {
+	if run.everySecond != nil {
 		go run.callEach(clk, began, servers, c)
 	}
-	client.FollowSchedule(ctx, []load.Phase{{Seconds: run.seconds, From: rate, To: rate}})
+	client.FollowSchedule(ctx, []load.Phase{{Seconds: run.seconds, FromRate: rate, ToRate: rate}})
 	client.WaitIdle()
 	result := socketResult{
 		seconds: countBySecond(servers.Observations(), began, int(run.seconds)+1), slow: slowFraction(client.Results()[className]),
@@ -126,7 +126,7 @@
 		if wait := began + float64(second)*1000 - clk.Now(); wait > 0 {
 			time.Sleep(time.Duration(wait * float64(time.Millisecond)))
 		}
-		r.each(second, servers, c)
+		r.everySecond(second, servers, c)
 	}
 }
 
@@ -191,11 +191,11 @@
 
 // slowFraction returns the fraction of the requests that were not served within the latency objective.
 func slowFraction(result load.ClassResult) float64 {
-	quick := int64(0)
-	for _, bar := range result.Latency.Distribution() {
-		if bar.To <= latencyObjective*1000 {
-			quick += bar.Count
+	withinObjective := int64(0)
+	for _, bucket := range result.Latency.Distribution() {
+		if bucket.To <= latencyObjective*1000 {
+			withinObjective += bucket.Count
 		}
 	}
-	return 1 - float64(quick)/float64(max(1, result.Requested))
+	return 1 - float64(withinObjective)/float64(max(1, result.Requested))
 }
--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -41,33 +41,33 @@
 
 // lists are the versions of the server list that come into use one after the other.
 type lists struct {
-	initial  *serverlist.List
-	without  *serverlist.List // removedServer is missing
-	grown    *serverlist.List // addedServer is added, and changedServer has four times the weight
-	restored *serverlist.List // removedServer is listed again
+	initial         *serverlist.List
+	withoutServer   *serverlist.List // removedServer is missing
+	withAddedServer *serverlist.List // addedServer is added, and changedServer has four times the weight
+	restored        *serverlist.List // removedServer is listed again
 }
 
 func newLists(initial *serverlist.List) lists {
 	l := lists{initial: initial}
-	l.without = nextGeneration(initial, func(servers []serverlist.Server) []serverlist.Server {
+	l.withoutServer = nextGeneration(initial, func(servers []serverlist.Server) []serverlist.Server {
 		return slices.DeleteFunc(servers, func(s serverlist.Server) bool { return s.ID == removedServer })
 	})
-	l.grown = nextGeneration(l.without, func(servers []serverlist.Server) []serverlist.Server {
+	l.withAddedServer = nextGeneration(l.withoutServer, func(servers []serverlist.Server) []serverlist.Server {
 		changed := &servers[indexOf(servers, changedServer)]
 		added := *changed
 		added.ID, added.Host, added.Addr = addedServer, addedHost, addedAddress
 		changed.Weight *= 4
 		return append(servers, added)
 	})
-	l.restored = nextGeneration(l.grown, func(servers []serverlist.Server) []serverlist.Server {
+	l.restored = nextGeneration(l.withAddedServer, func(servers []serverlist.Server) []serverlist.Server {
 		return append(servers, initial.Servers[indexOf(initial.Servers, removedServer)])
 	})
 	return l
 }
 
-// tooFew returns a list that drops so many servers that the proxy must reject it.
-func (l lists) tooFew() *serverlist.List {
-	return nextGeneration(l.grown, func(servers []serverlist.Server) []serverlist.Server {
+// dropsTooMany returns a list that drops so many servers that the proxy must reject it.
+func (l lists) dropsTooMany() *serverlist.List {
+	return nextGeneration(l.withAddedServer, func(servers []serverlist.Server) []serverlist.Server {
 		return slices.DeleteFunc(servers, func(s serverlist.Server) bool {
 			return s.Zone == changedZone && s.ID != changedServer || s.Kind == "parent"
 		})
@@ -87,13 +87,13 @@
 func (d *demonstration) runSteps(ctx context.Context, initial *serverlist.List) error {
 	l := newLists(initial)
 	steps := []step{
-		func(ctx context.Context) error { return d.truncateList(ctx, l.without) },
-		func(ctx context.Context) error { return d.duplicateAddress(ctx, l.without) },
-		func(ctx context.Context) error { return d.removeServer(ctx, l.without) },
+		func(ctx context.Context) error { return d.truncateList(ctx, l.withoutServer) },
+		func(ctx context.Context) error { return d.duplicateAddress(ctx, l.withoutServer) },
+		func(ctx context.Context) error { return d.removeServer(ctx, l.withoutServer) },
 		d.purge,
-		func(ctx context.Context) error { return d.addServer(ctx, l.grown) },
+		func(ctx context.Context) error { return d.addServer(ctx, l.withAddedServer) },
 		func(ctx context.Context) error {
-			return d.replaceRejected(ctx, serverlist.Format(l.tooFew()), "a list that drops half of the servers")
+			return d.replaceRejected(ctx, serverlist.Format(l.dropsTooMany()), "a list that drops half of the servers")
 		},
 		func(ctx context.Context) error { return d.restoreServer(ctx, l.restored) },
 	}
--- a/internal/lab/fleet/content.go
+++ b/internal/lab/fleet/content.go
@@ -14,11 +14,11 @@
 // GroupCount is the number of purge groups.
 const GroupCount = 256
 
-// Group returns the purge group of an object.
+// Group returns the purge group of an object, from 0 to GroupCount-1.
 func Group(object string) int { return int(xxhash.Sum64String(object) % GroupCount) }
 
-// Content returns the bytes of a part as the origin makes them at a time (Unix ms): a line that names them, pseudo-random bytes
-// and a checksum. The length depends on the part, from 1 to 24 KB.
+// Content returns the bytes of a part as the origin creates them at the time stamp (Unix ms): a first line with the object, the
+// part and the stamp, then pseudo-random bytes, then a CRC-32 checksum. The length depends on the part, from 1 to 24 KB.
 func Content(object string, part int, stamp float64) []byte {
 	seed := xxhash.Sum64String(object + "/" + strconv.Itoa(part))
 	rng := rand.New(rand.NewPCG(seed, uint64(stamp)))
@@ -30,20 +30,20 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
 }
 
-// CheckContent verifies that a body is the content of the part that a client requested. It returns the time at which the origin made
-// it, in Unix ms.
+// CheckContent verifies that a body is the content of the part that a client requested. It returns the time at which the origin
+// created the content, in Unix ms.
 func CheckContent(b []byte, object string, part int) (stamp float64, err error) {
 	line, _, found := bytes.Cut(b, []byte("\n"))
-	words := bytes.Fields(line)
-	if !found || len(words) != 3 || len(b) < 4 {
-		return 0, fmt.Errorf("%d bytes that are not the content of any part", len(b))
+	labels := bytes.Fields(line)
+	if !found || len(labels) != 3 || len(b) < 4 {
+		return 0, fmt.Errorf("body of %d bytes is not the content of any part", len(b))
 	}
-	if string(words[0]) != object || string(words[1]) != strconv.Itoa(part) {
-		return 0, fmt.Errorf("received part %s of %s instead of part %d of %s", words[1], words[0], part, object)
+	if string(labels[0]) != object || string(labels[1]) != strconv.Itoa(part) {
+		return 0, fmt.Errorf("received part %s of %s instead of part %d of %s", labels[1], labels[0], part, object)
 	}
 	end := len(b) - 4
 	if crc32.ChecksumIEEE(b[:end]) != binary.LittleEndian.Uint32(b[end:]) {
 		return 0, fmt.Errorf("part %d of %s is incomplete or corrupt", part, object)
 	}
-	return strconv.ParseFloat(string(words[2]), 64)
+	return strconv.ParseFloat(string(labels[2]), 64)
 }
--- a/internal/lab/fleet/copies.go
+++ b/internal/lab/fleet/copies.go
@@ -1,6 +1,6 @@
 package fleet
 
-// partKey names one part of an object.
+// partKey identifies one part of an object.
 type partKey struct {
 	object string
 	part   int
@@ -8,29 +8,32 @@
 
 // cachedCopy is a copy of a part in a cache or a parent.
 type cachedCopy struct {
-	stamp     float64 // ms at which the origin made it
-	retention int     // rank at which it is retained, 0 to 3
+	stamp     float64 // when the origin created it, in Unix ms
+	retention int     // retention rank from 0 (not kept) to 3; a full server evicts copies of the lowest rank first
 	lastUsed  int64   // the server's useCount at the last use
 }
 
-// DropCopies empties the server's cache, as a restart does. The map is replaced, since an emptied one keeps its size.
+// DropCopies empties the server's cache, as a restart does. It replaces the map, since a Go map keeps its memory after its entries
+// are deleted.
 func (s *Server) DropCopies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copies = map[partKey]*cachedCopy{}
 }
 
-func (s *Server) dropCopies(which func(partKey, *cachedCopy) bool) {
+// dropCopies drops the copies for which matches returns true.
+func (s *Server) dropCopies(matches func(partKey, *cachedCopy) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for part, cached := range s.copies {
-		if which(part, cached) {
+		if matches(part, cached) {
 			delete(s.copies, part)
 		}
 	}
 }
 
-// lookUp finds a copy made at oldestAllowed (ms) or later.
+// lookUp returns the stamp of the copy of a part, if there is one that the origin created at oldestAllowed (Unix ms) or later. The
+// origin has no copies.
 func (s *Server) lookUp(part partKey, oldestAllowed float64) (stamp float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +46,8 @@
 	return cached.stamp, true
 }
 
-// store keeps a copy. A full cache evicts the least recently used copy of the lowest retention, unless that is higher than the
-// new one's.
+// store adds or refreshes a copy; one with retention 0 is not kept. To add a copy, a full server first evicts the least recently
+// used copy of the lowest retention, and does not store the new copy if that lowest retention is higher than the new copy's.
 func (s *Server) store(part partKey, stamp float64, retention int) {
 	if retention <= 0 {
 		return
@@ -64,23 +67,24 @@
 	s.copies[part] = &cachedCopy{stamp: stamp, retention: retention, lastUsed: s.useCount}
 }
 
-// evict drops the copy that is worth least, unless its retention is higher than that of the copy to come. Called under the
-// lock.
+// evict drops the least recently used copy of the lowest retention. It drops nothing and returns false if that copy's retention is
+// higher than retention, that of the new copy. The caller holds s.mu.
 func (s *Server) evict(retention int) bool {
 	var victim partKey
-	var lowest *cachedCopy
+	var victimCopy *cachedCopy
 	for part, cached := range s.copies {
-		if lowest == nil || cached.evictedBefore(lowest) {
-			victim, lowest = part, cached
+		if victimCopy == nil || cached.evictedBefore(victimCopy) {
+			victim, victimCopy = part, cached
 		}
 	}
-	if lowest.retention > retention {
+	if victimCopy.retention > retention {
 		return false
 	}
 	delete(s.copies, victim)
 	return true
 }
 
+// evictedBefore reports whether c is evicted before other.
 func (c *cachedCopy) evictedBefore(other *cachedCopy) bool {
 	if c.retention != other.retention {
 		return c.retention < other.retention
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -14,20 +14,20 @@
 	"ravenwheel/policy"
 )
 
-// DiscoveryService stands in for the discovery service: one log of numbered events, which any number of listeners serve.
+// DiscoveryService stands in for the discovery service. It holds one log of numbered events, which any number of listeners serve.
 type DiscoveryService struct {
 	clk          *clock.Clock
 	zones, kinds []string
 
 	mu      sync.Mutex
-	frames  [][]byte // frames[i] carries the event numbered i+1
-	notices []any    // the purges as JSON, for the configuration of a proxy that starts
+	frames  [][]byte // the encoded events: frames[i] has the event with number i+1
+	notices []any    // the purges, to be encoded as JSON for the configuration of a proxy that starts
 	list    map[policy.ServerID]membership.Member
-	order   []policy.ServerID // of the list, by first appearance
-	changed chan struct{}     // closed and replaced with each event
+	order   []policy.ServerID // the ids in list, in the order in which they were first published
+	changed chan struct{}     // closed, and replaced by a new channel, with each event
 }
 
-// The kinds of frame on the wire.
+// The kinds of frame, numbered as on the wire.
 const (
 	kindHeartbeat = iota
 	kindFullList
@@ -36,16 +36,18 @@
 	kindGroupPurge
 )
 
-// NewDiscoveryService returns a service whose first event is the full list.
+// NewDiscoveryService returns a service whose first event is the full list. zones and kinds are the names to which the members'
+// indices refer.
 func NewDiscoveryService(clk *clock.Clock, zones, kinds []string, list []membership.Member) *DiscoveryService {
 	s := &DiscoveryService{clk: clk, zones: zones, kinds: kinds, list: map[policy.ServerID]membership.Member{}, changed: make(chan struct{})}
 	s.publish(kindFullList, list)
 	return s
 }
 
-// Change publishes changes of the list.
+// Change publishes an event with the list entries that changed.
 func (s *DiscoveryService) Change(list ...membership.Member) { s.publish(kindChanges, list) }
 
+// publish adds an event of the given kind with some list entries, and updates the list.
 func (s *DiscoveryService) publish(kind byte, list []membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +62,8 @@
 	s.appendEvent(kind, payload)
 }
 
-// Purge publishes a purge of an object, or of a group where object is empty. at is the time of the purge in Unix ms.
+// Purge publishes a purge of an object (its id in hexadecimal), or of a group if object is empty. at is the time of the purge in
+// Unix ms.
 func (s *DiscoveryService) Purge(object string, group int, at float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +80,7 @@
 	s.appendEvent(kindObjectPurge, binary.BigEndian.AppendUint64(payload, uint64(at)))
 }
 
-// appendEvent adds an event to the log and wakes the listeners. Called under the lock.
+// appendEvent adds an event to the log and wakes the listeners. The caller holds s.mu.
 func (s *DiscoveryService) appendEvent(kind byte, payload []byte) {
 	s.frames = append(s.frames, frame(uint64(len(s.frames)+1), kind, payload))
 	close(s.changed)
@@ -99,11 +102,11 @@
 	return append(encoded, payload...)
 }
 
-// record encodes a list entry. An address that the wire cannot carry is a mistake of the test, and panics.
+// record encodes a list entry. It panics on an address that the encoding cannot represent, since only a wrong test passes one.
 func record(m membership.Member) []byte {
 	addr, err := netip.ParseAddrPort(m.Addr)
 	if err != nil || !addr.Addr().Is4() {
-		panic(fmt.Sprintf("a stand-in's address is %q", m.Addr))
+		panic(fmt.Sprintf("address %q of a stand-in server is not IPv4:PORT", m.Addr))
 	}
 	encoded := binary.BigEndian.AppendUint32(nil, uint32(m.ID))
 	encoded = append(encoded, addr.Addr().AsSlice()...)
@@ -114,7 +117,8 @@
 	return binary.BigEndian.AppendUint64(encoded, uint64(clock.Ms(m.Started)))
 }
 
-// InitialEvents returns the "known" part of the configuration of a proxy that starts now: the list, and every purge.
+// InitialEvents returns the "known" section of the configuration of a proxy that starts now: the current list without removed
+// servers, and every purge so far.
 func (s *DiscoveryService) InitialEvents() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/fleet/discovery_listener.go
+++ b/internal/lab/fleet/discovery_listener.go
@@ -9,30 +9,30 @@
 	"sync/atomic"
 )
 
-// heartbeatInterval is how often, in ms, a caller that waits gets an empty frame.
+// heartbeatInterval is how often, in ms, a caller receives a heartbeat while there is no event.
 const heartbeatInterval = 1000
 
-// DiscoveryListener serves a discovery service's events at one address.
+// DiscoveryListener serves a discovery service's events at one address. A caller is a client that has connected to it.
 type DiscoveryListener struct {
 	service *DiscoveryService
 	ln      net.Listener
-	// Calls counts the connections that sent the number of their last event.
+	// Calls counts the connections whose caller has sent the number of the last event that it has, which starts the event stream.
 	Calls atomic.Int64
 
 	mu          sync.Mutex
 	stalled     bool
-	callerFault func(caller int64) CallerFault // nil: no caller has a fault
+	callerFault func(caller int64) CallerFault // by the caller's number; nil: no caller has a fault
 	conns       map[net.Conn]struct{}
 }
 
 // CallerFault is an injected fault of one caller's connection. The zero value is a healthy connection.
 type CallerFault struct {
-	Unresponsive bool    // nothing is sent
-	Disconnect   bool    // the connection is closed once the caller has sent its number
-	ByteInterval float64 // ms between two bytes; 0 sends frames at once
+	Unresponsive bool    // the listener sends nothing
+	Disconnect   bool    // the listener closes the connection once the caller has sent the number of its last event
+	ByteInterval float64 // the listener sends single bytes with this pause, in ms, between them; 0: whole frames
 }
 
-// Listen serves the events at an address. Port 0 lets the kernel choose one.
+// Listen starts a listener that serves the events at an address. With port 0 the kernel chooses a port.
 func (s *DiscoveryService) Listen(addr string) (*DiscoveryListener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -56,24 +56,25 @@
 	}
 }
 
-// Addr returns the address at which it listens.
+// Addr returns the address at which the listener accepts connections.
 func (l *DiscoveryListener) Addr() string { return l.ln.Addr().String() }
 
-// SetStalled makes the listener accept connections and send nothing, or ends that.
+// SetStalled stalls the listener, which then accepts connections and sends nothing, or ends the stall.
 func (l *DiscoveryListener) SetStalled(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stalled = on
 }
 
-// SetCallerFault sets the fault of each caller, by its number at this listener from 1 on. It is called before every write.
+// SetCallerFault sets the function that returns the fault of a caller, given its number at this listener, counted from 1. The
+// listener calls it before every write.
 func (l *DiscoveryListener) SetCallerFault(fault func(caller int64) CallerFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.callerFault = fault
 }
 
-// fault returns the fault of a caller as it is now.
+// fault returns the present fault of a caller.
 func (l *DiscoveryListener) fault(caller int64) (fault CallerFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,13 +85,13 @@
 	return fault
 }
 
-// Close ends the listener and its connections.
+// Close closes the listener and its connections.
 func (l *DiscoveryListener) Close() {
 	_ = l.ln.Close()
 	l.ResetConnections()
 }
 
-// ResetConnections closes all connections; the listener goes on.
+// ResetConnections closes all connections. The listener still accepts new ones.
 func (l *DiscoveryListener) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +107,7 @@
 	delete(l.conns, nc)
 }
 
-// serve sends a caller every event after the last one that it has, and heartbeats between.
+// serve reads the number of the last event that a caller has, and sends it every later event, with heartbeats in between.
 func (l *DiscoveryListener) serve(nc net.Conn) {
 	defer l.remove(nc)
 	var last [8]byte
@@ -115,7 +116,7 @@
 	}
 	caller := l.Calls.Add(1)
 	gone := make(chan struct{})
-	go func() { // a caller sends nothing more: a read that returns is its end
+	go func() { // the caller sends nothing more, so Copy returns when the connection ends
 		_, _ = io.Copy(io.Discard, nc)
 		close(gone)
 	}()
@@ -138,7 +139,7 @@
 	}
 }
 
-// writeEvents writes frames, or a heartbeat if there are none. sent is the number of the last event before them.
+// writeEvents writes frames, or a heartbeat if there are none. sent is the number of the last event that was sent before.
 func (l *DiscoveryListener) writeEvents(nc net.Conn, caller int64, sent int, frames [][]byte) error {
 	if len(frames) == 0 {
 		return l.write(nc, caller, frame(uint64(sent), kindHeartbeat, nil))
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// wait returns at the next event or heartbeat. It is false once the caller has gone.
+// wait waits until the next event or heartbeat is due, and returns true; it returns false if the caller has closed the connection.
 func (l *DiscoveryListener) wait(changed, gone <-chan struct{}) bool {
 	heartbeat := make(chan struct{})
 	stop := l.service.clk.After(heartbeatInterval, func() { close(heartbeat) })
@@ -166,7 +167,7 @@
 	}
 }
 
-// write writes a frame at once, or byte by byte where the caller's fault has it so.
+// write writes a frame whole, or byte by byte if the caller's fault has a ByteInterval.
 func (l *DiscoveryListener) write(nc net.Conn, caller int64, frame []byte) error {
 	for len(frame) > 0 {
 		size := len(frame)
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// pause waits for so many ms.
+// pause waits for a time in ms.
 func (l *DiscoveryListener) pause(ms float64) {
 	over := make(chan struct{})
 	l.service.clk.After(ms, func() { close(over) })
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet provides stand-ins for what a proxy balances over: cache servers, parents, an origin, and the discovery service.
-// They speak the platform's protocol on loopback sockets and record each attempt that they receive, so that tests check the
-// rules against what arrived and not against what the proxy reports of itself.
+// Package fleet provides stand-ins for the servers that a proxy uses: cache servers, parents, an origin, and the discovery service.
+// They speak the platform's protocol on loopback sockets. The cache servers, parents and the origin record each attempt that they
+// receive, so that tests check the rules against what the servers received and not against what the proxy reports of itself.
 package fleet
 
 import (
@@ -17,10 +17,10 @@
 	"ravenwheel/policy"
 )
 
-// Role is the place of a server in the cache hierarchy.
+// Role is a server's level in the cache hierarchy.
 type Role int
 
-// The roles: a cache near the clients, a parent that fills caches, and the origin that makes the content.
+// The roles: a cache serves clients, a parent fills caches, and the origin creates the content.
 const (
 	Cache Role = iota
 	Parent
@@ -30,50 +30,51 @@
 // Options configure a Fleet.
 type Options struct {
 	Clock *clock.Clock
-	// TransferTime is how long, in ms, an answer takes; FillTime is added for each level from which a miss is filled. 0 answers
-	// at once.
+	// TransferTime is the time, in ms, that a server takes to answer. FillTime, in ms, is added for each level of the hierarchy
+	// from which a miss is filled. With a sum of 0 the server answers without delay.
 	TransferTime, FillTime float64
-	// PurgeDelay is how long, in ms, caches and parents keep purged copies.
+	// PurgeDelay is how long, in ms, caches and parents keep copies after their purge.
 	PurgeDelay float64
-	// MaxCopies bounds the copies of one cache or parent. 0 means defaultMaxCopies.
+	// MaxCopies is the highest number of copies in one cache or parent. 0 means defaultMaxCopies.
 	MaxCopies int
-	// IdempotencyWindow is how long, in ms, the origin drops repeats of a write with the same idempotency key.
+	// IdempotencyWindow is the time, in ms after a write with an idempotency key ran, in which the origin does not run another
+	// write with the same key.
 	IdempotencyWindow float64
 }
 
-// Fleet is a set of stand-in servers with a common origin state.
+// Fleet is a set of stand-in servers. The record of the writes that ran at the origin is common to all of them.
 type Fleet struct {
 	options Options
 
 	mu           sync.Mutex
 	servers      map[policy.ServerID]*Server
 	observations []Observation
-	discarded    int                // number of observations dropped before those in the slice
+	discarded    int                // number of observations discarded; those in the slice follow them
 	writeRuns    map[string]int     // how often each write ran, by request id or idempotency key
-	lastKeyedRun map[string]float64 // when a write with this idempotency key last ran
+	lastKeyedRun map[string]float64 // by idempotency key: when a write with it last ran, in ms
 }
 
 // Observation is one attempt as a server received it.
 type Observation struct {
-	At             float64 // ms at which it was completely received
+	At             float64 // when it was completely received, in ms
 	Server         policy.ServerID
 	RequestID      string
 	Class          string
 	Object         string
 	Part           int
-	Source         policy.ServerID // from which a miss was to be filled; the server itself means no fill
-	OldestAllowed  float64         // creation time of the oldest acceptable copy; 0 accepts any
-	RemainingMs    float64         // time left to the client, as stated by the proxy
+	Source         policy.ServerID // from which a miss is filled; the server itself: a miss is not filled
+	OldestAllowed  float64         // oldest creation time of an acceptable copy, in Unix ms; 0: any
+	RemainingMs    float64         // time left until the client's deadline, in ms, as stated by the proxy
 	Probe          bool
 	Write          bool
-	IdempotencyKey string // idempotency key; empty: none
-	Answer         string
-	Note           string  // how the answer came about, in the protocol's words
-	Stamp          float64 // creation time of the copy that was served, in ms
-	Address        string
+	IdempotencyKey string  // empty: none
+	Answer         string  // the word of the answer; empty: not answered
+	Note           string  // the answer's field "why": how the request was served or why it was not
+	Stamp          float64 // when the origin created the copy that was served, in Unix ms
+	Address        string  // of the server
 }
 
-// defaultMaxCopies is the number of copies of a server where Options set none.
+// defaultMaxCopies is the highest number of copies in a server if Options.MaxCopies is not set.
 const defaultMaxCopies = 4096
 
 // New returns a fleet without servers.
@@ -86,7 +87,7 @@
 	}
 }
 
-// Start starts a server at an address. Port 0 lets the kernel choose one.
+// Start starts a server at an address. With port 0 the kernel chooses a port.
 func (f *Fleet) Start(id policy.ServerID, role Role, addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -101,26 +102,26 @@
 }
 
 // StartList starts a server for each entry of a list that is not running yet, at the entry's address.
-func (f *Fleet) StartList(set *serverlist.List, parentKind, originKind string) error {
-	for _, x := range set.Servers {
-		if f.Server(x.ID) != nil {
+func (f *Fleet) StartList(list *serverlist.List, parentKind, originKind string) error {
+	for _, entry := range list.Servers {
+		if f.Server(entry.ID) != nil {
 			continue
 		}
 		role := Cache
-		switch x.Kind {
+		switch entry.Kind {
 		case parentKind:
 			role = Parent
 		case originKind:
 			role = Origin
 		}
-		if _, err := f.Start(x.ID, role, x.Addr); err != nil {
+		if _, err := f.Start(entry.ID, role, entry.Addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Server returns the server with an id, or nil.
+// Server returns the server with an id, or nil if there is none.
 func (f *Fleet) Server(id policy.ServerID) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,13 +130,13 @@
 
 // Close kills all servers.
 func (f *Fleet) Close() {
-	for _, server := range f.all() {
+	for _, server := range f.allServers() {
 		server.Kill()
 	}
 }
 
-// Purge invalidates all copies of an object made up to now, or of a group where object is empty, and returns the time in ms.
-// Servers drop their copies after PurgeDelay.
+// Purge purges all copies of an object, or of a group if object is empty, that the origin has created up to now. It returns the
+// time of the purge in ms. The servers drop the copies after PurgeDelay.
 func (f *Fleet) Purge(object string, group int) (at float64) {
 	at = f.options.Clock.Now()
 	purged := func(part partKey, cached *cachedCopy) bool {
@@ -145,35 +146,35 @@
 		return cached.stamp <= at && Group(part.object) == group
 	}
 	f.options.Clock.After(f.options.PurgeDelay, func() {
-		for _, server := range f.all() {
+		for _, server := range f.allServers() {
 			server.dropCopies(purged)
 		}
 	})
 	return at
 }
 
-// all returns the servers in no particular order.
-func (f *Fleet) all() []*Server {
+// allServers returns the servers in no particular order.
+func (f *Fleet) allServers() []*Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.servers))
 }
 
-// Observations returns all attempts that the servers received so far, oldest first.
+// Observations returns the attempts that the servers received since the last DiscardObservations, oldest first.
 func (f *Fleet) Observations() []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.observations)
 }
 
-// ObservationsAfter returns the attempts after the first n.
+// ObservationsAfter returns Observations without the first n.
 func (f *Fleet) ObservationsAfter(n int) []Observation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.observations[min(n, len(f.observations)):])
 }
 
-// DiscardObservations frees the observations so far, which would take most of the memory of a long run.
+// DiscardObservations discards the observations so far, which would otherwise take most of the memory of a long run.
 func (f *Fleet) DiscardObservations() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +182,7 @@
 	f.observations = nil
 }
 
-// DuplicateWrites returns the writes that ran more than once, as text.
+// DuplicateWrites returns the writes that ran more than once: each one's request id or idempotency key and how often it ran.
 func (f *Fleet) DuplicateWrites() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +195,7 @@
 	return ids
 }
 
-// runWrite runs a write at the origin, unless it repeats one with the same idempotency key within the window.
+// runWrite runs a write at the origin, unless one with the same idempotency key ran within IdempotencyWindow.
 func (f *Fleet) runWrite(id, key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,53 +218,54 @@
 	return len(f.writeRuns)
 }
 
-// observe records an attempt and returns its number, for recordAnswer.
-func (f *Fleet) observe(observation Observation) (at int) {
+// observe records an attempt and returns the number by which recordAnswer refers to it.
+func (f *Fleet) observe(observation Observation) (number int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.observations = append(f.observations, observation)
 	return f.discarded + len(f.observations) - 1
 }
 
-// recordAnswer completes an observation with the answer, unless it was discarded meanwhile.
-func (f *Fleet) recordAnswer(at int, word, why string, stamp float64) {
+// recordAnswer adds the answer to an observation, unless that was discarded meanwhile.
+func (f *Fleet) recordAnswer(number int, word, note string, stamp float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at -= f.discarded; at >= 0 {
-		f.observations[at].Answer, f.observations[at].Note, f.observations[at].Stamp = word, why, stamp
+	if number -= f.discarded; number >= 0 {
+		f.observations[number].Answer, f.observations[number].Note, f.observations[number].Stamp = word, note, stamp
 	}
 }
 
-// Counts returns the number of attempts at each server, ordered by id.
+// Counts returns the counts of each server, ordered by server id.
 func (f *Fleet) Counts() []Count {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	by := map[policy.ServerID]*Count{}
+	counts := map[policy.ServerID]*Count{}
 	for id, s := range f.servers {
-		by[id] = &Count{Server: id, Role: s.Role}
+		counts[id] = &Count{Server: id, Role: s.Role}
 	}
 	for _, s := range f.observations {
-		c := by[s.Server]
+		c := counts[s.Server]
 		switch {
 		case s.Probe:
 			c.Probes++
 			continue
-		case s.Source != s.Server && by[s.Source] != nil && s.Answer == "served":
-			by[s.Source].NamedAsSource++
+		case s.Source != s.Server && counts[s.Source] != nil && s.Answer == "served":
+			counts[s.Source].NamedAsSource++
 		}
 		if c.Attempts++; s.Answer == "served" {
 			c.Served++
 		}
 	}
-	out := make([]Count, 0, len(by))
-	for _, c := range by {
-		out = append(out, *c)
+	sorted := make([]Count, 0, len(counts))
+	for _, c := range counts {
+		sorted = append(sorted, *c)
 	}
-	slices.SortFunc(out, func(a, b Count) int { return cmp.Compare(a.Server, b.Server) })
-	return out
+	slices.SortFunc(sorted, func(a, b Count) int { return cmp.Compare(a.Server, b.Server) })
+	return sorted
 }
 
-// Count is the number of attempts and probes that one server received, and how often others filled from it.
+// Count has the number of attempts and probes that one server received, and how many attempts other servers served that named it as
+// the source.
 type Count struct {
 	Server                                  policy.ServerID
 	Role                                    Role
--- a/internal/lab/fleet/request.go
+++ b/internal/lab/fleet/request.go
@@ -11,7 +11,8 @@
 	"ravenwheel/policy"
 )
 
-// Words of the protocol between proxies and cache servers, as answers carry them.
+// The words of answers and of their field "why", in the protocol between proxies and servers. The notes have the names of the
+// policy.Note constants.
 const (
 	wordServed   = "served"
 	wordMiss     = "not_here"
@@ -19,14 +20,14 @@
 	wordCrashed  = "crashed"
 	wordHealthy  = "green"
 
-	whyLocal         = "local"
-	whyFilled        = "pulled"
-	whyFilledFar     = "pulled_far"
-	whyRejected      = "turned_away"
-	whyUnreachable   = "cut_off"
-	whyMissing       = "not_there"
-	whyUnusable      = "no_place"
-	whySourceFailure = "far_fault"
+	noteHit            = "local"
+	noteFilled         = "pulled"
+	noteFilledOrigin   = "pulled_far"
+	noteSourceRejected = "turned_away"
+	noteSourceLost     = "cut_off"
+	noteSourceMiss     = "not_there"
+	noteNoFillSlot     = "no_place"
+	noteOriginFailed   = "far_fault"
 )
 
 // conn is one connection from a proxy to a server.
@@ -35,17 +36,18 @@
 	nc     net.Conn
 
 	mu      sync.Mutex
-	cancels map[string]func() // of the open requests, by id
+	cancels map[string]func() // by request id: cancels the delayed answer of an open request
 }
 
 // answer is how a server answers a request.
 type answer struct {
-	word  string // empty: no answer at all
-	why   string
-	stamp float64 // ms at which the origin made the copy that is served
-	delay float64 // ms until the answer is sent
+	word  string  // empty: no answer is sent
+	note  string  // the field "why"
+	stamp float64 // when the origin created the copy that is served, in Unix ms
+	delay float64 // until the answer is sent, in ms
 }
 
+// read handles the commands that the proxy sends, until the connection ends.
 func (c *conn) read() {
 	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
@@ -57,15 +59,15 @@
 		for i, part := range parts {
 			words[i] = string(part)
 		}
-		c.command(words)
+		c.handleCommand(words)
 	}
 	c.nc.Close()
 	c.server.removeConn(c)
-	c.cancelAll()
+	c.cancelRequests()
 }
 
-// cancelAll gives up all requests that are open on the connection, as its end does by the protocol.
-func (c *conn) cancelAll() {
+// cancelRequests cancels all requests that are open on the connection, as the protocol requires when the connection ends.
+func (c *conn) cancelRequests() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cancel := range c.cancels {
@@ -80,20 +82,22 @@
 	_, _ = c.nc.Write(resp.AppendFrame(nil, parts...))
 }
 
-func (c *conn) command(words []string) {
+// handleCommand handles one command. It closes the connection after one that is malformed.
+func (c *conn) handleCommand(words []string) {
 	switch {
 	case words[0] == "fetch" && len(words) >= 3:
-		c.fetch(words[1], words[2], strings.Join(words[3:], ""))
+		c.handleFetch(words[1], words[2], strings.Join(words[3:], ""))
 	case words[0] == "abort" && len(words) == 2:
-		c.abort(words[1])
+		c.handleAbort(words[1])
 	case (words[0] == "stats" || words[0] == "alive") && len(words) == 2:
-		c.probe(words[1])
+		c.handleProbe(words[1])
 	default:
 		c.nc.Close()
 	}
 }
 
-func (c *conn) abort(id string) {
+// handleAbort cancels a request that the proxy no longer needs.
+func (c *conn) handleAbort(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cancel := c.cancels[id]; cancel != nil {
@@ -102,7 +106,8 @@
 	}
 }
 
-func (c *conn) probe(tag string) {
+// handleProbe answers a health check, unless the server is unresponsive.
+func (c *conn) handleProbe(tag string) {
 	s := c.server
 	s.fleet.observe(Observation{At: s.fleet.options.Clock.Now(), Server: s.ID, Probe: true, Answer: wordHealthy})
 	s.mu.Lock()
@@ -113,18 +118,18 @@
 	}
 }
 
-// fetch answers one request, once its time has come.
-func (c *conn) fetch(id, list, body string) {
-	fields, ok := resp.ParseFields([]byte(list))
+// handleFetch records a request and answers it after the delay that its answer has.
+func (c *conn) handleFetch(id, encodedFields, body string) {
+	fields, ok := resp.ParseFields([]byte(encodedFields))
 	if !ok {
-		c.send(id, wordCrashed, "why="+whyUnusable)
+		c.send(id, wordCrashed, "why="+noteNoFillSlot)
 		return
 	}
 	s := c.server
 	observation := s.observation(id, fields, body)
 	number := s.fleet.observe(observation)
 	fault := s.beginRequest()
-	result := s.answerUnder(fault, observation, fields)
+	result := s.answerWithFault(fault, observation, fields)
 	if result.delay <= 0 {
 		c.finish(id, number, observation, result)
 		return
@@ -139,14 +144,14 @@
 	})
 }
 
-// finish ends a request and sends its answer, if it has one.
+// finish ends a request and sends its answer, if there is one. number is that of the observation.
 func (c *conn) finish(id string, number int, observation Observation, result answer) {
 	c.server.endRequest()
-	c.server.fleet.recordAnswer(number, result.word, result.why, result.stamp)
+	c.server.fleet.recordAnswer(number, result.word, result.note, result.stamp)
 	if result.word == "" {
 		return
 	}
-	fields := "why=" + result.why
+	fields := "why=" + result.note
 	if result.word != wordServed {
 		c.send(id, result.word, fields)
 		return
@@ -155,7 +160,7 @@
 	c.send(id, result.word, fields, string(Content(observation.Object, observation.Part, result.stamp)))
 }
 
-// observation decodes a request's fields.
+// observation returns the observation of a request, decoded from its fields.
 func (s *Server) observation(id string, fields map[string]string, body string) Observation {
 	now := s.fleet.options.Clock.Now()
 	part, _ := strconv.Atoi(fields["piece"])
@@ -171,13 +176,14 @@
 	if age, err := strconv.ParseFloat(fields["newer"], 64); err == nil && age > 0 {
 		o.OldestAllowed = now - age
 	}
-	// A request of a class that is not cached runs at the origin. It carries a body, or names the origin as its source and no
-	// retention.
+	// A request of an uncached class runs at the origin. Such a request has a body, or it names the origin as its source and
+	// has no retention.
 	runsAtOrigin := fields["retain"] == "" && o.Source != s.ID && s.fleet.role(o.Source) == Origin
 	o.Write = len(body) > 0 || runsAtOrigin
 	return o
 }
 
+// role returns a server's role; Cache for an id that the fleet does not have.
 func (f *Fleet) role(id policy.ServerID) Role {
 	if s := f.Server(id); s != nil {
 		return s.Role
@@ -185,66 +191,67 @@
 	return Cache
 }
 
-// answerUnder answers a request as the server's fault has it.
-func (s *Server) answerUnder(fault Fault, o Observation, fields map[string]string) answer {
+// answerWithFault returns the answer to a request while the server has a fault.
+func (s *Server) answerWithFault(fault Fault, o Observation, fields map[string]string) answer {
 	switch {
 	case fault.Unresponsive:
 		return answer{}
 	case fault.Overloaded:
-		return answer{word: wordOverload, why: whyRejected}
+		return answer{word: wordOverload, note: noteSourceRejected}
 	case fault.Failing:
-		return answer{word: wordCrashed, why: whySourceFailure}
+		return answer{word: wordCrashed, note: noteOriginFailed}
 	}
 	result := s.answer(o, fields)
 	result.delay += fault.ExtraLatency
 	return result
 }
 
-// answer serves a request from a copy, by a fill, or by running it at the origin.
+// answer returns the answer of a healthy server: from a copy, after a fill, or after a write has run at the origin.
 func (s *Server) answer(o Observation, fields map[string]string) answer {
 	f := s.fleet
 	if o.Write {
 		f.runWrite(o.RequestID, o.IdempotencyKey)
-		return answer{wordServed, whyFilled, f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime}
+		return answer{wordServed, noteFilled, f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime}
 	}
 	part := partKey{o.Object, o.Part}
 	if stamp, ok := s.lookUp(part, o.OldestAllowed); ok {
-		return answer{wordServed, whyLocal, stamp, f.options.TransferTime}
+		return answer{wordServed, noteHit, stamp, f.options.TransferTime}
 	}
-	if s.Role == Origin { // the request bypassed all caches
-		return answer{wordServed, whyFilledFar, f.stampNow(), f.options.TransferTime}
+	if s.Role == Origin { // the request bypassed the caches
+		return answer{wordServed, noteFilledOrigin, f.stampNow(), f.options.TransferTime}
 	}
 	return s.fill(part, o, fields)
 }
 
-// fill serves a miss from the request's source and keeps a copy.
+// fill fills a miss from the request's source and stores a copy.
 func (s *Server) fill(part partKey, o Observation, fields map[string]string) answer {
 	f := s.fleet
 	if o.Source == s.ID {
-		return answer{word: wordMiss, why: whyMissing}
+		return answer{word: wordMiss, note: noteSourceMiss}
 	}
 	source := f.Server(o.Source)
 	if source == nil || source.unreachable() {
-		return answer{word: wordMiss, why: whyUnreachable}
+		return answer{word: wordMiss, note: noteSourceLost}
 	}
 	shallow := strings.Contains(fields["handle"], "shallow")
 	transit := strings.Contains(fields["handle"], "transit")
 	stamp, fromOrigin, ok := source.serveFill(part, o.OldestAllowed, shallow, transit)
 	if !ok {
-		return answer{word: wordMiss, why: whyMissing}
+		return answer{word: wordMiss, note: noteSourceMiss}
 	}
 	retention, _ := strconv.Atoi(fields["retain"])
 	s.store(part, stamp, retention)
-	result := answer{wordServed, whyFilled, stamp, f.options.TransferTime + f.options.FillTime}
+	result := answer{wordServed, noteFilled, stamp, f.options.TransferTime + f.options.FillTime}
 	if fromOrigin {
-		result.why = whyFilledFar
+		result.note = noteFilledOrigin
 		result.delay += f.options.FillTime
 	}
 	return result
 }
 
-// serveFill is a source's answer to a fill. fromOrigin is true if a parent had to fetch it from the origin first; shallow
-// forbids that, transit has the parent keep no copy.
+// serveFill returns what a server serves as the source of a fill. fromOrigin is true if the server is a parent without a copy that
+// fetched one from the origin; with shallow it does not fetch, and with transit it fetches and stores no copy. ok is false if
+// the server cannot serve the fill.
 func (s *Server) serveFill(part partKey, oldestAllowed float64, shallow, transit bool) (stamp float64, fromOrigin, ok bool) {
 	if s.Role == Origin {
 		return s.fleet.stampNow(), false, true
@@ -262,7 +269,7 @@
 	return stamp, true, true
 }
 
-// stampNow is the creation time, in whole ms, of what the origin gives out now.
+// stampNow returns the stamp of content that the origin creates now: the time in whole ms.
 func (f *Fleet) stampNow() float64 {
 	return float64(int64(f.options.Clock.Now()))
 }
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -9,27 +9,27 @@
 	"ravenwheel/policy"
 )
 
-// Notification is an event of which the proxy was notified, for checking what the servers received against the rules. Times are
-// in ms.
+// Notification is a drain, the end of a drain, or a purge of which the proxy was notified. Rules compares what the servers received
+// with it. Times are in ms.
 type Notification struct {
-	At       float64
+	At       float64           // when the proxy was notified
 	Draining []policy.ServerID // draining from At on
-	Ready    []policy.ServerID // ready again from At on
-	Object   string            // the purged object; empty: the group
-	Group    int
-	Purge    bool
-	PurgedAt float64 // when it was purged, where the notification came later; 0: At
+	Ready    []policy.ServerID // no longer draining from At on
+	Object   string            // the purged object; empty: a group was purged
+	Group    int               // the purged group
+	Purge    bool              // Object or Group was purged
+	PurgedAt float64           // when the purge was made; 0: at At
 }
 
 // Rules are the grace periods after a notification, in ms.
 type Rules struct {
-	Drain float64 // until a draining server may no longer receive new work
-	Purge float64 // until a purged copy may no longer be served
-	Slack float64 // added to both, for the delay of the measurement
+	Drain float64 // how long a draining server may still receive requests
+	Purge float64 // how long a purged copy may still be served
+	Slack float64 // added to both, as measuring takes time
 }
 
-// Violations returns, as text, each use of a draining server (as target or as source of a fill) and each copy served that is
-// older than a purge. It relies only on what the servers received.
+// Violations returns, as text, each request that used a draining server (as target or as source of a fill) and each copy that was
+// served after its purge, in both cases after the grace period. It relies only on what the servers received.
 func (r Rules) Violations(observations []Observation, notifications []Notification) (violations []string) {
 	for _, observation := range observations {
 		if observation.Probe {
@@ -43,9 +43,9 @@
 
 func (r Rules) drainViolations(o Observation, notifications []Notification) (violations []string) {
 	for _, id := range []policy.ServerID{o.Server, o.Source} {
-		since, drains := drainsAt(notifications, id, o.At)
-		if drains && o.At > since+r.Drain+r.Slack {
-			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f uses %s, which drains since %.0f",
+		since, draining := drainingAt(notifications, id, o.At)
+		if draining && o.At > since+r.Drain+r.Slack {
+			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f ms uses %s, which has been draining since %.0f ms",
 				serverlist.FormatID(o.Server), o.RequestID, o.At, serverlist.FormatID(id), since))
 		}
 	}
@@ -57,11 +57,11 @@
 		return nil
 	}
 	for _, n := range notifications {
-		purged := cmp.Or(n.PurgedAt, n.At)
+		purgedAt := cmp.Or(n.PurgedAt, n.At)
 		inForce := o.At > n.At+r.Purge+r.Slack
-		if n.Purge && inForce && o.Stamp <= purged && n.covers(o.Object) {
-			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f got a copy of %.0f, purged at %.0f",
-				serverlist.FormatID(o.Server), o.RequestID, o.At, o.Stamp, purged))
+		if n.Purge && inForce && o.Stamp <= purgedAt && n.covers(o.Object) {
+			violations = append(violations, fmt.Sprintf("%s: request %s at %.0f ms was served a copy created at %.0f ms and purged at %.0f ms",
+				serverlist.FormatID(o.Server), o.RequestID, o.At, o.Stamp, purgedAt))
 		}
 	}
 	return violations
@@ -72,16 +72,16 @@
 	return n.Object == object || n.Object == "" && n.Group == Group(object)
 }
 
-// drainsAt reports whether a server is draining at a time, and since when.
-func drainsAt(notifications []Notification, id policy.ServerID, at float64) (since float64, drains bool) {
+// drainingAt reports whether a server is draining at a time, and since when. The notifications are in order of time.
+func drainingAt(notifications []Notification, id policy.ServerID, at float64) (since float64, draining bool) {
 	for _, n := range notifications {
 		switch {
 		case n.At > at:
 		case slices.Contains(n.Ready, id):
-			drains = false
-		case slices.Contains(n.Draining, id) && !drains:
-			since, drains = n.At, true
+			draining = false
+		case slices.Contains(n.Draining, id) && !draining:
+			since, draining = n.At, true
 		}
 	}
-	return since, drains
+	return since, draining
 }
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -25,10 +25,10 @@
 
 // Fault is an injected fault of a server. The zero value is a healthy server.
 type Fault struct {
-	Unresponsive bool    // accepts requests and answers none
-	Overloaded   bool    // rejects requests with overload
-	Failing      bool    // answers that the request crashed
-	ExtraLatency float64 // ms added to each answer
+	Unresponsive bool    // the server receives requests and answers none
+	Overloaded   bool    // the server rejects all requests as overloaded
+	Failing      bool    // the server answers all requests with a failure
+	ExtraLatency float64 // added to the delay of each answer, in ms
 }
 
 // Addr returns the address at which the server listens.
@@ -41,7 +41,7 @@
 	s.fault = f
 }
 
-// Kill ends the server as the death of a process does: its listener closes and its connections are reset.
+// Kill ends the server as the kill of a process does: it closes the listener and resets the connections.
 func (s *Server) Kill() {
 	_ = s.ln.Close()
 	s.mu.Lock()
@@ -55,13 +55,14 @@
 	}
 }
 
-// unreachable reports whether fills from this server find nobody.
+// unreachable reports whether fills from this server fail because it was killed or is unresponsive.
 func (s *Server) unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.killed || s.fault.Unresponsive
 }
 
+// accept accepts connections until the listener closes.
 func (s *Server) accept() {
 	for {
 		nc, err := s.ln.Accept()
@@ -77,7 +78,7 @@
 	}
 }
 
-// addConn registers an accepted connection; nil if the server was killed meanwhile.
+// addConn registers an accepted connection. It returns nil if the server was killed meanwhile.
 func (s *Server) addConn(nc net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,6 +104,7 @@
 	return s.fault
 }
 
+// endRequest counts a request as no longer in flight.
 func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -9,8 +9,8 @@
 	"ravenwheel/internal/resp"
 )
 
-// maxOpen is how many requests the protocol allows to be open on one connection.
-const maxOpen = 32
+// maxOpenPerConn is how many requests the protocol allows to be open on one connection.
+const maxOpenPerConn = 32
 
 // conn is one connection to the proxy, with the requests that are open on it.
 type conn struct {
@@ -49,7 +49,7 @@
 func (k *conn) full() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.ended || len(k.open) >= maxOpen
+	return k.ended || len(k.open) >= maxOpenPerConn
 }
 
 // send writes a request. Where the proxy closed the connection while nothing was open on it, the request goes out again on
@@ -58,7 +58,7 @@
 	if !k.write(tag, q, words) {
 		q.attempts--
 		k.client.remove(k)
-		k.client.attempt(q)
+		k.client.sendAttempt(q)
 	}
 }
 
@@ -81,7 +81,7 @@
 		if err != nil {
 			break
 		}
-		k.answer(parts)
+		k.handleAnswer(parts)
 	}
 	k.nc.Close()
 	k.mu.Lock()
@@ -90,12 +90,12 @@
 	k.open = map[string]*request{}
 	k.mu.Unlock()
 	for _, q := range open {
-		k.client.end(q, outcome{word: wordLost, reason: "its connection ended"})
+		k.client.endAttempt(q, outcome{word: wordLost, cause: "its connection ended"})
 	}
 }
 
-// answer ends the attempt that an answer belongs to: tag, word, fields and body, of which the last two may be absent.
-func (k *conn) answer(parts [][]byte) {
+// handleAnswer ends the attempt that an answer belongs to: tag, word, fields and body, of which the last two may be absent.
+func (k *conn) handleAnswer(parts [][]byte) {
 	tag := string(parts[0])
 	k.mu.Lock()
 	q := k.open[tag]
@@ -103,7 +103,7 @@
 	k.mu.Unlock()
 	if q == nil || len(parts) < 2 {
 		k.client.mu.Lock()
-		k.client.violation("an answer to no open request: tag %s", tag)
+		k.client.addViolation("an answer to no open request: tag %s", tag)
 		k.client.mu.Unlock()
 		return
 	}
@@ -116,5 +116,5 @@
 	if len(parts) > 3 {
 		result.body = []byte(strings.Clone(string(parts[3])))
 	}
-	k.client.end(q, result)
+	k.client.endAttempt(q, result)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -88,14 +88,14 @@
 	object   string
 	part     int
 	attempts int
-	began    float64 // ms at which it was due
+	dueAt    float64 // ms at which it was due
 	done     func()
 }
 
 // outcome is the end of one attempt.
 type outcome struct {
 	word    string // of the protocol, or lost
-	reason  string // why it was lost
+	cause   string // why it was lost
 	backoff float64
 	body    []byte
 }
@@ -117,14 +117,14 @@
 func (c *Client) SendThen(done func()) { c.sendAt(c.options.Clock.Now(), done) }
 
 // sendAt sends one request whose latency counts from when it was due (ms).
-func (c *Client) sendAt(due float64, done func()) { c.attempt(c.draw(due, done)) }
+func (c *Client) sendAt(due float64, done func()) { c.sendAttempt(c.draw(due, done)) }
 
 // draw draws a request and counts it as open.
 func (c *Client) draw(due float64, done func()) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	class := c.drawClass()
-	q := &request{class: class, object: Object(c.popularity.Uint64()), began: due, done: done}
+	q := &request{class: class, object: Object(c.popularity.Uint64()), dueAt: due, done: done}
 	if class.PartsPerObject > 1 {
 		q.part = c.rng.IntN(class.PartsPerObject)
 	}
@@ -148,8 +148,8 @@
 	return c.options.Classes[len(c.options.Classes)-1]
 }
 
-// attempt sends a request over the next connection.
-func (c *Client) attempt(q *request) {
+// sendAttempt sends a request over the next connection.
+func (c *Client) sendAttempt(q *request) {
 	c.mu.Lock()
 	c.lastTag++
 	tag := strconv.FormatUint(c.lastTag, 10)
@@ -159,12 +159,12 @@
 	connection := c.conns[index]
 	c.mu.Unlock()
 	if connection == nil || connection.full() {
-		fresh, err := c.dial(index)
+		dialed, err := c.dial(index)
 		if err != nil {
-			c.end(q, outcome{word: wordLost, reason: err.Error()})
+			c.endAttempt(q, outcome{word: wordLost, cause: err.Error()})
 			return
 		}
-		connection = fresh
+		connection = dialed
 	}
 	fields := fmt.Sprintf("rid=%s,budget=%.0f,obj=%s,nth=%d,batch=%d", id, q.class.DeadlineMs, q.object, q.part, fleet.Group(q.object))
 	if q.attempts > 0 {
@@ -178,33 +178,33 @@
 	connection.send(tag, q, words)
 }
 
-// end counts the end of an attempt, and retries where that is harmless.
-func (c *Client) end(q *request, result outcome) {
-	if c.count(q, result) {
-		c.options.Clock.After(max(result.backoff, minBackoff), func() { go c.attempt(q) })
+// endAttempt counts the end of an attempt, and retries where that is harmless.
+func (c *Client) endAttempt(q *request, result outcome) {
+	if c.recordOutcome(q, result) {
+		c.options.Clock.After(max(result.backoff, minBackoff), func() { go c.sendAttempt(q) })
 		return
 	}
 	q.done()
 }
 
-// count records an outcome and reports whether the request is retried.
-func (c *Client) count(q *request, result outcome) (retry bool) {
+// recordOutcome records an outcome and reports whether the request is retried.
+func (c *Client) recordOutcome(q *request, result outcome) (retry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.results[q.class.Name]
 	switch result.word {
 	case wordServed:
 		counts.Served++
-		_ = counts.Latency.RecordValue(max(1, int64((c.options.Clock.Now()-q.began)*1000)))
+		_ = counts.Latency.RecordValue(max(1, int64((c.options.Clock.Now()-q.dueAt)*1000)))
 		if _, err := fleet.CheckContent(result.body, q.object, q.part); err != nil {
-			c.violation("%s: %v", q.class.Name, err)
+			c.addViolation("%s: %v", q.class.Name, err)
 		}
 	case wordRejected:
 		counts.Rejected++
 		retry = true
 	case wordLost:
 		counts.Lost++
-		c.violation("%s of %s: lost: %s", q.class.Name, q.object, result.reason)
+		c.addViolation("%s of %s: lost: %s", q.class.Name, q.object, result.cause)
 	default:
 		counts.Failed++
 		retry = !q.class.Write
@@ -218,8 +218,8 @@
 	return false
 }
 
-// violation records what no client may see. Called under the lock.
-func (c *Client) violation(format string, args ...any) {
+// addViolation records what no client may see. Called under the lock.
+func (c *Client) addViolation(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
--- a/internal/lab/load/misbehaving.go
+++ b/internal/lab/load/misbehaving.go
@@ -30,8 +30,8 @@
 
 // misbehaviour is what a misbehaving client sends, and whether it leaves right after that.
 type misbehaviour struct {
-	send  string
-	leave bool
+	send       string
+	disconnect bool
 }
 
 var misbehaviours = map[string]misbehaviour{
@@ -39,7 +39,7 @@
 	"half":  {send: "*4\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$5\r\nas"},
 	"noise": {send: "\x00\xff GET / HTTP/1.1\r\n\r\n"},
 	"claim": {send: "*4\r\n$2147483647\r\n"},
-	"leave": {send: string(resp.AppendFrame(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), leave: true},
+	"leave": {send: string(resp.AppendFrame(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), disconnect: true},
 }
 
 // ParseMisbehaving parses "idle=100,half=20": the number of clients by misbehaviour.
@@ -71,7 +71,7 @@
 }
 
 // connectOnce plays one connection. It is false once the client is to stop.
-func (m *MisbehavingClients) connectOnce(how misbehaviour) bool {
+func (m *MisbehavingClients) connectOnce(kind misbehaviour) bool {
 	select {
 	case <-m.stop:
 		return false
@@ -83,8 +83,8 @@
 	}
 	defer nc.Close()
 	m.Opened.Add(1)
-	_, _ = nc.Write([]byte(how.send))
-	if how.leave {
+	_, _ = nc.Write([]byte(kind.send))
+	if kind.disconnect {
 		return true
 	}
 	select {
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -9,8 +9,8 @@
 
 // Phase is a stretch of a schedule over which the rate changes linearly.
 type Phase struct {
-	Seconds  float64
-	From, To float64 // requests a second
+	Seconds          float64
+	FromRate, ToRate float64 // requests a second
 }
 
 // Bounds of a schedule: whatever is given, it ends by itself and stays within what one machine can send.
@@ -45,7 +45,7 @@
 		text string
 		into *float64
 		most float64
-	}{{seconds, &phase.Seconds, maxSeconds}, {from, &phase.From, maxRate}, {to, &phase.To, maxRate}} {
+	}{{seconds, &phase.Seconds, maxSeconds}, {from, &phase.FromRate, maxRate}, {to, &phase.ToRate, maxRate}} {
 		*field.into, err = strconv.ParseFloat(strings.TrimSpace(field.text), 64)
 		inRange := *field.into >= 0 && *field.into <= field.most
 		if err != nil || !ok || !inRange {
@@ -63,7 +63,7 @@
 	for _, phase := range phases {
 		length := phase.Seconds * 1000
 		for t := 0.0; t < length; t += step {
-			rate := (phase.From + (phase.To-phase.From)*t/length) / 1000
+			rate := (phase.FromRate + (phase.ToRate-phase.FromRate)*t/length) / 1000
 			for due += rate * step; due >= 1; due-- {
 				if !each(start + t) {
 					return
--- a/internal/lab/loadmetrics/loadmetrics.go
+++ b/internal/lab/loadmetrics/loadmetrics.go
@@ -138,11 +138,11 @@
 	reactionWindow = 1.0
 )
 
-// Fractions of a server's former part of its zone's load: at abandonedAt and below the fleet has abandoned it, from
-// restoredAt on it is used again.
+// Fractions of a server's former part of its zone's load: at abandonedFraction and below the fleet has abandoned it, from
+// restoredFraction on it is used again.
 const (
-	abandonedAt = 0.5
-	restoredAt  = 0.8
+	abandonedFraction = 0.5
+	restoredFraction  = 0.8
 )
 
 // zoneFraction returns a server's fraction of its zone's attempts in [from, to).
@@ -164,7 +164,7 @@
 func (t *Trace) TimeToAbandon(id policy.ServerID, changed, end float64) float64 {
 	baseline := t.zoneFraction(id, changed-baselineSpan, changed)
 	for start := changed; start+reactionWindow <= end; start += windowStep {
-		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) <= abandonedAt*baseline {
+		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) <= abandonedFraction*baseline {
 			return start - changed
 		}
 	}
@@ -176,7 +176,7 @@
 func (t *Trace) TimeToRestore(id policy.ServerID, began, ended, end float64) float64 {
 	baseline := t.zoneFraction(id, began-baselineSpan, began)
 	for start := ended; start+reactionWindow <= end; start += windowStep {
-		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) >= restoredAt*baseline {
+		if baseline > 0 && t.zoneFraction(id, start, start+reactionWindow) >= restoredFraction*baseline {
 			return start - ended
 		}
 	}
@@ -186,9 +186,9 @@
 const (
 	// surgeSpan is how long after a change a surge is looked for, in seconds.
 	surgeSpan = 5.0
-	// leastRate is the rate before the change, in attempts a second, under which a server is left out: a few attempts more
+	// minRate is the rate before the change, in attempts a second, under which a server is left out: a few attempts more
 	// would look like a surge.
-	leastRate = 2.0
+	minRate = 2.0
 )
 
 // Surge returns the highest load that a server received in one second within surgeSpan of a change, over its mean rate before
@@ -198,7 +198,7 @@
 	baseline := t.counts(changed-baselineSpan, changed)
 	for start := changed; start <= changed+surgeSpan; start += windowStep {
 		for id, count := range t.counts(start, start+reactionWindow) {
-			if rate := baseline[id] / baselineSpan; rate >= leastRate {
+			if rate := baseline[id] / baselineSpan; rate >= minRate {
 				highest = max(highest, count/rate)
 			}
 		}
--- a/internal/lab/loadmetrics/loadmetrics_test.go
+++ b/internal/lab/loadmetrics/loadmetrics_test.go
@@ -9,8 +9,8 @@
 	"ravenwheel/policy"
 )
 
-// steady returns evenly spaced attempts at a server.
-func steady(id policy.ServerID, from, to, perSecond float64) (attempts []Attempt) {
+// evenAttempts returns evenly spaced attempts at a server.
+func evenAttempts(id policy.ServerID, from, to, perSecond float64) (attempts []Attempt) {
 	for i := range int((to - from) * perSecond) {
 		attempts = append(attempts, Attempt{from + (float64(i)+0.5)/perSecond, id})
 	}
@@ -20,10 +20,10 @@
 func TestSpreadIsMeasuredByWeight(t *testing.T) {
 	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 3}, 3: {1, 1}, 4: {1, 1}, 5: {2, 1}}
 	var attempts []Attempt
-	attempts = append(append(attempts, steady(1, 0, 10, 10)...), steady(2, 0, 10, 30)...)
-	trace := NewTrace(append(attempts, steady(5, 0, 10, 10)...), caches)
+	attempts = append(append(attempts, evenAttempts(1, 0, 10, 10)...), evenAttempts(2, 0, 10, 30)...)
+	trace := NewTrace(append(attempts, evenAttempts(5, 0, 10, 10)...), caches)
 	require.Equal(t, Spread{1, 1, 1}, trace.Spread(0, 10, 1), "even by weight; zones without load and with a single server do not count")
-	attempts = append(append(attempts, steady(3, 0, 10, 30)...), steady(4, 0, 10, 10)...)
+	attempts = append(append(attempts, evenAttempts(3, 0, 10, 30)...), evenAttempts(4, 0, 10, 10)...)
 	trace = NewTrace(append(attempts, Attempt{1, 99}), caches)
 	spread := trace.Spread(0, 10, 5)
 	require.InDelta(t, 1.5, spread.P95, 1e-9)
@@ -35,8 +35,8 @@
 func TestReactionTimesAndSurge(t *testing.T) {
 	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 1}}
 	var attempts []Attempt
-	attempts = append(append(attempts, steady(1, 0, 12, 20)...), steady(1, 23, 30, 20)...)
-	attempts = append(append(append(attempts, steady(2, 0, 12, 20)...), steady(2, 12, 23, 40)...), steady(2, 23, 30, 20)...)
+	attempts = append(append(attempts, evenAttempts(1, 0, 12, 20)...), evenAttempts(1, 23, 30, 20)...)
+	attempts = append(append(append(attempts, evenAttempts(2, 0, 12, 20)...), evenAttempts(2, 12, 23, 40)...), evenAttempts(2, 23, 30, 20)...)
 	trace := NewTrace(attempts, caches)
 	require.InDelta(t, 1.5, trace.TimeToAbandon(1, 10, 20), 0.2)
 	require.InDelta(t, 2.8, trace.TimeToRestore(1, 10, 20, 30), 0.3)
--- a/internal/lab/report/estimate.go
+++ b/internal/lab/report/estimate.go
@@ -29,8 +29,8 @@
 
 const (
 	bootstrapSamples = 2000
-	// outside is the number of samples beyond either end of a 95 % interval.
-	outside = bootstrapSamples / 40
+	// samplesOutside is the number of samples beyond either end of a 95 % interval.
+	samplesOutside = bootstrapSamples / 40
 )
 
 // Bootstrap estimates the mean of values by the percentile bootstrap (Efron, 1979). Equal values in equal order give equal
@@ -53,6 +53,6 @@
 	}
 	slices.Sort(means)
 	return Estimate{
-		Mean: mean(func(i int) float64 { return values[i] }), Low: means[outside], High: means[bootstrapSamples-1-outside],
+		Mean: mean(func(i int) float64 { return values[i] }), Low: means[samplesOutside], High: means[bootstrapSamples-1-samplesOutside],
 	}
 }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -71,8 +71,8 @@
 	return points
 }
 
-// pointsWithErrors are points with error bars.
-type pointsWithErrors struct {
+// pointsWithErrorBars are points with error bars.
+type pointsWithErrorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
@@ -99,7 +99,7 @@
 }
 
 // estimatesBySweepValue returns the estimate of a value for each value of the sweep, in the order in which these occur first.
-func estimatesBySweepValue(runs []experiment.Run, value func(*sim.Result) float64) (points pointsWithErrors) {
+func estimatesBySweepValue(runs []experiment.Run, value func(*sim.Result) float64) (points pointsWithErrorBars) {
 	values := map[float64][]float64{}
 	for _, run := range runs {
 		values[run.SweepValue] = append(values[run.SweepValue], value(run.Result))
