--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -196,7 +196,7 @@
 		if err != nil {
 			break
 		}
-		c.answer(parts)
+		c.handleAnswer(parts)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +204,7 @@
 	c.changed.Broadcast()
 }
 
-func (c *clients) answer(parts [][]byte) {
+func (c *clients) handleAnswer(parts [][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.byTag[string(parts[0])]
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -9,7 +9,7 @@
 	"ravenwheel/internal/resp"
 )
 
-// maxOpenPerConn is how many requests the protocol allows to be open on one connection.
+// maxOpenPerConn is the number of requests that the protocol allows to be open on one connection.
 const maxOpenPerConn = 32
 
 // conn is one connection to the proxy, with the requests that are open on it.
@@ -22,6 +22,7 @@
 	ended bool
 }
 
+// dial opens a connection and puts it at an index of c.conns.
 func (c *Client) dial(index int) (*conn, error) {
 	nc, err := net.Dial("tcp", c.options.Addr)
 	if err != nil {
@@ -46,14 +47,16 @@
 	}
 }
 
+// full reports whether no further request can be sent on the connection.
 func (k *conn) full() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended || len(k.open) >= maxOpenPerConn
 }
 
-// send writes a request. Where the proxy closed the connection while nothing was open on it, the request goes out again on
-// another one, as the protocol allows for a request that crosses such a close.
+// send writes a request. If the connection ended before the request was written, send sends the request on another connection; the
+// protocol allows this for a request that was sent while the proxy closed an idle connection. The first try is then not counted as
+// an attempt.
 func (k *conn) send(tag string, q *request, words []string) {
 	if !k.write(tag, q, words) {
 		q.attempts--
@@ -62,7 +65,8 @@
 	}
 }
 
-// write is false if the connection has ended. An error of the write is left to the reader, which sees the end, too.
+// write registers and writes a request, and returns false if the connection has ended. It ignores an error of the write, since read
+// then finds that the connection has ended.
 func (k *conn) write(tag string, q *request, words []string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -74,6 +78,7 @@
 	return true
 }
 
+// read handles the proxy's answers until the connection ends. The requests that are then open are lost.
 func (k *conn) read() {
 	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
@@ -90,11 +95,12 @@
 	k.open = map[string]*request{}
 	k.mu.Unlock()
 	for _, q := range open {
-		k.client.endAttempt(q, outcome{word: wordLost, cause: "its connection ended"})
+		k.client.endAttempt(q, outcome{word: wordLost, cause: "connection ended before the answer"})
 	}
 }
 
-// handleAnswer ends the attempt that an answer belongs to: tag, word, fields and body, of which the last two may be absent.
+// handleAnswer ends the attempt to which an answer belongs. The parts of an answer are tag, word, fields and body, of which the
+// last two may be absent.
 func (k *conn) handleAnswer(parts [][]byte) {
 	tag := string(parts[0])
 	k.mu.Lock()
@@ -103,7 +109,7 @@
 	k.mu.Unlock()
 	if q == nil || len(parts) < 2 {
 		k.client.mu.Lock()
-		k.client.addViolation("an answer to no open request: tag %s", tag)
+		k.client.addViolation("answer with tag %s belongs to no open request", tag)
 		k.client.mu.Unlock()
 		return
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
 // Package load provides clients of a proxy. They speak the platform's protocol over a few connections, request a mix of classes
-// with a skewed popularity of objects, retry where that is harmless, and verify every answer. Schedules of requests and clients
-// that misbehave are here, too. Only tests and the workbench use it.
+// with a skewed popularity of objects, retry where that is safe, and verify every answer. The package also has schedules of
+// requests, and clients that break the protocol. Only tests and the lab (cmd/ravenlab and internal/lab) use it.
 package load
 
 import (
@@ -18,10 +18,10 @@
 // Class is one class of requests.
 type Class struct {
 	Name           string
-	Fraction       float64 // of the requests, relative to the other classes
+	Fraction       float64 // relative frequency of the class's requests; the fractions need not add up to 1
 	DeadlineMs     float64
 	Write          bool
-	PartsPerObject int // 1: objects are not divided
+	PartsPerObject int // 0 or 1: objects are not divided into parts
 }
 
 // Options configure a Client.
@@ -30,9 +30,9 @@
 	Clock   *clock.Clock
 	Seed    uint64
 	Conns   int
-	Objects int // number of objects; lower ones are more popular
+	Objects int // number of objects; those with lower numbers are more popular
 	Classes []Class
-	Retries int // of a rejected request, and of a failed one that does not write
+	Retries int // highest number of retries of a request that is rejected, or that fails and does not write
 }
 
 // Client draws requests at random and counts their outcomes.
@@ -48,7 +48,7 @@
 	results    map[string]*ClassResult
 	violations []string
 	open       int
-	idle       *sync.Cond // open has become smaller
+	idle       *sync.Cond // signalled when open decreases
 }
 
 // ClassResult counts the outcomes of one class's requests.
@@ -58,13 +58,13 @@
 }
 
 const (
-	// maxViolations bounds the violations that are kept as text.
+	// maxViolations is the highest number of violations that are kept.
 	maxViolations = 20
-	// minBackoff is the shortest delay before a retry, in ms.
+	// minBackoff is the shortest delay before a retry, in ms. The proxy may ask for a longer one.
 	minBackoff = 20
-	// zipfExponent and zipfOffset shape the popularity of objects.
+	// zipfExponent and zipfOffset are the parameters s and v of the Zipf distribution of the objects' popularity.
 	zipfExponent, zipfOffset = 1.1, 8
-	// maxLatency bounds the histogram, in µs.
+	// maxLatency is the highest latency that the histogram can record, in µs.
 	maxLatency = 60_000_000
 )
 
@@ -82,32 +82,33 @@
 	return c
 }
 
-// request is one request, over all of its attempts.
+// request is one request, with all of its attempts.
 type request struct {
 	class    Class
 	object   string
 	part     int
 	attempts int
-	dueAt    float64 // ms at which it was due
-	done     func()
+	dueAt    float64 // when the request was due, in ms; its latency counts from then
+	done     func()  // called after the last attempt
 }
 
-// outcome is the end of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
-	word    string // of the protocol, or lost
-	cause   string // why it was lost
-	backoff float64
+	word    string  // the word of the answer, or wordLost
+	cause   string  // why the attempt was lost
+	backoff float64 // shortest delay before a retry, in ms, as the proxy asked for
 	body    []byte
 }
 
-// Words that a proxy answers, and lost for an attempt that ended without an answer.
+// The words of an outcome: those of the proxy's answers, and wordLost for an attempt that ended without an answer. Any other word
+// is a failure.
 const (
 	wordServed   = "ok"
 	wordRejected = "full"
 	wordLost     = "lost"
 )
 
-// Object returns the name of the nth object.
+// Object returns the name of the object with number n.
 func Object(n uint64) string { return fmt.Sprintf("%016x", 0x5eed0000_00000000+n*0x9e3779b1) }
 
 // Send sends one request, drawn at random.
@@ -116,10 +117,10 @@
 // SendThen sends one request, drawn at random, and calls done after its last attempt.
 func (c *Client) SendThen(done func()) { c.sendAt(c.options.Clock.Now(), done) }
 
-// sendAt sends one request whose latency counts from when it was due (ms).
+// sendAt sends one request, whose latency counts from the time due in ms.
 func (c *Client) sendAt(due float64, done func()) { c.sendAttempt(c.draw(due, done)) }
 
-// draw draws a request and counts it as open.
+// draw draws a request at random and counts it as open.
 func (c *Client) draw(due float64, done func()) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,6 +134,7 @@
 	return q
 }
 
+// drawClass draws a class with the probabilities that the classes' fractions give.
 func (c *Client) drawClass() Class {
 	total := 0.0
 	for _, class := range c.options.Classes {
@@ -148,7 +150,8 @@
 	return c.options.Classes[len(c.options.Classes)-1]
 }
 
-// sendAttempt sends a request over the next connection.
+// sendAttempt sends an attempt of a request on the next connection in turn, or on a new one in its place if that is not open or is
+// full.
 func (c *Client) sendAttempt(q *request) {
 	c.mu.Lock()
 	c.lastTag++
@@ -178,7 +181,7 @@
 	connection.send(tag, q, words)
 }
 
-// endAttempt counts the end of an attempt, and retries where that is harmless.
+// endAttempt records the outcome of an attempt. It retries the request if that is safe, and otherwise ends it.
 func (c *Client) endAttempt(q *request, result outcome) {
 	if c.recordOutcome(q, result) {
 		c.options.Clock.After(max(result.backoff, minBackoff), func() { go c.sendAttempt(q) })
@@ -187,7 +190,8 @@
 	q.done()
 }
 
-// recordOutcome records an outcome and reports whether the request is retried.
+// recordOutcome records the outcome of an attempt and reports whether to retry the request. A write is not retried after a failure,
+// since it may have run.
 func (c *Client) recordOutcome(q *request, result outcome) (retry bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +208,7 @@
 		retry = true
 	case wordLost:
 		counts.Lost++
-		c.addViolation("%s of %s: lost: %s", q.class.Name, q.object, result.cause)
+		c.addViolation("%s of %s: request lost: %s", q.class.Name, q.object, result.cause)
 	default:
 		counts.Failed++
 		retry = !q.class.Write
@@ -218,7 +222,7 @@
 	return false
 }
 
-// addViolation records what no client may see. Called under the lock.
+// addViolation records a violation, unless there are maxViolations already. The caller holds c.mu.
 func (c *Client) addViolation(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
@@ -241,7 +245,8 @@
 	return c.open
 }
 
-// Violations returns what no client may see: lost requests, second answers, and bodies that are not the content requested.
+// Violations returns, as text, what a correct proxy never does: requests lost without an answer, answers that belong to no open
+// request, such as a second answer, and bodies that are not the requested content.
 func (c *Client) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/load/misbehaving.go
+++ b/internal/lab/load/misbehaving.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// maxMisbehaving bounds the clients of one kind.
+	// maxMisbehaving is the highest number of clients of one kind.
 	maxMisbehaving = 5000
-	// reconnectDelay is the pause between two connections of a misbehaving client.
+	// reconnectDelay is the delay before each connection of a misbehaving client.
 	reconnectDelay = 100 * time.Millisecond
 )
 
-// MisbehavingClients is a set of clients that break the protocol, each on a connection of its own, until Stop.
+// MisbehavingClients is a set of clients that break the protocol until Stop is called. Each has a connection of its own.
 type MisbehavingClients struct {
 	addr    string
 	stop    chan struct{}
 	running sync.WaitGroup
-	// Opened and Ended count connections: those that were established, and those that the proxy ended.
+	// Opened counts the connections that were established, and Ended those of them that the proxy closed.
 	Opened, Ended atomic.Int64
 }
 
-// misbehaviour is what a misbehaving client sends, and whether it leaves right after that.
+// misbehaviour is a kind of misbehaving client: what it sends, and whether it then closes the connection at once or waits until the
+// proxy closes it.
 type misbehaviour struct {
 	send       string
 	disconnect bool
 }
 
+// misbehaviours are the kinds by name: idle sends nothing, half sends the first half of a request, noise sends bytes that are not
+// the protocol, claim announces a part of 2 GiB, and leave closes the connection without waiting for the answer to its request.
 var misbehaviours = map[string]misbehaviour{
 	"idle":  {},
 	"half":  {send: "*4\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$5\r\nas"},
@@ -42,21 +45,21 @@
 	"leave": {send: string(resp.AppendFrame(nil, "RPC.CALL", "1", "asset", "rid=00000000000000aa,budget=2000,obj=00000000000000bb,nth=0,batch=1")), disconnect: true},
 }
 
-// ParseMisbehaving parses "idle=100,half=20": the number of clients by misbehaviour.
+// ParseMisbehaving parses the number of clients of each kind, for example "idle=100,half=20".
 func ParseMisbehaving(text string) (map[string]int, error) {
 	counts := map[string]int{}
 	for _, part := range strings.Split(text, ",") {
 		name, number, _ := strings.Cut(part, "=")
 		count, err := strconv.Atoi(number)
 		if _, known := misbehaviours[name]; !known || err != nil || count < 0 || count > maxMisbehaving {
-			return nil, fmt.Errorf("%q is not idle, half, noise, claim or leave with a number up to %d", part, maxMisbehaving)
+			return nil, fmt.Errorf("%q is not KIND=COUNT with KIND idle, half, noise, claim or leave and COUNT from 0 to %d", part, maxMisbehaving)
 		}
 		counts[name] = count
 	}
 	return counts, nil
 }
 
-// StartMisbehaving starts the clients. Each reconnects a moment after its connection has ended.
+// StartMisbehaving starts the clients. Each connects again reconnectDelay after its connection has ended.
 func StartMisbehaving(addr string, counts map[string]int) *MisbehavingClients {
 	m := &MisbehavingClients{addr: addr, stop: make(chan struct{})}
 	for name, count := range counts {
@@ -70,7 +73,7 @@
 	return m
 }
 
-// connectOnce plays one connection. It is false once the client is to stop.
+// connectOnce opens one connection and misbehaves on it until it ends. It returns false once the client must stop.
 func (m *MisbehavingClients) connectOnce(kind misbehaviour) bool {
 	select {
 	case <-m.stop:
@@ -96,7 +99,7 @@
 	}
 }
 
-// endOf returns a channel that is closed once the connection has ended; what comes on it is dropped.
+// endOf returns a channel that is closed once the connection has ended. It discards what the proxy sends.
 func endOf(nc net.Conn) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -110,7 +113,7 @@
 	return ended
 }
 
-// Stop ends all clients and returns once they have ended.
+// Stop stops all clients and waits for their end.
 func (m *MisbehavingClients) Stop() {
 	close(m.stop)
 	m.running.Wait()
--- a/internal/lab/load/schedule.go
+++ b/internal/lab/load/schedule.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Phase is a stretch of a schedule over which the rate changes linearly.
+// Phase is a part of a schedule in which the rate changes linearly.
 type Phase struct {
 	Seconds          float64
-	FromRate, ToRate float64 // requests a second
+	FromRate, ToRate float64 // at the phase's start and end, in requests per second
 }
 
-// Bounds of a schedule: whatever is given, it ends by itself and stays within what one machine can send.
+// Bounds of a schedule, so that any schedule ends by itself and one machine can send its requests.
 const (
 	maxSeconds = 3600
-	maxRate    = 100_000 // requests a second
+	maxRate    = 100_000 // requests per second
 )
 
-// ParsePhases parses "10:50-200,5:400": ten seconds from 50 requests a second to 200, then five at 400.
+// ParsePhases parses phases. For example, "10:50-200,5:400" is 10 s in which the rate rises from 50 to 200 requests per second,
+// then 5 s at 400 requests per second.
 func ParsePhases(text string) (phases []Phase, err error) {
 	total := 0.0
 	for _, part := range strings.Split(text, ",") {
@@ -28,7 +29,7 @@
 			return nil, err
 		}
 		if total += phase.Seconds; total > maxSeconds {
-			return nil, fmt.Errorf("%q: a schedule takes %d s at most", text, maxSeconds)
+			return nil, fmt.Errorf("schedule %q takes longer than %d s", text, maxSeconds)
 		}
 		phases = append(phases, phase)
 	}
@@ -49,14 +50,14 @@
 		*field.into, err = strconv.ParseFloat(strings.TrimSpace(field.text), 64)
 		inRange := *field.into >= 0 && *field.into <= field.most
 		if err != nil || !ok || !inRange {
-			return Phase{}, fmt.Errorf("%q is not of the form SECONDS:RATE or SECONDS:RATE-RATE", text)
+			return Phase{}, fmt.Errorf("phase %q is not SECONDS:RATE or SECONDS:RATE-RATE, or a value is out of range", text)
 		}
 	}
 	return phase, nil
 }
 
-// ForEachDueTime calls each with the time, in ms from the start, at which each request is due, until it returns false. The nth is due
-// when the area under the rate has reached n.
+// ForEachDueTime calls each with the time at which each request is due, in ms from the start, until each returns false. Request n
+// is due when the integral of the rate over time has reached n.
 func ForEachDueTime(phases []Phase, each func(ms float64) bool) {
 	const step = 1.0 // ms
 	start, due := 0.0, 0.0
@@ -74,8 +75,9 @@
 	}
 }
 
-// FollowSchedule sends requests by a schedule, whatever becomes of earlier ones. Latency counts from when a request was due and
-// not from when it could be sent, so that a proxy that stalls does not hide the requests delayed by it (coordinated omission).
+// FollowSchedule sends requests at the times of a schedule, without waiting for the answers to earlier ones. Latency counts from
+// when a request was due and not from when it was sent. Otherwise a proxy that stalls would delay the sending too, and its stall
+// would be missing from the latencies (coordinated omission).
 func (c *Client) FollowSchedule(ctx context.Context, phases []Phase) {
 	began := c.options.Clock.Now()
 	ForEachDueTime(phases, func(ms float64) bool {
@@ -87,7 +89,7 @@
 	})
 }
 
-// waitUntil waits for a time of the clock in ms. It is false if ctx ended before.
+// waitUntil waits until a time of the clock, in ms. It returns false if ctx ends before.
 func (c *Client) waitUntil(ctx context.Context, due float64) bool {
 	wait := due - c.options.Clock.Now()
 	if wait <= 0 {
--- a/internal/lab/loadmetrics/loadmetrics.go
+++ b/internal/lab/loadmetrics/loadmetrics.go
@@ -1,5 +1,5 @@
-// Package loadmetrics measures, from the attempts that cache servers received, how evenly load is spread over them and how a
-// fleet of proxies reacts to a change of one server (used by internal/lab/multiprocess). It keeps no state between calls. All
+// Package loadmetrics computes, from the attempts that cache servers received, how evenly load is spread over the servers and how
+// fast a fleet of proxies reacts to a change of one server. internal/lab/multiprocess uses it. It keeps no state between calls. All
 // times are in seconds.
 package loadmetrics
 
@@ -13,22 +13,23 @@
 
 // Attempt is one attempt as a cache server received it.
 type Attempt struct {
-	At    float64 // seconds
+	At    float64 // when it was received, in seconds
 	Cache policy.ServerID
 }
 
-// Cache is a cache server's zone, and its weight relative to the others'.
+// Cache has a cache server's zone, and its weight relative to the other servers'.
 type Cache struct {
 	Zone   int
 	Weight float64
 }
 
-// Spread is how evenly load was distributed over windows and zones. Each figure is a server's load by weight over the mean of
-// its zone, so 1 is perfectly even. All are 0 where no window had load.
+// Spread tells how evenly load was spread over the servers of each zone. A server's relative load in a window is its load per
+// weight divided by the load per weight of its whole zone, so 1 is perfectly even. The quantiles are over all windows and zones.
+// All figures are 0 if no window had load.
 type Spread struct {
-	Median float64 // over the windows, of the most loaded server
-	P95    float64 // 95th percentile over the windows, of the most loaded server
-	Least  float64 // median over the windows, of the least loaded server
+	Median float64 // median of the highest relative load in a zone
+	P95    float64 // 95th percentile of the highest relative load in a zone
+	Least  float64 // median of the lowest relative load in a zone
 }
 
 // Trace holds the attempts of one run, ordered by time.
@@ -38,7 +39,7 @@
 	ids      []policy.ServerID // by zone, then by id
 }
 
-// NewTrace orders the attempts by time. Attempts at servers that are not among caches are dropped.
+// NewTrace returns a trace of the attempts at the servers in caches. It leaves out attempts at other servers.
 func NewTrace(attempts []Attempt, caches map[policy.ServerID]Cache) *Trace {
 	t := &Trace{caches: caches}
 	for _, attempt := range attempts {
@@ -56,7 +57,7 @@
 	return t
 }
 
-// counts returns the attempts at each server in [from, to).
+// counts returns the number of attempts at each server in [from, to).
 func (t *Trace) counts(from, to float64) map[policy.ServerID]float64 {
 	first := t.indexAt(from)
 	last := max(first, t.indexAt(to))
@@ -73,11 +74,12 @@
 	return index
 }
 
-// roundingError is how far, in seconds, the end of the last window may lie past the end of the span.
+// roundingError is how far, in seconds, the last window may extend past the end of the measured time, as the sum of its bounds is
+// rounded.
 const roundingError = 1e-9
 
-// Spread measures the windows that follow each other in [from, to]. A zone without load in a window is left out of that
-// window, and so is a zone with a single server.
+// Spread computes the spread over the successive windows in [from, to]. In each window it leaves out zones without load and zones
+// with a single server.
 func (t *Trace) Spread(from, to, window float64) Spread {
 	var highest, lowest []float64
 	for start := from; start+window <= to+roundingError; start += window {
@@ -95,7 +97,7 @@
 	return Spread{Median: quantile(highest, 0.5), P95: quantile(highest, 0.95), Least: quantile(lowest, 0.5)}
 }
 
-// firstZone splits ids, which are ordered by zone, into those of the first zone and the others.
+// firstZone splits ids, which are ordered by zone, into the ids of the first zone and the other ids.
 func (t *Trace) firstZone(ids []policy.ServerID) (zone, rest []policy.ServerID) {
 	end := 0
 	for end < len(ids) && t.caches[ids[end]].Zone == t.caches[ids[0]].Zone {
@@ -104,8 +106,8 @@
 	return ids[:end], ids[end:]
 }
 
-// zoneSpread returns the highest and the lowest load by weight of a zone's servers, over the zone's mean. ok is false where
-// the zone had no load or has a single server.
+// zoneSpread returns the highest and the lowest relative load (see Spread) of a zone's servers. ok is false if the zone had no load
+// or has a single server.
 func (t *Trace) zoneSpread(zone []policy.ServerID, counts map[policy.ServerID]float64) (high, low float64, ok bool) {
 	sum, weights := 0.0, 0.0
 	most, least := 0.0, math.Inf(1)
@@ -122,6 +124,7 @@
 	return most * weights / sum, least * weights / sum, true
 }
 
+// quantile returns the q-quantile of values, which it sorts; 0 if there are none.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -130,16 +133,16 @@
 	return values[int(q*float64(len(values)-1)+0.5)]
 }
 
-// How a reaction is looked for, in seconds: the load of baselineSpan before the change is compared with that of windows of
-// reactionWindow, which begin windowStep apart.
+// Times for measuring a reaction, in seconds: the load in the baselineSpan before a change is compared with the load in windows of
+// length reactionWindow, which start windowStep apart.
 const (
 	baselineSpan   = 5.0
 	windowStep     = 0.1
 	reactionWindow = 1.0
 )
 
-// Fractions of a server's former part of its zone's load: at abandonedFraction and below the fleet has abandoned it, from
-// restoredFraction on it is used again.
+// Limits of a server's fraction of its zone's load, relative to that fraction before the change: the fleet has abandoned a server
+// at abandonedFraction or less, and uses it again at restoredFraction or more.
 const (
 	abandonedFraction = 0.5
 	restoredFraction  = 0.8
@@ -159,8 +162,9 @@
 	return counts[id] / sum
 }
 
-// TimeToAbandon returns the seconds from a change until the fleet had reduced a server's fraction of its zone's load to half
-// of what it was before, for one second; NaN if it did not until end.
+// TimeToAbandon returns the seconds from a change until the start of the first reactionWindow in which a server's fraction of its
+// zone's load was at most half of the fraction before the change. It returns NaN if there is no such window before end, or if the
+// server had no load before the change.
 func (t *Trace) TimeToAbandon(id policy.ServerID, changed, end float64) float64 {
 	baseline := t.zoneFraction(id, changed-baselineSpan, changed)
 	for start := changed; start+reactionWindow <= end; start += windowStep {
@@ -171,8 +175,9 @@
 	return math.NaN()
 }
 
-// TimeToRestore returns the seconds from the end of a change until a server had four fifths of the fraction of its zone's load
-// that it had before the change began; NaN if it had not until end.
+// TimeToRestore returns the seconds from the end of a change (ended) until the start of the first reactionWindow in which a
+// server's fraction of its zone's load was at least four fifths of the fraction before the change began. It returns NaN if there is
+// no such window before end, or if the server had no load before the change.
 func (t *Trace) TimeToRestore(id policy.ServerID, began, ended, end float64) float64 {
 	baseline := t.zoneFraction(id, began-baselineSpan, began)
 	for start := ended; start+reactionWindow <= end; start += windowStep {
@@ -184,15 +189,16 @@
 }
 
 const (
-	// surgeSpan is how long after a change a surge is looked for, in seconds.
+	// surgeSpan is how long after a change Surge looks for a surge, in seconds.
 	surgeSpan = 5.0
-	// minRate is the rate before the change, in attempts a second, under which a server is left out: a few attempts more
-	// would look like a surge.
+	// minRate is the lowest rate before the change, in attempts per second, at which Surge considers a server. At lower rates a
+	// few more attempts would look like a surge.
 	minRate = 2.0
 )
 
-// Surge returns the highest load that a server received in one second within surgeSpan of a change, over its mean rate before
-// the change. It shows the herd effect: processes that reach the same conclusion at once move their load to the same server.
+// Surge returns the highest load of any server in one second within surgeSpan after a change, relative to the server's mean rate
+// before the change. It shows the herd effect: processes that reach the same conclusion at the same time move their load to the
+// same server.
 func (t *Trace) Surge(changed float64) float64 {
 	highest := 0.0
 	baseline := t.counts(changed-baselineSpan, changed)
--- a/internal/lab/loadmetrics/loadmetrics_test.go
+++ b/internal/lab/loadmetrics/loadmetrics_test.go
@@ -17,12 +17,14 @@
 	return attempts
 }
 
+// The spread is that of load per weight, and leaves out zones without load or with a single server, and servers that are not
+// listed.
 func TestSpreadIsMeasuredByWeight(t *testing.T) {
 	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 3}, 3: {1, 1}, 4: {1, 1}, 5: {2, 1}}
 	var attempts []Attempt
 	attempts = append(append(attempts, evenAttempts(1, 0, 10, 10)...), evenAttempts(2, 0, 10, 30)...)
 	trace := NewTrace(append(attempts, evenAttempts(5, 0, 10, 10)...), caches)
-	require.Equal(t, Spread{1, 1, 1}, trace.Spread(0, 10, 1), "even by weight; zones without load and with a single server do not count")
+	require.Equal(t, Spread{1, 1, 1}, trace.Spread(0, 10, 1), "even by weight; zones without load or with a single server are left out")
 	attempts = append(append(attempts, evenAttempts(3, 0, 10, 30)...), evenAttempts(4, 0, 10, 10)...)
 	trace = NewTrace(append(attempts, Attempt{1, 99}), caches)
 	spread := trace.Spread(0, 10, 5)
@@ -31,7 +33,8 @@
 	require.Zero(t, trace.Spread(20, 30, 1))
 }
 
-// One server fails at 10 s, is abandoned at 12, recovers at 20 and has its load again at 23; the other takes its load meanwhile.
+// Server 1 fails at 10 s, receives no load from 12 s on, recovers at 20 s and has its load again from 23 s on. Server 2 takes over
+// its load from 12 to 23 s.
 func TestReactionTimesAndSurge(t *testing.T) {
 	caches := map[policy.ServerID]Cache{1: {0, 1}, 2: {0, 1}}
 	var attempts []Attempt
@@ -44,5 +47,5 @@
 	require.InDelta(t, 1, trace.Surge(5), 0.05)
 	require.True(t, math.IsNaN(trace.TimeToAbandon(2, 10, 20)))
 	require.True(t, math.IsNaN(trace.TimeToRestore(1, 10, 20, 22)))
-	require.True(t, math.IsNaN(trace.TimeToAbandon(1, 40, 50)), "it had no load before")
+	require.True(t, math.IsNaN(trace.TimeToAbandon(1, 40, 50)), "the server had no load before the change")
 }
