--- a/internal/lab/crosscheck/crosscheck.go
+++ b/internal/lab/crosscheck/crosscheck.go
@@ -1,7 +1,7 @@
-// Package crosscheck compares the model of internal/lab/sim with the real proxy. A small site is played twice: by the proxy's
-// front end, core and connections against stand-in servers on sockets, in real time, and by the model. It returns figures that
-// both show and judges none of them. A comparison takes under a minute; "ravenlab validate" runs it, and CI does not. The
-// package's tests check that the proxy keeps its rules on sockets in the scenarios of lab/.
+// Package crosscheck compares the model of internal/lab/sim with the real proxy. It runs a small site twice: on sockets, where the
+// proxy's front end, core and connections use stand-in servers in real time, and in the model. It returns figures of both runs and
+// never judges whether they agree. All comparisons together take under a minute; "ravenlab validate" runs them, and CI does not.
+// The package's tests check that the proxy on sockets keeps its rules with the scenario files of lab/.
 package crosscheck
 
 import (
@@ -14,57 +14,59 @@
 	"ravenwheel/policy"
 )
 
-// Figure is a figure of the proxy on sockets and of the model, each from 0 to 1.
+// Figure is one figure as measured on the proxy on sockets and in the model. Both values are from 0 to 1.
 type Figure struct {
 	Name           string
 	Sockets, Model float64
 }
 
-// Difference returns by how much the model's figure is higher.
+// Difference returns the model's value minus that of the sockets.
 func (r Figure) Difference() float64 { return r.Model - r.Sockets }
 
-// fraction returns a of b, or 0 for b = 0.
+// fraction returns a/b. If both are 0, it returns 0.
 func fraction(a, b int) float64 { return float64(a) / float64(max(1, b)) }
 
-// comparison plays a site on sockets and in the model, and returns the relations between them.
+// comparison runs the site on sockets and in the model, and returns the figures of both.
 type comparison struct {
 	description string
 	run         func(context.Context) ([]Figure, error)
 }
 
-// comparisons are all comparisons, in order.
+// comparisons returns all comparisons, in the order in which they run.
 func comparisons() []comparison {
 	var all []comparison
 	for _, copies := range []int{60, 150, 350} {
 		all = append(all, comparison{
-			description: fmt.Sprintf("stores of %d copies", copies),
+			description: fmt.Sprintf("caches of %d copies", copies),
 			run:         func(ctx context.Context) ([]Figure, error) { return compareCacheSize(ctx, copies) },
 		})
 	}
 	return append(all,
-		comparison{"a purge of everything", comparePurge},
-		comparison{"a cache that hangs", compareUnresponsiveCache},
-		comparison{"a branch that loses its copies", compareLostCopies},
+		comparison{"a purge of all objects", comparePurge},
+		comparison{"an unresponsive cache", compareUnresponsiveCache},
+		comparison{"the loss of all copies in caches", compareLostCopies},
 	)
 }
 
-// Run makes all comparisons and reports the start of each to progress. With an error it returns the relations up to then.
-func Run(ctx context.Context, progress func(string)) (relations []Figure, err error) {
+// Run runs all comparisons. It calls progress with the description of each when it starts. If one fails, Run returns the figures of
+// those before it.
+func Run(ctx context.Context, progress func(string)) (figures []Figure, err error) {
 	for _, c := range comparisons() {
 		progress(c.description)
 		more, err := c.run(ctx)
 		if err != nil {
-			return relations, fmt.Errorf("%s: %w", c.description, err)
+			return figures, fmt.Errorf("%s: %w", c.description, err)
 		}
-		relations = append(relations, more...)
+		figures = append(figures, more...)
 	}
-	return relations, nil
+	return figures, nil
 }
 
-// ampleCopies is a size of the stores at which no copy is evicted.
+// ampleCopies is a limit of copies at which no cache evicts any.
 const ampleCopies = 4096
 
-// compareCacheSize compares the hit ratio of caches with a limited number of copies, after the first seconds.
+// compareCacheSize compares the hit ratio of caches that hold a limited number of copies. It leaves out the first seconds, in which
+// the caches fill.
 func compareCacheSize(ctx context.Context, copies int) ([]Figure, error) {
 	const from, to = 2, 6 // seconds
 	sockets, err := runOnSockets(ctx, socketRun{seconds: to, copies: copies})
@@ -85,15 +87,15 @@
 		modelServed += second.Served
 	}
 	return []Figure{{
-		fmt.Sprintf("share of hits, stores of %d of 1200 parts", copies),
+		fmt.Sprintf("hit ratio, caches of %d of 1200 parts", copies),
 		fraction(socketHits, socketServed), fraction(modelHits, modelServed),
 	}}, nil
 }
 
-// eventAt is the second at which the purge or the loss of copies happens.
+// eventAt is the second of a run at which the purge or the loss of copies happens.
 const eventAt = 5
 
-// comparePurge compares the fills from the origin before and after a purge of all objects.
+// comparePurge compares the fraction of requests filled by the origin before and after a purge of all objects.
 func comparePurge(ctx context.Context) ([]Figure, error) {
 	const seconds = 9
 	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, c *core.Core) {
@@ -121,12 +123,13 @@
 		}
 	}
 	return []Figure{
-		originFills("fills by the origin, of answers, in the second before a purge of all", eventAt-1),
-		originFills("the same in the second after it", eventAt),
+		originFills("origin fills per served request, second before a purge of all objects", eventAt-1),
+		originFills("origin fills per served request, second after a purge of all objects", eventAt),
 	}, nil
 }
 
-// compareUnresponsiveCache compares the requests that miss their latency objective while a cache does not answer.
+// compareUnresponsiveCache compares the fraction of requests that miss their latency objective in a run in which a cache does not
+// answer for some seconds.
 func compareUnresponsiveCache(ctx context.Context) ([]Figure, error) {
 	const seconds, from, to = 8, 2, 6
 	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, _ *core.Core) {
@@ -143,10 +146,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return []Figure{{"wants not served within 100 ms, one cache of three hanging for 4 s of 8", sockets.slow, model.SlowFraction}}, nil
+	return []Figure{{"requests not served within 100 ms, one of three caches unresponsive for 4 of 8 s", sockets.slow, model.SlowFraction}}, nil
 }
 
-// compareLostCopies compares the hit ratio after all caches have lost their copies.
+// compareLostCopies compares the hit ratio in some seconds after all caches have lost their copies.
 func compareLostCopies(ctx context.Context) ([]Figure, error) {
 	const seconds = 10
 	sockets, err := runOnSockets(ctx, socketRun{seconds: seconds, copies: ampleCopies, everySecond: func(second int, servers *fleet.Fleet, _ *core.Core) {
@@ -166,14 +169,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var relations []Figure
+	var figures []Figure
 	for _, after := range []int{0, 2, 4} {
 		second := eventAt + after
-		relations = append(relations, Figure{
-			fmt.Sprintf("share of hits in second %d after a branch lost its copies", after+1),
+		figures = append(figures, Figure{
+			fmt.Sprintf("hit ratio in second %d after all caches lost their copies", after+1),
 			fraction(sockets.seconds[second].hits, sockets.seconds[second].served),
 			fraction(model.Seconds[second].Hits, model.Seconds[second].Served),
 		})
 	}
-	return relations, nil
+	return figures, nil
 }
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -26,7 +26,7 @@
 	"ravenwheel/policy"
 )
 
-// testSite is the proxy's front end, core and connections with the settings of a scenario file, on stand-in servers.
+// testSite has the proxy's front end, core and connections with the settings of a scenario file, and stand-in servers.
 type testSite struct {
 	t             *testing.T
 	clock         *clock.Clock
@@ -36,7 +36,7 @@
 	core          *core.Core
 	front         *resp.Front
 	members       []membership.Member
-	version       uint64 // of the endpoint list
+	version       uint64 // of the endpoint list that was published last
 	notifications []fleet.Notification
 	clients       *clients
 }
@@ -45,12 +45,14 @@
 const (
 	zoneCaches = 5
 	otherZone  = policy.ServerID(9)
-	// gracePeriod is that of drains and purges, in ms. It is shorter than in the files, so that the test sees it end.
+	// gracePeriod is the grace period of drains and purges, in ms. It is shorter than in the files, so that it ends within the
+	// test.
 	gracePeriod = 150.0
-	// requestTimeout of a client's attempt, in ms, after which a request to an unresponsive server fails.
+	// requestTimeout is the time limit of a client's attempt, in ms. A request to an unresponsive server fails after it.
 	requestTimeout = 1200
 )
 
+// newTestSite opens a site with the settings of the first variant of lab/NAME.jsonc.
 func newTestSite(t *testing.T, name string) *testSite {
 	t.Helper()
 	path := "../../../lab/" + name + ".jsonc"
@@ -89,6 +91,7 @@
 	return s
 }
 
+// start starts a stand-in server and adds it to the members.
 func (s *testSite) start(id policy.ServerID, role fleet.Role, zone, kind int) {
 	server, err := s.fleet.Start(id, role, "127.0.0.1:0")
 	require.NoError(s.t, err)
@@ -97,12 +100,13 @@
 	s.members = append(s.members, m)
 }
 
+// publish gives the proxy an endpoint list, or the changed entries of one.
 func (s *testSite) publish(complete bool, members ...membership.Member) {
 	s.version++
 	s.core.UpdateMembers(membership.Publish{Version: s.version, Complete: complete, Members: members})
 }
 
-// setState publishes a cache's state, and records it for the checks.
+// setState publishes a cache's state, and records the notification for checkObservations.
 func (s *testSite) setState(id policy.ServerID, state policy.State) {
 	m := s.members[slices.IndexFunc(s.members, func(m membership.Member) bool { return m.ID == id })]
 	m.State = state
@@ -116,13 +120,14 @@
 	s.notifications = append(s.notifications, notification)
 }
 
+// purge purges a group, notifies the proxy, and records the notification for checkObservations.
 func (s *testSite) purge(group int) {
 	at := s.fleet.Purge("", group)
 	s.core.ApplyPurge(core.Purge{Group: group, At: at})
 	s.notifications = append(s.notifications, fleet.Notification{At: s.clock.Now(), Purge: true, Group: group, PurgedAt: at})
 }
 
-// clients send requests of all classes over a few connections, many at a time, and record every answer.
+// clients send requests of all classes over a few connections, many at the same time, and record every answer.
 type clients struct {
 	t       *testing.T
 	addr    string
@@ -135,10 +140,10 @@
 	all        []*request
 	byTag      map[string]*request
 	violations []string
-	ended      int // number of connections
+	endedConns int // number of connections that ended
 }
 
-// request is one attempt of a client, with its answers.
+// request is one attempt of a client, with the words of the answers to it.
 type request struct {
 	id, key, object string
 	class           sim.Class
@@ -151,7 +156,7 @@
 	return c
 }
 
-// dial opens the connections of a round. They are new ones, because the proxy may close idle connections.
+// dial opens the connections of a round. Each round has new ones, because the proxy may close idle connections.
 func (c *clients) dial() {
 	c.conns = nil
 	for range 4 {
@@ -162,7 +167,7 @@
 	}
 }
 
-// close sends a health check on each connection, which is answered after all earlier requests, and closes them.
+// close closes the connections, after a health check on each. The proxy answers the health check after all earlier requests.
 func (c *clients) close() {
 	var requests []*request
 	for i, nc := range c.conns {
@@ -176,17 +181,17 @@
 		require.NoError(c.t, err)
 	}
 	c.wait(requests)
-	require.Zero(c.t, c.ended, "a connection ended with a request open")
+	require.Zero(c.t, c.endedConns, "the proxy closed a connection with an open request")
 	for i, nc := range c.conns {
 		require.Equal(c.t, []string{"yes"}, requests[i].answers)
 		_ = nc.Close()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.ended < len(c.conns) {
+	for c.endedConns < len(c.conns) {
 		c.changed.Wait()
 	}
-	c.ended = 0
+	c.endedConns = 0
 }
 
 func (c *clients) read(nc net.Conn) {
@@ -200,7 +205,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended++
+	c.endedConns++
 	c.changed.Broadcast()
 }
 
@@ -221,7 +226,7 @@
 	c.changed.Broadcast()
 }
 
-// send sends a request. A retry has an id of its own, and the idempotency key of the first attempt.
+// send sends a request. A retry has a new id, and the idempotency key of the first attempt.
 func (c *clients) send(class sim.Class, object, key string, retry bool) *request {
 	c.mu.Lock()
 	q := &request{id: fmt.Sprintf("%016x", c.rng.Uint64()|1), key: key, object: object, class: class}
@@ -246,16 +251,17 @@
 	return q
 }
 
-// wait waits until all requests have an answer, or a connection ended.
+// wait waits until all requests have an answer or a connection has ended.
 func (c *clients) wait(requests []*request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for slices.ContainsFunc(requests, func(q *request) bool { return len(q.answers) == 0 }) && c.ended == 0 {
+	for slices.ContainsFunc(requests, func(q *request) bool { return len(q.answers) == 0 }) && c.endedConns == 0 {
 		c.changed.Wait()
 	}
 }
 
-// sendRound sends some requests of each class, all at once, and retries those that failed and may be retried.
+// sendRound sends perClass requests of each class without waiting in between, and retries those that were rejected, and those that
+// failed and are idempotent.
 func (s *testSite) sendRound(perClass int) {
 	c := s.clients
 	c.dial()
@@ -284,7 +290,8 @@
 	c.wait(retries)
 }
 
-// sendWithFaults sends rounds while servers have faults in turn, states change and objects are purged.
+// sendWithFaults sends rounds of requests while one server after another has a fault, objects are purged, and servers drain, are
+// killed and return.
 func (s *testSite) sendWithFaults() {
 	setFault := func(id policy.ServerID, f fleet.Fault) { s.fleet.Server(id).SetFault(f) }
 	s.sendRound(12)
@@ -300,7 +307,7 @@
 	}
 	s.setState(2, policy.Draining)
 	s.sendRound(4)
-	time.Sleep(time.Duration((gracePeriod + 100) * 1e6)) // past both grace periods
+	time.Sleep(time.Duration((gracePeriod + 100) * 1e6)) // until both grace periods are over
 	s.sendRound(8)
 	s.setState(2, policy.Gone)
 	s.fleet.Server(3).Kill()
@@ -308,14 +315,15 @@
 	s.setState(2, policy.Ready)
 	s.setState(3, policy.Gone)
 	s.sendRound(8)
-	for id := range policy.ServerID(zoneCaches) { // no cache of the zone serves
+	for id := range policy.ServerID(zoneCaches) { // no cache of the zone serves requests
 		setFault(id+1, fleet.Fault{Overloaded: true})
 	}
 	s.sendRound(4)
 }
 
-// With the settings of both scenario files, while servers fail in turn, each request has one final answer, idempotency keys are
-// sent with every attempt of the requests that have one and with no other, writes run once, and no rule is broken.
+// With the settings of both scenario files, and while one server after another fails, each request gets one final answer. Every
+// attempt of a request with an idempotency key carries the key, and no other attempt has one. Writes run once, and no rule is
+// broken.
 func TestScenarioFilesBreakNoRuleOnSockets(t *testing.T) {
 	for _, name := range []string{"terminal-maps", "tabletop"} {
 		t.Run(name, func(t *testing.T) {
@@ -328,7 +336,7 @@
 	}
 }
 
-// checkAnswers checks that each request has one answer.
+// checkAnswers checks that each request has exactly one answer, and that each class has served requests.
 func (c *clients) checkAnswers() {
 	require.Empty(c.t, c.violations)
 	counts := map[string]int{}
@@ -343,7 +351,7 @@
 	c.t.Logf("%d requests: %v", len(c.all), counts)
 }
 
-// checkObservations checks what the servers received, without relying on what the proxy reports.
+// checkObservations checks what the servers received. It does not rely on what the proxy reports.
 func (s *testSite) checkObservations() {
 	t := s.t
 	byID := map[string]*request{}
@@ -354,35 +362,35 @@
 	require.Empty(t, fleet.Rules{Drain: gracePeriod, Purge: gracePeriod, Slack: 50}.Violations(observations, s.notifications))
 	require.Empty(t, s.fleet.DuplicateWrites())
 	attempts, writes := map[string][]fleet.Observation{}, map[string]int{}
-	for _, x := range observations {
-		q := byID[x.RequestID]
-		require.NotNil(t, q, "no client sent %s", x.RequestID)
-		require.Equal(t, q.class.Name, x.Class)
-		require.Equal(t, q.object, x.Object)
-		require.Equal(t, q.key, x.IdempotencyKey, "%s of %s", x.RequestID, x.Class)
-		require.Equal(t, q.class.Effect == sim.IdempotentByKey, x.IdempotencyKey != "")
-		require.Equal(t, q.class.Write, x.Write)
-		require.NotEqual(t, otherZone, x.Server, "a cache of another zone")
-		require.NotEqual(t, otherZone, x.Source, "a cache of another zone")
+	for _, o := range observations {
+		q := byID[o.RequestID]
+		require.NotNil(t, q, "no client sent request %s", o.RequestID)
+		require.Equal(t, q.class.Name, o.Class)
+		require.Equal(t, q.object, o.Object)
+		require.Equal(t, q.key, o.IdempotencyKey, "%s of %s", o.RequestID, o.Class)
+		require.Equal(t, q.class.Effect == sim.IdempotentByKey, o.IdempotencyKey != "")
+		require.Equal(t, q.class.Write, o.Write)
+		require.NotEqual(t, otherZone, o.Server, "attempt at a cache of another zone")
+		require.NotEqual(t, otherZone, o.Source, "fill from a cache of another zone")
 		if !s.settings.MayBypassCaches {
-			require.Less(t, x.Server, otherZone, "no request bypasses the caches")
+			require.Less(t, o.Server, otherZone, "the request bypassed the caches")
 		}
-		attempts[x.RequestID] = append(attempts[x.RequestID], x)
-		if x.Write && x.Answer == "served" && q.class.Effect == sim.NotIdempotent {
-			writes[x.Object]++
+		attempts[o.RequestID] = append(attempts[o.RequestID], o)
+		if o.Write && o.Answer == "served" && q.class.Effect == sim.NotIdempotent {
+			writes[o.Object]++
 		}
 	}
 	for object, n := range writes {
-		require.Equal(t, 1, n, "%s ran again", object)
+		require.Equal(t, 1, n, "a write of %s ran more than once", object)
 	}
-	for id, list := range attempts {
-		require.LessOrEqual(t, len(list), s.settings.MaxAttempts)
+	for id, ofRequest := range attempts {
+		require.LessOrEqual(t, len(ofRequest), s.settings.MaxAttempts)
 		if byID[id].class.Effect != sim.NotIdempotent {
 			continue
 		}
-		slices.SortStableFunc(list, func(a, b fleet.Observation) int { return cmp.Compare(a.At, b.At) })
-		for _, x := range list[:len(list)-1] {
-			require.Contains(t, []string{"overload", "not_here"}, x.Answer, "%s was retried and may have run", id)
+		slices.SortStableFunc(ofRequest, func(a, b fleet.Observation) int { return cmp.Compare(a.At, b.At) })
+		for _, o := range ofRequest[:len(ofRequest)-1] {
+			require.Contains(t, []string{"overload", "not_here"}, o.Answer, "request %s was retried although it may have run", id)
 		}
 	}
 }
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -17,8 +17,8 @@
 	"ravenwheel/policy"
 )
 
-// The site: one zone with caches, one parent and the origin. Its load is far below its capacity, so that stores, fills and
-// health show, and not the bandwidth of links. Times are in ms.
+// The site: one zone with caches, one parent and the origin. Its load is far below its capacity, so that the figures depend on the
+// contents of caches, on fills and on the servers' health, and not on the bandwidth of links. Times are in ms.
 const (
 	cacheCount       = 3
 	objectCount      = 300
@@ -44,7 +44,7 @@
 	serverWeight = 100
 )
 
-// operatorFile configures the proxy for the site.
+// operatorFile is the operator's file of the site's proxy.
 const operatorFile = `{
   "proxy": {"name": "v", "listen": "127.0.0.1:1", "zone": "east", "seed": 7}, "limits": {"sockets": 1024},
   "site": {"zones": ["hub", "east"], "proxies": {"east": 1}, "kinds": ["small", "parent", "origin"], "parent_kind": "parent",
@@ -52,7 +52,7 @@
   "classes": [{"name": "replay", "target_ms": 100, "deadline_ms": 2000, "in_parts": true}], "servers": {"path": "none"}
 }`
 
-// Settings of the proxy and its client.
+// Settings of the proxy and of its client.
 const (
 	proxySeed     = 7
 	clientSeed    = 7
@@ -61,27 +61,28 @@
 	maxConns      = 500
 )
 
-// connectionLimits are those of the proxy's connections to servers.
+// connectionLimits are the limits of the proxy's connections to servers.
 var connectionLimits = upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 8, ConnectTimeout: 400, IdleTimeout: 30_000}
 
 // socketRun is a run of the site on sockets.
 type socketRun struct {
-	seconds float64
-	copies  int // of each cache and parent, at most
-	// everySecond is called at the start of every second, and may change the servers; nil does nothing.
+	seconds float64 // length of the run
+	copies  int     // highest number of copies in each cache and parent
+	// everySecond is called at the start of every second, and may change the servers. nil: no call.
 	everySecond func(second int, servers *fleet.Fleet, c *core.Core)
 }
 
-// socketResult is what was observed in a socketRun.
+// socketResult is the result of a socketRun.
 type socketResult struct {
 	seconds []secondCounts
 	slow    float64 // fraction of the requests that were not served within the latency objective
 }
 
-// secondCounts are the attempts that servers served in one second.
+// secondCounts counts the attempts that servers served in one second: all, those served from a copy, and those filled by the
+// origin.
 type secondCounts struct{ served, hits, originFills int }
 
-// runOnSockets plays the site with the real proxy.
+// runOnSockets runs the site on sockets with the real proxy.
 func runOnSockets(ctx context.Context, run socketRun) (socketResult, error) {
 	clk := clock.System()
 	servers := fleet.New(fleet.Options{
@@ -110,7 +111,7 @@
 	defer client.Close()
 	began := clk.Now()
 	if run.everySecond != nil {
-		go run.callEach(clk, began, servers, c)
+		go run.callEverySecond(clk, began, servers, c)
 	}
 	client.FollowSchedule(ctx, []load.Phase{{Seconds: run.seconds, FromRate: rate, ToRate: rate}})
 	client.WaitIdle()
@@ -120,8 +121,8 @@
 	return result, ctx.Err()
 }
 
-// callEach calls each at the start of every second since began.
-func (r socketRun) callEach(clk *clock.Clock, began float64, servers *fleet.Fleet, c *core.Core) {
+// callEverySecond calls everySecond at the start of every second since began.
+func (r socketRun) callEverySecond(clk *clock.Clock, began float64, servers *fleet.Fleet, c *core.Core) {
 	for second := range int(r.seconds) {
 		if wait := began + float64(second)*1000 - clk.Now(); wait > 0 {
 			time.Sleep(time.Duration(wait * float64(time.Millisecond)))
@@ -152,7 +153,7 @@
 	return members, err
 }
 
-// newCore returns the proxy's core with the site's settings and members.
+// newCore returns the proxy's core with the site's settings and the members.
 func newCore(clk *clock.Clock, members []membership.Member) (*core.Core, error) {
 	operator, err := config.ParseOperatorFile("validate", []byte(operatorFile))
 	if err != nil {
@@ -170,7 +171,7 @@
 	return c, nil
 }
 
-// countBySecond counts the attempts that were served, by second since began.
+// countBySecond counts the served attempts in each second since began.
 func countBySecond(observations []fleet.Observation, began float64, seconds int) []secondCounts {
 	counts := make([]secondCounts, seconds)
 	for _, o := range observations {
