--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo plays a demonstration on loopback: it starts a proxy with an operator's file on stand-in servers, sends traffic,
-// changes the server list meanwhile, and prints what servers and clients observed. It fails if a rule was broken. It has no
-// tests of its own; "ravenlab demo" runs it.
+// Package demo runs a demonstration on loopback: it starts stand-in servers and a proxy with an operator's file, sends requests,
+// changes the server list meanwhile, and prints what servers and clients observed. It fails if a rule was broken. It has no tests
+// of its own; "ravenlab demo" runs it.
 package demo
 
 import (
@@ -24,7 +24,7 @@
 // Options configure a demonstration.
 type Options struct {
 	Proxy    string  // path of the proxy's binary
-	Operator string  // path of the operator's file, which must have the sections proxy and admin
+	Operator string  // path of the operator's file, which must have the sections "proxy" and "admin"
 	Rate     float64 // requests per second
 	Out      io.Writer
 }
@@ -35,23 +35,24 @@
 	fillTime     = 25
 )
 
-// ErrIncompleteOperatorFile is returned for an operator's file without the sections that a demonstration needs.
-var ErrIncompleteOperatorFile = errors.New("a demonstration needs a file with proxy and admin")
+// ErrIncompleteOperatorFile is returned for an operator's file that lacks the section "proxy" or "admin".
+var ErrIncompleteOperatorFile = errors.New("section \"proxy\" or \"admin\" is missing; a demonstration needs both")
 
 // demonstration is the state of one run.
 type demonstration struct {
 	options       Options
 	clock         *clock.Clock
-	began         float64 // ms of the clock
-	listPath      string  // of the server list that the proxy watches
+	began         float64 // when the stand-in servers had started, in ms of the clock
+	listPath      string  // path of the server list that the proxy watches
 	config        *config.Config
 	operator      *config.OperatorFile
 	fleet         *fleet.Fleet
 	client        *load.Client
-	notifications []fleet.Notification // what the proxy was notified of, for checking the rules
+	notifications []fleet.Notification // the drains and purges of which the proxy was notified, for checking the rules
 }
 
-// Run plays the demonstration. It returns a RulesBrokenError if rules were broken, and otherwise what kept it from playing.
+// Run runs the demonstration. It returns a RulesBrokenError if rules were broken, and another error if it could not complete the
+// demonstration.
 func Run(ctx context.Context, o Options) error {
 	dir, err := os.MkdirTemp("", "ravenwheel-demo-")
 	if err != nil {
@@ -74,10 +75,11 @@
 		return err
 	}
 	d.began = d.clock.Now()
-	d.printf("%d stand-ins listen: caches, parents and an origin", len(list.Servers))
-	return d.play(ctx, list)
+	d.printf("%d stand-in servers listen: caches, parents and an origin", len(list.Servers))
+	return d.runWithProxy(ctx, list)
 }
 
+// readConfiguration reads the operator's file and the proxy's configuration that follows from it.
 func (d *demonstration) readConfiguration() (err error) {
 	if d.operator, err = config.LoadOperatorFile(d.options.Operator); err != nil {
 		return err
@@ -89,7 +91,7 @@
 	return err
 }
 
-// copyList copies the server list into a directory, where it can be changed, and reads it.
+// copyList copies the server list into a directory, so that the demonstration changes only the copy, and reads the copy.
 func (d *demonstration) copyList(dir string) (*serverlist.List, error) {
 	text, err := os.ReadFile(d.operator.Servers.Path)
 	if err != nil {
@@ -102,7 +104,7 @@
 	return filewatch.Load(d.listPath, d.config.ListRequirements(0), &resolver.Cache{Clock: d.clock}, nil)
 }
 
-// startServers starts stand-ins for the servers of a list that do not run yet.
+// startServers starts stand-ins for those servers of a list that are not running yet.
 func (d *demonstration) startServers(list *serverlist.List) error {
 	return d.fleet.StartList(list, d.operator.Site.ParentKind, d.operator.Site.OriginKind)
 }
@@ -112,8 +114,8 @@
 	fmt.Fprintf(d.options.Out, "%6.1f s  %s\n", (d.clock.Now()-d.began)/1000, fmt.Sprintf(format, args...))
 }
 
-// play starts the proxy, changes the list under traffic, stops the proxy, and reports.
-func (d *demonstration) play(ctx context.Context, list *serverlist.List) error {
+// runWithProxy starts the proxy, changes the server list while clients send requests, stops the proxy, and prints the report.
+func (d *demonstration) runWithProxy(ctx context.Context, list *serverlist.List) error {
 	proxy, err := startProxy(d.options.Proxy, "serve", "--operator", d.options.Operator, "--servers", d.listPath)
 	if err != nil {
 		return err
@@ -122,7 +124,7 @@
 	if err := d.awaitReady(ctx, proxy); err != nil {
 		return err
 	}
-	d.printf("the proxy serves on %s from %s, with no platform", d.config.Listen, filepath.Base(d.options.Operator))
+	d.printf("the proxy listens on %s with the operator's file %s, without the platform", d.config.Listen, filepath.Base(d.options.Operator))
 	stop := d.startTraffic()
 	err = d.runSteps(ctx, list)
 	stop()
@@ -134,7 +136,7 @@
 	if err := proxy.stop(); err != nil {
 		return err
 	}
-	d.printf("SIGTERM: the proxy answered what was open and ended with 0")
+	d.printf("SIGTERM: the proxy answered all open requests and exited with status 0")
 	return d.report()
 }
 
--- a/internal/lab/demo/list_file.go
+++ b/internal/lab/demo/list_file.go
@@ -12,31 +12,33 @@
 	"ravenwheel/internal/decide/serverlist"
 )
 
-// Bounds of waiting for the proxy.
+// Times of waiting for the proxy to reach a state.
 const (
 	awaitTimeout  = 30_000 // ms
-	awaitInterval = 0.02   // seconds
+	awaitInterval = 0.02   // seconds between two queries
 )
 
 // TimeoutError is returned if the proxy does not reach a state within awaitTimeout.
 type TimeoutError struct {
 	State string
-	Last  error // of the last query; nil if it was answered
+	Last  error // error of the last query; nil if the proxy answered it
 }
 
 // Error implements error.
-func (e TimeoutError) Error() string { return fmt.Sprintf("never: %s (%v)", e.State, e.Last) }
+func (e TimeoutError) Error() string {
+	return fmt.Sprintf("timed out waiting until %s (error of the last query: %v)", e.State, e.Last)
+}
 
 // Unwrap returns the error of the last query.
 func (e TimeoutError) Unwrap() error { return e.Last }
 
-// serversInUse queries which servers the proxy uses.
+// serversInUse queries the proxy's admin address for the servers that it uses.
 func (d *demonstration) serversInUse() (s admin.ServersResponse, err error) {
 	err = admin.Call(d.operator.Admin.Listen, "/v1/servers", nil, &s)
 	return s, err
 }
 
-// await waits until the proxy's servers meet a condition, which state names in a TimeoutError.
+// await waits until reached is true for the proxy's servers. state describes the condition in a TimeoutError.
 func (d *demonstration) await(ctx context.Context, state string, reached func(admin.ServersResponse) bool) error {
 	for deadline := d.clock.Now() + awaitTimeout; ; {
 		s, err := d.serversInUse()
@@ -62,7 +64,7 @@
 	}
 }
 
-// replace replaces the list by renaming a new file.
+// replace replaces the list file by renaming a new file to its name.
 func (d *demonstration) replace(text []byte) error {
 	temporary := d.listPath + ".new"
 	if err := os.WriteFile(temporary, text, 0o600); err != nil {
@@ -71,21 +73,21 @@
 	return os.Rename(temporary, d.listPath)
 }
 
-// replaceAccepted replaces the list and waits until the proxy uses it.
+// replaceAccepted replaces the list and waits until the proxy uses it. format and args describe the change in the output.
 func (d *demonstration) replaceAccepted(ctx context.Context, list *serverlist.List, format string, args ...any) error {
 	replaced := d.clock.Now()
 	if err := d.replace(serverlist.Format(list)); err != nil {
 		return err
 	}
 	inUse := func(s admin.ServersResponse) bool { return s.List.Generation == list.Generation }
-	if err := d.await(ctx, "the list in use", inUse); err != nil {
+	if err := d.await(ctx, "the proxy uses the new list", inUse); err != nil {
 		return err
 	}
-	d.printf("generation %d in use %.0f ms after its rename: %s", list.Generation, d.clock.Now()-replaced, fmt.Sprintf(format, args...))
+	d.printf("list generation %d in use %.0f ms after the file was renamed: %s", list.Generation, d.clock.Now()-replaced, fmt.Sprintf(format, args...))
 	return nil
 }
 
-// replaceRejected replaces the list and waits until the proxy rejects it.
+// replaceRejected replaces the list and waits until the proxy rejects it. what describes the new list in the output.
 func (d *demonstration) replaceRejected(ctx context.Context, text []byte, what string) error {
 	if err := d.replace(text); err != nil {
 		return err
@@ -104,10 +106,10 @@
 		after = now
 		return now.List.Rejected > before.List.Rejected && len(now.List.Reasons) > 0
 	}
-	if err := d.await(ctx, "a refusal", rejected); err != nil {
+	if err := d.await(ctx, "the proxy rejects the list", rejected); err != nil {
 		return err
 	}
 	_, reason, _ := strings.Cut(after.List.Reasons[0], filepath.Base(d.listPath)+":")
-	d.printf("%s is refused, %d stays in use: line %s", what, after.List.Generation, reason)
+	d.printf("%s is rejected, generation %d stays in use: line %s", what, after.List.Generation, reason)
 	return nil
 }
--- a/internal/lab/demo/report.go
+++ b/internal/lab/demo/report.go
@@ -9,10 +9,10 @@
 	"ravenwheel/internal/lab/fleet"
 )
 
-// ruleSlack is the slack, in ms, with which the rules are checked.
+// ruleSlack is the Slack of the rules, in ms.
 const ruleSlack = 50
 
-// roleNames are the names of the servers' roles, by fleet.Role.
+// roleNames are the names of the roles, indexed by fleet.Role.
 var roleNames = []string{"cache", "parent", "origin"}
 
 // RulesBrokenError lists the rules that were broken.
@@ -26,14 +26,14 @@
 // report prints what clients and servers observed. It returns a RulesBrokenError if rules were broken.
 func (d *demonstration) report() error {
 	w := tabwriter.NewWriter(d.options.Out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "\nclass\tasked\tserved\trefused\tfailed\tlost\tretried\tp50 ms\tp99 ms\t")
+	fmt.Fprintln(w, "\nclass\trequested\tserved\trejected\tfailed\tlost\tretried\tp50 ms\tp99 ms\t")
 	results := d.client.Results()
 	for _, class := range d.operator.Classes {
 		r := results[class.Name]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", class.Name, r.Requested, r.Served, r.Rejected, r.Failed, r.Lost, r.Retried,
 			float64(r.Latency.ValueAtQuantile(50))/1000, float64(r.Latency.ValueAtQuantile(99))/1000)
 	}
-	fmt.Fprintln(w, "\nserver\trole\tattempts\tserved\tsource of\tprobes\t")
+	fmt.Fprintln(w, "\nserver\trole\tattempts\tserved\tnamed as source\tprobes\t")
 	for _, count := range d.fleet.Counts() {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t\n", serverlist.FormatID(count.Server), roleNames[count.Role],
 			count.Attempts, count.Served, count.NamedAsSource, count.Probes)
@@ -42,7 +42,7 @@
 		return err
 	}
 	violations := d.violations()
-	fmt.Fprintf(d.options.Out, "\n%d seat claims ran, none of them twice; rules broken, as the servers and clients saw it: %d\n",
+	fmt.Fprintf(d.options.Out, "\n%d different writes ran; rules broken, as observed by servers and clients: %d\n",
 		d.fleet.WritesRun(), len(violations))
 	if len(violations) > 0 {
 		return RulesBrokenError{violations}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// violations returns the rules that servers and clients saw broken.
+// violations returns, as text, the violations of rules that servers and clients observed.
 func (d *demonstration) violations() []string {
 	rules := fleet.Rules{Drain: d.operator.Site.DrainGraceMs, Purge: d.operator.Site.PurgeGraceMs, Slack: ruleSlack}
 	violations := rules.Violations(d.fleet.Observations(), d.notifications)
--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -13,14 +13,14 @@
 	"ravenwheel/policy"
 )
 
-// Servers of the list in deploy/ that the steps use.
+// Servers of the list in deploy/ that the steps change.
 const (
-	changedServer = policy.ServerID(1) // its weight is changed
-	removedServer = policy.ServerID(2)
-	addedServer   = policy.ServerID(6)
+	changedServer = policy.ServerID(1) // gets another weight
+	removedServer = policy.ServerID(2) // is removed and listed again
+	addedServer   = policy.ServerID(6) // is added with addedHost and addedAddress
 	addedHost     = "127.0.20.6"
 	addedAddress  = "127.0.20.6:4100"
-	// changedZone loses its caches but changedServer in the list that drops too many servers.
+	// changedZone is the zone of which the list that drops too many servers keeps only changedServer.
 	changedZone = "bangkok"
 )
 
@@ -33,13 +33,14 @@
 	pauseAfter  = 2
 )
 
-// drainNotificationTimeout is when, in ms, a drain counts as notified unless the proxy shows it earlier.
+// drainNotificationTimeout is the time, in ms after the list changed, from which the proxy is taken to know of a drain, unless it
+// uses the list earlier.
 const drainNotificationTimeout = 2000
 
-// step is one change that an operator makes.
+// step is one change that an operator makes while the proxy serves.
 type step func(context.Context) error
 
-// lists are the versions of the server list that come into use one after the other.
+// lists are the versions of the server list that the proxy uses one after the other.
 type lists struct {
 	initial         *serverlist.List
 	withoutServer   *serverlist.List // removedServer is missing
@@ -47,6 +48,7 @@
 	restored        *serverlist.List // removedServer is listed again
 }
 
+// newLists derives the versions of a list.
 func newLists(initial *serverlist.List) lists {
 	l := lists{initial: initial}
 	l.withoutServer = nextGeneration(initial, func(servers []serverlist.Server) []serverlist.Server {
@@ -74,7 +76,7 @@
 	})
 }
 
-// nextGeneration returns the next generation of a list, with its servers changed.
+// nextGeneration returns the next generation of a list, with the servers that change returns.
 func nextGeneration(list *serverlist.List, change func([]serverlist.Server) []serverlist.Server) *serverlist.List {
 	return &serverlist.List{Generation: list.Generation + 1, Servers: change(slices.Clone(list.Servers))}
 }
@@ -108,22 +110,23 @@
 	return d.pause(ctx, pauseAfter)
 }
 
-// truncateList overwrites the list in place with its first half, as an editor that is killed does.
+// truncateList overwrites the list in place with its first half, as an editor does that is killed while it writes.
 func (d *demonstration) truncateList(ctx context.Context, list *serverlist.List) error {
 	text := serverlist.Format(list)
 	if err := os.WriteFile(d.listPath, text[:len(text)/2], 0o600); err != nil {
 		return err
 	}
-	return d.awaitRejection(ctx, "a list that was cut half way")
+	return d.awaitRejection(ctx, "a list of which the second half is missing")
 }
 
 // duplicateAddress replaces the list by one in which two servers have the same address.
 func (d *demonstration) duplicateAddress(ctx context.Context, list *serverlist.List) error {
 	text := bytes.Replace(serverlist.Format(list), []byte("127.0.20.3:"), []byte("127.0.20.1:"), 1)
-	return d.replaceRejected(ctx, text, "a list that names one address twice")
+	return d.replaceRejected(ctx, text, "a list with the same address twice")
 }
 
-// removeServer replaces the list by one without removedServer, which then drains.
+// removeServer replaces the list by one without removedServer, which then drains. It records the notification with the latest
+// time that it may have, and corrects the time once the proxy uses the list.
 func (d *demonstration) removeServer(ctx context.Context, list *serverlist.List) error {
 	d.notifications = append(d.notifications, fleet.Notification{
 		At: d.clock.Now() + drainNotificationTimeout, Draining: []policy.ServerID{removedServer},
@@ -143,16 +146,16 @@
 		return fmt.Errorf("purge group %d: %w", group, err)
 	}
 	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Purge: true, Group: group})
-	d.printf("group %d of the objects is purged, and the proxy told of it", group)
+	d.printf("group %d of the objects is purged, and the proxy was notified", group)
 	return nil
 }
 
-// addServer starts addedServer and replaces the list by one with it.
+// addServer starts addedServer and replaces the list by one that has it, and another weight for changedServer.
 func (d *demonstration) addServer(ctx context.Context, list *serverlist.List) error {
 	if err := d.startServers(list); err != nil {
 		return err
 	}
-	return d.replaceAccepted(ctx, list, "a list with %s, switched on just now, and another weight for %s",
+	return d.replaceAccepted(ctx, list, "a list with the new server %s and another weight for %s",
 		serverlist.FormatID(addedServer), serverlist.FormatID(changedServer))
 }
 
@@ -162,10 +165,10 @@
 	drained := func(s admin.ServersResponse) bool {
 		return slices.ContainsFunc(s.Servers, func(x admin.ServerStatus) bool { return x.ID == id && x.Phase == "gone" })
 	}
-	if err := d.await(ctx, "the drain is over", drained); err != nil {
+	if err := d.await(ctx, "the removed server has drained", drained); err != nil {
 		return err
 	}
 	d.printf("%s has drained and is gone", id)
 	d.notifications = append(d.notifications, fleet.Notification{At: d.clock.Now(), Ready: []policy.ServerID{removedServer}})
-	return d.replaceAccepted(ctx, list, "rolled back: %s is listed again, and taken for freshly started", id)
+	return d.replaceAccepted(ctx, list, "rolled back: %s is listed again, and the proxy treats it as newly started", id)
 }
--- a/internal/lab/demo/traffic.go
+++ b/internal/lab/demo/traffic.go
@@ -7,7 +7,8 @@
 	"ravenwheel/internal/lab/load"
 )
 
-// classFractions are the fractions of the requests by class, in the order of the operator's file, and over again.
+// classFractions are the fractions of the requests by class, in the order of the operator's file. Further classes use them again
+// from the first on.
 var classFractions = []float64{0.53, 0.44, 0.03}
 
 // Settings of the client.
@@ -16,7 +17,7 @@
 	clientConns    = 8
 	clientObjects  = 400
 	clientRetries  = 3
-	partsPerObject = 12 // of classes whose objects are in parts
+	partsPerObject = 12 // for classes whose objects are divided into parts
 )
 
 // startTraffic sends requests at a fixed rate until stop is called.
@@ -32,13 +33,14 @@
 		defer wait.Done()
 		d.sendRequests(stopped)
 	}()
-	d.printf("clients ask %.0f times a second: replays in parts, assets, seat claims", d.options.Rate)
+	d.printf("clients send %.0f requests per second: replays in parts, assets and seat claims", d.options.Rate)
 	return func() {
 		close(stopped)
 		wait.Wait()
 	}
 }
 
+// sendRequests sends requests at the fixed rate until stopped is closed.
 func (d *demonstration) sendRequests(stopped <-chan struct{}) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / d.options.Rate))
 	defer ticker.Stop()
@@ -52,7 +54,7 @@
 	}
 }
 
-// classes returns the client's classes for those of the operator's file.
+// classes returns the classes of the operator's file for the client.
 func (d *demonstration) classes() (classes []load.Class) {
 	for i, class := range d.operator.Classes {
 		c := load.Class{
