--- a/internal/lab/report/estimate.go
+++ b/internal/lab/report/estimate.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// Estimate is a mean over seeds with its 95 % confidence interval.
+// Estimate is a mean over seeds and its 95 % confidence interval.
 type Estimate struct{ Mean, Low, High float64 }
 
-// String returns the mean, and the interval unless it is empty.
+// String returns the mean, followed by the interval unless its ends are equal.
 func (e Estimate) String() string {
 	if e.Low == e.High {
 		return threeDigits(e.Mean)
@@ -18,7 +18,8 @@
 	return threeDigits(e.Mean) + " [" + threeDigits(e.Low) + ", " + threeDigits(e.High) + "]"
 }
 
-// threeDigits formats a number with three significant digits where it has a fraction, and without exponent.
+// threeDigits formats a number without exponent: with three decimals below 1, with three digits in all from 1 to 999, and without
+// decimals above.
 func threeDigits(v float64) string {
 	decimals := 3
 	for rest := math.Abs(v); rest >= 1 && decimals > 0; rest /= 10 {
@@ -29,12 +30,12 @@
 
 const (
 	bootstrapSamples = 2000
-	// samplesOutside is the number of samples beyond either end of a 95 % interval.
+	// samplesOutside is the number of samples below a 95 % interval, and the number above it.
 	samplesOutside = bootstrapSamples / 40
 )
 
-// Bootstrap estimates the mean of values by the percentile bootstrap (Efron, 1979). Equal values in equal order give equal
-// intervals.
+// Bootstrap estimates the mean of values and its interval with the percentile bootstrap (Efron, 1979). Its random numbers have a
+// fixed seed, so the same values in the same order give the same interval.
 func Bootstrap(values []float64) Estimate {
 	if len(values) == 0 {
 		return Estimate{}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -16,7 +16,7 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-var colours = []color.Color{
+var lineColours = []color.Color{
 	color.RGBA{0x1b, 0x6c, 0xa8, 0xff}, color.RGBA{0xc4, 0x4e, 0x2a, 0xff}, color.RGBA{0x2f, 0x7d, 0x4f, 0xff},
 	color.RGBA{0x7a, 0x4e, 0xa3, 0xff}, color.RGBA{0x9a, 0x7b, 0x1c, 0xff}, color.RGBA{0x55, 0x5f, 0x6b, 0xff},
 }
@@ -25,13 +25,13 @@
 	plotWidth  = 560 // points
 	plotHeight = 250 // points
 	lineWidth  = 1.4 // points
-	// maxLines is the number of lines of a plot that can be told apart.
+	// maxLines is the highest number of lines in a plot, so that they can be told apart.
 	maxLines = 6
-	// legendRow is the fraction of a plot's height that one name of the legend takes.
-	legendRow = 0.09
+	// legendRowHeight is the height of one name in the legend, as a fraction of the plot's height.
+	legendRowHeight = 0.09
 )
 
-// plotBySecond plots a value of each second, averaged over seeds, with a line for each variant.
+// plotBySecond plots a value of each second, averaged over seeds, with a line for each of the first maxLines variants.
 func plotBySecond(title, unit string, runs []experiment.Run, value func(sim.Second) float64) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
@@ -43,13 +43,13 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color, line.Width = colours[i%len(colours)], vg.Points(lineWidth)
+		line.Color, line.Width = lineColours[i%len(lineColours)], vg.Points(lineWidth)
 		p.Add(line)
 		p.Legend.Add(name, line)
 	}
-	// The legend is above the lines.
+	// Leave space for the legend above the lines.
 	p.Legend.Top, p.Legend.Left = true, true
-	p.Y.Max *= 1 + legendRow*float64(min(maxLines, len(names)))
+	p.Y.Max *= 1 + legendRowHeight*float64(min(maxLines, len(names)))
 	return SVG(p, plotWidth, plotHeight)
 }
 
@@ -77,7 +77,8 @@
 	plotter.YErrors
 }
 
-// plotSweep plots the estimate of a value over the values of the sweep. Without a sweep it returns an empty plot.
+// plotSweep plots the estimate of a value against the sweep's values. It returns an empty string if there are fewer than two of
+// those.
 func plotSweep(title string, runs []experiment.Run, value func(*sim.Result) float64) (template.HTML, error) {
 	points := estimatesBySweepValue(runs, value)
 	if points.Len() < 2 {
@@ -93,31 +94,32 @@
 	if err != nil {
 		return "", err
 	}
-	line.Color, dots.Color = colours[0], colours[0]
+	line.Color, dots.Color = lineColours[0], lineColours[0]
 	p.Add(plotter.NewGrid(), line, dots, bars)
 	return SVG(p, plotWidth, plotHeight)
 }
 
-// estimatesBySweepValue returns the estimate of a value for each value of the sweep, in the order in which these occur first.
+// estimatesBySweepValue returns the estimate of a value for each value of the sweep, in the order in which these first occur in
+// runs.
 func estimatesBySweepValue(runs []experiment.Run, value func(*sim.Result) float64) (points pointsWithErrorBars) {
 	values := map[float64][]float64{}
 	for _, run := range runs {
 		values[run.SweepValue] = append(values[run.SweepValue], value(run.Result))
 	}
 	for _, run := range runs {
-		of, pending := values[run.SweepValue]
+		ofSweepValue, pending := values[run.SweepValue]
 		if !pending {
 			continue
 		}
 		delete(values, run.SweepValue)
-		e := Bootstrap(of)
+		e := Bootstrap(ofSweepValue)
 		points.XYs = append(points.XYs, plotter.XY{X: run.SweepValue, Y: e.Mean})
 		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{e.Mean - e.Low, e.High - e.Mean})
 	}
 	return points
 }
 
-// SVG draws a plot, with its size in points, as an SVG element for an HTML page.
+// SVG draws a plot as an SVG element for an HTML page. width and height are in points.
 func SVG(p *plot.Plot, width, height float64) (template.HTML, error) {
 	canvas := vgsvg.New(vg.Points(width), vg.Points(height))
 	p.Draw(draw.New(canvas))
@@ -126,6 +128,6 @@
 		return "", err
 	}
 	text := document.String()
-	// The text contains only numbers and names that vgsvg escapes.
+	// The text is safe to insert as HTML: it contains only numbers, and names that vgsvg escapes.
 	return template.HTML(text[max(0, strings.Index(text, "<svg")):]), nil
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the runs of an experiment as one HTML page without external resources: a table of the variants with
-// confidence intervals, and plots as SVG. It is tested with internal/lab/experiment.
+// Package report writes the results of an experiment's runs as one HTML page without external resources: a table of the variants
+// with confidence intervals, and plots as SVG. The tests of internal/lab/experiment test it.
 package report
 
 import (
@@ -18,7 +18,7 @@
 // ErrNoRuns is returned by Write if there are no runs to report.
 var ErrNoRuns = errors.New("report: no runs")
 
-// Write writes the page of some runs. It returns ErrNoRuns if there are none.
+// Write writes the page with the results of runs. It returns ErrNoRuns if there are none.
 func Write(w io.Writer, title string, runs []experiment.Run) error {
 	if len(runs) == 0 {
 		return ErrNoRuns
@@ -43,7 +43,7 @@
 	}{title, Rows(runs), plots, violations})
 }
 
-// drawPlots draws the plots of the page, in order, and leaves out those that have nothing to show.
+// drawPlots draws the plots of the page in their order. It leaves out empty ones.
 func drawPlots(runs []experiment.Run) (plots []template.HTML, err error) {
 	add := func(drawn template.HTML, drawErr error) {
 		err = errors.Join(err, drawErr)
@@ -51,10 +51,10 @@
 			plots = append(plots, drawn)
 		}
 	}
-	add(plotBySecond("Worth served of what was asked", "share", runs, servedValue))
-	add(plotBySecond("Fills that the origin gave", "a second", runs, func(second sim.Second) float64 { return float64(second.OriginFills) }))
-	add(plotBySecond("Worth asked", "a second", runs, func(second sim.Second) float64 { return second.RequestedValue }))
-	add(plotSweep("Worth served, by what was swept", runs, func(r *sim.Result) float64 { return r.ServedValue }))
-	add(plotSweep("Tries of clients a want, by what was swept", runs, func(r *sim.Result) float64 { return r.ClientAttempts }))
+	add(plotBySecond("Value served, as a fraction of the value requested", "fraction", runs, servedValue))
+	add(plotBySecond("Fills by the origin", "per second", runs, func(second sim.Second) float64 { return float64(second.OriginFills) }))
+	add(plotBySecond("Value requested", "per second", runs, func(second sim.Second) float64 { return second.RequestedValue }))
+	add(plotSweep("Value served, by swept value", runs, func(r *sim.Result) float64 { return r.ServedValue }))
+	add(plotSweep("Client attempts per request, by swept value", runs, func(r *sim.Result) float64 { return r.ClientAttempts }))
 	return plots, err
 }
--- a/internal/lab/report/rows.go
+++ b/internal/lab/report/rows.go
@@ -7,22 +7,22 @@
 	"ravenwheel/internal/lab/sim"
 )
 
-// Row summarizes the runs of one variant. "Value" is the priority weight of requests.
+// Row summarizes the runs of one variant. The "value" of requests is the sum of their priority weights.
 type Row struct {
 	Name              string
 	Seeds             int
-	Violations        int      // of rules, in all runs
-	ServedValue       Estimate // served over requested
-	WorstServedValue  Estimate // the same in the worst ten seconds
-	RecoverySeconds   Estimate // see Recovery
+	Violations        int      // number of broken rules in all runs
+	ServedValue       Estimate // value served, as a fraction of the value requested
+	WorstServedValue  Estimate // ServedValue in the worst ten seconds
+	RecoverySeconds   Estimate // see Recovery; in seconds
 	ClientAttempts    Estimate // per request
 	UpstreamAttempts  Estimate // per client attempt
 	HitRatio          Estimate
 	OriginFills       Estimate
-	SlowestClassP99Ms Estimate // the highest of all classes
+	SlowestClassP99Ms Estimate // the highest p99 latency of all classes
 }
 
-// Rows summarizes runs by variant, in the order in which the variants occur first.
+// Rows returns a row for each variant, in the order in which the variants first occur in runs.
 func Rows(runs []experiment.Run) (rows []Row) {
 	for _, name := range variantNames(runs) {
 		rows = append(rows, newRow(name, resultsOf(runs, name)))
@@ -30,6 +30,7 @@
 	return rows
 }
 
+// newRow returns the row of a variant from its results, one for each seed.
 func newRow(name string, results []*sim.Result) Row {
 	estimate := func(value func(*sim.Result) float64) Estimate {
 		values := make([]float64, 0, len(results))
@@ -55,6 +56,7 @@
 	return row
 }
 
+// slowestClassP99 returns the highest p99 latency of all classes, in ms.
 func slowestClassP99(r *sim.Result) float64 {
 	slowest := 0.0
 	for _, class := range r.Classes {
@@ -63,7 +65,7 @@
 	return slowest
 }
 
-// variantNames returns the names of the variants in the order in which they occur first.
+// variantNames returns the names of the variants in the order in which they first occur.
 func variantNames(runs []experiment.Run) (names []string) {
 	for _, run := range runs {
 		if !slices.Contains(names, run.Variant) {
@@ -83,14 +85,16 @@
 	return results
 }
 
-// A run has recovered once it serves recoveredAt of the requested value for recoverySpan seconds in a row.
+// A run has recovered once it has served at least the fraction recoveredFraction of the requested value in each of recoverySpan
+// successive seconds.
 const (
-	recoveredAt  = 0.9
-	recoverySpan = 3
+	recoveredFraction = 0.9
+	recoverySpan      = 3
 )
 
-// Recovery returns how many seconds after the worst one a run has recovered: 0 if it never served less than recoveredAt, and
-// the rest of the run if it did not recover.
+// Recovery returns the number of seconds from a run's worst second until the first second of its recovery. It is 0 if the run
+// served at least recoveredFraction in every second. If the run did not recover, it is the number of seconds from the worst one to
+// the end.
 func Recovery(r *sim.Result) float64 {
 	worst := 0
 	for i, second := range r.Seconds {
@@ -98,13 +102,13 @@
 			worst = i
 		}
 	}
-	if servedValue(r.Seconds[worst]) >= recoveredAt {
+	if servedValue(r.Seconds[worst]) >= recoveredFraction {
 		return 0
 	}
 	inRow := 0
 	for i := worst; i < len(r.Seconds); i++ {
 		inRow++
-		if servedValue(r.Seconds[i]) < recoveredAt {
+		if servedValue(r.Seconds[i]) < recoveredFraction {
 			inRow = 0
 		}
 		if inRow == recoverySpan {
@@ -114,7 +118,7 @@
 	return float64(len(r.Seconds) - worst)
 }
 
-// servedValue returns the value served over the value requested in a second; 1 if nothing was requested.
+// servedValue returns the fraction of the value requested in a second that was served; 1 if nothing was requested.
 func servedValue(second sim.Second) float64 {
 	if second.RequestedValue == 0 {
 		return 1
