--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -33,8 +33,8 @@
 	pauseAfter  = 2
 )
 
-// drainNotificationTimeout is the time, in ms after the list changed, from which the proxy is taken to know of a drain, unless it
-// uses the list earlier.
+// drainNotificationTimeout is the time, in ms from the change of the list on, after which the proxy is taken to know of a drain,
+// unless it uses the list earlier.
 const drainNotificationTimeout = 2000
 
 // step is one change that an operator makes while the proxy serves.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,7 +20,7 @@
 // Role is a server's level in the cache hierarchy.
 type Role int
 
-// The roles: a cache serves clients, a parent fills caches, and the origin creates the content.
+// The roles: a cache is near the clients, a parent fills caches, and the origin creates the content.
 const (
 	Cache Role = iota
 	Parent
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -9,8 +9,8 @@
 	"ravenwheel/policy"
 )
 
-// Notification is a drain, the end of a drain, or a purge of which the proxy was notified. Rules compares what the servers received
-// with it. Times are in ms.
+// Notification is a drain, the end of a drain, or a purge of which the proxy was notified. Rules.Violations compares what the
+// servers received with it. Times are in ms.
 type Notification struct {
 	At       float64           // when the proxy was notified
 	Draining []policy.ServerID // draining from At on
@@ -72,7 +72,8 @@
 	return n.Object == object || n.Object == "" && n.Group == Group(object)
 }
 
-// drainingAt reports whether a server is draining at a time, and since when. The notifications are in order of time.
+// drainingAt reports whether a server is draining at a time, and since when. It applies the notifications up to that time in
+// their order in the slice.
 func drainingAt(notifications []Notification, id policy.ServerID, at float64) (since float64, draining bool) {
 	for _, n := range notifications {
 		switch {
