--- a/cmd/ravenlab/demo.go
+++ b/cmd/ravenlab/demo.go
@@ -17,6 +17,6 @@
 	}
 	cmd.Flags().StringVar(&o.Proxy, "proxy", "bin/ravenwheel", "path of the proxy's binary")
 	cmd.Flags().StringVar(&o.Operator, "operator", "deploy/standalone.jsonc", "operator's file of the proxy, with the sections proxy and admin")
-	cmd.Flags().Float64Var(&o.PerS, "per-s", 150, "requests per second")
+	cmd.Flags().Float64Var(&o.Rate, "per-s", 150, "requests per second")
 	return cmd
 }
