--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -40,7 +40,7 @@
 
 // propose draws the changes that are proposed in so many ms, each by a member of the store.
 func (l *storeLog) propose(sim *simulation, ms float64) (out []*logEntry) {
-	members := sim.byRole[Store]
+	members := sim.byRole[StoreMember]
 	proposer := func() *process { return members[l.rand.IntN(len(members))] }
 	for range poisson(l.rand, sim.scenario.PurgesPerS*sim.purgeRateFactor*ms/1000) {
 		out = append(out, l.newPurge(sim, proposer()))
--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -181,7 +181,7 @@
 func (c *checker) checkLag() {
 	maxLag := 0.0
 	for _, p := range c.sim.processes {
-		if !p.running() || p.role == Store {
+		if !p.running() || p.role == StoreMember {
 			continue
 		}
 		for stream := range streamCount {
@@ -220,7 +220,7 @@
 		return
 	}
 	for _, p := range c.sim.processes {
-		if !p.up || p.role == Store {
+		if !p.up || p.role == StoreMember {
 			continue
 		}
 		for stream, log := range c.sim.log.streams {
--- a/internal/lab/hollow/checker_test.go
+++ b/internal/lab/hollow/checker_test.go
@@ -17,7 +17,7 @@
 	s := DefaultScenario()
 	s.GroupPurgeFraction = 0
 	sim := newSimulation(s, s.minProcesses(), ModeLevels)
-	sim.leader = sim.byRole[Store][0]
+	sim.leader = sim.byRole[StoreMember][0]
 	var entries []distribution.Entry
 	for range n {
 		c := sim.log.newPurge(sim, sim.leader)
@@ -82,7 +82,7 @@
 func untouchedProcesses(sim *simulation, p *process) int {
 	n := 0
 	for _, x := range sim.processes {
-		if x != p && x.role != Store && x.applied[purgeStream] == 0 {
+		if x != p && x.role != StoreMember && x.applied[purgeStream] == 0 {
 			n++
 		}
 	}
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -69,7 +69,7 @@
 	if p.full {
 		p.applier = newApplier(d.sim, p, true)
 	}
-	if p.role == Store {
+	if p.role == StoreMember {
 		return
 	}
 	p.applied = [streamCount]int{}
@@ -111,7 +111,7 @@
 		leader.sendRate = d.sim.scenario.LeaderOutKBPerS // KB a second are bytes a ms
 	}
 	for _, p := range d.sim.processes {
-		if p.role == Store {
+		if p.role == StoreMember {
 			continue
 		}
 		r := &followerReplication{
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -39,9 +39,9 @@
 	switch f.Kind {
 	case FaultLeader:
 		sim.kill(sim.leader)
-		sim.after(f.ForSeconds*1000, func() { sim.restartDown(sim.byRole[Store]) })
+		sim.after(f.ForSeconds*1000, func() { sim.restartDown(sim.byRole[StoreMember]) })
 	case FaultKill:
-		victims := sim.pickRunning(sim.byRole[Zone], f.Count)
+		victims := sim.pickRunning(sim.byRole[ZoneDistributor], f.Count)
 		for _, p := range victims {
 			sim.kill(p)
 		}
@@ -75,7 +75,7 @@
 }
 
 func (sim *simulation) stopDistributors(f Fault) {
-	victims := sim.pickRunning(sim.byRole[Zone], f.Count)
+	victims := sim.pickRunning(sim.byRole[ZoneDistributor], f.Count)
 	for _, p := range victims {
 		p.stopped = true
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	sim.cutRegion = noRegion
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		sim.catchUp(member)
 	}
 }
@@ -162,7 +162,7 @@
 func (sim *simulation) startProcess(p *process) {
 	p.up, p.stopped, p.connectableSince = true, false, sim.now
 	sim.meter.processStarted(sim, p)
-	if p.role == Store {
+	if p.role == StoreMember {
 		sim.catchUp(p)
 	}
 }
--- a/internal/lab/hollow/limits.go
+++ b/internal/lab/hollow/limits.go
@@ -70,7 +70,7 @@
 	}
 	// A distributor sends what it receives to each of its subscribers.
 	limit *= maxLoadFactor*float64(scenario.ProxiesPerDistributor) + extraSubscribers
-	if kb := phase.Traffic[Zone].OutKBPerS; kb > limit {
+	if kb := phase.Traffic[ZoneDistributor].OutKBPerS; kb > limit {
 		report("from %.1f to %.1f s a distributor sends %.1f KB/s on average, %.1f are allowed", phase.FromSeconds, phase.ToSeconds, kb, limit)
 	}
 }
--- a/internal/lab/hollow/page.go
+++ b/internal/lab/hollow/page.go
@@ -56,7 +56,7 @@
 		switch cost.Role {
 		case Proxy.String():
 			row.ProxyKB, row.ProxyHeapMB = cost.InKBPerS+cost.OutKBPerS, cost.HeapMB
-		case Store.String():
+		case StoreMember.String():
 			row.StoreKB = cost.MaxOutKBPerS
 		}
 	}
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -11,11 +11,11 @@
 
 // The roles, from the store outwards.
 const (
-	Store     Role = iota // a member of the store, which is also a distributor of the first level
-	Relay                 // a distributor between the store and the zones
-	Zone                  // a distributor of a zone
-	Proxy                 // a subscriber that distributes to nobody
-	roleCount = 4
+	StoreMember     Role = iota // a member of the store, which is also a distributor of the first level
+	Relay                       // a distributor between the store and the zones
+	ZoneDistributor             // a distributor of a zone
+	Proxy                       // a subscriber that distributes to nobody
+	roleCount       = 4
 )
 
 var roleNames = [roleCount]string{"store", "relay", "distributor", "proxy"}
--- a/internal/lab/hollow/result.go
+++ b/internal/lab/hollow/result.go
@@ -90,7 +90,7 @@
 	}
 	if tree, ok := sim.propagator.(*treePropagator); ok {
 		r.DisconnectCauses = tree.disconnectCauses
-		total := streamCount * float64(size-len(sim.byRole[Store])) * (sim.now - warmUpMs)
+		total := streamCount * float64(size-len(sim.byRole[StoreMember])) * (sim.now - warmUpMs)
 		r.GatedFraction, r.NeedlesslyGatedFraction = sim.checker.gatedMs/total, sim.checker.needlesslyGatedMs/total
 	}
 	for _, cost := range sim.roleCosts {
--- a/internal/lab/hollow/simulation.go
+++ b/internal/lab/hollow/simulation.go
@@ -137,7 +137,7 @@
 	for _, p := range sim.processes {
 		sim.meter.processStarted(sim, p)
 	}
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		sim.applyLog(member, len(sim.log.entries), sim.watermarkAt)
 	}
 	sim.after(0, sim.heartbeat)
--- a/internal/lab/hollow/store_cluster.go
+++ b/internal/lab/hollow/store_cluster.go
@@ -7,7 +7,7 @@
 
 // commitInitialState commits a server list for each zone, a revision of the configuration and one purge.
 func (sim *simulation) commitInitialState() {
-	sim.leader = sim.byRole[Store][0]
+	sim.leader = sim.byRole[StoreMember][0]
 	sim.watermarkAt = int64(math.Floor(sim.clockOf(sim.leader)))
 	var first []*logEntry
 	for zone := range sim.zones {
@@ -42,7 +42,7 @@
 	log.pending = nil
 	length, watermarkAt := len(log.entries), sim.watermarkAt
 	sim.applyLog(sim.leader, length, watermarkAt)
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		if member != sim.leader && member.up && sim.reachable(sim.leader, member) {
 			sim.countBytes(sim.leader, member, bytes+sim.scenario.RecordBytes)
 			sim.after(sim.latency(sim.leader, member), func() { sim.applyLog(member, length, watermarkAt) })
@@ -79,7 +79,7 @@
 	}
 	sim.watermarkAt = int64(math.Floor(sim.clockOf(sim.leader)))
 	length, watermarkAt := len(sim.log.entries), sim.watermarkAt
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		if !member.up || !sim.reachable(sim.leader, member) {
 			continue
 		}
@@ -105,7 +105,7 @@
 }
 
 func (sim *simulation) finishElection() {
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		if member.up && member.region != sim.cutRegion {
 			sim.leader = member
 			sim.term++
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -29,7 +29,7 @@
 	scenario := sim.scenario
 	for i := range scenario.Voters {
 		region := i % scenario.Regions
-		sim.addProcess(Store, region, regionZone(region), 0)
+		sim.addProcess(StoreMember, region, regionZone(region), 0)
 	}
 	for region := range scenario.Regions {
 		for i := range scenario.RegionRelays {
@@ -65,7 +65,7 @@
 		for i := range size {
 			role := Proxy
 			if i < distributors {
-				role = Zone
+				role = ZoneDistributor
 			}
 			sim.addProcess(role, zone%scenario.Regions, zone, i%sitesPerZone)
 		}
@@ -121,7 +121,7 @@
 func (sim *simulation) candidates(p *process) (out []distribution.Peer) {
 	for rank := range int(p.role) {
 		region := anyRegion
-		if rank == int(Zone) {
+		if rank == int(ZoneDistributor) {
 			region = p.region
 		}
 		out = append(out, sim.distributors(candidateKey{region, rank})...)
--- a/internal/lab/hollow/trace.go
+++ b/internal/lab/hollow/trace.go
@@ -141,7 +141,7 @@
 
 // entriesApplied implements propagator.
 func (r *replayer) entriesApplied(member *process, entries []*logEntry, _ int64) {
-	if member.role == Store {
+	if member.role == StoreMember {
 		for _, entry := range entries {
 			member.applied[entry.stream]++
 		}
--- a/internal/lab/hollow/tree.go
+++ b/internal/lab/hollow/tree.go
@@ -34,7 +34,7 @@
 // processStarted implements propagator.
 func (t *treePropagator) processStarted(p *process) {
 	if p.full {
-		p.applier = newApplier(t.sim, p, p.role == Store)
+		p.applier = newApplier(t.sim, p, p.role == StoreMember)
 	}
 	for stream := range streamCount {
 		t.startStream(p, stream)
@@ -49,10 +49,10 @@
 		subscriberConns: map[distribution.Link]*conn{},
 	}
 	p.gates[stream] = distribution.NewFreshnessGate(settings)
-	if p.role != Store {
+	if p.role != StoreMember {
 		t.handleAtSubscriber(p, stream, distribution.Candidates{Peers: t.sim.candidates(p)})
 	}
-	if p.role == Zone || p.role == Relay {
+	if p.role == ZoneDistributor || p.role == Relay {
 		t.handleAtDistributor(p, stream, t.sim.demand(p))
 	}
 }
@@ -60,7 +60,7 @@
 // newRelay makes the parts of a relay that a role has.
 func newRelay(role Role, settings distribution.Settings) *distribution.Relay {
 	switch role {
-	case Store:
+	case StoreMember:
 		return &distribution.Relay{Distributor: distribution.NewDistributor(settings)}
 	case Proxy:
 		return &distribution.Relay{Subscriber: distribution.NewSubscriber(settings)}
