--- a/internal/lab/hollow/applier.go
+++ b/internal/lab/hollow/applier.go
@@ -21,15 +21,15 @@
 // applier is what entries change in a full process: the policy module's lists and purges, the membership table, the parsed
 // configuration and, where the process holds it, the committed state.
 type applier struct {
-	sim      *simulation
-	process  *process
-	router   *policy.Router
-	table    *membership.Table
-	state    *storestate.State // of members of the store and in ModeDirect; nil: not held
-	live     *config.Live      // kept, so that it counts as heap of the process
-	revision uint64            // number of live
-	actions  []policy.Action   // buffer of the router
-	err      error             // the last entry that could not be applied
+	sim       *simulation
+	process   *process
+	router    *policy.Router
+	table     *membership.Table
+	state     *storestate.State // of members of the store and in ModeDirect; nil: not held
+	live      *config.Live      // kept, so that it counts as heap of the process
+	revision  uint64            // number of live
+	actions   []policy.Action   // buffer of the router
+	lastError error             // the last entry that could not be applied
 }
 
 func newApplier(sim *simulation, p *process, withState bool) *applier {
@@ -102,7 +102,7 @@
 	}
 	live, err := config.ParseLive("revision", string(entry.Body))
 	if err != nil {
-		a.err = err
+		a.lastError = err
 		return
 	}
 	a.live, a.revision = live, entry.Version
@@ -115,7 +115,7 @@
 	}
 	change, err := storestate.DecodeChange(entry.Body)
 	if err != nil || change.List == nil {
-		a.err = fmt.Errorf("list of %s: %v", entry.Name, err)
+		a.lastError = fmt.Errorf("list of %s: %v", entry.Name, err)
 		return
 	}
 	a.installList(now, change.List)
@@ -171,7 +171,7 @@
 func (a *applier) applyChange(encoded []byte) {
 	change, err := storestate.DecodeChange(encoded)
 	if err != nil {
-		a.err = err
+		a.lastError = err
 		return
 	}
 	if a.state.Apply(change).Verdict != storestate.OK {
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -29,11 +29,11 @@
 	serverPort = 4100
 )
 
-// Of changesDrawn changes listChanges are server lists and revisionChanges revisions; the others start or end a drain.
+// Of changeWeightTotal changes listChangeWeight are server lists and revisionChangeWeight revisions; the others start or end a drain.
 const (
-	changesDrawn    = 10
-	listChanges     = 4
-	revisionChanges = 3
+	changeWeightTotal    = 10
+	listChangeWeight     = 4
+	revisionChangeWeight = 3
 )
 
 const secondsPerDay = 86_400
@@ -71,15 +71,15 @@
 	encoded := l.encode(storestate.Change{
 		ProposedAt: issuedAt, Kind: storestate.AddPurge, ExpiresAt: issuedAt + purgeLifetimeMs, Purge: &purge,
 	})
-	return &logEntry{published: entry, stream: purgeStream, encodedChange: encoded}
+	return &logEntry{streamEntry: entry, stream: purgeStream, encodedChange: encoded}
 }
 
 // newChange draws a change of a server list, of the configuration or of a drain.
 func (l *storeLog) newChange(sim *simulation, proposer *process) *logEntry {
-	switch n := l.rand.IntN(changesDrawn); {
-	case n < listChanges:
+	switch n := l.rand.IntN(changeWeightTotal); {
+	case n < listChangeWeight:
 		return l.newList(sim, l.rand.IntN(sim.zones))
-	case n < listChanges+revisionChanges:
+	case n < listChangeWeight+revisionChangeWeight:
 		return l.newRevision(sim)
 	}
 	return l.newDrain(sim, proposer)
@@ -97,7 +97,7 @@
 		entry.Kind, entry.EffectiveAt = distribution.DrainEnded, 0
 	}
 	l.drainedServers[server] = !l.drainedServers[server]
-	return &logEntry{published: entry, stream: changeStream, encodedChange: l.encode(change)}
+	return &logEntry{streamEntry: entry, stream: changeStream, encodedChange: l.encode(change)}
 }
 
 // newRevision makes the next revision of the configuration, filled up to the scenario's size with a comment.
@@ -108,7 +108,7 @@
 	text += " // " + strings.Repeat("x", max(0, sim.scenario.RevisionBytes-len(text)-commentBytes)) + "\n"
 	change := storestate.Change{Kind: storestate.SetConfig, BaseRevision: l.revisionNumber - 1, Text: text, Author: "operator"}
 	entry := distribution.Entry{Kind: distribution.Revision, Version: l.revisionNumber, Body: []byte(text)}
-	return &logEntry{published: entry, stream: changeStream, encodedChange: l.encode(change)}
+	return &logEntry{streamEntry: entry, stream: changeStream, encodedChange: l.encode(change)}
 }
 
 // newList makes the next generation of a zone's server list, with weights drawn anew.
@@ -125,7 +125,7 @@
 	}
 	encoded := l.encode(storestate.Change{Kind: storestate.SetList, Name: listName(zone), List: list})
 	entry := distribution.Entry{Kind: distribution.List, Name: listName(zone), Version: list.Generation, Body: encoded}
-	return &logEntry{published: entry, stream: changeStream, encodedChange: encoded}
+	return &logEntry{streamEntry: entry, stream: changeStream, encodedChange: encoded}
 }
 
 // listName is the name of a zone's server list.
--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -86,7 +86,7 @@
 // advance records that a process has applied a stream up to a sequence number, but for omitted entries.
 func (c *checker) advance(p *process, stream int, through uint64) {
 	log := c.sim.log.streams[stream]
-	for p.applied[stream] < len(log) && log[p.applied[stream]].published.Sequence <= through {
+	for p.applied[stream] < len(log) && log[p.applied[stream]].streamEntry.Sequence <= through {
 		c.recordApplied(p, log[p.applied[stream]])
 		p.applied[stream]++
 	}
@@ -96,44 +96,44 @@
 func (c *checker) checkApply(p *process, stream int, batch distribution.Apply) {
 	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(batch.Through)})
 	log, next := c.sim.log.streams[stream], p.applied[stream]
-	if next < len(log) && log[next].published.Sequence <= batch.After {
-		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].published.Sequence)
+	if next < len(log) && log[next].streamEntry.Sequence <= batch.After {
+		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].streamEntry.Sequence)
 	}
 	entries := batch.Entries
 	var contents snapshotContents
 	if batch.Atomic { // made of a snapshot, so that its sequence numbers say only the order
 		contents, entries = c.readSnapshot(p, stream, entries), nil
 	}
-	for ; next < len(log) && log[next].published.Sequence <= batch.Through; next++ {
+	for ; next < len(log) && log[next].streamEntry.Sequence <= batch.Through; next++ {
 		entry := log[next]
 		switch {
 		case contents.match(entry):
 			c.recordApplied(p, entry)
-		case len(entries) > 0 && entries[0].Sequence == entry.published.Sequence:
-			c.checkSame(p, stream, entries[0], entry)
+		case len(entries) > 0 && entries[0].Sequence == entry.streamEntry.Sequence:
+			c.checkUnchanged(p, stream, entries[0], entry)
 			entries = entries[1:]
 			c.recordApplied(p, entry)
 		default:
-			c.checkMayLack(p, stream, next, batch)
+			c.checkOmission(p, stream, next, batch)
 		}
 	}
 	if len(entries) > 0 {
 		c.violation("%s: stream %d: %d was never committed, or comes twice or out of order", p.name, stream, entries[0].Sequence)
 	}
-	c.checkNoneUnknown(p, stream, contents)
+	c.checkAllMatched(p, stream, contents)
 	p.applied[stream] = next
 	c.resolveOmitted(p, stream, batch.Through)
 }
 
-func (c *checker) checkSame(p *process, stream int, got distribution.Entry, want *logEntry) {
+func (c *checker) checkUnchanged(p *process, stream int, got distribution.Entry, want *logEntry) {
 	if !want.matches(got) {
-		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.published))
+		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.streamEntry))
 	}
 }
 
-// checkMayLack checks that a batch may lack an entry: because it has expired, or because a later entry up to the watermark
+// checkOmission checks that a batch may lack an entry: because it has expired, or because a later entry up to the watermark
 // supersedes it.
-func (c *checker) checkMayLack(p *process, stream, index int, batch distribution.Apply) {
+func (c *checker) checkOmission(p *process, stream, index int, batch distribution.Apply) {
 	entry := c.sim.log.streams[stream][index]
 	switch {
 	case entry.supersededBy != 0 && entry.supersededBy <= batch.Watermark.Sequence:
@@ -142,10 +142,10 @@
 			return
 		}
 		c.recordApplied(p, entry)
-	case entry.published.ExpiresAt > 0 && entry.published.ExpiresAt <= batch.Watermark.At:
+	case entry.streamEntry.ExpiresAt > 0 && entry.streamEntry.ExpiresAt <= batch.Watermark.At:
 		c.recordApplied(p, entry)
 	default:
-		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.published.Sequence, batch.After, batch.Through)
+		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.streamEntry.Sequence, batch.After, batch.Through)
 	}
 }
 
--- a/internal/lab/hollow/checker_test.go
+++ b/internal/lab/hollow/checker_test.go
@@ -20,14 +20,14 @@
 	sim.leader = sim.byRole[StoreMember][0]
 	var entries []distribution.Entry
 	for range n {
-		c := sim.log.newPurge(sim, sim.leader)
-		sim.log.commit(0, c)
-		entries = append(entries, c.published)
+		entry := sim.log.newPurge(sim, sim.leader)
+		sim.log.commit(0, entry)
+		entries = append(entries, entry.streamEntry)
 	}
 	return sim, sim.byRole[Proxy][0], entries
 }
 
-func applyAll(entries []distribution.Entry) distribution.Apply {
+func batchOf(entries []distribution.Entry) distribution.Apply {
 	through := entries[len(entries)-1].Sequence
 	return distribution.Apply{Epoch: 1, Through: through, Watermark: distribution.Watermark{Sequence: through, At: startUnixMs}, Entries: entries}
 }
@@ -36,27 +36,27 @@
 // entry supersedes.
 func TestCheckerAcceptsCompleteBatches(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 20)
-	first := applyAll(entries[:8])
-	sim.checker.checkApply(p, purgeStream, first)
-	rest := applyAll(entries)
-	rest.After, rest.Entries = first.Through, entries[8:]
-	sim.checker.checkApply(p, purgeStream, rest)
+	firstBatch := batchOf(entries[:8])
+	sim.checker.checkApply(p, purgeStream, firstBatch)
+	secondBatch := batchOf(entries)
+	secondBatch.After, secondBatch.Entries = firstBatch.Through, entries[8:]
+	sim.checker.checkApply(p, purgeStream, secondBatch)
 	sim.checker.checkComplete()
-	require.Zero(t, sim.checker.violations-untouchedProcesses(sim, p), "%v", sim.checker.violationTexts)
+	require.Zero(t, sim.checker.violations-countEmptyProcesses(sim, p), "%v", sim.checker.violationTexts)
 
 	sim, p, entries = checkerFixture(t, 20)
-	again := sim.log.newPurge(sim, sim.leader)
-	again.published.Name = entries[3].Name
-	sim.log.commit(0, again)
-	left := slices.Concat(entries[:3], entries[4:])
-	a := applyAll(left)
-	a.Watermark.Sequence = again.published.Sequence
-	sim.checker.checkApply(p, purgeStream, a)
+	superseding := sim.log.newPurge(sim, sim.leader)
+	superseding.streamEntry.Name = entries[3].Name
+	sim.log.commit(0, superseding)
+	remaining := slices.Concat(entries[:3], entries[4:])
+	batch := batchOf(remaining)
+	batch.Watermark.Sequence = superseding.streamEntry.Sequence
+	sim.checker.checkApply(p, purgeStream, batch)
 	require.Zero(t, sim.checker.violations, "%v", sim.checker.violationTexts)
 	require.Len(t, p.omitted, 1)
 	sim.checker.checkApply(p, purgeStream, distribution.Apply{
-		Epoch: 1, After: a.Through, Through: again.published.Sequence, Watermark: distribution.Watermark{Sequence: again.published.Sequence, At: startUnixMs},
-		Entries: []distribution.Entry{again.published},
+		Epoch: 1, After: batch.Through, Through: superseding.streamEntry.Sequence, Watermark: distribution.Watermark{Sequence: superseding.streamEntry.Sequence, At: startUnixMs},
+		Entries: []distribution.Entry{superseding.streamEntry},
 	})
 	require.Zero(t, sim.checker.violations, "%v", sim.checker.violationTexts)
 	require.Empty(t, p.omitted)
@@ -65,21 +65,21 @@
 // In a batch made of a snapshot sequence numbers need only increase. Other batches must have the store's.
 func TestCheckerAcceptsRenumberedSnapshot(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 9)
-	a := applyAll(entries)
-	a.Atomic, a.Entries = true, slices.Clone(entries)
-	for i := range a.Entries {
-		a.Entries[i].Sequence = uint64(i + 1)
+	batch := batchOf(entries)
+	batch.Atomic, batch.Entries = true, slices.Clone(entries)
+	for i := range batch.Entries {
+		batch.Entries[i].Sequence = uint64(i + 1)
 	}
-	sim.checker.checkApply(p, purgeStream, a)
+	sim.checker.checkApply(p, purgeStream, batch)
 	require.Zero(t, sim.checker.violations, "%v", sim.checker.violationTexts)
 	require.Equal(t, 9, p.applied[purgeStream])
-	a.Atomic = false
-	sim.checker.checkApply(sim.byRole[Proxy][1], purgeStream, a)
+	batch.Atomic = false
+	sim.checker.checkApply(sim.byRole[Proxy][1], purgeStream, batch)
 	require.NotZero(t, sim.checker.violations, "other batches have the store's sequence numbers")
 }
 
-// untouchedProcesses counts the other processes, which have applied nothing and are violations at the end.
-func untouchedProcesses(sim *simulation, p *process) int {
+// countEmptyProcesses counts the other processes, which have applied nothing and are violations at the end.
+func countEmptyProcesses(sim *simulation, p *process) int {
 	n := 0
 	for _, x := range sim.processes {
 		if x != p && x.role != StoreMember && x.applied[purgeStream] == 0 {
@@ -98,66 +98,66 @@
 }
 
 var batchBreaches = map[string]breach{
-	"missing": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		a.Entries = slices.Concat(e[:4], e[5:])
-		sim.checker.checkApply(p, purgeStream, a)
+	"missing": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		batch.Entries = slices.Concat(entries[:4], entries[5:])
+		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"gap": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		a.After, a.Entries = e[2].Sequence, e[3:]
-		sim.checker.checkApply(p, purgeStream, a)
+	"gap": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		batch.After, batch.Entries = entries[2].Sequence, entries[3:]
+		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"changed": func(sim *simulation, p *process, e []distribution.Entry) {
-		e[4].Name += "x"
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	"changed": func(sim *simulation, p *process, entries []distribution.Entry) {
+		entries[4].Name += "x"
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"earlier time": func(sim *simulation, p *process, e []distribution.Entry) {
-		e[4].EffectiveAt--
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	"earlier time": func(sim *simulation, p *process, entries []distribution.Entry) {
+		entries[4].EffectiveAt--
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"out of order": func(sim *simulation, p *process, e []distribution.Entry) {
-		e[4], e[5] = e[5], e[4]
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	"out of order": func(sim *simulation, p *process, entries []distribution.Entry) {
+		entries[4], entries[5] = entries[5], entries[4]
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"twice": func(sim *simulation, p *process, e []distribution.Entry) {
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
+	"twice": func(sim *simulation, p *process, entries []distribution.Entry) {
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		a.Entries = append(slices.Clone(e), unknownEntry(a.Through))
-		sim.checker.checkApply(p, purgeStream, a)
+	"unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		batch.Entries = append(slices.Clone(entries), unknownEntry(batch.Through))
+		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"atomic batch lacks": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		a.Atomic, a.Entries = true, e[1:]
-		sim.checker.checkApply(p, purgeStream, a)
+	"atomic batch lacks": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		batch.Atomic, batch.Entries = true, entries[1:]
+		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"atomic batch has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		a.Atomic, a.Entries = true, append(slices.Clone(e), unknownEntry(a.Through))
-		sim.checker.checkApply(p, purgeStream, a)
+	"atomic batch has unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		batch.Atomic, batch.Entries = true, append(slices.Clone(entries), unknownEntry(batch.Through))
+		sim.checker.checkApply(p, purgeStream, batch)
 	},
 }
 
 var snapshotBreaches = map[string]breach{
-	"snapshot lacks": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: e[1:]})
+	"snapshot lacks": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: batch.Through, Watermark: batch.Watermark, Entries: entries[1:]})
 	},
-	"snapshot has unknown": func(sim *simulation, p *process, e []distribution.Entry) {
-		a := applyAll(e)
-		more := unknownEntry(a.Through)
+	"snapshot has unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+		batch := batchOf(entries)
+		unknown := unknownEntry(batch.Through)
 		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
-			Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: append(slices.Clone(e), more),
+			Epoch: 1, Through: batch.Through, Watermark: batch.Watermark, Entries: append(slices.Clone(entries), unknown),
 		})
 	},
-	"older snapshot": func(sim *simulation, p *process, e []distribution.Entry) {
-		sim.checker.checkApply(p, purgeStream, applyAll(e))
-		a := applyAll(e[:4])
+	"older snapshot": func(sim *simulation, p *process, entries []distribution.Entry) {
+		sim.checker.checkApply(p, purgeStream, batchOf(entries))
+		older := batchOf(entries[:4])
 		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
-			Epoch: 1, Through: a.Through, Watermark: a.Watermark, Entries: a.Entries,
+			Epoch: 1, Through: older.Through, Watermark: older.Watermark, Entries: older.Entries,
 		})
 	},
 }
@@ -210,13 +210,13 @@
 }
 
 // A violation of a limit names the process or the phase. A burst raises the limit of traffic.
-func TestLimitsAreChecked(t *testing.T) {
+func TestLimitsAreReported(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 3)
 	sim.now = warmUpMs + 9000
-	for _, c := range sim.log.streams[purgeStream] {
-		c.committedAt = warmUpMs
+	for _, entry := range sim.log.streams[purgeStream] {
+		entry.committedAt = warmUpMs
 	}
-	sim.checker.checkApply(p, purgeStream, applyAll(entries))
+	sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	r := &Result{Roles: map[string]int{"proxy": 1}, Phases: []Phase{
 		{ToSeconds: 10, PurgeRateFactor: 1},
 		{FromSeconds: 10, ToSeconds: 20, PurgeRateFactor: 10},
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -24,12 +24,12 @@
 // sends every entry and heartbeats, as hashicorp/raft does. The algorithm is a model with the message sizes of the real
 // transport (see measureRaftSizes); followers apply entries with the program's code.
 type directPropagator struct {
-	sim           *simulation
-	sizes         raftSizes
-	replications  []*followerReplication // by process id; nil for members of the store
-	feedingLeader *process               // that the replications belong to
-	feedingTerm   int
-	rand          *rand.Rand // of heartbeats
+	sim               *simulation
+	sizes             raftSizes
+	replications      []*followerReplication // by process id; nil for members of the store
+	replicatingLeader *process               // that the replications belong to
+	replicatingTerm   int
+	rand              *rand.Rand // of heartbeats
 }
 
 // followerReplication is the leader's state of one follower.
@@ -102,10 +102,10 @@
 
 // startReplication has a new leader connect to all followers.
 func (d *directPropagator) startReplication(leader *process) {
-	if d.feedingLeader == leader && d.feedingTerm == d.sim.term {
+	if d.replicatingLeader == leader && d.replicatingTerm == d.sim.term {
 		return
 	}
-	d.feedingLeader, d.feedingTerm = leader, d.sim.term
+	d.replicatingLeader, d.replicatingTerm = leader, d.sim.term
 	d.replications = make([]*followerReplication, len(d.sim.processes))
 	if d.sim.scenario.LeaderOutKBPerS > 0 {
 		leader.sendRate = d.sim.scenario.LeaderOutKBPerS // KB a second are bytes a ms
@@ -120,7 +120,7 @@
 		d.replications[p.id] = r
 		d.connect(r)
 	}
-	d.sim.setTimer(leader, slotDirect, leaderTimerInterval)
+	d.sim.setTimer(leader, slotReplication, leaderTimerInterval)
 }
 
 func (d *directPropagator) connect(r *followerReplication) {
@@ -164,8 +164,8 @@
 			if p.applier != nil {
 				p.applier.applyChange(entry.encodedChange)
 			}
-			d.sim.trace.record(tracedCall{kind: traceApplied, detail: entry.stream, id: p.id, value: float64(entry.published.Sequence)})
-			d.sim.checker.advance(p, entry.stream, entry.published.Sequence)
+			d.sim.trace.record(tracedCall{kind: traceApplied, detail: entry.stream, id: p.id, value: float64(entry.streamEntry.Sequence)})
+			d.sim.checker.advance(p, entry.stream, entry.streamEntry.Sequence)
 		}
 		p.persisted = request.to
 	}
@@ -229,7 +229,7 @@
 	if p != d.sim.leader {
 		return
 	}
-	d.sim.setTimer(p, slotDirect, leaderTimerInterval)
+	d.sim.setTimer(p, slotReplication, leaderTimerInterval)
 	for _, r := range d.replications {
 		if r != nil {
 			d.checkFollower(r)
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -47,7 +47,7 @@
 		}
 		sim.after(f.ForSeconds*1000, func() { sim.restartDown(victims) })
 	case FaultStop:
-		sim.stopDistributors(f)
+		sim.suspendDistributors(f)
 	case FaultCut:
 		sim.partition(f.Region)
 		sim.electLeader()
@@ -74,10 +74,10 @@
 	return int(math.Ceil(f.Fraction * float64(len(sim.byRole[Proxy]))))
 }
 
-func (sim *simulation) stopDistributors(f Fault) {
+func (sim *simulation) suspendDistributors(f Fault) {
 	victims := sim.pickRunning(sim.byRole[ZoneDistributor], f.Count)
 	for _, p := range victims {
-		p.stopped = true
+		p.suspended = true
 	}
 	sim.after(f.ForSeconds*1000, func() {
 		for _, p := range victims {
@@ -141,7 +141,7 @@
 	p.up = false
 	sim.closeAll(p)
 	p.incarnation++
-	p.inbox, p.unread, p.omitted, p.applier = nil, nil, nil, nil
+	p.deferredEvents, p.unread, p.omitted, p.applier = nil, nil, nil, nil
 	p.gates = [streamCount]*distribution.FreshnessGate{}
 	p.streams = [streamCount]streamNode{}
 	p.timers = [timerSlots]timer{}
@@ -160,7 +160,7 @@
 
 // startProcess starts a process that was killed.
 func (sim *simulation) startProcess(p *process) {
-	p.up, p.stopped, p.connectableSince = true, false, sim.now
+	p.up, p.suspended, p.connectableSince = true, false, sim.now
 	sim.meter.processStarted(sim, p)
 	if p.role == StoreMember {
 		sim.catchUp(p)
@@ -169,10 +169,10 @@
 
 // resume has a stopped process go on. It handles first what arrived and what fell due meanwhile.
 func (sim *simulation) resume(p *process) {
-	p.stopped, p.connectableSince = false, sim.now
-	inbox := p.inbox
-	p.inbox = nil
-	for _, e := range inbox {
+	p.suspended, p.connectableSince = false, sim.now
+	deferred := p.deferredEvents
+	p.deferredEvents = nil
+	for _, e := range deferred {
 		if e.kind == eventTimer {
 			p.timers[e.slot].scheduledAt = sim.now
 		}
--- a/internal/lab/hollow/limits.go
+++ b/internal/lab/hollow/limits.go
@@ -44,7 +44,7 @@
 	}
 	slowest := sim.slowestEntry(stream)
 	report("stream %d: entry %d of %.1f s took %.0f ms to %s, the last process, %.0f are allowed", stream,
-		slowest.published.Sequence, slowest.committedAt/1000, slowest.maxLatencyMs, sim.processes[slowest.slowestProcess].name, limit)
+		slowest.streamEntry.Sequence, slowest.committedAt/1000, slowest.maxLatencyMs, sim.processes[slowest.slowestProcess].name, limit)
 }
 
 // slowestEntry is the entry of a stream that took longest to the last process.
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -35,7 +35,7 @@
 	sim.conns = append(sim.conns, c)
 	sim.trace.record(tracedCall{kind: traceDial, detail: stream, id: from.id, size: int(to.id)})
 	roundTrip := 2 * sim.latency(from, to)
-	if !sim.reachable(from, to) || to.stopped {
+	if !sim.reachable(from, to) || to.suspended {
 		c.broken = true
 		return c
 	}
@@ -58,8 +58,8 @@
 // connectionOpened handles the end of a handshake.
 func (sim *simulation) connectionOpened(e event) {
 	p := e.process
-	if p.stopped {
-		p.inbox = append(p.inbox, e)
+	if p.suspended {
+		p.deferredEvents = append(p.deferredEvents, e)
 		return
 	}
 	if p.up && p.incarnation == e.incarnation && !e.conn.closed && !e.conn.broken {
@@ -115,8 +115,8 @@
 	case !sim.reachable(from, p):
 		c.broken = true
 		return
-	case p.stopped:
-		p.inbox = append(p.inbox, e)
+	case p.suspended:
+		p.deferredEvents = append(p.deferredEvents, e)
 		return
 	}
 	if p.receiveRate > 0 || len(p.unread) > 0 {
@@ -185,8 +185,8 @@
 
 // connectionLost handles a process's notice of a connection that ended.
 func (sim *simulation) connectionLost(e event) {
-	if e.process.stopped {
-		e.process.inbox = append(e.process.inbox, e)
+	if e.process.suspended {
+		e.process.deferredEvents = append(e.process.deferredEvents, e)
 		return
 	}
 	if e.conn.broken || !e.process.up || e.process.incarnation != e.incarnation {
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -30,7 +30,7 @@
 	slotSubscriber  timerSlot = 0
 	slotDistributor timerSlot = 2
 	slotMembership  timerSlot = 4
-	slotDirect      timerSlot = 5
+	slotReplication timerSlot = 5
 	timerSlots                = 6
 )
 
@@ -42,17 +42,17 @@
 	region, zone, site int
 	full               bool // applies what it receives, and does not only receive
 
-	up, stopped, partitioned bool
-	incarnation              uint32  // incremented at each end, so that events meant for an earlier one are dropped
-	clockOffset              float64 // ms
-	sendRate                 float64 // bytes a ms
-	receiveRate              float64 // bytes a ms; 0: unlimited
-	sendFreeAt               float64 // when the last message has been sent
-	unread                   []event // messages of a slow process
-	connectableSince         float64 // since when the process can be expected to keep up; latency counts from then
-	conns                    []*conn
-	inbox                    []event // what arrived while the process was stopped
-	timers                   [timerSlots]timer
+	up, suspended, partitioned bool
+	incarnation                uint32  // incremented at each end, so that events meant for an earlier one are dropped
+	clockOffset                float64 // ms
+	sendRate                   float64 // bytes a ms
+	receiveRate                float64 // bytes a ms; 0: unlimited
+	sendFreeAt                 float64 // when the last message has been sent
+	unread                     []event // messages of a slow process
+	connectableSince           float64 // since when the process can be expected to keep up; latency counts from then
+	conns                      []*conn
+	deferredEvents             []event // what arrived while the process was stopped
+	timers                     [timerSlots]timer
 
 	streams [streamCount]streamNode
 	gates   [streamCount]*distribution.FreshnessGate // that a request would ask
@@ -95,7 +95,7 @@
 }
 
 // running reports whether the process handles events.
-func (p *process) running() bool { return p.up && !p.stopped }
+func (p *process) running() bool { return p.up && !p.suspended }
 
 func boolToInt(b bool) int {
 	if b {
--- a/internal/lab/hollow/raft_sizes.go
+++ b/internal/lab/hollow/raft_sizes.go
@@ -111,8 +111,8 @@
 			AppendedAt: time.Unix(1_800_000_000, 123_456_789).UTC(),
 		})
 	}
-	var answer raft.AppendEntriesResponse
-	if err := transport.AppendEntries("store-2", "10.11.12.14:7100", &message, &answer); err != nil {
+	var appendResponse raft.AppendEntriesResponse
+	if err := transport.AppendEntries("store-2", "10.11.12.14:7100", &message, &appendResponse); err != nil {
 		panic(fmt.Sprintf("hollow: raft over a pipe: %v", err))
 	}
 	return int(p.requestBytes.Load() - requestBefore), int(p.responseBytes.Load() - responseBefore)
--- a/internal/lab/hollow/result.go
+++ b/internal/lab/hollow/result.go
@@ -99,8 +99,8 @@
 	}
 	for _, p := range sim.byRole[Proxy] {
 		r.FullProxies += boolToInt(p.full)
-		if p.applier != nil && p.applier.err != nil {
-			sim.checker.violation("%s: %v", p.name, p.applier.err)
+		if p.applier != nil && p.applier.lastError != nil {
+			sim.checker.violation("%s: %v", p.name, p.applier.lastError)
 		}
 	}
 	r.copyViolations(sim.checker)
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -49,7 +49,7 @@
 	sim := newSimulation(scenario, size, ModeLevels)
 	sim.propagator = &replayer{sim: sim, trace: trace}
 	if trace.full {
-		sim.stopEarly = trace.atBound
+		sim.stopEarly = trace.readToLimit
 	}
 	cpuBefore := cpuSeconds()
 	if err := sim.run(ctx); err != nil {
@@ -85,7 +85,7 @@
 	before, count := heapInUse(), 0
 	for _, p := range sim.byRole[role] {
 		if p.full == full {
-			p.streams, p.applier, p.inbox, p.omitted = [streamCount]streamNode{}, nil, nil, nil
+			p.streams, p.applier, p.deferredEvents, p.omitted = [streamCount]streamNode{}, nil, nil, nil
 			count++
 		}
 	}
--- a/internal/lab/hollow/scenario_test.go
+++ b/internal/lab/hollow/scenario_test.go
@@ -22,14 +22,14 @@
 
 // All defects of a file are reported at once, with their positions.
 func TestParseReportsAllDefects(t *testing.T) {
-	_, bad := Parse("x.jsonc", []byte(`{
+	_, defects := Parse("x.jsonc", []byte(`{
   "processes": [5, 100],
   "seconds": 0,
   "purges": 3,
   "faults": []
 }`))
-	require.ErrorContains(t, bad.Err(), "x.jsonc:4:3")
-	_, bad = Parse("x.jsonc", []byte(`{
+	require.ErrorContains(t, defects.Err(), "x.jsonc:4:3")
+	_, defects = Parse("x.jsonc", []byte(`{
   "processes": [5, 100],
   "seconds": 0,
   "faults": [
@@ -40,7 +40,7 @@
     {"kind": "burst", "at_s": 900, "for_s": 1, "size": 2}
   ]
 }`))
-	text := bad.Error()
+	text := defects.Error()
 	for _, want := range []string{"x.jsonc:2:17", "x.jsonc:3:14", "x.jsonc:5:14", `"kil" is none of burst, clocks,`, "x.jsonc:6", "x.jsonc:7:54", "x.jsonc:8:59", "x.jsonc:9:31"} {
 		require.Contains(t, text, want)
 	}
--- a/internal/lab/hollow/simulation.go
+++ b/internal/lab/hollow/simulation.go
@@ -207,8 +207,8 @@
 	if !p.up || p.incarnation != e.incarnation || t.scheduledAt != e.at {
 		return // of an earlier incarnation, or superseded by an earlier event
 	}
-	if p.stopped {
-		p.inbox = append(p.inbox, e)
+	if p.suspended {
+		p.deferredEvents = append(p.deferredEvents, e)
 		return
 	}
 	t.scheduledAt = 0
--- a/internal/lab/hollow/simulation_test.go
+++ b/internal/lab/hollow/simulation_test.go
@@ -17,8 +17,8 @@
 	path := filepath.Join("../../../lab/scale", name)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	s, bad := Parse(path, text)
-	require.NoError(t, bad.Err())
+	s, defects := Parse(path, text)
+	require.NoError(t, defects.Err())
 	return s
 }
 
@@ -39,9 +39,9 @@
 }
 
 func summary(r *Result) string {
-	x := *r
-	x.Scenario, x.Phases = Scenario{}, nil
-	raw, _ := json.Marshal(x)
+	trimmed := *r
+	trimmed.Scenario, trimmed.Phases = Scenario{}, nil
+	raw, _ := json.Marshal(trimmed)
 	return string(raw)
 }
 
@@ -61,27 +61,27 @@
 
 // withoutMeasurements is a result without what is measured in real time.
 func withoutMeasurements(r *Result) *Result {
-	x := *r
-	x.CPUSeconds, x.WallSeconds, x.HeapMB, x.HarnessCPUSeconds, x.RoleCosts = 0, 0, 0, 0, nil
-	for _, c := range r.RoleCosts {
-		c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB = 0, 0, 0, 0
-		x.RoleCosts = append(x.RoleCosts, c)
+	stripped := *r
+	stripped.CPUSeconds, stripped.WallSeconds, stripped.HeapMB, stripped.HarnessCPUSeconds, stripped.RoleCosts = 0, 0, 0, 0, nil
+	for _, cost := range r.RoleCosts {
+		cost.MicrosPerCall, cost.CPUPercent, cost.HeapMB, cost.LightHeapMB = 0, 0, 0, 0
+		stripped.RoleCosts = append(stripped.RoleCosts, cost)
 	}
-	return &x
+	return &stripped
 }
 
 // The seed determines a run to the byte.
 func TestSeedDeterminesRun(t *testing.T) {
 	s := tinyScenario()
-	one, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	first, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	two, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	second, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	require.JSONEq(t, string(one), string(two))
+	require.JSONEq(t, string(first), string(second))
 	s.Seed = 2
-	other, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	otherSeed, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	require.NotEqual(t, string(one), string(other))
+	require.NotEqual(t, string(first), string(otherSeed))
 }
 
 // Played back without deciders, a run has the same events, traffic and latencies.
@@ -91,15 +91,15 @@
 		sim := newSimulation(s, 90, mode)
 		sim.trace = &callTrace{}
 		require.NoError(t, sim.run(context.Background()))
-		e := newSimulation(s, 90, ModeLevels)
-		e.propagator = &replayer{sim: e, trace: sim.trace}
-		require.NoError(t, e.run(context.Background()))
-		require.Equal(t, sim.processed, e.processed)
-		require.Equal(t, sim.handshakes, e.handshakes)
-		require.Equal(t, sim.propagation(purgeStream), e.propagation(purgeStream))
+		replay := newSimulation(s, 90, ModeLevels)
+		replay.propagator = &replayer{sim: replay, trace: sim.trace}
+		require.NoError(t, replay.run(context.Background()))
+		require.Equal(t, sim.processed, replay.processed)
+		require.Equal(t, sim.handshakes, replay.handshakes)
+		require.Equal(t, sim.propagation(purgeStream), replay.propagation(purgeStream))
 		for i, p := range sim.processes {
-			require.Equal(t, p.in, e.processes[i].in, p.name)
-			require.Equal(t, p.out, e.processes[i].out, p.name)
+			require.Equal(t, p.in, replay.processes[i].in, p.name)
+			require.Equal(t, p.out, replay.processes[i].out, p.name)
 		}
 	}
 }
@@ -123,8 +123,8 @@
 func TestDirectModeSurvivesFaults(t *testing.T) {
 	r := runScenario(t, tinyScenario(), ModeDirect, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-	for _, b := range r.ExceededLimits {
-		require.NotContains(t, b, "lack", "all that was committed is everywhere by the end")
+	for _, limit := range r.ExceededLimits {
+		require.NotContains(t, limit, "lack", "all that was committed is everywhere by the end")
 	}
 }
 
@@ -160,16 +160,16 @@
 func TestQueueOrdersEvents(t *testing.T) {
 	q := &eventQueue{}
 	rng := newRand(1, "q")
-	var got []int
+	var popped []int
 	for i := range 3000 {
 		at := rng.IntN(50)
-		q.push(event{at: float64(at), kind: eventCall, call: func() { got = append(got, at*10_000+i) }})
+		q.push(event{at: float64(at), kind: eventCall, call: func() { popped = append(popped, at*10_000+i) }})
 	}
 	for e, ok := q.pop(); ok; e, ok = q.pop() {
 		e.call()
 	}
-	require.Len(t, got, 3000)
-	require.True(t, slices.IsSorted(got))
+	require.Len(t, popped, 3000)
+	require.True(t, slices.IsSorted(popped))
 }
 
 // A slow process closes its gate while it lags, and breaks no rule.
--- a/internal/lab/hollow/snapshot_check.go
+++ b/internal/lab/hollow/snapshot_check.go
@@ -42,8 +42,8 @@
 	return true
 }
 
-// checkNoneUnknown checks that all entries of a snapshot have been matched.
-func (c *checker) checkNoneUnknown(p *process, stream int, contents snapshotContents) {
+// checkAllMatched checks that all entries of a snapshot have been matched.
+func (c *checker) checkAllMatched(p *process, stream int, contents snapshotContents) {
 	for _, key := range slices.Sorted(maps.Keys(contents)) {
 		if found := contents[key]; !found.matched {
 			c.violation("%s: stream %d: a snapshot says what was never committed: %s", p.name, stream, describe(found.entry))
@@ -57,12 +57,12 @@
 	log, next := c.sim.log.streams[stream], 0
 	contents := c.readSnapshot(p, stream, snapshot.Entries)
 	watermark := max(snapshot.Through, snapshot.Watermark.Sequence)
-	for ; next < len(log) && log[next].published.Sequence <= snapshot.Through; next++ {
+	for ; next < len(log) && log[next].streamEntry.Sequence <= snapshot.Through; next++ {
 		if entry := log[next]; !contents.match(entry) && entry.inEffect(watermark, snapshot.Watermark.At) {
-			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, entry.published.Sequence, snapshot.Through)
+			c.violation("%s: stream %d: %d is missing in the snapshot at %d", p.name, stream, entry.streamEntry.Sequence, snapshot.Through)
 		}
 	}
-	c.checkNoneUnknown(p, stream, contents)
+	c.checkAllMatched(p, stream, contents)
 	if next < p.applied[stream] {
 		c.violation("%s: stream %d: a snapshot at %d leads back", p.name, stream, snapshot.Through)
 	}
--- a/internal/lab/hollow/store_log.go
+++ b/internal/lab/hollow/store_log.go
@@ -23,7 +23,7 @@
 	key           string  // see supersessionKey
 	committedAt   float64 // virtual ms
 	stream        int
-	published     distribution.Entry // form that the streams carry
+	streamEntry   distribution.Entry // form that the streams carry
 	encodedChange []byte             // form in the store's log
 	// merged is published with the latest times of all entries that it supersedes (for a drain, with the earliest EffectiveAt). A
 	// distributor that joins entries may send any time in between.
@@ -35,7 +35,7 @@
 
 // matches reports whether a received entry is this one. Its times may be those of entries that it supersedes.
 func (e *logEntry) matches(got distribution.Entry) bool {
-	want := e.published
+	want := e.streamEntry
 	return got.Kind == want.Kind && got.Name == want.Name && got.Group == want.Group && got.Version == want.Version &&
 		between(got.EffectiveAt, want.EffectiveAt, e.merged.EffectiveAt) &&
 		between(got.ExpiresAt, want.ExpiresAt, e.merged.ExpiresAt) &&
@@ -46,10 +46,10 @@
 
 // inEffect reports whether an entry is part of the state at a sequence number and a time in Unix ms.
 func (e *logEntry) inEffect(through uint64, now int64) bool {
-	if e.supersededBy != 0 && e.supersededBy <= through || e.published.Kind == distribution.DrainEnded {
+	if e.supersededBy != 0 && e.supersededBy <= through || e.streamEntry.Kind == distribution.DrainEnded {
 		return false
 	}
-	return e.published.ExpiresAt == 0 || e.published.ExpiresAt > now
+	return e.streamEntry.ExpiresAt == 0 || e.streamEntry.ExpiresAt > now
 }
 
 // storeLog is the log of the store, with the changes that wait for a leader.
@@ -97,8 +97,8 @@
 func (l *storeLog) commit(now float64, committed *logEntry) {
 	l.lastSequence += 1 + uint64(l.rand.IntN(2))
 	committed.committedAt = now
-	committed.published.Sequence = l.lastSequence
-	committed.key = supersessionKey(committed.published)
+	committed.streamEntry.Sequence = l.lastSequence
+	committed.key = supersessionKey(committed.streamEntry)
 	l.supersedeSameKey(committed)
 	l.supersedeGroup(committed)
 	l.streams[committed.stream] = append(l.streams[committed.stream], committed)
@@ -107,15 +107,15 @@
 
 func (l *storeLog) supersedeSameKey(committed *logEntry) {
 	merged := &committed.merged
-	*merged = committed.published
+	*merged = committed.streamEntry
 	if previous := l.latestByKey[committed.key]; previous != nil {
 		if previous.supersededBy == 0 {
 			previous.supersededBy = l.lastSequence
 		}
-		merged.EffectiveAt = max(committed.published.EffectiveAt, previous.merged.EffectiveAt)
-		merged.ExpiresAt = max(committed.published.ExpiresAt, previous.merged.ExpiresAt)
-		if committed.published.Kind == distribution.Drain {
-			merged.EffectiveAt = min(committed.published.EffectiveAt, previous.merged.EffectiveAt)
+		merged.EffectiveAt = max(committed.streamEntry.EffectiveAt, previous.merged.EffectiveAt)
+		merged.ExpiresAt = max(committed.streamEntry.ExpiresAt, previous.merged.ExpiresAt)
+		if committed.streamEntry.Kind == distribution.Drain {
+			merged.EffectiveAt = min(committed.streamEntry.EffectiveAt, previous.merged.EffectiveAt)
 		}
 	}
 	l.latestByKey[committed.key] = committed
@@ -123,8 +123,8 @@
 
 // supersedeGroup marks the purges of a group's objects that a purge of the group supersedes.
 func (l *storeLog) supersedeGroup(committed *logEntry) {
-	group := committed.published.Group
-	switch committed.published.Kind {
+	group := committed.streamEntry.Group
+	switch committed.streamEntry.Kind {
 	case distribution.PurgeObject:
 		l.objectPurgesByGroup[group] = append(l.objectPurgesByGroup[group], committed)
 	case distribution.PurgeGroup:
@@ -147,11 +147,11 @@
 	if length == 0 {
 		return nil
 	}
-	through := l.streams[stream][length-1].published.Sequence
+	through := l.streams[stream][length-1].streamEntry.Sequence
 	var out []distribution.Entry
 	for _, committed := range l.streams[stream][:length] {
 		if committed.inEffect(through, now) {
-			out = append(out, committed.published)
+			out = append(out, committed.streamEntry)
 		}
 	}
 	return out
--- a/internal/lab/hollow/trace.go
+++ b/internal/lab/hollow/trace.go
@@ -91,8 +91,8 @@
 	return t.blocks[block][index].unpack(), true
 }
 
-// atBound reports whether all that fits into a trace has been read.
-func (t *callTrace) atBound() bool { return t.readPosition >= maxBlocks*callsPerBlock }
+// readToLimit reports whether all that fits into a trace has been read.
+func (t *callTrace) readToLimit() bool { return t.readPosition >= maxBlocks*callsPerBlock }
 
 // replayer is a propagator without deciders: each call plays back what the trace recorded for it.
 type replayer struct {
--- a/internal/lab/hollow/tree.go
+++ b/internal/lab/hollow/tree.go
@@ -72,7 +72,7 @@
 func (t *treePropagator) entriesApplied(member *process, applied []*logEntry, watermarkAt int64) {
 	var byStream [streamCount][]distribution.Entry
 	for _, entry := range applied {
-		byStream[entry.stream] = append(byStream[entry.stream], entry.published)
+		byStream[entry.stream] = append(byStream[entry.stream], entry.streamEntry)
 	}
 	for stream, entries := range byStream {
 		if len(entries) == 0 {
@@ -87,7 +87,7 @@
 		last := t.sim.log.streams[stream][member.applied[stream]-1]
 		member.applied[stream] += len(entries)
 		t.handleAtDistributor(member, stream, distribution.Apply{
-			Epoch: storeEpoch, After: last.published.Sequence, Through: through, Entries: entries,
+			Epoch: storeEpoch, After: last.streamEntry.Sequence, Through: through, Entries: entries,
 			Watermark: distribution.Watermark{Sequence: through, At: watermarkAt},
 		})
 	}
@@ -96,7 +96,7 @@
 // installAtRoot hands the distributor of a member of the store the member's state.
 func (t *treePropagator) installAtRoot(member *process, stream int, watermarkAt int64) {
 	length := member.applied[stream]
-	through := t.sim.log.streams[stream][length-1].published.Sequence
+	through := t.sim.log.streams[stream][length-1].streamEntry.Sequence
 	t.handleAtDistributor(member, stream, distribution.InstallSnapshot{
 		Epoch: storeEpoch, Through: through, Entries: t.sim.log.snapshot(stream, length, int64(t.sim.clockOf(member))),
 		Watermark: distribution.Watermark{Sequence: through, At: watermarkAt},
@@ -107,7 +107,7 @@
 func (t *treePropagator) watermarkAdvanced(member *process, watermarkAt int64) {
 	for stream, log := range t.sim.log.streams {
 		if length := member.applied[stream]; length > 0 {
-			watermark := distribution.Watermark{Sequence: log[length-1].published.Sequence, At: watermarkAt}
+			watermark := distribution.Watermark{Sequence: log[length-1].streamEntry.Sequence, At: watermarkAt}
 			t.handleAtDistributor(member, stream, distribution.AdvanceWatermark{Epoch: storeEpoch, Watermark: watermark})
 		}
 	}
