--- a/internal/lab/hollow/applier.go
+++ b/internal/lab/hollow/applier.go
@@ -11,38 +11,37 @@
 	"ravenwheel/policy"
 )
 
-// moduleUptimeMs is how long the policy module has run by its own clock when a run begins. Its clock may not read 0, which means
-// "no time" there.
+// moduleUptimeMs is the reading of the policy module's clock in ms when a run begins. It is not 0, which means "no time" there.
 const moduleUptimeMs = 3_600_000
 
-// membershipSource is the source that the membership table has server lists from.
+// membershipSource is the name of the membership table's only source of server lists.
 const membershipSource = "store"
 
-// applier is what entries change in a full process: the policy module's lists and purges, the membership table, the parsed
-// configuration and, where the process holds it, the committed state.
+// applier applies entries in a full process. It holds what they change: the policy module's lists and purges, the membership
+// table, the parsed configuration and, in some processes, the store's committed state.
 type applier struct {
 	sim       *simulation
 	process   *process
 	router    *policy.Router
 	table     *membership.Table
-	state     *storestate.State // of members of the store and in ModeDirect; nil: not held
-	live      *config.Live      // kept, so that it counts as heap of the process
-	revision  uint64            // number of live
-	actions   []policy.Action   // buffer of the router
-	lastError error             // the last entry that could not be applied
+	state     *storestate.State // held by members of the store, and by all processes in ModeDirect; nil: not held
+	live      *config.Live      // never read; kept so that it counts in the heap of the process
+	revision  uint64            // number of the revision in live
+	actions   []policy.Action   // buffer for the router's actions, which are ignored
+	lastError error             // why the last entry that failed could not be applied
 }
 
 func newApplier(sim *simulation, p *process, withState bool) *applier {
 	a := &applier{sim: sim, process: p}
 	var err error
 	if a.router, err = policy.New(moduleSettings(sim.scenario.ZoneProcesses), uint64(p.id)+1); err != nil {
-		panic(fmt.Sprintf("hollow: settings of the policy module: %v", err))
+		panic(fmt.Sprintf("hollow: invalid settings of the policy module: %v", err))
 	}
 	a.table, err = membership.New(membership.Settings{
 		Sources: []membership.Source{{Name: membershipSource}}, DrainTimeout: 2000, GoneRetention: 60_000, WeightStep: 2, WeightInterval: 1000,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("hollow: settings of the membership table: %v", err))
+		panic(fmt.Sprintf("hollow: invalid settings of the membership table: %v", err))
 	}
 	if withState {
 		a.state = storestate.New()
@@ -50,7 +49,8 @@
 	return a
 }
 
-// moduleSettings are the policy module's settings for a zone of so many processes, with three typical request classes.
+// moduleSettings are the policy module's settings for a zone with the given number of routers, with three typical request
+// classes.
 func moduleSettings(routers int) policy.Settings {
 	ms := func(v int) time.Duration { return time.Duration(v) * time.Millisecond }
 	return policy.Settings{
@@ -64,7 +64,7 @@
 	}
 }
 
-// now is the time on the process's clock in Unix ms, and on the policy module's.
+// now returns the time on the process's clock in Unix ms, and the same instant on the policy module's clock.
 func (a *applier) now() (float64, policy.Time) {
 	at := a.sim.clockOf(a.process)
 	return at, policy.Time((at - startUnixMs + moduleUptimeMs) * 1e6)
@@ -87,7 +87,7 @@
 	}
 }
 
-// age is the time since a Unix time in ms, at the least 0.
+// age is the time that has passed since a Unix time in ms, or 0 for a time in the future.
 func age(now float64, since int64) time.Duration {
 	return time.Duration(max(0, now-float64(since)) * 1e6)
 }
@@ -108,14 +108,14 @@
 	a.live, a.revision = live, entry.Version
 }
 
-// applyList applies the server list of the process's own zone, and ignores those of others.
+// applyList applies the server list of the process's own zone, and ignores the lists of other zones.
 func (a *applier) applyList(now float64, entry distribution.Entry) {
 	if entry.Name != listName(a.process.zone) {
 		return
 	}
 	change, err := storestate.DecodeChange(entry.Body)
 	if err != nil || change.List == nil {
-		a.lastError = fmt.Errorf("list of %s: %v", entry.Name, err)
+		a.lastError = fmt.Errorf("server list %s cannot be decoded: %v", entry.Name, err)
 		return
 	}
 	a.installList(now, change.List)
@@ -136,13 +136,13 @@
 	}
 }
 
-// tableTimerFired hands the membership table the tick that it asked for.
+// tableTimerFired passes the membership table the tick that it asked for.
 func (a *applier) tableTimerFired() {
 	now, _ := a.now()
 	a.updateTable(now, membership.Tick{})
 }
 
-// updateTable hands the membership table an event, and carries out its actions.
+// updateTable passes an event to the membership table, and executes the actions that the table returns.
 func (a *applier) updateTable(now float64, e membership.Event) {
 	for _, action := range a.table.Handle(now, e, nil) {
 		switch action := action.(type) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// publish hands the policy module the members that the table publishes.
+// publish passes the members that the table publishes to the policy module.
 func (a *applier) publish(published membership.Publish) {
 	members := policy.Members{Kind: policy.ListChanges, Version: int64(published.Version)}
 	if published.Complete {
@@ -167,7 +167,8 @@
 	a.actions = a.router.Handle(now, members, a.actions[:0])
 }
 
-// applyChange applies an entry of the store's log, as a member of the store and a follower of ModeDirect do.
+// applyChange applies an entry of the store's log. Members of the store and, in ModeDirect, followers receive entries in this
+// form.
 func (a *applier) applyChange(encoded []byte) {
 	change, err := storestate.DecodeChange(encoded)
 	if err != nil {
--- a/internal/lab/hollow/call_meter.go
+++ b/internal/lab/hollow/call_meter.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// callsPerSample is how many calls of a role's full processes pass for each that is timed. Reading the clock costs about as much as
-// a short call.
+// callsPerSample is the number of calls of a role's full processes of which one is timed. Not every call is timed, as reading the
+// clock costs about as much as a short call.
 const callsPerSample = 16
 
 // callMeter calls the propagator on behalf of the simulation. It counts the calls by role, and times a sample of them.
 type callMeter struct {
 	roles       [roleCount]CallStats
-	sinceSample [roleCount]int
+	sinceSample [roleCount]int // calls of full processes since the last one that was timed
 }
 
 // CallStats counts the calls of a role's processes.
 type CallStats struct {
 	Calls      int64 `json:"calls"`   // of all processes
 	FullCalls  int64 `json:"whole"`   // of full processes
-	TimedCalls int64 `json:"sampled"` // of these, timed
+	TimedCalls int64 `json:"sampled"` // of full processes, that were timed
 	TimedNanos int64 `json:"nanos"`   // wall-clock time of the timed calls
 }
 
-// beginCall counts a call. It returns the current time if the call is to be timed, and else the zero Time.
+// beginCall counts a call. It returns the current time if the call is to be timed, and otherwise the zero Time.
 func (m *callMeter) beginCall(p *process) (began time.Time) {
 	stats := &m.roles[p.role]
 	stats.Calls++
@@ -36,7 +36,7 @@
 	return time.Now()
 }
 
-// endCall ends a call that beginCall began.
+// endCall ends a call that beginCall has counted, and records its end in the trace.
 func (m *callMeter) endCall(sim *simulation, p *process, began time.Time) {
 	if !began.IsZero() {
 		stats := &m.roles[p.role]
@@ -52,7 +52,7 @@
 	m.endCall(sim, p, began)
 }
 
-// entriesApplied also has the member's applier apply the entries, as the store does in the program.
+// entriesApplied also applies the entries with the member's applier, as the program's store does before it reports them.
 func (m *callMeter) entriesApplied(sim *simulation, member *process, entries []*logEntry, watermarkAt int64) {
 	began := m.beginCall(member)
 	if member.applier != nil {
--- a/internal/lab/hollow/changes.go
+++ b/internal/lab/hollow/changes.go
@@ -12,7 +12,7 @@
 	"ravenwheel/policy"
 )
 
-// Times of the program's purges: caches drop purged copies within purgeDurationMs, and may be notified purgeGraceMs late.
+// Times of the program's purges: caches drop purged copies within purgeDurationMs, and may be notified up to purgeGraceMs late.
 const (
 	purgeDurationMs = 6000
 	purgeGraceMs    = 1000
@@ -23,13 +23,14 @@
 const (
 	// objectGroups is the number of groups that objects belong to.
 	objectGroups = 400
-	// objectSkew is the exponent that makes few objects the target of many purges.
+	// objectSkew is the exponent applied to a uniform random number in [0, 1) that selects an object. A value above 1 makes few
+	// objects the target of many purges.
 	objectSkew = 3
-	// serverPort is that of the servers in lists.
+	// serverPort is the port of all servers in the lists.
 	serverPort = 4100
 )
 
-// Of changeWeightTotal changes listChangeWeight are server lists and revisionChangeWeight revisions; the others start or end a drain.
+// Relative frequencies of the kinds of changes, out of changeWeightTotal. The remaining changes start or end a drain.
 const (
 	changeWeightTotal    = 10
 	listChangeWeight     = 4
@@ -38,7 +39,7 @@
 
 const secondsPerDay = 86_400
 
-// propose draws the changes that are proposed in so many ms, each by a member of the store.
+// propose generates the changes that are proposed within the given ms, each by a random member of the store.
 func (l *storeLog) propose(sim *simulation, ms float64) (out []*logEntry) {
 	members := sim.byRole[StoreMember]
 	proposer := func() *process { return members[l.rand.IntN(len(members))] }
@@ -51,7 +52,7 @@
 	return out
 }
 
-// newPurge draws a purge of an object or of a group.
+// newPurge generates a purge of a random object or of that object's group.
 func (l *storeLog) newPurge(sim *simulation, proposer *process) *logEntry {
 	issuedAt := math.Ceil(sim.clockOf(proposer))
 	object := int(float64(sim.scenario.Objects) * math.Pow(l.rand.Float64(), objectSkew))
@@ -74,7 +75,7 @@
 	return &logEntry{streamEntry: entry, stream: purgeStream, encodedChange: encoded}
 }
 
-// newChange draws a change of a server list, of the configuration or of a drain.
+// newChange generates a server list, a revision of the configuration, or the start or end of a drain.
 func (l *storeLog) newChange(sim *simulation, proposer *process) *logEntry {
 	switch n := l.rand.IntN(changeWeightTotal); {
 	case n < listChangeWeight:
@@ -85,7 +86,7 @@
 	return l.newDrain(sim, proposer)
 }
 
-// newDrain draws a server, and starts its drain or ends the one in progress.
+// newDrain selects a random server, and starts its drain or ends the one in progress.
 func (l *storeLog) newDrain(sim *simulation, proposer *process) *logEntry {
 	server := l.rand.IntN(sim.zones * sim.scenario.ZoneServers)
 	change := storestate.Change{
@@ -100,7 +101,7 @@
 	return &logEntry{streamEntry: entry, stream: changeStream, encodedChange: l.encode(change)}
 }
 
-// newRevision makes the next revision of the configuration, filled up to the scenario's size with a comment.
+// newRevision generates the next revision of the configuration, padded with a comment to the scenario's RevisionBytes.
 func (l *storeLog) newRevision(sim *simulation) *logEntry {
 	l.revisionNumber++
 	text := fmt.Sprintf(`{"limits": {"requests": %d, "connect_ms": 300, "idle_ms": 60000, "streams_per_connection": 64}}`, 1000+l.revisionNumber)
@@ -111,7 +112,7 @@
 	return &logEntry{streamEntry: entry, stream: changeStream, encodedChange: l.encode(change)}
 }
 
-// newList makes the next generation of a zone's server list, with weights drawn anew.
+// newList generates the next generation of a zone's server list, with new random weights.
 func (l *storeLog) newList(sim *simulation, zone int) *logEntry {
 	l.listGenerations[zone]++
 	list := &storestate.List{Generation: l.listGenerations[zone]}
@@ -131,7 +132,7 @@
 // listName is the name of a zone's server list.
 func listName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// encode gives a change a random id and encodes it for the store's log.
+// encode assigns a random id to a change and encodes it for the store's log.
 func (l *storeLog) encode(change storestate.Change) []byte {
 	change.ID = fmt.Sprintf("%016x", l.rand.Uint64())
 	raw, err := storestate.Encode(change)
@@ -141,7 +142,8 @@
 	return raw
 }
 
-// poisson draws a Poisson-distributed count by Knuth's method. That underflows for large means, which are drawn in parts.
+// poisson returns a Poisson-distributed random count by Knuth's method. As that method underflows for large means, these are split
+// into parts whose counts are added.
 func poisson(rng *rand.Rand, mean float64) int {
 	const part = 20
 	n := 0
--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxViolationTexts bounds the violations that are kept in words. All are counted.
+	// maxViolationTexts is the number of violations whose texts are kept. All violations are counted.
 	maxViolationTexts = 50
 	// lagCheckInterval is the time in ms between two checks of all processes' lag.
 	lagCheckInterval = 200.0
@@ -19,26 +19,27 @@
 	latencyDigits    = 3
 )
 
-// checker compares what processes apply with what was committed: every entry once, in order and unchanged; none that was not
-// committed; and no process that lags beyond MaxLagMs without its freshness gate saying so. It asks no decider.
+// checker compares what processes apply with what was committed. Each process must apply every entry once, in order and unchanged,
+// and no entry that was not committed; one that lags by more than MaxLagMs must have its freshness gate closed. The checker does
+// not ask the deciders under test.
 type checker struct {
 	sim            *simulation
 	violations     int
 	violationTexts []string
 
 	incompleteProcesses int // ModeDirect: processes that lack entries at the end
-	maxMissing          int // ModeDirect: entries that the worst of them lacks
+	maxMissing          int // ModeDirect: most entries that one of them lacks
 
-	latency           [streamCount]*hdrhistogram.Histogram // µs from commit, at processes that were connectable all the time
-	latencyAfterFault [streamCount]*hdrhistogram.Histogram // µs from when the process became connectable, at the others
-	gatedMs           float64                              // over all processes and streams, time with the gate closed
-	needlesslyGatedMs float64                              // the part of it in which the process did not lag
+	latency           [streamCount]*hdrhistogram.Histogram // µs from commit, at processes that were connectable throughout
+	latencyAfterFault [streamCount]*hdrhistogram.Histogram // µs from when the process became connectable again, at the others
+	gatedMs           float64                              // sum over processes and streams of the time with the gate closed
+	needlesslyGatedMs float64                              // part of gatedMs in which the process did not lag, see checkGate
 }
 
-// omittedEntry is an entry that a batch left out because a later one supersedes it. It counts as applied with that one.
+// omittedEntry is an entry that a batch omitted because a later entry supersedes it. It counts as applied once the later entry is.
 type omittedEntry struct {
-	stream, index int // place in the store's log
-	supersededBy  uint64
+	stream, index int    // position in the log of a stream
+	supersededBy  uint64 // sequence number of the later entry
 }
 
 func newChecker(sim *simulation) *checker {
@@ -55,10 +56,10 @@
 
 // recordLatency adds a latency in ms, rounded up to whole µs.
 func recordLatency[T float32 | float64](h *hdrhistogram.Histogram, ms T) {
-	_ = h.RecordValue(int64(ms*1000) + 1) // what is out of range is left out
+	_ = h.RecordValue(int64(ms*1000) + 1) // a latency out of range is not recorded
 }
 
-// violation records a broken rule.
+// violation records a violation, with the virtual time since the start of the run.
 func (c *checker) violation(format string, args ...any) {
 	c.violations++
 	if len(c.violationTexts) < maxViolationTexts {
@@ -66,8 +67,8 @@
 	}
 }
 
-// recordApplied records the latency of an entry that a process has applied now. A process that is slow or partitioned is
-// expected to be late.
+// recordApplied records the latency of an entry that a process has applied now. It skips processes that are slow or partitioned,
+// as these are expected to be late.
 func (c *checker) recordApplied(p *process, entry *logEntry) {
 	if p.receiveRate > 0 || p.partitioned {
 		return
@@ -83,7 +84,7 @@
 	recordLatency(c.latency[entry.stream], latency)
 }
 
-// advance records that a process has applied a stream up to a sequence number, but for omitted entries.
+// advance records that a process has applied a stream up to a sequence number. Omitted entries are left to resolveOmitted.
 func (c *checker) advance(p *process, stream int, through uint64) {
 	log := c.sim.log.streams[stream]
 	for p.applied[stream] < len(log) && log[p.applied[stream]].streamEntry.Sequence <= through {
@@ -97,11 +98,12 @@
 	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(batch.Through)})
 	log, next := c.sim.log.streams[stream], p.applied[stream]
 	if next < len(log) && log[next].streamEntry.Sequence <= batch.After {
-		c.violation("%s: stream %d goes on after %d, and lacks %d", p.name, stream, batch.After, log[next].streamEntry.Sequence)
+		c.violation("%s: stream %d: a batch continues after entry %d, but entry %d has not been applied",
+			p.name, stream, batch.After, log[next].streamEntry.Sequence)
 	}
 	entries := batch.Entries
 	var contents snapshotContents
-	if batch.Atomic { // made of a snapshot, so that its sequence numbers say only the order
+	if batch.Atomic { // made of a snapshot, so that its sequence numbers give only the order
 		contents, entries = c.readSnapshot(p, stream, entries), nil
 	}
 	for ; next < len(log) && log[next].streamEntry.Sequence <= batch.Through; next++ {
@@ -118,7 +120,8 @@
 		}
 	}
 	if len(entries) > 0 {
-		c.violation("%s: stream %d: %d was never committed, or comes twice or out of order", p.name, stream, entries[0].Sequence)
+		c.violation("%s: stream %d: entry %d was never committed, is repeated or is out of order",
+			p.name, stream, entries[0].Sequence)
 	}
 	c.checkAllMatched(p, stream, contents)
 	p.applied[stream] = next
@@ -127,11 +130,12 @@
 
 func (c *checker) checkUnchanged(p *process, stream int, got distribution.Entry, want *logEntry) {
 	if !want.matches(got) {
-		c.violation("%s: stream %d: not what was committed: %s, wanted %s", p.name, stream, describe(got), describe(want.streamEntry))
+		c.violation("%s: stream %d: an entry differs from the committed one: got %s, want %s",
+			p.name, stream, describe(got), describe(want.streamEntry))
 	}
 }
 
-// checkOmission checks that a batch may lack an entry: because it has expired, or because a later entry up to the watermark
+// checkOmission checks that a batch omits an entry for a valid reason: it has expired, or a later entry up to the watermark
 // supersedes it.
 func (c *checker) checkOmission(p *process, stream, index int, batch distribution.Apply) {
 	entry := c.sim.log.streams[stream][index]
@@ -145,11 +149,12 @@
 	case entry.streamEntry.ExpiresAt > 0 && entry.streamEntry.ExpiresAt <= batch.Watermark.At:
 		c.recordApplied(p, entry)
 	default:
-		c.violation("%s: stream %d: %d is missing between %d and %d", p.name, stream, entry.streamEntry.Sequence, batch.After, batch.Through)
+		c.violation("%s: stream %d: entry %d is missing in the batch after %d through %d",
+			p.name, stream, entry.streamEntry.Sequence, batch.After, batch.Through)
 	}
 }
 
-// resolveOmitted records as applied what was omitted and is superseded by an entry up to a sequence number.
+// resolveOmitted records as applied those omitted entries that an entry up to a sequence number supersedes.
 func (c *checker) resolveOmitted(p *process, stream int, through uint64) {
 	remaining := p.omitted[:0]
 	for _, omitted := range p.omitted {
@@ -162,13 +167,13 @@
 	p.omitted = remaining
 }
 
-// gated reports whether the process's freshness gate keeps strict classes from copies, by the process's clock. It also holds
-// where the gate had no event since it closed.
+// gated reports whether the process's freshness gate is closed at a time on the process's clock: it then keeps requests of strict
+// classes from cached copies. A gate also closes with time, without an event.
 func (p *process) gated(stream int, now float64) bool {
 	return p.gates[stream] != nil && !math.IsInf(p.gates[stream].OldestCopy(now), -1)
 }
 
-// lag is for how many ms a process has lacked something that was committed. 0: it lacks nothing.
+// lag is the time in ms since the commit of the first entry that a process lacks, or 0 if it lacks none.
 func (c *checker) lag(p *process, stream int) float64 {
 	log, next := c.sim.log.streams[stream], p.applied[stream]
 	if next == len(log) {
@@ -198,11 +203,15 @@
 	c.sim.maxLag = max(c.sim.maxLag, maxLag)
 }
 
+// checkGate checks the gate of a process that lags by the given ms, and adds up the time with the gate closed. A gate closes
+// MaxClockSkewMs before the lag reaches MaxLagMs, and the clocks may differ by as much again. A gate that is closed at a smaller
+// lag is closed needlessly.
 func (c *checker) checkGate(p *process, stream int, lag float64) {
 	scenario := c.sim.scenario
 	if !p.gated(stream, c.sim.clockOf(p)) {
 		if lag > scenario.MaxLagMs && c.sim.propagator.hasFreshnessGate() {
-			c.violation("%s: stream %d lacks what was committed %.0f ms ago, and does not say so", p.name, stream, lag)
+			c.violation("%s: stream %d: an entry committed %.0f ms ago has not been applied, but the freshness gate is open",
+				p.name, stream, lag)
 		}
 		return
 	}
@@ -212,8 +221,8 @@
 	}
 }
 
-// checkComplete checks at the end of a run that no process lacks an entry. In ModeDirect it only counts them, as no process
-// there says that it lags.
+// checkComplete checks at the end of a run that no process lacks an entry. In ModeDirect it only counts the processes that do, as
+// they have no freshness gate and may lag.
 func (c *checker) checkComplete() {
 	if !c.sim.propagator.hasFreshnessGate() {
 		c.countMissing()
@@ -225,11 +234,12 @@
 		}
 		for stream, log := range c.sim.log.streams {
 			if p.applied[stream] < len(log) {
-				c.violation("%s: stream %d lacks %d of %d entries at the end", p.name, stream, len(log)-p.applied[stream], len(log))
+				c.violation("%s: stream %d: %d of %d entries have not been applied at the end of the run",
+					p.name, stream, len(log)-p.applied[stream], len(log))
 			}
 		}
 		if len(p.omitted) > 0 {
-			c.violation("%s: %d entries were left out, and what covers them never came", p.name, len(p.omitted))
+			c.violation("%s: %d entries were omitted, and the entries that supersede them never arrived", p.name, len(p.omitted))
 		}
 	}
 }
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -10,44 +10,44 @@
 // Behaviour of hashicorp/raft 1.6, which ModeDirect models. Times are in ms.
 const (
 	raftMaxEntries      = 64 // in a request
-	raftMaxInFlight     = 2  // requests to one follower
+	raftMaxInFlight     = 2  // requests to one follower that have no response yet
 	raftMinBackoff      = 10.0
 	raftMaxBackoff      = 10_240.0
-	raftMaxDoublings    = 12 // of the backoff
+	raftMaxDoublings    = 12 // of raftMinBackoff
 	raftResponseTimeout = 2000.0
-	raftHeartbeatMean   = 150.0
-	// leaderTimerInterval is the resolution of the leader's timers in the model.
+	raftHeartbeatMean   = 150.0 // mean interval
+	// leaderTimerInterval is the interval at which the leader checks all its followers. It is the resolution of the model's timers.
 	leaderTimerInterval = 20.0
 )
 
-// directPropagator implements ModeDirect: every process is a non-voting member of the store's cluster, to which the leader
-// sends every entry and heartbeats, as hashicorp/raft does. The algorithm is a model with the message sizes of the real
-// transport (see measureRaftSizes); followers apply entries with the program's code.
+// directPropagator implements ModeDirect: every process that is not a member of the store is a non-voting follower in its cluster.
+// The leader sends every entry and heartbeats to each follower, as hashicorp/raft does. Replication is a model of that library and
+// uses the message sizes of its transport (see measureRaftSizes); followers apply entries with the program's code.
 type directPropagator struct {
 	sim               *simulation
 	sizes             raftSizes
 	replications      []*followerReplication // by process id; nil for members of the store
-	replicatingLeader *process               // that the replications belong to
+	replicatingLeader *process               // the leader whose state replications is
 	replicatingTerm   int
-	rand              *rand.Rand // of heartbeats
+	rand              *rand.Rand // for the times of heartbeats
 }
 
-// followerReplication is the leader's state of one follower.
+// followerReplication is the leader's state of the replication to one follower. Times are virtual, in ms.
 type followerReplication struct {
 	follower    *process
-	conn        *conn // nil: not connected
-	next        int   // index in the store's log of the next entry to send
-	matched     int   // entries that the follower is known to have
-	inFlight    int   // requests without a response
-	failures    int
-	retryAt     float64 // when to connect again; 0: not waiting
+	conn        *conn   // nil: not connected
+	next        int     // index in the store's log of the next entry to send
+	matched     int     // entries that the follower is known to have
+	inFlight    int     // requests without a response
+	failures    int     // since the last response
+	retryAt     float64 // when to connect again; 0: not backing off
 	responseDue float64 // when the follower counts as failed; 0: no response expected
-	heartbeatAt float64
+	heartbeatAt float64 // when the next heartbeat is due
 }
 
 // appendMessage is a request of the leader, or a follower's response. A request without entries is a heartbeat.
 type appendMessage struct {
-	from, to   int // range of the store's log
+	from, to   int // range of indices in the store's log; a response repeats `to`
 	isResponse bool
 	persisted  int // of a response: entries that the follower has
 }
@@ -61,10 +61,10 @@
 	}
 }
 
-// hasFreshnessGate implements propagator: a follower does not know that it lags.
+// hasFreshnessGate implements propagator. A follower cannot tell that it lags, so that it has no gate.
 func (d *directPropagator) hasFreshnessGate() bool { return false }
 
-// processStarted implements propagator. A follower applies the log that it has on disk.
+// processStarted implements propagator. A follower applies the log that it has persisted.
 func (d *directPropagator) processStarted(p *process) {
 	if p.full {
 		p.applier = newApplier(d.sim, p, true)
@@ -97,10 +97,10 @@
 	}
 }
 
-// watermarkAdvanced implements propagator: followers receive no watermarks.
+// watermarkAdvanced implements propagator. It does nothing, as followers receive no watermarks.
 func (d *directPropagator) watermarkAdvanced(*process, int64) {}
 
-// startReplication has a new leader connect to all followers.
+// startReplication connects a new leader to all followers. It does nothing if the leader has done so in this term.
 func (d *directPropagator) startReplication(leader *process) {
 	if d.replicatingLeader == leader && d.replicatingTerm == d.sim.term {
 		return
@@ -108,7 +108,7 @@
 	d.replicatingLeader, d.replicatingTerm = leader, d.sim.term
 	d.replications = make([]*followerReplication, len(d.sim.processes))
 	if d.sim.scenario.LeaderOutKBPerS > 0 {
-		leader.sendRate = d.sim.scenario.LeaderOutKBPerS // KB a second are bytes a ms
+		leader.sendRate = d.sim.scenario.LeaderOutKBPerS // KB/s are bytes per ms
 	}
 	for _, p := range d.sim.processes {
 		if p.role == StoreMember {
@@ -130,7 +130,7 @@
 	d.sim.dial(d.sim.leader, r.follower, 0, distribution.Link(r.follower.id+1))
 }
 
-// sendMissing sends a follower the entries that it lacks, as far as the bound on requests in flight allows.
+// sendMissing sends a follower the entries that it lacks, up to raftMaxInFlight requests in flight.
 func (d *directPropagator) sendMissing(r *followerReplication) {
 	entries := d.sim.log.entries
 	for r.conn != nil && r.inFlight < raftMaxInFlight && r.next < len(entries) {
@@ -157,7 +157,7 @@
 	d.handleResponse(p, c, content.appendMessage)
 }
 
-// handleRequest has a follower persist and apply the entries of a request that follow what it has.
+// handleRequest persists and applies, at a follower, the entries of a request that follow those it has, and sends the response.
 func (d *directPropagator) handleRequest(p *process, c *conn, request *appendMessage) {
 	if request.to > request.from && request.from <= p.persisted && request.to > p.persisted {
 		for _, entry := range d.sim.log.entries[p.persisted:request.to] {
@@ -208,7 +208,7 @@
 	}
 }
 
-// backOff disconnects from a follower that failed, until the next attempt.
+// backOff disconnects from a follower that failed, and schedules the next attempt to connect.
 func (d *directPropagator) backOff(r *followerReplication) {
 	if r.conn != nil {
 		d.sim.disconnect(r.conn, d.sim.leader)
@@ -237,7 +237,7 @@
 	}
 }
 
-// checkFollower does what is due for one follower: give it up, connect again, or send a heartbeat.
+// checkFollower does what is due for one follower: disconnect after a missing response, connect again, or send a heartbeat.
 func (d *directPropagator) checkFollower(r *followerReplication) {
 	now := d.sim.now
 	switch {
--- a/internal/lab/hollow/event_queue.go
+++ b/internal/lab/hollow/event_queue.go
@@ -6,29 +6,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// eventKind is what an event does.
+// eventKind selects how an event is handled.
 type eventKind uint8
 
 const (
 	eventDeliver        eventKind = iota // a message arrives
-	eventConnected                       // a handshake has ended
+	eventConnected                       // a handshake is complete
 	eventConnectionLost                  // a process learns that a connection has ended
-	eventTimer                           // a process's timer
-	eventCall                            // anything else; these are few
+	eventTimer                           // a process's timer is due
+	eventCall                            // event.call is called; used for all that is rare
 )
 
-// event happens at a virtual time. Events of one instant happen in the order in which they were pushed.
+// event happens at a virtual time. Events at the same time happen in the order in which they were pushed.
 type event struct {
 	at          float64 // ms
 	sequence    uint64  // order of pushing
 	conn        *conn
 	payload     *payload
-	call        func()
-	process     *process // that handles it
+	call        func()   // of an eventCall
+	process     *process // that handles the event
 	kind        eventKind
 	slot        timerSlot
-	upward      bool   // from the subscriber to the distributor
-	incarnation uint32 // of process
+	upward      bool   // message goes from the subscriber to the distributor
+	incarnation uint32 // of process when the event was pushed
 }
 
 func (e *event) before(other *event) bool {
@@ -38,7 +38,7 @@
 // heapArity is the number of children of a node in an eventQueue.
 const heapArity = 4
 
-// eventQueue is a heap of events by time, and the virtual clock. Events are values and not closures, as a run has hundreds of
+// eventQueue is a heap of events by time, with the virtual clock. Events are values and not closures, as a run has hundreds of
 // millions of them.
 type eventQueue struct {
 	heap         []event
@@ -47,7 +47,7 @@
 	processed    uint64
 }
 
-// push adds an event, at the earliest now.
+// push adds an event. One whose time has passed happens now.
 func (q *eventQueue) push(e event) {
 	q.lastSequence++
 	e.sequence, e.at = q.lastSequence, max(e.at, q.now)
@@ -64,7 +64,7 @@
 	q.heap[i] = e
 }
 
-// after schedules a call so many ms from now.
+// after schedules a call in the given number of ms.
 func (q *eventQueue) after(ms float64, call func()) {
 	q.push(event{at: q.now + ms, kind: eventCall, call: call})
 }
@@ -77,7 +77,7 @@
 	e = q.heap[0]
 	last := len(q.heap) - 1
 	moved := q.heap[last]
-	q.heap[last] = event{} // releases what it refers to
+	q.heap[last] = event{} // lets the garbage collector free what the event refers to
 	q.heap = q.heap[:last]
 	if last > 0 {
 		q.siftDown(moved)
@@ -87,7 +87,7 @@
 	return e, true
 }
 
-// siftDown puts an event into the heap whose root is free.
+// siftDown inserts an event into the heap, whose root is free.
 func (q *eventQueue) siftDown(e event) {
 	n, i := len(q.heap), 0
 	for {
@@ -110,7 +110,8 @@
 	q.heap[i] = e
 }
 
-// newRand returns a generator for one purpose, so that what is drawn for another does not change its sequence.
+// newRand returns a random number generator for one purpose. Each purpose has its own, so that the use of one does not change the
+// sequence of another.
 func newRand(seed uint64, purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -6,7 +6,7 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// scheduleFaults schedules the scenario's faults, the phases between their starts and ends, and the watch for recovery.
+// scheduleFaults schedules the scenario's faults, the phases between their starts and ends, and the measurement of recoveries.
 func (sim *simulation) scheduleFaults() {
 	boundaries := map[float64]bool{}
 	for _, fault := range sim.scenario.Timeline() {
@@ -34,7 +34,7 @@
 // end is the virtual time in ms at which a fault ends.
 func (f Fault) end() float64 { return f.start() + f.ForSeconds*1000 }
 
-// injectFault begins a fault. What a fault changes in single processes it also schedules the end of; endFault does the rest.
+// injectFault begins a fault. For a fault of chosen processes it also schedules the end; endFault ends the others.
 func (sim *simulation) injectFault(f Fault) {
 	switch f.Kind {
 	case FaultLeader:
@@ -69,7 +69,7 @@
 	}
 }
 
-// affectedProxies is how many proxies a fault of a fraction of them affects.
+// affectedProxies is the number of proxies that a fault with a Fraction affects.
 func (f Fault) affectedProxies(sim *simulation) int {
 	return int(math.Ceil(f.Fraction * float64(len(sim.byRole[Proxy]))))
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-// pickRunning draws up to n running processes.
+// pickRunning selects up to n running processes at random.
 func (sim *simulation) pickRunning(from []*process, n int) (picked []*process) {
 	for _, i := range sim.faultRand.Perm(len(from)) {
 		if len(picked) < n && from[i].running() {
@@ -136,7 +136,7 @@
 	return picked
 }
 
-// kill ends a process, which loses all but what it has on disk.
+// kill ends a process, which loses its state except for what it has persisted.
 func (sim *simulation) kill(p *process) {
 	p.up = false
 	sim.closeAll(p)
@@ -149,7 +149,7 @@
 	sim.electLeader()
 }
 
-// restartDown starts those of the processes that are down.
+// restartDown starts those of the given processes that are down.
 func (sim *simulation) restartDown(processes []*process) {
 	for _, p := range processes {
 		if !p.up {
@@ -158,7 +158,7 @@
 	}
 }
 
-// startProcess starts a process that was killed.
+// startProcess starts a process that was killed. A member of the store then fetches the log.
 func (sim *simulation) startProcess(p *process) {
 	p.up, p.suspended, p.connectableSince = true, false, sim.now
 	sim.meter.processStarted(sim, p)
@@ -167,7 +167,7 @@
 	}
 }
 
-// resume has a stopped process go on. It handles first what arrived and what fell due meanwhile.
+// resume ends the suspension of a process. The process first handles the messages and timers that were deferred in the meantime.
 func (sim *simulation) resume(p *process) {
 	p.suspended, p.connectableSince = false, sim.now
 	deferred := p.deferredEvents
--- a/internal/lab/hollow/network.go
+++ b/internal/lab/hollow/network.go
@@ -4,15 +4,15 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// retransmissionTimeout is the delay in ms of a lost segment: about the least retransmission timeout of TCP.
+// retransmissionTimeout is the time in ms after which a lost message is sent again: about TCP's minimum retransmission timeout.
 const retransmissionTimeout = 200.0
 
 // payload is the content of a message: a frame of the distribution, or a message of ModeDirect.
 type payload struct {
-	size          int // bytes
-	frame         *distribution.Frame
-	decoded       distribution.Message // of frame, shared by the processes that only receive
-	appendMessage *appendMessage
+	size          int                  // bytes
+	frame         *distribution.Frame  // nil in ModeDirect and for replayed messages
+	decoded       distribution.Message // frame decoded, shared by the processes that are not full
+	appendMessage *appendMessage       // of ModeDirect
 }
 
 // conn is a connection that one process opened to another.
@@ -20,16 +20,16 @@
 	id              uint32
 	from, to        *process
 	stream          int
-	upstreamLink    distribution.Link // its number at from
-	subscriberLink  distribution.Link // its number at to; 0: none yet
+	upstreamLink    distribution.Link // its link number at from
+	subscriberLink  distribution.Link // its link number at to; 0: none yet
 	closed          bool              // by one side, or known to both as ended
-	broken          bool              // carries nothing, and neither side knows
-	lastUpArrival   float64           // of messages to `to`, which arrive in order
-	lastDownArrival float64           // of messages to `from`
+	broken          bool              // messages no longer pass, which neither side has noticed
+	lastUpArrival   float64           // virtual ms, of messages to `to`, which arrive in order
+	lastDownArrival float64           // virtual ms, of messages to `from`
 }
 
-// dial opens a connection: one round trip for TCP and one for TLS. A stopped process or one beyond a partition does not
-// answer; one that is down refuses.
+// dial opens a connection, which takes one round trip for TCP and one for TLS. A process that is suspended or behind a partition
+// does not answer; one that is down refuses the connection.
 func (sim *simulation) dial(from, to *process, stream int, link distribution.Link) *conn {
 	c := &conn{from: from, to: to, stream: stream, upstreamLink: link, id: uint32(len(sim.conns))}
 	sim.conns = append(sim.conns, c)
@@ -55,7 +55,7 @@
 	return c
 }
 
-// connectionOpened handles the end of a handshake.
+// connectionOpened tells the process that dialled that the handshake is complete.
 func (sim *simulation) connectionOpened(e event) {
 	p := e.process
 	if p.suspended {
@@ -67,7 +67,7 @@
 	}
 }
 
-// countBytes counts bytes that take no time on the sender's link.
+// countBytes counts bytes as traffic of both processes. They take up no time on the sender's link.
 func (sim *simulation) countBytes(from, to *process, bytes int) {
 	from.out.Bytes += int64(bytes)
 	from.phaseOutBytes += int64(bytes)
@@ -75,8 +75,8 @@
 	to.phaseInBytes += int64(bytes)
 }
 
-// send sends a message, upward to the distributor or down to the subscriber. It leaves after what the process sends already,
-// and arrives in order.
+// send sends a message, upward to the distributor or downward to the subscriber. The message leaves after those that the process is
+// already sending, and arrives after the earlier ones of its connection.
 func (sim *simulation) send(c *conn, upward bool, content *payload) {
 	from, to, lastArrival := c.from, c.to, &c.lastUpArrival
 	if !upward {
@@ -102,7 +102,7 @@
 	sim.push(event{at: *lastArrival, kind: eventDeliver, conn: c, upward: upward, payload: content, process: to, incarnation: to.incarnation})
 }
 
-// deliver handles the arrival of a message, which a stopped or slow process reads later.
+// deliver handles the arrival of a message. A suspended or slow process reads it later.
 func (sim *simulation) deliver(e event) {
 	p, c := e.process, e.conn
 	from := c.from
@@ -128,7 +128,7 @@
 	sim.readMessage(e)
 }
 
-// readMessage has the receiver handle a message.
+// readMessage counts a message as received and passes it to the receiver.
 func (sim *simulation) readMessage(e event) {
 	p, c := e.process, e.conn
 	if c.closed || c.broken {
@@ -141,7 +141,7 @@
 	sim.meter.messageReceived(sim, p, c, e.upward, e.payload)
 }
 
-// scheduleRead schedules the next read of a slow process. Once it is slow no more it reads all that is left at once.
+// scheduleRead schedules the next read of a slow process. A process that is no longer slow reads all remaining messages at once.
 func (sim *simulation) scheduleRead(p *process) {
 	incarnation, wait := p.incarnation, 0.0
 	if p.receiveRate > 0 {
@@ -159,13 +159,13 @@
 	})
 }
 
-// disconnect closes a connection on behalf of a decider. Unlike closeConn it is recorded in the trace.
+// disconnect closes a connection on behalf of a propagator. Unlike closeConn it is recorded in the trace.
 func (sim *simulation) disconnect(c *conn, by *process) {
 	sim.trace.record(tracedCall{kind: traceDisconnect, detail: boolToInt(by == c.from), id: int32(c.id)})
 	sim.closeConn(c, by)
 }
 
-// closeConn closes a connection from one side. The other side learns of it after all that was sent to it.
+// closeConn closes a connection from one side. The other side learns of it after it has received all that was sent to it.
 func (sim *simulation) closeConn(c *conn, by *process) {
 	if c.closed {
 		return
@@ -183,7 +183,7 @@
 	sim.push(event{at: at, kind: eventConnectionLost, conn: c, process: other, incarnation: other.incarnation, upward: by == c.from})
 }
 
-// connectionLost handles a process's notice of a connection that ended.
+// connectionLost tells a process that a connection has ended.
 func (sim *simulation) connectionLost(e event) {
 	if e.process.suspended {
 		e.process.deferredEvents = append(e.process.deferredEvents, e)
@@ -209,14 +209,15 @@
 	}
 }
 
-// closeAll closes the connections of a process that ends, as its kernel does.
+// closeAll closes the connections of a process that ends, as the operating system does.
 func (sim *simulation) closeAll(p *process) {
 	for len(p.conns) > 0 {
 		sim.closeConn(p.conns[len(p.conns)-1], p)
 	}
 }
 
-// partition separates a region from all others. Connections across the border break and stay broken after it has healed.
+// partition cuts a region off from all others. Connections between it and the others break, and stay broken after the partition
+// has healed.
 func (sim *simulation) partition(region int) {
 	sim.cutRegion = region
 	for _, p := range sim.processes {
