--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// checkApply checks a batch that a subscriber has the process apply.
+// checkApply checks a batch that a process's subscriber applies.
 func (c *checker) checkApply(p *process, stream int, batch distribution.Apply) {
 	c.sim.trace.record(tracedCall{kind: traceApplied, detail: stream, id: p.id, value: float64(batch.Through)})
 	log, next := c.sim.log.streams[stream], p.applied[stream]
--- a/internal/lab/hollow/page.go
+++ b/internal/lab/hollow/page.go
@@ -19,10 +19,10 @@
 //go:embed page.html
 var pageTemplate string
 
-// ErrNoRuns means that a page was asked for without results.
-var ErrNoRuns = errors.New("scale: no runs")
+// ErrNoRuns is returned by WritePage when there are no results to show.
+var ErrNoRuns = errors.New("scale: no runs to write a page of")
 
-// plottedModes are the modes in the order of a plot's legend.
+// plottedModes lists the modes in the order of a plot's legend.
 var plottedModes = []Mode{ModeLevels, ModeDirect}
 
 var modeColors = map[Mode]color.Color{
@@ -30,24 +30,24 @@
 	ModeDirect: color.RGBA{0xc4, 0x4e, 0x2a, 0xff},
 }
 
-// Size of a plot in points, and the width of its lines.
+// Size of a plot and width of its lines, in points.
 const (
 	plotWidth, plotHeight = 760, 260
 	plotLineWidth         = 1.4
 )
 
-// legendRoom is the factor by which a plot's vertical axis is extended for its legend.
+// legendRoom is the factor by which the maximum of a plot's vertical axis is raised, so that the legend covers no line.
 const legendRoom = 4
 
-// minPlotPoints is the least number of points in a plot. Fewer show no growth.
+// minPlotPoints is the least number of points in a plot, as a single point shows no growth.
 const minPlotPoints = 2
 
 // summaryRow is a run as a row of the page's table.
 type summaryRow struct {
 	*Result
-	ProxyKB     float64 // a second, both ways, mean of a proxy
-	StoreKB     float64 // a second, sent by the busiest member of the store
-	ProxyHeapMB float64
+	ProxyKB     float64 // KB/s, received and sent, mean of the proxies
+	StoreKB     float64 // KB/s, sent by the member of the store that sends most
+	ProxyHeapMB float64 // of a full proxy
 }
 
 func (r *Result) summaryRow() summaryRow {
@@ -63,26 +63,27 @@
 	return row
 }
 
-// cpuPercent is the CPU time of a process in a virtual second, in percent of a core, without the simulation's part.
+// cpuPercent is the mean CPU time of a process per virtual second, in percent of a core, without the simulation's own CPU time.
 func (r summaryRow) cpuPercent() float64 {
 	return 100 * (r.CPUSeconds - max(0, r.HarnessCPUSeconds)) / float64(r.Processes) / r.VirtualSeconds
 }
 
-// plotSpec is a figure that is plotted by the number of processes.
+// plotSpec describes a plot of one quantity over the number of processes.
 type plotSpec struct {
 	title, unit string
 	value       func(summaryRow) float64
 }
 
 var plotSpecs = []plotSpec{
-	{"Purge in force at the last process: p99 of entries", "ms", func(r summaryRow) float64 { return r.Propagation[purgeStream].P99 }},
-	{"Sent by the busiest member of the store", "KB/s", func(r summaryRow) float64 { return r.StoreKB }},
-	{"In and out of a proxy, mean", "KB/s", func(r summaryRow) float64 { return r.ProxyKB }},
-	{"Processor of the run, by process and virtual second", "% of a core", summaryRow.cpuPercent},
-	{"Heap of a proxy that holds all", "MB", func(r summaryRow) float64 { return r.ProxyHeapMB }},
+	{"Time until the last process has applied a purge, p99", "ms", func(r summaryRow) float64 { return r.Propagation[purgeStream].P99 }},
+	{"Sent by the member of the store that sends most", "KB/s", func(r summaryRow) float64 { return r.StoreKB }},
+	{"Received and sent by a proxy, mean", "KB/s", func(r summaryRow) float64 { return r.ProxyKB }},
+	{"CPU time per process and virtual second", "% of a core", summaryRow.cpuPercent},
+	{"Heap of a proxy that applies what it receives", "MB", func(r summaryRow) float64 { return r.ProxyHeapMB }},
 }
 
-// draw plots the figure on logarithmic axes with a line for each mode. It is empty for too few points.
+// draw plots the quantity on logarithmic axes with a line for each mode. It returns an empty string if there are fewer than
+// minPlotPoints points.
 func (s plotSpec) draw(rows []summaryRow) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = s.title, "processes", s.unit
@@ -112,7 +113,7 @@
 	return report.SVG(p, plotWidth, plotHeight)
 }
 
-// points are a mode's figures that a logarithmic axis can show.
+// points returns a mode's values that a logarithmic axis can show: those that are positive and finite.
 func (s plotSpec) points(rows []summaryRow, mode Mode) (points plotter.XYs) {
 	for _, row := range rows {
 		if v := s.value(row); row.Mode == mode && v > 0 && !math.IsInf(v, 0) {
@@ -122,8 +123,7 @@
 	return points
 }
 
-// WritePage writes an HTML page of runs at several sizes, which refers to nothing outside of it. It returns ErrNoRuns where
-// there are none.
+// WritePage writes a self-contained HTML page of runs at several sizes. It returns ErrNoRuns if there are no runs.
 func WritePage(w io.Writer, title string, runs []*Result) error {
 	if len(runs) == 0 {
 		return ErrNoRuns
--- a/internal/lab/hollow/phases.go
+++ b/internal/lab/hollow/phases.go
@@ -1,16 +1,16 @@
 package hollow
 
-// Phase is the time between two changes of the scenario's faults, with the traffic of each role in it.
+// Phase is a period in which no fault starts or ends, with the traffic of each role.
 type Phase struct {
 	FromSeconds      float64                `json:"from_s"`
 	ToSeconds        float64                `json:"to_s"`
-	FaultKinds       []FaultKind            `json:"faults"` // of the faults in progress
+	FaultKinds       []FaultKind            `json:"faults"` // kinds of the faults in progress
 	PurgeRateFactor  float64                `json:"burst"`
 	RestartedProxies int                    `json:"begun"`
 	Traffic          [roleCount]RoleTraffic `json:"traffic"` // by role
 }
 
-// RoleTraffic is the traffic of the processes of a role in KB a second.
+// RoleTraffic is the traffic of the processes of a role in KB/s.
 type RoleTraffic struct {
 	Role         string  `json:"role"`
 	InKBPerS     float64 `json:"in_kb_s"`       // mean
@@ -19,23 +19,23 @@
 	MaxOutKBPerS float64 `json:"most_out_kb_s"` // of one process
 }
 
-// Recovery is how long processes lagged after a fault: until when one that runs and is reachable lacked something older than
-// the scenario's RecoveredLagMs.
+// Recovery is the time for which processes lagged after a fault: until no running and reachable process lacked an entry older
+// than the scenario's RecoveredLagMs.
 type Recovery struct {
 	Fault              Fault   `json:"fault"`
-	CountedFromSeconds float64 `json:"counted_from_s"` // end of the fault; start, where processes are to recover during it
+	CountedFromSeconds float64 `json:"counted_from_s"` // end of the fault, or its start; see recoveryStart
 	AfterSeconds       float64 `json:"after_s"`
 	MaxLagMs           float64 `json:"worst_lag_ms"`
 }
 
-// maxRecoveryWatch is the time in ms after which lag is no longer put down to a fault.
+// maxRecoveryWatch is the time in ms after which lag is no longer attributed to a fault.
 const maxRecoveryWatch = 30_000
 
-// phaseTolerance is how far in ms the start of a phase and the start or end of a fault may differ.
+// phaseTolerance is the difference in ms up to which the start of a phase and the start or end of a fault count as the same time.
 const phaseTolerance = 0.5
 
-// recoveryStart is when the recovery from a fault is counted from: its end, or its start where others take over for processes
-// that are gone.
+// recoveryStart is the time from which the recovery from a fault is counted: its end, or its start for a fault during which other
+// processes take over from those that are down.
 func (f Fault) recoveryStart() float64 {
 	switch f.Kind {
 	case FaultKill, FaultStop, FaultLeader:
@@ -44,7 +44,7 @@
 	return f.end()
 }
 
-// watchRecovery watches the lag after a fault, until the next start or end of a fault.
+// watchRecovery schedules the measurement of the lag after a fault, which lasts until the next start or end of a fault.
 func (sim *simulation) watchRecovery(f Fault) {
 	from := f.recoveryStart()
 	until := from + maxRecoveryWatch
@@ -99,7 +99,7 @@
 	sim.phases = append(sim.phases, phase)
 }
 
-// inProgress reports whether a fault affects the phase that starts at a virtual time in ms.
+// inProgress reports whether a fault is in progress in the phase that starts at a virtual time in ms.
 func (f Fault) inProgress(now float64) bool {
 	start := f.start()
 	return start <= now+phaseTolerance && now < f.end()-phaseTolerance || start == now
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -6,24 +6,24 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// Role is the place of a process in the distribution tree. Its value is the process's rank there.
+// Role is the function of a process in the distribution tree. Its value is the process's rank in the tree.
 type Role uint8
 
 // The roles, from the store outwards.
 const (
 	StoreMember     Role = iota // a member of the store, which is also a distributor of the first level
-	Relay                       // a distributor between the store and the zones
+	Relay                       // a distributor of a region, between the store and the zones
 	ZoneDistributor             // a distributor of a zone
-	Proxy                       // a subscriber that distributes to nobody
+	Proxy                       // a subscriber that is no distributor
 	roleCount       = 4
 )
 
 var roleNames = [roleCount]string{"store", "relay", "distributor", "proxy"}
 
-// String is the role's name in results.
+// String returns the role's name in results.
 func (r Role) String() string { return roleNames[r] }
 
-// timerSlot identifies a timer of a process. For subscriber and distributor the stream's number is added to the slot.
+// timerSlot identifies a timer of a process. The number of the stream is added to slotSubscriber and slotDistributor.
 type timerSlot uint8
 
 const (
@@ -34,7 +34,7 @@
 	timerSlots                = 6
 )
 
-// process is one hollow process.
+// process is one simulated process.
 type process struct {
 	id                 int32
 	name               string
@@ -43,20 +43,20 @@
 	full               bool // applies what it receives, and does not only receive
 
 	up, suspended, partitioned bool
-	incarnation                uint32  // incremented at each end, so that events meant for an earlier one are dropped
+	incarnation                uint32  // incremented by kill, so that events for an earlier incarnation are dropped
 	clockOffset                float64 // ms
-	sendRate                   float64 // bytes a ms
-	receiveRate                float64 // bytes a ms; 0: unlimited
-	sendFreeAt                 float64 // when the last message has been sent
-	unread                     []event // messages of a slow process
-	connectableSince           float64 // since when the process can be expected to keep up; latency counts from then
+	sendRate                   float64 // bytes per ms
+	receiveRate                float64 // bytes per ms; 0: unlimited
+	sendFreeAt                 float64 // virtual ms at which the last message has been sent
+	unread                     []event // messages that a slow process has yet to read
+	connectableSince           float64 // virtual ms from which on the process can be expected to keep up; latency counts from then
 	conns                      []*conn
-	deferredEvents             []event // what arrived while the process was stopped
+	deferredEvents             []event // messages and timers that fell due while the process was suspended
 	timers                     [timerSlots]timer
 
 	streams [streamCount]streamNode
-	gates   [streamCount]*distribution.FreshnessGate // that a request would ask
-	applied [streamCount]int                         // length of the prefix of each stream's log that is in effect
+	gates   [streamCount]*distribution.FreshnessGate // that the request path would ask
+	applied [streamCount]int                         // length of the prefix of each stream's log that the process has applied
 	omitted []omittedEntry
 	applier *applier // nil: the process is not full
 
@@ -66,24 +66,24 @@
 	phaseInBytes, phaseOutBytes int64   // since the start of the phase
 }
 
-// traffic counts one direction.
+// traffic counts the messages of one direction.
 type traffic struct{ Bytes, Messages int64 }
 
-// streamNode is one stream's subscriber and distributor with their connections.
+// streamNode holds a process's subscriber and distributor of one stream, with their connections.
 type streamNode struct {
-	relay           *distribution.Relay // a Store has a Distributor only, a Proxy a Subscriber only
+	relay           *distribution.Relay // a StoreMember has only a Distributor, a Proxy only a Subscriber
 	upstreamConns   map[distribution.Link]*conn
 	subscriberConns map[distribution.Link]*conn
-	lastLink        distribution.Link // that was given to a subscriber
+	lastLink        distribution.Link // last link number assigned to a subscriber
 }
 
-// timer fires once, at its last setting. Its scheduled event may be of an earlier setting.
+// timer fires once, at the time that was set last. Its scheduled event may stem from an earlier setting. Times are virtual, in ms.
 type timer struct {
 	due         float64 // 0: not set
 	scheduledAt float64 // time of the scheduled event; 0: none
 }
 
-// peer describes the process to the distribution's deciders.
+// peer describes the process to the deciders of internal/decide/distribution.
 func (p *process) peer() distribution.Peer {
 	return distribution.Peer{
 		Name:   p.name,
--- a/internal/lab/hollow/raft_sizes.go
+++ b/internal/lab/hollow/raft_sizes.go
@@ -10,21 +10,22 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftSizes are the bytes that hashicorp/raft's transport writes.
+// raftSizes are the numbers of bytes that hashicorp/raft's transport writes for a message.
 type raftSizes struct {
-	request  int // without entries, which is a heartbeat
-	entry    int // that an entry adds to its data
+	request  int // for a request without entries, as a heartbeat is
+	entry    int // for an entry in a request, beside its data
 	response int
 }
 
-// Values of the measured messages. Their encoding depends on the size of the numbers, which are those of a store of some age.
+// Values in the measured messages. The length of their encoding depends on the size of the numbers, which are as large as in a
+// store that has run for a long time.
 const (
 	sampleIndex = 1 << 30
 	sampleTerm  = 7
 	sampleData  = 40 // bytes of an entry
 )
 
-// pipeLayer is a raft.StreamLayer in memory: a dialled connection comes out of Accept. It counts the bytes written.
+// pipeLayer is a raft.StreamLayer in memory: Accept returns the other end of each dialled connection. It counts the bytes written.
 type pipeLayer struct {
 	conns         chan net.Conn
 	requestBytes  *atomic.Int64 // by the side that dials
@@ -64,7 +65,7 @@
 // Addr implements net.Listener.
 func (p pipeLayer) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 11, 12, 13), Port: 7100} }
 
-// measureRaftSizes sends requests through the real transport in memory.
+// measureRaftSizes measures the sizes of messages that raft's transport sends over a connection in memory.
 func measureRaftSizes() raftSizes {
 	layer := pipeLayer{make(chan net.Conn, 4), &atomic.Int64{}, &atomic.Int64{}}
 	transport := raft.NewNetworkTransport(layer, 1, time.Minute, io.Discard)
@@ -79,7 +80,7 @@
 	sizes.entry = withEntry - sizes.request - sampleData
 	close(stop)
 	<-done
-	_ = transport.Close() // nothing is left to send
+	_ = transport.Close() // an error does not matter, as nothing is left to send
 	return sizes
 }
 
@@ -95,7 +96,7 @@
 	}
 }
 
-// measure sends one request with so many entries, and returns the bytes of the request and of its response.
+// measure sends one request with the given number of entries, and returns the sizes in bytes of the request and of its response.
 func (p pipeLayer) measure(transport *raft.NetworkTransport, entries int) (request, response int) {
 	requestBefore, responseBefore := p.requestBytes.Load(), p.responseBytes.Load()
 	message := raft.AppendEntriesRequest{
@@ -113,7 +114,7 @@
 	}
 	var appendResponse raft.AppendEntriesResponse
 	if err := transport.AppendEntries("store-2", "10.11.12.14:7100", &message, &appendResponse); err != nil {
-		panic(fmt.Sprintf("hollow: raft over a pipe: %v", err))
+		panic(fmt.Sprintf("hollow: measuring the size of Raft messages: %v", err))
 	}
 	return int(p.requestBytes.Load() - requestBefore), int(p.responseBytes.Load() - responseBefore)
 }
--- a/internal/lab/hollow/recordings.go
+++ b/internal/lab/hollow/recordings.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Recordings is a file of docs/measurements/capacity with what runs at several sizes measured. Its fits are left to
-// internal/lab/capacity.
+// Recordings is the content of a file in docs/measurements/capacity, with the results of runs at several sizes. The fits are
+// computed by internal/lab/capacity.
 type Recordings struct {
 	About      string      `json:"about"`
 	Machine    string      `json:"machine"`
 	Recordings []Recording `json:"recordings"`
 }
 
-// Recording is one quantity by the number of processes.
+// Recording is one quantity, measured at several numbers of processes.
 type Recording struct {
 	Name     string  `json:"name"`
 	Role     string  `json:"role"`
@@ -26,30 +26,30 @@
 	Note     string  `json:"note,omitempty"`
 	Points   []Point `json:"points"`
 
-	// The fit, which is empty here.
+	// The fit, which this package leaves empty.
 	Fixed     float64   `json:"fixed"`
 	Slope     float64   `json:"slope"`
 	Model     string    `json:"model"`
 	Residuals []float64 `json:"residuals"`
 }
 
-// Point is a number of processes and what was measured with it.
+// Point is a number of processes (Driver) and the value that was measured with it.
 type Point struct {
 	Driver   float64 `json:"driver"`
 	Measured float64 `json:"measured"`
 }
 
-// minPoints is the least number of sizes in a recording. Fewer say nothing about growth.
+// minPoints is the least number of sizes in a recording, as growth cannot be fitted to fewer.
 const minPoints = 4
 
-// Roles as internal/lab/capacity names them.
+// Names of roles in internal/lab/capacity.
 const (
 	voterRole       = "voting store member"
 	proxyRole       = "steering proxy"
 	distributorRole = "distributor"
 )
 
-// recordedQuantity is a quantity that is read from the runs of one mode.
+// recordedQuantity is a quantity that is taken from the results of one mode.
 type recordedQuantity struct {
 	Recording
 	mode  Mode
@@ -96,7 +96,7 @@
 	},
 }
 
-// record reads a quantity from the runs of its mode, by size.
+// record takes the quantity from the results of its mode, ordered by size.
 func (q recordedQuantity) record(runs []*Result) Recording {
 	recording := q.Recording
 	recording.Driver = "processes"
@@ -110,7 +110,7 @@
 	return recording
 }
 
-// WriteRecordings writes a Recordings file of those quantities that were measured at enough sizes.
+// WriteRecordings writes a Recordings file. It leaves out quantities that were measured at fewer than minPoints sizes.
 func WriteRecordings(w io.Writer, machine string, runs []*Result) error {
 	out := Recordings{About: "hollow processes of all roles in virtual time, with faults", Machine: machine, Recordings: []Recording{}}
 	for _, quantity := range recordedQuantities {
--- a/internal/lab/hollow/result.go
+++ b/internal/lab/hollow/result.go
@@ -4,7 +4,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what one run showed. Pairs are by stream: purges, then lists, drains and revisions.
+// Result is the result of one run. Arrays of two are by stream: first purges, then lists, drains and revisions.
 type Result struct {
 	Name        string         `json:"name"`
 	Mode        Mode           `json:"way"`
@@ -15,28 +15,28 @@
 	Scenario    Scenario       `json:"scenario"`
 
 	Entries     [streamCount]int            `json:"entries"`        // committed
-	Propagation [streamCount]LatencySummary `json:"everywhere_ms"`  // of each entry, until the last connectable process applied it
-	PerProcess  [streamCount]LatencySummary `json:"each_ms"`        // of each entry at each process that was connectable all the time
-	AfterFault  [streamCount]LatencySummary `json:"after_fault_ms"` // of each entry at the others, from when the process was connectable
+	Propagation [streamCount]LatencySummary `json:"everywhere_ms"`  // of each entry, to the last process connectable throughout
+	PerProcess  [streamCount]LatencySummary `json:"each_ms"`        // of each entry at each process connectable throughout
+	AfterFault  [streamCount]LatencySummary `json:"after_fault_ms"` // at the others, from when they became connectable
 	Recoveries  []Recovery                  `json:"healed"`
 	Phases      []Phase                     `json:"phases"`
 	RoleCosts   []RoleCost                  `json:"per_role"`
 
 	Events                  uint64         `json:"events"`
 	VirtualSeconds          float64        `json:"virtual_s"`
-	CPUSeconds              float64        `json:"processor_s"`   // of this operating-system process in the run
-	HarnessCPUSeconds       float64        `json:"harness_s"`     // the simulation's part of it; below 0: not measured
-	HarnessComplete         bool           `json:"harness_whole"` // that part was measured over the whole run
+	CPUSeconds              float64        `json:"processor_s"`   // of this operating-system process during the run
+	HarnessCPUSeconds       float64        `json:"harness_s"`     // the simulation's part of CPUSeconds; below 0: not measured
+	HarnessComplete         bool           `json:"harness_whole"` // HarnessCPUSeconds covers the whole run, with no estimate
 	WallSeconds             float64        `json:"wall_s"`
-	HeapMB                  float64        `json:"heap_mb"` // at the end, of processes and simulation
+	HeapMB                  float64        `json:"heap_mb"` // at the end, of the processes and the simulation
 	Handshakes              int            `json:"handshakes"`
 	Snapshots               int            `json:"snapshots"`      // installed
-	DisconnectCauses        map[string]int `json:"left"`           // ModeLevels
-	GatedFraction           float64        `json:"held_share"`     // of all processes' time, with a freshness gate closed
-	NeedlesslyGatedFraction float64        `json:"needless_share"` // the same, without lag
+	DisconnectCauses        map[string]int `json:"left"`           // of ModeLevels, number by cause
+	GatedFraction           float64        `json:"held_share"`     // of the time of all processes, with a freshness gate closed
+	NeedlesslyGatedFraction float64        `json:"needless_share"` // part of GatedFraction without lag, see checkGate
 	Violations              int            `json:"broken"`
-	ViolationTexts          []string       `json:"rules"`  // the first ones
-	ExceededLimits          []string       `json:"beyond"` // limits that ModeDirect exceeds, which are no violations there
+	ViolationTexts          []string       `json:"rules"`  // of the first maxViolationTexts
+	ExceededLimits          []string       `json:"beyond"` // in ModeDirect, where exceeding a limit is no violation
 }
 
 // LatencySummary summarises latencies in ms.
@@ -47,7 +47,7 @@
 	Max   float64 `json:"last"`
 }
 
-// RoleCost is what a process of a role costs, on average over the time in which changes are committed.
+// RoleCost is the cost of a process of a role, on average over the scenario's Seconds, in which changes are committed.
 type RoleCost struct {
 	Role            string  `json:"role"`
 	Processes       int     `json:"processes"`
@@ -57,14 +57,14 @@
 	MessagesOutPerS float64 `json:"messages_out_s"`
 	MaxOutKBPerS    float64 `json:"most_out_kb_s"` // of one process
 	CallsPerS       float64 `json:"calls_s"`       // of the deciders
-	MicrosPerCall   float64 `json:"us_a_call"`     // of full processes, on the wall clock
-	CPUPercent      float64 `json:"cpu_percent"`   // of a core, of a full process: calls a second times their time
-	HeapMB          float64 `json:"heap_mb"`       // of a full process; 0: there is none
-	LightHeapMB     float64 `json:"light_heap_mb"` // of a process that only receives; 0: there is none
+	MicrosPerCall   float64 `json:"us_a_call"`     // of full processes, in wall-clock time
+	CPUPercent      float64 `json:"cpu_percent"`   // of a core, of a full process: calls per second times MicrosPerCall
+	HeapMB          float64 `json:"heap_mb"`       // of a full process; 0: the role has none
+	LightHeapMB     float64 `json:"light_heap_mb"` // of a process that is not full; 0: the role has none
 	CallsTimed      int64   `json:"calls_timed"`
 }
 
-// result collects what a run showed, but for what is measured outside of the simulation.
+// result collects the results of a run, except for those that are measured outside of the simulation.
 func (sim *simulation) result(size int, mode Mode) *Result {
 	r := &Result{
 		Name:              sim.scenario.Name,
@@ -111,7 +111,7 @@
 	r.Violations, r.ViolationTexts = c.violations, c.violationTexts
 }
 
-// completePhases are the phases without one that started with the end of the run.
+// completePhases returns the phases that have ended. The last phase has not if it started at the end of the run.
 func (sim *simulation) completePhases() []Phase {
 	last := len(sim.phases) - 1
 	if last >= 0 && sim.phases[last].ToSeconds == 0 {
@@ -120,7 +120,7 @@
 	return sim.phases
 }
 
-// propagation summarises how long the entries of a stream took to the last process that was connectable all the time.
+// propagation summarises the times that the entries of a stream took to the last process that was connectable throughout.
 func (sim *simulation) propagation(stream int) LatencySummary {
 	h := newLatencyHistogram()
 	for _, entry := range sim.log.streams[stream] {
@@ -131,13 +131,13 @@
 	return summarize(h)
 }
 
-// summarize converts a histogram of µs.
+// summarize converts a histogram of µs to a summary in ms.
 func summarize(h *hdrhistogram.Histogram) LatencySummary {
 	quantile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return LatencySummary{Count: h.TotalCount(), P50: quantile(50), P99: quantile(99), Max: float64(h.Max()) / 1000}
 }
 
-// roleCost is the mean cost of a role's processes over so many seconds.
+// roleCost is the mean cost of a role's processes over the given number of seconds.
 func (sim *simulation) roleCost(role Role, processes []*process, seconds float64) RoleCost {
 	cost := RoleCost{Role: role.String(), Processes: len(processes)}
 	fullProcesses := 0
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Mode is how entries reach the processes.
+// Mode selects how entries are distributed to the processes.
 type Mode string
 
 // The modes.
 const (
 	// ModeLevels distributes entries through levels of distributors.
 	ModeLevels Mode = "levels"
-	// ModeDirect has the store's leader replicate every entry to every process, as the baseline to compare with.
+	// ModeDirect replicates every entry from the store's leader to every process. It is the baseline for a comparison.
 	ModeDirect Mode = "direct"
 )
 
-// Run plays a scenario with so many processes. With measureHarness it then plays the same events without the deciders, to
-// measure what the simulation itself costs. The error is that of a cancelled context; the result is what was played until then.
+// Run plays a scenario with size processes. With measureHarness it then plays the same events without the deciders, to measure the
+// CPU time of the simulation itself. It returns an error if the context is cancelled, with the result up to that time.
 func Run(ctx context.Context, scenario Scenario, size int, mode Mode, measureHarness bool) (*Result, error) {
 	heapBefore := heapInUse()
 	sim := newSimulation(scenario, size, mode)
@@ -44,7 +44,8 @@
 	return result, err
 }
 
-// measureHarness plays back a trace. If that is full, the time of the whole run is estimated from the number of events.
+// measureHarness plays back a trace, and measures the CPU time of that. If the trace is full it covers only a part of the run, and
+// the CPU time for the whole run is estimated in proportion to the number of events.
 func (r *Result) measureHarness(ctx context.Context, scenario Scenario, size int, trace *callTrace) error {
 	sim := newSimulation(scenario, size, ModeLevels)
 	sim.propagator = &replayer{sim: sim, trace: trace}
@@ -63,13 +64,13 @@
 	return nil
 }
 
-// measureHeap measures the heap of each role's processes: what a collection frees once their state is dropped.
+// measureHeap measures the heap of each role's processes: the bytes that garbage collection frees once their state is dropped.
 func (sim *simulation) measureHeap(r *Result, heapBefore uint64) {
 	heap := heapInUse()
 	r.HeapMB = megabytes(heap - min(heapBefore, heap))
 	for _, e := range sim.heap {
 		if e.payload != nil {
-			e.payload.decoded = nil // messages on their way are not the processes'
+			e.payload.decoded = nil // messages in transit do not count as heap of a process
 		}
 	}
 	for role := range sim.byRole {
@@ -79,8 +80,8 @@
 	runtime.KeepAlive(sim)
 }
 
-// heapPerProcess drops the state of a role's full processes, or of its others, and returns the heap in MB that each of them
-// had. 0: there are none.
+// heapPerProcess drops the state of a role's full processes, or of its other processes, and returns the mean heap in MB of one of
+// them. It returns 0 if there are none.
 func (sim *simulation) heapPerProcess(role Role, full bool) float64 {
 	before, count := heapInUse(), 0
 	for _, p := range sim.byRole[role] {
@@ -98,7 +99,7 @@
 
 func megabytes(bytes uint64) float64 { return float64(bytes) / 1e6 }
 
-// heapInUse is the heap in bytes after two collections. The second one frees what the first one finalised.
+// heapInUse returns the heap in bytes after two garbage collections. The second one frees objects that the first one finalised.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -107,7 +108,7 @@
 	return stats.HeapAlloc
 }
 
-// cpuSeconds is the CPU time that this operating-system process has used.
+// cpuSeconds returns the CPU time that this operating-system process has used so far.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/lab/hollow/simulation.go
+++ b/internal/lab/hollow/simulation.go
@@ -1,13 +1,13 @@
-// Package hollow simulates the control traffic of thousands of processes inside one. A hollow process runs the packages that
-// receive and apply what the store commits (internal/decide/distribution, storestate and membership, and the policy module's
-// server lists and purges), but has no front, no upstream and no client traffic. Time is virtual and a seed determines a run;
-// CPU time and heap are measured for real.
+// Package hollow simulates the control traffic of thousands of processes within one operating-system process. A simulated (hollow)
+// process runs the packages that receive and apply what the store commits: internal/decide/distribution, storestate and membership,
+// and the policy module's server lists and purges. It serves no clients and connects to no caches. Time is virtual and the seed
+// determines a run; CPU time and heap are real measurements.
 //
-// A run uses one of two modes: ModeLevels distributes entries through the tree of internal/decide/distribution; ModeDirect, the
-// baseline, has the store's leader replicate every entry to every process.
+// A run uses one of two modes: ModeLevels distributes entries through the tree of internal/decide/distribution; in ModeDirect, the
+// baseline, the store's leader replicates every entry to every process.
 //
-// The package takes no decision that the program takes. A checker compares what reaches each process with what was committed,
-// without asking the deciders under test. The tests are in this package.
+// The package itself never takes a decision that the program takes. A checker compares what each process applies with what was
+// committed, without asking the deciders under test. The tests are in this package.
 package hollow
 
 import (
@@ -23,18 +23,19 @@
 const (
 	// startUnixMs is the Unix time at which a run begins. It is not 0, which the deciders read as "no time".
 	startUnixMs = 1_800_000_000_000
-	// warmUpMs passes before the scenario's time 0. All processes start at the same instant, and the cost of that is not counted.
+	// warmUpMs is the virtual time in ms before the scenario's time 0. All processes start at the same instant, and the cost of
+	// that is not counted.
 	warmUpMs = 10_000
-	// eventsPerContextCheck is how many events are handled between two looks at the context.
+	// eventsPerContextCheck is the number of events that are handled between two checks whether the context is cancelled.
 	eventsPerContextCheck = 1 << 14
 )
 
-// candidateKey selects a list of distributors: those of a rank, in a region or (anyRegion) in all of them.
+// candidateKey selects the distributors of a rank, in one region or (anyRegion) in all of them.
 type candidateKey struct{ region, rank int }
 
 const anyRegion = -1
 
-// noRegion as simulation.cutRegion means that no region is partitioned.
+// noRegion is the value of simulation.cutRegion while no region is partitioned.
 const noRegion = -1
 
 // simulation is the state of one run.
@@ -45,36 +46,36 @@
 	byName         map[string]*process
 	byRole         [roleCount][]*process
 	zones          int
-	servers        map[string]policy.ServerID // by formatted id
+	servers        map[string]policy.ServerID // cache servers by formatted id
 	candidateCache map[candidateKey][]distribution.Peer
 	log            *storeLog
 	checker        *checker
 	propagator     propagator
 	meter          *callMeter
 	trace          *callTrace // nil: calls are not recorded
-	conns          []*conn    // every connection of the run, by id
+	conns          []*conn    // every connection opened in the run, by id
 	networkRand    *rand.Rand
 	faultRand      *rand.Rand
 
 	leader          *process // of the store; nil during an election
 	term            int      // number of leader changes so far
-	watermarkAt     int64    // time of the last heartbeat on the clock of the leader that sent it
+	watermarkAt     int64    // Unix ms of the last heartbeat, on the clock of the leader that sent it
 	cutRegion       int      // the partitioned region, or noRegion
 	lossProbability float64  // of a message
-	purgeRateFactor float64
+	purgeRateFactor float64  // by which PurgesPerS is multiplied
 
-	stopEarly func() bool // ends the run before its time; nil: never
+	stopEarly func() bool // reports whether to end the run before its time; nil: never
 
 	handshakes   int
-	snapshots    int     // that processes installed
-	lastLaggedAt float64 // when a process last lagged by more than RecoveredLagMs; -1: not since the last fault
+	snapshots    int     // number that processes have installed
+	lastLaggedAt float64 // virtual ms when a process last lagged by more than RecoveredLagMs; -1: not since the last fault
 	maxLag       float64 // ms, since the last fault
 	phases       []Phase
 	recoveries   []Recovery
 	roleCosts    []RoleCost
 }
 
-// newSimulation builds a fleet of the given size that has not started yet.
+// newSimulation returns a simulation of a fleet of the given size, which has not started.
 func newSimulation(scenario Scenario, size int, mode Mode) *simulation {
 	sim := &simulation{
 		scenario:        scenario,
@@ -103,7 +104,7 @@
 	return sim
 }
 
-// clockOf returns the Unix ms that a process reads on its own clock.
+// clockOf returns the time on a process's own clock in Unix ms.
 func (sim *simulation) clockOf(p *process) float64 { return startUnixMs + sim.now + p.clockOffset }
 
 // endOfLoad is the virtual time in ms at which the last change is proposed.
@@ -114,12 +115,12 @@
 	return warmUpMs + (sim.scenario.Seconds+sim.scenario.SettleSeconds)*1000
 }
 
-// run plays until the end, or until the context is cancelled.
+// run handles events until the end of the run, or until the context is cancelled.
 func (sim *simulation) run(ctx context.Context) error {
 	sim.start()
 	for {
 		if sim.processed%eventsPerContextCheck == 0 && ctx.Err() != nil {
-			return fmt.Errorf("scale: stopped at %.1f s: %w", sim.now/1000, ctx.Err())
+			return fmt.Errorf("scale: run cancelled at %.1f s of virtual time: %w", sim.now/1000, ctx.Err())
 		}
 		e, ok := sim.pop()
 		if !ok || e.at > sim.end() || sim.stopEarly != nil && sim.stopEarly() {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// start starts all processes with the store's first entries committed, and schedules what recurs.
+// start commits the store's initial entries, starts all processes, and schedules what recurs.
 func (sim *simulation) start() {
 	sim.commitInitialState()
 	for _, p := range sim.processes {
@@ -148,7 +149,7 @@
 	sim.scheduleFaults()
 }
 
-// resetCounters discards the cost of starting the fleet.
+// resetCounters discards the calls and the traffic of starting the fleet.
 func (sim *simulation) resetCounters() {
 	sim.meter.roles = [roleCount]CallStats{}
 	for _, p := range sim.processes {
@@ -185,7 +186,7 @@
 	}
 }
 
-// setTimer sets a timer of a process to fire after so many ms. It replaces the timer's earlier setting.
+// setTimer sets a timer of a process to fire after the given number of ms. It replaces the timer's earlier setting.
 func (sim *simulation) setTimer(p *process, slot timerSlot, after float64) {
 	sim.trace.record(tracedCall{kind: traceSetTimer, detail: int(slot), id: p.id, value: after})
 	t := &p.timers[slot]
@@ -201,11 +202,11 @@
 	sim.push(event{at: t.due, kind: eventTimer, process: p, slot: slot, incarnation: p.incarnation})
 }
 
-// fireTimer handles the event of a timer, which is scheduled again where the timer was set to a later time meanwhile.
+// fireTimer handles the event of a timer. If the timer was set to a later time in the meantime, it is scheduled again.
 func (sim *simulation) fireTimer(e event) {
 	p, t := e.process, &e.process.timers[e.slot]
 	if !p.up || p.incarnation != e.incarnation || t.scheduledAt != e.at {
-		return // of an earlier incarnation, or superseded by an earlier event
+		return // event of an earlier incarnation, or replaced by one that was scheduled for an earlier time
 	}
 	if p.suspended {
 		p.deferredEvents = append(p.deferredEvents, e)
--- a/internal/lab/hollow/store_cluster.go
+++ b/internal/lab/hollow/store_cluster.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// heartbeatInterval is the time in ms between two watermarks of the leader, as in distribution.DefaultSettings.
+// heartbeatInterval is the interval in ms between the leader's watermarks, as in distribution.DefaultSettings.
 const heartbeatInterval = 500.0
 
 // commitInitialState commits a server list for each zone, a revision of the configuration and one purge.
@@ -19,7 +19,7 @@
 	}
 }
 
-// proposeAndCommit proposes the changes of one batch interval, and commits all that is pending if there is a leader.
+// proposeAndCommit proposes the changes of one batch interval, and commits all pending changes if there is a leader.
 func (sim *simulation) proposeAndCommit() {
 	if sim.now < sim.endOfLoad() {
 		sim.log.pending = append(sim.log.pending, sim.log.propose(sim, sim.scenario.BatchMs)...)
@@ -28,7 +28,7 @@
 	sim.commitPending()
 }
 
-// commitPending commits what is pending, and sends it from the leader to the other members.
+// commitPending commits the pending changes, and sends them from the leader to the other members.
 func (sim *simulation) commitPending() {
 	log := sim.log
 	if sim.leader == nil || len(log.pending) == 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// applyLog has a member of the store apply the log up to a length that the leader announced. watermarkAt is the time of that
-// announcement on the leader's clock.
+// applyLog applies the log at a member of the store, up to a length that the leader announced. watermarkAt is the time of that
+// announcement in Unix ms on the leader's clock.
 func (sim *simulation) applyLog(member *process, length int, watermarkAt int64) {
 	if !member.up || sim.leader != member && (sim.leader == nil || !sim.reachable(sim.leader, member)) {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// catchUp has a member of the store that was away fetch the log from the leader.
+// catchUp lets a member of the store that was down or partitioned fetch the log from the leader.
 func (sim *simulation) catchUp(member *process) {
 	if sim.leader == nil {
 		return
@@ -71,7 +71,7 @@
 	sim.after(2*sim.latency(sim.leader, member), func() { sim.applyLog(member, length, watermarkAt) })
 }
 
-// heartbeat has the leader announce a watermark to every member, itself included.
+// heartbeat sends a watermark from the leader to every member, including the leader itself.
 func (sim *simulation) heartbeat() {
 	sim.after(heartbeatInterval, sim.heartbeat)
 	if sim.leader == nil {
@@ -92,10 +92,10 @@
 	}
 }
 
-// electLeader begins an election if the leader is down or partitioned. The first member that is neither wins it.
+// electLeader begins an election if the leader is down or partitioned. The first member that is neither wins the election.
 func (sim *simulation) electLeader() {
 	if sim.leader == nil {
-		return // an election is under way
+		return // an election is in progress
 	}
 	if sim.leader.up && sim.leader.region != sim.cutRegion {
 		return
--- a/internal/lab/hollow/store_log.go
+++ b/internal/lab/hollow/store_log.go
@@ -8,14 +8,14 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// The streams of the distribution, as indices of arrays.
+// Indices of the distribution's streams in arrays.
 const (
 	purgeStream  = 0
 	changeStream = 1
 	streamCount  = 2
 )
 
-// streams are the distribution's names of the streams.
+// streams holds the distribution's names of the streams.
 var streams = [streamCount]distribution.Stream{distribution.Purges, distribution.Configuration}
 
 // logEntry is an entry of the store's log.
@@ -23,17 +23,17 @@
 	key           string  // see supersessionKey
 	committedAt   float64 // virtual ms
 	stream        int
-	streamEntry   distribution.Entry // form that the streams carry
-	encodedChange []byte             // form in the store's log
+	streamEntry   distribution.Entry // the entry as the stream carries it
+	encodedChange []byte             // the entry as the store's log has it
 	// merged is published with the latest times of all entries that it supersedes (for a drain, with the earliest EffectiveAt). A
-	// distributor that joins entries may send any time in between.
+	// distributor that merges entries may send any time between those of streamEntry and those of merged.
 	merged         distribution.Entry
 	supersededBy   uint64  // sequence number of the first later entry that replaces this one; 0: none yet
-	maxLatencyMs   float32 // at the slowest process that was connectable all the time
+	maxLatencyMs   float32 // at the slowest process that was connectable throughout
 	slowestProcess int32   // id of that process
 }
 
-// matches reports whether a received entry is this one. Its times may be those of entries that it supersedes.
+// matches reports whether a received entry is this one. The times of the received entry may be those of superseded entries.
 func (e *logEntry) matches(got distribution.Entry) bool {
 	want := e.streamEntry
 	return got.Kind == want.Kind && got.Name == want.Name && got.Group == want.Group && got.Version == want.Version &&
@@ -42,9 +42,11 @@
 		bytes.Equal(got.Body, want.Body)
 }
 
+// between reports whether v is in the range from a to b, or from b to a.
 func between(v, a, b int64) bool { return v >= min(a, b) && v <= max(a, b) }
 
-// inEffect reports whether an entry is part of the state at a sequence number and a time in Unix ms.
+// inEffect reports whether the entry is part of the state up to a sequence number, at a time in Unix ms: neither superseded nor
+// expired, and not the end of a drain.
 func (e *logEntry) inEffect(through uint64, now int64) bool {
 	if e.supersededBy != 0 && e.supersededBy <= through || e.streamEntry.Kind == distribution.DrainEnded {
 		return false
@@ -52,20 +54,20 @@
 	return e.streamEntry.ExpiresAt == 0 || e.streamEntry.ExpiresAt > now
 }
 
-// storeLog is the log of the store, with the changes that wait for a leader.
+// storeLog is the log of the store, with the changes that wait to be committed and a generator of changes.
 type storeLog struct {
 	entries             []*logEntry
-	streams             [streamCount][]*logEntry // the same by stream
-	pending             []*logEntry              // proposed and not committed
+	streams             [streamCount][]*logEntry // the same entries by stream
+	pending             []*logEntry              // proposed, but not committed
 	latestByKey         map[string]*logEntry
-	objectPurgesByGroup map[int64][]*logEntry // those that no later purge of the group supersedes
+	objectPurgesByGroup map[int64][]*logEntry // object purges that no later purge of the group supersedes
 	lastSequence        uint64
 
 	// State of the generator of changes.
 	rand            *rand.Rand
 	revisionNumber  uint64
 	listGenerations []uint64     // by zone
-	drainedServers  map[int]bool // by index over all zones
+	drainedServers  map[int]bool // by index of the server over all zones
 }
 
 func newStoreLog(sim *simulation) *storeLog {
@@ -78,7 +80,7 @@
 	}
 }
 
-// supersessionKey is what a later entry must have in common with an earlier one to supersede it.
+// supersessionKey returns the key of an entry. A later entry with the same key supersedes it.
 func supersessionKey(entry distribution.Entry) string {
 	switch entry.Kind {
 	case distribution.PurgeObject:
@@ -93,7 +95,7 @@
 	return "d" + entry.Name
 }
 
-// commit appends an entry. Some sequence numbers are skipped, as those of store entries that no stream carries.
+// commit appends an entry. It skips some sequence numbers at random, for entries of the store that no stream carries.
 func (l *storeLog) commit(now float64, committed *logEntry) {
 	l.lastSequence += 1 + uint64(l.rand.IntN(2))
 	committed.committedAt = now
@@ -105,6 +107,7 @@
 	l.entries = append(l.entries, committed)
 }
 
+// supersedeSameKey marks the previous entry with the same key as superseded, and merges its times into the new entry.
 func (l *storeLog) supersedeSameKey(committed *logEntry) {
 	merged := &committed.merged
 	*merged = committed.streamEntry
@@ -121,7 +124,7 @@
 	l.latestByKey[committed.key] = committed
 }
 
-// supersedeGroup marks the purges of a group's objects that a purge of the group supersedes.
+// supersedeGroup marks the purges of single objects of a group that a purge of the group supersedes.
 func (l *storeLog) supersedeGroup(committed *logEntry) {
 	group := committed.streamEntry.Group
 	switch committed.streamEntry.Kind {
@@ -142,7 +145,7 @@
 	}
 }
 
-// snapshot is the state after a prefix of a stream's log, as a member of the store has it: the entries that are in effect.
+// snapshot returns the state after a prefix of a stream's log: the entries that are in effect at a time in Unix ms.
 func (l *storeLog) snapshot(stream, length int, now int64) []distribution.Entry {
 	if length == 0 {
 		return nil
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -7,13 +7,13 @@
 	"ravenwheel/policy"
 )
 
-// sitesPerZone is how many sites the processes of a zone are spread over.
+// sitesPerZone is the number of sites over which the processes of a zone are spread.
 const sitesPerZone = 2
 
 // minZoneDistributors is the least number of distributors in a zone, so that it survives the loss of one.
 const minZoneDistributors = 2
 
-// One-way latencies in ms, by how far two processes are apart. Between regions, which stand in a ring, a step round it adds
+// One-way latencies in ms, by the distance between two processes. Regions are arranged in a ring: each step along it adds
 // latencyPerRegionStep.
 const (
 	latencyWithinSite    = 0.2
@@ -23,7 +23,7 @@
 	latencyPerRegionStep = 14.0
 )
 
-// buildFleet creates the processes: the store's members spread over the regions, relays in each region, and zones of equal
+// buildFleet creates the processes: the store's members spread over the regions, relays in each region, and zones of about equal
 // size with their distributors and proxies.
 func (sim *simulation) buildFleet(size int) {
 	scenario := sim.scenario
@@ -40,7 +40,8 @@
 	sim.chooseFullProcesses()
 }
 
-// regionZone is the zone number of a region's processes that belong to no zone. It is below 0, so that no zone has it.
+// regionZone is the zone number of those processes of a region that belong to no zone. It is negative, so that it is no number of a
+// zone.
 func regionZone(region int) int { return -1 - region }
 
 func (sim *simulation) addProcess(role Role, region, zone, site int) {
@@ -55,7 +56,7 @@
 // bytesPerMs converts KB a second: a KB is 1000 bytes, and a second 1000 ms.
 func bytesPerMs(kbPerS float64) float64 { return kbPerS * 1000 / 1000 }
 
-// addZones spreads so many processes over zones.
+// addZones spreads the given number of processes over zones.
 func (sim *simulation) addZones(processes int) {
 	scenario := sim.scenario
 	sim.zones = max(scenario.Regions, (processes+scenario.ZoneProcesses-1)/scenario.ZoneProcesses)
@@ -93,7 +94,7 @@
 	return (int(id) - 1) / sim.scenario.ZoneServers
 }
 
-// latency is the one-way time in ms from one process to another.
+// latency is the one-way latency in ms between two processes.
 func (sim *simulation) latency(a, b *process) float64 {
 	switch {
 	case a.region != b.region:
@@ -111,13 +112,13 @@
 	return latencyWithinSite
 }
 
-// reachable reports whether messages pass between two processes.
+// reachable reports whether the network passes messages between two processes.
 func (sim *simulation) reachable(a, b *process) bool {
 	return a.region == b.region || a.region != sim.cutRegion && b.region != sim.cutRegion
 }
 
-// candidates are the distributors that a process may subscribe to: those of zones in its own region, and of the ranks above
-// in all regions.
+// candidates returns the distributors that a process may subscribe to. All are of a lower rank than the process: zones'
+// distributors of its own region, and relays and members of the store of all regions.
 func (sim *simulation) candidates(p *process) (out []distribution.Peer) {
 	for rank := range int(p.role) {
 		region := anyRegion
@@ -129,6 +130,7 @@
 	return out
 }
 
+// distributors returns the distributors that a key selects. The result is cached, as all processes of a region share it.
 func (sim *simulation) distributors(key candidateKey) []distribution.Peer {
 	if sim.candidateCache[key] == nil {
 		for _, p := range sim.byRole[key.rank] {
@@ -140,7 +142,7 @@
 	return sim.candidateCache[key]
 }
 
-// demand counts the distributors that share the load of one, and the subscribers they share: the proxies of a zone, or the
+// demand counts the distributors that share a load, the given one included, and their subscribers: the proxies of a zone, or the
 // zones' distributors of a region.
 func (sim *simulation) demand(p *process) distribution.Demand {
 	demand := distribution.Demand{}
--- a/internal/lab/hollow/trace.go
+++ b/internal/lab/hollow/trace.go
@@ -1,14 +1,14 @@
 package hollow
 
-// callTrace records what a propagator asks of the simulation. Played back by a replayer, it tells what the simulation itself
-// costs without the deciders. A nil callTrace records nothing.
+// callTrace records the calls from a propagator to the simulation. A replayer plays them back without the deciders, to measure the
+// cost of the simulation itself. A nil callTrace records nothing.
 type callTrace struct {
 	blocks       [][]packedCall
-	readPosition int
-	full         bool // later calls were not recorded
+	readPosition int  // number of calls that next has returned
+	full         bool // the bound was reached, and later calls were not recorded
 }
 
-// traceKind is what was asked for.
+// traceKind is the kind of a recorded call.
 type traceKind uint8
 
 const (
@@ -20,12 +20,12 @@
 	traceApplied
 )
 
-// tracedCall is one recorded call. What detail, id, size and value mean depends on the kind.
+// tracedCall is one recorded call. The meaning of detail, id, size and value depends on the kind.
 type tracedCall struct {
 	kind   traceKind
-	detail int     // below 16: a stream, a timer slot or a direction
+	detail int     // a stream, a timer slot or a direction; below 16
 	id     int32   // of a process or a connection
-	size   int     // below 1<<24: bytes, or the id of a second process
+	size   int     // bytes, or the id of a second process; below 1<<24
 	value  float64 // ms, or a sequence number
 }
 
@@ -35,7 +35,7 @@
 	value float64
 }
 
-// Shifts of the fields of packedCall.word.
+// Positions in bits of the fields of packedCall.word, and the mask of a field of 4 bits.
 const (
 	detailShift = 4
 	idShift     = 8
@@ -81,7 +81,7 @@
 	t.blocks[last] = append(t.blocks[last], call.pack())
 }
 
-// next reads the next call. ok is false at the end.
+// next returns the next call. ok is false at the end of the trace.
 func (t *callTrace) next() (call tracedCall, ok bool) {
 	block, index := t.readPosition/callsPerBlock, t.readPosition%callsPerBlock
 	if block >= len(t.blocks) || index >= len(t.blocks[block]) {
@@ -91,14 +91,14 @@
 	return t.blocks[block][index].unpack(), true
 }
 
-// readToLimit reports whether all that fits into a trace has been read.
+// readToLimit reports whether as many calls have been read as a trace can hold.
 func (t *callTrace) readToLimit() bool { return t.readPosition >= maxBlocks*callsPerBlock }
 
-// replayer is a propagator without deciders: each call plays back what the trace recorded for it.
+// replayer is a propagator without deciders: each call to it plays back the calls that the trace recorded for it.
 type replayer struct {
 	sim         *simulation
 	trace       *callTrace
-	lastPayload *payload // reused for messages of one size
+	lastPayload *payload // reused for successive messages of the same size
 }
 
 // replayCall plays back the calls up to the next traceCallEnd.
--- a/internal/lab/hollow/tree.go
+++ b/internal/lab/hollow/tree.go
@@ -9,11 +9,11 @@
 // storeEpoch is the epoch of a store that was never restored from a backup.
 const storeEpoch = 1
 
-// treePropagator implements ModeLevels with the deciders of internal/decide/distribution, whose messages are encoded and
-// decoded as on the wire.
+// treePropagator implements ModeLevels with the deciders of internal/decide/distribution. It encodes and decodes their messages as
+// the program does.
 type treePropagator struct {
 	sim              *simulation
-	disconnectCauses map[string]int // why subscribers left, and why distributors dropped them
+	disconnectCauses map[string]int // ended subscriptions by cause; "dropped: " marks those that the distributor ended
 }
 
 func newTreePropagator(sim *simulation) *treePropagator {
@@ -23,7 +23,8 @@
 // hasFreshnessGate implements propagator.
 func (t *treePropagator) hasFreshnessGate() bool { return true }
 
-// settings are the distribution's defaults with the scenario's bounds, and a seed of the process's incarnation.
+// settings returns the distribution's default settings with the scenario's bounds, and a seed that differs for each process,
+// incarnation and stream.
 func (t *treePropagator) settings(p *process, stream int) distribution.Settings {
 	s := distribution.DefaultSettings(streams[stream], p.peer())
 	s.Seed = t.sim.scenario.Seed<<32 ^ uint64(p.id)<<8 ^ uint64(p.incarnation)<<2 ^ uint64(stream)
@@ -57,7 +58,7 @@
 	}
 }
 
-// newRelay makes the parts of a relay that a role has.
+// newRelay creates a relay with the parts that a role has: a distributor, a subscriber or both.
 func newRelay(role Role, settings distribution.Settings) *distribution.Relay {
 	switch role {
 	case StoreMember:
@@ -93,7 +94,7 @@
 	}
 }
 
-// installAtRoot hands the distributor of a member of the store the member's state.
+// installAtRoot passes the state of a member of the store to the member's distributor, as a snapshot.
 func (t *treePropagator) installAtRoot(member *process, stream int, watermarkAt int64) {
 	length := member.applied[stream]
 	through := t.sim.log.streams[stream][length-1].streamEntry.Sequence
@@ -129,7 +130,7 @@
 	t.handleAtSubscriber(p, c.stream, e)
 }
 
-// subscriberLink is the link of a subscriber's connection. The first message on it gives it one.
+// subscriberLink returns the link of a subscriber's connection. It assigns one at the first message on the connection.
 func (n *streamNode) subscriberLink(c *conn) distribution.Link {
 	if c.subscriberLink == 0 {
 		n.lastLink++
@@ -139,7 +140,7 @@
 	return c.subscriberLink
 }
 
-// decode decodes a frame. A full process decodes a copy of its own, as its memory is measured; the others share one.
+// decode decodes a frame. A full process decodes its own copy, as its heap is measured; the others share one decoded message.
 func (t *treePropagator) decode(p *process, content *payload) (message distribution.Message, ok bool) {
 	if !p.full {
 		if content.decoded == nil {
@@ -149,7 +150,7 @@
 	}
 	message, err := distribution.Decode(bytes.Clone(content.frame.Bytes))
 	if err != nil {
-		t.sim.checker.violation("%s: a frame that can't be read: %v", p.name, err)
+		t.sim.checker.violation("%s: a received frame cannot be decoded: %v", p.name, err)
 		return nil, false
 	}
 	return message, true
@@ -186,7 +187,8 @@
 	}
 }
 
-// handleAtSubscriber hands an event to a process's subscriber, and its result to the distributor of a relay.
+// handleAtSubscriber passes an event to a process's subscriber. In a process that is also a distributor, the relay passes the
+// result on to the distributor.
 func (t *treePropagator) handleAtSubscriber(p *process, stream int, e distribution.Event) {
 	relay := p.streams[stream].relay
 	if relay.Distributor == nil {
@@ -198,7 +200,7 @@
 	t.runDistributorActions(p, stream, distributorActions)
 }
 
-// handleAtDistributor hands an event to a process's distributor.
+// handleAtDistributor passes an event to a process's distributor.
 func (t *treePropagator) handleAtDistributor(p *process, stream int, e distribution.Event) {
 	t.runDistributorActions(p, stream, p.streams[stream].relay.Distributor.Handle(t.sim.clockOf(p), e))
 }
@@ -240,11 +242,11 @@
 	case distribution.Wake:
 		t.sim.setTimer(p, slotSubscriber+timerSlot(stream), action.After)
 	default:
-		t.sim.checker.violation("%s: a subscriber wants %T", p.name, action)
+		t.sim.checker.violation("%s: unknown action of a subscriber: %T", p.name, action)
 	}
 }
 
-// applyEntries applies entries in a full process.
+// applyEntries applies entries if the process is full.
 func (p *process) applyEntries(entries []distribution.Entry) {
 	if p.applier == nil {
 		return
@@ -274,7 +276,7 @@
 		case distribution.Wake:
 			t.sim.setTimer(p, slotDistributor+timerSlot(stream), action.After)
 		default:
-			t.sim.checker.violation("%s: a distributor wants %T", p.name, action)
+			t.sim.checker.violation("%s: unknown action of a distributor: %T", p.name, action)
 		}
 	}
 }
--- a/internal/lab/hollow/validate.go
+++ b/internal/lab/hollow/validate.go
@@ -8,16 +8,16 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// Bounds of a run that one machine can play within minutes.
+// Bounds that allow one machine to play a run within minutes.
 const (
 	maxProcesses = 20_000
 	maxSeconds   = 3600
 )
 
-// minMagnitude is the least fraction or magnitude of a fault.
+// minMagnitude is the least Fraction or Magnitude of a fault.
 const minMagnitude = 0.0001
 
-// faultUsage is which fields a kind of fault uses.
+// faultUsage tells which fields of Fault a kind of fault uses.
 type faultUsage struct {
 	fraction, count, region, duration bool
 	maxMagnitude                      float64 // 0: no magnitude
@@ -35,15 +35,15 @@
 	FaultLoss:    {duration: true, maxMagnitude: 0.5},
 }
 
-// fieldRange is the range of a numeric field.
+// fieldRange is the value of a numeric field and the range that is allowed.
 type fieldRange struct {
 	path            string
 	value, min, max float64
 }
 
-// ranges are those of the fields outside of faults.
+// ranges returns the ranges of all fields that are not part of a fault.
 func (s *Scenario) ranges() []fieldRange {
-	const maxLimit = 1e6 // of limits, in ms or KB
+	const maxLimit = 1e6 // for limits, in ms, KB or KB/s
 	ranges := []fieldRange{
 		{"seconds", s.Seconds, 1, maxSeconds},
 		{"settle_s", s.SettleSeconds, 1, maxSeconds},
@@ -88,7 +88,7 @@
 	}
 }
 
-// check reports a value outside of its range.
+// check reports a value that is out of its range.
 func (f fieldRange) check(doc *strictjson.Document) {
 	if !(f.value >= f.min && f.value <= f.max) { // also of NaN
 		name := f.path[strings.LastIndexByte(f.path, '.')+1:]
