--- a/internal/lab/hollow/checker_test.go
+++ b/internal/lab/hollow/checker_test.go
@@ -27,13 +27,14 @@
 	return sim, sim.byRole[Proxy][0], entries
 }
 
+// batchOf returns a batch with all of the given entries, which are the first of the stream.
 func batchOf(entries []distribution.Entry) distribution.Apply {
 	through := entries[len(entries)-1].Sequence
 	return distribution.Apply{Epoch: 1, Through: through, Watermark: distribution.Watermark{Sequence: through, At: startUnixMs}, Entries: entries}
 }
 
-// Batches that carry all that was committed are accepted, in one piece or in several, and also one without an entry that a later
-// entry supersedes.
+// Batches that together have all committed entries are accepted. So is a batch that omits an entry that a later one supersedes;
+// the omitted entry counts as applied once the later one is.
 func TestCheckerAcceptsCompleteBatches(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 20)
 	firstBatch := batchOf(entries[:8])
@@ -42,7 +43,7 @@
 	secondBatch.After, secondBatch.Entries = firstBatch.Through, entries[8:]
 	sim.checker.checkApply(p, purgeStream, secondBatch)
 	sim.checker.checkComplete()
-	require.Zero(t, sim.checker.violations-countEmptyProcesses(sim, p), "%v", sim.checker.violationTexts)
+	require.Zero(t, sim.checker.violations-countOthersWithoutEntries(sim, p), "%v", sim.checker.violationTexts)
 
 	sim, p, entries = checkerFixture(t, 20)
 	superseding := sim.log.newPurge(sim, sim.leader)
@@ -62,7 +63,7 @@
 	require.Empty(t, p.omitted)
 }
 
-// In a batch made of a snapshot sequence numbers need only increase. Other batches must have the store's.
+// In a batch made of a snapshot it is enough that sequence numbers increase. Other batches must have the store's sequence numbers.
 func TestCheckerAcceptsRenumberedSnapshot(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 9)
 	batch := batchOf(entries)
@@ -75,66 +76,66 @@
 	require.Equal(t, 9, p.applied[purgeStream])
 	batch.Atomic = false
 	sim.checker.checkApply(sim.byRole[Proxy][1], purgeStream, batch)
-	require.NotZero(t, sim.checker.violations, "other batches have the store's sequence numbers")
+	require.NotZero(t, sim.checker.violations, "a batch that is not made of a snapshot must have the store's sequence numbers")
 }
 
-// countEmptyProcesses counts the other processes, which have applied nothing and are violations at the end.
-func countEmptyProcesses(sim *simulation, p *process) int {
+// countOthersWithoutEntries counts the processes except p that have applied no purges. checkComplete reports a violation for each.
+func countOthersWithoutEntries(sim *simulation, p *process) int {
 	n := 0
-	for _, x := range sim.processes {
-		if x != p && x.role != StoreMember && x.applied[purgeStream] == 0 {
+	for _, other := range sim.processes {
+		if other != p && other.role != StoreMember && other.applied[purgeStream] == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// breach breaks a rule of the checker at a process that has applied none of the entries.
-type breach func(sim *simulation, p *process, e []distribution.Entry)
+// breach breaks a rule of the checker at a process that has not yet applied any of the entries.
+type breach func(sim *simulation, p *process, entries []distribution.Entry)
 
-// unknownEntry is an entry that was not committed.
+// unknownEntry returns an entry that was not committed, with the sequence number after the given one.
 func unknownEntry(through uint64) distribution.Entry {
 	return distribution.Entry{Sequence: through + 1, Kind: distribution.PurgeObject, Name: "x"}
 }
 
 var batchBreaches = map[string]breach{
-	"missing": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"missing entry": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		batch.Entries = slices.Concat(entries[:4], entries[5:])
 		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"gap": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"gap before the batch": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		batch.After, batch.Entries = entries[2].Sequence, entries[3:]
 		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"changed": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"changed name": func(sim *simulation, p *process, entries []distribution.Entry) {
 		entries[4].Name += "x"
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"earlier time": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"earlier effective time": func(sim *simulation, p *process, entries []distribution.Entry) {
 		entries[4].EffectiveAt--
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"out of order": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"entries out of order": func(sim *simulation, p *process, entries []distribution.Entry) {
 		entries[4], entries[5] = entries[5], entries[4]
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"twice": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"batch applied twice": func(sim *simulation, p *process, entries []distribution.Entry) {
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 	},
-	"unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"unknown entry": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		batch.Entries = append(slices.Clone(entries), unknownEntry(batch.Through))
 		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"atomic batch lacks": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"missing entry in an atomic batch": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		batch.Atomic, batch.Entries = true, entries[1:]
 		sim.checker.checkApply(p, purgeStream, batch)
 	},
-	"atomic batch has unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"unknown entry in an atomic batch": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		batch.Atomic, batch.Entries = true, append(slices.Clone(entries), unknownEntry(batch.Through))
 		sim.checker.checkApply(p, purgeStream, batch)
@@ -142,18 +143,18 @@
 }
 
 var snapshotBreaches = map[string]breach{
-	"snapshot lacks": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"missing entry in a snapshot": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{Epoch: 1, Through: batch.Through, Watermark: batch.Watermark, Entries: entries[1:]})
 	},
-	"snapshot has unknown": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"unknown entry in a snapshot": func(sim *simulation, p *process, entries []distribution.Entry) {
 		batch := batchOf(entries)
 		unknown := unknownEntry(batch.Through)
 		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
 			Epoch: 1, Through: batch.Through, Watermark: batch.Watermark, Entries: append(slices.Clone(entries), unknown),
 		})
 	},
-	"older snapshot": func(sim *simulation, p *process, entries []distribution.Entry) {
+	"snapshot older than what was applied": func(sim *simulation, p *process, entries []distribution.Entry) {
 		sim.checker.checkApply(p, purgeStream, batchOf(entries))
 		older := batchOf(entries[:4])
 		sim.checker.checkSnapshot(p, purgeStream, distribution.InstallSnapshot{
@@ -162,7 +163,7 @@
 	},
 }
 
-// requireViolations requires that each breach is a violation.
+// requireViolations requires that the checker reports each breach.
 func requireViolations(t *testing.T, breaches map[string]breach) {
 	t.Helper()
 	for name, breakRule := range breaches {
@@ -182,34 +183,36 @@
 	requireViolations(t, snapshotBreaches)
 }
 
-// An omitted entry is a violation if the one that supersedes it never comes.
+// An omitted entry is a violation if the entry that supersedes it is never applied.
 func TestCheckerReportsOmittedEntry(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 9)
 	p.omitted = append(p.omitted, omittedEntry{purgeStream, 0, entries[1].Sequence})
 	sim.checker.checkApply(p, purgeStream, distribution.Apply{Epoch: 1, Through: 0})
-	for _, x := range sim.processes {
-		x.applied[purgeStream] = len(entries)
+	for _, process := range sim.processes {
+		process.applied[purgeStream] = len(entries)
 	}
 	sim.checker.checkComplete()
 	require.NotZero(t, sim.checker.violations)
 }
 
-// A process that lags with its gate open is a violation. The gate of one that starts is closed.
+// A process that lags with its gate open is a violation. The gate of a process that starts is closed, which is no
+// violation.
 func TestCheckerReportsLagWithOpenGate(t *testing.T) {
 	sim, p, _ := checkerFixture(t, 9)
-	for _, x := range sim.processes {
-		x.up = x == p
+	for _, process := range sim.processes {
+		process.up = process == p
 	}
 	sim.now = sim.scenario.MaxLagMs + 1
 	p.gates[purgeStream] = distribution.NewFreshnessGate(distribution.DefaultSettings(distribution.Purges, p.peer()))
 	sim.checker.checkLag()
-	require.Zero(t, sim.checker.violations, "the gate of a process that starts is closed")
+	require.Zero(t, sim.checker.violations, "the new gate of a process that starts must be closed")
 	p.gates[purgeStream] = nil
 	sim.checker.checkLag()
 	require.NotZero(t, sim.checker.violations)
 }
 
-// A violation of a limit names the process or the phase. A burst raises the limit of traffic.
+// A violation of the latency limit names the process, one of the traffic limit the phase. A higher rate of purges raises the
+// traffic limit.
 func TestLimitsAreReported(t *testing.T) {
 	sim, p, entries := checkerFixture(t, 3)
 	sim.now = warmUpMs + 9000
@@ -228,10 +231,10 @@
 	sim.checkLimits(r)
 	require.Len(t, r.ViolationTexts, 2, "%v", r.ViolationTexts)
 	require.Contains(t, r.ViolationTexts[0], "took 9000 ms to "+p.name)
-	require.True(t, strings.Contains(r.ViolationTexts[1], "from 0.0 to 10.0 s"), "the burst raises the limit tenfold: %v", r.ViolationTexts)
+	require.True(t, strings.Contains(r.ViolationTexts[1], "from 0.0 to 10.0 s"), "only the phase without the burst may exceed the limit, as the burst raises the limit tenfold: %v", r.ViolationTexts)
 }
 
-// A recording has a point for each size, in order. Quantities with too few sizes to fit are left out.
+// A recording has a point for each size, in increasing order. Quantities with fewer than minPoints sizes are left out.
 func TestRecordingsHaveAPointForEachSize(t *testing.T) {
 	var runs []*Result
 	for _, n := range []int{300, 100, 3000, 1000} {
@@ -243,10 +246,10 @@
 	require.NoError(t, WriteRecordings(&out, "a machine", runs))
 	var got Recordings
 	require.NoError(t, json.Unmarshal([]byte(out.String()), &got))
-	require.Len(t, got.Recordings, len(recordedQuantities)-1, "one size of ModeDirect is too few")
-	for _, x := range got.Recordings {
-		if x.Name == "scale/proxy-bytes-per-s" {
-			require.Equal(t, []Point{{100, 5000}, {300, 5000}, {1000, 5000}, {3000, 5000}}, x.Points)
+	require.Len(t, got.Recordings, len(recordedQuantities)-1, "the quantity of ModeDirect, measured at one size, must be left out")
+	for _, recording := range got.Recordings {
+		if recording.Name == "scale/proxy-bytes-per-s" {
+			require.Equal(t, []Point{{100, 5000}, {300, 5000}, {1000, 5000}, {3000, 5000}}, recording.Points)
 		}
 	}
 }
--- a/internal/lab/hollow/scenario_test.go
+++ b/internal/lab/hollow/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every file of lab/scale is a valid scenario with the name of its file.
+// Every file in lab/scale is a valid scenario that has the file's name.
 func TestScenarioFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/scale/*.jsonc")
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 	}
 }
 
-// All defects of a file are reported at once, with their positions.
+// All defects of a file are reported at once, with their positions. An unknown field is one.
 func TestParseReportsAllDefects(t *testing.T) {
 	_, defects := Parse("x.jsonc", []byte(`{
   "processes": [5, 100],
--- a/internal/lab/hollow/simulation_test.go
+++ b/internal/lab/hollow/simulation_test.go
@@ -29,16 +29,18 @@
 	return r
 }
 
-// Every kind of fault on a small fleet breaks no rule of the checker and exceeds no limit of latency or traffic.
-func TestEveryFaultBreaksNoRule(t *testing.T) {
+// A small fleet with every kind of fault has no violations: each process applies what was committed, within the limits of latency
+// and traffic.
+func TestFaultsCauseNoViolations(t *testing.T) {
 	s := readScenario(t, "small.jsonc")
 	r := runScenario(t, s, ModeLevels, false)
-	t.Logf("%s", summary(r))
+	t.Logf("%s", resultJSON(r))
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 	require.Len(t, r.Recoveries, len(s.Faults))
 }
 
-func summary(r *Result) string {
+// resultJSON returns a result as JSON, without its scenario and phases.
+func resultJSON(r *Result) string {
 	trimmed := *r
 	trimmed.Scenario, trimmed.Phases = Scenario{}, nil
 	raw, _ := json.Marshal(trimmed)
@@ -59,7 +61,7 @@
 	return s
 }
 
-// withoutMeasurements is a result without what is measured in real time.
+// withoutMeasurements returns a copy of a result without CPU time, wall-clock time and heap, which differ between runs.
 func withoutMeasurements(r *Result) *Result {
 	stripped := *r
 	stripped.CPUSeconds, stripped.WallSeconds, stripped.HeapMB, stripped.HarnessCPUSeconds, stripped.RoleCosts = 0, 0, 0, 0, nil
@@ -70,7 +72,7 @@
 	return &stripped
 }
 
-// The seed determines a run to the byte.
+// Two runs with the same seed have the same result; with another seed the result differs.
 func TestSeedDeterminesRun(t *testing.T) {
 	s := tinyScenario()
 	first, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
@@ -84,7 +86,7 @@
 	require.NotEqual(t, string(first), string(otherSeed))
 }
 
-// Played back without deciders, a run has the same events, traffic and latencies.
+// A run that is played back without deciders has the same number of events, traffic and latencies.
 func TestReplayHasSameEvents(t *testing.T) {
 	s := tinyScenario()
 	for _, mode := range []Mode{ModeLevels, ModeDirect} {
@@ -104,7 +106,7 @@
 	}
 }
 
-// In both modes every entry reaches every process. What the leader sends grows with the processes in ModeDirect only.
+// In both modes every entry reaches every process. The leader's traffic grows with the number of processes in ModeDirect only.
 func TestLeaderTrafficGrowsInDirectModeOnly(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = nil
@@ -112,23 +114,23 @@
 		r, err := Run(context.Background(), s, n, mode, false)
 		require.NoError(t, err)
 		require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "all entries reach all processes")
+		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "every entry must reach every process")
 		return r.summaryRow().StoreKB
 	}
 	require.InEpsilon(t, 3, storeKB(270, ModeDirect)/storeKB(90, ModeDirect), 0.2)
 	require.Less(t, storeKB(270, ModeLevels)/storeKB(90, ModeLevels), 1.5)
 }
 
-// In ModeDirect all entries reach all processes in spite of restarted followers and a killed leader.
+// In ModeDirect all entries reach all processes in spite of faults, among them restarted followers and a killed leader.
 func TestDirectModeSurvivesFaults(t *testing.T) {
 	r := runScenario(t, tinyScenario(), ModeDirect, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 	for _, limit := range r.ExceededLimits {
-		require.NotContains(t, limit, "lack", "all that was committed is everywhere by the end")
+		require.NotContains(t, limit, "lack", "every process must have every committed entry at the end")
 	}
 }
 
-// An entry costs bytes beside its data, and a response fewer than a request with an entry.
+// An entry takes bytes besides its data, and a response takes fewer bytes than a request with an entry.
 func TestRaftSizesArePlausible(t *testing.T) {
 	s := measureRaftSizes()
 	require.Greater(t, s.request, 50)
@@ -137,7 +139,7 @@
 	require.Less(t, s.response, s.request+s.entry)
 }
 
-// The page names both modes and has all plots.
+// The page shows the runs of both modes and has all plots. It cannot be written without runs.
 func TestPageShowsBothModes(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = s.Faults[:1]
@@ -156,7 +158,7 @@
 	require.Error(t, WritePage(&out, "none", nil))
 }
 
-// Events are popped by time, and those of one instant in the order of pushing.
+// Events are popped in the order of their times, and those of the same time in the order in which they were pushed.
 func TestQueueOrdersEvents(t *testing.T) {
 	q := &eventQueue{}
 	rng := newRand(1, "q")
@@ -172,11 +174,11 @@
 	require.True(t, slices.IsSorted(popped))
 }
 
-// A slow process closes its gate while it lags, and breaks no rule.
+// A process that reads slowly closes its gate while it lags, which is no violation.
 func TestSlowProcessClosesGate(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = []Fault{{AtSeconds: 1, ForSeconds: 8, Kind: FaultSlow, Count: 2, Magnitude: 1}}
 	r := runScenario(t, s, ModeLevels, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-	require.Greater(t, r.GatedFraction, 0.0, "slow processes close their gates")
+	require.Greater(t, r.GatedFraction, 0.0, "slow processes must close their gates")
 }
--- a/internal/lab/hollow/store_log.go
+++ b/internal/lab/hollow/store_log.go
@@ -25,7 +25,7 @@
 	stream        int
 	streamEntry   distribution.Entry // the entry as the stream carries it
 	encodedChange []byte             // the entry as the store's log has it
-	// merged is published with the latest times of all entries that it supersedes (for a drain, with the earliest EffectiveAt). A
+	// merged is streamEntry with the latest times of all entries that it supersedes (for a drain, with the earliest EffectiveAt). A
 	// distributor that merges entries may send any time between those of streamEntry and those of merged.
 	merged         distribution.Entry
 	supersededBy   uint64  // sequence number of the first later entry that replaces this one; 0: none yet
