--- a/internal/lab/hollow/checker.go
+++ b/internal/lab/hollow/checker.go
@@ -59,7 +59,7 @@
 	_ = h.RecordValue(int64(ms*1000) + 1) // a latency out of range is not recorded
 }
 
-// violation records a violation, with the virtual time since the start of the run.
+// violation records a violation with the virtual time at which it was found.
 func (c *checker) violation(format string, args ...any) {
 	c.violations++
 	if len(c.violationTexts) < maxViolationTexts {
--- a/internal/lab/hollow/direct.go
+++ b/internal/lab/hollow/direct.go
@@ -13,9 +13,9 @@
 	raftMaxInFlight     = 2  // requests to one follower that have no response yet
 	raftMinBackoff      = 10.0
 	raftMaxBackoff      = 10_240.0
-	raftMaxDoublings    = 12 // of raftMinBackoff
+	raftMaxDoublings    = 12 // of the backoff, from raftMinBackoff
 	raftResponseTimeout = 2000.0
-	raftHeartbeatMean   = 150.0 // mean interval
+	raftHeartbeatMean   = 150.0 // mean interval between heartbeats
 	// leaderTimerInterval is the interval at which the leader checks all its followers. It is the resolution of the model's timers.
 	leaderTimerInterval = 20.0
 )
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -55,7 +55,7 @@
 	timers                     [timerSlots]timer
 
 	streams [streamCount]streamNode
-	gates   [streamCount]*distribution.FreshnessGate // that the request path would ask
+	gates   [streamCount]*distribution.FreshnessGate // that requests would consult
 	applied [streamCount]int                         // length of the prefix of each stream's log that the process has applied
 	omitted []omittedEntry
 	applier *applier // nil: the process is not full
@@ -66,7 +66,7 @@
 	phaseInBytes, phaseOutBytes int64   // since the start of the phase
 }
 
-// traffic counts the messages of one direction.
+// traffic counts what a process has sent, or what it has received.
 type traffic struct{ Bytes, Messages int64 }
 
 // streamNode holds a process's subscriber and distributor of one stream, with their connections.
@@ -94,7 +94,7 @@
 	}
 }
 
-// running reports whether the process handles events.
+// running reports whether the process handles events: it is neither down nor suspended.
 func (p *process) running() bool { return p.up && !p.suspended }
 
 func boolToInt(b bool) int {
--- a/internal/lab/hollow/topology.go
+++ b/internal/lab/hollow/topology.go
@@ -40,8 +40,8 @@
 	sim.chooseFullProcesses()
 }
 
-// regionZone is the zone number of those processes of a region that belong to no zone. It is negative, so that it is no number of a
-// zone.
+// regionZone is the zone number of those processes of a region that belong to no zone. It is below 0, so that no zone has the same
+// number.
 func regionZone(region int) int { return -1 - region }
 
 func (sim *simulation) addProcess(role Role, region, zone, site int) {
@@ -143,7 +143,7 @@
 }
 
 // demand counts the distributors that share a load, the given one included, and their subscribers: the proxies of a zone, or the
-// zones' distributors of a region.
+// zones' distributors in a region.
 func (sim *simulation) demand(p *process) distribution.Demand {
 	demand := distribution.Demand{}
 	for _, other := range sim.byRole[p.role] {
--- a/internal/lab/hollow/validate.go
+++ b/internal/lab/hollow/validate.go
@@ -90,7 +90,7 @@
 
 // check reports a value that is out of its range.
 func (f fieldRange) check(doc *strictjson.Document) {
-	if !(f.value >= f.min && f.value <= f.max) { // also of NaN
+	if !(f.value >= f.min && f.value <= f.max) { // this form also reports NaN
 		name := f.path[strings.LastIndexByte(f.path, '.')+1:]
 		doc.Failf(f.path, "%s %.10g is not %.10g to %.10g", name, f.value, f.min, f.max)
 	}
