--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/hollow/faults.go
@@ -6,7 +6,7 @@
 	"ravenwheel/internal/decide/distribution"
 )
 
-// scheduleFaults schedules the scenario's faults, the phases between their starts and ends, and the watch for recovery.
+// scheduleFaults schedules the scenario's faults, the phases between their starts and ends, and the measurement of recoveries.
 func (sim *simulation) scheduleFaults() {
 	boundaries := map[float64]bool{}
 	for _, fault := range sim.scenario.Timeline() {
@@ -34,20 +34,20 @@
 // end is the virtual time in ms at which a fault ends.
 func (f Fault) end() float64 { return f.start() + f.ForSeconds*1000 }
 
-// injectFault begins a fault. What a fault changes in single processes it also schedules the end of; endFault does the rest.
+// injectFault begins a fault. For a fault of chosen processes it also schedules the end; endFault ends the others.
 func (sim *simulation) injectFault(f Fault) {
 	switch f.Kind {
 	case FaultLeader:
 		sim.kill(sim.leader)
-		sim.after(f.ForSeconds*1000, func() { sim.restartDown(sim.byRole[Store]) })
+		sim.after(f.ForSeconds*1000, func() { sim.restartDown(sim.byRole[StoreMember]) })
 	case FaultKill:
-		victims := sim.pickRunning(sim.byRole[Zone], f.Count)
+		victims := sim.pickRunning(sim.byRole[ZoneDistributor], f.Count)
 		for _, p := range victims {
 			sim.kill(p)
 		}
 		sim.after(f.ForSeconds*1000, func() { sim.restartDown(victims) })
 	case FaultStop:
-		sim.stopDistributors(f)
+		sim.suspendDistributors(f)
 	case FaultCut:
 		sim.partition(f.Region)
 		sim.electLeader()
@@ -69,15 +69,15 @@
 	}
 }
 
-// affectedProxies is how many proxies a fault of a fraction of them affects.
+// affectedProxies is the number of proxies that a fault with a Fraction affects.
 func (f Fault) affectedProxies(sim *simulation) int {
 	return int(math.Ceil(f.Fraction * float64(len(sim.byRole[Proxy]))))
 }
 
-func (sim *simulation) stopDistributors(f Fault) {
-	victims := sim.pickRunning(sim.byRole[Zone], f.Count)
+func (sim *simulation) suspendDistributors(f Fault) {
+	victims := sim.pickRunning(sim.byRole[ZoneDistributor], f.Count)
 	for _, p := range victims {
-		p.stopped = true
+		p.suspended = true
 	}
 	sim.after(f.ForSeconds*1000, func() {
 		for _, p := range victims {
@@ -121,12 +121,12 @@
 		}
 	}
 	sim.cutRegion = noRegion
-	for _, member := range sim.byRole[Store] {
+	for _, member := range sim.byRole[StoreMember] {
 		sim.catchUp(member)
 	}
 }
 
-// pickRunning draws up to n running processes.
+// pickRunning selects up to n running processes at random.
 func (sim *simulation) pickRunning(from []*process, n int) (picked []*process) {
 	for _, i := range sim.faultRand.Perm(len(from)) {
 		if len(picked) < n && from[i].running() {
@@ -136,12 +136,12 @@
 	return picked
 }
 
-// kill ends a process, which loses all but what it has on disk.
+// kill ends a process, which loses its state except for what it has persisted.
 func (sim *simulation) kill(p *process) {
 	p.up = false
 	sim.closeAll(p)
 	p.incarnation++
-	p.inbox, p.unread, p.omitted, p.applier = nil, nil, nil, nil
+	p.deferredEvents, p.unread, p.omitted, p.applier = nil, nil, nil, nil
 	p.gates = [streamCount]*distribution.FreshnessGate{}
 	p.streams = [streamCount]streamNode{}
 	p.timers = [timerSlots]timer{}
@@ -149,7 +149,7 @@
 	sim.electLeader()
 }
 
-// restartDown starts those of the processes that are down.
+// restartDown starts those of the given processes that are down.
 func (sim *simulation) restartDown(processes []*process) {
 	for _, p := range processes {
 		if !p.up {
@@ -158,21 +158,21 @@
 	}
 }
 
-// startProcess starts a process that was killed.
+// startProcess starts a process that was killed. A member of the store then fetches the log.
 func (sim *simulation) startProcess(p *process) {
-	p.up, p.stopped, p.connectableSince = true, false, sim.now
+	p.up, p.suspended, p.connectableSince = true, false, sim.now
 	sim.meter.processStarted(sim, p)
-	if p.role == Store {
+	if p.role == StoreMember {
 		sim.catchUp(p)
 	}
 }
 
-// resume has a stopped process go on. It handles first what arrived and what fell due meanwhile.
+// resume ends the suspension of a process. The process first handles the messages and timers that were deferred in the meantime.
 func (sim *simulation) resume(p *process) {
-	p.stopped, p.connectableSince = false, sim.now
-	inbox := p.inbox
-	p.inbox = nil
-	for _, e := range inbox {
+	p.suspended, p.connectableSince = false, sim.now
+	deferred := p.deferredEvents
+	p.deferredEvents = nil
+	for _, e := range deferred {
 		if e.kind == eventTimer {
 			p.timers[e.slot].scheduledAt = sim.now
 		}
--- a/internal/lab/hollow/simulation_test.go
+++ b/internal/lab/hollow/simulation_test.go
@@ -17,8 +17,8 @@
 	path := filepath.Join("../../../lab/scale", name)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	s, bad := Parse(path, text)
-	require.NoError(t, bad.Err())
+	s, defects := Parse(path, text)
+	require.NoError(t, defects.Err())
 	return s
 }
 
@@ -29,19 +29,21 @@
 	return r
 }
 
-// Every kind of fault on a small fleet breaks no rule of the checker and exceeds no limit of latency or traffic.
-func TestEveryFaultBreaksNoRule(t *testing.T) {
+// A small fleet with every kind of fault has no violations: each process applies what was committed, within the limits of latency
+// and traffic.
+func TestFaultsCauseNoViolations(t *testing.T) {
 	s := readScenario(t, "small.jsonc")
 	r := runScenario(t, s, ModeLevels, false)
-	t.Logf("%s", summary(r))
+	t.Logf("%s", resultJSON(r))
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
 	require.Len(t, r.Recoveries, len(s.Faults))
 }
 
-func summary(r *Result) string {
-	x := *r
-	x.Scenario, x.Phases = Scenario{}, nil
-	raw, _ := json.Marshal(x)
+// resultJSON returns a result as JSON, without its scenario and phases.
+func resultJSON(r *Result) string {
+	trimmed := *r
+	trimmed.Scenario, trimmed.Phases = Scenario{}, nil
+	raw, _ := json.Marshal(trimmed)
 	return string(raw)
 }
 
@@ -59,52 +61,52 @@
 	return s
 }
 
-// withoutMeasurements is a result without what is measured in real time.
+// withoutMeasurements returns a copy of a result without CPU time, wall-clock time and heap, which differ between runs.
 func withoutMeasurements(r *Result) *Result {
-	x := *r
-	x.CPUSeconds, x.WallSeconds, x.HeapMB, x.HarnessCPUSeconds, x.RoleCosts = 0, 0, 0, 0, nil
-	for _, c := range r.RoleCosts {
-		c.MicrosPerCall, c.CPUPercent, c.HeapMB, c.LightHeapMB = 0, 0, 0, 0
-		x.RoleCosts = append(x.RoleCosts, c)
+	stripped := *r
+	stripped.CPUSeconds, stripped.WallSeconds, stripped.HeapMB, stripped.HarnessCPUSeconds, stripped.RoleCosts = 0, 0, 0, 0, nil
+	for _, cost := range r.RoleCosts {
+		cost.MicrosPerCall, cost.CPUPercent, cost.HeapMB, cost.LightHeapMB = 0, 0, 0, 0
+		stripped.RoleCosts = append(stripped.RoleCosts, cost)
 	}
-	return &x
+	return &stripped
 }
 
-// The seed determines a run to the byte.
+// Two runs with the same seed have the same result; with another seed the result differs.
 func TestSeedDeterminesRun(t *testing.T) {
 	s := tinyScenario()
-	one, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	first, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	two, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	second, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	require.JSONEq(t, string(one), string(two))
+	require.JSONEq(t, string(first), string(second))
 	s.Seed = 2
-	other, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
+	otherSeed, err := json.Marshal(withoutMeasurements(runScenario(t, s, ModeLevels, false)))
 	require.NoError(t, err)
-	require.NotEqual(t, string(one), string(other))
+	require.NotEqual(t, string(first), string(otherSeed))
 }
 
-// Played back without deciders, a run has the same events, traffic and latencies.
+// A run that is played back without deciders has the same number of events, traffic and latencies.
 func TestReplayHasSameEvents(t *testing.T) {
 	s := tinyScenario()
 	for _, mode := range []Mode{ModeLevels, ModeDirect} {
 		sim := newSimulation(s, 90, mode)
 		sim.trace = &callTrace{}
 		require.NoError(t, sim.run(context.Background()))
-		e := newSimulation(s, 90, ModeLevels)
-		e.propagator = &replayer{sim: e, trace: sim.trace}
-		require.NoError(t, e.run(context.Background()))
-		require.Equal(t, sim.processed, e.processed)
-		require.Equal(t, sim.handshakes, e.handshakes)
-		require.Equal(t, sim.propagation(purgeStream), e.propagation(purgeStream))
+		replay := newSimulation(s, 90, ModeLevels)
+		replay.propagator = &replayer{sim: replay, trace: sim.trace}
+		require.NoError(t, replay.run(context.Background()))
+		require.Equal(t, sim.processed, replay.processed)
+		require.Equal(t, sim.handshakes, replay.handshakes)
+		require.Equal(t, sim.propagation(purgeStream), replay.propagation(purgeStream))
 		for i, p := range sim.processes {
-			require.Equal(t, p.in, e.processes[i].in, p.name)
-			require.Equal(t, p.out, e.processes[i].out, p.name)
+			require.Equal(t, p.in, replay.processes[i].in, p.name)
+			require.Equal(t, p.out, replay.processes[i].out, p.name)
 		}
 	}
 }
 
-// In both modes every entry reaches every process. What the leader sends grows with the processes in ModeDirect only.
+// In both modes every entry reaches every process. The leader's traffic grows with the number of processes in ModeDirect only.
 func TestLeaderTrafficGrowsInDirectModeOnly(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = nil
@@ -112,23 +114,23 @@
 		r, err := Run(context.Background(), s, n, mode, false)
 		require.NoError(t, err)
 		require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "all entries reach all processes")
+		require.Equal(t, r.Entries[0]+r.Entries[1], int(r.PerProcess[0].Count+r.PerProcess[1].Count)/(n-s.Voters), "every entry must reach every process")
 		return r.summaryRow().StoreKB
 	}
 	require.InEpsilon(t, 3, storeKB(270, ModeDirect)/storeKB(90, ModeDirect), 0.2)
 	require.Less(t, storeKB(270, ModeLevels)/storeKB(90, ModeLevels), 1.5)
 }
 
-// In ModeDirect all entries reach all processes in spite of restarted followers and a killed leader.
+// In ModeDirect all entries reach all processes in spite of faults, among them restarted followers and a killed leader.
 func TestDirectModeSurvivesFaults(t *testing.T) {
 	r := runScenario(t, tinyScenario(), ModeDirect, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-	for _, b := range r.ExceededLimits {
-		require.NotContains(t, b, "lack", "all that was committed is everywhere by the end")
+	for _, limit := range r.ExceededLimits {
+		require.NotContains(t, limit, "lack", "every process must have every committed entry at the end")
 	}
 }
 
-// An entry costs bytes beside its data, and a response fewer than a request with an entry.
+// An entry takes bytes besides its data, and a response takes fewer bytes than a request with an entry.
 func TestRaftSizesArePlausible(t *testing.T) {
 	s := measureRaftSizes()
 	require.Greater(t, s.request, 50)
@@ -137,7 +139,7 @@
 	require.Less(t, s.response, s.request+s.entry)
 }
 
-// The page names both modes and has all plots.
+// The page shows the runs of both modes and has all plots. It cannot be written without runs.
 func TestPageShowsBothModes(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = s.Faults[:1]
@@ -156,27 +158,27 @@
 	require.Error(t, WritePage(&out, "none", nil))
 }
 
-// Events are popped by time, and those of one instant in the order of pushing.
+// Events are popped in the order of their times, and those of the same time in the order in which they were pushed.
 func TestQueueOrdersEvents(t *testing.T) {
 	q := &eventQueue{}
 	rng := newRand(1, "q")
-	var got []int
+	var popped []int
 	for i := range 3000 {
 		at := rng.IntN(50)
-		q.push(event{at: float64(at), kind: eventCall, call: func() { got = append(got, at*10_000+i) }})
+		q.push(event{at: float64(at), kind: eventCall, call: func() { popped = append(popped, at*10_000+i) }})
 	}
 	for e, ok := q.pop(); ok; e, ok = q.pop() {
 		e.call()
 	}
-	require.Len(t, got, 3000)
-	require.True(t, slices.IsSorted(got))
+	require.Len(t, popped, 3000)
+	require.True(t, slices.IsSorted(popped))
 }
 
-// A slow process closes its gate while it lags, and breaks no rule.
+// A process that reads slowly closes its gate while it lags, which is no violation.
 func TestSlowProcessClosesGate(t *testing.T) {
 	s := tinyScenario()
 	s.Faults = []Fault{{AtSeconds: 1, ForSeconds: 8, Kind: FaultSlow, Count: 2, Magnitude: 1}}
 	r := runScenario(t, s, ModeLevels, false)
 	require.Zero(t, r.Violations, "%v", r.ViolationTexts)
-	require.Greater(t, r.GatedFraction, 0.0, "slow processes close their gates")
+	require.Greater(t, r.GatedFraction, 0.0, "slow processes must close their gates")
 }
