--- a/cmd/ravenwheel/admin_client.go
+++ b/cmd/ravenwheel/admin_client.go
@@ -13,10 +13,10 @@
 	"ravenwheel/internal/config"
 )
 
-// adminAddr is the admin address of the proxy that a command is for; empty: the operator's file's.
+// adminAddr is the admin address of the proxy that a command is for; empty: the one in the operator's file.
 var adminAddr string
 
-const adminUsage = "the proxy's admin address: unix:PATH or HOST:PORT (default: the operator's file's)"
+const adminUsage = "the proxy's admin address: unix:PATH or HOST:PORT (default: the one in the operator's file)"
 
 // addAdminFlag adds --admin to commands.
 func addAdminFlag(commands ...*cobra.Command) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// adminAddress is the admin address of the flag, else of the operator's file.
+// adminAddress returns the admin address of the flag, or else that of the operator's file.
 func adminAddress() (string, error) {
 	if adminAddr != "" {
 		return adminAddr, nil
@@ -35,7 +35,7 @@
 		return "", err
 	}
 	if file.Admin == nil {
-		return "", errors.New("name the proxy's admin address with --admin, or its file with --operator")
+		return "", errors.New("no admin address: give it with --admin, or with --operator an operator's file that sets one")
 	}
 	return file.Admin.Listen, nil
 }
@@ -68,8 +68,8 @@
 	return encoder.Encode(v)
 }
 
-// newTable returns a writer that aligns the columns that tabs separate.
+// newTable returns a writer that aligns columns separated by tabs.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// formatTime formats Unix ms as UTC.
+// formatTime formats a time in Unix ms as UTC.
 func formatTime(ms float64) string { return time.UnixMilli(int64(ms)).UTC().Format(time.DateTime) }
--- a/cmd/ravenwheel/config_command.go
+++ b/cmd/ravenwheel/config_command.go
@@ -16,22 +16,22 @@
 const configPath = "/v1/config"
 
 func configCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "config", Short: "Check configuration, and change what the store holds of it", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "config", Short: "Check operators' files, and show or change the configuration in the store", Args: cobra.NoArgs}
 	get := &cobra.Command{Use: "get", Short: "Show the revision in force", Args: cobra.NoArgs, RunE: showRevision}
 	rollback := &cobra.Command{
-		Use: "rollback REVISION", Short: "Make the text of an earlier revision that of a new one", Args: cobra.ExactArgs(1), RunE: rollbackConfig,
+		Use: "rollback REVISION", Short: "Create a new revision with the text of an earlier one", Args: cobra.ExactArgs(1), RunE: rollbackConfig,
 	}
-	history := &cobra.Command{Use: "history", Short: "Show the revisions that are kept", Args: cobra.NoArgs, RunE: showRevisions}
+	history := &cobra.Command{Use: "history", Short: "Show the revisions that the store keeps", Args: cobra.NoArgs, RunE: showRevisions}
 	set := setConfigCommand()
 	addAdminFlag(get, set, rollback, history)
 	cmd.AddCommand(get, set, rollback, history, &cobra.Command{
-		Use: "check FILE...", Short: "Say whether operators' files can be used: a line file:line:col: reason a defect, and exit 1",
+		Use: "check FILE...", Short: "Validate operators' files; print a line file:line:col: reason for each defect and exit with 1",
 		Args: cobra.MinimumNArgs(1), RunE: checkConfig,
 	})
 	return cmd
 }
 
-// checkConfig prints for each operator's file whether it can be used, and its defects.
+// checkConfig prints, for each operator's file, that it can be used or its defects.
 func checkConfig(cmd *cobra.Command, paths []string) error {
 	failed := false
 	for _, path := range paths {
@@ -41,7 +41,7 @@
 			fmt.Fprintln(cmd.OutOrStdout(), err)
 			continue
 		}
-		use := "goes with what the platform tells"
+		use := "adds to the platform's configuration"
 		if file.Proxy != nil {
 			use = "stands alone"
 		}
@@ -65,7 +65,7 @@
 		return err
 	}
 	if len(response.Revisions) == 0 {
-		return errors.New("no revision yet: the operators' files alone are in force")
+		return errors.New("the store holds no revision yet; only the operators' files are in force")
 	}
 	newest := response.Revisions[len(response.Revisions)-1]
 	fmt.Fprintf(cmd.OutOrStdout(), "// revision %d\n%s", newest.Number, newest.Text)
@@ -89,10 +89,10 @@
 }
 
 func setConfigCommand() *cobra.Command {
-	const inForce = -1 // any negative number
+	const inForce = -1 // any negative number stands for the revision in force
 	var base int64
 	cmd := &cobra.Command{
-		Use: "set FILE", Short: "Put a text in force on all members, if the revision that it changes is still in force", Args: cobra.ExactArgs(1),
+		Use: "set FILE", Short: "Put a text in force on all members, if the revision that it is based on is still in force", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := readRevision(cmd, args[0])
 			if err != nil {
@@ -109,7 +109,7 @@
 			return changeConfig(cmd, request)
 		},
 	}
-	cmd.Flags().Int64Var(&base, "base", inForce, "the revision that is changed (default: the one in force)")
+	cmd.Flags().Int64Var(&base, "base", inForce, "the revision that the text is based on (default: the one in force)")
 	return cmd
 }
 
@@ -129,12 +129,12 @@
 func rollbackConfig(cmd *cobra.Command, args []string) error {
 	var revision uint64
 	if _, err := fmt.Sscan(args[0], &revision); err != nil || revision == 0 {
-		return fmt.Errorf("%q is no revision", args[0])
+		return fmt.Errorf("%q is not a revision number of 1 or more", args[0])
 	}
 	return changeConfig(cmd, admin.ConfigRequest{RollbackTo: revision})
 }
 
-// changeConfig proposes a revision in the name of the user, and prints its number.
+// changeConfig proposes a revision with the current user as its author, and prints its number.
 func changeConfig(cmd *cobra.Command, request admin.ConfigRequest) error {
 	if author, err := user.Current(); err == nil {
 		request.Author = author.Username
--- a/cmd/ravenwheel/distribution_command.go
+++ b/cmd/ravenwheel/distribution_command.go
@@ -10,15 +10,15 @@
 )
 
 func distributionCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "distribution", Short: "How a running proxy gets what the store holds", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "distribution", Short: "Show how a running proxy receives the contents of the store", Args: cobra.NoArgs}
 	cmd.AddCommand(
-		streamsCommand("show", "Show where each stream comes from, how far it is and who subscribes here", printStream),
-		streamsCommand("lag", "Show how far each stream is behind, at most", printLag))
+		streamsCommand("show", "Show the source, the position and the number of subscribers of each stream", printStream),
+		streamsCommand("lag", "Show the maximum lag of each stream", printLag))
 	cmd.PersistentFlags().StringVar(&adminAddr, "admin", "", adminUsage)
 	return cmd
 }
 
-// streamsCommand returns a command that prints each stream of a running proxy.
+// streamsCommand returns a command that prints the status of each stream of a running proxy.
 func streamsCommand(use, short string, print func(*tabwriter.Writer, distribution.Status)) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,22 +42,22 @@
 	fmt.Fprintf(table, "%s\t%s\n", s.Stream, describeLag(s))
 }
 
-// describeSource says where a stream comes from.
+// describeSource returns a description of a stream's source.
 func describeSource(s distribution.Status) string {
 	switch {
 	case s.Root:
 		return "from the store"
 	case s.Parent == "":
-		return "subscribed nowhere"
+		return "not subscribed"
 	default:
 		return "from " + s.Parent
 	}
 }
 
-// describeLag says how far a stream is behind.
+// describeLag returns a description of a stream's lag.
 func describeLag(s distribution.Status) string {
 	if s.LagMs < 0 {
-		return "nothing whole yet"
+		return "not complete yet"
 	}
 	text := fmt.Sprintf("%.0f ms behind at most", s.LagMs)
 	if s.Restricted {
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -287,8 +287,8 @@
 
 // The descriptions of a stream's source and lag.
 func TestStreamDescriptions(t *testing.T) {
-	require.Equal(t, []string{"from the store", "subscribed nowhere", "from d1"},
+	require.Equal(t, []string{"from the store", "not subscribed", "from d1"},
 		[]string{describeSource(distribution.Status{Root: true}), describeSource(distribution.Status{}), describeSource(distribution.Status{Parent: "d1"})})
-	require.Equal(t, []string{"nothing whole yet", "260 ms behind at most", "9000 ms behind at most, past its bound"},
+	require.Equal(t, []string{"not complete yet", "260 ms behind at most", "9000 ms behind at most, past its bound"},
 		[]string{describeLag(distribution.Status{LagMs: -1}), describeLag(distribution.Status{LagMs: 260}), describeLag(distribution.Status{LagMs: 9000, Restricted: true})})
 }
--- a/cmd/ravenwheel/peers_command.go
+++ b/cmd/ravenwheel/peers_command.go
@@ -11,17 +11,17 @@
 	"ravenwheel/internal/peers"
 )
 
-// peersPath is the admin path of the other processes.
+// peersPath is the admin path for the other processes.
 const peersPath = "/v1/peers"
 
 // dropReasons are the reasons for dropping a datagram, in the order in which they are shown.
 var dropReasons = []string{"malformed", "unknown", "forged", "replayed", "old", "misdirected", "flood", "refused"}
 
 func peersCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "peers", Short: "The other processes, as a running proxy knows them", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "peers", Short: "Show and manage the other processes that a running proxy knows", Args: cobra.NoArgs}
 	var asJSON bool
 	show := &cobra.Command{
-		Use: "show", Short: "Show who is there, who is gone and what was dropped", Args: cobra.NoArgs,
+		Use: "show", Short: "Show the members with their states, and the datagrams that were dropped", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var status peers.Status
 			return printAnswer(cmd.OutOrStdout(), peersPath, &status, asJSON, func(table *tabwriter.Writer) { printPeers(table, status) })
@@ -29,7 +29,7 @@
 	}
 	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	ping := &cobra.Command{
-		Use: "ping NAME", Short: "Ask a member whether it is there", Args: cobra.ExactArgs(1),
+		Use: "ping NAME", Short: "Probe a member and show how long its answer took", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			tookMs, err := callPeer("ping", args[0])
 			if err == nil {
@@ -39,7 +39,7 @@
 		},
 	}
 	forget := &cobra.Command{
-		Use: "forget NAME", Short: "Drop a member that is gone, and its word", Args: cobra.ExactArgs(1),
+		Use: "forget NAME", Short: "Forget a member that has failed or left, and its reports", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, err := callPeer("forget", args[0])
 			if err == nil {
@@ -53,7 +53,7 @@
 	return cmd
 }
 
-// callPeer has the proxy carry out an action on a member, and returns how long that took in ms.
+// callPeer has the proxy carry out an action on a member, and returns how long that took, in ms.
 func callPeer(action, name string) (tookMs float64, err error) {
 	var response struct {
 		TookMs float64 `json:"took_ms"`
@@ -75,10 +75,10 @@
 }
 
 func viewCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "view", Short: "What all processes know together of the servers", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "view", Short: "Show the view of the servers that all processes share", Args: cobra.NoArgs}
 	var asJSON bool
 	show := &cobra.Command{
-		Use: "show [SERVER]", Short: "Show the view, or who says what of one server and how old that is", Args: cobra.MaximumNArgs(1),
+		Use: "show [SERVER]", Short: "Show the view of all servers, or the reports of all processes on one server with their ages", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path := "/v1/view"
 			if len(args) > 0 {
--- a/cmd/ravenwheel/servers_command.go
+++ b/cmd/ravenwheel/servers_command.go
@@ -19,50 +19,51 @@
 	"ravenwheel/internal/strictjson"
 )
 
-// systemResolver resolves host names by the system, as the proxy does.
+// systemResolver returns the system's resolver, which the proxy uses too.
 func systemResolver() resolver.Backend { return net.DefaultResolver }
 
-// errDefects is returned once defects have been printed, one a line.
+// errDefects is returned after the defects have been printed, one a line.
 var errDefects = errors.New("defects")
 
-// noResolve: host names in lists are compared as they are written.
+// noResolve turns off the resolution of host names in lists: they are compared as they are written.
 var noResolve bool
 
 func serversCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "servers", Short: "Check, compare and show server lists", Args: cobra.NoArgs}
 	check := &cobra.Command{
-		Use: "check FILE|DIR...", Short: "Say whether lists can be used: a line file:line:col: reason a defect, and exit 1",
+		Use: "check FILE|DIR...", Short: "Validate server lists; print a line file:line:col: reason for each defect and exit with 1",
 		Args: cobra.MinimumNArgs(1), RunE: checkServers,
 	}
 	diff := &cobra.Command{
-		Use: "diff OLD NEW", Short: "Say what taking one list after another does",
+		Use: "diff OLD NEW", Short: "Show what changes when one list replaces another",
 		Args: cobra.ExactArgs(2), RunE: diffServers,
 	}
 	for _, c := range []*cobra.Command{check, diff} {
-		c.Flags().BoolVar(&noResolve, "no-resolve", false, "do not look names up: compare them as they are written")
+		c.Flags().BoolVar(&noResolve, "no-resolve", false, "do not resolve host names; compare them as they are written")
 	}
 	show := &cobra.Command{
 		Use: "show", Short: "Show the servers that a running proxy uses", Args: cobra.NoArgs, RunE: showServers,
 	}
 	drain := &cobra.Command{
-		Use: "drain ID", Short: "Drain a server by hand, whatever the lists say, until it is given back", Args: cobra.ExactArgs(1),
+		Use: "drain ID", Short: "Drain a server manually, whatever the lists say, until it is restored", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return drainServer(cmd, args[0], true, "drains") },
 	}
 	restore := &cobra.Command{
-		Use: "restore ID", Short: "Give a server back that was drained by hand", Args: cobra.ExactArgs(1),
+		Use: "restore ID", Short: "End the manual drain of a server", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return drainServer(cmd, args[0], false, "is given back")
 		},
 	}
 	push := &cobra.Command{
-		Use: "push FILE", Short: "Give a list to all members of the store", Args: cobra.ExactArgs(1), RunE: pushServers,
+		Use: "push FILE", Short: "Push a list to all members of the store", Args: cobra.ExactArgs(1), RunE: pushServers,
 	}
 	addAdminFlag(show, drain, restore, push)
 	cmd.AddCommand(check, diff, show, drain, restore, push)
 	return cmd
 }
 
-// listRequirements are what lists are validated against: by the operator's file where it is given, else what every site shares.
+// listRequirements returns the requirements that lists are validated against: those of the operator's file if a standalone one is
+// given, or else those that every site shares.
 func listRequirements() (serverlist.Requirements, error) {
 	requirements := serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", OriginRequired: true}
 	if operatorFile == "" {
@@ -80,12 +81,12 @@
 }
 
 const (
-	// checkResolveTTL and checkResolveTimeout, in ms, are of the host names in lists that are checked.
+	// checkResolveTTL and checkResolveTimeout, in ms, are for the host names in lists that are checked.
 	checkResolveTTL     = 60_000
 	checkResolveTimeout = 5000
 )
 
-// readList reads one list, after previous (nil: none). The error is its defects.
+// readList reads a list as the successor of previous (nil: none). The error holds the defects of the list.
 func readList(path string, previous *serverlist.List, requirements serverlist.Requirements) (*serverlist.List, error) {
 	files, err := filewatch.ReadFiles(path)
 	if err != nil {
@@ -178,7 +179,7 @@
 	_ = table.Flush()
 }
 
-// drainServer starts or ends the manual drain of a server, and prints that it is done.
+// drainServer starts or ends the manual drain of a server, and prints the text done.
 func drainServer(cmd *cobra.Command, id string, on bool, done string) error {
 	var response admin.DrainRequest
 	if err := callAdmin("/v1/drain", admin.DrainRequest{ID: id, On: on}, &response); err != nil {
@@ -209,7 +210,7 @@
 	var object string
 	var group int
 	cmd := &cobra.Command{
-		Use: "purge", Short: "Tell a running proxy that an object or a group was purged at the origin just now", Args: cobra.NoArgs,
+		Use: "purge", Short: "Notify a running proxy that an object or a group has just been purged at the origin", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			request := admin.PurgeRequest{Object: object}
 			if cmd.Flags().Changed("group") {
--- a/cmd/ravenwheel/state_command.go
+++ b/cmd/ravenwheel/state_command.go
@@ -15,19 +15,19 @@
 )
 
 func stateCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "state", Short: "Look at the state that is kept over a restart", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "state", Short: "Show, verify and compact the state that survives a restart", Args: cobra.NoArgs}
 	var asJSON bool
 	show := &cobra.Command{
-		Use: "show DIR", Short: "Show what is kept in a directory", Args: cobra.ExactArgs(1),
+		Use: "show DIR", Short: "Show the contents of a state directory", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return showState(cmd.OutOrStdout(), args[0], asJSON) },
 	}
 	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	verify := &cobra.Command{
-		Use: "verify DIR", Short: "Read all of a directory, also of a copy: exit 1 and the offset for damage", Args: cobra.ExactArgs(1),
+		Use: "verify DIR", Short: "Read a whole state directory or a copy of one; for damage, print its offset and exit with 1", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return verifyState(cmd.OutOrStdout(), args[0]) },
 	}
 	compact := &cobra.Command{
-		Use: "compact DIR", Short: "Put a snapshot in place of the records; no process may be using the directory", Args: cobra.ExactArgs(1),
+		Use: "compact DIR", Short: "Replace the records by a snapshot; no process may be using the directory", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return compactState(args[0]) },
 	}
 	cmd.AddCommand(show, verify, compact)
@@ -80,16 +80,16 @@
 	return nil
 }
 
-// compactState puts a snapshot in place of the records of a directory.
+// compactState replaces the records of a directory by a snapshot.
 func compactState(dir string) error {
-	const never = 1e15 // ms: what is too old is for the proxy to decide, so nothing is dropped here
+	const never = 1e15 // ms; only the proxy decides what is too old, so nothing is dropped here
 	recorder, _, err := state.Open(state.Options{Dir: dir, Clock: clock.System(), Settings: recovery.Settings{
 		PurgePropagation: never, PurgeGrace: never, GoneRetention: never,
 	}})
 	if err != nil {
 		return err
 	}
-	// The second snapshot makes the first one the older, and frees the records that it covers.
+	// The second snapshot makes the first one the older of the two, which frees the records that the first one covers.
 	recorder.Compact()
 	recorder.Compact()
 	return recorder.Close()
