--- a/cmd/ravenwheel/descriptors_test.go
+++ b/cmd/ravenwheel/descriptors_test.go
@@ -17,8 +17,8 @@
 	"ravenwheel/internal/scenario"
 )
 
-// descriptors is the number of descriptors of a process, of all kinds.
-func descriptors(pid int) int {
+// countDescriptors is the number of descriptors of a process, of all kinds.
+func countDescriptors(pid int) int {
 	list, _ := os.ReadDir(filepath.Join("/proc", fmt.Sprint(pid), "fd"))
 	return len(list)
 }
@@ -35,7 +35,7 @@
 				over = true
 			case <-time.After(100 * time.Microsecond):
 			}
-			most = max(most, descriptors(pid))
+			most = max(most, countDescriptors(pid))
 		}
 	}()
 	return func() (int, int) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// connectCrowd dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
-func connectCrowd(t *testing.T, listen string, first string, n, atOnce int) {
+// connectIdleClients dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
+func connectIdleClients(t *testing.T, listen string, first string, n, atOnce int) {
 	var all sync.WaitGroup
 	for range atOnce {
 		all.Go(func() {
@@ -66,12 +66,12 @@
 
 // Thousands of idle clients connect at once, and none closes its connection. The system's limit is out of reach: the process itself
 // stays within the sockets of its configuration at each count, and a client with a request is served.
-func TestIdleCrowdStaysWithinSockets(t *testing.T) {
+func TestIdleClientsStayWithinSockets(t *testing.T) {
 	const sockets, clients = 640, 4000
 	const health = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
 	for name, first := range map[string]string{"silent": "", "asked once": health, "half a frame": health[:9]} {
 		t.Run(name, func(t *testing.T) {
-			bin, cache := build(t), scenario.Listen(t)
+			bin, cache := buildProgram(t), scenario.Listen(t)
 			go func() {
 				for t.Context().Err() == nil {
 					if words, err := cache.Receive(); err == nil && len(words) > 1 && words[0] == "fetch" {
@@ -80,7 +80,7 @@
 				}
 			}()
 			listen := freeAddr(t)
-			path := configFile(t, listen, refusingAddr(t), cache.Addr())
+			path := configFile(t, listen, unusedAddr(t), cache.Addr())
 			text, err := os.ReadFile(path)
 			require.NoError(t, err)
 			text = bytes.ReplaceAll(text, []byte(`"sockets":1024`), fmt.Appendf(nil, `"sockets":%d`, sockets))
@@ -90,13 +90,13 @@
 			r.cmd.Stderr = r.logs
 			require.NoError(t, r.cmd.Start())
 			t.Cleanup(func() { _ = r.cmd.Process.Kill() })
-			r.ready(t)
-			alone := descriptors(r.cmd.Process.Pid)
+			r.awaitReady(t)
+			alone := countDescriptors(r.cmd.Process.Pid)
 			look := watchDescriptors(r.cmd.Process.Pid)
-			connectCrowd(t, listen, first, clients, 20)
+			connectIdleClients(t, listen, first, clients, 20)
 			// It is accepted after the crowd. Like any client, it connects again if its connection is closed.
 			for until := time.Now().Add(time.Minute); ; {
-				there, err := servedOnceReady(listen)
+				there, err := requestOnceHealthy(listen)
 				if there && err == nil {
 					break
 				}
@@ -104,14 +104,14 @@
 			}
 			most, looks := look()
 			t.Logf("%d descriptors of %d at the most, in %d looks; %d with no client", most, sockets, looks, alone)
-			require.LessOrEqual(t, most, alone+sockets/2+(1+sockets/2/8)+1+spare, "half for clients, one in eight more, one on its way")
+			require.LessOrEqual(t, most, alone+sockets/2+(1+sockets/2/8)+1+otherDescriptors, "half for clients, one in eight more, one on its way")
 			require.Less(t, most, sockets)
-			require.Greater(t, most, alone+sockets/2-spare, "the places were taken: the test has filled them")
+			require.Greater(t, most, alone+sockets/2-otherDescriptors, "the places were taken: the test has filled them")
 			require.NoError(t, r.cmd.Process.Signal(os.Interrupt))
 			require.NoError(t, r.cmd.Wait(), r.logs.String())
 		})
 	}
 }
 
-// spare descriptors are used beside those of clients: for calls of discovery and of the console.
-const spare = 6
+// otherDescriptors descriptors are used beside those of clients: for calls of discovery and of the console.
+const otherDescriptors = 6
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -24,9 +24,9 @@
 
 // Events of discovery count as notified so long after a fault, and a purge has to be applied so long after that.
 const (
-	notifiedAfterSIGHUP = 4 * time.Second
-	notifiedAfterStop   = 4 * time.Second
-	purgeGrace          = time.Second
+	notifiedAfterSIGHUP  = 4 * time.Second
+	notifiedAfterSilence = 4 * time.Second
+	purgeGrace           = time.Second
 )
 
 // purgedGroup is the group of all objects that ask requests.
@@ -50,23 +50,23 @@
 	return b.text.String()
 }
 
-// follower is a process that follows discovery at one of several addresses, and a client that sends requests all the time.
-type follower struct {
+// discoveryProxy is a process that follows discovery at one of several addresses, and a client that sends requests all the time.
+type discoveryProxy struct {
 	t         *testing.T
 	service   *fleet.DiscoveryService
 	listeners []*fleet.DiscoveryListener
-	answers   *recordingCache
+	cache     *recordingCache
 	config    string
 	listen    string
 	cmd       *exec.Cmd
 	logs      syncedBuffer
 	client    *scenario.Client
-	asked     int
+	requests  int
 }
 
-// startFollower starts a process with a seed and further arguments, at the first of so many addresses.
-func startFollower(t *testing.T, bin string, seed, listeners int, args ...string) *follower {
-	f := &follower{t: t, answers: &recordingCache{}, service: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
+// startDiscoveryProxy starts a process with a seed and further arguments, at the first of so many addresses.
+func startDiscoveryProxy(t *testing.T, bin string, seed, listeners int, args ...string) *discoveryProxy {
+	f := &discoveryProxy{t: t, cache: &recordingCache{}, service: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range listeners {
 		d, err := f.service.Open("127.0.0.1:0")
 		require.NoError(t, err)
@@ -74,23 +74,23 @@
 		f.listeners = append(f.listeners, d)
 	}
 	cache, listen := scenario.Listen(t), freeAddr(t)
-	go f.answers.serve(t, cache)
+	go f.cache.serve(t, cache)
 	f.listen = listen
 	f.config = configFile(t, listen, f.listeners[0].Addr(), cache.Addr())
-	f.edit(func(c map[string]any) { c["seed"] = fmt.Sprintf("%016x", seed) })
+	f.editConfig(func(c map[string]any) { c["seed"] = fmt.Sprintf("%016x", seed) })
 	f.cmd = exec.Command(bin, args...)
 	f.cmd.Env = append(os.Environ(), "LB_CONFIG="+f.config)
 	f.cmd.Stderr = &f.logs
 	require.NoError(t, f.cmd.Start())
 	t.Cleanup(func() { _ = f.cmd.Process.Kill(); _ = f.cmd.Wait() })
-	require.Eventually(t, func() bool { there, err := servedOnceReady(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { there, err := requestOnceHealthy(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return f.listeners[0].Calls.Load() == 1 }, time.Minute, 5*time.Millisecond)
 	f.client = scenario.Dial(t, listen)
 	return f
 }
 
-// edit replaces the configuration's file.
-func (f *follower) edit(change func(map[string]any)) {
+// editConfig replaces the configuration's file.
+func (f *discoveryProxy) editConfig(change func(map[string]any)) {
 	raw, err := os.ReadFile(f.config)
 	require.NoError(f.t, err)
 	var c map[string]any
@@ -102,23 +102,23 @@
 	require.NoError(f.t, os.Rename(f.config+".part", f.config))
 }
 
-// move writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
-func (f *follower) move(from, to int) {
+// moveDiscovery writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
+func (f *discoveryProxy) moveDiscovery(from, to int) {
 	f.listeners[from].Stall(true)
-	f.edit(func(c map[string]any) { c["board"] = f.listeners[to].Addr() })
+	f.editConfig(func(c map[string]any) { c["board"] = f.listeners[to].Addr() })
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// appliesPurgeWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
+// requirePurgeWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
 // the purge has to be applied.
-func (f *follower) appliesPurgeWithin(since time.Time, within time.Duration) {
+func (f *discoveryProxy) requirePurgeWithin(since time.Time, within time.Duration) {
 	for {
 		sent := time.Now()
-		f.asked++
-		require.Equal(f.t, "ok", ask(f.t, f.client, f.asked))
-		f.answers.mu.Lock()
-		fields := f.answers.asked[fmt.Sprintf("%016x", f.asked)]
-		f.answers.mu.Unlock()
+		f.requests++
+		require.Equal(f.t, "ok", requestAsset(f.t, f.client, f.requests))
+		f.cache.mu.Lock()
+		fields := f.cache.fields[fmt.Sprintf("%016x", f.requests)]
+		f.cache.mu.Unlock()
 		if strings.Contains(fields, ",newer=") {
 			f.t.Logf("the purge is applied after %v", sent.Sub(since).Round(10*time.Millisecond))
 			return
@@ -131,12 +131,12 @@
 // Discovery moves three times within half a second, and its last address keeps the first caller waiting, or resets it. A connection that
 // a move left must not lengthen the timeout or the backoff of the next one: no copy from before a purge is served after its grace.
 func TestPurgeIsAppliedAfterThreeDiscoveryMoves(t *testing.T) {
-	bin := build(t)
+	bin := buildProgram(t)
 	for _, name := range []string{"silent", "broken off"} {
 		for seed := range 5 {
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				f := startFollower(t, bin, seed, 4)
+				f := startDiscoveryProxy(t, bin, seed, 4)
 				f.listeners[1].Stall(true)
 				f.listeners[2].Stall(true)
 				f.listeners[3].SetCallerFault(func(caller int64) fleet.CallerFault {
@@ -147,10 +147,10 @@
 				var last time.Time
 				for to := 1; to <= 3; to++ {
 					last = time.Now()
-					f.move(to-1, to)
+					f.moveDiscovery(to-1, to)
 					time.Sleep(200 * time.Millisecond)
 				}
-				f.appliesPurgeWithin(last, notifiedAfterSIGHUP+purgeGrace)
+				f.requirePurgeWithin(last, notifiedAfterSIGHUP+purgeGrace)
 			})
 		}
 	}
@@ -158,12 +158,12 @@
 
 // A purge arrives over a connection to discovery at a byte a second. The bytes of an incomplete event must not put off the moment at
 // which the connection counts as silent and another call is made: the purge is applied in time.
-func TestPurgeIsAppliedWhenDiscoveryTrickles(t *testing.T) {
-	bin := build(t)
+func TestPurgeIsAppliedWhenDiscoverySendsSlowly(t *testing.T) {
+	bin := buildProgram(t)
 	for seed := range 3 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			f := startFollower(t, bin, seed, 1)
+			f := startDiscoveryProxy(t, bin, seed, 1)
 			f.listeners[0].SetCallerFault(func(caller int64) fleet.CallerFault {
 				if caller == 1 {
 					return fleet.CallerFault{ByteInterval: 1000}
@@ -172,7 +172,7 @@
 			})
 			since := time.Now()
 			f.service.Purge("", purgedGroup, float64(time.Now().UnixMilli()))
-			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
+			f.requirePurgeWithin(since, notifiedAfterSilence+purgeGrace)
 		})
 	}
 }
@@ -180,20 +180,20 @@
 // Discovery answers no call any more, and a purge is issued of which nobody is notified. Once it counts as notified, no request accepts a
 // copy from before it.
 func TestSilentDiscoveryCountsAsNotified(t *testing.T) {
-	bin := build(t)
+	bin := buildProgram(t)
 	for seed := range 2 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			f := startFollower(t, bin, seed, 1)
+			f := startDiscoveryProxy(t, bin, seed, 1)
 			time.Sleep(500 * time.Millisecond) // between two frames
 			f.listeners[0].Stall(true)
 			since := time.Now()
 			purged := since.UnixMilli()
-			f.appliesPurgeWithin(since, notifiedAfterStop+purgeGrace)
-			f.answers.mu.Lock()
-			defer f.answers.mu.Unlock()
-			id := fmt.Sprintf("%016x", f.asked)
-			require.Greater(t, f.answers.came[id].UnixMilli()-newerOf(t, f.answers.asked[id]), purged, "a copy from before the purge would do")
+			f.requirePurgeWithin(since, notifiedAfterSilence+purgeGrace)
+			f.cache.mu.Lock()
+			defer f.cache.mu.Unlock()
+			id := fmt.Sprintf("%016x", f.requests)
+			require.Greater(t, f.cache.receivedAt[id].UnixMilli()-maxCopyAge(t, f.cache.fields[id]), purged, "a copy from before the purge would do")
 		})
 	}
 }
@@ -203,8 +203,8 @@
 	dir := t.TempDir()
 	sock, operator := "unix:"+filepath.Join(dir, "admin.sock"), filepath.Join(dir, "operator.jsonc")
 	require.NoError(t, os.WriteFile(operator, fmt.Appendf(nil, `{"admin": {"listen": %q}}`, sock), 0o600))
-	f := startFollower(t, build(t), 1, 2, "--operator", operator)
-	f.move(0, 1)
+	f := startDiscoveryProxy(t, buildProgram(t), 1, 2, "--operator", operator)
+	f.moveDiscovery(0, 1)
 	require.Eventually(t, func() bool {
 		var s discoveryclient.Status
 		err := admin.Call(sock, "/v1/discovery", nil, &s)
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -29,20 +29,20 @@
 }
 
 const (
-	fleetMember, fleetDistributor = "member", "level1"
-	fleetFirst, fleetSecond       = "leaf1", "leaf2"
+	memberName, distributorName = "member", "level1"
+	firstLeaf, secondLeaf       = "leaf1", "leaf2"
 )
 
 var (
-	fleetLeaves = []string{fleetFirst, fleetSecond}
-	fleetList   = []string{entryText(1, "127.0.0.1:2", `, "weight": 4`), entryText(10, "127.0.0.1:3", `, "weight": 4`), entryText(20, "127.0.0.1:4", `, "weight": 4`)}
+	leaves      = []string{firstLeaf, secondLeaf}
+	treeServers = []string{entryText(1, "127.0.0.1:2", `, "weight": 4`), entryText(10, "127.0.0.1:3", `, "weight": 4`), entryText(20, "127.0.0.1:4", `, "weight": 4`)}
 )
 
 func newDistributionTree(t *testing.T) *distributionTree {
-	f := &distributionTree{t: t, bin: build(t), dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
-	names := append([]string{fleetMember, fleetDistributor}, fleetLeaves...)
-	f.ok(append([]string{"cluster", "keys", filepath.Join(f.dir, "keys"), "th"}, names...)...)
-	f.write("servers.jsonc", listText(1, fleetList))
+	f := &distributionTree{t: t, bin: buildProgram(t), dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
+	names := append([]string{memberName, distributorName}, leaves...)
+	f.mustRun(append([]string{"cluster", "keys", filepath.Join(f.dir, "keys"), "th"}, names...)...)
+	f.write("servers.jsonc", listText(1, treeServers))
 	root, distributor, storeAddr := freeAddr(t), freeAddr(t), freeAddr(t)
 	at := func(name, addr string, rank int) string {
 		return fmt.Sprintf(`{"name": %q, "addr": %q, "rank": %d, "zone": "east", "region": "th"}`, name, addr, rank)
@@ -52,12 +52,12 @@
 			"upstream": [%s]}`, name, more, upstream)
 	}
 	parts := map[string]string{
-		fleetMember: fmt.Sprintf(`"store": {"name": %q, "listen": %q, "dir": "store", "identity": "keys", "peers": [{"name": %[1]q, "addr": %[2]q}]},
-			"distribution": {"epoch": 1, "listen": %[3]q}`, fleetMember, storeAddr, root),
-		fleetDistributor: below(fleetDistributor, fmt.Sprintf(`"listen": %q, "rank": 1, `, distributor), at(fleetMember, root, 0)),
+		memberName: fmt.Sprintf(`"store": {"name": %q, "listen": %q, "dir": "store", "identity": "keys", "peers": [{"name": %[1]q, "addr": %[2]q}]},
+			"distribution": {"epoch": 1, "listen": %[3]q}`, memberName, storeAddr, root),
+		distributorName: below(distributorName, fmt.Sprintf(`"listen": %q, "rank": 1, `, distributor), at(memberName, root, 0)),
 	}
-	for _, n := range fleetLeaves {
-		parts[n] = below(n, "", at(fleetMember, root, 0)+", "+at(fleetDistributor, distributor, 1))
+	for _, n := range leaves {
+		parts[n] = below(n, "", at(memberName, root, 0)+", "+at(distributorName, distributor, 1))
 	}
 	t.Cleanup(func() {
 		for _, p := range f.procs {
@@ -73,7 +73,7 @@
 			"log": {"level": "error"}, %s, "servers": {`, f.dir, n, n, parts[n]), 1)
 		f.write(n+".jsonc", text)
 	}
-	f.ready()
+	f.startAll()
 	return f
 }
 
@@ -96,7 +96,7 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-func (f *distributionTree) ok(args ...string) string {
+func (f *distributionTree) mustRun(args ...string) string {
 	f.t.Helper()
 	out, code := f.run(args...)
 	require.Zero(f.t, code, "%v: %s", args, out)
@@ -118,8 +118,8 @@
 	return all
 }
 
-// from reports whether both streams of a process come from another one.
-func (f *distributionTree) from(name, at string) bool {
+// subscribesTo reports whether both streams of a process come from another one.
+func (f *distributionTree) subscribesTo(name, at string) bool {
 	all := f.streams(name)
 	return len(all) == 2 && all[0].Parent == at && all[1].Parent == at
 }
@@ -137,54 +137,54 @@
 	f.t.Helper()
 	for i := from; i < from+n; i++ {
 		var out map[string]float64
-		require.NoError(f.t, admin.Call(f.sock(fleetMember), "/v1/purge", admin.PurgeRequest{Object: fmt.Sprintf("%016x", i+1)}, &out))
+		require.NoError(f.t, admin.Call(f.sock(memberName), "/v1/purge", admin.PurgeRequest{Object: fmt.Sprintf("%016x", i+1)}, &out))
 	}
 }
 
-// ready starts one level after the other: a process whose distributor does not run yet subscribes at the member of the store, and looks for
+// startAll starts one level after the other: a process whose distributor does not run yet subscribes at the member of the store, and looks for
 // a nearer one only a minute later.
-func (f *distributionTree) ready() {
-	f.start(fleetMember)
+func (f *distributionTree) startAll() {
+	f.start(memberName)
 	f.eventually("the member leads", func() bool {
-		_, code := f.run("servers", "drain", "s-00000001", "--admin", f.sock(fleetMember))
+		_, code := f.run("servers", "drain", "s-00000001", "--admin", f.sock(memberName))
 		return code == 0
 	})
-	f.start(fleetDistributor)
-	f.eventually("the distributor is subscribed", func() bool { return f.from(fleetDistributor, fleetMember) })
-	for _, n := range fleetLeaves {
+	f.start(distributorName)
+	f.eventually("the distributor is subscribed", func() bool { return f.subscribesTo(distributorName, memberName) })
+	for _, n := range leaves {
 		f.start(n)
 	}
-	for _, n := range fleetLeaves {
-		f.eventually(n+" is subscribed at the distributor", func() bool { return f.from(n, fleetDistributor) })
+	for _, n := range leaves {
+		f.eventually(n+" is subscribed at the distributor", func() bool { return f.subscribesTo(n, distributorName) })
 	}
 }
 
-// drains is how a server is shown that an operator drained. The reason behind it is not compared: a restarted process shows another
+// drainingLine is how a server is shown that an operator drained. The reason behind it is not compared: a restarted process shows another
 // one.
-var drains = regexp.MustCompile(`s-00000001 .* draining `)
+var drainingLine = regexp.MustCompile(`s-00000001 .* draining `)
 
-// restored ends the server's drain at the member, and waits until processes use it.
-func (f *distributionTree) restored(names ...string) {
+// restoreAndAwait ends the server's drain at the member, and waits until processes use it.
+func (f *distributionTree) restoreAndAwait(names ...string) {
 	f.t.Helper()
-	f.ok("servers", "restore", "s-00000001", "--admin", f.sock(fleetMember))
+	f.mustRun("servers", "restore", "s-00000001", "--admin", f.sock(memberName))
 	for _, n := range names {
 		f.eventually("given back at "+n, func() bool {
-			return givenBack.MatchString(f.ok("servers", "show", "--admin", f.sock(n)))
+			return readyLine.MatchString(f.mustRun("servers", "show", "--admin", f.sock(n)))
 		})
 	}
 }
 
-var givenBack = regexp.MustCompile(`s-00000001 .* ready `)
+var readyLine = regexp.MustCompile(`s-00000001 .* ready `)
 
-// has waits until processes have everything that the member has: so many purges, the drain and the pushed list, and both streams at
+// awaitContents waits until processes have everything that the member has: so many purges, the drain and the pushed list, and both streams at
 // the member's sequence.
-func (f *distributionTree) has(purges int, addr string, names ...string) {
+func (f *distributionTree) awaitContents(purges int, addr string, names ...string) {
 	f.t.Helper()
-	for _, n := range append(names, fleetMember) {
+	for _, n := range append(names, memberName) {
 		f.eventually(n+" has all", func() bool {
 			out, _ := f.run("servers", "show", "--admin", f.sock(n))
-			want, have := f.streams(fleetMember), f.streams(n)
-			return f.purges(n) == purges && drains.MatchString(out) && strings.Contains(out, addr) &&
+			want, have := f.streams(memberName), f.streams(n)
+			return f.purges(n) == purges && drainingLine.MatchString(out) && strings.Contains(out, addr) &&
 				len(want) == 2 && len(have) == 2 && have[0].Sequence >= want[0].Sequence && have[1].Sequence >= want[1].Sequence &&
 				!have[0].Restricted && !have[1].Restricted
 		})
@@ -193,8 +193,8 @@
 
 func (f *distributionTree) push(addr string) {
 	f.t.Helper()
-	next := f.write("next.jsonc", listText(1, append(fleetList[:3:3], entryText(2, addr, `, "weight": 4`))))
-	require.Equal(f.t, "generation 1, 4 servers\n", f.ok("servers", "push", next, "--admin", f.sock(fleetMember)))
+	next := f.write("next.jsonc", listText(1, append(treeServers[:3:3], entryText(2, addr, `, "weight": 4`))))
+	require.Equal(f.t, "generation 1, 4 servers\n", f.mustRun("servers", "push", next, "--admin", f.sock(memberName)))
 }
 
 const (
@@ -204,47 +204,47 @@
 )
 
 // A distributor is killed in the middle of a burst: its subscribers move to the member of the store, and miss nothing. Restarted, it
-// has everything, too. Operations of members are rejected elsewhere, and change nothing there.
+// awaitContents everything, too. Operations of members are rejected elsewhere, and change nothing there.
 func TestKilledDistributorLosesNothing(t *testing.T) {
 	f := newDistributionTree(t)
 	for _, args := range [][]string{
 		{"purge", "--group", "17"}, {"servers", "drain", "s-0000000a"}, {"servers", "push", filepath.Join(f.dir, "servers.jsonc")},
 	} {
-		out, code := f.run(append(args, "--admin", f.sock(fleetFirst))...)
+		out, code := f.run(append(args, "--admin", f.sock(firstLeaf))...)
 		require.Equal(t, 1, code, out)
 		require.Contains(t, out, "tell a member of the store")
 	}
-	require.Zero(t, f.purges(fleetFirst))
-	out := f.ok("servers", "show", "--admin", f.sock(fleetFirst))
+	require.Zero(t, f.purges(firstLeaf))
+	out := f.mustRun("servers", "show", "--admin", f.sock(firstLeaf))
 	require.NotRegexp(t, `s-0000000a .*drained by hand`, out)
 
 	f.purge(0, beforeFault)
-	p := f.procs[fleetDistributor]
+	p := f.procs[distributorName]
 	require.NoError(t, p.Process.Signal(syscall.SIGKILL))
 	_ = p.Wait()
 	f.purge(beforeFault, afterFault)
 	f.push("127.0.0.1:5")
-	f.has(burst, "127.0.0.1:5", fleetLeaves...)
-	for _, n := range fleetLeaves {
-		f.eventually(n+" is at the member", func() bool { return f.from(n, fleetMember) })
+	f.awaitContents(burst, "127.0.0.1:5", leaves...)
+	for _, n := range leaves {
+		f.eventually(n+" is at the member", func() bool { return f.subscribesTo(n, memberName) })
 	}
-	f.start(fleetDistributor)
-	f.has(burst, "127.0.0.1:5", fleetDistributor)
-	f.restored(fleetFirst, fleetSecond, fleetDistributor)
+	f.start(distributorName)
+	f.awaitContents(burst, "127.0.0.1:5", distributorName)
+	f.restoreAndAwait(firstLeaf, secondLeaf, distributorName)
 }
 
 // A distributor is suspended in the middle of a burst, and resumed once its subscribers have left it: all have everything.
 func TestSuspendedDistributorLosesNothing(t *testing.T) {
 	f := newDistributionTree(t)
 	f.purge(0, beforeFault)
-	p := f.procs[fleetDistributor]
+	p := f.procs[distributorName]
 	require.NoError(t, p.Process.Signal(syscall.SIGSTOP))
 	f.purge(beforeFault, afterFault)
 	f.push("127.0.0.1:5")
-	f.has(burst, "127.0.0.1:5", fleetLeaves...)
+	f.awaitContents(burst, "127.0.0.1:5", leaves...)
 	require.NoError(t, p.Process.Signal(syscall.SIGCONT))
-	f.has(burst, "127.0.0.1:5", fleetDistributor)
-	f.restored(fleetFirst, fleetSecond, fleetDistributor)
+	f.awaitContents(burst, "127.0.0.1:5", distributorName)
+	f.restoreAndAwait(firstLeaf, secondLeaf, distributorName)
 }
 
 // The examples of the operators' page on distribution run as they stand.
@@ -254,14 +254,14 @@
 	f := newDistributionTree(t)
 	f.purge(0, 1)
 	f.push("127.0.0.1:5")
-	f.has(1, "127.0.0.1:5", fleetDistributor, fleetFirst, fleetSecond)
-	text := script(string(page))
+	f.awaitContents(1, "127.0.0.1:5", distributorName, firstLeaf, secondLeaf)
+	text := pageScript(string(page))
 	require.Equal(t, 8, strings.Count(text, "exec bash"), "the examples that the page has")
 	scripts := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(scripts, "distribution.txt"), []byte(text), 0o600))
 	testscript.Run(t, testscript.Params{Dir: scripts, Setup: func(e *testscript.Env) error {
 		path := filepath.Dir(f.bin) + string(os.PathListSeparator) + os.Getenv("PATH")
-		e.Vars = append(e.Vars, "PATH="+path, "MEMBER="+f.sock(fleetMember), "LEVEL="+f.sock(fleetDistributor), "LEAF="+f.sock(fleetFirst), "DIR="+f.dir)
+		e.Vars = append(e.Vars, "PATH="+path, "MEMBER="+f.sock(memberName), "LEVEL="+f.sock(distributorName), "LEAF="+f.sock(firstLeaf), "DIR="+f.dir)
 		return nil
 	}})
 }
--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -145,7 +145,7 @@
 func TestGoldenState(t *testing.T) {
 	const now = 1_764_576_000_000
 	dir := filepath.Join(t.TempDir(), "state")
-	keeper, _, err := state.Open(state.Options{Dir: dir, Clock: clock.Manual(now), Settings: recovery.Settings{
+	recorder, _, err := state.Open(state.Options{Dir: dir, Clock: clock.Manual(now), Settings: recovery.Settings{
 		PurgePropagation: 1e15, PurgeGrace: 1e15, GoneRetention: 1e15,
 	}})
 	require.NoError(t, err)
@@ -153,21 +153,21 @@
 	parsed, defects := serverlist.Parse(files, serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", OriginRequired: true})
 	require.NoError(t, defects.Err())
 	set := parsed.Unresolved()
-	require.NoError(t, keeper.RecordList("list", set))
+	require.NoError(t, recorder.RecordList("list", set))
 	purge := recovery.Purge{Object: "7f3a9c21e0b4d655", IssuedAt: now - 5}
 	purge.NotifiedAt = now - 4
-	require.NoError(t, keeper.RecordPurge(purge))
+	require.NoError(t, recorder.RecordPurge(purge))
 	purge = recovery.Purge{Group: 17, IssuedAt: now - 3}
 	purge.NotifiedAt = now - 2
-	require.NoError(t, keeper.RecordPurge(purge))
+	require.NoError(t, recorder.RecordPurge(purge))
 	member := membership.Transition{}
 	member.Member.ID, member.Member.Addr, member.Member.Zone, member.Member.Kind = 1, "10.1.0.9:4100", 2, 1
 	member.Member.Cell, member.Member.Weight, member.Member.Started = 3, 9.5, 1000
 	member.Member.State = policy.Draining
 	member.To = membership.Draining
-	keeper.RecordTransition(member)
-	keeper.RecordRevision(6)
-	require.NoError(t, keeper.Close())
+	recorder.RecordTransition(member)
+	recorder.RecordRevision(6)
+	require.NoError(t, recorder.Close())
 	var out bytes.Buffer
 	for _, args := range []string{"show", "show --json", "verify"} {
 		fmt.Fprintf(&out, "$ state %s DIR\n", args)
--- a/cmd/ravenwheel/overlay_test.go
+++ b/cmd/ravenwheel/overlay_test.go
@@ -15,19 +15,19 @@
 // The environment variables of a program that buildOverlaid built.
 const (
 	// The wall clock steps by so many seconds, so many ms after the start.
-	steppedBy    = "RAVENWHEEL_TEST_STEP_S"
-	steppedAfter = "RAVENWHEEL_TEST_STEP_AFTER_MS"
+	clockStepEnv      = "RAVENWHEEL_TEST_STEP_S"
+	clockStepAfterEnv = "RAVENWHEEL_TEST_STEP_AFTER_MS"
 	// So many of 1,000 system calls fail, as a seed draws them; reads are short, and errors of reset connections vary.
-	faultsOf1000 = "RAVENWHEEL_TEST_FAULTS"
-	faultSeed    = "RAVENWHEEL_TEST_FAULT_SEED"
+	faultRateEnv = "RAVENWHEEL_TEST_FAULTS"
+	faultSeedEnv = "RAVENWHEEL_TEST_FAULT_SEED"
 )
 
 // replacement is a text in a file of the toolchain and what replaces it in the copy.
 type replacement struct{ file, old, new string }
 
-// overlaid are the differences between the program under test and the product: system calls that may fail, and the wall clock. The
+// replacements are the differences between the program under test and the product: system calls that may fail, and the wall clock. The
 // monotonic clock is not changed.
-var overlaid = []replacement{
+var replacements = []replacement{
 	{"time/time.go", "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {",
 		"\tsec, nsec, mono := runtimeNow()\n\tif mono-startNano >= stepAfter {\n\t\tsec += stepBy\n\t}\n\tif mono == 0 {"},
 	{"time/time.go", "import (\n", "import (\n\t\"syscall\"\n"},
@@ -37,15 +37,15 @@
 	stepAfter = int64(syscall.FaultNumber(%q)) * 1_000_000
 )
 
-// A Time represents an instant`, steppedBy, steppedAfter)},
+// A Time represents an instant`, clockStepEnv, clockStepAfterEnv)},
 	{"net/hook_unix.go", "= syscall.Socket\n", "= syscall.FaultSocket\n"},
 	{"net/hook_unix.go", "= syscall.Connect\n", "= syscall.FaultConnect\n"},
 	{"internal/poll/hook_cloexec.go", "= syscall.Accept4\n", "= syscall.FaultAccept4\n"},
 	{"internal/poll/fd_unix.go", "\t\tn, err := ignoringEINTRIO(syscall.Read, fd.Sysfd, p)\n", "\t\tn, err := ignoringEINTRIO(syscall.FaultRead, fd.Sysfd, p)\n"},
 }
 
-// faults is added to package syscall. It draws from one seed, call by call.
-const faults = `package syscall
+// faultSource is added to package syscall. It draws from one seed, call by call.
+const faultSource = `package syscall
 
 import "sync/atomic"
 
@@ -126,8 +126,8 @@
 	out, err := exec.Command("go", "env", "GOROOT").Output()
 	require.NoError(t, err)
 	source, dir := filepath.Join(strings.TrimSpace(string(out)), "src"), t.TempDir()
-	files := map[string]string{filepath.Join(source, "syscall", "fault_overlay.go"): faults}
-	for _, r := range overlaid {
+	files := map[string]string{filepath.Join(source, "syscall", "fault_overlay.go"): faultSource}
+	for _, r := range replacements {
 		path := filepath.Join(source, r.file)
 		if files[path] == "" {
 			text, err := os.ReadFile(path)
--- a/cmd/ravenwheel/page_test.go
+++ b/cmd/ravenwheel/page_test.go
@@ -13,9 +13,9 @@
 	"ravenwheel/internal/scenario"
 )
 
-// script makes a testscript of a page's examples, the blocks of sh: a line behind "$ " is run, and the lines below it are its output.
+// pageScript makes a testscript of a page's examples, the blocks of sh: a line behind "$ " is run, and the lines below it are its output.
 // Functions that an example defines hold for the examples after it.
-func script(page string) string {
+func pageScript(page string) string {
 	var run, files strings.Builder
 	define, n := "", 0
 	for i, block := range strings.Split(page, "```") {
@@ -46,13 +46,13 @@
 func TestManualOperationsPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/hand.md")
 	require.NoError(t, err)
-	bin, listen, dir := build(t), freeAddr(t), t.TempDir()
+	bin, listen, dir := buildProgram(t), freeAddr(t), t.TempDir()
 	config := configFile(t, listen, "127.0.0.1:1", scenario.Listen(t).Addr())
 	first := startProcess(t, bin, config, dir)
-	first.ready(t)
+	first.awaitReady(t)
 	next := freeAddr(t)
 	scripts := t.TempDir()
-	text := script(string(page))
+	text := pageScript(string(page))
 	require.Equal(t, 13, strings.Count(text, "exec bash"), "the examples that the page has")
 	require.NoError(t, os.WriteFile(filepath.Join(scripts, "hand.txt"), []byte(text), 0o600))
 	testscript.Run(t, testscript.Params{Dir: scripts, Setup: func(e *testscript.Env) error {
--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -19,16 +19,16 @@
 	"ravenwheel/internal/scenario"
 )
 
-// refusingAddr returns an address at which nobody listens.
-func refusingAddr(t *testing.T) string {
+// unusedAddr returns an address at which nobody listens.
+func unusedAddr(t *testing.T) string {
 	ln := listenDiscovery(t)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// listening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is under way
+// isListening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is under way
 // may be reset by the kernel before the process can accept it.
-func listening(listen string) (bool, error) {
+func isListening(listen string) (bool, error) {
 	addr := netip.MustParseAddrPort(listen)
 	ip := addr.Addr().As4()
 	const anyPeer, stateListen = "00000000:0000", "0A"
@@ -37,9 +37,9 @@
 	return strings.Contains(string(table), entry), err
 }
 
-// servedOnceReady sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
-func servedOnceReady(listen string) (there bool, err error) {
-	if up, err := listening(listen); !up {
+// requestOnceHealthy sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
+func requestOnceHealthy(listen string) (there bool, err error) {
+	if up, err := isListening(listen); !up {
 		return false, err
 	}
 	nc, err := net.Dial("tcp", listen)
@@ -68,7 +68,7 @@
 // fails health checks until it can.
 func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	const processes = 12
-	bin, cache := build(t), scenario.Listen(t)
+	bin, cache := buildProgram(t), scenario.Listen(t)
 	go func() {
 		for t.Context().Err() == nil {
 			if words, err := cache.Receive(); err == nil && len(words) > 1 && words[0] == "fetch" {
@@ -76,7 +76,7 @@
 			}
 		}
 	}()
-	down := refusingAddr(t)
+	down := unusedAddr(t)
 	var all sync.WaitGroup
 	for range processes {
 		listen := freeAddr(t)
@@ -94,7 +94,7 @@
 					return
 				}
 				for until := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
-					there, err := servedOnceReady(listen)
+					there, err := requestOnceHealthy(listen)
 					if err != nil || time.Now().After(until) {
 						t.Errorf("life %d: up %v, %v; log:\n%s", life, there, err, logs.String())
 					}
@@ -114,8 +114,8 @@
 // discovery is followed once it is back.
 func TestRequestIsServedWhenIdleClientsFillSlots(t *testing.T) {
 	const sockets = 96
-	bin, cache := build(t), scenario.Listen(t)
-	listen, at := freeAddr(t), refusingAddr(t)
+	bin, cache := buildProgram(t), scenario.Listen(t)
+	listen, at := freeAddr(t), unusedAddr(t)
 	path := configFile(t, listen, at, cache.Addr())
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -126,7 +126,7 @@
 	r.cmd.Stderr = r.logs
 	require.NoError(t, r.cmd.Start())
 	t.Cleanup(func() { _ = r.cmd.Process.Kill() })
-	r.ready(t)
+	r.awaitReady(t)
 	idle := func(n int) {
 		for range n {
 			c := scenario.Dial(t, listen)
@@ -141,7 +141,7 @@
 			s expect fetch 00000000000000a%d lane=asset,* -
 			s send $id served why=local,version=v1 BYTES
 			c expect 1 ok - BYTES`, i, i))
-		require.Equal(t, "SUCCESS serving", r.call("STATUS"))
+		require.Equal(t, "SUCCESS serving", r.callConsole("STATUS"))
 		idle(10)
 	}
 	service, err := net.Listen("tcp", at)
--- a/cmd/ravenwheel/reload_test.go
+++ b/cmd/ravenwheel/reload_test.go
@@ -13,21 +13,21 @@
 	"ravenwheel/internal/config"
 )
 
-// reloading is a reloader of a file, and the addresses that it followed.
-type reloading struct {
+// reloaderFixture is a reloader of a file, and the addresses that it followed.
+type reloaderFixture struct {
 	t        *testing.T
 	path     string
-	good     []byte
+	original []byte
 	signals  chan os.Signal
 	followed chan string
 }
 
 const oldAddr, newAddr = "127.0.0.1:1001", "127.0.0.1:1002"
 
-func startReloading(t *testing.T) *reloading {
-	r := &reloading{t: t, path: configFile(t, "127.0.0.1:1", oldAddr, "127.0.0.1:1"), signals: make(chan os.Signal, maxReloadSignals), followed: make(chan string, 100)}
+func startReloader(t *testing.T) *reloaderFixture {
+	r := &reloaderFixture{t: t, path: configFile(t, "127.0.0.1:1", oldAddr, "127.0.0.1:1"), signals: make(chan os.Signal, maxReloadSignals), followed: make(chan string, 100)}
 	var err error
-	r.good, err = os.ReadFile(r.path)
+	r.original, err = os.ReadFile(r.path)
 	require.NoError(t, err)
 	getenv := func(name string) string { return map[string]string{"LB_CONFIG": r.path}[name] }
 	start, err := config.Load(getenv)
@@ -40,24 +40,24 @@
 	return r
 }
 
-// at is the configuration with discovery at an address.
-func (r *reloading) at(addr string) []byte {
-	return []byte(replaceOnce(r.t, string(r.good), oldAddr, addr))
+// configWith is the configuration with discovery at an address.
+func (r *reloaderFixture) configWith(addr string) []byte {
+	return []byte(replaceOnce(r.t, string(r.original), oldAddr, addr))
 }
 
-func (r *reloading) write(text []byte) {
+func (r *reloaderFixture) write(text []byte) {
 	require.NoError(r.t, os.WriteFile(r.path, text, 0o600))
 }
 
-func (r *reloading) hup() {
+func (r *reloaderFixture) sendHUP() {
 	select {
 	case r.signals <- syscall.SIGHUP:
 	default: // one waits already, as the kernel has it
 	}
 }
 
-// follows waits until an address is followed.
-func (r *reloading) follows(addr string) {
+// awaitFollowed waits until an address is followed.
+func (r *reloaderFixture) awaitFollowed(addr string) {
 	for {
 		select {
 		case got := <-r.followed:
@@ -74,46 +74,46 @@
 // The file is read while it is written: empty, truncated at many places, missing, or unchanged. The address is followed once the file is
 // complete, without another signal.
 func TestReloadRetriesPartlyWrittenFile(t *testing.T) {
-	whole := len(startReloading(t).at(newAddr))
+	whole := len(startReloader(t).configWith(newAddr))
 	for cut := 0; cut < whole; cut += whole / 12 {
-		r := startReloading(t)
-		r.write(r.at(newAddr)[:cut])
-		r.hup()
+		r := startReloader(t)
+		r.write(r.configWith(newAddr)[:cut])
+		r.sendHUP()
 		time.Sleep(20 * time.Millisecond)
-		r.write(r.at(newAddr))
-		r.follows(newAddr)
+		r.write(r.configWith(newAddr))
+		r.awaitFollowed(newAddr)
 	}
 	t.Run("not there", func(t *testing.T) {
-		r := startReloading(t)
+		r := startReloader(t)
 		require.NoError(t, os.Rename(r.path, filepath.Join(t.TempDir(), "old")))
-		r.hup()
+		r.sendHUP()
 		time.Sleep(20 * time.Millisecond)
-		r.write(r.at(newAddr))
-		r.follows(newAddr)
+		r.write(r.configWith(newAddr))
+		r.awaitFollowed(newAddr)
 	})
 	t.Run("written after the signal", func(t *testing.T) {
-		r := startReloading(t)
-		r.hup()
+		r := startReloader(t)
+		r.sendHUP()
 		require.Equal(t, oldAddr, <-r.followed, "the address of now is named again")
-		r.write(r.at(newAddr))
-		r.follows(newAddr)
+		r.write(r.configWith(newAddr))
+		r.awaitFollowed(newAddr)
 	})
 }
 
 // Of ten signals in a row, with complete and truncated files, the last complete file is followed.
 func TestLastOfTenReloadsIsFollowed(t *testing.T) {
-	r := startReloading(t)
+	r := startReloader(t)
 	for n := range 10 {
-		text := r.at("127.0.0.1:" + []string{"2001", "2002"}[n%2])
+		text := r.configWith("127.0.0.1:" + []string{"2001", "2002"}[n%2])
 		if n%3 == 1 {
 			text = text[:len(text)/2]
 		}
 		r.write(text)
-		r.hup()
+		r.sendHUP()
 		time.Sleep(time.Duration(n%4) * 10 * time.Millisecond)
 	}
-	r.write(r.at(newAddr))
-	r.hup()
+	r.write(r.configWith(newAddr))
+	r.sendHUP()
 	for {
 		select {
 		case addr := <-r.followed:
@@ -129,12 +129,12 @@
 // Discovery moved and SIGHUP went to the process before this one: the file is read again once discovery has been silent for too long. An
 // unchanged address is not followed again.
 func TestReloadAfterDiscoverySilence(t *testing.T) {
-	r := startReloading(t)
+	r := startReloader(t)
 	requestReload(r.signals)
 	time.Sleep(50 * time.Millisecond)
 	require.Empty(t, r.followed)
-	r.write(r.at(newAddr))
-	r.follows(newAddr)
+	r.write(r.configWith(newAddr))
+	r.awaitFollowed(newAddr)
 }
 
 // replaceOnce replaces a text that must occur exactly once.
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -42,7 +42,7 @@
 	return r
 }
 
-func (r *proxyProcess) call(line string) string {
+func (r *proxyProcess) callConsole(line string) string {
 	nc, err := net.Dial("tcp", r.console)
 	if err != nil {
 		return err.Error()
@@ -53,29 +53,29 @@
 	return strings.TrimSpace(string(text))
 }
 
-func (r *proxyProcess) ready(t *testing.T) {
+func (r *proxyProcess) awaitReady(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return strings.HasPrefix(r.call("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "never ready")
+	require.Eventually(t, func() bool { return strings.HasPrefix(r.callConsole("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "never ready")
 }
 
-// steadyClient sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
+// sequentialClient sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
 // once more, as clients do; any other one without an answer is lost.
-type steadyClient struct {
-	to             string
-	kills          *atomic.Int64 // of processes so far: what one had taken dies with it
-	stop           atomic.Bool
-	asked, crossed int
-	refused        int
-	err            error
+type sequentialClient struct {
+	addr          string
+	kills         *atomic.Int64 // of processes so far: what one had taken dies with it
+	stop          atomic.Bool
+	sent, crossed int
+	rejected      int
+	err           error
 }
 
-func (a *steadyClient) run(n int) {
+func (a *sequentialClient) run(n int) {
 	var nc net.Conn
 	var in resp.Buffer
 	in.MaxFrameSize = resp.MaxResponseSize
 	for i := 0; !a.stop.Load(); i++ {
 		frame := resp.AppendFrame(nil, "RPC.CALL", strconv.Itoa(i+1), "asset", fmt.Sprintf("rid=%08x%08x,budget=50000,obj=%016x,nth=0,batch=17", n, i, i%50))
-		a.asked++
+		a.sent++
 		kills := a.kills.Load()
 		for try := 0; ; try++ {
 			if nc != nil { // the proxy has closed this one meanwhile
@@ -89,7 +89,7 @@
 			}
 			if nc == nil {
 				var err error
-				if nc, err = net.Dial("tcp", a.to); err != nil {
+				if nc, err = net.Dial("tcp", a.addr); err != nil {
 					a.err = fmt.Errorf("rejected: %w", err)
 					return
 				}
@@ -104,7 +104,7 @@
 				break
 			}
 			if err == nil && string(parts[1]) == "full" { // harmless: as when a connection that never rests has to end
-				a.refused++
+				a.rejected++
 				try--
 				continue
 			}
@@ -137,7 +137,7 @@
 	if n, err := strconv.Atoi(os.Getenv("TORTURE")); err == nil {
 		rounds = n
 	}
-	bin, listen, dir := build(t), freeAddr(t), t.TempDir()
+	bin, listen, dir := buildProgram(t), freeAddr(t), t.TempDir()
 	servers := fleet.New(fleet.Options{Clock: clock.System(), TransferTime: 2, FillTime: 1})
 	defer servers.Close()
 	var addrs []string
@@ -164,19 +164,19 @@
 	}
 	require.NoError(t, os.WriteFile(config, text, 0o600))
 	now := startProcess(t, bin, config, dir)
-	now.ready(t)
-	var followers []*steadyClient
+	now.awaitReady(t)
+	var followers []*sequentialClient
 	var wait sync.WaitGroup
 	var kills atomic.Int64
 	for n := range 8 {
-		a := &steadyClient{to: listen, kills: &kills}
+		a := &sequentialClient{addr: listen, kills: &kills}
 		followers = append(followers, a)
 		wait.Add(1)
 		go func() { defer wait.Done(); a.run(n) }()
 	}
 	for round := range rounds {
 		out := fmt.Sprintf("s-%08x", uint64(scenario.ParentID))
-		require.Equal(t, "SUCCESS", now.call("SUSPEND "+out), now.logs)
+		require.Equal(t, "SUCCESS", now.callConsole("SUSPEND "+out), now.logs)
 		next := startProcess(t, bin, config, dir)
 		switch round % 3 {
 		case 1: // it dies at some moment of its start, before or after its yes
@@ -184,15 +184,15 @@
 			kills.Add(1)
 			require.NoError(t, next.cmd.Process.Kill())
 			_ = next.cmd.Wait()
-			now.ready(t)
+			now.awaitReady(t)
 			next = startProcess(t, bin, config, dir)
 		}
-		next.ready(t)
-		require.Equal(t, "SUCCESS", next.call("SUSPEND "+out))
+		next.awaitReady(t)
+		require.Equal(t, "SUCCESS", next.callConsole("SUSPEND "+out))
 		require.NoError(t, now.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, now.cmd.Wait(), "%s", now.logs)
-		require.Equal(t, "SUCCESS", next.call("RESTORE "+out), "out before the replacement: known to the new one")
-		require.Equal(t, "SUCCESS serving", next.call("STATUS"))
+		require.Equal(t, "SUCCESS", next.callConsole("RESTORE "+out), "out before the replacement: known to the new one")
+		require.Equal(t, "SUCCESS serving", next.callConsole("STATUS"))
 		now = next
 	}
 	for _, a := range followers {
@@ -202,9 +202,9 @@
 	crossed, refused, asked := 0, 0, 0
 	for _, a := range followers {
 		require.NoError(t, a.err)
-		asked += a.asked
+		asked += a.sent
 		crossed += a.crossed
-		refused += a.refused
+		refused += a.rejected
 	}
 	t.Logf("%d requests over %d replacements, %d crossed a close, %d were refused", asked, rounds, crossed, refused)
 	require.NoError(t, now.cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -59,7 +59,7 @@
 	defer stop()
 	owner, err := startOwnership(ctx.Done(), env, stop)
 	if err != nil {
-		return ignoreEnded(err)
+		return ignoreShutdown(err)
 	}
 	defer owner.close()
 	options.owner = owner
@@ -71,7 +71,7 @@
 	go sources.followReloads(reload) // before the process owns the address, as discovery may move meanwhile
 	ln, err := owner.listen(env.conf, proxy)
 	if err != nil {
-		return ignoreEnded(err)
+		return ignoreShutdown(err)
 	}
 	services, err := startServices(env, proxy, pools, shared, sources)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// ignoreEnded returns err, or nil for handover.ErrShutdown: a process that is to end while it waits for the address has not failed.
-func ignoreEnded(err error) error {
+// ignoreShutdown returns err, or nil for handover.ErrShutdown: a process that is to end while it waits for the address has not failed.
+func ignoreShutdown(err error) error {
 	if errors.Is(err, handover.ErrShutdown) {
 		return nil
 	}
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -24,7 +24,7 @@
 	"ravenwheel/internal/scenario"
 )
 
-func build(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	bin := filepath.Join(t.TempDir(), "ravenwheel")
 	out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -75,12 +75,12 @@
 // TestProgram starts the program, sends requests, moves its discovery and ends it; also with the system calls forbidden that one platform
 // forbids.
 func TestProgram(t *testing.T) {
-	bin := build(t)
-	t.Run("free", func(t *testing.T) { program(t, exec.Command(bin)) })
-	t.Run("confined", func(t *testing.T) { program(t, confined(t, bin)) })
+	bin := buildProgram(t)
+	t.Run("free", func(t *testing.T) { runProgram(t, exec.Command(bin)) })
+	t.Run("confined", func(t *testing.T) { runProgram(t, confined(t, bin)) })
 }
 
-func program(t *testing.T, cmd *exec.Cmd) {
+func runProgram(t *testing.T, cmd *exec.Cmd) {
 	listen, cache := freeAddr(t), scenario.Listen(t)
 	service := listenDiscovery(t)
 	path := configFile(t, listen, service.Addr().String(), cache.Addr())
@@ -91,7 +91,7 @@
 	defer func() { _ = cmd.Process.Kill() }()
 	nc := acceptDiscoveryCall(t, service, 1) // it asks for what comes after the events known
 	// Event 2: the cache has left, and in the same frame another one, 2, has its address.
-	_, err = nc.Write(changes(2, record(1, 2, cache.Addr()), record(2, 0, cache.Addr())))
+	_, err = nc.Write(changesEvent(2, memberRecord(1, 2, cache.Addr()), memberRecord(2, 0, cache.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 2 has been taken in
 	acceptDiscoveryCall(t, service, 2)
@@ -138,7 +138,7 @@
 	other, moved := scenario.Listen(t), listenDiscovery(t)
 	hup(bytes.ReplaceAll(good, []byte(service.Addr().String()), []byte(moved.Addr().String())))
 	nc = acceptDiscoveryCall(t, moved, 2) // the numbers go on at the new address
-	_, err = nc.Write(changes(3, record(2, 2, cache.Addr()), record(3, 0, other.Addr())))
+	_, err = nc.Write(changesEvent(3, memberRecord(2, 2, cache.Addr()), memberRecord(3, 0, other.Addr())))
 	require.NoError(t, err)
 	require.NoError(t, nc.Close()) // it dials again once event 3 has been taken in
 	acceptDiscoveryCall(t, moved, 3)
@@ -191,14 +191,14 @@
 	return ln
 }
 
-// changes is an event of changed members.
-func changes(rev uint64, records ...[]byte) []byte {
+// changesEvent is an event of changed members.
+func changesEvent(rev uint64, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
 	return append(append(binary.BigEndian.AppendUint64(f, rev), 2), payload...)
 }
 
-func record(id uint32, state byte, addr string) []byte {
+func memberRecord(id uint32, state byte, addr string) []byte {
 	a := netip.MustParseAddrPort(addr)
 	b := append(binary.BigEndian.AppendUint32(nil, id), a.Addr().AsSlice()...)
 	b = append(binary.BigEndian.AppendUint16(b, a.Port()), state, 0, 0, 0, 0)
@@ -207,7 +207,7 @@
 
 // An invalid configuration ends the start with one line and exit code 1.
 func TestInvalidConfigurationEndsStart(t *testing.T) {
-	bin, bad := build(t), filepath.Join(t.TempDir(), "bad.json")
+	bin, bad := buildProgram(t), filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte(`{"seed":"xyz"}`), 0o600))
 	// A complete file with invalid settings: the place is named.
 	whole, err := os.ReadFile(configFile(t, freeAddr(t), freeAddr(t), freeAddr(t)))
--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -43,19 +43,19 @@
 
 // inProcessProxy is the program without its process: real sockets and files under a clock that the test moves.
 type inProcessProxy struct {
-	t      *testing.T
-	clk    *clock.Clock
-	path   string
-	fleet  *fleet.Fleet
-	client *load.Client
-	src    *serverSources
-	core   *core.Core
+	t       *testing.T
+	clk     *clock.Clock
+	path    string
+	fleet   *fleet.Fleet
+	client  *load.Client
+	sources *serverSources
+	core    *core.Core
 
-	mu   sync.Mutex
-	used []use // every list that was in use, with the time from which it was
+	mu       sync.Mutex
+	listUses []listUse // every list that was in use, with the time from which it was
 }
 
-type use struct {
+type listUse struct {
 	at    float64
 	ready map[policy.ServerID]bool
 }
@@ -101,10 +101,10 @@
 	up := upstream.New(r.clk, upstream.Limits{AttemptsPerConn: 32, ConnsPerServer: 4, ConnectTimeout: 5000, IdleTimeout: 60_000})
 	r.core, err = core.New(conf.Settings, conf.Classes, conf.MaxOpenRequests, conf.Seed, r.clk, up)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(r.path, []byte(r.fill(first)), 0o600))
-	r.src, err = startSources(environment{file: o, conf: conf, clock: r.clk}, r.core, sharedState{}, sourceOptions{})
+	require.NoError(t, os.WriteFile(r.path, []byte(r.fillAddrs(first)), 0o600))
+	r.sources, err = startSources(environment{file: o, conf: conf, clock: r.clk}, r.core, sharedState{}, sourceOptions{})
 	require.NoError(t, err)
-	t.Cleanup(r.src.close)
+	t.Cleanup(r.sources.close)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	front := resp.New(ln, 500, r.clk, r.core)
@@ -120,8 +120,8 @@
 	return r
 }
 
-// fill replaces @ID in a text by the address of a stand-in.
-func (r *inProcessProxy) fill(text string) string {
+// fillAddrs replaces @ID in a text by the address of a stand-in.
+func (r *inProcessProxy) fillAddrs(text string) string {
 	for _, id := range []policy.ServerID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
 		text = strings.ReplaceAll(text, fmt.Sprintf("\"@%d\"", id), `"`+r.fleet.Server(id).Addr()+`"`)
 	}
@@ -136,23 +136,23 @@
 	}
 }
 
-// quiet lets time pass until no request is open and the list's generation is the one awaited.
-func (r *inProcessProxy) quiet(generation uint64) {
+// awaitGeneration lets time pass until no request is open and the list's generation is the one awaited.
+func (r *inProcessProxy) awaitGeneration(generation uint64) {
 	r.t.Helper()
-	for end := time.Now().Add(time.Minute); r.client.Open() > 0 || r.src.list.Status().Generation != generation; r.run(10) {
-		require.True(r.t, time.Now().Before(end), "open %d, list %+v", r.client.Open(), r.src.list.Status())
+	for end := time.Now().Add(time.Minute); r.client.Open() > 0 || r.sources.list.Status().Generation != generation; r.run(10) {
+		require.True(r.t, time.Now().Before(end), "open %d, list %+v", r.client.Open(), r.sources.list.Status())
 	}
 }
 
-// note records which servers are ready in a list that was applied.
-func (r *inProcessProxy) note(at float64, ids []policy.ServerID) {
-	u := use{at: at, ready: map[policy.ServerID]bool{}}
+// recordUse records which servers are ready in a list that was applied.
+func (r *inProcessProxy) recordUse(at float64, ids []policy.ServerID) {
+	u := listUse{at: at, ready: map[policy.ServerID]bool{}}
 	for _, id := range ids {
 		u.ready[id] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.used = append(r.used, u)
+	r.listUses = append(r.listUses, u)
 }
 
 // drainSlack: the clock of the test jumps while a request is in the kernel, so that it seems to come late.
@@ -162,7 +162,7 @@
 func (r *inProcessProxy) check() {
 	r.t.Helper()
 	var told []fleet.Notification
-	for i, u := range r.used {
+	for i, u := range r.listUses {
 		one := fleet.Notification{At: u.at}
 		for id := policy.ServerID(1); id <= 20; id++ {
 			if u.ready[id] {
@@ -176,7 +176,7 @@
 	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Violations(r.fleet.Observations(), told))
 	for _, s := range r.fleet.Observations() {
 		require.Less(r.t, s.Server, policy.ServerID(90), "a server that only invalid lists name got %s", s.RequestID)
-		whole := slices.ContainsFunc(r.used, func(u use) bool {
+		whole := slices.ContainsFunc(r.listUses, func(u listUse) bool {
 			return u.at <= s.At && u.ready[s.Server] && (s.Source == s.Server || u.ready[s.Source])
 		})
 		require.True(r.t, whole, "request %s went to %d with source %d, which no list holds together", s.RequestID, s.Server, s.Source)
@@ -207,7 +207,7 @@
 		return listText(generation, lines)
 	}
 	r := newInProcessProxy(t, text(1, first))
-	r.note(r.clk.Now(), first)
+	r.recordUse(r.clk.Now(), first)
 	generation := 1
 	for turn := range 240 {
 		for range 3 {
@@ -223,8 +223,8 @@
 			ids = append(ids, caches[i])
 		}
 		drained := caches[perm[n]]
-		next := r.fill(text(generation+1, ids, drained))
-		poison := r.fill(text(generation+1, []policy.ServerID{90, 91, 20, 10}))
+		next := r.fillAddrs(text(generation+1, ids, drained))
+		poison := r.fillAddrs(text(generation+1, []policy.ServerID{90, 91, 20, 10}))
 		old, err := os.ReadFile(r.path)
 		require.NoError(t, err)
 		put := func(s string) { require.NoError(t, os.WriteFile(r.path, []byte(s), 0o600)) }
@@ -261,12 +261,12 @@
 			continue
 		}
 		taken := r.clk.Now()
-		r.quiet(uint64(generation + 1))
+		r.awaitGeneration(uint64(generation + 1))
 		generation++
-		r.note(taken, ids) // from its rename on it may have been in use
+		r.recordUse(taken, ids) // from its rename on it may have been in use
 	}
-	r.quiet(uint64(generation))
+	r.awaitGeneration(uint64(generation))
 	r.check()
-	require.Greater(t, len(r.used), 80)
+	require.Greater(t, len(r.listUses), 80)
 	require.Greater(t, r.fleet.WritesRun(), 20)
 }
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -18,7 +18,7 @@
 // An owner is suspended while another process takes its address, and yields as it is resumed. The SIGTERMs that follow change nothing: its
 // open requests are answered, and it ends by itself.
 func TestTerminatedAfterTakeoverAnswersAll(t *testing.T) {
-	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
+	bin, listen, dir, cache := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	service := listenDiscovery(t)
 	go func() {
 		for {
@@ -35,7 +35,7 @@
 	text = bytes.ReplaceAll(text, []byte(strconv.Quote("127.0.0.1:1")), []byte(strconv.Quote(cache.Addr())))
 	require.NoError(t, os.WriteFile(config, text, 0o600))
 	old := startProcess(t, bin, config, dir)
-	old.ready(t)
+	old.awaitReady(t)
 	c := scenario.Dial(t, listen)
 	actors := map[string]scenario.Actor{"c": c, "s": cache}
 	scenario.Run(t, clock.System(), actors, `
@@ -43,9 +43,9 @@
 		s expect fetch 00000000000000a1 lane=asset,* -`)
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
 	next := startProcess(t, bin, config, dir)
-	next.ready(t)
+	next.awaitReady(t)
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGCONT))
-	require.Eventually(t, func() bool { return old.call("STATUS") == "FAILURE stopping" }, time.Minute, 5*time.Millisecond, "it steps back")
+	require.Eventually(t, func() bool { return old.callConsole("STATUS") == "FAILURE stopping" }, time.Minute, 5*time.Millisecond, "it steps back")
 	for range 3 {
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
 		time.Sleep(50 * time.Millisecond)
@@ -54,51 +54,51 @@
 		s send 00000000000000a1 served why=local,version=v1 BYTES
 		c expect 1 ok - BYTES`)
 	require.NoError(t, old.cmd.Wait(), "%s", old.logs)
-	require.Equal(t, "SUCCESS serving", next.call("STATUS"))
+	require.Equal(t, "SUCCESS serving", next.callConsole("STATUS"))
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 }
 
 // A successor gets SIGTERM before it owns the address. It ends, and the owner goes on.
 func TestTerminatedSuccessorLeavesOwner(t *testing.T) {
-	bin, listen, dir, cache, service := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
+	bin, listen, dir, cache, service := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
 	config := configFile(t, listen, service.Addr().String(), cache.Addr())
 	owner := startProcess(t, bin, config, dir)
-	owner.ready(t)
+	owner.awaitReady(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
 	next := startProcess(t, bin, config, dir)
-	require.Eventually(t, func() bool { return next.call("STATUS") == "FAILURE starting" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return next.callConsole("STATUS") == "FAILURE starting" }, time.Minute, time.Millisecond)
 	time.Sleep(100 * time.Millisecond) // by now it has sent its request to the owner, which does not answer
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 	require.NotContains(t, next.logs.String(), "owns the address")
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGCONT))
 	time.Sleep(600 * time.Millisecond) // it looks twice whether another one owns
-	require.Equal(t, "SUCCESS serving", owner.call("STATUS"), "%s", owner.logs)
+	require.Equal(t, "SUCCESS serving", owner.callConsole("STATUS"), "%s", owner.logs)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
 }
 
 // An owner is suspended with a connection and its request in the listener's queue, and another process takes the address with a queue
 // of its own. Resumed, the owner answers its queue before it yields.
-func TestStoppedOwnerAnswersItsQueue(t *testing.T) {
-	bin, listen, dir, cache := build(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
+func TestSuspendedOwnerAnswersListenerQueue(t *testing.T) {
+	bin, listen, dir, cache := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	answers := &recordingCache{}
 	go answers.serve(t, cache)
 	config := configFile(t, listen, listenDiscovery(t).Addr().String(), cache.Addr())
 	owner := startProcess(t, bin, config, dir)
-	owner.ready(t)
+	owner.awaitReady(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
 	waits := scenario.Dial(t, listen)
 	require.NoError(t, waits.Send([]string{"RPC.CALL", "1", "asset", "rid=00000000000000a1,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17"}))
 	next := startProcess(t, bin, config, dir)
-	next.ready(t)
+	next.awaitReady(t)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGCONT))
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"waits": waits}, `
 		waits expect 1 ok - BYTES`)
 	require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
 	for n := range 20 { // all new ones reach the other process
-		require.Equal(t, "ok", ask(t, scenario.Dial(t, listen), n+1))
+		require.Equal(t, "ok", requestAsset(t, scenario.Dial(t, listen), n+1))
 	}
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -20,73 +20,73 @@
 // The kinds of client, in turn. Restless: never idle, up to three open requests; resting: a request now and then on one connection; fresh: a
 // connection for each request; leaving: closes or cancels early; slow: writes in pieces.
 const (
-	restlessKind soakKind = iota
-	restingKind
-	freshKind
-	leavingKind
-	slowKind
-	soakKinds
+	busyKind soakKind = iota
+	pausingKind
+	connPerRequestKind
+	cancellingKind
+	slowWriterKind
+	soakKindCount
 )
 
 // soakClient is one client, with one connection at a time.
 type soakClient struct {
-	s    *soak
+	soak *soak
 	n    int
 	kind soakKind
 	rng  *rand.Rand
 
-	nc    *net.TCPConn
-	tag   int
-	mu    sync.Mutex
-	open  map[string]*soakRequest // by tag
-	ended chan struct{}           // of the connection
-	gone  bool                    // the connection has ended
-	some  chan struct{}           // an answer came
-	asked int
+	nc            *net.TCPConn
+	tag           int
+	mu            sync.Mutex
+	open          map[string]*soakRequest // by tag
+	connEnded     chan struct{}           // of the connection
+	connClosed    bool                    // the connection has ended
+	answerArrived chan struct{}           // an answer came
+	requestCount  int
 }
 
 func newSoakClient(s *soak, n int, rng *rand.Rand) *soakClient {
-	return &soakClient{s: s, n: n, kind: soakKind(n) % soakKinds, rng: rng, some: make(chan struct{}, 1)}
+	return &soakClient{soak: s, n: n, kind: soakKind(n) % soakKindCount, rng: rng, answerArrived: make(chan struct{}, 1)}
 }
 
 // run sends requests until the process has ended, or accepts no connections any more.
 func (c *soakClient) run() {
 	for {
 		select {
-		case <-c.s.over:
-			c.hangUp()
+		case <-c.soak.done:
+			c.closeConn()
 			return
 		default:
 		}
 		if c.nc == nil && !c.dial() {
 			select {
-			case <-c.s.over:
+			case <-c.soak.done:
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
 			continue
 		}
 		select {
-		case <-c.ended:
+		case <-c.connEnded:
 			c.nc = nil
 			continue
 		default:
 		}
-		c.turn()
+		c.step()
 	}
 }
 
 // dial connects, until 0.3 s after SIGTERM.
 func (c *soakClient) dial() bool {
-	if at := c.s.termAt.Load(); at > 0 && time.Since(time.UnixMicro(at)) > 300*time.Millisecond {
+	if at := c.soak.sigtermAt.Load(); at > 0 && time.Since(time.UnixMicro(at)) > 300*time.Millisecond {
 		return false
 	}
-	nc, err := net.DialTimeout("tcp", c.s.listen, time.Second)
+	nc, err := net.DialTimeout("tcp", c.soak.listen, time.Second)
 	if err != nil {
 		return false
 	}
-	c.nc, c.tag, c.open, c.ended, c.gone = nc.(*net.TCPConn), 0, map[string]*soakRequest{}, make(chan struct{}), false
-	go c.read(c.nc, c.open, c.ended)
+	c.nc, c.tag, c.open, c.connEnded, c.connClosed = nc.(*net.TCPConn), 0, map[string]*soakRequest{}, make(chan struct{}), false
+	go c.read(c.nc, c.open, c.connEnded)
 	return true
 }
 
@@ -97,12 +97,12 @@
 	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	for {
 		parts, _, err := buf.Next(nc)
-		now := c.s.now()
+		now := c.soak.now()
 		c.mu.Lock()
 		if err != nil {
-			c.gone = true
+			c.connClosed = true
 			for _, q := range open {
-				q.ended = now
+				q.closedAt = now
 			}
 			c.mu.Unlock()
 			return
@@ -111,86 +111,86 @@
 		delete(open, string(parts[0]))
 		c.mu.Unlock()
 		if q == nil {
-			c.s.fail("client %d got an answer that it does not wait for: %q", c.n, parts[:2])
+			c.soak.fail("client %d got an answer that it does not wait for: %q", c.n, parts[:2])
 			continue
 		}
-		q.answered, q.word = now, string(parts[1])
-		if q.word == "ok" && q.class == "asset" {
+		q.answeredAt, q.status = now, string(parts[1])
+		if q.status == "ok" && q.class == "asset" {
 			if _, err := fleet.Check(parts[3], q.object, 0); err != nil {
-				c.s.fail("client %d: %v", c.n, err)
+				c.soak.fail("client %d: %v", c.n, err)
 			}
 		}
-		if q.word == "full" && q.object[15]%4 > 0 { // one in four clients does not wait for the backoff
+		if q.status == "full" && q.object[15]%4 > 0 { // one in four clients does not wait for the backoff
 			time.Sleep(5 * time.Millisecond)
 		}
 		select {
-		case c.some <- struct{}{}:
+		case c.answerArrived <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// waiting is how many requests are open.
-func (c *soakClient) waiting() int {
+// countOpen is how many requests are open.
+func (c *soakClient) countOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// turn sends one request, and does what the client's kind does after it.
-func (c *soakClient) turn() {
+// step sends one request, and does what the client's kind does after it.
+func (c *soakClient) step() {
 	switch c.kind {
-	case restlessKind:
-		if c.waiting() < 3 {
-			c.ask(1)
+	case busyKind:
+		if c.countOpen() < 3 {
+			c.sendRequest(1)
 			return
 		}
-		c.await(time.Second)
-	case restingKind:
-		c.ask(1)
-		for c.waiting() > 0 && c.await(time.Second) {
+		c.awaitAnswer(time.Second)
+	case pausingKind:
+		c.sendRequest(1)
+		for c.countOpen() > 0 && c.awaitAnswer(time.Second) {
 		}
 		time.Sleep(time.Duration(c.rng.IntN(300)) * time.Millisecond)
-	case freshKind:
-		c.ask(1)
-		for c.waiting() > 0 && c.await(time.Second) {
+	case connPerRequestKind:
+		c.sendRequest(1)
+		for c.countOpen() > 0 && c.awaitAnswer(time.Second) {
 		}
-		c.hangUp()
-	case leavingKind:
-		q, tag := c.ask(1)
+		c.closeConn()
+	case cancellingKind:
+		q, tag := c.sendRequest(1)
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
 		if c.rng.IntN(2) == 0 {
-			c.hangUp()
+			c.closeConn()
 		} else if q != nil {
 			c.cancel(q, tag)
 		}
-	case slowKind:
-		c.ask(2 + c.rng.IntN(4))
-		for c.waiting() > 0 && c.await(time.Second) {
+	case slowWriterKind:
+		c.sendRequest(2 + c.rng.IntN(4))
+		for c.countOpen() > 0 && c.awaitAnswer(time.Second) {
 		}
 	}
 }
 
-// await waits for an answer, and returns whether there may be more.
-func (c *soakClient) await(most time.Duration) bool {
+// awaitAnswer waits for an answer, and returns whether there may be more.
+func (c *soakClient) awaitAnswer(most time.Duration) bool {
 	select {
-	case <-c.some:
+	case <-c.answerArrived:
 		return true
-	case <-c.ended:
+	case <-c.connEnded:
 		return false
 	case <-time.After(most):
 		return true
 	}
 }
 
-// ask writes one request, in so many pieces.
-func (c *soakClient) ask(pieces int) (*soakRequest, string) {
+// sendRequest writes one request, in so many pieces.
+func (c *soakClient) sendRequest(pieces int) (*soakRequest, string) {
 	c.tag++
-	c.asked++
-	tag, id := strconv.Itoa(c.tag), fmt.Sprintf("%04x%012x", c.n, c.asked)
+	c.requestCount++
+	tag, id := strconv.Itoa(c.tag), fmt.Sprintf("%04x%012x", c.n, c.requestCount)
 	q := &soakRequest{class: []string{"asset", "asset", "asset", "asset", "report", "claim"}[c.rng.IntN(6)], object: fmt.Sprintf("%016x", c.rng.IntN(200))}
 	share := map[string]float64{"asset": 1, "report": 0.9, "claim": 0.8}[q.class] * (0.5 + c.rng.Float64()/2)
-	q.budget = float64(int(float64(c.s.plan.deadline.Milliseconds()) * share))
+	q.budget = float64(int(float64(c.soak.plan.longestDeadline.Milliseconds()) * share))
 	fields := fmt.Sprintf("rid=%s,budget=%.0f,obj=%s,nth=0,batch=%d", id, q.budget, q.object, fleet.Group(q.object))
 	body := ""
 	if q.class != "asset" {
@@ -206,33 +206,33 @@
 	for i := range pieces {
 		from, to := len(frame)*i/pieces, len(frame)*(i+1)/pieces
 		if i == pieces-1 {
-			q.sent = c.s.now()
+			q.sentAt = c.soak.now()
 		}
 		if _, err := c.nc.Write(frame[from:to]); err != nil {
-			c.drop(tag)
+			c.forget(tag)
 			return nil, ""
 		}
 		if i < pieces-1 {
 			select {
-			case <-c.ended: // it has not been taken
-				c.drop(tag)
+			case <-c.connEnded: // it has not been taken
+				c.forget(tag)
 				return nil, ""
 			case <-time.After(time.Duration(20+c.rng.IntN(400)) * time.Millisecond):
 			}
 		}
 	}
 	c.mu.Lock()
-	if c.gone && q.answered == 0 && q.ended == 0 { // before it was written
-		q.ended = q.sent
+	if c.connClosed && q.answeredAt == 0 && q.closedAt == 0 { // before it was written
+		q.closedAt = q.sentAt
 	}
 	c.mu.Unlock()
-	c.s.mu.Lock()
-	c.s.asked[id] = q
-	c.s.mu.Unlock()
+	c.soak.mu.Lock()
+	c.soak.requests[id] = q
+	c.soak.mu.Unlock()
 	return q, tag
 }
 
-func (c *soakClient) drop(tag string) {
+func (c *soakClient) forget(tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, tag)
@@ -249,29 +249,29 @@
 	if _, err := c.nc.Write(resp.AppendFrame(nil, "RPC.CANCEL", tag)); err != nil {
 		return
 	}
-	q.left = c.s.now() // an answer may be on its way
+	q.cancelledAt = c.soak.now() // an answer may be on its way
 }
 
-// hangUp closes the connection, which cancels its open requests.
-func (c *soakClient) hangUp() {
+// closeConn closes the connection, which cancels its open requests.
+func (c *soakClient) closeConn() {
 	if c.nc == nil {
 		return
 	}
 	c.mu.Lock()
-	now := c.s.now()
+	now := c.soak.now()
 	for _, q := range c.open {
-		q.left = now
+		q.cancelledAt = now
 	}
 	c.mu.Unlock()
 	_ = c.nc.Close()
-	<-c.ended
+	<-c.connEnded
 	c.nc = nil
 }
 
-// idleClients connect all at once, send nothing and stay; end closes them.
-func (s *soak) idleClients() (end func()) {
+// connectIdleClients connect all at once, send nothing and stay; end closes them.
+func (s *soak) connectIdleClients() (end func()) {
 	var conns []net.Conn
-	for range s.plan.crowd {
+	for range s.plan.idleClients {
 		nc, err := net.DialTimeout("tcp", s.listen, time.Second)
 		if err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -288,8 +288,8 @@
 	}
 }
 
-// healthy sends a health check.
-func healthy(listen string) (there bool, err error) {
+// checkHealth sends a health check.
+func checkHealth(listen string) (there bool, err error) {
 	nc, err := net.DialTimeout("tcp", listen, time.Second)
 	if err != nil {
 		return false, nil
--- a/cmd/ravenwheel/standalone_test.go
+++ b/cmd/ravenwheel/standalone_test.go
@@ -26,7 +26,7 @@
 
 // The program starts without the platform, on an invalid list and then on a valid one, serves, and shows the servers that it uses.
 func TestStandaloneProxyServesFromList(t *testing.T) {
-	bin, listen, cache := build(t), freeAddr(t), scenario.Listen(t)
+	bin, listen, cache := buildProgram(t), freeAddr(t), scenario.Listen(t)
 	dir := t.TempDir()
 	operator, list := filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc")
 	sock := "unix:" + filepath.Join(dir, "admin.sock")
@@ -158,13 +158,13 @@
 	becomes("1:ready*4 2:ready*9 20:ready*4")
 	nc, err := ln.Accept()
 	require.NoError(t, err)
-	_, err = nc.Write(append(make([]byte, 0), changes(2, record(1, 1, "127.0.0.1:9"), record(3, 0, "127.0.0.3:9"))...))
+	_, err = nc.Write(append(make([]byte, 0), changesEvent(2, memberRecord(1, 1, "127.0.0.1:9"), memberRecord(3, 0, "127.0.0.3:9"))...))
 	require.NoError(t, err)
 	becomes("1:draining*4 2:ready*9 3:ready*9 20:ready*4")
 	put(listText(2, []string{server(2), server(20)}))
 	becomes("1:draining*9 2:ready*4 3:ready*9 20:ready*4")
 	put(listText(2, []string{server(1), server(20)})) // a generation that was used: the list in use stays
-	_, err = nc.Write(changes(3, record(1, 0, "127.0.0.1:9")))
+	_, err = nc.Write(changesEvent(3, memberRecord(1, 0, "127.0.0.1:9")))
 	require.NoError(t, err)
 	becomes("1:ready*9 2:ready*4 3:ready*9 20:ready*4")
 }
--- a/cmd/ravenwheel/stop_hanging_test.go
+++ b/cmd/ravenwheel/stop_hanging_test.go
@@ -87,21 +87,21 @@
 	}
 }
 
-// restlessClient is a client that always has an open request on its one connection, until that ends.
-type restlessClient struct {
-	c             *scenario.Client
-	asked, served int
-	open          int // requests without an answer
-	ended         bool
+// busyClient is a client that always has an open request on its one connection, until that ends.
+type busyClient struct {
+	conn         *scenario.Client
+	sent, served int
+	open         int // requests without an answer
+	ended        bool
 }
 
-// atOnce is how many requests such a client has open at most.
-const atOnce = 3
+// maxOpenRequests is how many requests such a client has open at most.
+const maxOpenRequests = 3
 
-// turn reads the answers that have arrived, and sends another request where asks.
-func (r *restlessClient) turn(t *testing.T, n int, asks bool) {
+// step reads the answers that have arrived, and sends another request where asks.
+func (r *busyClient) step(t *testing.T, n int, asks bool) {
 	for !r.ended {
-		words, err := r.c.TryReceive()
+		words, err := r.conn.TryReceive()
 		require.NoError(t, err)
 		if words == nil {
 			break
@@ -115,11 +115,11 @@
 		}
 		r.open--
 	}
-	if asks && r.open < atOnce {
+	if asks && r.open < maxOpenRequests {
 		r.open++
-		r.asked++
-		_ = r.c.Send([]string{"RPC.CALL", fmt.Sprint(r.asked), "asset", // it may have ended
-			fmt.Sprintf("rid=%08x%08x,budget=%d,obj=%016x,nth=0,batch=17", n, r.asked, 250, r.asked%50)})
+		r.sent++
+		_ = r.conn.Send([]string{"RPC.CALL", fmt.Sprint(r.sent), "asset", // it may have ended
+			fmt.Sprintf("rid=%08x%08x,budget=%d,obj=%016x,nth=0,batch=17", n, r.sent, 250, r.sent%50)})
 	}
 }
 
@@ -156,16 +156,16 @@
 				d.Attach(front, nil, nil)
 				d.SetOwner(true)
 				d.SetAccepting(true)
-				var clients []*restlessClient
+				var clients []*busyClient
 				for range 6 {
-					clients = append(clients, &restlessClient{c: scenario.Dial(t, front.Addr())})
+					clients = append(clients, &busyClient{conn: scenario.Dial(t, front.Addr())})
 				}
 				// A moment is so many ms of the clock, in which whatever is on its way in the process comes.
 				moment := func() {
 					for turn := range 5 {
 						for n, r := range clients {
 							if !r.ended {
-								r.turn(t, n, turn == 0)
+								r.step(t, n, turn == 0)
 							}
 						}
 						time.Sleep(200 * time.Microsecond)
@@ -190,7 +190,7 @@
 					moment()
 				}
 				for n, r := range clients {
-					require.True(t, r.ended, "client %d has asked %d, of which %d were served, and is still connected as SIGKILL may come", n, r.asked, r.served)
+					require.True(t, r.ended, "client %d has asked %d, of which %d were served, and is still connected as SIGKILL may come", n, r.sent, r.served)
 				}
 			})
 		}
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -80,14 +80,14 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// heldUp is a listener whose accepts block while it is shut, as out of descriptors.
-type heldUp struct {
+// blockedListener is a listener whose accepts block while it is shut, as out of descriptors.
+type blockedListener struct {
 	*net.TCPListener
-	shut atomic.Bool
+	blocked atomic.Bool
 }
 
-func (h *heldUp) Accept() (net.Conn, error) {
-	if h.shut.Load() {
+func (h *blockedListener) Accept() (net.Conn, error) {
+	if h.blocked.Load() {
 		return nil, &net.OpError{Op: "accept", Err: syscall.ENFILE}
 	}
 	return h.TCPListener.Accept()
@@ -99,8 +99,8 @@
 	p := scenario.NewProxy(t)
 	tcp, err := net.Listen("tcp", scenario.Loopback())
 	require.NoError(t, err)
-	ln := &heldUp{TCPListener: tcp.(*net.TCPListener)}
-	ln.shut.Store(true)
+	ln := &blockedListener{TCPListener: tcp.(*net.TCPListener)}
+	ln.blocked.Store(true)
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
@@ -119,7 +119,7 @@
 		p.Clock.Advance(10)
 		time.Sleep(200 * time.Microsecond)
 	}
-	ln.shut.Store(false)
+	ln.blocked.Store(false)
 	var words []string
 	require.Eventually(t, func() bool {
 		p.Clock.Advance(10)
--- a/cmd/ravenwheel/store_members_test.go
+++ b/cmd/ravenwheel/store_members_test.go
@@ -18,7 +18,7 @@
 
 // Three proxies share one store: an operation at one is in force at all, survives kill -9, and is atomic.
 func TestStoreMembersShareOperations(t *testing.T) {
-	bin, dir := build(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	run := func(args ...string) (string, int) {
 		cmd := exec.Command(bin, args...)
 		out, _ := cmd.CombinedOutput()
--- a/cmd/ravenwheel/suspended_test.go
+++ b/cmd/ravenwheel/suspended_test.go
@@ -16,13 +16,13 @@
 // purge's grace. Whichever socket is read first, no request accepts a copy from before the purge.
 func TestPurgeIsAppliedAfterSuspension(t *testing.T) {
 	const clients, wakes = 8, 6
-	f := startFollower(t, build(t), 1, 1)
+	f := startDiscoveryProxy(t, buildProgram(t), 1, 1)
 	var all []*scenario.Client
 	for range clients {
 		all = append(all, scenario.Dial(t, f.listen))
 	}
 	for n, c := range all {
-		require.Equal(t, "ok", ask(t, c, n+1))
+		require.Equal(t, "ok", requestAsset(t, c, n+1))
 	}
 	tag := clients
 	for wake := range wakes {
@@ -41,13 +41,13 @@
 			_, err := c.Receive()
 			require.NoError(t, err)
 		}
-		f.answers.mu.Lock()
+		f.cache.mu.Lock()
 		for n := first; n <= tag; n++ {
 			id := fmt.Sprintf("%016x", n)
-			fields, came := f.answers.asked[id], f.answers.came[id]
+			fields, came := f.cache.fields[id], f.cache.receivedAt[id]
 			require.True(t, strings.Contains(fields, ",newer="), "wake %d: %s is content with any copy", wake, fields)
-			require.GreaterOrEqual(t, came.UnixMilli()-newerOf(t, fields), purged, "wake %d: a copy from before the purge would do: %s", wake, fields)
+			require.GreaterOrEqual(t, came.UnixMilli()-maxCopyAge(t, fields), purged, "wake %d: a copy from before the purge would do: %s", wake, fields)
 		}
-		f.answers.mu.Unlock()
+		f.cache.mu.Unlock()
 	}
 }
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -24,8 +24,8 @@
 	"ravenwheel/policy"
 )
 
-// kills is how often the process is killed: a few times in CI, a hundred times by "make torture".
-func kills() int {
+// killCount is how often the process is killed: a few times in CI, a hundred times by "make torture".
+func killCount() int {
 	if n, err := strconv.Atoi(os.Getenv("TORTURE")); err == nil {
 		return n
 	}
@@ -34,53 +34,53 @@
 
 // killedProxy is the program, killed and restarted under clients that never stop.
 type killedProxy struct {
-	t        *testing.T
-	rng      *rand.Rand
-	clk      *clock.Clock
-	fleet    *fleet.Fleet
-	bin      string
-	operator string
-	list     string
-	sock     string
-	listen   string
-	cmd      *exec.Cmd
-	logs     syncedBuffer
-	gen      int
-	told     []fleet.Notification
-	starts   []time.Duration // from the start to a request that can be taken
-	// names are the ids under which the boxes are listed: a box that drains is listed again under another one.
-	names map[policy.ServerID]policy.ServerID
+	t              *testing.T
+	rng            *rand.Rand
+	clk            *clock.Clock
+	fleet          *fleet.Fleet
+	bin            string
+	operatorPath   string
+	listPath       string
+	adminAddr      string
+	listen         string
+	cmd            *exec.Cmd
+	logs           syncedBuffer
+	generation     int
+	notifications  []fleet.Notification
+	startDurations []time.Duration // from the start to a request that can be taken
+	// listedIDs are the ids under which the boxes are listed: a box that drains is listed again under another one.
+	listedIDs map[policy.ServerID]policy.ServerID
 }
 
-// boxes is the number of stand-ins. Each has an id of its own, and the list may give it others.
-const boxes = 6
+// cacheCount is the number of stand-ins. Each has an id of its own, and the list may give it others.
+const cacheCount = 6
 
-func (x *killedProxy) entry(box policy.ServerID) string {
-	e := entryText(box, x.fleet.Server(box).Addr(), `, "weight": 6`)
-	if id := x.names[box]; id != 0 {
+func (x *killedProxy) entry(cache policy.ServerID) string {
+	e := entryText(cache, x.fleet.Server(cache).Addr(), `, "weight": 6`)
+	if id := x.listedIDs[cache]; id != 0 {
 		// The kind goes by the box, the id does not.
-		e = strings.Replace(e, fmt.Sprintf("s-%08x", uint64(box)), fmt.Sprintf("s-%08x", uint64(id)), 1)
+		e = strings.Replace(e, fmt.Sprintf("s-%08x", uint64(cache)), fmt.Sprintf("s-%08x", uint64(id)), 1)
 	}
 	return e
 }
 
-func (x *killedProxy) text(boxes []policy.ServerID) string {
+func (x *killedProxy) currentList(caches []policy.ServerID) string {
 	var lines []string
-	for _, b := range append(slices.Clone(boxes), 10, 20) {
+	for _, b := range append(slices.Clone(caches), 10, 20) {
 		lines = append(lines, x.entry(b))
 	}
-	return listText(x.gen, lines)
+	return listText(x.generation, lines)
 }
 
 func (x *killedProxy) start() {
-	x.cmd = exec.Command(x.bin, "serve", "--operator", x.operator)
+	x.cmd = exec.Command(x.bin, "serve", "--operator", x.operatorPath)
 	x.cmd.Stderr = &x.logs
 	began := time.Now()
-	defer func() { x.starts = append(x.starts, time.Since(began)) }()
+	defer func() { x.startDurations = append(x.startDurations, time.Since(began)) }()
 	require.NoError(x.t, x.cmd.Start())
 	for end := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
 		var s admin.ServersResponse
-		if admin.Call(x.sock, "/v1/servers", nil, &s) == nil {
+		if admin.Call(x.adminAddr, "/v1/servers", nil, &s) == nil {
 			nc, err := net.Dial("tcp", x.listen)
 			if err == nil {
 				nc.Close()
@@ -96,28 +96,28 @@
 	_ = x.cmd.Wait()
 }
 
-// use renames a list into place, and returns whether the proxy was seen to use it.
-func (x *killedProxy) use(boxes []policy.ServerID, patience time.Duration) bool {
-	x.gen++
-	require.NoError(x.t, os.WriteFile(x.list+".new", []byte(x.text(boxes)), 0o600))
-	require.NoError(x.t, os.Rename(x.list+".new", x.list))
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// replaceList renames a list into place, and returns whether the proxy was seen to use it.
+func (x *killedProxy) replaceList(caches []policy.ServerID, timeout time.Duration) bool {
+	x.generation++
+	require.NoError(x.t, os.WriteFile(x.listPath+".new", []byte(x.currentList(caches)), 0o600))
+	require.NoError(x.t, os.Rename(x.listPath+".new", x.listPath))
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		var s admin.ServersResponse
-		if admin.Call(x.sock, "/v1/servers", nil, &s) == nil && s.List.Generation == uint64(x.gen) {
+		if admin.Call(x.adminAddr, "/v1/servers", nil, &s) == nil && s.List.Generation == uint64(x.generation) {
 			return true
 		}
 	}
 	return false
 }
 
-// ready reports whether a box is in use, under the id that it is listed by.
-func (x *killedProxy) ready(box policy.ServerID) bool {
-	id := box
-	if named := x.names[box]; named != 0 {
+// isReady reports whether a box is in use, under the id that it is listed by.
+func (x *killedProxy) isReady(cache policy.ServerID) bool {
+	id := cache
+	if named := x.listedIDs[cache]; named != 0 {
 		id = named
 	}
 	var s admin.ServersResponse
-	return admin.Call(x.sock, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.ServerStatus) bool {
+	return admin.Call(x.adminAddr, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.ServerStatus) bool {
 		return v.ID == serverlist.FormatID(id) && v.Phase == "ready"
 	})
 }
@@ -130,17 +130,17 @@
 		seed = s
 	}
 	const drain = 2500.0
-	x := &killedProxy{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: build(t), listen: freeAddr(t), names: map[policy.ServerID]policy.ServerID{}}
+	x := &killedProxy{t: t, rng: rand.New(rand.NewPCG(seed, 1)), clk: clock.System(), bin: buildProgram(t), listen: freeAddr(t), listedIDs: map[policy.ServerID]policy.ServerID{}}
 	dir := t.TempDir()
-	x.operator, x.list, x.sock = filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc"), "unix:"+filepath.Join(dir, "a.sock")
+	x.operatorPath, x.listPath, x.adminAddr = filepath.Join(dir, "o.jsonc"), filepath.Join(dir, "servers.jsonc"), "unix:"+filepath.Join(dir, "a.sock")
 	text := strings.Replace(operatorText, "127.0.0.1:1", x.listen, 1)
-	text = strings.Replace(text, `"servers": {`, fmt.Sprintf(`"admin": {"listen": %q}, "state": {"dir": "state"}, "servers": {`, x.sock), 1)
+	text = strings.Replace(text, `"servers": {`, fmt.Sprintf(`"admin": {"listen": %q}, "state": {"dir": "state"}, "servers": {`, x.adminAddr), 1)
 	text = strings.Replace(text, `"drain_ms": 3000`, `"drain_ms": 2500`, 1)
-	require.NoError(t, os.WriteFile(x.operator, []byte(text), 0o600))
+	require.NoError(t, os.WriteFile(x.operatorPath, []byte(text), 0o600))
 	x.fleet = fleet.New(fleet.Options{Clock: x.clk, TransferTime: 3, FillTime: 10, PurgeDelay: 6000})
 	defer x.fleet.Close()
 	var all []policy.ServerID
-	for id := policy.ServerID(1); id <= boxes; id++ {
+	for id := policy.ServerID(1); id <= cacheCount; id++ {
 		all = append(all, id)
 		_, err := x.fleet.Start(id, fleet.Cache, "127.0.0.1:0")
 		require.NoError(t, err)
@@ -149,8 +149,8 @@
 	require.NoError(t, err)
 	_, err = x.fleet.Start(20, fleet.Origin, "127.0.0.1:0")
 	require.NoError(t, err)
-	x.gen = 1
-	require.NoError(t, os.WriteFile(x.list, []byte(x.text(all)), 0o600))
+	x.generation = 1
+	require.NoError(t, os.WriteFile(x.listPath, []byte(x.currentList(all)), 0o600))
 	x.start()
 	defer func() { _ = x.cmd.Process.Kill() }()
 
@@ -176,47 +176,47 @@
 		}
 	}()
 
-	for n := range kills() {
+	for n := range killCount() {
 		box := all[x.rng.IntN(len(all))]
 		rest := slices.DeleteFunc(slices.Clone(all), func(b policy.ServerID) bool { return b == box })
 		patience := time.Second
 		switch n % 3 {
 		case 0: // notified of a drain and killed, and the box is listed again while it drains
 			// One that waits for a drain to end, under the id that it was given for that, is not in use and can't drain.
-			if inUse := x.ready(box); x.use(rest, patience) && inUse {
+			if inUse := x.isReady(box); x.replaceList(rest, patience) && inUse {
 				// Until the drain is over. Its end is counted from the latest that it can have begun.
 				now := x.clk.Now()
-				x.told = append(x.told, fleet.Notification{At: now, Drains: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{box}})
+				x.notifications = append(x.notifications, fleet.Notification{At: now, Drains: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{box}})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(60)) * time.Millisecond)
 			x.kill()
-			x.names[box] = policy.ServerID(100 + n)
-			x.gen++
-			require.NoError(t, os.WriteFile(x.list, []byte(x.text(all)), 0o600))
+			x.listedIDs[box] = policy.ServerID(100 + n)
+			x.generation++
+			require.NoError(t, os.WriteFile(x.listPath, []byte(x.currentList(all)), 0o600))
 		case 1: // notified of a purge, and killed at once
 			group := x.rng.IntN(fleet.Groups)
 			object := load.Object(uint64(x.rng.IntN(5)))
 			x.fleet.Purge(object, group)
 			at := x.clk.Now()
-			if admin.Call(x.sock, "/v1/purge", admin.PurgeRequest{Object: object}, &map[string]float64{}) == nil {
-				x.told = append(x.told, fleet.Notification{At: at, Purge: true, Object: object})
+			if admin.Call(x.adminAddr, "/v1/purge", admin.PurgeRequest{Object: object}, &map[string]float64{}) == nil {
+				x.notifications = append(x.notifications, fleet.Notification{At: at, Purge: true, Object: object})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
 			x.kill()
 		case 2: // killed in the middle of whatever goes on, with the list torn or an older one in its place
 			go func() {
-				_ = admin.Call(x.sock, "/v1/purge", admin.PurgeRequest{Object: load.Object(40)}, &map[string]float64{})
+				_ = admin.Call(x.adminAddr, "/v1/purge", admin.PurgeRequest{Object: load.Object(40)}, &map[string]float64{})
 			}()
 			time.Sleep(time.Duration(x.rng.IntN(100)) * time.Millisecond)
 			x.kill()
-			good := x.text(all)
+			good := x.currentList(all)
 			if x.rng.IntN(2) == 0 {
-				require.NoError(t, os.WriteFile(x.list, []byte(good[:len(good)/2]), 0o600))
+				require.NoError(t, os.WriteFile(x.listPath, []byte(good[:len(good)/2]), 0o600))
 			} else {
-				gen := x.gen
-				x.gen = 1
-				require.NoError(t, os.WriteFile(x.list, []byte(x.text(all[:1])), 0o600))
-				x.gen = gen
+				gen := x.generation
+				x.generation = 1
+				require.NoError(t, os.WriteFile(x.listPath, []byte(x.currentList(all[:1])), 0o600))
+				x.generation = gen
 			}
 		}
 		x.start()
@@ -228,7 +228,7 @@
 	client.WaitIdle()
 
 	// Stricter than the protocol: an attempt is written within half a second of its decision or not at all.
-	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.told)
+	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.notifications)
 	require.Empty(t, append(broken, x.fleet.DuplicateWrites()...))
 	for _, w := range client.Violations() { // a process that is killed loses what it holds, and nothing else
 		require.Contains(t, w, "lost: ", w)
@@ -237,7 +237,7 @@
 	require.Greater(t, sum.Served, sum.Requested/2, "%+v\n%s\n%v", client.Results(), x.logs.String(), client.Violations())
 	out, err := exec.Command(x.bin, "state", "verify", filepath.Join(dir, "state")).CombinedOutput()
 	require.NoError(t, err, string(out))
-	slices.Sort(x.starts)
+	slices.Sort(x.startDurations)
 	t.Logf("up after %v (median) to %v (most); killed %d times: notified of %d changes; %d attempts seen, %d writes ran; %s",
-		x.starts[len(x.starts)/2].Round(time.Millisecond), x.starts[len(x.starts)-1].Round(time.Millisecond), kills(), len(x.told), len(x.fleet.Observations()), x.fleet.WritesRun(), out)
+		x.startDurations[len(x.startDurations)/2].Round(time.Millisecond), x.startDurations[len(x.startDurations)-1].Round(time.Millisecond), killCount(), len(x.notifications), len(x.fleet.Observations()), x.fleet.WritesRun(), out)
 }
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -22,23 +22,23 @@
 
 // recordingCache answers for a cache server and records its requests: it rejects all while it is full.
 type recordingCache struct {
-	full  atomic.Bool
-	mu    sync.Mutex
-	asked map[string]string // fields by id
-	came  map[string]time.Time
+	overloaded atomic.Bool
+	mu         sync.Mutex
+	fields     map[string]string // fields by id
+	receivedAt map[string]time.Time
 }
 
 func (r *recordingCache) serve(t *testing.T, cache *scenario.Server) {
-	r.asked, r.came = map[string]string{}, map[string]time.Time{}
+	r.fields, r.receivedAt = map[string]string{}, map[string]time.Time{}
 	for t.Context().Err() == nil {
 		words, err := cache.Receive()
 		if err != nil || len(words) < 3 || words[0] != "fetch" {
 			continue
 		}
 		r.mu.Lock()
-		r.asked[words[1]], r.came[words[1]] = words[2], time.Now()
+		r.fields[words[1]], r.receivedAt[words[1]] = words[2], time.Now()
 		r.mu.Unlock()
-		if r.full.Load() {
+		if r.overloaded.Load() {
 			_ = cache.Send([]string{words[1], "overload", "why=turned_away", ""})
 		} else {
 			_ = cache.Send([]string{words[1], "served", "why=local,version=v1", "BYTES"})
@@ -48,8 +48,8 @@
 
 var newerField = regexp.MustCompile(`,newer=(\d+)`)
 
-// newerOf is the age in ms of the oldest copy that a request accepts.
-func newerOf(t *testing.T, fields string) int64 {
+// maxCopyAge is the age in ms of the oldest copy that a request accepts.
+func maxCopyAge(t *testing.T, fields string) int64 {
 	age := newerField.FindStringSubmatch(fields)
 	require.NotNil(t, age, "no purge is applied: %s", fields)
 	ms, err := strconv.ParseInt(age[1], 10, 64)
@@ -57,8 +57,8 @@
 	return ms
 }
 
-// ask sends the n-th request of a client and returns the status of its answer.
-func ask(t *testing.T, c *scenario.Client, n int) string {
+// requestAsset sends the n-th request of a client and returns the status of its answer.
+func requestAsset(t *testing.T, c *scenario.Client, n int) string {
 	require.NoError(t, c.Send([]string{"RPC.CALL", strconv.Itoa(n), "asset",
 		fmt.Sprintf("rid=%016x,budget=60000,obj=%016x,nth=0,batch=17", n, n)}))
 	words, err := c.Receive()
@@ -85,27 +85,27 @@
 			go answers.serve(t, cache)
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), "LB_CONFIG="+configFile(t, listen, listener.Addr(), cache.Addr()),
-				fmt.Sprintf("%s=%d", steppedBy, by), fmt.Sprintf("%s=%d", steppedAfter, after.Milliseconds()))
+				fmt.Sprintf("%s=%d", clockStepEnv, by), fmt.Sprintf("%s=%d", clockStepAfterEnv, after.Milliseconds()))
 			logs := &strings.Builder{}
 			cmd.Stderr = logs
 			require.NoError(t, cmd.Start())
 			started := time.Now()
 			defer func() { _ = cmd.Process.Kill() }()
-			require.Eventually(t, func() bool { there, err := servedOnceReady(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+			require.Eventually(t, func() bool { there, err := requestOnceHealthy(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
 			c := scenario.Dial(t, listen)
 			n := 0
-			answers.full.Store(true)
+			answers.overloaded.Store(true)
 			for time.Since(started) < after+500*time.Millisecond {
 				n++
-				require.Contains(t, []string{"ok", "full"}, ask(t, c, n))
+				require.Contains(t, []string{"ok", "full"}, requestAsset(t, c, n))
 				time.Sleep(10 * time.Millisecond)
 			}
-			answers.full.Store(false)
+			answers.overloaded.Store(false)
 			time.Sleep(300 * time.Millisecond) // longer than one that was full is passed over
 			refused := 0
 			for range 200 {
 				n++
-				if ask(t, c, n) != "ok" {
+				if requestAsset(t, c, n) != "ok" {
 					refused++
 				}
 			}
@@ -115,12 +115,12 @@
 			service.Purge("", 17, float64(purged))
 			time.Sleep(1100 * time.Millisecond) // the purge's grace
 			n++
-			require.Equal(t, "ok", ask(t, c, n))
+			require.Equal(t, "ok", requestAsset(t, c, n))
 			id := fmt.Sprintf("%016x", n)
 			answers.mu.Lock()
-			fields, came := answers.asked[id], answers.came[id]
+			fields, came := answers.fields[id], answers.receivedAt[id]
 			answers.mu.Unlock()
-			require.Greater(t, came.UnixMilli()-newerOf(t, fields), purged, "a copy from before the purge would do: %s", fields)
+			require.Greater(t, came.UnixMilli()-maxCopyAge(t, fields), purged, "a copy from before the purge would do: %s", fields)
 			require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, cmd.Wait(), logs.String())
 		})
