--- a/cmd/ravenwheel/descriptors_test.go
+++ b/cmd/ravenwheel/descriptors_test.go
@@ -17,13 +17,14 @@
 	"ravenwheel/internal/scenario"
 )
 
-// countDescriptors is the number of descriptors of a process, of all kinds.
+// countDescriptors returns the number of open descriptors of a process, of all kinds.
 func countDescriptors(pid int) int {
 	list, _ := os.ReadDir(filepath.Join("/proc", fmt.Sprint(pid), "fd"))
 	return len(list)
 }
 
-// watchDescriptors counts descriptors again and again until it is ended, and returns the highest count.
+// watchDescriptors counts the descriptors of a process repeatedly until end is called, which returns the highest count and the
+// number of counts.
 func watchDescriptors(pid int) (end func() (most, looks int)) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	most, looks := 0, 0
@@ -45,7 +46,8 @@
 	}
 }
 
-// connectIdleClients dials a proxy many times at once and leaves the connections open. Each sends some bytes first, or none.
+// connectIdleClients opens n connections to a proxy, atOnce of them in parallel, and leaves them open. Each sends first, which may
+// be empty.
 func connectIdleClients(t *testing.T, listen string, first string, n, atOnce int) {
 	var all sync.WaitGroup
 	for range atOnce {
@@ -57,15 +59,15 @@
 					return
 				}
 				t.Cleanup(func() { _ = nc.Close() })
-				_, _ = nc.Write([]byte(first)) // it may be shut already
+				_, _ = nc.Write([]byte(first)) // the proxy may have closed the connection already
 			}
 		})
 	}
 	all.Wait()
 }
 
-// Thousands of idle clients connect at once, and none closes its connection. The system's limit is out of reach: the process itself
-// stays within the sockets of its configuration at each count, and a client with a request is served.
+// Thousands of idle clients connect at once, and none closes its connection. The system's limit on descriptors is much higher, so
+// the process itself has to stay within its configured sockets at each count. A client with a request is served.
 func TestIdleClientsStayWithinSockets(t *testing.T) {
 	const sockets, clients = 640, 4000
 	const health = "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"
@@ -94,24 +96,24 @@
 			alone := countDescriptors(r.cmd.Process.Pid)
 			look := watchDescriptors(r.cmd.Process.Pid)
 			connectIdleClients(t, listen, first, clients, 20)
-			// It is accepted after the crowd. Like any client, it connects again if its connection is closed.
+			// This client is accepted after the idle ones. Like any client, it connects again if its connection is closed.
 			for until := time.Now().Add(time.Minute); ; {
-				there, err := requestOnceHealthy(listen)
-				if there && err == nil {
+				up, err := requestOnceHealthy(listen)
+				if up && err == nil {
 					break
 				}
-				require.True(t, time.Now().Before(until), "%v %v", there, err)
+				require.True(t, time.Now().Before(until), "%v %v", up, err)
 			}
 			most, looks := look()
-			t.Logf("%d descriptors of %d at the most, in %d looks; %d with no client", most, sockets, looks, alone)
-			require.LessOrEqual(t, most, alone+sockets/2+(1+sockets/2/8)+1+otherDescriptors, "half for clients, one in eight more, one on its way")
+			t.Logf("at most %d descriptors of %d in %d counts; %d with no client", most, sockets, looks, alone)
+			require.LessOrEqual(t, most, alone+sockets/2+(1+sockets/2/8)+1+otherDescriptors, "half for clients, one in eight of that for closing connections, one that is being accepted")
 			require.Less(t, most, sockets)
-			require.Greater(t, most, alone+sockets/2-otherDescriptors, "the places were taken: the test has filled them")
+			require.Greater(t, most, alone+sockets/2-otherDescriptors, "the test must fill the descriptors for clients")
 			require.NoError(t, r.cmd.Process.Signal(os.Interrupt))
 			require.NoError(t, r.cmd.Wait(), r.logs.String())
 		})
 	}
 }
 
-// otherDescriptors descriptors are used beside those of clients: for calls of discovery and of the console.
+// otherDescriptors is how many descriptors are used besides those of clients: for calls to discovery and to the console.
 const otherDescriptors = 6
--- a/cmd/ravenwheel/discovery_soak_test.go
+++ b/cmd/ravenwheel/discovery_soak_test.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// discoverySoakFirstSeed, discoverySoakLastSeed: the seeds in CI.
+	// discoverySoakFirstSeed and discoverySoakLastSeed are the first and the last seed that CI runs.
 	discoverySoakFirstSeed, discoverySoakLastSeed = 1, 6
-	// discoveryAddrs is the number of addresses at which discovery may be.
+	// discoveryAddrs is the number of addresses among which discovery moves.
 	discoveryAddrs = 5
-	// faultFreeMs: ms from a row of faults to the next, in which withheld events have to arrive.
+	// faultFreeMs is the time, in ms, from one series of faults to the next, in which withheld events have to arrive.
 	faultFreeMs = 5500
 )
 
-// Discovery has faults in a row, in an order that the seed draws: moves, reloads without a change, resets, stops, slow connections, files
-// that are read while they are written, and callers that are kept waiting, reset or answered a byte a second. Purges and drains go on
-// meanwhile, and system calls fail. The servers' observations are checked against the time that each fault may cost.
+// Discovery has several faults in a row, in an order that the seed draws: moves, reloads without a change, resets, stops, slow
+// connections, files that are read while they are written, and callers that get no answer, a reset or one byte a second. Meanwhile
+// objects are purged, servers drain and system calls fail. The servers' observations are checked against the delay that each fault
+// may cause.
 func TestSoakDiscoveryFaults(t *testing.T) {
 	runSoakSeeds(t, discoverySoakFirstSeed, discoverySoakLastSeed, newDiscoverySoak)
 }
@@ -41,30 +42,31 @@
 	return s
 }
 
-// The kinds of fault that discovery notifies, as in soak.causeFault.
+// The cases of soak.causeFault that discovery notifies the process of.
 const restartKind, drainKind, purgeKind = 4, 5, 6
 
-// drawServerEvent draws the next event of discovery: mostly purges, and drains and restarts in turn, so that some servers stay in use. A
-// restart waits for a lull: it is notified at once, and withheld events would have to count before it.
+// drawServerEvent draws the next event of discovery: mostly purges, and alternately drains and restarts, so that some servers stay
+// in use. A restart occurs only while no events are withheld: it counts as notified at once, and events withheld before it would
+// have to count as notified before it.
 func (s *soak) drawServerEvent(id policy.ServerID) (kind int) {
 	draining := s.members[id].State == policy.Draining
-	out := 0
+	drainingCount := 0
 	for _, m := range s.members {
 		if m.State == policy.Draining {
-			out++
+			drainingCount++
 		}
 	}
 	switch {
 	case s.rng.IntN(2) == 0:
 	case draining && s.now() >= s.withheldUntil:
 		return restartKind
-	case !draining && out == 0:
+	case !draining && drainingCount == 0:
 		return drainKind
 	}
 	return purgeKind
 }
 
-// causeDiscoveryFaults causes one to four faults some tens of ms apart, and then none for a while.
+// causeDiscoveryFaults causes one to four faults 10 to 200 ms apart, and then none for faultFreeMs.
 func (s *soak) causeDiscoveryFaults() {
 	for range 1 + s.rng.IntN(4) {
 		s.causeDiscoveryFault()
@@ -76,26 +78,26 @@
 // causeDiscoveryFault causes one fault of discovery.
 func (s *soak) causeDiscoveryFault() {
 	switch s.rng.IntN(6) {
-	case 0, 1: // it moves
+	case 0, 1: // discovery moves
 		s.listeners[s.activeListener].Stall(true)
 		s.activeListener = (s.activeListener + 1 + s.rng.IntN(len(s.listeners)-1)) % len(s.listeners)
 		s.listeners[s.activeListener].Stall(false)
 		s.setCallerFaults(fleet.CallerFault{Unresponsive: true}, 2)
 		s.writeConfig(s.activeListener)
 		s.sendReload()
-	case 2: // the configuration names the address of now, whose calls say nothing more
+	case 2: // a reload without a change of the address; discovery no longer answers the current callers
 		s.setCallerFaults(fleet.CallerFault{Unresponsive: true}, 2)
 		s.sendReload()
 	case 3:
 		s.setCallerFaults(fleet.CallerFault{}, 2)
 		s.withholdEvents(2000)
 		s.listeners[s.activeListener].ResetConnections()
-	case 4: // it stops, or trickles
-		told := fleet.CallerFault{Unresponsive: true}
+	case 4: // discovery no longer answers, or sends a byte a second
+		fault := fleet.CallerFault{Unresponsive: true}
 		if s.rng.IntN(2) == 0 {
-			told = fleet.CallerFault{ByteInterval: 1000}
+			fault = fleet.CallerFault{ByteInterval: 1000}
 		}
-		s.setCallerFaults(told, 1)
+		s.setCallerFaults(fault, 1)
 		s.withholdEvents(4000)
 	case 5: // the file is read while it is written
 		whole, err := os.ReadFile(s.config)
@@ -112,31 +114,32 @@
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// withholdEvents has the events of discovery count as notified so many ms from now on, also those that were sent just now and are not read.
+// withholdEvents has the events of discovery count as notified no sooner than ms from now, also the recent ones, which may have
+// been sent but not read.
 func (s *soak) withholdEvents(ms float64) {
-	const moment = 100
+	const recentMs = 100
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	s.withheldUntil = max(s.withheldUntil, now+ms)
 	for i := range s.notifications {
-		if t := &s.notifications[i]; len(t.Returns) == 0 && t.At > now-moment {
+		if t := &s.notifications[i]; len(t.Returns) == 0 && t.At > now-recentMs {
 			t.At = max(t.At, s.withheldUntil)
 		}
 	}
 }
 
-// setCallerFaults sets how the current callers are treated, and up to so many of the next ones, each in its own way.
-func (s *soak) setCallerFaults(old fleet.CallerFault, most int) {
-	before := s.listeners[s.activeListener].Calls.Load()
+// setCallerFaults sets the fault of the current callers, and draws faults for up to maxNext of the next ones.
+func (s *soak) setCallerFaults(current fleet.CallerFault, maxNext int) {
+	callsBefore := s.listeners[s.activeListener].Calls.Load()
 	var next []fleet.CallerFault
-	for range s.rng.IntN(most + 1) {
+	for range s.rng.IntN(maxNext + 1) {
 		next = append(next, []fleet.CallerFault{{Unresponsive: true}, {Disconnect: true}, {ByteInterval: 1000}}[s.rng.IntN(3)])
 	}
 	s.listeners[s.activeListener].SetCallerFault(func(caller int64) fleet.CallerFault {
-		switch n := caller - before; {
+		switch n := caller - callsBefore; {
 		case n <= 0:
-			return old
+			return current
 		case n <= int64(len(next)):
 			return next[n-1]
 		}
--- a/cmd/ravenwheel/discovery_test.go
+++ b/cmd/ravenwheel/discovery_test.go
@@ -22,17 +22,17 @@
 	"ravenwheel/internal/source/discoveryclient"
 )
 
-// Events of discovery count as notified so long after a fault, and a purge has to be applied so long after that.
+// How long after a fault events of discovery count as notified, and how long after that a purge has to be applied.
 const (
 	notifiedAfterSIGHUP  = 4 * time.Second
 	notifiedAfterSilence = 4 * time.Second
 	purgeGrace           = time.Second
 )
 
-// purgedGroup is the group of all objects that ask requests.
+// purgedGroup is the group of all objects that requestAsset requests.
 const purgedGroup = 17
 
-// syncedBuffer collects the output of a process while a test reads it.
+// syncedBuffer collects the output of a process, and can be read meanwhile.
 type syncedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -50,7 +50,7 @@
 	return b.text.String()
 }
 
-// discoveryProxy is a process that follows discovery at one of several addresses, and a client that sends requests all the time.
+// discoveryProxy is a process that follows discovery at one of several addresses, with a client and a cache server.
 type discoveryProxy struct {
 	t         *testing.T
 	service   *fleet.DiscoveryService
@@ -64,7 +64,8 @@
 	requests  int
 }
 
-// startDiscoveryProxy starts a process with a seed and further arguments, at the first of so many addresses.
+// startDiscoveryProxy starts a process with a seed and further arguments. It follows discovery at the first of the given number of
+// addresses.
 func startDiscoveryProxy(t *testing.T, bin string, seed, listeners int, args ...string) *discoveryProxy {
 	f := &discoveryProxy{t: t, cache: &recordingCache{}, service: fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)}
 	for range listeners {
@@ -83,7 +84,7 @@
 	f.cmd.Stderr = &f.logs
 	require.NoError(t, f.cmd.Start())
 	t.Cleanup(func() { _ = f.cmd.Process.Kill(); _ = f.cmd.Wait() })
-	require.Eventually(t, func() bool { there, err := requestOnceHealthy(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { up, err := requestOnceHealthy(listen); return up && err == nil }, time.Minute, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return f.listeners[0].Calls.Load() == 1 }, time.Minute, 5*time.Millisecond)
 	f.client = scenario.Dial(t, listen)
 	return f
@@ -102,15 +103,15 @@
 	require.NoError(f.t, os.Rename(f.config+".part", f.config))
 }
 
-// moveDiscovery writes another address into the configuration, and sends SIGHUP. The address before notifies nothing more.
+// moveDiscovery stops all events at one address of discovery, writes another address into the configuration, and sends SIGHUP.
 func (f *discoveryProxy) moveDiscovery(from, to int) {
 	f.listeners[from].Stall(true)
 	f.editConfig(func(c map[string]any) { c["board"] = f.listeners[to].Addr() })
 	require.NoError(f.t, f.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// requirePurgeWithin has the client send requests until one accepts no copy from before the purge, and checks that against the time by which
-// the purge has to be applied.
+// requirePurgeWithin sends requests until one accepts no copy from before the purge, and fails if a request that is sent later than
+// within after since still accepts one.
 func (f *discoveryProxy) requirePurgeWithin(since time.Time, within time.Duration) {
 	for {
 		sent := time.Now()
@@ -128,8 +129,9 @@
 	}
 }
 
-// Discovery moves three times within half a second, and its last address keeps the first caller waiting, or resets it. A connection that
-// a move left must not lengthen the timeout or the backoff of the next one: no copy from before a purge is served after its grace.
+// Discovery moves three times within about 0.5 s. Its last address does not answer the first caller, or resets the first five. A
+// connection to a previous address must not lengthen the timeout or the backoff of the next one: no copy from before a purge is
+// served after the purge's grace.
 func TestPurgeIsAppliedAfterThreeDiscoveryMoves(t *testing.T) {
 	bin := buildProgram(t)
 	for _, name := range []string{"silent", "broken off"} {
@@ -156,8 +158,8 @@
 	}
 }
 
-// A purge arrives over a connection to discovery at a byte a second. The bytes of an incomplete event must not put off the moment at
-// which the connection counts as silent and another call is made: the purge is applied in time.
+// A purge arrives over a connection to discovery at one byte a second. The bytes of an incomplete event must not delay the moment
+// at which the connection counts as silent and the proxy makes another call: the purge is applied in time.
 func TestPurgeIsAppliedWhenDiscoverySendsSlowly(t *testing.T) {
 	bin := buildProgram(t)
 	for seed := range 3 {
@@ -177,8 +179,8 @@
 	}
 }
 
-// Discovery answers no call any more, and a purge is issued of which nobody is notified. Once it counts as notified, no request accepts a
-// copy from before it.
+// Discovery stops answering, and a purge is issued of which no proxy is notified. Once the purge counts as notified, no request
+// accepts a copy from before it.
 func TestSilentDiscoveryCountsAsNotified(t *testing.T) {
 	bin := buildProgram(t)
 	for seed := range 2 {
@@ -193,12 +195,12 @@
 			f.cache.mu.Lock()
 			defer f.cache.mu.Unlock()
 			id := fmt.Sprintf("%016x", f.requests)
-			require.Greater(t, f.cache.receivedAt[id].UnixMilli()-maxCopyAge(t, f.cache.fields[id]), purged, "a copy from before the purge would do")
+			require.Greater(t, f.cache.receivedAt[id].UnixMilli()-maxCopyAge(t, f.cache.fields[id]), purged, "the request accepts a copy from before the purge")
 		})
 	}
 }
 
-// The outcomes of calls to discovery are counted, and shown at the admin address.
+// The admin address shows how many calls to discovery had which outcome.
 func TestAdminShowsDiscoveryCalls(t *testing.T) {
 	dir := t.TempDir()
 	sock, operator := "unix:"+filepath.Join(dir, "admin.sock"), filepath.Join(dir, "operator.jsonc")
--- a/cmd/ravenwheel/distribution_test.go
+++ b/cmd/ravenwheel/distribution_test.go
@@ -44,20 +44,20 @@
 	f.mustRun(append([]string{"cluster", "keys", filepath.Join(f.dir, "keys"), "th"}, names...)...)
 	f.write("servers.jsonc", listText(1, treeServers))
 	root, distributor, storeAddr := freeAddr(t), freeAddr(t), freeAddr(t)
-	at := func(name, addr string, rank int) string {
+	candidate := func(name, addr string, rank int) string {
 		return fmt.Sprintf(`{"name": %q, "addr": %q, "rank": %d, "zone": "east", "region": "th"}`, name, addr, rank)
 	}
-	below := func(name, more, upstream string) string {
+	subscriberSection := func(name, more, upstream string) string {
 		return fmt.Sprintf(`"distribution": {"name": %q, "identity": "keys", %s"zone": "east", "region": "th", "silent_ms": 1500,
 			"upstream": [%s]}`, name, more, upstream)
 	}
-	parts := map[string]string{
+	sections := map[string]string{
 		memberName: fmt.Sprintf(`"store": {"name": %q, "listen": %q, "dir": "store", "identity": "keys", "peers": [{"name": %[1]q, "addr": %[2]q}]},
 			"distribution": {"epoch": 1, "listen": %[3]q}`, memberName, storeAddr, root),
-		distributorName: below(distributorName, fmt.Sprintf(`"listen": %q, "rank": 1, `, distributor), at(memberName, root, 0)),
+		distributorName: subscriberSection(distributorName, fmt.Sprintf(`"listen": %q, "rank": 1, `, distributor), candidate(memberName, root, 0)),
 	}
 	for _, n := range leaves {
-		parts[n] = below(n, "", at(memberName, root, 0)+", "+at(distributorName, distributor, 1))
+		sections[n] = subscriberSection(n, "", candidate(memberName, root, 0)+", "+candidate(distributorName, distributor, 1))
 	}
 	t.Cleanup(func() {
 		for _, p := range f.procs {
@@ -67,10 +67,10 @@
 	})
 	for _, n := range names {
 		text := strings.Replace(operatorText, "127.0.0.1:1", freeAddr(t), 1)
-		// Purges bind for longer than any of these tests takes: one that has ended is in no snapshot.
+		// Purges stay in force for longer than any of these tests takes, because snapshots do not contain purges that have ended.
 		text = strings.Replace(text, `"flow_kb_per_s"`, `"purge_takes_ms": 600000, "flow_kb_per_s"`, 1)
 		text = strings.Replace(text, `"servers": {`, fmt.Sprintf(`"admin": {"listen": "unix:%s/%s.sock"}, "state": {"dir": "state-%s"},
-			"log": {"level": "error"}, %s, "servers": {`, f.dir, n, n, parts[n]), 1)
+			"log": {"level": "error"}, %s, "servers": {`, f.dir, n, n, sections[n]), 1)
 		f.write(n+".jsonc", text)
 	}
 	f.startAll()
@@ -110,7 +110,7 @@
 	require.Eventually(f.t, ok, time.Minute, 20*time.Millisecond, what)
 }
 
-// streams is the status of a process's streams; nil while it does not answer.
+// streams returns the status of a process's streams, or nil if the process does not answer.
 func (f *distributionTree) streams(name string) (all []distribution.Status) {
 	if admin.Call(f.sock(name), "/v1/distribution", nil, &all) != nil {
 		return nil
@@ -118,7 +118,7 @@
 	return all
 }
 
-// subscribesTo reports whether both streams of a process come from another one.
+// subscribesTo reports whether a process receives both streams from the given parent.
 func (f *distributionTree) subscribesTo(name, at string) bool {
 	all := f.streams(name)
 	return len(all) == 2 && all[0].Parent == at && all[1].Parent == at
@@ -132,7 +132,7 @@
 	return st.Purges
 }
 
-// purge purges some objects at the member of the store, from one number on.
+// purge purges n objects at the member of the store, starting with number from.
 func (f *distributionTree) purge(from, n int) {
 	f.t.Helper()
 	for i := from; i < from+n; i++ {
@@ -141,47 +141,48 @@
 	}
 }
 
-// startAll starts one level after the other: a process whose distributor does not run yet subscribes at the member of the store, and looks for
-// a nearer one only a minute later.
+// startAll starts the processes one level after the other: a process whose distributor does not run yet would subscribe to the
+// member of the store, and look for a nearer distributor only a minute later.
 func (f *distributionTree) startAll() {
 	f.start(memberName)
-	f.eventually("the member leads", func() bool {
+	f.eventually("the member is the leader", func() bool {
 		_, code := f.run("servers", "drain", "s-00000001", "--admin", f.sock(memberName))
 		return code == 0
 	})
 	f.start(distributorName)
-	f.eventually("the distributor is subscribed", func() bool { return f.subscribesTo(distributorName, memberName) })
+	f.eventually("the distributor subscribes to the member", func() bool { return f.subscribesTo(distributorName, memberName) })
 	for _, n := range leaves {
 		f.start(n)
 	}
 	for _, n := range leaves {
-		f.eventually(n+" is subscribed at the distributor", func() bool { return f.subscribesTo(n, distributorName) })
+		f.eventually(n+" subscribes to the distributor", func() bool { return f.subscribesTo(n, distributorName) })
 	}
 }
 
-// drainingLine is how a server is shown that an operator drained. The reason behind it is not compared: a restarted process shows another
-// one.
+// drainingLine matches how servers show prints a server that an operator drains. The reason in the line is not compared, because a
+// restarted process shows another one.
 var drainingLine = regexp.MustCompile(`s-00000001 .* draining `)
 
-// restoreAndAwait ends the server's drain at the member, and waits until processes use it.
+// restoreAndAwait ends the server's drain at the member of the store, and waits until the named processes use the server.
 func (f *distributionTree) restoreAndAwait(names ...string) {
 	f.t.Helper()
 	f.mustRun("servers", "restore", "s-00000001", "--admin", f.sock(memberName))
 	for _, n := range names {
-		f.eventually("given back at "+n, func() bool {
+		f.eventually("the server is restored at "+n, func() bool {
 			return readyLine.MatchString(f.mustRun("servers", "show", "--admin", f.sock(n)))
 		})
 	}
 }
 
+// readyLine matches how servers show prints the server once it is ready again.
 var readyLine = regexp.MustCompile(`s-00000001 .* ready `)
 
-// awaitContents waits until processes have everything that the member has: so many purges, the drain and the pushed list, and both streams at
-// the member's sequence.
+// awaitContents waits until the named processes have everything that the member has: the given number of purges, the drain, the
+// pushed list with an address, and both streams at the member's sequence.
 func (f *distributionTree) awaitContents(purges int, addr string, names ...string) {
 	f.t.Helper()
 	for _, n := range append(names, memberName) {
-		f.eventually(n+" has all", func() bool {
+		f.eventually(n+" has the member's contents", func() bool {
 			out, _ := f.run("servers", "show", "--admin", f.sock(n))
 			want, have := f.streams(memberName), f.streams(n)
 			return f.purges(n) == purges && drainingLine.MatchString(out) && strings.Contains(out, addr) &&
@@ -198,13 +199,14 @@
 }
 
 const (
-	// beforeFault and afterFault purges make a burst in whose middle a distributor fails.
+	// beforeFault and afterFault are the numbers of purges in a burst before and after a distributor fails.
 	beforeFault, afterFault = 20, 20
 	burst                   = beforeFault + afterFault
 )
 
-// A distributor is killed in the middle of a burst: its subscribers move to the member of the store, and miss nothing. Restarted, it
-// awaitContents everything, too. Operations of members are rejected elsewhere, and change nothing there.
+// A distributor is killed in the middle of a burst of purges: its subscribers move to the member of the store and miss nothing.
+// After a restart, the distributor has everything too. A process that is not a member rejects operations of members, which change
+// nothing there.
 func TestKilledDistributorLosesNothing(t *testing.T) {
 	f := newDistributionTree(t)
 	for _, args := range [][]string{
@@ -226,14 +228,15 @@
 	f.push("127.0.0.1:5")
 	f.awaitContents(burst, "127.0.0.1:5", leaves...)
 	for _, n := range leaves {
-		f.eventually(n+" is at the member", func() bool { return f.subscribesTo(n, memberName) })
+		f.eventually(n+" subscribes to the member", func() bool { return f.subscribesTo(n, memberName) })
 	}
 	f.start(distributorName)
 	f.awaitContents(burst, "127.0.0.1:5", distributorName)
 	f.restoreAndAwait(firstLeaf, secondLeaf, distributorName)
 }
 
-// A distributor is suspended in the middle of a burst, and resumed once its subscribers have left it: all have everything.
+// A distributor is suspended in the middle of a burst of purges, and resumed once its subscribers have everything from elsewhere:
+// then the distributor has everything too.
 func TestSuspendedDistributorLosesNothing(t *testing.T) {
 	f := newDistributionTree(t)
 	f.purge(0, beforeFault)
@@ -247,7 +250,7 @@
 	f.restoreAndAwait(firstLeaf, secondLeaf, distributorName)
 }
 
-// The examples of the operators' page on distribution run as they stand.
+// The examples of the operators' page on distribution run as written, with the output that the page shows.
 func TestDistributionPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/distribution.md")
 	require.NoError(t, err)
@@ -256,7 +259,7 @@
 	f.push("127.0.0.1:5")
 	f.awaitContents(1, "127.0.0.1:5", distributorName, firstLeaf, secondLeaf)
 	text := pageScript(string(page))
-	require.Equal(t, 8, strings.Count(text, "exec bash"), "the examples that the page has")
+	require.Equal(t, 8, strings.Count(text, "exec bash"), "the number of examples on the page")
 	scripts := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(scripts, "distribution.txt"), []byte(text), 0o600))
 	testscript.Run(t, testscript.Params{Dir: scripts, Setup: func(e *testscript.Env) error {
@@ -266,26 +269,26 @@
 	}})
 }
 
-// After a start that failed, a distributor that sends is not blocked; of revisions the newest is kept.
+// After a failed start, a distributor's change does not block. Of several revisions that wait, the newest is kept.
 func TestClosedSubscriberReleasesDistributor(t *testing.T) {
 	s := sharedState{changes: make(chan storestate.Change, 1)}
 	var o distribution.Options
 	s.subscribe(&o)
 	o.ApplyChange(storestate.Change{Name: "first"})
-	waits := make(chan struct{})
+	sent := make(chan struct{})
 	go func() {
 		o.ApplyChange(storestate.Change{Name: "second"})
-		close(waits)
+		close(sent)
 	}()
 	o.ApplyRevision(storestate.Revision{Number: 1})
 	o.ApplyRevision(storestate.Revision{Number: 2})
 	require.Equal(t, uint64(2), (<-s.revisions).Number)
 	s.close()
-	<-waits
+	<-sent
 	require.Equal(t, "first", (<-s.changes).Name)
 }
 
-// The descriptions of a stream's source and lag.
+// The commands describe a stream's source and lag.
 func TestStreamDescriptions(t *testing.T) {
 	require.Equal(t, []string{"from the store", "not subscribed", "from d1"},
 		[]string{describeSource(distribution.Status{Root: true}), describeSource(distribution.Status{}), describeSource(distribution.Status{Parent: "d1"})})
--- a/cmd/ravenwheel/golden_test.go
+++ b/cmd/ravenwheel/golden_test.go
@@ -28,7 +28,7 @@
 	"ravenwheel/policy"
 )
 
-// filled is a value of which each exported field has a value of its own, by the order of the fields.
+// filled returns a value whose exported fields are set to distinct values, in the order of the fields.
 func filled[T any]() T {
 	var v T
 	n := 0
@@ -73,8 +73,8 @@
 	}
 }
 
-// run returns what a command prints, and its error.
-func run(cmd *cobra.Command, args ...string) string {
+// runCommand runs a command, and returns its output and error.
+func runCommand(cmd *cobra.Command, args ...string) string {
 	var out bytes.Buffer
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
@@ -86,9 +86,9 @@
 	return out.String()
 }
 
-// What the admin address answers decodes as before, and each command sends what it sent and prints what it printed.
+// The JSON of the admin address's answers, and the requests and the output of each command, match the golden files.
 func TestGoldenAdminCommands(t *testing.T) {
-	me, err := user.Current()
+	currentUser, err := user.Current()
 	require.NoError(t, err)
 	answers := map[string]any{
 		"/v1/servers": filled[admin.ServersResponse](), "/v1/peers": filled[peers.Status](), "/v1/view": filled[admin.ViewResponse](),
@@ -102,7 +102,7 @@
 	var out bytes.Buffer
 	proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		fmt.Fprintf(&out, "%s %s %s\n", r.Method, r.URL, strings.ReplaceAll(string(body), `"`+me.Username+`"`, `"USER"`))
+		fmt.Fprintf(&out, "%s %s %s\n", r.Method, r.URL, strings.ReplaceAll(string(body), `"`+currentUser.Username+`"`, `"USER"`))
 		if name := strings.TrimPrefix(r.URL.Path, "/v1/"); r.Method == http.MethodGet {
 			_, _ = w.Write(golden.Read(t, name+"-answer.json"))
 			return
@@ -135,13 +135,13 @@
 	} {
 		cmd := c.make()
 		fmt.Fprintf(&out, "$ %s %s\n", cmd.Name(), c.args)
-		out.WriteString(run(cmd, append(strings.Fields(c.args), "--admin", addr)...))
+		out.WriteString(runCommand(cmd, append(strings.Fields(c.args), "--admin", addr)...))
 		out.WriteByte('\n')
 	}
 	golden.Equal(t, "admin-commands.txt", out.Bytes())
 }
 
-// A state directory is shown as before, as text and as JSON.
+// The commands that show and verify a state directory print what the golden file holds, as text and as JSON.
 func TestGoldenState(t *testing.T) {
 	const now = 1_764_576_000_000
 	dir := filepath.Join(t.TempDir(), "state")
@@ -152,8 +152,8 @@
 	files := []serverlist.File{{Name: "l", Data: golden.Read(t, "servers.jsonc")}}
 	parsed, defects := serverlist.Parse(files, serverlist.Requirements{ParentKind: "parent", OriginKind: "origin", OriginRequired: true})
 	require.NoError(t, defects.Err())
-	set := parsed.Unresolved()
-	require.NoError(t, recorder.RecordList("list", set))
+	list := parsed.Unresolved()
+	require.NoError(t, recorder.RecordList("list", list))
 	purge := recovery.Purge{Object: "7f3a9c21e0b4d655", IssuedAt: now - 5}
 	purge.NotifiedAt = now - 4
 	require.NoError(t, recorder.RecordPurge(purge))
@@ -171,7 +171,7 @@
 	var out bytes.Buffer
 	for _, args := range []string{"show", "show --json", "verify"} {
 		fmt.Fprintf(&out, "$ state %s DIR\n", args)
-		out.WriteString(strings.ReplaceAll(run(stateCommand(), append(strings.Fields(args), dir)...), dir, "DIR"))
+		out.WriteString(strings.ReplaceAll(runCommand(stateCommand(), append(strings.Fields(args), dir)...), dir, "DIR"))
 	}
 	golden.Equal(t, "state.txt", out.Bytes())
 }
--- a/cmd/ravenwheel/overlay_test.go
+++ b/cmd/ravenwheel/overlay_test.go
@@ -12,21 +12,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The environment variables of a program that buildOverlaid built.
+// Environment variables that a program built by buildOverlaid reads.
 const (
-	// The wall clock steps by so many seconds, so many ms after the start.
+	// The seconds by which the wall clock steps, and the time of the step in ms after the start.
 	clockStepEnv      = "RAVENWHEEL_TEST_STEP_S"
 	clockStepAfterEnv = "RAVENWHEEL_TEST_STEP_AFTER_MS"
-	// So many of 1,000 system calls fail, as a seed draws them; reads are short, and errors of reset connections vary.
+	// The number of system calls of 1,000 that fail, and the seed that draws them. If any fail, reads may also be short, and the
+	// errors of reset connections vary.
 	faultRateEnv = "RAVENWHEEL_TEST_FAULTS"
 	faultSeedEnv = "RAVENWHEEL_TEST_FAULT_SEED"
 )
 
-// replacement is a text in a file of the toolchain and what replaces it in the copy.
+// replacement is a text in a file of the toolchain, and the text that replaces it in the copy.
 type replacement struct{ file, old, new string }
 
-// replacements are the differences between the program under test and the product: system calls that may fail, and the wall clock. The
-// monotonic clock is not changed.
+// replacements are the differences between the program under test and the product: system calls that may fail, and the wall clock.
+// The monotonic clock is not changed.
 var replacements = []replacement{
 	{"time/time.go", "\tsec, nsec, mono := runtimeNow()\n\tif mono == 0 {",
 		"\tsec, nsec, mono := runtimeNow()\n\tif mono-startNano >= stepAfter {\n\t\tsec += stepBy\n\t}\n\tif mono == 0 {"},
@@ -44,12 +45,12 @@
 	{"internal/poll/fd_unix.go", "\t\tn, err := ignoringEINTRIO(syscall.Read, fd.Sysfd, p)\n", "\t\tn, err := ignoringEINTRIO(syscall.FaultRead, fd.Sysfd, p)\n"},
 }
 
-// faultSource is added to package syscall. It draws from one seed, call by call.
+// faultSource is a file that is added to package syscall. It draws the fault of each call from one seed.
 const faultSource = `package syscall
 
 import "sync/atomic"
 
-// FaultNumber reads a number of the environment; 0: there is none.
+// FaultNumber returns the number in an environment variable, or 0 if it is not set.
 func FaultNumber(name string) (n int) {
 	text, _ := Getenv(name)
 	sign := 1
@@ -69,7 +70,7 @@
 	faultSeed  = uint64(FaultNumber("RAVENWHEEL_TEST_FAULT_SEED"))
 )
 
-// faultDraw is the next number of the seed's (splitmix64).
+// faultDraw returns the next random number of the seed (splitmix64).
 func faultDraw() uint64 {
 	x := faultSeed + faultDrawn.Add(1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -120,8 +121,8 @@
 }
 `
 
-// buildOverlaid builds the program with copies of the toolchain's files in which system calls fail and the wall clock steps as the
-// environment says. The product contains none of it.
+// buildOverlaid builds the program with changed copies of the toolchain's files, in which system calls fail and the wall clock
+// steps as the environment variables say. The product contains none of these changes.
 func buildOverlaid(t *testing.T) string {
 	out, err := exec.Command("go", "env", "GOROOT").Output()
 	require.NoError(t, err)
@@ -134,7 +135,7 @@
 			require.NoError(t, err)
 			files[path] = string(text)
 		}
-		require.Equal(t, 1, strings.Count(files[path], r.old), "%s of this toolchain has another form", r.file)
+		require.Equal(t, 1, strings.Count(files[path], r.old), "%s of this toolchain must contain the replaced text exactly once", r.file)
 		files[path] = strings.Replace(files[path], r.old, r.new, 1)
 	}
 	replace := map[string]string{}
--- a/cmd/ravenwheel/page_test.go
+++ b/cmd/ravenwheel/page_test.go
@@ -13,11 +13,11 @@
 	"ravenwheel/internal/scenario"
 )
 
-// pageScript makes a testscript of a page's examples, the blocks of sh: a line behind "$ " is run, and the lines below it are its output.
-// Functions that an example defines hold for the examples after it.
+// pageScript makes a testscript of a page's examples, which are its blocks of sh: a line that begins with "$ " is a command, and
+// the lines below it are the command's output. The function say that an example defines is defined for the examples after it.
 func pageScript(page string) string {
 	var run, files strings.Builder
-	define, n := "", 0
+	functions, n := "", 0
 	for i, block := range strings.Split(page, "```") {
 		if i%2 == 0 || !strings.HasPrefix(block, "sh\n") {
 			continue
@@ -25,12 +25,12 @@
 		for _, part := range strings.Split(block, "\n$ ")[1:] {
 			command, want, _ := strings.Cut(part, "\n")
 			if strings.HasPrefix(command, "say() {") {
-				define = command + "; "
+				functions = command + "; "
 				continue
 			}
-			command, behind := strings.CutSuffix(command, " &")
-			fmt.Fprintf(&run, "exec bash -c '%s%s'", define, strings.ReplaceAll(command, "'", "''"))
-			if behind {
+			command, background := strings.CutSuffix(command, " &")
+			fmt.Fprintf(&run, "exec bash -c '%s%s'", functions, strings.ReplaceAll(command, "'", "''"))
+			if background {
 				run.WriteString(" &\n")
 				continue
 			}
@@ -42,7 +42,7 @@
 	return run.String() + files.String()
 }
 
-// The examples of the operators' page on manual operations run as they stand.
+// The examples of the operators' page on manual operations run as written, with the output that the page shows.
 func TestManualOperationsPageExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/hand.md")
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 	next := freeAddr(t)
 	scripts := t.TempDir()
 	text := pageScript(string(page))
-	require.Equal(t, 13, strings.Count(text, "exec bash"), "the examples that the page has")
+	require.Equal(t, 13, strings.Count(text, "exec bash"), "the number of examples on the page")
 	require.NoError(t, os.WriteFile(filepath.Join(scripts, "hand.txt"), []byte(text), 0o600))
 	testscript.Run(t, testscript.Params{Dir: scripts, Setup: func(e *testscript.Env) error {
 		path := filepath.Dir(bin) + string(os.PathListSeparator) + os.Getenv("PATH")
--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -19,15 +19,15 @@
 	"ravenwheel/internal/scenario"
 )
 
-// unusedAddr returns an address at which nobody listens.
+// unusedAddr returns an address at which no process listens.
 func unusedAddr(t *testing.T) string {
 	ln := listenDiscovery(t)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// isListening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is under way
-// may be reset by the kernel before the process can accept it.
+// isListening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is
+// under way may be reset by the kernel before the process can accept it.
 func isListening(listen string) (bool, error) {
 	addr := netip.MustParseAddrPort(listen)
 	ip := addr.Addr().As4()
@@ -37,8 +37,9 @@
 	return strings.Contains(string(table), entry), err
 }
 
-// requestOnceHealthy sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
-func requestOnceHealthy(listen string) (there bool, err error) {
+// requestOnceHealthy sends a health check to a process that listens, and then a request, which must be served. It returns whether
+// the process accepted the connection, and an error if the health check or the request failed.
+func requestOnceHealthy(listen string) (up bool, err error) {
 	if up, err := isListening(listen); !up {
 		return false, err
 	}
@@ -64,8 +65,8 @@
 	return true, read("BYTES")
 }
 
-// Discovery is down while all processes of a fleet are started at once, killed and restarted: each serves from its configuration, and
-// fails health checks until it can.
+// Discovery is down while all processes of a fleet are started at once, killed and restarted: each serves with the servers in its
+// configuration, and fails health checks until it can serve.
 func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	const processes = 12
 	bin, cache := buildProgram(t), scenario.Listen(t)
@@ -76,15 +77,15 @@
 			}
 		}
 	}()
-	down := unusedAddr(t)
+	discoveryAddr := unusedAddr(t)
 	var all sync.WaitGroup
 	for range processes {
 		listen := freeAddr(t)
-		path := configFile(t, listen, down, cache.Addr())
+		path := configFile(t, listen, discoveryAddr, cache.Addr())
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			for life := range 2 {
+			for run := range 2 {
 				cmd := exec.Command(bin)
 				cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 				logs := &syncedBuffer{}
@@ -94,11 +95,11 @@
 					return
 				}
 				for until := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
-					there, err := requestOnceHealthy(listen)
+					up, err := requestOnceHealthy(listen)
 					if err != nil || time.Now().After(until) {
-						t.Errorf("life %d: up %v, %v; log:\n%s", life, there, err, logs.String())
+						t.Errorf("run %d: up %v, %v; log:\n%s", run, up, err, logs.String())
 					}
-					if there || t.Failed() {
+					if up || t.Failed() {
 						break
 					}
 				}
@@ -110,13 +111,13 @@
 	all.Wait()
 }
 
-// Discovery is down while idle clients take all slots for clients, and more connect: a request is served, operators are answered, and
-// discovery is followed once it is back.
+// Discovery is down while idle clients take all slots for client connections, and more connect: a request is served, the console
+// answers, and discovery is followed once it listens again.
 func TestRequestIsServedWhenIdleClientsFillSlots(t *testing.T) {
 	const sockets = 96
 	bin, cache := buildProgram(t), scenario.Listen(t)
-	listen, at := freeAddr(t), unusedAddr(t)
-	path := configFile(t, listen, at, cache.Addr())
+	listen, discoveryAddr := freeAddr(t), unusedAddr(t)
+	path := configFile(t, listen, discoveryAddr, cache.Addr())
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	text = bytes.ReplaceAll(text, []byte(`"sockets":1024`), fmt.Appendf(nil, `"sockets":%d`, sockets))
@@ -127,14 +128,14 @@
 	require.NoError(t, r.cmd.Start())
 	t.Cleanup(func() { _ = r.cmd.Process.Kill() })
 	r.awaitReady(t)
-	idle := func(n int) {
+	connectIdle := func(n int) {
 		for range n {
 			c := scenario.Dial(t, listen)
 			_ = c.Send([]string{"RPC.HEALTH", "1"})
-			_, _ = c.Receive() // an answer, or its end: they are more than there are places
+			_, _ = c.Receive() // an answer, or the close of the connection, as there are more clients than slots
 		}
 	}
-	idle(2 * sockets)
+	connectIdle(2 * sockets)
 	for i := range 5 {
 		scenario.Run(t, clock.System(), map[string]scenario.Actor{"c": scenario.Dial(t, listen), "s": cache}, fmt.Sprintf(`
 			c send RPC.CALL 1 asset rid=00000000000000a%d,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17
@@ -142,9 +143,9 @@
 			s send $id served why=local,version=v1 BYTES
 			c expect 1 ok - BYTES`, i, i))
 		require.Equal(t, "SUCCESS serving", r.callConsole("STATUS"))
-		idle(10)
+		connectIdle(10)
 	}
-	service, err := net.Listen("tcp", at)
+	service, err := net.Listen("tcp", discoveryAddr)
 	require.NoError(t, err)
 	defer service.Close()
 	nc, err := service.Accept()
--- a/cmd/ravenwheel/reload_test.go
+++ b/cmd/ravenwheel/reload_test.go
@@ -13,7 +13,7 @@
 	"ravenwheel/internal/config"
 )
 
-// reloaderFixture is a reloader of a file, and the addresses that it followed.
+// reloaderFixture is a running reloader of a file, with the addresses that it followed.
 type reloaderFixture struct {
 	t        *testing.T
 	path     string
@@ -40,7 +40,7 @@
 	return r
 }
 
-// configWith is the configuration with discovery at an address.
+// configWith returns the configuration with discovery at an address.
 func (r *reloaderFixture) configWith(addr string) []byte {
 	return []byte(replaceOnce(r.t, string(r.original), oldAddr, addr))
 }
@@ -52,11 +52,11 @@
 func (r *reloaderFixture) sendHUP() {
 	select {
 	case r.signals <- syscall.SIGHUP:
-	default: // one waits already, as the kernel has it
+	default: // a signal is waiting already; the kernel also keeps only one
 	}
 }
 
-// awaitFollowed waits until an address is followed.
+// awaitFollowed waits until the reloader follows an address. Before that it may follow only oldAddr.
 func (r *reloaderFixture) awaitFollowed(addr string) {
 	for {
 		select {
@@ -66,13 +66,13 @@
 			}
 			require.Equal(r.t, oldAddr, got)
 		case <-time.After(time.Minute):
-			require.Fail(r.t, "it is not followed", addr)
+			require.Fail(r.t, "the address is not followed within a minute", addr)
 		}
 	}
 }
 
-// The file is read while it is written: empty, truncated at many places, missing, or unchanged. The address is followed once the file is
-// complete, without another signal.
+// The file is read while it is written: empty, truncated at many places, missing, or unchanged. The address is followed once the
+// file is complete, without another signal.
 func TestReloadRetriesPartlyWrittenFile(t *testing.T) {
 	whole := len(startReloader(t).configWith(newAddr))
 	for cut := 0; cut < whole; cut += whole / 12 {
@@ -83,7 +83,7 @@
 		r.write(r.configWith(newAddr))
 		r.awaitFollowed(newAddr)
 	}
-	t.Run("not there", func(t *testing.T) {
+	t.Run("missing", func(t *testing.T) {
 		r := startReloader(t)
 		require.NoError(t, os.Rename(r.path, filepath.Join(t.TempDir(), "old")))
 		r.sendHUP()
@@ -94,7 +94,7 @@
 	t.Run("written after the signal", func(t *testing.T) {
 		r := startReloader(t)
 		r.sendHUP()
-		require.Equal(t, oldAddr, <-r.followed, "the address of now is named again")
+		require.Equal(t, oldAddr, <-r.followed, "the unchanged address is followed again")
 		r.write(r.configWith(newAddr))
 		r.awaitFollowed(newAddr)
 	})
@@ -121,13 +121,13 @@
 				return
 			}
 		case <-time.After(time.Minute):
-			require.Fail(t, "the last one is not followed")
+			require.Fail(t, "the last address is not followed within a minute")
 		}
 	}
 }
 
-// Discovery moved and SIGHUP went to the process before this one: the file is read again once discovery has been silent for too long. An
-// unchanged address is not followed again.
+// Discovery moved, and SIGHUP was sent to the previous process: the file is read again once discovery has been silent for too long.
+// An unchanged address is not followed again.
 func TestReloadAfterDiscoverySilence(t *testing.T) {
 	r := startReloader(t)
 	requestReload(r.signals)
--- a/cmd/ravenwheel/replace_test.go
+++ b/cmd/ravenwheel/replace_test.go
@@ -26,7 +26,7 @@
 	"ravenwheel/policy"
 )
 
-// proxyProcess is one process of a proxy that is replaced again and again.
+// proxyProcess is one process of a proxy with a console, which other processes can replace.
 type proxyProcess struct {
 	cmd     *exec.Cmd
 	console string
@@ -55,14 +55,14 @@
 
 func (r *proxyProcess) awaitReady(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return strings.HasPrefix(r.callConsole("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "never ready")
+	require.Eventually(t, func() bool { return strings.HasPrefix(r.callConsole("STATUS"), "SUCCESS") }, time.Minute, 5*time.Millisecond, "the process is not ready within a minute")
 }
 
-// sequentialClient sends one request after the other on a connection of its own. A request that crosses the close of an idle connection is sent
-// once more, as clients do; any other one without an answer is lost.
+// sequentialClient sends one request after the other on a connection of its own. It retries a request that crosses the close of an
+// idle connection once, as clients do. Any other request without an answer is lost, and ends the run with an error.
 type sequentialClient struct {
 	addr          string
-	kills         *atomic.Int64 // of processes so far: what one had taken dies with it
+	kills         *atomic.Int64 // processes killed so far: requests that a killed process had accepted are lost with it
 	stop          atomic.Bool
 	sent, crossed int
 	rejected      int
@@ -78,7 +78,7 @@
 		a.sent++
 		kills := a.kills.Load()
 		for try := 0; ; try++ {
-			if nc != nil { // the proxy has closed this one meanwhile
+			if nc != nil { // the proxy may have closed the connection meanwhile
 				_ = nc.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
 				if _, err := nc.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 					nc.Close()
@@ -103,7 +103,7 @@
 			if err == nil && string(parts[1]) == "ok" {
 				break
 			}
-			if err == nil && string(parts[1]) == "full" { // harmless: as when a connection that never rests has to end
+			if err == nil && string(parts[1]) == "full" { // the request did not run, as when the proxy ends a connection that is never idle
 				a.rejected++
 				try--
 				continue
@@ -115,12 +115,12 @@
 				continue
 			}
 			if err == nil || try > 0 {
-				a.err = fmt.Errorf("request %d of %d: %q, %v", i, n, parts, err)
+				a.err = fmt.Errorf("request %d of client %d: %q, %v", i, n, parts, err)
 				return
 			}
 			a.crossed++
 		}
-		if n%2 == 0 { // half of them are never at rest for long
+		if n%2 == 0 { // half of the clients pause, and the others are never idle for long
 			time.Sleep(time.Duration(n) * time.Millisecond)
 		}
 	}
@@ -129,9 +129,9 @@
 	}
 }
 
-// A proxy's process is replaced under load, a few times in CI and a hundred times by make torture: by successors that are killed before
-// and after they are ready, with an owner that is killed, and in order. No request is lost, a drained server gets none, and one process
-// owns the address in the end.
+// A proxy's process is replaced under load, a few times in CI and a hundred times by make torture. In one of three rounds a first
+// successor is killed before or after it is ready. No request is lost, except those that a killed process had accepted, manual
+// drains are passed on, and the last process owns the address.
 func TestReplacedUnderLoadLosesNothing(t *testing.T) {
 	rounds := 6
 	if n, err := strconv.Atoi(os.Getenv("TORTURE")); err == nil {
@@ -163,50 +163,50 @@
 		text = bytes.Replace(text, []byte(`"127.0.0.1:1"`), []byte(strconv.Quote(a)), 1)
 	}
 	require.NoError(t, os.WriteFile(config, text, 0o600))
-	now := startProcess(t, bin, config, dir)
-	now.awaitReady(t)
-	var followers []*sequentialClient
+	owner := startProcess(t, bin, config, dir)
+	owner.awaitReady(t)
+	var clients []*sequentialClient
 	var wait sync.WaitGroup
 	var kills atomic.Int64
 	for n := range 8 {
 		a := &sequentialClient{addr: listen, kills: &kills}
-		followers = append(followers, a)
+		clients = append(clients, a)
 		wait.Add(1)
 		go func() { defer wait.Done(); a.run(n) }()
 	}
 	for round := range rounds {
-		out := fmt.Sprintf("s-%08x", uint64(scenario.ParentID))
-		require.Equal(t, "SUCCESS", now.callConsole("SUSPEND "+out), now.logs)
-		next := startProcess(t, bin, config, dir)
+		drained := fmt.Sprintf("s-%08x", uint64(scenario.ParentID))
+		require.Equal(t, "SUCCESS", owner.callConsole("SUSPEND "+drained), owner.logs)
+		successor := startProcess(t, bin, config, dir)
 		switch round % 3 {
-		case 1: // it dies at some moment of its start, before or after its yes
+		case 1: // the successor is killed during its start, before or after it passes health checks
 			time.Sleep(time.Duration(round*7%60) * time.Millisecond)
 			kills.Add(1)
-			require.NoError(t, next.cmd.Process.Kill())
-			_ = next.cmd.Wait()
-			now.awaitReady(t)
-			next = startProcess(t, bin, config, dir)
+			require.NoError(t, successor.cmd.Process.Kill())
+			_ = successor.cmd.Wait()
+			owner.awaitReady(t)
+			successor = startProcess(t, bin, config, dir)
 		}
-		next.awaitReady(t)
-		require.Equal(t, "SUCCESS", next.callConsole("SUSPEND "+out))
-		require.NoError(t, now.cmd.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, now.cmd.Wait(), "%s", now.logs)
-		require.Equal(t, "SUCCESS", next.callConsole("RESTORE "+out), "out before the replacement: known to the new one")
-		require.Equal(t, "SUCCESS serving", next.callConsole("STATUS"))
-		now = next
+		successor.awaitReady(t)
+		require.Equal(t, "SUCCESS", successor.callConsole("SUSPEND "+drained))
+		require.NoError(t, owner.cmd.Process.Signal(syscall.SIGTERM))
+		require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
+		require.Equal(t, "SUCCESS", successor.callConsole("RESTORE "+drained), "the new process must know a server that was suspended before the replacement")
+		require.Equal(t, "SUCCESS serving", successor.callConsole("STATUS"))
+		owner = successor
 	}
-	for _, a := range followers {
+	for _, a := range clients {
 		a.stop.Store(true)
 	}
 	wait.Wait()
-	crossed, refused, asked := 0, 0, 0
-	for _, a := range followers {
+	crossed, rejected, sent := 0, 0, 0
+	for _, a := range clients {
 		require.NoError(t, a.err)
-		asked += a.sent
+		sent += a.sent
 		crossed += a.crossed
-		refused += a.rejected
+		rejected += a.rejected
 	}
-	t.Logf("%d requests over %d replacements, %d crossed a close, %d were refused", asked, rounds, crossed, refused)
-	require.NoError(t, now.cmd.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, now.cmd.Wait())
+	t.Logf("%d requests over %d replacements, %d crossed a close, %d were rejected", sent, rounds, crossed, rejected)
+	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, owner.cmd.Wait())
 }
--- a/cmd/ravenwheel/revisions_test.go
+++ b/cmd/ravenwheel/revisions_test.go
@@ -17,8 +17,8 @@
 	"ravenwheel/internal/store"
 )
 
-// A valid revision is in force completely. An invalid one, which a member of another version may have accepted, changes nothing, and the
-// one before it is restored unless there is a newer one by then.
+// A valid revision is in force completely. An invalid one, which a member that runs another version may have accepted, changes
+// nothing, and the previous one is restored unless there is a newer one by then.
 func TestRevisionAppliesCompletelyOrNotAtAll(t *testing.T) {
 	p := scenario.NewProxy(t)
 	st, err := store.Open(store.Options{Clock: p.Clock})
@@ -38,7 +38,7 @@
 	}
 	good := `{"log": {"level": "info"}, "limits": {"requests": 1}, "keys": {"k1": {"alg": "HS256", "key": "eA=="}}}`
 	set(0, good)
-	require.Contains(t, out.String(), "revision in force", "the log is louder from then on")
+	require.Contains(t, out.String(), "revision in force", "the revision's log level is in force")
 	k, ok := st.Key("k1")
 	require.True(t, ok && string(k.Data) == "x")
 	ctx, leave := context.WithCancel(context.Background())
@@ -50,11 +50,11 @@
 
 	for _, bad := range []string{`{"limits": {"requests": 2}, "keys": {"k2": {"alg": "none", "key": "eA=="}}}`, "{", `{"site": {}}`} {
 		set(st.Config().Number, bad)
-		require.Equal(t, good, st.Config().Text, "put back: %s", bad)
+		require.Equal(t, good, st.Config().Text, "the previous text must be restored after %s", bad)
 		_, ok = st.Key("k2")
-		require.False(t, ok, "nothing of it is in force")
+		require.False(t, ok, "no part of an invalid revision may be in force")
 	}
-	// A newer revision is there before the invalid one is handled: the newer one stays.
+	// A newer revision is set before the invalid one is handled: the newer one stays.
 	_, err = st.SetConfig(st.Config().Number, "{", "ops")
 	require.NoError(t, err)
 	broken := st.Config()
@@ -64,11 +64,12 @@
 	l.apply(st.Config())
 	require.Equal(t, `{"keys": {}}`, st.Config().Text)
 	_, ok = st.Key("k1")
-	require.False(t, ok, "keys that a revision does not name are dropped")
+	require.False(t, ok, "keys that a revision does not name must be deleted")
 	require.Equal(t, []uint64{1, st.Config().Number}, used)
 }
 
-// Without a store a valid revision from a distributor is in force; an invalid one changes nothing, and none is restored in its place.
+// Without a store a valid revision from a distributor is in force; an invalid one changes nothing, and none is restored in its
+// place.
 func TestRevisionWithoutStoreIsNotRestored(t *testing.T) {
 	p := scenario.NewProxy(t)
 	var out bytes.Buffer
--- a/cmd/ravenwheel/serve.go
+++ b/cmd/ravenwheel/serve.go
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// ignoreShutdown returns err, or nil for handover.ErrShutdown: a process that is to end while it waits for the address has not failed.
+// ignoreShutdown returns err, or nil for handover.ErrShutdown: a process that is to end while it waits for the address has not
+// failed.
 func ignoreShutdown(err error) error {
 	if errors.Is(err, handover.ErrShutdown) {
 		return nil
--- a/cmd/ravenwheel/serve_test.go
+++ b/cmd/ravenwheel/serve_test.go
@@ -34,8 +34,8 @@
 // usedAddrs are the addresses that freeAddr has returned.
 var usedAddrs sync.Map
 
-// freeAddr returns an address at which nothing listens, each only once. It is on an IP address of this run's own, so that no other run
-// takes the port between its close and its use.
+// freeAddr returns an address at which nothing listens, and never the same one twice. The IP address is derived from the test's
+// process id, so that another run does not take the port between its close and its use.
 func freeAddr(t *testing.T) string {
 	for {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.72.%d.%d:0", os.Getpid()>>8&255, os.Getpid()&255))
@@ -72,11 +72,11 @@
 	return path
 }
 
-// TestProgram starts the program, sends requests, moves its discovery and ends it; also with the system calls forbidden that one platform
-// forbids.
+// TestProgram starts the program, sends requests, moves discovery and ends the program. A second run forbids the system calls that
+// one platform forbids.
 func TestProgram(t *testing.T) {
 	bin := buildProgram(t)
-	t.Run("free", func(t *testing.T) { runProgram(t, exec.Command(bin)) })
+	t.Run("unconfined", func(t *testing.T) { runProgram(t, exec.Command(bin)) })
 	t.Run("confined", func(t *testing.T) { runProgram(t, confined(t, bin)) })
 }
 
@@ -89,11 +89,11 @@
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	defer func() { _ = cmd.Process.Kill() }()
-	nc := acceptDiscoveryCall(t, service, 1) // it asks for what comes after the events known
-	// Event 2: the cache has left, and in the same frame another one, 2, has its address.
+	nc := acceptDiscoveryCall(t, service, 1) // the proxy asks for the events after the initial ones
+	// Event 2: the cache has left, and in the same frame server 2 is added with the same address.
 	_, err = nc.Write(changesEvent(2, memberRecord(1, 2, cache.Addr()), memberRecord(2, 0, cache.Addr())))
 	require.NoError(t, err)
-	require.NoError(t, nc.Close()) // it dials again once event 2 has been taken in
+	require.NoError(t, nc.Close()) // the proxy dials again once it has applied event 2
 	acceptDiscoveryCall(t, service, 2)
 	var c *scenario.Client
 	require.Eventually(t, func() bool {
@@ -117,50 +117,51 @@
 	good, err := os.ReadFile(path)
 	require.NoError(t, err)
 	lines := bufio.NewScanner(logs)
-	hup := func(text []byte) (said string) {
+	reload := func(text []byte) (said string) {
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
-		for lines.Scan() { // lines of calls to discovery stand between
+		for lines.Scan() { // log lines of calls to discovery may come between
 			if strings.Contains(lines.Text(), `"kind":"reload"`) {
 				return lines.Text()
 			}
 			require.Contains(t, lines.Text(), `"kind":"discovery"`)
 		}
-		require.Fail(t, "the reload says nothing")
+		require.Fail(t, "the reload logs nothing")
 		return ""
 	}
-	hup(good[:len(good)/2])
-	// Nor does a file of another deployment, whose indexes of zones and kinds mean others.
+	reload(good[:len(good)/2])
+	// Nor does a file of another deployment change anything, as its indexes stand for other zones and kinds.
 	stray := listenDiscovery(t)
 	foreign := bytes.ReplaceAll(good, []byte(`["small","parent","origin"]`), []byte(`["parent","small","origin"]`))
 	require.NotEqual(t, good, foreign)
-	require.Contains(t, hup(bytes.ReplaceAll(foreign, []byte(service.Addr().String()), []byte(stray.Addr().String()))), "takes a restart")
+	require.Contains(t, reload(bytes.ReplaceAll(foreign, []byte(service.Addr().String()), []byte(stray.Addr().String()))), "takes a restart")
 	other, moved := scenario.Listen(t), listenDiscovery(t)
-	hup(bytes.ReplaceAll(good, []byte(service.Addr().String()), []byte(moved.Addr().String())))
-	nc = acceptDiscoveryCall(t, moved, 2) // the numbers go on at the new address
+	reload(bytes.ReplaceAll(good, []byte(service.Addr().String()), []byte(moved.Addr().String())))
+	nc = acceptDiscoveryCall(t, moved, 2) // the event numbers continue at the new address
 	_, err = nc.Write(changesEvent(3, memberRecord(2, 2, cache.Addr()), memberRecord(3, 0, other.Addr())))
 	require.NoError(t, err)
-	require.NoError(t, nc.Close()) // it dials again once event 3 has been taken in
+	require.NoError(t, nc.Close()) // the proxy dials again once it has applied event 3
 	acceptDiscoveryCall(t, moved, 3)
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"c": c, "s": other}, `
 		c send RPC.CALL 3 asset rid=00000000000000a2,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17
 		s expect fetch 00000000000000a2 lane=asset,* -`)
-	rests, err := net.Dial("tcp", listen)
+	idleConn, err := net.Dial("tcp", listen)
 	require.NoError(t, err)
-	defer rests.Close()
-	_, err = rests.Write([]byte("*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"))
+	defer idleConn.Close()
+	_, err = idleConn.Write([]byte("*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n"))
 	require.NoError(t, err)
 	answer := make([]byte, 64)
-	_, err = rests.Read(answer)
+	_, err = idleConn.Read(answer)
 	require.NoError(t, err)
-	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM)) // what is open is answered first
-	// An idle connection ends in order, and a request that its client sends in that instant neither resets it nor is forwarded.
-	_, err = rests.Read(answer)
+	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM)) // open requests are answered first
+	// An idle connection is closed without a reset, and a request that its client sends at that moment neither resets it nor is
+	// forwarded.
+	_, err = idleConn.Read(answer)
 	require.ErrorIs(t, err, io.EOF)
-	_, err = rests.Write([]byte("*4\r\n$8\r\nRPC.CALL\r\n$1\r\n2\r\n$5\r\nasset\r\n$58\r\nrid=00000000000000a9,budget=60000,obj=7f3a9c21e0b4d655,nth=\r\n"))
+	_, err = idleConn.Write([]byte("*4\r\n$8\r\nRPC.CALL\r\n$1\r\n2\r\n$5\r\nasset\r\n$58\r\nrid=00000000000000a9,budget=60000,obj=7f3a9c21e0b4d655,nth=\r\n"))
 	require.NoError(t, err)
-	require.NoError(t, rests.(*net.TCPConn).CloseWrite())
-	_, err = rests.Read(answer)
+	require.NoError(t, idleConn.(*net.TCPConn).CloseWrite())
+	_, err = idleConn.Read(answer)
 	require.ErrorIs(t, err, io.EOF)
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"c": c, "s": other}, `
 		s send 00000000000000a2 served why=local,version=v1 BYTES
@@ -169,8 +170,8 @@
 	require.NoError(t, cmd.Wait(), string(text))
 }
 
-// acceptDiscoveryCall returns the call to discovery that asks for the events after a number. Calls beside a silent one may come first on a slow
-// machine; none asks for later events.
+// acceptDiscoveryCall returns the call to discovery that asks for the events after the number want. On a slow machine, calls that
+// the proxy makes in addition to a silent one may come first; none asks for later events.
 func acceptDiscoveryCall(t *testing.T, service net.Listener, want uint64) net.Conn {
 	for {
 		nc, err := service.Accept()
@@ -191,7 +192,7 @@
 	return ln
 }
 
-// changesEvent is an event of changed members.
+// changesEvent returns an encoded event of changed members.
 func changesEvent(rev uint64, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
@@ -209,23 +210,23 @@
 func TestInvalidConfigurationEndsStart(t *testing.T) {
 	bin, bad := buildProgram(t), filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte(`{"seed":"xyz"}`), 0o600))
-	// A complete file with invalid settings: the place is named.
+	// For a complete file with an invalid setting, the error names the setting.
 	whole, err := os.ReadFile(configFile(t, freeAddr(t), freeAddr(t), freeAddr(t)))
 	require.NoError(t, err)
-	endless := filepath.Join(t.TempDir(), "endless.json")
-	require.NoError(t, os.WriteFile(endless, bytes.Replace(whole, []byte(`"DeadlineUs":60000000`), []byte(`"DeadlineUs":0`), 1), 0o600))
-	for _, path := range []string{"", "nosuchfile", bad, endless} {
+	zeroDeadline := filepath.Join(t.TempDir(), "endless.json")
+	require.NoError(t, os.WriteFile(zeroDeadline, bytes.Replace(whole, []byte(`"DeadlineUs":60000000`), []byte(`"DeadlineUs":0`), 1), 0o600))
+	for _, path := range []string{"", "nosuchfile", bad, zeroDeadline} {
 		cmd := exec.Command(bin, "serve")
 		cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 		out, err := cmd.CombinedOutput()
 		require.Error(t, err)
 		require.Equal(t, 1, cmd.ProcessState.ExitCode())
 		require.Equal(t, 1, bytes.Count(out, []byte("\n")), string(out))
-		if path == endless {
+		if path == zeroDeadline {
 			require.Contains(t, string(out), "settings.Grades[0].DeadlineUs: 0 is not above 0")
 		}
 	}
-	// A directory without a journal is not reported as complete: it may be the wrong one.
+	// A directory without a journal is not reported as valid: it may be the wrong one.
 	empty := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(empty, "notes.txt"), []byte("x"), 0o600))
 	out, err := exec.Command(bin, "state", "verify", empty).CombinedOutput()
--- a/cmd/ravenwheel/server_list_test.go
+++ b/cmd/ravenwheel/server_list_test.go
@@ -41,7 +41,7 @@
   "servers": {"path": "servers.jsonc", "quiet_ms": 30, "poll_ms": 500, "drain_ms": 3000, "most_dropped": 1, "weight_every_ms": 100}
 }`
 
-// inProcessProxy is the program without its process: real sockets and files under a clock that the test moves.
+// inProcessProxy is a proxy within the test's process, with real sockets and files and a clock that the test advances.
 type inProcessProxy struct {
 	t       *testing.T
 	clk     *clock.Clock
@@ -52,11 +52,12 @@
 	core    *core.Core
 
 	mu       sync.Mutex
-	listUses []listUse // every list that was in use, with the time from which it was
+	listUses []listUse // every list that was in use
 }
 
+// listUse is a list that was in use.
 type listUse struct {
-	at    float64
+	at    float64 // from when
 	ready map[policy.ServerID]bool
 }
 
@@ -120,7 +121,7 @@
 	return r
 }
 
-// fillAddrs replaces @ID in a text by the address of a stand-in.
+// fillAddrs replaces each "@ID" in a text by the address of the server with that id.
 func (r *inProcessProxy) fillAddrs(text string) string {
 	for _, id := range []policy.ServerID{90, 91, 92, 93, 10, 11, 20, 1, 2, 3, 4, 5, 6, 7, 8} {
 		text = strings.ReplaceAll(text, fmt.Sprintf("\"@%d\"", id), `"`+r.fleet.Server(id).Addr()+`"`)
@@ -128,7 +129,7 @@
 	return text
 }
 
-// run lets time pass in small steps, with real time for the sockets in between.
+// run advances the clock in small steps, with real time for the sockets in between.
 func (r *inProcessProxy) run(ms float64) {
 	for end := r.clk.Now() + ms; r.clk.Now() < end; {
 		r.clk.Advance(10)
@@ -136,7 +137,7 @@
 	}
 }
 
-// awaitGeneration lets time pass until no request is open and the list's generation is the one awaited.
+// awaitGeneration advances the clock until no request is open and the list's generation is the awaited one.
 func (r *inProcessProxy) awaitGeneration(generation uint64) {
 	r.t.Helper()
 	for end := time.Now().Add(time.Minute); r.client.Open() > 0 || r.sources.list.Status().Generation != generation; r.run(10) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// recordUse records which servers are ready in a list that was applied.
+// recordUse records which servers are ready in a list that was applied at the given time.
 func (r *inProcessProxy) recordUse(at float64, ids []policy.ServerID) {
 	u := listUse{at: at, ready: map[policy.ServerID]bool{}}
 	for _, id := range ids {
@@ -155,31 +156,32 @@
 	r.listUses = append(r.listUses, u)
 }
 
-// drainSlack: the clock of the test jumps while a request is in the kernel, so that it seems to come late.
+// The grace of drains in ms, and the slack that is allowed beyond it: the test's clock jumps while a request is in the kernel, so
+// that the request seems to arrive late.
 const drainGrace, drainSlack = 2000, 3000
 
-// check compares what the servers and the clients saw with the lists that were in use.
+// check compares what the servers and the clients observed with the lists that were in use.
 func (r *inProcessProxy) check() {
 	r.t.Helper()
-	var told []fleet.Notification
+	var notifications []fleet.Notification
 	for i, u := range r.listUses {
-		one := fleet.Notification{At: u.at}
+		notification := fleet.Notification{At: u.at}
 		for id := policy.ServerID(1); id <= 20; id++ {
 			if u.ready[id] {
-				one.Returns = append(one.Returns, id)
+				notification.Returns = append(notification.Returns, id)
 			} else if i > 0 {
-				one.Drains = append(one.Drains, id)
+				notification.Drains = append(notification.Drains, id)
 			}
 		}
-		told = append(told, one)
+		notifications = append(notifications, notification)
 	}
-	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Violations(r.fleet.Observations(), told))
+	require.Empty(r.t, fleet.Rules{Drain: drainGrace, Purge: 1000, Slack: drainSlack}.Violations(r.fleet.Observations(), notifications))
 	for _, s := range r.fleet.Observations() {
-		require.Less(r.t, s.Server, policy.ServerID(90), "a server that only invalid lists name got %s", s.RequestID)
-		whole := slices.ContainsFunc(r.listUses, func(u listUse) bool {
+		require.Less(r.t, s.Server, policy.ServerID(90), "a server that only invalid lists name got request %s", s.RequestID)
+		consistent := slices.ContainsFunc(r.listUses, func(u listUse) bool {
 			return u.at <= s.At && u.ready[s.Server] && (s.Source == s.Server || u.ready[s.Source])
 		})
-		require.True(r.t, whole, "request %s went to %d with source %d, which no list holds together", s.RequestID, s.Server, s.Source)
+		require.True(r.t, consistent, "request %s went to server %d with source %d, which are not both in any list that was used", s.RequestID, s.Server, s.Source)
 	}
 	require.Empty(r.t, r.fleet.DuplicateWrites())
 	require.Empty(r.t, r.client.Violations())
@@ -189,8 +191,9 @@
 	}
 }
 
-// Invalid, partial and valid lists are written in quick succession, in every way of writing a file, under load. No request may be routed
-// by a partial or invalid list, no write may be lost or run twice, and no draining server may get new requests.
+// Invalid, partial and valid lists are written in quick succession under load: in place, in steps, by rename, and after a removal.
+// No request may be routed by a partial or invalid list, no write may be lost or run twice, and no draining server may get new
+// requests.
 func TestRapidListChangesApplyOnlyValidLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	caches := []policy.ServerID{1, 2, 3, 4, 5, 6, 7, 8}
@@ -224,20 +227,20 @@
 		}
 		drained := caches[perm[n]]
 		next := r.fillAddrs(text(generation+1, ids, drained))
-		poison := r.fillAddrs(text(generation+1, []policy.ServerID{90, 91, 20, 10}))
+		invalidList := r.fillAddrs(text(generation+1, []policy.ServerID{90, 91, 20, 10}))
 		old, err := os.ReadFile(r.path)
 		require.NoError(t, err)
 		put := func(s string) { require.NoError(t, os.WriteFile(r.path, []byte(s), 0o600)) }
 		switch turn % 8 {
 		case 0: // cut short
-			put(poison[:len(poison)*rng.IntN(100)/100])
-		case 1: // one address twice
-			put(strings.Replace(poison, r.fleet.Server(91).Addr(), r.fleet.Server(90).Addr(), 1))
-		case 2: // torn: a new beginning before the end of another list
-			put(strings.Replace(poison, fmt.Sprintf(`"end": %d`, generation+1), fmt.Sprintf(`"end": %d`, generation), 1))
+			put(invalidList[:len(invalidList)*rng.IntN(100)/100])
+		case 1: // two servers with the same address
+			put(strings.Replace(invalidList, r.fleet.Server(91).Addr(), r.fleet.Server(90).Addr(), 1))
+		case 2: // partly written: the beginning of a new list before the end of another one
+			put(strings.Replace(invalidList, fmt.Sprintf(`"end": %d`, generation+1), fmt.Sprintf(`"end": %d`, generation), 1))
 		case 3: // no cache, and an older generation
-			put(strings.Replace(poison, fmt.Sprintf(`"generation": %d`, generation+1), `"generation": 0`, 1))
-		case 4: // in place, in steps, with a stall
+			put(strings.Replace(invalidList, fmt.Sprintf(`"generation": %d`, generation+1), `"generation": 0`, 1))
+		case 4: // valid, written in place byte by byte, with a pause
 			f, err := os.OpenFile(r.path, os.O_WRONLY|os.O_TRUNC, 0)
 			require.NoError(t, err)
 			for i := range len(next) {
@@ -248,10 +251,10 @@
 				}
 			}
 			require.NoError(t, f.Close())
-		case 5, 6: // with care
+		case 5, 6: // valid, renamed into place
 			require.NoError(t, os.WriteFile(r.path+".new", []byte(next), 0o600))
 			require.NoError(t, os.Rename(r.path+".new", r.path))
-		case 7: // the directory loses it for a while, and gets it back
+		case 7: // the file is removed and written again
 			require.NoError(t, os.Remove(r.path))
 			r.run(50)
 			put(string(old))
@@ -260,10 +263,10 @@
 			r.run(float64(20 + rng.IntN(120)))
 			continue
 		}
-		taken := r.clk.Now()
+		changedAt := r.clk.Now()
 		r.awaitGeneration(uint64(generation + 1))
 		generation++
-		r.recordUse(taken, ids) // from its rename on it may have been in use
+		r.recordUse(changedAt, ids) // the list may have been in use since it was written
 	}
 	r.awaitGeneration(uint64(generation))
 	r.check()
--- a/cmd/ravenwheel/signal_test.go
+++ b/cmd/ravenwheel/signal_test.go
@@ -15,8 +15,8 @@
 	"ravenwheel/internal/scenario"
 )
 
-// An owner is suspended while another process takes its address, and yields as it is resumed. The SIGTERMs that follow change nothing: its
-// open requests are answered, and it ends by itself.
+// An owner is suspended while another process takes over its address, and stops owning it when it is resumed. SIGTERMs that follow
+// change nothing: its open requests are answered, and it ends by itself.
 func TestTerminatedAfterTakeoverAnswersAll(t *testing.T) {
 	bin, listen, dir, cache := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	service := listenDiscovery(t)
@@ -45,7 +45,7 @@
 	next := startProcess(t, bin, config, dir)
 	next.awaitReady(t)
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGCONT))
-	require.Eventually(t, func() bool { return old.callConsole("STATUS") == "FAILURE stopping" }, time.Minute, 5*time.Millisecond, "it steps back")
+	require.Eventually(t, func() bool { return old.callConsole("STATUS") == "FAILURE stopping" }, time.Minute, 5*time.Millisecond, "the resumed owner must stop owning the address")
 	for range 3 {
 		require.NoError(t, old.cmd.Process.Signal(syscall.SIGTERM))
 		time.Sleep(50 * time.Millisecond)
@@ -59,7 +59,7 @@
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 }
 
-// A successor gets SIGTERM before it owns the address. It ends, and the owner goes on.
+// A successor gets SIGTERM before it owns the address. It ends, and the owner continues to serve.
 func TestTerminatedSuccessorLeavesOwner(t *testing.T) {
 	bin, listen, dir, cache, service := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t), listenDiscovery(t)
 	config := configFile(t, listen, service.Addr().String(), cache.Addr())
@@ -68,19 +68,19 @@
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGSTOP))
 	next := startProcess(t, bin, config, dir)
 	require.Eventually(t, func() bool { return next.callConsole("STATUS") == "FAILURE starting" }, time.Minute, time.Millisecond)
-	time.Sleep(100 * time.Millisecond) // by now it has sent its request to the owner, which does not answer
+	time.Sleep(100 * time.Millisecond) // by then the successor has sent its request to the owner, which does not answer
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, next.cmd.Wait(), "%s", next.logs)
 	require.NotContains(t, next.logs.String(), "owns the address")
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGCONT))
-	time.Sleep(600 * time.Millisecond) // it looks twice whether another one owns
+	time.Sleep(600 * time.Millisecond) // the owner checks twice whether another process owns the address
 	require.Equal(t, "SUCCESS serving", owner.callConsole("STATUS"), "%s", owner.logs)
 	require.NoError(t, owner.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
 }
 
-// An owner is suspended with a connection and its request in the listener's queue, and another process takes the address with a queue
-// of its own. Resumed, the owner answers its queue before it yields.
+// An owner is suspended with a connection and its request in the listener's queue, and another process takes over the address with
+// a listener of its own. When the owner is resumed, it answers the requests in its queue before it ends.
 func TestSuspendedOwnerAnswersListenerQueue(t *testing.T) {
 	bin, listen, dir, cache := buildProgram(t), freeAddr(t), t.TempDir(), scenario.Listen(t)
 	answers := &recordingCache{}
@@ -97,7 +97,7 @@
 	scenario.Run(t, clock.System(), map[string]scenario.Actor{"waits": waits}, `
 		waits expect 1 ok - BYTES`)
 	require.NoError(t, owner.cmd.Wait(), "%s", owner.logs)
-	for n := range 20 { // all new ones reach the other process
+	for n := range 20 { // all new connections reach the other process
 		require.Equal(t, "ok", requestAsset(t, scenario.Dial(t, listen), n+1))
 	}
 	require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/ravenwheel/soak_client_test.go
+++ b/cmd/ravenwheel/soak_client_test.go
@@ -14,17 +14,15 @@
 	"ravenwheel/internal/resp"
 )
 
-// soakKind is the behaviour of a client.
+// soakKind is how a client behaves.
 type soakKind int
 
-// The kinds of client, in turn. Restless: never idle, up to three open requests; resting: a request now and then on one connection; fresh: a
-// connection for each request; leaving: closes or cancels early; slow: writes in pieces.
 const (
-	busyKind soakKind = iota
-	pausingKind
-	connPerRequestKind
-	cancellingKind
-	slowWriterKind
+	busyKind           soakKind = iota // never idle, up to three open requests
+	pausingKind                        // a request now and then on one connection
+	connPerRequestKind                 // a connection for each request
+	cancellingKind                     // cancels requests or closes the connection early
+	slowWriterKind                     // writes requests in pieces
 	soakKindCount
 )
 
@@ -39,9 +37,9 @@
 	tag           int
 	mu            sync.Mutex
 	open          map[string]*soakRequest // by tag
-	connEnded     chan struct{}           // of the connection
+	connEnded     chan struct{}           // closed when the connection has ended
 	connClosed    bool                    // the connection has ended
-	answerArrived chan struct{}           // an answer came
+	answerArrived chan struct{}           // receives when an answer has arrived
 	requestCount  int
 }
 
@@ -49,7 +47,7 @@
 	return &soakClient{soak: s, n: n, kind: soakKind(n) % soakKindCount, rng: rng, answerArrived: make(chan struct{}, 1)}
 }
 
-// run sends requests until the process has ended, or accepts no connections any more.
+// run sends requests until the process has ended.
 func (c *soakClient) run() {
 	for {
 		select {
@@ -76,7 +74,7 @@
 	}
 }
 
-// dial connects, until 0.3 s after SIGTERM.
+// dial connects to the process. From 0.3 s after SIGTERM on it does not, and returns false.
 func (c *soakClient) dial() bool {
 	if at := c.soak.sigtermAt.Load(); at > 0 && time.Since(time.UnixMicro(at)) > 300*time.Millisecond {
 		return false
@@ -111,7 +109,7 @@
 		delete(open, string(parts[0]))
 		c.mu.Unlock()
 		if q == nil {
-			c.soak.fail("client %d got an answer that it does not wait for: %q", c.n, parts[:2])
+			c.soak.fail("client %d got an answer without an open request: %q", c.n, parts[:2])
 			continue
 		}
 		q.answeredAt, q.status = now, string(parts[1])
@@ -130,14 +128,14 @@
 	}
 }
 
-// countOpen is how many requests are open.
+// countOpen returns how many requests are open.
 func (c *soakClient) countOpen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// step sends one request, and does what the client's kind does after it.
+// step sends one request, or waits for an answer, as the client's kind does.
 func (c *soakClient) step() {
 	switch c.kind {
 	case busyKind:
@@ -171,19 +169,19 @@
 	}
 }
 
-// awaitAnswer waits for an answer, and returns whether there may be more.
-func (c *soakClient) awaitAnswer(most time.Duration) bool {
+// awaitAnswer waits for an answer, and returns whether the connection is still open.
+func (c *soakClient) awaitAnswer(timeout time.Duration) bool {
 	select {
 	case <-c.answerArrived:
 		return true
 	case <-c.connEnded:
 		return false
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return true
 	}
 }
 
-// sendRequest writes one request, in so many pieces.
+// sendRequest writes one request in the given number of pieces. It returns nil if the connection ended first.
 func (c *soakClient) sendRequest(pieces int) (*soakRequest, string) {
 	c.tag++
 	c.requestCount++
@@ -214,7 +212,7 @@
 		}
 		if i < pieces-1 {
 			select {
-			case <-c.connEnded: // it has not been taken
+			case <-c.connEnded: // the proxy has not received the whole request
 				c.forget(tag)
 				return nil, ""
 			case <-time.After(time.Duration(20+c.rng.IntN(400)) * time.Millisecond):
@@ -222,7 +220,7 @@
 		}
 	}
 	c.mu.Lock()
-	if c.connClosed && q.answeredAt == 0 && q.closedAt == 0 { // before it was written
+	if c.connClosed && q.answeredAt == 0 && q.closedAt == 0 { // the connection ended before the request was written
 		q.closedAt = q.sentAt
 	}
 	c.mu.Unlock()
@@ -249,7 +247,7 @@
 	if _, err := c.nc.Write(resp.AppendFrame(nil, "RPC.CANCEL", tag)); err != nil {
 		return
 	}
-	q.cancelledAt = c.soak.now() // an answer may be on its way
+	q.cancelledAt = c.soak.now() // an answer may still arrive
 }
 
 // closeConn closes the connection, which cancels its open requests.
@@ -268,14 +266,14 @@
 	c.nc = nil
 }
 
-// connectIdleClients connect all at once, send nothing and stay; end closes them.
+// connectIdleClients opens the plan's connections of idle clients in quick succession, and sends nothing. end closes them.
 func (s *soak) connectIdleClients() (end func()) {
 	var conns []net.Conn
 	for range s.plan.idleClients {
 		nc, err := net.DialTimeout("tcp", s.listen, time.Second)
 		if err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				s.fail("one of a crowd could not connect: %v", err)
+				s.fail("an idle client could not connect: %v", err)
 			}
 			break
 		}
@@ -288,8 +286,9 @@
 	}
 }
 
-// checkHealth sends a health check.
-func checkHealth(listen string) (there bool, err error) {
+// checkHealth sends a health check. It returns whether the process accepted the connection, and an error unless it then answered
+// yes.
+func checkHealth(listen string) (up bool, err error) {
 	nc, err := net.DialTimeout("tcp", listen, time.Second)
 	if err != nil {
 		return false, nil
@@ -301,7 +300,7 @@
 	buf := resp.Buffer{MaxFrameSize: resp.MaxResponseSize}
 	parts, _, err := buf.Next(nc)
 	if err == nil && string(parts[1]) != "yes" {
-		err = fmt.Errorf("it says %s", parts[1])
+		err = fmt.Errorf("health check answered %s, not yes", parts[1])
 	}
 	return true, err
 }
--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -24,11 +24,11 @@
 	"ravenwheel/policy"
 )
 
-// Soak tests of whole processes: each seed draws deadlines, effects, faults, signals and clients, and what clients and servers saw is checked
-// against the protocol. CI plays a few seeds; SOAK_SEEDS=FIRST-LAST plays others.
+// Soak tests of whole processes: each seed draws deadlines, effects, faults, signals and clients, and what clients and servers
+// observed is checked against the protocol. CI runs a few seeds; SOAK_SEEDS=FIRST-LAST runs others.
 const (
 	soakFirstSeed, soakLastSeed = 1, 8
-	// maxParallelSoaks processes are played at a time.
+	// maxParallelSoaks is how many processes run at a time.
 	maxParallelSoaks = 6
 )
 
@@ -36,7 +36,7 @@
 	runSoakSeeds(t, soakFirstSeed, soakLastSeed, newSoak)
 }
 
-// runSoakSeeds plays the seeds from first to last, or those of SOAK_SEEDS.
+// runSoakSeeds runs the seeds from first to last, or those of SOAK_SEEDS.
 func runSoakSeeds(t *testing.T, first, last int, start func(t *testing.T, bin string, seed uint64) *soak) {
 	if text := os.Getenv("SOAK_SEEDS"); text != "" {
 		from, to, _ := strings.Cut(text, "-")
@@ -60,7 +60,7 @@
 	})
 }
 
-// soak is one process among stand-ins.
+// soak is one process with simulated servers, discovery and clients.
 type soak struct {
 	t    *testing.T
 	rng  *rand.Rand
@@ -76,43 +76,43 @@
 	logs      strings.Builder
 
 	clk            *clock.Clock
-	maxLatenessNs  atomic.Int64 // ns by which this machine was late at the worst
+	maxLatenessNs  atomic.Int64 // the maximum in ns by which a sleep ended late on this machine
 	mu             sync.Mutex
 	requests       map[string]*soakRequest
 	notifications  []fleet.Notification
-	withheldUntil  float64 // until when the service tells nothing
-	faultFreeUntil float64 // until when discovery has no further fault; see causeDiscoveryFaults
+	withheldUntil  float64 // the time until which the discovery service may withhold events
+	faultFreeUntil float64 // the time until which discovery has no further fault; see causeDiscoveryFaults
 	activeListener int     // index of the address of discovery that the configuration names
 	violations     []string
 	sigtermAt      atomic.Int64 // Unix µs of the first SIGTERM; 0: not yet
-	killedAt       atomic.Int64 // and of the kill, or of the process's own end
+	killedAt       atomic.Int64 // Unix µs of SIGKILL, or of the process's own end
 	killed         atomic.Bool
 	done           chan struct{}
 }
 
-// soakPlan is what a seed draws before the start.
+// soakPlan holds the values that a seed draws before the start.
 type soakPlan struct {
-	longestDeadline   time.Duration // the longest
-	idempotencyWindow time.Duration // of the keyed class
-	callFaults        int           // of 1,000 calls
-	clockStepS        int           // by which the wall clock steps, and when
+	longestDeadline   time.Duration // of the class with the longest one
+	idempotencyWindow time.Duration // of the deduplicated class
+	callFaults        int           // how many of 1,000 system calls fail
+	clockStepS        int           // seconds by which the wall clock steps, at clockStepAfter
 	clockStepAfter    time.Duration
-	idleClients       int // idle clients
-	sigterms          int // SIGTERMs
+	idleClients       int // how many connect
+	sigterms          int // how many are sent
 	duration          time.Duration
 
-	discoveryFaults bool // it has faults of discovery in a row, and runs for long enough to see their effects
+	discoveryFaults bool // discovery has several faults in a row, and the process runs long enough to show their effects
 }
 
-// soakRequest is one request as its client knows it. Times are in ms on the soak's clock.
+// soakRequest is one request as its client sees it. Times are in ms on the soak's clock.
 type soakRequest struct {
 	class       string
 	object      string
 	sentAt      float64 // when its last byte was written
 	budget      float64
-	answeredAt  float64 // 0: not yet
+	answeredAt  float64 // 0: no answer yet
 	status      string
-	cancelledAt float64 // when its client cancelled it or closed; 0: it did not
+	cancelledAt float64 // when its client cancelled it or closed the connection; 0: it did neither
 	closedAt    float64 // when its connection ended without an answer
 }
 
@@ -170,7 +170,7 @@
 // writeConfig writes the configuration with one of discovery's addresses.
 func (s *soak) writeConfig(listener int) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	grade := func(name, effect string, share float64) map[string]any {
+	class := func(name, effect string, share float64) map[string]any {
 		return map[string]any{
 			"Name": name, "Effect": effect, "DeadlineUs": us(time.Duration(float64(s.plan.longestDeadline) * share)),
 			"TargetUs": us(s.plan.longestDeadline / 3), "Worth": 1.0, "WindowUs": us(s.plan.idempotencyWindow), "Group": "all",
@@ -186,7 +186,7 @@
 				"StreamsPerConn": 100, "MostTries": 8, "MostHeld": 512,
 			},
 			"Rules":  map[string]any{"DrainGraceUs": 2_000_000, "ColdFrom": 0.25, "FallMultiple": 3.0, "FallUs": 3_000_000, "WarmWithinUs": 18_000_000},
-			"Grades": []any{grade("asset", "idempotent", 1), grade("report", "deduplicated", 0.9), grade("claim", "at_most_once", 0.8)},
+			"Grades": []any{class("asset", "idempotent", 1), class("report", "deduplicated", 0.9), class("claim", "at_most_once", 0.8)},
 			"FamilyInfo": map[string]any{
 				"SecondTierKind": 1, "RootKind": 2, "NoteLevel": "all", "PeersFill": "location", "Uncached": []bool{false, true, true},
 				"InParts": []bool{false, false, false}, "PurgeTakesUs": 6_000_000, "NoticeTimeUs": 1_000_000, "FlowKbPerS": 100_000.0,
@@ -200,21 +200,21 @@
 	require.NoError(s.t, os.Rename(part, s.config))
 }
 
-// run runs the process among clients and faults, ends it as the protocol says, and judges.
+// run runs the process under requests and faults, ends it as the protocol prescribes, and checks the observations.
 func (s *soak) run() {
 	go s.measureLateness()
 	require.NoError(s.t, s.cmd.Start())
 	exited := make(chan error, 1)
 	go func() { exited <- s.cmd.Wait() }()
 	s.t.Cleanup(func() { _ = s.cmd.Process.Kill() })
-	require.Eventually(s.t, func() bool { return s.isReady() }, 30*time.Second, 10*time.Millisecond, "it takes over 30 s to be ready")
+	require.Eventually(s.t, func() bool { return s.isReady() }, 30*time.Second, 10*time.Millisecond, "the process is not ready within 30 s")
 	var clients sync.WaitGroup
 	for n := range 10 {
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), uint64(n)))
 		clients.Go(func() { newSoakClient(s, n, rng).run() })
 	}
-	crowded := s.connectIdleClients()
-	defer crowded()
+	closeIdleClients := s.connectIdleClients()
+	defer closeIdleClients()
 	end := time.Now().Add(s.plan.duration)
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(50+s.rng.IntN(400)) * time.Millisecond)
@@ -222,7 +222,7 @@
 	}
 	select {
 	case err := <-exited:
-		s.t.Fatalf("it crashed: %v\n%s", err, s.logs.String())
+		s.t.Fatalf("the process crashed: %v\n%s", err, s.logs.String())
 	default:
 	}
 	s.terminate(exited)
@@ -233,11 +233,11 @@
 
 func (s *soak) now() float64 { return s.clk.Now() }
 
-func (s *soak) isReady() bool { there, err := checkHealth(s.listen); return there && err == nil }
+func (s *soak) isReady() bool { up, err := checkHealth(s.listen); return up && err == nil }
 
-// measureLateness measures by how much a short sleep is late: how precise this machine's times are.
+// measureLateness measures by how much short sleeps end late, which is how precise times are on this machine.
 func (s *soak) measureLateness() {
-	const nap = 5 * time.Millisecond
+	const pause = 5 * time.Millisecond
 	for {
 		select {
 		case <-s.done:
@@ -245,8 +245,8 @@
 		default:
 		}
 		began := time.Now()
-		time.Sleep(nap)
-		if late := int64(time.Since(began) - nap); late > s.maxLatenessNs.Load() {
+		time.Sleep(pause)
+		if late := int64(time.Since(began) - pause); late > s.maxLatenessNs.Load() {
 			s.maxLatenessNs.Store(late)
 		}
 	}
@@ -269,7 +269,7 @@
 	case err := <-exited:
 		s.killedAt.Store(time.Now().UnixMicro())
 		if err != nil {
-			s.fail("it ended with %v", err)
+			s.fail("the process ended with %v", err)
 		}
 	case <-time.After(time.Until(kill)):
 		s.killedAt.Store(time.Now().UnixMicro())
@@ -285,7 +285,7 @@
 	defer s.mu.Unlock()
 	t.Made = s.now()
 	t.At = max(t.Made, s.withheldUntil)
-	if len(t.Returns) > 0 { // what it may be sent again, it may be sent at once
+	if len(t.Returns) > 0 { // a server that returns may get requests again at once
 		t.At = t.Made
 		for i := range s.notifications {
 			s.notifications[i].At = min(s.notifications[i].At, t.At)
@@ -317,7 +317,7 @@
 		for id := range soakCaches {
 			s.servers.Server(policy.ServerID(id + 1)).SetFault(fleet.Fault{ExtraLatency: float64(s.rng.IntN(200))})
 		}
-	case 4: // it is killed and comes back cold, elsewhere
+	case 4: // the server is killed and restarted cold at another address
 		server.Kill()
 		m := s.start(id)
 		m.Started = policy.Time(float64(time.Now().UnixMilli()) * 1e6)
@@ -334,7 +334,7 @@
 		group := s.rng.IntN(fleet.Groups)
 		s.recordNotification(fleet.Notification{Purge: true, Group: group})
 		s.service.Purge("", group, s.servers.Purge("", group))
-	case 7: // an event during a stop counts as notified 4 s later
+	case 7: // discovery stalls: an event during the stall counts as notified 4 s later
 		s.mu.Lock()
 		s.withheldUntil = s.now() + 4000
 		s.mu.Unlock()
@@ -356,26 +356,26 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// check checks what was seen against the protocol.
+// check checks what clients and servers observed against the protocol.
 func (s *soak) check() {
 	slack := 50 + 2*float64(s.maxLatenessNs.Load())/1e6
 	s.checkAnswers(slack)
 	s.checkAttempts(slack)
 	s.violations = append(s.violations, s.servers.DuplicateWrites()...)
 	s.violations = append(s.violations, fleet.Rules{Drain: 2000, Purge: 1000, Slack: slack}.Violations(s.servers.Observations(), s.notifications)...)
-	words := map[string]int{}
+	statuses := map[string]int{}
 	for _, q := range s.requests {
-		words[q.status]++
+		statuses[q.status]++
 	}
-	s.t.Logf("%+v: %d requests %v, late by %.0f ms", s.plan, len(s.requests), words, float64(s.maxLatenessNs.Load())/1e6)
+	s.t.Logf("%+v: %d requests %v, sleeps up to %.0f ms late", s.plan, len(s.requests), statuses, float64(s.maxLatenessNs.Load())/1e6)
 	if len(s.violations) > 0 {
 		slices.Sort(s.violations)
-		s.t.Errorf("%d breaks, of them:\n%s\n%s", len(s.violations), strings.Join(s.violations[:min(10, len(s.violations))], "\n"), s.logs.String())
+		s.t.Errorf("%d violations, the first of them:\n%s\n%s", len(s.violations), strings.Join(s.violations[:min(10, len(s.violations))], "\n"), s.logs.String())
 	}
 }
 
-// checkAnswers checks that each request has one answer in time, but for those that crossed the close of their connection, and those of the
-// last 0.7 s before SIGKILL.
+// checkAnswers checks that each request has one answer in time, except those that crossed the close of their connection, and those
+// that were sent up to 0.7 s after SIGTERM and cut off by SIGKILL.
 func (s *soak) checkAnswers(slack float64) {
 	term, kill := float64(s.sigtermAt.Load())/1e3, float64(s.killedAt.Load())/1e3
 	offset := s.clk.Wall() - s.now()
@@ -383,41 +383,41 @@
 		switch {
 		case q.cancelledAt > 0:
 		case q.answeredAt > 0 && q.answeredAt > q.sentAt+q.budget+500+slack:
-			s.fail("%s %s: answered %.0f ms after its time", q.class, id, q.answeredAt-q.sentAt-q.budget)
+			s.fail("%s %s: answered %.0f ms after its deadline", q.class, id, q.answeredAt-q.sentAt-q.budget)
 		case q.answeredAt > 0:
 		case q.closedAt > 0 && q.sentAt >= q.closedAt-50-slack && (q.closedAt+offset < kill-5 || !s.killed.Load()):
 		case q.closedAt > 0 && q.closedAt+offset >= kill-5 && q.sentAt+offset <= term+700+slack:
-		case q.closedAt+offset >= kill-5 && q.sentAt+offset >= kill-5: // it was written to a process that was gone
+		case q.closedAt+offset >= kill-5 && q.sentAt+offset >= kill-5: // it was written after the process had ended
 		default:
 			s.fail("%s %s: lost, sent %.0f ms after SIGTERM, its connection ended %.0f ms after that, the kill was at %.0f", q.class, id, q.sentAt+offset-term, q.closedAt-q.sentAt, kill-term)
 		}
 	}
 }
 
-// checkAttempts checks that no attempt begins for a client that has left, has more time than is left, or repeats a deduplicated request after
-// its window, and that rejected requests did not run.
+// checkAttempts checks that no attempt begins for a client that has cancelled, has a longer deadline than its request, or repeats a
+// deduplicated request after the idempotency window, and that rejected requests did not run.
 func (s *soak) checkAttempts(slack float64) {
-	firsts := map[string]float64{} // by key
+	firstAttempts := map[string]float64{} // times by request id and idempotency key
 	for _, a := range s.servers.Observations() {
 		q := s.requests[a.RequestID]
 		if a.Probe || q == nil {
 			continue
 		}
 		if q.cancelledAt > 0 && a.At > q.cancelledAt+100+slack {
-			s.fail("%s %s: an attempt came %.0f ms after its client had left", q.class, a.RequestID, a.At-q.cancelledAt)
+			s.fail("%s %s: an attempt arrived %.0f ms after its client had cancelled", q.class, a.RequestID, a.At-q.cancelledAt)
 		}
 		if left := q.sentAt + q.budget - a.At; a.RemainingMs > left+150+slack {
-			s.fail("%s %s: given %.0f ms, of which %.0f were left", q.class, a.RequestID, a.RemainingMs, left)
+			s.fail("%s %s: an attempt was given %.0f ms, but %.0f ms were left", q.class, a.RequestID, a.RemainingMs, left)
 		}
 		if q.class == "claim" && q.status == "full" && a.Answer == "served" {
-			s.fail("claim %s: refused as harmless, and it ran", a.RequestID)
+			s.fail("claim %s: rejected as not run, but it ran", a.RequestID)
 		}
 		if a.Key != "" && a.Answer != "overload" && a.Answer != "not_here" {
-			first, known := firsts[a.RequestID+a.Key]
+			first, known := firstAttempts[a.RequestID+a.Key]
 			if !known {
-				firsts[a.RequestID+a.Key] = a.At
+				firstAttempts[a.RequestID+a.Key] = a.At
 			} else if a.At > first+clock.Ms(s.plan.idempotencyWindow)+slack {
-				s.fail("report %s: repeated %.0f ms after its first attempt", a.RequestID, a.At-first)
+				s.fail("report %s: repeated %.0f ms after its first attempt, outside the window", a.RequestID, a.At-first)
 			}
 		}
 	}
--- a/cmd/ravenwheel/standalone_test.go
+++ b/cmd/ravenwheel/standalone_test.go
@@ -24,7 +24,7 @@
 	"ravenwheel/policy"
 )
 
-// The program starts without the platform, on an invalid list and then on a valid one, serves, and shows the servers that it uses.
+// Without the platform, the program does not start with an invalid list. With a valid one it starts, serves and shows its servers.
 func TestStandaloneProxyServesFromList(t *testing.T) {
 	bin, listen, cache := buildProgram(t), freeAddr(t), scenario.Listen(t)
 	dir := t.TempDir()
@@ -47,7 +47,7 @@
 	out, code := run("serve", "--operator", operator)
 	require.Equal(t, 1, code)
 	want := fmt.Sprintf("ravenwheel: %s:5:30: address 127.0.0.1:3 is also used by s-00000014 at %[1]s:4:1\n", list)
-	require.Equal(t, want, out, "one plain line with its place")
+	require.Equal(t, want, out, "one line with the place of the defect")
 	out, code = run("servers", "check", "--operator", operator, list, filepath.Join(dir, "none"))
 	require.Equal(t, 1, code)
 	require.Equal(t, 2, strings.Count(out, "\n"), out)
@@ -94,7 +94,7 @@
 	require.Regexp(t, `s-0000000a .* draining .* no longer listed`, out)
 	out, code = run("purge", "--group", "17", "--admin", sock)
 	require.Zero(t, code, out)
-	ask(2, "*newer=*") // the purge was heard: an older copy will not do
+	ask(2, "*newer=*") // the purge is applied: an older copy is not accepted
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	ask(3, "*newer=*")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
@@ -105,8 +105,8 @@
 	require.Equal(t, 1, strings.Count(out, "\n"), out)
 }
 
-// A server that the list or discovery drains gets no requests, one that either adds is used, and the list has precedence on a
-// server's properties.
+// A server that the list or discovery drains is draining, one that either adds is used, and the list has precedence on a server's
+// properties.
 func TestListAndDiscoveryAreMerged(t *testing.T) {
 	clk := clock.Manual(1_764_576_000_000)
 	dir := t.TempDir()
@@ -163,7 +163,7 @@
 	becomes("1:draining*4 2:ready*9 3:ready*9 20:ready*4")
 	put(listText(2, []string{server(2), server(20)}))
 	becomes("1:draining*9 2:ready*4 3:ready*9 20:ready*4")
-	put(listText(2, []string{server(1), server(20)})) // a generation that was used: the list in use stays
+	put(listText(2, []string{server(1), server(20)})) // a generation that is already used: the list in use stays
 	_, err = nc.Write(changesEvent(3, memberRecord(1, 0, "127.0.0.1:9")))
 	require.NoError(t, err)
 	becomes("1:ready*9 2:ready*4 3:ready*9 20:ready*4")
--- a/cmd/ravenwheel/stop_test.go
+++ b/cmd/ravenwheel/stop_test.go
@@ -23,8 +23,8 @@
 	"ravenwheel/policy"
 )
 
-// New connections arrive for 0.4 s after SIGTERM and requests on open connections for 0.2 s more. All are answered before the program ends,
-// though servers are slow: none is rejected unsent, no connection is closed without an answer.
+// New connections arrive for 0.4 s after SIGTERM, and requests on open connections for 0.2 s more. All requests are answered before
+// the program ends, although servers are slow: none is rejected without being sent, and no connection is closed without an answer.
 func TestStopUnderLoadAnswersAll(t *testing.T) {
 	p := scenario.NewProxy(t)
 	servers := startServers(t, p, fleet.Options{Clock: p.Clock, TransferTime: 40, FillTime: 20})
@@ -34,20 +34,20 @@
 	go func() { _ = front.Serve() }()
 	began := p.Clock.Now()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
-	d.Attach(front, nil, nil)
-	d.SetOwner(true)
-	d.SetAccepting(true)
+	controller := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
+	controller.Attach(front, nil, nil)
+	controller.SetOwner(true)
+	controller.SetAccepting(true)
 	ended := make(chan struct{})
-	operatorStopped := false
+	servicesStopped := false
 	go func() {
-		shutDown(p.Clock, front, conf, func(context.Context) { operatorStopped = true }, d.Stop)
+		shutDown(p.Clock, front, conf, func(context.Context) { servicesStopped = true }, controller.Stop)
 		close(ended)
 	}()
 	var clients []*scenario.Client
-	asked := map[*scenario.Client]int{}
+	sent := map[*scenario.Client]int{}
 	for at := 0.0; at < 600; at += 10 {
-		if at == 570 { // these are open when the front closes
+		if at == 570 { // the requests from here on are open when the front closes
 			servers.Server(scenario.CacheID).SetFault(fleet.Fault{ExtraLatency: 300})
 		}
 		c := clients
@@ -56,18 +56,18 @@
 			c = clients[len(clients)-1:]
 		}
 		to := c[int(at)%len(c)]
-		asked[to]++
-		require.NoError(t, to.Send([]string{"RPC.CALL", fmt.Sprint(asked[to]), "asset",
+		sent[to]++
+		require.NoError(t, to.Send([]string{"RPC.CALL", fmt.Sprint(sent[to]), "asset",
 			fmt.Sprintf("rid=%016x,budget=2500,obj=%016x,nth=0,batch=17", int(at)+1, int(at)+1)}))
 		require.Eventually(t, func() bool { return p.Core.Counters.Requests.Load() == int64(at/10)+1 }, time.Minute, time.Millisecond)
 		p.Clock.Advance(10)
 	}
 	awaitEnd(t, p.Clock, ended)
 	require.GreaterOrEqual(t, p.Clock.Now(), began+control.CloseIdleAfterStop)
-	require.Less(t, p.Clock.Now(), began+5000+killGraceMs, "before SIGKILL")
-	require.True(t, operatorStopped)
-	require.Zero(t, front.OpenConns(), "what is open as the process ends is reset, with all that nobody has read there")
-	for c, n := range asked {
+	require.Less(t, p.Clock.Now(), began+5000+killGraceMs, "the program must end before SIGKILL")
+	require.True(t, servicesStopped)
+	require.Zero(t, front.OpenConns(), "connections that are open when the process ends would be reset, and unread data lost")
+	for c, n := range sent {
 		for range n {
 			words, err := c.Receive()
 			require.NoError(t, err)
@@ -80,7 +80,7 @@
 	require.Zero(t, invariant.Violations())
 }
 
-// blockedListener is a listener whose accepts block while it is shut, as out of descriptors.
+// blockedListener is a listener whose Accept fails with ENFILE while it is blocked, as if the system were out of descriptors.
 type blockedListener struct {
 	*net.TCPListener
 	blocked atomic.Bool
@@ -93,8 +93,8 @@
 	return h.TCPListener.Accept()
 }
 
-// Accepting is held up as the program gets SIGTERM. The requests of the connections in the listener's queue are answered before the listener
-// is closed.
+// The front can't accept connections when the program gets SIGTERM. The requests on connections in the listener's queue are
+// answered before the listener is closed.
 func TestStopAnswersListenerQueue(t *testing.T) {
 	p := scenario.NewProxy(t)
 	tcp, err := net.Listen("tcp", scenario.Loopback())
@@ -104,18 +104,18 @@
 	front := resp.New(ln, 100, p.Clock, p.Core)
 	go func() { _ = front.Serve() }()
 	conf := &config.Config{Settings: scenario.Settings()}
-	d := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
-	d.Attach(front, nil, nil)
-	d.SetOwner(true)
-	d.SetAccepting(true)
+	controller := control.New(control.Options{Clock: p.Clock, MaxConns: 100, AnswerWithinMs: answerWithinMs(conf), Stop: func() {}})
+	controller.Attach(front, nil, nil)
+	controller.SetOwner(true)
+	controller.SetAccepting(true)
 	c := scenario.Dial(t, front.Addr())
 	require.NoError(t, c.Send([]string{"RPC.CALL", "1", "asset", "rid=00000000000000a1,budget=2500,obj=7f3a9c21e0b4d655,nth=0,batch=17"}))
 	ended := make(chan struct{})
 	go func() {
-		shutDown(p.Clock, front, conf, func(context.Context) {}, d.Stop)
+		shutDown(p.Clock, front, conf, func(context.Context) {}, controller.Stop)
 		close(ended)
 	}()
-	for range 110 { // past the moment at which the listener is closed
+	for range 110 { // beyond the time at which the listener would be closed without a queue
 		p.Clock.Advance(10)
 		time.Sleep(200 * time.Microsecond)
 	}
@@ -126,11 +126,11 @@
 		words, err = c.TryReceive()
 		return err == nil && words != nil
 	}, time.Minute, time.Millisecond)
-	require.Equal(t, "1", words[0], "its own answer, and no end")
+	require.Equal(t, "1", words[0], "the client must get its own answer, not the close of the connection")
 	awaitEnd(t, p.Clock, ended)
 }
 
-// startServers starts a cache server, a parent and the origin, of which the proxy's core is notified.
+// startServers starts a cache server, a parent and the origin, and notifies the proxy's core of them.
 func startServers(t *testing.T, p *scenario.Proxy, options fleet.Options) *fleet.Fleet {
 	servers := fleet.New(options)
 	t.Cleanup(servers.Close)
--- a/cmd/ravenwheel/store_members_test.go
+++ b/cmd/ravenwheel/store_members_test.go
@@ -16,7 +16,7 @@
 	"ravenwheel/internal/state"
 )
 
-// Three proxies share one store: an operation at one is in force at all, survives kill -9, and is atomic.
+// Three proxies share one store: an operation at one is in force at all of them, survives SIGKILL, and is atomic.
 func TestStoreMembersShareOperations(t *testing.T) {
 	bin, dir := buildProgram(t), t.TempDir()
 	run := func(args ...string) (string, int) {
@@ -75,7 +75,7 @@
 		})
 	}
 
-	// A revision is in force everywhere; an invalid one is rejected with its line; a conflict is reported.
+	// A revision is in force at all members; an invalid one is rejected with its line; a conflict is reported.
 	rev := filepath.Join(dir, "rev.jsonc")
 	put := func(text string) { require.NoError(t, os.WriteFile(rev, []byte(text), 0o600)) }
 	put("{\"limits\": {\"requests\": 10}}\n")
@@ -104,10 +104,10 @@
 		return strings.Count(out, "\n") == 3 && strings.Contains(out, "as 1")
 	})
 
-	// A manual drain, a purge and a list at one are in force at all, also at one that was killed meanwhile.
+	// A manual drain, a purge and a list at one member are in force at all, also at one that was killed meanwhile.
 	require.NoError(t, procs["c"].Process.Signal(syscall.SIGKILL))
 	_ = procs["c"].Wait()
-	eventually("a quorum without c", func() bool { // which may have led
+	eventually("a quorum without c", func() bool { // c may have been the leader
 		_, code := run("servers", "drain", "s-00000001", "--operator", file("a"))
 		return code == 0
 	})
@@ -117,33 +117,34 @@
 	require.Equal(t, "generation 1, 4 servers\n", ok("servers", "push", next, "--operator", file("b")))
 	start("c")
 	for _, n := range names {
-		eventually("all of it at "+n, func() bool {
+		eventually("the drain, the purge and the list are in force at "+n, func() bool {
 			out, _ := run("servers", "show", "--operator", file(n))
 			var st state.Status
 			err := admin.Call("unix:"+dir+"/"+n+".sock", "/v1/state", nil, &st)
 			return strings.Contains(out, "drained by hand") && strings.Contains(out, "127.0.0.1:5") && err == nil && st.Purges == 1
 		})
 	}
-	// A directory belongs to one process: a second one fails at once.
+	// Only one process can use a state directory: a second one fails at once.
 	out, code = run("state", "compact", filepath.Join(dir, "state-a"))
 	require.Equal(t, 1, code)
 	require.Contains(t, out, "in use by another process")
-	// The leader is killed: the others go on. Restarted, it knows at once what was drained, and gets the rest.
+	// The leader is killed, and the others elect another one. Its state directory has the purge. Restarted, it receives the end of
+	// the drain.
 	lead := strings.TrimSuffix(strings.Fields(status("a")[strings.Index(status("a"), "leader ")+7:])[0], ",")
 	require.NoError(t, procs[lead].Process.Signal(syscall.SIGKILL))
 	_ = procs[lead].Wait()
-	kept := ok("state", "show", filepath.Join(dir, "state-"+lead))
-	require.Contains(t, kept, "group 17")
+	shown := ok("state", "show", filepath.Join(dir, "state-"+lead))
+	require.Contains(t, shown, "group 17")
 	other := names[0]
 	if other == lead {
 		other = names[1]
 	}
-	eventually("another leads", func() bool {
+	eventually("another member leads", func() bool {
 		_, code := run("servers", "restore", "s-00000001", "--operator", file(other))
 		return code == 0
 	})
 	start(lead)
-	eventually("given back at "+lead, func() bool {
+	eventually("the server is restored at "+lead, func() bool {
 		out, _ := run("servers", "show", "--operator", file(lead))
 		return strings.Contains(out, "127.0.0.1:2  ") && !strings.Contains(out, "drained by hand")
 	})
--- a/cmd/ravenwheel/torture_test.go
+++ b/cmd/ravenwheel/torture_test.go
@@ -32,7 +32,7 @@
 	return 6
 }
 
-// killedProxy is the program, killed and restarted under clients that never stop.
+// killedProxy is the program, which is killed and restarted while clients send requests all the time.
 type killedProxy struct {
 	t              *testing.T
 	rng            *rand.Rand
@@ -47,18 +47,19 @@
 	logs           syncedBuffer
 	generation     int
 	notifications  []fleet.Notification
-	startDurations []time.Duration // from the start to a request that can be taken
-	// listedIDs are the ids under which the boxes are listed: a box that drains is listed again under another one.
+	startDurations []time.Duration // from the start of the process until it accepts a connection
+	// listedIDs are the ids under which the caches are listed if not under their own: a draining cache is listed again under
+	// another id.
 	listedIDs map[policy.ServerID]policy.ServerID
 }
 
-// cacheCount is the number of stand-ins. Each has an id of its own, and the list may give it others.
+// cacheCount is the number of cache servers. Each has an id of its own, and the list may give it others.
 const cacheCount = 6
 
 func (x *killedProxy) entry(cache policy.ServerID) string {
 	e := entryText(cache, x.fleet.Server(cache).Addr(), `, "weight": 6`)
 	if id := x.listedIDs[cache]; id != 0 {
-		// The kind goes by the box, the id does not.
+		// The kind and zone in the entry stay those of the cache's own id.
 		e = strings.Replace(e, fmt.Sprintf("s-%08x", uint64(cache)), fmt.Sprintf("s-%08x", uint64(id)), 1)
 	}
 	return e
@@ -66,8 +67,8 @@
 
 func (x *killedProxy) currentList(caches []policy.ServerID) string {
 	var lines []string
-	for _, b := range append(slices.Clone(caches), 10, 20) {
-		lines = append(lines, x.entry(b))
+	for _, cache := range append(slices.Clone(caches), 10, 20) {
+		lines = append(lines, x.entry(cache))
 	}
 	return listText(x.generation, lines)
 }
@@ -87,7 +88,7 @@
 				return
 			}
 		}
-		require.True(x.t, time.Now().Before(end), "the program does not come up: %s", x.logs.String())
+		require.True(x.t, time.Now().Before(end), "the program is not ready within a minute: %s", x.logs.String())
 	}
 }
 
@@ -96,7 +97,7 @@
 	_ = x.cmd.Wait()
 }
 
-// replaceList renames a list into place, and returns whether the proxy was seen to use it.
+// replaceList renames a list into place, and reports whether the proxy uses it before the timeout.
 func (x *killedProxy) replaceList(caches []policy.ServerID, timeout time.Duration) bool {
 	x.generation++
 	require.NoError(x.t, os.WriteFile(x.listPath+".new", []byte(x.currentList(caches)), 0o600))
@@ -110,11 +111,11 @@
 	return false
 }
 
-// isReady reports whether a box is in use, under the id that it is listed by.
+// isReady reports whether a cache is ready under the id that it is listed by.
 func (x *killedProxy) isReady(cache policy.ServerID) bool {
 	id := cache
-	if named := x.listedIDs[cache]; named != 0 {
-		id = named
+	if listedID := x.listedIDs[cache]; listedID != 0 {
+		id = listedID
 	}
 	var s admin.ServersResponse
 	return admin.Call(x.adminAddr, "/v1/servers", nil, &s) == nil && slices.ContainsFunc(s.Servers, func(v admin.ServerStatus) bool {
@@ -122,8 +123,8 @@
 	})
 }
 
-// The program is killed at random moments under traffic, with drains and purges going on. A draining box gets no new requests, whatever id
-// it is listed by, nothing older than a purge is served, and no write runs twice.
+// The program is killed at random moments under traffic, while servers drain and objects are purged. A draining cache gets no new
+// requests, whatever id it is listed by, nothing older than a purge is served, and no write runs twice.
 func TestTortureKillsLoseNothing(t *testing.T) {
 	seed := uint64(7)
 	if s, err := strconv.ParseUint(os.Getenv("TORTURE_SEED"), 10, 64); err == nil {
@@ -177,23 +178,25 @@
 	}()
 
 	for n := range killCount() {
-		box := all[x.rng.IntN(len(all))]
-		rest := slices.DeleteFunc(slices.Clone(all), func(b policy.ServerID) bool { return b == box })
-		patience := time.Second
+		cache := all[x.rng.IntN(len(all))]
+		others := slices.DeleteFunc(slices.Clone(all), func(b policy.ServerID) bool { return b == cache })
+		timeout := time.Second
 		switch n % 3 {
-		case 0: // notified of a drain and killed, and the box is listed again while it drains
-			// One that waits for a drain to end, under the id that it was given for that, is not in use and can't drain.
-			if inUse := x.isReady(box); x.replaceList(rest, patience) && inUse {
-				// Until the drain is over. Its end is counted from the latest that it can have begun.
+		case 0: // notified of a drain and killed; the cache is listed again while it drains
+			// A cache that is listed under another id and waits for the drain of the previous id to end is not ready and can't
+			// drain.
+			if inUse := x.isReady(cache); x.replaceList(others, timeout) && inUse {
+				// The cache must get no requests until the drain is over. The drain began at the latest now; the 800 ms allow for
+				// an earlier begin.
 				now := x.clk.Now()
-				x.notifications = append(x.notifications, fleet.Notification{At: now, Drains: []policy.ServerID{box}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{box}})
+				x.notifications = append(x.notifications, fleet.Notification{At: now, Drains: []policy.ServerID{cache}}, fleet.Notification{At: now + drain - 800, Returns: []policy.ServerID{cache}})
 			}
 			time.Sleep(time.Duration(x.rng.IntN(60)) * time.Millisecond)
 			x.kill()
-			x.listedIDs[box] = policy.ServerID(100 + n)
+			x.listedIDs[cache] = policy.ServerID(100 + n)
 			x.generation++
 			require.NoError(t, os.WriteFile(x.listPath, []byte(x.currentList(all)), 0o600))
-		case 1: // notified of a purge, and killed at once
+		case 1: // notified of a purge and killed at once
 			group := x.rng.IntN(fleet.Groups)
 			object := load.Object(uint64(x.rng.IntN(5)))
 			x.fleet.Purge(object, group)
@@ -203,15 +206,15 @@
 			}
 			time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
 			x.kill()
-		case 2: // killed in the middle of whatever goes on, with the list torn or an older one in its place
+		case 2: // killed at a random moment around a purge; the list is cut short or replaced by an older one
 			go func() {
 				_ = admin.Call(x.adminAddr, "/v1/purge", admin.PurgeRequest{Object: load.Object(40)}, &map[string]float64{})
 			}()
 			time.Sleep(time.Duration(x.rng.IntN(100)) * time.Millisecond)
 			x.kill()
-			good := x.currentList(all)
+			complete := x.currentList(all)
 			if x.rng.IntN(2) == 0 {
-				require.NoError(t, os.WriteFile(x.listPath, []byte(good[:len(good)/2]), 0o600))
+				require.NoError(t, os.WriteFile(x.listPath, []byte(complete[:len(complete)/2]), 0o600))
 			} else {
 				gen := x.generation
 				x.generation = 1
@@ -227,17 +230,17 @@
 	<-stopped
 	client.WaitIdle()
 
-	// Stricter than the protocol: an attempt is written within half a second of its decision or not at all.
-	broken := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.notifications)
-	require.Empty(t, append(broken, x.fleet.DuplicateWrites()...))
-	for _, w := range client.Violations() { // a process that is killed loses what it holds, and nothing else
+	// Stricter than the protocol: an attempt must be written within 0.5 s of its decision or not at all.
+	violations := fleet.Rules{Drain: 500, Purge: 1000, Slack: 100}.Violations(x.fleet.Observations(), x.notifications)
+	require.Empty(t, append(violations, x.fleet.DuplicateWrites()...))
+	for _, w := range client.Violations() { // a killed process loses the requests that it holds, and nothing else
 		require.Contains(t, w, "lost: ", w)
 	}
-	sum := client.Results()["asset"]
-	require.Greater(t, sum.Served, sum.Requested/2, "%+v\n%s\n%v", client.Results(), x.logs.String(), client.Violations())
+	results := client.Results()["asset"]
+	require.Greater(t, results.Served, results.Requested/2, "%+v\n%s\n%v", client.Results(), x.logs.String(), client.Violations())
 	out, err := exec.Command(x.bin, "state", "verify", filepath.Join(dir, "state")).CombinedOutput()
 	require.NoError(t, err, string(out))
 	slices.Sort(x.startDurations)
-	t.Logf("up after %v (median) to %v (most); killed %d times: notified of %d changes; %d attempts seen, %d writes ran; %s",
+	t.Logf("ready after %v (median), %v (maximum); killed %d times, notified of %d changes; %d attempts observed, %d writes ran; %s",
 		x.startDurations[len(x.startDurations)/2].Round(time.Millisecond), x.startDurations[len(x.startDurations)-1].Round(time.Millisecond), killCount(), len(x.notifications), len(x.fleet.Observations()), x.fleet.WritesRun(), out)
 }
--- a/cmd/ravenwheel/wall_clock_test.go
+++ b/cmd/ravenwheel/wall_clock_test.go
@@ -20,11 +20,11 @@
 	"ravenwheel/internal/scenario"
 )
 
-// recordingCache answers for a cache server and records its requests: it rejects all while it is full.
+// recordingCache answers requests as a cache server and records them. While it is overloaded, it rejects all.
 type recordingCache struct {
 	overloaded atomic.Bool
 	mu         sync.Mutex
-	fields     map[string]string // fields by id
+	fields     map[string]string // request fields by request id
 	receivedAt map[string]time.Time
 }
 
@@ -48,10 +48,10 @@
 
 var newerField = regexp.MustCompile(`,newer=(\d+)`)
 
-// maxCopyAge is the age in ms of the oldest copy that a request accepts.
+// maxCopyAge returns the age, in ms, of the oldest copy that a request accepts.
 func maxCopyAge(t *testing.T, fields string) int64 {
 	age := newerField.FindStringSubmatch(fields)
-	require.NotNil(t, age, "no purge is applied: %s", fields)
+	require.NotNil(t, age, "no purge is applied to the request: %s", fields)
 	ms, err := strconv.ParseInt(age[1], 10, 64)
 	require.NoError(t, err)
 	return ms
@@ -67,16 +67,16 @@
 	return words[1]
 }
 
-// The machine's wall clock steps back and forward, by seconds and by an hour, just after a server was full. Requests are served as before, and
-// a purge that is notified then is applied: only copies younger than the purge are accepted.
+// The machine's wall clock steps back and forward, by seconds and by an hour, just after a server was overloaded. Requests are
+// served as before, and a purge that is notified after the step is applied: only copies younger than the purge are accepted.
 func TestWallClockStepsChangeNothing(t *testing.T) {
 	const after = 1500 * time.Millisecond
 	bin := buildOverlaid(t)
-	for _, by := range []int{-3600, 3600, -7, 7} {
-		t.Run(fmt.Sprintf("%d s", by), func(t *testing.T) {
+	for _, stepS := range []int{-3600, 3600, -7, 7} {
+		t.Run(fmt.Sprintf("%d s", stepS), func(t *testing.T) {
 			t.Parallel()
 			cache, listen := scenario.Listen(t), freeAddr(t)
-			// Its first event is the one that the configuration knows, and it says each second that it is there.
+			// The service's first event is the one that the configuration holds, and it sends a heartbeat each second.
 			service := fleet.NewDiscoveryService(clock.System(), []string{"z"}, []string{"small", "parent", "origin"}, nil)
 			listener, err := service.Open("127.0.0.1:0")
 			require.NoError(t, err)
@@ -85,13 +85,13 @@
 			go answers.serve(t, cache)
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), "LB_CONFIG="+configFile(t, listen, listener.Addr(), cache.Addr()),
-				fmt.Sprintf("%s=%d", clockStepEnv, by), fmt.Sprintf("%s=%d", clockStepAfterEnv, after.Milliseconds()))
+				fmt.Sprintf("%s=%d", clockStepEnv, stepS), fmt.Sprintf("%s=%d", clockStepAfterEnv, after.Milliseconds()))
 			logs := &strings.Builder{}
 			cmd.Stderr = logs
 			require.NoError(t, cmd.Start())
 			started := time.Now()
 			defer func() { _ = cmd.Process.Kill() }()
-			require.Eventually(t, func() bool { there, err := requestOnceHealthy(listen); return there && err == nil }, time.Minute, 5*time.Millisecond)
+			require.Eventually(t, func() bool { up, err := requestOnceHealthy(listen); return up && err == nil }, time.Minute, 5*time.Millisecond)
 			c := scenario.Dial(t, listen)
 			n := 0
 			answers.overloaded.Store(true)
@@ -101,15 +101,15 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			answers.overloaded.Store(false)
-			time.Sleep(300 * time.Millisecond) // longer than one that was full is passed over
-			refused := 0
+			time.Sleep(300 * time.Millisecond) // longer than a server gets no requests after an overload
+			rejected := 0
 			for range 200 {
 				n++
 				if requestAsset(t, c, n) != "ok" {
-					refused++
+					rejected++
 				}
 			}
-			require.Zero(t, refused, "of 200 requests after the step")
+			require.Zero(t, rejected, "rejected of 200 requests after the step")
 
 			purged := time.Now().UnixMilli()
 			service.Purge("", 17, float64(purged))
@@ -120,7 +120,7 @@
 			answers.mu.Lock()
 			fields, came := answers.fields[id], answers.receivedAt[id]
 			answers.mu.Unlock()
-			require.Greater(t, came.UnixMilli()-maxCopyAge(t, fields), purged, "a copy from before the purge would do: %s", fields)
+			require.Greater(t, came.UnixMilli()-maxCopyAge(t, fields), purged, "the request accepts a copy from before the purge: %s", fields)
 			require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, cmd.Wait(), logs.String())
 		})
