--- a/cmd/ravenwheel/ready_test.go
+++ b/cmd/ravenwheel/ready_test.go
@@ -19,16 +19,16 @@
 	"ravenwheel/internal/scenario"
 )
 
-// refusingAddr returns an address at which nobody listens.
-func refusingAddr(t *testing.T) string {
+// unusedAddr returns an address at which no process listens.
+func unusedAddr(t *testing.T) string {
 	ln := listenDiscovery(t)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// listening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is under way
-// may be reset by the kernel before the process can accept it.
-func listening(listen string) (bool, error) {
+// isListening reports whether the kernel has a listener at an IPv4 address. A connection that is opened while a listen call is
+// under way may be reset by the kernel before the process can accept it.
+func isListening(listen string) (bool, error) {
 	addr := netip.MustParseAddrPort(listen)
 	ip := addr.Addr().As4()
 	const anyPeer, stateListen = "00000000:0000", "0A"
@@ -37,9 +37,10 @@
 	return strings.Contains(string(table), entry), err
 }
 
-// servedOnceReady sends a request to a process as soon as its health check passes: it must be served. It returns whether the process was up.
-func servedOnceReady(listen string) (there bool, err error) {
-	if up, err := listening(listen); !up {
+// requestOnceHealthy sends a health check to a process that listens, and then a request, which must be served. It returns whether
+// the process accepted the connection, and an error if the health check or the request failed.
+func requestOnceHealthy(listen string) (up bool, err error) {
+	if up, err := isListening(listen); !up {
 		return false, err
 	}
 	nc, err := net.Dial("tcp", listen)
@@ -64,11 +65,11 @@
 	return true, read("BYTES")
 }
 
-// Discovery is down while all processes of a fleet are started at once, killed and restarted: each serves from its configuration, and
-// fails health checks until it can.
+// Discovery is down while all processes of a fleet are started at once, killed and restarted: each serves with the servers in its
+// configuration, and fails health checks until it can serve.
 func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	const processes = 12
-	bin, cache := build(t), scenario.Listen(t)
+	bin, cache := buildProgram(t), scenario.Listen(t)
 	go func() {
 		for t.Context().Err() == nil {
 			if words, err := cache.Receive(); err == nil && len(words) > 1 && words[0] == "fetch" {
@@ -76,15 +77,15 @@
 			}
 		}
 	}()
-	down := refusingAddr(t)
-	var all sync.WaitGroup
+	discoveryAddr := unusedAddr(t)
+	var wait sync.WaitGroup
 	for range processes {
 		listen := freeAddr(t)
-		path := configFile(t, listen, down, cache.Addr())
-		all.Add(1)
+		path := configFile(t, listen, discoveryAddr, cache.Addr())
+		wait.Add(1)
 		go func() {
-			defer all.Done()
-			for life := range 2 {
+			defer wait.Done()
+			for run := range 2 {
 				cmd := exec.Command(bin)
 				cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 				logs := &syncedBuffer{}
@@ -94,11 +95,11 @@
 					return
 				}
 				for until := time.Now().Add(time.Minute); ; time.Sleep(2 * time.Millisecond) {
-					there, err := servedOnceReady(listen)
+					up, err := requestOnceHealthy(listen)
 					if err != nil || time.Now().After(until) {
-						t.Errorf("life %d: up %v, %v; log:\n%s", life, there, err, logs.String())
+						t.Errorf("run %d: up %v, %v; log:\n%s", run, up, err, logs.String())
 					}
-					if there || t.Failed() {
+					if up || t.Failed() {
 						break
 					}
 				}
@@ -107,16 +108,16 @@
 			}
 		}()
 	}
-	all.Wait()
+	wait.Wait()
 }
 
-// Discovery is down while idle clients take all slots for clients, and more connect: a request is served, operators are answered, and
-// discovery is followed once it is back.
+// Discovery is down while idle clients take all slots for client connections, and more connect: a request is served, the console
+// answers, and discovery is followed once it listens again.
 func TestRequestIsServedWhenIdleClientsFillSlots(t *testing.T) {
 	const sockets = 96
-	bin, cache := build(t), scenario.Listen(t)
-	listen, at := freeAddr(t), refusingAddr(t)
-	path := configFile(t, listen, at, cache.Addr())
+	bin, cache := buildProgram(t), scenario.Listen(t)
+	listen, discoveryAddr := freeAddr(t), unusedAddr(t)
+	path := configFile(t, listen, discoveryAddr, cache.Addr())
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	text = bytes.ReplaceAll(text, []byte(`"sockets":1024`), fmt.Appendf(nil, `"sockets":%d`, sockets))
@@ -126,25 +127,25 @@
 	r.cmd.Stderr = r.logs
 	require.NoError(t, r.cmd.Start())
 	t.Cleanup(func() { _ = r.cmd.Process.Kill() })
-	r.ready(t)
-	idle := func(n int) {
+	r.awaitReady(t)
+	connectIdle := func(n int) {
 		for range n {
 			c := scenario.Dial(t, listen)
 			_ = c.Send([]string{"RPC.HEALTH", "1"})
-			_, _ = c.Receive() // an answer, or its end: they are more than there are places
+			_, _ = c.Receive() // an answer, or the close of the connection, as there are more clients than slots
 		}
 	}
-	idle(2 * sockets)
+	connectIdle(2 * sockets)
 	for i := range 5 {
 		scenario.Run(t, clock.System(), map[string]scenario.Actor{"c": scenario.Dial(t, listen), "s": cache}, fmt.Sprintf(`
 			c send RPC.CALL 1 asset rid=00000000000000a%d,budget=60000,obj=7f3a9c21e0b4d655,nth=0,batch=17
 			s expect fetch 00000000000000a%d lane=asset,* -
 			s send $id served why=local,version=v1 BYTES
 			c expect 1 ok - BYTES`, i, i))
-		require.Equal(t, "SUCCESS serving", r.call("STATUS"))
-		idle(10)
+		require.Equal(t, "SUCCESS serving", r.callConsole("STATUS"))
+		connectIdle(10)
 	}
-	service, err := net.Listen("tcp", at)
+	service, err := net.Listen("tcp", discoveryAddr)
 	require.NoError(t, err)
 	defer service.Close()
 	nc, err := service.Accept()
