--- a/internal/lab/capacity/cost_test.go
+++ b/internal/lab/capacity/cost_test.go
@@ -8,15 +8,15 @@
 )
 
 // requireNear compares but for the rounding of fits.
-func requireNear(t *testing.T, want, got float64, what string) {
+func requireNear(t *testing.T, want, got float64, quantity string) {
 	t.Helper()
 	if math.Abs(got-want) > 0.002*math.Abs(want) {
-		t.Errorf("%s: %v, by hand %v", what, got, want)
+		t.Errorf("%s: %v, by hand %v", quantity, got, want)
 	}
 }
 
 // Formulas give what is worked out by hand.
-func TestFormulasAgreeWithSumsByHand(t *testing.T) {
+func TestFormulasMatchHandComputedValues(t *testing.T) {
 	f := loadFleet(t)
 	load := f.OrdinaryLoad()
 	requireNear(t, 2*2500*6000/23_042.0/86_400, load.ListChangesPerS, "changes of lists")
@@ -24,8 +24,8 @@
 	requireNear(t, 87*14.6, f.purgesInEffect(load.PurgesPerS).Value, "purges that bind")
 
 	// 50 intervals of frames a second, some without a purge, and two heartbeats; 25 + 52 + 22 bytes beside the purges.
-	perS := 50*(1-math.Exp(-87/50.0)) + 2
-	requireNear(t, 87*40+perS*(25+52+22), f.followCost(DesignDistribution, load).BytesInPerS.Value, "bytes of a subscriber")
+	framesEachSecond := 50*(1-math.Exp(-87/50.0)) + 2
+	requireNear(t, 87*40+framesEachSecond*(25+52+22), f.followCost(DesignDistribution, load).BytesInPerS.Value, "bytes of a subscriber")
 	requireNear(t, f.UnitCost("raft/leader-bytes").Value+87*(52+22),
 		f.followCost(DesignCurrent, load).BytesInPerS.Value, "bytes of a follower")
 	requireNear(t, 17_004*f.UnitCost("raft/leader-bytes").Value,
@@ -33,16 +33,16 @@
 	requireNear(t, 4*f.UnitCost("raft/leader-bytes").Value,
 		f.LeaderCost(DesignDistribution, load)[0].BytesOutPerS.Value, "bytes of a leader of voters")
 
-	one := f.followCost(DesignDistribution, load).BytesInPerS.Value + f.revisionCost(load).BytesInPerS.Value +
+	bytesPerSubscriber := f.followCost(DesignDistribution, load).BytesInPerS.Value + f.revisionCost(load).BytesInPerS.Value +
 		f.listCost(DesignDistribution, load).BytesInPerS.Value
-	requireNear(t, 17_000/37.0*one, f.DistributorCost(DesignDistribution, load, 37)[1].BytesOutPerS.Value, "bytes of a distributor")
+	requireNear(t, 17_000/37.0*bytesPerSubscriber, f.DistributorCost(DesignDistribution, load, 37)[1].BytesOutPerS.Value, "bytes of a distributor")
 	requireNear(t, f.Estimate("replica/list-entry", given(6000)).Value*load.ListChangesPerS,
 		f.listCost(DesignDistribution, load).BytesInPerS.Value, "whole lists")
 
 	// At 17,000 members each starts an exchange of the whole state in 11 minutes, and answers one; beside that there are probes.
-	quiet := Load{PurgesPerS: load.PurgesPerS}
+	noStarts := Load{PurgesPerS: load.PurgesPerS}
 	requireNear(t, 2/0.7*160+2*f.Estimate("membership/whole-state", given(17_000)).Value/660,
-		f.membershipCost(DesignDistribution, quiet).BytesOutPerS.Value, "membership at rest")
+		f.membershipCost(DesignDistribution, noStarts).BytesOutPerS.Value, "membership at rest")
 	starts := Load{StartsPerS: 17_000 / 3600.0}
 	updates := 2 * starts.StartsPerS * 20 * f.UnitCost("membership/whole-state").Value
 	exchanges := 2 * 3 / 3600.0 * f.Estimate("membership/whole-state", given(17_000)).Value
@@ -51,20 +51,20 @@
 }
 
 // A longer interval gives fewer frames, and there is never more than one an interval or one a purge.
-func TestFramesAreBounded(t *testing.T) {
+func TestFrameRateIsBounded(t *testing.T) {
 	for _, purges := range []float64{0.01, 1, 87, 870, 1e6} {
-		last := math.Inf(1)
-		for _, every := range []float64{1, 20, 100, 1000} {
-			n := framesPerS(purges, assumed(every)).Value
-			require.LessOrEqual(t, n, min(purges, 1000/every)*(1+1e-9))
-			require.LessOrEqual(t, n, last)
-			last = n
+		previous := math.Inf(1)
+		for _, intervalMs := range []float64{1, 20, 100, 1000} {
+			frames := framesPerS(purges, assumed(intervalMs)).Value
+			require.LessOrEqual(t, frames, min(purges, 1000/intervalMs)*(1+1e-9))
+			require.LessOrEqual(t, frames, previous)
+			previous = frames
 		}
 	}
 }
 
 // No loss of one machine, rack, zone or region leaves the store without a quorum, or fewer distributors than regions.
-func TestOneLossLeavesAQuorum(t *testing.T) {
+func TestSingleLossKeepsQuorum(t *testing.T) {
 	f := loadFleet(t)
 	for _, loss := range f.Losses() {
 		require.Equal(t, loss.Name == "three voters", loss.VotersLeft < loss.VotersNeeded, loss.Name)
@@ -74,7 +74,7 @@
 }
 
 // Copies of the bounds of decide/storestate have their values.
-func TestBoundsAreThoseOfTheStoreState(t *testing.T) {
+func TestBoundsMatchStoreState(t *testing.T) {
 	require.Len(t, stateWithRevisions(maxRevisions+30).Revisions, maxRevisions)
 	require.Len(t, stateWithResults(maxResults+30).Results, maxResults)
 }
--- a/internal/lab/capacity/figure_test.go
+++ b/internal/lab/capacity/figure_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fixtureRecordings has one linear recording, measured at sizes from 100 to 1,000.
-func fixtureRecordings() RecordingSet {
+// linearRecording has one linear recording, measured at sizes from 100 to 1,000.
+func linearRecording() RecordingSet {
 	r := Recording{
 		Name: "x", Role: Proxy, Driver: "servers", Quantity: "memory", Unit: "bytes", Command: "c",
 		Points: []Point{{100, 1100}, {300, 3100}, {500, 5100}, {1000, 10_100}},
@@ -16,15 +16,15 @@
 }
 
 // A figure made of several has the weakest basis of them, and their largest extrapolation.
-func TestWeakestBasisIsKept(t *testing.T) {
-	b := fixtureRecordings()
-	within, beyond := b.Estimate("x", given(400)), b.Estimate("x", given(17_000))
+func TestCombinedFigureHasWeakestBasis(t *testing.T) {
+	recordings := linearRecording()
+	within, beyond := recordings.Estimate("x", given(400)), recordings.Estimate("x", given(17_000))
 	require.Equal(t, Measured, within.Basis)
 	require.InDelta(t, 4100, within.Value, 0.1)
 	require.Equal(t, Extrapolated, beyond.Basis)
 	require.InDelta(t, 17, beyond.Extrapolation, 1e-9)
-	require.Equal(t, Extrapolated, b.Estimate("x", given(10)).Basis, "below the measured sizes")
-	require.Equal(t, Assumed, b.Estimate("x", assumed(400)).Basis, "at a size that is assumed")
+	require.Equal(t, Extrapolated, recordings.Estimate("x", given(10)).Basis, "below the measured sizes")
+	require.Equal(t, Assumed, recordings.Estimate("x", assumed(400)).Basis, "at a size that is assumed")
 	for _, f := range []Figure{within.Plus(beyond), beyond.Plus(within), within.Times(beyond), within.DividedBy(beyond)} {
 		require.Equal(t, Extrapolated, f.Basis)
 		require.InDelta(t, 17, f.Extrapolation, 1e-9)
@@ -36,9 +36,9 @@
 	require.Equal(t, "170 KB a, x17", both.FormatBytes())
 	require.Equal(t, "4.1 KB m", within.FormatBytes())
 	require.Equal(t, given(5).Plus(given(0)), given(5))
-	r := b["x"]
+	r := recordings["x"]
 	r.Points[1].Measured = 3300
-	require.InDelta(t, 3300, b.Estimate("x", given(300)).Value, 0, "what was measured, and not the fit of it")
+	require.InDelta(t, 3300, recordings.Estimate("x", given(300)).Value, 0, "what was measured, and not the fit of it")
 }
 
 // Numbers have three significant digits and groups of thousands.
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -10,12 +10,12 @@
 )
 
 // noisyPoints are the values of f at four sizes, each changed by up to a fraction of it.
-func noisyPoints(f func(float64) float64, noise float64, seed uint64) (out []Point) {
+func noisyPoints(value func(float64) float64, noise float64, seed uint64) (points []Point) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for _, n := range []float64{100, 300, 1000, 3000} {
-		out = append(out, Point{n, f(n) * (1 + noise*(2*random.Float64()-1))})
+		points = append(points, Point{n, value(n) * (1 + noise*(2*random.Float64()-1))})
 	}
-	return out
+	return points
 }
 
 // At six times the measured range a wrong model is off by orders of magnitude.
@@ -79,11 +79,11 @@
 		t.Fatalf("%v, %v", recordings, err)
 	}
 	raw, _ := os.ReadFile(path)
-	other := strings.Replace(string(raw), `"slope": 70`, `"slope": 60`, 1)
-	if other == string(raw) {
+	edited := strings.Replace(string(raw), `"slope": 70`, `"slope": 60`, 1)
+	if edited == string(raw) {
 		t.Fatal("nothing was replaced")
 	}
-	if err := os.WriteFile(path, []byte(other), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(edited), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadRecordings(dir); err == nil {
@@ -92,7 +92,7 @@
 }
 
 // A recording that is not complete or cannot be fitted is not valid.
-func TestIncompleteRecordingIsNotValid(t *testing.T) {
+func TestInvalidRecordingIsRejected(t *testing.T) {
 	for name, change := range map[string]func(*Recording){
 		"no name":        func(r *Recording) { r.Name = "" },
 		"no command":     func(r *Recording) { r.Command = "" },
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -57,11 +57,11 @@
 func capitalize(text string) string { return strings.ToUpper(text[:1]) + text[1:] }
 
 // FirstDifference returns the number of the first line in which two pages differ.
-func FirstDifference(have, want []byte) (line int, differs bool) {
-	if bytes.Equal(have, want) {
+func FirstDifference(got, want []byte) (line int, differs bool) {
+	if bytes.Equal(got, want) {
 		return 0, false
 	}
-	a, b := bytes.Split(have, []byte("\n")), bytes.Split(want, []byte("\n"))
+	a, b := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for line = range min(len(a), len(b)) {
 		if !bytes.Equal(a[line], b[line]) {
 			return line + 1, true
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -22,11 +22,11 @@
 
 // The page in docs is that of the formulas and the recordings.
 func TestPageIsUpToDate(t *testing.T) {
-	have, err := os.ReadFile(capacityPage)
+	stored, err := os.ReadFile(capacityPage)
 	require.NoError(t, err)
 	want, err := Page(recordingsDir)
 	require.NoError(t, err)
-	if line, differs := FirstDifference(have, want); differs {
+	if line, differs := FirstDifference(stored, want); differs {
 		t.Errorf("docs/CAPACITY.md differs at line %d: run 'ravenlab capacity --write docs/CAPACITY.md'", line)
 	}
 }
@@ -47,7 +47,7 @@
 	require.True(t, differs)
 }
 
-func TestFirstDifferenceNamesTheLine(t *testing.T) {
+func TestFirstDifferenceReturnsLine(t *testing.T) {
 	_, differs := FirstDifference([]byte("a\nb\n"), []byte("a\nb\n"))
 	require.False(t, differs)
 	for have, want := range map[string]int{"a\nx\nc\n": 2, "a\nb\nc": 4, "a\nb\nc\nd\n": 4, "": 1} {
@@ -70,15 +70,15 @@
 	for _, d := range Designs {
 		for _, b := range f.budgets() {
 			for _, s := range f.Situations() {
-				is := b.spent(s, d)
-				if is.Value <= b.limit {
+				spent := b.spent(s, d)
+				if spent.Value <= b.limit {
 					continue
 				}
 				found := false
 				for line := range strings.Lines(first) {
-					found = found || strings.HasPrefix(line, "| "+s.Name+" |") && strings.Contains(line, formatShare(is, b.limit))
+					found = found || strings.HasPrefix(line, "| "+s.Name+" |") && strings.Contains(line, formatShare(spent, b.limit))
 				}
-				require.True(t, found, "%s, %s, %s: %s", d, b.name, s.Name, b.format(is))
+				require.True(t, found, "%s, %s, %s: %s", d, b.name, s.Name, b.format(spent))
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 }
 
 // The figures that the issue states agree with those worked out from the target.
-func TestStatedFiguresHold(t *testing.T) {
+func TestStatedFiguresMatchTarget(t *testing.T) {
 	for _, d := range OperatorTarget.Derivations() {
 		if math.Abs(d.Value-d.Stated) > 0.011*d.Stated {
 			t.Errorf("%s: %v, the issue has %v", d.Name, d.Value, d.Stated)
--- a/internal/lab/capacity/pipe_network.go
+++ b/internal/lab/capacity/pipe_network.go
@@ -35,12 +35,12 @@
 }
 
 // Dial implements raft.StreamLayer.
-func (e *pipeEnd) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	near, far := net.Pipe()
+func (e *pipeEnd) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	local, remote := net.Pipe()
 	select {
-	case e.network[to].incoming <- far:
-		return countingConn{Conn: near, read: e.read, written: e.written}, nil
-	case <-e.network[to].closed:
+	case e.network[addr].incoming <- remote:
+		return countingConn{Conn: local, read: e.read, written: e.written}, nil
+	case <-e.network[addr].closed:
 		return nil, errPipeClosed
 	case <-time.After(timeout):
 		return nil, errPipeClosed
--- a/internal/lab/capacity/proxy_cost.go
+++ b/internal/lab/capacity/proxy_cost.go
@@ -21,9 +21,9 @@
 		cost = append(cost, f.resultCost(load))
 	}
 	cost = append(cost, f.revisionCost(load), f.listCost(d, load), f.membershipCost(d, load), f.digestCost(d), probeCost())
-	live := cost.Total().MemoryBytes
+	liveHeap := cost.Total().MemoryBytes
 	return append(cost,
-		CostItem{Name: "room for the garbage collector, as much as the live heap", MemoryBytes: live.Times(assumed(1))},
+		CostItem{Name: "room for the garbage collector, as much as the live heap", MemoryBytes: liveHeap.Times(assumed(1))},
 		CostItem{Name: "the rest of the process", MemoryBytes: f.ProcessMemory})
 }
 
@@ -209,9 +209,9 @@
 	if d == DesignProposed {
 		near, far, roundsPerS = 4, 1, 0.5
 	}
-	cachesPerZone := f.Caches / f.Zones
-	changed := f.Estimate("view/digest", given(cachesPerZone).Times(f.DigestFraction)).Plus(f.ProbeBytes)
-	complete := f.Estimate("view/digest", given(cachesPerZone)).Plus(f.ProbeBytes.Scale(datagramsPerDigest))
+	zoneCaches := f.Caches / f.Zones
+	changed := f.Estimate("view/digest", given(zoneCaches).Times(f.DigestFraction)).Plus(f.ProbeBytes)
+	complete := f.Estimate("view/digest", given(zoneCaches)).Plus(f.ProbeBytes.Scale(datagramsPerDigest))
 	sent := changed.Scale(near * roundsPerS).Plus(complete.Scale(far * roundsPerS))
 	messages := assumed((near + datagramsPerDigest*far) * roundsPerS)
 	peers := given(f.Proxies/f.Zones + digestMaxAgeS*far*roundsPerS)
@@ -224,7 +224,7 @@
 		BytesOutPerS:    sent,
 		CPUMicrosPerS: f.PeersMicrosPerS.Scale(messages.Value / measuredPeerMessages).
 			Plus(f.Estimate("view/merge", peers).Scale(messages.Value)),
-		MemoryBytes: f.Estimate("view/memory", peers).Scale(cachesPerZone / serversPerDigest).Times(assumed(1)),
+		MemoryBytes: f.Estimate("view/memory", peers).Scale(zoneCaches / serversPerDigest).Times(assumed(1)),
 	}
 }
 
--- a/internal/lab/capacity/record_fleetview.go
+++ b/internal/lab/capacity/record_fleetview.go
@@ -19,8 +19,8 @@
 	serversPerDigest = 20
 	// objectsPerDigest is how many objects it has.
 	objectsPerDigest = 4
-	// zones is that of the target.
-	zones = 73
+	// targetZones is that of the target.
+	targetZones = 73
 	// unlimitedPeers replaces the view's bound on peers, which is smaller than the sizes to measure.
 	unlimitedPeers = 1 << 20
 )
@@ -34,7 +34,7 @@
 func memberName(n int) string { return fmt.Sprintf("proxy-%05d", n) }
 
 func newDigest(member, servers int, version uint64) fleetview.Digest {
-	zone := member % zones
+	zone := member % targetZones
 	d := fleetview.Digest{
 		From: memberName(member), Incarnation: 1, Version: version, Zone: zoneName(zone), Arrivals: fleetview.LevelOf(765),
 	}
@@ -191,8 +191,8 @@
 		timeout  = 10 * time.Second
 		interval = 100 * time.Microsecond
 	)
-	for end := time.Now().Add(timeout); m.NumMembers() < members; time.Sleep(interval) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(timeout); m.NumMembers() < members; time.Sleep(interval) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("the first of %d members knows %d after %s", members, m.NumMembers(), timeout)
 		}
 	}
--- a/internal/lab/capacity/record_raft.go
+++ b/internal/lab/capacity/record_raft.go
@@ -12,12 +12,12 @@
 const (
 	// raftPurgesPerS is the target's rate of purges. At this rate raft sends entries one by one.
 	raftPurgesPerS = 87
-	// raftMeasureTime is how long each size is measured.
-	raftMeasureTime = 3 * time.Second
-	// raftCatchUpTime is until all followers have the leader's configuration.
-	raftCatchUpTime = time.Second
-	raftTimeout     = 2 * time.Second
-	raftMaxPool     = 3 // connections
+	// raftMeasureDuration is how long each size is measured.
+	raftMeasureDuration = 3 * time.Second
+	// raftCatchUpWait is until all followers have the leader's configuration.
+	raftCatchUpWait    = time.Second
+	raftTimeout        = 2 * time.Second
+	raftMaxPooledConns = 3 // connections
 )
 
 // followerCounts are the sizes at which raft is measured.
@@ -52,7 +52,7 @@
 			return replicationUsage{}, err
 		}
 	}
-	time.Sleep(raftCatchUpTime)
+	time.Sleep(raftCatchUpWait)
 	return cluster.applyPurges()
 }
 
@@ -63,10 +63,10 @@
 	config := raft.DefaultConfig()
 	config.Logger, config.LocalID = hclog.NewNullLogger(), raft.ServerID(addr)
 	logs, snapshots := raft.NewInmemStore(), raft.NewInmemSnapshotStore()
-	transport := raft.NewNetworkTransport(end, raftMaxPool, raftTimeout, io.Discard)
+	transport := raft.NewNetworkTransport(end, raftMaxPooledConns, raftTimeout, io.Discard)
 	if n == 0 {
-		alone := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: addr}}}
-		if err := raft.BootstrapCluster(config, logs, logs, snapshots, transport, alone); err != nil {
+		configuration := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: addr}}}
+		if err := raft.BootstrapCluster(config, logs, logs, snapshots, transport, configuration); err != nil {
 			return err
 		}
 	}
@@ -89,12 +89,12 @@
 	}
 }
 
-// applyPurges has the leader apply purges for raftMeasureTime.
+// applyPurges has the leader apply purges for raftMeasureDuration.
 func (c *raftCluster) applyPurges() (replicationUsage, error) {
 	ticker := time.NewTicker(time.Second / raftPurgesPerS)
 	defer ticker.Stop()
 	start, written, read, cpu := time.Now(), c.leader.written.Load(), c.leader.read.Load(), cpuMicros()
-	for n := 0; time.Since(start) < raftMeasureTime; n++ {
+	for n := 0; time.Since(start) < raftMeasureDuration; n++ {
 		<-ticker.C
 		if err := c.members[0].Apply(mustEncode(purgeChange(n, objectName(n))), time.Second).Error(); err != nil {
 			return replicationUsage{}, err
--- a/internal/lab/capacity/record_test.go
+++ b/internal/lab/capacity/record_test.go
@@ -14,57 +14,57 @@
 func TestRecordedSizesAreUpToDate(t *testing.T) {
 	recordings, err := ReadRecordings(recordingsDir)
 	require.NoError(t, err)
-	journal := func(n int) float64 {
+	journalBytes := func(n int) float64 {
 		bytes, err := journalSize(n)
 		require.NoError(t, err)
 		return bytes
 	}
-	state := func(n int) float64 {
+	stateExchangeBytes := func(n int) float64 {
 		bytes, err := measureStateExchange(n)
 		require.NoError(t, err)
 		return float64(bytes)
 	}
-	digest := func(n int) float64 {
+	digestBytes := func(n int) float64 {
 		raw, err := cbor.Marshal(newDigest(1, n, 1000))
 		require.NoError(t, err)
 		return float64(len(raw))
 	}
-	for name, now := range map[string]func(n int) float64{
+	for name, measure := range map[string]func(n int) float64{
 		"replica/purge-snapshot":    func(n int) float64 { return encodedSize(stateWithPurges(n)) },
 		"replica/results-snapshot":  func(n int) float64 { return encodedSize(stateWithResults(n)) },
 		"replica/list-entry":        func(n int) float64 { return encodedSize(listChange(1, n)) },
 		"replica/revision-snapshot": func(n int) float64 { return encodedSize(stateWithRevisions(n)) },
 		"lists/board":               func(n int) float64 { return float64(len(initialEvents(n))) },
 		"tools/servers":             func(n int) float64 { return jsonSize(tableWithServers(n).Servers()) },
-		"view/digest":               digest,
-		"journal/purges":            journal,
-		"membership/whole-state":    state,
+		"view/digest":               digestBytes,
+		"journal/purges":            journalBytes,
+		"membership/whole-state":    stateExchangeBytes,
 	} {
 		r, known := recordings[name]
 		require.True(t, known, name)
 		p := r.Points[1]
-		if got := now(int(p.Driver)); math.Abs(got-p.Measured) > 0.25*p.Measured {
+		if got := measure(int(p.Driver)); math.Abs(got-p.Measured) > 0.25*p.Measured {
 			t.Errorf("%s at %v: %v now, recorded %v: run '%s'", name, p.Driver, got, p.Measured, r.Command)
 		}
 	}
 }
 
 // Recorders have different names, and each recording names the command that records it again.
-func TestRecordingsNameTheirRecorder(t *testing.T) {
+func TestRecordingsNameTheirCommand(t *testing.T) {
 	seen := map[string]bool{}
 	for _, r := range Recorders {
 		require.False(t, seen[r.Name], r.Name)
 		seen[r.Name] = true
 		f, err := ReadFile(recordingsDir + "/" + r.Name + ".json")
 		require.NoError(t, err)
-		for _, x := range f.Recordings {
-			require.Equal(t, recordCommand(r.Name), x.Command, x.Name)
+		for _, recording := range f.Recordings {
+			require.Equal(t, recordCommand(r.Name), recording.Command, recording.Name)
 		}
 	}
 }
 
 // The cost of a call is measured over several rounds of calls, which are counted from 0.
-func TestCPUCostCountsCalls(t *testing.T) {
+func TestCPUCostNumbersCallsFromZero(t *testing.T) {
 	calls := 0
 	cpuCost(func(i int) {
 		require.Equal(t, calls, i)
