--- a/internal/lab/capacity/cost.go
+++ b/internal/lab/capacity/cost.go
@@ -5,14 +5,14 @@
 
 // The designs.
 const (
-	// DesignCurrent: every process is a non-voting raft member of the store, server lists are sent whole, and membership spans
-	// all processes.
+	// DesignCurrent: every process is a non-voting raft member of the store, server lists are sent whole, and membership spans all
+	// processes.
 	DesignCurrent Design = iota
-	// DesignDistribution: purges, revisions, lists and drains come through distributors (decide/distribution), the rest as in
-	// DesignCurrent.
+	// DesignDistribution: purges, revisions, lists and drains are sent through distributors (decide/distribution), the rest is as
+	// in DesignCurrent.
 	DesignDistribution
-	// DesignProposed: DesignDistribution with what the page proposes: a frame each 100 ms, purges that do not look through all
-	// others, lists as changes within a region, and members and digests within a region.
+	// DesignProposed: DesignDistribution with the changes that the page proposes: a frame every 100 ms, purges that do not scan all
+	// other purges, lists sent as changes within a region, and members and digests within a region.
 	DesignProposed
 )
 
@@ -21,10 +21,10 @@
 // String is the name of the design on the page.
 func (d Design) String() string { return designNames[d] }
 
-// Designs are all of them.
+// Designs are all designs.
 var Designs = []Design{DesignCurrent, DesignDistribution, DesignProposed}
 
-// Load is what the whole fleet does.
+// Load is the rate of changes and of process starts in the whole fleet.
 type Load struct {
 	PurgesPerS, RevisionsPerS, ListChangesPerS, StartsPerS float64
 }
@@ -45,7 +45,7 @@
 // CostItem is the cost of one task of a role.
 type CostItem struct {
 	Name            string
-	StateBytes      Figure // encoded
+	StateBytes      Figure // size of the encoded state
 	MessagesInPerS  Figure
 	MessagesOutPerS Figure
 	BytesInPerS     Figure
@@ -54,10 +54,10 @@
 	MemoryBytes     Figure
 }
 
-// BytesPerS is the traffic of both directions.
+// BytesPerS is the traffic in both directions together.
 func (c CostItem) BytesPerS() Figure { return c.BytesInPerS.Plus(c.BytesOutPerS) }
 
-// Cost is the cost of a role.
+// Cost is the cost of a role, by task.
 type Cost []CostItem
 
 // Total is the sum of the items.
--- a/internal/lab/capacity/figure.go
+++ b/internal/lab/capacity/figure.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Basis is what a figure rests on.
+// Basis says how a figure was obtained.
 type Basis int
 
-// The bases, from the surest to the weakest. A figure made of several has the weakest of them.
+// The bases, from the strongest to the weakest. A figure computed from several figures has the weakest basis of these.
 const (
-	Given        Basis = iota // stated by the operators, or arithmetic on that
+	Given        Basis = iota // stated by the operators, or computed from such figures alone
 	Measured                  // at this size, or interpolated between measured sizes
 	Extrapolated              // beyond the measured sizes, by Figure.Extrapolation
 	Assumed                   // not measured
 )
 
-// Figure is a value with its basis. The unit is that of the place where it is used.
+// Figure is a value with its basis. The field or function that holds or returns a figure defines its unit.
 type Figure struct {
 	Value         float64
 	Basis         Basis
-	Extrapolation float64 // largest factor by which a part was extrapolated beyond the measured sizes; 0: none
+	Extrapolation float64 // largest factor by which an input was extrapolated beyond the measured sizes; 0 if none was
 }
 
-// given is a figure that the operators stated.
+// given is a figure that the operators stated, or that was computed from such figures.
 func given(v float64) Figure { return Figure{Value: v} }
 
 // assumed is a figure that was not measured.
 func assumed(v float64) Figure { return Figure{Value: v, Basis: Assumed} }
 
-// extrapolated is a figure that was measured at a size smaller by a factor.
+// extrapolated is a figure that was measured at a size that is smaller by the factor.
 func extrapolated(v, factor float64) Figure {
 	return Figure{Value: v, Basis: Extrapolated, Extrapolation: factor}
 }
@@ -67,8 +67,8 @@
 	return total
 }
 
-// Estimate is a recorded quantity at a size: as measured, or else by the recording's fit, which is 0 at the least. Beyond the
-// measured sizes it is extrapolated. It panics if there is no such recording.
+// Estimate is a recorded quantity at a size: the measured value if that size was measured, else the fitted value, but no less than
+// 0. Beyond the measured sizes it is extrapolated. Estimate panics if there is no such recording.
 func (s RecordingSet) Estimate(name string, size Figure) Figure {
 	r := s.get(name)
 	smallest, largest := r.bounds()
@@ -87,17 +87,17 @@
 	return estimate.combine(estimate.Value, size)
 }
 
-// UnitCost is what one more of the driver adds to a recorded quantity. It panics if there is no such recording, or if its fit is
-// not linear.
+// UnitCost is the amount by which a recorded quantity grows when its driver grows by one. It panics if there is no such recording,
+// or if the recording's fit is not linear.
 func (s RecordingSet) UnitCost(name string) Figure {
 	r := s.get(name)
 	if r.Model != Linear {
-		panic(fmt.Sprintf("capacity: %s is %s: it has no cost of one more", name, r.Model))
+		panic(fmt.Sprintf("capacity: recording %s has a %s fit: only a linear fit has a unit cost", name, r.Model))
 	}
 	return Figure{Value: r.Slope, Basis: Measured}
 }
 
-// get is a recording that a formula names. LoadFleet checks that all of them are there.
+// get returns a recording that a formula names. LoadFleet checks that all of these exist.
 func (s RecordingSet) get(name string) Recording {
 	r, known := s[name]
 	if !known {
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -15,25 +15,27 @@
 	Quadratic Model = "quadratic"
 )
 
-// Models are all of them, in the order of preference.
+// Models are all models, in the order of preference.
 var Models = []Model{Linear, NLogN, Quadratic}
 
 const (
-	// maxLinearResidual is the residual up to which a linear fit is taken without a look at the others. Timings differ by as much
-	// between runs, so that a steeper model that fits better would fit noise.
+	// maxLinearResidual is the largest residual at which the linear fit is accepted without trying the other models. Timings vary
+	// by this much between runs, so a steeper model that fits better would fit noise.
 	maxLinearResidual = 0.15
-	// maxResidualRatio is the part of the linear fit's largest residual that another model must stay within to be taken.
+	// maxResidualRatio bounds the largest residual of another model, as a fraction of the linear fit's, for that model to be
+	// chosen.
 	maxResidualRatio = 0.5
-	// residualFloor is the fraction of the largest measured value below which residuals are no longer relative to the point's own.
+	// residualFloor is a fraction of the recording's largest measured value. The residual of a smaller value is relative to this
+	// floor instead of the value.
 	residualFloor = 1e-4
-	// significantFigures is the precision of fixed and slope, so that a reader can check what a file holds.
+	// significantFigures is the precision of fixed and slope. It is low enough for a reader to check the figures in a file.
 	significantFigures = 6
 )
 
-// Tolerances of equal: fits that were computed on different processors differ in the last digit.
+// Tolerances of Fit.equal. Fits that were computed on different processors differ in the last digit.
 const (
 	fitTolerance      = 1e-4 // relative
-	residualTolerance = 2e-4
+	residualTolerance = 2e-4 // absolute
 )
 
 // Fit is a least-squares fit of a model.
@@ -41,10 +43,10 @@
 	Fixed     float64   `json:"fixed"`
 	Slope     float64   `json:"slope"`
 	Model     Model     `json:"model"`
-	Residuals []float64 `json:"residuals"` // (measured - fitted) / measured, by point
+	Residuals []float64 `json:"residuals"` // (measured - fitted) / measured, in the order of the points
 }
 
-// term is what a model multiplies the slope with.
+// term is the factor by which a model multiplies the slope.
 func (m Model) term(driver float64) float64 {
 	switch m {
 	case NLogN:
@@ -66,7 +68,7 @@
 	return largest
 }
 
-// FitPoints fits points: linearly, unless that fits badly and another model fits much better.
+// FitPoints returns the linear fit, unless its largest residual exceeds maxLinearResidual and another model fits much better.
 func FitPoints(points []Point) Fit {
 	linear := fitModel(Linear, points)
 	if linear.MaxResidual() <= maxLinearResidual {
@@ -82,8 +84,8 @@
 	return best
 }
 
-// fitModel is the least-squares fit of one model, weighted by the inverse square of the measured values. Unweighted, the
-// largest point would decide the fit alone, as sizes span a factor of 30.
+// fitModel is the least-squares fit of one model, weighted by the inverse square of the measured values. Without weights the
+// largest point alone would determine the fit, as sizes span a factor of 30.
 func fitModel(model Model, points []Point) Fit {
 	floor := residualFloor * maxMeasured(points)
 	var sumW, sumX, sumY, sumXX, sumXY float64
@@ -114,6 +116,7 @@
 	return largest
 }
 
+// pointWeight is the inverse square of a measured value or, if its magnitude is smaller, of the floor. It is 1 if both are 0.
 func pointWeight(measured, floor float64) float64 {
 	scale := max(math.Abs(measured), floor)
 	if scale == 0 {
@@ -122,14 +125,14 @@
 	return 1 / (scale * scale)
 }
 
-// residual is that of a point, rounded to four decimals.
+// residual is the residual of a point, rounded to four decimals.
 func (f Fit) residual(p Point, floor float64) float64 {
 	scale := max(math.Abs(p.Measured), floor)
 	if scale == 0 {
 		return 0
 	}
 	r := (p.Measured - f.At(p.Driver)) / scale
-	return math.Round(r*1e4)/1e4 + 0 // + 0 makes a 0 of -0
+	return math.Round(r*1e4)/1e4 + 0 // + 0 turns -0 into 0
 }
 
 func roundSignificant(v float64) float64 {
@@ -143,7 +146,7 @@
 	return math.Round(v*scale) / scale
 }
 
-// equal reports whether two fits are the same but for rounding.
+// equal reports whether two fits differ by rounding only.
 func (f Fit) equal(other Fit) bool {
 	return f.Model == other.Model && nearlyEqual(f.Fixed, other.Fixed) && nearlyEqual(f.Slope, other.Slope) &&
 		slices.EqualFunc(f.Residuals, other.Residuals, func(a, b float64) bool { return math.Abs(a-b) <= residualTolerance })
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -5,21 +5,21 @@
 	"fmt"
 )
 
-// Fleet is what the formulas work from.
+// Fleet holds the inputs of the formulas: the operators' target, assumptions and recordings.
 type Fleet struct {
 	Target
 	Assumptions
 	RecordingSet
 }
 
-// voters is the number of the store's voting members, which have machines of their own. The other control machines are
+// voters is the number of the store's voting members. Each runs on a control machine of its own; the other control machines are
 // distributors.
 const voters = 5
 
 // Distributors is the number of control machines that are distributors.
 func (f Fleet) Distributors() float64 { return f.ControlMachines - voters }
 
-// requiredRecordings are those that formulas name.
+// requiredRecordings are the names of the recordings that formulas use.
 var requiredRecordings = []string{
 	"policy/memory", "policy/change", "policy/purge-memory", "policy/purge", "ledger/memory", "ledger/change", "ledger/list",
 	"replica/purge-memory", "replica/purge-snapshot", "replica/purge-apply", "replica/purge-entry", "replica/results-memory",
@@ -29,8 +29,8 @@
 	"lists/board", "tools/servers", "tools/members",
 }
 
-// LoadFleet reads the recordings of a directory for the operators' target. The error joins what is wrong with recordings, or one for
-// each that is missing.
+// LoadFleet returns the fleet of the operators' target with the recordings of a directory. The error joins the faults of all
+// recordings or, if these have none, an error for each required recording that is missing.
 func LoadFleet(dir string) (Fleet, error) {
 	recordings, err := ReadRecordings(dir)
 	if err != nil {
--- a/internal/lab/capacity/format.go
+++ b/internal/lab/capacity/format.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// significantDigits is how many digits of a number a page shows.
+// significantDigits is the number of significant digits that the page shows.
 const significantDigits = 3
 
-// microsPerCore is the CPU time of a core in a second.
+// microsPerCore is the CPU time of a core in a second, in µs.
 const microsPerCore = 1e6
 
-// String is the value with its basis.
+// String formats the value with its basis.
 func (f Figure) String() string { return f.withBasis(formatNumber(f.Value)) }
 
-// withBasis appends the basis to a formatted value: m for measured, x and the factor for extrapolated, a for assumed, and
-// nothing for given.
+// withBasis appends the basis to a formatted value: m for measured, x and the factor for extrapolated, a for assumed, and nothing
+// for given.
 func (f Figure) withBasis(text string) string {
 	switch f.Basis {
 	case Measured:
@@ -42,7 +42,7 @@
 	return f.withBasis(formatScaled(f.Value, " B/s", " KB/s", " MB/s", " GB/s", " TB/s"))
 }
 
-// FormatCPU formats µs of CPU time a second in cores, or in percent of one.
+// FormatCPU formats µs of CPU time a second, in cores from one core on, else in percent of a core.
 func (f Figure) FormatCPU() string {
 	if f.Value >= microsPerCore {
 		return f.withBasis(formatNumber(f.Value/microsPerCore) + " cores")
@@ -56,7 +56,7 @@
 // FormatMicroseconds formats a time in µs.
 func (f Figure) FormatMicroseconds() string { return f.withBasis(formatNumber(f.Value) + " us") }
 
-// FormatMilliseconds formats a time in ms. From 1 ms it is rounded to whole ones.
+// FormatMilliseconds formats a time in ms, from 1 ms on rounded to whole milliseconds.
 func (f Figure) FormatMilliseconds() string {
 	if f.Value < 1 {
 		return f.withBasis(formatNumber(f.Value) + " ms")
@@ -64,7 +64,7 @@
 	return f.withBasis(formatNumber(math.Round(f.Value)) + " ms")
 }
 
-// formatPerS formats a rate of things.
+// formatPerS formats a number of events a second.
 func (f Figure) formatPerS() string { return f.withBasis(formatNumber(f.Value) + "/s") }
 
 // formatCount formats a whole number.
@@ -105,7 +105,7 @@
 	return text
 }
 
-// formatFactor formats how many times one value is another.
+// formatFactor formats the ratio of two values.
 func formatFactor(v float64) string {
 	switch {
 	case v < 2:
@@ -119,7 +119,7 @@
 // formatSignificant formats a number of any size with four significant digits.
 func formatSignificant(v float64) string { return fmt.Sprintf("%.4g", v) }
 
-// formatShare formats the part of a budget that is spent, in bold if that is more than all of it.
+// formatShare formats the fraction of a budget that is spent, in bold if the budget is exceeded.
 func formatShare(spent Figure, budget float64) string {
 	part := spent.Scale(1 / budget)
 	if part.Value > 1 {
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -15,15 +15,15 @@
 var defaultSizes = []int{100, 300, 1000, 3000, 10_000}
 
 const (
-	// cpuRounds is the number of rounds of which cpuCost takes the median.
+	// cpuRounds is the number of rounds over which cpuCost takes the median.
 	cpuRounds = 5
-	// minRoundMicros is the least CPU time of a round in µs.
+	// minRoundMicros is the minimum CPU time of a round in µs.
 	minRoundMicros = 40_000
-	// maxCallsPerRound bounds a round of calls that take almost no time.
+	// maxCallsPerRound limits the calls in a round, for calls that take almost no time.
 	maxCallsPerRound = 1 << 24
 )
 
-// measureSizes measures at each size.
+// measureSizes calls measure for each size and returns the rounded results.
 func measureSizes(sizes []int, measure func(n int) float64) (points []Point) {
 	for _, n := range sizes {
 		points = append(points, Point{float64(n), roundSignificant(measure(n))})
@@ -31,14 +31,14 @@
 	return points
 }
 
-// measureHeap measures the heap of what build returns, at each of the default sizes.
+// measureHeap measures the heap that the results of build keep alive, at each of the default sizes.
 func measureHeap[T any](build func(n int) T) []Point {
 	return measureSizes(defaultSizes, func(n int) float64 {
 		return heapBytes(func() any { return build(n) })
 	})
 }
 
-// heapBytes is the heap in bytes that a value keeps alive.
+// heapBytes is the heap in bytes that the result of build keeps alive.
 func heapBytes(build func() any) float64 {
 	before := heapInUse()
 	value := build()
@@ -47,7 +47,7 @@
 	return float64(after) - float64(before)
 }
 
-// heapInUse is the heap in bytes after two collections. The second one frees what the first one finalised.
+// heapInUse is the heap in bytes after two garbage collections. The second one frees objects whose finalizers ran after the first.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -56,17 +56,17 @@
 	return stats.HeapAlloc
 }
 
-// cpuMicros is the CPU time in µs that this process has used. It includes garbage collection, and not the time spent waiting for
-// a busy machine.
+// cpuMicros is the CPU time in µs that this process has used. It includes garbage collection and excludes the time in which other
+// processes used the processor.
 func cpuMicros() float64 {
 	var usage unix.Rusage
-	_ = unix.Getrusage(unix.RUSAGE_SELF, &usage) // fails for other arguments only
+	_ = unix.Getrusage(unix.RUSAGE_SELF, &usage) // fails for invalid arguments only
 	return timevalMicros(usage.Utime) + timevalMicros(usage.Stime)
 }
 
 func timevalMicros(t unix.Timeval) float64 { return float64(t.Sec)*1e6 + float64(t.Usec) }
 
-// cpuCost is the CPU time of a call in µs: the median of some rounds of calls. The argument counts the calls.
+// cpuCost is the CPU time of a call in µs: the median of cpuRounds rounds of calls. The calls are numbered from 0.
 func cpuCost(call func(i int)) float64 {
 	i, callsPerRound := 0, 1
 	round := func() float64 {
@@ -88,10 +88,10 @@
 	return costs[len(costs)/2]
 }
 
-// encodedSize is the bytes of a change or a state of the store.
+// encodedSize is the size in bytes of an encoded change or state of the store.
 func encodedSize(v any) float64 { return float64(len(mustEncode(v))) }
 
-// mustEncode encodes a change or a state of the store that was generated here.
+// mustEncode encodes a generated change or state of the store.
 func mustEncode(v any) []byte {
 	raw, err := storestate.Encode(v)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return change
 }
 
-// jsonSize is the bytes of a value that was generated here as JSON.
+// jsonSize is the size in bytes of a generated value as JSON.
 func jsonSize(v any) float64 {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/lab/capacity/pipe_network.go
+++ b/internal/lab/capacity/pipe_network.go
@@ -9,20 +9,20 @@
 	"github.com/hashicorp/raft"
 )
 
-// errPipeClosed means that the other end does not accept connections.
-var errPipeClosed = errors.New("capacity: the pipe's end is closed")
+// errPipeClosed means that the other end is closed, or accepted no connection within the timeout.
+var errPipeClosed = errors.New("capacity: pipe end is closed or accepted no connection in time")
 
-// pipeNetwork connects raft members in memory.
+// pipeNetwork connects raft members in memory. It holds each member's end by address.
 type pipeNetwork map[raft.ServerAddress]*pipeEnd
 
-// pipeEnd is a raft.StreamLayer of one member.
+// pipeEnd is the raft.StreamLayer of one member.
 type pipeEnd struct {
 	network  pipeNetwork
 	addr     raft.ServerAddress
 	incoming chan net.Conn
 	closed   chan struct{}
 	written  *atomic.Int64 // bytes on the connections that this end dialled
-	read     *atomic.Int64 // bytes on these
+	read     *atomic.Int64 // bytes on the connections that this end dialled
 }
 
 func (p pipeNetwork) add(addr raft.ServerAddress) *pipeEnd {
--- a/internal/lab/capacity/record_fleetview.go
+++ b/internal/lab/capacity/record_fleetview.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// serversPerDigest is how many servers a generated digest has: those of its site, and those of its zone with most requests.
+	// serversPerDigest is the number of servers in a generated digest: those of the sender's site, and those with the most requests
+	// in its zone.
 	serversPerDigest = 20
-	// objectsPerDigest is how many objects it has.
+	// objectsPerDigest is the number of objects in a generated digest.
 	objectsPerDigest = 4
-	// targetZones is that of the target.
+	// targetZones is the target's number of zones.
 	targetZones = 73
-	// unlimitedPeers replaces the view's bound on peers, which is smaller than the sizes to measure.
+	// unlimitedPeers replaces the view's limit on peers, which is smaller than the sizes to measure.
 	unlimitedPeers = 1 << 20
 )
 
@@ -50,7 +51,7 @@
 	return d
 }
 
-// viewWithPeers has the digests of so many members.
+// viewWithPeers is a view with the digests of that many members.
 func viewWithPeers(members int) *fleetview.View {
 	settings := fleetview.DefaultSettings()
 	settings.MaxPeers = unlimitedPeers
@@ -61,13 +62,13 @@
 	return v
 }
 
-// mergeCost is the CPU time in µs of merging a digest into a view of so many members.
+// mergeCost is the CPU time in µs of merging a digest into a view of that many members.
 func mergeCost(members int) float64 {
 	v := viewWithPeers(members)
 	return cpuCost(func(i int) { v.Merge(2, newDigest(i%members, serversPerDigest, uint64(i+2))) })
 }
 
-// digestSize is the bytes of an encoded digest.
+// digestSize is the size in bytes of an encoded digest of that many servers.
 func digestSize(servers int) float64 {
 	raw, err := cbor.Marshal(newDigest(1, servers, 1000))
 	if err != nil {
@@ -109,7 +110,7 @@
 	}, nil
 }
 
-// countingTransport counts the bytes read from the streams that it opened.
+// countingTransport counts the bytes that it reads from streams that it opened.
 type countingTransport struct {
 	*memberlist.MockTransport
 	read atomic.Int64
@@ -129,7 +130,7 @@
 
 // NodeMeta implements memberlist.Delegate.
 func (memberMeta) NodeMeta(int) []byte {
-	raw, _ := cbor.Marshal([]string{"zone-17", "region-08"}) // strings can be encoded
+	raw, _ := cbor.Marshal([]string{"zone-17", "region-08"}) // encoding strings cannot fail
 	return raw
 }
 
@@ -145,7 +146,7 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (memberMeta) MergeRemoteState([]byte, bool) {}
 
-// newMember starts a member that sends nothing on its own.
+// newMember starts a member that sends nothing unless it joins or is asked: probes, gossip and state exchanges are off.
 func newMember(name string, transport memberlist.Transport) (*memberlist.Memberlist, error) {
 	config := memberlist.DefaultLANConfig()
 	config.Name, config.Transport, config.Delegate = name, transport, memberMeta{}
@@ -154,13 +155,13 @@
 	return memberlist.Create(config)
 }
 
-// measureStateExchange is how many bytes a member receives that joins so many others, from the one that it asks.
+// measureStateExchange returns how many bytes a member that joins that many others receives from the member that it contacts.
 func measureStateExchange(members int) (bytes int64, err error) {
 	network := &memberlist.MockNetwork{}
 	var all []*memberlist.Memberlist
 	defer func() {
 		for _, m := range all {
-			_ = m.Shutdown() // nothing is left to send
+			_ = m.Shutdown() // the measurement is complete
 		}
 	}()
 	for n := range members + 1 {
@@ -184,8 +185,8 @@
 	return bytes, nil
 }
 
-// awaitMembers waits until a member knows so many. It answers one that joins before it merges that one's state, so that the next
-// one might receive less than all.
+// awaitMembers waits until m knows that many members. m answers a joining member before it merges that member's state, so without
+// the wait the next member to join might receive an incomplete state.
 func awaitMembers(m *memberlist.Memberlist, members int) error {
 	const (
 		timeout  = 10 * time.Second
--- a/internal/lab/capacity/record_journal.go
+++ b/internal/lab/capacity/record_journal.go
@@ -9,10 +9,10 @@
 	"ravenwheel/internal/journal/vfs"
 )
 
-// journalSizes are the numbers of purges at which the journal is measured. Each of these is synced on its own.
+// journalSizes are the numbers of purges at which the journal is measured. Each purge is synced separately.
 var journalSizes = []int{100, 300, 1000, 3000}
 
-// discardTarget is the target of a journal that is not read.
+// discardTarget ignores what a journal restores, as the journal is measured and not read.
 type discardTarget struct{}
 
 // Restore implements journal.Target.
@@ -26,7 +26,7 @@
 	return recovery.Event{At: at, Purge: &recovery.Purge{Object: objectName(n), IssuedAt: at, NotifiedAt: at}}
 }
 
-// journalSize is the bytes of a journal of so many purges.
+// journalSize is the size in bytes of a journal of that many purges.
 func journalSize(purges int) (float64, error) {
 	const dir = "state"
 	disk := vfs.NewSim(1 << 30)
@@ -57,7 +57,7 @@
 	return float64(total), nil
 }
 
-// recoveryState is the state that a journal of so many purges restores.
+// recoveryState is the state that a journal of that many purges restores.
 func recoveryState(purges int) *recovery.State {
 	s := recovery.NewState()
 	for n := range purges {
@@ -66,7 +66,7 @@
 	return s
 }
 
-// journalPurgeCost is the CPU time in µs of encoding and applying a purge.
+// journalPurgeCost is the CPU time in µs of encoding a purge and applying it to a recovery state with that many purges.
 func journalPurgeCost(purges int) float64 {
 	s := recoveryState(purges)
 	return cpuCost(func(i int) {
--- a/internal/lab/capacity/record_lists.go
+++ b/internal/lab/capacity/record_lists.go
@@ -15,7 +15,7 @@
 
 func zoneName(n int) string { return fmt.Sprintf("zone-%02d", n) }
 
-// zoneNames are those of the zones of so many servers.
+// zoneNames are the names of the zones of that many generated servers.
 func zoneNames(servers int) []string {
 	var names []string
 	for n := range servers/cachesPerZone + 1 {
@@ -24,7 +24,7 @@
 	return names
 }
 
-// initialEvents are what the discovery service sends to a process that starts.
+// initialEvents are the encoded events that the discovery service sends to a process when it starts.
 func initialEvents(servers int) []byte {
 	list := make([]membership.Member, servers)
 	for n, entry := range serverEntries(servers) {
@@ -33,7 +33,7 @@
 	return fleet.NewDiscoveryService(clock.System(), zoneNames(servers), serverKinds, list).InitialEvents()
 }
 
-// initialEventsCost is the CPU time in µs of decoding them.
+// initialEventsCost is the CPU time in µs of decoding the initial events.
 func initialEventsCost(servers int) float64 {
 	raw, names := initialEvents(servers), discoveryclient.Names{Zones: zoneNames(servers), Kinds: serverKinds}
 	return cpuCost(func(int) {
@@ -43,12 +43,12 @@
 	})
 }
 
-// listFileSize is the bytes of a server list file.
+// listFileSize is the size in bytes of a server list file.
 func listFileSize(servers int) float64 {
 	return float64(len(serverlist.Format(&serverlist.List{Generation: 1, Servers: newStoreList(servers).Servers})))
 }
 
-// peerTableSize is the bytes of a process's table of members as JSON.
+// peerTableSize is the size in bytes of a process's table of members as JSON.
 func peerTableSize(members int) float64 {
 	peers := make([]fleetview.Peer, members)
 	for i := range peers {
--- a/internal/lab/capacity/record_membership.go
+++ b/internal/lab/capacity/record_membership.go
@@ -6,14 +6,14 @@
 	"ravenwheel/internal/decide/membership"
 )
 
-// serverPort is that of generated servers.
+// serverPort is the port of all generated servers.
 const serverPort = 4100
 
 func serverHost(n int) string { return fmt.Sprintf("10.%d.%d.%d", n>>16, n>>8&255, n&255) }
 
 func serverAddr(n int) string { return fmt.Sprintf("%s:%d", serverHost(n), serverPort) }
 
-// serverEntries are the generated servers as a source lists them.
+// serverEntries are generated servers as entries of a server list.
 func serverEntries(servers int) []membership.Entry {
 	list := make([]membership.Entry, servers)
 	for n := range list {
@@ -31,7 +31,7 @@
 	return table
 }
 
-// tableDeltaCost is the membership table's CPU time in µs of a change of one server.
+// tableDeltaCost is the membership table's CPU time in µs for a delta that changes one server.
 func tableDeltaCost(servers int) float64 {
 	table, list := tableWithServers(servers), serverEntries(servers)
 	return cpuCost(func(i int) {
@@ -41,7 +41,7 @@
 	})
 }
 
-// tableSnapshotCost is the membership table's CPU time in µs of a list in which one server has changed.
+// tableSnapshotCost is the membership table's CPU time in µs for a complete list in which one server has changed.
 func tableSnapshotCost(servers int) float64 {
 	table, list := tableWithServers(servers), serverEntries(servers)
 	return cpuCost(func(i int) {
--- a/internal/lab/capacity/record_policy.go
+++ b/internal/lab/capacity/record_policy.go
@@ -7,7 +7,7 @@
 	"ravenwheel/policy"
 )
 
-// cachesPerZone is that of the target. Generated server lists have zones of this size.
+// cachesPerZone is the target's number of caches in a zone. Zones in generated server lists have this many servers.
 const cachesPerZone = 82
 
 // serverAt is the n-th generated server.
@@ -15,10 +15,10 @@
 	return policy.Member{ID: policy.ServerID(n + 1), Zone: n / cachesPerZone, Cell: n % 7, Weight: 4}
 }
 
-// changedServer is the index of the server that the i-th change concerns, spread over a list of n.
+// changedServer is the index of the server that the i-th change concerns. Successive changes are spread over a list of n servers.
 func changedServer(i, n int) int { return i * 37 % n }
 
-// objectName is a generated name of the assumed length.
+// objectName is the name of the n-th generated object, nameBytes long.
 func objectName(n int) string { return fmt.Sprintf("%0*x", nameBytes, n) }
 
 func newRouter() *policy.Router {
@@ -49,7 +49,7 @@
 	return r
 }
 
-// serverChangeCost is the policy module's CPU time in µs of a change of one server.
+// serverChangeCost is the policy module's CPU time in µs for a change of one server.
 func serverChangeCost(servers int) float64 {
 	r := routerWithServers(servers)
 	return cpuCost(func(i int) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// routerPurgeCost is the policy module's CPU time in µs of a purge.
+// routerPurgeCost is the policy module's CPU time in µs for a purge.
 func routerPurgeCost(purges int) float64 {
 	r := routerWithPurges(purges)
 	return cpuCost(func(i int) {
--- a/internal/lab/capacity/record_raft.go
+++ b/internal/lab/capacity/record_raft.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// raftPurgesPerS is the target's rate of purges. At this rate raft sends entries one by one.
+	// raftPurgesPerS is the target's rate of purges. At this rate raft sends entries individually.
 	raftPurgesPerS = 87
-	// raftMeasureDuration is how long each size is measured.
+	// raftMeasureDuration is how long each number of followers is measured.
 	raftMeasureDuration = 3 * time.Second
-	// raftCatchUpWait is until all followers have the leader's configuration.
+	// raftCatchUpWait is the wait before the measurement, in which all followers receive the leader's configuration.
 	raftCatchUpWait    = time.Second
 	raftTimeout        = 2 * time.Second
-	raftMaxPooledConns = 3 // connections
+	raftMaxPooledConns = 3 // per member
 )
 
-// followerCounts are the sizes at which raft is measured.
+// followerCounts are the numbers of followers at which raft is measured.
 var followerCounts = []int{1, 2, maxMeasuredFollowers / 2, maxMeasuredFollowers}
 
-// discardFSM is a state machine without state. The cost of the state is recorded by itself.
+// discardFSM is a state machine without state. The cost of the store's state is recorded separately.
 type discardFSM struct{ raft.FSM }
 
 // Apply implements raft.FSM.
 func (discardFSM) Apply(*raft.Log) any { return nil }
 
-// replicationUsage is what a leader and its followers use.
+// replicationUsage is the traffic and CPU time that a leader and its followers use.
 type replicationUsage struct {
 	leaderBytesPerS   float64 // written by the leader
 	followerBytesPerS float64 // read by the leader
-	cpuMicrosPerS     float64 // of all together
+	cpuMicrosPerS     float64 // of the leader and all followers together
 }
 
 // raftCluster is a leader and its followers in this process.
@@ -43,7 +43,7 @@
 	leader  *pipeEnd
 }
 
-// measureReplication measures a leader of so many followers at the target's rate of purges.
+// measureReplication measures a leader with that many followers at the target's rate of purges.
 func measureReplication(followers int) (replicationUsage, error) {
 	cluster := &raftCluster{network: pipeNetwork{}}
 	defer cluster.shutdown()
@@ -85,11 +85,11 @@
 
 func (c *raftCluster) shutdown() {
 	for _, member := range c.members {
-		_ = member.Shutdown().Error() // what was measured is unaffected
+		_ = member.Shutdown().Error() // an error does not affect the measurement
 	}
 }
 
-// applyPurges has the leader apply purges for raftMeasureDuration.
+// applyPurges applies purges on the leader for raftMeasureDuration and returns the usage in this time.
 func (c *raftCluster) applyPurges() (replicationUsage, error) {
 	ticker := time.NewTicker(time.Second / raftPurgesPerS)
 	defer ticker.Stop()
--- a/internal/lab/capacity/record_storestate.go
+++ b/internal/lab/capacity/record_storestate.go
@@ -8,22 +8,22 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// generatedAt is the Unix time in ms of generated changes.
+// generatedAt is the Unix time in ms at which generated changes are proposed.
 const generatedAt = 1.8e12
 
 // purgeLifetimeMs keeps generated purges in effect for as long as a recording takes.
 const purgeLifetimeMs = 1e9
 
-// encodedChanges is how many changes applyCost encodes in advance.
+// encodedChanges is the number of changes that applyCost encodes before it measures.
 const encodedChanges = 64
 
-// Sizes at which parts of the state are measured that are few or short.
+// Sizes that are smaller than defaultSizes, for parts of the state that are short or few.
 var (
-	nameSizes     = []int{10, 30, 100, 300} // bytes
-	revisionSizes = []int{3, 10, 30, 100}   // revisions
+	nameSizes     = []int{10, 30, 100, 300} // bytes of an object's name
+	revisionSizes = []int{3, 10, 30, 100}   // number of revisions
 )
 
-// changeID is an id as long as those of the store.
+// changeID is an id of the same length as the store's ids.
 func changeID(n int) string { return fmt.Sprintf("%032x", n) }
 
 // purgeChange is a purge as the store proposes it.
@@ -35,7 +35,7 @@
 	}
 }
 
-// listChange is a server list in which one server differs from the generation before.
+// listChange sets a server list in which one server differs from the previous generation.
 func listChange(generation, servers int) storestate.Change {
 	list := newStoreList(servers)
 	list.Generation = uint64(generation)
@@ -55,7 +55,7 @@
 	return list
 }
 
-// stateWithPurges holds so many purges. They have no ids, so that no results are kept for them.
+// stateWithPurges holds that many purges. The changes have no ids, so the state stores no results for them.
 func stateWithPurges(purges int) *storestate.State {
 	s := storestate.New()
 	for n := range purges {
@@ -66,7 +66,7 @@
 	return s
 }
 
-// stateWithResults holds the results of so many changes, and nothing else.
+// stateWithResults holds the results of that many changes, and nothing else.
 func stateWithResults(changes int) *storestate.State {
 	s := storestate.New()
 	for n := range changes {
@@ -75,7 +75,7 @@
 	return s
 }
 
-// stateWithList holds a list of so many servers.
+// stateWithList holds a list of that many servers.
 func stateWithList(servers int) *storestate.State {
 	s := storestate.New()
 	change := listChange(1, servers)
@@ -84,7 +84,7 @@
 	return s
 }
 
-// stateWithRevisions holds so many revisions of revisionBytes, as far as the state retains them.
+// stateWithRevisions applies that many revisions of revisionBytes each. The state retains the latest maxRevisions.
 func stateWithRevisions(revisions int) *storestate.State {
 	s := storestate.New()
 	for n := range revisions {
@@ -94,7 +94,7 @@
 	return s
 }
 
-// applyCost is the CPU time in µs of decoding a purge and applying it to a state with so many.
+// applyCost is the CPU time in µs of decoding a purge and applying it to a state with that many purges.
 func applyCost(purges int) float64 {
 	s := stateWithPurges(purges)
 	var encoded [][]byte
@@ -103,7 +103,7 @@
 	}
 	return cpuCost(func(i int) {
 		change := mustDecodeChange(encoded[i%len(encoded)])
-		change.ID = "" // a change with an id is applied once only
+		change.ID = "" // a change with an id is applied only once
 		s.Apply(change)
 	})
 }
@@ -120,13 +120,13 @@
 	})
 }
 
-// snapshotWriteCost is the CPU time in µs of encoding a state.
+// snapshotWriteCost is the CPU time in µs of encoding a state with that many purges.
 func snapshotWriteCost(purges int) float64 {
 	s := stateWithPurges(purges)
 	return cpuCost(func(int) { encodedSize(s) })
 }
 
-// snapshotReadCost is the CPU time in µs of decoding a state.
+// snapshotReadCost is the CPU time in µs of decoding a state with that many purges.
 func snapshotReadCost(purges int) float64 {
 	encoded := mustEncode(stateWithPurges(purges))
 	return cpuCost(func(int) {
@@ -136,12 +136,12 @@
 	})
 }
 
-// stateRecording is a recording of the store's state.
+// stateRecording is a recording of the store's state. Its name begins with "replica/".
 func stateRecording(name, driver, quantity, unit string, points []Point) Recording {
 	return Recording{Name: "replica/" + name, Role: Voter, Driver: driver, Quantity: quantity, Unit: unit, Points: points}
 }
 
-// measureSnapshot measures the encoded states that build returns.
+// measureSnapshot measures the encoded size of the states that build returns.
 func measureSnapshot(sizes []int, build func(n int) *storestate.State) []Point {
 	return measureSizes(sizes, func(n int) float64 { return encodedSize(build(n)) })
 }
--- a/internal/lab/capacity/recorder.go
+++ b/internal/lab/capacity/recorder.go
@@ -10,11 +10,12 @@
 // Recorder measures the recordings of one file.
 type Recorder struct {
 	Name    string // of the file, without .json
-	About   string
+	About   string // what is measured, in one sentence
 	Measure func() ([]Recording, error)
 }
 
-// Recorders are all of them. Each takes some seconds, runs in this process and opens no socket.
+// Recorders are all recorders. Each takes some seconds, runs in this process and opens no socket. Files and recordings are stored
+// under these names, in which "ledger" is decide/membership and "replica" is decide/storestate.
 var Recorders = []Recorder{
 	{"policy", "The module alone: its memory, and the processor that one change or purge takes.", recordPolicy},
 	{"ledger", "The ledger of servers (decide/membership) alone, told by one source.", recordMembership},
@@ -28,11 +29,11 @@
 // recordCommand is the command that runs a recorder.
 func recordCommand(name string) string { return "ravenlab capacity record " + name }
 
-// Record runs a recorder, writes its file into a directory, and returns the file with its fits.
+// Record runs a recorder, writes its file into a directory, and returns the file with the fits.
 func (r Recorder) Record(dir, machine string) (File, error) {
 	recordings, err := r.Measure()
 	if err != nil {
-		return File{}, fmt.Errorf("recording %s: %w", r.Name, err)
+		return File{}, fmt.Errorf("running recorder %s: %w", r.Name, err)
 	}
 	for i := range recordings {
 		recordings[i].Command = recordCommand(r.Name)
@@ -47,7 +48,7 @@
 	return ReadFile(path)
 }
 
-// Machine describes this machine as far as it matters to timings.
+// Machine describes what affects timings on this machine.
 func Machine() string {
 	return fmt.Sprintf("%s/%s, %d cores of which %d were used, %s; the machine was shared with other work", runtime.GOOS, runtime.GOARCH,
 		runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.Version())
--- a/internal/lab/capacity/recording.go
+++ b/internal/lab/capacity/recording.go
@@ -1,10 +1,10 @@
-// Package capacity works out what the fleet costs at a size that cannot be run here: from recordings of costs at several sizes, a
-// least-squares fit of each, and formulas for each role. The result is the page docs/CAPACITY.md. Every figure says whether it
-// was measured, extrapolated (and how far beyond the measurements) or assumed.
+// Package capacity computes what control traffic costs in a fleet that is too large to run here: from recordings of costs at
+// several sizes, a least-squares fit of each recording, and formulas for each role. The result is the page docs/CAPACITY.md. Every
+// figure says whether it was measured, extrapolated (and how far beyond the measurements) or assumed.
 //
-// Formulas and page are pure. Only the recorders in record_*.go run code, in this process and without sockets. The tests in this
-// package compare fits with generated data, formulas with sums worked out by hand, and the page with the recordings in
-// docs/measurements/capacity.
+// The formulas and the page are pure functions. Only the recorders in record_*.go run code of other packages, in this process and
+// without sockets. The tests in this package compare fits with generated data, formulas with values computed by hand, and the page
+// with the recordings in docs/measurements/capacity.
 package capacity
 
 import (
@@ -14,7 +14,7 @@
 	"slices"
 )
 
-// Role is who bears a cost.
+// Role is the kind of process that bears a cost.
 type Role string
 
 // The roles.
@@ -28,36 +28,36 @@
 	Tools       Role = "operators' tools"
 )
 
-// Roles are all of them, in the order of the page.
+// Roles are all roles, in the order of the page.
 var Roles = []Role{Proxy, Voter, Distributor, Membership, Prober, ListSource, Tools}
 
-// Point is what was measured at one size.
+// Point is the value that was measured at one size of the driver.
 type Point struct {
-	Driver   float64 `json:"driver"`
+	Driver   float64 `json:"driver"` // the size
 	Measured float64 `json:"measured"`
 }
 
 // Recording is one quantity, measured at several sizes of its driver, with the fit of the points.
 type Recording struct {
-	Name     string  `json:"name"` // unique over all files; formulas refer to it
+	Name     string  `json:"name"` // unique among all files; formulas refer to a recording by name
 	Role     Role    `json:"role"`
-	Driver   string  `json:"driver"`   // what sizes count, e.g. "purges"
+	Driver   string  `json:"driver"`   // what is counted as the size, e.g. "purges"
 	Quantity string  `json:"quantity"` // what was measured, e.g. "snapshot"
 	Unit     string  `json:"unit"`     // of the measured values, e.g. "bytes"
-	Command  string  `json:"command"`  // that records it again
+	Command  string  `json:"command"`  // that makes this recording again
 	Note     string  `json:"note,omitempty"`
 	Points   []Point `json:"points"`
 	Fit
 }
 
 const (
-	// minPoints is the least number of sizes in a recording. Fewer say nothing about growth.
+	// minPoints is the minimum number of points in a recording. Fewer do not show how the quantity grows.
 	minPoints = 4
-	// minSpan is the least factor between the largest and the smallest size. A note may explain a smaller one.
+	// minSpan is the minimum ratio of the largest size to the smallest. A smaller ratio needs a note that explains it.
 	minSpan = 10.0
 )
 
-// Span is the largest size by the smallest.
+// Span is the ratio of the largest size to the smallest.
 func (r Recording) Span() float64 {
 	smallest, largest := r.bounds()
 	return largest / smallest
@@ -84,33 +84,33 @@
 	return &RecordingError{Name: r.Name, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Valid returns a *RecordingError if a recording is not complete, or says too little to be fitted.
+// Valid returns a *RecordingError if a recording is incomplete, or has too few points or too small a span for a fit.
 func (r Recording) Valid() error {
 	switch {
 	case r.Name == "" || r.Driver == "" || r.Quantity == "" || r.Unit == "" || r.Command == "":
-		return r.errorf("name, driver, quantity, unit and command are all needed")
+		return r.errorf("name, driver, quantity, unit and command must all be set")
 	case !slices.Contains(Roles, r.Role):
-		return r.errorf("no role %q", r.Role)
+		return r.errorf("unknown role %q", r.Role)
 	case len(r.Points) < minPoints:
-		return r.errorf("%d points, %d are needed", len(r.Points), minPoints)
+		return r.errorf("%d points, at least %d are required", len(r.Points), minPoints)
 	case slices.ContainsFunc(r.Points, Point.invalid):
-		return r.errorf("a point that is no number, or of no size")
+		return r.errorf("every point needs a size that is positive and finite, and a measured value that is finite")
 	}
 	if !slices.IsSortedFunc(r.Points, func(a, b Point) int { return cmp.Compare(a.Driver, b.Driver) }) {
-		return r.errorf("its points are not in order")
+		return r.errorf("points are not sorted by size")
 	}
 	if r.Span() < minSpan && r.Note == "" {
-		return r.errorf("sizes within a factor of %.3g, and no note that says why", r.Span())
+		return r.errorf("the largest size is only %.3g times the smallest, and no note explains it", r.Span())
 	}
 	return nil
 }
 
-// invalid reports whether a point is no pair of a size above 0 and a finite number.
+// invalid reports whether the size is not positive and finite, or the measured value is not finite.
 func (p Point) invalid() bool {
 	return !(p.Driver > 0) || math.IsInf(p.Driver, 0) || math.IsNaN(p.Measured) || math.IsInf(p.Measured, 0)
 }
 
-// Fitted is the recording with the fit of its points.
+// Fitted returns a copy of the recording with the fit of its points.
 func (r Recording) Fitted() Recording {
 	r.Fit = FitPoints(r.Points)
 	return r
--- a/internal/lab/capacity/recording_file.go
+++ b/internal/lab/capacity/recording_file.go
@@ -12,12 +12,12 @@
 
 // File is a file of recordings, docs/measurements/capacity/NAME.json.
 type File struct {
-	About      string      `json:"about"` // what was run, in a sentence
+	About      string      `json:"about"` // what was measured, in one sentence
 	Machine    string      `json:"machine"`
 	Recordings []Recording `json:"recordings"`
 }
 
-// Save fits the recordings of a file and writes it. It returns a *RecordingError if one of them is not valid.
+// Save fits the recordings of a file and writes the file. It returns a *RecordingError if one of the recordings is invalid.
 func Save(path string, f File) error {
 	f.Recordings = slices.Clone(f.Recordings)
 	for i, r := range f.Recordings {
@@ -36,7 +36,7 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// ReadFile reads a file without a check of its recordings.
+// ReadFile reads a file without validating its recordings.
 func ReadFile(path string) (f File, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,11 +50,11 @@
 	return f, nil
 }
 
-// RecordingSet is recordings by name.
+// RecordingSet holds recordings by name.
 type RecordingSet map[string]Recording
 
-// ReadRecordings reads all files of a directory. The error joins a *RecordingError for each recording that is not valid, occurs
-// twice, or has a fit that is not that of its points.
+// ReadRecordings reads all files of a directory. The error joins a *RecordingError for each recording that is invalid, has the name
+// of another one, or holds a fit that differs from the fit of its points.
 func ReadRecordings(dir string) (RecordingSet, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -79,10 +79,10 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if _, duplicate := s[r.Name]; duplicate {
-		return fmt.Errorf("%s: %w", path, r.errorf("occurs twice"))
+		return fmt.Errorf("%s: %w", path, r.errorf("another recording has this name"))
 	}
 	if !r.equal(FitPoints(r.Points)) {
-		return fmt.Errorf("%s: %w", path, r.errorf("its fit is not that of its points: run 'ravenlab capacity fit %s'", path))
+		return fmt.Errorf("%s: %w", path, r.errorf("the stored fit differs from the fit of the points: run 'ravenlab capacity fit %s'", path))
 	}
 	s[r.Name] = r
 	return nil
--- a/internal/lab/capacity/target.go
+++ b/internal/lab/capacity/target.go
@@ -2,32 +2,32 @@
 
 import "strings"
 
-// Target is the size of the fleet that the operators expect within two years, and what they allow control traffic to cost.
+// Target is the size of the fleet that the operators expect within two years, and the budgets that they set for control traffic.
 type Target struct {
 	Proxies, Sites, Caches, Regions, Zones float64
 	RequestsPerS, BitsPerS, Objects        float64
 
 	PurgesPerS     float64
-	PurgeWithinMs  float64 // until a purge is done everywhere
+	PurgeWithinMs  float64 // until a purge is applied everywhere
 	ConfigPerDay   float64 // changes of lists and of the configuration
-	ConfigWithinMs float64 // until such a change is in force everywhere
+	ConfigWithinMs float64 // until such a change is applied everywhere
 
 	// Budgets of a proxy.
 	ProxyCores       float64
 	ProxyMemoryBytes float64
 	ProxyBytesPerS   float64
 
-	ControlMachines    float64 // set aside for control
+	ControlMachines    float64 // reserved for voting store members and distributors
 	FailuresPerDay     float64 // of machines
 	ReplacementsPerDay float64 // of machines
 
-	// Situations to get through.
-	BurstFactor     float64 // of purges
+	// Situations in which the budgets must hold.
+	BurstFactor     float64 // rate of purges in a burst, as a multiple of PurgesPerS
 	RestartsPerHour float64 // of proxies
-	PartitionMs     float64 // between two regions
+	PartitionMs     float64 // for which two regions cannot reach each other
 }
 
-// OperatorTarget is what the operators stated.
+// OperatorTarget holds the figures that the operators stated.
 var OperatorTarget = Target{
 	Proxies: 17_000, Sites: 890, Caches: 6000, Regions: 32, Zones: 73,
 	RequestsPerS: 13e6, BitsPerS: 28e12, Objects: 30e9,
@@ -43,16 +43,16 @@
 	Name    string
 	Formula string
 	Value   float64
-	Stated  float64 // in the issue that asked for the page
+	Stated  float64 // by the operators, in the issue that requested the page
 	Unit    string
 }
 
-// format formats a value with the unit.
+// format formats a value with the derivation's unit.
 func (d Derivation) format(v float64) string {
 	return strings.TrimSpace(formatNumber(v) + " " + d.Unit)
 }
 
-// Derivations are the figures that the issue states, worked out from the target.
+// Derivations are the figures that the issue states, computed from the target.
 func (t Target) Derivations() []Derivation {
 	return []Derivation{
 		{"proxies a site", "17,000 / 890", t.Proxies / t.Sites, 19, ""},
