--- a/internal/lab/capacity/assumptions.go
+++ b/internal/lab/capacity/assumptions.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Assumption is an assumed figure as the page lists it.
+// Assumption is an assumed figure, as a row of the page's table.
 type Assumption struct {
 	Name   string
 	Figure Figure
@@ -8,7 +8,7 @@
 	Reason string
 }
 
-// nameBytes and revisionBytes are the assumed sizes of an object's name and of a revision. Recordings use the same.
+// nameBytes and revisionBytes are the assumed sizes of an object's name and of a revision. The recorders use the same sizes.
 const (
 	nameBytes     = 32
 	revisionBytes = 4096
@@ -16,37 +16,37 @@
 
 // Assumptions are the figures that formulas need and that were not measured at the target's size.
 type Assumptions struct {
-	RegionLatencyMs Figure // one way between regions
-	ZoneLatencyMs   Figure // one way within a region
-	SyncMs          Figure // of a write to disk
+	RegionLatencyMs Figure // one-way latency between regions
+	ZoneLatencyMs   Figure // one-way latency within a region
+	SyncMs          Figure // of a synced write to disk
 
 	PacketHeaderBytes Figure // of TCP/IP
 	RecordHeaderBytes Figure // of TLS
-	EntryBytes        Figure // of a purge in the distribution's encoding
-	FrameBytes        Figure // of a frame there, beside its entries
+	EntryBytes        Figure // of a purge as decide/distribution encodes it
+	FrameBytes        Figure // of a frame as decide/distribution encodes it, without its entries
 
-	FrameIntervalMs         Figure
-	ProposedFrameIntervalMs Figure
-	SendMicros              Figure // of a frame
-	ReceiveMicros           Figure // of a frame
+	FrameIntervalMs         Figure // in DesignDistribution
+	ProposedFrameIntervalMs Figure // in DesignProposed
+	SendMicros              Figure // CPU time of sending a frame
+	ReceiveMicros           Figure // CPU time of receiving a frame
 
 	ConnectionMemory Figure // bytes
-	MemberMemory     Figure // bytes of a member in membership
+	MemberMemory     Figure // bytes that a process uses for each known member
 	ProbeBytes       Figure // of a probe or its response
-	PeersMicrosPerS  Figure // of sending and receiving digests
-	ProcessMemory    Figure // bytes of a proxy without what the formulas count
-	DigestFraction   Figure // of its servers that a process includes in a digest
+	PeersMicrosPerS  Figure // CPU time of sending and receiving digests
+	ProcessMemory    Figure // bytes of a proxy, without the parts that the formulas count
+	DigestFraction   Figure // fraction of a process's servers that a digest includes
 
-	// Of a control machine.
+	// Resources of a control machine.
 	MachineCores     Figure
-	MachineBytesPerS Figure // of its network
+	MachineBytesPerS Figure // capacity of its network link
 	MachineMemory    Figure // bytes
 
-	PurgeDurationMs Figure // in which caches drop purged copies
-	PurgeGraceMs    Figure // by which caches may be notified late
+	PurgeDurationMs Figure // time within which caches drop purged copies
+	PurgeGraceMs    Figure // maximum delay of a cache's notification
 }
 
-// DefaultAssumptions are those of the page.
+// DefaultAssumptions are the assumptions of the page.
 var DefaultAssumptions = Assumptions{
 	RegionLatencyMs: assumed(75), ZoneLatencyMs: assumed(5), SyncMs: assumed(5),
 	PacketHeaderBytes: assumed(52), RecordHeaderBytes: assumed(22),
--- a/internal/lab/capacity/findings.go
+++ b/internal/lab/capacity/findings.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Finding is a figure that exceeds a budget or a bound, as the page shows it.
+// Finding is a figure that exceeds a budget or a bound, as a row of the page's first table.
 type Finding struct {
 	Subject string
 	Value   string
 	Limit   string
-	Ratio   float64 // of value and limit
-	Remedy  string  // empty: none is known
+	Ratio   float64 // value divided by limit
+	Remedy  string  // empty if none is known
 }
 
-// findings collects what exceeds a limit.
+// findings collects the figures that exceed a limit.
 type findings []Finding
 
 // add adds a finding if a figure exceeds its limit.
@@ -22,7 +22,7 @@
 	*f = append(*f, Finding{subject, format(value), format(given(limit)), value.Value / limit, remedy})
 }
 
-// Remedies that several findings have in common.
+// Remedies that several findings share.
 const (
 	remedyDistributors = "distributors in between (built here)"
 	remedyPurge        = "a purge that does not scan all others (decide/storestate, built here)"
@@ -30,15 +30,15 @@
 		"a shorter FailoverSpread and SilenceTimeout, or two subscriptions a process"
 )
 
-// byteRemedies are what reduces the bytes of a proxy, by design.
+// byteRemedies are the remedies for a proxy's traffic and memory, by design.
 var byteRemedies = [...]string{
 	DesignCurrent:      "distributors in place of raft to every process (built here)",
 	DesignDistribution: "members and digests of one region, lists as changes (missing)",
 	DesignProposed:     "none here for a minute's burst: 870 purges a second are 34.8 KB/s by themselves",
 }
 
-// Findings are all that exceeds a limit, in the order of the page: a proxy's budgets, those of control machines, the times of
-// propagation, and bounds of the program.
+// Findings are all figures that exceed a limit, in the order of the page: a proxy's budgets, those of control machines, the times
+// of propagation, and bounds of the program.
 func (f Fleet) Findings() []Finding {
 	var found findings
 	f.addProxyFindings(&found)
@@ -57,7 +57,7 @@
 	remedy func(Design) string
 }
 
-// budgets are those of a proxy.
+// budgets are the budgets of a proxy.
 func (f Fleet) budgets() []budget {
 	byteRemedy := func(d Design) string { return byteRemedies[d] }
 	return []budget{
@@ -71,7 +71,7 @@
 	}
 }
 
-// worstSituation is the one in which a design spends most of a budget.
+// worstSituation is the situation in which a design spends the most of a budget.
 func (b budget) worstSituation(situations []Situation, d Design) Situation {
 	worst := situations[0]
 	for _, s := range situations {
@@ -97,7 +97,7 @@
 	}
 }
 
-// largestItem names the item of a proxy's cost with most bytes.
+// largestItem names the item of a proxy's cost with the most traffic.
 func (f Fleet) largestItem(d Design, load Load) string {
 	largest := CostItem{}
 	for _, item := range f.ProxyCost(d, load) {
@@ -108,8 +108,9 @@
 	return "most of it: " + largest.Name
 }
 
-// addMachineFindings checks the control machines, in an ordinary minute and in a burst of purges, and what would need more of
-// them.
+// addMachineFindings checks the load of the control machines in an ordinary minute and in a burst of purges. It also checks whole
+// lists that one leader sends to every process, a proxy that is a distributor, a tool's requests to every proxy, and two
+// distributors in each region.
 func (f Fleet) addMachineFindings(found *findings) {
 	cpu, network := f.MachineCores.Value*microsPerCore, f.MachineBytesPerS.Value
 	addMachine := func(subject string, spent CostItem, remedy string) {
@@ -136,7 +137,7 @@
 		formatCount, "none: 27 of 32 regions have one, whose processes move out of the region when it is lost")
 }
 
-// addPathFindings checks the times of propagation, without a fault and with each.
+// addPathFindings checks the propagation times, without a fault and with each fault.
 func (f Fleet) addPathFindings(found *findings) {
 	for _, path := range f.Paths() {
 		found.add(path.Name, path.Total(), path.WithinMs, Figure.FormatMilliseconds, "")
@@ -147,7 +148,7 @@
 	}
 }
 
-// addBoundFindings checks bounds of the program.
+// addBoundFindings checks figures against fixed bounds of the program.
 func (f Fleet) addBoundFindings(found *findings) {
 	ordinary, burst := f.OrdinaryLoad(), f.Situations()[1].Load
 	found.add("members that a process can receive from (peers.maxSenders): others are dropped", given(f.Proxies), maxSenders,
--- a/internal/lab/capacity/losses.go
+++ b/internal/lab/capacity/losses.go
@@ -1,22 +1,22 @@
 package capacity
 
-// Loss is what remains of the control machines after some are lost.
+// Loss describes which control machines and functions remain after a loss.
 type Loss struct {
 	Name                  string
 	VotersLeft            int
 	VotersNeeded          int // for a quorum
 	DistributorsLeft      float64
-	ProxiesPerDistributor Figure // mean of those that are left
+	ProxiesPerDistributor Figure // mean over the remaining distributors
 	Unserved              string // processes without a distributor in their region
 	Commits               string // whether the store commits
 	Delivers              string // where changes are delivered
 	MayBeLostNext         string
 }
 
-// votersNeeded is a quorum of the store.
+// votersNeeded is the size of a quorum of the store.
 const votersNeeded = voters/2 + 1
 
-// Texts that several losses have in common.
+// Texts that several losses share.
 const (
 	everywhere      = "everywhere"
 	afterMove       = "everywhere, after the failover"
@@ -27,8 +27,9 @@
 	commitsAsBefore = "yes"
 )
 
-// Losses are those of machines, zones and regions. Voters stand in five regions and no two control machines in one zone. Each region
-// has a distributor; the other five stand in a second zone of the five largest regions.
+// Losses are losses of machines, zones, regions and connections. The voters are in five different regions, and no two control
+// machines are in the same zone. Each region has a distributor; the other five distributors are in a second zone of the five
+// largest regions.
 func (f Fleet) Losses() []Loss {
 	return []Loss{
 		f.loss("none", 0, 0, unservedNone, commitsAsBefore, everywhere, "two voters; any distributor"),
@@ -46,7 +47,7 @@
 	}
 }
 
-// loss is one of so many voters and distributors.
+// loss is the loss of that many voters and distributors.
 func (f Fleet) loss(name string, lostVoters, lostDistributors int, unserved, commits, delivers, mayBeLostNext string) Loss {
 	left := f.Distributors() - float64(lostDistributors)
 	return Loss{
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -53,10 +53,10 @@
 // tableEnd ends a table.
 func (p *pageWriter) tableEnd() { p.line("") }
 
-// capitalize makes the first letter of a heading upper case.
+// capitalize converts the first letter of a heading to upper case.
 func capitalize(text string) string { return strings.ToUpper(text[:1]) + text[1:] }
 
-// FirstDifference returns the number of the first line in which two pages differ.
+// FirstDifference returns the number, from 1, of the first line in which two pages differ, and whether they differ.
 func FirstDifference(got, want []byte) (line int, differs bool) {
 	if bytes.Equal(got, want) {
 		return 0, false
--- a/internal/lab/capacity/page_sections.go
+++ b/internal/lab/capacity/page_sections.go
@@ -23,7 +23,7 @@
 	p.line("a region, and digests each 2 s to four processes of the zone and one elsewhere.\n")
 }
 
-// findings comes first, so that nothing that exceeds a limit is overlooked.
+// findings is the first section after the introduction, so that no reader overlooks an exceeded limit.
 func (p *pageWriter) findings() {
 	p.line("## Over budget\n")
 	p.tableHead("what", "value", "limit", "times", "remedy")
@@ -71,7 +71,7 @@
 	p.trafficSummary()
 }
 
-// trafficSummary compares the directions of the traffic, and an hour with a burst.
+// trafficSummary writes the larger direction of the traffic for each design, and the mean of an hour that includes a burst.
 func (p *pageWriter) trafficSummary() {
 	var larger []string
 	for _, d := range Designs {
@@ -98,7 +98,7 @@
 	p.tableEnd()
 }
 
-// machineRow is the row of a situation in the table of control machines.
+// machineRow writes the row of a situation in the table of control machines.
 func (p *pageWriter) machineRow(s Situation) {
 	cpu, network, memory := p.MachineCores.Value*microsPerCore, p.MachineBytesPerS.Value, p.MachineMemory.Value
 	current := p.LeaderCost(DesignCurrent, s.Load).Total()
@@ -181,7 +181,7 @@
 	p.tableEnd()
 }
 
-// formatRemaining formats what is left of a limit in ms, in bold if it is exceeded.
+// formatRemaining formats the remainder of a limit in ms, in bold if the limit is exceeded.
 func formatRemaining(total Figure, limit float64) string {
 	text := total.withBasis(formatNumber(math.Round(limit-total.Value)) + " ms")
 	if total.Value > limit {
--- a/internal/lab/capacity/paths.go
+++ b/internal/lab/capacity/paths.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Hop is a part of the path of a change.
+// Hop is one step of a path or of the handling of a fault.
 type Hop struct {
 	Name     string
 	Duration Figure // ms
 }
 
-// hops is consecutive parts of a path.
+// hops are consecutive steps.
 type hops []Hop
 
-// total is the duration of all of them in ms.
+// total is the duration of all hops in ms.
 func (h hops) total() (total Figure) {
 	for _, hop := range h {
 		total = total.Plus(hop.Duration)
@@ -19,7 +19,7 @@
 	return total
 }
 
-// Fault is what may delay a change, with what it adds at worst.
+// Fault is a failure that may delay a change, with the steps that it adds in the worst case.
 type Fault struct {
 	Name string
 	Hops []Hop
@@ -28,10 +28,10 @@
 // Total is the delay in ms.
 func (f Fault) Total() Figure { return hops(f.Hops).total() }
 
-// Path is the path of a change from its author to the last process that applies it.
+// Path is the way of a change from its author to the last process that applies it.
 type Path struct {
 	Name     string
-	WithinMs float64 // that the operators allow
+	WithinMs float64 // the operators' limit
 	Hops     []Hop
 	Faults   []Fault
 }
@@ -39,7 +39,8 @@
 // Total is the duration in ms without a fault.
 func (p Path) Total() Figure { return hops(p.Hops).total() }
 
-// Timeouts of the program in ms, at their largest where they are drawn: raft draws between once and twice the configured value.
+// Timeouts of the program in ms. Those that are drawn at random have their largest value: raft draws from once to twice the
+// configured value.
 const (
 	raftCommitMs           = 100 // until a follower learns of a commit
 	raftHeartbeatTimeoutMs = 2000
@@ -52,17 +53,18 @@
 
 // Durations in ms that were not measured.
 const (
-	distributorQueueMs = 5  // that a frame waits at a distributor
+	distributorQueueMs = 5  // time for which a frame waits at a distributor
 	revisionApplyMs    = 50 // checking and applying a revision
 )
 
-// Rates at which a distributor admits subscribers.
+// The rate at which a distributor admits subscribers, and how many it admits at once. Copied from distribution.DefaultSettings
+// (AdmitBurst, AdmitPerSecond).
 const (
 	admitBurst = 50
 	admitPerS  = 50
 )
 
-// Paths are those of a purge, a revision and a server list in DesignDistribution.
+// Paths are the paths of a purge, a revision and a server list in DesignDistribution.
 func (f Fleet) Paths() []Path {
 	propagation, faults := f.propagationHops(), f.pathFaults()
 	revision := slices.Concat(propagation, hops{{"validated and applied", assumed(revisionApplyMs)}})
@@ -74,7 +76,7 @@
 	}
 }
 
-// propagationHops are those of an entry from its author to the last process.
+// propagationHops are the hops of an entry from its author to the last process.
 func (f Fleet) propagationHops() hops {
 	region, zone := f.RegionLatencyMs, f.ZoneLatencyMs
 	return hops{
@@ -91,7 +93,7 @@
 	}
 }
 
-// listHops are those that a server list adds.
+// listHops are the hops that a server list takes after propagationHops.
 func (f Fleet) listHops() hops {
 	servers := given(f.Caches)
 	subscribers := f.subscribersPerDistributor(f.Distributors() - 1)
@@ -126,14 +128,14 @@
 	}
 }
 
-// applyMs is the time in ms in which a process applies a purge, with those of an ordinary day in effect.
+// applyMs is the time in ms in which a process applies a purge while the purges of an ordinary day are in effect.
 func (f Fleet) applyMs() Figure {
 	load := f.OrdinaryLoad()
 	return f.purgeCost(DesignDistribution, load).CPUMicrosPerS.Scale(1 / load.PurgesPerS / 1000)
 }
 
-// FailoverDistributors is how many distributors must take the subscribers of a lost one, for all to be admitted within
-// FailoverSpread.
+// FailoverDistributors is the number of distributors over which the subscribers of a lost distributor must be spread, for all to be
+// admitted within FailoverSpread.
 func (f Fleet) FailoverDistributors() Figure {
 	return f.subscribersPerDistributor(f.Distributors()).Scale(1 / (admitBurst + admitPerS*failoverSpreadMs/1000.0))
 }
--- a/internal/lab/capacity/proxy_cost.go
+++ b/internal/lab/capacity/proxy_cost.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// minMeasuredPurges is the least number of purges at which recordings measured the cost of one.
+// minMeasuredPurges is the smallest number of purges in effect at which recordings measured the cost of a purge.
 const minMeasuredPurges = 100
 
-// Sizes in bytes beside the recorded ones.
+// Assumed sizes in bytes, in addition to the recorded sizes.
 const (
-	revisionHeaderBytes   = 200 // of a revision, beside its text
-	listChangeHeaderBytes = 100 // of a change of a list, beside the server
+	revisionHeaderBytes   = 200 // of a revision without its text
+	listChangeHeaderBytes = 100 // of a change of a list without the server
 )
 
 // measuredPeerMessages is the number of messages a second at which PeersMicrosPerS was measured.
@@ -27,7 +27,7 @@
 		CostItem{Name: "the rest of the process", MemoryBytes: f.ProcessMemory})
 }
 
-// followCost is the cost of receiving entries: by raft in DesignCurrent, and else from a distributor.
+// followCost is the cost of receiving entries: by raft in DesignCurrent, from a distributor in the other designs.
 func (f Fleet) followCost(d Design, load Load) CostItem {
 	switch d {
 	case DesignCurrent:
@@ -38,7 +38,7 @@
 	return f.subscriberCost(load, f.FrameIntervalMs)
 }
 
-// raftFollowerCost is that of a raft follower. It is taken to use half of the CPU time that a leader and a follower use together.
+// raftFollowerCost is the cost of a raft follower. The CPU time is assumed to be half of what a leader and a follower use together.
 func (f Fleet) raftFollowerCost(load Load) CostItem {
 	rate := load.PurgesPerS / raftPurgesPerS
 	messages := given(load.PurgesPerS)
@@ -56,9 +56,9 @@
 	}
 }
 
-// subscriberCost is that of a distributor's subscriber, with frames sent at an interval in ms. Every second packet is acknowledged.
+// subscriberCost is the cost of a distributor's subscriber. frameInterval is in ms. Every second packet is acknowledged.
 func (f Fleet) subscriberCost(load Load, frameInterval Figure) CostItem {
-	heartbeats := assumed(2) // a second, of two streams
+	heartbeats := assumed(2) // a second, on two streams together
 	frames := framesPerS(load.PurgesPerS, frameInterval).Plus(heartbeats)
 	acknowledged := frames.Scale(0.5)
 	frameBytes := sum(f.FrameBytes, f.PacketHeaderBytes, f.RecordHeaderBytes)
@@ -73,20 +73,20 @@
 	}
 }
 
-// framesPerS is how many frames with purges are sent a second, if one is sent in each interval of so many ms in which there was a
-// purge.
+// framesPerS is the number of frames with purges that are sent a second, if a frame is sent for each interval (in ms) in which
+// there was at least one purge.
 func framesPerS(purgesPerS float64, interval Figure) Figure {
 	rate := 1000 / interval.Value
 	return interval.combine(rate*(1-math.Exp(-purgesPerS/rate)), interval)
 }
 
-// purgesInEffect is how many purges are in effect at a rate.
+// purgesInEffect is the number of purges that are in effect at a time, at a rate of purges.
 func (a Assumptions) purgesInEffect(purgesPerS float64) Figure {
 	return a.PurgeDurationMs.Scale(2).Plus(a.PurgeGraceMs).Scale(purgesPerS / 1000)
 }
 
-// purgeCost is that of the purges in effect, in the store's state, the policy module and the journal. In DesignProposed applying one
-// costs what it costs with few others.
+// purgeCost is the cost of applying purges and keeping those in effect, in the store's state, the policy module and the journal. In
+// DesignProposed applying a purge costs as much as with minMeasuredPurges in effect.
 func (f Fleet) purgeCost(d Design, load Load) CostItem {
 	purges := f.purgesInEffect(load.PurgesPerS)
 	scanned := purges
@@ -103,7 +103,7 @@
 	}
 }
 
-// resultCost is that of the results of changes, which the store keeps to recognise a change that is proposed again.
+// resultCost is the cost of the results of changes, which the store keeps to recognise a change that is proposed again.
 func (f Fleet) resultCost(load Load) CostItem {
 	results := given(min(maxResults, resultRetentionS*(load.PurgesPerS+load.RevisionsPerS+load.ListChangesPerS)))
 	return CostItem{
@@ -124,7 +124,8 @@
 	}
 }
 
-// listServers is the number of servers in the lists of a process.
+// listServers is the number of servers in a process's lists: all caches, or in DesignProposed the mean number of caches in a
+// region.
 func (f Fleet) listServers(d Design) Figure {
 	if d == DesignProposed {
 		return given(f.Caches / f.Regions)
@@ -132,7 +133,7 @@
 	return given(f.Caches)
 }
 
-// listCost is that of server lists. A change of one server sends the whole list, but in DesignProposed only the server.
+// listCost is the cost of server lists. For a change of one server the whole list is sent, in DesignProposed only that server.
 func (f Fleet) listCost(d Design, load Load) CostItem {
 	servers := f.listServers(d)
 	item := CostItem{
@@ -164,12 +165,13 @@
 	return f.Proxies
 }
 
-// gossipRepeats is how often each member passes an update on.
+// gossipRepeats is the number of times that each member sends an update.
 func gossipRepeats(members float64) float64 {
 	return gossipMultiplier * math.Ceil(math.Log10(members+1))
 }
 
-// departureBytesPerS is what a member sends and receives when so many others leave at once, over a minute.
+// departureBytesPerS is the mean rate, over a minute, at which a member sends and receives updates when that many others leave at
+// once.
 func (f Fleet) departureBytesPerS(d Design, departed float64) Figure {
 	updates := 2 * departed * gossipRepeats(f.memberCount(d)) / secondsPerMinute
 	return f.UnitCost("membership/whole-state").Scale(updates).Times(assumed(1))
@@ -181,7 +183,8 @@
 	return 60 * (math.Ceil(math.Log2(members)-5) + 1)
 }
 
-// membershipCost is that of SWIM: probes, updates and exchanges of the whole state. A member that starts asks others for that.
+// membershipCost is the cost of SWIM: probes, updates and exchanges of the whole state. A member that starts requests the whole
+// state stateRequestsPerStart times.
 func (f Fleet) membershipCost(d Design, load Load) CostItem {
 	members := f.memberCount(d)
 	stateBytes, memberBytes := f.Estimate("membership/whole-state", given(members)), f.UnitCost("membership/whole-state")
@@ -202,8 +205,8 @@
 	}
 }
 
-// digestCost is that of digests and the fleet view. Digests to processes nearby say what has changed of a zone's caches, those to
-// distant ones are complete.
+// digestCost is the cost of digests and the fleet view. Digests to processes of the same zone hold the changes of the zone's
+// caches; digests to other processes are complete.
 func (f Fleet) digestCost(d Design) CostItem {
 	near, far, roundsPerS := nearDigestsPerS, farDigestsPerS, 1.0
 	if d == DesignProposed {
@@ -228,5 +231,5 @@
 	}
 }
 
-// probeCost is nothing: a proxy probes a cache that it considers down with a client's request. ProberCost is that of probers.
+// probeCost is zero: a proxy probes a cache that it considers down with a client's request. ProberCost is the cost of probers.
 func probeCost() CostItem { return CostItem{Name: "probes of caches: none of its own"} }
--- a/internal/lab/capacity/role_costs.go
+++ b/internal/lab/capacity/role_costs.go
@@ -3,23 +3,23 @@
 const (
 	// maxMeasuredFollowers is the largest number of raft followers that was measured.
 	maxMeasuredFollowers = 8
-	// distributorBufferBytes is what a distributor holds beside two snapshots.
+	// distributorBufferBytes is the memory that a distributor uses in addition to two snapshots.
 	distributorBufferBytes = 4 << 20
 	// logWriteMicros is the CPU time of writing an entry to the store's log.
 	logWriteMicros = 100
-	// probeStateBytes is what a prober holds of a cache.
+	// probeStateBytes is the size of a prober's state for each cache.
 	probeStateBytes = 64
-	// Frames of the discovery service: a change of one server, and a heartbeat.
+	// Sizes of the discovery service's frames: a change of one server, and a heartbeat.
 	discoveryChangeBytes    = 4 + 9 + 27
 	discoveryHeartbeatBytes = 13
 )
 
-// subscribersPerDistributor is the mean with so many distributors.
+// subscribersPerDistributor is the mean number of subscribers of each of that many distributors.
 func (f Fleet) subscribersPerDistributor(distributors float64) Figure {
 	return given(f.Proxies / distributors)
 }
 
-// DistributorCost is that of one of so many distributors, which sends each subscriber what a proxy receives.
+// DistributorCost is the cost of each of that many distributors. A distributor sends every subscriber what a proxy receives.
 func (f Fleet) DistributorCost(d Design, load Load, distributors float64) Cost {
 	subscribers := f.subscribersPerDistributor(distributors)
 	received := f.followCost(d, load)
@@ -41,12 +41,12 @@
 	}
 }
 
-// textBytesPerS is the traffic of revisions and lists to one subscriber.
+// textBytesPerS is the rate of bytes of revisions and lists that are sent to one subscriber.
 func (f Fleet) textBytesPerS(d Design, load Load) Figure {
 	return f.revisionCost(load).BytesInPerS.Plus(f.listCost(d, load).BytesInPerS)
 }
 
-// sendCost is that of sending so many subscribers what one receives.
+// sendCost is the cost of sending that many subscribers what one subscriber receives.
 func (f Fleet) sendCost(name string, received CostItem, textBytes, subscribers Figure) CostItem {
 	return CostItem{
 		Name:            name,
@@ -59,7 +59,7 @@
 	}
 }
 
-// snapshotCost is that of the snapshots for processes that start.
+// snapshotCost is the cost of the snapshots for processes that start.
 func (f Fleet) snapshotCost(d Design, load Load, startsPerS Figure) CostItem {
 	return CostItem{
 		Name:            "snapshots for processes that start",
@@ -77,8 +77,9 @@
 	return sum(f.EntryBytes.Times(f.purgesInEffect(load.PurgesPerS)), assumed(revisionBytes), f.listCost(d, load).StateBytes)
 }
 
-// LeaderCost is that of the store's leader. In DesignCurrent it replicates to every process and sends their snapshots; else to the
-// other voters, and it is the root of its part of the distributors.
+// LeaderCost is the cost of the store's leader. In DesignCurrent the leader replicates to every process and sends a snapshot to
+// each that starts. In the other designs it replicates to the other voters, and is the root that sends entries to its share of the
+// distributors.
 func (f Fleet) LeaderCost(d Design, load Load) Cost {
 	if d == DesignCurrent {
 		return Cost{
@@ -96,7 +97,7 @@
 	}
 }
 
-// replicationCost is a raft leader's cost of so many followers.
+// replicationCost is a raft leader's cost of replicating to that many followers.
 func (f Fleet) replicationCost(load Load, followers Figure) CostItem {
 	rate := load.PurgesPerS / raftPurgesPerS
 	messages := followers.Scale(load.PurgesPerS)
@@ -115,7 +116,7 @@
 	}
 }
 
-// storeStateCost is a store member's cost of applying, writing and holding entries.
+// storeStateCost is a store member's cost of applying entries, writing them to the log and storing their state.
 func (f Fleet) storeStateCost(load Load) CostItem {
 	applyMicros := f.Estimate("replica/purge-apply", f.purgesInEffect(load.PurgesPerS))
 	return CostItem{
@@ -127,7 +128,7 @@
 	}
 }
 
-// ProberCost is that of a proxy that probes each cache of its site once a second, which is not built.
+// ProberCost is the cost of probing each cache of a site once a second from one proxy. Such probes are not built.
 func (f Fleet) ProberCost() Cost {
 	caches := given(f.Caches / f.Sites)
 	messages := caches.Times(assumed(1))
@@ -143,8 +144,8 @@
 	}}
 }
 
-// ListSourceCost is that of a discovery service for all processes: a complete list at the start of each, then changes and a heartbeat a
-// second.
+// ListSourceCost is the cost of a discovery service that serves all processes: a complete list when a process starts, then changes
+// and a heartbeat every second.
 func (f Fleet) ListSourceCost(load Load) Cost {
 	list := f.Estimate("lists/board", given(f.Caches))
 	changes, heartbeats := given(load.ListChangesPerS*f.Proxies), given(f.Proxies)
@@ -167,7 +168,8 @@
 	}
 }
 
-// ToolsCost is an operator's machine's cost of one request a second to every proxy for its servers, and to one for its members.
+// ToolsCost is the cost, on an operator's machine, of requesting the table of servers from every proxy and the table of members
+// from one proxy, once a second each.
 func (f Fleet) ToolsCost() Cost {
 	servers, members := f.Estimate("tools/servers", given(f.Caches)), f.Estimate("tools/members", given(f.Proxies))
 	return Cost{
--- a/internal/lab/capacity/situations.go
+++ b/internal/lab/capacity/situations.go
@@ -1,19 +1,19 @@
 package capacity
 
-// Status is how far a mechanism is built.
+// Status says whether a mechanism exists.
 type Status string
 
 // The statuses.
 const (
-	Existing Status = "stands"
-	Built    Status = "built here"
-	Missing  Status = "missing"
+	Existing Status = "stands"     // already existed
+	Built    Status = "built here" // built to meet the target
+	Missing  Status = "missing"    // not built
 )
 
-// Mechanism is what keeps the fleet within its budgets in a situation.
+// Mechanism is a part of the program that helps to keep the fleet within its budgets in a situation.
 type Mechanism struct {
 	Name    string
-	Package string // where it is, or would be
+	Package string // that contains the mechanism, or would contain it
 	Status  Status
 }
 
@@ -21,8 +21,8 @@
 type Situation struct {
 	Name           string
 	Load           Load
-	Distributors   float64             // that work
-	ExtraBytesPerS func(Design) Figure // that a process concerned receives beside its load
+	Distributors   float64             // in service
+	ExtraBytesPerS func(Design) Figure // that an affected process receives in addition to its load
 	Mechanisms     []Mechanism
 }
 
@@ -33,28 +33,29 @@
 	secondsPerDay    = 24 * secondsPerHour
 )
 
-// packageDistribution is the package of several mechanisms.
+// packageDistribution is the package that contains several mechanisms.
 const packageDistribution = "internal/decide/distribution"
 
 func noExtraBytes(Design) Figure { return Figure{} }
 
-// snapshotBytesPerS is a snapshot received within a minute.
+// snapshotBytesPerS is the mean rate of a snapshot that is received within a minute.
 func (f Fleet) snapshotBytesPerS(d Design) Figure {
 	return f.SnapshotBytes(d, f.OrdinaryLoad()).Scale(1 / secondsPerMinute)
 }
 
-// startBytesPerS is what a process receives within the minute of its start: a snapshot, and membership.
+// startBytesPerS is the mean rate at which a process receives a snapshot and the membership in the minute of its start.
 func (f Fleet) startBytesPerS(d Design) Figure {
 	membership := f.Estimate("membership/whole-state", given(f.memberCount(d)))
 	return f.snapshotBytesPerS(d).Plus(membership.Scale(stateRequestsPerStart / secondsPerMinute))
 }
 
-// lossBytesPerS returns what a process receives within a minute in which so many members leave: a snapshot, and the departures.
+// lossBytesPerS returns the mean rate at which a process receives a snapshot and the updates on departed members, in a minute in
+// which that many members leave.
 func (f Fleet) lossBytesPerS(departed float64) func(Design) Figure {
 	return func(d Design) Figure { return f.snapshotBytesPerS(d).Plus(f.departureBytesPerS(d, departed)) }
 }
 
-// Situations are those that the operators named. The first one is the ordinary minute, the second one the burst of purges.
+// Situations are the situations that the operators named. The first is the ordinary minute, the second the burst of purges.
 func (f Fleet) Situations() []Situation {
 	return []Situation{
 		f.ordinaryMinute(), f.purgeBurst(), f.massRestart(), f.machineLoss(), f.rackLoss(), f.zoneLoss(), f.regionsApart(), f.rollback(),
@@ -103,7 +104,7 @@
 	}}
 }
 
-// zoneLoss also has a list that drains all servers of the zone.
+// zoneLoss includes one list change that drains all servers of the zone.
 func (f Fleet) zoneLoss() Situation {
 	const name = "a zone lost, with 233 proxies and one control machine"
 	load := f.OrdinaryLoad()
@@ -123,7 +124,7 @@
 	}}
 }
 
-// rollback has two revisions more within a minute.
+// rollback includes two additional revisions within a minute.
 func (f Fleet) rollback() Situation {
 	load := f.OrdinaryLoad()
 	load.RevisionsPerS += 2 / secondsPerMinute
@@ -134,7 +135,7 @@
 	}}
 }
 
-// SituationBytesPerS is the traffic of a proxy concerned, both directions, in the worst minute of a situation.
+// SituationBytesPerS is the traffic of an affected proxy, in both directions, in the worst minute of a situation.
 func (f Fleet) SituationBytesPerS(s Situation, d Design) Figure {
 	return f.ProxyCost(d, s.Load).Total().BytesPerS().Plus(s.ExtraBytesPerS(d))
 }
