--- a/internal/lab/capacity/figure_test.go
+++ b/internal/lab/capacity/figure_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linearRecording has one linear recording, measured at sizes from 100 to 1,000.
-func linearRecording() RecordingSet {
+// linearRecordingSet is a set with one recording, "x", which is linear and measured at sizes from 100 to 1,000.
+func linearRecordingSet() RecordingSet {
 	r := Recording{
 		Name: "x", Role: Proxy, Driver: "servers", Quantity: "memory", Unit: "bytes", Command: "c",
 		Points: []Point{{100, 1100}, {300, 3100}, {500, 5100}, {1000, 10_100}},
@@ -15,16 +15,16 @@
 	return RecordingSet{"x": r.Fitted()}
 }
 
-// A figure made of several has the weakest basis of them, and their largest extrapolation.
+// A figure computed from several figures has the weakest basis and the largest extrapolation of these.
 func TestCombinedFigureHasWeakestBasis(t *testing.T) {
-	recordings := linearRecording()
+	recordings := linearRecordingSet()
 	within, beyond := recordings.Estimate("x", given(400)), recordings.Estimate("x", given(17_000))
 	require.Equal(t, Measured, within.Basis)
 	require.InDelta(t, 4100, within.Value, 0.1)
 	require.Equal(t, Extrapolated, beyond.Basis)
 	require.InDelta(t, 17, beyond.Extrapolation, 1e-9)
 	require.Equal(t, Extrapolated, recordings.Estimate("x", given(10)).Basis, "below the measured sizes")
-	require.Equal(t, Assumed, recordings.Estimate("x", assumed(400)).Basis, "at a size that is assumed")
+	require.Equal(t, Assumed, recordings.Estimate("x", assumed(400)).Basis, "at an assumed size")
 	for _, f := range []Figure{within.Plus(beyond), beyond.Plus(within), within.Times(beyond), within.DividedBy(beyond)} {
 		require.Equal(t, Extrapolated, f.Basis)
 		require.InDelta(t, 17, f.Extrapolation, 1e-9)
@@ -38,7 +38,7 @@
 	require.Equal(t, given(5).Plus(given(0)), given(5))
 	r := recordings["x"]
 	r.Points[1].Measured = 3300
-	require.InDelta(t, 3300, recordings.Estimate("x", given(300)).Value, 0, "what was measured, and not the fit of it")
+	require.InDelta(t, 3300, recordings.Estimate("x", given(300)).Value, 0, "at a measured size: the measured value, not the fitted one")
 }
 
 // Numbers have three significant digits and groups of thousands.
--- a/internal/lab/capacity/fit_test.go
+++ b/internal/lab/capacity/fit_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// noisyPoints are the values of f at four sizes, each changed by up to a fraction of it.
+// noisyPoints are the values of a function at four sizes. Each is changed at random by up to the fraction noise.
 func noisyPoints(value func(float64) float64, noise float64, seed uint64) (points []Point) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for _, n := range []float64{100, 300, 1000, 3000} {
@@ -18,7 +18,7 @@
 	return points
 }
 
-// At six times the measured range a wrong model is off by orders of magnitude.
+// With the wrong model, the extrapolation to 17,000 (six times the largest measured size) is off by orders of magnitude.
 func TestFitFindsModelOfNoisyPoints(t *testing.T) {
 	for _, c := range []struct {
 		model Model
@@ -33,28 +33,28 @@
 			fit := FitPoints(noisyPoints(c.f, 0.02, seed))
 			want := c.f(17000)
 			if c.model != NLogN && fit.Model != c.model {
-				t.Errorf("seed %d: %s was taken for %s", seed, c.model, fit.Model)
+				t.Errorf("seed %d: points of the model %s were fitted as %s", seed, c.model, fit.Model)
 			}
 			if got := fit.At(17000); math.Abs(got-want) > 0.30*want {
-				t.Errorf("seed %d, %s: %g at 17,000, %g is right", seed, c.model, got, want)
+				t.Errorf("seed %d, %s: fit gives %g at 17,000, want %g", seed, c.model, got, want)
 			}
 		}
 	}
 }
 
-// Without noise the fit has the parameters of the points.
+// Without noise the fit has the parameters from which the points were computed.
 func TestFitIsExactWithoutNoise(t *testing.T) {
 	fit := FitPoints(noisyPoints(func(n float64) float64 { return 5000 + 70*n }, 0, 1))
 	if math.Abs(fit.Fixed-5000) > 1e-3 || math.Abs(fit.Slope-70) > 1e-3 || fit.MaxResidual() > 1e-4 {
-		t.Errorf("fit %+v", fit)
+		t.Errorf("fit is %+v, want fixed 5000, slope 70 and residuals of at most 1e-4", fit)
 	}
 }
 
-// The noise of timings does not make a linear cost a steeper one.
+// A linear cost whose timings have noise is still fitted as linear.
 func TestFitStaysLinearWithinNoise(t *testing.T) {
 	for seed := range uint64(200) {
 		if fit := FitPoints(noisyPoints(func(n float64) float64 { return 2 * n }, 0.08, seed)); fit.Model != Linear {
-			t.Errorf("seed %d: %s with residuals %v", seed, fit.Model, fit.Residuals)
+			t.Errorf("seed %d: linear points were fitted as %s with residuals %v", seed, fit.Model, fit.Residuals)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// A fit that was edited in a file is an error.
+// ReadRecordings rejects a file in which a fit was edited.
 func TestReadRecordingsRejectsWrongFit(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
@@ -76,36 +76,36 @@
 	}
 	recordings, err := ReadRecordings(dir)
 	if err != nil || len(recordings) != 1 || recordings["x/y"].Slope != 70 {
-		t.Fatalf("%v, %v", recordings, err)
+		t.Fatalf("recordings %v, error %v; want one recording with slope 70", recordings, err)
 	}
 	raw, _ := os.ReadFile(path)
 	edited := strings.Replace(string(raw), `"slope": 70`, `"slope": 60`, 1)
 	if edited == string(raw) {
-		t.Fatal("nothing was replaced")
+		t.Fatal("the file holds no slope of 70 to edit")
 	}
 	if err := os.WriteFile(path, []byte(edited), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadRecordings(dir); err == nil {
-		t.Error("a slope that was changed by hand was accepted")
+		t.Error("ReadRecordings accepted an edited slope")
 	}
 }
 
-// A recording that is not complete or cannot be fitted is not valid.
+// A recording that is incomplete or cannot be fitted is invalid.
 func TestInvalidRecordingIsRejected(t *testing.T) {
 	for name, change := range map[string]func(*Recording){
-		"no name":        func(r *Recording) { r.Name = "" },
-		"no command":     func(r *Recording) { r.Command = "" },
-		"a role unknown": func(r *Recording) { r.Role = "cook" },
-		"three points":   func(r *Recording) { r.Points = r.Points[:3] },
-		"close together": func(r *Recording) { r.Points = []Point{{1, 1}, {2, 2}, {3, 3}, {4, 4}} },
-		"no number":      func(r *Recording) { r.Points[2].Measured = math.NaN() },
-		"out of order":   func(r *Recording) { r.Points[0], r.Points[1] = r.Points[1], r.Points[0] },
+		"no name":                  func(r *Recording) { r.Name = "" },
+		"no command":               func(r *Recording) { r.Command = "" },
+		"unknown role":             func(r *Recording) { r.Role = "unknown" },
+		"three points":             func(r *Recording) { r.Points = r.Points[:3] },
+		"sizes too close together": func(r *Recording) { r.Points = []Point{{1, 1}, {2, 2}, {3, 3}, {4, 4}} },
+		"value is NaN":             func(r *Recording) { r.Points[2].Measured = math.NaN() },
+		"sizes out of order":       func(r *Recording) { r.Points[0], r.Points[1] = r.Points[1], r.Points[0] },
 	} {
 		r := sampleRecording()
 		change(&r)
 		if r.Valid() == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the recording was accepted", name)
 		}
 	}
 	if err := sampleRecording().Valid(); err != nil {
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -12,7 +12,7 @@
 
 const capacityPage = "../../../docs/CAPACITY.md"
 
-// loadFleet is the fleet of the stored recordings.
+// loadFleet returns the fleet with the recordings in docs/measurements/capacity.
 func loadFleet(t *testing.T) Fleet {
 	t.Helper()
 	f, err := LoadFleet(recordingsDir)
@@ -20,7 +20,7 @@
 	return f
 }
 
-// The page in docs is that of the formulas and the recordings.
+// docs/CAPACITY.md is the page that the formulas and the recordings give.
 func TestPageIsUpToDate(t *testing.T) {
 	stored, err := os.ReadFile(capacityPage)
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 	}
 }
 
-// The page depends on recordings and on assumptions.
+// A different recording or assumption changes the page.
 func TestPageChangesWithRecordingsAndAssumptions(t *testing.T) {
 	f := loadFleet(t)
 	before := f.Page()
@@ -62,7 +62,7 @@
 	require.ErrorContains(t, err, `no recording "raft/leader-bytes"`)
 }
 
-// What exceeds a budget or a time in any table of the page is in its first section.
+// Every figure that exceeds a budget or a time limit in any table of the page is listed in its first section.
 func TestAllExceededLimitsAreFindings(t *testing.T) {
 	f := loadFleet(t)
 	first := strings.Split(string(f.Page()), "\n## ")[1]
@@ -91,7 +91,7 @@
 	}
 }
 
-// All rows of a table have as many cells as its head, and all cells are formatted.
+// All rows of a table have as many cells as its head, and no cell holds NaN, Inf or a formatting error.
 func TestTablesAreComplete(t *testing.T) {
 	cells := 0
 	for n, line := range strings.Split(string(loadFleet(t).Page()), "\n") {
@@ -109,11 +109,11 @@
 	}
 }
 
-// The figures that the issue states agree with those worked out from the target.
+// The figures that the issue states agree to within 1.1 % with those computed from the target.
 func TestStatedFiguresMatchTarget(t *testing.T) {
 	for _, d := range OperatorTarget.Derivations() {
 		if math.Abs(d.Value-d.Stated) > 0.011*d.Stated {
-			t.Errorf("%s: %v, the issue has %v", d.Name, d.Value, d.Stated)
+			t.Errorf("%s: computed %v, the issue states %v", d.Name, d.Value, d.Stated)
 		}
 	}
 }
--- a/internal/lab/capacity/record_test.go
+++ b/internal/lab/capacity/record_test.go
@@ -10,7 +10,7 @@
 
 const recordingsDir = "../../../docs/measurements/capacity"
 
-// Recorded sizes are those of the present encodings, but for a quarter: the page's figures are no finer.
+// Recorded sizes differ by at most a quarter from those that the present encodings give. The page's figures are no more precise.
 func TestRecordedSizesAreUpToDate(t *testing.T) {
 	recordings, err := ReadRecordings(recordingsDir)
 	require.NoError(t, err)
@@ -44,12 +44,12 @@
 		require.True(t, known, name)
 		p := r.Points[1]
 		if got := measure(int(p.Driver)); math.Abs(got-p.Measured) > 0.25*p.Measured {
-			t.Errorf("%s at %v: %v now, recorded %v: run '%s'", name, p.Driver, got, p.Measured, r.Command)
+			t.Errorf("%s at %v: measured %v, recorded %v: run '%s'", name, p.Driver, got, p.Measured, r.Command)
 		}
 	}
 }
 
-// Recorders have different names, and each recording names the command that records it again.
+// Recorders have unique names, and each recording names the command that records it again.
 func TestRecordingsNameTheirCommand(t *testing.T) {
 	seen := map[string]bool{}
 	for _, r := range Recorders {
@@ -63,7 +63,7 @@
 	}
 }
 
-// The cost of a call is measured over several rounds of calls, which are counted from 0.
+// cpuCost makes several rounds of calls, and numbers the calls from 0 without gaps.
 func TestCPUCostNumbersCallsFromZero(t *testing.T) {
 	calls := 0
 	cpuCost(func(i int) {
