--- a/internal/lab/capacity/record_raft.go
+++ b/internal/lab/capacity/record_raft.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// raftPurgesPerS is the target's rate of purges. At this rate raft sends entries one by one.
+	// raftPurgesPerS is the target's rate of purges. At this rate raft sends entries individually.
 	raftPurgesPerS = 87
-	// raftMeasureTime is how long each size is measured.
-	raftMeasureTime = 3 * time.Second
-	// raftCatchUpTime is until all followers have the leader's configuration.
-	raftCatchUpTime = time.Second
-	raftTimeout     = 2 * time.Second
-	raftMaxPool     = 3 // connections
+	// raftMeasureDuration is how long each number of followers is measured.
+	raftMeasureDuration = 3 * time.Second
+	// raftCatchUpWait is the wait before the measurement, in which all followers receive the leader's configuration.
+	raftCatchUpWait    = time.Second
+	raftTimeout        = 2 * time.Second
+	raftMaxPooledConns = 3 // per member
 )
 
-// followerCounts are the sizes at which raft is measured.
+// followerCounts are the numbers of followers at which raft is measured.
 var followerCounts = []int{1, 2, maxMeasuredFollowers / 2, maxMeasuredFollowers}
 
-// discardFSM is a state machine without state. The cost of the state is recorded by itself.
+// discardFSM is a state machine without state. The cost of the store's state is recorded separately.
 type discardFSM struct{ raft.FSM }
 
 // Apply implements raft.FSM.
 func (discardFSM) Apply(*raft.Log) any { return nil }
 
-// replicationUsage is what a leader and its followers use.
+// replicationUsage is the traffic and CPU time that a leader and its followers use.
 type replicationUsage struct {
 	leaderBytesPerS   float64 // written by the leader
 	followerBytesPerS float64 // read by the leader
-	cpuMicrosPerS     float64 // of all together
+	cpuMicrosPerS     float64 // of the leader and all followers together
 }
 
 // raftCluster is a leader and its followers in this process.
@@ -43,7 +43,7 @@
 	leader  *pipeEnd
 }
 
-// measureReplication measures a leader of so many followers at the target's rate of purges.
+// measureReplication measures a leader with that many followers at the target's rate of purges.
 func measureReplication(followers int) (replicationUsage, error) {
 	cluster := &raftCluster{network: pipeNetwork{}}
 	defer cluster.shutdown()
@@ -52,7 +52,7 @@
 			return replicationUsage{}, err
 		}
 	}
-	time.Sleep(raftCatchUpTime)
+	time.Sleep(raftCatchUpWait)
 	return cluster.applyPurges()
 }
 
@@ -63,10 +63,10 @@
 	config := raft.DefaultConfig()
 	config.Logger, config.LocalID = hclog.NewNullLogger(), raft.ServerID(addr)
 	logs, snapshots := raft.NewInmemStore(), raft.NewInmemSnapshotStore()
-	transport := raft.NewNetworkTransport(end, raftMaxPool, raftTimeout, io.Discard)
+	transport := raft.NewNetworkTransport(end, raftMaxPooledConns, raftTimeout, io.Discard)
 	if n == 0 {
-		alone := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: addr}}}
-		if err := raft.BootstrapCluster(config, logs, logs, snapshots, transport, alone); err != nil {
+		configuration := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: addr}}}
+		if err := raft.BootstrapCluster(config, logs, logs, snapshots, transport, configuration); err != nil {
 			return err
 		}
 	}
@@ -85,16 +85,16 @@
 
 func (c *raftCluster) shutdown() {
 	for _, member := range c.members {
-		_ = member.Shutdown().Error() // what was measured is unaffected
+		_ = member.Shutdown().Error() // an error does not affect the measurement
 	}
 }
 
-// applyPurges has the leader apply purges for raftMeasureTime.
+// applyPurges applies purges on the leader for raftMeasureDuration and returns the usage in this time.
 func (c *raftCluster) applyPurges() (replicationUsage, error) {
 	ticker := time.NewTicker(time.Second / raftPurgesPerS)
 	defer ticker.Stop()
 	start, written, read, cpu := time.Now(), c.leader.written.Load(), c.leader.read.Load(), cpuMicros()
-	for n := 0; time.Since(start) < raftMeasureTime; n++ {
+	for n := 0; time.Since(start) < raftMeasureDuration; n++ {
 		<-ticker.C
 		if err := c.members[0].Apply(mustEncode(purgeChange(n, objectName(n))), time.Second).Error(); err != nil {
 			return replicationUsage{}, err
