--- a/internal/upstream/frame.go
+++ b/internal/upstream/frame.go
@@ -18,26 +18,27 @@
 // maxNumber bounds the numbers in an answer. For times in ms it is about half an hour.
 const maxNumber = 2e6
 
-// fillOptionWords are the words of the field "handle", in the order in which they are written.
-var fillOptionWords = []struct {
+// fillOptionNames are the values of the field "handle", in the order in which they are written.
+var fillOptionNames = []struct {
 	option policy.FillOptions
-	word   string
+	name   string
 }{
 	{policy.Coalesce, "coalesce"}, {policy.CachedOnly, "shallow"}, {policy.ParentPassThrough, "transit"},
 	{policy.RefreshInBackground, "freshen"},
 }
 
-// noteWords are the words of the field "why", in the order of the policy.Note constants, beginning with NoteHit.
-var noteWords = []string{
+// noteNames are the values of the field "why", in the order of the policy.Note constants, beginning with NoteHit.
+var noteNames = []string{
 	"local", "pulled", "pulled_far", "rode", "expired", "turned_away", "cut_off", "not_there", "no_place", "far_fault",
 }
 
-// notModifiedWord is the word of an answer which says that the client's copy is current.
-const notModifiedWord = "still_good"
+// notModifiedStatus is the status of an answer which says that the client's copy is current.
+const notModifiedStatus = "still_good"
 
-// resultWords maps the word of an answer to its result. "green" and "red" answer a health check. Any other word is policy.Unknown.
-var resultWords = map[string]policy.Result{
-	"served": policy.OK, notModifiedWord: policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
+// statusResults maps the status of an answer to its result. "green" and "red" answer a health check. Any other status is
+// policy.Unknown.
+var statusResults = map[string]policy.Result{
+	"served": policy.OK, notModifiedStatus: policy.OK, "not_here": policy.Miss, "overload": policy.Overloaded,
 	"crashed": policy.Failed, "nobody": policy.Skipped, "green": policy.OK, "red": policy.Failed,
 }
 
@@ -52,8 +53,8 @@
 	return "s-" + hex.EncodeToString(binary.BigEndian.AppendUint32(nil, uint32(id)))
 }
 
-// appendFrame appends the frame of an attempt to b. now, in ms of the clock, determines the time left in the frame. Fields that do
-// not apply are omitted.
+// appendFrame appends the frame of an attempt to b. now, in ms of the clock, determines the time left in the frame. Times in the
+// frame are in whole ms. Fields that do not apply are omitted.
 func appendFrame(b []byte, a *core.Attempt, now float64) []byte {
 	fields := append(make([]byte, 0, frameCapacity), "lane="...)
 	fields = append(fields, a.Class...)
@@ -76,8 +77,8 @@
 		// Rounded down, since a copy must not be older than MaxAge, but not to 0, which stands for the limit of the class.
 		add("newer", strconv.Itoa(max(1, int(a.MaxAge))))
 	}
-	if words := optionWords(a.Options); len(words) > 0 {
-		add("handle", strings.Join(words, "+"))
+	if options := optionNames(a.Options); len(options) > 0 {
+		add("handle", strings.Join(options, "+"))
 	}
 	if a.CachedTag != "" {
 		add("holds", a.CachedTag)
@@ -88,22 +89,22 @@
 	return resp.AppendFrameWithBody(b, a.Body, "fetch", a.ID, string(fields))
 }
 
-func optionWords(options policy.FillOptions) (words []string) {
-	for _, o := range fillOptionWords {
+func optionNames(options policy.FillOptions) (names []string) {
+	for _, o := range fillOptionNames {
 		if options&o.option != 0 {
-			words = append(words, o.word)
+			names = append(names, o.name)
 		}
 	}
-	return words
+	return names
 }
 
-// decodeAnswer decodes the parts of an answer: id, word, fields and body. Fields and body may be absent. The error is
+// decodeAnswer decodes the parts of an answer: id, status, fields and body. Fields and body may be absent. The error is
 // resp.ErrMalformed.
 func decodeAnswer(parts [][]byte) (id string, outcome core.Outcome, err error) {
 	if len(parts) < 2 {
 		return "", outcome, resp.ErrMalformed
 	}
-	word := string(parts[1])
+	status := string(parts[1])
 	fields := map[string]string{}
 	if len(parts) > 2 {
 		var ok bool
@@ -111,9 +112,9 @@
 			return "", outcome, resp.ErrMalformed
 		}
 	}
-	outcome.Result, outcome.NotModified, outcome.Tag = resultWords[word], word == notModifiedWord, fields["version"]
-	for i, noteWord := range noteWords {
-		if fields["why"] == noteWord {
+	outcome.Result, outcome.NotModified, outcome.Tag = statusResults[status], status == notModifiedStatus, fields["version"]
+	for i, noteName := range noteNames {
+		if fields["why"] == noteName {
 			outcome.Note = policy.NoteHit + policy.Note(i)
 		}
 	}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -37,8 +37,8 @@
 		"inflight": 1.5, "queue": 2.5, "util": 0.25, "latency": 3.5, "served": 4.5, "errors": 5.5, "hits": 0.5, "link": 6.5,
 	}
 	cases := []struct {
-		word, fields, body string
-		want               core.Outcome
+		status, fields, body string
+		want                 core.Outcome
 	}{
 		{"served", fields, "bytes", core.Outcome{Result: policy.OK, Note: policy.NoteFilled, SourceWait: 12.5, Tag: "v7", Body: []byte("bytes"), Load: load}},
 		{"still_good", "version=v7", "", core.Outcome{Result: policy.OK, Tag: "v7", NotModified: true}},
@@ -60,7 +60,7 @@
 	}
 	var frames []byte
 	for _, c := range cases {
-		frames = resp.AppendFrame(frames, "r1", c.word, c.fields, c.body)
+		frames = resp.AppendFrame(frames, "r1", c.status, c.fields, c.body)
 	}
 	golden.Equal(t, "answers.resp", frames)
 
@@ -73,7 +73,7 @@
 		id, end, err := decodeAnswer(parts)
 		require.NoError(t, err)
 		require.Equal(t, "r1", id)
-		require.Equal(t, c.want, end, "%s %s", c.word, c.fields)
+		require.Equal(t, c.want, end, "%s %s", c.status, c.fields)
 	}
 	require.Empty(t, rest)
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -69,10 +69,10 @@
 				clk.Advance(float64(waited) / float64(resets+1))
 				mayContinue <- struct{}{}
 			}
-			words, err := cache.Receive()
+			parts, err := cache.Receive()
 			require.NoError(t, err)
-			require.LessOrEqual(t, timeLeft(t, words[2]), float64(budget-waited))
-			require.NoError(t, cache.Send([]string{words[1], "served", "why=local,version=v1", "BYTES"}))
+			require.LessOrEqual(t, timeLeft(t, parts[2]), float64(budget-waited))
+			require.NoError(t, cache.Send([]string{parts[1], "served", "why=local,version=v1", "BYTES"}))
 			require.Equal(t, core.Served, (<-answer).Verdict)
 		})
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -205,9 +205,9 @@
 				up send r2`)
 			got := map[string]string{}
 			for range 2 {
-				words, err := up.Receive()
+				parts, err := up.Receive()
 				require.NoError(t, err)
-				got[words[0]] = words[1]
+				got[parts[0]] = parts[1]
 			}
 			require.Equal(t, map[string]string{"r1": "reset", "r2": "skipped"}, got)
 			continue
@@ -375,13 +375,13 @@
 		list[i].Addr, list[i].ID = server.Addr(), policy.ServerID(i+1)
 		go func() { // answers every attempt, also those of an earlier test at the same port
 			for t.Context().Err() == nil {
-				words, err := server.Receive()
-				if err != nil || words[0] != "fetch" {
+				parts, err := server.Receive()
+				if err != nil || parts[0] != "fetch" {
 					continue
 				}
-				fetched <- words[1]
+				fetched <- parts[1]
 				if !unresponsive.Load() {
-					_ = server.Send([]string{words[1], "served", "-"})
+					_ = server.Send([]string{parts[1], "served", "-"})
 				}
 			}
 		}()
