--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -15,12 +15,13 @@
 	// sourceLimitLinkFraction of this router's share of the link capacity of its zone's caches, so that many
 	// routers do not overload a source when they start.
 	sourceLimitStart, sourceLimitMin, sourceLimitLinkFraction = 16.0, 0.2, 0.25
-	// A source's limit rises only while it exceeds twice the occupied slots by no more than sourceLimitSpare.
-	// Otherwise many routers with few fills each would all raise their limits.
+	// A source's limit, in attempts, rises only while it exceeds twice the attempts that occupy it by no more
+	// than sourceLimitSpare. Otherwise many routers with few fills each would all raise their limits.
 	sourceLimitSpare = 0.5
 	// Additive increase, multiplicative decrease: a late answer multiplies a limit by limitDecrease. An
 	// answer in time adds limitIncreaseFraction of the limit, but at most limitIncreaseMax divided by the
-	// limit, so one answer for each slot adds limitIncreaseMax slots.
+	// limit, so one answer for each slot adds limitIncreaseMax slots. The routers that share a cache divide
+	// limitIncreaseMax among them.
 	limitDecrease, limitIncreaseFraction, limitIncreaseMax = 0.9, 0.1, 2.0
 	// The weight of an outcome is the time since the last one in units of limitUpdateInterval, from 1 to
 	// limitMaxUpdateWeight, so that the limit of a rarely used server adapts as quickly as others.
@@ -35,11 +36,12 @@
 )
 
 // overLimit reports whether a server or link cannot take this request now: it rejected a request for overload
-// within the last overloadPause, or it is at its limit. The request's random admissionDraw makes a limit
-// below one slot admit that fraction of requests.
+// within the last overloadPause, or it is at its limit. occupied is in attempts, as returned by the method of
+// that name. The request's random admissionDraw makes a limit below one attempt admit that fraction of
+// requests.
 func (r *Router) overLimit(req *openRequest, server *server, occupied float64) bool {
-	slots := server.Limit * r.limitScale
-	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.admissionDraw > slots
+	maxInFlight := server.Limit * r.limitScale
+	return r.now < server.overloadedUntil || occupied/r.limitFraction(req)+req.admissionDraw > maxInFlight
 }
 
 // limitFraction returns the fraction of a limit that a request may use. Under overload this leaves slots to
@@ -62,8 +64,9 @@
 	return fraction
 }
 
-// occupied returns the number of slots that this router occupies at a server: its attempts in flight there,
-// and the expected fraction of the fills that name the server as their source.
+// occupied returns how much of a server's limit this router uses, in attempts and not in slots, of which each
+// stands for limitScale attempts: its attempts in flight at the server, and the expected fraction of the
+// fills that name the server as their source.
 func (r *Router) occupied(server *server) float64 {
 	fills := float64(r.fillRate)*float64(server.openFills) + float64(r.originRate)*float64(server.originFills)
 	if server.role == roleOrigin { // the origin executes uncached requests, so they are not exempt there
@@ -127,8 +130,9 @@
 }
 
 // adjustLimit lowers a limit after a late answer and raises it after an answer in time. A limit of which less
-// than half is occupied does not change, as a single large object can be late without an overload. An outcome
-// counts for 1/limitScale, as a slot stands for limitScale attempts.
+// than half is occupied does not change, as a single large object can be late without an overload; an attempt
+// that has its outcome is no longer among the occupied, so 1 is added for it. An outcome counts for
+// 1/limitScale, as a slot stands for limitScale attempts.
 func (r *Router) adjustLimit(server *server, late bool) {
 	minLimit, routers := sourceLimitMin, 1.0
 	if server.role == roleCache { // all routers that share a cache raise their limits for it
@@ -137,10 +141,10 @@
 	}
 	sinceUpdate := float64(r.now-server.LimitUpdated) / float64(limitUpdateInterval)
 	weight := min(limitMaxUpdateWeight, max(1, sinceUpdate))
-	limit, occupied := server.Limit*r.limitScale, r.occupied(server)
+	maxInFlight, occupied := server.Limit*r.limitScale, r.occupied(server)
 	switch {
-	case server.role != roleCache && !late && 2*occupied+sourceLimitSpare < limit:
-	case 2*(occupied+1) < limit:
+	case server.role != roleCache && !late && 2*occupied+sourceLimitSpare < maxInFlight:
+	case 2*(occupied+1) < maxInFlight:
 	case late:
 		server.Limit *= math.Pow(limitDecrease, weight/r.limitScale)
 	default:
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -56,7 +56,9 @@
 }
 
 // updateTransferTime updates the transfer time of a request's class, in seconds, from the size of the answer
-// or, if that is unknown, from the latency of an answer without a fill.
+// or, if that is unknown, from the latency of an answer without a fill. The estimate is the recent average,
+// but it rises by at most transferTimeDriftPerSecond for the time since the last update, of which no more
+// than one second counts.
 func (r *Router) updateTransferTime(req *openRequest, outcome Outcome) {
 	observed := r.knownTransferTime(req)
 	if observed == 0 && !outcome.filled() {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -30,9 +30,9 @@
 }
 
 // objectiveMissed records that an attempt is past its latency objective. It lowers the limit of the server
-// with the highest late rate among the attempt's server, its source and the origin. The attempt counts as
-// unanswered for its server if that has answered nothing since the attempt was sent, and otherwise for its
-// source if that has answered nothing since.
+// with the highest late rate among the attempt's server, its source and the origin, since no answer shows
+// which of them is slow. The attempt counts as unanswered for its server if that has answered nothing since
+// the attempt was sent, and otherwise for its source if that has answered nothing since.
 func (r *Router) objectiveMissed(attempt *attempt) {
 	attempt.late = true
 	mostOftenLate := attempt.server
@@ -94,8 +94,9 @@
 }
 
 // markDown takes a server out of use until a probe succeeds, logs the cause (silent: attempts not answered in
-// time; failing: failure rate too high), and cancels the attempts of idempotent requests that wait for it, so
-// that they are sent to other servers.
+// time; failing: failure rate too high; connection failed), and cancels the attempts of idempotent requests
+// that wait for it, so that they are sent to other servers. The origin is never marked down, as no other
+// server can take its place.
 func (r *Router) markDown(target *server, cause string) {
 	if target.Down || target == r.origin {
 		return
@@ -171,6 +172,8 @@
 	case NoteSourceRejected:
 		source.overloadedUntil = r.now + overloadPause
 	case NoteSourceLost:
+		// A rejection within ConnectTimeout (or after an unknown time, which is 0) is taken to mean that the
+		// cache could not connect to the source.
 		if outcome.Result == Overloaded && outcome.SourceWait <= r.settings.ConnectTimeout {
 			source.Unreachable = true
 			r.markDown(source, "connection failed")
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -70,8 +70,8 @@
 }
 
 // warmUpRate returns the work that this router may send to a server that is warming up, in seconds of
-// transfer time per second. For all routers together it is at least one attempt of the longest class per
-// window.
+// transfer time per second. It follows the capacity that the server had one OverloadWindow ago. For all
+// routers together it is at least one attempt of the longest class per window.
 func (r *Router) warmUpRate(server *server, warmUp WarmUp, elapsed time.Duration) float64 {
 	progress := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
 	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, progress)
--- a/policy/source_chain.go
+++ b/policy/source_chain.go
@@ -5,7 +5,9 @@
 // chooseSource returns the source that a miss at the given server is filled from, nil if there is none, the
 // options of the fill, and the parent that the fill probes, if any. If to is nil, the source serves the
 // request itself. The origin is the only source for an uncached request and for a request that is sent to a
-// parent.
+// parent. For other requests the order of preference is: the server of a recent hit; the first parent in
+// rendezvous order that is within its limit and warm-up budget, and is up or due for a probe; the origin,
+// unless it is over its limit.
 func (r *Router) chooseSource(
 	req *openRequest, to *server,
 ) (source *server, options FillOptions, probed *server) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -77,7 +77,7 @@
 	awaitingRetry bool      // it waits for its retryTimer
 	admissionDraw float64   // random, between 0 and 1; see overLimit
 	errors        int       // attempts that ended in an error
-	rejections    int       // attempts that ended in an overload
+	rejections    int       // attempts that ended in an overload, or for which no fill was possible
 	failedServers []*server // excluded from the next attempts; servers of any role
 	failedSources []*server // excluded as sources of the next attempts
 }
