--- a/internal/core/load_counter.go
+++ b/internal/core/load_counter.go
@@ -57,7 +57,7 @@
 	l.servers.Store(&next)
 }
 
-// recordRequest counts a request and, if its object is a hexadecimal number, keeps the object for Objects.
+// recordRequest counts a request and, if its object is a hexadecimal number, keeps the object for TakeObjects.
 func (l *LoadCounter) recordRequest(object string) {
 	l.arrivals.Add(1)
 	if n, err := strconv.ParseUint(object, 16, 64); err == nil {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -99,7 +99,8 @@
 	return c.rejection()
 }
 
-// rejection returns the answer to a request that is rejected without consulting the router.
+// rejection returns the answer to a request that is rejected without consulting the router. Its Retry-After is always the maximum;
+// the router's rejections have a random one.
 func (c *Core) rejection() Answer {
 	if !c.settings.SendsRetryAfter {
 		return Answer{Verdict: Rejected}
--- a/internal/decide/drain/drain.go
+++ b/internal/decide/drain/drain.go
@@ -167,11 +167,11 @@
 	Pending      int  // requests in flight, and answers that are not written yet
 	PartialFrame bool // a part of a frame has been read
 	Unread       bool // bytes have arrived that are not read yet
-	New          bool // the connection was accepted a moment ago, and its first request may still arrive
+	New          bool // it has had no complete frame, and was accepted or read so recently that the first may still arrive
 }
 
 // ShouldClose reports whether a connection is to be closed now. A connection is not closed once a byte of its next request has
-// arrived, unless the client takes too long to complete the frame.
+// arrived, unless the frame is still incomplete at PartialFrameUntil or RejectFrom, whichever is later. now is in ms.
 func (p Plan) ShouldClose(now float64, c Conn) bool {
 	if !p.Active || now < p.CloseIdleFrom || c.Pending > 0 || c.Unread || c.New {
 		return false
--- a/wire/events.go
+++ b/wire/events.go
@@ -19,7 +19,7 @@
 	"served_ps": "served", "failed_ps": "errors", "x0": "hits", "x1": "link",
 }
 
-// results maps the words of the value Rc to results. Any other word is policy.Unknown.
+// results maps the texts of the value Rc to results. Any other text is policy.Unknown.
 var results = map[string]policy.Result{
 	"done": policy.OK, "err": policy.Failed, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset, "ecanceled": policy.Cancelled,
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -89,7 +89,7 @@
 	defaultPurgeDuration = 6 * time.Second
 	// noKind is the kind of the parents, or of the origin, if there are none.
 	noKind = -1
-	// unknownIdempotency is the value for an unknown word. policy.New rejects it with an error that names the class.
+	// unknownIdempotency is the value for an unknown name. policy.New rejects it with an error that names the class.
 	unknownIdempotency = policy.Idempotency(-1)
 	// maxMicroseconds bounds a decoded duration: 100 days.
 	maxMicroseconds = 100 * 24 * 3600 * 1e6
