--- a/internal/lab/bounds/bounds.go
+++ b/internal/lab/bounds/bounds.go
@@ -15,7 +15,7 @@
 // Within reports a defect unless the value at a path is from least to most. NaN is always a defect.
 func (c Checker) Within(path string, value, least, most float64) {
 	if !(value >= least && value <= most) {
-		c.Failf(path, "%s %.10g is not %.10g to %.10g", lastKey(path), value, least, most)
+		c.Failf(path, "%s %.10g is not from %.10g to %.10g", lastKey(path), value, least, most)
 	}
 }
 
--- a/internal/lab/hollow/validate.go
+++ b/internal/lab/hollow/validate.go
@@ -92,14 +92,14 @@
 func (f fieldRange) check(doc *strictjson.Document) {
 	if !(f.value >= f.min && f.value <= f.max) { // this form also reports NaN
 		name := f.path[strings.LastIndexByte(f.path, '.')+1:]
-		doc.Failf(f.path, "%s %.10g is not %.10g to %.10g", name, f.value, f.min, f.max)
+		doc.Failf(f.path, "%s %.10g is not from %.10g to %.10g", name, f.value, f.min, f.max)
 	}
 }
 
 func (s *Scenario) validateFault(doc *strictjson.Document, path string, fault Fault) {
 	usage, known := faultUsages[fault.Kind]
 	if !known {
-		doc.Failf(path+".kind", "kind %q is none of %s", fault.Kind, strings.Join(faultKindNames(), ", "))
+		doc.Failf(path+".kind", "kind %q is not one of %s", fault.Kind, strings.Join(faultKindNames(), ", "))
 		return
 	}
 	fieldRange{path + ".at_s", fault.AtSeconds, 0, s.Seconds}.check(doc)
--- a/internal/lab/multiprocess/scenario.go
+++ b/internal/lab/multiprocess/scenario.go
@@ -85,7 +85,7 @@
 func (s *Scenario) checkFault(c bounds.Checker, path string, f Fault) {
 	traits, known := faultKinds[f.Kind]
 	if !known {
-		c.Failf(path+".kind", "kind %q is none of %s", f.Kind, kindNames())
+		c.Failf(path+".kind", "kind %q is not one of %s", f.Kind, kindNames())
 		return
 	}
 	lastZone := s.Zones - 1
