--- a/cmd/ravenwheel/soak_test.go
+++ b/cmd/ravenwheel/soak_test.go
@@ -285,7 +285,9 @@
 	defer s.mu.Unlock()
 	t.PurgedAt = s.now()
 	t.At = max(t.PurgedAt, s.withheldUntil)
-	if len(t.Ready) > 0 { // a server that returns may get requests again at once
+	if len(t.Ready) > 0 {
+		// The end of a drain counts at once, even while events are withheld: the proxy may have received it already, and then sends
+		// the server requests again. Earlier events count no later than this one.
 		t.At = t.PurgedAt
 		for i := range s.notifications {
 			s.notifications[i].At = min(s.notifications[i].At, t.At)
@@ -409,10 +411,10 @@
 		if left := q.sentAt + q.budget - a.At; a.RemainingMs > left+150+slack {
 			s.fail("%s %s: an attempt was given %.0f ms, but %.0f ms were left", q.class, a.RequestID, a.RemainingMs, left)
 		}
-		if q.class == "claim" && q.status == "full" && a.Answer == "served" {
+		if q.class == "claim" && q.status == "full" && a.Status == "served" {
 			s.fail("claim %s: rejected as not run, but it ran", a.RequestID)
 		}
-		if a.IdempotencyKey != "" && a.Answer != "overload" && a.Answer != "not_here" {
+		if a.IdempotencyKey != "" && a.Status != "overload" && a.Status != "not_here" {
 			first, known := firstAttempts[a.RequestID+a.IdempotencyKey]
 			if !known {
 				firstAttempts[a.RequestID+a.IdempotencyKey] = a.At
--- a/internal/lab/crosscheck/scenario_files_test.go
+++ b/internal/lab/crosscheck/scenario_files_test.go
@@ -376,7 +376,7 @@
 			require.Less(t, o.Server, otherZone, "the request bypassed the caches")
 		}
 		attempts[o.RequestID] = append(attempts[o.RequestID], o)
-		if o.Write && o.Answer == "served" && q.class.Effect == sim.NotIdempotent {
+		if o.Write && o.Status == "served" && q.class.Effect == sim.NotIdempotent {
 			writes[o.Object]++
 		}
 	}
@@ -390,7 +390,7 @@
 		}
 		slices.SortStableFunc(ofRequest, func(a, b fleet.Observation) int { return cmp.Compare(a.At, b.At) })
 		for _, o := range ofRequest[:len(ofRequest)-1] {
-			require.Contains(t, []string{"overload", "not_here"}, o.Answer, "request %s was retried although it may have run", id)
+			require.Contains(t, []string{"overload", "not_here"}, o.Status, "request %s was retried although it may have run", id)
 		}
 	}
 }
--- a/internal/lab/crosscheck/sockets.go
+++ b/internal/lab/crosscheck/sockets.go
@@ -176,11 +176,11 @@
 	counts := make([]secondCounts, seconds)
 	for _, o := range observations {
 		second := int((o.At - began) / 1000)
-		if o.Probe || o.Answer != "served" || second < 0 || second >= len(counts) {
+		if o.Probe || o.Status != "served" || second < 0 || second >= len(counts) {
 			continue
 		}
 		counts[second].served++
-		switch o.Note {
+		switch o.Reason {
 		case "local":
 			counts[second].hits++
 		case "pulled_far":
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -68,8 +68,8 @@
 	Probe          bool
 	Write          bool
 	IdempotencyKey string  // empty: none
-	Answer         string  // the word of the answer; empty: not answered
-	Note           string  // the answer's field "why": how the request was served or why it was not
+	Status         string  // of the answer; empty: not answered
+	Reason         string  // the answer's field "why": how the request was served or why it was not
 	Stamp          float64 // when the origin created the copy that was served, in Unix ms
 	Address        string  // of the server
 }
@@ -227,11 +227,11 @@
 }
 
 // recordAnswer adds the answer to an observation, unless that was discarded meanwhile.
-func (f *Fleet) recordAnswer(number int, word, note string, stamp float64) {
+func (f *Fleet) recordAnswer(number int, status, reason string, stamp float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if number -= f.discarded; number >= 0 {
-		f.observations[number].Answer, f.observations[number].Note, f.observations[number].Stamp = word, note, stamp
+		f.observations[number].Status, f.observations[number].Reason, f.observations[number].Stamp = status, reason, stamp
 	}
 }
 
@@ -249,10 +249,10 @@
 		case s.Probe:
 			c.Probes++
 			continue
-		case s.Source != s.Server && counts[s.Source] != nil && s.Answer == "served":
+		case s.Source != s.Server && counts[s.Source] != nil && s.Status == "served":
 			counts[s.Source].NamedAsSource++
 		}
-		if c.Attempts++; s.Answer == "served" {
+		if c.Attempts++; s.Status == "served" {
 			c.Served++
 		}
 	}
--- a/internal/lab/fleet/request.go
+++ b/internal/lab/fleet/request.go
@@ -11,23 +11,23 @@
 	"ravenwheel/policy"
 )
 
-// The words of answers and of their field "why", in the protocol between proxies and servers. The notes have the names of the
-// policy.Note constants.
+// The statuses of answers, and the reasons that answers give in the field "why", in the protocol between proxies and servers. Each
+// reason stands for a policy.Note: reasonHit for policy.NoteHit, and so on.
 const (
-	wordServed   = "served"
-	wordMiss     = "not_here"
-	wordOverload = "overload"
-	wordCrashed  = "crashed"
-	wordHealthy  = "green"
+	statusServed   = "served"
+	statusMiss     = "not_here"
+	statusOverload = "overload"
+	statusCrashed  = "crashed"
+	statusHealthy  = "green"
 
-	noteHit            = "local"
-	noteFilled         = "pulled"
-	noteFilledOrigin   = "pulled_far"
-	noteSourceRejected = "turned_away"
-	noteSourceLost     = "cut_off"
-	noteSourceMiss     = "not_there"
-	noteNoFillSlot     = "no_place"
-	noteOriginFailed   = "far_fault"
+	reasonHit            = "local"
+	reasonFilled         = "pulled"
+	reasonFilledOrigin   = "pulled_far"
+	reasonSourceRejected = "turned_away"
+	reasonSourceLost     = "cut_off"
+	reasonSourceMiss     = "not_there"
+	reasonNoFillSlot     = "no_place"
+	reasonOriginFailed   = "far_fault"
 )
 
 // conn is one connection from a proxy to a server.
@@ -41,10 +41,10 @@
 
 // answer is how a server answers a request.
 type answer struct {
-	word  string  // empty: no answer is sent
-	note  string  // the field "why"
-	stamp float64 // when the origin created the copy that is served, in Unix ms
-	delay float64 // until the answer is sent, in ms
+	status string  // empty: no answer is sent
+	reason string  // the field "why"
+	stamp  float64 // when the origin created the copy that is served, in Unix ms
+	delay  float64 // until the answer is sent, in ms
 }
 
 // read handles the commands that the proxy sends, until the connection ends.
@@ -109,12 +109,12 @@
 // handleProbe answers a health check, unless the server is unresponsive.
 func (c *conn) handleProbe(tag string) {
 	s := c.server
-	s.fleet.observe(Observation{At: s.fleet.options.Clock.Now(), Server: s.ID, Probe: true, Answer: wordHealthy})
+	s.fleet.observe(Observation{At: s.fleet.options.Clock.Now(), Server: s.ID, Probe: true, Status: statusHealthy})
 	s.mu.Lock()
 	unresponsive, inFlight := s.fault.Unresponsive, s.inFlight
 	s.mu.Unlock()
 	if !unresponsive {
-		c.send(tag, wordHealthy, fmt.Sprintf("rep=inflight:%d;util:0.5", inFlight))
+		c.send(tag, statusHealthy, fmt.Sprintf("rep=inflight:%d;util:0.5", inFlight))
 	}
 }
 
@@ -122,7 +122,7 @@
 func (c *conn) handleFetch(id, encodedFields, body string) {
 	fields, ok := resp.ParseFields([]byte(encodedFields))
 	if !ok {
-		c.send(id, wordCrashed, "why="+noteNoFillSlot)
+		c.send(id, statusCrashed, "why="+reasonNoFillSlot)
 		return
 	}
 	s := c.server
@@ -147,17 +147,17 @@
 // finish ends a request and sends its answer, if there is one. number is that of the observation.
 func (c *conn) finish(id string, number int, observation Observation, result answer) {
 	c.server.endRequest()
-	c.server.fleet.recordAnswer(number, result.word, result.note, result.stamp)
-	if result.word == "" {
+	c.server.fleet.recordAnswer(number, result.status, result.reason, result.stamp)
+	if result.status == "" {
 		return
 	}
-	fields := "why=" + result.note
-	if result.word != wordServed {
-		c.send(id, result.word, fields)
+	fields := "why=" + result.reason
+	if result.status != statusServed {
+		c.send(id, result.status, fields)
 		return
 	}
 	fields += fmt.Sprintf(",version=v%.0f,stamp=%.0f", result.stamp, result.stamp)
-	c.send(id, result.word, fields, string(Content(observation.Object, observation.Part, result.stamp)))
+	c.send(id, result.status, fields, string(Content(observation.Object, observation.Part, result.stamp)))
 }
 
 // observation returns the observation of a request, decoded from its fields.
@@ -197,9 +197,9 @@
 	case fault.Unresponsive:
 		return answer{}
 	case fault.Overloaded:
-		return answer{word: wordOverload, note: noteSourceRejected}
+		return answer{status: statusOverload, reason: reasonSourceRejected}
 	case fault.Failing:
-		return answer{word: wordCrashed, note: noteOriginFailed}
+		return answer{status: statusCrashed, reason: reasonOriginFailed}
 	}
 	result := s.answer(o, fields)
 	result.delay += fault.ExtraLatency
@@ -211,14 +211,14 @@
 	f := s.fleet
 	if o.Write {
 		f.runWrite(o.RequestID, o.IdempotencyKey)
-		return answer{wordServed, noteFilled, f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime}
+		return answer{statusServed, reasonFilled, f.options.Clock.Now(), f.options.TransferTime + f.options.FillTime}
 	}
 	part := partKey{o.Object, o.Part}
 	if stamp, ok := s.lookUp(part, o.OldestAllowed); ok {
-		return answer{wordServed, noteHit, stamp, f.options.TransferTime}
+		return answer{statusServed, reasonHit, stamp, f.options.TransferTime}
 	}
 	if s.Role == Origin { // the request bypassed the caches
-		return answer{wordServed, noteFilledOrigin, f.stampNow(), f.options.TransferTime}
+		return answer{statusServed, reasonFilledOrigin, f.stampNow(), f.options.TransferTime}
 	}
 	return s.fill(part, o, fields)
 }
@@ -227,23 +227,23 @@
 func (s *Server) fill(part partKey, o Observation, fields map[string]string) answer {
 	f := s.fleet
 	if o.Source == s.ID {
-		return answer{word: wordMiss, note: noteSourceMiss}
+		return answer{status: statusMiss, reason: reasonSourceMiss}
 	}
 	source := f.Server(o.Source)
 	if source == nil || source.unreachable() {
-		return answer{word: wordMiss, note: noteSourceLost}
+		return answer{status: statusMiss, reason: reasonSourceLost}
 	}
 	shallow := strings.Contains(fields["handle"], "shallow")
 	transit := strings.Contains(fields["handle"], "transit")
 	stamp, fromOrigin, ok := source.serveFill(part, o.OldestAllowed, shallow, transit)
 	if !ok {
-		return answer{word: wordMiss, note: noteSourceMiss}
+		return answer{status: statusMiss, reason: reasonSourceMiss}
 	}
 	retention, _ := strconv.Atoi(fields["retain"])
 	s.store(part, stamp, retention)
-	result := answer{wordServed, noteFilled, stamp, f.options.TransferTime + f.options.FillTime}
+	result := answer{statusServed, reasonFilled, stamp, f.options.TransferTime + f.options.FillTime}
 	if fromOrigin {
-		result.note = noteFilledOrigin
+		result.reason = reasonFilledOrigin
 		result.delay += f.options.FillTime
 	}
 	return result
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -53,7 +53,7 @@
 }
 
 func (r Rules) purgeViolations(o Observation, notifications []Notification) (violations []string) {
-	if o.Write || o.Answer != "served" {
+	if o.Write || o.Status != "served" {
 		return nil
 	}
 	for _, n := range notifications {
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -95,7 +95,7 @@
 	k.open = map[string]*request{}
 	k.mu.Unlock()
 	for _, q := range open {
-		k.client.endAttempt(q, outcome{word: wordLost, cause: "connection ended before the answer"})
+		k.client.endAttempt(q, outcome{status: statusLost, cause: "connection ended before the answer"})
 	}
 }
 
@@ -113,7 +113,7 @@
 		k.client.mu.Unlock()
 		return
 	}
-	result := outcome{word: string(parts[1])}
+	result := outcome{status: string(parts[1])}
 	if len(parts) > 2 {
 		if fields, ok := resp.ParseFields(parts[2]); ok {
 			result.backoff, _ = strconv.ParseFloat(fields["backoff"], 64)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -94,18 +94,18 @@
 
 // outcome is the result of one attempt.
 type outcome struct {
-	word    string  // the word of the answer, or wordLost
+	status  string  // of the answer, or statusLost
 	cause   string  // why the attempt was lost
 	backoff float64 // shortest delay before a retry, in ms, as the proxy asked for
 	body    []byte
 }
 
-// The words of an outcome: those of the proxy's answers, and wordLost for an attempt that ended without an answer. Any other word
-// is a failure.
+// The statuses of an outcome: those of the proxy's answers, and statusLost for an attempt that ended without an answer. Any other
+// status is a failure.
 const (
-	wordServed   = "ok"
-	wordRejected = "full"
-	wordLost     = "lost"
+	statusServed   = "ok"
+	statusRejected = "full"
+	statusLost     = "lost"
 )
 
 // Object returns the name of the object with number n.
@@ -164,7 +164,7 @@
 	if connection == nil || connection.full() {
 		dialed, err := c.dial(index)
 		if err != nil {
-			c.endAttempt(q, outcome{word: wordLost, cause: err.Error()})
+			c.endAttempt(q, outcome{status: statusLost, cause: err.Error()})
 			return
 		}
 		connection = dialed
@@ -196,17 +196,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.results[q.class.Name]
-	switch result.word {
-	case wordServed:
+	switch result.status {
+	case statusServed:
 		counts.Served++
 		_ = counts.Latency.RecordValue(max(1, int64((c.options.Clock.Now()-q.dueAt)*1000)))
 		if _, err := fleet.CheckContent(result.body, q.object, q.part); err != nil {
 			c.addViolation("%s: %v", q.class.Name, err)
 		}
-	case wordRejected:
+	case statusRejected:
 		counts.Rejected++
 		retry = true
-	case wordLost:
+	case statusLost:
 		counts.Lost++
 		c.addViolation("%s of %s: request lost: %s", q.class.Name, q.object, result.cause)
 	default:
--- a/internal/lab/multiprocess/summary.go
+++ b/internal/lab/multiprocess/summary.go
@@ -41,7 +41,7 @@
 		}
 		byCache[o.Server][second]++
 		r.Seconds[second].Attempts++
-		if o.Note == "pulled" || o.Note == "pulled_far" {
+		if o.Reason == "pulled" || o.Reason == "pulled_far" {
 			r.Seconds[second].Filled++
 		}
 	}
