--- a/cmd/ravenlab/experiments.go
+++ b/cmd/ravenlab/experiments.go
@@ -60,7 +60,7 @@
 	return experiment.Variant{}, fmt.Errorf("the experiment has no variant %q", f.variant)
 }
 
-// printRuns prints a row for each variant. If rules were broken, it prints the violations and returns an error.
+// printRuns prints a row for each variant. If there are violations, it prints them and returns an error.
 func printRuns(out io.Writer, runs []experiment.Run) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "variant\tseeds\tserved value\tworst 10 s\trecovery s\tclient attempts\tupstream attempts\thits\torigin fills\tviolations\t")
@@ -82,7 +82,7 @@
 			fmt.Fprintln(out, violation)
 		}
 	}
-	return fmt.Errorf("%d rules broken", violations)
+	return fmt.Errorf("%d violations of rules", violations)
 }
 
 // runCommand returns the command that plays one variant of an experiment with one seed.
--- a/cmd/ravenlab/field.go
+++ b/cmd/ravenlab/field.go
@@ -38,7 +38,7 @@
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed in place of that in the file")
 	cmd.PersistentFlags().StringVar(&o.program, "proxy", "bin/ravenwheel", "path of the proxy's binary")
-	cmd.PersistentFlags().StringVar(&o.dir, "dir", "", "keep scenario, result and logs in this directory (default: a temporary one, kept only if a rule was broken)")
+	cmd.PersistentFlags().StringVar(&o.dir, "dir", "", "keep scenario, result and logs in this directory (default: a temporary one, kept only if there were violations)")
 	cmd.PersistentFlags().StringVar(&o.page, "html", "", "write an HTML page of the result to this file")
 	cmd.AddCommand(fieldReplayCommand(&o))
 	return cmd
@@ -69,7 +69,7 @@
 	return s, defects.Err()
 }
 
-// playField plays a scenario and prints its result. If a rule was broken, it keeps the directory and returns an error.
+// playField plays a scenario and prints its result. If there are violations, it keeps the directory and returns an error.
 func playField(cmd *cobra.Command, s multiprocess.Scenario, o fieldOptions) (err error) {
 	dir := o.dir
 	if dir == "" {
@@ -87,7 +87,7 @@
 	}
 	printField(out, result)
 	if count := len(result.Violations); count > 0 {
-		return errors.Join(err, fmt.Errorf("%d rules broken: seed %d; scenario, result and logs are in %s, play it again with 'ravenlab field replay %s'",
+		return errors.Join(err, fmt.Errorf("%d violations of rules, seed %d; scenario, result and logs are in %s, play it again with 'ravenlab field replay %s'",
 			count, s.Seed, dir, dir))
 	}
 	if o.dir == "" {
--- a/cmd/ravenlab/scale.go
+++ b/cmd/ravenlab/scale.go
@@ -19,17 +19,17 @@
 // scaleMemoryLimit is Go's memory limit for a run, in bytes: near it, garbage is collected more often.
 const scaleMemoryLimit = 7 << 30
 
-// How control traffic is distributed to the processes, as --ways names it.
+// The modes in which control traffic is distributed to the processes, as --ways names them.
 const (
-	distributionLevels = string(hollow.ModeLevels) // over levels of relays
-	distributionDirect = string(hollow.ModeDirect) // to every process directly
+	modeLevels = string(hollow.ModeLevels) // over levels of relays
+	modeDirect = string(hollow.ModeDirect) // to every process directly
 )
 
 // scaleOptions are the flags of "ravenlab scale".
 type scaleOptions struct {
 	seed           uint64
 	sizes          []int    // numbers of processes; empty: those in the file
-	distributions  []string // values of --ways; empty: levels, and also direct if the file says so
+	modes          []string // values of --ways, see hollow.Mode; empty: levels, and also direct if the file says so
 	measureHarness bool     // play once more with processes that do nothing, to measure the CPU time of the simulation itself
 	dir, pagePath  string   // for results and for the page; empty: not written
 }
@@ -51,7 +51,7 @@
 		},
 	}
 	cmd.Flags().IntSliceVar(&o.sizes, "sizes", nil, "numbers of processes, in place of those in the file")
-	cmd.Flags().StringSliceVar(&o.distributions, "ways", nil, "how control traffic is distributed: levels, direct (default: levels, and also direct if the file says so)")
+	cmd.Flags().StringSliceVar(&o.modes, "ways", nil, "modes in which control traffic is distributed: levels, direct (default: levels, and also direct if the file says so)")
 	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "seed in place of that in the file")
 	cmd.Flags().BoolVar(&o.measureHarness, "loop", false, "play once more with processes that do nothing, to measure the CPU time of the simulation itself; needs up to 3.4 GB more memory")
 	cmd.Flags().StringVar(&o.dir, "dir", "", "write the result of each run to a JSON file in this directory")
@@ -73,16 +73,16 @@
 	return s, defects.Err()
 }
 
-// scale plays a scenario with all numbers of processes and distributions, and writes a page of the runs. If a run fails, the page
+// scale plays a scenario with all numbers of processes and modes, and writes a page of the runs. If a run fails, the page
 // shows the runs before it.
 func scale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) error {
 	if len(o.sizes) > 0 {
 		s.Processes = o.sizes
 	}
-	if len(o.distributions) == 0 {
-		o.distributions = []string{distributionLevels}
+	if len(o.modes) == 0 {
+		o.modes = []string{modeLevels}
 		if s.Direct {
-			o.distributions = append(o.distributions, distributionDirect)
+			o.modes = append(o.modes, modeDirect)
 		}
 	}
 	if err := s.Valid(); err != nil {
@@ -96,19 +96,19 @@
 	return err
 }
 
-// playScale plays, prints and stores the runs. It returns an error at the end if rules were broken.
+// playScale plays, prints and stores the runs. It returns an error at the end if there were violations.
 func playScale(cmd *cobra.Command, s hollow.Scenario, o scaleOptions) (runs []*hollow.Result, err error) {
 	violations := 0
 	for _, size := range s.Processes {
-		for _, distribution := range o.distributions {
-			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(distribution), o.measureHarness)
+		for _, mode := range o.modes {
+			result, err := hollow.Run(cmd.Context(), s, size, scaleMode(mode), o.measureHarness)
 			if err != nil {
 				return runs, err
 			}
 			runs = append(runs, result)
 			violations += result.Violations
 			if o.dir != "" {
-				name := fmt.Sprintf("%s-%s-%d.json", s.Name, distribution, size)
+				name := fmt.Sprintf("%s-%s-%d.json", s.Name, mode, size)
 				if err := writeIndentedJSON(filepath.Join(o.dir, name), result); err != nil {
 					return runs, err
 				}
@@ -119,14 +119,14 @@
 		}
 	}
 	if violations > 0 {
-		return runs, fmt.Errorf("%d rules broken, seed %d", violations, s.Seed)
+		return runs, fmt.Errorf("%d violations of rules, seed %d", violations, s.Seed)
 	}
 	return runs, nil
 }
 
 // scaleMode returns the mode for a value of --ways: direct, or levels for all other values.
-func scaleMode(distribution string) hollow.Mode {
-	if distribution == distributionDirect {
+func scaleMode(name string) hollow.Mode {
+	if name == modeDirect {
 		return hollow.ModeDirect
 	}
 	return hollow.ModeLevels
--- a/internal/lab/report/rows.go
+++ b/internal/lab/report/rows.go
@@ -11,7 +11,7 @@
 type Row struct {
 	Name              string
 	Seeds             int
-	Violations        int      // number of broken rules in all runs
+	Violations        int      // number of violations of rules in all runs
 	ServedValue       Estimate // value served, as a fraction of the value requested
 	WorstServedValue  Estimate // ServedValue in the worst ten seconds
 	RecoverySeconds   Estimate // see Recovery; in seconds
