--- a/cmd/ravenlab/load.go
+++ b/cmd/ravenlab/load.go
@@ -87,6 +87,6 @@
 	}
 	_ = w.Flush()
 	for _, violation := range client.Violations() {
-		fmt.Fprintln(out, "violation:", violation)
+		fmt.Fprintln(out, "wrong:", violation)
 	}
 }
