--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -65,7 +65,7 @@
 	for _, c := range []storestate.Change{
 		{Kind: storestate.SetList, List: &storestate.List{Generation: 3, Servers: []serverlist.Server{{ID: 1, Zone: "here"}}}},
 		{Kind: storestate.StartDrain, Name: serverlist.FormatID(1)}, {Kind: storestate.EndDrain, Name: serverlist.FormatID(1)},
-		{Kind: storestate.StartDrain, Name: "not a server id"}, {Kind: storestate.SpendToken, Name: "a"},
+		{Kind: storestate.StartDrain, Name: "not a server id"}, {Kind: storestate.RedeemToken, Name: "a"},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 10}},
 		{Kind: storestate.AddPurge, Purge: &storestate.Purge{Group: 4, IssuedAt: 11}},
 	} {
--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -13,7 +13,7 @@
 // stateSizes are the numbers of entries of each kind in a benchmark's state.
 var stateSizes = []int{600, 6_000, 60_000, 600_000}
 
-// stateWithEntries returns a state of n purges, n spent and n revoked token ids, the i-th of which expires at i ms. It is decoded
+// stateWithEntries returns a state of n purges, n redeemed and n revoked token ids, the i-th of which expires at i ms. It is decoded
 // from a snapshot, which is faster than applying the changes.
 func stateWithEntries(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
@@ -21,7 +21,7 @@
 	for i := 1; i <= n; i++ {
 		name := strconv.Itoa(i)
 		s.Purges[name] = storestate.Purge{Object: name, IssuedAt: 1, ExpiresAt: float64(i)}
-		s.SpentTokens[name], s.RevokedTokens[name] = float64(i), float64(i)
+		s.RedeemedTokens[name], s.RevokedTokens[name] = float64(i), float64(i)
 	}
 	raw, err := storestate.Encode(s)
 	require.NoError(b, err)
@@ -35,7 +35,7 @@
 	for _, kind := range []struct {
 		name string
 		kind storestate.Kind
-	}{{"purge", storestate.AddPurge}, {"spend", storestate.SpendToken}, {"revoke", storestate.RevokeToken}} {
+	}{{"purge", storestate.AddPurge}, {"redeem", storestate.RedeemToken}, {"revoke", storestate.RevokeToken}} {
 		for _, n := range stateSizes {
 			b.Run(fmt.Sprintf("%s/entries=%d", kind.name, n), func(b *testing.B) {
 				s := stateWithEntries(b, n)
--- a/internal/decide/storestate/change.go
+++ b/internal/decide/storestate/change.go
@@ -11,7 +11,7 @@
 
 // The kinds, with the fields of Change that each one uses. Their numbers are stored, so new kinds are added at the end.
 const (
-	SpendToken  Kind = iota + 1 // uses a token that may be used once: Name is its id, ExpiresAt when it expires
+	RedeemToken Kind = iota + 1 // redeems a one-time token: Name is its id, ExpiresAt when it expires
 	PutKey                      // adds or replaces a signing key: Name is its id, Key the key
 	DeleteKey                   // deletes a signing key: Name is its id
 	RevokeToken                 // revokes a token: Name is its id, ExpiresAt when it expires
@@ -63,11 +63,11 @@
 
 // The verdicts. Their numbers are stored, so new ones are added at the end.
 const (
-	OK           Verdict = iota
-	AlreadySpent         // the token was used before
-	Conflict             // BaseRevision is not the current revision of the configuration
-	Stale                // the list's generation is earlier than the stored list's, or the same with other servers
-	Invalid              // this version can't apply the change: unknown kind or encoding, or a missing or non-finite field
+	OK              Verdict = iota
+	AlreadyRedeemed         // the one-time token was redeemed before
+	Conflict                // BaseRevision is not the current revision of the configuration
+	Stale                   // the list's generation is earlier than the stored list's, or the same with other servers
+	Invalid                 // this version can't apply the change: unknown kind or encoding, or a missing or non-finite field
 )
 
 // Result is the outcome of a change. For a change of the configuration, Revision is the revision that it made or, with verdict
--- a/internal/decide/storestate/encoding.go
+++ b/internal/decide/storestate/encoding.go
@@ -68,7 +68,7 @@
 // replaceNilMaps replaces nil maps by empty ones. An encoding may hold null for a map, and writing to a nil map panics.
 func (s *State) replaceNilMaps() {
 	empty := New()
-	for _, m := range []*map[string]float64{&s.SpentTokens, &s.RevokedTokens, &s.Drains} {
+	for _, m := range []*map[string]float64{&s.RedeemedTokens, &s.RevokedTokens, &s.Drains} {
 		if *m == nil {
 			*m = map[string]float64{}
 		}
--- a/internal/decide/storestate/expiry.go
+++ b/internal/decide/storestate/expiry.go
@@ -36,7 +36,7 @@
 
 // rebuildExpiry builds the expiry queues from the tokens and purges.
 func (s *State) rebuildExpiry() {
-	s.spentExpiry.Rebuild(maps.All(s.SpentTokens))
+	s.redeemedExpiry.Rebuild(maps.All(s.RedeemedTokens))
 	s.revokedExpiry.Rebuild(maps.All(s.RevokedTokens))
 	s.purgeExpiry.Rebuild(func(yield func(string, float64) bool) {
 		for name, p := range s.Purges {
--- a/internal/decide/storestate/expiry_test.go
+++ b/internal/decide/storestate/expiry_test.go
@@ -12,7 +12,7 @@
 
 // scanModel is the reference model of the state: it scans all tokens and purges at each change. Values are expiry times.
 type scanModel struct {
-	spent, revoked, purges map[string]float64
+	redeemed, revoked, purges map[string]float64
 }
 
 func dropExpired(expiry map[string]float64, now float64) {
@@ -25,10 +25,10 @@
 
 func (m scanModel) apply(now float64, c storestate.Change) {
 	switch c.Kind {
-	case storestate.SpendToken:
-		dropExpired(m.spent, now)
-		if _, known := m.spent[c.Name]; !known {
-			m.spent[c.Name] = c.ExpiresAt
+	case storestate.RedeemToken:
+		dropExpired(m.redeemed, now)
+		if _, known := m.redeemed[c.Name]; !known {
+			m.redeemed[c.Name] = c.ExpiresAt
 		}
 	case storestate.RevokeToken:
 		dropExpired(m.revoked, now)
@@ -40,7 +40,7 @@
 }
 
 func (m scanModel) require(t *rapid.T, s *storestate.State) {
-	require.Equal(t, m.spent, s.SpentTokens)
+	require.Equal(t, m.redeemed, s.RedeemedTokens)
 	require.Equal(t, m.revoked, s.RevokedTokens)
 	require.Len(t, s.Purges, len(m.purges))
 	for name, until := range m.purges {
@@ -61,7 +61,7 @@
 			c := storestate.Change{
 				ProposedAt: at, Name: name,
 				ExpiresAt: at + rapid.OneOf(rapid.Just(30.0), rapid.Float64Range(-100, 500), rapid.Float64Range(-1e5, 1e5)).Draw(t, "for"),
-				Kind:      rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind"),
+				Kind:      rapid.SampledFrom([]storestate.Kind{storestate.RedeemToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind"),
 				Purge:     &storestate.Purge{Object: name, IssuedAt: at},
 			}
 			s.Apply(c)
@@ -84,13 +84,13 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
 			name := string(rune('A' + i))
 			until := float64(rapid.IntRange(500, 2000).Draw(t, "until"))
-			kind := rapid.SampledFrom([]storestate.Kind{storestate.SpendToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]storestate.Kind{storestate.RedeemToken, storestate.RevokeToken, storestate.AddPurge}).Draw(t, "kind")
 			changes = append(changes, storestate.Change{
 				Kind: kind, ProposedAt: 1000, ExpiresAt: until, Name: name, Purge: &storestate.Purge{Object: name, IssuedAt: 1000},
 			})
 		}
 		last := []storestate.Change{ // each expires entries of its kind
-			{Kind: storestate.SpendToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
+			{Kind: storestate.RedeemToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
 			{Kind: storestate.RevokeToken, ProposedAt: 1500, ExpiresAt: 9000, Name: "z"},
 			{Kind: storestate.AddPurge, ProposedAt: 1500, ExpiresAt: 9000, Purge: &storestate.Purge{Object: "z", IssuedAt: 1500}},
 		}
--- a/internal/decide/storestate/golden_test.go
+++ b/internal/decide/storestate/golden_test.go
@@ -29,7 +29,7 @@
 // goldenChanges returns changes of each kind, one with all fields set and one with none.
 func goldenChanges() []goldenEntry {
 	return []goldenEntry{
-		{"change-spend.cbor", storestate.Change{ID: "id-1", ProposedAt: 1e12, Kind: storestate.SpendToken, Name: "jti", ExpiresAt: 1e12 + 9000.5}},
+		{"change-spend.cbor", storestate.Change{ID: "id-1", ProposedAt: 1e12, Kind: storestate.RedeemToken, Name: "jti", ExpiresAt: 1e12 + 9000.5}},
 		{"change-put-key.cbor", storestate.Change{ID: "id-2", ProposedAt: 1e12, Kind: storestate.PutKey, Name: "kid", Key: goldenKey()}},
 		{"change-drop-key.cbor", storestate.Change{ID: "id-3", ProposedAt: 1e12, Kind: storestate.DeleteKey, Name: "other"}},
 		{"change-revoke.cbor", storestate.Change{ID: "id-4", ProposedAt: 1e12, Kind: storestate.RevokeToken, Name: "jti", ExpiresAt: 1e12 + 9000}},
--- a/internal/decide/storestate/legacy.go
+++ b/internal/decide/storestate/legacy.go
@@ -20,7 +20,7 @@
 
 // legacyKinds maps the operations of format version 0 to kinds. Higher operations changed a configuration that no version of the
 // proxy ever read.
-var legacyKinds = [...]Kind{SpendToken, PutKey, DeleteKey, RevokeToken}
+var legacyKinds = [...]Kind{RedeemToken, PutKey, DeleteKey, RevokeToken}
 
 // legacyState is a snapshot of format version 0. Its configuration is not decoded, as no version of the proxy ever read it.
 type legacyState struct {
@@ -57,7 +57,7 @@
 	}
 	s := New()
 	maps.Copy(s.Keys, old.Keys)
-	maps.Copy(s.SpentTokens, old.Spent)
+	maps.Copy(s.RedeemedTokens, old.Spent)
 	maps.Copy(s.RevokedTokens, old.Revoked)
 	s.rebuildExpiry()
 	return s, nil
--- a/internal/decide/storestate/storestate.go
+++ b/internal/decide/storestate/storestate.go
@@ -1,4 +1,4 @@
-// Package storestate is the state machine of the replicated store: signing keys, spent and revoked token ids, revisions of
+// Package storestate is the state machine of the replicated store: signing keys, redeemed and revoked token ids, revisions of
 // the configuration, server lists, drains and purges. Applying the same log gives the same state on each member: Apply is
 // deterministic, takes the time from the changes instead of a clock, and gives a change that is submitted twice under one id one
 // effect and one result. The package performs no I/O. Its own tests cover its decisions; the tests of internal/store apply it
@@ -33,29 +33,29 @@
 
 // State is the result of applying a log's changes. New makes one; the zero value is not usable. It is not safe for concurrent use.
 type State struct {
-	Time          float64            `cbor:"1,keyasint"`  // latest ProposedAt of the changes applied, limited by maxTimeStep
-	Keys          map[string]Key     `cbor:"2,keyasint"`  // by key id
-	SpentTokens   map[string]float64 `cbor:"3,keyasint"`  // by token id: when the token expires; until then a replay is refused
-	RevokedTokens map[string]float64 `cbor:"4,keyasint"`  // by token id: when the token expires
-	Revisions     []Revision         `cbor:"5,keyasint"`  // of the configuration, oldest first
-	Lists         map[string]List    `cbor:"6,keyasint"`  // by name
-	Drains        map[string]float64 `cbor:"7,keyasint"`  // by server's name: when the drain began
-	Purges        map[string]Purge   `cbor:"8,keyasint"`  // by object, or by "group N"
-	Results       []AppliedResult    `cbor:"9,keyasint"`  // oldest first
-	AppliedIndex  uint64             `cbor:"10,keyasint"` // log index of the last entry applied
+	Time           float64            `cbor:"1,keyasint"`  // latest ProposedAt of the changes applied, limited by maxTimeStep
+	Keys           map[string]Key     `cbor:"2,keyasint"`  // by key id
+	RedeemedTokens map[string]float64 `cbor:"3,keyasint"`  // by token id: when the one-time token expires; until then a second use is refused
+	RevokedTokens  map[string]float64 `cbor:"4,keyasint"`  // by token id: when the token expires
+	Revisions      []Revision         `cbor:"5,keyasint"`  // of the configuration, oldest first
+	Lists          map[string]List    `cbor:"6,keyasint"`  // by name
+	Drains         map[string]float64 `cbor:"7,keyasint"`  // by server's name: when the drain began
+	Purges         map[string]Purge   `cbor:"8,keyasint"`  // by object, or by "group N"
+	Results        []AppliedResult    `cbor:"9,keyasint"`  // oldest first
+	AppliedIndex   uint64             `cbor:"10,keyasint"` // log index of the last entry applied
 	// FactIndexes holds the log index of the change that set each purge, drain, list and the configuration, by FactKey. Subscribers
 	// need it to put these facts into the log's order. A fact has none if it was set before the state stored indexes.
 	FactIndexes map[string]uint64 `cbor:"11,keyasint,omitempty"`
 
 	resultsByID map[string]Result // Results by the change's id
 	// Queues of expiry times, which are not encoded but rebuilt when a state is decoded.
-	spentExpiry, revokedExpiry, purgeExpiry expiryqueue.Queue[string]
+	redeemedExpiry, revokedExpiry, purgeExpiry expiryqueue.Queue[string]
 }
 
 // New returns the state of an empty log.
 func New() *State {
 	return &State{
-		Keys: map[string]Key{}, SpentTokens: map[string]float64{}, RevokedTokens: map[string]float64{}, Lists: map[string]List{},
+		Keys: map[string]Key{}, RedeemedTokens: map[string]float64{}, RevokedTokens: map[string]float64{}, Lists: map[string]List{},
 		Drains: map[string]float64{}, Purges: map[string]Purge{}, FactIndexes: map[string]uint64{}, resultsByID: map[string]Result{},
 	}
 }
@@ -103,8 +103,8 @@
 
 func (s *State) applyNew(c Change) Result {
 	switch {
-	case c.Kind == SpendToken:
-		return s.spendToken(c)
+	case c.Kind == RedeemToken:
+		return s.redeemToken(c)
 	case c.Kind == PutKey && c.Key != nil:
 		s.Keys[c.Name] = *c.Key
 	case c.Kind == DeleteKey:
@@ -129,12 +129,12 @@
 	return Result{}
 }
 
-func (s *State) spendToken(c Change) Result {
-	expireTokens(s.SpentTokens, &s.spentExpiry, s.Time)
-	if _, spent := s.SpentTokens[c.Name]; spent {
-		return Result{Verdict: AlreadySpent}
+func (s *State) redeemToken(c Change) Result {
+	expireTokens(s.RedeemedTokens, &s.redeemedExpiry, s.Time)
+	if _, redeemed := s.RedeemedTokens[c.Name]; redeemed {
+		return Result{Verdict: AlreadyRedeemed}
 	}
-	setToken(s.SpentTokens, &s.spentExpiry, c.Name, c.ExpiresAt)
+	setToken(s.RedeemedTokens, &s.redeemedExpiry, c.Name, c.ExpiresAt)
 	return Result{}
 }
 
--- a/internal/decide/storestate/storestate_test.go
+++ b/internal/decide/storestate/storestate_test.go
@@ -31,11 +31,11 @@
 }
 
 // Members that apply the same log have equal states, whether they apply each entry, repeated entries, or a snapshot in place of the
-// entries before it. A token id is spent once.
+// entries before it. A token id is redeemed once.
 func TestReplicasOfOneLogAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := storestate.New(), storestate.New()
-		spentBy := map[string]string{} // by token id: the change that spent it
+		redeemedBy := map[string]string{} // by token id: the change that redeemed it
 		submitted := map[string]bool{}
 		for n := range rapid.IntRange(0, 60).Draw(t, "n") {
 			c := drawChange(t, n)
@@ -49,11 +49,11 @@
 			require.Equal(t, r, first.Apply(c), "a change that is applied again has the same result and no effect")
 			require.LessOrEqual(t, first.Revision().Number, before+1)
 			again := submitted[c.ID]
-			if submitted[c.ID] = true; !again && c.Kind == storestate.SpendToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
-				if by, known := spentBy[c.Name]; known {
-					require.Equal(t, by, c.ID, "two changes spent the same token id")
+			if submitted[c.ID] = true; !again && c.Kind == storestate.RedeemToken && r.Verdict == storestate.OK && c.ExpiresAt > 5000 {
+				if by, known := redeemedBy[c.Name]; known {
+					require.Equal(t, by, c.ID, "two changes redeemed the same token id")
 				}
-				spentBy[c.Name] = c.ID
+				redeemedBy[c.Name] = c.ID
 			}
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				raw, err := storestate.Encode(second)
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	require.Equal(t, storestate.Key{Alg: "HS256", Data: []byte("x")}, s.Keys["k1"])
 	for raw, want := range map[string]storestate.Verdict{
-		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            storestate.AlreadySpent,
+		`{"Op":0,"Name":"j1","Until":9000,"Now":1000}`:            storestate.AlreadyRedeemed,
 		`{"Op":0,"Name":"j3","Until":9000,"Now":1000}`:            storestate.OK,
 		`{"Op":1,"Name":"k2","Key":{"alg":"HS256","key":"eQ=="}}`: storestate.OK,
 		`{"Op":2,"Name":"k1"}`:                                    storestate.OK,
@@ -96,10 +96,10 @@
 	}
 }
 
-// A proposer whose clock is years ahead must not expire token ids that were spent through other members.
+// A proposer whose clock is years ahead must not expire token ids that were redeemed through other members.
 func TestProposerWithFastClockExpiresNoTokens(t *testing.T) {
 	s := storestate.New()
-	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1000, ExpiresAt: 100_000}).Verdict)
-	s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "b", ProposedAt: 9e15, ExpiresAt: 9e15})
-	require.Equal(t, storestate.AlreadySpent, s.Apply(storestate.Change{Kind: storestate.SpendToken, Name: "a", ProposedAt: 1001, ExpiresAt: 100_000}).Verdict)
+	require.Equal(t, storestate.OK, s.Apply(storestate.Change{Kind: storestate.RedeemToken, Name: "a", ProposedAt: 1000, ExpiresAt: 100_000}).Verdict)
+	s.Apply(storestate.Change{Kind: storestate.RedeemToken, Name: "b", ProposedAt: 9e15, ExpiresAt: 9e15})
+	require.Equal(t, storestate.AlreadyRedeemed, s.Apply(storestate.Change{Kind: storestate.RedeemToken, Name: "a", ProposedAt: 1001, ExpiresAt: 100_000}).Verdict)
 }
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -12,9 +12,9 @@
 const (
 	// timerSlackMs is how many ms a timer may fire before the time that it was set for.
 	timerSlackMs = 1
-	// spendRetryAfter is the delay in ms after which a client should retry if the store could not record its token as spent in
+	// redeemRetryAfter is the delay in ms after which a client should retry if the store could not record its token as spent in
 	// time.
-	spendRetryAfter = 1000
+	redeemRetryAfter = 1000
 )
 
 // answerRead verifies the token again, because a copy must not be served after its link's expiry, and writes the answer.
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -118,12 +118,12 @@
 // outcome alone decides the answer. No attempt starts after the token's expiry, but the answer to an attempt that may have been
 // executed is waited for.
 func (f *Front) serveWrite(w http.ResponseWriter, r *http.Request, q core.Request, t token) {
-	switch err := f.store.SpendToken(t.id, t.expiresUnix); {
-	case errors.Is(err, store.ErrTokenSpent):
+	switch err := f.store.RedeemToken(t.id, t.expiresUnix); {
+	case errors.Is(err, store.ErrTokenRedeemed):
 		writeError(w, http.StatusConflict, "replayed")
 		return
 	case err != nil:
-		f.writeOverloaded(w, spendRetryAfter)
+		f.writeOverloaded(w, redeemRetryAfter)
 		return
 	}
 	q.SendBy = t.validUntil
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -17,7 +17,7 @@
 		other := c.members[c.otherMember(leader)]
 		began := time.Now()
 		c.members[leader].Kill()
-		for i := 0; other.SpendToken(string(rune('a'+i%26))+time.Now().String(), 9e15) != nil; i++ {
+		for i := 0; other.RedeemToken(string(rune('a'+i%26))+time.Now().String(), 9e15) != nil; i++ {
 		}
 		_ = latencies.RecordValue(time.Since(began).Milliseconds())
 		c.open(leader, Options{})
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -177,7 +177,7 @@
 	list := &storestate.List{Generation: 3, Servers: []serverlist.Server{
 		{ID: 1, Host: "h1", Port: 4100, Zone: "east"}, {ID: 2, Host: "h2", Port: 4100, Warm: true},
 	}}
-	propose(storestate.Change{Kind: storestate.SpendToken, Name: "spent-1", ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.RedeemToken, Name: "spent-1", ExpiresAt: 9e15})
 	propose(storestate.Change{Kind: storestate.PutKey, Name: "k1", Key: &Key{Alg: "HS256", Data: []byte("x")}})
 	propose(storestate.Change{Kind: storestate.PutKey, Name: "k2", Key: &Key{Alg: "HS256", Data: []byte("y")}})
 	propose(storestate.Change{Kind: storestate.RevokeToken, Name: "revoked-1", ExpiresAt: 9e15})
@@ -187,7 +187,7 @@
 	propose(storestate.Change{Kind: storestate.StartDrain, Name: "s-00000002"})
 	propose(storestate.Change{Kind: storestate.AddPurge, Purge: &storestate.Purge{Object: "o", IssuedAt: 1e12}, ExpiresAt: 9e15})
 	eventually(t, func() bool { return s.raft.Stats()["last_snapshot_index"] != "0" }, "the member takes a snapshot")
-	propose(storestate.Change{Kind: storestate.SpendToken, Name: "spent-2", ExpiresAt: 9e15})
+	propose(storestate.Change{Kind: storestate.RedeemToken, Name: "spent-2", ExpiresAt: 9e15})
 	propose(storestate.Change{Kind: storestate.DeleteKey, Name: "k2"})
 	propose(storestate.Change{Kind: storestate.SetConfig, BaseRevision: 1, Text: "{ }"})
 	propose(storestate.Change{Kind: storestate.EndDrain, Name: "s-00000002"})
@@ -211,7 +211,7 @@
 	}))
 	st, err := storestate.DecodeState(raw)
 	require.NoError(t, err)
-	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.SpentTokens)
+	require.Equal(t, map[string]float64{"spent-1": 9e15, "spent-2": 9e15}, st.RedeemedTokens)
 	require.Equal(t, map[string]float64{"revoked-1": 9e15}, st.RevokedTokens)
 	require.Equal(t, map[string]Key{"k1": {Alg: "HS256", Data: []byte("x")}}, st.Keys)
 	require.Equal(t, []storestate.Revision{
@@ -225,7 +225,7 @@
 		"o": {Object: "o", IssuedAt: 1e12, ExpiresAt: 9e15}, "group 4": {Group: 4, IssuedAt: 1e12, ExpiresAt: 9e15},
 	}, st.Purges)
 	require.Len(t, st.Results, 14)
-	require.ErrorIs(t, s.SpendToken("spent-2", 9e15), ErrTokenSpent)
+	require.ErrorIs(t, s.RedeemToken("spent-2", 9e15), ErrTokenRedeemed)
 }
 
 // The state machine, without raft, restores the snapshot in the golden directory, writes an equal snapshot, and applies a change.
@@ -238,7 +238,7 @@
 		require.NoError(t, err)
 		f := &fsm{state: storestate.New()}
 		require.NoError(t, f.Restore(io.NopCloser(bytes.NewReader(raw))))
-		require.Contains(t, f.state.SpentTokens, "spent-1")
+		require.Contains(t, f.state.RedeemedTokens, "spent-1")
 		again, err := f.Snapshot()
 		require.NoError(t, err)
 		require.Equal(t, raw, []byte(again.(snapshot)))
--- a/internal/store/linearizability_test.go
+++ b/internal/store/linearizability_test.go
@@ -15,9 +15,9 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// op is the input of a call: spend a token id, or change or read the configuration.
+// op is the input of a call: redeem a token id, or change or read the configuration.
 type op struct {
-	key  string // token id to spend; empty: the configuration
+	key  string // token id to redeem; empty: the configuration
 	base uint64 // base revision of a change of the configuration
 	read bool   // read the configuration's revision instead of changing the configuration
 }
@@ -28,7 +28,7 @@
 	revision    uint64
 }
 
-// model is the sequential model of one key. Its state is, for a token id, 1 once it was spent, and for the configuration its
+// model is the sequential model of one key. Its state is, for a token id, 1 once it was redeemed, and for the configuration its
 // current revision.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
@@ -41,7 +41,7 @@
 			}
 		case in.key != "":
 			if out.unknown {
-				return []any{uint64(1)} // spent by this call or by an earlier one
+				return []any{uint64(1)} // redeemed by this call or by an earlier one
 			}
 			if out.ok == (s == 0) {
 				return []any{uint64(1)}
@@ -120,7 +120,7 @@
 		case 1:
 			c.readRevision(s)
 		default:
-			c.spendToken(s, fmt.Sprint("j", time.Since(c.recorder.began).Milliseconds()/40)) // several clients spend each id
+			c.redeemToken(s, fmt.Sprint("j", time.Since(c.recorder.began).Milliseconds()/40)) // several clients redeem each id
 		}
 	}
 }
@@ -148,11 +148,11 @@
 	})
 }
 
-func (c *client) spendToken(s *Store, tokenID string) {
+func (c *client) redeemToken(s *Store, tokenID string) {
 	c.recorder.record(c.id, op{key: tokenID}, func() (outcome, bool) {
-		err := s.SpendToken(tokenID, 9e15)
+		err := s.RedeemToken(tokenID, 9e15)
 		switch {
-		case err == nil || errors.Is(err, ErrTokenSpent):
+		case err == nil || errors.Is(err, ErrTokenRedeemed):
 			return outcome{ok: err == nil}, true
 		case errors.Is(err, ErrOutcomeUnknown):
 			return outcome{unknown: true}, true
@@ -181,7 +181,7 @@
 	time.Sleep(300 * time.Millisecond)
 }
 
-// Clients spend token ids, change the configuration and read it while members are disconnected, killed and restarted. The history
+// Clients redeem token ids, change the configuration and read it while members are disconnected, killed and restarted. The history
 // of their calls is linearizable.
 func TestCallsAreLinearizable(t *testing.T) {
 	c := newCluster(t, memberNames...)
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -15,10 +15,10 @@
 	"ravenwheel/internal/decide/storestate"
 )
 
-// SpendToken marks a token id as used until its token expires, at a time in Unix ms. It returns ErrTokenSpent if the token id was
-// used before.
-func (s *Store) SpendToken(jti string, expiresAt float64) error {
-	_, err := s.Propose(storestate.Change{Kind: storestate.SpendToken, Name: jti, ExpiresAt: expiresAt})
+// RedeemToken marks the id of a one-time token as redeemed until the token expires, at a time in Unix ms. It returns
+// ErrTokenRedeemed if the id was redeemed before.
+func (s *Store) RedeemToken(jti string, expiresAt float64) error {
+	_, err := s.Propose(storestate.Change{Kind: storestate.RedeemToken, Name: jti, ExpiresAt: expiresAt})
 	return err
 }
 
@@ -68,7 +68,7 @@
 // Propose commits one change through the log, at this member or through the leader, and retries within Options.Timeout where that
 // is safe. The change has the same id in all attempts, so that it is applied only once. A caller that proposes the same content
 // again after ErrOutcomeUnknown makes a second change, unless it sets the id of the first. Propose returns the error for the
-// result's verdict (ErrTokenSpent, ErrConflict, ErrStale or ErrInvalid), ErrUnavailable or ErrOutcomeUnknown.
+// result's verdict (ErrTokenRedeemed, ErrConflict, ErrStale or ErrInvalid), ErrUnavailable or ErrOutcomeUnknown.
 func (s *Store) Propose(c storestate.Change) (storestate.Result, error) {
 	if c.ID == "" {
 		c.ID = newChangeID()
@@ -115,8 +115,8 @@
 	switch r.Verdict {
 	case storestate.OK:
 		return r, nil
-	case storestate.AlreadySpent:
-		return r, ErrTokenSpent
+	case storestate.AlreadyRedeemed:
+		return r, ErrTokenRedeemed
 	case storestate.Conflict:
 		return r, ErrConflict
 	case storestate.Stale:
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -91,10 +91,10 @@
 	return r
 }
 
-// TokenCounts returns how many spent and how many revoked token ids this member's state holds.
-func (s *Store) TokenCounts() (spent, revoked int) {
-	s.ReadLocal(func(st *storestate.State) { spent, revoked = len(st.SpentTokens), len(st.RevokedTokens) })
-	return spent, revoked
+// TokenCounts returns how many redeemed and how many revoked token ids this member's state holds.
+func (s *Store) TokenCounts() (redeemed, revoked int) {
+	s.ReadLocal(func(st *storestate.State) { redeemed, revoked = len(st.RedeemedTokens), len(st.RevokedTokens) })
+	return redeemed, revoked
 }
 
 // Watch returns a channel of configuration revisions: the current one first, if there is one, and then each one that this member
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,4 @@
-// Package store replicates configuration, signing keys, revocations, spent token ids, server lists, drains and purges among a few
+// Package store replicates configuration, signing keys, revocations, redeemed token ids, server lists, drains and purges among a few
 // members by raft (hashicorp/raft). The state machine is decide/storestate, and decide/retry decides on retries. A single member
 // in memory has no log and opens no socket. Members of a cluster use mutual TLS among each other and refuse other connections. No
 // request over the platform's protocol (internal/front/resp) waits for the store. The tests disconnect, kill and restart members,
@@ -23,9 +23,9 @@
 
 // The errors of a change. ErrUnavailable without ErrOutcomeUnknown means that the change was not applied and will not be.
 // ErrOutcomeUnknown, which wraps ErrUnavailable, means that the change may have been applied or may still be: the caller must treat
-// a token as spent then.
+// a one-time token as redeemed then.
 var (
-	ErrTokenSpent     = errors.New("store: token already spent")
+	ErrTokenRedeemed  = errors.New("store: token already redeemed")
 	ErrConflict       = errors.New("store: the configuration was changed since its base revision")
 	ErrStale          = errors.New("store: stale list: generation lower than the stored list's, or the same with other servers")
 	ErrInvalid        = errors.New("store: invalid change")
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -183,15 +183,15 @@
 	return ""
 }
 
-// spendNewToken spends a new token id, and tries until a quorum accepts it. An attempt without a quorum may still succeed later, so
-// each attempt spends another token id.
-func spendNewToken(t testing.TB, s *Store) (tokenID string) {
+// redeemNewToken redeems a new token id, and tries until a quorum accepts it. An attempt without a quorum may still succeed later, so
+// each attempt redeems another token id.
+func redeemNewToken(t testing.TB, s *Store) (tokenID string) {
 	t.Helper()
 	n := 0
 	eventually(t, func() bool {
 		n++
 		tokenID = fmt.Sprintf("%p-%d", &n, n)
-		return s.SpendToken(tokenID, 9e15) == nil
+		return s.RedeemToken(tokenID, 9e15) == nil
 	}, "a quorum accepts a change")
 	return tokenID
 }
@@ -202,8 +202,8 @@
 	s, err := Open(Options{Clock: clk})
 	require.NoError(t, err)
 	require.True(t, s.IsLeader())
-	require.NoError(t, s.SpendToken("a", 2000))
-	require.ErrorIs(t, s.SpendToken("a", 2000), ErrTokenSpent)
+	require.NoError(t, s.RedeemToken("a", 2000))
+	require.ErrorIs(t, s.RedeemToken("a", 2000), ErrTokenRedeemed)
 	require.NoError(t, s.PutKey("k1", Key{Alg: "HS256", Data: []byte("x")}))
 	k, ok := s.Key("k1")
 	require.True(t, ok && k.Alg == "HS256")
@@ -213,10 +213,10 @@
 	require.NoError(t, s.RevokeToken("r", 1500))
 	require.True(t, s.IsRevoked("r"))
 	clk.Advance(1001) // past the expiry of "a" and "r", which the next change of their kind deletes
-	require.NoError(t, s.SpendToken("b", 3000))
+	require.NoError(t, s.RedeemToken("b", 3000))
 	require.NoError(t, s.RevokeToken("r2", 3000))
-	spent, revoked := s.TokenCounts()
-	require.Equal(t, [2]int{1, 1}, [2]int{spent, revoked})
+	redeemed, revoked := s.TokenCounts()
+	require.Equal(t, [2]int{1, 1}, [2]int{redeemed, revoked})
 
 	w := s.Watch()
 	rev, err := s.SetConfig(0, "one", "ops")
@@ -235,7 +235,7 @@
 	_, err = s.Rollback(9, "ops")
 	require.Error(t, err)
 	require.NoError(t, s.Close())
-	require.ErrorIs(t, s.SpendToken("c", 3000), ErrUnavailable)
+	require.ErrorIs(t, s.RedeemToken("c", 3000), ErrUnavailable)
 }
 
 // A member that was down catches up by a snapshot, as the entries that it lacks were compacted. Then the leader is killed. In the
@@ -243,13 +243,13 @@
 func TestMemberReturnsBySnapshotAfterLeaderLoss(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	firstLeader := c.leader()
-	spent := []string{spendNewToken(t, c.members[firstLeader]), spendNewToken(t, c.members[c.otherMember(firstLeader)])}
+	redeemed := []string{redeemNewToken(t, c.members[firstLeader]), redeemNewToken(t, c.members[c.otherMember(firstLeader)])}
 	down := c.otherMember(firstLeader)
 	c.members[down].Kill()
 	for range 150 { // beyond the snapshot's threshold and its trailing entries
 		require.NoError(t, c.members[firstLeader].PutKey("k", Key{Alg: "HS256", Data: []byte("y")}))
 	}
-	spent = append(spent, spendNewToken(t, c.members[firstLeader]))
+	redeemed = append(redeemed, redeemNewToken(t, c.members[firstLeader]))
 	eventually(t, func() bool { return c.members[firstLeader].raft.Stats()["last_snapshot_index"] != "0" }, "the leader's snapshot")
 	restarted := c.open(down, Options{})
 	eventually(t, func() bool { k, ok := restarted.Key("k"); return ok && string(k.Data) == "y" }, "the member catches up")
@@ -257,26 +257,26 @@
 	c.members[firstLeader].Kill()
 	secondLeader := c.leader()
 	require.NotEqual(t, firstLeader, secondLeader)
-	spent = append(spent, spendNewToken(t, c.members[c.otherMember(firstLeader, secondLeader)]))
+	redeemed = append(redeemed, redeemNewToken(t, c.members[c.otherMember(firstLeader, secondLeader)]))
 	c.open(firstLeader, Options{})
 	for _, s := range c.allMembers() {
-		for _, tokenID := range spent {
+		for _, tokenID := range redeemed {
 			var err error
-			eventually(t, func() bool { err = s.SpendToken(tokenID, 9e15); return err == ErrTokenSpent || err == nil }, "a quorum")
-			require.ErrorIs(t, err, ErrTokenSpent, tokenID)
+			eventually(t, func() bool { err = s.RedeemToken(tokenID, 9e15); return err == ErrTokenRedeemed || err == nil }, "a quorum")
+			require.ErrorIs(t, err, ErrTokenRedeemed, tokenID)
 		}
 	}
 }
 
 // The leader has a change in its log and is killed before it answers, so that the caller gets ErrOutcomeUnknown. The change is
-// applied once, however often it is proposed again under its id. Another change that spends the same token is refused.
+// applied once, however often it is proposed again under its id. Another change that redeems the same token is refused.
 func TestChangeIsAppliedOnceWhenLeaderIsKilled(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
 	s := c.members[leader]
 	require.NoError(t, s.PutKey("k", Key{Alg: "HS256"}))
 	c.isolate(leader, true) // no other member receives what it appends now
-	change := storestate.Change{ID: "one", Kind: storestate.SpendToken, Name: "j", ExpiresAt: 9e15}
+	change := storestate.Change{ID: "one", Kind: storestate.RedeemToken, Name: "j", ExpiresAt: 9e15}
 	before, outcome := s.raft.LastIndex(), make(chan error, 1)
 	go func() { _, err := s.Propose(change); outcome <- err }()
 	eventually(t, func() bool { return s.raft.LastIndex() > before }, "the change is in the leader's log")
@@ -290,7 +290,7 @@
 		eventually(t, func() bool { _, err = next.Propose(change); return !errors.Is(err, ErrUnavailable) }, "a quorum answers")
 		require.NoError(t, err)
 	}
-	require.ErrorIs(t, next.SpendToken("j", 9e15), ErrTokenSpent)
+	require.ErrorIs(t, next.RedeemToken("j", 9e15), ErrTokenRedeemed)
 }
 
 // A member that is cut off serves local reads, reports how stale they are, and acknowledges no change. A leader that is cut off
@@ -305,7 +305,7 @@
 	eventually(t, func() bool { return c.members[isolated].Status().StaleMs > 300 }, "the isolated member reports stale state")
 	_, ok := c.members[isolated].Key("k")
 	require.True(t, ok, "the isolated member serves local reads")
-	require.ErrorIs(t, c.members[isolated].SpendToken("j", 9e15), ErrUnavailable)
+	require.ErrorIs(t, c.members[isolated].RedeemToken("j", 9e15), ErrUnavailable)
 	require.ErrorIs(t, c.members[isolated].ReadLinearizable(func(*storestate.State) {}), ErrUnavailable, "no linearizable read without the leader")
 	require.NoError(t, c.members[leader].DeleteKey("k"))
 	_, ok = c.members[isolated].Key("k")
@@ -327,7 +327,7 @@
 		}
 		return next != ""
 	}, "another member is elected leader")
-	spendNewToken(t, c.members[next])
+	redeemNewToken(t, c.members[next])
 
 	// A member that knows no leader refuses an operation, which has no effect, and Request tries it again.
 	id, err := LoadIdentity(c.keys, leader)
@@ -337,7 +337,7 @@
 	time.Sleep(5 * requestRetryDelay)
 	c.isolate(leader, false)
 	require.NoError(t, <-done)
-	spendNewToken(t, c.members[leader])
+	redeemNewToken(t, c.members[leader])
 }
 
 // Raft has passed two acknowledged changes to a follower's state machine, which has not applied them yet. A linearizable read at
@@ -362,12 +362,12 @@
 func TestMembersJoinLeaveAndTransferLeadership(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	leader := c.leader()
-	tokenID := spendNewToken(t, c.members[leader])
+	tokenID := redeemNewToken(t, c.members[leader])
 	c.add("d")
 	d := c.open("d", Options{Join: c.addrs[c.otherMember(leader)]}) // through a follower
 	// The leader has added d when Open returns, but d itself receives the new list of members a moment later.
 	eventually(t, func() bool { return len(d.Status().Members) == 4 }, "the new member has the list of all members")
-	require.ErrorIs(t, d.SpendToken(tokenID, 9e15), ErrTokenSpent)
+	require.ErrorIs(t, d.RedeemToken(tokenID, 9e15), ErrTokenRedeemed)
 	id, err := LoadIdentity(c.keys, "d")
 	require.NoError(t, err)
 	_, err = Request(id, c.addrs["d"], OpTransfer, "d", "", 5*time.Second)
@@ -381,7 +381,7 @@
 	}, "the list has one member less")
 	c.members[leader].Kill()
 	require.NoError(t, d.Close()) // a leader transfers its leadership first
-	spendNewToken(t, c.members[c.otherMember(leader)])
+	redeemNewToken(t, c.members[c.otherMember(leader)])
 }
 
 // Connections fail between a store and a peer that is not a member of its cluster: one of a cluster of the same name with another
