--- a/internal/store/cluster.go
+++ b/internal/store/cluster.go
@@ -137,7 +137,7 @@
 			return nil
 		}
 		if s.opt.Clock.Now() >= deadline {
-			return fmt.Errorf("member %q does not catch up: it goes on learning", name)
+			return fmt.Errorf("member %q has not caught up in time; it stays a non-voter", name)
 		}
 	}
 }
