--- a/internal/decide/expiryqueue/expiryqueue.go
+++ b/internal/decide/expiryqueue/expiryqueue.go
@@ -1,6 +1,8 @@
 // Package expiryqueue finds the expired entries of a map without a scan of the whole map. A Queue orders the keys of the map by
 // expiry time and holds nothing else: the map's owner keeps the values, supplies the expiry times and removes expired keys. When
 // an expiry is moved to later, the queue's entry stays in place and is reordered once it reaches the top of the heap.
+//
+// The package reads no clock. Its tests compare a Queue with a full scan of the map.
 package expiryqueue
 
 import (
--- a/internal/decide/recovery/plan.go
+++ b/internal/decide/recovery/plan.go
@@ -36,8 +36,8 @@
 }
 
 // purgesInForce returns the purges that can still match a copy, by time of issue. Each counts as received now, because it is
-// unknown how far it had propagated before the restart: copies older than the purge are not requested for its full duration,
-// counted from now.
+// unknown how far it had propagated before the restart: from now on, copies older than the purge are not requested for the purge's
+// full duration.
 func (s *State) purgesInForce(now float64, settings Settings) []Purge {
 	var purges []Purge
 	for _, p := range s.purges {
--- a/internal/decide/recovery/recovery.go
+++ b/internal/decide/recovery/recovery.go
@@ -1,7 +1,8 @@
 // Package recovery decides which purges, drains and server lists a restarted proxy applies before its sources answer again. It
 // holds the state that survives a crash: drains, departures, purges, the server lists last accepted, and the configuration
-// revision. State.Apply adds an event, State.Encode returns the bytes to store, and State.Plan returns what the proxy must
-// apply when it starts. The package performs no I/O and reads no clock: internal/state stores the events.
+// revision. State.Apply adds an event, State.Encode returns the bytes to store, and State.Plan returns what the proxy must apply
+// when it starts. The package performs no I/O and reads no clock: internal/state stores the events. Its decisions are tested in
+// this package.
 //
 // When the stored state and a source disagree, a list of a later generation from the source takes precedence over the stored
 // state. An older list, or a different one of the same generation, is not accepted, and a server that was draining stays
--- a/internal/decide/timestamp/timestamp.go
+++ b/internal/decide/timestamp/timestamp.go
@@ -5,6 +5,8 @@
 // stepped, and counts as now. That is safe for both kinds of time: a purge invalidates more copies than it has to, and a server
 // warms up for longer.
 //
+// The package reads no clock. Its decisions are tested in this package, where the tests step both clocks.
+//
 // Times are in ms: timestamps in Unix ms of the sender's clock, all others in ms of the caller's clock.
 package timestamp
 
