--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -140,7 +140,7 @@
 	m.emit(SetAccepting{false}, Stop{reason})
 }
 
-// handleSuperseded stops an owner from which another process has taken the address. The stopped process goes on accepting
+// handleSuperseded stops an owner from which another process has taken the address. The stopped process continues to accept
 // connections: the other process has opened a listener of its own, so that only this process can answer the connections queued at
 // its own listener. In phase Granting a higher recorded generation is no reason to stop: it is the successor's.
 func (m *Machine) handleSuperseded(e Superseded) {
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -34,7 +34,7 @@
 	descriptors [2]int // number of the listener's accept queue, and 1 if the lock is passed on
 }
 
-// model is a host whose processes start, die, are suspended and resumed. Messages arrive with a delay, in order.
+// model is a host whose processes start, crash, are suspended and resumed. Messages arrive with a delay, in order.
 type model struct {
 	t           require.TestingT
 	now         float64
@@ -245,8 +245,8 @@
 	return ids
 }
 
-// runTimeline runs one random timeline. Processes start, die, are suspended, resumed and delayed or, withoutFaults, only start and
-// shut down once another process serves. Once the faults have ended, exactly one process accepts connections, and it is the one
+// runTimeline runs one random timeline. Processes start, crash, are suspended, resumed and delayed or, withoutFaults, only start
+// and shut down once another process serves. Once the faults have ended, exactly one process accepts connections, and it is the one
 // that is reached at the socket. draw returns a random number from 0 to limit.
 func (m *model) runTimeline(withoutFaults bool, draw func(limit int) int) {
 	m.start()
@@ -280,7 +280,7 @@
 			m.step(p)
 		}
 		if withoutFaults {
-			require.LessOrEqual(m.t, len(m.accepting()), 1, "two processes accept connections, and none has died")
+			require.LessOrEqual(m.t, len(m.accepting()), 1, "two processes accept connections, and none has crashed")
 		}
 	}
 	for _, p := range m.processes {
--- a/internal/decide/handover/seek.go
+++ b/internal/decide/handover/seek.go
@@ -68,7 +68,7 @@
 }
 
 // prepare has the process prepare to own the address. The process may be prepared already, if it was preparing for an owner that
-// sent its state and then died.
+// sent its state and then crashed.
 func (m *Machine) prepare(noOwner bool) {
 	m.enterPhase(Preparing)
 	m.emit(Prepare{NoOwner: noOwner})
@@ -142,7 +142,7 @@
 }
 
 // handleOwnerLost handles the end of the connection to the owner, or an owner that no longer responds. Before the grant, this means
-// that the owner has died or hangs, and this process tries to take the lock. After the grant the owner was expected to end, and
+// that the owner has ended or hangs, and this process tries to take the lock. After the grant the owner was expected to end, and
 // this process is the only one left.
 func (m *Machine) handleOwnerLost() {
 	if !m.ownerConnected {
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -41,8 +41,8 @@
 	SetOwner     func(on bool)       // on: this process owns the address; off: another process does
 	SetShared    func(on bool)       // on: another process runs too, and both share the limits; off: none does
 	Stop         func(reason string) // answer open requests and end
-	// ShutdownRequested is closed once the process was told to shut down. A process that does not own the address by then never
-	// will. nil: never closed.
+	// ShutdownRequested is closed once the process was told to shut down. A process that does not own the address by then will
+	// never own it. nil: never closed.
 	ShutdownRequested <-chan struct{}
 }
 
@@ -131,8 +131,9 @@
 	return ErrShutdown
 }
 
-// Subscribe calls onDrain for each manual drain in effect, and onRestored for each server restored lately with the time in ms. From
-// then on, it calls onDrain for each drain that is set or ended through the other process.
+// Subscribe calls onDrain for each manual drain in effect, and onRestored for each server in the record whose manual drain has
+// ended (see restoredRetention), with the time in ms at which it ended. From then on, the Coordinator calls onDrain for each drain
+// that is set or ended through the other process.
 func (c *Coordinator) Subscribe(onDrain func(server policy.ServerID, drained bool), onRestored func(server policy.ServerID, at float64)) {
 	c.drainMu.Lock()
 	defer c.drainMu.Unlock()
--- a/internal/handover/failure_test.go
+++ b/internal/handover/failure_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// The record can't be written for a while. What is missing in it is written once that works again.
+// The record can't be written at first. The missing changes are written once its directory is writable again.
 func TestRecordIsWrittenOnceDirectoryWorks(t *testing.T) {
 	t.Run("manual drain", drainIsRecordedLater)
 	t.Run("owner", ownerIsRecordedLater)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -109,7 +109,7 @@
 	for n := range 5 {
 		next := h.start()
 		require.True(t, next.drained[7])
-		require.Equal(t, n > 0, next.restored[8] > 0, "server 8 was restored lately, and the next process warms it up too")
+		require.Equal(t, n > 0, next.restored[8] > 0, "the next process warms up server 8, whose drain has just ended")
 		h.waitForOwnership(next)
 		h.eventually(old, "the old owner stops accepting", func() bool { return !old.callbacks.accepting && !old.callbacks.owner })
 		require.NoError(t, old.SetManualDrain(policy.ServerID(100+n), true), "a drain is set through the old owner")
@@ -138,8 +138,8 @@
 	require.Len(t, old.record.restoredServers(), 1, "servers restored longer than restoredRetention ago are deleted")
 }
 
-// If a successor dies before it has requested the address, the owner goes on accepting. If it dies later, the owner takes the
-// address back.
+// If a successor ends before it has requested the address, the owner continues to accept connections. If the successor ends later,
+// the owner takes the address back.
 func TestOwnerTakesAddressBackFromDeadSuccessor(t *testing.T) {
 	h := newHost(t)
 	owner := h.waitForOwnership(h.start())
@@ -176,7 +176,7 @@
 	h.waitForOwnership(newOwner)
 	require.NoError(t, newOwner.SetManualDrain(5, true))
 	require.ErrorIs(t, oldOwner.record.setDrained(6, true, 0), errFenced)
-	// The old owner goes on accepting, as its listener has an accept queue of its own.
+	// The old owner continues to accept connections, as its listener has an accept queue of its own.
 	h.eventually(oldOwner, "the old owner stops", func() bool { return oldOwner.callbacks.stopped && oldOwner.callbacks.accepting })
 	require.Equal(t, []policy.ServerID{5}, newOwner.record.drainedServers())
 	oldOwner.Close()
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -29,7 +29,7 @@
 	ProtocolVersion int                `json:"revision,omitempty"`
 	Generation      uint64             `json:"generation,omitempty"`
 	Drained         []string           `json:"out,omitempty"`   // servers that operators drain
-	Restored        map[string]float64 `json:"back,omitempty"`  // servers restored lately, and when in ms
+	Restored        map[string]float64 `json:"back,omitempty"`  // as ownerRecord.Restored
 	Epoch           float64            `json:"epoch,omitempty"` // of the clock that gave the times in Restored
 	ID              string             `json:"id,omitempty"`    // of kindDrain: the server
 	Active          bool               `json:"on,omitempty"`    // of kindDrain: the drain has started; false: it has ended
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -29,7 +29,8 @@
 const (
 	maxDrained    = 1024     // servers that operators drain
 	maxRecordSize = 64 << 10 // bytes
-	// restoredRetention is how many ms the record holds a restored server. By then the server has long warmed up.
+	// restoredRetention is how many ms the record holds a server whose manual drain has ended. A server has warmed up long before
+	// the end of this time.
 	restoredRetention = 600_000
 
 	recordLockAttempts = 20
@@ -40,7 +41,8 @@
 type ownerRecord struct {
 	Generation uint64   `json:"generation"`
 	Drained    []string `json:"out"` // servers that operators drain
-	// Restored are the servers whose manual drain ended lately, with the time in ms at which it ended. From then on they warm up.
+	// Restored are the servers whose manual drain has ended, with the time in ms at which it ended; see restoredRetention. They
+	// warm up from that time on.
 	Restored map[string]float64 `json:"back,omitempty"`
 	// Epoch is the epoch of the clock that gave the times in Restored; 0: unknown.
 	Epoch float64 `json:"epoch,omitempty"`
@@ -136,7 +138,7 @@
 	return ids
 }
 
-// restoredServers returns the servers whose manual drain ended lately, with the time in ms at which it ended.
+// restoredServers returns the servers in ownerRecord.Restored, with the time in ms at which each one's manual drain ended.
 func (r *record) restoredServers() map[policy.ServerID]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
