--- a/internal/decide/discovery/simulation_test.go
+++ b/internal/decide/discovery/simulation_test.go
@@ -65,15 +65,15 @@
 	return &simulation{watcher: New(s), open: map[CallID]*connection{}, wakeAt: never, receivedAt: never, overdueAt: never}
 }
 
-// schedule has do run at a time, in ms, after what was scheduled for the same time before.
-func (s *simulation) schedule(schedule float64, do func()) {
-	i, _ := slices.BinarySearchFunc(s.queue, schedule, func(next scheduled, at float64) int {
+// at has do run at a time, in ms, after what was scheduled for the same time before.
+func (s *simulation) schedule(at float64, do func()) {
+	i, _ := slices.BinarySearchFunc(s.queue, at, func(next scheduled, at float64) int {
 		if next.at <= at {
 			return -1
 		}
 		return 1
 	})
-	s.queue = slices.Insert(s.queue, i, scheduled{schedule, do})
+	s.queue = slices.Insert(s.queue, i, scheduled{at, do})
 }
 
 // run lets virtual time pass until a time, in ms.
--- a/internal/decide/discovery/watcher.go
+++ b/internal/decide/discovery/watcher.go
@@ -22,7 +22,7 @@
 	address     string
 	calls       []call  // in the order in which they were opened
 	lastCall    CallID  // the highest id in use
-	nextCallAt  float64 // ms
+	nextCallAt  float64 // ms: when the next call is opened, unless frameInTime delays it
 	nextReason  Reason  // of the next call
 	unanswered  int     // calls opened since the last frame
 	failures    int     // consecutive calls that ended within a frame interval
@@ -83,8 +83,8 @@
 	w.deadline = now + notifiedAfter + w.settings.GracePeriod
 }
 
-// reload handles a configuration that was read again. If it names the present address, something may have changed there: open
-// calls are kept, but another one is opened unless they receive a frame soon.
+// reload handles a configuration that was read again. If it names the present address, the service at that address may
+// have been replaced: open calls are kept, but another one is opened unless one of them receives a frame within reloadDelay.
 func (w *Watcher) reload(now float64, address string) {
 	if address != w.address {
 		w.switchAddress(now, address, ReasonAddressChanged, w.settings.NotifiedAfterReload)
@@ -102,8 +102,8 @@
 	}
 }
 
-// frameReceived keeps the call that received a frame and closes the others. Only a complete frame counts: a few bytes now and then
-// must not keep a call in use.
+// frameReceived keeps the call that received a complete frame and closes the others. Bytes of an incomplete frame do not have this
+// effect: a service that sends a few bytes from time to time would otherwise keep a call in use.
 func (w *Watcher) frameReceived(now float64, id CallID) {
 	c := w.find(id)
 	if c == nil {
@@ -146,7 +146,7 @@
 		w.deadline = min(w.deadline, now+w.settings.NotifiedAfterDisconnect+w.settings.GracePeriod)
 	}
 	if len(w.calls) == 0 {
-		w.nextCallAt = math.Inf(1) // no open call is waited for, so that only the backoff counts
+		w.nextCallAt = math.Inf(1) // no open call can receive a frame: only the backoff delays the next call
 	}
 	w.callBy(now+w.backoff(), ReasonRetry)
 	w.failures++
@@ -154,12 +154,12 @@
 }
 
 const (
-	// progressCheck is the time, in ms, after which a frame that is being received is checked again.
-	progressCheck = 250
-	// stallTimeout is the time, in ms, without another byte after which a frame is no longer waited for.
+	// progressCheckInterval is the time, in ms, between two checks of a frame that delays the next call; see frameInTime.
+	progressCheckInterval = 250
+	// stallTimeout is the time, in ms, without another byte after which a frame no longer delays the next call.
 	stallTimeout = 500
-	// deadlineReserve is how long before the deadline, in ms, frames are no longer waited for, so that there is time for one more
-	// call.
+	// deadlineReserve is how long before the deadline, in ms, a frame no longer delays the next call, so that one more call can
+	// still receive a frame in time.
 	deadlineReserve = 1500
 )
 
@@ -167,7 +167,7 @@
 func (w *Watcher) advance(now float64) {
 	if now >= w.nextCallAt {
 		if w.frameInTime(now) {
-			w.nextCallAt = now + progressCheck
+			w.nextCallAt = now + progressCheckInterval
 		} else {
 			w.dial(now)
 		}
--- a/internal/decide/discovery/watcher_test.go
+++ b/internal/decide/discovery/watcher_test.go
@@ -114,7 +114,7 @@
 }
 
 // A list of thousands of servers takes 4 s to arrive, which is in time at its rate: it is not requested again before the last
-// seconds. If it stalls on the way, it is no longer waited for.
+// 2 s. If it stalls on the way, another call requests it.
 func TestSlowListIsRequestedOnce(t *testing.T) {
 	slow := behaviour{bytes: 86_400, msPerByte: 4000.0 / 86_400}
 	for seed := range uint64(50) {
@@ -189,11 +189,11 @@
 
 // fleetCalls runs a number of watchers, each in a simulation of its own, and counts their calls between two times, in ms: all of
 // them, and the most within 50 ms.
-func fleetCalls(proxies int, from, to float64, play func(s *simulation)) (total, peak int) {
+func fleetCalls(proxies int, from, to float64, setUp func(s *simulation)) (total, peak int) {
 	calls := map[int]int{}
 	for seed := range proxies {
 		s := newSimulation(DefaultSettings(uint64(seed), gracePeriod))
-		play(s)
+		setUp(s)
 		s.run(to)
 		for _, at := range s.callTimes {
 			if at >= from {
@@ -208,10 +208,10 @@
 }
 
 // everyCall returns the same behaviour for every call.
-func everyCall(t behaviour) []behaviour {
+func everyCall(b behaviour) []behaviour {
 	list := make([]behaviour, 1000)
 	for i := range list {
-		list[i] = t
+		list[i] = b
 	}
 	return list
 }
--- a/internal/decide/handover/action.go
+++ b/internal/decide/handover/action.go
@@ -28,7 +28,7 @@
 
 // Actions of an owner.
 type (
-	// SendState sends the state to a successor.
+	// SendState sends this process's state to a successor: its generation, the drains and the restored servers.
 	SendState struct{ To int }
 	// Reject tells a process that no successor is accepted now (Busy), or none of its protocol version.
 	Reject struct {
@@ -45,7 +45,7 @@
 type (
 	// SetAccepting starts or stops accepting new connections.
 	SetAccepting struct{ On bool }
-	// EndSharing ends the sharing of limits: no other process is left, and this one may use them in full.
+	// EndSharing ends the sharing of limits, such as that on memory: no other process is left, and this one may use them in full.
 	EndSharing struct{}
 	// Stop has this process answer its open requests and end, because another process owns the address.
 	Stop struct{ Reason string }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -5,8 +5,8 @@
 //
 // One process owns the address at a time. A lock shows that an owner is alive: the owner passes it on with the listener, and it is
 // free once the last process that holds it has ended. Each owner has a generation, one higher than the highest known one, or two
-// higher than its own before if it takes the address back, and stores its record under its generation. If two processes both act as
-// the owner, the one of the higher generation is the owner.
+// higher than its previous one if it takes the address back, and stores its record under its generation. If two processes both act
+// as the owner, the one of the higher generation is the owner.
 package handover
 
 // ProtocolVersion is the version of the protocol between two processes. A process treats an owner of another version like an owner
@@ -27,7 +27,7 @@
 	PrepareTimeout float64
 }
 
-// Phase is the phase of a process on its way to the address and away from it.
+// Phase is what a process does in the handover of the address: it passes from Seeking to Owning, and from Owning to Stopped.
 type Phase int
 
 // The phases. From Owning on, a process owns the address or has owned it.
@@ -134,7 +134,7 @@
 // successor counts, as it takes the address back if the successor fails.
 func (m *Machine) isOwner() bool { return m.phase >= Owning && m.phase != Stopped }
 
-// stop ends the process's part and stops accepting connections: the other process accepts them at the same listener.
+// stop enters phase Stopped and stops accepting connections: the other process accepts them at the same listener.
 func (m *Machine) stop(reason string) {
 	m.enterPhase(Stopped)
 	m.emit(SetAccepting{false}, Stop{reason})
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -39,7 +39,7 @@
 
 	SetAccepting func(on bool)       // on: accept new connections; off: leave them to another process
 	SetOwner     func(on bool)       // on: this process owns the address; off: another process does
-	SetShared    func(on bool)       // on: another process runs too, and both share the limits; off: none does
+	SetShared    func(on bool)       // on: another process runs too, and both share limits such as that on memory; off: none does
 	Stop         func(reason string) // answer open requests and end
 	// ShutdownRequested is closed once the process was told to shut down. A process that does not own the address by then will
 	// never own it. nil: never closed.
