--- a/internal/decide/storestate/bench_test.go
+++ b/internal/decide/storestate/bench_test.go
@@ -13,8 +13,8 @@
 // stateSizes are the numbers of entries of each kind in a benchmark's state.
 var stateSizes = []int{600, 6_000, 60_000, 600_000}
 
-// stateWithEntries returns a state of n purges, n redeemed and n revoked token ids, the i-th of which expires at i ms. It is decoded
-// from a snapshot, which is faster than applying the changes.
+// stateWithEntries returns a state of n purges, n redeemed and n revoked token ids, the i-th of which expires at i ms. It is
+// decoded from a snapshot, which is faster than applying the changes.
 func stateWithEntries(b *testing.B, n int) *storestate.State {
 	s := storestate.New()
 	s.Time = 1
--- a/internal/decide/storestate/storestate.go
+++ b/internal/decide/storestate/storestate.go
@@ -1,8 +1,8 @@
-// Package storestate is the state machine of the replicated store: signing keys, redeemed and revoked token ids, revisions of
-// the configuration, server lists, drains and purges. Applying the same log gives the same state on each member: Apply is
+// Package storestate is the state machine of the replicated store: signing keys, redeemed and revoked token ids, revisions of the
+// configuration, server lists, drains and purges. Applying the same log gives the same state on each member: Apply is
 // deterministic, takes the time from the changes instead of a clock, and gives a change that is submitted twice under one id one
-// effect and one result. The package performs no I/O. Its own tests cover its decisions; the tests of internal/store apply it
-// while members fail.
+// effect and one result. The package performs no I/O. Its own tests cover its decisions; the tests of internal/store apply it while
+// members fail.
 //
 // All times are Unix milliseconds.
 package storestate
@@ -35,7 +35,7 @@
 type State struct {
 	Time           float64            `cbor:"1,keyasint"`  // latest ProposedAt of the changes applied, limited by maxTimeStep
 	Keys           map[string]Key     `cbor:"2,keyasint"`  // by key id
-	RedeemedTokens map[string]float64 `cbor:"3,keyasint"`  // by token id: when the one-time token expires; until then a second use is refused
+	RedeemedTokens map[string]float64 `cbor:"3,keyasint"`  // by token id: when the token expires; a second use is refused
 	RevokedTokens  map[string]float64 `cbor:"4,keyasint"`  // by token id: when the token expires
 	Revisions      []Revision         `cbor:"5,keyasint"`  // of the configuration, oldest first
 	Lists          map[string]List    `cbor:"6,keyasint"`  // by name
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,8 +1,8 @@
-// Package store replicates configuration, signing keys, revocations, redeemed token ids, server lists, drains and purges among a few
-// members by raft (hashicorp/raft). The state machine is decide/storestate, and decide/retry decides on retries. A single member
-// in memory has no log and opens no socket. Members of a cluster use mutual TLS among each other and refuse other connections. No
-// request over the platform's protocol (internal/front/resp) waits for the store. The tests disconnect, kill and restart members,
-// and check that the recorded calls are linearizable.
+// Package store replicates configuration, signing keys, revocations, redeemed token ids, server lists, drains and purges among a
+// few members by raft (hashicorp/raft). The state machine is decide/storestate, and decide/retry decides on retries. A single
+// member in memory has no log and opens no socket. Members of a cluster use mutual TLS among each other and refuse other
+// connections. No request over the platform's protocol (internal/front/resp) waits for the store. The tests disconnect, kill and
+// restart members, and check that the recorded calls are linearizable.
 package store
 
 import (
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -183,8 +183,8 @@
 	return ""
 }
 
-// redeemNewToken redeems a new token id, and tries until a quorum accepts it. An attempt without a quorum may still succeed later, so
-// each attempt redeems another token id.
+// redeemNewToken redeems a new token id, and tries until a quorum accepts it. An attempt without a quorum may still succeed later,
+// so each attempt redeems another token id.
 func redeemNewToken(t testing.TB, s *Store) (tokenID string) {
 	t.Helper()
 	n := 0
