--- a/internal/decide/storestate/storestate.go
+++ b/internal/decide/storestate/storestate.go
@@ -35,7 +35,7 @@
 type State struct {
 	Time           float64            `cbor:"1,keyasint"`  // latest ProposedAt of the changes applied, limited by maxTimeStep
 	Keys           map[string]Key     `cbor:"2,keyasint"`  // by key id
-	RedeemedTokens map[string]float64 `cbor:"3,keyasint"`  // by token id: when the token expires, until when a reuse is refused
+	RedeemedTokens map[string]float64 `cbor:"3,keyasint"`  // by token id: when the token expires; a reuse before that is refused
 	RevokedTokens  map[string]float64 `cbor:"4,keyasint"`  // by token id: when the token expires
 	Revisions      []Revision         `cbor:"5,keyasint"`  // of the configuration, oldest first
 	Lists          map[string]List    `cbor:"6,keyasint"`  // by name
@@ -56,7 +56,8 @@
 func New() *State {
 	return &State{
 		Keys: map[string]Key{}, RedeemedTokens: map[string]float64{}, RevokedTokens: map[string]float64{},
-		Lists: map[string]List{}, Drains: map[string]float64{}, Purges: map[string]Purge{}, FactIndexes: map[string]uint64{}, resultsByID: map[string]Result{},
+		Lists: map[string]List{}, Drains: map[string]float64{}, Purges: map[string]Purge{},
+		FactIndexes: map[string]uint64{}, resultsByID: map[string]Result{},
 	}
 }
 
