--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -71,7 +71,7 @@
 	}
 	d.checkSubscriber(c)
 	if f.Signed != nil {
-		doc.Failf("signed", "signed is only allowed in a member of the store: spent tokens are not distributed")
+		doc.Failf("signed", "signed is only allowed in a member of the store: redeemed tokens are not distributed")
 	}
 }
 
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -79,7 +79,7 @@
 		{distributorText, `"upstream"`, `"strict": ["asset"], "upstream"`, "o:4:15: strict is not supported yet: requests would not take it into account"},
 		{distributorText, `{
   "dist`, `{"signed": {"audience": "x", "listen": "127.0.0.1:4200"},
-  "dist`, "o:1:12: signed is only allowed in a member of the store: spent tokens are not distributed"},
+  "dist`, "o:1:12: signed is only allowed in a member of the store: redeemed tokens are not distributed"},
 	} {
 		require.Contains(t, c.text, c.from)
 		_, err := config.ParseOperatorFile("o", []byte(strings.Replace(c.text, c.from, c.to, 1)))
--- a/internal/front/signed/answer.go
+++ b/internal/front/signed/answer.go
@@ -12,7 +12,7 @@
 const (
 	// timerSlackMs is how many ms a timer may fire before the time that it was set for.
 	timerSlackMs = 1
-	// redeemRetryAfter is the delay in ms after which a client should retry if the store could not record its token as spent in
+	// redeemRetryAfter is the delay in ms after which a client should retry if the store could not record its token as redeemed in
 	// time.
 	redeemRetryAfter = 1000
 )
--- a/internal/front/signed/front.go
+++ b/internal/front/signed/front.go
@@ -33,7 +33,7 @@
 	Audience string  // the audience that tokens must name
 	Leeway   float64 // how many ms the clocks of issuers may differ from this one
 	Clock    *clock.Clock
-	Store    *store.Store // holds signing keys, revocations and spent tokens
+	Store    *store.Store // holds signing keys, revocations and redeemed tokens
 	Core     RequestHandler
 	Log      *logs.Log // for errors of the HTTP server; nil: they are not logged
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// serveWrite spends the token and answers a write. A token authorises one write, once, before the first attempt; after that the
+// serveWrite redeems the token and answers a write. A token authorises one write, once, before the first attempt; after that the
 // outcome alone decides the answer. No attempt starts after the token's expiry, but the answer to an attempt that may have been
 // executed is waited for.
 func (f *Front) serveWrite(w http.ResponseWriter, r *http.Request, q core.Request, t token) {
--- a/internal/front/signed/token.go
+++ b/internal/front/signed/token.go
@@ -60,7 +60,7 @@
 
 func (v *verifier) leewayMs() float64 { return math.Float64frombits(v.leeway.Load()) }
 
-// verify verifies a JWT for a URI. The token of a write must have an id, by which the store records later that it was spent. The
+// verify verifies a JWT for a URI. The token of a write must have an id, by which the store records later that it was redeemed. The
 // error wraps errExpired or errUnauthorised.
 func (v *verifier) verify(raw, uri string, write bool) (token, error) {
 	var c claims
