--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -51,8 +51,8 @@
 	notifications []fleet.Notification // the drains and purges of which the proxy was notified, for checking the rules
 }
 
-// Run runs the demonstration. It returns a RulesBrokenError if rules were broken, and another error if it could not complete the
-// demonstration.
+// Run runs the demonstration. It returns a ViolationsError if there were violations of rules, and another error if it could not
+// complete the demonstration.
 func Run(ctx context.Context, o Options) error {
 	dir, err := os.MkdirTemp("", "ravenwheel-demo-")
 	if err != nil {
--- a/internal/lab/demo/report.go
+++ b/internal/lab/demo/report.go
@@ -15,15 +15,15 @@
 // roleNames are the names of the roles, indexed by fleet.Role.
 var roleNames = []string{"cache", "parent", "origin"}
 
-// RulesBrokenError lists the rules that were broken.
-type RulesBrokenError struct{ Violations []string }
+// ViolationsError lists the violations of rules.
+type ViolationsError struct{ Violations []string }
 
 // Error implements error.
-func (e RulesBrokenError) Error() string {
-	return fmt.Sprintf("%d rules broken:\n%s", len(e.Violations), strings.Join(e.Violations, "\n"))
+func (e ViolationsError) Error() string {
+	return fmt.Sprintf("%d violations of rules:\n%s", len(e.Violations), strings.Join(e.Violations, "\n"))
 }
 
-// report prints what clients and servers observed. It returns a RulesBrokenError if rules were broken.
+// report prints what clients and servers observed. It returns a ViolationsError if there were violations of rules.
 func (d *demonstration) report() error {
 	w := tabwriter.NewWriter(d.options.Out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nclass\trequested\tserved\trejected\tfailed\tlost\tretried\tp50 ms\tp99 ms\t")
@@ -42,10 +42,10 @@
 		return err
 	}
 	violations := d.violations()
-	fmt.Fprintf(d.options.Out, "\n%d different writes ran; rules broken, as observed by servers and clients: %d\n",
+	fmt.Fprintf(d.options.Out, "\n%d different writes ran; violations of rules, as observed by servers and clients: %d\n",
 		d.fleet.WritesRun(), len(violations))
 	if len(violations) > 0 {
-		return RulesBrokenError{violations}
+		return ViolationsError{violations}
 	}
 	return nil
 }
