--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -56,7 +56,8 @@
 	}
 	value := req.class.PriorityWeight / cmp.Or(r.knownTransferTime(req), r.classTransferTime(req))
 	fraction := 1.0
-	for _, low := range []bool{lowValueRatio*value < bestValue, lowestValueRatio*value < bestValue, req.ClientRetry} {
+	for _, low := range []bool{lowValueRatio*value < bestValue, lowestValueRatio*value < bestValue,
+		req.ClientRetry} {
 		if low {
 			fraction *= lowValueLimitFraction
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -58,7 +58,8 @@
 // the server down if there are too many of them.
 func (r *Router) recordUnanswered(server *server) {
 	server.ConsecutiveUnanswered++
-	unresponsive := server.ConsecutiveUnanswered >= rarelyUsedMaxUnanswered && r.now-server.LastAnswer >= unresponsivePeriod
+	unresponsive := server.ConsecutiveUnanswered >= rarelyUsedMaxUnanswered &&
+		r.now-server.LastAnswer >= unresponsivePeriod
 	if server.ConsecutiveUnanswered >= maxConsecutiveUnanswered || unresponsive {
 		r.markDown(server, "silent")
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -24,7 +24,8 @@
 	}
 	class, objectHash := &r.settings.Classes[e.Class], hash(e.Object)
 	req := &openRequest{
-		Request: e, class: class, deadline: r.now + e.TimeLeft, objectHash: objectHash, admissionDraw: r.random(),
+		Request: e, class: class, deadline: r.now + e.TimeLeft, objectHash: objectHash,
+		admissionDraw: r.random(),
 	}
 	if req.cacheHash = req.objectHash; req.class.Multipart {
 		// Parts are cached separately, so the parts of a popular object are spread over the caches.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -20,7 +20,8 @@
 		return
 	}
 	r.closeAttempt(attempt)
-	attempt.mayHaveExecuted = !slices.Contains([]Result{Overloaded, ConnectFailed, Skipped, Miss}, outcome.Result)
+	attempt.mayHaveExecuted = !slices.Contains(
+		[]Result{Overloaded, ConnectFailed, Skipped, Miss}, outcome.Result)
 	r.updateServerHealth(attempt, outcome)
 	if attempt.hasSource() {
 		r.updateSourceHealth(attempt, outcome)
--- a/policy/server_pick.go
+++ b/policy/server_pick.go
@@ -17,7 +17,8 @@
 	for _, preferred := range []bool{true, false} {
 		spillsOver := false
 		for _, candidate := range order {
-			if candidate.State != Ready || !req.maySendTo(r.now, candidate) || !r.withinWarmUpBudget(candidate) {
+			if candidate.State != Ready || !req.maySendTo(r.now, candidate) ||
+				!r.withinWarmUpBudget(candidate) {
 				continue
 			}
 			if candidate.Down && preferred && r.probeDue(candidate, req) {
@@ -34,7 +35,8 @@
 				spillsOver = true
 				continue
 			}
-			if preferred && (slices.Contains(req.failedServers, candidate) || !r.inRampedFraction(candidate, req.cacheHash)) {
+			if preferred && (slices.Contains(req.failedServers, candidate) ||
+				!r.inRampedFraction(candidate, req.cacheHash)) {
 				continue
 			}
 			return candidate, nil
@@ -47,7 +49,7 @@
 // up, and the server that the attempt probes, if any. Caches that are only over their limits are not
 // bypassed, as that would move their overload to the parents.
 func (r *Router) bypassCaches(req *openRequest) (to, probed *server) {
-	if slices.ContainsFunc(r.caches, func(cache *server) bool { return cache.State == Ready && !cache.Down }) {
+	if slices.ContainsFunc(r.caches, func(c *server) bool { return c.State == Ready && !c.Down }) {
 		return nil, nil
 	}
 	to, _, probed = r.chooseSource(req, nil)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -63,7 +63,8 @@
 	maxCredit := rate * window.Seconds() * warmUpBudgetBurstFraction
 	server.Credit += rate * (r.now - server.CreditUpdated).Seconds()
 	server.CreditUpdated = r.now
-	if longestTransfer := slices.Max(r.transferTime); maxCredit < longestTransfer && server.Credit > maxCredit {
+	if longestTransfer := slices.Max(r.transferTime); maxCredit < longestTransfer &&
+		server.Credit > maxCredit {
 		server.Credit -= longestTransfer * math.Ceil((server.Credit-maxCredit)/longestTransfer)
 	}
 	server.Credit = min(server.Credit, maxCredit)
@@ -75,7 +76,8 @@
 func (r *Router) warmUpRate(server *server, warmUp WarmUp, elapsed time.Duration) float64 {
 	progress := float64(max(0, elapsed-warmUp.OverloadWindow)) / float64(warmUp.Duration)
 	capacity := warmUp.InitialCapacity + (1-warmUp.InitialCapacity)*min(1, progress)
-	minRate := slices.Max(r.transferTime) / float64(r.routersSharing(server)) / warmUp.OverloadWindow.Seconds()
+	minRate := slices.Max(r.transferTime) / float64(r.routersSharing(server)) /
+		warmUp.OverloadWindow.Seconds()
 	return max(warmUpBudgetSafetyFactor*warmUp.OverloadMultiple*capacity*r.linkShare(server), minRate)
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -287,6 +287,8 @@
 			server.rendezvousScore = -cmp.Or(max(0, server.Weight), 1) / math.Log(server.rendezvousScore)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *server) int { return cmp.Compare(b.rendezvousScore, a.rendezvousScore) })
+	slices.SortStableFunc(order, func(a, b *server) int {
+		return cmp.Compare(b.rendezvousScore, a.rendezvousScore)
+	})
 	return order
 }
